--- a/decision/health.go
+++ b/decision/health.go
@@ -3,14 +3,14 @@
 import (
 	"math"
 	"time"
+
+	"pumicecroft/internal/backoff"
 )
 
 // What a door notices of its backends before the list tells.
 
 const (
-	firstHold   = 125 * time.Millisecond
-	longestHold = second
-	downAfter   = 3 // failed connections in a row
+	downAfter = 3 // failed connections in a row
 
 	quietFor   = 2.0      // answers that a backend may owe, in mean answers, before it costs more to choose
 	deadAfter  = 10.0     // mean latencies of its class after which a first attempt is given up, if another can be made
@@ -21,11 +21,14 @@
 	slowFades  = 2.0      // ... and its slowness over the mean
 )
 
+// connectHold is how long nothing is sent to a backend that could not be reached.
+var connectHold = backoff.Exponential{Initial: 125 * time.Millisecond, Max: second}
+
 // noConnection holds sends to a backend that could not be reached, for longer each time in a row. Only where that
 // goes on is its process taken to be down, and then it will be cold by the list's next word: a single connection
 // that breaks tells nothing of the rest.
 func (g *Gateway) noConnection(b *backend) {
-	b.holdUntil = g.now + min(firstHold<<b.unreached, longestHold)
+	b.holdUntil = g.now + connectHold.Delay(b.unreached)
 	if b.unreached++; b.unreached >= downAfter {
 		g.chill(b, g.now)
 		g.settle(b)
--- a/internal/blocking/blocking.go
+++ b/internal/blocking/blocking.go
@@ -6,6 +6,8 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"pumicecroft/internal/backoff"
 )
 
 // Rules are the figures. What is 0 takes the default.
@@ -106,10 +108,7 @@
 
 // Failed tells that it got no answer, or none that could be read.
 func (l *Loop) Failed(now time.Duration) {
-	d := l.rules.RetryMost
-	if l.failed < 16 {
-		d = min(d, l.rules.RetryFirst<<l.failed)
-	}
+	d := backoff.Exponential{Initial: l.rules.RetryFirst, Max: l.rules.RetryMost}.Delay(l.failed)
 	l.failed++
 	l.at = now + d - time.Duration(l.rng.Float64()*float64(d)/2)
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -20,6 +20,8 @@
 
 import (
 	"time"
+
+	"pumicecroft/internal/backoff"
 )
 
 // Rules are a log's. What is 0 takes the default.
@@ -461,7 +463,7 @@
 	l.written, l.lost = l.synced, l.seq
 	l.down, l.barred = true, false
 	l.failures++
-	l.retryAt = now + min(l.rules.Retry<<min(l.failures-1, 10), mostRetry)
+	l.retryAt = now + backoff.Exponential{Initial: l.rules.Retry, Max: mostRetry}.Delay(min(l.failures-1, 10))
 }
 
 // Close takes nothing more; what is pending is written and synced as Next has it, until Closed.
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"github.com/gofrs/flock"
+	"pumicecroft/internal/atomicfile"
 )
 
 // ErrTaken is a file that another process keeps.
@@ -32,19 +32,18 @@
 // File is a door's snapshot, which is this process's alone until Close.
 type File struct {
 	path string
-	lock *flock.Flock
+	lock *atomicfile.Lock
 }
 
 // Open takes a door's snapshot in a directory that exists. The error is an ErrTaken if another process has it.
 func Open(dir string, number int) (*File, error) {
 	path := Path(dir, number)
-	lock := flock.New(path + ".lock")
-	got, err := lock.TryLock()
-	switch {
-	case err != nil:
+	lock, err := atomicfile.TryLock(path + ".lock")
+	if errors.Is(err, atomicfile.ErrLocked) {
+		err = ErrTaken
+	}
+	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
-	case !got:
-		return nil, fmt.Errorf("%s: %w", path, ErrTaken)
 	}
 	return &File{path, lock}, nil
 }
@@ -72,18 +71,7 @@
 // Write replaces it. Whatever fails, the file is the old one or the new one, whole, as long as the machine goes on; after a crash of the
 // machine it may be torn, which its checksum tells.
 func (f *File) Write(text []byte) error {
-	t, err := os.CreateTemp(filepath.Dir(f.path), ".decisions-*")
-	if err != nil {
-		return err
-	}
-	_, err = t.Write(text)
-	if err = errors.Join(err, t.Close()); err == nil {
-		err = os.Rename(t.Name(), f.path)
-	}
-	if err != nil {
-		return errors.Join(err, os.Remove(t.Name()))
-	}
-	return nil
+	return atomicfile.Replace(f.path, text, atomicfile.Options{TempPattern: ".decisions-*"})
 }
 
 // Close lets another process have it.
--- a/internal/lab/rows.go
+++ b/internal/lab/rows.go
@@ -11,11 +11,11 @@
 	"slices"
 	"strings"
 
+	"pumicecroft/internal/atomicfile"
 	"pumicecroft/internal/region"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cespare/xxhash/v2"
-	"github.com/gofrs/flock"
 )
 
 // Row is what came of one run.
@@ -59,7 +59,7 @@
 // that has its checksum and takes its name only when it is whole and on disk: one that is torn is never read as a good one.
 type Dir struct {
 	path string
-	lock *flock.Flock
+	lock *atomicfile.Lock
 }
 
 const (
@@ -74,12 +74,14 @@
 	if err := os.MkdirAll(filepath.Join(path, "runs"), 0o755); err != nil {
 		return nil, err
 	}
-	d := &Dir{path: path, lock: flock.New(filepath.Join(path, lockFile))}
-	if got, err := d.lock.TryLock(); err != nil {
+	lock, err := atomicfile.TryLock(filepath.Join(path, lockFile))
+	if errors.Is(err, atomicfile.ErrLocked) {
+		err = fmt.Errorf("%s: %w", path, ErrBusy)
+	}
+	if err != nil {
 		return nil, err
-	} else if !got {
-		return nil, fmt.Errorf("%s: %w", path, ErrBusy)
 	}
+	d := &Dir{path: path, lock: lock}
 	if err := d.belongTo(e); err != nil {
 		d.Close()
 		return nil, err
@@ -130,20 +132,11 @@
 }
 
 // Close lets another run in.
-func (d *Dir) Close() { _ = d.lock.Unlock() }
+func (d *Dir) Close() { _ = d.lock.Close() }
 
 // writeWhole writes a file that is there whole or not at all, whatever happens meanwhile.
 func writeWhole(path string, text []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".new-*")
-	if err != nil {
-		return err
-	}
-	defer os.Remove(f.Name()) // it has its other name by then, if all went well
-	_, err = f.Write(text)
-	if err = errors.Join(err, f.Chmod(0o644), f.Sync(), f.Close()); err != nil {
-		return err
-	}
-	return os.Rename(f.Name(), path)
+	return atomicfile.Replace(path, text, atomicfile.Options{TempPattern: ".new-*", Perm: 0o644, Sync: true})
 }
 
 // Put keeps a row.
--- a/internal/logfile/logfile.go
+++ b/internal/logfile/logfile.go
@@ -18,9 +18,8 @@
 	"sync"
 	"time"
 
+	"pumicecroft/internal/atomicfile"
 	"pumicecroft/internal/journal"
-
-	"github.com/gofrs/flock"
 )
 
 // ErrInUse says that another process has the directory.
@@ -45,7 +44,7 @@
 // Dir is a directory on disk. It is not safe for concurrent use.
 type Dir struct {
 	path   string
-	lock   *flock.Flock
+	lock   *atomicfile.Lock
 	number uint64
 	file   *os.File // of number; nil: none is open
 }
@@ -55,15 +54,14 @@
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	d := &Dir{path: path, lock: flock.New(filepath.Join(path, lockName), flock.SetPermissions(0o600))}
-	ok, err := d.lock.TryLock()
-	switch {
-	case err != nil:
+	lock, err := atomicfile.TryLock(filepath.Join(path, lockName))
+	if errors.Is(err, atomicfile.ErrLocked) {
+		err = fmt.Errorf("%s: %w", path, ErrInUse)
+	}
+	if err != nil {
 		return nil, err
-	case !ok:
-		return nil, fmt.Errorf("%s: %w", path, ErrInUse)
 	}
-	return d, nil
+	return &Dir{path: path, lock: lock}, nil
 }
 
 func (d *Dir) name(n uint64) string { return filepath.Join(d.path, fmt.Sprintf("%016x%s", n, ending)) }
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,5 +1,5 @@
 // Package pace settles when a front door asks discovery to be told of changes. It is pure: times are durations, chance comes from a
-// seed; asking is the caller's. It imports nothing of this module.
+// seed; asking is the caller's. Of this module it imports internal/backoff.
 //
 // Doors that start together, or that lose discovery together, would ask together. Where a call costs discovery work, and it takes one call
 // of each door in as long as one may go without asking (Within), it then has the calls of most wait for longer than they do: what it works
@@ -20,6 +20,8 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"pumicecroft/internal/backoff"
 )
 
 const (
@@ -74,10 +76,7 @@
 
 // again is how long to wait before a call that others like it have failed before.
 func (p *Pace) again(unsure time.Duration) time.Duration {
-	wait := p.most(unsure)
-	if p.failed < first { // no shift goes over
-		wait = min(wait, max(atOnce, min(p.within/first, little))<<p.failed)
-	}
+	wait := backoff.Exponential{Initial: max(atOnce, min(p.within/first, little)), Max: p.most(unsure)}.Delay(p.failed)
 	p.failed++
 	return wait - p.any(min(wait/2, spread))
 }
--- a/internal/prepared/prepared.go
+++ b/internal/prepared/prepared.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"pumicecroft/decision"
+	"pumicecroft/internal/atomicfile"
 	"pumicecroft/membership"
 )
 
@@ -78,23 +79,8 @@
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(dir, ".members-*")
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(append(append(first, '\n'), rest...))
-	err = errors.Join(err, f.Sync(), f.Close())
-	if err == nil {
-		err = os.Rename(f.Name(), Path(dir, source))
-	}
-	if err != nil {
-		return errors.Join(err, os.Remove(f.Name()))
-	}
-	d, err := os.Open(dir)
-	if err != nil {
-		return err
-	}
-	return errors.Join(d.Sync(), d.Close()) // so that the new name is there after a loss of power
+	text := append(append(first, '\n'), rest...)
+	return atomicfile.Replace(Path(dir, source), text, atomicfile.Options{TempPattern: ".members-*", Sync: true, SyncDir: true})
 }
 
 // Read gives a source's nodes as they were kept, and of when. The error names the file.
--- a/purity_test.go
+++ b/purity_test.go
@@ -14,7 +14,7 @@
 
 // purePackages do no I/O, read no clock, take no lock and start no goroutine, so that the same code runs under
 // real sockets, under a virtual clock and in the simulator.
-var purePackages = []string{"decision", "keys", "internal/journal", "internal/simdisk", "routes", "identity", "internal/webwire", "internal/wheel", "internal/roster", "internal/core", "membership", "internal/blocking", "internal/pace", "internal/connpool", "internal/httpwire", "internal/registry", "internal/grpcwire", "internal/readings", "internal/sim", "internal/terms", "internal/virtual", "internal/region", "internal/paired", "internal/payoff", "quota", "recovery"}
+var purePackages = []string{"decision", "keys", "internal/journal", "internal/simdisk", "routes", "identity", "internal/webwire", "internal/wheel", "internal/roster", "internal/core", "membership", "internal/backoff", "internal/blocking", "internal/pace", "internal/connpool", "internal/httpwire", "internal/registry", "internal/grpcwire", "internal/readings", "internal/sim", "internal/terms", "internal/virtual", "internal/region", "internal/paired", "internal/payoff", "quota", "recovery"}
 
 var impureImports = []string{"net", "os", "sync", "log", "syscall", "context", "io", "runtime", "testing", "unsafe"}
 
--- a/quota/line.go
+++ b/quota/line.go
@@ -1,17 +1,22 @@
 package quota
 
-import "time"
+import (
+	"time"
+
+	"pumicecroft/internal/backoff"
+)
 
 const (
-	mostOut   = 64                     // calls of a door that may be out at once
-	downAfter = 3                      // calls in a row that were lost, before the counter counts as down
-	firstWait = 250 * time.Millisecond // until it is asked again, at first
-	mostWait  = 4 * time.Second        // ... and at last
-	shrinkBy  = 0.7                    // of the customers, when a call is turned away or late
-	growBy    = 1.0 / 64               // ... and back, with each that is answered
+	mostOut   = 64       // calls of a door that may be out at once
+	downAfter = 3        // calls in a row that were lost, before the counter counts as down
+	shrinkBy  = 0.7      // of the customers, when a call is turned away or late
+	growBy    = 1.0 / 64 // ... and back, with each that is answered
 	leastPart = 1.0 / 64
 )
 
+// downtime is how long the counter counts as down before it is asked again.
+var downtime = backoff.Exponential{Initial: 250 * time.Millisecond, Max: 4 * time.Second}
+
 // Line is what a door knows of the way to the counter: whether it answers, and for which part of the customers it can
 // be asked without being crowded. A counter that is crowded serves calls in turn and turns some away: then every door
 // asks for fewer customers, all doors for about the same ones, so that who gives and who draws are the same.
@@ -59,7 +64,7 @@
 	l.out--
 	l.trial = false
 	if l.lost++; l.lost >= downAfter {
-		l.wait = min(mostWait, max(firstWait, 2*l.wait))
+		l.wait = downtime.Next(l.wait)
 		l.until = now + time.Duration((0.5+chance/2)*float64(l.wait))
 	}
 }
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -31,17 +31,17 @@
 import (
 	"time"
 
+	"pumicecroft/internal/backoff"
 	"pumicecroft/internal/virtual"
 )
 
 // Keep is the life of a pool's name; what is in it then is lost.
 const Keep = time.Minute
 
-const (
-	tiny       = 1e-3 // what a total may be off by: it holds seven digits
-	firstPause = 500 * time.Millisecond
-	mostPause  = 8 * time.Second
-)
+const tiny = 1e-3 // what a total may be off by: it holds seven digits
+
+// fullPause is how long nothing is given to a pool that was full.
+var fullPause = backoff.Exponential{Initial: 500 * time.Millisecond, Max: 8 * time.Second}
 
 // Pool is a door's view of one customer's pool. The zero value is of none.
 type Pool struct {
@@ -100,9 +100,9 @@
 // doors apart.
 func (p *Pool) Given(now time.Duration, total, chance float64) float64 {
 	if total >= p.most-tiny {
-		p.pause = min(mostPause, max(firstPause, 2*p.pause))
+		p.pause = fullPause.Next(p.pause)
 	} else {
-		p.pause = firstPause
+		p.pause = fullPause.Initial
 	}
 	p.next = now + time.Duration((0.5+chance)*float64(p.pause))
 	return -max(0, total-p.most)
