--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -28,7 +28,7 @@
 	if now != r.now {
 		r.t.Errorf("the decision module is told that it is %v, it is %v", now, r.now)
 	}
-	r.heard = append(r.heard, fmt.Sprintf("%T%+v", ev, ev))
+	r.heard = append(r.heard, encodeEvent(ev))
 	if r.on != nil {
 		as = append(as, r.on(ev)...)
 	}
@@ -120,7 +120,7 @@
 	r := newRig(t, Limits{}, sendOn(nil))
 	r.want("arrival", r.arrive(1, "safe"), "start 1/0 at 7 by 960ms")
 	r.want("answer", r.c.Ended(r.at(30*ms), 1, 0, Outcome{Result: decision.Answered, HasUse: true, Use: 5, Load: []float64{2}}), "final 1 served by 0")
-	r.heardLast("{Request:1 Backend:7 Attempt:0 Result:0 Took:30ms Final:true HasUse:true Use:5 Units:0 Load:[2]}")
+	r.heardLast("{request=1 backend=7 attempt=0 result=0 latency=30ms final=true has_usage=true usage=5 cost=0 load=[2]}")
 	r.want("a second word", r.c.Ended(r.now, 1, 0, Outcome{}), "")
 	r.empty()
 }
@@ -163,9 +163,9 @@
 	r.want("early", r.c.Tick(r.at(959*ms)), "")
 	r.want("attempts' time", r.c.Tick(r.at(960*ms)), "calloff 1/0 late")
 	r.want("last moment", r.c.Tick(r.at(980*ms)), "final 1 late")
-	r.heardLast("ClientGone")
+	r.heardLast("client_disconnected{")
 	r.want("the end of it", r.c.Ended(r.at(981*ms), 1, 0, Outcome{Result: decision.TimedOut}), "")
-	r.heardLast("Final:true")
+	r.heardLast("final=true")
 	r.empty()
 }
 
@@ -178,7 +178,7 @@
 	r.arrive(2, "safe")
 	r.want("all at once", r.c.Ended(r.at(5*time.Second), 2, 0, Outcome{Result: decision.Answered}),
 		"calloff 1/0 late; final 1 late; calloff 2/0 late; final 2 late")
-	r.heardLast("Result:0 Took:4.995s Final:true")
+	r.heardLast("result=0 latency=4.995s final=true")
 	r.want("nothing more", r.c.Tick(r.now), "")
 }
 
@@ -215,7 +215,7 @@
 	r.arrive(1, "safe")
 	r.want("another's tag", r.c.Leave(r.now, "stranger", 1), "")
 	r.want("left", r.c.Leave(r.at(10*ms), decision.RequestID(1), 1), "final 1 left; calloff 1/0")
-	r.heardLast("Attempt:1 Result:7") // what it wanted to send after the end was not sent
+	r.heardLast("attempt=1 result=7") // what it wanted to send after the end was not sent
 	r.want("twice", r.c.Leave(r.now, decision.RequestID(1), 1), "")
 	if r.c.Open() != 1 || r.c.Owed() != 0 {
 		t.Errorf("open %d, owed %d, want the attempt only", r.c.Open(), r.c.Owed())
@@ -238,7 +238,7 @@
 	}
 	r.want("its time", r.c.Tick(r.at(960*ms)), "calloff 1/0 late")
 	r.want("its answer", r.c.Ended(r.at(970*ms), 1, 0, Outcome{Result: decision.Answered}), "")
-	r.heardLast("Result:0 Took:970ms Final:true")
+	r.heardLast("result=0 latency=970ms final=true")
 	r.empty()
 }
 
@@ -262,7 +262,7 @@
 		t.Errorf("one too many: %v", err)
 	}
 	r.want("attempts beyond the bound", r.c.Ended(r.now, 1, 0, Outcome{Result: decision.Refused}), "")
-	r.heardLast("Attempt:3 Result:7")
+	r.heardLast("attempt=3 result=7")
 	r.c.Close()
 	if err := again(4, "safe"); !errors.Is(err, ErrClosed) {
 		t.Errorf("closed: %v", err)
@@ -331,9 +331,9 @@
 		t.Errorf("%d strays, want 3", r.c.Strays())
 	}
 	r.want("probed", r.c.Probed(r.now, decision.ProbeResult{Backend: 3}), "")
-	r.heardLast("ProbeResult")
+	r.heardLast("probe_result{")
 	r.began("of none", 5, 0, false, "")
-	r.heardLast("ProbeResult")
+	r.heardLast("probe_result{")
 }
 
 func (r *rig) began(what string, id decision.RequestID, attempt int, may bool, want string) {
@@ -363,7 +363,7 @@
 	r.arrive(1, "safe")
 	r.want("a second attempt", r.c.Tick(r.at(100*ms)), "start 1/1 at 8 by 960ms")
 	r.began("the second one's", 1, 1, true, "calloff 1/0")
-	r.heardLast("AnswerStarted")
+	r.heardLast("response_started{")
 	r.began("again", 1, 1, false, "")
 	r.began("the first one's", 1, 0, false, "")
 	r.want("the first was answered", r.c.Ended(r.at(120*ms), 1, 0, Outcome{Result: decision.Answered}), "")
--- a/internal/core/old_test.go
+++ b/internal/core/old_test.go
@@ -95,7 +95,7 @@
 			r.at(6 * time.Second)
 			serial := r.catchUp(r.arrive(1, "unsafe"))
 			r.want("its end", c.do(r), c.want)
-			if !strings.Contains(strings.Join(r.heard, "; "), "Result:7") {
+			if !strings.Contains(strings.Join(r.heard, "; "), "result=7") {
 				t.Errorf("the decision module never heard that it was not sent: %q", r.heard)
 			}
 			r.want("all is taken in", r.c.CaughtUp(r.now, serial), "")
@@ -157,9 +157,9 @@
 	}
 	r.c.Tick(r.at(100 * ms))
 	r.c.Tick(r.at(6 * time.Second))
-	r.heardLast("Stood{For:5.9s}")
+	r.heardLast("process_paused{duration=5.9s}")
 	r.c.Ended(r.at(6*time.Second+10*ms), 1, 0, Outcome{Result: decision.Answered, HasUse: true, Use: 300})
-	r.heardLast("Result:0 Took:110ms Final:true HasUse:false")
+	r.heardLast("result=0 latency=110ms final=true has_usage=false")
 }
 
 // A process that does something often enough, or nothing because nothing is due, does not stand still.
