--- a/decision/api.go
+++ b/decision/api.go
@@ -46,61 +46,61 @@
 	GroupCell              // the backends of one cell
 )
 
-// Class describes one class of requests.
+// Class describes one class of requests. Its cbor tags go into the digest of settings in stored snapshots, and never change.
 type Class struct {
-	Name      string
-	Effect    Effect
-	Group     Group
-	KeyWindow time.Duration // how long a keyed class's repeats are dropped, from the first try that may have run
-	Aim       time.Duration // an answer inside it earns the full worth
-	Deadline  time.Duration // the longest that a client waits over all its tries
-	Worth     float64
-	LateWorth float64 // the share of the worth that an answer past the aim earns
-	Stream    bool    // answers start (AnswerStarted) before they end
+	Name      string        `cbor:"Name"`
+	Effect    Effect        `cbor:"Effect"`
+	Group     Group         `cbor:"Group"`
+	KeyWindow time.Duration `cbor:"KeyWindow"` // how long a keyed class's repeats are dropped, from the first try that may have run
+	Aim       time.Duration `cbor:"Aim"`       // an answer inside it earns the full worth
+	Deadline  time.Duration `cbor:"Deadline"`  // the longest that a client waits over all its tries
+	Worth     float64       `cbor:"Worth"`
+	LateWorth float64       `cbor:"LateWorth"` // the share of the worth that an answer past the aim earns
+	Stream    bool          `cbor:"Stream"`    // answers start (AnswerStarted) before they end
 }
 
-// Plan is what customers have bought. Its figures hold for each customer over all front doors together.
+// Plan is what customers have bought. Its figures hold for each customer over all front doors together. Its cbor tags are as Class's.
 type Plan struct {
-	Name         string
-	Rate         float64 // units a second; 0: no such quota
-	Burst        float64 // units that may be used at once
-	Open         int     // attempts that may be out at once; 0: no such quota
-	Price        float64 // multiplies the worth
-	OverWorth    float64 // share of its worth that a request sent on beyond the quota earns
-	OverCost     float64 // share of its worth that it costs
-	CeilingRate  float64 // the hard ceiling's refill, units a second; 0: no ceiling
-	CeilingBurst float64 // the hard ceiling's store, units
-	CeilingSlack float64 // how far that store may go below nothing
+	Name         string  `cbor:"Name"`
+	Rate         float64 `cbor:"Rate"`         // units a second; 0: no such quota
+	Burst        float64 `cbor:"Burst"`        // units that may be used at once
+	Open         int     `cbor:"Open"`         // attempts that may be out at once; 0: no such quota
+	Price        float64 `cbor:"Price"`        // multiplies the worth
+	OverWorth    float64 `cbor:"OverWorth"`    // share of its worth that a request sent on beyond the quota earns
+	OverCost     float64 `cbor:"OverCost"`     // share of its worth that it costs
+	CeilingRate  float64 `cbor:"CeilingRate"`  // the hard ceiling's refill, units a second; 0: no ceiling
+	CeilingBurst float64 `cbor:"CeilingBurst"` // the hard ceiling's store, units
+	CeilingSlack float64 `cbor:"CeilingSlack"` // how far that store may go below nothing
 }
 
-// Settings are the facts that a gateway starts with.
+// Settings are the facts that a gateway starts with. Their cbor tags are as Class's.
 type Settings struct {
-	FrontDoors    int // how many front doors share the back end
-	Me            int // this one's number among them, from 0
-	Zone          string
-	Classes       []Class
-	Plans         []Plan
-	MeterPeriod   time.Duration // the period over which the meter sums a customer's use; 0: no meter
-	LargestUnits  float64       // the most units that one request counts
-	MaxAttempts   int           // attempts allowed for one request
-	ParallelTries bool          // two attempts of a request may be out together
-	CanCancel     bool
-	CanProbe      bool
-	MaxRetryAfter time.Duration // the longest advice that clients follow; 0: they get none
-	AskForList    bool          // the list of backends must be subscribed to
-	LoadColumns   []string      // what a load report holds, in order
-	LoadInAnswers bool          // reports come in answers as well as in probe results
-	AnswerGrace   time.Duration // how long past a client's patience a final answer still counts
-	DrainGrace    time.Duration // how long sends to a draining backend may go on
-	ColdFrom      float64       // the least share of its capacity that a started backend has
-	WarmWithin    time.Duration // how long until it has all of it
-	FallMultiple  float64       // sent more than this multiple of its present capacity
-	FallFor       time.Duration // for this long, a cold backend falls over
+	FrontDoors    int           `cbor:"FrontDoors"` // how many front doors share the back end
+	Me            int           `cbor:"Me"`         // this one's number among them, from 0
+	Zone          string        `cbor:"Zone"`
+	Classes       []Class       `cbor:"Classes"`
+	Plans         []Plan        `cbor:"Plans"`
+	MeterPeriod   time.Duration `cbor:"MeterPeriod"`   // the period over which the meter sums a customer's use; 0: no meter
+	LargestUnits  float64       `cbor:"LargestUnits"`  // the most units that one request counts
+	MaxAttempts   int           `cbor:"MaxAttempts"`   // attempts allowed for one request
+	ParallelTries bool          `cbor:"ParallelTries"` // two attempts of a request may be out together
+	CanCancel     bool          `cbor:"CanCancel"`
+	CanProbe      bool          `cbor:"CanProbe"`
+	MaxRetryAfter time.Duration `cbor:"MaxRetryAfter"` // the longest advice that clients follow; 0: they get none
+	AskForList    bool          `cbor:"AskForList"`    // the list of backends must be subscribed to
+	LoadColumns   []string      `cbor:"LoadColumns"`   // what a load report holds, in order
+	LoadInAnswers bool          `cbor:"LoadInAnswers"` // reports come in answers as well as in probe results
+	AnswerGrace   time.Duration `cbor:"AnswerGrace"`   // how long past a client's patience a final answer still counts
+	DrainGrace    time.Duration `cbor:"DrainGrace"`    // how long sends to a draining backend may go on
+	ColdFrom      float64       `cbor:"ColdFrom"`      // the least share of its capacity that a started backend has
+	WarmWithin    time.Duration `cbor:"WarmWithin"`    // how long until it has all of it
+	FallMultiple  float64       `cbor:"FallMultiple"`  // sent more than this multiple of its present capacity
+	FallFor       time.Duration `cbor:"FallFor"`       // for this long, a cold backend falls over
 	// StartSpent has a gateway take customers that it meets first to have used up their bursts just before it started, all but what it
 	// never gives away: before a restart they may have. Else it takes them to have used nothing.
-	StartSpent bool
+	StartSpent bool `cbor:"StartSpent"`
 	// SharedCounter says that Count may be asked for: a counter of all front doors.
-	SharedCounter bool
+	SharedCounter bool `cbor:"SharedCounter"`
 }
 
 // LongestDeadline is the longest of all classes.
--- a/decision/state.go
+++ b/decision/state.go
@@ -10,16 +10,18 @@
 // What a later process of the same door would do ill to forget. It is read off the decisions and put back before any; nothing is decided
 // here.
 
-// CustomerState is what a gateway knows of a customer that owes.
+// CustomerState is what a gateway knows of a customer that owes. Its cbor tags are names in stored snapshots, and never change.
 type CustomerState struct {
-	ID      CustomerID
-	Plan    string
-	Doors   int     // that it uses
-	Member  bool    // this is one of them
-	Missing float64 // what its store lacks of being full, in percent of its rate times seconds
-	Pass    float64 // the share of its requests that may pass while the store is empty
+	ID      CustomerID `cbor:"ID"`
+	Plan    string     `cbor:"Plan"`
+	Doors   int        `cbor:"Doors"`   // that it uses
+	Member  bool       `cbor:"Member"`  // this is one of them
+	Missing float64    `cbor:"Missing"` // what its store lacks of being full, in percent of its rate times seconds
+	Pass    float64    `cbor:"Pass"`    // the share of its requests that may pass while the store is empty
 	// What readings told of its use, fading: percent-seconds over all doors, those of this door's own, and of how many seconds.
-	Metered, Own, Heard float64
+	Metered float64 `cbor:"Metered"`
+	Own     float64 `cbor:"Own"`
+	Heard   float64 `cbor:"Heard"`
 }
 
 // Owes is how much of its burst a customer has used, from 0 to 1, and over 1 if it is held down besides.
--- a/recovery/snapshot.go
+++ b/recovery/snapshot.go
@@ -40,14 +40,15 @@
 	ErrOther   = errors.New("it was kept under other settings")
 )
 
-// Snapshot is what a door keeps of its decisions.
+// Snapshot is what a door keeps of its decisions. Its cbor tags are names in stored snapshots, and never change.
 type Snapshot struct {
-	Door, Of  int       // the door's number and the number of doors, when it was kept
-	Boot      uint64    // of the process that kept it
-	At        time.Time // when
-	Settings  uint64    // a digest of the settings that it was kept under
-	Customers []decision.CustomerState
-	Whole     bool // no customer that owes is left out, for want of room or because the door did not know
+	Door      int                      `cbor:"Door"` // the door's number and the number of doors, when it was kept
+	Of        int                      `cbor:"Of"`
+	Boot      uint64                   `cbor:"Boot"`     // of the process that kept it
+	At        time.Time                `cbor:"At"`       // when
+	Settings  uint64                   `cbor:"Settings"` // a digest of the settings that it was kept under
+	Customers []decision.CustomerState `cbor:"Customers"`
+	Whole     bool                     `cbor:"Whole"` // no customer that owes is left out, for want of room or because the door did not know
 }
 
 var magic = []byte("pumicecroft decisions ")
--- a/recovery/stored_test.go
+++ b/recovery/stored_test.go
@@ -99,3 +99,14 @@
 		t.Errorf("%#x without what follows from a snapshot, want %#x", got, want)
 	}
 }
+
+// What is stored under a Go identifier changes its form when that is renamed.
+func TestStoredFieldsAreNamedByTags(t *testing.T) {
+	for _, v := range []any{Snapshot{}, decision.CustomerState{}, decision.Settings{}, decision.Class{}, decision.Plan{}} {
+		for i := range reflect.TypeOf(v).NumField() {
+			if f := reflect.TypeOf(v).Field(i); f.Tag.Get("cbor") == "" {
+				t.Errorf("%T.%s has no cbor tag", v, f.Name)
+			}
+		}
+	}
+}
