--- a/cmd/pumicecroft/demo.go
+++ b/cmd/pumicecroft/demo.go
@@ -14,9 +14,9 @@
 var errDemo = errors.New("the demo lost or duplicated requests")
 
 type demoCommand struct {
-	Duration time.Duration `default:"10s" help:"How long clients ask."`
-	Addr     string        `default:"127.0.0.1:0" help:"Where the door listens."`
-	Seed     uint64        `default:"1" help:"Of the clients' chance."`
+	Duration time.Duration `name:"duration" default:"10s" help:"How long clients ask."`
+	Addr     string        `name:"addr" default:"127.0.0.1:0" help:"Where the door listens."`
+	Seed     uint64        `name:"seed" default:"1" help:"Of the clients' chance."`
 }
 
 // Validate is kong's.
--- a/cmd/pumicecroft/lab.go
+++ b/cmd/pumicecroft/lab.go
@@ -17,17 +17,17 @@
 
 // labCommand is the laboratory.
 type labCommand struct {
-	Check    labCheck    `cmd:"" help:"Check an experiment's file, and name key and line of each error."`
-	Run      labRun      `cmd:"" help:"Make all runs of an experiment that its directory lacks."`
-	Compare  labCompare  `cmd:"" help:"Say which of two ways is better, by runs under the same chance."`
-	Report   labReport   `cmd:"" help:"Write a directory's results as one page with plots, or as Markdown."`
-	Variants labVariants `cmd:"" help:"Build the program with edits of its files, one at a time, and compare what they come to."`
-	Paper    labPaper    `cmd:"" help:"Solve the loads of the paper that the design goes back to, and print them beside its own figures."`
-	Figures  labFigures  `cmd:"" help:"Print what a run is measured by."`
+	Check    labCheck    `cmd:"" name:"check" help:"Check an experiment's file, and name key and line of each error."`
+	Run      labRun      `cmd:"" name:"run" help:"Make all runs of an experiment that its directory lacks."`
+	Compare  labCompare  `cmd:"" name:"compare" help:"Say which of two ways is better, by runs under the same chance."`
+	Report   labReport   `cmd:"" name:"report" help:"Write a directory's results as one page with plots, or as Markdown."`
+	Variants labVariants `cmd:"" name:"variants" help:"Build the program with edits of its files, one at a time, and compare what they come to."`
+	Paper    labPaper    `cmd:"" name:"paper" help:"Solve the loads of the paper that the design goes back to, and print them beside its own figures."`
+	Figures  labFigures  `cmd:"" name:"figures" help:"Print what a run is measured by."`
 }
 
 type labCheck struct {
-	File string `arg:"" help:"An experiment's file, such as lab/policies.toml."`
+	File string `arg:"" name:"file" help:"An experiment's file, such as lab/policies.toml."`
 }
 
 // Run checks a file.
@@ -41,9 +41,9 @@
 }
 
 type labRun struct {
-	File string `arg:"" help:"An experiment's file."`
-	Dir  string `short:"d" help:"Where its results are kept; results/ and the file's name, if none is given."`
-	Jobs jobs   `short:"j" default:"${jobs}" help:"Processors to use."`
+	File string `arg:"" name:"file" help:"An experiment's file."`
+	Dir  string `name:"dir" short:"d" help:"Where its results are kept; results/ and the file's name, if none is given."`
+	Jobs jobs   `name:"jobs" short:"j" default:"${jobs}" help:"Processors to use."`
 }
 
 // Run makes what runs are not there yet. Ended early, it keeps what it has, and goes on from there the next time.
@@ -74,8 +74,8 @@
 
 // judging is how verdicts are reached.
 type judging struct {
-	Level  float64  `default:"0.95" help:"Of the intervals."`
-	Figure []string `short:"f" help:"A figure to compare; those that the experiment names, if none is given. May be repeated."`
+	Level  float64  `name:"level" default:"0.95" help:"Of the intervals."`
+	Figure []string `name:"figure" short:"f" help:"A figure to compare; those that the experiment names, if none is given. May be repeated."`
 }
 
 func (j *judging) rules() paired.Rules { return paired.Rules{Level: j.Level, Seed: 1} }
@@ -101,11 +101,11 @@
 
 type labCompare struct {
 	judging
-	Dir    string `arg:"" help:"Results."`
-	Other  string `arg:"" optional:"" help:"Results of the same experiment by another build, to compare with the first."`
-	Factor string `help:"Within one directory: the factor whose levels are compared; the first, if none is given."`
-	Of     string `help:"The level that others are compared with; the factor's first."`
-	With   string `help:"The one to compare with it; all, if none is given."`
+	Dir    string `arg:"" name:"dir" help:"Results."`
+	Other  string `arg:"" name:"other" optional:"" help:"Results of the same experiment by another build, to compare with the first."`
+	Factor string `name:"factor" help:"Within one directory: the factor whose levels are compared; the first, if none is given."`
+	Of     string `name:"of" help:"The level that others are compared with; the factor's first."`
+	With   string `name:"with" help:"The one to compare with it; all, if none is given."`
 }
 
 // Run prints a table of verdicts.
@@ -152,11 +152,11 @@
 
 type labReport struct {
 	judging
-	Dir      string `arg:"" help:"Results."`
-	By       string `help:"The factor whose levels stand side by side; the first, if none is given."`
-	Out      string `short:"o" help:"The file to write; report.html or report.md in the directory, if none is given."`
-	Markdown bool   `xor:"form" help:"Markdown, without plots."`
-	Plot     string `xor:"form" placeholder:"FIGURE" help:"One figure over the levels alone, as SVG."`
+	Dir      string `arg:"" name:"dir" help:"Results."`
+	By       string `name:"by" help:"The factor whose levels stand side by side; the first, if none is given."`
+	Out      string `name:"out" short:"o" help:"The file to write; report.html or report.md in the directory, if none is given."`
+	Markdown bool   `name:"markdown" xor:"form" help:"Markdown, without plots."`
+	Plot     string `name:"plot" xor:"form" placeholder:"FIGURE" help:"One figure over the levels alone, as SVG."`
 }
 
 // Run writes a report.
--- a/cmd/pumicecroft/lab_paper.go
+++ b/cmd/pumicecroft/lab_paper.go
@@ -10,8 +10,8 @@
 )
 
 type labPaper struct {
-	Jobs int `short:"j" default:"${jobs}" help:"Processors to use."`
-	Most int `default:"32" enum:"16,32" help:"16 solves the loads of 16 slots alone."`
+	Jobs int `name:"jobs" short:"j" default:"${jobs}" help:"Processors to use."`
+	Most int `name:"most" default:"32" enum:"16,32" help:"16 solves the loads of 16 slots alone."`
 }
 
 // Run solves the paper's loads and prints its comparisons beside the paper's own figures, as Markdown.
--- a/cmd/pumicecroft/lab_variants.go
+++ b/cmd/pumicecroft/lab_variants.go
@@ -16,11 +16,11 @@
 
 type labVariants struct {
 	judging
-	File       string `arg:"" help:"Variants: edits of the program's files, in the form of internal/sim/testdata/mutants.toml."`
-	Experiment string `arg:"" help:"An experiment's file."`
-	Dir        string `short:"d" required:"" help:"Where results are kept, a directory for each variant."`
-	Root       string `default:"." help:"The module's folder."`
-	Jobs       int    `short:"j" default:"${jobs}" help:"Processors to use."`
+	File       string `arg:"" name:"file" help:"Variants: edits of the program's files, in the form of internal/sim/testdata/mutants.toml."`
+	Experiment string `arg:"" name:"experiment" help:"An experiment's file."`
+	Dir        string `name:"dir" short:"d" required:"" help:"Where results are kept, a directory for each variant."`
+	Root       string `name:"root" default:"." help:"The module's folder."`
+	Jobs       int    `name:"jobs" short:"j" default:"${jobs}" help:"Processors to use."`
 }
 
 var notInNames = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
--- a/cmd/pumicecroft/load.go
+++ b/cmd/pumicecroft/load.go
@@ -14,12 +14,12 @@
 var errInvalid = errors.New("the run is not valid")
 
 type loadCommand struct {
-	File     string  `arg:"" help:"What to ask, such as lab/load.toml."`
-	Target   string  `arg:"" help:"Whom: host:port of a door or a backend."`
-	Out      string  `short:"o" help:"A file for the result, as JSON with its histograms."`
-	Rate     float64 `help:"Requests a second, in place of the file's."`
-	Duration string  `help:"For how long, in place of the file's, such as 30s."`
-	Anywhere bool    `help:"Ask also what is not on this machine. Only what is yours to load."`
+	File     string  `arg:"" name:"file" help:"What to ask, such as lab/load.toml."`
+	Target   string  `arg:"" name:"target" help:"Whom: host:port of a door or a backend."`
+	Out      string  `name:"out" short:"o" help:"A file for the result, as JSON with its histograms."`
+	Rate     float64 `name:"rate" help:"Requests a second, in place of the file's."`
+	Duration string  `name:"duration" help:"For how long, in place of the file's, such as 30s."`
+	Anywhere bool    `name:"anywhere" help:"Ask also what is not on this machine. Only what is yours to load."`
 }
 
 // Run asks in open loop: latencies count from when a request should have been asked. Ended early, it gives what it has.
--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -51,21 +51,21 @@
 
 // program is the command line.
 type program struct {
-	LogFormat string `enum:"text,json" default:"text" placeholder:"text|json" help:"The form of the program's own words on standard error."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" placeholder:"LEVEL" help:"The least of them that are said: debug, info, warn or error."`
-
-	Serve   serveCommand   `cmd:"" help:"Serve by an operator's file, until SIGTERM; SIGHUP has routes, identities and certificates read again."`
-	Check   checkCommand   `cmd:"" help:"Check an operator's file, and name key and line of each error."`
-	Routes  routesCommand  `cmd:"" help:"Print what would become of a request, and why. Nothing is sent."`
-	Members membersCommand `cmd:"" help:"Print what the door that serves by a file believes of each backend, and why."`
-	State   stateCommand   `cmd:"" help:"Print what a door would begin with, how old it is, and what becomes of it."`
-	Demo    demoCommand    `cmd:"" help:"Run a whole deployment on loopback for a short while."`
-	Sim     simCommand     `cmd:"" help:"Run doors in worlds that seeds decide, held to the five rules."`
-	Load    loadCommand    `cmd:"" help:"Ask a door or a backend in open loop, and measure."`
-	Lab     labCommand     `cmd:"" help:"Run experiments in an emulated region, compare and report."`
-	Version versionCommand `cmd:"" help:"Print which build this is."`
-
-	Completion kongcompletion.Completion `cmd:"" help:"Print how a shell is made to complete this program's commands."`
+	LogFormat string `name:"log-format" enum:"text,json" default:"text" placeholder:"text|json" help:"The form of the program's own words on standard error."`
+	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" placeholder:"LEVEL" help:"The least of them that are said: debug, info, warn or error."`
+
+	Serve   serveCommand   `cmd:"" name:"serve" help:"Serve by an operator's file, until SIGTERM; SIGHUP has routes, identities and certificates read again."`
+	Check   checkCommand   `cmd:"" name:"check" help:"Check an operator's file, and name key and line of each error."`
+	Routes  routesCommand  `cmd:"" name:"routes" help:"Print what would become of a request, and why. Nothing is sent."`
+	Members membersCommand `cmd:"" name:"members" help:"Print what the door that serves by a file believes of each backend, and why."`
+	State   stateCommand   `cmd:"" name:"state" help:"Print what a door would begin with, how old it is, and what becomes of it."`
+	Demo    demoCommand    `cmd:"" name:"demo" help:"Run a whole deployment on loopback for a short while."`
+	Sim     simCommand     `cmd:"" name:"sim" help:"Run doors in worlds that seeds decide, held to the five rules."`
+	Load    loadCommand    `cmd:"" name:"load" help:"Ask a door or a backend in open loop, and measure."`
+	Lab     labCommand     `cmd:"" name:"lab" help:"Run experiments in an emulated region, compare and report."`
+	Version versionCommand `cmd:"" name:"version" help:"Print which build this is."`
+
+	Completion kongcompletion.Completion `cmd:"" name:"completion" help:"Print how a shell is made to complete this program's commands."`
 }
 
 // jobs is how many processors a command uses.
--- a/cmd/pumicecroft/operator.go
+++ b/cmd/pumicecroft/operator.go
@@ -16,7 +16,7 @@
 
 // fileArg is an operator's file.
 type fileArg struct {
-	File string `arg:"" help:"An operator's file, such as deploy/pumicecroft.toml."`
+	File string `arg:"" name:"file" help:"An operator's file, such as deploy/pumicecroft.toml."`
 }
 
 func (a fileArg) read() (operator.File, error) {
--- a/cmd/pumicecroft/routes.go
+++ b/cmd/pumicecroft/routes.go
@@ -16,10 +16,10 @@
 
 type routesCommand struct {
 	fileArg
-	Method string   `arg:"" help:"The request's method, such as GET."`
-	URL    string   `arg:"" help:"Its URL, such as http://shop.example/items/7, or a path."`
-	Header []string `short:"H" sep:"none" placeholder:"NAME: VALUE" help:"A field that it brings. May be repeated."`
-	From   string   `default:"127.0.0.1" help:"The address that it comes from."`
+	Method string   `arg:"" name:"method" help:"The request's method, such as GET."`
+	URL    string   `arg:"" name:"url" help:"Its URL, such as http://shop.example/items/7, or a path."`
+	Header []string `name:"header" short:"H" sep:"none" placeholder:"NAME: VALUE" help:"A field that it brings. May be repeated."`
+	From   string   `name:"from" default:"127.0.0.1" help:"The address that it comes from."`
 }
 
 // Run prints what would become of a request, and why.
--- a/cmd/pumicecroft/sim.go
+++ b/cmd/pumicecroft/sim.go
@@ -13,11 +13,11 @@
 
 // simCommand is seeded runs.
 type simCommand struct {
-	Run     runCommand     `cmd:"" help:"Run all seeds of a range: what broke, and how fast it went."`
-	Replay  replayCommand  `cmd:"" help:"Run one seed again, with its script and its trace."`
-	Shrink  shrinkCommand  `cmd:"" help:"Find the smallest script by which a seed still breaks its rule."`
-	Corpus  corpusCommand  `cmd:"" help:"Run the scripts that broke a rule once."`
-	Mutants mutantsCommand `cmd:"" help:"Build the simulation with one planted bug at a time and run seeds until each is caught."`
+	Run     runCommand     `cmd:"" name:"run" help:"Run all seeds of a range: what broke, and how fast it went."`
+	Replay  replayCommand  `cmd:"" name:"replay" help:"Run one seed again, with its script and its trace."`
+	Shrink  shrinkCommand  `cmd:"" name:"shrink" help:"Find the smallest script by which a seed still breaks its rule."`
+	Corpus  corpusCommand  `cmd:"" name:"corpus" help:"Run the scripts that broke a rule once."`
+	Mutants mutantsCommand `cmd:"" name:"mutants" help:"Build the simulation with one planted bug at a time and run seeds until each is caught."`
 }
 
 // tellRun prints what came of one run.
--- a/cmd/pumicecroft/sim_corpus.go
+++ b/cmd/pumicecroft/sim_corpus.go
@@ -13,7 +13,7 @@
 const corpusFile = "internal/sim/testdata/corpus.toml"
 
 type corpusCommand struct {
-	File string `default:"${corpus}" help:"The cases."`
+	File string `name:"file" default:"${corpus}" help:"The cases."`
 }
 
 // Run runs all cases of a corpus.
--- a/cmd/pumicecroft/sim_mutants.go
+++ b/cmd/pumicecroft/sim_mutants.go
@@ -24,7 +24,11 @@
 }
 
 // edit replaces a text that stands once in a file.
-type edit struct{ File, Old, New string }
+type edit struct {
+	File string `toml:"file"`
+	Old  string `toml:"old"`
+	New  string `toml:"new"`
+}
 
 // readMutants reads a list of planted bugs.
 func readMutants(path string) ([]mutant, error) {
@@ -33,7 +37,9 @@
 		return nil, err
 	}
 	defer f.Close()
-	var list struct{ Mutant []mutant }
+	var list struct {
+		Mutant []mutant `toml:"mutant"`
+	}
 	if err := toml.NewDecoder(f).DisallowUnknownFields().Decode(&list); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
@@ -69,7 +75,9 @@
 	if err != nil {
 		return "", err
 	}
-	overlay := struct{ Replace map[string]string }{map[string]string{}}
+	overlay := struct {
+		Replace map[string]string `json:"Replace"` // as go build reads it
+	}{map[string]string{}}
 	for file, text := range texts {
 		at := filepath.Join(dir, strings.ReplaceAll(file, "/", "_"))
 		if err := os.WriteFile(at, []byte(text), 0o600); err != nil {
@@ -142,11 +150,11 @@
 }
 
 type mutantsCommand struct {
-	File  string `default:"internal/sim/testdata/mutants.toml" help:"The planted bugs."`
-	Root  string `default:"." help:"The module's folder."`
-	Seeds span   `default:"0..19999" help:"Seeds to run at the most, A..B."`
-	Jobs  jobs   `default:"4" help:"Bugs at once."`
-	Only  string `help:"Those whose names hold this text."`
+	File  string `name:"file" default:"internal/sim/testdata/mutants.toml" help:"The planted bugs."`
+	Root  string `name:"root" default:"." help:"The module's folder."`
+	Seeds span   `name:"seeds" default:"0..19999" help:"Seeds to run at the most, A..B."`
+	Jobs  jobs   `name:"jobs" default:"4" help:"Bugs at once."`
+	Only  string `name:"only" help:"Those whose names hold this text."`
 }
 
 // Run tries all planted bugs and prints a table.
--- a/cmd/pumicecroft/sim_replay.go
+++ b/cmd/pumicecroft/sim_replay.go
@@ -8,8 +8,8 @@
 )
 
 type replayCommand struct {
-	Seed  uint64 `required:"" help:"The seed."`
-	Trace bool   `help:"Print each line of the trace."`
+	Seed  uint64 `name:"seed" required:"" help:"The seed."`
+	Trace bool   `name:"trace" help:"Print each line of the trace."`
 }
 
 // Run runs one seed again.
@@ -22,7 +22,7 @@
 }
 
 type shrinkCommand struct {
-	Seed uint64 `required:"" help:"The seed."`
+	Seed uint64 `name:"seed" required:"" help:"The seed."`
 }
 
 // Run shrinks a seed's script, and prints it as an entry for the corpus.
--- a/cmd/pumicecroft/sim_run.go
+++ b/cmd/pumicecroft/sim_run.go
@@ -31,9 +31,9 @@
 }
 
 type runCommand struct {
-	Seeds span `default:"0..999" help:"Seeds to run, A..B."`
-	Jobs  jobs `default:"${jobs}" help:"Runs at once."`
-	First bool `help:"End at the first seed that breaks a rule."`
+	Seeds span `name:"seeds" default:"0..999" help:"Seeds to run, A..B."`
+	Jobs  jobs `name:"jobs" default:"${jobs}" help:"Runs at once."`
+	First bool `name:"first" help:"End at the first seed that breaks a rule."`
 }
 
 // Run runs all seeds of the range, and says what broke, by rule, with the first seeds.
--- a/cmd/pumicecroft/state.go
+++ b/cmd/pumicecroft/state.go
@@ -19,8 +19,8 @@
 )
 
 type stateCommand struct {
-	Dir  string `arg:"" help:"A door's directory for state (state_dir)."`
-	File string `placeholder:"FILE" help:"An operator's file: say what the door that serves by it would make of what is kept."`
+	Dir  string `arg:"" name:"dir" help:"A door's directory for state (state_dir)."`
+	File string `name:"file" placeholder:"FILE" help:"An operator's file: say what the door that serves by it would make of what is kept."`
 }
 
 // Run prints what a door would begin with.
--- a/internal/grpcback/backends.go
+++ b/internal/grpcback/backends.go
@@ -6,9 +6,7 @@
 package grpcback
 
 import (
-	"bytes"
 	"context"
-	"encoding/gob"
 	"log/slog"
 	"net"
 	"slices"
@@ -71,15 +69,14 @@
 // Keep makes what can be kept of a backend's answer.
 func (r *Request) Keep(reply any) (keys.Answer, error) {
 	a := reply.(*Answer)
-	var b bytes.Buffer
-	err := gob.NewEncoder(&b).Encode(a) // what it exports
-	return keys.Answer{Status: int(a.Code), ContentType: "application/grpc", Body: b.Bytes()}, err
+	body, err := encodeStored(a)
+	return keys.Answer{Status: int(a.Code), ContentType: "application/grpc", Body: body}, err
 }
 
 // Again makes the answer of what Keep made.
 func (r *Request) Again(a keys.Answer) (any, error) {
-	again := &Answer{whole: true}
-	if err := gob.NewDecoder(bytes.NewReader(a.Body)).Decode(again); err != nil {
+	again, err := decodeStored(a.Body)
+	if err != nil {
 		return nil, err
 	}
 	return again, nil
--- /dev/null
+++ b/internal/load/json_test.go
@@ -0,0 +1,70 @@
+package load
+
+import (
+	"testing"
+	"time"
+)
+
+// The result file's keys are what readers of earlier results know, whatever the fields are called in Go.
+func TestResultFileKeepsItsKeys(t *testing.T) {
+	figures := Figures{Count: 1, Beyond: 2, Mean: 3, P50: 4, P90: 5, P99: 6, P999: 7, Max: 8, Histogram: []byte("h")}
+	r := &Result{Plan: "desk", Target: "127.0.0.1:1", Seed: 9, Took: time.Second, Partial: true, Asked: 10, Lost: 11, Retries: 12, Good: 13,
+		Bytes: 14, By: map[string]int{"200": 15}, Kinds: map[string]*Figures{"look": &figures}, All: Figures{Count: 16}, Served: Figures{Count: 17},
+		LagP99: 18, Invalid: "late"}
+	const want = `{
+  "Plan": "desk",
+  "Target": "127.0.0.1:1",
+  "Seed": 9,
+  "Took": 1000000000,
+  "Partial": true,
+  "Asked": 10,
+  "Lost": 11,
+  "Retries": 12,
+  "Good": 13,
+  "Bytes": 14,
+  "By": {
+    "200": 15
+  },
+  "Kinds": {
+    "look": {
+      "Count": 1,
+      "Beyond": 2,
+      "Mean": 3,
+      "P50": 4,
+      "P90": 5,
+      "P99": 6,
+      "P999": 7,
+      "Max": 8,
+      "Histogram": "aA=="
+    }
+  },
+  "All": {
+    "Count": 16,
+    "Beyond": 0,
+    "Mean": 0,
+    "P50": 0,
+    "P90": 0,
+    "P99": 0,
+    "P999": 0,
+    "Max": 0,
+    "Histogram": null
+  },
+  "Served": {
+    "Count": 17,
+    "Beyond": 0,
+    "Mean": 0,
+    "P50": 0,
+    "P90": 0,
+    "P99": 0,
+    "P999": 0,
+    "Max": 0,
+    "Histogram": null
+  },
+  "LagP99": 18,
+  "Invalid": "late"
+}
+`
+	if got, err := r.JSON(); err != nil || string(got) != want {
+		t.Errorf("%v:\n%s", err, got)
+	}
+}
--- a/internal/payoff/payoff.go
+++ b/internal/payoff/payoff.go
@@ -182,7 +182,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("split %+v did not settle in %d rounds", c.s, most)
+	return fmt.Errorf("split {High:%d Pool:%d Low:%d} did not settle in %d rounds", c.s.High, c.s.Pool, c.s.Low, most)
 }
 
 func (c *chain) rates() (r Rates) {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -84,7 +84,7 @@
 		return Config{}, fmt.Errorf("seed: %w", err)
 	}
 	if l := file.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets <= 0 {
-		return Config{}, fmt.Errorf("limits %+v are not all above 0", l)
+		return Config{}, fmt.Errorf("limits {Cores:%v MemoryMB:%v Sockets:%v} are not all above 0", l.Cores, l.MemoryMB, l.Sockets)
 	}
 	if len(file.Settings) == 0 {
 		return Config{}, errors.New("it holds no settings")
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -103,3 +103,11 @@
 		}
 	}
 }
+
+// The limits are named as the configuration page has them, in the line on what is wrong with them too.
+func TestLimitsNotAboveZero(t *testing.T) {
+	_, err := ParseConfig([]byte(strings.Replace(testConfig, `"sockets":1024`, `"sockets":0`, 1)))
+	if want := "limits {Cores:1 MemoryMB:192 Sockets:0} are not all above 0"; err == nil || err.Error() != want {
+		t.Errorf("%v, want %s", err, want)
+	}
+}
--- a/internal/webback/attempt.go
+++ b/internal/webback/attempt.go
@@ -1,8 +1,6 @@
 package webback
 
 import (
-	"bytes"
-	"encoding/gob"
 	"errors"
 	"fmt"
 	"io"
@@ -63,15 +61,14 @@
 // Keep makes what can be kept of a backend's answer.
 func (r *Request) Keep(reply any) (keys.Answer, error) {
 	a := reply.(*Answer)
-	var b bytes.Buffer
-	err := gob.NewEncoder(&b).Encode(a) // what it exports
-	return keys.Answer{Status: a.Status, ContentType: "application/http", Body: b.Bytes()}, err
+	body, err := encodeStored(a)
+	return keys.Answer{Status: a.Status, ContentType: "application/http", Body: body}, err
 }
 
 // Again makes the answer of what Keep made.
 func (r *Request) Again(k keys.Answer) (any, error) {
-	a := &Answer{}
-	if err := gob.NewDecoder(bytes.NewReader(k.Body)).Decode(a); err != nil {
+	a, err := decodeStored(k.Body)
+	if err != nil {
 		return nil, fmt.Errorf("a kept answer: %w", err)
 	}
 	return a, nil
