--- /dev/null
+++ b/internal/lab/golden_test.go
@@ -0,0 +1,73 @@
+package lab
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"pumicecroft/internal/region"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// goldenRow has a value of its own in each field.
+func goldenRow(t *testing.T) *Row {
+	t.Helper()
+	res := region.Result{Latency: hdrhistogram.New(1, 600_000_000, 3), Beyond: 101, Jain: 0.8125, Events: 102, Shards: 3,
+		Counts: region.Counts{Offered: 1001, Served: 902, InAim: 803, Refused: 64, Failed: 35, WorthOffered: 2002.5, WorthServed: 1753.25, Tries: 1106, Attempts: 1207,
+			Cold: 48, Draining: 9, Doubled: 10, Falls: 11, Calls: 412, CallsLost: 113, Units: 1514.5, UnitsOver: 215.25, WorthOver: 116.125, Overshoot: 17.0625, PastCeiling: 18},
+		Seconds: []region.Second{{Offered: 501, Served: 452, Refused: 33, Failed: 16, WorthOffered: 1000.5, WorthServed: 877.25},
+			{Offered: 500, Served: 450, Refused: 31, Failed: 19, WorthOffered: 1002, WorthServed: 876}}}
+	for i := range int64(902) {
+		if err := res.Latency.RecordValue(500 + i*i); err != nil {
+			t.Fatal(err)
+		}
+	}
+	row := &Row{Experiment: "0123456789abcdef", Build: "fedcba9876543210", Cell: []string{"module", "a zone is lost"}, Repetition: 7, Seed: 1<<63 + 11, Failed: "as a test has it"}
+	if err := row.fill(&res); err != nil {
+		t.Fatal(err)
+	}
+	return row
+}
+
+// Results outlive the program that wrote them. A row that an earlier build wrote is read field by field, and written again it has the same bytes:
+// a field that takes another name, or is left out, shows here.
+func TestRowAsWrittenByAnEarlierBuild(t *testing.T) {
+	files, err := filepath.Glob("testdata/row/runs/*" + suffix)
+	if err != nil || len(files) != 1 {
+		t.Fatal(files, err)
+	}
+	got, err := readRow(files[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := goldenRow(t)
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v, want\n%+v", got, want)
+	}
+	each := reflect.ValueOf(*got)
+	for _, v := range []reflect.Value{each, reflect.ValueOf(got.Counts), reflect.ValueOf(got.Seconds[0])} {
+		for i := range v.NumField() {
+			if v.Field(i).IsZero() {
+				t.Errorf("%v has nothing in field %s", v.Type(), v.Type().Field(i).Name)
+			}
+		}
+	}
+	d := &Dir{path: t.TempDir()}
+	if err := os.Mkdir(filepath.Join(d.path, "runs"), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.Put(got); err != nil {
+		t.Fatal(err)
+	}
+	before, err := os.ReadFile(files[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	after, err := os.ReadFile(filepath.Join(d.path, "runs", got.name()))
+	if err != nil || !bytes.Equal(before, after) {
+		t.Errorf("%v, or it is written as\n%s, was\n%s", err, after, before)
+	}
+}
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -12,23 +12,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what came of a run. Latencies count from when a request should have been asked.
+// Result is what came of a run. Latencies count from when a request should have been asked. Its tags are the form of the result file.
 type Result struct {
-	Plan, Target string
-	Seed         uint64
-	Took         time.Duration
-	Partial      bool // it was ended early: what is here is good as far as it goes
-	Asked        int  // by their schedule
-	Lost         int  // for which there was no room, as too many waited; they are in All with the timeout
-	Retries      int
-	Good         int
-	Bytes        int64
-	By           map[string]int      // ends, by status or error
-	Kinds        map[string]*Figures // by kind
-	All          Figures             // of all requests, whatever their end
-	Served       Figures             // of those that were answered well
-	LagP99       time.Duration       // how late requests were asked
-	Invalid      string              // why the run says nothing of its target; empty: it does
+	Plan    string              `json:"Plan"`
+	Target  string              `json:"Target"`
+	Seed    uint64              `json:"Seed"`
+	Took    time.Duration       `json:"Took"`
+	Partial bool                `json:"Partial"` // it was ended early: what is here is good as far as it goes
+	Asked   int                 `json:"Asked"`   // by their schedule
+	Lost    int                 `json:"Lost"`    // for which there was no room, as too many waited; they are in All with the timeout
+	Retries int                 `json:"Retries"`
+	Good    int                 `json:"Good"`
+	Bytes   int64               `json:"Bytes"`
+	By      map[string]int      `json:"By"`      // ends, by status or error
+	Kinds   map[string]*Figures `json:"Kinds"`   // by kind
+	All     Figures             `json:"All"`     // of all requests, whatever their end
+	Served  Figures             `json:"Served"`  // of those that were answered well
+	LagP99  time.Duration       `json:"LagP99"`  // how late requests were asked
+	Invalid string              `json:"Invalid"` // why the run says nothing of its target; empty: it does
 
 	mu     sync.Mutex
 	p      *Plan
@@ -37,13 +38,17 @@
 	told   time.Time
 }
 
-// Figures are latencies, and of how many requests.
+// Figures are latencies, and of how many requests. Its tags are the form of the result file.
 type Figures struct {
-	Count                     int64
-	Beyond                    int64 // above the histogram's range, and in no quantile
-	Mean, P50, P90, P99, P999 time.Duration
-	Max                       time.Duration
-	Histogram                 []byte // HDR, compressed, in microseconds
+	Count     int64         `json:"Count"`
+	Beyond    int64         `json:"Beyond"` // above the histogram's range, and in no quantile
+	Mean      time.Duration `json:"Mean"`
+	P50       time.Duration `json:"P50"`
+	P90       time.Duration `json:"P90"`
+	P99       time.Duration `json:"P99"`
+	P999      time.Duration `json:"P999"`
+	Max       time.Duration `json:"Max"`
+	Histogram []byte        `json:"Histogram"` // HDR, compressed, in microseconds
 
 	h *hdrhistogram.Histogram
 }
--- a/internal/region/result.go
+++ b/internal/region/result.go
@@ -8,25 +8,38 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Second is what the calls that began in one second came to.
+// Second is what the calls that began in one second came to. Its tags are the form of results on disk.
 type Second struct {
-	Offered, Served, Refused, Failed int
-	WorthOffered, WorthServed        float64
+	Offered      int     `json:"Offered"`
+	Served       int     `json:"Served"`
+	Refused      int     `json:"Refused"`
+	Failed       int     `json:"Failed"`
+	WorthOffered float64 `json:"WorthOffered"`
+	WorthServed  float64 `json:"WorthServed"`
 }
 
-// Counts are what a run counts. All but Falls leave out what began in the warm-up.
+// Counts are what a run counts. All but Falls leave out what began in the warm-up. Its tags are the form of results on disk.
 type Counts struct {
-	Offered, Served, InAim, Refused, Failed int // calls, by their ends
-	WorthOffered, WorthServed               float64
-	Tries, Attempts                         int // of clients that went on to a backend; at backends, from doors
-	Cold, Draining                          int // attempts that came to a backend while it was cold; when it had drained for longer than the grace
-	Doubled                                 int // effects that happened again
-	Falls                                   int // cold backends that were sent too much
-	Calls, CallsLost                        int // of the counter, from the start on; those with no answer in time, or turned away
-	Units, UnitsOver                        float64
-	WorthOver                               float64 // what was earned with units beyond quotas, and is not worth that by the plans
-	Overshoot                               float64 // the most that a customer was beyond its ceiling and the slack, in units
-	PastCeiling                             int     // periods in which one was
+	Offered      int     `json:"Offered"` // calls, by their ends
+	Served       int     `json:"Served"`
+	InAim        int     `json:"InAim"`
+	Refused      int     `json:"Refused"`
+	Failed       int     `json:"Failed"`
+	WorthOffered float64 `json:"WorthOffered"`
+	WorthServed  float64 `json:"WorthServed"`
+	Tries        int     `json:"Tries"`     // of clients that went on to a backend
+	Attempts     int     `json:"Attempts"`  // at backends, from doors
+	Cold         int     `json:"Cold"`      // attempts that came to a backend while it was cold
+	Draining     int     `json:"Draining"`  // attempts that came to one when it had drained for longer than the grace
+	Doubled      int     `json:"Doubled"`   // effects that happened again
+	Falls        int     `json:"Falls"`     // cold backends that were sent too much
+	Calls        int     `json:"Calls"`     // of the counter, from the start on
+	CallsLost    int     `json:"CallsLost"` // those with no answer in time, or turned away
+	Units        float64 `json:"Units"`
+	UnitsOver    float64 `json:"UnitsOver"`
+	WorthOver    float64 `json:"WorthOver"`   // what was earned with units beyond quotas, and is not worth that by the plans
+	Overshoot    float64 `json:"Overshoot"`   // the most that a customer was beyond its ceiling and the slack, in units
+	PastCeiling  int     `json:"PastCeiling"` // periods in which one was
 }
 
 // Result is what came of a run.
