--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what came of a run. Latencies count from when a request should have been asked.
+// Result is what came of a run. Latencies count from when a request should have been asked. Its tags are the form of the result file.
 type Result struct {
 	Plan    string              `json:"Plan"`
 	Target  string              `json:"Target"`
@@ -38,7 +38,7 @@
 	told   time.Time
 }
 
-// Figures are latencies, and of how many requests.
+// Figures are latencies, and of how many requests. Its tags are the form of the result file.
 type Figures struct {
 	Count     int64         `json:"Count"`
 	Beyond    int64         `json:"Beyond"` // above the histogram's range, and in no quantile
