--- a/bench_keys_test.go
+++ b/bench_keys_test.go
@@ -11,7 +11,7 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
 	"pumicecroft/membership"
 )
 
@@ -23,17 +23,17 @@
 	for _, way := range []string{"off", "on", "journal", "journal, synced each second"} {
 		b.Run(way, func(b *testing.B) {
 			c := pumicecroft.Config{Settings: decision.Settings{CanCancel: true,
-				Classes: []decision.Class{{Name: "pay", Effect: decision.Keyed, KeyWindow: time.Second, Aim: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1}},
+				Classes: []decision.Class{{Name: "pay", Idempotency: decision.IdempotentByKey, DedupWindow: time.Second, LatencyObjective: 10 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
 				Plans:   []decision.Plan{{Name: "basic", Rate: 1e6, Burst: 1e6, Price: 1}}},
-				Known: membership.List{Nodes: []membership.Node{{Name: "one", Addr: strings.TrimPrefix(backend.URL, "http://")}}}}
+				InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "one", Addr: strings.TrimPrefix(backend.URL, "http://")}}}}
 			if way != "off" {
-				c.Keys = &keys.Limits{Bytes: 1 << 30}
+				c.Idempotency = &idempotency.Limits{MaxBytes: 1 << 30}
 			}
 			switch way {
 			case "journal":
-				c.KeysJournal = &pumicecroft.KeysJournal{Dir: b.TempDir()}
+				c.IdempotencyJournal = &pumicecroft.IdempotencyJournal{Dir: b.TempDir()}
 			case "journal, synced each second":
-				c.KeysJournal = &pumicecroft.KeysJournal{Dir: b.TempDir(), SyncEvery: time.Second}
+				c.IdempotencyJournal = &pumicecroft.IdempotencyJournal{Dir: b.TempDir(), SyncInterval: time.Second}
 			}
 			door, err := pumicecroft.New(c)
 			if err != nil {
@@ -47,7 +47,7 @@
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					i := n.Add(1)
-					if _, err := door.Do(b.Context(), pumicecroft.Request{Class: "pay", Plan: "basic", Customer: uint64(i % 100), Key: fmt.Sprint("k", i), Body: []byte("b")}); err != nil {
+					if _, err := door.Do(b.Context(), pumicecroft.Request{Class: "pay", Plan: "basic", Customer: uint64(i % 100), IdempotencyKey: fmt.Sprint("k", i), Body: []byte("b")}); err != nil {
 						failed.Add(1)
 					}
 				}
--- a/bench_test.go
+++ b/bench_test.go
@@ -20,7 +20,7 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/internal/httpfront"
+	"pumicecroft/internal/httplistener"
 	"pumicecroft/membership"
 	"pumicecroft/middleware/nethttp"
 )
@@ -62,9 +62,9 @@
 	addr := strings.TrimPrefix(backend.URL, "http://")
 	door, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true,
-			Classes: []decision.Class{{Name: "look", Aim: time.Second, Deadline: 20 * time.Second, Worth: 1}},
+			Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
 			Plans:   []decision.Plan{{Name: "basic", Rate: 1e6, Burst: 1e6, Price: 1}}},
-		Known: membership.List{Nodes: []membership.Node{{Name: "one", Addr: addr}}}})
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "one", Addr: addr}}}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	b.Cleanup(stop)
-	go httpfront.NewServer(door, 400, time.Minute, slog.New(slog.DiscardHandler), httpfront.Options{}).Run(ctx, ln)
+	go httplistener.NewServer(door, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln)
 
 	next := uint64(0)
 	overHTTP := func(name, addr string) way {
--- a/bench_web_test.go
+++ b/bench_web_test.go
@@ -18,12 +18,12 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
+	"pumicecroft/httpproxy"
 	"pumicecroft/identity"
-	"pumicecroft/internal/httpfront"
+	"pumicecroft/internal/httplistener"
 	"pumicecroft/internal/testcerts"
 	"pumicecroft/membership"
 	"pumicecroft/routes"
-	"pumicecroft/webfront"
 )
 
 // webWays are an ordinary client's: straight to a backend, through httputil.ReverseProxy, and through the front with one route and with 10,000.
@@ -33,25 +33,25 @@
 	addr := strings.TrimPrefix(backend.URL, "http://")
 	door, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true,
-			Classes: []decision.Class{{Name: "look", Aim: time.Second, Deadline: 20 * time.Second, Worth: 1}},
+			Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
 			Plans:   []decision.Plan{{Name: "basic", Rate: 1e6, Burst: 1e6, Price: 1}}},
-		Known: membership.List{Nodes: []membership.Node{{Name: "one", Addr: addr, Protocol: webfront.Protocol("shop")}}}},
-		webfront.WithService(webfront.ServiceConfig{Name: "shop"}))
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "one", Addr: addr, Protocol: httpproxy.Protocol("shop")}}}},
+		httpproxy.WithService(httpproxy.ServiceConfig{Name: "shop"}))
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { door.Close(context.Background()) })
 	front := func(n int) http.Handler {
-		to := &webfront.Route{Service: "shop", Class: webfront.Classes{Safe: "look"}}
-		rules := []routes.Rule[*webfront.Route]{{Name: "all", Path: "/{rest...}", To: to}}
+		to := &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Safe: "look"}}
+		rules := []routes.Rule[*httpproxy.Route]{{Name: "all", Path: "/{rest...}", To: to}}
 		for i := range n - 1 {
-			rules = append(rules, routes.Rule[*webfront.Route]{Name: fmt.Sprint(i), Line: i, Path: fmt.Sprintf("/v%d/items-%d/{id}", i%10, i), To: to})
+			rules = append(rules, routes.Rule[*httpproxy.Route]{Name: fmt.Sprint(i), Line: i, Path: fmt.Sprintf("/v%d/items-%d/{id}", i%10, i), To: to})
 		}
 		table, err := routes.New(rules)
 		if err != nil {
 			b.Fatal(err)
 		}
-		f, err := webfront.New(door, webfront.Config{Rules: webfront.Rules{Routes: table,
+		f, err := httpproxy.New(door, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
 			Who: identity.New(nil, identity.Named{Name: "address", Rule: &identity.Address{Plan: "basic"}})}})
 		if err != nil {
 			b.Fatal(err)
@@ -81,7 +81,7 @@
 				b.Fatal(err)
 			}
 			to = ln.Addr().String()
-			go httpfront.NewServer(h, 400, time.Minute, slog.New(slog.DiscardHandler), httpfront.Options{TLS: config, Ordinary: true}).Run(ctx, ln)
+			go httplistener.NewServer(h, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
 			if secure {
 				scheme = "https"
 			}
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -11,26 +11,26 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/wire"
+	"pumicecroft/internal/simwire"
 )
 
 // door is one instance, with its calls of the counter that have no answer, by name and in their order.
 type door struct {
-	*decision.Gateway
+	*decision.Engine
 	counts map[uint64][]uint64
 }
 
 // counted gives an answer of the counter to the call that it is for.
-func (d *door) counted(t wire.Tally) (decision.Event, error) {
-	refs := d.counts[t.Name]
+func (d *door) counted(t simwire.CounterReply) (decision.Event, error) {
+	refs := d.counts[t.Key]
 	if len(refs) == 0 {
-		return nil, fmt.Errorf("an answer of the counter for %d, which was not asked for", t.Name)
+		return nil, fmt.Errorf("an answer of the counter for %d, which was not asked for", t.Key)
 	}
-	if d.counts[t.Name] = refs[1:]; len(refs) == 1 {
-		delete(d.counts, t.Name)
+	if d.counts[t.Key] = refs[1:]; len(refs) == 1 {
+		delete(d.counts, t.Key)
 	}
-	t.Counted.Ref = refs[0]
-	return t.Counted, nil
+	t.Result.Ref = refs[0]
+	return t.Result, nil
 }
 
 func main() {
@@ -63,7 +63,7 @@
 			}
 			continue
 		}
-		m, derr := wire.Decode(text)
+		m, derr := simwire.Decode(text)
 		if derr != nil {
 			return fmt.Errorf("line %d: %w", number, derr)
 		}
@@ -74,7 +74,7 @@
 			inBatch, now = true, m.At
 		case m.End:
 			inBatch = false
-			wire.AppendEnd(&reply)
+			simwire.AppendEnd(&reply)
 			if _, err := out.Write(reply.Bytes()); err != nil {
 				return err
 			}
@@ -87,22 +87,22 @@
 			doors[m.Instance] = &door{g, map[uint64][]uint64{}}
 		case m.Stop:
 			delete(doors, m.Instance)
-		case m.Event != nil || m.Tally.Told:
+		case m.Event != nil || m.CounterReply.Present:
 			d := doors[m.Instance]
 			if d == nil {
 				return fmt.Errorf("line %d: an event for instance %d, which is not running", number, m.Instance)
 			}
-			if m.Tally.Told {
-				if m.Event, err = d.counted(m.Tally); err != nil {
+			if m.CounterReply.Present {
+				if m.Event, err = d.counted(m.CounterReply); err != nil {
 					return fmt.Errorf("line %d: %w", number, err)
 				}
 			}
 			actions = d.Handle(now, m.Event, actions[:0])
 			for _, a := range actions {
-				if c, ok := a.(decision.Count); ok {
-					d.counts[c.Name] = append(d.counts[c.Name], c.Ref)
+				if c, ok := a.(decision.CounterAdd); ok {
+					d.counts[c.Key] = append(d.counts[c.Key], c.Ref)
 				}
-				wire.AppendAction(&reply, m.Instance, a)
+				simwire.AppendAction(&reply, m.Instance, a)
 			}
 		}
 	}
--- a/cmd/pumicecroft/commands_test.go
+++ b/cmd/pumicecroft/commands_test.go
@@ -19,9 +19,9 @@
 	"testing"
 	"time"
 
-	"pumicecroft/internal/kept"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/platform"
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/snapshotfile"
 )
 
 func file(t *testing.T, text string) string {
@@ -170,20 +170,20 @@
 // With Consul as its source a door serves what stands there, tells what it believes and why, stands there itself, and
 // is gone from there at its end.
 func TestServeWithConsul(t *testing.T) {
-	agent, err := standin.StartConsul(nil)
+	agent, err := fakes.StartConsul(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(agent.Close)
-	backend, err := standin.StartBackend(standin.BackendConfig{Name: "b", Ledger: &standin.Ledger{}, Keyed: func(string) bool { return false }})
+	backend, err := fakes.StartBackend(fakes.BackendConfig{Name: "b", Ledger: &fakes.Ledger{}, Keyed: func(string) bool { return false }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(backend.Kill)
 	host, port, _ := net.SplitHostPort(backend.Addr())
 	number, _ := strconv.Atoi(port)
-	agent.Put(standin.Instance{Node: "n", NodeAddr: host, ID: "b", Service: "web", Port: number, Checks: []standin.Check{{ID: "up", Status: "passing"}}},
-		standin.Instance{Node: "n", NodeAddr: host, ID: "c", Service: "web", Port: 1, Checks: []standin.Check{{ID: "up", Status: "critical", Output: "no \x1b[31mroute"}}})
+	agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: "b", Service: "web", Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
+		fakes.Instance{Node: "n", NodeAddr: host, ID: "c", Service: "web", Port: 1, Checks: []fakes.Check{{ID: "up", Status: "critical", Output: "no \x1b[31mroute"}}})
 	cmd, addr, at := serving(t, file(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
 [[class]]
@@ -201,7 +201,7 @@
 `, agent.Addr())))
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	ask := standin.Ask{ID: 1, Class: "look", Customer: 1, Plan: "shop", Timeout: 5 * time.Second}
+	ask := fakes.Ask{ID: 1, Class: "look", Customer: 1, Plan: "shop", Timeout: 5 * time.Second}
 	for reply := ask.Do(t.Context(), transport, addr); reply.Status != 200; reply = ask.Do(t.Context(), transport, addr) {
 		if ask.ID++; ask.ID > 1000 || reply.Status != 503 {
 			t.Fatalf("%+v", reply)
@@ -234,13 +234,13 @@
 
 // A file's own backends and the platform's discovery, side by side.
 func TestServeWithDiscovery(t *testing.T) {
-	discovery, err := standin.StartDiscovery()
+	discovery, err := fakes.StartDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(discovery.Close)
-	discovery.Set(platform.Endpoint{Host: "a", Dial: "127.0.0.1:7", Site: "z", Health: "Terminating", Share: 1},
-		platform.Endpoint{Host: "d", Dial: "127.0.0.1:8", Health: "Ready", Share: 1})
+	discovery.Set(platform.Endpoint{Name: "a", Addr: "127.0.0.1:7", Zone: "z", Health: "Terminating", Weight: 1},
+		platform.Endpoint{Name: "d", Addr: "127.0.0.1:8", Health: "Ready", Weight: 1})
 	text := operatorFile + fmt.Sprintf("[discovery]\naddress = %q\n", discovery.Addr())
 	cmd, _, at := serving(t, file(t, "members = \"127.0.0.1:0\"\nsources = [\"file\", \"discovery\"]\n"+text))
 	asked := file(t, fmt.Sprintf("members = %q\n", at)+text)
@@ -332,7 +332,7 @@
 	if got := tell("--file", file(t, strings.Replace(fmt.Sprintf(text, 2), "rate = 1", "rate = 2", 1))); !strings.Contains(got, "other settings") {
 		t.Errorf("under other settings: %s", got)
 	}
-	if err := os.WriteFile(kept.Path(dir, 1), []byte("noise"), 0o600); err != nil {
+	if err := os.WriteFile(snapshotfile.Path(dir, 1), []byte("noise"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if got := tell(); !strings.Contains(got, "not believed: it is torn") {
--- a/cmd/pumicecroft/kills_test.go
+++ b/cmd/pumicecroft/kills_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 )
 
 var (
@@ -27,10 +27,10 @@
 // The program is killed at points of chance, again and again, with its journal of keys on. Clients press until they have an end: no key has
 // its effect twice, and one that was answered is answered alike ever after, by each later process.
 func TestKeysOutliveKills(t *testing.T) {
-	ledger := &standin.Ledger{}
+	ledger := &fakes.Ledger{}
 	var nodes strings.Builder
 	for i := range 2 { // of one cell each that forgets at once, so that only the edge drops repeats
-		b, err := standin.StartBackend(standin.BackendConfig{Name: fmt.Sprint("b", i), Ledger: ledger, Cell: &standin.Cell{},
+		b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: ledger, Cell: &fakes.Cell{},
 			Work: func(string) time.Duration { return 2 * time.Millisecond }, Keyed: func(string) bool { return true }})
 		if err != nil {
 			t.Fatal(err)
@@ -51,7 +51,7 @@
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	defer client.CloseIdleConnections()
 	press := func(ctx context.Context, addr string, worker uint64, key string) (*http.Response, string, error) {
-		ask := standin.Ask{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second, Key: key, Body: "b " + key}
+		ask := fakes.Ask{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second, Key: key, Body: "b " + key}
 		req, err := ask.Request(ctx, addr)
 		if err != nil {
 			return nil, "", err
--- a/cmd/pumicecroft/lab.go
+++ b/cmd/pumicecroft/lab.go
@@ -78,7 +78,7 @@
 	Figure []string `name:"figure" short:"f" help:"A figure to compare; those that the experiment names, if none is given. May be repeated."`
 }
 
-func (j *judging) rules() paired.Rules { return paired.Rules{Level: j.Level, Seed: 1} }
+func (j *judging) rules() paired.Options { return paired.Options{Confidence: j.Level, Seed: 1} }
 
 func (j *judging) figures(e *lab.Experiment) ([]string, error) {
 	for _, name := range j.Figure {
@@ -145,7 +145,7 @@
 	fmt.Fprintln(w, "WHERE\tA\tB\tFIGURE\tPAIRS\tA'S\tB'S\tDIFFERENCE\tINTERVAL\tB IS")
 	for _, t := range told {
 		d := t.Told
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4g\t%.4g\t%+.3g\t%+.3g to %+.3g\t%s\n", t.Where, t.A, t.B, t.Figure.Name, d.Pairs, d.A, d.B, d.Mean, d.Low, d.High, t.Verdict())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4g\t%.4g\t%+.3g\t%+.3g to %+.3g\t%s\n", t.Where, t.A, t.B, t.Figure.Name, d.Pairs, d.MeanA, d.MeanB, d.Mean, d.Low, d.High, t.Verdict())
 	}
 	return w.Flush()
 }
@@ -177,7 +177,7 @@
 			return err
 		}
 		name = c.Plot + ".svg"
-		write = func(r *lab.Results, by string, rules paired.Rules) ([]byte, error) {
+		write = func(r *lab.Results, by string, rules paired.Options) ([]byte, error) {
 			return lab.Plot(r, by, c.Plot, rules)
 		}
 	}
--- a/cmd/pumicecroft/lab_paper.go
+++ b/cmd/pumicecroft/lab_paper.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"io"
 
-	"pumicecroft/internal/payoff"
+	"pumicecroft/internal/reservemodel"
 
 	"golang.org/x/sync/errgroup"
 )
@@ -27,26 +27,26 @@
 		}
 		_ = running.Wait() // no job fails here
 	}
-	split := func(s payoff.Split) string { return fmt.Sprintf("%d,%d,%d", s.High, s.Pool, s.Low) }
+	split := func(s reservemodel.Split) string { return fmt.Sprintf("%d,%d,%d", s.High, s.Pool, s.Low) }
 	fmt.Fprintln(out, "| load | N | without: split, payoff | paper | with: split, payoff | paper | the paper's split, solved | gain mean, best % | Method I: split, loss % | Method II: split, loss % |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	loss := map[int][2]float64{}
-	for _, k := range payoff.Cases() {
+	for _, k := range reservemodel.Cases() {
 		if k.N > c.Most {
 			continue
 		}
-		f, err := payoff.Search(k, do)
+		f, err := reservemodel.Search(k, do)
 		if err != nil {
 			return err
 		}
 		var lost [2]float64
 		for m := range lost {
-			lost[m] = 100 * (1 - f.ChosenPayoff[m]/f.SubPayoff)
+			lost[m] = 100 * (1 - f.ChosenPayoff[m]/f.SubRatedPayoff)
 			sum := loss[k.N]
 			sum[m] += lost[m] / 9
 			loss[k.N] = sum
 		}
-		fmt.Fprintf(out, "| %s | %d | %s %.2f | %s %.2f | %s %.2f | %s %.2f | %.2f | %.1f, %.1f | %s %.2f | %s %.2f |\n", k.Name, k.N, split(f.No), f.NoPayoff, split(k.PaperNo), k.PaperNoPayoff,
-			split(f.Sub), f.SubPayoff, split(k.PaperSub), k.PaperSubPay, f.Same, 100*f.GainMean, 100*f.GainBest, split(f.Chosen[0]), lost[0], split(f.Chosen[1]), lost[1])
+		fmt.Fprintf(out, "| %s | %d | %s %.2f | %s %.2f | %s %.2f | %s %.2f | %.2f | %.1f, %.1f | %s %.2f | %s %.2f |\n", k.Name, k.N, split(f.Without), f.WithoutPayoff, split(k.PaperWithout), k.PaperWithoutPayoff,
+			split(f.SubRated), f.SubRatedPayoff, split(k.PaperSubRated), k.PaperSubRatedPayoff, f.PaperSplitPayoff, 100*f.GainMean, 100*f.GainBest, split(f.Chosen[0]), lost[0], split(f.Chosen[1]), lost[1])
 	}
 	for _, n := range []int{16, 32} {
 		if sum, there := loss[n]; there {
--- a/cmd/pumicecroft/load_test.go
+++ b/cmd/pumicecroft/load_test.go
@@ -14,33 +14,33 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/grpcfront"
+	"pumicecroft/grpcproxy"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/load"
-	"pumicecroft/internal/standin"
 	"pumicecroft/membership"
 )
 
 // Over gRPC a load goes through a door: what is within the quota is served, the rest is refused with a pushback, and who follows it comes back.
 func TestLoadOverGRPC(t *testing.T) {
-	b, err := standin.StartGRPC(standin.GRPCConfig{Ledger: &standin.Ledger{}})
+	b, err := fakes.StartGRPC(fakes.GRPCConfig{Ledger: &fakes.Ledger{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Kill)
 	door, err := pumicecroft.New(pumicecroft.Config{Protocol: membership.ProtocolGRPC,
-		Settings: decision.Settings{CanCancel: true, MaxRetryAfter: time.Second, Classes: []decision.Class{{Name: "look", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
+		Settings: decision.Settings{CanCancel: true, MaxRetryAfter: time.Second, Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
 			Plans: []decision.Plan{{Name: "shop", Rate: 20, Burst: 40, Price: 1}}},
-		Known: membership.List{Nodes: []membership.Node{{Name: "one", Addr: b.Addr()}}}}, grpcfront.WithBackends(grpcfront.BackendConfig{}))
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "one", Addr: b.Addr()}}}}, grpcproxy.WithBackends(grpcproxy.BackendConfig{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { door.Close(context.Background()) })
-	front, err := grpcfront.New(door, grpcfront.Config{Methods: map[string]grpcfront.Method{"/shop.Stock/Get": {Class: "look"}}, CustomerText: true,
-		Names: grpcfront.Names{Customer: "x-tenant", Plan: "x-plan"}})
+	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: map[string]grpcproxy.Method{"/shop.Stock/Get": {Class: "look"}}, CustomerText: true,
+		Names: grpcproxy.Names{Customer: "x-tenant", Plan: "x-plan"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := grpc.NewServer(grpc.ForceServerCodecV2(grpcfront.Codec()), grpc.UnknownServiceHandler(front.Handle))
+	server := grpc.NewServer(grpc.ForceServerCodecV2(grpcproxy.Codec()), grpc.UnknownServiceHandler(front.Handle))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/pumicecroft/operator.go
+++ b/cmd/pumicecroft/operator.go
@@ -11,7 +11,7 @@
 	"unicode"
 
 	"pumicecroft/internal/daemon"
-	"pumicecroft/internal/operator"
+	"pumicecroft/internal/operatorconfig"
 )
 
 // fileArg is an operator's file.
@@ -19,14 +19,14 @@
 	File string `arg:"" name:"file" help:"An operator's file, such as deploy/pumicecroft.toml."`
 }
 
-func (a fileArg) read() (operator.File, error) {
+func (a fileArg) read() (operatorconfig.File, error) {
 	text, err := os.ReadFile(a.File)
 	if err != nil {
-		return operator.File{}, err
+		return operatorconfig.File{}, err
 	}
-	f, err := operator.Parse(text)
+	f, err := operatorconfig.Parse(text)
 	if err != nil {
-		return operator.File{}, fmt.Errorf("%s:\n%w", a.File, err)
+		return operatorconfig.File{}, fmt.Errorf("%s:\n%w", a.File, err)
 	}
 	return f, nil
 }
@@ -49,7 +49,7 @@
 		fmt.Fprintf(out, "%s: warning: %s\n", c.File, w)
 	}
 	fmt.Fprintf(out, "%s is good: door %d of %d, %d classes, %d plans, %d backends, sources %s, to listen on %s\n", c.File,
-		f.Door.Settings.Me, f.Door.Settings.FrontDoors, len(f.Door.Settings.Classes), len(f.Door.Settings.Plans),
+		f.Door.Settings.GatewayIndex, f.Door.Settings.GatewayCount, len(f.Door.Settings.Classes), len(f.Door.Settings.Plans),
 		len(f.Backends.Nodes), strings.Join(f.Sources, ", "), f.Listen)
 	return nil
 }
@@ -73,14 +73,14 @@
 	fmt.Fprintln(w, "NODE\tADDRESS\tSTATE\tSINCE\tSOURCE\tWHY")
 	for _, m := range all {
 		state := m.State
-		if m.Old {
+		if m.Stale {
 			state += " (old)"
 		}
 		since := m.Since.Format(time.DateTime)
 		if !m.Until.IsZero() {
 			since += ", until " + m.Until.Format(time.TimeOnly)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", printable(m.Name), printable(m.Addr), state, since, m.Source, printable(m.Why))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", printable(m.Name), printable(m.Addr), state, since, m.Source, printable(m.Explanation))
 	}
 	return w.Flush()
 }
--- a/cmd/pumicecroft/pairs_test.go
+++ b/cmd/pumicecroft/pairs_test.go
@@ -18,8 +18,8 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/internal/standin"
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/membership"
 )
 
@@ -34,11 +34,11 @@
 	unit := *pairsUnit
 	for _, front := range []string{"program", "library"} {
 		t.Run(front, func(t *testing.T) {
-			ledger := &standin.Ledger{}
+			ledger := &fakes.Ledger{}
 			var nodes strings.Builder
-			known := membership.List{Whole: true}
+			known := membership.Update{Full: true}
 			for i := range 4 { // two racks
-				b, err := standin.StartBackend(standin.BackendConfig{Name: fmt.Sprint("b", i), Ledger: ledger, Cell: &standin.Cell{Window: 5 * unit},
+				b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: ledger, Cell: &fakes.Cell{Window: 5 * unit},
 					Work: func(string) time.Duration { return unit / 10 }, Keyed: func(string) bool { return true }})
 				if err != nil {
 					t.Fatal(err)
@@ -49,11 +49,11 @@
 			}
 			var press func(ctx context.Context, class, key string) (answer string, refused time.Duration, err error)
 			if front == "library" {
-				class := func(name string, e decision.Effect) decision.Class {
-					return decision.Class{Name: name, Effect: e, Group: decision.GroupCell, KeyWindow: 5 * unit, Aim: 20 * time.Second, Deadline: 40 * time.Second, Worth: 1}
+				class := func(name string, e decision.Idempotency) decision.Class {
+					return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * unit, LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second, PriorityWeight: 1}
 				}
-				door, err := pumicecroft.New(pumicecroft.Config{Settings: decision.Settings{Classes: []decision.Class{class("pay", decision.Keyed), class("once", decision.Unsafe)},
-					Plans: []decision.Plan{{Name: "shop", Price: 1}}}, Known: known, BackendConns: 1024, Keys: &keys.Limits{}})
+				door, err := pumicecroft.New(pumicecroft.Config{Settings: decision.Settings{Classes: []decision.Class{class("pay", decision.IdempotentByKey), class("once", decision.NonIdempotent)},
+					Plans: []decision.Plan{{Name: "shop", Price: 1}}}, InitialEndpoints: known, MaxBackendConns: 1024, Idempotency: &idempotency.Limits{}})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -63,8 +63,8 @@
 					}
 				}()
 				press = func(ctx context.Context, class, key string) (string, time.Duration, error) {
-					a, err := door.Do(ctx, pumicecroft.Request{Class: class, Plan: "shop", Customer: 7, Key: key, Body: []byte("b")})
-					var refused *pumicecroft.RefusedError
+					a, err := door.Do(ctx, pumicecroft.Request{Class: class, Plan: "shop", Customer: 7, IdempotencyKey: key, Body: []byte("b")})
+					var refused *pumicecroft.RejectedError
 					if errors.As(err, &refused) {
 						return "", max(refused.RetryAfter, time.Millisecond), nil
 					}
@@ -87,7 +87,7 @@
 				defer client.CloseIdleConnections()
 				var ids atomic.Uint64
 				press = func(ctx context.Context, class, key string) (string, time.Duration, error) {
-					req, err := standin.Ask{ID: ids.Add(1), Class: class, Customer: 7, Plan: "shop", Timeout: 40 * time.Second, Key: key, Body: "b"}.Request(ctx, addr)
+					req, err := fakes.Ask{ID: ids.Add(1), Class: class, Customer: 7, Plan: "shop", Timeout: 40 * time.Second, Key: key, Body: "b"}.Request(ctx, addr)
 					if err != nil {
 						return "", 0, err
 					}
--- a/cmd/pumicecroft/routes.go
+++ b/cmd/pumicecroft/routes.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
+	"pumicecroft/httpproxy"
 	"pumicecroft/internal/daemon"
-	"pumicecroft/internal/operator"
-	"pumicecroft/webfront"
+	"pumicecroft/internal/operatorconfig"
 )
 
 type routesCommand struct {
@@ -77,7 +77,7 @@
 }
 
 // tell prints a plan.
-func tell(out io.Writer, f *operator.File, p webfront.Plan, front *webfront.Front) {
+func tell(out io.Writer, f *operatorconfig.File, p httpproxy.Plan, front *httpproxy.Front) {
 	line := func(name, format string, args ...any) {
 		fmt.Fprintf(out, "%-9s %s\n", name, printable(fmt.Sprintf(format, args...)))
 	}
--- a/cmd/pumicecroft/sim.go
+++ b/cmd/pumicecroft/sim.go
@@ -23,7 +23,7 @@
 // tellRun prints what came of one run.
 func tellRun(r sim.Result, out io.Writer) error {
 	fmt.Fprintf(out, "seed %d: %d steps, %.1f s, trace %016x; served %d, refused %d, failed %d, lost with their doors %d\n%v", r.Seed, r.Steps,
-		r.Simulated.Seconds(), r.Hash, r.Served, r.Refused, r.Failed, r.Lost, r.Script)
+		r.Simulated.Seconds(), r.Hash, r.Served, r.Rejected, r.Failed, r.LostWithGateway, r.Script)
 	for _, v := range r.Violations {
 		fmt.Fprintln(out, "BROKEN", v)
 	}
--- a/cmd/pumicecroft/sockets_test.go
+++ b/cmd/pumicecroft/sockets_test.go
@@ -10,10 +10,10 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
+	"pumicecroft/internal/emulator"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/lab"
 	"pumicecroft/internal/load"
-	"pumicecroft/internal/region"
-	"pumicecroft/internal/standin"
 	"pumicecroft/membership"
 )
 
@@ -34,8 +34,8 @@
 		work time.Duration
 		slow float64 // one of four
 	}{{"calm", 400, 20 * time.Millisecond, 1}, {"full", 700, 20 * time.Millisecond, 1}, {"overload", 1300, 20 * time.Millisecond, 1}, {"one backend ten times slower", 300, 20 * time.Millisecond, 10}} {
-		settings := decision.Settings{FrontDoors: 1, CanCancel: true, MaxAttempts: 3, MaxRetryAfter: time.Second, AnswerGrace: 50 * time.Millisecond,
-			Classes: []decision.Class{{Name: "look", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}}, Plans: []decision.Plan{{Name: "shop", Price: 1}}}
+		settings := decision.Settings{GatewayCount: 1, CanCancel: true, MaxAttempts: 3, MaxRetryAfter: time.Second, ResponseGrace: 50 * time.Millisecond,
+			Classes: []decision.Class{{Name: "look", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}}, Plans: []decision.Plan{{Name: "shop", Price: 1}}}
 
 		// On sockets.
 		var nodes []membership.Node
@@ -44,14 +44,14 @@
 			if i == 0 {
 				work = time.Duration(float64(work) * c.slow)
 			}
-			b, err := standin.StartBackend(standin.BackendConfig{Name: fmt.Sprint("b", i), Ledger: &standin.Ledger{}, Slots: 4, Queue: 16, Work: func(string) time.Duration { return work }, Keyed: func(string) bool { return false }})
+			b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: &fakes.Ledger{}, Slots: 4, Queue: 16, Work: func(string) time.Duration { return work }, Keyed: func(string) bool { return false }})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer b.Kill()
 			nodes = append(nodes, membership.Node{Name: fmt.Sprint("b", i), Addr: b.Addr()})
 		}
-		door, err := pumicecroft.New(pumicecroft.Config{Settings: settings, Known: membership.List{Nodes: nodes}, BackendConns: 400, MaxOpen: 4096})
+		door, err := pumicecroft.New(pumicecroft.Config{Settings: settings, InitialEndpoints: membership.Update{Nodes: nodes}, MaxBackendConns: 400, MaxOpenRequests: 4096})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,14 +68,14 @@
 		_ = door.Close(t.Context())
 
 		// Emulated: a zone of its own for the slow one.
-		cfg := region.Config{Doors: 1, Policy: region.PolicyModule, Settings: settings, Length: length, Network: region.Network{Least: 100 * time.Microsecond, More: 50 * time.Microsecond},
-			Backends: region.Backends{Count: 4, Zones: 4, Cells: 1, Slots: 4, Queue: 16, Service: region.Dist{Shape: region.Constant, Mean: c.work}, Connect: 250 * time.Millisecond, Restart: time.Second},
-			Clients:  region.Clients{Customers: 100, Spread: 1, Units: 1, Tries: 1, Mix: []region.Share{{Name: "look", Part: 1}}, Plans: []region.Share{{Name: "shop", Part: 1}}},
-			Arrivals: region.Arrivals{Rate: c.rate}, Lists: time.Second}
+		cfg := emulator.Config{Gateways: 1, Policy: emulator.PolicyEngine, Settings: settings, Duration: length, Network: emulator.Network{MinDelay: 100 * time.Microsecond, MeanExtraDelay: 50 * time.Microsecond},
+			Backends: emulator.Backends{Count: 4, Zones: 4, Cells: 1, Concurrency: 4, MaxQueue: 16, Service: emulator.Distribution{Shape: emulator.Constant, Mean: c.work}, ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second},
+			Clients:  emulator.Clients{Customers: 100, GatewaySpread: 1, Cost: 1, MaxTries: 1, Classes: []emulator.Share{{Name: "look", Weight: 1}}, Plans: []emulator.Share{{Name: "shop", Weight: 1}}},
+			Arrivals: emulator.Arrivals{Rate: c.rate}, UpdateInterval: time.Second}
 		if c.slow > 1 {
-			cfg.Faults = []region.Fault{{Kind: region.ZoneSlow, For: length, By: c.slow}}
+			cfg.Faults = []emulator.Fault{{Kind: emulator.ZoneSlow, Duration: length, Magnitude: c.slow}}
 		}
-		r, err := region.New(cfg, 1)
+		r, err := emulator.New(cfg, 1)
 		if err == nil {
 			err = lab.Emulate(t.Context(), r, 1)
 		}
--- a/cmd/pumicecroft/state.go
+++ b/cmd/pumicecroft/state.go
@@ -13,8 +13,8 @@
 	"text/tabwriter"
 	"time"
 
-	"pumicecroft/internal/kept"
-	"pumicecroft/internal/prepared"
+	"pumicecroft/internal/endpointcache"
+	"pumicecroft/internal/snapshotfile"
 	"pumicecroft/recovery"
 )
 
@@ -25,7 +25,7 @@
 
 // Run prints what a door would begin with.
 func (c *stateCommand) Run(out io.Writer) error {
-	found, err := kept.List(c.Dir)
+	found, err := snapshotfile.List(c.Dir)
 	if err != nil {
 		return err
 	}
@@ -33,23 +33,23 @@
 	if err != nil {
 		return err
 	}
-	var door *recovery.Door
+	var door *recovery.GatewayInfo
 	if c.File != "" {
 		f, err := fileArg{c.File}.read()
 		if err != nil {
 			return err
 		}
 		set := f.Door.Settings
-		door = &recovery.Door{Number: set.Me, Of: set.FrontDoors, Settings: recovery.Digest(set), Plans: set.Plans}
-		if found[door.Number] == "" {
-			found[door.Number] = kept.Path(c.Dir, door.Number)
+		door = &recovery.GatewayInfo{Index: set.GatewayIndex, Count: set.GatewayCount, SettingsDigest: recovery.SettingsDigest(set), Plans: set.Plans}
+		if found[door.Index] == "" {
+			found[door.Index] = snapshotfile.Path(c.Dir, door.Index)
 		}
 	}
 	now := time.Now()
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KIND\tOF\tAGE\tHOLDS\tWHAT BECOMES OF IT")
 	for _, n := range slices.Sorted(maps.Keys(found)) {
-		if door == nil || n == door.Number {
+		if door == nil || n == door.Index {
 			tellDecisions(w, found[n], n, door, now)
 		}
 	}
@@ -58,7 +58,7 @@
 		if err != nil {
 			source = filepath.Base(path)
 		}
-		nodes, at, err := prepared.Read(c.Dir, source)
+		nodes, at, err := endpointcache.Read(c.Dir, source)
 		if err != nil {
 			fmt.Fprintf(w, "members\t%s\t-\t-\tnot believed: %v\n", source, err)
 			continue
@@ -66,41 +66,41 @@
 		fmt.Fprintf(w, "members\t%s\t%v\t%d nodes\tbelieved until the source is heard; who has come since counts as cold\n", source, now.Sub(at).Round(time.Second), len(nodes))
 	}
 	if len(found)+len(lists) == 0 {
-		fmt.Fprintf(w, "-\t-\t-\tnothing\t%s\n", recovery.Nothing(nil).Why)
+		fmt.Fprintf(w, "-\t-\t-\tnothing\t%s\n", recovery.RestoreNothing(nil).Explanation)
 	}
 	return w.Flush()
 }
 
 // tellDecisions tells of one snapshot, to the door that would begin with it if one is named.
-func tellDecisions(w io.Writer, path string, number int, door *recovery.Door, now time.Time) {
-	tell := func(s *recovery.Snapshot, b recovery.Beginning) {
-		age, holds, becomes := "-", "-", b.Why
+func tellDecisions(w io.Writer, path string, number int, door *recovery.GatewayInfo, now time.Time) {
+	tell := func(s *recovery.Snapshot, b recovery.Restored) {
+		age, holds, becomes := "-", "-", b.Explanation
 		if s != nil {
-			age, holds = now.Sub(s.At).Round(time.Millisecond).String(), fmt.Sprintf("%d customers that owe", len(s.Customers))
+			age, holds = now.Sub(s.TakenAt).Round(time.Millisecond).String(), fmt.Sprintf("%d customers that owe", len(s.Customers))
 		}
 		if b.Err != nil {
-			becomes = fmt.Sprintf("not believed: %v; %s", b.Err, b.Why)
+			becomes = fmt.Sprintf("not believed: %v; %s", b.Err, b.Explanation)
 		} else if door != nil {
-			becomes = fmt.Sprintf("%d go on owing, %d owe nothing by now; %s", len(b.Customers), b.Repaid, b.Why)
+			becomes = fmt.Sprintf("%d go on owing, %d owe nothing by now; %s", len(b.Customers), b.Repaid, b.Explanation)
 		}
 		fmt.Fprintf(w, "decisions\tdoor %d\t%s\t%s\t%s\n", number, age, holds, becomes)
 	}
-	text, err := kept.Read(path)
+	text, err := snapshotfile.Read(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		tell(nil, recovery.Nothing(errors.New("nothing was kept")))
+		tell(nil, recovery.RestoreNothing(errors.New("nothing was kept")))
 		return
 	}
 	if err != nil {
-		tell(nil, recovery.Nothing(err))
+		tell(nil, recovery.RestoreNothing(err))
 		return
 	}
 	s, err := recovery.Decode(text)
 	switch {
 	case err != nil:
-		tell(nil, recovery.Nothing(err))
+		tell(nil, recovery.RestoreNothing(err))
 	case door != nil:
-		tell(s, recovery.Begin(s, *door, now))
+		tell(s, recovery.Restore(s, *door, now))
 	default:
-		tell(s, recovery.Begin(s, recovery.Door{Number: s.Door, Of: s.Of, Settings: s.Settings}, now))
+		tell(s, recovery.Restore(s, recovery.GatewayInfo{Index: s.GatewayIndex, Count: s.GatewayCount, SettingsDigest: s.SettingsDigest}, now))
 	}
 }
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/testcerts"
 )
 
@@ -234,7 +234,7 @@
 
 // Services whose backends stand in Consul: each has its own, what a node's meta says of its protocol comes first, and neither gets the other's requests.
 func TestServicesFromConsul(t *testing.T) {
-	agent, err := standin.StartConsul(nil)
+	agent, err := fakes.StartConsul(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,8 +244,8 @@
 		t.Cleanup(s.Close)
 		host, port, _ := net.SplitHostPort(strings.TrimPrefix(s.URL, "http://"))
 		number, _ := strconv.Atoi(port)
-		agent.Put(standin.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number, Checks: []standin.Check{{ID: "up", Status: "passing"}}},
-			standin.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1, Meta: map[string]string{"speaks": "grpc"}, Checks: []standin.Check{{ID: "up", Status: "passing"}}})
+		agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
+			fakes.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1, Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.Check{{ID: "up", Status: "passing"}}})
 	}
 	_, addr, _ := serving(t, file(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
--- a/conformance/conformance.go
+++ b/conformance/conformance.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 )
 
 // Front is a front door that serves.
@@ -99,24 +99,24 @@
 	t         *testing.T
 	start     Starter
 	front     Front
-	ledger    *standin.Ledger
-	discovery *standin.Discovery
+	ledger    *fakes.Ledger
+	discovery *fakes.Discovery
 	transport *http.Transport
-	backends  []*standin.Backend
+	backends  []*fakes.Backend
 	lastID    uint64
 	mu        sync.Mutex
 }
 
 func newRig(t *testing.T, start Starter) *rig {
 	t.Helper()
-	d, err := standin.StartDiscovery()
+	d, err := fakes.StartDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, start: start, ledger: &standin.Ledger{}, discovery: d, lastID: 0x5ca1ab1e00000000,
+	r := &rig{t: t, start: start, ledger: &fakes.Ledger{}, discovery: d, lastID: 0x5ca1ab1e00000000,
 		transport: &http.Transport{MaxIdleConnsPerHost: 100, DisableCompression: true}}
 	if start.GRPC {
-		r.transport = standin.GRPCTransport()
+		r.transport = fakes.GRPCTransport()
 	}
 	t.Cleanup(func() {
 		r.transport.CloseIdleConnections()
@@ -129,14 +129,14 @@
 }
 
 // backend starts one in a cell and puts it into the list.
-func (r *rig) backend(cell *standin.Cell, change func(*standin.BackendConfig)) *standin.Backend {
+func (r *rig) backend(cell *fakes.Cell, change func(*fakes.BackendConfig)) *fakes.Backend {
 	r.t.Helper()
-	c := standin.BackendConfig{Name: fmt.Sprintf("b%d", len(r.backends)), Zone: "z", Kind: "k", Cell: cell,
+	c := fakes.BackendConfig{Name: fmt.Sprintf("b%d", len(r.backends)), Zone: "z", Kind: "k", Cell: cell,
 		Ledger: r.ledger, Keyed: func(class string) bool { return class != "look" }, GRPC: r.start.GRPC}
 	if change != nil {
 		change(&c)
 	}
-	b, err := standin.StartBackend(c)
+	b, err := fakes.StartBackend(c)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	return b
 }
 
-func cell(n int) *standin.Cell { return &standin.Cell{Number: n, Window: 5 * time.Second} }
+func cell(n int) *fakes.Cell { return &fakes.Cell{Number: n, Window: 5 * time.Second} }
 
 // Config is a configuration as the platform writes it, for the list that discovery has now.
 func (r *rig) config(f figures) string {
@@ -195,21 +195,21 @@
 }
 
 // ask is a request of a class with an id of its own.
-func (r *rig) ask(class string) standin.Ask {
+func (r *rig) ask(class string) fakes.Ask {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastID++
-	a := standin.Ask{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: timeout}
+	a := fakes.Ask{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: timeout}
 	if class != "look" {
 		a.Key, a.Body = fmt.Sprintf("key-%x", r.lastID), "amount=3"
 	}
 	return a
 }
 
-func (r *rig) do(a standin.Ask) standin.Reply { return r.doAt(r.t.Context(), a, r.front) }
+func (r *rig) do(a fakes.Ask) fakes.Reply { return r.doAt(r.t.Context(), a, r.front) }
 
 // doAt asks one of several fronts.
-func (r *rig) doAt(ctx context.Context, a standin.Ask, f Front) standin.Reply {
+func (r *rig) doAt(ctx context.Context, a fakes.Ask, f Front) fakes.Reply {
 	if r.start.GRPC {
 		return a.DoGRPC(ctx, r.transport, f.Addr())
 	}
@@ -247,9 +247,9 @@
 // outcomes is rules 1 and 2: for each way in which a first attempt can end, each class, and fleets in which a
 // repeat may or may not go elsewhere.
 func outcomes(t *testing.T, start Starter, tr *Transcript) {
-	acts := map[string]standin.Act{"served": standin.Work, "error": standin.RunAndError, "turned away": standin.TurnAway,
-		"ran and broke": standin.RunAndBreak, "broke unheard": standin.BreakUnheard, "spoilt": standin.RunAndSpoil,
-		"cut": standin.RunAndCut, "hung": standin.Hang, "hung unrun": standin.HangUnrun}
+	acts := map[string]fakes.Act{"served": fakes.Work, "error": fakes.RunAndError, "turned away": fakes.TurnAway,
+		"ran and broke": fakes.RunAndBreak, "broke unheard": fakes.BreakUnheard, "spoilt": fakes.RunAndSpoil,
+		"cut": fakes.RunAndCut, "hung": fakes.Hang, "hung unrun": fakes.HangUnrun}
 	fleets := map[string][]int{"one backend": {0}, "two of one cell": {0, 0}, "two of two cells": {0, 1}}
 	for what, act := range acts {
 		for fleet, cells := range fleets {
@@ -264,16 +264,16 @@
 	}
 }
 
-func oneOutcome(t *testing.T, start Starter, tr *Transcript, name string, act standin.Act, cells []int, class string) {
+func oneOutcome(t *testing.T, start Starter, tr *Transcript, name string, act fakes.Act, cells []int, class string) {
 	r := newRig(t, start)
-	memories := []*standin.Cell{cell(0), cell(1)}
-	once := standin.Once(act)
+	memories := []*fakes.Cell{cell(0), cell(1)}
+	once := fakes.Once(act)
 	for _, n := range cells {
-		r.backend(memories[n], func(c *standin.BackendConfig) { c.Act = once })
+		r.backend(memories[n], func(c *fakes.BackendConfig) { c.Act = once })
 	}
 	r.serve(figures{})
 	a := r.ask(class)
-	if act == standin.Hang || act == standin.HangUnrun {
+	if act == fakes.Hang || act == fakes.HangUnrun {
 		a.Timeout, a.Patience = short, patience
 	}
 	reply := r.do(a)
@@ -283,8 +283,8 @@
 	}
 	seen := r.ledger.Of(a.RequestID())
 	effects := r.ledger.Effects(a.Key)
-	hung := act == standin.Hang || act == standin.HangUnrun
-	mayHaveRun := act != standin.Work && act != standin.TurnAway
+	hung := act == fakes.Hang || act == fakes.HangUnrun
+	mayHaveRun := act != fakes.Work && act != fakes.TurnAway
 	sameCell := len(cells) == 1 || cells[0] == cells[1] // where a repeat can go
 	mayRepeat := class == "look" || class == "pay" && sameCell
 	if effects > 1 {
@@ -299,7 +299,7 @@
 	if reply.String() == "refused" && reply.RetryAfter == "" {
 		t.Error("refused without a word on when to come back")
 	}
-	wantServed := act == standin.Work || act == standin.TurnAway && len(cells) > 1 || mayHaveRun && !hung && mayRepeat
+	wantServed := act == fakes.Work || act == fakes.TurnAway && len(cells) > 1 || mayHaveRun && !hung && mayRepeat
 	if got := reply.String() == "served"; got != wantServed {
 		t.Errorf("answered %v, served: want %v", reply, wantServed)
 	}
@@ -355,20 +355,20 @@
 		t.Parallel()
 		r := newRig(t, start)
 		goOn := make(chan bool)
-		r.backend(cell(0), func(c *standin.BackendConfig) {
-			c.Act = func(a standin.Attempt) standin.Act {
+		r.backend(cell(0), func(c *fakes.BackendConfig) {
+			c.Act = func(a fakes.Attempt) fakes.Act {
 				if a.Body == "hold" {
 					<-goOn
 				}
-				return standin.Work
+				return fakes.Work
 			}
 		})
 		r.serve(figures{})
-		held := make(chan standin.Reply, 1)
+		held := make(chan fakes.Reply, 1)
 		a := r.ask("pay")
 		a.Body = "hold"
 		go func() { held <- r.do(a) }()
-		if !r.ledger.Await(patience, func(as []standin.Attempt) bool { return len(as) == 1 }) {
+		if !r.ledger.Await(patience, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
 			t.Fatal("the request that is to be held never came")
 		}
 		r.discovery.SetHealth("b0", "Terminating")
@@ -389,7 +389,7 @@
 // that it falls.
 func coldBackend(t *testing.T, start Starter, tr *Transcript) {
 	r := newRig(t, start)
-	limits := func(c *standin.BackendConfig) {
+	limits := func(c *fakes.BackendConfig) {
 		c.Capacity, c.Work = 400, func(string) time.Duration { return 10 * time.Millisecond }
 		c.ColdFrom, c.WarmWithin, c.FallMultiple, c.FallFor = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
 	}
@@ -397,7 +397,7 @@
 		r.backend(cell(0), limits)
 	}
 	r.serve(figures{})
-	cold := r.backend(cell(0), func(c *standin.BackendConfig) { limits(c); c.Cold = true })
+	cold := r.backend(cell(0), func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
 	// The load is light, some 75 a second for each backend that can do 400, and the cold one falls at 0.15 times what
 	// it can do: its share of what a warm one gets stays well under that, and as much as a warm one gets does not.
 	var asking sync.WaitGroup
@@ -515,9 +515,9 @@
 func quotaOfTwo(t *testing.T, start Starter, tr *Transcript) {
 	const rate, burst, unseen = 40.0, 40.0, 1.5
 	r := newRig(t, start)
-	meter := &standin.Meter{}
+	meter := &fakes.Meter{}
 	for range 2 {
-		r.backend(cell(0), func(c *standin.BackendConfig) { c.Meter = meter })
+		r.backend(cell(0), func(c *fakes.BackendConfig) { c.Meter = meter })
 	}
 	plans := fmt.Sprintf(`{"name":"shop","units_per_s":%v,"burst":%v,"value_factor":1}`, rate, burst)
 	var fronts []Front
@@ -554,13 +554,13 @@
 // free at once: of a plan that may have one attempt out, the next one is served.
 func leaving(t *testing.T, start Starter, tr *Transcript) {
 	r := newRig(t, start)
-	r.backend(cell(0), func(c *standin.BackendConfig) { c.Act = standin.Once(standin.Hang) })
+	r.backend(cell(0), func(c *fakes.BackendConfig) { c.Act = fakes.Once(fakes.Hang) })
 	r.serve(figures{plans: `{"name":"shop","parallel":1,"value_factor":1}`})
 	ctx, leave := context.WithCancel(t.Context())
 	a := r.ask("pay")
-	gone := make(chan standin.Reply, 1)
+	gone := make(chan fakes.Reply, 1)
 	go func() { gone <- r.doAt(ctx, a, r.front) }()
-	if !r.ledger.Await(patience, func(as []standin.Attempt) bool { return len(as) == 1 && as[0].End == "hung" }) {
+	if !r.ledger.Await(patience, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End == "hung" }) {
 		t.Fatal("the request never came")
 	}
 	if reply := r.do(r.ask("look")); reply.String() != "refused" {
@@ -568,7 +568,7 @@
 	}
 	leave()
 	<-gone
-	var reply standin.Reply
+	var reply fakes.Reply
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if reply = r.do(r.ask("look")); reply.String() == "served" {
 			break
@@ -587,17 +587,17 @@
 func ending(t *testing.T, start Starter, tr *Transcript) {
 	r := newRig(t, start)
 	goOn := make(chan bool)
-	r.backend(cell(0), func(c *standin.BackendConfig) {
-		c.Act = func(standin.Attempt) standin.Act { <-goOn; return standin.Work }
+	r.backend(cell(0), func(c *fakes.BackendConfig) {
+		c.Act = func(fakes.Attempt) fakes.Act { <-goOn; return fakes.Work }
 	})
 	r.serve(figures{})
 	const n = 10
-	replies := make(chan standin.Reply, n)
+	replies := make(chan fakes.Reply, n)
 	for i := range n {
 		a := r.ask([]string{"look", "pay", "once"}[i%3])
 		go func() { replies <- r.do(a) }()
 	}
-	if !r.ledger.Await(patience, func(as []standin.Attempt) bool { return len(as) == n }) {
+	if !r.ledger.Await(patience, func(as []fakes.Attempt) bool { return len(as) == n }) {
 		t.Fatal("not all requests came")
 	}
 	stopped := make(chan error, 1)
@@ -632,12 +632,12 @@
 	r := newRig(t, start)
 	r.backend(cell(0), nil)
 	r.serve(figures{})
-	header := func(name string, v ...string) func(*standin.Ask) {
-		return func(a *standin.Ask) { a.Header = http.Header{name: v} }
+	header := func(name string, v ...string) func(*fakes.Ask) {
+		return func(a *fakes.Ask) { a.Header = http.Header{name: v} }
 	}
 	for _, c := range []struct {
 		name, class string
-		change      func(*standin.Ask)
+		change      func(*fakes.Ask)
 	}{
 		{"no id", "look", header("Request-Id")},
 		{"a short id", "look", header("Request-Id", "12")},
@@ -658,9 +658,9 @@
 		{"a set too wide", "look", header("X-Call-Terms", "units=1,spread=2,first=0")},
 		{"terms twice", "look", header("X-Call-Terms", "units=1,units=1,spread=1,first=0")},
 		{"a keyed class without a key", "pay", header("Idempotency-Key")},
-		{"a body over the limit", "pay", func(a *standin.Ask) { a.Body = strings.Repeat("x", 64<<10+1) }},
-		{"a GET of a keyed class", "pay", func(a *standin.Ask) { a.Key = "" }},
-		{"a POST of a safe class", "look", func(a *standin.Ask) { a.Key = "k" }},
+		{"a body over the limit", "pay", func(a *fakes.Ask) { a.Body = strings.Repeat("x", 64<<10+1) }},
+		{"a GET of a keyed class", "pay", func(a *fakes.Ask) { a.Key = "" }},
+		{"a POST of a safe class", "look", func(a *fakes.Ask) { a.Key = "k" }},
 	} {
 		a := r.ask(c.class)
 		if c.change != nil {
@@ -705,28 +705,28 @@
 func replays(t *testing.T, start Starter, tr *Transcript) {
 	r := newRig(t, start)
 	goOn := make(chan bool)
-	r.backend(nil, func(c *standin.BackendConfig) { // it drops no repeats
-		c.Act = func(a standin.Attempt) standin.Act {
+	r.backend(nil, func(c *fakes.BackendConfig) { // it drops no repeats
+		c.Act = func(a fakes.Attempt) fakes.Act {
 			if a.Body == "hold" {
 				<-goOn
 			}
-			return standin.Work
+			return fakes.Work
 		}
 	})
 	r.serve(figures{})
 	held := r.ask("pay")
 	held.Body = "hold"
-	first := make(chan standin.Reply, 1)
+	first := make(chan fakes.Reply, 1)
 	go func() { first <- r.do(held) }()
-	if !r.ledger.Await(patience, func(as []standin.Attempt) bool { return len(as) == 1 }) {
+	if !r.ledger.Await(patience, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
 		t.Fatal("the request never came")
 	}
 	if start.Keys { // a repeat waits for the first one's answer, and is given it from then on: ids that come again are told apart by their keys
-		second := make(chan standin.Reply, 1)
+		second := make(chan fakes.Reply, 1)
 		go func() { second <- r.do(held) }()
 		close(goOn)
 		once := r.ask("once")
-		for what, reply := range map[string]standin.Reply{"the first": <-first, "while it is open": <-second, "later": r.do(held), "once": r.do(once), "once more": r.do(once)} {
+		for what, reply := range map[string]fakes.Reply{"the first": <-first, "while it is open": <-second, "later": r.do(held), "once": r.do(once), "once more": r.do(once)} {
 			if reply.String() != "served" {
 				t.Errorf("%s: %v", what, reply)
 			}
@@ -767,15 +767,15 @@
 // many: whatever backends do, each of many requests at once has one answer in time, and no effect is doubled.
 func many(t *testing.T, start Starter, tr *Transcript) {
 	r := newRig(t, start)
-	acts := []standin.Act{standin.Work, standin.Work, standin.Work, standin.Work, standin.Work, standin.Work, standin.Work,
-		standin.RunAndError, standin.TurnAway, standin.RunAndBreak, standin.BreakUnheard, standin.RunAndSpoil, standin.RunAndCut, standin.Hang}
-	memories := []*standin.Cell{cell(0), cell(1)}
+	acts := []fakes.Act{fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work,
+		fakes.RunAndError, fakes.TurnAway, fakes.RunAndBreak, fakes.BreakUnheard, fakes.RunAndSpoil, fakes.RunAndCut, fakes.Hang}
+	memories := []*fakes.Cell{cell(0), cell(1)}
 	for i := range 4 {
 		var mu sync.Mutex
 		n := i
-		r.backend(memories[i%2], func(c *standin.BackendConfig) {
+		r.backend(memories[i%2], func(c *fakes.BackendConfig) {
 			c.Slots, c.Work = 8, func(string) time.Duration { return 2 * time.Millisecond }
-			c.Act = func(standin.Attempt) standin.Act {
+			c.Act = func(fakes.Attempt) fakes.Act {
 				mu.Lock()
 				defer mu.Unlock()
 				n++
--- a/conformance/consul_test.go
+++ b/conformance/consul_test.go
@@ -16,17 +16,17 @@
 	"pumicecroft"
 	"pumicecroft/consul"
 	"pumicecroft/internal/daemon"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/platform"
-	"pumicecroft/internal/standin"
 )
 
 const consulService = "nodes"
 
 // mirror keeps a stand-in Consul agent as the stand-in discovery is: what is ready there passes here, what terminates
 // is critical, what is gone is deregistered. It returns when the agent holds what discovery holds now.
-func mirror(t testing.TB, addr string) *standin.Consul {
+func mirror(t testing.TB, addr string) *fakes.Consul {
 	t.Helper()
-	agent, err := standin.StartConsul(nil)
+	agent, err := fakes.StartConsul(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,21 +35,21 @@
 	go func() {
 		defer close(ended)
 		told := false
-		(&platform.Discovery{Addr: addr, From: platform.FromTheStart}).Follow(ctx, func(l platform.EndpointList) {
-			for _, e := range l.Hosts {
+		(&platform.Discovery{Addr: addr, FromVersion: platform.FromFullUpdate}).Follow(ctx, func(l platform.EndpointUpdate) {
+			for _, e := range l.Endpoints {
 				if e.Health == "Gone" {
-					agent.Remove("rack", e.Host)
+					agent.Remove("rack", e.Name)
 					continue
 				}
-				host, port, _ := net.SplitHostPort(e.Dial)
+				host, port, _ := net.SplitHostPort(e.Addr)
 				n, _ := strconv.Atoi(port)
 				status := map[string]string{"Ready": "passing", "Terminating": "critical"}[e.Health]
-				meta := map[string]string{"cell": strconv.Itoa(e.Block), "zone": e.Site, "model": e.Class}
-				if e.BornMS != 0 {
-					meta["started"] = strconv.FormatInt(e.BornMS, 10)
+				meta := map[string]string{"cell": strconv.Itoa(e.Cell), "zone": e.Zone, "model": e.InstanceType}
+				if e.StartedAtMS != 0 {
+					meta["started"] = strconv.FormatInt(e.StartedAtMS, 10)
 				}
-				agent.Put(standin.Instance{Node: "rack", NodeAddr: host, ID: e.Host, Service: consulService, Port: n, Meta: meta,
-					Passing: int(e.Share), Checks: []standin.Check{{ID: "process", Status: status}}})
+				agent.Put(fakes.Instance{Node: "rack", NodeAddr: host, ID: e.Name, Service: consulService, Port: n, Meta: meta,
+					Passing: int(e.Weight), Checks: []fakes.Check{{ID: "process", Status: status}}})
 			}
 			if !told {
 				told = true
@@ -67,13 +67,13 @@
 }
 
 // knows waits until a door knows all that the agent holds.
-func knows(t testing.TB, agent *standin.Consul, ask func() ([]pumicecroft.Member, error)) {
+func knows(t testing.TB, agent *fakes.Consul, ask func() ([]pumicecroft.BackendStatus, error)) {
 	t.Helper()
 	knowsAll(t, slices.Sorted(maps.Keys(agent.Instances(consulService))), ask)
 }
 
 // knowsAll waits until a door knows the members of these names, which are sorted.
-func knowsAll(t testing.TB, want []string, ask func() ([]pumicecroft.Member, error)) {
+func knowsAll(t testing.TB, want []string, ask func() ([]pumicecroft.BackendStatus, error)) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
 		ms, err := ask()
@@ -90,7 +90,7 @@
 	}
 }
 
-var mapping = consul.Mapping{Cell: "cell", Zone: "zone", Model: "model", Started: "started"}
+var mapping = consul.Mapping{Cell: "cell", Zone: "zone", InstanceType: "model", Started: "started"}
 
 // libraryWithConsul is the library's handler with Consul as its source.
 func libraryWithConsul(t testing.TB, config string) Front {
@@ -106,12 +106,12 @@
 	}
 	w := client.Service(consul.Service{Name: consulService, Mapping: mapping})
 	dc := daemon.DoorConfig(c)
-	dc.Known.Nodes = nil
-	door, err := pumicecroft.New(dc, pumicecroft.WithOrigin(w.Origin(), w))
+	dc.InitialEndpoints.Nodes = nil
+	door, err := pumicecroft.New(dc, pumicecroft.WithNamedSource(w.SourceInfo(), w))
 	if err != nil {
 		t.Fatal(err)
 	}
-	knows(t, agent, func() ([]pumicecroft.Member, error) { return door.Members(), nil })
+	knows(t, agent, func() ([]pumicecroft.BackendStatus, error) { return door.Backends(), nil })
 	return host(t, door, door)
 }
 
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	p := startAs(t, "PUMICECROFT_BY_FILE="+path)
-	knows(t, agent, func() ([]pumicecroft.Member, error) { return daemon.AskMembers(t.Context(), p.members) })
+	knows(t, agent, func() ([]pumicecroft.BackendStatus, error) { return daemon.AskMembers(t.Context(), p.members) })
 	return p
 }
 
@@ -137,7 +137,7 @@
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	line("[consul]\naddress = %q\n[[consul.service]]\nname = %q", agent, consulService)
-	line("cell = %q\nzone = %q\nmodel = %q\nstarted = %q", mapping.Cell, mapping.Zone, mapping.Model, mapping.Started)
+	line("cell = %q\nzone = %q\nmodel = %q\nstarted = %q", mapping.Cell, mapping.Zone, mapping.InstanceType, mapping.Started)
 	return fileBut(c, "") + b.String()
 }
 
@@ -147,19 +147,19 @@
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	s := c.Settings
 	line("listen = \"127.0.0.1:0\"\nmembers = \"127.0.0.1:0\"\n[door]\n%s", more)
-	line("number = %d\nof = %d\nmax_attempts = %d\ncancel = %v", s.Me, s.FrontDoors, s.MaxAttempts, s.CanCancel)
-	line("max_retry_after = %q\nmeter_period = %q\nlargest_units = %v\nzone = %q", s.MaxRetryAfter, s.MeterPeriod, s.LargestUnits, s.Zone)
-	line("cold_from = %v\nwarm_within = %q\nfall_multiple = %v\nfall_for = %q", s.ColdFrom, s.WarmWithin, s.FallMultiple, s.FallFor)
-	line("answer_grace = %q\ndrain_grace = %q", s.AnswerGrace, s.DrainGrace)
+	line("number = %d\nof = %d\nmax_attempts = %d\ncancel = %v", s.GatewayIndex, s.GatewayCount, s.MaxAttempts, s.CanCancel)
+	line("max_retry_after = %q\nmeter_period = %q\nlargest_units = %v\nzone = %q", s.MaxRetryAfter, s.UsagePeriod, s.MaxCost, s.Zone)
+	line("cold_from = %v\nwarm_within = %q\nfall_multiple = %v\nfall_for = %q", s.SlowStartMinCapacity, s.SlowStartWindow, s.OverloadFactor, s.OverloadDuration)
+	line("answer_grace = %q\ndrain_grace = %q", s.ResponseGrace, s.DrainGrace)
 	line("client_connections = %d\nbackend_connections = %d", c.Limits.ClientConns(), c.Limits.BackendConns())
-	line("connect_timeout = %q\nidle_timeout = %q", c.Conns.Connect, c.Conns.Idle)
+	line("connect_timeout = %q\nidle_timeout = %q", c.Conns.ConnectTimeout, c.Conns.IdleTimeout)
 	for _, k := range s.Classes {
-		line("[[class]]\nname = %q\neffect = %q\ngroup = %q", k.Name, []string{"safe", "keyed", "unsafe"}[k.Effect], []string{"all", "zone", "cell"}[k.Group])
-		line("key_window = %q\ndeadline = %q\naim = %q\nworth = %v\nlate_worth = %v", k.KeyWindow, k.Deadline, k.Aim, k.Worth, k.LateWorth)
+		line("[[class]]\nname = %q\neffect = %q\ngroup = %q", k.Name, []string{"safe", "keyed", "unsafe"}[k.Idempotency], []string{"all", "zone", "cell"}[k.DedupScope])
+		line("key_window = %q\ndeadline = %q\naim = %q\nworth = %v\nlate_worth = %v", k.DedupWindow, k.Deadline, k.LatencyObjective, k.PriorityWeight, k.LateWeightFactor)
 	}
 	for _, p := range s.Plans {
-		line("[[plan]]\nname = %q\nrate = %v\nburst = %v\nopen = %d\nprice = %v", p.Name, p.Rate, p.Burst, p.Open, p.Price)
-		line("ceiling_rate = %v\nceiling_burst = %v\nceiling_slack = %v", p.CeilingRate, p.CeilingBurst, p.CeilingSlack)
+		line("[[plan]]\nname = %q\nrate = %v\nburst = %v\nopen = %d\nprice = %v", p.Name, p.Rate, p.Burst, p.MaxInFlight, p.Price)
+		line("ceiling_rate = %v\nceiling_burst = %v\nceiling_slack = %v", p.HardLimitRate, p.HardLimitBurst, p.HardLimitOverdraft)
 	}
 	return b.String()
 }
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	got, want := f.Door.Settings, c.Settings
-	want.LoadColumns, want.AskForList = nil, false // there is no key for them
+	want.LoadReportFields, want.SubscribeToEndpoints = nil, false // there is no key for them
 	if a, b := fmt.Sprintf("%+v", got), fmt.Sprintf("%+v", want); a != b {
 		t.Errorf("the file says\n%s\nthe configuration\n%s", a, b)
 	}
--- a/conformance/fronts_test.go
+++ b/conformance/fronts_test.go
@@ -25,10 +25,10 @@
 	chimiddleware "github.com/go-chi/chi/v5/middleware"
 
 	"pumicecroft"
+	"pumicecroft/idempotency"
 	"pumicecroft/internal/daemon"
-	"pumicecroft/internal/operator"
+	"pumicecroft/internal/operatorconfig"
 	"pumicecroft/internal/platform"
-	"pumicecroft/keys"
 	pumicegin "pumicecroft/middleware/gin"
 	"pumicecroft/middleware/nethttp"
 )
@@ -69,7 +69,7 @@
 	return daemon.ServeFile(ctx, f, nil, nil)
 }
 
-func parseFile(text string) (operator.File, error) { return operator.Parse([]byte(text)) }
+func parseFile(text string) (operatorconfig.File, error) { return operatorconfig.Parse([]byte(text)) }
 
 // process is the daemon.
 type process struct {
@@ -140,7 +140,7 @@
 
 // hosted is a Door in a host's server in this process.
 type hosted struct {
-	door   *pumicecroft.Door
+	door   *pumicecroft.Gateway
 	server *http.Server
 	addr   string
 	once   sync.Once
@@ -148,18 +148,18 @@
 }
 
 // inHost starts fronts whose Door is behind a handler of a host.
-func inHost(handler func(*pumicecroft.Door) http.Handler) Starter { return inHostWith(handler, nil) }
+func inHost(handler func(*pumicecroft.Gateway) http.Handler) Starter { return inHostWith(handler, nil) }
 
 // withKeys is inHost with keys recognised, and kept on disk.
-func withKeys(handler func(*pumicecroft.Door) http.Handler) Starter {
+func withKeys(handler func(*pumicecroft.Gateway) http.Handler) Starter {
 	s := inHostWith(handler, func(t testing.TB, c *pumicecroft.Config) {
-		c.Keys, c.KeysJournal = &keys.Limits{}, &pumicecroft.KeysJournal{Dir: t.TempDir()}
+		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: t.TempDir()}
 	})
 	s.Keys = true
 	return s
 }
 
-func inHostWith(handler func(*pumicecroft.Door) http.Handler, change func(testing.TB, *pumicecroft.Config)) Starter {
+func inHostWith(handler func(*pumicecroft.Gateway) http.Handler, change func(testing.TB, *pumicecroft.Config)) Starter {
 	return Starter{Start: func(t testing.TB, config string) Front {
 		t.Helper()
 		c, err := platform.ParseConfig([]byte(config))
@@ -171,7 +171,7 @@
 			change(t, &dc)
 		}
 		door, err := pumicecroft.New(dc,
-			pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, From: c.Known.Seq}))
+			pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -180,7 +180,7 @@
 }
 
 // host serves a door behind a handler.
-func host(t testing.TB, door *pumicecroft.Door, handler http.Handler) *hosted {
+func host(t testing.TB, door *pumicecroft.Gateway, handler http.Handler) *hosted {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -214,19 +214,19 @@
 	"ordinary HTTP":       {Start: ordinaryHTTP, Own: true},
 	"daemon with gRPC":    {Start: daemonWithGRPC, GRPC: true},
 	"gRPC":                {Start: overGRPC, GRPC: true},
-	"library with keys":   withKeys(func(d *pumicecroft.Door) http.Handler { return d }),
-	"nethttp with keys": withKeys(func(d *pumicecroft.Door) http.Handler {
+	"library with keys":   withKeys(func(d *pumicecroft.Gateway) http.Handler { return d }),
+	"nethttp with keys": withKeys(func(d *pumicecroft.Gateway) http.Handler {
 		return nethttp.New(d)(http.HandlerFunc(notHere))
 	}),
-	"library": inHost(func(d *pumicecroft.Door) http.Handler { return d }),
-	"nethttp under chi": inHost(func(d *pumicecroft.Door) http.Handler {
+	"library": inHost(func(d *pumicecroft.Gateway) http.Handler { return d }),
+	"nethttp under chi": inHost(func(d *pumicecroft.Gateway) http.Handler {
 		r := chi.NewRouter()
 		r.Use(chimiddleware.RequestID, chimiddleware.Recoverer, chimiddleware.Timeout(time.Minute), nethttp.New(d))
 		r.NotFound(notHere)
 		r.Get("/own", notHere) // without a route of its own chi runs no middleware
 		return r
 	}),
-	"gin": inHost(func(d *pumicecroft.Door) http.Handler {
+	"gin": inHost(func(d *pumicecroft.Gateway) http.Handler {
 		e := gin.New()
 		e.Use(gin.Recovery(), pumicegin.New(d))
 		e.NoRoute(func(c *gin.Context) { c.Status(http.StatusTeapot) })
--- a/conformance/grpc_test.go
+++ b/conformance/grpc_test.go
@@ -12,10 +12,10 @@
 	"testing"
 
 	"pumicecroft"
-	"pumicecroft/grpcfront"
+	"pumicecroft/grpcproxy"
 	"pumicecroft/internal/daemon"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/platform"
-	"pumicecroft/internal/standin"
 	"pumicecroft/membership"
 )
 
@@ -28,12 +28,12 @@
 	}
 	dc := daemon.DoorConfig(c)
 	dc.Protocol = membership.ProtocolGRPC
-	door, err := pumicecroft.New(dc, grpcfront.WithBackends(grpcfront.BackendConfig{}),
-		pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, From: c.Known.Seq}))
+	door, err := pumicecroft.New(dc, grpcproxy.WithBackends(grpcproxy.BackendConfig{}),
+		pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := grpcfront.New(door, grpcfront.Config{Methods: deskMethods(door), Strict: true, MaxMessage: pumicecroft.MaxBody})
+	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: deskMethods(door), Strict: true, MaxMessage: pumicecroft.MaxBody})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	text := fileBut(c, `protocol = "grpc"`) + fmt.Sprintf("[discovery]\naddress = %q\n", c.Discovery)
 	text += fmt.Sprintf("[grpc]\nlisten = \"127.0.0.1:0\"\nstrict = true\nmax_message = %d\n", pumicecroft.MaxBody)
 	for _, class := range c.Settings.Classes {
-		text += fmt.Sprintf("[[grpc.method]]\nname = \"/%s/%s\"\nclass = %q\n", standin.GRPCService, class.Name, class.Name)
+		text += fmt.Sprintf("[[grpc.method]]\nname = \"/%s/%s\"\nclass = %q\n", fakes.GRPCService, class.Name, class.Name)
 	}
 	p := startByFile(t, text, c)
 	p.addr = p.grpc
@@ -74,25 +74,25 @@
 	}
 	p := startAs(t, "PUMICECROFT_BY_FILE="+path)
 	names := more
-	for _, n := range c.Known.Members().Nodes {
+	for _, n := range c.Known.Membership().Nodes {
 		names = append(names, n.Name)
 	}
 	slices.Sort(names)
-	knowsAll(t, names, func() ([]pumicecroft.Member, error) { return daemon.AskMembers(t.Context(), p.members) })
+	knowsAll(t, names, func() ([]pumicecroft.BackendStatus, error) { return daemon.AskMembers(t.Context(), p.members) })
 	return p
 }
 
 // deskMethods are the methods of the stand-ins' service: each class is one.
-func deskMethods(door *pumicecroft.Door) map[string]grpcfront.Method {
-	methods := map[string]grpcfront.Method{}
-	for _, class := range door.Classes() {
-		methods["/"+standin.GRPCService+"/"+class] = grpcfront.Method{Class: class}
+func deskMethods(door *pumicecroft.Gateway) map[string]grpcproxy.Method {
+	methods := map[string]grpcproxy.Method{}
+	for _, class := range door.ClassNames() {
+		methods["/"+fakes.GRPCService+"/"+class] = grpcproxy.Method{Class: class}
 	}
 	return methods
 }
 
 type grpcHosted struct {
-	door   *pumicecroft.Door
+	door   *pumicecroft.Gateway
 	addr   string
 	stop   func()
 	served chan error
--- a/conformance/interop_test.go
+++ b/conformance/interop_test.go
@@ -18,7 +18,7 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/grpcfront"
+	"pumicecroft/grpcproxy"
 	"pumicecroft/membership"
 )
 
@@ -100,16 +100,16 @@
 	service := grpc.NewServer()
 	testpb.RegisterTestServiceServer(service, testService{})
 	set := decision.Settings{CanCancel: true, MaxRetryAfter: time.Second, Plans: []decision.Plan{{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1}},
-		Classes: []decision.Class{{Name: "safe", Aim: time.Second, Deadline: 20 * time.Second, Worth: 1},
-			{Name: "unsafe", Effect: decision.Unsafe, Aim: time.Second, Deadline: 20 * time.Second, Worth: 1}}}
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, Known: membership.List{Nodes: []membership.Node{
-		{Name: "service", Addr: serve(service), Protocol: membership.ProtocolGRPC}}}}, grpcfront.WithBackends(grpcfront.BackendConfig{}))
+		Classes: []decision.Class{{Name: "safe", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
+			{Name: "unsafe", Idempotency: decision.NonIdempotent, LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}}}
+	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, InitialEndpoints: membership.Update{Nodes: []membership.Node{
+		{Name: "service", Addr: serve(service), Protocol: membership.ProtocolGRPC}}}}, grpcproxy.WithBackends(grpcproxy.BackendConfig{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer door.Close(t.Context())
 	const name = "/grpc.testing.TestService/"
-	front, err := grpcfront.New(door, grpcfront.Config{Methods: map[string]grpcfront.Method{name + "EmptyCall": {Class: "safe"},
+	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: map[string]grpcproxy.Method{name + "EmptyCall": {Class: "safe"},
 		name + "UnaryCall": {Class: "unsafe"}, name + "StreamingOutputCall": {Class: "safe", Streaming: true},
 		name + "FullDuplexCall": {Class: "unsafe", Streaming: true}, name + "StreamingInputCall": {Class: "safe"}}})
 	if err != nil {
--- a/conformance/web_test.go
+++ b/conformance/web_test.go
@@ -9,18 +9,18 @@
 	"testing"
 
 	"pumicecroft"
+	"pumicecroft/httpproxy"
+	"pumicecroft/internal/fakes"
+	"pumicecroft/internal/httpproxyconfig"
 	"pumicecroft/internal/platform"
-	"pumicecroft/internal/standin"
-	"pumicecroft/internal/webload"
 	"pumicecroft/membership"
-	"pumicecroft/webfront"
 )
 
 // webFile is an operator's file by which ordinary HTTP is what the platform's dialect is.
 func webFile(c platform.Config) string {
 	var b strings.Builder
 	b.WriteString(fileBut(c, ""))
-	fmt.Fprintf(&b, "[[service]]\nname = \"desk\"\nbackend_connections = %d\nconnect_timeout = %q\nidle_timeout = %q\n", c.Limits.BackendConns(), c.Conns.Connect, c.Conns.Idle)
+	fmt.Fprintf(&b, "[[service]]\nname = \"desk\"\nbackend_connections = %d\nconnect_timeout = %q\nidle_timeout = %q\n", c.Limits.BackendConns(), c.Conns.ConnectTimeout, c.Conns.IdleTimeout)
 	fmt.Fprintf(&b, "[discovery]\naddress = %q\nservice = \"desk\"\n", c.Discovery)
 	b.WriteString(`[http]
 trusted = ["127.0.0.1"]
@@ -39,7 +39,7 @@
 `)
 	for _, k := range c.Settings.Classes {
 		method := "POST"
-		if k.Effect == 0 {
+		if k.Idempotency == 0 {
 			method = "GET"
 		}
 		fmt.Fprintf(&b, "[[route]]\npath = \"/%[1]s\"\nmethods = [%[2]q]\nheaders = [\"Request-Class=%[1]s\"]\nservice = \"desk\"\nclass = %[1]q\nmax_body = %[3]d\n", k.Name, method, pumicecroft.MaxBody)
@@ -69,24 +69,24 @@
 		t.Fatal(err)
 	}
 	dc := f.Door
-	dc.Known = c.Known.Members()
-	for i := range dc.Known.Nodes {
-		dc.Known.Nodes[i].Protocol = webfront.Protocol("desk")
+	dc.InitialEndpoints = c.Known.Membership()
+	for i := range dc.InitialEndpoints.Nodes {
+		dc.InitialEndpoints.Nodes[i].Protocol = httpproxy.Protocol("desk")
 	}
-	s, err := webload.Service(f.Web.Services[0], os.ReadFile, slog.Default())
+	s, err := httpproxyconfig.Service(f.Web.Services[0], os.ReadFile, slog.Default())
 	if err != nil {
 		t.Fatal(err)
 	}
-	door, err := pumicecroft.New(dc, webfront.WithService(s))
+	door, err := pumicecroft.New(dc, httpproxy.WithService(s))
 	if err != nil {
 		t.Fatal(err)
 	}
-	follow(t, door, c, webfront.Protocol("desk"))
+	follow(t, door, c, httpproxy.Protocol("desk"))
 	fc := f.Web.Front
-	if fc.Rules, err = webload.Rules(&f, os.ReadFile); err != nil {
+	if fc.Rules, err = httpproxyconfig.Rules(&f, os.ReadFile); err != nil {
 		t.Fatal(err)
 	}
-	front, err := webfront.New(door, fc)
+	front, err := httpproxy.New(door, fc)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,9 +94,9 @@
 }
 
 // follow has a door's list follow discovery, with what its backends speak.
-func follow(t testing.TB, door *pumicecroft.Door, c platform.Config, protocol string) {
-	d := &platform.Discovery{Addr: c.Discovery, From: c.Known.Seq}
-	go d.Run(t.Context(), func(l membership.List) {
+func follow(t testing.TB, door *pumicecroft.Gateway, c platform.Config, protocol string) {
+	d := &platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}
+	go d.Run(t.Context(), func(l membership.Update) {
 		for i := range l.Nodes {
 			l.Nodes[i].Protocol = protocol
 		}
@@ -109,9 +109,9 @@
 	count := func(t *testing.T, ways ...string) (served int) {
 		r := newRig(t, Starter{})
 		r.backend(cell(0), nil)
-		beside := map[string]*standin.Backend{}
+		beside := map[string]*fakes.Backend{}
 		for _, name := range []string{"two", "grpc"} {
-			b, err := standin.StartBackend(standin.BackendConfig{Name: name, Ledger: r.ledger, GRPC: name == "grpc"})
+			b, err := fakes.StartBackend(fakes.BackendConfig{Name: name, Ledger: r.ledger, GRPC: name == "grpc"})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -141,14 +141,14 @@
 [[grpc.method]]
 name = "/%s/look"
 class = "look"
-`, beside["two"].Addr(), beside["grpc"].Addr(), standin.GRPCService)
+`, beside["two"].Addr(), beside["grpc"].Addr(), fakes.GRPCService)
 		p := startByFile(t, text, c, "grpc", "two/"+beside["two"].Addr())
-		overGRPC := standin.GRPCTransport()
+		overGRPC := fakes.GRPCTransport()
 		t.Cleanup(overGRPC.CloseIdleConnections)
 		for i := range 60 {
 			a := r.ask("look")
 			a.Plan = "tiny"
-			reply := standin.Reply{}
+			reply := fakes.Reply{}
 			switch ways[i%len(ways)] {
 			case "two":
 				a.Header = http.Header{"X-Two": {"1"}}
--- a/conformance/world_test.go
+++ b/conformance/world_test.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		part := strings.Split(name, ", ")
-		told, attempts, effects := sim.One(part[2], fleets[part[1]], part[0])
+		told, attempts, effects := sim.RunSingleRequest(part[2], fleets[part[1]], part[0])
 		want := strings.TrimSpace(lines[i+1])
 		if status, rest, failed := strings.Cut(want, ","); failed && strings.HasPrefix(status, "failed ") {
 			want = "failed," + rest // the world has no statuses
@@ -34,7 +34,7 @@
 		}
 		held++
 	}
-	if want := len(sim.Acts) * len(fleets) * 3; held != want {
+	if want := len(sim.BackendActions) * len(fleets) * 3; held != want {
 		t.Errorf("%d outcomes were held against the world's, want %d", held, want)
 	}
 }
--- a/consul/agent_test.go
+++ b/consul/agent_test.go
@@ -24,8 +24,8 @@
 
 	"github.com/hashicorp/consul/api"
 
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/hosttest"
-	"pumicecroft/internal/standin"
 	"pumicecroft/membership"
 )
 
@@ -109,8 +109,8 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	agent.Put(standin.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "x", Service: "web", Port: 81, Tags: []string{"blue", "new"}, Meta: map[string]string{"v": "3"}},
-		standin.Instance{Node: "m", NodeAddr: "10.0.0.2", ID: "x", Service: "web", Port: 81, Tags: []string{"blue"}, Meta: map[string]string{"v": "2"}})
+	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "x", Service: "web", Port: 81, Tags: []string{"blue", "new"}, Meta: map[string]string{"v": "3"}},
+		fakes.Instance{Node: "m", NodeAddr: "10.0.0.2", ID: "x", Service: "web", Port: 81, Tags: []string{"blue"}, Meta: map[string]string{"v": "2"}})
 	for what, o := range map[string]*api.QueryOptions{"filter": {Filter: `Service.Meta.v == "3"`}, "near": {Near: "n"}} {
 		if f, _ := health(o); f[0].Node.Node != "n" || what == "filter" && len(f) != 1 {
 			t.Errorf("%s: %+v", what, f)
@@ -141,34 +141,34 @@
 	if err := os.WriteFile(token, []byte("one\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	agent.Put(standin.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81, Tags: []string{"blue"}, Meta: map[string]string{"v": "2"},
+	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81, Tags: []string{"blue"}, Meta: map[string]string{"v": "2"},
 		Namespace: "team", Partition: "part"})
 	c, err := New(Config{Address: "http://" + agent.Addr(), TokenFile: token, Datacenter: "dc1", Namespace: "team", Partition: "part",
-		Consistency: Consistent, Wait: 7 * time.Second, RetryMost: 50 * time.Millisecond})
+		Consistency: Consistent, Wait: 7 * time.Second, RetryMax: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	lists := make(chan membership.List, 1000)
+	lists := make(chan membership.Update, 1000)
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
-		c.Service(Service{Name: "web", Tags: []string{"blue"}, Near: "_agent", Filter: `Service.Meta.v == "2"`}).Run(ctx, func(l membership.List) { lists <- l })
+		c.Service(Service{Name: "web", Tags: []string{"blue"}, Near: "_agent", Filter: `Service.Meta.v == "2"`}).Run(ctx, func(l membership.Update) { lists <- l })
 	}()
-	if l := <-lists; l.Failed == nil || !strings.Contains(l.Failed.Error(), "consul: web: Unexpected response code: 403") {
+	if l := <-lists; l.Err == nil || !strings.Contains(l.Err.Error(), "consul: web: Unexpected response code: 403") {
 		t.Errorf("with an old token: %+v", l)
 	}
 	if err := os.WriteFile(token, []byte("two\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for l := range lists {
-		if l.Failed == nil && len(l.Nodes) == 1 && l.Nodes[0].Name == "n/a" && l.Nodes[0].Addr == "10.0.0.1:81" {
+		if l.Err == nil && len(l.Nodes) == 1 && l.Nodes[0].Name == "n/a" && l.Nodes[0].Addr == "10.0.0.1:81" {
 			break
 		}
 	}
-	asked := func(path string) (int, []standin.Question) {
+	asked := func(path string) (int, []fakes.Question) {
 		all := agent.Questions()
-		return slices.IndexFunc(all, func(q standin.Question) bool { return q.Path == path && q.Token == "two" }), all
+		return slices.IndexFunc(all, func(q fakes.Question) bool { return q.Path == path && q.Token == "two" }), all
 	}
 	for i, _ := asked("/v1/catalog/service/web"); i < 0; i, _ = asked("/v1/catalog/service/web") {
 		time.Sleep(time.Millisecond) // it may still wait after the failure
@@ -231,13 +231,13 @@
 	if err != nil || !pool.AppendCertsFromPEM(text) {
 		t.Fatal(err)
 	}
-	agent, err := standin.StartConsul(&tls.Config{Certificates: []tls.Certificate{server}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert})
+	agent, err := fakes.StartConsul(&tls.Config{Certificates: []tls.Certificate{server}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(agent.Close)
-	agent.Put(standin.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81})
-	first := func(c Config) membership.List {
+	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81})
+	first := func(c Config) membership.Update {
 		t.Helper()
 		c.Address = "https://" + agent.Addr()
 		client, err := New(c)
@@ -246,8 +246,8 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		lists := make(chan membership.List, 100)
-		go client.Service(Service{Name: "web", HealthOnly: true}).Run(ctx, func(l membership.List) {
+		lists := make(chan membership.Update, 100)
+		go client.Service(Service{Name: "web", HealthOnly: true}).Run(ctx, func(l membership.Update) {
 			select {
 			case lists <- l:
 			default:
@@ -255,13 +255,13 @@
 		})
 		return <-lists
 	}
-	if l := first(Config{CAFile: ca, CertFile: clientCert, KeyFile: clientKey}); len(l.Nodes) != 1 || l.Failed != nil {
+	if l := first(Config{CAFile: ca, CertFile: clientCert, KeyFile: clientKey}); len(l.Nodes) != 1 || l.Err != nil {
 		t.Errorf("%+v", l)
 	}
-	if l := first(Config{CAFile: otherCA, CertFile: clientCert, KeyFile: clientKey}); l.Failed == nil {
+	if l := first(Config{CAFile: otherCA, CertFile: clientCert, KeyFile: clientKey}); l.Err == nil {
 		t.Error("an agent that another CA signed was listened to")
 	}
-	if l := first(Config{CAFile: ca}); l.Failed == nil {
+	if l := first(Config{CAFile: ca}); l.Err == nil {
 		t.Error("without a certificate of its own it was let in")
 	}
 }
@@ -312,7 +312,7 @@
 	draining, ended, told := make(chan struct{}), make(chan error), make(chan error, 100)
 	go func() {
 		ended <- c.Register(ctx, Registration{Name: "doors", ID: "door-1", Address: "127.0.0.1:8080", TTL: 600 * time.Millisecond,
-			Told: func(err error) { told <- err }}, draining)
+			OnResult: func(err error) { told <- err }}, draining)
 	}()
 	status("passing")
 	for until := time.Now().Add(2 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) { // several TTLs
@@ -323,14 +323,14 @@
 	agent.Remove("agent", "door-1") // the agent began anew
 	status("")
 	status("passing")
-	if err := agent.Fail(standin.Refusing); err != nil {
+	if err := agent.Fail(fakes.Refusing); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-told; err == nil {
 		t.Error("it was told of no failure")
 	}
 	status("critical") // by its TTL, as nobody could renew it
-	if err := agent.Fail(standin.Well); err != nil {
+	if err := agent.Fail(fakes.Well); err != nil {
 		t.Fatal(err)
 	}
 	status("passing")
@@ -351,12 +351,12 @@
 		ended <- c.Register(ctx, Registration{Name: "doors", ID: "door-1", Address: "127.0.0.1:8080", TTL: time.Second}, nil)
 	}()
 	status("passing")
-	if err := agent.Fail(standin.Silent); err != nil {
+	if err := agent.Fail(fakes.Silent); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
 	cancel()
-	if err := <-ended; err == nil || time.Since(start) > 2*endPatience {
+	if err := <-ended; err == nil || time.Since(start) > 2*deregisterTimeout {
 		t.Errorf("the end: %v after %v", err, time.Since(start))
 	}
 	if err := c.Register(t.Context(), Registration{Name: "doors", Address: "nowhere"}, nil); !errors.Is(err, ErrConfig) {
@@ -372,24 +372,24 @@
 		w.Header().Set("X-Consul-KnownLeader", "true")
 		w.Header().Set("X-Consul-LastContact", "0")
 		blanks := bytes.Repeat([]byte(" "), 1<<20)
-		for range maxAnswer>>20 + 1 {
+		for range maxResponseBytes>>20 + 1 {
 			if _, err := w.Write(blanks); err != nil {
 				return
 			}
 		}
 		io.WriteString(w, "[]")
 	}), nil)
-	c, err := New(Config{Address: addr, RetryMost: 10 * time.Second})
+	c, err := New(Config{Address: addr, RetryMax: 10 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	ended, lists := make(chan bool), make(chan membership.List, 100)
+	ended, lists := make(chan bool), make(chan membership.Update, 100)
 	go func() {
 		defer close(ended)
-		c.Service(Service{Name: "web", HealthOnly: true}).Run(ctx, func(l membership.List) { lists <- l })
+		c.Service(Service{Name: "web", HealthOnly: true}).Run(ctx, func(l membership.Update) { lists <- l })
 	}()
-	if l := <-lists; l.Failed == nil {
+	if l := <-lists; l.Err == nil {
 		t.Errorf("%+v", l)
 	}
 	cancel()
--- a/consul/catchup_test.go
+++ b/consul/catchup_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/hosttest"
-	"pumicecroft/internal/standin"
 	"pumicecroft/membership"
 )
 
 // What the agent knew when CatchUp was asked for has been reported when it returns, whatever the questions were at; an agent that can't be
 // heard is waited for as long as the caller says, and not at all if it could not be heard before.
 func TestCatchUp(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Wait = 10 * time.Second })
+	r := newFixture(t, func(c *Config) { c.Wait = 10 * time.Second })
 	r.start(nil)
 	w := r.client.Service(Service{Name: service})
 	var mu sync.Mutex
@@ -25,10 +25,10 @@
 	ran := make(chan bool)
 	go func() {
 		defer close(ran)
-		w.Run(ctx, func(l membership.List) {
+		w.Run(ctx, func(l membership.Update) {
 			mu.Lock()
 			defer mu.Unlock()
-			if l.Failed != nil {
+			if l.Err != nil {
 				failed <- true
 				return
 			}
@@ -50,7 +50,7 @@
 	await(first, "the first list")
 	for range 20 {
 		name := r.start(nil)
-		if err := w.CatchUp(t.Context(), time.Now()); err != nil {
+		if err := w.Sync(t.Context(), time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		mu.Lock()
@@ -60,14 +60,14 @@
 		mu.Unlock()
 	}
 	since := time.Now()
-	if err := r.agent.Fail(standin.Refusing); err != nil {
+	if err := r.agent.Fail(fakes.Refusing); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.CatchUp(t.Context(), since); err == nil {
+	if err := w.Sync(t.Context(), since); err == nil {
 		t.Error("an agent that refuses has answered")
 	}
 	await(failed, "the failure to be reported")
-	if err := w.CatchUp(t.Context(), time.Now()); !errors.Is(err, errSilent) {
+	if err := w.Sync(t.Context(), time.Now()); !errors.Is(err, errSilent) {
 		t.Errorf("an agent that was away before is waited for: %v", err)
 	}
 	stop()
--- a/consul/consul.go
+++ b/consul/consul.go
@@ -25,8 +25,8 @@
 
 	"github.com/hashicorp/consul/api"
 
-	"pumicecroft/internal/blocking"
-	"pumicecroft/internal/registry"
+	"pumicecroft/internal/blockingquery"
+	"pumicecroft/internal/consulcatalog"
 	"pumicecroft/internal/unread"
 	"pumicecroft/membership"
 )
@@ -34,8 +34,8 @@
 // ErrConfig is a Config that makes no sense, or names files that can't be read.
 var ErrConfig = errors.New("consul: configuration")
 
-// ErrPartly is an answer that was not believed in whole: without a leader, too old, or with entries that ACLs took away.
-var ErrPartly = errors.New("consul: an answer that is not believed in whole")
+// ErrPartial is an answer that was not believed in whole: without a leader, too old, or with entries that ACLs took away.
+var ErrPartial = errors.New("consul: an answer that is not believed in whole")
 
 // Consistency says how fresh answers must be, at what cost ("Consistency Modes" in Consul's API documentation).
 type Consistency int
@@ -58,13 +58,13 @@
 	ServerName                string // in the server's certificate; empty: the address's host
 	Consistency               Consistency
 	// Rules are the figures of blocking queries; what is 0 takes the default.
-	Wait, MaxStale, RetryMost time.Duration
+	Wait, MaxStale, RetryMax time.Duration
 	// Seed makes the random part of waits; 0: the time.
 	Seed uint64
 }
 
 // Mapping says where a node's attributes stand: a key of the service's meta, "node:KEY" of the node's, or "datacenter".
-type Mapping = registry.Mapping
+type Mapping = consulcatalog.Mapping
 
 // Service is a service whose instances are backends.
 type Service struct {
@@ -141,7 +141,7 @@
 		c.Seed = uint64(time.Now().UnixNano())
 	}
 	a, err := api.NewClient(&api.Config{Address: addr, Scheme: scheme, Transport: transport,
-		HttpClient: &http.Client{Transport: limited{transport}}, Datacenter: c.Datacenter, Namespace: c.Namespace, Partition: c.Partition})
+		HttpClient: &http.Client{Transport: limitedTransport{transport}}, Datacenter: c.Datacenter, Namespace: c.Namespace, Partition: c.Partition})
 	if err != nil {
 		return bad(err)
 	}
@@ -160,19 +160,19 @@
 	return token, nil
 }
 
-// maxAnswer bounds an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds an answer, in bytes.
+const maxResponseBytes = 64 << 20
 
-// limited cuts answers that are too long.
-type limited struct{ http.RoundTripper }
+// limitedTransport cuts answers that are too long.
+type limitedTransport struct{ http.RoundTripper }
 
-func (l limited) RoundTrip(r *http.Request) (*http.Response, error) {
+func (l limitedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	res, err := l.RoundTripper.RoundTrip(r)
 	if err == nil {
 		res.Body = struct {
 			io.Reader
 			io.Closer
-		}{io.LimitReader(res.Body, maxAnswer), res.Body}
+		}{io.LimitReader(res.Body, maxResponseBytes), res.Body}
 	}
 	return res, err
 }
@@ -195,42 +195,42 @@
 	client  *Client
 	service Service
 
-	mu    sync.Mutex
-	loops []*fresh // that run
+	mu      sync.Mutex
+	queries []*queryState // that run
 }
 
 // Service makes a source of a service.
 func (c *Client) Service(s Service) *Watch { return &Watch{client: c, service: s} }
 
-// fresh is what a loop is asked for by CatchUp: an answer to a question that is asked after it.
-type fresh struct {
-	mu     sync.Mutex
-	wanted []chan error       // each takes the answer's end
-	cut    context.CancelFunc // ends the question that is out; nil: none is
-	conn   *unread.Conn       // that it is on; nil: on none yet, or one that tells nothing
-	got    uint64             // what had been read of that before
-	hurry  chan struct{}      // holds one: a question is wanted at once
-	failed time.Time          // since when its questions fail; zero: they do not
+// queryState is what a loop is asked for by CatchUp: an answer to a question that is asked after it.
+type queryState struct {
+	mu          sync.Mutex
+	waiters     []chan error       // each takes the answer's end
+	cancel      context.CancelFunc // ends the question that is out; nil: none is
+	conn        *unread.Conn       // that it is on; nil: on none yet, or one that tells nothing
+	readBefore  uint64             // what had been read of that before
+	wake        chan struct{}      // holds one: a question is wanted at once
+	failedSince time.Time          // since when its questions fail; zero: they do not
 }
 
-// CatchUp asks anew for all that the service's questions have answers to, and returns when these have been taken in. What failed since
+// Sync asks anew for all that the service's questions have answers to, and returns when these have been taken in. What failed since
 // before a time is not waited for.
-func (w *Watch) CatchUp(ctx context.Context, since time.Time) error {
+func (w *Watch) Sync(ctx context.Context, since time.Time) error {
 	w.mu.Lock()
-	loops := slices.Clone(w.loops)
+	loops := slices.Clone(w.queries)
 	w.mu.Unlock()
 	var ends []chan error
 	for _, l := range loops {
 		l.mu.Lock()
-		if l.failed.IsZero() || !l.failed.Before(since) {
+		if l.failedSince.IsZero() || !l.failedSince.Before(since) {
 			end := make(chan error, 1)
-			l.wanted, ends = append(l.wanted, end), append(ends, end)
+			l.waiters, ends = append(l.waiters, end), append(ends, end)
 			select {
-			case l.hurry <- struct{}{}:
+			case l.wake <- struct{}{}:
 			default:
 			}
-			if l.cut != nil && !l.comes() {
-				l.cut()
+			if l.cancel != nil && !l.responseStarted() {
+				l.cancel()
 			}
 		}
 		l.mu.Unlock()
@@ -250,29 +250,31 @@
 	return errs
 }
 
-// comes tells whether anything of the answer to the question that is out has come; it wants the lock. What has come is told, whatever
+// responseStarted tells whether anything of the answer to the question that is out has come; it wants the lock. What has come is told, whatever
 // becomes of the next question.
-func (f *fresh) comes() bool { return f.conn != nil && (!f.conn.Nothing() || f.conn.Got() > f.got) }
+func (f *queryState) responseStarted() bool {
+	return f.conn != nil && (!f.conn.Nothing() || f.conn.Got() > f.readBefore)
+}
 
-// alarm calls silent after a question's patience; if something of its answer has come by then, as this process stood still, a while later.
-func (f *fresh) alarm(patience time.Duration, silent func()) *time.Timer {
+// startAlarm calls silent after a question's patience; if something of its answer has come by then, as this process stood still, a while later.
+func (f *queryState) startAlarm(patience time.Duration, silent func()) *time.Timer {
 	late := false
 	return unread.Alarm(patience, func() time.Duration {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if late || !f.comes() {
+		if late || !f.responseStarted() {
 			return 0
 		}
 		late = true
-		return comesWithin
+		return responseGrace
 	}, silent)
 }
 
-// comesWithin is how long an answer may take that has begun to come when its question's patience is over.
-const comesWithin = time.Second
+// responseGrace is how long an answer may take that has begun to come when its question's patience is over.
+const responseGrace = time.Second
 
-// on notes the connection that a question is on.
-func (f *fresh) on(c net.Conn) {
+// onConn notes the connection that a question is on.
+func (f *queryState) onConn(c net.Conn) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
@@ -280,159 +282,159 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conn = u; u != nil {
-		f.got = u.Got()
+		f.readBefore = u.Got()
 	}
 }
 
 // begin begins a question and gives what has been asked for by then; more is asked for with the next one.
-func (f *fresh) begin(cut context.CancelFunc) (wanted []chan error) {
+func (f *queryState) begin(cut context.CancelFunc) (wanted []chan error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	wanted, f.wanted, f.cut, f.conn = f.wanted, nil, cut, nil
+	wanted, f.waiters, f.cancel, f.conn = f.waiters, nil, cut, nil
 	select {
-	case <-f.hurry: // by this one
+	case <-f.wake: // by this one
 	default:
 	}
 	return wanted
 }
 
 // end ends a question, that was cut for the next one or had an end.
-func (f *fresh) end(wanted []chan error, err error, cut bool) {
+func (f *queryState) end(wanted []chan error, err error, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut = nil
+	f.cancel = nil
 	switch {
 	case cut: // the next one is for these too
-		f.wanted = append(wanted, f.wanted...)
+		f.waiters = append(wanted, f.waiters...)
 		select {
-		case f.hurry <- struct{}{}:
+		case f.wake <- struct{}{}:
 		default:
 		}
 		return
 	case err == nil:
-		f.failed = time.Time{}
-	case f.failed.IsZero():
-		f.failed = time.Now()
+		f.failedSince = time.Time{}
+	case f.failedSince.IsZero():
+		f.failedSince = time.Now()
 	}
 	for _, w := range wanted {
 		w <- err
 	}
 }
 
-// Origin is what the source is called: two watches of one service are the same source.
-func (w *Watch) Origin() membership.Origin {
-	return membership.Origin{Name: "consul:" + w.service.Name}
+// SourceInfo is what the source is called: two watches of one service are the same source.
+func (w *Watch) SourceInfo() membership.SourceInfo {
+	return membership.SourceInfo{Name: "consul:" + w.service.Name}
 }
 
 // Run follows the service until ctx ends.
-func (w *Watch) Run(ctx context.Context, update func(membership.List)) {
-	book := registry.NewBook(w.service.Mapping, !w.service.HealthOnly)
+func (w *Watch) Run(ctx context.Context, update func(membership.Update)) {
+	book := consulcatalog.NewCatalog(w.service.Mapping, !w.service.HealthOnly)
 	var mu sync.Mutex // so that lists are told in the order in which they were made
-	tell := func(v blocking.Verdict, what func(now time.Time) error) {
+	tell := func(v blockingquery.Verdict, what func(now time.Time) error) {
 		mu.Lock()
 		defer mu.Unlock()
 		now := time.Now()
 		err := what(now)
-		if l := book.Drains(); len(l.Nodes) > 0 {
+		if l := book.UnlistedDrains(); len(l.Nodes) > 0 {
 			update(l)
 		}
-		if l, ok := book.List(now); ok {
-			l.Anew = v.Anew
+		if l, ok := book.Update(now); ok {
+			l.SourceReset = v.IndexReset
 			update(l)
 		}
 		if err != nil {
-			update(membership.List{Failed: err})
+			update(membership.Update{Err: err})
 		}
 	}
 	var ran sync.WaitGroup
 	defer ran.Wait()
 	if !w.service.HealthOnly {
 		ran.Go(func() {
-			w.follow(ctx, 2, func(o *api.QueryOptions) (blocking.Answer, func(blocking.Verdict), error) {
+			w.follow(ctx, 2, func(o *api.QueryOptions) (blockingquery.Response, func(blockingquery.Verdict), error) {
 				entries, meta, err := w.client.api.Catalog().ServiceMultipleTags(w.service.Name, w.service.Tags, o)
 				if err != nil {
-					return blocking.Answer{}, nil, err
+					return blockingquery.Response{}, nil, err
 				}
-				return head(meta, len(entries)), func(v blocking.Verdict) {
-					if !v.Whole {
+				return responseHead(meta, len(entries)), func(v blockingquery.Verdict) {
+					if !v.Full {
 						return // health says so too, and the list as it was is no news
 					}
 					tell(v, func(time.Time) error {
 						names := make([]string, 0, len(entries))
 						for _, e := range entries {
-							names = append(names, registry.Name(e.Node, e.ServiceID))
+							names = append(names, consulcatalog.Name(e.Node, e.ServiceID))
 						}
-						book.Catalogue(names)
+						book.UpdateServices(names)
 						return nil
 					})
 				}, nil
 			}, func(error) { // health goes on alone, and says so itself if it fails too
 				mu.Lock()
 				defer mu.Unlock()
-				if book.CatalogueFailed() {
-					if l, ok := book.List(time.Now()); ok {
+				if book.ServicesFailed() {
+					if l, ok := book.Update(time.Now()); ok {
 						update(l)
 					}
 				}
 			})
 		})
 	}
-	w.follow(ctx, 1, func(o *api.QueryOptions) (blocking.Answer, func(blocking.Verdict), error) {
+	w.follow(ctx, 1, func(o *api.QueryOptions) (blockingquery.Response, func(blockingquery.Verdict), error) {
 		o.Near, o.Filter = w.service.Near, w.service.Filter
 		found, meta, err := w.client.api.Health().ServiceMultipleTags(w.service.Name, w.service.Tags, false, o)
 		if err != nil {
-			return blocking.Answer{}, nil, err
+			return blockingquery.Response{}, nil, err
 		}
-		return head(meta, len(found)), func(v blocking.Verdict) {
+		return responseHead(meta, len(found)), func(v blockingquery.Verdict) {
 			tell(v, func(now time.Time) error {
-				errs := book.Health(now, entries(found), v.Whole, v.Anew)
-				if !v.Whole {
-					return fmt.Errorf("%w: %s", ErrPartly, v.Why)
+				errs := book.UpdateHealth(now, entries(found), v.Full, v.IndexReset)
+				if !v.Full {
+					return fmt.Errorf("%w: %s", ErrPartial, v.Reason)
 				}
 				return errors.Join(errs...)
 			})
 		}, nil
-	}, func(err error) { update(membership.List{Failed: err}) })
+	}, func(err error) { update(membership.Update{Err: err}) })
 }
 
 // follow asks a blocking query until ctx ends. ask gives an answer's head and what to do with the rest.
-func (w *Watch) follow(ctx context.Context, number uint64, ask func(*api.QueryOptions) (blocking.Answer, func(blocking.Verdict), error),
+func (w *Watch) follow(ctx context.Context, number uint64, ask func(*api.QueryOptions) (blockingquery.Response, func(blockingquery.Verdict), error),
 	failed func(error)) {
 	start := time.Now()
 	c := w.client.config
-	loop := blocking.New(blocking.Rules{Wait: c.Wait, MaxStale: c.MaxStale, RetryMost: c.RetryMost}, c.Seed+number)
+	loop := blockingquery.New(blockingquery.Policy{Wait: c.Wait, MaxStale: c.MaxStale, RetryMax: c.RetryMax}, c.Seed+number)
 	pause := time.NewTimer(0)
 	defer pause.Stop()
-	f := &fresh{hurry: make(chan struct{}, 1)}
+	f := &queryState{wake: make(chan struct{}, 1)}
 	w.mu.Lock()
-	w.loops = append(w.loops, f)
+	w.queries = append(w.queries, f)
 	w.mu.Unlock()
 	defer func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.loops = slices.DeleteFunc(w.loops, func(l *fresh) bool { return l == f })
+		w.queries = slices.DeleteFunc(w.queries, func(l *queryState) bool { return l == f })
 	}()
 	for {
 		q := loop.Next()
-		pause.Reset(max(0, q.At-time.Since(start)))
+		pause.Reset(max(0, q.NotBefore-time.Since(start)))
 		select {
 		case <-pause.C:
-		case <-f.hurry:
+		case <-f.wake:
 		case <-ctx.Done():
 			return
 		}
 		whole, cut := context.WithCancelCause(ctx)
-		wanted := f.begin(func() { cut(errCut) })
+		wanted := f.begin(func() { cut(errRestarted) })
 		if len(wanted) > 0 {
 			loop.Refresh(time.Since(start))
 			q = loop.Next()
 		}
-		loop.Asked(time.Since(start))
-		asking := httptrace.WithClientTrace(whole, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { f.on(i.Conn) }})
-		alarm := f.alarm(q.Patience, func() { cut(errSilent) })
+		loop.Sent(time.Since(start))
+		asking := httptrace.WithClientTrace(whole, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { f.onConn(i.Conn) }})
+		alarm := f.startAlarm(q.Timeout, func() { cut(errSilent) })
 		o, err := w.client.options(asking)
-		var answer blocking.Answer
-		var then func(blocking.Verdict)
+		var answer blockingquery.Response
+		var then func(blockingquery.Verdict)
 		if err == nil {
 			o.WaitIndex, o.WaitTime = q.Index, q.Wait
 			answer, then, err = ask(o)
@@ -445,7 +447,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errCut) {
+		if errors.Is(err, errRestarted) {
 			f.end(wanted, nil, true)
 			continue
 		}
@@ -461,31 +463,31 @@
 }
 
 var (
-	errSilent = errors.New("no answer in time")
-	errCut    = errors.New("it is asked anew")
+	errSilent    = errors.New("no answer in time")
+	errRestarted = errors.New("it is asked anew")
 )
 
-func head(m *api.QueryMeta, size int) blocking.Answer {
-	return blocking.Answer{Index: m.LastIndex, KnownLeader: m.KnownLeader, LastContact: m.LastContact,
-		Filtered: m.ResultsFilteredByACLs, Size: size}
+func responseHead(m *api.QueryMeta, size int) blockingquery.Response {
+	return blockingquery.Response{Index: m.LastIndex, KnownLeader: m.KnownLeader, LastContact: m.LastContact,
+		Filtered: m.ResultsFilteredByACLs, Entries: size}
 }
 
 // entries are an answer's, in the registry's terms.
-func entries(found []*api.ServiceEntry) []registry.Entry {
-	var out []registry.Entry
+func entries(found []*api.ServiceEntry) []consulcatalog.Entry {
+	var out []consulcatalog.Entry
 	for _, f := range found {
 		if f == nil || f.Service == nil || f.Node == nil {
 			continue
 		}
-		e := registry.Entry{Node: f.Node.Node, ID: f.Service.ID, Datacenter: f.Node.Datacenter, Meta: f.Service.Meta, NodeMeta: f.Node.Meta,
+		e := consulcatalog.Entry{Node: f.Node.Node, ID: f.Service.ID, Datacenter: f.Node.Datacenter, Meta: f.Service.Meta, NodeMeta: f.Node.Meta,
 			Host: cmp.Or(f.Service.Address, f.Node.Address), Port: f.Service.Port,
-			Passing: float64(f.Service.Weights.Passing), Warning: float64(f.Service.Weights.Warning), Create: f.Service.CreateIndex}
+			PassingWeight: float64(f.Service.Weights.Passing), WarningWeight: float64(f.Service.Weights.Warning), CreateIndex: f.Service.CreateIndex}
 		e.Addr = net.JoinHostPort(e.Host, strconv.Itoa(e.Port))
 		for _, k := range f.Checks {
 			if k == nil {
 				continue
 			}
-			e.Checks = append(e.Checks, registry.Check{ID: k.CheckID, Status: k.Status, Output: k.Output})
+			e.Checks = append(e.Checks, consulcatalog.Check{ID: k.CheckID, Status: k.Status, Output: k.Output})
 			e.Maintenance = e.Maintenance || k.CheckID == api.NodeMaint || strings.HasPrefix(k.CheckID, api.ServiceMaintPrefix)
 		}
 		out = append(out, e)
--- a/consul/example_test.go
+++ b/consul/example_test.go
@@ -18,15 +18,15 @@
 	nodes := client.Service(consul.Service{Name: "identity", Mapping: consul.Mapping{Cell: "rack", Started: "boot_id"}})
 	door, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{
-			Classes: []decision.Class{{Name: "lookup", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+			Classes: []decision.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
 			Plans:   []decision.Plan{{Name: "shop", Price: 1}},
 		},
 		StateDir: "/var/lib/tool", // so that a restart without Consul has a list to begin with
-	}, pumicecroft.WithOrigin(nodes.Origin(), nodes))
+	}, pumicecroft.WithNamedSource(nodes.SourceInfo(), nodes))
 	if err != nil {
 		log.Fatal(err)
 	}
-	for _, m := range door.Members() {
-		log.Println(m.Name, m.State, m.Why)
+	for _, m := range door.Backends() {
+		log.Println(m.Name, m.State, m.Explanation)
 	}
 }
--- a/consul/register.go
+++ b/consul/register.go
@@ -23,15 +23,15 @@
 	Meta    map[string]string
 	// TTL is after how long without a renewal the check turns critical; it is renewed three times as often. 0: 10 s.
 	TTL time.Duration
-	// Forget is for how long it may be critical before the agent deregisters it, for one that dies without a word.
+	// DeregisterAfter is for how long it may be critical before the agent deregisters it, for one that dies without a word.
 	// 0: 10 min; Consul takes no less than 1 min.
-	Forget time.Duration
-	// Told hears of what went wrong, and of nil when all is well again; may be nil. It must not wait.
-	Told func(error)
+	DeregisterAfter time.Duration
+	// OnResult hears of what went wrong, and of nil when all is well again; may be nil. It must not wait.
+	OnResult func(error)
 }
 
-// endPatience is how long the agent may take to hear of the end.
-const endPatience = 2 * time.Second
+// deregisterTimeout is how long the agent may take to hear of the end.
+const deregisterTimeout = 2 * time.Second
 
 // Register keeps a registration at the agent until ctx ends: it registers, renews the check, registers again when the
 // agent has lost it, turns critical when draining is closed, and deregisters at the end. It returns the end's error.
@@ -45,8 +45,8 @@
 	if r.TTL <= 0 {
 		r.TTL = 10 * time.Second
 	}
-	if r.Forget <= 0 {
-		r.Forget = 10 * time.Minute
+	if r.DeregisterAfter <= 0 {
+		r.DeregisterAfter = 10 * time.Minute
 	}
 	r.ID = cmp.Or(r.ID, r.Name)
 	check := "service:" + r.ID
@@ -59,7 +59,7 @@
 		}
 		if there {
 			err := c.api.Agent().UpdateTTLOpts(check, output, status, o)
-			if !unknown(err) {
+			if !isUnknownCheck(err) {
 				return err
 			}
 			there = false // the agent began anew
@@ -67,7 +67,7 @@
 		tried = true
 		err = c.api.Agent().ServiceRegisterOpts(&api.AgentServiceRegistration{ID: r.ID, Name: r.Name, Address: host, Port: number,
 			Tags: r.Tags, Meta: r.Meta, Check: &api.AgentServiceCheck{CheckID: check, TTL: r.TTL.String(), Status: status, Notes: output,
-				DeregisterCriticalServiceAfter: r.Forget.String()}},
+				DeregisterCriticalServiceAfter: r.DeregisterAfter.String()}},
 			api.ServiceRegisterOpts{ReplaceExistingChecks: true, Token: o.Token}.WithContext(ctx))
 		there = there || err == nil
 		return err
@@ -85,13 +85,13 @@
 			if !tried {
 				return nil
 			}
-			ending, cancel := context.WithTimeout(context.WithoutCancel(ctx), endPatience)
+			ending, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 			defer cancel()
 			o, err := c.options(ending)
 			if err == nil {
 				err = c.api.Agent().ServiceDeregisterOpts(r.ID, o)
 			}
-			if unknown(err) {
+			if isUnknownCheck(err) {
 				return nil
 			}
 			return err
@@ -99,8 +99,8 @@
 		asking, cancel := context.WithTimeout(ctx, max(r.TTL/3, 100*time.Millisecond))
 		err := step(asking)
 		cancel()
-		if r.Told != nil && (err != nil || failing) && ctx.Err() == nil {
-			r.Told(err)
+		if r.OnResult != nil && (err != nil || failing) && ctx.Err() == nil {
+			r.OnResult(err)
 		}
 		failing = err != nil
 		wait := r.TTL / 3
@@ -111,8 +111,8 @@
 	}
 }
 
-// unknown tells that the agent does not know what it was asked about.
-func unknown(err error) bool {
+// isUnknownCheck tells that the agent does not know what it was asked about.
+func isUnknownCheck(err error) bool {
 	var status api.StatusError
 	return errors.As(err, &status) && (status.Code == http.StatusNotFound ||
 		strings.Contains(status.Body, "does not have associated TTL")) // as agents before 1.11 say it, with a 500
--- a/consul/rig_test.go
+++ b/consul/rig_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"pumicecroft"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/hosttest"
-	"pumicecroft/internal/standin"
 	"pumicecroft/membership"
 )
 
@@ -30,23 +30,23 @@
 	os.Exit(m.Run())
 }
 
-// rig is an agent, backends that are registered at it, and doors that follow it.
-type rig struct {
+// fixture is an agent, backends that are registered at it, and doors that follow it.
+type fixture struct {
 	t        *testing.T
-	agent    *standin.Consul
+	agent    *fakes.Consul
 	client   *Client
-	ledger   *standin.Ledger
-	cell     *standin.Cell
-	backends map[string]*standin.Backend // by id
+	ledger   *fakes.Ledger
+	cell     *fakes.Cell
+	backends map[string]*fakes.Backend // by id
 	last     int
 	id       atomic.Uint64
 }
 
 const service = "identity"
 
-func startAgent(t *testing.T) *standin.Consul {
+func startAgent(t *testing.T) *fakes.Consul {
 	t.Helper()
-	agent, err := standin.StartConsul(nil)
+	agent, err := fakes.StartConsul(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,10 +54,10 @@
 	return agent
 }
 
-func newRig(t *testing.T, change func(*Config)) *rig {
+func newFixture(t *testing.T, change func(*Config)) *fixture {
 	t.Helper()
-	r := &rig{t: t, agent: startAgent(t), ledger: &standin.Ledger{}, cell: &standin.Cell{Window: 5 * time.Second}, backends: map[string]*standin.Backend{}}
-	c := Config{Address: r.agent.Addr(), Wait: 300 * time.Millisecond, RetryMost: 200 * time.Millisecond, Seed: 1}
+	r := &fixture{t: t, agent: startAgent(t), ledger: &fakes.Ledger{}, cell: &fakes.Cell{Window: 5 * time.Second}, backends: map[string]*fakes.Backend{}}
+	c := Config{Address: r.agent.Addr(), Wait: 300 * time.Millisecond, RetryMax: 200 * time.Millisecond, Seed: 1}
 	if change != nil {
 		change(&c)
 	}
@@ -74,7 +74,7 @@
 }
 
 // instance is a backend's registration.
-func (r *rig) instance(id string) standin.Instance {
+func (r *fixture) instance(id string) fakes.Instance {
 	host, port, err := net.SplitHostPort(r.backends[id].Addr())
 	if err != nil {
 		r.t.Fatal(err)
@@ -83,20 +83,20 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	return standin.Instance{Node: "n1", NodeAddr: host, ID: id, Service: service, Port: n, Meta: map[string]string{"cell": "0"},
-		Checks: []standin.Check{{ID: "web", Status: "passing"}}}
+	return fakes.Instance{Node: "n1", NodeAddr: host, ID: id, Service: service, Port: n, Meta: map[string]string{"cell": "0"},
+		Checks: []fakes.Check{{ID: "web", Status: "passing"}}}
 }
 
 // start starts a backend and registers it.
-func (r *rig) start(change func(*standin.BackendConfig)) string {
+func (r *fixture) start(change func(*fakes.BackendConfig)) string {
 	r.t.Helper()
 	id := fmt.Sprintf("b%d", r.last)
 	r.last++
-	c := standin.BackendConfig{Name: id, Ledger: r.ledger, Cell: r.cell, Keyed: func(class string) bool { return class != "look" }}
+	c := fakes.BackendConfig{Name: id, Ledger: r.ledger, Cell: r.cell, Keyed: func(class string) bool { return class != "look" }}
 	if change != nil {
 		change(&c)
 	}
-	b, err := standin.StartBackend(c)
+	b, err := fakes.StartBackend(c)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -106,16 +106,16 @@
 }
 
 // door starts a door that follows the agent, and waits until it knows n nodes.
-func (r *rig) door(n int, change func(*pumicecroft.Config), options ...pumicecroft.Option) *pumicecroft.Door {
+func (r *fixture) door(n int, change func(*pumicecroft.Config), options ...pumicecroft.Option) *pumicecroft.Gateway {
 	r.t.Helper()
 	c := hosttest.Config()
-	c.Settings.ColdFrom, c.Settings.WarmWithin, c.Settings.DrainGrace = 0.2, 200*time.Millisecond, 2*time.Second
-	c.Membership = membership.Rules{HoldFirst: 100 * time.Millisecond, LossFor: 600 * time.Millisecond, ColdFor: 200 * time.Millisecond}
+	c.Settings.SlowStartMinCapacity, c.Settings.SlowStartWindow, c.Settings.DrainGrace = 0.2, 200*time.Millisecond, 2*time.Second
+	c.Membership = membership.Policy{ProbationMin: 100 * time.Millisecond, MassRemovalDelay: 600 * time.Millisecond, WarmupWindow: 200 * time.Millisecond}
 	if change != nil {
 		change(&c)
 	}
 	w := r.client.Service(Service{Name: service, Mapping: Mapping{Cell: "cell", Zone: "zone", Started: "boot"}})
-	d, err := pumicecroft.New(c, append(options, pumicecroft.WithOrigin(w.Origin(), w))...)
+	d, err := pumicecroft.New(c, append(options, pumicecroft.WithNamedSource(w.SourceInfo(), w))...)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -126,21 +126,21 @@
 			r.t.Errorf("the door's end: %v", err)
 		}
 	})
-	r.await(d, fmt.Sprintf("%d nodes", n), func(ms map[string]pumicecroft.Member) bool { return len(ms) == n })
+	r.await(d, fmt.Sprintf("%d nodes", n), func(ms map[string]pumicecroft.BackendStatus) bool { return len(ms) == n })
 	return d
 }
 
 // members are what a door believes, by id.
-func members(d *pumicecroft.Door) map[string]pumicecroft.Member {
-	out := map[string]pumicecroft.Member{}
-	for _, m := range d.Members() {
+func members(d *pumicecroft.Gateway) map[string]pumicecroft.BackendStatus {
+	out := map[string]pumicecroft.BackendStatus{}
+	for _, m := range d.Backends() {
 		out[m.Name[len("n1/"):]] = m
 	}
 	return out
 }
 
 // await waits until a door believes something.
-func (r *rig) await(d *pumicecroft.Door, what string, ok func(map[string]pumicecroft.Member) bool) {
+func (r *fixture) await(d *pumicecroft.Gateway, what string, ok func(map[string]pumicecroft.BackendStatus) bool) {
 	r.t.Helper()
 	for end := time.Now().Add(hosttest.Patience); !ok(members(d)); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -150,9 +150,9 @@
 }
 
 // state waits until a door believes a node to be in a state; "gone" is one that it does not know.
-func (r *rig) state(d *pumicecroft.Door, id, state string) {
+func (r *fixture) state(d *pumicecroft.Gateway, id, state string) {
 	r.t.Helper()
-	r.await(d, id+" to be "+state, func(ms map[string]pumicecroft.Member) bool {
+	r.await(d, id+" to be "+state, func(ms map[string]pumicecroft.BackendStatus) bool {
 		m, ok := ms[id]
 		return ok && m.State == state || !ok && state == "gone"
 	})
@@ -180,7 +180,7 @@
 	}
 }
 
-func (r *rig) load(clients int, class string, pause time.Duration, doors ...*pumicecroft.Door) *load {
+func (r *fixture) load(clients int, class string, pause time.Duration, doors ...*pumicecroft.Gateway) *load {
 	l := &load{rounds: make([]atomic.Int64, clients)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var ran sync.WaitGroup
@@ -190,7 +190,7 @@
 				n := r.id.Add(1)
 				req := pumicecroft.Request{ID: n, Class: class, Plan: "shop", Customer: uint64(i)}
 				if class != "look" {
-					req.Key = fmt.Sprintf("key-%d", n)
+					req.IdempotencyKey = fmt.Sprintf("key-%d", n)
 				}
 				_, err := doors[i%len(doors)].Do(context.Background(), req)
 				l.asked.Add(1)
@@ -198,7 +198,7 @@
 				switch {
 				case err == nil:
 					l.served.Add(1)
-				case errors.Is(err, pumicecroft.ErrRefused):
+				case errors.Is(err, pumicecroft.ErrRejected):
 					l.refused.Add(1)
 				default:
 					l.bad.Add(1)
@@ -218,8 +218,8 @@
 }
 
 // attempts are those that reached a backend.
-func (r *rig) attempts(id string) []standin.Attempt {
-	var out []standin.Attempt
+func (r *fixture) attempts(id string) []fakes.Attempt {
+	var out []fakes.Attempt
 	for _, a := range r.ledger.Attempts() {
 		if a.Backend == id {
 			out = append(out, a)
@@ -231,7 +231,7 @@
 // whole checks that no request of a load was lost or failed, and every effect single. A few may be refused: clients that
 // ask again at once meet the decision module's reserves now and then, whatever the agent does (2 in 100 over half a
 // minute on a calm machine).
-func (r *rig) whole(l *load) {
+func (r *fixture) whole(l *load) {
 	r.t.Helper()
 	l.stop()
 	if asked, refused := l.asked.Load(), l.refused.Load(); asked == 0 || l.bad.Load() > 0 || refused*20 > asked || l.served.Load()+refused != asked {
--- a/consul/trials_test.go
+++ b/consul/trials_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"pumicecroft"
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 )
 
 var (
@@ -21,17 +21,17 @@
 // From the moment at which a node is deregistered, or turns critical, to the last request that reaches it, under load.
 // What is recorded is made by: go test ./consul -run TestLastRequest -v -trials 200 -calm 300ms
 func TestLastRequest(t *testing.T) {
-	for name, take := range map[string]func(r *rig, id string){
-		"deregistered": func(r *rig, id string) { r.agent.Remove("n1", id) },
-		"critical": func(r *rig, id string) {
-			r.agent.SetCheck("n1", id, standin.Check{ID: "web", Status: "critical"})
+	for name, take := range map[string]func(r *fixture, id string){
+		"deregistered": func(r *fixture, id string) { r.agent.Remove("n1", id) },
+		"critical": func(r *fixture, id string) {
+			r.agent.SetCheck("n1", id, fakes.Check{ID: "web", Status: "critical"})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, nil)
+			r := newFixture(t, nil)
 			r.agent.SetDelay(*delay)
 			ids := []string{r.start(nil), r.start(nil), r.start(nil)}
-			d := r.door(3, func(c *pumicecroft.Config) { c.Settings.WarmWithin = 20 * time.Millisecond })
+			d := r.door(3, func(c *pumicecroft.Config) { c.Settings.SlowStartWindow = 20 * time.Millisecond })
 			l := r.load(8, "pay", 500*time.Microsecond, d)
 			var took []time.Duration
 			for range *trials {
@@ -41,7 +41,10 @@
 				}
 				at := time.Now()
 				take(r, id)
-				r.await(d, id+" to be out", func(ms map[string]pumicecroft.Member) bool { m, ok := ms[id]; return !ok || m.State == "draining" })
+				r.await(d, id+" to be out", func(ms map[string]pumicecroft.BackendStatus) bool {
+					m, ok := ms[id]
+					return !ok || m.State == "draining"
+				})
 				time.Sleep(100 * time.Millisecond) // for what may come late
 				took = append(took, max(0, r.ledger.Reached(id).Last.Sub(at)))
 				r.agent.Remove("n1", id)
@@ -69,15 +72,15 @@
 // What is recorded is made by: go test ./consul -run TestTheAgentIsDead -v -dead 60s
 func TestTheAgentIsDead(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, nil)
+	r := newFixture(t, nil)
 	for range 4 {
 		r.start(nil)
 	}
 	d := r.door(4, nil)
 	l := r.load(8, "pay", 2*time.Millisecond, d)
-	fault := standin.Refusing
+	fault := fakes.Refusing
 	if *well {
-		fault = standin.Well
+		fault = fakes.Well
 	}
 	if err := r.agent.Fail(fault); err != nil {
 		t.Fatal(err)
@@ -86,10 +89,10 @@
 	if n := len(members(d)); n != 4 {
 		t.Errorf("%d nodes are known", n)
 	}
-	if err := r.agent.Fail(standin.Well); err != nil {
+	if err := r.agent.Fail(fakes.Well); err != nil {
 		t.Fatal(err)
 	}
-	r.await(d, "the agent to be back", func(ms map[string]pumicecroft.Member) bool { return !ms["b1"].Old })
+	r.await(d, "the agent to be back", func(ms map[string]pumicecroft.BackendStatus) bool { return !ms["b1"].Stale })
 	r.whole(l)
 	t.Logf("dead for %v: %v", *dead, l)
 }
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -6,79 +6,79 @@
 )
 
 // onRequest is the ordinary path: the quota, the tier, the reserves, then a backend.
-func (g *Gateway) onRequest(ev Request) {
+func (g *Engine) onRequest(ev Request) {
 	if g.requests[ev.ID] != nil {
 		return
 	}
 	cl, plan := g.classes[ev.Class], g.plans[ev.Plan]
-	if cl == nil || plan == nil || !(ev.Units >= 0) || math.IsInf(ev.Units, 0) || ev.Patience <= 0 {
-		g.act(Refuse{Request: ev.ID})
+	if cl == nil || plan == nil || !(ev.Cost >= 0) || math.IsInf(ev.Cost, 0) || ev.Timeout <= 0 {
+		g.emit(Reject{Request: ev.ID})
 		return
 	}
-	c := g.customer(ev, plan)
-	r := &request{id: ev.ID, class: cl, cust: c, units: ev.Units, due: g.now + ev.Patience, protocol: ev.Protocol, fleet: g.fleets[ev.Protocol]}
-	c.fellows.Asked(cl.Worth, ev.Units)
-	within := g.withinQuota(c, cl.Worth, ev.Units)
-	if under := g.underCeiling(c, ev.Units); within && !under && g.draw(r) {
+	c := g.customerFor(ev, plan)
+	r := &request{id: ev.ID, class: cl, customer: c, cost: ev.Cost, deadline: g.now + ev.Timeout, protocol: ev.Protocol, pool: g.pools[ev.Protocol]}
+	c.newcomers.RecordRequest(cl.PriorityWeight, ev.Cost)
+	within := g.withinQuota(c, cl.PriorityWeight, ev.Cost)
+	if under := g.withinHardLimit(c, ev.Cost); within && !under && g.borrow(r) {
 		return
 	} else if !within || !under {
-		g.act(Refuse{ev.ID, g.untilQuota(c, cl.Worth, ev.Units), OverQuota})
+		g.emit(Reject{ev.ID, g.retryAfterQuota(c, cl.PriorityWeight, ev.Cost), OverQuota})
 		return
 	}
 	g.admit(r)
 }
 
 // register begins a request's life: from here on it is held, until end and drop.
-func (g *Gateway) register(r *request) {
+func (g *Engine) register(r *request) {
 	g.seq++
 	r.seq = g.seq
 	g.requests[r.id], g.bySeq[r.seq] = r, r
-	g.act(SetTimer{After: r.due - g.now, Token: r.seq, Request: r.id})
+	g.emit(SetTimer{After: r.deadline - g.now, Token: r.seq, Request: r.id})
 }
 
 // admit is the ordinary path from the customer's limits on. It tells whether the request was sent on; if not it is refused.
-func (g *Gateway) admit(r *request) bool {
-	c, plan, units := r.cust, r.cust.plan, r.units
-	worth := r.class.Worth * plan.Price * units
-	high := g.isHigh(worth)
-	t := &g.tiers[b2i(high)]
+func (g *Engine) admit(r *request) bool {
+	c, plan, units := r.customer, r.customer.plan, r.cost
+	worth := r.class.PriorityWeight * plan.Price * units
+	high := g.isHighPriority(worth)
+	t := &g.tiers[boolToInt(high)]
 	t.arrivals++
-	t.worth += worth
-	b := g.choose(r)
+	t.weight += worth
+	b := g.selectBackend(r)
 	var s *slot
 	why := NoBackend
 	if b != nil {
-		s, why = g.takeSlot(high), NoRoom
+		s, why = g.acquireSlot(high), Overloaded
 	}
 	if s == nil {
-		g.act(Refuse{r.id, g.untilSlot(), why})
-		g.end(r)
+		g.emit(Reject{r.id, g.retryAfterSlot(), why})
+		g.finish(r)
 		return false
 	}
-	if !r.drawn {
+	if !r.borrowed {
 		g.register(r)
-		c.ceil -= units
+		c.hardLimitTokens -= units
 	}
 	if plan.Rate > 0 {
-		most := mostDraws
-		if g.set.MeterPeriod <= 0 && c.doors == 1 { // nothing is unseen and nothing will be told: the store alone is exact
+		most := maxDebits
+		if g.settings.UsagePeriod <= 0 && c.gateways == 1 { // nothing is unseen and nothing will be told: the store alone is exact
 			most = 2
 		}
-		if len(c.draws) >= most { // no readings: the older half goes into the store
-			at := c.draws[most/2-1].at
-			c.store, c.storeAt, c.draws = c.room(at), at, slices.Delete(c.draws, 0, most/2)
+		if len(c.debits) >= most { // no readings: the older half goes into the store
+			at := c.debits[most/2-1].at
+			c.tokens, c.tokensAt, c.debits = c.available(at), at, slices.Delete(c.debits, 0, most/2)
 		}
-		c.draws = append(c.draws, draw{g.now, 100 * units / plan.Rate})
+		c.debits = append(c.debits, debit{g.now, 100 * units / plan.Rate})
 	}
-	g.send(r, b, s)
-	r.class.first = append(r.class.first, r)
+	g.startAttempt(r, b, s)
+	r.class.firstAttempts = append(r.class.firstAttempts, r)
 	return true
 }
 
-// isHigh compares a worth with the recent median.
-func (g *Gateway) isHigh(worth float64) bool {
-	if g.worths = append(g.worths, worth); len(g.worths) > medianOver {
-		g.worths = g.worths[1:]
+// isHighPriority compares a worth with the recent median.
+func (g *Engine) isHighPriority(worth float64) bool {
+	if g.recentWeights = append(g.recentWeights, worth); len(g.recentWeights) > weightSamples {
+		g.recentWeights = g.recentWeights[1:]
 	}
-	return worth > g.median
+	return worth > g.medianWeight
 }
--- a/decision/advice_test.go
+++ b/decision/advice_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-func refusal(as []Action) (r Refuse, ok bool) {
+func refusal(as []Action) (r Reject, ok bool) {
 	for _, a := range as {
-		if r, ok = a.(Refuse); ok {
+		if r, ok = a.(Reject); ok {
 			return r, true
 		}
 	}
@@ -24,7 +24,7 @@
 			_, as := r.ask("safe", plan, 5)
 			if f, ok := refusal(as); ok {
 				refused++
-				if f.RetryAfter <= 0 || f.RetryAfter > r.g.set.MaxRetryAfter {
+				if f.RetryAfter <= 0 || f.RetryAfter > r.g.settings.MaxRetryAfter {
 					t.Fatalf("%s: told to come back after %v", why, f.RetryAfter)
 				}
 			}
@@ -56,7 +56,7 @@
 				told = f.RetryAfter
 				break
 			} else {
-				r.outcome(id, sends(as)[0].Backend, 0, Answered)
+				r.outcome(id, sends(as)[0].Backend, 0, Succeeded)
 			}
 		}
 		if told <= 0 {
--- a/decision/cold_test.go
+++ b/decision/cold_test.go
@@ -38,7 +38,7 @@
 func (r ramp) run(t *testing.T, s Settings, seed uint64) (worst float64, sends int, report string) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	all := fleet(r.backends)
-	s.FrontDoors = r.doors
+	s.GatewayCount = r.doors
 	capacity := r.each / r.use // of a warm one, a second
 	c := newCrowd(t, s, r.doors, all)
 	for d := range c.doors { // seeds of their own
@@ -53,7 +53,7 @@
 		if !ok {
 			return 1
 		}
-		return min(1, s.ColdFrom+(1-s.ColdFrom)*float64(c.now-at)/float64(s.WarmWithin))
+		return min(1, s.SlowStartMinCapacity+(1-s.SlowStartMinCapacity)*float64(c.now-at)/float64(s.SlowStartWindow))
 	}
 	sent := map[BackendID][]coldSend{}
 	queue, queueAt := map[BackendID]float64{}, map[BackendID]time.Duration{}
@@ -77,22 +77,22 @@
 		}
 		sends++
 		in := append(sent[b], coldSend{c.now, known[door][b] == born[b]})
-		for c.now-in[0].at > s.FallFor {
+		for c.now-in[0].at > s.OverloadDuration {
 			in = in[1:]
 		}
 		sent[b] = in
 		told := 0
 		for _, x := range in {
-			told += b2i(x.told)
+			told += boolToInt(x.told)
 		}
-		n := s.FallMultiple * w * capacity * s.FallFor.Seconds()
+		n := s.OverloadFactor * w * capacity * s.OverloadDuration.Seconds()
 		bound := n + 2*math.Sqrt(n) + 2
 		if 3*told <= 2*len(in) {
 			return
 		}
 		if near := float64(len(in)) / bound; near > worst {
 			worst, report = near, fmt.Sprintf("backend %d, %.1f s old, had %d in %v, %d of them from doors that knew; it bears %.1f", b,
-				(c.now-born[b]).Seconds(), len(in), s.FallFor, told, bound)
+				(c.now-born[b]).Seconds(), len(in), s.OverloadDuration, told, bound)
 		}
 	}
 	weights, sum := make([]float64, r.doors), 0.0 // a door's and those before it
@@ -111,13 +111,13 @@
 	type telling struct {
 		at   time.Duration
 		door int
-		b    BackendInfo
+		b    Endpoint
 	}
 	var news []telling
 	begin := func(b BackendID) {
 		born[b], sent[b], queue[b] = c.now, nil, 0
 		info := all[b-1]
-		info.Started = c.now
+		info.StartedAt = c.now
 		all[b-1] = info
 		for d := range c.doors {
 			news = append(news, telling{c.now + time.Duration(rng.Int64N(int64(r.apart)+1)), d, info})
@@ -128,9 +128,9 @@
 			if n.at > c.now {
 				return false
 			}
-			if known[n.door][n.b.ID] < n.b.Started {
-				known[n.door][n.b.ID] = n.b.Started
-				c.give(n.door, BackendList{Kind: ListChanges, Backends: []BackendInfo{n.b}})
+			if known[n.door][n.b.ID] < n.b.StartedAt {
+				known[n.door][n.b.ID] = n.b.StartedAt
+				c.give(n.door, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{n.b}})
 			}
 			return true
 		})
@@ -146,7 +146,7 @@
 			tell()
 			c.next++
 			door, _ := slices.BinarySearch(weights, rng.Float64()*sum)
-			c.give(min(door, r.doors-1), Request{ID: c.next, Customer: CustomerID(c.next), Class: "safe", Plan: "wide", Units: 1, Patience: 3 * second, Spread: r.doors})
+			c.give(min(door, r.doors-1), Request{ID: c.next, Customer: CustomerID(c.next), Class: "safe", Plan: "wide", Cost: 1, Timeout: 3 * second, GatewaySpread: r.doors})
 		}
 	}
 	play(12*second, 1, nil)
@@ -186,7 +186,7 @@
 	times := max(1, r.burst)
 	play(second, 1, during)
 	play(4*second, times, during)
-	play(s.WarmWithin, 1, during)
+	play(s.SlowStartWindow, 1, during)
 	return worst, sends, report
 }
 
@@ -204,8 +204,8 @@
 		r.burst = 1.2 + 0.5*rng.Float64()
 	}
 	s := testSettings()
-	s.FallMultiple, s.FallFor = []float64{2.5, 3, 4}[rng.IntN(3)], time.Duration(1+rng.IntN(3))*second
-	s.ColdFrom, s.WarmWithin = 0.15+0.35*rng.Float64(), seconds(5+15*rng.Float64())
+	s.OverloadFactor, s.OverloadDuration = []float64{2.5, 3, 4}[rng.IntN(3)], time.Duration(1+rng.IntN(3))*second
+	s.SlowStartMinCapacity, s.SlowStartWindow = 0.15+0.35*rng.Float64(), seconds(5+15*rng.Float64())
 	return r, s
 }
 
@@ -222,7 +222,7 @@
 					r, s := drawRamp(seed, doors)
 					worst, sends, report := r.run(t, s, seed)
 					if worst > 1 {
-						t.Errorf("%+v, cold from %.2f within %v, falls at %.1f times: %s", r, s.ColdFrom, s.WarmWithin, s.FallMultiple, report)
+						t.Errorf("%+v, cold from %.2f within %v, falls at %.1f times: %s", r, s.SlowStartMinCapacity, s.SlowStartWindow, s.OverloadFactor, report)
 					}
 					t.Logf("at most %.2f of what a backend bears, %d sends to cold ones", worst, sends)
 					all.Add(int64(sends))
--- a/decision/counter.go
+++ b/decision/counter.go
@@ -12,93 +12,93 @@
 // none in time, it is refused as it would be without a counter.
 
 const (
-	giftsOfAll = 100 // a second, by all doors
-	giftsOfOne = 8   // ... and by one, as it gives them in one moment
+	depositsPerSecondAll = 100 // a second, by all doors
+	depositsPerTickMax   = 8   // ... and by one, as it gives them in one moment
 )
 
-// ask is a call that the counter has not answered.
-type ask struct {
-	cust  *customer
-	r     *request // that waits for units out of the pool; nil: none
-	units float64
-	gift  bool
+// counterCall is a call that the counter has not answered.
+type counterCall struct {
+	customer *customer
+	request  *request // that waits for units out of the pool; nil: none
+	cost     float64
+	deposit  bool
 }
 
-// draw asks the pool for what a request lacks and tells whether it waits for that.
-func (g *Gateway) draw(r *request) bool {
-	p := &r.cust.pool
-	if !p.Exists() || !g.line.May(g.now, p) {
+// borrow asks the pool for what a request lacks and tells whether it waits for that.
+func (g *Engine) borrow(r *request) bool {
+	p := &r.customer.sharedBucket
+	if !p.Exists() || !g.counterLink.Allow(g.now, p) {
 		return false
 	}
-	r.drawn = true
+	r.borrowed = true
 	g.register(r)
-	g.count(ask{cust: r.cust, r: r, units: r.units}, -r.units)
+	g.callCounter(counterCall{customer: r.customer, request: r, cost: r.cost}, -r.cost)
 	return true
 }
 
-// give gives what would overflow, for some of the customers whose parts are full here. Doors that have little of a customer's
+// depositSurplus gives what would overflow, for some of the customers whose parts are full here. Doors that have little of a customer's
 // traffic are asked for it by nobody, so it is the second's tick that does it; all doors' gifts together must not crowd the
 // counter, which takes some 600 calls a second: they have a sixth of that, and each door one.
-func (g *Gateway) give() {
-	if !g.set.SharedCounter {
+func (g *Engine) depositSurplus() {
+	if !g.settings.HasSharedCounter {
 		return
 	}
 	var full []*customer
 	for _, id := range slices.Sorted(maps.Keys(g.customers)) {
-		if c := g.customers[id]; c.pool.Gift(g.now) > 0 && g.underCeiling(c, c.ceilPart()) {
+		if c := g.customers[id]; c.sharedBucket.Surplus(g.now) > 0 && g.withinHardLimit(c, c.hardLimitShare()) {
 			full = append(full, c)
 		}
 	}
-	for left := max(1, min(giftsOfOne, giftsOfAll/g.set.FrontDoors)); left > 0 && len(full) > 0; {
+	for left := max(1, min(depositsPerTickMax, depositsPerSecondAll/g.settings.GatewayCount)); left > 0 && len(full) > 0; {
 		i := g.rng.IntN(len(full))
 		c := full[i]
 		full = slices.Delete(full, i, i+1)
-		if !g.line.May(g.now, &c.pool) { // asked before each, as each is a call that is out
+		if !g.counterLink.Allow(g.now, &c.sharedBucket) { // asked before each, as each is a call that is out
 			continue
 		}
-		gift := c.pool.Gift(g.now)
-		c.ceil -= gift // first, so that it is never in two places
-		g.count(ask{cust: c, gift: true}, gift)
+		gift := c.sharedBucket.Surplus(g.now)
+		c.hardLimitTokens -= gift // first, so that it is never in two places
+		g.callCounter(counterCall{customer: c, deposit: true}, gift)
 		left--
 	}
 }
 
-func (g *Gateway) count(a ask, amount float64) {
-	g.line.Asked()
-	g.lastAsk++
-	g.asks[g.lastAsk] = a
-	g.act(Count{Ref: g.lastAsk, Name: a.cust.pool.Name(), Amount: amount, Keep: quota.Keep})
+func (g *Engine) callCounter(a counterCall, amount float64) {
+	g.counterLink.CallStarted()
+	g.lastCounterRef++
+	g.counterCalls[g.lastCounterRef] = a
+	g.emit(CounterAdd{Ref: g.lastCounterRef, Key: a.customer.sharedBucket.Key(), Amount: amount, TTL: quota.BucketTTL})
 }
 
-func (g *Gateway) onCounted(ev Counted) {
-	a, ok := g.asks[ev.Ref]
+func (g *Engine) onCounterResult(ev CounterResult) {
+	a, ok := g.counterCalls[ev.Ref]
 	if !ok {
 		return
 	}
-	delete(g.asks, ev.Ref)
-	told := ev.Result == Answered
+	delete(g.counterCalls, ev.Ref)
+	told := ev.Result == Succeeded
 	switch {
 	case told:
-		g.line.Answered()
-	case ev.Result == Refused:
-		g.line.Crowded(g.now, g.rng.Float64())
+		g.counterLink.CallSucceeded()
+	case ev.Result == Rejected:
+		g.counterLink.CallRejected(g.now, g.rng.Float64())
 	default: // what was asked for may have been taken out all the same: then nobody has it
-		g.line.Lost(g.now, g.rng.Float64())
+		g.counterLink.CallFailed(g.now, g.rng.Float64())
 	}
 	got, back := false, 0.0
 	switch {
-	case told && a.gift:
-		back = a.cust.pool.Given(g.now, ev.Total, g.rng.Float64())
-	case told && a.r != nil:
-		got, back = a.cust.pool.Drawn(a.units, ev.Total)
+	case told && a.deposit:
+		back = a.customer.sharedBucket.Deposited(g.now, ev.Total, g.rng.Float64())
+	case told && a.request != nil:
+		got, back = a.customer.sharedBucket.Withdrawn(a.cost, ev.Total)
 	}
-	if r := a.r; r != nil && got && (r.ended || !g.admit(r)) {
-		back = a.units
-	} else if r != nil && !r.ended && !got {
-		g.act(Refuse{r.id, g.untilQuota(r.cust, r.class.Worth, r.units), OverQuota})
-		g.end(r)
+	if r := a.request; r != nil && got && (r.finished || !g.admit(r)) {
+		back = a.cost
+	} else if r != nil && !r.finished && !got {
+		g.emit(Reject{r.id, g.retryAfterQuota(r.customer, r.class.PriorityWeight, r.cost), OverQuota})
+		g.finish(r)
 	}
 	if back != 0 {
-		g.count(ask{cust: a.cust}, back)
+		g.callCounter(counterCall{customer: a.customer}, back)
 	}
 }
--- a/decision/encoding_test.go
+++ b/decision/encoding_test.go
@@ -17,21 +17,21 @@
 // does and nothing of how Go spells it. TestEncodingKnowsEveryField checks that nothing is left out.
 func encodeAction(action Action) string {
 	switch a := action.(type) {
-	case Send:
+	case StartAttempt:
 		return fmt.Sprintf("send request=%d backend=%d timeout=%d not_after=%d",
 			a.Request, a.Backend, a.Timeout, a.NotAfter)
-	case Refuse:
-		return fmt.Sprintf("refuse request=%d retry_after=%d reason=%d", a.Request, a.RetryAfter, uint8(a.Why))
+	case Reject:
+		return fmt.Sprintf("refuse request=%d retry_after=%d reason=%d", a.Request, a.RetryAfter, uint8(a.Reason))
 	case Fail:
 		return fmt.Sprintf("fail request=%d", a.Request)
-	case Cancel:
+	case CancelAttempt:
 		return fmt.Sprintf("cancel request=%d attempt=%d", a.Request, a.Attempt)
 	case SetTimer:
 		return fmt.Sprintf("set_timer after=%d token=%d request=%d", a.After, a.Token, a.Request)
 	case Probe:
 		return fmt.Sprintf("probe backend=%d", a.Backend)
-	case Count:
-		return fmt.Sprintf("count ref=%d name=%d amount=%v keep=%d", a.Ref, a.Name, a.Amount, a.Keep)
+	case CounterAdd:
+		return fmt.Sprintf("count ref=%d name=%d amount=%v keep=%d", a.Ref, a.Key, a.Amount, a.TTL)
 	case Subscribe:
 		return "subscribe"
 	}
@@ -44,7 +44,7 @@
 func TestEncodingKnowsEveryField(t *testing.T) {
 	declared := declaredActions(t)
 	encoded, kinds := map[string]bool{}, map[string]bool{}
-	for _, zero := range []Action{Send{}, Refuse{}, Fail{}, Cancel{}, SetTimer{}, Probe{}, Count{}, Subscribe{}} {
+	for _, zero := range []Action{StartAttempt{}, Reject{}, Fail{}, CancelAttempt{}, SetTimer{}, Probe{}, CounterAdd{}, Subscribe{}} {
 		typ := reflect.TypeOf(zero)
 		encoded[typ.Name()] = true
 		text := encodeAction(zero)
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -10,22 +10,22 @@
 // A front door passes events in and carries out what comes back.
 func Example() {
 	g, err := decision.New(decision.Settings{
-		FrontDoors:  1,
-		MaxAttempts: 3,
-		MeterPeriod: time.Second,
-		Classes:     []decision.Class{{Name: "lookup", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
-		Plans:       []decision.Plan{{Name: "basic", Rate: 2, Burst: 6, Price: 1}},
+		GatewayCount: 1,
+		MaxAttempts:  3,
+		UsagePeriod:  time.Second,
+		Classes:      []decision.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Plans:        []decision.Plan{{Name: "basic", Rate: 2, Burst: 6, Price: 1}},
 	}, 1, 0)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	g.Handle(0, decision.BackendList{Kind: decision.ListFull,
-		Backends: []decision.BackendInfo{{ID: 7}}}, nil)
+	g.Handle(0, decision.EndpointUpdate{Kind: decision.UpdateFull,
+		Endpoints: []decision.Endpoint{{ID: 7}}}, nil)
 	actions := g.Handle(time.Millisecond, decision.Request{ID: 1, Customer: 42, Class: "lookup", Plan: "basic",
-		Units: 1, Patience: 3 * time.Second, Spread: 1}, nil)
+		Cost: 1, Timeout: 3 * time.Second, GatewaySpread: 1}, nil)
 	for _, a := range actions {
-		if s, ok := a.(decision.Send); ok {
+		if s, ok := a.(decision.StartAttempt); ok {
 			fmt.Println("send request", s.Request, "to backend", s.Backend)
 		}
 	}
--- a/decision/fingerprint_test.go
+++ b/decision/fingerprint_test.go
@@ -15,11 +15,11 @@
 
 // script is one gateway under events that its seed makes. They have no limits on customers, which are another matter.
 type script struct {
-	g      *Gateway
+	g      *Engine
 	rng    *rand.Rand
 	now    time.Duration
 	next   RequestID
-	known  map[BackendID]BackendInfo
+	known  map[BackendID]Endpoint
 	ids    []BackendID
 	out    []Outcome // attempts that are out, without how they end
 	tries  map[RequestID]int
@@ -32,35 +32,35 @@
 // scriptSettings differ by seed in what matters to the choice: how many doors and attempts, and how long a started backend is cold.
 func scriptSettings(rng *rand.Rand) Settings {
 	s := testSettings()
-	s.FrontDoors = []int{1, 3, 40}[rng.IntN(3)]
+	s.GatewayCount = []int{1, 3, 40}[rng.IntN(3)]
 	s.MaxAttempts = 1 + rng.IntN(3)
-	s.WarmWithin = []time.Duration{second, 10 * second, 30 * second}[rng.IntN(3)]
-	s.AskForList, s.MeterPeriod = rng.IntN(2) == 0, 0
+	s.SlowStartWindow = []time.Duration{second, 10 * second, 30 * second}[rng.IntN(3)]
+	s.SubscribeToEndpoints, s.UsagePeriod = rng.IntN(2) == 0, 0
 	s.Plans = []Plan{{Name: "free", Price: 1}}
 	return s
 }
 
 func newScript(t *testing.T, seed uint64, see func(time.Duration, []Action)) *script {
-	k := &script{rng: rand.New(rand.NewPCG(seed, 17)), now: 1000 * second, known: map[BackendID]BackendInfo{},
+	k := &script{rng: rand.New(rand.NewPCG(seed, 17)), now: 1000 * second, known: map[BackendID]Endpoint{},
 		tries: map[RequestID]int{}, see: see}
 	g, err := New(scriptSettings(k.rng), seed, k.now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	k.g = g
-	first := BackendList{Kind: ListKind(1 + k.rng.IntN(2))}
+	first := EndpointUpdate{Kind: UpdateKind(1 + k.rng.IntN(2))}
 	for range 1 + k.rng.IntN([]int{4, 40, 400}[k.rng.IntN(3)]) {
-		first.Backends = append(first.Backends, k.entry(BackendID(len(k.ids)+1)))
+		first.Endpoints = append(first.Endpoints, k.entry(BackendID(len(k.ids)+1)))
 	}
 	k.give(first)
 	return k
 }
 
 // entry is what a list may say next of a backend: a new one, or one whose process, state or description has changed.
-func (k *script) entry(id BackendID) BackendInfo {
+func (k *script) entry(id BackendID) Endpoint {
 	info, known := k.known[id]
 	if !known {
-		info = BackendInfo{ID: id, Weight: 1, Zone: fmt.Sprint("z", k.rng.IntN(3)), Cell: k.rng.IntN(6),
+		info = Endpoint{ID: id, Weight: 1, Zone: fmt.Sprint("z", k.rng.IntN(3)), Cell: k.rng.IntN(6),
 			Protocol: []string{"", "", "", "grpc", "web/few"}[k.rng.IntN(5)]}
 		k.ids = append(k.ids, id)
 	}
@@ -69,9 +69,9 @@
 	case 0, 1:
 		info.State = Draining
 	case 2, 3:
-		info.State = Gone
+		info.State = Removed
 	case 4, 5, 6: // its process has started; one door's clock may say that it will
-		info.Started = k.now - time.Duration(k.rng.Int64N(int64(12*second))) + 2*second
+		info.StartedAt = k.now - time.Duration(k.rng.Int64N(int64(12*second))) + 2*second
 	case 7:
 		info.Weight = k.rng.Float64()
 	case 8:
@@ -85,22 +85,22 @@
 
 // news is a list as sources bring it: mostly a few changes, now and then all, or none that could be had.
 func (k *script) news() {
-	l := BackendList{}
+	l := EndpointUpdate{}
 	switch k.rng.IntN(20) {
 	case 0:
-		l.Kind = ListKind(1 + k.rng.IntN(3)) // full, saved or failed
+		l.Kind = UpdateKind(1 + k.rng.IntN(3)) // full, saved or failed
 		for _, id := range k.ids {
 			if k.rng.IntN(10) > 0 {
-				l.Backends = append(l.Backends, k.entry(id))
+				l.Endpoints = append(l.Endpoints, k.entry(id))
 			}
 		}
 	case 1: // a part of all at once, as when a zone goes, or comes back with its processes started
-		zone, state, at := fmt.Sprint("z", k.rng.IntN(3)), []BackendState{Ready, Draining, Gone}[k.rng.IntN(3)], k.now
+		zone, state, at := fmt.Sprint("z", k.rng.IntN(3)), []BackendState{Ready, Draining, Removed}[k.rng.IntN(3)], k.now
 		for _, id := range k.ids {
 			if info := k.known[id]; info.Zone == zone {
-				info.State, info.Started = state, at
+				info.State, info.StartedAt = state, at
 				k.known[id] = info
-				l.Backends = append(l.Backends, info)
+				l.Endpoints = append(l.Endpoints, info)
 			}
 		}
 	default:
@@ -109,7 +109,7 @@
 			if k.rng.IntN(3) > 0 {
 				id = k.ids[k.rng.IntN(len(k.ids))]
 			}
-			l.Backends = append(l.Backends, k.entry(id))
+			l.Endpoints = append(l.Endpoints, k.entry(id))
 		}
 	}
 	k.give(l)
@@ -120,7 +120,7 @@
 	k.see(k.now, actions)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Send:
+		case StartAttempt:
 			k.sends++
 			k.out = append(k.out, Outcome{Request: a.Request, Backend: a.Backend, Attempt: k.tries[a.Request]})
 			k.tries[a.Request]++
@@ -137,14 +137,14 @@
 func (k *script) end(i int) {
 	o := k.out[i]
 	k.out = slices.Delete(k.out, i, i+1)
-	o.Result, o.Took = Answered, time.Duration(k.rng.Int64N(int64(second)))
+	o.Result, o.Latency = Succeeded, time.Duration(k.rng.Int64N(int64(second)))
 	if k.rng.IntN(3) == 0 {
 		o.Result = Result(k.rng.IntN(int(Unknown) + 1))
 	}
 	if o.Backend%8 == 3 && k.rng.IntN(8) > 0 { // nothing listens there, mostly
-		o.Result = NoConnection
+		o.Result = ConnectFailed
 	}
-	o.Final = o.Result == Answered || k.rng.IntN(8) == 0
+	o.Final = o.Result == Succeeded || k.rng.IntN(8) == 0
 	k.give(o)
 }
 
@@ -163,21 +163,21 @@
 		k.news()
 	case n < 50:
 		k.next++
-		classes := k.g.set.Classes
-		k.give(Request{ID: k.next, Customer: CustomerID(k.rng.IntN(9)), Class: classes[k.rng.IntN(len(classes))].Name, Plan: "free", Units: 1,
-			Patience: time.Duration(1+k.rng.IntN(3)) * second, Spread: 3, Protocol: []string{"", "", "grpc", "web/few", "web/new", "unknown"}[k.rng.IntN(6)]})
+		classes := k.g.settings.Classes
+		k.give(Request{ID: k.next, Customer: CustomerID(k.rng.IntN(9)), Class: classes[k.rng.IntN(len(classes))].Name, Plan: "free", Cost: 1,
+			Timeout: time.Duration(1+k.rng.IntN(3)) * second, GatewaySpread: 3, Protocol: []string{"", "", "grpc", "web/few", "web/new", "unknown"}[k.rng.IntN(6)]})
 	case n < 95:
 		if len(k.out) > 0 {
 			k.end(k.rng.IntN(len(k.out)))
 		}
 	case n < 97:
-		k.give(ClientGone{RequestID(1 + k.rng.Uint64N(uint64(k.next)+1))})
+		k.give(ClientDisconnected{RequestID(1 + k.rng.Uint64N(uint64(k.next)+1))})
 	case n < 98:
-		k.give(AnswerStarted{Request: RequestID(1 + k.rng.Uint64N(uint64(k.next)+1))})
+		k.give(ResponseStarted{Request: RequestID(1 + k.rng.Uint64N(uint64(k.next)+1))})
 	case n < 99:
 		k.now += time.Duration(k.rng.Int64N(int64(3 * second)))
 		if k.rng.IntN(2) == 0 {
-			k.give(Stood{For: time.Duration(k.rng.Int64N(int64(3 * second)))})
+			k.give(ProcessPaused{Duration: time.Duration(k.rng.Int64N(int64(3 * second)))})
 		}
 	default: // a quiet while, in which cold ones get warm and what is idle is forgotten
 		k.now += time.Duration(k.rng.Int64N(int64(20 * second)))
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -12,14 +12,14 @@
 // crowd is some doors, asked in turn, whose attempts are answered after a while that their backend takes.
 type crowd struct {
 	now    time.Duration
-	doors  []*Gateway
+	doors  []*Engine
 	next   RequestID
 	late   []due // answers to come, in order of time
 	takes  func(b BackendID, now time.Duration) time.Duration
 	sent   map[BackendID]int
 	out    map[string]int // refusals by reason
 	use    func() float64 // what the meter tells with answers; nil: nothing
-	count  func(Count) (Counted, time.Duration)
+	count  func(CounterAdd) (CounterResult, time.Duration)
 	onSend func()
 	sees   func(door int, b BackendID) // each send
 	all    map[RequestID]bool          // that were sent on
@@ -28,19 +28,19 @@
 type due struct {
 	at      time.Duration
 	door    int
-	g       *Gateway // of that door; a later one has nothing of it
+	g       *Engine // of that door; a later one has nothing of it
 	id      RequestID
 	b       BackendID
 	took    time.Duration
 	tick    bool // the door's own timer
-	counted Counted
+	counted CounterResult
 }
 
-func newCrowd(t *testing.T, s Settings, doors int, backends []BackendInfo) *crowd {
+func newCrowd(t *testing.T, s Settings, doors int, backends []Endpoint) *crowd {
 	c := &crowd{now: 1000 * second, sent: map[BackendID]int{}, out: map[string]int{}, all: map[RequestID]bool{},
 		takes: func(BackendID, time.Duration) time.Duration { return 150 * ms }}
-	s.FrontDoors = doors
-	c.doors = make([]*Gateway, doors)
+	s.GatewayCount = doors
+	c.doors = make([]*Engine, doors)
 	for d := range doors {
 		c.start(t, s, d, uint64(d)+1, backends)
 	}
@@ -48,22 +48,22 @@
 }
 
 // start starts a door, in place of one that was killed if there was one.
-func (c *crowd) start(t *testing.T, s Settings, door int, seed uint64, backends []BackendInfo) {
+func (c *crowd) start(t *testing.T, s Settings, door int, seed uint64, backends []Endpoint) {
 	t.Helper()
-	s.Me = door
+	s.GatewayIndex = door
 	g, err := New(s, seed, c.now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.doors[door] = g
-	c.give(door, BackendList{Kind: ListSaved, Backends: backends})
+	c.give(door, EndpointUpdate{Kind: UpdateCached, Endpoints: backends})
 }
 
 func (c *crowd) give(door int, ev Event) {
 	g := c.doors[door]
 	for _, a := range g.Handle(c.now, ev, nil) {
 		switch a := a.(type) {
-		case Send:
+		case StartAttempt:
 			c.sent[a.Backend]++
 			if c.sees != nil {
 				c.sees(door, a.Backend)
@@ -74,11 +74,11 @@
 			c.all[a.Request] = true
 			took := c.takes(a.Backend, c.now)
 			c.put(due{at: c.now + took, door: door, g: g, id: a.Request, b: a.Backend, took: took})
-		case Count:
+		case CounterAdd:
 			answer, after := c.count(a)
 			c.put(due{at: c.now + after, door: door, g: g, counted: answer})
-		case Refuse:
-			c.out[a.Why.String()]++
+		case Reject:
+			c.out[a.Reason.String()]++
 		case SetTimer:
 			if a.Token == 0 {
 				c.put(due{at: c.now + a.After, door: door, g: g, tick: true})
@@ -96,10 +96,10 @@
 
 // restart tells all doors that the first n backends have started at a time.
 func (c *crowd) restart(n int, at time.Duration) {
-	list := BackendList{Kind: ListChanges}
+	list := EndpointUpdate{Kind: UpdateDelta}
 	for _, b := range fleet(n) {
-		b.Started = at
-		list.Backends = append(list.Backends, b)
+		b.StartedAt = at
+		list.Endpoints = append(list.Endpoints, b)
 	}
 	c.tell(list)
 }
@@ -107,15 +107,15 @@
 // unbind takes N off, where what it makes of it is not the matter.
 func (c *crowd) unbind() {
 	for _, g := range c.doors {
-		g.n, g.size[partPool] = 1e6, 1e6
+		g.concurrencyLimit, g.partitionSize[partitionShared] = 1e6, 1e6
 	}
 }
 
 // lending is settings with a counter and a plan that has a ceiling.
 func lending(rate, burst float64) Settings {
 	s := testSettings()
-	s.SharedCounter = true
-	s.Plans = append(s.Plans, Plan{Name: "flagship", Rate: 1000, Burst: 1000, Price: 1, CeilingRate: rate, CeilingBurst: burst, CeilingSlack: 10})
+	s.HasSharedCounter = true
+	s.Plans = append(s.Plans, Plan{Name: "flagship", Rate: 1000, Burst: 1000, Price: 1, HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: 10})
 	return s
 }
 
@@ -145,9 +145,9 @@
 			c.give(l.door, l.counted)
 			continue
 		}
-		o := Outcome{Request: l.id, Backend: l.b, Result: Answered, Took: l.took, Final: true}
+		o := Outcome{Request: l.id, Backend: l.b, Result: Succeeded, Latency: l.took, Final: true}
 		if c.use != nil {
-			o.HasUse, o.Use = true, c.use()
+			o.HasUsage, o.Usage = true, c.use()
 		}
 		c.give(l.door, o)
 	}
@@ -159,8 +159,8 @@
 	for c.now < end {
 		c.pass(gap)
 		c.next++
-		c.give(int(c.next)%len(c.doors), Request{ID: c.next, Customer: CustomerID(c.next), Class: "safe", Plan: "wide", Units: 1,
-			Patience: 6 * second, Spread: len(c.doors)})
+		c.give(int(c.next)%len(c.doors), Request{ID: c.next, Customer: CustomerID(c.next), Class: "safe", Plan: "wide", Cost: 1,
+			Timeout: 6 * second, GatewaySpread: len(c.doors)})
 	}
 }
 
@@ -172,7 +172,7 @@
 		doors, cold := size.doors, size.cold
 		t.Run(fmt.Sprint(doors, " doors, ", cold, " cold"), func(t *testing.T) {
 			s := testSettings()
-			s.FallMultiple = 4
+			s.OverloadFactor = 4
 			c := newCrowd(t, s, doors, fleet(n))
 			c.unbind()
 			// all are crowded from the thirtieth second on, until they start anew
@@ -214,7 +214,7 @@
 			c := newCrowd(t, testSettings(), doors, fleet(60))
 			c.takes = func(BackendID, time.Duration) time.Duration { return 300 * ms }
 			c.run(600, 4*second)
-			if room, most := c.out[NoRoom.String()], 600*4/20; room > most {
+			if room, most := c.out[Overloaded.String()], 600*4/20; room > most {
 				t.Errorf("%d of %d refused for want of room in the first 4 s, want %d at most", room, 600*4, most)
 			}
 		})
@@ -233,7 +233,7 @@
 		for _, asks := range []float64{0.5, 4} {
 			t.Run(fmt.Sprint(doors, "x", asks), func(t *testing.T) {
 				s := testSettings()
-				s.MeterPeriod = seconds(period)
+				s.UsagePeriod = seconds(period)
 				s.Plans = append(s.Plans, Plan{Name: "shop", Rate: rate, Burst: burst, Price: 1})
 				c := newCrowd(t, s, doors, fleet(60))
 				begun := c.now
@@ -252,7 +252,7 @@
 					c.next++
 					n++
 					before := c.out[OverQuota.String()]
-					c.give(door, Request{ID: c.next, Customer: 9, Class: "safe", Plan: "shop", Units: 1, Patience: 6 * second, Spread: doors})
+					c.give(door, Request{ID: c.next, Customer: 9, Class: "safe", Plan: "shop", Cost: 1, Timeout: 6 * second, GatewaySpread: doors})
 					if c.out[OverQuota.String()] == before {
 						used[int((c.now-begun).Seconds()/period)]++
 						sent++
@@ -276,19 +276,19 @@
 	served := map[string]float64{}
 	for _, with := range []string{"none", "sound", "losing", "gone"} {
 		s := lending(rate, burst)
-		s.SharedCounter = with != "none"
+		s.HasSharedCounter = with != "none"
 		c := newCrowd(t, s, 17, fleet(60))
 		rng := rand.New(rand.NewPCG(3, 4))
 		totals := map[uint64]float64{}
-		c.count = func(a Count) (Counted, time.Duration) {
+		c.count = func(a CounterAdd) (CounterResult, time.Duration) {
 			lose := with == "gone" || with == "losing" && rng.Float64() < 0.3
 			if lose && rng.Float64() < 0.5 {
-				return Counted{Ref: a.Ref, Result: Refused}, 10 * ms
+				return CounterResult{Ref: a.Ref, Result: Rejected}, 10 * ms
 			}
-			if totals[a.Name] += a.Amount; lose {
-				return Counted{Ref: a.Ref, Result: TimedOut}, 120 * ms
+			if totals[a.Key] += a.Amount; lose {
+				return CounterResult{Ref: a.Ref, Result: TimedOut}, 120 * ms
 			}
-			return Counted{Ref: a.Ref, Total: totals[a.Name]}, 15 * ms
+			return CounterResult{Ref: a.Ref, Total: totals[a.Key]}, 15 * ms
 		}
 		left, at, least := burst, c.now, burst
 		c.onSend = func() {
@@ -307,7 +307,7 @@
 				door = rng.IntN(17)
 			}
 			c.next++
-			c.give(door, Request{ID: c.next, Customer: 9, Class: "safe", Plan: "flagship", Units: 2, Patience: 6 * second, Spread: 17})
+			c.give(door, Request{ID: c.next, Customer: 9, Class: "safe", Plan: "flagship", Cost: 2, Timeout: 6 * second, GatewaySpread: 17})
 			if c.now < end-5*second {
 				served[with] = float64(len(c.all)) / float64(n+1)
 			}
@@ -317,11 +317,11 @@
 			t.Errorf("counter %s: the ceiling's store is at %.1f", with, least)
 		}
 		for d, g := range c.doors {
-			if len(g.asks) > 8 || len(g.requests) > 0 { // gifts go on
-				t.Errorf("counter %s: door %d keeps %d calls and %d requests", with, d, len(g.asks), len(g.requests))
+			if len(g.counterCalls) > 8 || len(g.requests) > 0 { // gifts go on
+				t.Errorf("counter %s: door %d keeps %d calls and %d requests", with, d, len(g.counterCalls), len(g.requests))
 			}
 		}
-		if got := len(c.all) + c.out[OverQuota.String()] + c.out[NoRoom.String()] + c.out[NoBackend.String()]; got != n {
+		if got := len(c.all) + c.out[OverQuota.String()] + c.out[Overloaded.String()] + c.out[NoBackend.String()]; got != n {
 			t.Errorf("counter %s: %d of %d requests had an answer", with, got, n)
 		}
 	}
@@ -340,14 +340,14 @@
 	for _, doors := range []int{17, 80, 300} {
 		c := newCrowd(t, lending(40, 100), doors, fleet(60))
 		calls, n := map[time.Duration]int{}, 0
-		c.count = func(a Count) (Counted, time.Duration) {
+		c.count = func(a CounterAdd) (CounterResult, time.Duration) {
 			calls[c.now/window]++
 			n++
-			return Counted{Ref: a.Ref, Total: 1}, 15 * ms
+			return CounterResult{Ref: a.Ref, Total: 1}, 15 * ms
 		}
 		for d := range doors {
 			c.next++
-			c.give(d, Request{ID: c.next, Customer: 9, Class: "safe", Plan: "flagship", Units: 1, Patience: 6 * second, Spread: doors})
+			c.give(d, Request{ID: c.next, Customer: 9, Class: "safe", Plan: "flagship", Cost: 1, Timeout: 6 * second, GatewaySpread: doors})
 		}
 		for range 20 * 200 {
 			c.pass(5 * ms)
@@ -369,7 +369,7 @@
 	const n, cold, before, during = 60, 40, 600, 150
 	for _, doors := range []int{2, 10, 80} {
 		s := testSettings()
-		s.FallMultiple = 4
+		s.OverloadFactor = 4
 		c := newCrowd(t, s, doors, fleet(n))
 		restart := 1000*second + time.Duration(20+doors/8)*second
 		c.takes = func(b BackendID, now time.Duration) time.Duration {
@@ -403,15 +403,15 @@
 	for _, doors := range []int{2, 10, 80, 300} {
 		c := newCrowd(t, lending(400, 2000), doors, fleet(20))
 		calls, moments := 0, map[time.Duration]int{}
-		c.count = func(a Count) (Counted, time.Duration) {
+		c.count = func(a CounterAdd) (CounterResult, time.Duration) {
 			calls++
 			moments[c.now]++
-			return Counted{Ref: a.Ref, Total: 1}, 15 * ms
+			return CounterResult{Ref: a.Ref, Total: 1}, 15 * ms
 		}
 		for d := range min(doors, 40) {
 			for k := range customers {
 				c.next++
-				c.give(d, Request{ID: c.next, Customer: CustomerID(k), Class: "safe", Plan: "flagship", Units: 1, Patience: 6 * second, Spread: doors})
+				c.give(d, Request{ID: c.next, Customer: CustomerID(k), Class: "safe", Plan: "flagship", Cost: 1, Timeout: 6 * second, GatewaySpread: doors})
 			}
 		}
 		for range 10000 { // parts are full, and what requests drew is over
@@ -426,7 +426,7 @@
 		for _, n := range moments {
 			most = max(most, n)
 		}
-		if asking := min(doors, 40); calls > 4*max(100, asking)+asking*giftsOfOne || most > 2*giftsOfOne || calls == 0 {
+		if asking := min(doors, 40); calls > 4*max(100, asking)+asking*depositsPerTickMax || most > 2*depositsPerTickMax || calls == 0 {
 			t.Errorf("%d doors: %d gifts in 4 s, %d in one moment", doors, calls, most)
 		}
 	}
@@ -438,14 +438,14 @@
 	for _, doors := range []int{1, 80, 300} {
 		c := newCrowd(t, testSettings(), doors, fleet(40))
 		c.run(400, 4*second)
-		c.tell(BackendList{Kind: ListFull})
+		c.tell(EndpointUpdate{Kind: UpdateFull})
 		clear(c.sent)
 		refused := c.out[NoBackend.String()]
 		c.run(400, 2*second)
 		if len(c.sent) > 0 || c.out[NoBackend.String()] != refused+800 {
 			t.Errorf("%d doors: sent to %d backends that are not listed, %d refused", doors, len(c.sent), c.out[NoBackend.String()]-refused)
 		}
-		c.tell(BackendList{Kind: ListFull, Backends: fleet(40)})
+		c.tell(EndpointUpdate{Kind: UpdateFull, Endpoints: fleet(40)})
 		before := len(c.all)
 		c.run(400, 2*second)
 		if got := len(c.all) - before; got < 800*95/100 || len(c.sent) < 30 {
@@ -463,12 +463,12 @@
 // than a door may have out.
 func TestABurstAfterAnIdleMinute(t *testing.T) {
 	s := lending(40, 100)
-	s.WarmWithin, s.FallMultiple = 5*60*second, 4
+	s.SlowStartWindow, s.OverloadFactor = 5*60*second, 4
 	c := newCrowd(t, s, 80, fleet(40))
 	calls := 0
-	c.count = func(a Count) (Counted, time.Duration) {
+	c.count = func(a CounterAdd) (CounterResult, time.Duration) {
 		calls++
-		return Counted{Ref: a.Ref, Total: 50}, 15 * ms
+		return CounterResult{Ref: a.Ref, Total: 50}, 15 * ms
 	}
 	c.run(800, 5*second)
 	c.restart(20, c.now)
@@ -480,7 +480,7 @@
 	for k := range 200 {
 		c.next++
 		plan := []string{"wide", "flagship"}[k%2]
-		c.give(0, Request{ID: c.next, Customer: CustomerID(k % 7), Class: "safe", Plan: plan, Units: 1, Patience: 6 * second, Spread: 80})
+		c.give(0, Request{ID: c.next, Customer: CustomerID(k % 7), Class: "safe", Plan: plan, Cost: 1, Timeout: 6 * second, GatewaySpread: 80})
 	}
 	for b := BackendID(1); b <= 20; b++ {
 		if c.sent[b] > 1 {
@@ -498,15 +498,15 @@
 	for _, doors := range []int{1, 3, 80} {
 		for _, set := range [][2]int{{1000, 0}, {300, 299}, {doors + 1, -7}, {0, 5}, {-3, 1 << 40}} {
 			s := testSettings()
-			s.Plans = append(s.Plans, Plan{Name: "flagship", Rate: 1e6, Burst: 1e6, Price: 1, CeilingRate: 30, CeilingBurst: 90, CeilingSlack: 5})
+			s.Plans = append(s.Plans, Plan{Name: "flagship", Rate: 1e6, Burst: 1e6, Price: 1, HardLimitRate: 30, HardLimitBurst: 90, HardLimitOverdraft: 5})
 			c := newCrowd(t, s, doors, fleet(20))
 			member, part := 0, 0.0
 			for d, g := range c.doors {
 				c.next++
-				c.give(d, Request{ID: c.next, Customer: 9, Class: "safe", Plan: "flagship", Units: 1, Patience: 6 * second, Spread: set[0], FirstDoor: set[1]})
-				if k := g.customers[9]; k.member {
+				c.give(d, Request{ID: c.next, Customer: 9, Class: "safe", Plan: "flagship", Cost: 1, Timeout: 6 * second, GatewaySpread: set[0], FirstGateway: set[1]})
+				if k := g.customers[9]; k.isMember {
 					member++
-					part += k.ceilPart()
+					part += k.hardLimitShare()
 				}
 			}
 			want := min(max(set[0], 1), doors)
@@ -521,13 +521,13 @@
 func TestOneTrialOfACounterThatIsGone(t *testing.T) {
 	c := newCrowd(t, lending(400, 2000), 2, fleet(20))
 	moments := map[time.Duration]int{}
-	c.count = func(a Count) (Counted, time.Duration) {
+	c.count = func(a CounterAdd) (CounterResult, time.Duration) {
 		moments[c.now]++
-		return Counted{Ref: a.Ref, Result: TimedOut}, 120 * ms
+		return CounterResult{Ref: a.Ref, Result: TimedOut}, 120 * ms
 	}
 	for k := range 50 {
 		c.next++
-		c.give(0, Request{ID: c.next, Customer: CustomerID(k), Class: "safe", Plan: "flagship", Units: 1, Patience: 6 * second, Spread: 2})
+		c.give(0, Request{ID: c.next, Customer: CustomerID(k), Class: "safe", Plan: "flagship", Cost: 1, Timeout: 6 * second, GatewaySpread: 2})
 	}
 	for c.now < 1010*second {
 		c.pass(ms)
--- a/decision/gateway_test.go
+++ b/decision/gateway_test.go
@@ -13,40 +13,42 @@
 const ms = time.Millisecond
 
 func testSettings() Settings {
-	return Settings{FrontDoors: 2, Zone: "z1", MeterPeriod: second, LargestUnits: 2, MaxAttempts: 3,
-		ParallelTries: true, CanCancel: true, AnswerGrace: 16 * ms, DrainGrace: second, ColdFrom: 0.2,
-		WarmWithin: 10 * second, FallMultiple: 2.5, FallFor: second, MaxRetryAfter: second,
+	return Settings{GatewayCount: 2, Zone: "z1", UsagePeriod: second, MaxCost: 2, MaxAttempts: 3,
+		AllowHedging: true, CanCancel: true, ResponseGrace: 16 * ms, DrainGrace: second, SlowStartMinCapacity: 0.2,
+		SlowStartWindow: 10 * second, OverloadFactor: 2.5, OverloadDuration: second, MaxRetryAfter: second,
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, Aim: 2 * second, Deadline: 6 * second, Worth: 1},
-			{Name: "dear", Effect: Safe, Aim: 2 * second, Deadline: 6 * second, Worth: 5},
-			{Name: "once", Effect: Unsafe, Aim: 2 * second, Deadline: 6 * second, Worth: 3},
-			{Name: "keyed", Effect: Keyed, Group: GroupAll, KeyWindow: 3 * second, Aim: 2 * second,
-				Deadline: 6 * second, Worth: 3},
-			{Name: "celled", Effect: Keyed, Group: GroupCell, KeyWindow: 3 * second, Aim: 2 * second,
-				Deadline: 6 * second, Worth: 3},
-			{Name: "zoned", Effect: Keyed, Group: GroupZone, KeyWindow: 3 * second, Aim: 2 * second,
-				Deadline: 6 * second, Worth: 3},
+			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 2 * second, Deadline: 6 * second, PriorityWeight: 1},
+			{Name: "dear", Idempotency: Idempotent, LatencyObjective: 2 * second, Deadline: 6 * second, PriorityWeight: 5},
+			{Name: "once", Idempotency: NonIdempotent, LatencyObjective: 2 * second, Deadline: 6 * second, PriorityWeight: 3},
+			{Name: "keyed", Idempotency: IdempotentByKey, DedupScope: DedupScopeAll, DedupWindow: 3 * second, LatencyObjective: 2 * second,
+				Deadline: 6 * second, PriorityWeight: 3},
+			{Name: "celled", Idempotency: IdempotentByKey, DedupScope: DedupScopeCell, DedupWindow: 3 * second, LatencyObjective: 2 * second,
+				Deadline: 6 * second, PriorityWeight: 3},
+			{Name: "zoned", Idempotency: IdempotentByKey, DedupScope: DedupScopeZone, DedupWindow: 3 * second, LatencyObjective: 2 * second,
+				Deadline: 6 * second, PriorityWeight: 3},
 		},
 		Plans: []Plan{
 			{Name: "wide", Rate: 1000, Burst: 1000, Price: 1},
 			{Name: "rated", Rate: 2, Burst: 4, Price: 1},
-			{Name: "capped", Rate: 100, Burst: 100, Price: 1, CeilingRate: 4, CeilingBurst: 8, CeilingSlack: 1},
-			{Name: "open", Open: 4, Price: 1},
+			{Name: "capped", Rate: 100, Burst: 100, Price: 1, HardLimitRate: 4, HardLimitBurst: 8, HardLimitOverdraft: 1},
+			{Name: "open", MaxInFlight: 4, Price: 1},
 		}}
 }
 
 // held is how many slots are taken.
-func held(g *Gateway) int { return g.used[partHigh] + g.used[partLow] + g.used[partPool] }
+func held(g *Engine) int {
+	return g.partitionInUse[partitionHigh] + g.partitionInUse[partitionLow] + g.partitionInUse[partitionShared]
+}
 
 // rig drives one gateway by hand-made events.
 type rig struct {
 	t    *testing.T
-	g    *Gateway
+	g    *Engine
 	now  time.Duration
 	next RequestID
 }
 
-func newRig(t *testing.T, s Settings, backends ...BackendInfo) *rig {
+func newRig(t *testing.T, s Settings, backends ...Endpoint) *rig {
 	t.Helper()
 	r := &rig{t: t, now: 1000 * second}
 	g, err := New(s, 7, r.now)
@@ -54,19 +56,19 @@
 		t.Fatal(err)
 	}
 	r.g = g
-	r.do(BackendList{Kind: ListSaved, Backends: backends})
+	r.do(EndpointUpdate{Kind: UpdateCached, Endpoints: backends})
 	return r
 }
 
-func fleet(n int) (out []BackendInfo) {
+func fleet(n int) (out []Endpoint) {
 	for i := 1; i <= n; i++ {
-		out = append(out, BackendInfo{ID: BackendID(i), Zone: "z" + string(rune('0'+i%2)), Cell: i % 2})
+		out = append(out, Endpoint{ID: BackendID(i), Zone: "z" + string(rune('0'+i%2)), Cell: i % 2})
 	}
 	return out
 }
 
 // all are the backends that a gateway knows, by their ids.
-func all(g *Gateway) []*backend {
+func all(g *Engine) []*backend {
 	return slices.SortedFunc(maps.Values(g.backends), func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
 }
 
@@ -74,13 +76,13 @@
 
 func (r *rig) ask(class, plan string, customer CustomerID) (RequestID, []Action) {
 	r.next++
-	return r.next, r.do(Request{ID: r.next, Customer: customer, Class: class, Plan: plan, Units: 1,
-		Patience: 6 * second, Spread: 2})
+	return r.next, r.do(Request{ID: r.next, Customer: customer, Class: class, Plan: plan, Cost: 1,
+		Timeout: 6 * second, GatewaySpread: 2})
 }
 
-func sends(as []Action) (out []Send) {
+func sends(as []Action) (out []StartAttempt) {
 	for _, a := range as {
-		if s, ok := a.(Send); ok {
+		if s, ok := a.(StartAttempt); ok {
 			out = append(out, s)
 		}
 	}
@@ -90,7 +92,7 @@
 func finals(as []Action) (refused, failed int) {
 	for _, a := range as {
 		switch a.(type) {
-		case Refuse:
+		case Reject:
 			refused++
 		case Fail:
 			failed++
@@ -100,21 +102,21 @@
 }
 
 func (r *rig) outcome(id RequestID, b BackendID, try int, res Result) []Action {
-	return r.do(Outcome{Request: id, Backend: b, Attempt: try, Result: res, Took: 100 * ms, Final: res == Answered})
+	return r.do(Outcome{Request: id, Backend: b, Attempt: try, Result: res, Latency: 100 * ms, Final: res == Succeeded})
 }
 
 func TestSettingsThatCannotWork(t *testing.T) {
 	cases := map[string]func(*Settings){
 		"no classes":      func(s *Settings) { s.Classes = nil },
 		"no plans":        func(s *Settings) { s.Plans = nil },
-		"no front doors":  func(s *Settings) { s.FrontDoors = 0 },
+		"no front doors":  func(s *Settings) { s.GatewayCount = 0 },
 		"no attempts":     func(s *Settings) { s.MaxAttempts = 0 },
-		"worth NaN":       func(s *Settings) { s.Classes[0].Worth = math.NaN() },
-		"no aim":          func(s *Settings) { s.Classes[0].Aim = 0 },
+		"worth NaN":       func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
+		"no aim":          func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"rate NaN":        func(s *Settings) { s.Plans[0].Rate = math.NaN() },
 		"rate infinite":   func(s *Settings) { s.Plans[0].Rate = math.Inf(1) },
 		"no burst":        func(s *Settings) { s.Plans[0].Burst = 0 },
-		"ceiling below 0": func(s *Settings) { s.Plans[2].CeilingRate = -1 },
+		"ceiling below 0": func(s *Settings) { s.Plans[2].HardLimitRate = -1 },
 	}
 	for name, spoil := range cases {
 		s := testSettings()
@@ -132,31 +134,31 @@
 	r := newRig(t, testSettings(), fleet(2)...)
 	id, as := r.ask("safe", "wide", 1)
 	b := sends(as)[0].Backend
-	r.outcome(id, b, 0, Answered)
+	r.outcome(id, b, 0, Succeeded)
 	for _, ev := range []Event{
 		Outcome{Request: id, Backend: b, Result: TimedOut}, Outcome{Request: 999, Backend: 77},
-		Outcome{Request: id, Attempt: -4}, ClientGone{Request: id}, ClientGone{Request: 12345},
-		Timer{Token: 1 << 40}, Timer{Token: 2}, Timer{Token: 3}, AnswerStarted{Request: 5},
-		ProbeResult{Backend: 99}, BackendList{Kind: ListFailed},
-		BackendList{Kind: ListChanges, Backends: []BackendInfo{{ID: 50, State: Gone}}},
+		Outcome{Request: id, Attempt: -4}, ClientDisconnected{Request: id}, ClientDisconnected{Request: 12345},
+		Timer{Token: 1 << 40}, Timer{Token: 2}, Timer{Token: 3}, ResponseStarted{Request: 5},
+		ProbeResult{Backend: 99}, EndpointUpdate{Kind: UpdateFailed},
+		EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{ID: 50, State: Removed}}},
 	} {
 		if as := r.do(ev); len(as) != 0 {
 			t.Errorf("%#v led to %v", ev, as)
 		}
 	}
-	if r.g.used != [3]int{} {
-		t.Errorf("slots left in use: %v", r.g.used)
+	if r.g.partitionInUse != [3]int{} {
+		t.Errorf("slots left in use: %v", r.g.partitionInUse)
 	}
 }
 
 func TestRequestsThatCannotGoAreRefusedAtOnce(t *testing.T) {
-	good := Request{ID: 1, Class: "safe", Plan: "wide", Units: 1, Patience: second, Spread: 1}
+	good := Request{ID: 1, Class: "safe", Plan: "wide", Cost: 1, Timeout: second, GatewaySpread: 1}
 	cases := map[string]func(*Request){
 		"class":    func(q *Request) { q.Class = "?" },
 		"plan":     func(q *Request) { q.Plan = "?" },
-		"units":    func(q *Request) { q.Units = math.NaN() },
-		"negative": func(q *Request) { q.Units = -1 },
-		"patience": func(q *Request) { q.Patience = 0 },
+		"units":    func(q *Request) { q.Cost = math.NaN() },
+		"negative": func(q *Request) { q.Cost = -1 },
+		"patience": func(q *Request) { q.Timeout = 0 },
 	}
 	for name, spoil := range cases {
 		r, q := newRig(t, testSettings(), fleet(1)...), good
@@ -173,81 +175,81 @@
 
 func TestTierBoundaryIsTheRecentMedian(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(1)...)
-	for range medianOver {
-		r.g.isHigh(3)
+	for range weightSamples {
+		r.g.isHighPriority(3)
 	}
 	r.now += second
 	r.do(Timer{Token: 0})
-	if r.g.isHigh(3) || r.g.isHigh(1) || !r.g.isHigh(5) {
+	if r.g.isHighPriority(3) || r.g.isHighPriority(1) || !r.g.isHighPriority(5) {
 		t.Error("high is what tops the recent median, a tie is low")
 	}
-	for range medianOver {
-		r.g.isHigh(9)
+	for range weightSamples {
+		r.g.isHighPriority(9)
 	}
 	r.do(Timer{Token: 0})
-	if r.g.isHigh(5) || len(r.g.worths) != medianOver {
-		t.Errorf("the median does not follow, or %d worths are kept", len(r.g.worths))
+	if r.g.isHighPriority(5) || len(r.g.recentWeights) != weightSamples {
+		t.Errorf("the median does not follow, or %d worths are kept", len(r.g.recentWeights))
 	}
 }
 
 func TestOwnReserveThenPoolThenSubrating(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(1)...)
 	g := r.g
-	g.n, g.size = 5*fewSlots, [3]float64{1 * fewSlots, 1 * fewSlots, 3 * fewSlots}
-	for range int(fewSlots) - 1 { // all but the last slot of each reserve, and of the pool all but three by marked ones
-		g.used[partHigh]++
-		g.used[partLow]++
+	g.concurrencyLimit, g.partitionSize = 5*smallPartitionSlots, [3]float64{1 * smallPartitionSlots, 1 * smallPartitionSlots, 3 * smallPartitionSlots}
+	for range int(smallPartitionSlots) - 1 { // all but the last slot of each reserve, and of the pool all but three by marked ones
+		g.partitionInUse[partitionHigh]++
+		g.partitionInUse[partitionLow]++
 	}
-	g.used[partPool] = 3*fewSlots - 3
+	g.partitionInUse[partitionShared] = 3*smallPartitionSlots - 3
 	var held []*slot
 	take := func(high bool, want int) {
 		t.Helper()
-		s := g.takeSlot(high)
+		s := g.acquireSlot(high)
 		if got := func() int {
 			if s == nil {
 				return -1
 			}
 			held = append(held, s)
-			return s.part
+			return s.partition
 		}(); got != want {
 			t.Fatalf("slot of part %d, want %d", got, want)
 		}
 	}
-	take(false, partLow)
-	take(false, partPool)
-	take(false, partPool)
-	take(true, partHigh)
-	take(true, partPool)
-	take(false, -1)      // the pool is full
-	take(true, partPool) // two low ones are marked
-	take(true, -1)       // none is left to mark
-	if g.marked != alpha || g.used != [3]int{fewSlots, fewSlots, 3*fewSlots + 1} {
-		t.Fatalf("marked %d, used %v", g.marked, g.used)
+	take(false, partitionLow)
+	take(false, partitionShared)
+	take(false, partitionShared)
+	take(true, partitionHigh)
+	take(true, partitionShared)
+	take(false, -1)             // the pool is full
+	take(true, partitionShared) // two low ones are marked
+	take(true, -1)              // none is left to mark
+	if g.subratedSlots != subratedPerSlot || g.partitionInUse != [3]int{smallPartitionSlots, smallPartitionSlots, 3*smallPartitionSlots + 1} {
+		t.Fatalf("marked %d, used %v", g.subratedSlots, g.partitionInUse)
 	}
 	for _, s := range held {
-		g.freeSlot(s)
+		g.releaseSlot(s)
 	}
-	if g.marked != 0 || g.used != [3]int{fewSlots - 1, fewSlots - 1, 3*fewSlots - 3} {
-		t.Fatalf("left: marked %d used %v", g.marked, g.used)
+	if g.subratedSlots != 0 || g.partitionInUse != [3]int{smallPartitionSlots - 1, smallPartitionSlots - 1, 3*smallPartitionSlots - 3} {
+		t.Fatalf("left: marked %d used %v", g.subratedSlots, g.partitionInUse)
 	}
 }
 
 func TestShrunkReserveTakesNoneUntilItDrains(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(1)...)
 	g := r.g
-	g.n = 2 * fewSlots
-	g.used[partHigh] = 2*fewSlots - 2
-	g.size = [3]float64{2 * fewSlots, 0, 0}
-	a, b := g.takeSlot(true), g.takeSlot(true)
-	g.size = [3]float64{fewSlots, fewSlots, 0}
-	if g.takeSlot(true) != nil {
+	g.concurrencyLimit = 2 * smallPartitionSlots
+	g.partitionInUse[partitionHigh] = 2*smallPartitionSlots - 2
+	g.partitionSize = [3]float64{2 * smallPartitionSlots, 0, 0}
+	a, b := g.acquireSlot(true), g.acquireSlot(true)
+	g.partitionSize = [3]float64{smallPartitionSlots, smallPartitionSlots, 0}
+	if g.acquireSlot(true) != nil {
 		t.Error("admitted above a shrunken reserve with no pool")
 	}
-	g.freeSlot(a)
-	g.freeSlot(b)
-	g.used[partHigh] -= fewSlots - 1
-	if g.takeSlot(true) == nil || g.used != [3]int{fewSlots, 0, 0} {
-		t.Errorf("the accounts do not fit after the change: %v", g.used)
+	g.releaseSlot(a)
+	g.releaseSlot(b)
+	g.partitionInUse[partitionHigh] -= smallPartitionSlots - 1
+	if g.acquireSlot(true) == nil || g.partitionInUse != [3]int{smallPartitionSlots, 0, 0} {
+		t.Errorf("the accounts do not fit after the change: %v", g.partitionInUse)
 	}
 }
 
@@ -274,7 +276,7 @@
 			total += p(fh/mu, i, nm) * p(fl/mu, j, nm-i) * (float64(i)*mu*vh + float64(j)*mu*vl)
 		}
 		full := p(fh/mu, i, nm) * p(fl/mu, nm-i, nm-i)
-		omega := (nm - i) / alpha
+		omega := (nm - i) / subratedPerSlot
 		for k := 0; k <= omega; k++ {
 			total += full * float64(k) * mu * (vh - vl) * p(fh/mu, k, omega)
 		}
@@ -304,7 +306,7 @@
 		{math.Inf(1), 5, 5, 1, 2, 1}, {1, 5, 5, 1, 2, 1}, {16, 0, 9, 1, 2, 1}, {16, 9, 0, 1, 2, 1},
 		{16, 9, 9, 1, 1, 1}, {3000, 2000, 2000, 1, 2, 1}, {16, 0, 0, 1, 0, 0},
 	} {
-		h, l := bestSplit(c.n, c.lh, c.ll, c.mu, c.vh, c.vl)
+		h, l := bestPartition(c.n, c.lh, c.ll, c.mu, c.vh, c.vl)
 		if math.IsNaN(h) || h < 0 || l < 0 || h+l > c.n || math.IsInf(c.n, 1) && h+l != 0 {
 			t.Errorf("%+v: %v %v", c, h, l)
 		}
@@ -317,7 +319,7 @@
 			}
 		}
 	}
-	if h, l := bestSplit(16, 15, 10, 1, 2, 1); int(h) != bh || int(l) != bl {
+	if h, l := bestPartition(16, 15, 10, 1, 2, 1); int(h) != bh || int(l) != bl {
 		t.Errorf("split %v %v, the naive search finds %d %d", h, l, bh, bl)
 	}
 }
@@ -326,14 +328,14 @@
 	press := func(n, bad, ended float64, sick int, flow float64) float64 {
 		r := newRig(t, testSettings(), fleet(3)...)
 		g := r.g
-		g.n, g.size, g.ended, g.bads = n, [3]float64{0, 0, n}, ended, bad
-		g.used[partPool], g.sendRate = 50, 50 // many sends: a second is weighed by a half
-		g.flow, g.aims, g.flowFor = flow, flow, 1
+		g.concurrencyLimit, g.partitionSize, g.endedAttempts, g.badOutcomes = n, [3]float64{0, 0, n}, ended, bad
+		g.partitionInUse[partitionShared], g.sendRate = 50, 50 // many sends: a second is weighed by a half
+		g.sustainableConcurrency, g.sustainableSum, g.sustainableWeight = flow, flow, 1
 		for _, b := range all(g)[:sick] {
-			g.roster.Note(&b.place, g.now)
+			g.index.RecordFailure(&b.entry, g.now)
 		}
-		g.adjustN(1)
-		return g.n
+		g.adjustConcurrencyLimit(1)
+		return g.concurrencyLimit
 	}
 	inf := math.Inf(1)
 	for _, c := range []struct {
@@ -367,13 +369,13 @@
 func TestSubratedAttemptsDoNotLiftN(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(3)...)
 	g := r.g
-	g.n, g.size, g.marked, g.ended, g.bads, g.flow = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
-	g.used[partPool] = 130
+	g.concurrencyLimit, g.partitionSize, g.subratedSlots, g.endedAttempts, g.badOutcomes, g.sustainableConcurrency = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
+	g.partitionInUse[partitionShared] = 130
 	for _, b := range all(g) {
-		g.roster.Note(&b.place, g.now)
+		g.index.RecordFailure(&b.entry, g.now)
 	}
-	if g.adjustN(1); g.n != 90 {
-		t.Errorf("N %v, want 90", g.n)
+	if g.adjustConcurrencyLimit(1); g.concurrencyLimit != 90 {
+		t.Errorf("N %v, want 90", g.concurrencyLimit)
 	}
 }
 
@@ -385,7 +387,7 @@
 	}
 	r.now += 1100 * ms
 	r.do(Timer{Token: 0})
-	if math.IsInf(r.g.n, 1) {
+	if math.IsInf(r.g.concurrencyLimit, 1) {
 		t.Error("N stayed unbounded with 30 attempts past half their aim")
 	}
 }
@@ -395,28 +397,28 @@
 	r := newRig(t, testSettings(), fleet(3)...)
 	for i := range 30 {
 		id, as := r.ask("safe", "wide", CustomerID(i))
-		r.outcome(id, sends(as)[0].Backend, 0, Answered)
+		r.outcome(id, sends(as)[0].Backend, 0, Succeeded)
 	}
 	for i := range 200 {
 		r.ask("safe", "wide", CustomerID(i))
 	}
 	r.now += 300 * ms // nothing is late yet
 	r.do(Timer{Token: 0})
-	if r.g.n > 30 {
-		t.Errorf("N %v after a second with 30 answers and 200 attempts out", r.g.n)
+	if r.g.concurrencyLimit > 30 {
+		t.Errorf("N %v after a second with 30 answers and 200 attempts out", r.g.concurrencyLimit)
 	}
 }
 
 func TestLateIsMeasuredByTheBestLatencyToo(t *testing.T) {
-	c := class{Class: Class{Aim: 4 * second}, base: 0.1}
-	if got := c.late(); math.Abs(got-lateBase*0.1) > 1e-9 {
-		t.Errorf("late from %v s, want %v times the best latency", got, lateBase)
+	c := class{Class: Class{LatencyObjective: 4 * second}, bestLatency: 0.1}
+	if got := c.lateAfter(); math.Abs(got-lateLatencyFactor*0.1) > 1e-9 {
+		t.Errorf("late from %v s, want %v times the best latency", got, lateLatencyFactor)
 	}
-	if c.base = 0.001; c.late() != 4.0/64 {
-		t.Errorf("late from %v s, want a 64th of the aim", c.late())
+	if c.bestLatency = 0.001; c.lateAfter() != 4.0/64 {
+		t.Errorf("late from %v s, want a 64th of the aim", c.lateAfter())
 	}
-	if c.base = 3; c.late() != 2 {
-		t.Errorf("late from %v s, want half the aim", c.late())
+	if c.bestLatency = 3; c.lateAfter() != 2 {
+		t.Errorf("late from %v s, want half the aim", c.lateAfter())
 	}
 }
 
@@ -445,7 +447,7 @@
 		for len(flying) > 0 && r.now-flying[0].at >= took {
 			o := flying[0]
 			flying = flying[1:]
-			r.do(Outcome{Request: o.id, Backend: o.b, Result: Answered, Took: took, Final: true})
+			r.do(Outcome{Request: o.id, Backend: o.b, Result: Succeeded, Latency: took, Final: true})
 		}
 	}
 	for range 4 { // seconds
@@ -463,16 +465,16 @@
 		r.do(Timer{Token: 0})
 	}
 	if refused > 0 {
-		t.Errorf("%d of %d were refused, N is %v", refused, asked, r.g.n)
+		t.Errorf("%d of %d were refused, N is %v", refused, asked, r.g.concurrencyLimit)
 	}
 }
 
 func TestDrainAndRemovalStopSendsAtOnce(t *testing.T) {
 	two := fleet(2)
-	for name, list := range map[string]BackendList{
-		"drains":           {Kind: ListChanges, Backends: []BackendInfo{{ID: 1, State: Draining}}},
-		"gone":             {Kind: ListChanges, Backends: []BackendInfo{{ID: 1, State: Gone}}},
-		"not in full list": {Kind: ListFull, Backends: two[1:]},
+	for name, list := range map[string]EndpointUpdate{
+		"drains":           {Kind: UpdateDelta, Endpoints: []Endpoint{{ID: 1, State: Draining}}},
+		"gone":             {Kind: UpdateDelta, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
+		"not in full list": {Kind: UpdateFull, Endpoints: two[1:]},
 	} {
 		r := newRig(t, testSettings(), two...)
 		r.do(list)
@@ -494,16 +496,16 @@
 		refused, failed int
 	}{
 		{"safe", TimedOut, 0, true, 0, 0},
-		{"once", Refused, 0, true, 0, 0},
-		{"once", NoConnection, 0, true, 0, 0},
+		{"once", Rejected, 0, true, 0, 0},
+		{"once", ConnectFailed, 0, true, 0, 0},
 		{"once", TimedOut, 0, false, 0, 1},
-		{"once", AnsweredErr, 0, false, 0, 1},
+		{"once", ErrorResponse, 0, false, 0, 1},
 		{"once", Unknown, 0, false, 0, 1},
-		{"keyed", Broken, 0, true, 0, 0},
-		{"keyed", Broken, 4 * second, false, 0, 1},
-		{"celled", Broken, 0, false, 0, 1}, // the other backend is in another cell
-		{"zoned", Broken, 0, false, 0, 1},
-		{"celled", Refused, 0, true, 0, 0},
+		{"keyed", ConnectionLost, 0, true, 0, 0},
+		{"keyed", ConnectionLost, 4 * second, false, 0, 1},
+		{"celled", ConnectionLost, 0, false, 0, 1}, // the other backend is in another cell
+		{"zoned", ConnectionLost, 0, false, 0, 1},
+		{"celled", Rejected, 0, true, 0, 0},
 	} {
 		r := newRig(t, testSettings(), fleet(2)...)
 		id, as := r.ask(c.class, "wide", 1)
@@ -514,7 +516,7 @@
 		if got := sends(as); (len(got) == 1) != c.resend || refused != c.refused || failed != c.failed {
 			t.Errorf("%s after %d: sends %v, refused %d, failed %d", c.class, c.first, got, refused, failed)
 		}
-		if held(r.g) != b2i(c.resend) {
+		if held(r.g) != boolToInt(c.resend) {
 			t.Errorf("%s: %d slots held", c.class, held(r.g))
 		}
 	}
@@ -525,14 +527,14 @@
 	s.MaxAttempts = 2
 	r := newRig(t, s, fleet(3)...)
 	id, as := r.ask("safe", "wide", 1)
-	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredErr)
-	as = r.outcome(id, sends(as)[0].Backend, 1, AnsweredErr)
+	as = r.outcome(id, sends(as)[0].Backend, 0, ErrorResponse)
+	as = r.outcome(id, sends(as)[0].Backend, 1, ErrorResponse)
 	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
 		t.Errorf("after the last attempt: %v", as)
 	}
 	id, as = r.ask("safe", "wide", 1)
 	r.now += 6*second - 10*ms
-	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredErr)
+	as = r.outcome(id, sends(as)[0].Backend, 0, ErrorResponse)
 	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
 		t.Errorf("a retry that cannot be answered in time: %v", as)
 	}
@@ -558,7 +560,7 @@
 // With hundreds of doors a least N of one attempt a door was a jam by itself, for good (ifd7116, i2d298a, ibf5006).
 func TestNIsAFractionAtManyDoors(t *testing.T) {
 	s := testSettings()
-	s.FrontDoors = 600
+	s.GatewayCount = 600
 	r := newRig(t, s, fleet(60)...)
 	var out [][]Action
 	for i := range 90 { // requests of which none is answered; their clients leave after six seconds
@@ -569,13 +571,13 @@
 		r.now += second
 		for _, as := range out[max(0, len(out)-21):max(0, len(out)-18)] {
 			for _, a := range sends(as) {
-				r.do(Outcome{Request: a.Request, Backend: a.Backend, Result: TimedOut, Took: 6 * second, Final: true})
+				r.do(Outcome{Request: a.Request, Backend: a.Backend, Result: TimedOut, Latency: 6 * second, Final: true})
 			}
 		}
 		r.do(Timer{Token: 0})
 	}
-	if r.g.n > 1.5 || r.g.n < 60.0/600 {
-		t.Errorf("N %v after 90 s without an answer, want about one", r.g.n)
+	if r.g.concurrencyLimit > 1.5 || r.g.concurrencyLimit < 60.0/600 {
+		t.Errorf("N %v after 90 s without an answer, want about one", r.g.concurrencyLimit)
 	}
 }
 
@@ -583,19 +585,19 @@
 func TestASmallPartIsHeldOnAverage(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(4)...)
 	g := r.g
-	g.n, g.bestLat = 0.4, 0.1
-	g.size = [3]float64{0, 0, g.n}
-	g.busyAt = r.now
+	g.concurrencyLimit, g.bestLatency = 0.4, 0.1
+	g.partitionSize = [3]float64{0, 0, g.concurrencyLimit}
+	g.partitionLoadAt = r.now
 	passed, busy := 0, 0.0
 	for range 2000 { // 20 s of arrivals every 10 ms, each held 100 ms
 		r.now += 10 * ms
 		g.now = r.now
-		if s := g.takeSlot(false); s != nil {
+		if s := g.acquireSlot(false); s != nil {
 			passed++
 			r.now += 100 * ms
 			g.now = r.now
-			g.average()
-			g.freeSlot(s)
+			g.updatePartitionLoad()
+			g.releaseSlot(s)
 			busy += 0.1
 		}
 	}
@@ -606,8 +608,8 @@
 
 // The split of a small N is that of a larger whole, in its proportion.
 func TestSmallNIsSplitInProportion(t *testing.T) {
-	h, l := bestSplit(20, 15, 10, 1, 5, 1)
-	sh, sl := bestSplit(0.2, 0.15, 0.1, 1, 5, 1)
+	h, l := bestPartition(20, 15, 10, 1, 5, 1)
+	sh, sl := bestPartition(0.2, 0.15, 0.1, 1, 5, 1)
 	if math.Abs(sh-h/100) > 1e-9 || math.Abs(sl-l/100) > 1e-9 || h+l == 0 {
 		t.Errorf("split %v %v of 20 slots, %v %v of a fifth of one", h, l, sh, sl)
 	}
@@ -620,14 +622,14 @@
 		low, high int
 	}{{2, 4, 8}, {1000, 60, 100}} {
 		r := newRig(t, testSettings(), fleet(100)...)
-		r.g.sendRate, r.g.fleets[""].sendRate = c.rate, c.rate
+		r.g.sendRate, r.g.pools[""].sendRate = c.rate, c.rate
 		met := map[BackendID]bool{}
 		for i := range 400 {
 			id, as := r.ask("safe", "wide", CustomerID(i))
 			for _, s := range sends(as) {
 				met[s.Backend] = true
 				r.now += ms
-				r.outcome(id, s.Backend, 0, Answered)
+				r.outcome(id, s.Backend, 0, Succeeded)
 			}
 		}
 		if len(met) < c.low || len(met) > c.high {
@@ -646,9 +648,9 @@
 		}
 	}
 	r := newRig(t, testSettings(), mixed...)
-	ask := func(protocol string) (RequestID, []Send) {
+	ask := func(protocol string) (RequestID, []StartAttempt) {
 		r.next++
-		return r.next, sends(r.do(Request{ID: r.next, Customer: 1, Class: "safe", Plan: "wide", Units: 1, Patience: 6 * second, Spread: 2, Protocol: protocol}))
+		return r.next, sends(r.do(Request{ID: r.next, Customer: 1, Class: "safe", Plan: "wide", Cost: 1, Timeout: 6 * second, GatewaySpread: 2, Protocol: protocol}))
 	}
 	other := func(b BackendID) bool { return b == 1 || b == 4 }
 	for i := range 40 {
@@ -658,16 +660,16 @@
 			if other(as[0].Backend) != (protocol == "other") {
 				t.Fatalf("a request over %q was sent to %d", protocol, as[0].Backend)
 			}
-			as = sends(r.outcome(id, as[0].Backend, try, Broken))
+			as = sends(r.outcome(id, as[0].Backend, try, ConnectionLost))
 		}
 	}
 	if _, as := ask("unknown"); len(as) > 0 {
 		t.Errorf("sent to %v", as)
 	}
 	// The last of its protocol is tried again, as the only backend of all is.
-	r.do(BackendList{Kind: ListChanges, Backends: []BackendInfo{{ID: 4, State: Gone}}})
+	r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{ID: 4, State: Removed}}})
 	id, as := ask("other")
-	if again := sends(r.outcome(id, as[0].Backend, 0, Broken)); len(again) != 1 || again[0].Backend != 1 {
+	if again := sends(r.outcome(id, as[0].Backend, 0, ConnectionLost)); len(again) != 1 || again[0].Backend != 1 {
 		t.Errorf("the last backend of a protocol, again: %v", again)
 	}
 }
@@ -678,17 +680,17 @@
 	backends := fleet(3)
 	backends[0].Protocol, backends[1].Protocol = "other", "other"
 	r := newRig(t, s, backends...)
-	r.g.sendRate, r.g.fleets[""].sendRate, r.g.fleets["other"].sendRate = 1020, 1000, 20
+	r.g.sendRate, r.g.pools[""].sendRate, r.g.pools["other"].sendRate = 1020, 1000, 20
 	cold := backends[1]
-	cold.Started = r.now
-	r.do(BackendList{Kind: ListChanges, Backends: []BackendInfo{cold}})
+	cold.StartedAt = r.now
+	r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{cold}})
 	got := 0
 	for i := range 40 { // two seconds of 20 a second
 		r.now += 50 * ms
 		r.next++
-		for _, a := range sends(r.do(Request{ID: r.next, Customer: CustomerID(i), Class: "safe", Plan: "wide", Units: 1, Patience: 6 * second, Spread: 2,
+		for _, a := range sends(r.do(Request{ID: r.next, Customer: CustomerID(i), Class: "safe", Plan: "wide", Cost: 1, Timeout: 6 * second, GatewaySpread: 2,
 			Protocol: "other"})) {
-			got += b2i(a.Backend == cold.ID) // none is answered, so the warm one gets dearer than the cold one
+			got += boolToInt(a.Backend == cold.ID) // none is answered, so the warm one gets dearer than the cold one
 		}
 	}
 	if got == 0 || got > 8 { // a warm one's share is 10 a second, and it has 0.2 to 0.36 of its capacity
@@ -705,7 +707,7 @@
 	if as = r.do(Timer{Token: 0}); len(sends(as)) != 0 {
 		t.Fatalf("a second attempt beside the first: %v", as)
 	}
-	as = r.outcome(id, first.Backend, 0, Broken)
+	as = r.outcome(id, first.Backend, 0, ConnectionLost)
 	if got := sends(as); len(got) != 1 || got[0].Backend == first.Backend {
 		t.Errorf("no second try elsewhere: %v", as)
 	}
@@ -732,7 +734,7 @@
 	if k := passed(10); k != 2 {
 		t.Errorf("%d passed a second later, want half of 4", k)
 	}
-	s.Me, s.FrontDoors = 3, 4
+	s.GatewayIndex, s.GatewayCount = 3, 4
 	r = newRig(t, s, fleet(2)...)
 	r.now += 100 * second
 	if k := passed(3); k != 0 {
@@ -754,8 +756,8 @@
 
 func TestColdBackendIsRampedUp(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(3)...)
-	r.g.sendRate, r.g.fleets[""].sendRate = 30, 30
-	r.do(BackendList{Kind: ListChanges, Backends: []BackendInfo{{ID: 9, Started: r.now}}})
+	r.g.sendRate, r.g.pools[""].sendRate = 30, 30
+	r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{ID: 9, StartedAt: r.now}}})
 	cold := 0
 	for i := range 60 { // a heavy second: 60 requests
 		r.now += second / 60
@@ -782,7 +784,7 @@
 				last = i
 				continue // it never answers
 			}
-			r.outcome(id, s.Backend, n, Answered)
+			r.outcome(id, s.Backend, n, Succeeded)
 		}
 	}
 	if last > 150 || len(r.g.backends) != 4 {
@@ -798,7 +800,7 @@
 	}{{8, 1, 2, 8}, {1, 8, 2, 30}, {75, 9, 4, 30}} {
 		r := newRig(t, testSettings(), fleet(2)...)
 		b := r.g.backends[1]
-		b.owed, b.slow, r.g.classes["safe"].lat = c.owed, c.slow, 0.1
+		b.overdueResponses, b.slowness, r.g.classes["safe"].meanLatency = c.owed, c.slow, 0.1
 		n := 0
 		for to := BackendID(2); to != 1; n++ {
 			if n > c.most {
@@ -807,7 +809,7 @@
 			r.now += 500 * ms
 			id, as := r.ask("safe", "wide", CustomerID(n))
 			to = sends(as)[0].Backend
-			r.outcome(id, to, 0, Answered)
+			r.outcome(id, to, 0, Succeeded)
 		}
 		if n < c.least {
 			t.Errorf("owing %v and %v times as slow, it was tried again at request %d", c.owed, c.slow, n)
@@ -835,9 +837,9 @@
 	r := newRig(t, testSettings(), fleet(1)...)
 	for i := range 1000 {
 		id, as := r.ask("safe", "rated", CustomerID(i))
-		r.outcome(id, sends(as)[0].Backend, 0, Answered)
+		r.outcome(id, sends(as)[0].Backend, 0, Succeeded)
 	}
-	r.now += idleForget + second
+	r.now += customerIdleTTL + second
 	r.do(Timer{})
 	if n := len(r.g.customers); n != 0 {
 		t.Errorf("%d customers kept after a minute idle", n)
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -7,19 +7,19 @@
 func TestOneBrokenConnectionIsNoRestart(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(1)...)
 	id, _ := r.ask("safe", "wide", 1)
-	r.outcome(id, 1, 0, Broken)
+	r.outcome(id, 1, 0, ConnectionLost)
 	b := r.g.backends[1]
-	if b.cold || b.holdUntil > r.now {
-		t.Errorf("after a reset: cold %v, held for %v", b.cold, b.holdUntil-r.now)
+	if b.warmingUp || b.holdUntil > r.now {
+		t.Errorf("after a reset: cold %v, held for %v", b.warmingUp, b.holdUntil-r.now)
 	}
-	for n := 1; n <= downAfter; n++ {
+	for n := 1; n <= connectFailureThreshold; n++ {
 		id, as := r.ask("safe", "wide", 1)
 		if len(sends(as)) != 1 {
 			t.Fatalf("after %d failed connections and a hold: %+v", n-1, as)
 		}
-		r.outcome(id, 1, 0, NoConnection)
-		if b.holdUntil <= r.now || b.cold != (n == downAfter) {
-			t.Errorf("after %d failed connections: cold %v, held for %v", n, b.cold, b.holdUntil-r.now)
+		r.outcome(id, 1, 0, ConnectFailed)
+		if b.holdUntil <= r.now || b.warmingUp != (n == connectFailureThreshold) {
+			t.Errorf("after %d failed connections: cold %v, held for %v", n, b.warmingUp, b.holdUntil-r.now)
 		}
 		r.now = b.holdUntil
 	}
@@ -34,23 +34,23 @@
 		backends[i].Cell = 0
 	}
 	r = newRig(t, testSettings(), backends...)
-	for _, cl := range r.g.byClass {
-		cl.lat, cl.base = 0.1, 0.1
+	for _, cl := range r.g.orderedClasses {
+		cl.meanLatency, cl.bestLatency = 0.1, 0.1
 	}
-	r.g.meanLat, r.g.bestLat, r.g.spare = 0.1, 0.1, mostSpare
+	r.g.meanLatency, r.g.bestLatency, r.g.cancelBudget = 0.1, 0.1, cancelBudgetMax
 	id, as := r.ask(class, "wide", 1)
 	return r, id, sends(as)[0].Backend
 }
 
 // wait lets the time pass after which a first attempt may be called off, and gives what the next event leads to.
 func (r *rig) wait() []Action {
-	r.now += seconds(deadAfter*0.1) + ms
+	r.now += seconds(slowAttemptFactor*0.1) + ms
 	return r.do(ProbeResult{})
 }
 
-func cancels(as []Action) (out []Cancel) {
+func cancels(as []Action) (out []CancelAttempt) {
 	for _, a := range as {
-		if c, ok := a.(Cancel); ok {
+		if c, ok := a.(CancelAttempt); ok {
 			out = append(out, c)
 		}
 	}
@@ -73,11 +73,11 @@
 				b.Cell = i
 			}
 		}, 0},
-		{"no share left", "safe", func(r *rig) { r.g.spare = 0.9 }, 0},
-		{"no cancels", "safe", func(r *rig) { r.g.set.CanCancel = false }, 0},
+		{"no share left", "safe", func(r *rig) { r.g.cancelBudget = 0.9 }, 0},
+		{"no cancels", "safe", func(r *rig) { r.g.settings.CanCancel = false }, 0},
 		{"the client gives up soon", "safe", func(r *rig) {
 			for _, q := range r.g.requests {
-				q.due = r.now + seconds(deadAfter*0.1) + 150*ms
+				q.deadline = r.now + seconds(slowAttemptFactor*0.1) + 150*ms
 			}
 		}, 0},
 	} {
@@ -90,20 +90,20 @@
 		if len(off) != c.want {
 			t.Errorf("%s: %d attempts called off, want %d", c.name, len(off), c.want)
 		}
-		if n := len(r.g.classes[c.class].first); n != 0 {
+		if n := len(r.g.classes[c.class].firstAttempts); n != 0 {
 			t.Errorf("%s: %d attempts are still looked at", c.name, n)
 		}
 		if len(off) == 0 {
 			continue
 		}
-		again := sends(r.do(Outcome{Request: id, Backend: b, Result: Cancelled, Took: second}))
+		again := sends(r.do(Outcome{Request: id, Backend: b, Result: Cancelled, Latency: second}))
 		if len(again) != 1 || again[0].Backend == b || held(r.g) != 1 {
 			t.Fatalf("%s: then %+v with %d slots held, want one more attempt elsewhere, in one slot", c.name, again, held(r.g))
 		}
 		if off := cancels(r.wait()); len(off) != 0 {
 			t.Errorf("%s: called off again", c.name)
 		}
-		r.outcome(id, again[0].Backend, 1, Answered)
+		r.outcome(id, again[0].Backend, 1, Succeeded)
 		if held(r.g) != 0 || len(r.g.requests) != 0 {
 			t.Errorf("%s: %d slots and %d requests are left", c.name, held(r.g), len(r.g.requests))
 		}
@@ -117,7 +117,7 @@
 	for range more {
 		r.ask("safe", "wide", 1)
 	}
-	if n, most := len(cancels(r.wait())), int(mostSpare); n > most || n == 0 {
+	if n, most := len(cancels(r.wait())), int(cancelBudgetMax); n > most || n == 0 {
 		t.Errorf("%d of %d attempts called off at once, want some, and %d at most", n, more, most)
 	}
 }
@@ -127,15 +127,15 @@
 func TestBackendsAreStruckHarderEachTime(t *testing.T) {
 	r, id, at := quick(t, 2, "safe")
 	b := r.g.backends[at]
-	slow := b.slow
-	last := quietFor
+	slow := b.slowness
+	last := overdueTolerance
 	for n := range 3 {
 		r.wait()
-		r.do(Outcome{Request: id, Backend: at, Result: Cancelled, Took: second})
-		if b.owed <= last || b.slow != slow {
-			t.Errorf("after %d strikes: owes %v, not over %v, or slowness %v is not %v", n+1, b.owed, last, b.slow, slow)
+		r.do(Outcome{Request: id, Backend: at, Result: Cancelled, Latency: second})
+		if b.overdueResponses <= last || b.slowness != slow {
+			t.Errorf("after %d strikes: owes %v, not over %v, or slowness %v is not %v", n+1, b.overdueResponses, last, b.slowness, slow)
 		}
-		last = b.owed
+		last = b.overdueResponses
 		for _, o := range all(r.g) { // the rest is shut, so that the next attempt goes there as well
 			o.holdUntil = r.now
 			if o != b {
@@ -148,8 +148,8 @@
 		}
 		id = next
 	}
-	r.outcome(id, at, 0, Answered)
-	if b.strikes != 0 || b.owed != 0 {
-		t.Errorf("after an answer: %d strikes, owes %v", b.strikes, b.owed)
+	r.outcome(id, at, 0, Succeeded)
+	if b.cancelledAttempts != 0 || b.overdueResponses != 0 {
+		t.Errorf("after an answer: %d strikes, owes %v", b.cancelledAttempts, b.overdueResponses)
 	}
 }
