--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -41,10 +41,10 @@
 	set      Settings
 	rng      *rand.Rand
 	now      time.Duration
-	doors    []*Gateway
+	doors    []*Engine
 	lives    []int
 	timers   [][]pendingTimer
-	told     []map[BackendID]BackendInfo
+	told     []map[BackendID]Endpoint
 	requests map[RequestID]*seenRequest
 	order    []RequestID
 	next     RequestID
@@ -83,25 +83,25 @@
 		if r == nil || r.door != door || r.ended {
 			k.fail("a second or stray final answer for %d", id)
 		}
-		if k.now > r.due+k.set.AnswerGrace {
+		if k.now > r.due+k.set.ResponseGrace {
 			k.fail("request %d answered %v late", id, k.now-r.due)
 		}
 		for _, t := range r.tries {
-			if refusal && r.class.Effect != Safe && (t.open || !neverRan(t.result)) &&
-				(r.class.Effect == Unsafe || r.class.Group != GroupAll) {
+			if refusal && r.class.Idempotency != Idempotent && (t.open || !neverRan(t.result)) &&
+				(r.class.Idempotency == NonIdempotent || r.class.DedupScope != DedupScopeAll) {
 				k.fail("%s request %d refused though it may have run", r.class.Name, id)
 			}
 		}
 		r.ended, r.endedAt = true, k.now
 	}
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		k.seeSend(door, a)
-	case Refuse:
+	case Reject:
 		final(a.Request, true)
 	case Fail:
 		final(a.Request, false)
-	case Cancel:
+	case CancelAttempt:
 		if r := k.requests[a.Request]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.tries) {
 			k.fail("an attempt never made called off: %+v", a)
 		}
@@ -110,7 +110,7 @@
 	}
 }
 
-func (k *checker) seeSend(door int, a Send) {
+func (k *checker) seeSend(door int, a StartAttempt) {
 	r := k.requests[a.Request]
 	if r == nil || r.door != door || r.ended {
 		k.fail("a send for request %d, which has ended", a.Request)
@@ -123,46 +123,46 @@
 		k.fail("too many attempts for request %d", a.Request)
 	}
 	for _, t := range r.tries {
-		if t.open && !k.set.ParallelTries {
+		if t.open && !k.set.AllowHedging {
 			k.fail("two attempts of request %d out together", a.Request)
 		}
-		if !t.open && neverRan(t.result) || r.class.Effect == Safe {
+		if !t.open && neverRan(t.result) || r.class.Idempotency == Idempotent {
 			continue
 		}
 		o := k.told[door][t.backend]
-		if r.class.Effect == Unsafe || k.now-t.sent > r.class.KeyWindow ||
-			r.class.Group == GroupZone && o.Zone != b.Zone || r.class.Group == GroupCell && o.Cell != b.Cell {
+		if r.class.Idempotency == NonIdempotent || k.now-t.sent > r.class.DedupWindow ||
+			r.class.DedupScope == DedupScopeZone && o.Zone != b.Zone || r.class.DedupScope == DedupScopeCell && o.Cell != b.Cell {
 			k.fail("%s request %d sent again where it may run twice", r.class.Name, a.Request)
 		}
 	}
-	if p := k.plan(r.req.Plan); len(r.tries) == 0 && p.CeilingRate > 0 {
+	if p := k.plan(r.req.Plan); len(r.tries) == 0 && p.HardLimitRate > 0 {
 		c := r.req.Customer
 		have, ok := k.ceiling[c]
 		if !ok {
-			have = p.CeilingBurst
+			have = p.HardLimitBurst
 		}
-		have = min(p.CeilingBurst, have+p.CeilingRate*(k.now-k.ceilAt[c]).Seconds()) - r.req.Units
-		if k.ceiling[c], k.ceilAt[c] = have, k.now; have < -p.CeilingSlack {
+		have = min(p.HardLimitBurst, have+p.HardLimitRate*(k.now-k.ceilAt[c]).Seconds()) - r.req.Cost
+		if k.ceiling[c], k.ceilAt[c] = have, k.now; have < -p.HardLimitOverdraft {
 			k.fail("customer %d passes its ceiling: store at %v", c, have)
 		}
 	}
 	r.tries = append(r.tries, &seenTry{door: door, try: len(r.tries), backend: a.Backend, sent: k.now, open: true})
-	if b.Started > 0 && k.now-b.Started < k.set.WarmWithin/2 {
+	if b.StartedAt > 0 && k.now-b.StartedAt < k.set.SlowStartWindow/2 {
 		k.cold[a.Backend] = append(k.cold[a.Backend], k.now)
 		in := 0
 		for _, at := range k.cold[a.Backend] {
-			in += b2i(k.now-at <= k.set.FallFor)
+			in += boolToInt(k.now-at <= k.set.OverloadDuration)
 		}
 		// over all doors, no more than what the doors together may send to one warm backend, and one each
 		if most := len(k.doors) + int(1.5*arrivalsPerSecond/3); in > most {
-			k.fail("%d sends in %v to backend %d, which has just started; at most %d", in, k.set.FallFor, b.ID, most)
+			k.fail("%d sends in %v to backend %d, which has just started; at most %d", in, k.set.OverloadDuration, b.ID, most)
 		}
 	}
 }
 
 const arrivalsPerSecond = 60
 
-func neverRan(res Result) bool { return res == Refused || res == NoConnection || res == NotSent }
+func neverRan(res Result) bool { return res == Rejected || res == ConnectFailed || res == NotSent }
 
 func (k *checker) plan(name string) Plan {
 	for _, p := range k.set.Plans {
@@ -174,17 +174,17 @@
 }
 
 func (k *checker) start(door int) {
-	k.set.Me = door
+	k.set.GatewayIndex = door
 	g, err := New(k.set, k.rng.Uint64(), k.now)
 	if err != nil {
 		k.t.Fatal(err)
 	}
 	k.doors[door] = g
 	k.lives[door]++
-	list := BackendList{Kind: ListSaved}
+	list := EndpointUpdate{Kind: UpdateCached}
 	for id := BackendID(1); id < 100; id++ {
-		if b, ok := k.told[door][id]; ok && b.State != Gone {
-			list.Backends = append(list.Backends, b)
+		if b, ok := k.told[door][id]; ok && b.State != Removed {
+			list.Endpoints = append(list.Endpoints, b)
 		}
 	}
 	k.give(door, list)
@@ -218,19 +218,19 @@
 			}
 			res := Result(k.rng.IntN(int(Unknown) + 1))
 			if k.rng.IntN(20) != 0 {
-				res = Answered
+				res = Succeeded
 			}
 			if k.now >= r.due {
 				res = TimedOut
 			}
-			if res == Answered && !r.ended {
+			if res == Succeeded && !r.ended {
 				r.ended, r.endedAt = true, k.now
 			}
 			t.open, t.result = false, res
-			k.give(r.door, Outcome{Request: id, Backend: t.backend, Attempt: t.try, Result: res, Took: k.now - t.sent,
-				Final: r.ended, HasUse: k.rng.IntN(2) == 0, Use: float64(k.rng.IntN(300))})
+			k.give(r.door, Outcome{Request: id, Backend: t.backend, Attempt: t.try, Result: res, Latency: k.now - t.sent,
+				Final: r.ended, HasUsage: k.rng.IntN(2) == 0, Usage: float64(k.rng.IntN(300))})
 		}
-		if !r.ended && k.now > r.due+k.set.AnswerGrace {
+		if !r.ended && k.now > r.due+k.set.ResponseGrace {
 			k.fail("request %d of class %s has no final answer %v after its deadline", id, r.class.Name, k.now-r.due)
 		}
 		open := false
@@ -252,29 +252,29 @@
 		}
 		k.start(door)
 	case 1, 2: // a backend drains, goes, or starts
-		b := BackendInfo{ID: BackendID(1 + k.rng.IntN(8)), State: BackendState(k.rng.IntN(3)), Zone: "z"}
+		b := Endpoint{ID: BackendID(1 + k.rng.IntN(8)), State: BackendState(k.rng.IntN(3)), Zone: "z"}
 		b.Cell = int(b.ID) % 2
 		b.Zone = fmt.Sprint("z", b.Cell)
 		if b.State == Ready {
-			b.Started = k.now
+			b.StartedAt = k.now
 		}
 		for d := range k.doors {
 			k.told[d][b.ID] = b
-			k.give(d, BackendList{Kind: ListChanges, Backends: []BackendInfo{b}})
+			k.give(d, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{b}})
 		}
 	case 3:
 		if len(k.order) > 0 {
 			id := k.order[k.rng.IntN(len(k.order))]
 			k.requests[id].ended = true
-			k.give(k.requests[id].door, ClientGone{Request: id})
+			k.give(k.requests[id].door, ClientDisconnected{Request: id})
 		}
 	default:
 		k.next++
-		q := Request{ID: k.next, Customer: CustomerID(k.rng.IntN(6)), Units: 1,
-			Class: k.set.Classes[k.rng.IntN(len(k.set.Classes))].Name, Spread: min(len(k.doors), 4), FirstDoor: len(k.doors) - 2}
+		q := Request{ID: k.next, Customer: CustomerID(k.rng.IntN(6)), Cost: 1,
+			Class: k.set.Classes[k.rng.IntN(len(k.set.Classes))].Name, GatewaySpread: min(len(k.doors), 4), FirstGateway: len(k.doors) - 2}
 		q.Plan = k.set.Plans[int(q.Customer)%len(k.set.Plans)].Name
-		q.Patience = second + time.Duration(k.rng.IntN(int(5*second)))
-		k.requests[q.ID] = &seenRequest{door: door, req: q, class: k.class(q.Class), due: k.now + q.Patience}
+		q.Timeout = second + time.Duration(k.rng.IntN(int(5*second)))
+		k.requests[q.ID] = &seenRequest{door: door, req: q, class: k.class(q.Class), due: k.now + q.Timeout}
 		k.order = append(k.order, q.ID)
 		k.give(door, q)
 	}
@@ -282,12 +282,12 @@
 
 func runChecker(t *testing.T, seed uint64, doors int, parallel bool, steps int) []string {
 	s := testSettings()
-	s.FrontDoors, s.ParallelTries, s.AnswerGrace = doors, parallel, 80*ms
-	k := &checker{t: t, set: s, rng: rand.New(rand.NewPCG(seed, 1)), now: 500 * second, doors: make([]*Gateway, doors),
+	s.GatewayCount, s.AllowHedging, s.ResponseGrace = doors, parallel, 80*ms
+	k := &checker{t: t, set: s, rng: rand.New(rand.NewPCG(seed, 1)), now: 500 * second, doors: make([]*Engine, doors),
 		lives: make([]int, doors), timers: make([][]pendingTimer, doors), requests: map[RequestID]*seenRequest{},
 		ceiling: map[CustomerID]float64{}, ceilAt: map[CustomerID]time.Duration{}, cold: map[BackendID][]time.Duration{}}
 	for d := range k.doors {
-		k.told = append(k.told, map[BackendID]BackendInfo{})
+		k.told = append(k.told, map[BackendID]Endpoint{})
 		for _, b := range fleet(6) {
 			k.told[d][b.ID] = b
 		}
--- a/decision/quota_test.go
+++ b/decision/quota_test.go
@@ -15,7 +15,7 @@
 
 func (r *rig) reading(c *customer, use float64) {
 	r.g.now = r.now
-	r.g.onReading(c, use)
+	r.g.onUsage(c, use)
 }
 
 func TestOneReadingCountsOnceAPeriod(t *testing.T) {
@@ -25,15 +25,15 @@
 		r.reading(c, 300)
 		r.now += 50 * ms
 	}
-	if c.store != 0 { // 200 + 100 - 300
-		t.Errorf("store %v after one reading of 300, repeated; want 0", c.store)
+	if c.tokens != 0 { // 200 + 100 - 300
+		t.Errorf("store %v after one reading of 300, repeated; want 0", c.tokens)
 	}
 	r.now += second
 	for range 3 {
 		r.reading(c, 60)
 	}
-	if math.Abs(c.store-65) > 30 { // the 0.25 s between the periods fill it too
-		t.Errorf("store %v after one reading of 60, want about 65", c.store)
+	if math.Abs(c.tokens-65) > 30 { // the 0.25 s between the periods fill it too
+		t.Errorf("store %v after one reading of 60, want about 65", c.tokens)
 	}
 }
 
@@ -41,10 +41,10 @@
 	r, c := quotaRig(t)
 	for _, step := range []struct{ use, want float64 }{{500, 0.2}, {200, 0.1}, {0, 1}} {
 		r.now += second
-		c.store, c.storeAt = 0, r.now-(1+readingAge)*second // as a period ago
+		c.tokens, c.tokensAt = 0, r.now-(1+usageDelayPeriods)*second // as a period ago
 		r.reading(c, step.use)
-		if math.Abs(c.pass-step.want) > 0.01 {
-			t.Errorf("after a reading of %v the pass share is %v, want %v", step.use, c.pass, step.want)
+		if math.Abs(c.admitProbability-step.want) > 0.01 {
+			t.Errorf("after a reading of %v the pass share is %v, want %v", step.use, c.admitProbability, step.want)
 		}
 	}
 }
@@ -54,12 +54,12 @@
 	for _, use := range []float64{9000, 0, 0, 0, 700, 100, 0, 0, 0, 0, 0} {
 		r.now += second
 		r.reading(c, use)
-		if c.store < 0 || c.store > c.capacity() {
-			t.Errorf("store %v after a reading of %v", c.store, use)
+		if c.tokens < 0 || c.tokens > c.burstTokens() {
+			t.Errorf("store %v after a reading of %v", c.tokens, use)
 		}
 	}
-	if c.store != c.capacity() {
-		t.Errorf("store %v after five idle periods, want the burst", c.store)
+	if c.tokens != c.burstTokens() {
+		t.Errorf("store %v after five idle periods, want the burst", c.tokens)
 	}
 }
 
@@ -72,11 +72,11 @@
 		goes  bool // the next request, a moment later
 	}{{300, 400, false}, {300, 120, true}, {300, 60, true}, {5, 400, false}, {4, 400, true}, {2, 400, true}} {
 		s := testSettings()
-		s.FrontDoors = c.doors
+		s.GatewayCount = c.doors
 		s.Plans = append(s.Plans, Plan{Name: "shop", Rate: 20, Burst: 100, Price: 1})
 		r := newRig(t, s, fleet(2)...)
 		ask := func(id RequestID) {
-			r.do(Request{ID: id, Customer: 9, Class: "safe", Plan: "shop", Units: 4, Patience: 5 * second, Spread: c.doors})
+			r.do(Request{ID: id, Customer: 9, Class: "safe", Plan: "shop", Cost: 4, Timeout: 5 * second, GatewaySpread: c.doors})
 		}
 		ask(1)
 		r.now += 1500 * ms
@@ -106,7 +106,7 @@
 func TestProjectionBindsWhereTheStoreIsEmpty(t *testing.T) {
 	r, c := quotaRig(t)
 	r.now += second
-	c.store, c.storeAt, c.pass, c.draws = 0, r.now, 1, nil
+	c.tokens, c.tokensAt, c.admitProbability, c.debits = 0, r.now, 1, nil
 	_, as := r.ask("safe", "rated", 5)
 	if len(sends(as)) != 0 {
 		t.Error("passed with nothing in the store because f stood at 1")
@@ -121,13 +121,13 @@
 	for range 200 {
 		r.ask("safe", "rated", 5)
 	}
-	c.pass = 0.001
+	c.admitProbability = 0.001
 	r.now += 8 * second
 	_, as := r.ask("safe", "rated", 5)
 	if len(sends(as)) != 1 {
 		t.Error("still refused eight seconds later")
 	}
-	if got := len(c.draws); got > 10 {
+	if got := len(c.debits); got > 10 {
 		t.Errorf("%d draws kept", got)
 	}
 }
@@ -135,7 +135,7 @@
 // The margin is a part of the burst: half a request used to bar the largest requests of small plans.
 func TestLargestRequestsPassAFullStore(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(2)...)
-	as := r.do(Request{ID: 900, Customer: 8, Class: "safe", Plan: "rated", Units: 3.5, Patience: second, Spread: 2})
+	as := r.do(Request{ID: 900, Customer: 8, Class: "safe", Plan: "rated", Cost: 3.5, Timeout: second, GatewaySpread: 2})
 	if len(sends(as)) != 1 {
 		t.Error("a request of 3.5 units refused with a full store of 4")
 	}
@@ -147,8 +147,8 @@
 	c := r.g.customers[4]
 	r.now += second
 	r.reading(c, 400)
-	if len(sends(as)) != 1 || c.pass > 0.26 || time.Duration(c.store) != 0 {
-		t.Errorf("sends %v, pass share %v, store %v", sends(as), c.pass, c.store)
+	if len(sends(as)) != 1 || c.admitProbability > 0.26 || time.Duration(c.tokens) != 0 {
+		t.Errorf("sends %v, pass share %v, store %v", sends(as), c.admitProbability, c.tokens)
 	}
 }
 
@@ -158,12 +158,12 @@
 	r, c := quotaRig(t)
 	r.now += 10 * second
 	r.reading(c, 40)
-	counted := c.read
+	counted := c.usageAt
 	r.now += 800 * ms
-	if r.reading(c, 40); c.read != counted {
+	if r.reading(c, 40); c.usageAt != counted {
 		t.Error("the same value within a period was counted again")
 	}
-	if r.reading(c, 70); c.read == counted {
+	if r.reading(c, 70); c.usageAt == counted {
 		t.Error("a new value after most of a period was not counted")
 	}
 }
@@ -172,19 +172,19 @@
 // once, and what was counted last ended before now.
 func TestReadingsOutOfOrderCountOncePerPeriod(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(2)...)
-	c := r.g.customer(Request{Customer: 1, Units: 1, Spread: 1}, r.g.plans["rated"])
+	c := r.g.customerFor(Request{Customer: 1, Cost: 1, GatewaySpread: 1}, r.g.plans["rated"])
 	start := r.now
 	counted := 0
 	for i := range 400 {
 		r.now += 50 * ms
 		r.g.now = r.now
-		before := c.heard
-		r.g.onReading(c, float64(40+i%2))
-		if c.heard != before {
+		before := c.meteredSeconds
+		r.g.onUsage(c, float64(40+i%2))
+		if c.meteredSeconds != before {
 			counted++
 		}
-		if c.storeAt > r.now && r.now-start > second { // a new customer's first reading covers its first period
-			t.Fatalf("after %v the store is that of %v ahead", r.now-start, c.storeAt-r.now)
+		if c.tokensAt > r.now && r.now-start > second { // a new customer's first reading covers its first period
+			t.Fatalf("after %v the store is that of %v ahead", r.now-start, c.tokensAt-r.now)
 		}
 	}
 	if least, most := 16, 21; counted < least || counted > most {
@@ -195,16 +195,16 @@
 // metered is a gateway of a deployment in which a quarter of a plan's customers ask for four times their rate, which first readings have told.
 func metered(t *testing.T, doors int) *rig {
 	s := testSettings()
-	s.FrontDoors = doors
-	s.Classes = append(s.Classes, Class{Name: "scant", Aim: second, Deadline: 4 * second, Worth: 1}, Class{Name: "dear", Aim: second, Deadline: 4 * second, Worth: 10})
-	s.Plans = append(s.Plans, Plan{Name: "shop", Rate: 20, Burst: 100, Price: 1, OverCost: 1.2})
+	s.GatewayCount = doors
+	s.Classes = append(s.Classes, Class{Name: "scant", LatencyObjective: second, Deadline: 4 * second, PriorityWeight: 1}, Class{Name: "dear", LatencyObjective: second, Deadline: 4 * second, PriorityWeight: 10})
+	s.Plans = append(s.Plans, Plan{Name: "shop", Rate: 20, Burst: 100, Price: 1, OverQuotaCostFactor: 1.2})
 	r := newRig(t, s, fleet(8)...)
-	r.g.n, r.g.size[partPool] = 1e6, 1e6
+	r.g.concurrencyLimit, r.g.partitionSize[partitionShared] = 1e6, 1e6
 	id := RequestID(0)
 	for c := range CustomerID(200) {
 		for _, class := range []string{"scant", "dear"} {
 			id++
-			r.do(Request{ID: id, Customer: c, Class: class, Plan: "shop", Units: 2, Patience: 3 * second, Spread: doors})
+			r.do(Request{ID: id, Customer: c, Class: class, Plan: "shop", Cost: 2, Timeout: 3 * second, GatewaySpread: doors})
 		}
 		r.now += 50 * ms
 		if known := r.g.customers[c]; c%4 == 0 {
@@ -221,25 +221,25 @@
 func TestNewcomersRequestsThatGainLeastAreRefusedFirst(t *testing.T) {
 	goes := func(r *rig, class string, units float64) (share float64) {
 		const tries = 2000
-		seen := *r.g.newcomers["shop"]
+		seen := *r.g.newcomersByPlan["shop"]
 		for range tries {
-			*r.g.newcomers["shop"] = seen // what is asked for here is not what is usual
+			*r.g.newcomersByPlan["shop"] = seen // what is asked for here is not what is usual
 			as := r.do(Request{ID: RequestID(1_000_000 + len(r.g.customers)), Customer: CustomerID(1_000_000 + len(r.g.customers)), Class: class,
-				Plan: "shop", Units: units, Patience: 3 * second, Spread: r.g.set.FrontDoors})
+				Plan: "shop", Cost: units, Timeout: 3 * second, GatewaySpread: r.g.settings.GatewayCount})
 			share += float64(len(sends(as))) / tries
 		}
 		return share
 	}
 	r := metered(t, 300)
 	scant, dear, large := goes(r, "scant", 2), goes(r, "dear", 2), goes(r, "dear", 20)
-	if math.Abs(scant-(1-mostBarred)) > 0.04 {
-		t.Errorf("of what gains nothing %.2f goes, want %.2f", scant, 1-mostBarred)
+	if math.Abs(scant-(1-maxNewcomerRejectRatio)) > 0.04 {
+		t.Errorf("of what gains nothing %.2f goes, want %.2f", scant, 1-maxNewcomerRejectRatio)
 	}
 	if dear < 0.95 || large < 0.7 || large > 0.9 {
 		t.Errorf("of what is worth most %.2f goes, of as much in large requests %.2f", dear, large)
 	}
-	for name, all := range map[string]*rig{"one of four doors": metered(t, 4), "nobody over": newRig(t, metered(t, 300).g.set, fleet(8)...)} {
-		all.g.n, all.g.size[partPool] = 1e6, 1e6
+	for name, all := range map[string]*rig{"one of four doors": metered(t, 4), "nobody over": newRig(t, metered(t, 300).g.settings, fleet(8)...)} {
+		all.g.concurrencyLimit, all.g.partitionSize[partitionShared] = 1e6, 1e6
 		if got := goes(all, "scant", 2); got < 0.9999 {
 			t.Errorf("%s: %.2f of what newcomers ask for goes, want all", name, got)
 		}
@@ -252,11 +252,11 @@
 	r := metered(t, 300)
 	told := 0
 	for i := range 50 {
-		for _, a := range r.do(Request{ID: RequestID(5000 + i), Customer: CustomerID(5000 + i), Class: "scant", Plan: "shop", Units: 2, Patience: 3 * second, Spread: 300}) {
-			if a, ok := a.(Refuse); ok {
+		for _, a := range r.do(Request{ID: RequestID(5000 + i), Customer: CustomerID(5000 + i), Class: "scant", Plan: "shop", Cost: 2, Timeout: 3 * second, GatewaySpread: 300}) {
+			if a, ok := a.(Reject); ok {
 				told++
 				// 2 units at 20 a second, beside what it is taken to use at the other doors
-				if least, most := 100*ms, seconds(0.1/(1-priorMany/100.0)); a.RetryAfter < least || a.RetryAfter > most {
+				if least, most := 100*ms, seconds(0.1/(1-priorUsagePercentMany/100.0)); a.RetryAfter < least || a.RetryAfter > most {
 					t.Errorf("a newcomer of 20 units a second that asked for 2 is told to come back after %v, want %v to %v", a.RetryAfter, least, most)
 				}
 			}
@@ -271,9 +271,9 @@
 func TestTheLastOfAStoreIsKeptForWhatIsWorthMore(t *testing.T) {
 	r := metered(t, 300)
 	c := r.g.customers[1]
-	c.store, c.storeAt, c.draws = margin*c.capacity()+100*2/c.plan.Rate+5, r.now, nil
-	r.do(Request{ID: 9001, Customer: 1, Class: "scant", Plan: "shop", Units: 2, Patience: 3 * second, Spread: 300})
-	r.do(Request{ID: 9002, Customer: 1, Class: "dear", Plan: "shop", Units: 2, Patience: 3 * second, Spread: 300})
+	c.tokens, c.tokensAt, c.debits = quotaMarginRatio*c.burstTokens()+100*2/c.plan.Rate+5, r.now, nil
+	r.do(Request{ID: 9001, Customer: 1, Class: "scant", Plan: "shop", Cost: 2, Timeout: 3 * second, GatewaySpread: 300})
+	r.do(Request{ID: 9002, Customer: 1, Class: "dear", Plan: "shop", Cost: 2, Timeout: 3 * second, GatewaySpread: 300})
 	if r.g.requests[9001] != nil || r.g.requests[9002] == nil {
 		t.Errorf("with room for one, what is worth little goes: %t, what is worth much: %t", r.g.requests[9001] != nil, r.g.requests[9002] != nil)
 	}
@@ -283,12 +283,12 @@
 func TestANewcomerBeginsWithRoomForOneRequest(t *testing.T) {
 	for doors, want := range map[int]int{300: 1, 5: 1, 4: 3, 2: 3} {
 		s := testSettings()
-		s.FrontDoors = doors
+		s.GatewayCount = doors
 		s.Plans = append(s.Plans, Plan{Name: "shop", Rate: 20, Burst: 400, Price: 1})
 		r := newRig(t, s, fleet(2)...)
 		went := 0
 		for id := range RequestID(3) {
-			went += len(sends(r.do(Request{ID: id + 1, Customer: 9, Class: "safe", Plan: "shop", Units: 4, Patience: 5 * second, Spread: doors})))
+			went += len(sends(r.do(Request{ID: id + 1, Customer: 9, Class: "safe", Plan: "shop", Cost: 4, Timeout: 5 * second, GatewaySpread: doors})))
 		}
 		if went != want {
 			t.Errorf("at one of %d doors %d of three requests at once go, want %d", doors, went, want)
--- a/decision/size_test.go
+++ b/decision/size_test.go
@@ -12,24 +12,24 @@
 var benchSizes = []int{100, 1_000, 10_000, 110_000}
 
 // benchFleet is so many backends in nine zones, of one protocol.
-func benchFleet(n int) []BackendInfo {
-	out := make([]BackendInfo, n)
+func benchFleet(n int) []Endpoint {
+	out := make([]Endpoint, n)
 	for i := range out {
-		out[i] = BackendInfo{ID: BackendID(i + 1), Zone: "z" + strconv.Itoa(i%9), Cell: i % 300, Weight: 1}
+		out[i] = Endpoint{ID: BackendID(i + 1), Zone: "z" + strconv.Itoa(i%9), Cell: i % 300, Weight: 1}
 	}
 	return out
 }
 
 // benchGateway is one of 2,800 doors, which knows them.
-func benchGateway(t testing.TB, all []BackendInfo) *Gateway {
+func benchGateway(t testing.TB, all []Endpoint) *Engine {
 	s := testSettings()
-	s.FrontDoors, s.MeterPeriod = 2800, 0
+	s.GatewayCount, s.UsagePeriod = 2800, 0
 	s.Plans = []Plan{{Name: "free", Price: 1}}
 	g, err := New(s, 1, 1000*second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Handle(1000*second, BackendList{Kind: ListFull, Backends: all}, nil)
+	g.Handle(1000*second, EndpointUpdate{Kind: UpdateFull, Endpoints: all}, nil)
 	return g
 }
 
@@ -39,7 +39,7 @@
 	best := func(n int) (one, tick time.Duration) {
 		all := benchFleet(n)
 		for i := range all[:n/9] { // some are cold
-			all[i].Started = 999 * second
+			all[i].StartedAt = 999 * second
 		}
 		g, now := benchGateway(t, all), 1000*second
 		one, tick = time.Hour, time.Hour
@@ -47,9 +47,9 @@
 			at := time.Now()
 			for i := range 100 {
 				info := all[i]
-				info.State = Gone
-				g.Handle(now, BackendList{Backends: []BackendInfo{info}}, nil)
-				g.Handle(now, BackendList{Backends: all[i : i+1]}, nil)
+				info.State = Removed
+				g.Handle(now, EndpointUpdate{Endpoints: []Endpoint{info}}, nil)
+				g.Handle(now, EndpointUpdate{Endpoints: all[i : i+1]}, nil)
 			}
 			one, at = min(one, time.Since(at)), time.Now()
 			for range 100 {
@@ -69,73 +69,73 @@
 func BenchmarkSize(b *testing.B) {
 	for _, n := range benchSizes {
 		all := benchFleet(n)
-		run := func(name string, f func(b *testing.B, g *Gateway, now *time.Duration)) {
+		run := func(name string, f func(b *testing.B, g *Engine, now *time.Duration)) {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
 				g, now := benchGateway(b, all), 1000*second
 				b.ResetTimer()
 				f(b, g, &now)
 			})
 		}
-		run("whole", func(b *testing.B, _ *Gateway, _ *time.Duration) {
+		run("whole", func(b *testing.B, _ *Engine, _ *time.Duration) {
 			for range b.N {
 				benchGateway(b, all)
 			}
 		})
-		run("again", func(b *testing.B, g *Gateway, now *time.Duration) { // a whole list that says what is known
+		run("again", func(b *testing.B, g *Engine, now *time.Duration) { // a whole list that says what is known
 			for range b.N {
-				g.Handle(*now, BackendList{Kind: ListFull, Backends: all}, nil)
+				g.Handle(*now, EndpointUpdate{Kind: UpdateFull, Endpoints: all}, nil)
 			}
 		})
-		run("one", func(b *testing.B, g *Gateway, now *time.Duration) {
-			one := make([]BackendInfo, 1)
+		run("one", func(b *testing.B, g *Engine, now *time.Duration) {
+			one := make([]Endpoint, 1)
 			for i := range b.N {
 				one[0] = all[i%n]
 				one[0].State = BackendState(i / n % 2)
-				g.Handle(*now, BackendList{Backends: one}, nil)
+				g.Handle(*now, EndpointUpdate{Endpoints: one}, nil)
 			}
 		})
 		// a ninth is lost and comes back started, in as many lists of one
-		run("zone", func(b *testing.B, g *Gateway, now *time.Duration) {
-			one := make([]BackendInfo, 1)
+		run("zone", func(b *testing.B, g *Engine, now *time.Duration) {
+			one := make([]Endpoint, 1)
 			for range b.N {
-				for _, state := range []BackendState{Gone, Ready} {
+				for _, state := range []BackendState{Removed, Ready} {
 					for i := 0; i < n; i += 9 {
 						one[0] = all[i]
 						one[0].State = state
 						if state == Ready {
-							one[0].Started = *now
+							one[0].StartedAt = *now
 						}
-						g.Handle(*now, BackendList{Backends: one}, nil)
+						g.Handle(*now, EndpointUpdate{Endpoints: one}, nil)
 					}
 					*now += second
 				}
 			}
 		})
-		run("batch256", func(b *testing.B, g *Gateway, now *time.Duration) {
-			some := make([]BackendInfo, 256)
+		run("batch256", func(b *testing.B, g *Engine, now *time.Duration) {
+			some := make([]Endpoint, 256)
 			for i := range b.N {
 				for j := range some {
 					some[j] = all[(i*256+j)%n]
-					some[j].State = []BackendState{Ready, Gone}[(i*256/n)%2]
+					some[j].State = []BackendState{Ready, Removed}[(i*256/n)%2]
 				}
-				g.Handle(*now, BackendList{Backends: some}, nil)
+				g.Handle(*now, EndpointUpdate{Endpoints: some}, nil)
 			}
 		})
-		run("tick", func(b *testing.B, g *Gateway, now *time.Duration) {
+		run("tick", func(b *testing.B, g *Engine, now *time.Duration) {
 			for range b.N {
 				*now += second
 				g.Handle(*now, Timer{}, nil)
 			}
 		})
-		run("request", func(b *testing.B, g *Gateway, now *time.Duration) {
+		run("request", func(b *testing.B, g *Engine, now *time.Duration) {
 			var acts []Action
 			for i := range b.N {
 				id := RequestID(i + 1)
 				*now += 4 * time.Millisecond
-				acts = g.Handle(*now, Request{ID: id, Customer: 1, Class: "safe", Plan: "free", Units: 1, Patience: second}, acts[:0])
+				acts = g.Handle(*now, Request{ID: id, Customer: 1, Class: "safe", Plan: "free", Cost: 1, Timeout: second}, acts[:0])
 				for _, a := range acts {
-					if s, ok := a.(Send); ok {
-						g.Handle(*now, Outcome{Request: id, Backend: s.Backend, Result: Answered, Took: time.Millisecond, Final: true}, nil)
+					if s, ok := a.(StartAttempt); ok {
+						g.Handle(*now, Outcome{Request: id, Backend: s.Backend, Result: Succeeded, Latency: time.Millisecond, Final: true}, nil)
 					}
 				}
 				if i%250 == 0 {
--- a/decision/state_test.go
+++ b/decision/state_test.go
@@ -10,27 +10,27 @@
 )
 
 func stateSettings(spent bool) Settings {
-	return Settings{FrontDoors: 2, MaxAttempts: 1, CanCancel: true, MaxRetryAfter: time.Second, MeterPeriod: 500 * time.Millisecond, StartSpent: spent,
-		Classes: []Class{{Name: "look", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+	return Settings{GatewayCount: 2, MaxAttempts: 1, CanCancel: true, MaxRetryAfter: time.Second, UsagePeriod: 500 * time.Millisecond, AssumeQuotaSpent: spent,
+		Classes: []Class{{Name: "look", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
 		Plans:   []Plan{{Name: "shop", Rate: 4, Burst: 24, Price: 1}}}
 }
 
 // served is how many of so many requests a gateway sends on in a moment, each answered at once.
-func served(t *testing.T, g *Gateway, now time.Duration, customer CustomerID, n int, first RequestID) (sent int) {
+func served(t *testing.T, g *Engine, now time.Duration, customer CustomerID, n int, first RequestID) (sent int) {
 	t.Helper()
 	for i := range n {
 		id := first + RequestID(i)
-		for _, a := range g.Handle(now, Request{ID: id, Customer: customer, Class: "look", Plan: "shop", Units: 1, Patience: time.Second, Spread: 2}, nil) {
-			if _, ok := a.(Send); ok {
+		for _, a := range g.Handle(now, Request{ID: id, Customer: customer, Class: "look", Plan: "shop", Cost: 1, Timeout: time.Second, GatewaySpread: 2}, nil) {
+			if _, ok := a.(StartAttempt); ok {
 				sent++
-				g.Handle(now, Outcome{Request: id, Backend: 1, Result: Answered, Took: time.Millisecond, Final: true}, nil)
+				g.Handle(now, Outcome{Request: id, Backend: 1, Result: Succeeded, Latency: time.Millisecond, Final: true}, nil)
 			}
 		}
 	}
 	return sent
 }
 
-func begun(t *testing.T, spent bool, now time.Duration, states []CustomerState) *Gateway {
+func begun(t *testing.T, spent bool, now time.Duration, states []CustomerState) *Engine {
 	t.Helper()
 	g, err := New(stateSettings(spent), 1, now)
 	if err != nil {
@@ -39,7 +39,7 @@
 	if over := g.Restore(now, states); over > 0 {
 		t.Fatalf("%d are passed over", over)
 	}
-	g.Handle(now, BackendList{Kind: ListFull, Backends: []BackendInfo{{ID: 1}}}, nil)
+	g.Handle(now, EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{{ID: 1}}}, nil)
 	return g
 }
 
@@ -60,13 +60,15 @@
 }
 
 // owing are the customers that owe, who owes most first.
-func owing(g *Gateway) (out []CustomerState) {
+func owing(g *Engine) (out []CustomerState) {
 	for s, owes := range g.Customers() {
 		if owes {
 			out = append(out, s)
 		}
 	}
-	slices.SortFunc(out, func(a, b CustomerState) int { return cmp.Compare(b.Owes(g.plans[b.Plan]), a.Owes(g.plans[a.Plan])) })
+	slices.SortFunc(out, func(a, b CustomerState) int {
+		return cmp.Compare(b.QuotaDebt(g.plans[b.Plan]), a.QuotaDebt(g.plans[a.Plan]))
+	})
 	return out
 }
 
@@ -79,19 +81,19 @@
 	for i := range 4 { // the meter says that 9 uses far too much
 		now := time.Hour + time.Duration(i+1)*600*time.Millisecond
 		id := RequestID(9000 + i)
-		g.Handle(now, Request{ID: id, Customer: 9, Class: "look", Plan: "shop", Units: 1, Patience: time.Second, Spread: 2}, nil)
-		g.Handle(now, Outcome{Request: id, Backend: 1, Result: Answered, Final: true, HasUse: true, Use: 5000}, nil)
+		g.Handle(now, Request{ID: id, Customer: 9, Class: "look", Plan: "shop", Cost: 1, Timeout: time.Second, GatewaySpread: 2}, nil)
+		g.Handle(now, Outcome{Request: id, Backend: 1, Result: Succeeded, Final: true, HasUsage: true, Usage: 5000}, nil)
 	}
 	now := time.Hour + 3*time.Second
 	g.Handle(now, Timer{Token: 77}, nil)
 	all := owing(g)
-	if len(all) == 0 || all[0].ID != 9 || all[0].Pass >= 1 || slices.ContainsFunc(all, func(s CustomerState) bool { return s.ID == 0 }) {
+	if len(all) == 0 || all[0].ID != 9 || all[0].AdmitProbability >= 1 || slices.ContainsFunc(all, func(s CustomerState) bool { return s.ID == 0 }) {
 		t.Fatalf("%+v", all)
 	}
 	next := begun(t, false, now, all)
 	again := owing(next)
 	for i, s := range all {
-		if o := again[i]; o.ID != s.ID || math.Abs(o.Missing-s.Missing) > 1e-6 || o.Pass != s.Pass || o.Metered != s.Metered {
+		if o := again[i]; o.ID != s.ID || math.Abs(o.MissingTokens-s.MissingTokens) > 1e-6 || o.AdmitProbability != s.AdmitProbability || o.MeteredUsage != s.MeteredUsage {
 			t.Errorf("%+v was %+v", o, s)
 		}
 	}
@@ -101,13 +103,13 @@
 	bad := all[0]
 	for name, change := range map[string]func(*CustomerState){
 		"no such plan":        func(s *CustomerState) { s.Plan = "gone" },
-		"more doors":          func(s *CustomerState) { s.Doors = 3 },
-		"no doors":            func(s *CustomerState) { s.Doors = 0 },
-		"no number":           func(s *CustomerState) { s.Missing = math.NaN() },
-		"below nothing":       func(s *CustomerState) { s.Metered = -1 },
-		"without end":         func(s *CustomerState) { s.Heard = math.Inf(1) },
-		"a share over 1":      func(s *CustomerState) { s.Pass = 2 },
-		"a share that is NaN": func(s *CustomerState) { s.Pass = math.NaN() },
+		"more doors":          func(s *CustomerState) { s.Gateways = 3 },
+		"no doors":            func(s *CustomerState) { s.Gateways = 0 },
+		"no number":           func(s *CustomerState) { s.MissingTokens = math.NaN() },
+		"below nothing":       func(s *CustomerState) { s.MeteredUsage = -1 },
+		"without end":         func(s *CustomerState) { s.MeteredSeconds = math.Inf(1) },
+		"a share over 1":      func(s *CustomerState) { s.AdmitProbability = 2 },
+		"a share that is NaN": func(s *CustomerState) { s.AdmitProbability = math.NaN() },
 	} {
 		s := bad
 		change(&s)
@@ -127,18 +129,18 @@
 // A customer that an earlier process had readings of is no newcomer after a restart, also at one of many doors: it has left what it had.
 func TestARestoredCustomerHasWhatItHad(t *testing.T) {
 	set := stateSettings(false)
-	set.FrontDoors = 300
+	set.GatewayCount = 300
 	g, err := New(set, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := &g.set.Plans[0]
-	state := CustomerState{ID: 7, Plan: plan.Name, Doors: 300, Member: true, Missing: 10, Pass: 1, Metered: 50, Own: 1, Heard: 1}
+	plan := &g.settings.Plans[0]
+	state := CustomerState{ID: 7, Plan: plan.Name, Gateways: 300, Member: true, MissingTokens: 10, AdmitProbability: 1, MeteredUsage: 50, OwnUsage: 1, MeteredSeconds: 1}
 	if over := g.Restore(time.Hour, []CustomerState{state}); over != 0 {
 		t.Fatal("the customer is passed over")
 	}
-	if c := g.customers[7]; math.Abs(c.store-(c.capacity()-10)) > 1e-9 || c.newcomer() {
-		t.Errorf("store %v of %v less 10, newcomer: %t", c.store, c.capacity(), c.newcomer())
+	if c := g.customers[7]; math.Abs(c.tokens-(c.burstTokens()-10)) > 1e-9 || c.isNewcomer() {
+		t.Errorf("store %v of %v less 10, newcomer: %t", c.tokens, c.burstTokens(), c.isNewcomer())
 	}
 }
 
@@ -151,9 +153,9 @@
 				b.Fatal(err)
 			}
 			for i := range n {
-				c := g.customer(Request{Customer: CustomerID(i), Units: 1, Spread: 2}, &g.set.Plans[0])
+				c := g.customerFor(Request{Customer: CustomerID(i), Cost: 1, GatewaySpread: 2}, &g.settings.Plans[0])
 				if i%10 == 0 {
-					c.store /= float64(1 + i%7)
+					c.tokens /= float64(1 + i%7)
 				}
 			}
 			for b.Loop() {
--- a/decisions.go
+++ b/decisions.go
@@ -8,89 +8,89 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/kept"
+	"pumicecroft/internal/snapshotfile"
 	"pumicecroft/recovery"
 )
 
-// snapshotEvery is how often a door's decisions are kept.
-const snapshotEvery = time.Second
+// snapshotInterval is how often a door's decisions are kept.
+const snapshotInterval = time.Second
 
-// atOnce is how many customers are looked at while nothing else happens: a tenth of a millisecond.
-const atOnce = 500
+// customersPerStep is how many customers are looked at while nothing else happens: a tenth of a millisecond.
+const customersPerStep = 500
 
-// decisions keeps what a door's decisions rest on: who owes and who is held down. What a later process makes of it is package recovery's.
-type decisions struct {
-	door    *Door
-	file    *kept.File // nil: another process has it, or the directory can't be used
-	gateway *decision.Gateway
-	boot    uint64
-	digest  uint64
-	began   time.Time
-	spent   bool // it began with customers of whom nothing is known
+// snapshotter keeps what a door's decisions rest on: who owes and who is held down. What a later process makes of it is package recovery's.
+type snapshotter struct {
+	gateway           *Gateway
+	file              *snapshotfile.File // nil: another process has it, or the directory can't be used
+	engine            *decision.Engine
+	bootID            uint64
+	settingsDigest    uint64
+	startedAt         time.Time
+	assumedQuotaSpent bool // it began with customers of whom nothing is known
 }
 
-// beginning says what the door begins with, and keeps the file for this process.
-func (d *Door) beginning(boot uint64) (*decisions, recovery.Beginning) {
+// restoreSnapshot says what the door begins with, and keeps the file for this process.
+func (d *Gateway) restoreSnapshot(boot uint64) (*snapshotter, recovery.Restored) {
 	set := d.config.Settings
-	k := &decisions{door: d, boot: boot, began: time.Now(), digest: recovery.Digest(set)}
-	begin := func() recovery.Beginning {
+	k := &snapshotter{gateway: d, bootID: boot, startedAt: time.Now(), settingsDigest: recovery.SettingsDigest(set)}
+	begin := func() recovery.Restored {
 		var err error
-		if k.file, err = kept.Open(d.config.StateDir, set.Me); err != nil {
-			return recovery.Nothing(err)
+		if k.file, err = snapshotfile.Open(d.config.StateDir, set.GatewayIndex); err != nil {
+			return recovery.RestoreNothing(err)
 		}
 		text, err := k.file.Read()
 		if err != nil {
-			return recovery.Nothing(err)
+			return recovery.RestoreNothing(err)
 		}
 		s, err := recovery.Decode(text)
 		if err != nil {
-			return recovery.Nothing(err)
+			return recovery.RestoreNothing(err)
 		}
-		return recovery.Begin(s, recovery.Door{Number: set.Me, Of: set.FrontDoors, Settings: k.digest, Plans: set.Plans}, time.Now())
+		return recovery.Restore(s, recovery.GatewayInfo{Index: set.GatewayIndex, Count: set.GatewayCount, SettingsDigest: k.settingsDigest, Plans: set.Plans}, time.Now())
 	}
 	b := begin()
-	k.spent = b.Spent
+	k.assumedQuotaSpent = b.AssumeQuotaSpent
 	switch {
 	case errors.Is(b.Err, fs.ErrNotExist):
-		d.log.Info("the door begins with no decisions kept", "why", b.Why)
+		d.log.Info("the door begins with no decisions kept", "why", b.Explanation)
 	case b.Err != nil:
-		d.log.Warn("the decisions that were kept are not believed", "err", b.Err, "why", b.Why)
+		d.log.Warn("the decisions that were kept are not believed", "err", b.Err, "why", b.Explanation)
 	default:
-		d.log.Info("the door begins with the decisions that were kept", "age", b.Age.Round(time.Millisecond), "owing", len(b.Customers), "repaid", b.Repaid, "why", b.Why)
+		d.log.Info("the door begins with the decisions that were kept", "age", b.Age.Round(time.Millisecond), "owing", len(b.Customers), "repaid", b.Repaid, "why", b.Explanation)
 	}
 	return k, b
 }
 
 // run keeps the decisions until ctx ends, and once more then.
-func (k *decisions) run(ctx context.Context) {
+func (k *snapshotter) run(ctx context.Context) {
 	defer k.file.Close()
-	keepOn(ctx, snapshotEvery, func() {
-		if err := k.keep(); err != nil {
-			k.door.listLog.Do(func() { k.door.log.Warn("the decisions can't be kept", "err", err) })
+	runPeriodically(ctx, snapshotInterval, func() {
+		if err := k.write(); err != nil {
+			k.gateway.endpointLog.Do(func() { k.gateway.log.Warn("the decisions can't be kept", "err", err) })
 		}
 	})
 }
 
-func (k *decisions) keep() error {
-	set := &k.door.config.Settings
-	s := &recovery.Snapshot{Door: set.Me, Of: set.FrontDoors, Boot: k.boot, Settings: k.digest}
-	debtors := recovery.NewDebtors(set.Plans, recovery.MostCustomers)
-	next, stop := iter.Pull2(k.gateway.Customers())
+func (k *snapshotter) write() error {
+	set := &k.gateway.config.Settings
+	s := &recovery.Snapshot{GatewayIndex: set.GatewayIndex, GatewayCount: set.GatewayCount, BootID: k.bootID, SettingsDigest: k.settingsDigest}
+	debtors := recovery.NewQuotaDebts(set.Plans, recovery.MaxCustomers)
+	next, stop := iter.Pull2(k.engine.Customers())
 	defer stop()
 	for more := true; more; {
-		k.door.driver.Look(func() {
+		k.gateway.executor.Inspect(func() {
 			var c decision.CustomerState
 			var owes bool
-			for i := 0; i < atOnce && more; i++ {
+			for i := 0; i < customersPerStep && more; i++ {
 				if c, owes, more = next(); more && owes {
 					debtors.Add(c)
 				}
 			}
 		})
 	}
-	s.At = time.Now().Round(0)
-	s.Customers, s.Whole = debtors.All()
-	s.Whole = s.Whole && (!k.spent || s.At.Sub(k.began) >= recovery.Refilled(set.Plans))
+	s.TakenAt = time.Now().Round(0)
+	s.Customers, s.Complete = debtors.Largest()
+	s.Complete = s.Complete && (!k.assumedQuotaSpent || s.TakenAt.Sub(k.startedAt) >= recovery.RefillTime(set.Plans))
 	text, err := recovery.Encode(s)
 	if err != nil {
 		return err
--- a/decisions_test.go
+++ b/decisions_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/kept"
+	"pumicecroft/internal/snapshotfile"
 	"pumicecroft/internal/testkit"
 	"pumicecroft/membership"
 	"pumicecroft/recovery"
@@ -24,19 +24,19 @@
 	addr := testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "done") })
 	dir := t.TempDir()
 	var said bytes.Buffer
-	begin := func(dir string) *Door {
+	begin := func(dir string) *Gateway {
 		t.Helper()
 		d, err := New(Config{Seed: 1, StateDir: dir, Settings: decision.Settings{CanCancel: true, MaxRetryAfter: time.Second,
-			Classes: []decision.Class{{Name: "look", Aim: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1}},
+			Classes: []decision.Class{{Name: "look", LatencyObjective: 10 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
 			Plans:   []decision.Plan{{Name: "shop", Rate: 0.01, Burst: 40, Price: 1}}}},
 			WithLogger(slog.New(slog.NewTextHandler(&said, nil))))
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Update(membership.List{Whole: true, Nodes: []membership.Node{{Name: "b", Addr: addr, Weight: 1}}})
+		d.Update(membership.Update{Full: true, Nodes: []membership.Node{{Name: "b", Addr: addr, Weight: 1}}})
 		return d
 	}
-	served := func(d *Door, customer uint64, tries int) (n int) {
+	served := func(d *Gateway, customer uint64, tries int) (n int) {
 		t.Helper()
 		for range tries {
 			if _, err := d.Do(t.Context(), Request{Class: "look", Plan: "shop", Customer: customer}); err == nil {
@@ -45,7 +45,7 @@
 		}
 		return n
 	}
-	end := func(d *Door) {
+	end := func(d *Gateway) {
 		t.Helper()
 		if err := d.Close(context.Background()); err != nil {
 			t.Fatal(err)
@@ -61,10 +61,10 @@
 		t.Errorf("%d served after two restarts of whom neither process knew anything", n)
 	}
 	end(d)
-	young := recovery.Snapshot{Of: 1, At: time.Now(), Settings: recovery.Digest(d.Settings()), Whole: true}
+	young := recovery.Snapshot{GatewayCount: 1, TakenAt: time.Now(), SettingsDigest: recovery.SettingsDigest(d.Settings()), Complete: true}
 	text, err := recovery.Encode(&young)
 	if err == nil {
-		err = os.WriteFile(kept.Path(dir, 0), text, 0o600)
+		err = os.WriteFile(snapshotfile.Path(dir, 0), text, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 		t.Errorf("%d served after a restart, 20 of 40 were before and some stay back", n)
 	}
 	end(d)
-	if err := os.Truncate(kept.Path(dir, 0), 100); err != nil {
+	if err := os.Truncate(snapshotfile.Path(dir, 0), 100); err != nil {
 		t.Fatal(err)
 	}
 	d = begin(dir)
--- a/deployment.go
+++ b/deployment.go
@@ -10,30 +10,30 @@
 // take the same part. The zero value is ready, and a Deployment is safe for concurrent use. Doors in different
 // processes cannot see each other; there the operator hands out the numbers.
 type Deployment struct {
-	mu    sync.Mutex
-	doors int // of all settings, once there is one
-	taken map[int]bool
+	mu           sync.Mutex
+	gatewayCount int // of all settings, once there is one
+	claimed      map[int]bool
 }
 
 // claim takes a number for a Door until release.
 func (p *Deployment) claim(me, doors int) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.taken) > 0 && p.doors != doors {
-		return fmt.Errorf("%w: %d front doors, others of the deployment count %d", ErrConfig, doors, p.doors)
+	if len(p.claimed) > 0 && p.gatewayCount != doors {
+		return fmt.Errorf("%w: %d front doors, others of the deployment count %d", ErrConfig, doors, p.gatewayCount)
 	}
-	if p.taken[me] {
-		return fmt.Errorf("%w: %d", ErrDoorTaken, me)
+	if p.claimed[me] {
+		return fmt.Errorf("%w: %d", ErrGatewayIndexTaken, me)
 	}
-	if p.taken == nil {
-		p.taken = map[int]bool{}
+	if p.claimed == nil {
+		p.claimed = map[int]bool{}
 	}
-	p.taken[me], p.doors = true, doors
+	p.claimed[me], p.gatewayCount = true, doors
 	return nil
 }
 
 func (p *Deployment) release(me int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.taken, me)
+	delete(p.claimed, me)
 }
--- a/door_http_test.go
+++ b/door_http_test.go
@@ -15,26 +15,26 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/core"
-	"pumicecroft/internal/httpfront"
+	"pumicecroft/internal/httplistener"
+	"pumicecroft/internal/lifecycle"
 	"pumicecroft/internal/testkit"
 	"pumicecroft/membership"
 )
 
 // testConfig is a deployment of two front doors, with one class that is safe to repeat and one that is keyed.
 func testConfig() Config {
-	return Config{Seed: 0x8c1f30d27a5be964, Settings: decision.Settings{FrontDoors: 2, MaxAttempts: 3, CanCancel: true,
-		Classes: []decision.Class{{Name: "look", Aim: 20 * time.Second, Deadline: time.Minute, Worth: 1},
-			{Name: "pay", Effect: decision.Keyed, Group: decision.GroupCell, KeyWindow: 5 * time.Second, Aim: 20 * time.Second,
-				Deadline: time.Minute, Worth: 5}},
+	return Config{Seed: 0x8c1f30d27a5be964, Settings: decision.Settings{GatewayCount: 2, MaxAttempts: 3, CanCancel: true,
+		Classes: []decision.Class{{Name: "look", LatencyObjective: 20 * time.Second, Deadline: time.Minute, PriorityWeight: 1},
+			{Name: "pay", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second, LatencyObjective: 20 * time.Second,
+				Deadline: time.Minute, PriorityWeight: 5}},
 		Plans:       []decision.Plan{{Name: "basic", Rate: 1000, Burst: 1000, Price: 1}, {Name: "tiny", Rate: 0.5, Burst: 1, Price: 1}},
-		MeterPeriod: 500 * time.Millisecond, LargestUnits: 3, MaxRetryAfter: 500 * time.Millisecond,
-		LoadColumns: []string{"depth", "tps"}, LoadInAnswers: true, ColdFrom: 0.2, WarmWithin: time.Second,
-		FallMultiple: 4, FallFor: time.Second}}
+		UsagePeriod: 500 * time.Millisecond, MaxCost: 3, MaxRetryAfter: 500 * time.Millisecond,
+		LoadReportFields: []string{"depth", "tps"}, LoadReportsInResponses: true, SlowStartMinCapacity: 0.2, SlowStartWindow: time.Second,
+		OverloadFactor: 4, OverloadDuration: time.Second}}
 }
 
-func ready(addrs ...string) membership.List {
-	list := membership.List{Whole: true}
+func ready(addrs ...string) membership.Update {
+	list := membership.Update{Full: true}
 	for i, addr := range addrs {
 		list.Nodes = append(list.Nodes, membership.Node{Name: fmt.Sprintf("s-%d", i), Addr: addr, Weight: 1})
 	}
@@ -44,23 +44,23 @@
 // served is a Door behind the daemon's server, on a port of the system's choosing.
 type served struct {
 	addr string
-	door *Door
+	door *Gateway
 	stop context.CancelFunc
 	done chan error
 }
 
 // startDoor starts one with a decision module of the test's; nil: the one that ships.
-func startDoor(t testing.TB, decider core.Decider, addrs ...string) *served {
+func startDoor(t testing.TB, decider lifecycle.DecisionEngine, addrs ...string) *served {
 	t.Helper()
 	config := testConfig()
-	config.Known = ready(addrs...)
+	config.InitialEndpoints = ready(addrs...)
 	return startServed(t, config, decider)
 }
 
 // startServed is startDoor for a configuration and options of the test's.
-func startServed(t testing.TB, config Config, decider core.Decider, options ...Option) *served {
+func startServed(t testing.TB, config Config, decider lifecycle.DecisionEngine, options ...Option) *served {
 	t.Helper()
-	door, err := newDoor(config, decider, options)
+	door, err := newGateway(config, decider, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	d := &served{addr: ln.Addr().String(), door: door, stop: stop, done: make(chan error, 1)}
-	server := httpfront.NewServer(door, 426, time.Minute, slog.New(slog.DiscardHandler), httpfront.Options{})
+	server := httplistener.NewServer(door, 426, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{})
 	go func() { d.done <- server.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
@@ -109,7 +109,7 @@
 func sendTo(id decision.BackendID) func(decision.Event) []decision.Action {
 	return func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
-			return []decision.Action{decision.Send{Request: r.ID, Backend: id}}
+			return []decision.Action{decision.StartAttempt{Request: r.ID, Backend: id}}
 		}
 		return nil
 	}
@@ -180,7 +180,7 @@
 	} {
 		g := testkit.Script(sendTo(1))
 		d := startDoor(t, g, "127.0.0.1:1")
-		testkit.Next[decision.BackendList](t, g)
+		testkit.Next[decision.EndpointUpdate](t, g)
 		if res, _ := testkit.Do(t, d.ask(t, c.class, c.change)); res.StatusCode != c.status {
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
@@ -194,7 +194,7 @@
 func TestRefusalsSayWhenToComeBack(t *testing.T) {
 	d := startDoor(t, testkit.Script(func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
-			return []decision.Action{decision.Refuse{Request: r.ID, RetryAfter: 250 * time.Millisecond}, decision.Fail{Request: r.ID}}
+			return []decision.Action{decision.Reject{Request: r.ID, RetryAfter: 250 * time.Millisecond}, decision.Fail{Request: r.ID}}
 		}
 		return nil
 	}))
@@ -212,10 +212,10 @@
 	if res.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("%s, want the last moment's answer", res.Status)
 	}
-	if req := testkit.Next[decision.Request](t, g); req.Patience <= 0 || req.Patience > 500*time.Millisecond-core.PatienceMargin {
-		t.Errorf("the gateway was told of %v", req.Patience)
+	if req := testkit.Next[decision.Request](t, g); req.Timeout <= 0 || req.Timeout > 500*time.Millisecond-lifecycle.TimeoutMargin {
+		t.Errorf("the gateway was told of %v", req.Timeout)
 	}
-	testkit.Next[decision.ClientGone](t, g)
+	testkit.Next[decision.ClientDisconnected](t, g)
 }
 
 // A client that closes its connection is gone: the gateway hears of it, and the attempt it calls off is closed.
@@ -229,9 +229,9 @@
 	g := testkit.Script(func(ev decision.Event) []decision.Action {
 		switch ev := ev.(type) {
 		case decision.Request:
-			return []decision.Action{decision.Send{Request: ev.ID, Backend: 1}}
-		case decision.ClientGone:
-			return []decision.Action{decision.Cancel{Request: ev.Request, Attempt: 0}, decision.Send{Request: ev.Request, Backend: 1}}
+			return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 1}}
+		case decision.ClientDisconnected:
+			return []decision.Action{decision.CancelAttempt{Request: ev.Request, Attempt: 0}, decision.StartAttempt{Request: ev.Request, Backend: 1}}
 		}
 		return nil
 	})
@@ -245,7 +245,7 @@
 	}
 	testkit.Await(t, read, "the attempt")
 	conn.Close()
-	testkit.Next[decision.ClientGone](t, g)
+	testkit.Next[decision.ClientDisconnected](t, g)
 	if out := testkit.Next[decision.Outcome](t, g); out.Attempt != 1 || out.Result != decision.NotSent || !out.Final {
 		t.Errorf("a send after the end: %+v", out)
 	}
@@ -272,7 +272,7 @@
 	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Next[decision.ClientGone](t, g)
+	testkit.Next[decision.ClientDisconnected](t, g)
 	if res, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && res.StatusCode < 500 {
 		t.Errorf("it read %s", res.Status)
 	}
@@ -376,7 +376,7 @@
 		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: units=1,spread=2,first=1\r\n"
 	g := testkit.Script(nil)
 	d := startDoor(t, g)
-	testkit.Next[decision.BackendList](t, g)
+	testkit.Next[decision.EndpointUpdate](t, g)
 	ends := make(chan string)
 	for name, text := range map[string]string{
 		"silent":       "",
@@ -408,7 +408,7 @@
 func TestTwoFramingsAreTurnedAway(t *testing.T) {
 	g := testkit.Script(nil)
 	d := startDoor(t, g)
-	testkit.Next[decision.BackendList](t, g)
+	testkit.Next[decision.EndpointUpdate](t, g)
 	for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		c := dial(t, d.addr)
 		io.WriteString(c, "POST /pay "+proto+"\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n"+
--- a/door_keys_test.go
+++ b/door_keys_test.go
@@ -14,17 +14,17 @@
 	"time"
 
 	"pumicecroft"
+	"pumicecroft/idempotency"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/hosttest"
-	"pumicecroft/internal/standin"
 	"pumicecroft/internal/testkit"
-	"pumicecroft/keys"
 	"pumicecroft/membership"
 )
 
 // withKeys is a door that recognises keys, before n backends of one cell each, so that only the edge can drop a repeat.
-func withKeys(t *testing.T, n int, act func(standin.Attempt) standin.Act, limits keys.Limits) *hosttest.Rig {
+func withKeys(t *testing.T, n int, act func(fakes.Attempt) fakes.Act, limits idempotency.Limits) *hosttest.Rig {
 	t.Helper()
-	return hosttest.New(t, n, act, func(c *pumicecroft.Config) { c.Keys = &limits })
+	return hosttest.New(t, n, act, func(c *pumicecroft.Config) { c.Idempotency = &limits })
 }
 
 // until waits until something holds.
@@ -40,7 +40,7 @@
 // keyed is a request by key; with another body than the rest if it is to conflict.
 func keyed(class, key, body string) pumicecroft.Request {
 	r := ask(class)
-	r.Key, r.Body = key, []byte(body)
+	r.IdempotencyKey, r.Body = key, []byte(body)
 	return r
 }
 
@@ -48,7 +48,7 @@
 // counted and sent on once.
 func TestRepeats(t *testing.T) {
 	const pairs = 200
-	r := withKeys(t, 2, nil, keys.Limits{})
+	r := withKeys(t, 2, nil, idempotency.Limits{})
 	var asking sync.WaitGroup
 	for i := range pairs {
 		asking.Go(func() {
@@ -62,7 +62,7 @@
 					}
 					a, err := r.Door.Do(t.Context(), req)
 					if err != nil {
-						t.Errorf("%s %s: %v", req.Class, req.Key, err)
+						t.Errorf("%s %s: %v", req.Class, req.IdempotencyKey, err)
 						return
 					}
 					answers[j] = string(a.Body)
@@ -85,23 +85,23 @@
 	for _, c := range []struct {
 		name   string
 		class  string
-		act    standin.Act
-		change func(a *standin.Ask) // of the repeat
+		act    fakes.Act
+		change func(a *fakes.Ask) // of the repeat
 		first  int
 		second int
 		sent   int
 		retry  bool
 	}{
-		{"served", "pay", standin.Work, nil, 200, 200, 1, false},
-		{"another body", "pay", standin.Work, func(a *standin.Ask) { a.Body = "amount=4" }, 200, 422, 1, false},
-		{"another class", "pay", standin.Work, func(a *standin.Ask) { a.Class = "once" }, 200, 422, 1, false},
-		{"another customer", "pay", standin.Work, func(a *standin.Ask) { a.Customer = 8 }, 200, 200, 2, false},
-		{"it may have run", "once", standin.RunAndError, nil, 502, 409, 1, true},
-		{"it broke", "once", standin.RunAndBreak, nil, 502, 409, 1, true},
-		{"turned away: a repeat is a new request, whose backend is held back", "pay", standin.TurnAway, nil, 503, 503, 1, true},
+		{"served", "pay", fakes.Work, nil, 200, 200, 1, false},
+		{"another body", "pay", fakes.Work, func(a *fakes.Ask) { a.Body = "amount=4" }, 200, 422, 1, false},
+		{"another class", "pay", fakes.Work, func(a *fakes.Ask) { a.Class = "once" }, 200, 422, 1, false},
+		{"another customer", "pay", fakes.Work, func(a *fakes.Ask) { a.Customer = 8 }, 200, 200, 2, false},
+		{"it may have run", "once", fakes.RunAndError, nil, 502, 409, 1, true},
+		{"it broke", "once", fakes.RunAndBreak, nil, 502, 409, 1, true},
+		{"turned away: a repeat is a new request, whose backend is held back", "pay", fakes.TurnAway, nil, 503, 503, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := withKeys(t, 1, standin.Once(c.act), keys.Limits{KeepDoubt: time.Minute})
+			r := withKeys(t, 1, fakes.Once(c.act), idempotency.Limits{UnknownTTL: time.Minute})
 			addr := hosttest.Serve(t, r.Door, nil)
 			first := r.Ask(c.class)
 			again := first
@@ -111,7 +111,7 @@
 			}
 			var told [2]*http.Response // read by hand: the stand-in client takes an answer to another try for a wrong one
 			var bodies [2]string
-			for i, a := range []standin.Ask{first, again} {
+			for i, a := range []fakes.Ask{first, again} {
 				req, err := a.Request(t.Context(), addr)
 				if err != nil {
 					t.Fatal(err)
@@ -134,12 +134,12 @@
 // The first client's leaving does not end what a second one waits for; when both have left, it is called off.
 func TestLeavingWithARepeatWaiting(t *testing.T) {
 	hold := make(chan bool)
-	r := withKeys(t, 1, func(a standin.Attempt) standin.Act {
+	r := withKeys(t, 1, func(a fakes.Attempt) fakes.Act {
 		if a.Body == "hold" {
 			<-hold
 		}
-		return standin.Work
-	}, keys.Limits{})
+		return fakes.Work
+	}, idempotency.Limits{})
 	firstLeaves, leave := context.WithCancel(t.Context())
 	req := keyed("pay", "k", "hold")
 	got := make(chan error, 1)
@@ -147,7 +147,7 @@
 		_, err := r.Door.Do(firstLeaves, req)
 		got <- err
 	}()
-	if !r.Ledger.Await(hosttest.Patience, func(as []standin.Attempt) bool { return len(as) == 1 }) {
+	if !r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
 		t.Fatal("the first never came")
 	}
 	second := make(chan error, 1)
@@ -155,7 +155,7 @@
 		_, err := r.Door.Do(t.Context(), req)
 		second <- err
 	}()
-	waits := func() bool { _, _, joined := r.Door.Keys(); return joined > 1 }
+	waits := func() bool { _, _, joined := r.Door.IdempotencyStats(); return joined > 1 }
 	until(t, waits, "the second to wait")
 	req.Body[0] = 'X' // the first caller may change its body from when it has left
 	leave()
@@ -173,13 +173,13 @@
 
 // Keys that make no sense are bad requests, and an answer that is too large is remembered as given.
 func TestOddKeys(t *testing.T) {
-	r := withKeys(t, 1, nil, keys.Limits{MostAnswer: 3})
+	r := withKeys(t, 1, nil, idempotency.Limits{MaxResponseBytes: 3})
 	for _, key := range []string{strings.Repeat("k", 64<<10), "a\tb", "ü"} {
 		if _, err := r.Door.Do(t.Context(), keyed("pay", key, "b")); !errors.Is(err, pumicecroft.ErrBadRequest) {
 			t.Errorf("%.10q: %v", key, err)
 		}
 	}
-	for i, want := range []error{nil, pumicecroft.ErrAnswerGone} {
+	for i, want := range []error{nil, pumicecroft.ErrResponseNotRetained} {
 		if _, err := r.Door.Do(t.Context(), keyed("pay", "k", "b")); !errors.Is(err, want) {
 			t.Errorf("%d: %v", i, err)
 		}
@@ -188,7 +188,7 @@
 		t.Error(err)
 	}
 	w := httptest.NewRecorder()
-	if pumicecroft.WriteAnswer(w, nil, pumicecroft.ErrAnswerGone); w.Code != http.StatusConflict {
+	if pumicecroft.WriteResponse(w, nil, pumicecroft.ErrResponseNotRetained); w.Code != http.StatusConflict {
 		t.Error(w.Code)
 	}
 }
@@ -196,12 +196,12 @@
 // A customer that has as much in flight as it may is refused at once, with when to come back; another's request goes on.
 func TestBusyKeys(t *testing.T) {
 	hold := make(chan bool)
-	r := withKeys(t, 1, func(a standin.Attempt) standin.Act {
+	r := withKeys(t, 1, func(a fakes.Attempt) fakes.Act {
 		if a.Body == "hold" {
 			<-hold
 		}
-		return standin.Work
-	}, keys.Limits{Bytes: 4000, Advice: 70 * time.Millisecond})
+		return fakes.Work
+	}, idempotency.Limits{MaxBytes: 4000, RetryAfter: 70 * time.Millisecond})
 	var asking sync.WaitGroup
 	defer asking.Wait()
 	defer close(hold)
@@ -217,14 +217,14 @@
 		until(t, func() bool {
 			select {
 			case err := <-answered:
-				var refused *pumicecroft.RefusedError
+				var refused *pumicecroft.RejectedError
 				if !errors.As(err, &refused) || refused.RetryAfter != 70*time.Millisecond {
 					t.Errorf("%d: %v", i, err)
 				}
 				busy = true
 				return true
 			default:
-				_, n, _ := r.Door.Keys()
+				_, n, _ := r.Door.IdempotencyStats()
 				return n > i
 			}
 		}, "a request to be held or refused")
@@ -242,13 +242,13 @@
 // A disk that hangs takes no client beyond its time: what waited for it goes on with what is left.
 func TestAJournalOnASlowDisk(t *testing.T) {
 	dir := t.TempDir()
-	r := hosttest.New(t, 1, func(a standin.Attempt) standin.Act {
+	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Act {
 		if a.Key == "slow" {
-			return standin.Hang
+			return fakes.Hang
 		}
-		return standin.Work
+		return fakes.Work
 	}, func(c *pumicecroft.Config) {
-		c.Keys, c.KeysJournal = &keys.Limits{}, &pumicecroft.KeysJournal{Dir: dir, Gather: time.Second, Patience: 400 * time.Millisecond}
+		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: dir, GroupCommitDelay: time.Second, WriteTimeout: 400 * time.Millisecond}
 	})
 	for _, c := range []struct {
 		key     string
@@ -270,7 +270,7 @@
 func TestPairsOverADoorsEnd(t *testing.T) {
 	dir := t.TempDir()
 	withJournal := func(c *pumicecroft.Config) {
-		c.Keys, c.KeysJournal = &keys.Limits{}, &pumicecroft.KeysJournal{Dir: dir}
+		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: dir}
 	}
 	first := hosttest.New(t, 2, nil, withJournal)
 	const pairs = 300
@@ -293,7 +293,7 @@
 						switch {
 						case err == nil:
 							answers[i][j] = string(a.Body)
-						case !errors.Is(err, pumicecroft.ErrRefused):
+						case !errors.Is(err, pumicecroft.ErrRejected):
 							t.Errorf("k%d: %v", i, err)
 						}
 						some <- struct{}{}
@@ -310,11 +310,11 @@
 		t.Fatal(err)
 	}
 	pressing.Wait()
-	var nodes membership.List
+	var nodes membership.Update
 	for _, b := range first.Backends {
 		nodes.Nodes = append(nodes.Nodes, membership.Node{Name: b.Addr(), Addr: b.Addr(), Weight: 1})
 	}
-	second := hosttest.New(t, 0, nil, func(c *pumicecroft.Config) { withJournal(c); c.Known = nodes })
+	second := hosttest.New(t, 0, nil, func(c *pumicecroft.Config) { withJournal(c); c.InitialEndpoints = nodes })
 	answered, refused := 0, 0
 	for i, pair := range answers {
 		a, err := second.Door.Do(t.Context(), keyed("once", fmt.Sprint("k", i), "b"))
@@ -339,7 +339,7 @@
 
 // A body that comes in other pieces is the same body; one of 60 MB is turned away, with its key as without, and its key stays free.
 func TestBodiesInPieces(t *testing.T) {
-	r := withKeys(t, 1, nil, keys.Limits{})
+	r := withKeys(t, 1, nil, idempotency.Limits{})
 	addr := hosttest.Serve(t, r.Door, nil)
 	first := r.Ask("pay")
 	press := func(body io.Reader, size int64) int {
@@ -378,13 +378,13 @@
 // A client that waits for less than the disk may take has its answer in its own time: refused, as nothing was sent.
 func TestAHurriedClientOnASlowDisk(t *testing.T) {
 	r := hosttest.New(t, 1, nil, func(c *pumicecroft.Config) {
-		c.Keys, c.KeysJournal = &keys.Limits{}, &pumicecroft.KeysJournal{Dir: t.TempDir(), Gather: 5 * time.Second, Patience: 4 * time.Second}
+		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: t.TempDir(), GroupCommitDelay: 5 * time.Second, WriteTimeout: 4 * time.Second}
 	})
 	req := keyed("once", "k", "b")
 	req.Timeout = 200 * time.Millisecond
 	start := time.Now()
 	_, err := r.Door.Do(t.Context(), req)
-	if took := time.Since(start); !errors.Is(err, pumicecroft.ErrRefused) || took > 2*time.Second {
+	if took := time.Since(start); !errors.Is(err, pumicecroft.ErrRejected) || took > 2*time.Second {
 		t.Errorf("%v after %v", err, took)
 	}
 	if n := len(r.Ledger.Attempts()); n != 0 {
--- a/door_test.go
+++ b/door_test.go
@@ -13,15 +13,15 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/hosttest"
-	"pumicecroft/internal/standin"
 	"pumicecroft/membership"
 )
 
 func ask(class string) pumicecroft.Request {
 	r := pumicecroft.Request{Class: class, Plan: "shop", Customer: 7}
 	if class != "look" {
-		r.Key, r.Body = "k", []byte("amount=3")
+		r.IdempotencyKey, r.Body = "k", []byte("amount=3")
 	}
 	return r
 }
@@ -57,14 +57,14 @@
 	for name, change := range map[string]func(*pumicecroft.Request){
 		"class":         func(q *pumicecroft.Request) { q.Class = "nap" },
 		"plan":          func(q *pumicecroft.Request) { q.Plan = "gold" },
-		"units":         func(q *pumicecroft.Request) { q.Units = -1 },
-		"units NaN":     func(q *pumicecroft.Request) { q.Units = math.NaN() },
-		"units without": func(q *pumicecroft.Request) { q.Units = math.Inf(1) },
-		"spread":        func(q *pumicecroft.Request) { q.Spread = 2 },
-		"first":         func(q *pumicecroft.Request) { q.FirstDoor = 1 },
+		"units":         func(q *pumicecroft.Request) { q.Cost = -1 },
+		"units NaN":     func(q *pumicecroft.Request) { q.Cost = math.NaN() },
+		"units without": func(q *pumicecroft.Request) { q.Cost = math.Inf(1) },
+		"spread":        func(q *pumicecroft.Request) { q.GatewaySpread = 2 },
+		"first":         func(q *pumicecroft.Request) { q.FirstGateway = 1 },
 		"timeout":       func(q *pumicecroft.Request) { q.Timeout = -1 },
-		"no key":        func(q *pumicecroft.Request) { q.Key = "" },
-		"key":           func(q *pumicecroft.Request) { q.Key = "a\r\nX: y" },
+		"no key":        func(q *pumicecroft.Request) { q.IdempotencyKey = "" },
+		"key":           func(q *pumicecroft.Request) { q.IdempotencyKey = "a\r\nX: y" },
 		"method":        func(q *pumicecroft.Request) { q.Method = "GET /x HTTP/1.1\r\n" },
 		"target":        func(q *pumicecroft.Request) { q.Target = "/a b" },
 		"no path":       func(q *pumicecroft.Request) { q.Target = "pay" },
@@ -72,11 +72,11 @@
 		"content type":  func(q *pumicecroft.Request) { q.ContentType = "a\nb" },
 		"GET with body": func(q *pumicecroft.Request) { q.Method = "GET" },
 	} {
-		if err := bad(change); !errors.Is(err, pumicecroft.ErrBadRequest) || errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRefused) {
+		if err := bad(change); !errors.Is(err, pumicecroft.ErrBadRequest) || errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := bad(func(q *pumicecroft.Request) { q.Body = make([]byte, pumicecroft.MaxBody+1) }); !errors.Is(err, pumicecroft.ErrTooLarge) || !errors.Is(err, pumicecroft.ErrBadRequest) {
+	if err := bad(func(q *pumicecroft.Request) { q.Body = make([]byte, pumicecroft.MaxBody+1) }); !errors.Is(err, pumicecroft.ErrBodyTooLarge) || !errors.Is(err, pumicecroft.ErrBadRequest) {
 		t.Errorf("too large: %v", err)
 	}
 	if n := len(r.Ledger.Attempts()); n > 0 {
@@ -91,16 +91,16 @@
 
 	empty := hosttest.New(t, 0, nil, nil)
 	_, err := empty.Door.Do(t.Context(), ask("look"))
-	var refused *pumicecroft.RefusedError
-	if !errors.Is(err, pumicecroft.ErrRefused) || !errors.As(err, &refused) || refused.RetryAfter <= 0 || errors.Is(err, pumicecroft.ErrFailed) {
+	var refused *pumicecroft.RejectedError
+	if !errors.Is(err, pumicecroft.ErrRejected) || !errors.As(err, &refused) || refused.RetryAfter <= 0 || errors.Is(err, pumicecroft.ErrFailed) {
 		t.Errorf("nobody there: %v", err)
 	}
 
-	broken := hosttest.New(t, 1, func(standin.Attempt) standin.Act { return standin.RunAndError }, nil)
-	if _, err := broken.Door.Do(t.Context(), ask("once")); !errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRefused) {
+	broken := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.RunAndError }, nil)
+	if _, err := broken.Door.Do(t.Context(), ask("once")); !errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("failed: %v", err)
 	}
-	hung := hosttest.New(t, 1, func(standin.Attempt) standin.Act { return standin.Hang }, nil)
+	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.Hang }, nil)
 	req := ask("once")
 	req.Timeout = 200 * time.Millisecond
 	start := time.Now()
@@ -111,7 +111,7 @@
 
 func TestAnIDThatIsOpenOrWasHere(t *testing.T) {
 	goOn := make(chan bool)
-	r := hosttest.New(t, 1, func(standin.Attempt) standin.Act { <-goOn; return standin.Work }, nil)
+	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { <-goOn; return fakes.Work }, nil)
 	req := ask("pay")
 	req.ID = 5
 	first := make(chan error, 1)
@@ -119,8 +119,8 @@
 		_, err := r.Door.Do(t.Context(), req)
 		first <- err
 	}()
-	r.Ledger.Await(hosttest.Patience, func(as []standin.Attempt) bool { return len(as) == 1 })
-	if _, err := r.Door.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrOpenID) || !errors.Is(err, pumicecroft.ErrBadRequest) {
+	r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 })
+	if _, err := r.Door.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrDuplicateID) || !errors.Is(err, pumicecroft.ErrBadRequest) {
 		t.Errorf("open: %v", err)
 	}
 	close(goOn)
@@ -136,14 +136,14 @@
 }
 
 func TestRequestsAreBounded(t *testing.T) {
-	r := hosttest.New(t, 1, func(standin.Attempt) standin.Act { return standin.Hang }, func(c *pumicecroft.Config) { c.MaxOpen = 3 })
+	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.Hang }, func(c *pumicecroft.Config) { c.MaxOpenRequests = 3 })
 	ctx, leave := context.WithCancel(t.Context())
 	var asking sync.WaitGroup
 	for range 3 {
 		asking.Go(func() { r.Door.Do(ctx, ask("look")) })
 	}
-	r.Ledger.Await(hosttest.Patience, func(as []standin.Attempt) bool { return len(as) == 3 })
-	if _, err := r.Door.Do(t.Context(), ask("look")); !errors.Is(err, pumicecroft.ErrBusy) || !errors.Is(err, pumicecroft.ErrRefused) {
+	r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 3 })
+	if _, err := r.Door.Do(t.Context(), ask("look")); !errors.Is(err, pumicecroft.ErrTooManyRequests) || !errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("one too many: %v", err)
 	}
 	leave()
@@ -155,22 +155,22 @@
 // own time is up the rest is told so at once.
 func TestClose(t *testing.T) {
 	goOn := make(chan bool)
-	r := hosttest.New(t, 1, func(a standin.Attempt) standin.Act {
+	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Act {
 		if a.Class == "pay" {
 			<-goOn
 		}
-		return standin.Work
+		return fakes.Work
 	}, nil)
 	first := make(chan error, 1)
 	go func() {
 		_, err := r.Door.Do(t.Context(), ask("pay"))
 		first <- err
 	}()
-	r.Ledger.Await(hosttest.Patience, func(as []standin.Attempt) bool { return len(as) == 1 })
+	r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 })
 	closed := make(chan error, 1)
 	go func() { closed <- r.Door.Close(context.Background()) }()
 	for end := time.Now().Add(hosttest.Patience); ; time.Sleep(time.Millisecond) {
-		if _, err := r.Door.Do(t.Context(), ask("look")); errors.Is(err, pumicecroft.ErrClosed) && errors.Is(err, pumicecroft.ErrRefused) {
+		if _, err := r.Door.Do(t.Context(), ask("look")); errors.Is(err, pumicecroft.ErrClosed) && errors.Is(err, pumicecroft.ErrRejected) {
 			break
 		}
 		if time.Now().After(end) {
@@ -192,14 +192,14 @@
 	if err := r.Door.Close(context.Background()); err != nil {
 		t.Errorf("once more: %v", err)
 	}
-	r.Door.Update(membership.List{Whole: true}) // does nothing, and no harm
+	r.Door.Update(membership.Update{Full: true}) // does nothing, and no harm
 
-	hung := hosttest.New(t, 1, func(standin.Attempt) standin.Act { return standin.Hang }, nil)
+	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.Hang }, nil)
 	go func() {
 		_, err := hung.Door.Do(t.Context(), ask("pay"))
 		first <- err
 	}()
-	hung.Ledger.Await(hosttest.Patience, func(as []standin.Attempt) bool { return len(as) == 1 })
+	hung.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 })
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if err := hung.Door.Close(ctx); !errors.Is(err, pumicecroft.ErrAborted) || !errors.Is(err, context.DeadlineExceeded) {
@@ -212,17 +212,17 @@
 
 // source is a list that the test pushes.
 type source struct {
-	lists chan membership.List
+	lists chan membership.Update
 	ended chan bool
 }
 
-func (s source) Run(ctx context.Context, update func(membership.List)) {
+func (s source) Run(ctx context.Context, update func(membership.Update)) {
 	defer close(s.ended)
 	for {
 		select {
 		case l := <-s.lists:
 			update(l)
-			s.lists <- membership.List{} // it has counted
+			s.lists <- membership.Update{} // it has counted
 		case <-ctx.Done():
 			return
 		}
@@ -230,17 +230,17 @@
 }
 
 func TestASource(t *testing.T) {
-	s := source{make(chan membership.List), make(chan bool)}
+	s := source{make(chan membership.Update), make(chan bool)}
 	r := hosttest.New(t, 1, nil, nil, pumicecroft.WithSource(s))
-	push := func(l membership.List) { s.lists <- l; <-s.lists }
+	push := func(l membership.Update) { s.lists <- l; <-s.lists }
 	if _, err := r.Door.Do(t.Context(), ask("look")); err != nil {
 		t.Error(err)
 	}
-	push(membership.List{Nodes: []membership.Node{{Name: "b0", Addr: r.Backends[0].Addr(), State: decision.Draining}}})
-	if _, err := r.Door.Do(t.Context(), ask("look")); !errors.Is(err, pumicecroft.ErrRefused) {
+	push(membership.Update{Nodes: []membership.Node{{Name: "b0", Addr: r.Backends[0].Addr(), State: decision.Draining}}})
+	if _, err := r.Door.Do(t.Context(), ask("look")); !errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("while the one backend drains: %v", err)
 	}
-	push(membership.List{Whole: true, Nodes: []membership.Node{{Name: ""}, {Name: "bad", State: 9}, {Name: "none"},
+	push(membership.Update{Full: true, Nodes: []membership.Node{{Name: ""}, {Name: "bad", State: 9}, {Name: "none"},
 		{Name: "new", Addr: r.Backends[0].Addr()}}}) // three make no sense
 	if _, err := r.Door.Do(t.Context(), ask("look")); err != nil {
 		t.Errorf("a new one: %v", err)
@@ -259,9 +259,9 @@
 	}
 	for name, change := range map[string]func(*pumicecroft.Config){
 		"a time below 0":     func(c *pumicecroft.Config) { c.IdleTimeout = -1 },
-		"a count below 0":    func(c *pumicecroft.Config) { c.MaxOpen = -1 },
-		"a number too high":  func(c *pumicecroft.Config) { c.Settings.Me = 1 },
-		"a number below 0":   func(c *pumicecroft.Config) { c.Settings.Me = -1 },
+		"a count below 0":    func(c *pumicecroft.Config) { c.MaxOpenRequests = -1 },
+		"a number too high":  func(c *pumicecroft.Config) { c.Settings.GatewayIndex = 1 },
+		"a number below 0":   func(c *pumicecroft.Config) { c.Settings.GatewayIndex = -1 },
 		"a plan that is odd": func(c *pumicecroft.Config) { c.Settings.Plans[0].Rate = math.NaN() },
 		"no class":           func(c *pumicecroft.Config) { c.Settings.Classes = nil },
 	} {
@@ -277,10 +277,10 @@
 func TestNothingIsLeftBehind(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for range 20 {
-		var doors []*pumicecroft.Door
+		var doors []*pumicecroft.Gateway
 		for i := range 3 {
 			c := hosttest.Config()
-			c.Known.Nodes = []membership.Node{{Name: "one", Addr: "127.0.0.1:1"}}
+			c.InitialEndpoints.Nodes = []membership.Node{{Name: "one", Addr: "127.0.0.1:1"}}
 			d, err := pumicecroft.New(c, pumicecroft.WithDialer(func(context.Context, string, string) (net.Conn, error) {
 				return nil, errors.New("no way")
 			}))
@@ -289,7 +289,7 @@
 			}
 			req := ask("once")
 			req.ID = 77 // the same at each: they do not know of one another
-			if _, err := d.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrRefused) {
+			if _, err := d.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrRejected) {
 				t.Errorf("door %d: %v", i, err)
 			}
 			doors = append(doors, d)
@@ -309,14 +309,14 @@
 
 type silent struct{}
 
-func (silent) Run(context.Context, func(membership.List)) {}
+func (silent) Run(context.Context, func(membership.Update)) {}
 
 // A source without a name, or of a name that is plain here and not there, is an error of the configuration.
 func TestBadOrigins(t *testing.T) {
-	for _, os := range [][]membership.Origin{{{}}, {{Name: "x"}, {Name: "x", Plain: true}}, {{Name: "own"}}} {
+	for _, os := range [][]membership.SourceInfo{{{}}, {{Name: "x"}, {Name: "x", Trusted: true}}, {{Name: "own"}}} {
 		var options []pumicecroft.Option
 		for _, o := range os {
-			options = append(options, pumicecroft.WithOrigin(o, silent{}))
+			options = append(options, pumicecroft.WithNamedSource(o, silent{}))
 		}
 		if _, err := pumicecroft.New(hosttest.Config(), options...); !errors.Is(err, pumicecroft.ErrConfig) {
 			t.Errorf("%+v: %v", os, err)
--- a/errors.go
+++ b/errors.go
@@ -6,31 +6,31 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/core"
+	"pumicecroft/internal/lifecycle"
 )
 
 // How a request ends without an answer to pass on. Test with errors.Is.
 var (
-	// ErrRefused: no attempt has run, or running again is harmless; the caller may try again. The error is a
+	// ErrRejected: no attempt has run, or running again is harmless; the caller may try again. The error is a
 	// *RefusedError.
-	ErrRefused = errors.New("pumicecroft: refused")
+	ErrRejected = errors.New("pumicecroft: refused")
 	// ErrFailed: it may have run, and promises nothing.
 	ErrFailed = errors.New("pumicecroft: failed")
-	// ErrLate is an ErrFailed too: the time was up before there was any other answer.
-	ErrLate = fmt.Errorf("%w: its time was up", ErrFailed)
+	// ErrDeadlineExceeded is an ErrFailed too: the time was up before there was any other answer.
+	ErrDeadlineExceeded = fmt.Errorf("%w: its time was up", ErrFailed)
 	// ErrAborted is an ErrFailed too: Close was not given the time to let the request end.
 	ErrAborted = fmt.Errorf("%w: the door was closed", ErrFailed)
 	// ErrClosed is an ErrRefused too: the Door takes nothing any more.
-	ErrClosed = fmt.Errorf("%w: the door is closed", ErrRefused)
-	// ErrBusy is an ErrRefused too: MaxOpen requests are open.
-	ErrBusy = fmt.Errorf("%w: as many requests as may be are open", ErrRefused)
+	ErrClosed = fmt.Errorf("%w: the door is closed", ErrRejected)
+	// ErrTooManyRequests is an ErrRefused too: MaxOpen requests are open.
+	ErrTooManyRequests = fmt.Errorf("%w: as many requests as may be are open", ErrRejected)
 
 	// ErrBadRequest: the request makes no sense to this Door; nothing was decided and nothing sent.
 	ErrBadRequest = errors.New("pumicecroft: bad request")
-	// ErrTooLarge is an ErrBadRequest too: the body is over the limit.
-	ErrTooLarge = fmt.Errorf("%w: the body is over %d KiB", ErrBadRequest, MaxBody>>10)
-	// ErrOpenID is an ErrBadRequest too: a request with this id is open.
-	ErrOpenID = fmt.Errorf("%w: a request with this id is open", ErrBadRequest)
+	// ErrBodyTooLarge is an ErrBadRequest too: the body is over the limit.
+	ErrBodyTooLarge = fmt.Errorf("%w: the body is over %d KiB", ErrBadRequest, MaxBody>>10)
+	// ErrDuplicateID is an ErrBadRequest too: a request with this id is open.
+	ErrDuplicateID = fmt.Errorf("%w: a request with this id is open", ErrBadRequest)
 	// ErrReplayed is an ErrFailed too: a request with this id, of a class that must not be repeated at will, was
 	// here a short while ago and may have run. A host that runs its handlers again sees it, in place of a second
 	// effect.
@@ -38,47 +38,49 @@
 
 	// ErrKeyConflict is an ErrBadRequest too: its idempotency key belongs to another request of its customer.
 	ErrKeyConflict = fmt.Errorf("%w: the key belongs to another request", ErrBadRequest)
-	// ErrUndecided is an ErrFailed too: a request with this key may have run, and what came of it is not known. The error is
+	// ErrOutcomeUnknown is an ErrFailed too: a request with this key may have run, and what came of it is not known. The error is
 	// an *UndecidedError.
-	ErrUndecided = fmt.Errorf("%w: a request with this key may have run", ErrFailed)
-	// ErrAnswerGone is an ErrFailed too: a request with this key was answered well, and its answer was too large to be kept.
-	ErrAnswerGone = fmt.Errorf("%w: a request with this key was answered well, and the answer is not kept", ErrFailed)
+	ErrOutcomeUnknown = fmt.Errorf("%w: a request with this key may have run", ErrFailed)
+	// ErrResponseNotRetained is an ErrFailed too: a request with this key was answered well, and its answer was too large to be kept.
+	ErrResponseNotRetained = fmt.Errorf("%w: a request with this key was answered well, and the answer is not kept", ErrFailed)
 
 	// ErrConfig: New was given what it cannot work with.
 	ErrConfig = errors.New("pumicecroft: bad configuration")
 	// ErrJournal: the journal of keys can't be used: its directory can't be read or is another process's, or what is in it is damaged, which the
 	// error tells with file and offset. Nothing in it was changed.
 	ErrJournal = errors.New("pumicecroft: the journal of keys")
-	// ErrDoorTaken: another Door of the deployment has this number.
-	ErrDoorTaken = errors.New("pumicecroft: the number belongs to another door of this deployment")
+	// ErrGatewayIndexTaken: another Door of the deployment has this number.
+	ErrGatewayIndexTaken = errors.New("pumicecroft: the number belongs to another door of this deployment")
 )
 
-// RefusedError is an ErrRefused that may say when to come back.
-type RefusedError struct {
+// RejectedError is an ErrRefused that may say when to come back.
+type RejectedError struct {
 	RetryAfter time.Duration   // 0: no advice
-	Why        decision.Reason // as the decision module has it; Unfit where something else refused
+	Reason     decision.Reason // as the decision module has it; Unfit where something else refused
 }
 
 // Error tells the advice too.
-func (e *RefusedError) Error() string {
+func (e *RejectedError) Error() string {
 	if e.RetryAfter > 0 {
-		return fmt.Sprintf("%v, come back in %v", ErrRefused, e.RetryAfter)
+		return fmt.Sprintf("%v, come back in %v", ErrRejected, e.RetryAfter)
 	}
-	return ErrRefused.Error()
+	return ErrRejected.Error()
 }
 
 // Is makes it an ErrRefused.
-func (e *RefusedError) Is(target error) bool { return target == ErrRefused }
+func (e *RejectedError) Is(target error) bool { return target == ErrRejected }
 
-// UndecidedError is an ErrUndecided that says for how long the key is.
-type UndecidedError struct{ For time.Duration }
+// OutcomeUnknownError is an ErrUndecided that says for how long the key is.
+type OutcomeUnknownError struct{ RetryAfter time.Duration }
 
 // Error tells how long too.
-func (e *UndecidedError) Error() string { return fmt.Sprintf("%v, for %v", ErrUndecided, e.For) }
+func (e *OutcomeUnknownError) Error() string {
+	return fmt.Sprintf("%v, for %v", ErrOutcomeUnknown, e.RetryAfter)
+}
 
 // Unwrap makes it an ErrUndecided, and an ErrFailed.
-func (e *UndecidedError) Unwrap() error { return ErrUndecided }
+func (e *OutcomeUnknownError) Unwrap() error { return ErrOutcomeUnknown }
 
-// notLetIn are the errors for requests that the core did not let in.
-var notLetIn = map[error]error{core.ErrOpen: ErrOpenID, core.ErrReplayed: ErrReplayed, core.ErrFull: ErrBusy,
-	core.ErrClosed: ErrClosed}
+// submitErrors are the errors for requests that the core did not let in.
+var submitErrors = map[error]error{lifecycle.ErrDuplicateID: ErrDuplicateID, lifecycle.ErrReplayed: ErrReplayed, lifecycle.ErrTooManyRequests: ErrTooManyRequests,
+	lifecycle.ErrClosed: ErrClosed}
--- a/example_test.go
+++ b/example_test.go
@@ -19,18 +19,18 @@
 	return decision.Settings{
 		CanCancel:     true,
 		MaxRetryAfter: time.Second,
-		Classes:       []decision.Class{{Name: "lookup", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
+		Classes:       []decision.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
 		Plans:         []decision.Plan{{Name: "shop", Rate: 0.1, Burst: 2, Price: 1}},
 	}
 }
 
 // A caller in the same process asks with Do.
-func ExampleDoor_Do() {
+func ExampleGateway_Do() {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "looked up %s", r.URL.RequestURI())
 	}))
 	defer backend.Close()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: exampleSettings(), Known: membership.List{
+	door, err := pumicecroft.New(pumicecroft.Config{Settings: exampleSettings(), InitialEndpoints: membership.Update{
 		Nodes: []membership.Node{{Name: "one", Addr: strings.TrimPrefix(backend.URL, "http://")}}}})
 	if err != nil {
 		fmt.Println(err)
@@ -40,7 +40,7 @@
 	for range 3 {
 		answer, err := door.Do(context.Background(), pumicecroft.Request{Class: "lookup", Plan: "shop", Customer: 7,
 			Target: "/lookup?serial=3"})
-		var refused *pumicecroft.RefusedError
+		var refused *pumicecroft.RejectedError
 		switch {
 		case err == nil:
 			fmt.Println(string(answer.Body))
@@ -57,7 +57,7 @@
 }
 
 // A Door is an http.Handler that reads the platform's headers.
-func ExampleDoor_ServeHTTP() {
+func ExampleGateway_ServeHTTP() {
 	door, err := pumicecroft.New(pumicecroft.Config{Settings: exampleSettings()})
 	if err != nil {
 		fmt.Println(err)
--- a/examples/chi/main.go
+++ b/examples/chi/main.go
@@ -23,9 +23,9 @@
 func main() {
 	door, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true, MaxRetryAfter: time.Second,
-			Classes: []decision.Class{{Name: "stock-lookup", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
+			Classes: []decision.Class{{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
 			Plans:   []decision.Plan{{Name: "shop", Rate: 10, Burst: 20, Price: 1}}},
-		Known: membership.List{Nodes: []membership.Node{{Name: "node-1", Addr: "127.0.0.1:9001"}}},
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "node-1", Addr: "127.0.0.1:9001"}}},
 	})
 	if err != nil {
 		log.Fatal(err)
--- a/examples/grpc/main.go
+++ b/examples/grpc/main.go
@@ -16,7 +16,7 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/grpcfront"
+	"pumicecroft/grpcproxy"
 	"pumicecroft/membership"
 )
 
@@ -26,34 +26,34 @@
 			CanCancel:     true,
 			MaxRetryAfter: time.Second,
 			Classes: []decision.Class{
-				{Name: "stock-lookup", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
-				{Name: "activate", Effect: decision.Keyed, Group: decision.GroupCell, KeyWindow: 5 * time.Second,
-					Aim: time.Second, Deadline: 4 * time.Second, Worth: 5},
+				{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
+				{Name: "activate", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second,
+					LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 5},
 			},
 			Plans: []decision.Plan{{Name: "shop", Rate: 10, Burst: 20, Price: 1}},
 		},
 		Protocol: membership.ProtocolGRPC,
-		Known: membership.List{Nodes: []membership.Node{
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{
 			{Name: "node-1", Addr: "127.0.0.1:9101", Cell: 1},
 			{Name: "node-2", Addr: "127.0.0.1:9102", Cell: 1},
 		}},
-	}, grpcfront.WithBackends(grpcfront.BackendConfig{}))
+	}, grpcproxy.WithBackends(grpcproxy.BackendConfig{}))
 	if err != nil {
 		log.Fatal(err)
 	}
-	front, err := grpcfront.New(door, grpcfront.Config{
-		Methods: map[string]grpcfront.Method{
+	front, err := grpcproxy.New(door, grpcproxy.Config{
+		Methods: map[string]grpcproxy.Method{
 			"/shop.Desk/Activate": {Class: "activate"},
 			"/shop.Stock/List":    {Class: "stock-lookup", Streaming: true},
 		},
 		CustomerText: true,
-		Names:        grpcfront.Names{Customer: "x-tenant", Plan: "x-plan", Key: "idempotency-key"},
+		Names:        grpcproxy.Names{Customer: "x-tenant", Plan: "x-plan", Key: "idempotency-key"},
 	})
 	if err != nil {
 		log.Fatal(err)
 	}
 
-	server := grpc.NewServer(grpc.ForceServerCodecV2(grpcfront.Codec()), grpc.UnknownServiceHandler(front.Handle),
+	server := grpc.NewServer(grpc.ForceServerCodecV2(grpcproxy.Codec()), grpc.UnknownServiceHandler(front.Handle),
 		grpc.MaxConcurrentStreams(1000))
 	healthpb.RegisterHealthServer(server, health.NewServer()) // the host's own service
 	listener, err := net.Listen("tcp", "127.0.0.1:8090")
--- a/examples/nethttp/main.go
+++ b/examples/nethttp/main.go
@@ -23,13 +23,13 @@
 			CanCancel:     true,
 			MaxRetryAfter: time.Second,
 			Classes: []decision.Class{
-				{Name: "stock-lookup", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
-				{Name: "activate", Effect: decision.Keyed, Group: decision.GroupCell, KeyWindow: 5 * time.Second,
-					Aim: time.Second, Deadline: 4 * time.Second, Worth: 5},
+				{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
+				{Name: "activate", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second,
+					LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 5},
 			},
 			Plans: []decision.Plan{{Name: "shop", Rate: 10, Burst: 20, Price: 1}},
 		},
-		Known: membership.List{Nodes: []membership.Node{
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{
 			{Name: "node-1", Addr: "127.0.0.1:9001", Cell: 1},
 			{Name: "node-2", Addr: "127.0.0.1:9002", Cell: 1},
 		}},
--- a/grpcfront/bench_test.go
+++ b/grpcproxy/bench_test.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"context"
@@ -88,7 +88,7 @@
 		return ss.SendMsg(out)
 	}
 	set := deskSettings()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, Known: membership.List{Nodes: []membership.Node{
+	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, InitialEndpoints: membership.Update{Nodes: []membership.Node{
 		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{Conns: 1}))
 	if err != nil {
 		b.Fatal(err)
--- a/grpcfront/final.go
+++ b/grpcproxy/final.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/internal/grpcback"
+	"pumicecroft/internal/grpctransport"
 )
 
 // Pushback is the trailer by which a server says when the same call may be made again, in whole milliseconds, or by a
@@ -31,8 +31,8 @@
 // UNAVAILABLE: this door takes no calls now, another may; making it again at once is harmless. Everything else that ends
 // here carries a pushback of -1: it may have run, or can never succeed. What failed by a backend's error has that error's
 // status, but where clients' usual policies would make a keyed or unsafe call again by it.
-func final(err error, reply *grpcback.Answer, effect decision.Effect) (*status.Status, metadata.MD) {
-	var refused *pumicecroft.RefusedError
+func final(err error, reply *grpctransport.Answer, effect decision.Idempotency) (*status.Status, metadata.MD) {
+	var refused *pumicecroft.RejectedError
 	never := metadata.Pairs(Pushback, "-1")
 	switch {
 	case errors.As(err, &refused):
@@ -49,21 +49,21 @@
 			st = more
 		}
 		return st, metadata.Pairs(Pushback, strconv.FormatInt(ms, 10))
-	case errors.Is(err, pumicecroft.ErrRefused): // closed, or full
+	case errors.Is(err, pumicecroft.ErrRejected): // closed, or full
 		return status.New(codes.Unavailable, err.Error()), nil
-	case errors.Is(err, pumicecroft.ErrTooLarge):
+	case errors.Is(err, pumicecroft.ErrBodyTooLarge):
 		return status.New(codes.ResourceExhausted, err.Error()), never
 	case errors.Is(err, pumicecroft.ErrBadRequest):
 		return status.New(codes.InvalidArgument, err.Error()), never
 	case errors.Is(err, pumicecroft.ErrReplayed):
 		return status.New(codes.AlreadyExists, err.Error()), never
-	case errors.Is(err, pumicecroft.ErrLate), errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, pumicecroft.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
 		return status.New(codes.DeadlineExceeded, err.Error()), never
 	case errors.Is(err, context.Canceled):
 		return status.New(codes.Canceled, err.Error()), never
 	case reply != nil:
 		code, md := codes.Code(reply.Code), own(reply.Trailer)
-		if effect != decision.Safe && retried(code) {
+		if effect != decision.Idempotent && retried(code) {
 			code = codes.Unknown
 			delete(md, "grpc-status-details-bin") // it holds the code again
 		}
@@ -113,7 +113,7 @@
 }
 
 // own are a backend's fields as metadata, without those between it and us.
-func own(fields []grpcback.Field) metadata.MD {
+func own(fields []grpctransport.Field) metadata.MD {
 	md := metadata.MD{}
 	for _, f := range fields {
 		if hopByHop(f.Name) {
@@ -133,8 +133,8 @@
 }
 
 // onward are a call's metadata as they go on to backends.
-func onward(md metadata.MD) []grpcback.Field {
-	out := make([]grpcback.Field, 0, len(md)+1)
+func onward(md metadata.MD) []grpctransport.Field {
+	out := make([]grpctransport.Field, 0, len(md)+1)
 	for name, values := range md {
 		if hopByHop(name) {
 			continue
@@ -143,7 +143,7 @@
 			if strings.HasSuffix(name, "-bin") {
 				v = base64.RawStdEncoding.EncodeToString([]byte(v))
 			}
-			out = append(out, grpcback.Field{Name: name, Value: v})
+			out = append(out, grpctransport.Field{Name: name, Value: v})
 		}
 	}
 	return out
--- a/grpcfront/frames_test.go
+++ b/grpcproxy/frames_test.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/grpc/codes"
 
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/testkit"
 )
 
@@ -211,11 +211,11 @@
 // have streams, none has its effect twice, and another client is served.
 func TestRapidReset(t *testing.T) {
 	r := newRig(t, func(o *options) {
-		o.act = func(a standin.Attempt) standin.GRPCAct {
+		o.act = func(a fakes.Attempt) fakes.GRPCAct {
 			if a.Class == "/shop.Desk/Once" {
-				return standin.GRPCHang
+				return fakes.GRPCHang
 			}
-			return standin.GRPCServe
+			return fakes.GRPCServe
 		}
 		o.config.Streams = 20
 		o.back.Conns = 10
@@ -235,7 +235,7 @@
 		w.mu.Unlock()
 		if err == nil && i%10 == 0 { // it has become an attempt; the others are mostly gone before they are looked at
 			await(t, "an attempt, or a refusal", func() bool { return len(r.ledger.Of(c.id)) > 0 || w.over.Load() == id })
-			most = max(most, r.door.Open())
+			most = max(most, r.door.OpenRequests())
 		}
 		if err == nil {
 			w.mu.Lock()
@@ -250,9 +250,9 @@
 				t.Errorf("another client: %v", res.st)
 			}
 		}
-		most = max(most, r.door.Open())
+		most = max(most, r.door.OpenRequests())
 	}
-	await(t, "the end of all that was open", func() bool { return r.door.Open() == 0 })
+	await(t, "the end of all that was open", func() bool { return r.door.OpenRequests() == 0 })
 	w.conn.Close()
 	reading.Wait()
 	if most == 0 || most > 2*20+2 { // twice, as one that is called off is open until its attempt has ended
--- a/grpcfront/front.go
+++ b/grpcproxy/front.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/status"
 
 	"pumicecroft"
-	"pumicecroft/internal/grpcback"
+	"pumicecroft/internal/grpctransport"
 )
 
 // framed is a message with its prefix, as it stands on the wire. See Codec.
@@ -50,7 +50,7 @@
 	md, _ := metadata.FromIncomingContext(ctx)
 	arrived := time.Now()
 	req, err := f.read(ctx, m, md)
-	load := &grpcback.Request{Method: method}
+	load := &grpctransport.Request{Method: method}
 	if err == nil {
 		var leave context.CancelCauseFunc
 		ctx, leave = context.WithCancelCause(ctx)
@@ -61,14 +61,14 @@
 		return f.end(ss, m, nil, err)
 	}
 	if req.Timeout > 0 { // what reading took is the client's time too
-		if req.Timeout -= time.Since(arrived); req.Timeout <= pumicecroft.LeastTimeout {
-			return f.end(ss, m, nil, pumicecroft.ErrLate) // a refusal, and a client that then looks at its clock: late either way
+		if req.Timeout -= time.Since(arrived); req.Timeout <= pumicecroft.MinTimeout {
+			return f.end(ss, m, nil, pumicecroft.ErrDeadlineExceeded) // a refusal, and a client that then looks at its clock: late either way
 		}
 	}
 	load.Metadata = onward(md)
 	if f.config.Names.ID != "" && len(md[f.config.Names.ID]) == 0 {
 		req = req.WithID(rand.Uint64())
-		load.Metadata = append(load.Metadata, grpcback.Field{Name: f.config.Names.ID, Value: fmt.Sprintf("%016x", req.ID)})
+		load.Metadata = append(load.Metadata, grpctransport.Field{Name: f.config.Names.ID, Value: fmt.Sprintf("%016x", req.ID)})
 	}
 	var out *sender
 	if m.Streaming {
@@ -76,8 +76,8 @@
 		defer out.close()
 		load.Sink = out
 	}
-	reply, err := f.door.Relay(ctx, req, load)
-	answer, _ := reply.(*grpcback.Answer)
+	reply, err := f.door.Forward(ctx, req, load)
+	answer, _ := reply.(*grpctransport.Answer)
 	if err != nil {
 		return f.end(ss, m, answer, err)
 	}
@@ -100,7 +100,7 @@
 }
 
 // end is a call's answer when there is none to pass on.
-func (f *Front) end(ss grpc.ServerStream, m Method, reply *grpcback.Answer, err error) error {
+func (f *Front) end(ss grpc.ServerStream, m Method, reply *grpctransport.Answer, err error) error {
 	if errors.Is(err, pumicecroft.ErrBadRequest) {
 		f.log.Debug("a call that makes no sense", "err", err)
 	}
@@ -151,7 +151,7 @@
 		if st, ok := status.FromError(g.err); g.err != nil && ok {
 			switch st.Code() {
 			case codes.ResourceExhausted: // over MaxMessage
-				g.err = fmt.Errorf("%w: %s", pumicecroft.ErrTooLarge, st.Message())
+				g.err = fmt.Errorf("%w: %s", pumicecroft.ErrBodyTooLarge, st.Message())
 			case codes.Canceled, codes.DeadlineExceeded:
 				g.err = fmt.Errorf("the caller left: %w", context.Cause(ss.Context()))
 			default:
@@ -175,7 +175,7 @@
 }
 
 // Head begins the answer.
-func (s *sender) Head(fields []grpcback.Field) {
+func (s *sender) Head(fields []grpctransport.Field) {
 	s.begun = true
 	s.work, s.sent = make(chan framed), make(chan error, 1)
 	err := s.ss.SetHeader(own(fields))
--- a/grpcfront/front_test.go
+++ b/grpcproxy/front_test.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"google.golang.org/grpc/codes"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/testkit"
 	"pumicecroft/membership"
 )
@@ -32,26 +32,26 @@
 	served, never := end{codes.OK, "", 1}, func(c codes.Code) end { return end{c, "-1", 1} }
 	again := func(e end) end { e.attempts++; return e }
 	type row struct{ look, pay, once end } // with two backends of one cell; the first attempt alone ends so
-	rows := map[standin.GRPCAct]row{
-		standin.GRPCServe:        {served, served, served},
-		standin.GRPCNotFound:     {never(codes.NotFound), never(codes.NotFound), never(codes.NotFound)},
-		standin.GRPCRefuseStream: {again(served), again(served), again(served)},
-		standin.GRPCGoAwayBelow:  {again(served), again(served), again(served)},
-		standin.GRPCPushBack:     {again(served), again(served), again(served)},
-		standin.GRPCInternal:     {again(served), again(served), never(codes.Unknown)},
-		standin.GRPCResetCancel:  {again(served), again(served), never(codes.Unknown)},
-		standin.GRPCResetLate:    {again(served), again(served), never(codes.Unknown)},
-		standin.GRPCBreak:        {again(served), again(served), never(codes.Unknown)},
-		standin.GRPCBreakLate:    {again(served), again(served), never(codes.Unknown)},
-		standin.GRPCNoMessage:    {again(served), again(served), never(codes.Unknown)},
-		standin.GRPCTwoMessages:  {again(served), again(served), never(codes.Unknown)},
-		standin.GRPCTrailersCut:  {again(served), again(served), never(codes.Unknown)},
-		standin.GRPCTooLong:      {again(served), again(served), never(codes.Unknown)},
+	rows := map[fakes.GRPCAct]row{
+		fakes.GRPCServe:        {served, served, served},
+		fakes.GRPCNotFound:     {never(codes.NotFound), never(codes.NotFound), never(codes.NotFound)},
+		fakes.GRPCRefuseStream: {again(served), again(served), again(served)},
+		fakes.GRPCGoAwayBelow:  {again(served), again(served), again(served)},
+		fakes.GRPCPushBack:     {again(served), again(served), again(served)},
+		fakes.GRPCInternal:     {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCResetCancel:  {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCResetLate:    {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCBreak:        {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCBreakLate:    {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCNoMessage:    {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCTwoMessages:  {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCTrailersCut:  {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCTooLong:      {again(served), again(served), never(codes.Unknown)},
 	}
 	for act, row := range rows {
 		for method, want := range map[string]end{"Look": row.look, "Pay": row.pay, "Once": row.once} {
 			t.Run(fmt.Sprintf("%d %s", act, method), func(t *testing.T) {
-				r := newRig(t, func(o *options) { o.act = once(act, standin.GRPCServe) })
+				r := newRig(t, func(o *options) { o.act = once(act, fakes.GRPCServe) })
 				c := r.call(method)
 				res := r.do(c)
 				seen := r.ledger.Of(c.id)
@@ -98,10 +98,10 @@
 }
 
 // mixed is a rig with a backend over HTTP/1.1 beside those over gRPC, and the door's address over HTTP.
-func mixed(t *testing.T, plan decision.Plan) (r *rig, overHTTP func(id int) standin.Reply) {
+func mixed(t *testing.T, plan decision.Plan) (r *rig, overHTTP func(id int) fakes.Reply) {
 	t.Helper()
-	ledger := &standin.Ledger{}
-	backend, err := standin.StartBackend(standin.BackendConfig{Name: "h", Ledger: ledger})
+	ledger := &fakes.Ledger{}
+	backend, err := fakes.StartBackend(fakes.BackendConfig{Name: "h", Ledger: ledger})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,8 +113,8 @@
 	})
 	addr, transport := testkit.Serve(t, r.door.ServeHTTP), &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
-	return r, func(id int) standin.Reply {
-		a := standin.Ask{ID: uint64(1<<40 + id), Class: "look", Customer: 7, Plan: plan.Name, Timeout: 10 * time.Second}
+	return r, func(id int) fakes.Reply {
+		a := fakes.Ask{ID: uint64(1<<40 + id), Class: "look", Customer: 7, Plan: plan.Name, Timeout: 10 * time.Second}
 		return a.Do(t.Context(), transport, addr)
 	}
 }
@@ -147,7 +147,7 @@
 // One customer that floods over both at once stays under its ceiling.
 func TestOneCeilingOverBothFronts(t *testing.T) {
 	const rate, burst, slack = 40.0, 16.0, 1.0
-	r, overHTTP := mixed(t, decision.Plan{Name: "capped", Rate: 1e5, Burst: 1e5, Price: 1, CeilingRate: rate, CeilingBurst: burst, CeilingSlack: slack})
+	r, overHTTP := mixed(t, decision.Plan{Name: "capped", Rate: 1e5, Burst: 1e5, Price: 1, HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: slack})
 	var asking sync.WaitGroup
 	var ids atomic.Int64
 	end := time.Now().Add(1200 * time.Millisecond)
@@ -183,13 +183,13 @@
 func TestCancelHalfway(t *testing.T) {
 	for _, method := range []string{"Pay", "Buy"} {
 		t.Run(method, func(t *testing.T) {
-			act := standin.GRPCHang
+			act := fakes.GRPCHang
 			if method == "Buy" {
-				act = standin.GRPCStreamHang
+				act = fakes.GRPCStreamHang
 			}
 			r := newRig(t, func(o *options) {
-				o.act = once(act, standin.GRPCServe)
-				o.settings = deskSettings(decision.Plan{Name: "narrow", Open: 1, Price: 1})
+				o.act = once(act, fakes.GRPCServe)
+				o.settings = deskSettings(decision.Plan{Name: "narrow", MaxInFlight: 1, Price: 1})
 			})
 			c := r.call(method)
 			c.md.Set("x-tier", "narrow")
@@ -212,7 +212,7 @@
 				var m framed
 				gone <- errors.Join(err, s.RecvMsg(&m))
 			}()
-			if !r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) == 1 && as[0].End != "" }) {
+			if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End != "" }) {
 				t.Fatal("it never came")
 			}
 			testkit.Await(t, begun, "the call's beginning")
@@ -233,7 +233,7 @@
 				t.Errorf("%d attempts, %d effects", n, r.ledger.Effects(c.key))
 			}
 			await(t, "the backend to hear of it", func() bool { return r.backends[0].Resets()+r.backends[1].Resets() == 1 })
-			await(t, "the end of all that was open", func() bool { return r.door.Open() == 0 })
+			await(t, "the end of all that was open", func() bool { return r.door.OpenRequests() == 0 })
 		})
 	}
 }
@@ -241,7 +241,7 @@
 // A backend that sends headers and then nothing: a safe call is answered by another backend or refused, a keyed one fails
 // in time where no other backend drops its repeat, and no client is told to make it again.
 func TestHeadThenNothing(t *testing.T) {
-	r := newRig(t, func(o *options) { o.act, o.cells = always(standin.GRPCHeadThenHang), []int{0, 1} })
+	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCHeadThenHang), []int{0, 1} })
 	var calls sync.WaitGroup
 	for _, method := range []string{"Look", "Pay", "Once", "Watch", "Buy"} {
 		calls.Go(func() {
@@ -274,11 +274,11 @@
 	var held sync.Map
 	r := newRig(t, func(o *options) {
 		o.cells = []int{0, 1}
-		o.act = func(a standin.Attempt) standin.GRPCAct {
+		o.act = func(a fakes.Attempt) fakes.GRPCAct {
 			if _, again := held.LoadOrStore(a.ID, true); !again {
 				<-hold
 			}
-			return standin.GRPCServe
+			return fakes.GRPCServe
 		}
 	})
 	release := sync.OnceFunc(func() { close(hold) })
@@ -288,7 +288,7 @@
 	for range n {
 		go func() { results <- r.do(r.call("Once")) }()
 	}
-	if !r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) == n }) {
+	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == n }) {
 		t.Fatal("not all came")
 	}
 	before := len(r.ledger.Attempts())
@@ -300,7 +300,7 @@
 	// The upper half of the first backend's streams was not looked at; what the test holds of them is let go as unrun.
 	b.ForgetAbove(uint32(onFirst))
 	b.GoAway(uint32(onFirst))
-	if !r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) >= before+onFirst/2-1 }) {
+	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) >= before+onFirst/2-1 }) {
 		t.Errorf("%d attempts were made again of %d", len(r.ledger.Attempts())-before, onFirst/2)
 	}
 	release()
@@ -324,28 +324,28 @@
 // Streams: what comes before the first message may be made again, what comes after is the client's.
 func TestStreams(t *testing.T) {
 	for name, c := range map[string]struct {
-		first    standin.GRPCAct
+		first    fakes.GRPCAct
 		method   string
 		code     codes.Code
 		texts    int
 		attempts int
 	}{
-		"three messages":         {standin.GRPCStream, "Watch", codes.OK, 3, 1},
-		"none":                   {standin.GRPCNoMessage, "Watch", codes.OK, 0, 1},
-		"refused":                {standin.GRPCRefuseStream, "Buy", codes.OK, 3, 2},
-		"broke before":           {standin.GRPCBreak, "Watch", codes.OK, 3, 2},
-		"broke within the first": {standin.GRPCBreakLate, "Buy", codes.OK, 3, 2},
-		"broke after":            {standin.GRPCStreamBreak, "Watch", codes.Unknown, 1, 1},
-		"an error after":         {standin.GRPCStreamInternal, "Watch", codes.Internal, 1, 1},
-		"an error after, keyed":  {standin.GRPCStreamInternal, "Buy", codes.Unknown, 1, 1},
-		"a word of the service":  {standin.GRPCNotFound, "Watch", codes.NotFound, 0, 1},
-		"reset after":            {standin.GRPCResetLate, "Buy", codes.Unknown, 1, 1},
+		"three messages":         {fakes.GRPCStream, "Watch", codes.OK, 3, 1},
+		"none":                   {fakes.GRPCNoMessage, "Watch", codes.OK, 0, 1},
+		"refused":                {fakes.GRPCRefuseStream, "Buy", codes.OK, 3, 2},
+		"broke before":           {fakes.GRPCBreak, "Watch", codes.OK, 3, 2},
+		"broke within the first": {fakes.GRPCBreakLate, "Buy", codes.OK, 3, 2},
+		"broke after":            {fakes.GRPCStreamBreak, "Watch", codes.Unknown, 1, 1},
+		"an error after":         {fakes.GRPCStreamInternal, "Watch", codes.Internal, 1, 1},
+		"an error after, keyed":  {fakes.GRPCStreamInternal, "Buy", codes.Unknown, 1, 1},
+		"a word of the service":  {fakes.GRPCNotFound, "Watch", codes.NotFound, 0, 1},
+		"reset after":            {fakes.GRPCResetLate, "Buy", codes.Unknown, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first := make(chan bool) // the client has its first message: had it not, the call could be made again
 			r := newRig(t, func(o *options) {
-				o.act = once(c.first, standin.GRPCStream)
-				o.between = func(standin.Attempt) { <-first }
+				o.act = once(c.first, fakes.GRPCStream)
+				o.between = func(fakes.Attempt) { <-first }
 			})
 			k := r.call(c.method)
 			res := r.watch(k, func(n int) {
@@ -371,7 +371,7 @@
 
 // A long answer comes whole and in order to a client that reads it, slowly at times: far more of it than any window holds.
 func TestALongStream(t *testing.T) {
-	r := newRig(t, func(o *options) { o.act = always(standin.GRPCEndless) })
+	r := newRig(t, func(o *options) { o.act = always(fakes.GRPCEndless) })
 	ctx, leave := context.WithCancel(t.Context())
 	defer leave()
 	c := r.call("Watch")
@@ -383,7 +383,7 @@
 	}
 	for n := 0; err == nil && n < 1000; n++ {
 		var m framed
-		if err = s.RecvMsg(&m); err == nil && len(m) != 5+standin.GRPCEndlessBytes {
+		if err = s.RecvMsg(&m); err == nil && len(m) != 5+fakes.GRPCEndlessBytes {
 			t.Fatalf("message %d has %d bytes", n, len(m))
 		}
 		if n%200 == 0 {
@@ -393,16 +393,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := r.backends[0].Sent() + r.backends[1].Sent(); got > 1000*(5+standin.GRPCEndlessBytes)+2<<20 {
+	if got := r.backends[0].Sent() + r.backends[1].Sent(); got > 1000*(5+fakes.GRPCEndlessBytes)+2<<20 {
 		t.Errorf("%d bytes were sent of which 1000 messages were read", got)
 	}
 	leave()
-	await(t, "the end of it", func() bool { return r.door.Open() == 0 })
+	await(t, "the end of it", func() bool { return r.door.OpenRequests() == 0 })
 }
 
 // A streamed answer ends with its time, whatever the backend does, and the client hears so before its own.
 func TestAStreamThatRunsOut(t *testing.T) {
-	for _, act := range []standin.GRPCAct{standin.GRPCStreamHang, standin.GRPCEndless} {
+	for _, act := range []fakes.GRPCAct{fakes.GRPCStreamHang, fakes.GRPCEndless} {
 		r := newRig(t, func(o *options) { o.act = always(act) })
 		c := r.call("Watch")
 		c.timeout = 600 * time.Millisecond
@@ -417,7 +417,7 @@
 // A client that does not read holds up its backend by flow control: what is on its way stays bounded, and the call ends
 // with its time.
 func TestASlowReader(t *testing.T) {
-	r := newRig(t, func(o *options) { o.act, o.cells = always(standin.GRPCEndless), []int{0} })
+	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCEndless), []int{0} })
 	c := r.call("Watch")
 	c.timeout = 1500 * time.Millisecond
 	ctx, cancel := c.context(t.Context())
@@ -445,7 +445,7 @@
 	t.Logf("%d bytes on their way", last)
 	// Another call goes on meanwhile.
 	r.backends[0].GoAway(0)
-	await(t, "the end of the call", func() bool { return r.door.Open() == 0 })
+	await(t, "the end of the call", func() bool { return r.door.OpenRequests() == 0 })
 	if r.backends[0].Sent() > last+64<<10 {
 		t.Errorf("the backend sent on: %d, then %d", last, r.backends[0].Sent())
 	}
@@ -566,7 +566,7 @@
 // A client of a bidirectional method that sends one message and waits for the answer before it ends its sending gets it;
 // a second message ends the call, by a clear status.
 func TestBidirectional(t *testing.T) {
-	r := newRig(t, func(o *options) { o.act = once(standin.GRPCStream, standin.GRPCStreamHang) })
+	r := newRig(t, func(o *options) { o.act = once(fakes.GRPCStream, fakes.GRPCStreamHang) })
 	for _, more := range []bool{false, true} {
 		c := r.call("Buy")
 		ctx, cancel := c.context(t.Context())
@@ -598,11 +598,11 @@
 // 1,000 calls on one connection of a client, one of them stuck: the others are served.
 func TestManyOnOneConnection(t *testing.T) {
 	r := newRig(t, func(o *options) {
-		o.act = func(a standin.Attempt) standin.GRPCAct {
+		o.act = func(a fakes.Attempt) fakes.GRPCAct {
 			if a.Body == "stuck" {
-				return standin.GRPCHang
+				return fakes.GRPCHang
 			}
-			return standin.GRPCServe
+			return fakes.GRPCServe
 		}
 		o.work = 20 * time.Millisecond
 		o.back.Conns = 10
@@ -612,7 +612,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	gone := make(chan result, 1)
 	go func() { gone <- stuck.on(ctx, r.client) }()
-	if !r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) == 1 }) {
+	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
 		t.Fatal("it never came")
 	}
 	var calls sync.WaitGroup
@@ -644,9 +644,9 @@
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
 	r := newRig(t, func(o *options) {
-		o.act = func(a standin.Attempt) standin.GRPCAct {
+		o.act = func(a fakes.Attempt) fakes.GRPCAct {
 			<-hold
-			return standin.GRPCStream
+			return fakes.GRPCStream
 		}
 	})
 	const n = 10
@@ -654,7 +654,7 @@
 	for range n {
 		go func() { results <- r.watch(r.call("Buy"), nil) }()
 	}
-	if !r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) == n }) {
+	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == n }) {
 		t.Fatal("not all came")
 	}
 	r.stop()
--- a/grpcfront/grpcfront.go
+++ b/grpcproxy/grpcfront.go
@@ -1,4 +1,4 @@
-// Package grpcfront is the front door for gRPC: a pumicecroft.Door takes unary and server-streaming calls and makes its
+// Package grpcproxy is the front door for gRPC: a pumicecroft.Door takes unary and server-streaming calls and makes its
 // attempts at backends that speak gRPC, by the same decisions, under the same rules and out of the same quotas as its
 // requests over HTTP/1.1. It knows no messages: any service is carried, by its methods' names.
 //
@@ -8,7 +8,7 @@
 //
 // front.go is one call, final.go what clients are told, server.go a server and its bounds. The package decides nothing
 // about calls. Its state is grpc's and the Door's.
-package grpcfront
+package grpcproxy
 
 import (
 	"cmp"
@@ -29,8 +29,8 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/internal/grpcback"
-	"pumicecroft/internal/terms"
+	"pumicecroft/internal/grpctransport"
+	"pumicecroft/internal/requestmeta"
 	"pumicecroft/membership"
 )
 
@@ -49,7 +49,7 @@
 
 // WithBackends lets a Door reach backends that speak gRPC. They make each attempt once and never again by themselves.
 func WithBackends(c BackendConfig) pumicecroft.Option {
-	return pumicecroft.WithProtocol(membership.ProtocolGRPC, grpcback.New(grpcback.Config{Conns: c.Conns, Streams: c.Streams, Connect: c.Connect,
+	return pumicecroft.WithProtocol(membership.ProtocolGRPC, grpctransport.New(grpctransport.Config{Conns: c.Conns, Streams: c.Streams, Connect: c.Connect,
 		Idle: c.Idle, MaxMessage: c.MaxMessage, LoadColumns: c.LoadColumns, Log: c.Log, Dial: c.Dial}))
 }
 
@@ -106,15 +106,15 @@
 
 // Front carries calls to a Door. It is safe for concurrent use.
 type Front struct {
-	door    *pumicecroft.Door
+	door    *pumicecroft.Gateway
 	config  Config
 	set     decision.Settings // the Door's
-	effects map[string]decision.Effect
+	effects map[string]decision.Idempotency
 	log     *slog.Logger
 }
 
 // New makes a Front for a Door that was made with WithBackends. The error is a pumicecroft.ErrConfig.
-func New(door *pumicecroft.Door, c Config) (*Front, error) {
+func New(door *pumicecroft.Gateway, c Config) (*Front, error) {
 	bad := func(format string, args ...any) (*Front, error) {
 		return nil, fmt.Errorf("%w: grpcfront: %s", pumicecroft.ErrConfig, fmt.Sprintf(format, args...))
 	}
@@ -124,14 +124,14 @@
 	c.ReadTimeout, c.MaxMessage = cmp.Or(c.ReadTimeout, defaultReadTimeout), cmp.Or(c.MaxMessage, defaultMaxMessage)
 	c.Conns, c.Streams = cmp.Or(c.Conns, defaultConns), cmp.Or(c.Streams, defaultStreams)
 	c.Names = cmp.Or(c.Names, PlatformNames)
-	f := &Front{door: door, config: c, set: door.Settings(), effects: map[string]decision.Effect{}, log: c.Log}
+	f := &Front{door: door, config: c, set: door.Settings(), effects: map[string]decision.Idempotency{}, log: c.Log}
 	if f.log == nil {
 		f.log = slog.New(slog.DiscardHandler)
 	}
 	for _, class := range f.set.Classes {
-		f.effects[class.Name] = class.Effect
+		f.effects[class.Name] = class.Idempotency
 	}
-	if err := c.Check(door.Classes()); err != nil {
+	if err := c.Check(door.ClassNames()); err != nil {
 		return bad("%v", err)
 	}
 	return f, nil
@@ -219,15 +219,15 @@
 		}
 		who.Plan = plan
 	}
-	r.Customer, r.Plan, r.Key = who.Customer, who.Plan, key
+	r.Customer, r.Plan, r.IdempotencyKey = who.Customer, who.Plan, key
 	if id != "" || f.config.Strict {
-		n, err := terms.Hex(id)
+		n, err := requestmeta.Hex(id)
 		if err != nil {
 			return r, badCall(f.config.Names.ID, id)
 		}
 		r = r.WithID(n)
 	}
-	if f.config.Strict && key != "" && f.effects[m.Class] == decision.Safe {
+	if f.config.Strict && key != "" && f.effects[m.Class] == decision.Idempotent {
 		return r, badCall(f.config.Names.Key, key)
 	}
 	if units != "" {
@@ -235,14 +235,14 @@
 		if err != nil || !(v > 0) {
 			return r, badCall(f.config.Names.Units, units)
 		}
-		r.Units = v
+		r.Cost = v
 	}
 	if words != "" || f.config.Strict && f.config.Names.Terms != "" {
-		t, ok := terms.Parse(words, &f.set)
+		t, ok := requestmeta.Parse(words, &f.set)
 		if !ok {
 			return r, badCall(f.config.Names.Terms, words)
 		}
-		r.Units, r.Spread, r.FirstDoor = t.Units, t.Spread, t.First
+		r.Cost, r.GatewaySpread, r.FirstGateway = t.Units, t.Spread, t.First
 	}
 	due, bounded := ctx.Deadline()
 	if r.Timeout = time.Until(due); bounded && r.Timeout <= 0 {
@@ -258,7 +258,7 @@
 // customer reads who asks.
 func (f *Front) customer(text string) (uint64, error) {
 	if !f.config.CustomerText {
-		return terms.Customer(text)
+		return requestmeta.Customer(text)
 	}
 	if text == "" {
 		return 0, strconv.ErrSyntax
--- a/grpcfront/host_test.go
+++ b/grpcproxy/host_test.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/internal/grpcback"
-	"pumicecroft/internal/grpcwire"
+	"pumicecroft/internal/grpcproto"
+	"pumicecroft/internal/grpctransport"
 )
 
 // known is an earlier interceptor of a host's that knows who asks.
@@ -82,43 +82,43 @@
 
 // What a client is told, for each word of the Door.
 func TestFinal(t *testing.T) {
-	answer := func(code grpcwire.Code, message string) *grpcback.Answer {
-		return &grpcback.Answer{Code: code, Message: message, Trailer: []grpcback.Field{{Name: "x-more", Value: "1"},
+	answer := func(code grpcproto.Code, message string) *grpctransport.Answer {
+		return &grpctransport.Answer{Code: code, Message: message, Trailer: []grpctransport.Field{{Name: "x-more", Value: "1"},
 			{Name: "grpc-encoding", Value: "gzip"}, {Name: "grpc-status-details-bin", Value: "CA0="}}}
 	}
 	for name, c := range map[string]struct {
 		err      error
-		reply    *grpcback.Answer
-		effect   decision.Effect
+		reply    *grpctransport.Answer
+		effect   decision.Idempotency
 		code     codes.Code
 		pushback string
 		message  string // part of it
 	}{
-		"refused":                     {&pumicecroft.RefusedError{RetryAfter: 1500 * time.Microsecond}, nil, decision.Keyed, codes.ResourceExhausted, "2", "refused"},
-		"refused without advice":      {&pumicecroft.RefusedError{}, nil, decision.Keyed, codes.ResourceExhausted, "", "refused"},
-		"refused after an error":      {&pumicecroft.RefusedError{RetryAfter: time.Second}, answer(13, "disk%20full"), decision.Safe, codes.ResourceExhausted, "1000", "status 13: disk full"},
-		"closed":                      {pumicecroft.ErrClosed, nil, decision.Keyed, codes.Unavailable, "", "closed"},
-		"full":                        {pumicecroft.ErrBusy, nil, decision.Keyed, codes.Unavailable, "", "open"},
-		"too long":                    {pumicecroft.ErrTooLarge, nil, decision.Keyed, codes.ResourceExhausted, "-1", ""},
-		"makes no sense":              {pumicecroft.ErrOpenID, nil, decision.Keyed, codes.InvalidArgument, "-1", "open"},
-		"replayed":                    {pumicecroft.ErrReplayed, nil, decision.Keyed, codes.AlreadyExists, "-1", "run already"},
-		"late":                        {pumicecroft.ErrLate, nil, decision.Safe, codes.DeadlineExceeded, "-1", "time was up"},
-		"left":                        {fmt.Errorf("left: %w", context.Canceled), nil, decision.Safe, codes.Canceled, "-1", "left"},
-		"failed":                      {pumicecroft.ErrFailed, nil, decision.Unsafe, codes.Unknown, "-1", "failed"},
-		"aborted":                     {pumicecroft.ErrAborted, nil, decision.Unsafe, codes.Unknown, "-1", "closed"},
-		"anything else":               {errors.New("odd"), nil, decision.Unsafe, codes.Unknown, "-1", "odd"},
-		"failed by an error":          {pumicecroft.ErrFailed, answer(2, "50%25 done, %zz"), decision.Unsafe, codes.Unknown, "-1", "50% done, %zz"},
-		"failed by one that is tried": {pumicecroft.ErrFailed, answer(14, "away"), decision.Keyed, codes.Unknown, "-1", "away"},
-		"the same of a safe one":      {pumicecroft.ErrFailed, answer(14, "away"), decision.Safe, codes.Unavailable, "-1", "away"},
+		"refused":                     {&pumicecroft.RejectedError{RetryAfter: 1500 * time.Microsecond}, nil, decision.IdempotentByKey, codes.ResourceExhausted, "2", "refused"},
+		"refused without advice":      {&pumicecroft.RejectedError{}, nil, decision.IdempotentByKey, codes.ResourceExhausted, "", "refused"},
+		"refused after an error":      {&pumicecroft.RejectedError{RetryAfter: time.Second}, answer(13, "disk%20full"), decision.Idempotent, codes.ResourceExhausted, "1000", "status 13: disk full"},
+		"closed":                      {pumicecroft.ErrClosed, nil, decision.IdempotentByKey, codes.Unavailable, "", "closed"},
+		"full":                        {pumicecroft.ErrTooManyRequests, nil, decision.IdempotentByKey, codes.Unavailable, "", "open"},
+		"too long":                    {pumicecroft.ErrBodyTooLarge, nil, decision.IdempotentByKey, codes.ResourceExhausted, "-1", ""},
+		"makes no sense":              {pumicecroft.ErrDuplicateID, nil, decision.IdempotentByKey, codes.InvalidArgument, "-1", "open"},
+		"replayed":                    {pumicecroft.ErrReplayed, nil, decision.IdempotentByKey, codes.AlreadyExists, "-1", "run already"},
+		"late":                        {pumicecroft.ErrDeadlineExceeded, nil, decision.Idempotent, codes.DeadlineExceeded, "-1", "time was up"},
+		"left":                        {fmt.Errorf("left: %w", context.Canceled), nil, decision.Idempotent, codes.Canceled, "-1", "left"},
+		"failed":                      {pumicecroft.ErrFailed, nil, decision.NonIdempotent, codes.Unknown, "-1", "failed"},
+		"aborted":                     {pumicecroft.ErrAborted, nil, decision.NonIdempotent, codes.Unknown, "-1", "closed"},
+		"anything else":               {errors.New("odd"), nil, decision.NonIdempotent, codes.Unknown, "-1", "odd"},
+		"failed by an error":          {pumicecroft.ErrFailed, answer(2, "50%25 done, %zz"), decision.NonIdempotent, codes.Unknown, "-1", "50% done, %zz"},
+		"failed by one that is tried": {pumicecroft.ErrFailed, answer(14, "away"), decision.IdempotentByKey, codes.Unknown, "-1", "away"},
+		"the same of a safe one":      {pumicecroft.ErrFailed, answer(14, "away"), decision.Idempotent, codes.Unavailable, "-1", "away"},
 	} {
 		st, md := final(c.err, c.reply, c.effect)
 		if st.Code() != c.code || strings.Join(md[Pushback], ",") != c.pushback || !strings.Contains(st.Message(), c.message) {
 			t.Errorf("%s: %v, pushback %q", name, st, md[Pushback])
 		}
-		if c.effect != decision.Safe && c.pushback == "-1" && retried(st.Code()) && !errors.Is(c.err, pumicecroft.ErrTooLarge) && !errors.Is(c.err, pumicecroft.ErrLate) {
+		if c.effect != decision.Idempotent && c.pushback == "-1" && retried(st.Code()) && !errors.Is(c.err, pumicecroft.ErrBodyTooLarge) && !errors.Is(c.err, pumicecroft.ErrDeadlineExceeded) {
 			t.Errorf("%s: clients make it again by %v", name, st.Code())
 		}
-		if c.reply != nil && !errors.Is(c.err, pumicecroft.ErrRefused) {
+		if c.reply != nil && !errors.Is(c.err, pumicecroft.ErrRejected) {
 			if md["grpc-encoding"] != nil || len(md["x-more"]) != 1 || (md["grpc-status-details-bin"] == nil) != (uint32(st.Code()) != uint32(c.reply.Code)) {
 				t.Errorf("%s: trailers %q", name, md)
 			}
--- a/grpcfront/keys_test.go
+++ b/grpcproxy/keys_test.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"google.golang.org/grpc/metadata"
 
 	"pumicecroft"
-	"pumicecroft/internal/standin"
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
+	"pumicecroft/internal/fakes"
 )
 
 // again is a call once more, by a client that pressed twice: the same key, an id of its own.
@@ -29,27 +29,27 @@
 func TestRepeatedKeys(t *testing.T) {
 	for _, c := range []struct {
 		name, method string
-		act          standin.GRPCAct
+		act          fakes.GRPCAct
 		change       func(*call)
 		first        codes.Code
 		second       codes.Code
 		sent         int
 	}{
-		{"served", "Pay", standin.GRPCServe, nil, codes.OK, codes.OK, 1},
-		{"the service's own word", "Once", standin.GRPCNotFound, nil, codes.NotFound, codes.NotFound, 1},
-		{"another message", "Pay", standin.GRPCServe, func(c *call) { c.text = "amount=4" }, codes.OK, codes.InvalidArgument, 1},
-		{"another method", "Pay", standin.GRPCServe, func(c *call) { c.method = "/shop.Desk/Once" }, codes.OK, codes.InvalidArgument, 1},
-		{"another customer", "Pay", standin.GRPCServe, func(c *call) { c.md = metadata.Join(c.md); c.md.Set("x-api-key", "0000000000000008") }, codes.OK, codes.OK, 2},
-		{"it may have run", "Once", standin.GRPCResetLate, nil, codes.Unknown, codes.Unknown, 1},
-		{"safe", "Look", standin.GRPCServe, nil, codes.OK, codes.OK, 2},
+		{"served", "Pay", fakes.GRPCServe, nil, codes.OK, codes.OK, 1},
+		{"the service's own word", "Once", fakes.GRPCNotFound, nil, codes.NotFound, codes.NotFound, 1},
+		{"another message", "Pay", fakes.GRPCServe, func(c *call) { c.text = "amount=4" }, codes.OK, codes.InvalidArgument, 1},
+		{"another method", "Pay", fakes.GRPCServe, func(c *call) { c.method = "/shop.Desk/Once" }, codes.OK, codes.InvalidArgument, 1},
+		{"another customer", "Pay", fakes.GRPCServe, func(c *call) { c.md = metadata.Join(c.md); c.md.Set("x-api-key", "0000000000000008") }, codes.OK, codes.OK, 2},
+		{"it may have run", "Once", fakes.GRPCResetLate, nil, codes.Unknown, codes.Unknown, 1},
+		{"safe", "Look", fakes.GRPCServe, nil, codes.OK, codes.OK, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			r := newRig(t, func(o *options) {
 				o.cells = []int{1, 2} // only the edge drops a repeat
-				o.act = func(standin.Attempt) standin.GRPCAct { return c.act }
+				o.act = func(fakes.Attempt) fakes.GRPCAct { return c.act }
 				o.door = func(d *pumicecroft.Config) {
-					d.Keys, d.KeysJournal = &keys.Limits{}, &pumicecroft.KeysJournal{Dir: dir}
+					d.Idempotency, d.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: dir}
 				}
 			})
 			one := r.call(c.method)
@@ -80,7 +80,7 @@
 func TestPairsOverGRPC(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.cells, o.work = []int{1, 2}, 2*time.Millisecond
-		o.door = func(d *pumicecroft.Config) { d.Keys = &keys.Limits{} }
+		o.door = func(d *pumicecroft.Config) { d.Idempotency = &idempotency.Limits{} }
 	})
 	const pairs = 200
 	var pressing sync.WaitGroup
--- a/grpcfront/leaving_test.go
+++ b/grpcproxy/leaving_test.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"google.golang.org/grpc/codes"
 
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/testkit"
 )
 
@@ -21,7 +21,7 @@
 			dials, waiting, goOn := atomic.Int32{}, make(chan bool, 10), make(chan bool)
 			r := newRig(t, func(o *options) {
 				if further {
-					o.act = once(standin.GRPCPushBack, standin.GRPCServe)
+					o.act = once(fakes.GRPCPushBack, fakes.GRPCServe)
 				}
 				o.back.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if n := dials.Add(1); n == 1 && !further || n == 2 && further {
@@ -39,7 +39,7 @@
 			if res := testkit.Await(t, ended, "its client to have left"); res.st.Code() != codes.Canceled {
 				t.Errorf("it ended with %v", res.st)
 			}
-			await(t, "the end of all that was open", func() bool { return r.door.Open() == 0 })
+			await(t, "the end of all that was open", func() bool { return r.door.OpenRequests() == 0 })
 			close(goOn)
 			for range 4 { // at both backends
 				if res := r.do(r.call("Look")); res.st.Code() != codes.OK {
--- a/grpcfront/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/testkit"
 	"pumicecroft/membership"
 )
@@ -42,7 +42,7 @@
 func longSettings() decision.Settings {
 	s := deskSettings()
 	for i := range s.Classes {
-		s.Classes[i].Aim, s.Classes[i].Deadline = time.Hour, time.Hour
+		s.Classes[i].LatencyObjective, s.Classes[i].Deadline = time.Hour, time.Hour
 	}
 	return s
 }
@@ -52,7 +52,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	set := longSettings()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpen: 1 << 15, Known: membership.List{Nodes: []membership.Node{
+	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15, InitialEndpoints: membership.Update{Nodes: []membership.Node{
 		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{Conns: 20, Streams: 1000, Connect: testkit.Patient}))
 	if err != nil {
 		return err
@@ -98,9 +98,9 @@
 
 // held opens n streams at a door in a process of its own over ten connections, reads one message of each, and gives what
 // the door's memory grew by, in KiB for each, once it no longer grows.
-func held(t testing.TB, act standin.GRPCAct, n int) float64 {
+func held(t testing.TB, act fakes.GRPCAct, n int) float64 {
 	t.Helper()
-	backend, err := standin.StartGRPC(standin.GRPCConfig{Name: "one", Ledger: &standin.Ledger{}, Act: always(act), MaxStreams: 1000})
+	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Act: always(act), MaxStreams: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 	if raceOn {
 		t.Skip("the race detector's own memory counts too")
 	}
-	if got := held(t, standin.GRPCEndless, 100); got > 512 {
+	if got := held(t, fakes.GRPCEndless, 100); got > 512 {
 		t.Errorf("%.0f KiB for each stream of a client that does not read", got)
 	}
 }
@@ -182,7 +182,7 @@
 //	go test -run xxx -bench Memory -benchtime 1x ./grpcfront
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
-		b.ReportMetric(held(b, standin.GRPCStreamHang, 10_000), "KiB-idle")
-		b.ReportMetric(held(b, standin.GRPCEndless, 1000), "KiB-slow")
+		b.ReportMetric(held(b, fakes.GRPCStreamHang, 10_000), "KiB-idle")
+		b.ReportMetric(held(b, fakes.GRPCEndless, 1000), "KiB-slow")
 	}
 }
--- a/grpcfront/rig_test.go
+++ b/grpcproxy/rig_test.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"cmp"
@@ -21,7 +21,7 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/testkit"
 	"pumicecroft/membership"
 )
@@ -31,20 +31,20 @@
 	"/shop.Desk/Watch": {Class: "look", Streaming: true}, "/shop.Desk/Buy": {Class: "pay", Streaming: true}, "/shop.More/*": {Class: "look"}}
 
 func deskSettings(plans ...decision.Plan) decision.Settings {
-	class := func(name string, e decision.Effect) decision.Class {
-		return decision.Class{Name: name, Effect: e, Group: decision.GroupCell, KeyWindow: 5 * time.Second, Aim: 10 * time.Second, Deadline: 15 * time.Second, Worth: 1}
+	class := func(name string, e decision.Idempotency) decision.Class {
+		return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second, LatencyObjective: 10 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 1}
 	}
 	return decision.Settings{CanCancel: true, MaxRetryAfter: 900 * time.Millisecond,
-		Classes: []decision.Class{class("look", decision.Safe), class("pay", decision.Keyed), class("once", decision.Unsafe)},
+		Classes: []decision.Class{class("look", decision.Idempotent), class("pay", decision.IdempotentByKey), class("once", decision.NonIdempotent)},
 		Plans:   append(plans, decision.Plan{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1})}
 }
 
 // rig is a Door behind a gRPC server, with stand-in backends and a client.
 type rig struct {
 	t        testing.TB
-	ledger   *standin.Ledger
-	backends []*standin.GRPCBackend
-	door     *pumicecroft.Door
+	ledger   *fakes.Ledger
+	backends []*fakes.GRPCBackend
+	door     *pumicecroft.Gateway
 	front    *Front
 	addr     string
 	stop     context.CancelFunc
@@ -56,14 +56,14 @@
 // options are what a test may change.
 type options struct {
 	cells    []int // of the backends; two of one cell
-	act      func(standin.Attempt) standin.GRPCAct
+	act      func(fakes.Attempt) fakes.GRPCAct
 	work     time.Duration
-	between  func(standin.Attempt)
+	between  func(fakes.Attempt)
 	settings decision.Settings
 	config   Config
 	back     BackendConfig
 	more     []membership.Node // of other protocols
-	ledger   *standin.Ledger
+	ledger   *fakes.Ledger
 	server   func(*Front) *grpc.Server
 	door     func(*pumicecroft.Config)
 }
@@ -75,14 +75,14 @@
 	if change != nil {
 		change(&o)
 	}
-	r := &rig{t: t, ledger: cmp.Or(o.ledger, &standin.Ledger{}), served: make(chan error, 1)}
-	known := membership.List{Nodes: o.more}
-	memories := map[int]*standin.Cell{}
+	r := &rig{t: t, ledger: cmp.Or(o.ledger, &fakes.Ledger{}), served: make(chan error, 1)}
+	known := membership.Update{Nodes: o.more}
+	memories := map[int]*fakes.Cell{}
 	for i, cell := range o.cells {
 		if memories[cell] == nil {
-			memories[cell] = &standin.Cell{Number: cell, Window: 5 * time.Second}
+			memories[cell] = &fakes.Cell{Number: cell, Window: 5 * time.Second}
 		}
-		b, err := standin.StartGRPC(standin.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell], Ledger: r.ledger, Act: o.act, Work: o.work, Between: o.between,
+		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell], Ledger: r.ledger, Act: o.act, Work: o.work, Between: o.between,
 			Keyed: func(m string) bool { return m != "/shop.Desk/Look" && m != "/shop.Desk/Watch" }})
 		if err != nil {
 			t.Fatal(err)
@@ -91,7 +91,7 @@
 		known.Nodes = append(known.Nodes, membership.Node{Name: fmt.Sprintf("g%d", i), Addr: b.Addr(), Cell: cell, Protocol: membership.ProtocolGRPC})
 	}
 	var err error
-	door := pumicecroft.Config{Settings: o.settings, Known: known, MaxOpen: 1 << 15}
+	door := pumicecroft.Config{Settings: o.settings, InitialEndpoints: known, MaxOpenRequests: 1 << 15}
 	if o.door != nil {
 		o.door(&door)
 	}
@@ -243,17 +243,17 @@
 }
 
 // once gives an act for the first attempt of all, and another for the rest.
-func once(first, rest standin.GRPCAct) func(standin.Attempt) standin.GRPCAct {
+func once(first, rest fakes.GRPCAct) func(fakes.Attempt) fakes.GRPCAct {
 	var done sync.Once
-	return func(standin.Attempt) standin.GRPCAct {
+	return func(fakes.Attempt) fakes.GRPCAct {
 		act := rest
 		done.Do(func() { act = first })
 		return act
 	}
 }
 
-func always(act standin.GRPCAct) func(standin.Attempt) standin.GRPCAct {
-	return func(standin.Attempt) standin.GRPCAct { return act }
+func always(act fakes.GRPCAct) func(fakes.Attempt) fakes.GRPCAct {
+	return func(fakes.Attempt) fakes.GRPCAct { return act }
 }
 
 // await waits until ok.
--- a/grpcfront/server.go
+++ b/grpcproxy/server.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcproxy
 
 import (
 	"context"
--- a/webfront/example_test.go
+++ b/httpproxy/example_test.go
@@ -1,4 +1,4 @@
-package webfront_test
+package httpproxy_test
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
+	"pumicecroft/httpproxy"
 	"pumicecroft/identity"
 	"pumicecroft/membership"
 	"pumicecroft/routes"
-	"pumicecroft/webfront"
 )
 
 // An ordinary server behind a Door in a program of one's own, beside handlers of its own.
@@ -24,21 +24,21 @@
 
 	door, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true,
-			Classes: []decision.Class{{Name: "read", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1},
-				{Name: "write", Effect: decision.Unsafe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 2}},
+			Classes: []decision.Class{{Name: "read", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1},
+				{Name: "write", Idempotency: decision.NonIdempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2}},
 			Plans: []decision.Plan{{Name: "everyone", Rate: 100, Burst: 200, Price: 1}}},
-		Known: membership.List{Nodes: []membership.Node{{Name: "shop-1", Addr: strings.TrimPrefix(shop.URL, "http://"), Protocol: webfront.Protocol("shop")}}},
-	}, webfront.WithService(webfront.ServiceConfig{Name: "shop"}))
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "shop-1", Addr: strings.TrimPrefix(shop.URL, "http://"), Protocol: httpproxy.Protocol("shop")}}},
+	}, httpproxy.WithService(httpproxy.ServiceConfig{Name: "shop"}))
 	if err != nil {
 		panic(err)
 	}
 	defer door.Close(context.Background())
-	table, err := routes.New([]routes.Rule[*webfront.Route]{
-		{Name: "items", Path: "/items/{id}", To: &webfront.Route{Service: "shop", Class: webfront.Classes{Safe: "read", Unsafe: "write"}}}})
+	table, err := routes.New([]routes.Rule[*httpproxy.Route]{
+		{Name: "items", Path: "/items/{id}", To: &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Safe: "read", Unsafe: "write"}}}})
 	if err != nil {
 		panic(err)
 	}
-	front, err := webfront.New(door, webfront.Config{Rules: webfront.Rules{Routes: table,
+	front, err := httpproxy.New(door, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
 		Who: identity.New(nil, identity.Named{Name: "address", Rule: &identity.Address{Plan: "everyone"}})}})
 	if err != nil {
 		panic(err)
--- a/webfront/final.go
+++ b/httpproxy/final.go
@@ -1,4 +1,4 @@
-package webfront
+package httpproxy
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"pumicecroft"
 	"pumicecroft/decision"
 	"pumicecroft/identity"
-	"pumicecroft/internal/webwire"
+	"pumicecroft/internal/http1proxy"
 	"pumicecroft/routes"
 )
 
@@ -41,8 +41,8 @@
 // final says what becomes of a request that is not passed on, or had no answer.
 func (f *Front) final(p *Plan, err error) final {
 	var method *routes.MethodError
-	var refused *pumicecroft.RefusedError
-	var undecided *pumicecroft.UndecidedError
+	var refused *pumicecroft.RejectedError
+	var undecided *pumicecroft.OutcomeUnknownError
 	bad := func(status int, name, title string) final {
 		return final{status: status, name: name, title: title, detail: err.Error()}
 	}
@@ -51,11 +51,11 @@
 		return bad(http.StatusMethodNotAllowed, "method", "No route takes this method")
 	case errors.Is(err, routes.ErrNone):
 		return final{status: http.StatusNotFound, name: "no-route", title: "No route takes such a request"}
-	case errors.Is(err, routes.ErrPath), errors.Is(err, routes.ErrHost), errors.Is(err, webwire.ErrTarget), errors.Is(err, webwire.ErrField), errors.Is(err, errShape):
+	case errors.Is(err, routes.ErrPath), errors.Is(err, routes.ErrHost), errors.Is(err, http1proxy.ErrTarget), errors.Is(err, http1proxy.ErrField), errors.Is(err, errShape):
 		out := bad(http.StatusBadRequest, "bad-request", "The request makes no sense")
 		out.close = true
 		return out
-	case errors.Is(err, webwire.ErrLoop):
+	case errors.Is(err, http1proxy.ErrLoop):
 		return bad(http.StatusLoopDetected, "loop", "The request goes in a circle")
 	case errors.Is(err, errRouteRefuses):
 		return final{status: p.Rule.To.Refuse, name: "route-refuses", title: "The route refuses"}
@@ -77,19 +77,19 @@
 		return final{status: http.StatusServiceUnavailable, name: "no-memory", title: "There is no room for the body now", after: time.Second, close: true}
 	case errors.As(err, &undecided):
 		out := bad(http.StatusConflict, "undecided", "A request with this key may have run")
-		out.after = undecided.For
+		out.after = undecided.RetryAfter
 		return out
 	case errors.As(err, &refused):
 		return f.refused(refused)
-	case errors.Is(err, pumicecroft.ErrRefused):
+	case errors.Is(err, pumicecroft.ErrRejected):
 		return bad(http.StatusServiceUnavailable, "busy", "The door takes nothing more now")
 	case errors.Is(err, pumicecroft.ErrKeyConflict):
 		return bad(http.StatusUnprocessableEntity, "key-conflict", "The key belongs to another request")
-	case errors.Is(err, pumicecroft.ErrOpenID), errors.Is(err, pumicecroft.ErrBadRequest):
+	case errors.Is(err, pumicecroft.ErrDuplicateID), errors.Is(err, pumicecroft.ErrBadRequest):
 		return bad(http.StatusBadRequest, "bad-request", "The request makes no sense")
-	case errors.Is(err, pumicecroft.ErrReplayed), errors.Is(err, pumicecroft.ErrAnswerGone):
+	case errors.Is(err, pumicecroft.ErrReplayed), errors.Is(err, pumicecroft.ErrResponseNotRetained):
 		return bad(http.StatusConflict, "replayed", "The request was here before")
-	case errors.Is(err, pumicecroft.ErrLate), errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, pumicecroft.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
 		return final{status: http.StatusGatewayTimeout, name: "late", title: "There was no answer in time; it may have run"}
 	}
 	// ErrFailed, or the client has left; it may have ended its sending only, and then reads this.
@@ -97,16 +97,16 @@
 }
 
 // refused is a refusal by the decision module: nothing has run, or running again is harmless.
-func (f *Front) refused(r *pumicecroft.RefusedError) final {
+func (f *Front) refused(r *pumicecroft.RejectedError) final {
 	out := final{status: http.StatusServiceUnavailable, after: r.RetryAfter}
-	switch r.Why {
+	switch r.Reason {
 	case decision.OverQuota:
 		out.status, out.name, out.title = http.StatusTooManyRequests, "over-quota", "The plan's quota is used up"
 	case decision.NoBackend:
 		out.name, out.title = "no-backend", "No backend can be sent to now"
-	case decision.NoRoom:
+	case decision.Overloaded:
 		out.name, out.title = "no-room", "The backends have as much as they can answer in time"
-	case decision.Untaken:
+	case decision.Unprocessed:
 		out.name, out.title = "not-taken", "No backend has taken it; trying again is harmless"
 	default:
 		out.name, out.title = "refused", "Refused; trying again is harmless"
--- a/webfront/front_test.go
+++ b/httpproxy/front_test.go
@@ -1,4 +1,4 @@
-package webfront_test
+package httpproxy_test
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 	"github.com/golang-jwt/jwt/v5"
 
 	"pumicecroft"
+	"pumicecroft/httpproxy"
 	"pumicecroft/internal/testcerts"
-	"pumicecroft/webfront"
 )
 
 const patience = 20 * time.Second
@@ -184,7 +184,7 @@
 			if strings.HasPrefix(c.name, "hints") && len(infos) == 0 {
 				t.Error("no hints came")
 			}
-			if open := r.door.Open(); open != 0 {
+			if open := r.door.OpenRequests(); open != 0 {
 				t.Errorf("%d requests are open", open)
 			}
 		})
@@ -382,7 +382,7 @@
 		case <-time.After(patience):
 			t.Fatal("the backend is still asked")
 		}
-		for end := time.Now().Add(patience); r.door.Open() > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(patience); r.door.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the request is still open")
 			}
@@ -418,7 +418,7 @@
 		t.Error(got)
 	}
 	err = r.front.Swap(r.rules(parse(t, service("other", backend))))
-	if !errors.Is(err, webfront.ErrRules) {
+	if !errors.Is(err, httpproxy.ErrRules) {
 		t.Errorf("rules of another service: %v", err)
 	}
 	if res, err := http.Get("http://" + r.addr + "/a"); err != nil || res.StatusCode != 403 {
@@ -449,7 +449,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var p webfront.Problem
+		var p httpproxy.Problem
 		if res.StatusCode == 200 {
 			served += 1 + i%2
 		} else if err := json.NewDecoder(res.Body).Decode(&p); err != nil || res.StatusCode != 429 || p.Status != 429 || p.Type != "urn:pumicecroft:problem:over-quota" ||
@@ -511,7 +511,7 @@
 	}
 	first := make(chan int)
 	go func() { first <- post(60_000) }()
-	for end := time.Now().Add(patience); r.door.Open() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); r.door.OpenRequests() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	if got := post(60_000); got != 503 {
 		t.Errorf("without room: %d", got)
--- a/webfront/hostile_test.go
+++ b/httpproxy/hostile_test.go
@@ -1,4 +1,4 @@
-package webfront_test
+package httpproxy_test
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 	"google.golang.org/grpc/test/bufconn"
 
 	"pumicecroft"
-	"pumicecroft/webfront"
+	"pumicecroft/httpproxy"
 )
 
 var (
@@ -112,13 +112,13 @@
 	defer bs.Close()
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) { return backends.DialContext(ctx) }
 	f := parse(t, service("shop", "127.0.0.1:1")+"deadline = \"2s\"\n")
-	door, err := pumicecroft.New(f.Door, webfront.WithService(webfront.ServiceConfig{Name: "shop", Dial: dial}))
+	door, err := pumicecroft.New(f.Door, httpproxy.WithService(httpproxy.ServiceConfig{Name: "shop", Dial: dial}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer door.Close(context.Background())
 	door.Update(f.Backends)
-	front, err := webfront.New(door, webfront.Config{Rules: (&rig{t: t}).rules(f), BodyTimeout: 100 * time.Millisecond})
+	front, err := httpproxy.New(door, httpproxy.Config{Rules: (&rig{t: t}).rules(f), BodyTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 	}
 	ran.Wait()
 	t.Logf("%d heads: %d answered, %d ended without, %d requests at the backend, slowest %v", *heads, answered.Load(), closed.Load(), arrived.Load(), time.Duration(slowest.Load()))
-	if arrived.Load() < int64(*heads)/20 || smuggled.Load() > 0 || door.Open() > 0 {
-		t.Errorf("%d arrived, %d of them smuggled, %d are open", arrived.Load(), smuggled.Load(), door.Open())
+	if arrived.Load() < int64(*heads)/20 || smuggled.Load() > 0 || door.OpenRequests() > 0 {
+		t.Errorf("%d arrived, %d of them smuggled, %d are open", arrived.Load(), smuggled.Load(), door.OpenRequests())
 	}
 }
--- a/webfront/oracle_test.go
+++ b/httpproxy/oracle_test.go
@@ -1,4 +1,4 @@
-package webfront_test
+package httpproxy_test
 
 import (
 	"bytes"
--- a/webfront/rig_test.go
+++ b/httpproxy/rig_test.go
@@ -1,4 +1,4 @@
-package webfront_test
+package httpproxy_test
 
 import (
 	"context"
@@ -16,25 +16,25 @@
 	"time"
 
 	"pumicecroft"
-	"pumicecroft/internal/operator"
-	"pumicecroft/internal/webload"
-	"pumicecroft/webfront"
+	"pumicecroft/httpproxy"
+	"pumicecroft/internal/httpproxyconfig"
+	"pumicecroft/internal/operatorconfig"
 )
 
 // rig is a front by an operator's file, in a server, before backends.
 type rig struct {
 	t     testing.TB
-	file  operator.File
-	door  *pumicecroft.Door
-	front *webfront.Front
+	file  operatorconfig.File
+	door  *pumicecroft.Gateway
+	front *httpproxy.Front
 	addr  string
 	tls   *tls.Config
 }
 
 // parse reads a file's text, less "listen".
-func parse(t testing.TB, text string) operator.File {
+func parse(t testing.TB, text string) operatorconfig.File {
 	t.Helper()
-	f, err := operator.Parse([]byte("listen = \"127.0.0.1:0\"\n" + text))
+	f, err := operatorconfig.Parse([]byte("listen = \"127.0.0.1:0\"\n" + text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,12 +52,12 @@
 	t.Helper()
 	r := &rig{t: t, file: parse(t, text)}
 	for _, s := range r.file.Web.Services {
-		c, err := webload.Service(s, os.ReadFile, slog.Default())
+		c, err := httpproxyconfig.Service(s, os.ReadFile, slog.Default())
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.Dial = dial
-		options = append(options, webfront.WithService(c))
+		options = append(options, httpproxy.WithService(c))
 	}
 	var err error
 	if r.door, err = pumicecroft.New(r.file.Door, options...); err != nil {
@@ -73,16 +73,16 @@
 	})
 	c := r.file.Web.Front
 	c.Rules = r.rules(r.file)
-	if r.front, err = webfront.New(r.door, c); err != nil {
+	if r.front, err = httpproxy.New(r.door, c); err != nil {
 		t.Fatal(err)
 	}
 	r.addr = serve(t, r.front, nil)
 	return r
 }
 
-func (r *rig) rules(f operator.File) webfront.Rules {
+func (r *rig) rules(f operatorconfig.File) httpproxy.Rules {
 	r.t.Helper()
-	rules, err := webload.Rules(&f, os.ReadFile)
+	rules, err := httpproxyconfig.Rules(&f, os.ReadFile)
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/webfront/serve.go
+++ b/httpproxy/serve.go
@@ -1,4 +1,4 @@
-package webfront
+package httpproxy
 
 import (
 	"context"
@@ -19,10 +19,10 @@
 	"pumicecroft"
 	"pumicecroft/decision"
 	"pumicecroft/identity"
+	"pumicecroft/internal/http1proxy"
+	"pumicecroft/internal/httpproxytransport"
 	"pumicecroft/internal/reqtarget"
-	"pumicecroft/internal/terms"
-	"pumicecroft/internal/webback"
-	"pumicecroft/internal/webwire"
+	"pumicecroft/internal/requestmeta"
 	"pumicecroft/routes"
 )
 
@@ -33,7 +33,7 @@
 	Rule   *routes.Rule[*Route] // nil: none takes it
 	Params []routes.Param
 	Who    identity.Who
-	Effect decision.Effect
+	Effect decision.Idempotency
 	Class  string
 	Target string
 	Err    error // why it goes no further
@@ -52,18 +52,18 @@
 	return p
 }
 
-func (f *Front) settle(rules *compiled, r *http.Request, now time.Time) (p Plan, from webwire.Origin) {
+func (f *Front) settle(rules *compiled, r *http.Request, now time.Time) (p Plan, from http1proxy.Origin) {
 	h := r.Header
 	p.Target = reqtarget.Of(r)
 	if r.URL.Host != "" || r.Method == http.MethodConnect { // a target of another form
-		p.Err = fmt.Errorf("%w: %.60q", webwire.ErrTarget, r.RequestURI)
+		p.Err = fmt.Errorf("%w: %.60q", http1proxy.ErrTarget, r.RequestURI)
 		return p, from
 	}
-	if p.Err = webwire.CheckTarget(p.Target); p.Err != nil {
+	if p.Err = http1proxy.CheckTarget(p.Target); p.Err != nil {
 		return p, from
 	}
 	path, query, asked := strings.Cut(p.Target, "?")
-	m := routes.Request{Method: r.Method, Host: r.Host, Path: path, Header: func(name string) []string { return h[webwire.Canonical(name)] }}
+	m := routes.Request{Method: r.Method, Host: r.Host, Path: path, Header: func(name string) []string { return h[http1proxy.Canonical(name)] }}
 	if asked {
 		var values url.Values // read at the first condition on it
 		m.Query = func(name string) []string {
@@ -108,19 +108,19 @@
 		return p, from
 	}
 	key := len(keys) == 1 && keys[0] != ""
-	if p.Effect = webwire.Effect(r.Method, key, to.Class.Keyed != ""); to.Effect != nil {
+	if p.Effect = http1proxy.Effect(r.Method, key, to.Class.Keyed != ""); to.Effect != nil {
 		p.Effect = *to.Effect
 	}
 	p.Class = to.Class.of(p.Effect)
-	if c := f.classes[p.Class]; c.Effect == decision.Keyed && !key {
+	if c := f.classes[p.Class]; c.Idempotency == decision.IdempotentByKey && !key {
 		if to.Class.Unsafe == "" {
 			p.Err = fmt.Errorf("%w: %s is missing", errShape, f.config.KeyIn)
 			return p, from
 		}
 		p.Class = to.Class.Unsafe
 	}
-	p.Effect = f.classes[p.Class].Effect
-	from = webwire.Origin{Host: r.Host, TLS: r.TLS != nil, Trusted: rules.Who.Trusts(facts.Peer), Proto: "1.1"}
+	p.Effect = f.classes[p.Class].Idempotency
+	from = http1proxy.Origin{Host: r.Host, TLS: r.TLS != nil, Trusted: rules.Who.Trusts(facts.Peer), Proto: "1.1"}
 	if facts.Peer.IsValid() {
 		from.Addr = facts.Peer.String()
 	} else {
@@ -178,7 +178,7 @@
 	}
 	load.Body = body
 	if len(r.Trailer) > 0 {
-		load.Trailer = webwire.Trailers(r.Trailer)
+		load.Trailer = http1proxy.Trailers(r.Trailer)
 	}
 	if err := load.Check(); err != nil {
 		f.refuse(w, r, &p, err)
@@ -186,7 +186,7 @@
 	}
 	req.Timeout = max(1, req.Timeout-time.Since(arrived)) // what reading took is the client's time too
 	var out *sink
-	if req.Key != "" && f.door.RecognisesKeys() && p.Effect != decision.Safe {
+	if req.IdempotencyKey != "" && f.door.IdempotencyEnabled() && p.Effect != decision.Idempotent {
 		load.MostWhole = f.config.MostKeyed
 		load.Digest = [][]byte{[]byte(load.Method), []byte(load.Host), []byte(load.Target), []byte(strings.Join(r.Header["Content-Type"], ",")), body}
 	} else {
@@ -194,8 +194,8 @@
 		load.Sink = out
 		defer out.close()
 	}
-	reply, err := f.door.Relay(r.Context(), req, load)
-	answer, _ := reply.(*webback.Answer)
+	reply, err := f.door.Forward(r.Context(), req, load)
+	answer, _ := reply.(*httpproxytransport.Answer)
 	switch {
 	case out != nil && out.began():
 		if !out.whole() { // it was cut: the client must see that
@@ -205,28 +205,28 @@
 		}
 	case answer != nil && (err == nil || errors.Is(err, pumicecroft.ErrFailed)): // a backend's own error too
 		write(w, answer)
-	case err != nil && load.Last() != nil && errors.Is(err, pumicecroft.ErrRefused): // a backend's own word, that the door has nothing better for
+	case err != nil && load.Last() != nil && errors.Is(err, pumicecroft.ErrRejected): // a backend's own word, that the door has nothing better for
 		a := load.Last()
-		if refused, ok := errors.AsType[*pumicecroft.RefusedError](err); ok && (a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests) {
+		if refused, ok := errors.AsType[*pumicecroft.RejectedError](err); ok && (a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests) {
 			f.advise(w.Header(), refused.RetryAfter) // the backend's own advice takes its place
 		}
 		write(w, a)
 	case errors.Is(err, context.DeadlineExceeded) && r.Context().Err() != nil:
-		pumicecroft.GiveWay(w) // the host's time-out
+		pumicecroft.WriteGatewayTimeout(w) // the host's time-out
 	default:
 		f.refuse(w, r, &p, err)
 	}
 }
 
 // load makes what goes on, short of its body, and what the Door is told of it.
-func (f *Front) load(rules *compiled, p *Plan, r *http.Request, from webwire.Origin) (*webback.Request, pumicecroft.Request, error) {
+func (f *Front) load(rules *compiled, p *Plan, r *http.Request, from http1proxy.Origin) (*httpproxytransport.Request, pumicecroft.Request, error) {
 	to := p.Rule.To
 	class := f.classes[p.Class]
-	req := pumicecroft.Request{Class: p.Class, Plan: p.Who.Plan, Customer: p.Who.Customer, Units: to.Units, Timeout: class.Deadline}
+	req := pumicecroft.Request{Class: p.Class, Plan: p.Who.Plan, Customer: p.Who.Customer, Cost: to.Units, Timeout: class.Deadline}
 	if to.Timeout > 0 {
 		req.Timeout = min(req.Timeout, to.Timeout)
 	}
-	bad := func(name string) (*webback.Request, pumicecroft.Request, error) {
+	bad := func(name string) (*httpproxytransport.Request, pumicecroft.Request, error) {
 		return nil, req, fmt.Errorf("%w: %s", errShape, name)
 	}
 	h := r.Header
@@ -242,21 +242,21 @@
 	}
 	if p.Who.Units != "" {
 		if strings.Contains(p.Who.Units, "=") {
-			t, ok := terms.Parse(p.Who.Units, &f.set)
+			t, ok := requestmeta.Parse(p.Who.Units, &f.set)
 			if !ok {
 				return bad("terms")
 			}
-			req.Units, req.Spread, req.FirstDoor = t.Units, t.Spread, t.First
+			req.Cost, req.GatewaySpread, req.FirstGateway = t.Units, t.Spread, t.First
 		} else {
 			u, err := strconv.ParseFloat(p.Who.Units, 64)
 			if err != nil || !(u > 0) || math.IsInf(u, 0) {
 				return bad("units")
 			}
-			req.Units = u
+			req.Cost = u
 		}
 	}
 	if keys := h[f.config.KeyIn]; len(keys) == 1 {
-		req.Key = keys[0]
+		req.IdempotencyKey = keys[0]
 	}
 	var add []string
 	switch ids := h[f.config.IDIn]; {
@@ -264,7 +264,7 @@
 		if len(ids) != 1 {
 			return bad(f.config.IDIn)
 		}
-		id, err := terms.Hex(ids[0])
+		id, err := requestmeta.Hex(ids[0])
 		if err != nil {
 			return bad(f.config.IDIn)
 		}
@@ -274,7 +274,7 @@
 		req = req.WithID(id)
 		add = []string{f.config.IDIn, hex16(id)}
 	}
-	load := &webback.Request{Service: to.Service, Statuses: &to.Statuses}
+	load := &httpproxytransport.Request{Service: to.Service, Statuses: &to.Statuses}
 	load.Method, load.Target, load.Host, load.LeftIn = r.Method, p.Target, r.Host, f.config.LeftIn
 	if load.LeftIn != "" {
 		h = without(h, load.LeftIn)
--- a/webfront/sink.go
+++ b/httpproxy/sink.go
@@ -1,4 +1,4 @@
-package webfront
+package httpproxy
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"pumicecroft/internal/webback"
-	"pumicecroft/internal/webwire"
+	"pumicecroft/internal/http1proxy"
+	"pumicecroft/internal/httpproxytransport"
 )
 
 // sink passes an answer on as it comes. An attempt may outlive its request by a little; nothing is written then.
@@ -37,7 +37,7 @@
 	}
 	own := s.w.Header()
 	kept := own.Clone()
-	webwire.Back(own, h)
+	http1proxy.Back(own, h)
 	s.w.WriteHeader(status)
 	clear(own)
 	for name, v := range kept {
@@ -46,7 +46,7 @@
 }
 
 // Head begins the answer.
-func (s *sink) Head(a *webback.Answer, due time.Time) {
+func (s *sink) Head(a *httpproxytransport.Answer, due time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -109,10 +109,10 @@
 }
 
 // head puts an answer's fields into the client's.
-func head(w http.ResponseWriter, a *webback.Answer) {
+func head(w http.ResponseWriter, a *httpproxytransport.Answer) {
 	h := w.Header()
 	closing := h["Connection"]
-	webwire.Back(h, a.Header)
+	http1proxy.Back(h, a.Header)
 	if closing != nil {
 		h["Connection"] = closing
 	}
@@ -141,7 +141,7 @@
 }
 
 // write writes an answer that is whole.
-func write(w http.ResponseWriter, a *webback.Answer) {
+func write(w http.ResponseWriter, a *httpproxytransport.Answer) {
 	head(w, a)
 	w.WriteHeader(a.Status)
 	if len(a.Body) > 0 {
--- a/webfront/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -1,4 +1,4 @@
-package webfront_test
+package httpproxy_test
 
 import (
 	"context"
@@ -19,15 +19,15 @@
 	"time"
 
 	"pumicecroft/internal/certs"
-	"pumicecroft/internal/httpfront"
+	"pumicecroft/internal/httplistener"
+	"pumicecroft/internal/httpproxyconfig"
 	"pumicecroft/internal/testcerts"
-	"pumicecroft/internal/webload"
 )
 
 // listenTLS serves a rig's front as the daemon does, by the [tls] of its file.
 func listenTLS(t testing.TB, r *rig) (addr string, store *certs.Store) {
 	t.Helper()
-	config, store, err := webload.Listener(&r.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
+	config, store, err := httpproxyconfig.Listener(&r.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- httpfront.NewServer(r.front, 2000, 5*time.Second, slog.New(slog.DiscardHandler), httpfront.Options{TLS: config, Ordinary: true}).Run(ctx, ln)
+		ended <- httplistener.NewServer(r.front, 2000, 5*time.Second, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
 	}()
 	t.Cleanup(func() {
 		stop()
--- a/webfront/webfront.go
+++ b/httpproxy/webfront.go
@@ -1,4 +1,4 @@
-// Package webfront is a front for ordinary HTTP: whatever a server behind a reverse proxy may be asked, it is asked through a Door, which
+// Package httpproxy is a front for ordinary HTTP: whatever a server behind a reverse proxy may be asked, it is asked through a Door, which
 // decides which backend, whether again, and what is refused. A Front is an http.Handler for HTTP/1.1 and HTTP/2, in any server.
 //
 // Routes say which service a request is for and what it may cost; an identity.Resolver says who asks; the request's method says what a repeat
@@ -6,7 +6,7 @@
 //
 // webfront.go is the configuration, serve.go a request's way, final.go the answers that are the door's own, sink.go an answer that is passed
 // on as it comes.
-package webfront
+package httpproxy
 
 import (
 	"cmp"
@@ -25,23 +25,23 @@
 	"pumicecroft"
 	"pumicecroft/decision"
 	"pumicecroft/identity"
-	"pumicecroft/internal/webback"
-	"pumicecroft/internal/webwire"
+	"pumicecroft/internal/http1proxy"
+	"pumicecroft/internal/httpproxytransport"
 	"pumicecroft/routes"
 )
 
 // Statuses say what the statuses of a route's backends mean: Answered, Refused (harmless to try elsewhere) or Failed (it may have run). The
 // zero value has the usual meaning, which the page for operators tells.
-type Statuses = webwire.Statuses
+type Statuses = http1proxy.Statuses
 
 // Style is how backends are told where a request came from.
-type Style = webwire.Style
+type Style = http1proxy.Style
 
 // The styles.
 const (
-	XForwarded = webwire.XForwarded
-	Forwarded  = webwire.Forwarded
-	Untold     = webwire.Untold
+	XForwarded = http1proxy.XForwarded
+	Forwarded  = http1proxy.Forwarded
+	Untold     = http1proxy.Untold
 )
 
 // ServiceConfig says how a service's backends are reached. What is 0 takes the default.
@@ -60,11 +60,11 @@
 }
 
 // Protocol is what a service's backends speak, as membership.Node has it: a name of the service's own.
-func Protocol(service string) string { return webback.Protocol(service) }
+func Protocol(service string) string { return httpproxytransport.Protocol(service) }
 
 // WithService lets a Door reach a service's backends: those whose Protocol is that of its name.
 func WithService(c ServiceConfig) pumicecroft.Option {
-	return pumicecroft.WithProtocol(Protocol(c.Name), webback.New(webback.Config{Service: c.Name, Conns: c.Conns, Connect: c.Connect, Idle: c.Idle,
+	return pumicecroft.WithProtocol(Protocol(c.Name), httpproxytransport.New(httpproxytransport.Config{Service: c.Name, Conns: c.Conns, Connect: c.Connect, Idle: c.Idle,
 		Hold: c.Hold, TLS: c.TLS, H2: c.H2, H2Conns: c.H2Conns, HostOf: c.HostOf, Log: c.Log, Dial: c.Dial}))
 }
 
@@ -73,11 +73,11 @@
 type Classes struct{ Safe, Keyed, Unsafe string }
 
 // of gives the class for an effect.
-func (c *Classes) of(e decision.Effect) string {
+func (c *Classes) of(e decision.Idempotency) string {
 	switch {
-	case e == decision.Safe && c.Safe != "":
+	case e == decision.Idempotent && c.Safe != "":
 		return c.Safe
-	case e != decision.Unsafe && c.Keyed != "":
+	case e != decision.NonIdempotent && c.Keyed != "":
 		return c.Keyed
 	case c.Unsafe != "":
 		return c.Unsafe
@@ -92,7 +92,7 @@
 	Service string
 	Class   Classes
 	// Effect, if it is not nil, is what repeats of its requests may do, whatever their methods.
-	Effect   *decision.Effect
+	Effect   *decision.Idempotency
 	Units    float64       // what a request costs of its customer's quota; 0: 1
 	Timeout  time.Duration // at the most; 0: the class's deadline
 	MaxBody  int64         // of a request, in bytes; 0: 1 MiB
@@ -130,7 +130,7 @@
 
 // Front takes requests for a Door. It is safe for concurrent use.
 type Front struct {
-	door    *pumicecroft.Door
+	door    *pumicecroft.Gateway
 	config  Config
 	set     decision.Settings
 	plans   map[string]*decision.Plan
@@ -144,14 +144,14 @@
 // compiled are Rules with what follows from them.
 type compiled struct {
 	Rules
-	onward webwire.Onward
+	onward http1proxy.Onward
 }
 
 // ErrRules says that rules can't be gone by: they name what the Door does not have.
 var ErrRules = errors.New("webfront: rules that don't fit")
 
 // New makes a Front of a Door that has the options of its services. The error is an ErrRules.
-func New(door *pumicecroft.Door, c Config) (*Front, error) {
+func New(door *pumicecroft.Gateway, c Config) (*Front, error) {
 	if c.BodyTimeout <= 0 {
 		c.BodyTimeout = 10 * time.Second
 	}
@@ -163,7 +163,7 @@
 	}
 	c.Via, c.IDIn, c.KeyIn = cmp.Or(c.Via, "pumicecroft"), cmp.Or(c.IDIn, "X-Request-Id"), cmp.Or(c.KeyIn, "Idempotency-Key")
 	for _, name := range []*string{&c.IDIn, &c.KeyIn, &c.TimeoutIn, &c.LeftIn} {
-		*name = webwire.Canonical(*name)
+		*name = http1proxy.Canonical(*name)
 	}
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
@@ -201,10 +201,10 @@
 				bad = errors.Join(bad, fmt.Errorf("%w: route %q has class %q, which the door does not have", ErrRules, rule.Name, class))
 			}
 		}
-		if to.Class.of(decision.Unsafe) == "" {
+		if to.Class.of(decision.NonIdempotent) == "" {
 			bad = errors.Join(bad, fmt.Errorf("%w: route %q has no class", ErrRules, rule.Name))
 		}
-		if !f.door.Speaks(Protocol(to.Service)) {
+		if !f.door.SupportsProtocol(Protocol(to.Service)) {
 			bad = errors.Join(bad, fmt.Errorf("%w: route %q has service %q, which the door does not reach", ErrRules, rule.Name, to.Service))
 		}
 		if err := to.Statuses.Check(); err != nil {
@@ -219,7 +219,7 @@
 	if bad != nil {
 		return bad
 	}
-	f.rules.Store(&compiled{r, webwire.Onward{Style: f.config.Style, Via: f.config.Via, MostVia: mostVia, Remove: r.Remove, Asserted: r.Who.Asserted()}})
+	f.rules.Store(&compiled{r, http1proxy.Onward{Style: f.config.Style, Via: f.config.Via, MostVia: mostVia, Remove: r.Remove, Asserted: r.Who.Asserted()}})
 	return nil
 }
 
--- a/keys/keys_test.go
+++ b/idempotency/keys_test.go
@@ -1,4 +1,4 @@
-package keys
+package idempotency
 
 import (
 	"errors"
@@ -21,13 +21,13 @@
 // model is a store without a bound, as plainly as it can be said.
 type model struct {
 	limits Limits
-	keys   map[name]*known
+	keys   map[entryID]*known
 }
 
 type known struct {
-	digest  Digest
+	digest  Fingerprint
 	state   state
-	answer  Answer
+	answer  Response
 	until   time.Duration
 	first   *Ticket
 	waiting map[int]time.Duration // by tag, until when; the first's own: never
@@ -38,13 +38,13 @@
 func TestAgainstAModel(t *testing.T) {
 	met := map[Verdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{Keep: 50 * time.Millisecond, KeepDoubt: 20 * time.Millisecond, MostAnswer: 10, Advice: time.Second}
+		limits := Limits{TTL: 50 * time.Millisecond, UnknownTTL: 20 * time.Millisecond, MaxResponseBytes: 10, RetryAfter: time.Second}
 		now := time.Second
 		s := New(limits, now)
-		m := model{limits, map[name]*known{}}
+		m := model{limits, map[entryID]*known{}}
 		tags := 0
 		tickets, owed := map[int]*Ticket{}, map[int]bool{}
-		take := func(given []Given, want map[int]Verdict) {
+		take := func(given []Completion, want map[int]Verdict) {
 			t.Helper()
 			got := map[int]Verdict{}
 			for _, g := range given {
@@ -65,11 +65,11 @@
 			for n, k := range m.keys {
 				for tag, until := range k.waiting {
 					if until > 0 && until <= now {
-						late[tag] = Late
+						late[tag] = DeadlineExceeded
 						delete(k.waiting, tag)
 					}
 				}
-				if k.state != inFlight && k.until <= now {
+				if k.state != stateInFlight && k.until <= now {
 					delete(m.keys, n)
 				}
 			}
@@ -77,37 +77,37 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
-				n := name{decision.CustomerID(rapid.IntRange(1, 2).Draw(t, "who")), rapid.SampledFrom([]string{"a", "b", "", "\x01", strings.Repeat("k", 256)}).Draw(t, "key")}
-				digest := Digest{byte(rapid.IntRange(0, 9).Draw(t, "digest") / 9)}
+				n := entryID{decision.CustomerID(rapid.IntRange(1, 2).Draw(t, "who")), rapid.SampledFrom([]string{"a", "b", "", "\x01", strings.Repeat("k", 256)}).Draw(t, "key")}
+				digest := Fingerprint{byte(rapid.IntRange(0, 9).Draw(t, "digest") / 9)}
 				until := now + time.Duration(rapid.IntRange(1, 40).Draw(t, "for"))*time.Millisecond
 				late := due()
 				tags++
-				d, given := s.Ask(now, n.customer, n.key, digest, tags, until)
+				d, given := s.Begin(now, n.customer, n.key, digest, tags, until)
 				take(given, late)
 				met[d.Verdict]++
 				k := m.keys[n]
-				want := Pass
+				want := Proceed
 				switch {
-				case !goodKey(n.key):
-					want = BadKey
+				case !isValidKey(n.key):
+					want = InvalidKey
 				case k == nil:
 				case k.digest != digest:
 					want = Conflict
-				case k.state == inFlight:
+				case k.state == stateInFlight:
 					want = Join
-				case k.state == doubtful:
-					want = Undecided
-				case len(k.answer.Body) > limits.MostAnswer:
-					want = Done
+				case k.state == stateUnknown:
+					want = OutcomeUnknown
+				case len(k.answer.Body) > limits.MaxResponseBytes:
+					want = ResponseNotStored
 				default:
 					want = Replay
 				}
-				if d.Verdict != want || want == Replay && string(d.Answer.Body) != string(k.answer.Body) || want == Undecided && d.RetryAfter != k.until-now ||
-					(d.Ticket != nil) != (want == Pass || want == Join) {
+				if d.Verdict != want || want == Replay && string(d.Response.Body) != string(k.answer.Body) || want == OutcomeUnknown && d.RetryAfter != k.until-now ||
+					(d.Ticket != nil) != (want == Proceed || want == Join) {
 					t.Fatalf("%+v, want %v", d, want)
 				}
 				switch want {
-				case Pass:
+				case Proceed:
 					m.keys[n] = &known{digest: digest, first: d.Ticket, waiting: map[int]time.Duration{tags: 0}}
 				case Join:
 					k.waiting[tags] = until
@@ -122,7 +122,7 @@
 				}
 				tag := rapid.SampledFrom(slices.Sorted(maps.Keys(owed))).Draw(t, "tag")
 				late := due()
-				nobody, given := s.Leave(now, tickets[tag])
+				nobody, given := s.Abandon(now, tickets[tag])
 				take(given, late)
 				if !owed[tag] {
 					return // it was late
@@ -138,38 +138,38 @@
 				if nobody != want {
 					t.Fatalf("nobody waits: %v, want %v", nobody, want)
 				}
-				if again, _ := s.Leave(now, tickets[tag]); again {
+				if again, _ := s.Abandon(now, tickets[tag]); again {
 					t.Fatal("it leaves twice")
 				}
 			},
 			"end": func(t *rapid.T) {
-				var all []name
+				var all []entryID
 				for n, k := range m.keys {
-					if k.state == inFlight {
+					if k.state == stateInFlight {
 						all = append(all, n)
 					}
 				}
 				if len(all) == 0 {
 					t.Skip("none is in flight")
 				}
-				slices.SortFunc(all, func(a, b name) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
+				slices.SortFunc(all, func(a, b entryID) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 				n := rapid.SampledFrom(all).Draw(t, "key")
-				k, end := m.keys[n], End(rapid.IntRange(0, 2).Draw(t, "end"))
+				k, end := m.keys[n], Outcome(rapid.IntRange(0, 2).Draw(t, "end"))
 				want := due()
-				a := Answer{Status: 200, Body: make([]byte, rapid.SampledFrom([]int{0, 10, 11}).Draw(t, "size"))}
+				a := Response{Status: 200, Body: make([]byte, rapid.SampledFrom([]int{0, 10, 11}).Draw(t, "size"))}
 				for tag := range k.waiting {
-					want[tag] = map[End]Verdict{Answered: Replay, NeverRan: Refused, Doubt: Undecided}[end]
+					want[tag] = map[Outcome]Verdict{Succeeded: Replay, NotExecuted: Rejected, Unknown: OutcomeUnknown}[end]
 				}
-				take(s.Ended(now, k.first, end, a), want)
-				take(s.Ended(now, k.first, Doubt, a), nil)
+				take(s.Complete(now, k.first, end, a), want)
+				take(s.Complete(now, k.first, Unknown, a), nil)
 				k.waiting, k.answer = nil, a
 				switch end {
-				case Answered:
-					k.state, k.until = answered, now+limits.Keep
-				case NeverRan:
+				case Succeeded:
+					k.state, k.until = stateCompleted, now+limits.TTL
+				case NotExecuted:
 					delete(m.keys, n)
-				case Doubt:
-					k.state, k.until = doubtful, now+limits.KeepDoubt
+				case Unknown:
+					k.state, k.until = stateUnknown, now+limits.UnknownTTL
 				}
 			},
 			"wait": func(t *rapid.T) {
@@ -183,26 +183,26 @@
 						t.Fatalf("%v is kept", n)
 					}
 					sum += e.cost
-					if e.state == inFlight {
+					if e.state == stateInFlight {
 						flight += e.cost
 					}
 				}
-				if s.Len() != len(m.keys) || s.Bytes() != sum || s.flight != flight || len(s.most) != s.Customers() {
-					t.Fatalf("%d keys of %d, %d bytes of %d, %d in flight of %d", s.Len(), len(m.keys), s.Bytes(), sum, s.flight, flight)
+				if s.Len() != len(m.keys) || s.Bytes() != sum || s.inFlightBytes != flight || len(s.evictionOrder) != s.Customers() {
+					t.Fatalf("%d keys of %d, %d bytes of %d, %d in flight of %d", s.Len(), len(m.keys), s.Bytes(), sum, s.inFlightBytes, flight)
 				}
 			},
 		})
 		for n, k := range m.keys {
-			if k.state == inFlight {
-				s.Ended(now, k.first, NeverRan, Answer{})
+			if k.state == stateInFlight {
+				s.Complete(now, k.first, NotExecuted, Response{})
 				delete(m.keys, n)
 			}
 		}
-		if s.Tick(now + time.Hour); s.Len() != 0 || s.Bytes() != 0 || s.Customers() != 0 || s.wheel.Len() != 0 || s.flight != 0 {
-			t.Fatalf("left: %d keys, %d bytes, %d customers, %d timers", s.Len(), s.Bytes(), s.Customers(), s.wheel.Len())
+		if s.Tick(now + time.Hour); s.Len() != 0 || s.Bytes() != 0 || s.Customers() != 0 || s.timers.Len() != 0 || s.inFlightBytes != 0 {
+			t.Fatalf("left: %d keys, %d bytes, %d customers, %d timers", s.Len(), s.Bytes(), s.Customers(), s.timers.Len())
 		}
 	})
-	for v := range Late + 1 {
+	for v := range DeadlineExceeded + 1 {
 		if v != Busy && met[v] == 0 {
 			t.Errorf("never met: %v", v)
 		}
@@ -218,12 +218,12 @@
 	}{{"of answers", true}, {"of requests in flight", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			const others, each = 20, 30
-			s := New(Limits{Bytes: 1 << 20, MostAnswer: 1 << 10}, 0)
-			body := Answer{Status: 200, Body: make([]byte, 300)}
+			s := New(Limits{MaxBytes: 1 << 20, MaxResponseBytes: 1 << 10}, 0)
+			body := Response{Status: 200, Body: make([]byte, 300)}
 			serve := func(now time.Duration, who decision.CustomerID, key string, ends bool) Verdict {
-				d, _ := s.Ask(now, who, key, Digest{}, nil, now+time.Hour)
-				if d.Verdict == Pass && ends {
-					s.Ended(now, d.Ticket, Answered, body)
+				d, _ := s.Begin(now, who, key, Fingerprint{}, nil, now+time.Hour)
+				if d.Verdict == Proceed && ends {
+					s.Complete(now, d.Ticket, Succeeded, body)
 				}
 				if s.Bytes() > 1<<20 {
 					t.Fatalf("%d bytes", s.Bytes())
@@ -234,13 +234,13 @@
 			for i := range 100_000 {
 				now += 10 * time.Microsecond
 				switch serve(now, 1, fmt.Sprint("f", i), c.ends) {
-				case Pass:
+				case Proceed:
 					passed++
 				case Busy:
 					busy++
 				}
 				if i%100 == 99 && kept < others*each { // the others come while it floods
-					if v := serve(now, decision.CustomerID(2+kept%others), fmt.Sprint("o", kept/others), true); v != Pass {
+					if v := serve(now, decision.CustomerID(2+kept%others), fmt.Sprint("o", kept/others), true); v != Proceed {
 						t.Fatalf("another customer's request %d: %v", kept, v)
 					}
 					kept++
@@ -254,8 +254,8 @@
 			if c.ends != (busy == 0) || kept != others*each || c.ends && serve(now, 1, "f99999", true) != Replay {
 				t.Errorf("%d of the flooder's passed, %d were refused; %d of others", passed, busy, kept)
 			}
-			if !c.ends && (passed == 0 || s.flight > 1<<19+entryCost) {
-				t.Errorf("%d bytes in flight", s.flight)
+			if !c.ends && (passed == 0 || s.inFlightBytes > 1<<19+entryOverhead) {
+				t.Errorf("%d bytes in flight", s.inFlightBytes)
 			}
 			t.Logf("%d passed, %d refused, %d keys in %d bytes", passed, busy, s.Len(), s.Bytes())
 		})
@@ -264,14 +264,14 @@
 
 // A lone customer whose one entry makes room for its next one is still there.
 func TestALoneCustomer(t *testing.T) {
-	s := New(Limits{Bytes: 1400}, 0)
+	s := New(Limits{MaxBytes: 1400}, 0)
 	for i := range 5 {
-		d, _ := s.Ask(0, 1, fmt.Sprint(i), Digest{}, nil, time.Second)
-		if d.Verdict != Pass {
+		d, _ := s.Begin(0, 1, fmt.Sprint(i), Fingerprint{}, nil, time.Second)
+		if d.Verdict != Proceed {
 			t.Fatalf("%d: %v", i, d.Verdict)
 		}
-		s.Ended(0, d.Ticket, Answered, Answer{Body: make([]byte, 700)})
-		if s.Len() != 1 || s.Customers() != 1 || s.Bytes() > 1400 || len(s.most) != 1 {
+		s.Complete(0, d.Ticket, Succeeded, Response{Body: make([]byte, 700)})
+		if s.Len() != 1 || s.Customers() != 1 || s.Bytes() > 1400 || len(s.evictionOrder) != 1 {
 			t.Errorf("%d: %d keys of %d customers in %d bytes", i, s.Len(), s.Customers(), s.Bytes())
 		}
 	}
@@ -281,47 +281,47 @@
 func TestTheSameInstant(t *testing.T) {
 	const ms = time.Millisecond
 	begin := func() (*Store, *Ticket, *Ticket) {
-		s := New(Limits{Keep: 10 * ms, KeepDoubt: 10 * ms}, 0)
-		first, _ := s.Ask(0, 1, "k", Digest{}, "first", 5*ms)
-		second, _ := s.Ask(0, 1, "k", Digest{}, "second", 5*ms)
+		s := New(Limits{TTL: 10 * ms, UnknownTTL: 10 * ms}, 0)
+		first, _ := s.Begin(0, 1, "k", Fingerprint{}, "first", 5*ms)
+		second, _ := s.Begin(0, 1, "k", Fingerprint{}, "second", 5*ms)
 		return s, first.Ticket, second.Ticket
 	}
-	tell := func(given []Given) (out string) {
+	tell := func(given []Completion) (out string) {
 		for _, g := range given {
 			out += fmt.Sprintf("%v:%v ", g.Tag, g.Verdict)
 		}
 		return strings.TrimSpace(out)
 	}
 	s, first, _ := begin()
-	if got := tell(s.Ended(5*ms-1, first, Answered, Answer{})); got != "first:replay second:replay" {
+	if got := tell(s.Complete(5*ms-1, first, Succeeded, Response{})); got != "first:replay second:replay" {
 		t.Errorf("just before the deadline: %s", got)
 	}
 	s, first, second := begin()
-	if got := tell(s.Ended(5*ms, first, Answered, Answer{})); got != "second:late first:replay" {
+	if got := tell(s.Complete(5*ms, first, Succeeded, Response{})); got != "second:late first:replay" {
 		t.Errorf("at the deadline: %s", got)
 	}
-	if nobody, given := s.Leave(5*ms, second); nobody || len(given) > 0 {
+	if nobody, given := s.Abandon(5*ms, second); nobody || len(given) > 0 {
 		t.Error("it leaves after its end")
 	}
-	if d, _ := s.Ask(15*ms-1, 1, "k", Digest{}, nil, 0); d.Verdict != Replay {
+	if d, _ := s.Begin(15*ms-1, 1, "k", Fingerprint{}, nil, 0); d.Verdict != Replay {
 		t.Errorf("just before the expiry: %v", d.Verdict)
 	}
-	if d, _ := s.Ask(15*ms, 1, "k", Digest{}, nil, 0); d.Verdict != Pass {
+	if d, _ := s.Begin(15*ms, 1, "k", Fingerprint{}, nil, 0); d.Verdict != Proceed {
 		t.Errorf("at the expiry: %v", d.Verdict)
 	}
 	// The first client's leaving does not end what the second waits for; the second's does.
 	s, first, second = begin()
-	if nobody, _ := s.Leave(ms, first); nobody {
+	if nobody, _ := s.Abandon(ms, first); nobody {
 		t.Error("the second waits")
 	}
-	if nobody, _ := s.Leave(ms, second); !nobody {
+	if nobody, _ := s.Abandon(ms, second); !nobody {
 		t.Error("nobody waits")
 	}
 	// And a repeat that comes then waits for it again, and gets the late answer.
-	if d, _ := s.Ask(2*ms, 1, "k", Digest{}, "third", 9*ms); d.Verdict != Join {
+	if d, _ := s.Begin(2*ms, 1, "k", Fingerprint{}, "third", 9*ms); d.Verdict != Join {
 		t.Errorf("%v", d.Verdict)
 	}
-	if got := tell(s.Ended(8*ms, first, Answered, Answer{})); got != "third:replay" {
+	if got := tell(s.Complete(8*ms, first, Succeeded, Response{})); got != "third:replay" {
 		t.Error(got)
 	}
 	// A clock that goes back expires nothing and keeps nothing longer.
@@ -347,26 +347,26 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	s := New(Limits{Bytes: 4 << 30, Keep: time.Duration(n) * time.Microsecond}, 0)
+	s := New(Limits{MaxBytes: 4 << 30, TTL: time.Duration(n) * time.Microsecond}, 0)
 	var log *journal.Log[Entry]
 	if logged {
-		log, _ = journal.Recover[Entry](journal.Rules{}, 1, nil, nil, nil)
-		s.Logs(log, 0)
+		log, _ = journal.Recover[Entry](journal.Options{}, 1, nil, nil, nil)
+		s.AttachLog(log, 0)
 	}
 	now, rng := time.Duration(0), rand.New(rand.NewPCG(1, 2))
-	body := Answer{Status: 200, Body: []byte("done")}
+	body := Response{Status: 200, Body: []byte("done")}
 	asked := 0
 	one := func() {
 		now += time.Microsecond
 		key := fmt.Sprintf("%016x", rng.Uint64())
-		if d, _ := s.Ask(now, decision.CustomerID(rng.IntN(1000)), key, Digest{}, nil, now+time.Second); d.Verdict == Pass {
-			s.Ended(now, d.Ticket, Answered, body)
+		if d, _ := s.Begin(now, decision.CustomerID(rng.IntN(1000)), key, Fingerprint{}, nil, now+time.Second); d.Verdict == Proceed {
+			s.Complete(now, d.Ticket, Succeeded, body)
 		}
 		if asked++; logged && asked%64 == 0 { // a group
-			s.Relog(now)
-			for op := log.Next(now); op.Kind != journal.Nothing; op = log.Next(now) {
+			s.RewriteStale(now)
+			for op := log.Next(now); op.Kind != journal.None; op = log.Next(now) {
 				log.Done(now, nil)
-				s.Relog(now)
+				s.RewriteStale(now)
 			}
 		}
 	}
@@ -387,20 +387,20 @@
 // Bytes that nobody wrote are an error or an entry that is within its bounds, and never bring the store down.
 func FuzzRestore(f *testing.F) {
 	s := New(Limits{}, 0)
-	s.Logs(first(journal.Recover[Entry](journal.Rules{}, 1, nil, nil, nil)), 0)
-	d, _ := s.Ask(0, 7, "key", Digest{1}, nil, time.Second)
-	f.Add(append([]byte(nil), s.record(recFlight, d.Ticket.entry)...))
-	d.Ticket.entry.answer = Answer{200, "text/plain", []byte("done")}
-	f.Add(append([]byte(nil), s.record(recKept, d.Ticket.entry)...))
+	s.AttachLog(first(journal.Recover[Entry](journal.Options{}, 1, nil, nil, nil)), 0)
+	d, _ := s.Begin(0, 7, "key", Fingerprint{1}, nil, time.Second)
+	f.Add(append([]byte(nil), s.encodeRecord(recordInFlight, d.Ticket.entry)...))
+	d.Ticket.entry.response = Response{200, "text/plain", []byte("done")}
+	f.Add(append([]byte(nil), s.encodeRecord(recordResponse, d.Ticket.entry)...))
 	f.Fuzz(func(t *testing.T, rec []byte) {
-		s := New(Limits{Bytes: 4096}, 0)
+		s := New(Limits{MaxBytes: 4096}, 0)
 		for range 2 { // the second takes the place of the first
 			slot, err := s.Restore(time.Second, 0, rec)
-			if err != nil && !errors.Is(err, ErrRecord) || (slot != nil) != (s.Len() == 1) || s.Bytes() > 4096 || s.Len() > 1 {
+			if err != nil && !errors.Is(err, ErrInvalidRecord) || (slot != nil) != (s.Len() == 1) || s.Bytes() > 4096 || s.Len() > 1 {
 				t.Fatalf("%v, %v: %d keys of %d bytes", slot, err, s.Len(), s.Bytes())
 			}
 		}
-		if at, ok := s.Next(); ok != (s.Len() == 1) || ok && at > time.Second+s.limits.Keep+time.Minute {
+		if at, ok := s.Next(); ok != (s.Len() == 1) || ok && at > time.Second+s.limits.TTL+time.Minute {
 			t.Fatalf("%d keys, and the next end is at %v", s.Len(), at)
 		}
 	})
@@ -414,24 +414,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		rng := rand.New(rand.NewPCG(seed, 3))
-		limits := Limits{Bytes: 64 << 10, MostAnswer: 200, Keep: 500 * time.Millisecond, KeepDoubt: 300 * time.Millisecond}
-		disk, rules := simdisk.New(), journal.Rules{SegmentBytes: 4 << 10, MostPending: 8 << 10}
+		limits := Limits{MaxBytes: 64 << 10, MaxResponseBytes: 200, TTL: 500 * time.Millisecond, UnknownTTL: 300 * time.Millisecond}
+		disk, rules := simdisk.New(), journal.Options{SegmentBytes: 4 << 10, MaxPending: 8 << 10}
 		begin := func(now time.Duration) (*Store, *journal.Log[Entry]) {
 			s := New(limits, now)
 			log, err := journal.Recover(rules, 1, disk.List(), disk.Load, func(rec []byte) (*journal.Slot[Entry], error) { return s.Restore(now, time.Hour, rec) })
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Logs(log, time.Hour)
+			s.AttachLog(log, time.Hour)
 			return s, log
 		}
 		now := time.Duration(0)
 		s, log := begin(now)
 		flush := func() {
-			s.Relog(now)
-			for op := log.Next(now); op.Kind != journal.Nothing; op = log.Next(now) {
+			s.RewriteStale(now)
+			for op := log.Next(now); op.Kind != journal.None; op = log.Next(now) {
 				log.Done(now, disk.Do(op))
-				s.Relog(now)
+				s.RewriteStale(now)
 			}
 		}
 		var flying []*Ticket
@@ -439,17 +439,17 @@
 			now += time.Duration(rng.IntN(4)) * time.Millisecond
 			switch n := rng.IntN(10); {
 			case n < 5:
-				d, _ := s.Ask(now, decision.CustomerID(rng.IntN(3)), fmt.Sprint("k", rng.IntN(40)), Digest{}, nil, now+time.Second)
-				if d.Verdict == Pass {
+				d, _ := s.Begin(now, decision.CustomerID(rng.IntN(3)), fmt.Sprint("k", rng.IntN(40)), Fingerprint{}, nil, now+time.Second)
+				if d.Verdict == Proceed {
 					flying = append(flying, d.Ticket)
 				}
 			case n < 8 && len(flying) > 0:
 				i := rng.IntN(len(flying))
-				a := Answer{Status: 200, Body: make([]byte, rng.IntN(300))}
+				a := Response{Status: 200, Body: make([]byte, rng.IntN(300))}
 				if rng.IntN(2) == 0 {
-					s.Answers(now, flying[i], a)
+					s.RecordResponse(now, flying[i], a)
 				}
-				s.Ended(now, flying[i], End(rng.IntN(3)), a)
+				s.Complete(now, flying[i], Outcome(rng.IntN(3)), a)
 				flying = slices.Delete(flying, i, i+1)
 			case n < 9:
 				flush()
@@ -459,20 +459,20 @@
 				s.Tick(now)
 				for who := range 3 {
 					for k := range 40 {
-						id := name{decision.CustomerID(who), fmt.Sprint("k", k)}
+						id := entryID{decision.CustomerID(who), fmt.Sprint("k", k)}
 						was, is := s.entries[id], again.entries[id]
 						switch {
 						case was == nil: // let go of, or not known: it may be known still
 						case is == nil:
 							t.Fatalf("seed %d: %v was %d, and is not known", seed, id, was.state)
-						case was.state == inFlight && is.state != doubtful, was.state != inFlight && (is.state != was.state || is.kept != was.kept || len(is.answer.Body) != len(was.answer.Body)):
-							t.Fatalf("seed %d: %v was %d and is %d, kept %v and %v", seed, id, was.state, is.state, was.kept, is.kept)
-						case was.state != inFlight && (is.expireAt > was.expireAt || was.expireAt-is.expireAt > time.Millisecond):
-							t.Fatalf("seed %d: %v ends at %v, and ended at %v", seed, id, is.expireAt, was.expireAt)
+						case was.state == stateInFlight && is.state != stateUnknown, was.state != stateInFlight && (is.state != was.state || is.responseStored != was.responseStored || len(is.response.Body) != len(was.response.Body)):
+							t.Fatalf("seed %d: %v was %d and is %d, kept %v and %v", seed, id, was.state, is.state, was.responseStored, is.responseStored)
+						case was.state != stateInFlight && (is.expiresAt > was.expiresAt || was.expiresAt-is.expiresAt > time.Millisecond):
+							t.Fatalf("seed %d: %v ends at %v, and ended at %v", seed, id, is.expiresAt, was.expiresAt)
 						}
 					}
 				}
-				if again.Bytes() > limits.Bytes {
+				if again.Bytes() > limits.MaxBytes {
 					t.Fatalf("seed %d: %d bytes", seed, again.Bytes())
 				}
 				s, log, flying = again, other, nil
@@ -485,7 +485,7 @@
 // forgotten early; what was in flight is undecided for KeepDoubt from the restart whatever the clock says. Within a process a
 // clock that jumps back expires nothing twice.
 func TestAClockThatJumps(t *testing.T) {
-	limits := Limits{Keep: time.Hour, KeepDoubt: time.Minute}
+	limits := Limits{TTL: time.Hour, UnknownTTL: time.Minute}
 	for _, c := range []struct {
 		name  string
 		jump  time.Duration
@@ -496,12 +496,12 @@
 			s := New(limits, 0)
 			s.epoch = 100 * time.Hour
 			for i, end := range []bool{true, false} {
-				d, _ := s.Ask(0, 1, fmt.Sprint("k", i), Digest{}, nil, time.Minute)
+				d, _ := s.Begin(0, 1, fmt.Sprint("k", i), Fingerprint{}, nil, time.Minute)
 				if end {
-					s.Ended(0, d.Ticket, Answered, Answer{Status: 200})
-					log = append(log, slices.Clone(s.record(recKept, d.Ticket.entry)))
+					s.Complete(0, d.Ticket, Succeeded, Response{Status: 200})
+					log = append(log, slices.Clone(s.encodeRecord(recordResponse, d.Ticket.entry)))
 				} else {
-					log = append(log, slices.Clone(s.record(recFlight, d.Ticket.entry)))
+					log = append(log, slices.Clone(s.encodeRecord(recordInFlight, d.Ticket.entry)))
 				}
 			}
 			later := New(limits, 0)
@@ -511,9 +511,9 @@
 				}
 			}
 			verdict := func(now time.Duration, key string) Verdict {
-				d, _ := later.Ask(now, 1, key, Digest{}, nil, now+time.Minute)
-				if d.Verdict == Pass {
-					later.Ended(now, d.Ticket, NeverRan, Answer{})
+				d, _ := later.Begin(now, 1, key, Fingerprint{}, nil, now+time.Minute)
+				if d.Verdict == Proceed {
+					later.Complete(now, d.Ticket, NotExecuted, Response{})
 				}
 				return d.Verdict
 			}
@@ -524,7 +524,7 @@
 				at   time.Duration
 				key  string
 				want Verdict
-			}{{time.Minute - tick, "k1", Undecided}, {time.Minute, "k1", Pass}, {30 * time.Second, "k1", Pass}, {c.until - tick, "k0", Replay}, {c.until, "k0", Pass}} {
+			}{{time.Minute - timerResolution, "k1", OutcomeUnknown}, {time.Minute, "k1", Proceed}, {30 * time.Second, "k1", Proceed}, {c.until - timerResolution, "k0", Replay}, {c.until, "k0", Proceed}} {
 				if at.at > 0 {
 					if got := verdict(at.at, at.key); got != at.want {
 						t.Errorf("%s at %v: %v, want %v", at.key, at.at, got, at.want)
--- a/identity/identity.go
+++ b/identity/identity.go
@@ -17,7 +17,7 @@
 	"strings"
 	"time"
 
-	"pumicecroft/internal/terms"
+	"pumicecroft/internal/requestmeta"
 )
 
 // Facts are what is known of a request.
@@ -224,7 +224,7 @@
 	}
 	w := Who{Name: name, Plan: r.Plan}
 	if r.Hex {
-		if w.Customer, err = terms.Customer(name); err != nil {
+		if w.Customer, err = requestmeta.Customer(name); err != nil {
 			return Who{}, true, fmt.Errorf("%s is no customer's number", r.Customer)
 		}
 	} else if name == "" {
--- a/internal/scale/agent.go
+++ b/internal/capacitytest/agent.go
@@ -1,6 +1,6 @@
-// Package scale is what the tests of the coming size share: an agent of discovery that tells of as many backends as are wanted, in
+// Package capacitytest is what the tests of the coming size share: an agent of discovery that tells of as many backends as are wanted, in
 // pieces, and a process that holds one shipped Door and tells what that costs. docs/CAPACITY.md rests on what its tests print.
-package scale
+package capacitytest
 
 import (
 	"bufio"
@@ -21,8 +21,8 @@
 func Hosts(n int) []platform.Endpoint {
 	out := make([]platform.Endpoint, n)
 	for i := range out {
-		out[i] = platform.Endpoint{Host: fmt.Sprintf("s-%08x", i), Dial: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
-			Site: "z" + strconv.Itoa(i%9), Class: "m2", Block: i % 2300, Health: "Ready", Share: 1}
+		out[i] = platform.Endpoint{Name: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
+			Zone: "z" + strconv.Itoa(i%9), InstanceType: "m2", Cell: i % 2300, Health: "Ready", Weight: 1}
 	}
 	return out
 }
@@ -52,7 +52,7 @@
 func (a *Agent) Start(hosts []platform.Endpoint) error {
 	a.seq, a.all, a.at, a.open = 41, hosts, map[string]int{}, map[net.Conn]chan []byte{}
 	for i, h := range hosts {
-		a.at[h.Host] = i
+		a.at[h.Name] = i
 	}
 	var err error
 	if a.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -90,7 +90,7 @@
 	defer a.mu.Unlock()
 	var text bytes.Buffer
 	for _, h := range hosts {
-		a.all[a.at[h.Host]] = h
+		a.all[a.at[h.Name]] = h
 		if single {
 			a.seq++
 			text.Write(a.line(false, []platform.Endpoint{h}))
--- a/internal/scale/backends_test.go
+++ b/internal/capacitytest/backends_test.go
@@ -1,4 +1,4 @@
-package scale
+package capacitytest
 
 import (
 	"runtime"
@@ -7,8 +7,8 @@
 	"time"
 
 	"pumicecroft/decision"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/platform"
-	"pumicecroft/internal/standin"
 )
 
 // membershipInSteps says that a door takes a list of any length in steps, and news at the cost of what changed. What is asserted of that
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(b.agent.Close)
-	backend, err := standin.StartBackend(standin.BackendConfig{Name: "s", Ledger: &standin.Ledger{}})
+	backend, err := fakes.StartBackend(fakes.BackendConfig{Name: "s", Ledger: &fakes.Ledger{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 	}{{"lost, single lines", "Gone", true}, {"back, one line", "Ready", false}, {"lost, one line", "Gone", false}, {"back, single lines", "Ready", true}} {
 		var zone []platform.Endpoint
 		for _, h := range b.agent.all[:n-n%9] {
-			if h.Site == "z3" {
+			if h.Zone == "z3" {
 				h.Health = s.health
 				zone = append(zone, h)
 			}
@@ -279,10 +279,10 @@
 	out.whole = handle(list)
 	out.bytes = (held() - empty) / float64(n)
 	out.again = handle(list)
-	change := func(i int, s decision.BackendState) decision.BackendList {
-		b := list.Backends[i]
+	change := func(i int, s decision.BackendState) decision.EndpointUpdate {
+		b := list.Endpoints[i]
 		b.State = s
-		return decision.BackendList{Backends: []decision.BackendInfo{b}}
+		return decision.EndpointUpdate{Endpoints: []decision.Endpoint{b}}
 	}
 	out.one = middle(20, func(i int) time.Duration {
 		return handle(change(n/2, []decision.BackendState{decision.Draining, decision.Ready}[i%2]))
@@ -297,12 +297,12 @@
 	})
 	// a ninth of the backends in single events: some of them tell of all
 	for i := 0; i < min(n/9, 200); i++ {
-		out.line += handle(change(i*9, decision.Gone))
+		out.line += handle(change(i*9, decision.Removed))
 	}
 	out.line /= time.Duration(max(1, min(n/9, 200)))
-	back := decision.BackendList{}
+	back := decision.EndpointUpdate{}
 	for i := 0; i < n; i += 9 {
-		back.Backends = append(back.Backends, list.Backends[i])
+		back.Endpoints = append(back.Endpoints, list.Endpoints[i])
 	}
 	out.burst = handle(back)
 	runtime.KeepAlive(list)
--- a/internal/scale/config_test.go
+++ b/internal/capacitytest/config_test.go
@@ -1,4 +1,4 @@
-package scale
+package capacitytest
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"time"
 
 	"pumicecroft/identity"
-	"pumicecroft/internal/operator"
+	"pumicecroft/internal/operatorconfig"
 	"pumicecroft/internal/platform"
 )
 
@@ -25,7 +25,7 @@
 			fmt.Fprintf(&b, "[[route]]\nname = \"route-%d\"\nhost = \"h%d.example.org\"\npath = \"/v1/things-%d/{id}/parts\"\nmethods = [\"GET\"]\nservice = \"s%d\"\n", i, i%2300, i, i%23)
 		}
 		empty, began, cpu := held(), time.Now(), CPU()
-		f, err := operator.Parse(b.Bytes())
+		f, err := operatorconfig.Parse(b.Bytes())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,8 +69,8 @@
 		text = text[:len(text)-1] + `,"known":` + string(a.List()) + "}"
 		began, cpu := time.Now(), CPU()
 		c, err := platform.ParseConfig([]byte(text))
-		if err != nil || len(c.Known.Hosts) != n {
-			t.Fatalf("of %d hosts %d are there: %v", n, len(c.Known.Hosts), err)
+		if err != nil || len(c.Known.Endpoints) != n {
+			t.Fatalf("of %d hosts %d are there: %v", n, len(c.Known.Endpoints), err)
 		}
 		t.Logf("a file of %.2f MB with %d hosts: read in %v, %v of a core", float64(len(text))/(1<<20), n, time.Since(began), CPU()-cpu)
 	}
--- a/internal/scale/door.go
+++ b/internal/capacitytest/door.go
@@ -1,4 +1,4 @@
-package scale
+package capacitytest
 
 import (
 	"bufio"
@@ -70,7 +70,7 @@
 
 // door is the Door of a process, and what is noted of it.
 type door struct {
-	*pumicecroft.Door
+	*pumicecroft.Gateway
 	mu   sync.Mutex
 	news chan struct{} // closed when discovery has told of more
 	told Told
@@ -83,8 +83,8 @@
 	d *door
 }
 
-func (s source) Run(ctx context.Context, update func(membership.List)) {
-	s.Discovery.Run(ctx, func(l membership.List) {
+func (s source) Run(ctx context.Context, update func(membership.Update)) {
+	s.Discovery.Run(ctx, func(l membership.Update) {
 		update(l)
 		s.d.mu.Lock()
 		defer s.d.mu.Unlock()
@@ -118,17 +118,17 @@
 	slog.SetDefault(log)
 	set := daemon.DoorConfig(config)
 	if p.Most > 0 {
-		set.Membership.Most = p.Most
+		set.Membership.MaxNodes = p.Most
 	}
-	d.Door, err = pumicecroft.New(set, pumicecroft.WithLogger(log),
+	d.Gateway, err = pumicecroft.New(set, pumicecroft.WithLogger(log),
 		pumicecroft.WithDialer(func(ctx context.Context, network, _ string) (net.Conn, error) {
 			d.mu.Lock()
 			d.told.Dialled++
 			d.mu.Unlock()
 			return new(net.Dialer).DialContext(ctx, network, p.Backend)
 		}),
-		pumicecroft.WithSource(source{&platform.Discovery{Addr: config.Discovery, From: config.Known.Seq, Ask: config.Conns.Ask,
-			Seed: config.Seed, Grace: config.Settings.DrainGrace, Most: config.Limits.Backends()}, d}))
+		pumicecroft.WithSource(source{&platform.Discovery{Addr: config.Discovery, FromVersion: config.Known.Seq, PollWithin: config.Conns.SubscribeWithin,
+			Seed: config.Seed, DrainGrace: config.Settings.DrainGrace, MaxEntries: config.Limits.MaxBackends()}, d}))
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 		time.Sleep(time.Until(due))
 		at, customer := due, uint64(1+i%max(1, p.Customers))
 		go func() {
-			_, err := d.Do(ctx, pumicecroft.Request{Class: "look", Plan: "big", Customer: customer, Spread: 1})
+			_, err := d.Do(ctx, pumicecroft.Request{Class: "look", Plan: "big", Customer: customer, GatewaySpread: 1})
 			now := time.Now()
 			d.mu.Lock()
 			defer d.mu.Unlock()
@@ -210,7 +210,7 @@
 	cpu := CPU()
 	ready := 0
 	if q.Ready {
-		for _, m := range d.Members() {
+		for _, m := range d.Backends() {
 			if m.State == "ready" || m.State == "cold" {
 				ready++
 			}
--- a/internal/scale/module_test.go
+++ b/internal/capacitytest/module_test.go
@@ -1,4 +1,4 @@
-package scale
+package capacitytest
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 // module is a decision module by itself, with a clock that the test moves.
 type module struct {
-	*decision.Gateway
+	*decision.Engine
 	now  time.Duration
 	acts []decision.Action
 	id   decision.RequestID
@@ -29,7 +29,7 @@
 		change(&set)
 	}
 	m := &module{now: time.Hour}
-	if m.Gateway, err = decision.New(set, 1, m.now); err != nil {
+	if m.Engine, err = decision.New(set, 1, m.now); err != nil {
 		t.Fatal(err)
 	}
 	return m
@@ -45,11 +45,11 @@
 // ask has a customer ask and be answered at once, and gives how long the two events take.
 func (m *module) ask(customer int, plan, protocol string) time.Duration {
 	m.id++
-	spent := m.handle(decision.Request{ID: m.id, Customer: decision.CustomerID(customer), Class: "look", Plan: plan, Units: 1, Patience: time.Second,
-		Spread: 3, Protocol: protocol})
+	spent := m.handle(decision.Request{ID: m.id, Customer: decision.CustomerID(customer), Class: "look", Plan: plan, Cost: 1, Timeout: time.Second,
+		GatewaySpread: 3, Protocol: protocol})
 	for _, a := range m.acts {
-		if s, ok := a.(decision.Send); ok {
-			return spent + m.handle(decision.Outcome{Request: s.Request, Backend: s.Backend, Took: time.Millisecond, Final: true})
+		if s, ok := a.(decision.StartAttempt); ok {
+			return spent + m.handle(decision.Outcome{Request: s.Request, Backend: s.Backend, Latency: time.Millisecond, Final: true})
 		}
 	}
 	return spent
@@ -65,10 +65,10 @@
 }
 
 // infos are n backends of so many services.
-func infos(n, services int) decision.BackendList {
-	list := decision.BackendList{Kind: decision.ListFull, Backends: make([]decision.BackendInfo, n)}
-	for i := range list.Backends {
-		list.Backends[i] = decision.BackendInfo{ID: decision.BackendID(i + 1), Zone: fmt.Sprint("z", i%9), Kind: "m2", Cell: i % 2300, Weight: 1,
+func infos(n, services int) decision.EndpointUpdate {
+	list := decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: make([]decision.Endpoint, n)}
+	for i := range list.Endpoints {
+		list.Endpoints[i] = decision.Endpoint{ID: decision.BackendID(i + 1), Zone: fmt.Sprint("z", i%9), InstanceType: "m2", Cell: i % 2300, Weight: 1,
 			Protocol: fmt.Sprint("service-", i%services)}
 	}
 	return list
@@ -79,9 +79,9 @@
 func TestTenants(t *testing.T) {
 	for _, n := range of(t, []int{1000, 20_000}, []int{1000, 10_000, 17_160, 100_000, 820_000}) {
 		m := newModule(t, func(s *decision.Settings) {
-			s.SharedCounter, s.MeterPeriod = true, 500*time.Millisecond
+			s.HasSharedCounter, s.UsagePeriod = true, 500*time.Millisecond
 			s.Plans = []decision.Plan{{Name: "shop", Rate: 4, Burst: 13, Price: 1},
-				{Name: "flagship", Rate: 12, Burst: 40, Price: 2, CeilingRate: 12, CeilingBurst: 40, CeilingSlack: 5}}
+				{Name: "flagship", Rate: 12, Burst: 40, Price: 2, HardLimitRate: 12, HardLimitBurst: 40, HardLimitOverdraft: 5}}
 		})
 		m.handle(infos(100, 1))
 		empty := held()
@@ -105,7 +105,7 @@
 		}
 		gifts := 0
 		for _, a := range m.acts {
-			if _, ok := a.(decision.Count); ok {
+			if _, ok := a.(decision.CounterAdd); ok {
 				gifts++
 			}
 		}
@@ -155,11 +155,11 @@
 			all = append(all, spent)
 			return spent
 		})
-		out := decision.BackendList{} // none of a service is ready
-		for _, b := range list.Backends {
+		out := decision.EndpointUpdate{} // none of a service is ready
+		for _, b := range list.Endpoints {
 			if b.Protocol == "service-0" {
 				b.State = decision.Draining
-				out.Backends = append(out.Backends, b)
+				out.Endpoints = append(out.Endpoints, b)
 			}
 		}
 		m.handle(out)
--- a/internal/scale/scale_test.go
+++ b/internal/capacitytest/scale_test.go
@@ -1,4 +1,4 @@
-package scale
+package capacitytest
 
 import (
 	"encoding/json"
