--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -12,15 +12,15 @@
 type model struct {
 	limits Limits
 	opens  int // coming up
-	inUse  map[*Conn]*Place
+	inUse  map[*Conn]*Destination
 	idle   []kept // the longest idle first
-	closed map[*Place]bool
+	closed map[*Destination]bool
 	ended  bool
 }
 
 type kept struct {
 	c  *Conn
-	at *Place
+	at *Destination
 	t  time.Duration
 }
 
@@ -30,13 +30,13 @@
 // first; each connection is closed once and never given again; the bound holds; and at the end nothing is left.
 func TestAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{Most: rapid.IntRange(1, 4).Draw(t, "most"), IdleFor: 10, Rest: 3, Least: time.Duration(rapid.IntRange(1, 3).Draw(t, "least"))}
+		limits := Limits{MaxConns: rapid.IntRange(1, 4).Draw(t, "most"), IdleTimeout: 10, ReuseDelay: 3, MinReuseDelay: time.Duration(rapid.IntRange(1, 3).Draw(t, "least"))}
 		p := New(limits)
-		m := &model{limits: limits, inUse: map[*Conn]*Place{}, closed: map[*Place]bool{}}
-		places := []*Place{{Addr: "a"}, {Addr: "b"}, {Addr: "a"}}
-		now, opening, shut := time.Duration(0), []*Place(nil), map[*Conn]bool{}
+		m := &model{limits: limits, inUse: map[*Conn]*Destination{}, closed: map[*Destination]bool{}}
+		places := []*Destination{{Addr: "a"}, {Addr: "b"}, {Addr: "a"}}
+		now, opening, shut := time.Duration(0), []*Destination(nil), map[*Conn]bool{}
 		drop := func(want ...*Conn) { // what the model has let go of is what the pool closes
-			got := p.Closes()
+			got := p.TakeDiscarded()
 			slices.SortFunc(got, func(a, b *Conn) int { return a.Owner.(int) - b.Owner.(int) })
 			slices.SortFunc(want, func(a, b *Conn) int { return a.Owner.(int) - b.Owner.(int) })
 			if !slices.Equal(got, want) {
@@ -50,7 +50,7 @@
 			}
 		}
 		number := 0
-		any := func(of map[*Conn]*Place) *Conn {
+		any := func(of map[*Conn]*Destination) *Conn {
 			var all []*Conn
 			for c := range of {
 				all = append(all, c)
@@ -62,7 +62,7 @@
 			return rapid.SampledFrom(all).Draw(t, "connection")
 		}
 		old := func() (out []*Conn) { // idle for too long
-			for len(m.idle) > 0 && now-m.idle[0].t >= limits.IdleFor {
+			for len(m.idle) > 0 && now-m.idle[0].t >= limits.IdleTimeout {
 				out = append(out, m.idle[0].c)
 				m.idle = m.idle[1:]
 			}
@@ -75,9 +75,9 @@
 				var want *Conn
 				var gone []*Conn
 				for i := len(m.idle) - 1; i >= 0 && !fresh && want == nil; i-- {
-					if k := m.idle[i]; k.at == at && now-k.t >= limits.Rest {
+					if k := m.idle[i]; k.at == at && now-k.t >= limits.ReuseDelay {
 						m.idle = slices.Delete(m.idle, i, i+1)
-						if now-k.t < limits.IdleFor {
+						if now-k.t < limits.IdleTimeout {
 							want = k.c
 						} else {
 							gone = append(gone, k.c)
@@ -85,15 +85,15 @@
 					}
 				}
 				first := slices.IndexFunc(m.idle, func(k kept) bool { return k.at == at })
-				if !fresh && want == nil && m.count() >= limits.Most && first >= 0 && now-m.idle[first].t >= limits.Least {
+				if !fresh && want == nil && m.count() >= limits.MaxConns && first >= 0 && now-m.idle[first].t >= limits.MinReuseDelay {
 					want = m.idle[first].c
 					m.idle = slices.Delete(m.idle, first, first+1)
 				}
-				c, err := p.Take(now, at, fresh)
+				c, err := p.Acquire(now, at, fresh)
 				if c != want {
 					t.Fatalf("gives %v, want %v", c, want)
 				}
-				switch full := m.count() >= limits.Most; {
+				switch full := m.count() >= limits.MaxConns; {
 				case want != nil:
 					m.inUse[c] = at
 				case full && len(m.idle) == 0:
@@ -124,7 +124,7 @@
 					number++
 					m.inUse[p.Opened(at, number)] = at
 				} else {
-					p.Release()
+					p.OpenFailed()
 				}
 			},
 			"put": func(t *rapid.T) {
@@ -144,13 +144,13 @@
 			"drop": func(t *rapid.T) {
 				c := any(m.inUse)
 				delete(m.inUse, c)
-				p.Drop(c)
+				p.Discard(c)
 				drop(c)
 			},
 			"clear": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(places)-1).Draw(t, "place")
 				at := places[i]
-				p.Clear(at)
+				p.CloseDestination(at)
 				m.closed[at] = true
 				var gone []*Conn
 				m.idle = slices.DeleteFunc(m.idle, func(k kept) bool {
@@ -160,17 +160,17 @@
 					return k.at == at
 				})
 				drop(gone...)
-				places[i] = &Place{Addr: at.Addr}
+				places[i] = &Destination{Addr: at.Addr}
 			},
 			"sweep": func(t *rapid.T) {
-				p.Sweep(now)
+				p.CloseExpired(now)
 				drop(old()...)
 			},
 			"end": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "really") > 0 {
 					t.Skip("not yet")
 				}
-				p.End()
+				p.Close()
 				m.ended = true
 				var gone []*Conn
 				for _, k := range m.idle {
@@ -180,10 +180,10 @@
 				drop(gone...)
 			},
 			"": func(t *rapid.T) {
-				if p.Count() != m.count() || p.Idle() != len(m.idle) || p.Count() > limits.Most {
+				if p.Count() != m.count() || p.Idle() != len(m.idle) || p.Count() > limits.MaxConns {
 					t.Fatalf("%d connections, %d idle, want %d and %d", p.Count(), p.Idle(), m.count(), len(m.idle))
 				}
-				if at, ok := p.Next(); ok != (len(m.idle) > 0) || ok && at != m.idle[0].t+limits.IdleFor {
+				if at, ok := p.NextExpiry(); ok != (len(m.idle) > 0) || ok && at != m.idle[0].t+limits.IdleTimeout {
 					t.Fatalf("next at %v, %v", at, ok)
 				}
 			},
--- a/internal/registry/registry_test.go
+++ b/internal/consulcatalog/registry_test.go
@@ -1,4 +1,4 @@
-package registry
+package consulcatalog
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 
 // entry is "id" with options: a check's state, and changes.
 func entry(id string, change ...func(*Entry)) Entry {
-	e := Entry{Node: "n", ID: id, Host: "10.0.0.1", Port: 80, Addr: "10.0.0.1:80", Passing: 1, Warning: 1, Create: 5, Checks: []Check{{ID: "web", Status: "passing"}}}
+	e := Entry{Node: "n", ID: id, Host: "10.0.0.1", Port: 80, Addr: "10.0.0.1:80", PassingWeight: 1, WarningWeight: 1, CreateIndex: 5, Checks: []Check{{ID: "web", Status: "passing"}}}
 	for _, c := range change {
 		c(&e)
 	}
@@ -21,39 +21,39 @@
 }
 
 func status(s string) func(*Entry) { return func(e *Entry) { e.Checks[0].Status = s } }
-func create(n uint64) func(*Entry) { return func(e *Entry) { e.Create = n } }
+func create(n uint64) func(*Entry) { return func(e *Entry) { e.CreateIndex = n } }
 func addr(a string) func(*Entry)   { return func(e *Entry) { e.Addr = a } }
 func meta(k, v string) func(*Entry) {
 	return func(e *Entry) { e.Meta = map[string]string{k: v} }
 }
 
 // told is what a book believes, as "n/a:ready^3" with the start in seconds after t0.
-func told(b *Book, now time.Time) string {
-	l, ok := b.List(now)
+func told(b *Catalog, now time.Time) string {
+	l, ok := b.Update(now)
 	if !ok {
 		return "nothing yet"
 	}
 	var out []string
 	for _, n := range l.Nodes {
 		s := n.Name + ":" + []string{"ready", "draining", "gone"}[n.State]
-		if !n.Started.IsZero() {
-			s += fmt.Sprintf("^%v", n.Started.Sub(t0).Seconds())
+		if !n.StartedAt.IsZero() {
+			s += fmt.Sprintf("^%v", n.StartedAt.Sub(t0).Seconds())
 		}
 		out = append(out, s)
 	}
 	return strings.Join(out, " ")
 }
 
-func want(t *testing.T, b *Book, at float64, want string) {
+func want(t *testing.T, b *Catalog, at float64, want string) {
 	t.Helper()
 	if got := told(b, t0.Add(time.Duration(at*1e9))); got != want {
 		t.Errorf("at %v: %q, want %q", at, got, want)
 	}
 }
 
-func health(t *testing.T, b *Book, at float64, es ...Entry) {
+func health(t *testing.T, b *Catalog, at float64, es ...Entry) {
 	t.Helper()
-	if bad := b.Health(t0.Add(time.Duration(at*1e9)), es, true, false); len(bad) > 0 {
+	if bad := b.UpdateHealth(t0.Add(time.Duration(at*1e9)), es, true, false); len(bad) > 0 {
 		t.Error(bad)
 	}
 }
@@ -66,23 +66,23 @@
 		note  string
 		w     float64
 	}{
-		"passing":           {entry("a", func(e *Entry) { e.Passing = 3 }), false, decision.Ready, "", 3},
+		"passing":           {entry("a", func(e *Entry) { e.PassingWeight = 3 }), false, decision.Ready, "", 3},
 		"no checks":         {entry("a", func(e *Entry) { e.Checks = nil }), false, decision.Ready, "", 1},
 		"critical":          {entry("a", status("critical"), func(e *Entry) { e.Checks[0].Output = "refused" }), true, decision.Draining, "critical: web: refused", 1},
 		"unknown":           {entry("a", status("perhaps")), true, decision.Draining, "perhaps: web", 1},
-		"warning drains":    {entry("a", status("warning"), func(e *Entry) { e.Warning = 2 }), false, decision.Draining, "warning: web", 2},
-		"warning by choice": {entry("a", status("warning"), func(e *Entry) { e.Warning = 2 }), true, decision.Ready, "warning: web", 2},
+		"warning drains":    {entry("a", status("warning"), func(e *Entry) { e.WarningWeight = 2 }), false, decision.Draining, "warning: web", 2},
+		"warning by choice": {entry("a", status("warning"), func(e *Entry) { e.WarningWeight = 2 }), true, decision.Ready, "warning: web", 2},
 		"maintenance":       {entry("a", func(e *Entry) { e.Maintenance = true }), true, decision.Draining, "maintenance", 1},
 		"the worst of two": {entry("a", status("warning"), func(e *Entry) { e.Checks = append(e.Checks, Check{"disk", "critical", ""}) }),
 			true, decision.Draining, "critical: disk", 1},
-		"weight 0":  {entry("a", func(e *Entry) { e.Passing = 0 }), false, decision.Ready, "", 1},
+		"weight 0":  {entry("a", func(e *Entry) { e.PassingWeight = 0 }), false, decision.Ready, "", 1},
 		"long note": {entry("a", status("critical"), func(e *Entry) { e.Checks[0].Output = strings.Repeat("é", 500) }), false, decision.Draining, "", 1},
 	} {
-		b := NewBook(Mapping{ServeWarning: c.serve}, false)
+		b := NewCatalog(Mapping{ServeWarning: c.serve}, false)
 		health(t, b, 0, c.entry)
-		l, _ := b.List(t0)
+		l, _ := b.Update(t0)
 		n := l.Nodes[0]
-		if n.State != c.state || n.Weight != c.w || c.note != "" && n.Note != c.note || len(n.Note) > maxNote {
+		if n.State != c.state || n.Weight != c.w || c.note != "" && n.Note != c.note || len(n.Note) > maxNoteBytes {
 			t.Errorf("%s: %+v", name, n)
 		}
 	}
@@ -91,7 +91,7 @@
 // What the first list holds was here before; what comes later is new, and so is one whose registration, process or
 // address has changed. A check that fails and passes again makes nothing new.
 func TestWhatIsNew(t *testing.T) {
-	b := NewBook(Mapping{Started: "boot"}, false)
+	b := NewCatalog(Mapping{Started: "boot"}, false)
 	health(t, b, 0, entry("a"), entry("b", meta("boot", "x1")), entry("c", meta("boot", fmt.Sprint(t0.Unix()-3))))
 	want(t, b, 0, "n/a:ready n/b:ready n/c:ready^-3")
 	health(t, b, 10, entry("a", status("critical")), entry("b", meta("boot", "x1")), entry("c", meta("boot", fmt.Sprint(t0.Unix()-3))), entry("d"))
@@ -113,9 +113,9 @@
 
 // In a catalogue that lost its data every registration is new, and that makes no node cold; a process that is new does.
 func TestACatalogueThatBeganAnew(t *testing.T) {
-	b := NewBook(Mapping{Started: "boot"}, false)
+	b := NewCatalog(Mapping{Started: "boot"}, false)
 	health(t, b, 0, entry("a"), entry("b"), entry("c", meta("boot", "1")))
-	b.Health(t0.Add(10*time.Second), nil, true, true)
+	b.UpdateHealth(t0.Add(10*time.Second), nil, true, true)
 	want(t, b, 10, "")
 	health(t, b, 20, entry("a", create(2)), entry("c", create(2), meta("boot", "2")))
 	want(t, b, 20, "n/a:ready n/c:ready^20")
@@ -124,33 +124,33 @@
 }
 
 func TestTheCatalogueSaysWhatExists(t *testing.T) {
-	b := NewBook(Mapping{}, true)
+	b := NewCatalog(Mapping{}, true)
 	health(t, b, 0, entry("a"), entry("b"))
 	want(t, b, 0, "nothing yet")
-	b.Catalogue([]string{"n/a", "n/b", "n/other"})
+	b.UpdateServices([]string{"n/a", "n/b", "n/other"})
 	want(t, b, 1, "n/a:ready n/b:ready")
-	b.Catalogue([]string{"n/b"}) // deregistered; health tells later
+	b.UpdateServices([]string{"n/b"}) // deregistered; health tells later
 	want(t, b, 2, "n/b:ready")
 	health(t, b, 3, entry("b"), entry("c"))
 	want(t, b, 3, "n/b:ready") // c is not in the catalogue yet
-	b.Catalogue([]string{"n/b", "n/c"})
+	b.UpdateServices([]string{"n/b", "n/c"})
 	want(t, b, 4, "n/b:ready n/c:ready^3")
 	health(t, b, 5, entry("c")) // health lists b no longer, and it exists
 	want(t, b, 5, "n/b:draining n/c:ready^3")
 	health(t, b, 5, entry("b"), entry("c"))
 	want(t, b, 5, "n/b:ready n/c:ready^3")
-	b.Catalogue([]string{"n/c"}) // b is gone
+	b.UpdateServices([]string{"n/c"}) // b is gone
 	want(t, b, 5, "n/c:ready^3")
 	health(t, b, 5, entry("c"))
-	b.Catalogue([]string{"n/b", "n/c"}) // and registered again, of which health has not heard yet
+	b.UpdateServices([]string{"n/b", "n/c"}) // and registered again, of which health has not heard yet
 	want(t, b, 5, "n/c:ready^3")
-	if b.CatalogueFailed() {
+	if b.ServicesFailed() {
 		t.Error("it was not waited for")
 	}
 	want(t, b, 6, "n/c:ready^3")
-	b = NewBook(Mapping{}, true)
+	b = NewCatalog(Mapping{}, true)
 	health(t, b, 0, entry("a"))
-	if !b.CatalogueFailed() {
+	if !b.ServicesFailed() {
 		t.Error("it was waited for")
 	}
 	want(t, b, 0, "n/a:ready")
@@ -166,9 +166,9 @@
 		"most": {[]Entry{entry("a")}, "n/a:ready"},
 		"half": {[]Entry{entry("a"), entry("b")}, "n/a:ready n/b:ready n/c:draining n/d:draining"},
 	} {
-		b := NewBook(Mapping{}, true)
+		b := NewCatalog(Mapping{}, true)
 		health(t, b, 0, entry("a"), entry("b"), entry("c"), entry("d"))
-		b.Catalogue([]string{"n/a", "n/b", "n/c", "n/d"})
+		b.UpdateServices([]string{"n/a", "n/b", "n/c", "n/d"})
 		health(t, b, 1, c.listed...)
 		if got := told(b, t0); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
@@ -180,51 +180,51 @@
 
 // An answer that is not whole may be older than what is known: only what is bad news counts.
 func TestAnAnswerInPart(t *testing.T) {
-	b := NewBook(Mapping{}, false)
+	b := NewCatalog(Mapping{}, false)
 	// Before a whole one, bad news is all that is told: a door that was just started may have an older list.
-	b.Health(t0, []Entry{entry("a", status("critical")), entry("b")}, false, false)
-	if l, ok := b.List(t0); !ok || l.Whole || len(l.Nodes) != 1 || l.Nodes[0].Name != "n/a" || l.Nodes[0].State != decision.Draining || l.Nodes[0].Addr == "" {
+	b.UpdateHealth(t0, []Entry{entry("a", status("critical")), entry("b")}, false, false)
+	if l, ok := b.Update(t0); !ok || l.Full || len(l.Nodes) != 1 || l.Nodes[0].Name != "n/a" || l.Nodes[0].State != decision.Draining || l.Nodes[0].Addr == "" {
 		t.Errorf("of a first answer that is not whole it tells %+v", l)
 	}
-	if b.Health(t0, []Entry{entry("b")}, false, false); told(b, t0) != "nothing yet" {
+	if b.UpdateHealth(t0, []Entry{entry("b")}, false, false); told(b, t0) != "nothing yet" {
 		t.Error("it tells of an answer that is not whole and has no bad news")
 	}
 	health(t, b, 0, entry("a"), entry("b", status("critical")), entry("c"))
-	b.Health(t0, []Entry{entry("a", status("critical")), entry("b"), entry("new")}, false, false)
+	b.UpdateHealth(t0, []Entry{entry("a", status("critical")), entry("b"), entry("new")}, false, false)
 	want(t, b, 1, "n/a:draining n/b:draining n/c:ready")
 }
 
 // Where health lists what the catalogue lacked when it was last heard, the catalogue is the older of the two: that is no list of
 // all nodes, until the catalogue says it again.
 func TestAnOlderCatalogue(t *testing.T) {
-	b := NewBook(Mapping{}, true)
-	b.Catalogue([]string{"n/a"})
+	b := NewCatalog(Mapping{}, true)
+	b.UpdateServices([]string{"n/a"})
 	health(t, b, 0, entry("a"), entry("b"))
-	if l, ok := b.List(t0); !ok || l.Whole || len(l.Nodes) != 1 {
+	if l, ok := b.Update(t0); !ok || l.Full || len(l.Nodes) != 1 {
 		t.Errorf("%+v", l)
 	}
-	b.Catalogue([]string{"n/a"})
-	if l, ok := b.List(t0); !ok || !l.Whole || len(l.Nodes) != 1 {
+	b.UpdateServices([]string{"n/a"})
+	if l, ok := b.Update(t0); !ok || !l.Full || len(l.Nodes) != 1 {
 		t.Errorf("said again: %+v", l)
 	}
 	// And the other way round: while health can't be heard, the catalogue's answers do not say again what it lacked.
-	b.Catalogue([]string{"n/a", "n/b", "n/c"})
-	if l, ok := b.List(t0); !ok || l.Whole {
+	b.UpdateServices([]string{"n/a", "n/b", "n/c"})
+	if l, ok := b.Update(t0); !ok || l.Full {
 		t.Errorf("health is the older: %+v", l)
 	}
 }
 
 func TestMapping(t *testing.T) {
-	b := NewBook(Mapping{Zone: "datacenter", Cell: "node:rack", Model: "model"}, false)
+	b := NewCatalog(Mapping{Zone: "datacenter", Cell: "node:rack", InstanceType: "model"}, false)
 	e := func(id, rack string) Entry {
 		return entry(id, meta("model", "m2"), func(e *Entry) { e.Datacenter, e.NodeMeta = "dc1", map[string]string{"rack": rack} })
 	}
 	health(t, b, 0, e("a", "12"), e("b", "north"), e("c", "north"), e("d", ""), e("e", ""), e("f", "-3"), e("g", "99999999999999999999"))
-	l, _ := b.List(t0)
+	l, _ := b.Update(t0)
 	cells := map[int]int{}
 	for _, n := range l.Nodes {
 		cells[n.Cell]++
-		if n.Zone != "dc1" || n.Kind != "m2" {
+		if n.Zone != "dc1" || n.InstanceType != "m2" {
 			t.Errorf("%+v", n)
 		}
 	}
@@ -234,7 +234,7 @@
 }
 
 func TestNames(t *testing.T) {
-	b := NewBook(Mapping{Name: "node:host"}, false)
+	b := NewCatalog(Mapping{Name: "node:host"}, false)
 	called := func(id, host string) Entry {
 		return entry(id, func(e *Entry) { e.NodeMeta = map[string]string{"host": host} })
 	}
@@ -243,9 +243,9 @@
 }
 
 func TestBadEntries(t *testing.T) {
-	b := NewBook(Mapping{}, false)
+	b := NewCatalog(Mapping{}, false)
 	health(t, b, 0, entry("a"))
-	bad := b.Health(t0, []Entry{entry("a", func(e *Entry) { e.Host = "" }), entry("b", func(e *Entry) { e.Port = 0 }),
+	bad := b.UpdateHealth(t0, []Entry{entry("a", func(e *Entry) { e.Host = "" }), entry("b", func(e *Entry) { e.Port = 0 }),
 		entry("c", func(e *Entry) { e.Port = 65536 }), entry(""), entry("d")}, true, false)
 	if len(bad) != 4 {
 		t.Errorf("%v", bad)
@@ -255,20 +255,20 @@
 
 // What is gone is forgotten in the end, and ever new names fill nothing.
 func TestTheBookIsBounded(t *testing.T) {
-	b := NewBook(Mapping{}, false)
+	b := NewCatalog(Mapping{}, false)
 	for i := range 3000 {
 		now := t0.Add(time.Duration(i) * time.Second)
-		b.Health(now, []Entry{entry(fmt.Sprint("id", i))}, true, false)
-		b.List(now)
+		b.UpdateHealth(now, []Entry{entry(fmt.Sprint("id", i))}, true, false)
+		b.Update(now)
 	}
-	if len(b.nodes) > 302 || len(b.listed) != 1 {
-		t.Errorf("%d nodes, %d listed", len(b.nodes), len(b.listed))
+	if len(b.records) > 302 || len(b.inHealth) != 1 {
+		t.Errorf("%d nodes, %d listed", len(b.records), len(b.inHealth))
 	}
 }
 
 // What health says must not be sent to, and a catalogue that lacks it takes out of the list, is told once more before it is gone.
 func TestADrainThatTheCatalogueHides(t *testing.T) {
-	b := NewBook(Mapping{}, true)
+	b := NewCatalog(Mapping{}, true)
 	names := func(es ...Entry) (out []string) {
 		for _, e := range es {
 			out = append(out, Name(e.Node, e.ID))
@@ -278,7 +278,7 @@
 	drains := func(at float64, list, hidden string) {
 		t.Helper()
 		var got []string
-		for _, n := range b.Drains().Nodes {
+		for _, n := range b.UnlistedDrains().Nodes {
 			got = append(got, n.Name+":"+[]string{"ready", "draining", "gone"}[n.State])
 		}
 		if s := strings.Join(got, " "); s != hidden {
@@ -287,16 +287,16 @@
 		want(t, b, at, list)
 	}
 	health(t, b, 0, entry("a"), entry("b"))
-	b.Catalogue(names(entry("a"), entry("b")))
+	b.UpdateServices(names(entry("a"), entry("b")))
 	drains(0, "n/a:ready n/b:ready", "")
-	b.Catalogue(nil)
+	b.UpdateServices(nil)
 	health(t, b, 1, entry("a", status("critical")), entry("b"))
 	drains(1, "", "n/a:draining")
 	drains(2, "", "") // once
 	health(t, b, 2, entry("a", status("critical")), entry("b", status("critical")))
 	drains(2, "", "n/b:draining") // which was out of the list already
 	health(t, b, 3, entry("a"), entry("b"))
-	b.Catalogue(names(entry("a"), entry("b")))
+	b.UpdateServices(names(entry("a"), entry("b")))
 	drains(3, "n/a:ready n/b:ready", "")
 	health(t, b, 4, entry("a", status("critical")), entry("b"))
 	drains(4, "n/a:draining n/b:ready", "")
--- a/internal/tally/tally_test.go
+++ b/internal/counterclient/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package counterclient
 
 import (
 	"bufio"
@@ -10,21 +10,21 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/testkit"
 )
 
 func client(t *testing.T, addr string, patience time.Duration) *Client {
-	c := New(Config{Addr: addr, Patience: patience, Connect: testkit.Patient})
+	c := New(Config{Addr: addr, Timeout: patience, ConnectTimeout: testkit.Patient})
 	t.Cleanup(c.Close)
 	return c
 }
 
 // add makes a call and waits for its end.
-func add(t *testing.T, c *Client, name uint64, amount float64) decision.Counted {
+func add(t *testing.T, c *Client, name uint64, amount float64) decision.CounterResult {
 	t.Helper()
-	got := make(chan decision.Counted, 2)
-	c.Add(decision.Count{Ref: 7, Name: name, Amount: amount, Keep: time.Minute}, func(a decision.Counted) { got <- a })
+	got := make(chan decision.CounterResult, 2)
+	c.Add(decision.CounterAdd{Ref: 7, Key: name, Amount: amount, TTL: time.Minute}, func(a decision.CounterResult) { got <- a })
 	select {
 	case a := <-got:
 		if a.Ref != 7 {
@@ -33,12 +33,12 @@
 		return a
 	case <-time.After(2 * testkit.Patient):
 		t.Fatal("a call without an end")
-		return decision.Counted{}
+		return decision.CounterResult{}
 	}
 }
 
 func TestCallsAreCounted(t *testing.T) {
-	counter, err := standin.StartCounter()
+	counter, err := fakes.StartCounter()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,22 +46,22 @@
 	c := client(t, counter.Addr(), testkit.Patient)
 	for i, amount := range []float64{3, -1.25, 0, 1e-3} {
 		want := []float64{3, 1.75, 1.75, 1.751}[i]
-		if a := add(t, c, 1<<62, amount); a.Result != decision.Answered || a.Total != want {
+		if a := add(t, c, 1<<62, amount); a.Result != decision.Succeeded || a.Total != want {
 			t.Errorf("%v: %+v, want %v", amount, a, want)
 		}
 	}
 	counter.TurnAway(true)
-	if a := add(t, c, 1, 1); a.Result != decision.Refused {
+	if a := add(t, c, 1, 1); a.Result != decision.Rejected {
 		t.Errorf("turned away: %+v", a)
 	}
 	counter.TurnAway(false)
 	// a hundred at once, one behind another, each with its own answer
-	got := make(chan decision.Counted, 100)
+	got := make(chan decision.CounterResult, 100)
 	for i := range 100 {
-		c.Add(decision.Count{Ref: uint64(i), Name: uint64(1000 + i), Amount: float64(i), Keep: time.Minute}, func(a decision.Counted) { got <- a })
+		c.Add(decision.CounterAdd{Ref: uint64(i), Key: uint64(1000 + i), Amount: float64(i), TTL: time.Minute}, func(a decision.CounterResult) { got <- a })
 	}
 	for range 100 {
-		if a := <-got; a.Result != decision.Answered || a.Total != float64(a.Ref) {
+		if a := <-got; a.Result != decision.Succeeded || a.Total != float64(a.Ref) {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -73,14 +73,14 @@
 		name, answer string
 		want         decision.Result
 	}{
-		{"no number", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", decision.Broken},
-		{"not a finite one", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nInf", decision.Broken},
-		{"another status", "HTTP/1.1 302 Found\r\nContent-Length: 0\r\n\r\n", decision.Broken},
-		{"no HTTP", "hello\r\n\r\n", decision.Broken},
-		{"too long", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n" + fmt.Sprintf("%0100d", 1), decision.Broken},
-		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1", decision.Broken},
-		{"not such a call", "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", decision.Refused},
-		{"the end", "", decision.Broken},
+		{"no number", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", decision.ConnectionLost},
+		{"not a finite one", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nInf", decision.ConnectionLost},
+		{"another status", "HTTP/1.1 302 Found\r\nContent-Length: 0\r\n\r\n", decision.ConnectionLost},
+		{"no HTTP", "hello\r\n\r\n", decision.ConnectionLost},
+		{"too long", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n" + fmt.Sprintf("%0100d", 1), decision.ConnectionLost},
+		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1", decision.ConnectionLost},
+		{"not such a call", "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", decision.Rejected},
+		{"the end", "", decision.ConnectionLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr := testkit.Accept(t, func(conn net.Conn) {
@@ -115,19 +115,19 @@
 		t.Errorf("silence: %+v", a)
 	}
 	c.mu.Lock()
-	c.config.Patience = testkit.Patient
+	c.config.Timeout = testkit.Patient
 	c.mu.Unlock()
-	got := make(chan decision.Counted, 1)
-	c.Add(decision.Count{Name: 2, Keep: time.Minute}, func(a decision.Counted) { got <- a })
+	got := make(chan decision.CounterResult, 1)
+	c.Add(decision.CounterAdd{Key: 2, TTL: time.Minute}, func(a decision.CounterResult) { got <- a })
 	close(late)
-	if a := <-got; a.Result != decision.Answered || a.Total != 2 {
+	if a := <-got; a.Result != decision.Succeeded || a.Total != 2 {
 		t.Errorf("the second call: %+v", a)
 	}
 }
 
 // Where nobody listens nothing was added; a counter that moves is followed; a closed client takes nothing.
 func TestNobodyThereAndMoving(t *testing.T) {
-	counter, err := standin.StartCounter()
+	counter, err := fakes.StartCounter()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,20 +139,20 @@
 	addr := dead.Addr().String()
 	dead.Close()
 	c := client(t, addr, testkit.Patient)
-	if a := add(t, c, 1, 1); a.Result != decision.NoConnection {
+	if a := add(t, c, 1, 1); a.Result != decision.ConnectFailed {
 		t.Errorf("refused: %+v", a)
 	}
-	c.Move(counter.Addr())
-	if a := add(t, c, 1, 1); a.Result != decision.Answered || a.Total != 1 {
+	c.SetAddr(counter.Addr())
+	if a := add(t, c, 1, 1); a.Result != decision.Succeeded || a.Total != 1 {
 		t.Errorf("after it moved: %+v", a)
 	}
 	c.Close()
 	if a := add(t, c, 1, 1); a.Result != decision.NotSent {
 		t.Errorf("closed: %+v", a)
 	}
-	hung := New(Config{Addr: "x", Patience: 20 * time.Millisecond, Connect: testkit.Patient,
+	hung := New(Config{Addr: "x", Timeout: 20 * time.Millisecond, ConnectTimeout: testkit.Patient,
 		Dial: func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }})
-	if a := add(t, hung, 1, 1); a.Result != decision.NoConnection {
+	if a := add(t, hung, 1, 1); a.Result != decision.ConnectFailed {
 		t.Errorf("a connection that does not come up: %+v", a)
 	}
 	hung.Close()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -15,9 +15,9 @@
 	"syscall"
 
 	"pumicecroft"
-	"pumicecroft/internal/httpfront"
+	"pumicecroft/internal/counterclient"
+	"pumicecroft/internal/httplistener"
 	"pumicecroft/internal/platform"
-	"pumicecroft/internal/tally"
 	"pumicecroft/membership"
 )
 
@@ -33,14 +33,14 @@
 	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3) // the rest is for stacks, sockets and the program
 	moves := make(chan string)
 	options := []pumicecroft.Option{pumicecroft.WithLogger(slog.Default()),
-		pumicecroft.WithSource(&platform.Discovery{Addr: config.Discovery, From: config.Known.Seq, Moves: moves,
-			Ask: config.Conns.Ask, Seed: config.Seed, Grace: config.Settings.DrainGrace, Most: config.Limits.Backends()})}
+		pumicecroft.WithSource(&platform.Discovery{Addr: config.Discovery, FromVersion: config.Known.Seq, AddrChanges: moves,
+			PollWithin: config.Conns.SubscribeWithin, Seed: config.Seed, DrainGrace: config.Settings.DrainGrace, MaxEntries: config.Limits.MaxBackends()})}
 	moved := func(string) {}
-	if config.Settings.SharedCounter {
+	if config.Settings.HasSharedCounter {
 		// on sockets a late answer is still good, and no worse for the client than a refusal
-		counter := tally.New(tally.Config{Addr: config.Counter, Patience: 4 * config.Conns.Count, Connect: config.Conns.Connect})
+		counter := counterclient.New(counterclient.Config{Addr: config.Counter, Timeout: 4 * config.Conns.CounterTimeout, ConnectTimeout: config.Conns.ConnectTimeout})
 		defer counter.Close()
-		moved = counter.Move
+		moved = counter.SetAddr
 		options = append(options, pumicecroft.WithCounter(counter))
 	}
 	door, err := pumicecroft.New(DoorConfig(config), options...)
@@ -50,7 +50,7 @@
 	reloading, stop := context.WithCancel(context.Background())
 	defer stop()
 	go reload(reloading, path, hup, moves, moved)
-	front := httpfront.NewServer(door, config.Limits.ClientConns(), config.Settings.LongestDeadline(), slog.Default(), httpfront.Options{})
+	front := httplistener.NewServer(door, config.Limits.ClientConns(), config.Settings.LongestDeadline(), slog.Default(), httplistener.Options{})
 	return run(ctx, door, config.Name, config.Listen, front.Run)
 }
 
@@ -59,7 +59,7 @@
 
 // run serves a door on a socket, with servers beside it that listen already, until ctx ends or one of them fails, and all
 // that was taken has its answer.
-func run(ctx context.Context, door *pumicecroft.Door, name, listen string, serveOn func(context.Context, net.Listener) error, beside ...server) error {
+func run(ctx context.Context, door *pumicecroft.Gateway, name, listen string, serveOn func(context.Context, net.Listener) error, beside ...server) error {
 	defer func() {
 		now, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -90,9 +90,9 @@
 
 // DoorConfig is the platform's configuration in the library's terms.
 func DoorConfig(c platform.Config) pumicecroft.Config {
-	return pumicecroft.Config{Settings: c.Settings, Seed: c.Seed, Known: c.Known.Members(),
-		Membership:   membership.Rules{Most: c.Limits.Backends()},
-		BackendConns: c.Limits.BackendConns(), ConnectTimeout: c.Conns.Connect, IdleTimeout: c.Conns.Idle}
+	return pumicecroft.Config{Settings: c.Settings, Seed: c.Seed, InitialEndpoints: c.Known.Membership(),
+		Membership:      membership.Policy{MaxNodes: c.Limits.MaxBackends()},
+		MaxBackendConns: c.Limits.BackendConns(), ConnectTimeout: c.Conns.ConnectTimeout, IdleTimeout: c.Conns.IdleTimeout}
 }
 
 // reload reads the file again at each value of hup and tells where discovery and the counter are now. A file that is no
--- a/internal/daemon/file.go
+++ b/internal/daemon/file.go
@@ -13,20 +13,20 @@
 
 	"pumicecroft"
 	"pumicecroft/consul"
-	"pumicecroft/grpcfront"
-	"pumicecroft/internal/httpfront"
-	"pumicecroft/internal/operator"
+	"pumicecroft/grpcproxy"
+	"pumicecroft/internal/httplistener"
+	"pumicecroft/internal/operatorconfig"
 	"pumicecroft/internal/platform"
 	"pumicecroft/membership"
 )
 
 // fixed is a source whose list does not change.
 type fixed struct {
-	list membership.List
+	list membership.Update
 	told chan struct{} // closed when it has reported
 }
 
-func (f fixed) Run(_ context.Context, update func(membership.List)) {
+func (f fixed) Run(_ context.Context, update func(membership.Update)) {
 	update(f.list)
 	close(f.told)
 }
@@ -37,8 +37,8 @@
 	protocol string
 }
 
-func (s speaking) Run(ctx context.Context, update func(membership.List)) {
-	s.Source.Run(ctx, func(l membership.List) {
+func (s speaking) Run(ctx context.Context, update func(membership.Update)) {
+	s.Source.Run(ctx, func(l membership.Update) {
 		if s.protocol != "" {
 			l.Nodes = slices.Clone(l.Nodes)
 			for i := range l.Nodes {
@@ -49,32 +49,32 @@
 	})
 }
 
-// CatchUp is the source's, if it has one.
-func (s speaking) CatchUp(ctx context.Context, since time.Time) error {
-	if c, ok := s.Source.(pumicecroft.Catcher); ok {
-		return c.CatchUp(ctx, since)
+// Sync is the source's, if it has one.
+func (s speaking) Sync(ctx context.Context, since time.Time) error {
+	if c, ok := s.Source.(pumicecroft.Syncer); ok {
+		return c.Sync(ctx, since)
 	}
 	return nil
 }
 
 // sources are a file's, by precedence, with Consul's client if there is one; told is closed when what the file itself lists is known.
-func sources(f operator.File, told chan struct{}) (options []pumicecroft.Option, client *consul.Client, err error) {
+func sources(f operatorconfig.File, told chan struct{}) (options []pumicecroft.Option, client *consul.Client, err error) {
 	for _, name := range f.Sources {
 		switch name {
-		case operator.SourceConsul:
+		case operatorconfig.SourceConsul:
 			if client, err = consul.New(f.Consul.Config); err != nil {
 				return nil, nil, err
 			}
 			for _, s := range f.Consul.Services {
 				w := client.Service(s)
-				options = append(options, pumicecroft.WithOrigin(w.Origin(), w))
+				options = append(options, pumicecroft.WithNamedSource(w.SourceInfo(), w))
 			}
-		case operator.SourceDiscovery:
-			options = append(options, pumicecroft.WithOrigin(membership.Origin{Name: name, Plain: true},
-				speaking{&platform.Discovery{Addr: f.Discovery, From: platform.FromTheStart, Grace: f.Door.Settings.DrainGrace,
-					Most: f.Door.Membership.Most}, f.DiscoverySpeaks}))
-		case operator.SourceFile:
-			options = append(options, pumicecroft.WithOrigin(membership.Origin{Name: name, Plain: true}, fixed{f.Backends, told}))
+		case operatorconfig.SourceDiscovery:
+			options = append(options, pumicecroft.WithNamedSource(membership.SourceInfo{Name: name, Trusted: true},
+				speaking{&platform.Discovery{Addr: f.Discovery, FromVersion: platform.FromFullUpdate, DrainGrace: f.Door.Settings.DrainGrace,
+					MaxEntries: f.Door.Membership.MaxNodes}, f.DiscoverySpeaks}))
+		case operatorconfig.SourceFile:
+			options = append(options, pumicecroft.WithNamedSource(membership.SourceInfo{Name: name, Trusted: true}, fixed{f.Backends, told}))
 		}
 	}
 	return options, client, nil
@@ -83,8 +83,8 @@
 // ServeFile is one front door of an installation without the platform: it serves by an operator's file until ctx
 // ends. At each value of hup it reads the file again, by again, and goes by the routes, the identities and the certificates that it names
 // then; nil: it does not. What else the file holds is for the next start.
-func ServeFile(ctx context.Context, f operator.File, again func() (operator.File, error), hup <-chan struct{}) error {
-	slog.SetDefault(slog.With("door", f.Door.Settings.Me))
+func ServeFile(ctx context.Context, f operatorconfig.File, again func() (operatorconfig.File, error), hup <-chan struct{}) error {
+	slog.SetDefault(slog.With("door", f.Door.Settings.GatewayIndex))
 	told := make(chan struct{})
 	options, client, err := sources(f, told)
 	if err != nil {
@@ -93,7 +93,7 @@
 	options = append(options, pumicecroft.WithLogger(slog.Default()))
 	if f.GRPC != nil {
 		f.GRPC.Backends.Log = slog.Default()
-		options = append(options, grpcfront.WithBackends(f.GRPC.Backends))
+		options = append(options, grpcproxy.WithBackends(f.GRPC.Backends))
 	}
 	var w *web
 	if f.Web != nil {
@@ -106,10 +106,10 @@
 	if err != nil {
 		return err
 	}
-	if slices.Contains(f.Sources, operator.SourceFile) {
+	if slices.Contains(f.Sources, operatorconfig.SourceFile) {
 		<-told // before the first client comes
 	}
-	serve := httpfront.NewServer(door, f.ClientConns, f.Door.Settings.LongestDeadline(), slog.Default(), httpfront.Options{}).Run
+	serve := httplistener.NewServer(door, f.ClientConns, f.Door.Settings.LongestDeadline(), slog.Default(), httplistener.Options{}).Run
 	if w != nil {
 		if serve, err = w.front(door, f); err != nil {
 			door.Close(ctx)
@@ -157,10 +157,10 @@
 }
 
 // listenGRPC makes a file's gRPC front, which listens and does not serve yet.
-func listenGRPC(door *pumicecroft.Door, f operator.File) (server, error) {
+func listenGRPC(door *pumicecroft.Gateway, f operatorconfig.File) (server, error) {
 	c := f.GRPC.Front
 	c.Log = slog.Default()
-	front, err := grpcfront.New(door, c)
+	front, err := grpcproxy.New(door, c)
 	if err != nil {
 		return nil, err
 	}
@@ -175,7 +175,7 @@
 // register keeps a door in the catalogue until the function that it gives is called.
 func register(client *consul.Client, r consul.Registration, draining <-chan struct{}) (end func()) {
 	ctx, stop := context.WithCancel(context.Background())
-	r.Told = func(err error) {
+	r.OnResult = func(err error) {
 		if err != nil {
 			slog.Warn("consul: the door's registration", "err", err)
 		} else {
@@ -192,7 +192,7 @@
 }
 
 // tellMembers answers who asks what a door believes of its backends.
-func tellMembers(door *pumicecroft.Door, addr string) (stop func(), err error) {
+func tellMembers(door *pumicecroft.Gateway, addr string) (stop func(), err error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -200,7 +200,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(door.Members())
+		json.NewEncoder(w).Encode(door.Backends())
 	})
 	s := &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second, MaxHeaderBytes: 8 << 10}
 	go s.Serve(ln)
@@ -209,7 +209,7 @@
 }
 
 // AskMembers asks a running door at its address for members.
-func AskMembers(ctx context.Context, addr string) ([]pumicecroft.Member, error) {
+func AskMembers(ctx context.Context, addr string) ([]pumicecroft.BackendStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/members", nil)
@@ -224,7 +224,7 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s answered %s", addr, res.Status)
 	}
-	var out []pumicecroft.Member
+	var out []pumicecroft.BackendStatus
 	if err := json.NewDecoder(res.Body).Decode(&out); err != nil {
 		return nil, fmt.Errorf("%s answered what is no list of members: %w", addr, err)
 	}
--- a/internal/daemon/web.go
+++ b/internal/daemon/web.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"pumicecroft"
+	"pumicecroft/httpproxy"
 	"pumicecroft/internal/certs"
-	"pumicecroft/internal/httpfront"
-	"pumicecroft/internal/operator"
-	"pumicecroft/internal/webload"
-	"pumicecroft/webfront"
+	"pumicecroft/internal/httplistener"
+	"pumicecroft/internal/httpproxyconfig"
+	"pumicecroft/internal/operatorconfig"
 )
 
 // Of ordinary clients: a head may be as large as common servers take, and come over a slow network.
@@ -26,46 +26,46 @@
 // web is a file's ordinary HTTP.
 type web struct {
 	options []pumicecroft.Option
-	rules   webfront.Rules
+	rules   httpproxy.Rules
 	tls     *tls.Config
 	store   *certs.Store
-	door    *webfront.Front
+	door    *httpproxy.Front
 }
 
 // newWeb reads the files that a file names.
-func newWeb(f operator.File) (*web, error) {
+func newWeb(f operatorconfig.File) (*web, error) {
 	w := &web{}
 	for _, s := range f.Web.Services {
-		c, err := webload.Service(s, os.ReadFile, slog.Default())
+		c, err := httpproxyconfig.Service(s, os.ReadFile, slog.Default())
 		if err != nil {
 			return nil, err
 		}
-		w.options = append(w.options, webfront.WithService(c))
+		w.options = append(w.options, httpproxy.WithService(c))
 	}
 	var err error
-	if w.rules, err = webload.Rules(&f, os.ReadFile); err != nil {
+	if w.rules, err = httpproxyconfig.Rules(&f, os.ReadFile); err != nil {
 		return nil, err
 	}
-	w.tls, w.store, err = webload.Listener(&f, os.ReadFile, time.Now, slog.Default())
+	w.tls, w.store, err = httpproxyconfig.Listener(&f, os.ReadFile, time.Now, slog.Default())
 	return w, err
 }
 
 // CheckWeb reads the files that a file names, and tells what an operator should know of them.
-func CheckWeb(f operator.File) (warnings []string, err error) {
+func CheckWeb(f operatorconfig.File) (warnings []string, err error) {
 	w, err := newWeb(f)
 	if err != nil {
 		return nil, err
 	}
-	return webload.Warnings(&f, w.store, time.Now()), nil
+	return httpproxyconfig.Warnings(&f, w.store, time.Now()), nil
 }
 
 // FrontOf makes a file's front on a door that reaches no backends, for who asks what would become of a request.
-func FrontOf(f operator.File) (*webfront.Front, func(), error) {
+func FrontOf(f operatorconfig.File) (*httpproxy.Front, func(), error) {
 	w, err := newWeb(f)
 	if err != nil {
 		return nil, nil, err
 	}
-	f.Door.KeysJournal, f.Door.StateDir = nil, ""
+	f.Door.IdempotencyJournal, f.Door.StateDir = nil, ""
 	door, err := pumicecroft.New(f.Door, w.options...)
 	if err != nil {
 		return nil, nil, err
@@ -79,19 +79,19 @@
 }
 
 // front makes the front, and what serves it on a listener.
-func (w *web) front(door *pumicecroft.Door, f operator.File) (func(context.Context, net.Listener) error, error) {
+func (w *web) front(door *pumicecroft.Gateway, f operatorconfig.File) (func(context.Context, net.Listener) error, error) {
 	c := f.Web.Front
 	c.Rules, c.Log = w.rules, slog.Default()
 	var err error
-	if w.door, err = webfront.New(door, c); err != nil {
+	if w.door, err = httpproxy.New(door, c); err != nil {
 		return nil, err
 	}
-	return httpfront.NewServer(w.door, f.ClientConns, f.Door.Settings.LongestDeadline(), slog.Default(),
-		httpfront.Options{TLS: w.tls, Ordinary: true, Head: webHead, MaxHead: webMaxHead}).Run, nil
+	return httplistener.NewServer(w.door, f.ClientConns, f.Door.Settings.LongestDeadline(), slog.Default(),
+		httplistener.Options{TLS: w.tls, GeneralPurpose: true, HeaderTimeout: webHead, MaxHeaderBytes: webMaxHead}).Run, nil
 }
 
 // watch reads certificates again as they change, and the file at each value of hup.
-func (w *web) watch(ctx context.Context, f operator.File, again func() (operator.File, error), hup <-chan struct{}) {
+func (w *web) watch(ctx context.Context, f operatorconfig.File, again func() (operatorconfig.File, error), hup <-chan struct{}) {
 	if w.store != nil {
 		go w.store.Watch(ctx, f.Web.TLS.Every)
 	}
@@ -110,15 +110,15 @@
 }
 
 // reread goes by the routes, identities and certificates that the file names now.
-func (w *web) reread(old operator.File, again func() (operator.File, error)) error {
+func (w *web) reread(old operatorconfig.File, again func() (operatorconfig.File, error)) error {
 	f, err := again()
 	if err != nil {
 		return err
 	}
 	if f.Web == nil {
-		return webfront.ErrRules
+		return httpproxy.ErrRules
 	}
-	rules, err := webload.Rules(&f, os.ReadFile)
+	rules, err := httpproxyconfig.Rules(&f, os.ReadFile)
 	if err != nil {
 		return err
 	}
--- a/internal/keyed/bench_test.go
+++ b/internal/deduplicator/bench_test.go
@@ -1,4 +1,4 @@
-package keyed
+package deduplicator
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 	"testing"
 	"time"
 
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
 )
 
 // BenchmarkRecovery is the start with a journal of n answered keys on disk.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			j := Journal{Dir: filepath.Join(b.TempDir(), "keys"), Patience: time.Minute, SyncEvery: time.Second}
-			limits := keys.Limits{Bytes: 4 << 30}
+			j := JournalConfig{Dir: filepath.Join(b.TempDir(), "keys"), WriteTimeout: time.Minute, SyncInterval: time.Second}
+			limits := idempotency.Limits{MaxBytes: 4 << 30}
 			k, err := Open(limits, j)
 			if err != nil {
 				b.Fatal(err)
@@ -26,8 +26,8 @@
 			for w := range 256 {
 				asking.Go(func() {
 					for i := w; i < n; i += 256 {
-						_, err := k.Do(context.Background(), 1, fmt.Sprintf("%016x", i), keys.Digest{}, time.Minute, func(context.Context) Result {
-							return Result{Answer: keys.Answer{Status: 200, Body: []byte("done 0123456789abcdef\n")}}
+						_, err := k.Do(context.Background(), 1, fmt.Sprintf("%016x", i), idempotency.Fingerprint{}, time.Minute, func(context.Context) Result {
+							return Result{Response: idempotency.Response{Status: 200, Body: []byte("done 0123456789abcdef\n")}}
 						})
 						if err != nil {
 							b.Error(err)
@@ -53,7 +53,7 @@
 					b.Fatal(err)
 				}
 				b.StopTimer()
-				if _, held, _ := k.Held(); held != n {
+				if _, held, _ := k.Stats(); held != n {
 					b.Fatalf("%d keys of %d", held, n)
 				}
 				if err := k.Close(context.Background()); err != nil {
--- a/internal/keyed/golden_test.go
+++ b/internal/deduplicator/golden_test.go
@@ -1,4 +1,4 @@
-package keyed
+package deduplicator
 
 import (
 	"bytes"
@@ -16,9 +16,9 @@
 	"golang.org/x/crypto/cryptobyte"
 
 	"pumicecroft/decision"
+	"pumicecroft/idempotency"
 	"pumicecroft/internal/journal"
 	"pumicecroft/internal/logfile"
-	"pumicecroft/keys"
 )
 
 var writeGolden = flag.Bool("write-golden", false, "write testdata/journal anew; only a change of the stored form needs it")
@@ -41,61 +41,63 @@
 }
 
 // goldenDigest is the digest of a request's parts.
-func goldenDigest(parts ...string) keys.Digest {
-	k := &Keeper{}
-	copy(k.secret[:], goldenSecret())
+func goldenDigest(parts ...string) idempotency.Fingerprint {
+	k := &Deduplicator{}
+	copy(k.fingerprintKey[:], goldenSecret())
 	var all [][]byte
 	for _, p := range parts {
 		all = append(all, []byte(p))
 	}
-	return k.Digest(all...)
+	return k.Fingerprint(all...)
 }
 
 // goldenProcess is one process that writes the journal, with times of its own.
 type goldenProcess struct {
 	t     *testing.T
-	files logfile.Files
-	store *keys.Store
-	log   *journal.Log[keys.Entry]
+	files logfile.SegmentStore
+	store *idempotency.Store
+	log   *journal.Log[idempotency.Entry]
 	now   time.Duration
 }
 
-func startGolden(t *testing.T, files logfile.Files, now time.Duration) *goldenProcess {
+func startGolden(t *testing.T, files logfile.SegmentStore, now time.Duration) *goldenProcess {
 	t.Helper()
-	p := &goldenProcess{t: t, files: files, store: keys.New(keys.Limits{MostAnswer: goldenLimit}, now), now: now}
+	p := &goldenProcess{t: t, files: files, store: idempotency.New(idempotency.Limits{MaxResponseBytes: goldenLimit}, now), now: now}
 	numbers, err := files.List()
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules := journal.Rules{SegmentBytes: 1 << 10, MostPending: 4 << 10}
+	rules := journal.Options{SegmentBytes: 1 << 10, MaxPending: 4 << 10}
 	p.log, err = journal.Recover(rules, goldenLogID, numbers, files.Load,
-		func(rec []byte) (*journal.Slot[keys.Entry], error) { return p.store.Restore(now, goldenEpoch, rec) })
+		func(rec []byte) (*journal.Slot[idempotency.Entry], error) {
+			return p.store.Restore(now, goldenEpoch, rec)
+		})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.store.Logs(p.log, goldenEpoch)
+	p.store.AttachLog(p.log, goldenEpoch)
 	return p
 }
 
 // flush carries out all that the log wants done.
 func (p *goldenProcess) flush() {
 	p.t.Helper()
-	p.store.Relog(p.now)
-	for op := p.log.Next(p.now); op.Kind != journal.Nothing; op = p.log.Next(p.now) {
+	p.store.RewriteStale(p.now)
+	for op := p.log.Next(p.now); op.Kind != journal.None; op = p.log.Next(p.now) {
 		err := p.files.Do(op)
 		if p.log.Done(p.now, err); err != nil {
 			p.t.Fatal(err)
 		}
-		p.store.Relog(p.now)
+		p.store.RewriteStale(p.now)
 	}
 }
 
 // begin begins a request with a key.
-func (p *goldenProcess) begin(who decision.CustomerID, key string) *keys.Ticket {
+func (p *goldenProcess) begin(who decision.CustomerID, key string) *idempotency.Ticket {
 	p.t.Helper()
 	p.now += time.Second
-	d, _ := p.store.Ask(p.now, who, key, goldenDigest("POST", "/pay", key), nil, p.now+time.Minute)
-	if d.Verdict != keys.Pass {
+	d, _ := p.store.Begin(p.now, who, key, goldenDigest("POST", "/pay", key), nil, p.now+time.Minute)
+	if d.Verdict != idempotency.Proceed {
 		p.t.Fatalf("key %q: %v", key, d.Verdict)
 	}
 	p.flush()
@@ -103,13 +105,13 @@
 }
 
 // end ends it.
-func (p *goldenProcess) end(ticket *keys.Ticket, end keys.End, answer keys.Answer) {
+func (p *goldenProcess) end(ticket *idempotency.Ticket, end idempotency.Outcome, answer idempotency.Response) {
 	p.t.Helper()
-	if end == keys.Answered {
-		p.store.Answers(p.now, ticket, answer)
+	if end == idempotency.Succeeded {
+		p.store.RecordResponse(p.now, ticket, answer)
 		p.flush()
 	}
-	p.store.Ended(p.now, ticket, end, answer)
+	p.store.Complete(p.now, ticket, end, answer)
 	p.flush()
 }
 
@@ -117,26 +119,26 @@
 type goldenCase struct {
 	customer decision.CustomerID
 	key      string
-	end      keys.End
-	answer   keys.Answer
-	verdict  keys.Verdict
+	end      idempotency.Outcome
+	answer   idempotency.Response
+	verdict  idempotency.Verdict
 }
 
 func goldenCases() []goldenCase {
-	page := keys.Answer{Status: 201, ContentType: "text/plain; charset=utf-8", Body: []byte("paid\r\n\x00\xff")}
-	large := keys.Answer{Status: 200, ContentType: "text/plain", Body: bytes.Repeat([]byte("x"), goldenLimit)}
+	page := idempotency.Response{Status: 201, ContentType: "text/plain; charset=utf-8", Body: []byte("paid\r\n\x00\xff")}
+	large := idempotency.Response{Status: 200, ContentType: "text/plain", Body: bytes.Repeat([]byte("x"), goldenLimit)}
 	cases := []goldenCase{
-		{1, "answered", keys.Answered, page, keys.Replay},
-		{1, "answered with nothing", keys.Answered, keys.Answer{Status: 204}, keys.Replay},
-		{1, "answer too large", keys.Answered, large, keys.Done},
-		{2, "never ran", keys.NeverRan, keys.Answer{}, keys.Pass},
-		{2, "may have run", keys.Doubt, keys.Answer{}, keys.Undecided},
-		{1<<64 - 1, strings.Repeat("~", keys.MaxKey), keys.Answered, page, keys.Replay},
+		{1, "answered", idempotency.Succeeded, page, idempotency.Replay},
+		{1, "answered with nothing", idempotency.Succeeded, idempotency.Response{Status: 204}, idempotency.Replay},
+		{1, "answer too large", idempotency.Succeeded, large, idempotency.ResponseNotStored},
+		{2, "never ran", idempotency.NotExecuted, idempotency.Response{}, idempotency.Proceed},
+		{2, "may have run", idempotency.Unknown, idempotency.Response{}, idempotency.OutcomeUnknown},
+		{1<<64 - 1, strings.Repeat("~", idempotency.MaxKeyBytes), idempotency.Succeeded, page, idempotency.Replay},
 	}
 	for i := range 12 {
 		body := fmt.Sprintf("answer %d of %s", i, strings.Repeat(".", 100))
-		cases = append(cases, goldenCase{decision.CustomerID(10 + i%3), fmt.Sprint("filler ", i), keys.Answered,
-			keys.Answer{Status: 200, ContentType: "text/html", Body: []byte(body)}, keys.Replay})
+		cases = append(cases, goldenCase{decision.CustomerID(10 + i%3), fmt.Sprint("filler ", i), idempotency.Succeeded,
+			idempotency.Response{Status: 200, ContentType: "text/html", Body: []byte(body)}, idempotency.Replay})
 	}
 	return cases
 }
@@ -197,7 +199,7 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	each := func(rec []byte) (*journal.Slot[keys.Entry], error) {
+	each := func(rec []byte) (*journal.Slot[idempotency.Entry], error) {
 		in := cryptobyte.String(rec)
 		var form, kind uint8
 		var customer, expires uint64
@@ -213,7 +215,7 @@
 			form, kind, customer, key, digest, expires, status, contentType, body)
 		return nil, nil
 	}
-	if _, err := journal.Recover(journal.Rules{}, 0, numbers, files.Load, each); err != nil {
+	if _, err := journal.Recover(journal.Options{}, 0, numbers, files.Load, each); err != nil {
 		t.Fatal(err)
 	}
 	return out.String()
@@ -295,38 +297,38 @@
 // given its answer, another one with its key is a conflict.
 func TestGoldenJournalIsRead(t *testing.T) {
 	dir := copyGolden(t)
-	k, err := Open(keys.Limits{}, Journal{Dir: dir, Patience: 10 * time.Second})
+	k, err := Open(idempotency.Limits{}, JournalConfig{Dir: dir, WriteTimeout: 10 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close(context.Background())
-	ask := func(customer decision.CustomerID, key, part string) keys.Decision {
+	ask := func(customer decision.CustomerID, key, part string) idempotency.Decision {
 		t.Helper()
-		digest := k.Digest([]byte("POST"), []byte("/pay"), []byte(part))
+		digest := k.Fingerprint([]byte("POST"), []byte("/pay"), []byte(part))
 		if part == key && digest != goldenDigest("POST", "/pay", key) {
 			t.Errorf("key %q: the digest is %x", key, digest)
 		}
 		ran := false
 		d, err := k.Do(context.Background(), customer, key, digest, 10*time.Second, func(context.Context) Result {
 			ran = true
-			return Result{Answer: keys.Answer{Status: 299}}
+			return Result{Response: idempotency.Response{Status: 299}}
 		})
 		if err != nil {
 			t.Fatalf("key %q: %v", key, err)
 		}
 		if ran {
-			return keys.Decision{Verdict: keys.Pass}
+			return idempotency.Decision{Verdict: idempotency.Proceed}
 		}
 		return d
 	}
-	cases := append(goldenCases(), goldenCase{customer: 3, key: goldenClosed, verdict: keys.Undecided},
-		goldenCase{customer: 3, key: goldenKilled, verdict: keys.Undecided})
-	if _, held, _ := k.Held(); held != len(cases)-1 { // but the one that never ran
+	cases := append(goldenCases(), goldenCase{customer: 3, key: goldenClosed, verdict: idempotency.OutcomeUnknown},
+		goldenCase{customer: 3, key: goldenKilled, verdict: idempotency.OutcomeUnknown})
+	if _, held, _ := k.Stats(); held != len(cases)-1 { // but the one that never ran
 		t.Errorf("%d keys are held, want %d", held, len(cases)-1)
 	}
 	for _, c := range cases {
-		if c.verdict != keys.Pass {
-			if d := ask(c.customer, c.key, "another body"); d.Verdict != keys.Conflict {
+		if c.verdict != idempotency.Proceed {
+			if d := ask(c.customer, c.key, "another body"); d.Verdict != idempotency.Conflict {
 				t.Errorf("key %q with another body: %v", c.key, d.Verdict)
 			}
 		}
@@ -334,9 +336,9 @@
 		if d.Verdict != c.verdict {
 			t.Errorf("key %q: %v, want %v", c.key, d.Verdict, c.verdict)
 		}
-		if c.verdict == keys.Replay && (d.Answer.Status != c.answer.Status || d.Answer.ContentType != c.answer.ContentType ||
-			!bytes.Equal(d.Answer.Body, c.answer.Body)) {
-			t.Errorf("key %q: answer %+v, want %+v", c.key, d.Answer, c.answer)
+		if c.verdict == idempotency.Replay && (d.Response.Status != c.answer.Status || d.Response.ContentType != c.answer.ContentType ||
+			!bytes.Equal(d.Response.Body, c.answer.Body)) {
+			t.Errorf("key %q: answer %+v, want %+v", c.key, d.Response, c.answer)
 		}
 	}
 }
--- a/internal/keyed/keyed_test.go
+++ b/internal/deduplicator/keyed_test.go
@@ -1,4 +1,4 @@
-package keyed
+package deduplicator
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
+	"pumicecroft/idempotency"
 	"pumicecroft/internal/journal"
 	"pumicecroft/internal/simdisk"
 	"pumicecroft/internal/testkit"
-	"pumicecroft/keys"
 )
 
 // disk is a simulated disk as the files of one process after another.
@@ -54,13 +54,13 @@
 	f(d.d)
 }
 
-func open(t *testing.T, d *disk, change func(*Journal)) *Keeper {
+func open(t *testing.T, d *disk, change func(*JournalConfig)) *Deduplicator {
 	t.Helper()
-	j := Journal{Patience: 10 * time.Second, files: d}
+	j := JournalConfig{WriteTimeout: 10 * time.Second, files: d}
 	if change != nil {
 		change(&j)
 	}
-	k, err := Open(keys.Limits{}, j)
+	k, err := Open(idempotency.Limits{}, j)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,23 +68,23 @@
 }
 
 // ask asks with a key; act is what its request comes to, if it is made.
-func ask(k *Keeper, key string, act func() Result) (string, error) {
-	d, err := k.Do(context.Background(), 1, key, keys.Digest{1}, 5*time.Second, func(context.Context) Result { return act() })
+func ask(k *Deduplicator, key string, act func() Result) (string, error) {
+	d, err := k.Do(context.Background(), 1, key, idempotency.Fingerprint{1}, 5*time.Second, func(context.Context) Result { return act() })
 	if err != nil {
 		return "", err
 	}
-	if d.Verdict != keys.Replay {
+	if d.Verdict != idempotency.Replay {
 		return d.Verdict.String(), nil
 	}
-	return string(d.Answer.Body), nil
+	return string(d.Response.Body), nil
 }
 
 func answer(text string) func() Result {
-	return func() Result { return Result{Answer: keys.Answer{Status: 200, Body: []byte(text)}} }
+	return func() Result { return Result{Response: idempotency.Response{Status: 200, Body: []byte(text)}} }
 }
 
-func ends(end keys.End) func() Result {
-	return func() Result { return Result{End: end, Err: errEnded} }
+func ends(end idempotency.Outcome) func() Result {
+	return func() Result { return Result{Outcome: end, Err: errEnded} }
 }
 
 var errEnded = errors.New("no answer")
@@ -102,8 +102,8 @@
 		{"answered", answer("a1"), "a1", ""},
 		{"empty answer", answer(""), "", ""},
 		{"too large", answer(big), "done", ""},
-		{"never ran", ends(keys.NeverRan), "new", ""},
-		{"may have run", ends(keys.Doubt), "undecided", ""},
+		{"never ran", ends(idempotency.NotExecuted), "new", ""},
+		{"may have run", ends(idempotency.Unknown), "undecided", ""},
 	}
 	for _, how := range []string{"peace", "kill", "crash"} {
 		t.Run(how, func(t *testing.T) {
@@ -143,8 +143,8 @@
 			if got, _ := ask(k, "in flight", answer("new")); how != "peace" && got != "undecided" {
 				t.Errorf("what was in flight is %q", got)
 			}
-			d2, err := k.Do(context.Background(), 1, "answered", keys.Digest{2}, time.Second, nil)
-			if err != nil || d2.Verdict != keys.Conflict {
+			d2, err := k.Do(context.Background(), 1, "answered", idempotency.Fingerprint{2}, time.Second, nil)
+			if err != nil || d2.Verdict != idempotency.Conflict {
 				t.Errorf("another request with a key of before: %v, %v", d2.Verdict, err)
 			}
 		})
@@ -158,10 +158,10 @@
 		for _, refuse := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, refuse %v", how, refuse), func(t *testing.T) {
 				d := newDisk()
-				k := open(t, d, func(j *Journal) {
-					j.Refuse = refuse
+				k := open(t, d, func(j *JournalConfig) {
+					j.RejectOnFailure = refuse
 					if how == "hangs" {
-						j.Patience = 20 * time.Millisecond
+						j.WriteTimeout = 20 * time.Millisecond
 					}
 				})
 				if got, err := ask(k, "before", answer("b")); got != "b" || err != nil {
@@ -170,9 +170,9 @@
 				release := make(chan struct{})
 				switch how {
 				case "full":
-					d.with(func(s *simdisk.Disk) { s.Room = s.Bytes() + 1 })
+					d.with(func(s *simdisk.Disk) { s.Capacity = s.Bytes() + 1 })
 				case "fails":
-					d.with(func(s *simdisk.Disk) { s.Fails = func(journal.Op) error { return simdisk.ErrIO } })
+					d.with(func(s *simdisk.Disk) { s.Fault = func(journal.Op) error { return simdisk.ErrIO } })
 				case "hangs":
 					d.mu.Lock()
 					d.hang = release
@@ -181,24 +181,24 @@
 				for i := range 20 {
 					ran := false
 					got, err := ask(k, fmt.Sprint("k", i), func() Result { ran = true; return answer("a")() })
-					if refuse && (ran || !errors.Is(err, ErrNotKept)) || !refuse && (got != "a" || err != nil) {
+					if refuse && (ran || !errors.Is(err, ErrNotPersisted)) || !refuse && (got != "a" || err != nil) {
 						t.Fatalf("request %d: %q, %v, ran %v", i, got, err, ran)
 					}
 				}
 				if got, err := ask(k, "before", answer("new")); got != "b" || err != nil {
 					t.Errorf("what was answered before: %q, %v", got, err)
 				}
-				if _, err := k.Journal(); (err != nil) != (how != "hangs") {
+				if _, err := k.JournalUsage(); (err != nil) != (how != "hangs") {
 					t.Errorf("it says %v of its journal", err)
 				}
 				d.mu.Lock()
 				d.hang = nil
-				d.d.Fails, d.d.Room = nil, 0
+				d.d.Fault, d.d.Capacity = nil, 0
 				d.mu.Unlock()
 				close(release)
 				for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-					u, err := k.Journal()
-					if err == nil && u.Off == 0 && u.Pending == 0 {
+					u, err := k.JournalUsage()
+					if err == nil && u.UnwrittenBytes == 0 && u.PendingBytes == 0 {
 						break
 					}
 					if time.Now().After(end) {
@@ -232,7 +232,7 @@
 func TestPairsOverARestart(t *testing.T) {
 	d := newDisk()
 	var effects [400]atomic.Int32
-	pressAll := func(k *Keeper, from, to int) {
+	pressAll := func(k *Deduplicator, from, to int) {
 		var pressing sync.WaitGroup
 		for i := from; i < to; i++ {
 			pressing.Go(func() {
@@ -249,7 +249,7 @@
 	if err := k.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ask(k, "x", answer("")); !errors.Is(err, ErrEnded) {
+	if _, err := ask(k, "x", answer("")); !errors.Is(err, ErrClosed) {
 		t.Errorf("after the end: %v", err)
 	}
 	k = open(t, d, nil)
@@ -265,32 +265,32 @@
 // A directory with a journal needs the secret of its digests, and is one process's.
 func TestTheDirectory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keys")
-	j := Journal{Dir: dir, Patience: 10 * time.Second}
-	k, err := Open(keys.Limits{}, j)
+	j := JournalConfig{Dir: dir, WriteTimeout: 10 * time.Second}
+	k, err := Open(idempotency.Limits{}, j)
 	if err != nil {
 		t.Fatal(err)
 	}
-	digest := k.Digest([]byte("a"), []byte("b"))
+	digest := k.Fingerprint([]byte("a"), []byte("b"))
 	if _, err := ask(k, "k", answer("a")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(keys.Limits{}, j); err == nil || !strings.Contains(err.Error(), "another process") {
+	if _, err := Open(idempotency.Limits{}, j); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("opened twice: %v", err)
 	}
 	if err := k.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if k, err = Open(keys.Limits{}, j); err != nil {
+	if k, err = Open(idempotency.Limits{}, j); err != nil {
 		t.Fatal(err)
 	}
-	if k.Digest([]byte("a"), []byte("b")) != digest {
+	if k.Fingerprint([]byte("a"), []byte("b")) != digest {
 		t.Error("the digest of one request is another after a restart")
 	}
 	if err := k.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	hurt(t, filepath.Join(dir, "secret"))
-	if _, err := Open(keys.Limits{}, j); err == nil || !strings.Contains(err.Error(), "secret has 3 bytes") {
+	if _, err := Open(idempotency.Limits{}, j); err == nil || !strings.Contains(err.Error(), "secret has 3 bytes") {
 		t.Errorf("with a secret cut short: %v", err)
 	}
 }
@@ -305,7 +305,7 @@
 // A disk that hangs at the end: who waits for it is refused when the closer's time is up, and Close ends.
 func TestTheEndOnADiskThatHangs(t *testing.T) {
 	d := newDisk()
-	k := open(t, d, func(j *Journal) { j.Patience = 2 * time.Second })
+	k := open(t, d, func(j *JournalConfig) { j.WriteTimeout = 2 * time.Second })
 	if _, err := ask(k, "before", answer("b")); err != nil {
 		t.Fatal(err)
 	}
@@ -322,7 +322,7 @@
 	}()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // until it waits
 		k.mu.Lock()
-		n := len(k.waits)
+		n := len(k.awaitingDurable)
 		k.mu.Unlock()
 		if n > 0 {
 			break
@@ -336,7 +336,7 @@
 	if err := k.Close(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("closed: %v", err)
 	}
-	if err := <-asked; !errors.Is(err, ErrEnded) || ran {
+	if err := <-asked; !errors.Is(err, ErrClosed) || ran {
 		t.Errorf("who waited: %v, ran %v", err, ran)
 	}
 }
@@ -360,17 +360,17 @@
 			var ran atomic.Bool
 			ended := make(chan error, 1)
 			go func() {
-				_, err := k.Do(ctx, 1, "key", keys.Digest{1}, 5*time.Second, func(context.Context) Result { ran.Store(true); return Result{End: keys.NeverRan} })
+				_, err := k.Do(ctx, 1, "key", idempotency.Fingerprint{1}, 5*time.Second, func(context.Context) Result { ran.Store(true); return Result{Outcome: idempotency.NotExecuted} })
 				ended <- err
 			}()
 			if waits {
-				testkit.Await(t, until(func() bool { _, _, n := k.Held(); return n == 1 }), "it to wait")
+				testkit.Await(t, until(func() bool { _, _, n := k.Stats(); return n == 1 }), "it to wait")
 				leave()
 			}
 			if err := testkit.Await(t, ended, "its end"); !errors.Is(err, context.Canceled) {
 				t.Errorf("it ended with %v", err)
 			}
-			testkit.Await(t, until(func() bool { k.mu.Lock(); defer k.mu.Unlock(); return !waits || len(k.stops) == 0 || ran.Load() }), "its request's end")
+			testkit.Await(t, until(func() bool { k.mu.Lock(); defer k.mu.Unlock(); return !waits || len(k.cancels) == 0 || ran.Load() }), "its request's end")
 			close(went)
 			if err := k.Close(t.Context()); err != nil {
 				t.Error(err)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -17,9 +17,9 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
-	"pumicecroft/internal/httpfront"
+	"pumicecroft/internal/fakes"
+	"pumicecroft/internal/httplistener"
 	"pumicecroft/internal/platform"
-	"pumicecroft/internal/standin"
 )
 
 // Options say how long and where.
@@ -56,18 +56,18 @@
 // Settings are the demo's deployment: one door, three classes, an ordinary plan and one with a hard ceiling.
 func Settings() decision.Settings {
 	return decision.Settings{
-		FrontDoors: 1, MaxAttempts: 4, CanCancel: true, MeterPeriod: 500 * time.Millisecond, LargestUnits: 6,
-		MaxRetryAfter: time.Second, ColdFrom: 0.2, WarmWithin: warmWithin, FallMultiple: 4, FallFor: 2 * time.Second,
+		GatewayCount: 1, MaxAttempts: 4, CanCancel: true, UsagePeriod: 500 * time.Millisecond, MaxCost: 6,
+		MaxRetryAfter: time.Second, SlowStartMinCapacity: 0.2, SlowStartWindow: warmWithin, OverloadFactor: 4, OverloadDuration: 2 * time.Second,
 		DrainGrace: 2 * time.Second,
 		Classes: []decision.Class{
-			{Name: "id-check", Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3},
-			{Name: "stock-lookup", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1},
-			{Name: "activate", Effect: decision.Keyed, Group: decision.GroupCell, KeyWindow: 5 * time.Second,
-				Aim: time.Second, Deadline: 3 * time.Second, Worth: 5},
+			{Name: "id-check", LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3},
+			{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1},
+			{Name: "activate", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second,
+				LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 5},
 		},
 		Plans: []decision.Plan{
 			{Name: "shop", Rate: 10, Burst: 20, Price: 1},
-			{Name: "flagship", Rate: 20, Burst: 20, Price: 1.6, CeilingRate: 40, CeilingBurst: 40, CeilingSlack: 6},
+			{Name: "flagship", Rate: 20, Burst: 20, Price: 1.6, HardLimitRate: 40, HardLimitBurst: 40, HardLimitOverdraft: 6},
 		},
 	}
 }
@@ -79,12 +79,12 @@
 type stage struct {
 	options   Options
 	settings  decision.Settings
-	ledger    *standin.Ledger
-	meter     *standin.Meter
-	cells     []*standin.Cell
-	discovery *standin.Discovery
-	counter   *standin.Counter
-	backends  []*standin.Backend
+	ledger    *fakes.Ledger
+	meter     *fakes.Meter
+	cells     []*fakes.Cell
+	discovery *fakes.Discovery
+	counter   *fakes.Counter
+	backends  []*fakes.Backend
 	addr      string
 	transport *http.Transport
 	close     []func()
@@ -100,7 +100,7 @@
 
 // Run runs the demo. The error tells what could not be started, or that ctx ended first.
 func Run(ctx context.Context, o Options) (Counts, error) {
-	s := &stage{options: o, settings: Settings(), ledger: &standin.Ledger{}, flooding: map[string]bool{}, meter: &standin.Meter{},
+	s := &stage{options: o, settings: Settings(), ledger: &fakes.Ledger{}, flooding: map[string]bool{}, meter: &fakes.Meter{},
 		transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer func() {
 		for _, f := range slices.Backward(s.close) {
@@ -134,8 +134,8 @@
 	return s.counts, ctx.Err()
 }
 
-func (s *stage) backend(i int, cold bool) (*standin.Backend, error) {
-	b, err := standin.StartBackend(standin.BackendConfig{Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("floor-%d", i%2+2),
+func (s *stage) backend(i int, cold bool) (*fakes.Backend, error) {
+	b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("floor-%d", i%2+2),
 		Kind: "standard", Cell: s.cells[i%2], Slots: 4, Queue: 40, Work: func(class string) time.Duration { return work[class] },
 		Keyed: func(class string) bool { return class == "activate" }, ColdFrom: 0.25, WarmWithin: warmWithin,
 		FallMultiple: 4, FallFor: 2 * time.Second, Cold: cold, Ledger: s.ledger, Meter: s.meter})
@@ -147,16 +147,16 @@
 }
 
 func (s *stage) start() (err error) {
-	if s.discovery, err = standin.StartDiscovery(); err != nil {
+	if s.discovery, err = fakes.StartDiscovery(); err != nil {
 		return err
 	}
 	s.close = append(s.close, s.discovery.Close)
-	if s.counter, err = standin.StartCounter(); err != nil {
+	if s.counter, err = fakes.StartCounter(); err != nil {
 		return err
 	}
 	s.close = append(s.close, s.counter.Close)
 	for n := range 2 {
-		s.cells = append(s.cells, &standin.Cell{Number: n, Window: 5 * time.Second})
+		s.cells = append(s.cells, &fakes.Cell{Number: n, Window: 5 * time.Second})
 	}
 	for i := range 6 {
 		b, err := s.backend(i, false)
@@ -166,8 +166,8 @@
 		s.discovery.Set(b.Endpoint())
 	}
 	list := s.discovery.List()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: s.settings, Known: list.Members()},
-		pumicecroft.WithSource(&platform.Discovery{Addr: s.discovery.Addr(), From: list.Seq}))
+	door, err := pumicecroft.New(pumicecroft.Config{Settings: s.settings, InitialEndpoints: list.Membership()},
+		pumicecroft.WithSource(&platform.Discovery{Addr: s.discovery.Addr(), FromVersion: list.Seq}))
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		httpfront.NewServer(door, 512, 3*time.Second, slog.New(slog.DiscardHandler), httpfront.Options{}).Run(ctx, ln)
+		httplistener.NewServer(door, 512, 3*time.Second, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln)
 	}()
 	s.close = append(s.close, func() { s.transport.CloseIdleConnections(); stop(); <-ended })
 	return nil
@@ -251,7 +251,7 @@
 		case <-playing.Done():
 			return
 		}
-		ask := standin.Ask{Customer: uint64(i + 1), Plan: plan, Units: 1, Timeout: 2 * time.Second}
+		ask := fakes.Ask{Customer: uint64(i + 1), Plan: plan, Units: 1, Timeout: 2 * time.Second}
 		switch p := rng.Float64(); {
 		case p < 0.49:
 			ask.Class = "id-check"
@@ -266,7 +266,7 @@
 }
 
 // ask is one request and, after a refusal that says when to come back, one retry.
-func (s *stage) ask(ctx context.Context, ask standin.Ask, ids [2]uint64) {
+func (s *stage) ask(ctx context.Context, ask fakes.Ask, ids [2]uint64) {
 	for try, id := range ids {
 		ask.ID = id
 		s.meter.Enter(ask.RequestID(), ask.Customer, ask.Units, s.rate(ask.Plan))
@@ -302,7 +302,7 @@
 	return 0
 }
 
-func (s *stage) note(r standin.Reply) {
+func (s *stage) note(r fakes.Reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range []*Counts{&s.counts, &s.second} {
@@ -373,14 +373,14 @@
 	}
 	fmt.Fprintf(s.options.Out, "sent to the drained backend after its grace: %d; cold backends that fell: %d; "+
 		"lowest store of the flooding customer's hard ceiling: %.1f units (%.1f allowed)\n", late, fallen, s.ceiling(),
-		-s.settings.Plans[1].CeilingSlack)
+		-s.settings.Plans[1].HardLimitOverdraft)
 }
 
 // ceiling plays what was sent on for the flooding customer against its hard ceiling, each try once, and gives how
 // low the store went.
 func (s *stage) ceiling() float64 {
 	plan := s.settings.Plans[1]
-	store, least := plan.CeilingBurst, plan.CeilingBurst
+	store, least := plan.HardLimitBurst, plan.HardLimitBurst
 	var last time.Time
 	seen := map[string]bool{}
 	for _, a := range s.ledger.Attempts() {
@@ -389,7 +389,7 @@
 		}
 		seen[a.ID] = true
 		if !last.IsZero() {
-			store = min(plan.CeilingBurst, store+plan.CeilingRate*a.At.Sub(last).Seconds())
+			store = min(plan.HardLimitBurst, store+plan.HardLimitRate*a.At.Sub(last).Seconds())
 		}
 		last = a.At
 		store--
--- a/internal/region/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -1,4 +1,4 @@
-package region
+package emulator
 
 import (
 	"encoding/json"
@@ -17,12 +17,12 @@
 		"limit":       `{"Offered":6848,"Served":4248,"InAim":3338,"Refused":1864,"Failed":736,"WorthOffered":17489,"WorthServed":8549,"Tries":5648,"Attempts":5648,"Cold":2376,"Draining":0,"Doubled":0,"Falls":0,"Calls":0,"CallsLost":0,"Units":5648,"UnitsOver":317,"WorthOver":720,"Overshoot":3,"PastCeiling":2,"Last":{"Offered":762,"Served":746,"Refused":15,"Failed":1,"WorthOffered":1905,"WorthServed":1034},"P50":100991,"P99":1790975,"Events":49284,"Latency":4248}`,
 	}
 	for _, policy := range Policies {
-		c := small()
-		c.Policy, c.Ceiling, c.Loses, c.Length = policy, 700, 0.05, 9*time.Second
-		c.Counter = Counter{Rate: 300, Queue: 30 * time.Millisecond, Patience: 120 * time.Millisecond}
-		c.Faults = []Fault{{Kind: Deploy, At: 2 * time.Second, For: time.Second, By: 6}, {Kind: DoorRestart, At: 3 * time.Second, For: 500 * time.Millisecond, By: 2},
-			{Kind: ZoneLoss, At: 5 * time.Second, For: time.Second, Zone: 1}, {Kind: ZoneSlow, At: 6 * time.Second, For: 2 * time.Second, By: 6},
-			{Kind: Flood, At: 4 * time.Second, For: 3 * time.Second, By: 3, Share: 0.5}, {Kind: RetryStorm, At: 7 * time.Second, For: time.Second, By: 2}}
+		c := smallConfig()
+		c.Policy, c.RateLimit, c.CounterLoss, c.Duration = policy, 700, 0.05, 9*time.Second
+		c.Counter = Counter{Rate: 300, MaxWait: 30 * time.Millisecond, Timeout: 120 * time.Millisecond}
+		c.Faults = []Fault{{Kind: Deploy, At: 2 * time.Second, Duration: time.Second, Magnitude: 6}, {Kind: GatewayRestart, At: 3 * time.Second, Duration: 500 * time.Millisecond, Magnitude: 2},
+			{Kind: ZoneLoss, At: 5 * time.Second, Duration: time.Second, Zone: 1}, {Kind: ZoneSlow, At: 6 * time.Second, Duration: 2 * time.Second, Magnitude: 6},
+			{Kind: Flood, At: 4 * time.Second, Duration: 3 * time.Second, Magnitude: 3, Share: 0.5}, {Kind: RetryStorm, At: 7 * time.Second, Duration: time.Second, Magnitude: 2}}
 		r := play(t, c, 3, false)
 		got, err := json.Marshal(struct {
 			Counts
--- a/internal/prepared/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -1,4 +1,4 @@
-package prepared
+package endpointcache
 
 import (
 	"bytes"
@@ -21,10 +21,10 @@
 	const source = "consul:web"
 	at := time.Date(2026, 12, 1, 11, 20, 1, 250_000_000, time.UTC)
 	want := []membership.Node{
-		{Name: "n1/b0", Addr: "10.0.0.1:9000", Zone: "zone-a", Kind: "m2.large", Protocol: membership.ProtocolGRPC, Cell: 7,
-			State: decision.Ready, Weight: 2.5, Started: time.Date(2026, 11, 30, 9, 8, 7, 6_000_005, time.UTC), Note: "warning: disk: 91 % full"},
-		{Name: "n1/b1", Addr: "[::1]:9001", Zone: "zone-b", Kind: "m3", Protocol: membership.ProtocolHTTP, Cell: 1<<62 + 3,
-			State: decision.Draining, Weight: 1, Started: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), Note: "critical: web: \"503\" <busy> & slow"},
+		{Name: "n1/b0", Addr: "10.0.0.1:9000", Zone: "zone-a", InstanceType: "m2.large", Protocol: membership.ProtocolGRPC, Cell: 7,
+			State: decision.Ready, Weight: 2.5, StartedAt: time.Date(2026, 11, 30, 9, 8, 7, 6_000_005, time.UTC), Note: "warning: disk: 91 % full"},
+		{Name: "n1/b1", Addr: "[::1]:9001", Zone: "zone-b", InstanceType: "m3", Protocol: membership.ProtocolHTTP, Cell: 1<<62 + 3,
+			State: decision.Draining, Weight: 1, StartedAt: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), Note: "critical: web: \"503\" <busy> & slow"},
 		{Name: "bare", Addr: "h:1"},
 	}
 	path := Path("testdata", source)
--- a/internal/prepared/prepared.go
+++ b/internal/endpointcache/prepared.go
@@ -1,8 +1,8 @@
-// Package prepared keeps lists of members on disk, so that a front door that starts while their source can't be reached
+// Package endpointcache keeps lists of members on disk, so that a front door that starts while their source can't be reached
 // has one to begin with. A file is written beside the old one and renamed over it; it begins with a line that names its
 // form, its source and the checksum of the rest, and one that is torn, truncated or another's is refused. The package
 // reads and writes files and knows nothing of what becomes of a list.
-package prepared
+package endpointcache
 
 import (
 	"bytes"
@@ -24,25 +24,25 @@
 
 // Errors of Read. A file that is not there is fs.ErrNotExist.
 var (
-	ErrTorn    = errors.New("it is torn or damaged")
-	ErrForeign = errors.New("it is not a list of members of this source")
+	ErrCorrupt     = errors.New("it is torn or damaged")
+	ErrOtherSource = errors.New("it is not a list of members of this source")
 )
 
-// maxFile bounds a file, in bytes.
-const maxFile = 64 << 20
+// maxFileBytes bounds a file, in bytes.
+const maxFileBytes = 64 << 20
 
-// form is the first word of a file; another number is another form.
-const form = "pumicecroft-members-1"
+// formatVersion is the first word of a file; another number is another form.
+const formatVersion = "pumicecroft-members-1"
 
-// head is a file's first line.
-type head struct {
+// header is a file's first line.
+type header struct {
 	Form   string `json:"form"`
 	Source string `json:"source"`
 	SHA256 string `json:"sha256"` // of the rest
 	Size   int    `json:"size"`   // of the rest, in bytes
 }
 
-type body struct {
+type content struct {
 	At    time.Time `json:"at"`
 	Nodes []node    `json:"nodes"`
 }
@@ -66,16 +66,16 @@
 // Write keeps a source's nodes, as of a time, in a directory that exists. Whatever fails, the file is the old one or the
 // new one, whole.
 func Write(dir, source string, nodes []membership.Node, at time.Time) error {
-	b := body{At: at.Round(0)}
+	b := content{At: at.Round(0)}
 	for _, n := range nodes {
-		b.Nodes = append(b.Nodes, node{n.Name, n.Addr, n.Zone, n.Kind, n.Cell, n.State != decision.Ready, n.Weight, n.Started.Round(0), n.Note, n.Protocol})
+		b.Nodes = append(b.Nodes, node{n.Name, n.Addr, n.Zone, n.InstanceType, n.Cell, n.State != decision.Ready, n.Weight, n.StartedAt.Round(0), n.Note, n.Protocol})
 	}
 	rest, err := json.Marshal(b)
 	if err != nil {
 		return err
 	}
 	sum := sha256.Sum256(rest)
-	first, err := json.Marshal(head{form, source, hex.EncodeToString(sum[:]), len(rest)})
+	first, err := json.Marshal(header{formatVersion, source, hex.EncodeToString(sum[:]), len(rest)})
 	if err != nil {
 		return err
 	}
@@ -94,33 +94,33 @@
 		return nil, time.Time{}, err // it names the file
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return bad(err)
 	}
-	if len(text) > maxFile {
-		return bad(fmt.Errorf("%w: it has more than %d bytes", ErrForeign, maxFile))
+	if len(text) > maxFileBytes {
+		return bad(fmt.Errorf("%w: it has more than %d bytes", ErrOtherSource, maxFileBytes))
 	}
 	first, rest, found := bytes.Cut(text, []byte("\n"))
-	var h head
+	var h header
 	if err := json.Unmarshal(first, &h); err != nil || !found {
-		if bytes.HasPrefix(text, []byte(`{"form":"`+form)) || len(text) == 0 {
-			return bad(ErrTorn)
+		if bytes.HasPrefix(text, []byte(`{"form":"`+formatVersion)) || len(text) == 0 {
+			return bad(ErrCorrupt)
 		}
-		return bad(ErrForeign)
+		return bad(ErrOtherSource)
 	}
-	if h.Form != form || h.Source != source {
-		return bad(fmt.Errorf("%w: it is %.40q of %.80q", ErrForeign, h.Form, h.Source))
+	if h.Form != formatVersion || h.Source != source {
+		return bad(fmt.Errorf("%w: it is %.40q of %.80q", ErrOtherSource, h.Form, h.Source))
 	}
 	if sum := sha256.Sum256(rest); len(rest) != h.Size || hex.EncodeToString(sum[:]) != h.SHA256 {
-		return bad(fmt.Errorf("%w: %d bytes of %d", ErrTorn, len(rest), h.Size))
+		return bad(fmt.Errorf("%w: %d bytes of %d", ErrCorrupt, len(rest), h.Size))
 	}
-	var b body
+	var b content
 	if err := json.Unmarshal(rest, &b); err != nil {
-		return bad(fmt.Errorf("%w: %w", ErrTorn, err))
+		return bad(fmt.Errorf("%w: %w", ErrCorrupt, err))
 	}
 	for _, n := range b.Nodes {
-		m := membership.Node{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, Weight: n.Weight, Started: n.Started, Note: n.Note,
+		m := membership.Node{Name: n.Name, Addr: n.Addr, Zone: n.Zone, InstanceType: n.Kind, Cell: n.Cell, Weight: n.Weight, StartedAt: n.Started, Note: n.Note,
 			Protocol: n.Protocol}
 		if n.Draining {
 			m.State = decision.Draining
--- a/internal/prepared/prepared_test.go
+++ b/internal/endpointcache/prepared_test.go
@@ -1,4 +1,4 @@
-package prepared
+package endpointcache
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 )
 
 var kept = []membership.Node{
-	{Name: "n/a", Addr: "10.0.0.1:80", Zone: "z", Kind: "m", Cell: 3, Weight: 2, Started: time.Unix(1_800_000_000, 5).UTC()},
+	{Name: "n/a", Addr: "10.0.0.1:80", Zone: "z", InstanceType: "m", Cell: 3, Weight: 2, StartedAt: time.Unix(1_800_000_000, 5).UTC()},
 	{Name: "n/b", Addr: "[::1]:80", State: decision.Draining, Note: "critical: web", Weight: 1},
 }
 
@@ -56,7 +56,7 @@
 		if err := os.WriteFile(Path(dir, "s"), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Read(dir, "s"); !errors.Is(err, ErrTorn) && !errors.Is(err, ErrForeign) {
+		if _, _, err := Read(dir, "s"); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrOtherSource) {
 			t.Errorf("%s at %d: %v", what, i, err)
 		}
 	}
@@ -77,14 +77,14 @@
 	if err := os.Rename(Path(dir, "other"), Path(dir, "s")); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Read(dir, "s"); !errors.Is(err, ErrForeign) {
+	if _, _, err := Read(dir, "s"); !errors.Is(err, ErrOtherSource) {
 		t.Errorf("another source's: %v", err)
 	}
 	for _, text := range []string{"hello\nworld", `{"form":"pumicecroft-members-2","source":"s"}` + "\n{}", "[]\n[]", "\x00\x00\n"} {
 		if err := os.WriteFile(Path(dir, "s"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Read(dir, "s"); !errors.Is(err, ErrForeign) {
+		if _, _, err := Read(dir, "s"); !errors.Is(err, ErrOtherSource) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/internal/roster/roster_test.go
+++ b/internal/endpointindex/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpointindex
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 
 // member is one of a model that finds by walking over all.
 type member struct {
-	place Place[*member]
+	place Entry[*member]
 	id    int
 	lane  int // -1: none
 	open  bool
@@ -29,8 +29,8 @@
 	where string
 	rng   *rand.Rand
 	now   time.Duration
-	r     *Roster[*member]
-	lanes [3]Lane[*member]
+	r     *Index[*member]
+	lanes [3]Group[*member]
 	all   []*member
 	count [3]int // what the model's walk found young at the last view
 	ages  [3]time.Duration
@@ -39,11 +39,11 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * time.Hour, r: New[*member](young, keep)}
 	for i := range w.lanes {
-		w.lanes[i] = w.r.Lane()
+		w.lanes[i] = w.r.NewGroup()
 	}
 	for id := range 1 + w.rng.IntN(200) {
 		m := &member{id: id, lane: -1}
-		m.place = Place[*member]{Value: m, Rank: w.rng.Uint64N(100), Tie: uint32(id)}
+		m.place = Entry[*member]{Value: m, Rank: w.rng.Uint64N(100), TieBreaker: uint32(id)}
 		w.all = append(w.all, m)
 	}
 	return w
@@ -55,15 +55,15 @@
 	switch w.rng.IntN(10) {
 	case 0, 1:
 		m.lane, m.noted = -1, 0
-		w.r.Forget(&m.place)
+		w.r.Remove(&m.place)
 		return
 	case 2, 3:
 		m.noted = w.now
-		w.r.Note(&m.place, w.now)
+		w.r.RecordFailure(&m.place, w.now)
 		return
 	case 4:
 		m.look = true
-		w.r.Look(&m.place)
+		w.r.MarkDirty(&m.place)
 		return
 	case 5:
 		w.settle()
@@ -81,7 +81,7 @@
 
 // settle is done with most, and finds each that is to be looked at once.
 func (w *world) settle() {
-	w.r.Settle(func(m *member) bool {
+	w.r.Reconcile(func(m *member) bool {
 		if !m.look {
 			w.t.Errorf("%s: %d is looked at, or once more", w.where, m.id)
 		}
@@ -96,7 +96,7 @@
 }
 
 func (w *world) see() {
-	w.r.See(w.now)
+	w.r.Advance(w.now)
 	for i := range w.lanes {
 		w.count[i], w.ages[i] = 0, 0
 		for _, m := range w.all {
@@ -122,10 +122,10 @@
 	slices.SortFunc(want, func(a, b *member) int {
 		return cmp.Or(cmp.Compare(a.place.Rank, b.place.Rank), cmp.Compare(a.id, b.id))
 	})
-	if got := slices.Collect(l.All()); !slices.Equal(got, want) || l.Open() != len(want) || l.Known() != known {
-		w.t.Errorf("%s, lane %d: %d of %d, %d open, want %d of %d, or another order", w.where, i, len(got), l.Known(), l.Open(), len(want), known)
+	if got := slices.Collect(l.Ready()); !slices.Equal(got, want) || l.ReadyLen() != len(want) || l.Len() != known {
+		w.t.Errorf("%s, lane %d: %d of %d, %d open, want %d of %d, or another order", w.where, i, len(got), l.Len(), l.ReadyLen(), len(want), known)
 	}
-	if n, ages := l.Young(); n != w.count[i] || ages != w.ages[i] {
+	if n, ages := l.Warming(); n != w.count[i] || ages != w.ages[i] {
 		w.t.Errorf("%s, lane %d: %d young of %v together, want %d of %v", w.where, i, n, ages, w.count[i], w.ages[i])
 	}
 }
@@ -154,12 +154,12 @@
 				if m.noted > 0 && w.now-m.noted < ago {
 					noted++
 				}
-				if m.place.note != nil {
+				if m.place.failure != nil {
 					kept++
 				}
 			}
-			if w.r.Open() != open || w.r.Noted(w.now, ago) != noted || w.r.noted.Len() != kept {
-				t.Errorf("%s: %d open, %d noted of %d kept, want %d, %d of %d", w.where, w.r.Open(), w.r.Noted(w.now, ago), w.r.noted.Len(), open, noted, kept)
+			if w.r.ReadyLen() != open || w.r.RecentFailures(w.now, ago) != noted || w.r.failures.Len() != kept {
+				t.Errorf("%s: %d open, %d noted of %d kept, want %d, %d of %d", w.where, w.r.ReadyLen(), w.r.RecentFailures(w.now, ago), w.r.failures.Len(), open, noted, kept)
 			}
 			if w.now += time.Duration(w.rng.IntN(5)) * 250 * time.Millisecond; t.Failed() {
 				return
@@ -170,15 +170,15 @@
 
 // A walk that is ended goes no further, and an empty lane has none.
 func TestAWalkEnds(t *testing.T) {
-	l := New[int](young, keep).Lane()
-	for range l.All() {
+	l := New[int](young, keep).NewGroup()
+	for range l.Ready() {
 		t.Error("an empty lane has a member")
 	}
 	for i := range 1000 {
-		(&Place[int]{Value: i, Rank: uint64(i)}).Put(&l, true, false, 0)
+		(&Entry[int]{Value: i, Rank: uint64(i)}).Put(&l, true, false, 0)
 	}
 	seen := 0
-	for v := range l.All() {
+	for v := range l.Ready() {
 		if seen++; v >= 4 {
 			break
 		}
@@ -192,25 +192,25 @@
 func TestManyBeginningsLongAfterTheOrigin(t *testing.T) {
 	const n = 110_000
 	now, r := 48*time.Hour, New[int](young, keep)
-	l, places := r.Lane(), make([]Place[int], n)
+	l, places := r.NewGroup(), make([]Entry[int], n)
 	for i := range places {
-		places[i] = Place[int]{Rank: uint64(i)}
+		places[i] = Entry[int]{Rank: uint64(i)}
 		places[i].Put(&l, true, true, now-time.Second)
 	}
-	r.See(now)
-	if got, ages := l.Young(); got != n || ages != n*time.Second {
+	r.Advance(now)
+	if got, ages := l.Warming(); got != n || ages != n*time.Second {
 		t.Errorf("%d of %v together", got, ages)
 	}
 	for i := range places[1:] {
-		r.Forget(&places[i+1])
+		r.Remove(&places[i+1])
 	}
-	r.See(now)
-	if got, ages := l.Young(); got != 1 || ages != time.Second || l.Known() != 1 {
-		t.Errorf("of one: %d of %v together, %d known", got, ages, l.Known())
+	r.Advance(now)
+	if got, ages := l.Warming(); got != 1 || ages != time.Second || l.Len() != 1 {
+		t.Errorf("of one: %d of %v together, %d known", got, ages, l.Len())
 	}
-	r.See(now + young)
-	r.Forget(&places[0])
-	if kept := l.begun.by.Len() + l.coming.by.Len(); kept != 0 {
+	r.Advance(now + young)
+	r.Remove(&places[0])
+	if kept := l.started.counts.Len() + l.upcoming.counts.Len(); kept != 0 {
 		t.Errorf("%d beginnings are kept of nobody", kept)
 	}
 }
@@ -218,21 +218,21 @@
 // What is not done with is looked at each time until it is, and what was noted long ago is let go of.
 func TestSettleAndNote(t *testing.T) {
 	r := New[int](young, keep)
-	a, b := &Place[int]{Value: 1}, &Place[int]{Value: 2}
-	r.Look(a)
-	r.Look(b)
+	a, b := &Entry[int]{Value: 1}, &Entry[int]{Value: 2}
+	r.MarkDirty(a)
+	r.MarkDirty(b)
 	for times := range 3 {
 		var seen []int
-		r.Settle(func(v int) bool { seen = append(seen, v); return v == 1 || times == 2 })
+		r.Reconcile(func(v int) bool { seen = append(seen, v); return v == 1 || times == 2 })
 		if want := [][]int{{1, 2}, {2}, {2}}[times]; !slices.Equal(seen, want) {
 			t.Errorf("time %d: %v, want %v", times, seen, want)
 		}
 	}
-	if r.unsettled != nil {
+	if r.dirty != nil {
 		t.Error("a list is kept for none")
 	}
-	r.Note(a, time.Second)
-	if r.Note(b, time.Second+keep); r.noted.Len() != 1 {
-		t.Errorf("%d notes are kept, the older of which is %v old", r.noted.Len(), keep)
+	r.RecordFailure(a, time.Second)
+	if r.RecordFailure(b, time.Second+keep); r.failures.Len() != 1 {
+		t.Errorf("%d notes are kept, the older of which is %v old", r.failures.Len(), keep)
 	}
 }
--- a/internal/virtual/virtual.go
+++ b/internal/eventqueue/virtual.go
@@ -1,6 +1,6 @@
-// Package virtual is what emulated worlds stand on: a queue of what will happen, by time, and chance that hangs on a seed and
+// Package eventqueue is what emulated worlds stand on: a queue of what will happen, by time, and chance that hangs on a seed and
 // on what it is for. The seeded world (internal/sim) and the emulated region (internal/region) use the same. It is pure.
-package virtual
+package eventqueue
 
 import (
 	"math/rand/v2"
@@ -78,30 +78,30 @@
 	return first.at, first.value
 }
 
-// Picker picks by shares.
-type Picker struct{ sums []float64 }
+// WeightedPicker picks by shares.
+type WeightedPicker struct{ cumulative []float64 }
 
-// NewPicker makes one of parts of 0 or more, one of them above 0.
-func NewPicker(parts ...float64) Picker {
-	p, sum := Picker{make([]float64, len(parts))}, 0.0
+// NewWeightedPicker makes one of parts of 0 or more, one of them above 0.
+func NewWeightedPicker(parts ...float64) WeightedPicker {
+	p, sum := WeightedPicker{make([]float64, len(parts))}, 0.0
 	for i, part := range parts {
 		sum += part
-		p.sums[i] = sum
+		p.cumulative[i] = sum
 	}
-	for i := range p.sums {
-		p.sums[i] /= sum
+	for i := range p.cumulative {
+		p.cumulative[i] /= sum
 	}
 	return p
 }
 
-// At is the number of the part that a number from 0 to below 1 falls into.
-func (p *Picker) At(u float64) int {
-	for i, s := range p.sums {
+// Pick is the number of the part that a number from 0 to below 1 falls into.
+func (p *WeightedPicker) Pick(u float64) int {
+	for i, s := range p.cumulative {
 		if u < s {
 			return i
 		}
 	}
-	return len(p.sums) - 1
+	return len(p.cumulative) - 1
 }
 
 // Mix is the finish of splitmix64: a bijection, so that different numbers stay so.
@@ -111,8 +111,8 @@
 	return z ^ (z >> 31)
 }
 
-// Fold makes two numbers of a seed and what chance is for.
-func Fold(seed uint64, of ...uint64) (a, b uint64) {
+// SeedPair makes two numbers of a seed and what chance is for.
+func SeedPair(seed uint64, of ...uint64) (a, b uint64) {
 	a, b = seed, uint64(0x9e3779b97f4a7c15)
 	for _, v := range of {
 		a, b = Mix(a^v), Mix(b+v)
@@ -120,12 +120,14 @@
 	return a, b
 }
 
-// Chance is a source of chance that hangs on the seed and the numbers given alone: what is taken out of a world leaves the chance
+// NewRand is a source of chance that hangs on the seed and the numbers given alone: what is taken out of a world leaves the chance
 // of everything else as it was.
-func Chance(seed uint64, of ...uint64) *rand.Rand { return rand.New(rand.NewPCG(Fold(seed, of...))) }
+func NewRand(seed uint64, of ...uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(SeedPair(seed, of...)))
+}
 
-// Unit is one number from 0 to below 1, for what wants just one.
-func Unit(seed uint64, of ...uint64) float64 {
-	a, b := Fold(seed, of...)
+// RandFloat64 is one number from 0 to below 1, for what wants just one.
+func RandFloat64(seed uint64, of ...uint64) float64 {
+	a, b := SeedPair(seed, of...)
 	return float64(Mix(a^b)>>11) / (1 << 53)
 }
--- a/internal/virtual/virtual_test.go
+++ b/internal/eventqueue/virtual_test.go
@@ -1,4 +1,4 @@
-package virtual
+package eventqueue
 
 import (
 	"container/heap"
@@ -10,14 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-// plain is a queue on container/heap.
-type plain []entry[uint64]
+// binaryHeap is a queue on container/heap.
+type binaryHeap []entry[uint64]
 
-func (q plain) Len() int           { return len(q) }
-func (q plain) Less(i, j int) bool { return q[i].before(&q[j]) }
-func (q plain) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *plain) Push(x any)        { *q = append(*q, x.(entry[uint64])) }
-func (q *plain) Pop() any {
+func (q binaryHeap) Len() int           { return len(q) }
+func (q binaryHeap) Less(i, j int) bool { return q[i].before(&q[j]) }
+func (q binaryHeap) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *binaryHeap) Push(x any)        { *q = append(*q, x.(entry[uint64])) }
+func (q *binaryHeap) Pop() any {
 	e := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return e
@@ -60,12 +60,12 @@
 
 // Chance hangs on its purpose alone, and is even.
 func TestChance(t *testing.T) {
-	if Chance(1, 2, 3).Uint64() != Chance(1, 2, 3).Uint64() || Chance(1, 2, 3).Uint64() == Chance(1, 3, 2).Uint64() || Chance(1, 2).Uint64() == Chance(2, 2).Uint64() {
+	if NewRand(1, 2, 3).Uint64() != NewRand(1, 2, 3).Uint64() || NewRand(1, 2, 3).Uint64() == NewRand(1, 3, 2).Uint64() || NewRand(1, 2).Uint64() == NewRand(2, 2).Uint64() {
 		t.Error("chance does not hang on seed and purpose alone")
 	}
 	var parts [10]int
 	for i := range uint64(100_000) {
-		parts[int(10*Unit(7, i))]++
+		parts[int(10*RandFloat64(7, i))]++
 	}
 	for i, n := range parts {
 		if n < 9_700 || n > 10_300 {
@@ -92,7 +92,7 @@
 			}
 		})
 		b.Run("container/"+name, func(b *testing.B) {
-			q := &plain{}
+			q := &binaryHeap{}
 			for i := range uint64(n) {
 				heap.Push(q, entry[uint64]{time.Duration(rng.IntN(n)), i, i})
 			}
--- a/internal/drive/drive_test.go
+++ b/internal/executor/drive_test.go
@@ -1,4 +1,4 @@
-package drive
+package executor
 
 import (
 	"context"
@@ -12,18 +12,18 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/core"
+	"pumicecroft/internal/lifecycle"
 )
 
-var classes = []decision.Class{{Name: "c"}, {Name: "pay", Effect: decision.Keyed}}
+var classes = []decision.Class{{Name: "c"}, {Name: "pay", Idempotency: decision.IdempotentByKey}}
 
 // carrier makes attempts as the test says.
 type carrier struct {
-	carry func(a *Attempt) Reply
+	carry func(a *Attempt) Response
 	probe func() decision.ProbeResult
 }
 
-func (c carrier) Carry(a *Attempt) Reply { return c.carry(a) }
+func (c carrier) RoundTrip(a *Attempt) Response { return c.carry(a) }
 
 func (c carrier) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
 	if c.probe == nil {
@@ -32,15 +32,15 @@
 	return c.probe()
 }
 
-func result(r decision.Result) Reply { return Reply{Outcome: core.Outcome{Result: r}} }
+func result(r decision.Result) Response { return Response{Outcome: lifecycle.Outcome{Result: r}} }
 
 // hang waits until the attempt is called off.
-func hang(a *Attempt) Reply {
+func hang(a *Attempt) Response {
 	off := make(chan bool)
-	if a.Wait(func() { close(off) }) == nil {
+	if a.OnCancel(func() { close(off) }) == nil {
 		<-off
 	}
-	if errors.Is(a.Off(), ErrTimeUp) {
+	if errors.Is(a.CancelCause(), ErrDeadlineExceeded) {
 		return result(decision.TimedOut)
 	}
 	return result(decision.Cancelled)
@@ -53,23 +53,23 @@
 	return append(as, d(ev)...)
 }
 
-func start(t *testing.T, d decider, c carrier, canCancel bool) *Driver {
+func start(t *testing.T, d decider, c carrier, canCancel bool) *Executor {
 	t.Helper()
 	clock := NewClock()
-	dr := New(clock, core.New(d, classes, core.Limits{}, clock.Now()), c, canCancel)
+	dr := New(clock, lifecycle.New(d, classes, lifecycle.Limits{}, clock.Now()), c, canCancel)
 	t.Cleanup(dr.Stop)
 	return dr
 }
 
 func request(id int) decision.Request {
-	return decision.Request{ID: decision.RequestID(id), Class: "c", Patience: time.Second}
+	return decision.Request{ID: decision.RequestID(id), Class: "c", Timeout: time.Second}
 }
 
 const last = 1020 * time.Millisecond
 
 func sendOnce(ev decision.Event) []decision.Action {
 	if r, ok := ev.(decision.Request); ok {
-		return []decision.Action{decision.Send{Request: r.ID, Backend: 1}}
+		return []decision.Action{decision.StartAttempt{Request: r.ID, Backend: 1}}
 	}
 	return nil
 }
@@ -78,20 +78,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		before := runtime.NumGoroutine()
 		during := 0
-		d := start(t, sendOnce, carrier{carry: func(a *Attempt) Reply {
+		d := start(t, sendOnce, carrier{carry: func(a *Attempt) Response {
 			during = runtime.NumGoroutine()
-			r := result(decision.Answered)
-			r.Body = a.Load
+			r := result(decision.Succeeded)
+			r.Body = a.Payload
 			return r
 		}}, true)
 		a, err := d.Serve(t.Context(), request(1), last, "hello")
-		if err != nil || a.Verdict != core.Served || a.Reply.Body != "hello" || a.Attempts != 1 {
+		if err != nil || a.Verdict != lifecycle.Served || a.Response.Body != "hello" || a.Attempts != 1 {
 			t.Errorf("%+v, %v", a, err)
 		}
 		if during != before {
 			t.Errorf("%d goroutines were started for an attempt", during-before)
 		}
-		if d.Open() != 0 {
+		if d.OpenRequests() != 0 {
 			t.Error("the request is kept")
 		}
 	})
@@ -106,7 +106,7 @@
 				ctx, leave := context.WithCancel(t.Context())
 				var left atomic.Int32
 				d := start(t, func(ev decision.Event) []decision.Action {
-					send := decision.Send{Request: 1, Backend: 1}
+					send := decision.StartAttempt{Request: 1, Backend: 1}
 					switch ev := ev.(type) {
 					case decision.Request:
 						switch which {
@@ -120,30 +120,30 @@
 						if which == "a further one" && ev.Attempt == 0 {
 							return []decision.Action{send}
 						}
-					case decision.ClientGone:
-						return []decision.Action{decision.Cancel{Request: 1}, decision.Cancel{Request: 1, Attempt: 1}}
+					case decision.ClientDisconnected:
+						return []decision.Action{decision.CancelAttempt{Request: 1}, decision.CancelAttempt{Request: 1, Attempt: 1}}
 					}
 					return nil
-				}, carrier{carry: func(a *Attempt) Reply {
+				}, carrier{carry: func(a *Attempt) Response {
 					switch {
 					case a.number == 0 && which == "a further one":
 						leave()
-						return result(decision.Refused)
+						return result(decision.Rejected)
 					case a.number == 0 && which == "one beside another":
 						return hang(a)
 					case which == "one beside another":
 						leave()
 					}
-					if a.TooLate() {
+					if a.SendForbidden() {
 						return result(decision.NotSent)
 					}
 					left.Add(1)
-					return result(decision.Answered)
+					return result(decision.Succeeded)
 				}}, true)
 				a, err := d.Serve(ctx, request(1), last, nil)
 				synctest.Wait()
-				if err != nil || a.Verdict != core.Left || left.Load() != 0 || d.Open() != 0 {
-					t.Errorf("%+v, %v; %d attempts left, %d open", a, err, left.Load(), d.Open())
+				if err != nil || a.Verdict != lifecycle.ClientDisconnected || left.Load() != 0 || d.OpenRequests() != 0 {
+					t.Errorf("%+v, %v; %d attempts left, %d open", a, err, left.Load(), d.OpenRequests())
 				}
 			})
 		})
@@ -157,12 +157,12 @@
 			d := start(t, func(ev decision.Event) []decision.Action {
 				switch ev := ev.(type) {
 				case decision.Request:
-					return []decision.Action{decision.Send{Request: ev.ID, Backend: 1},
+					return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 1},
 						decision.SetTimer{After: 300 * time.Millisecond, Token: 1, Request: ev.ID}}
 				case decision.Timer:
-					as := []decision.Action{decision.Refuse{Request: 1, RetryAfter: time.Second}}
+					as := []decision.Action{decision.Reject{Request: 1, RetryAfter: time.Second}}
 					if canCancel {
-						as = append(as, decision.Cancel{Request: 1})
+						as = append(as, decision.CancelAttempt{Request: 1})
 					}
 					return as
 				}
@@ -170,11 +170,11 @@
 			}, carrier{carry: hang}, canCancel)
 			begun := time.Now()
 			a, err := d.Serve(t.Context(), request(1), last, nil)
-			if took := time.Since(begun); err != nil || a.Verdict != core.Refused || a.RetryAfter != time.Second || took != 300*time.Millisecond {
+			if took := time.Since(begun); err != nil || a.Verdict != lifecycle.Rejected || a.RetryAfter != time.Second || took != 300*time.Millisecond {
 				t.Errorf("cancel %v: %+v, %v after %v", canCancel, a, err, took)
 			}
 			time.Sleep(time.Second)
-			if d.Open() != 0 {
+			if d.OpenRequests() != 0 {
 				t.Errorf("cancel %v: an attempt outlives its time", canCancel)
 			}
 		})
@@ -186,7 +186,7 @@
 		d := start(t, func(decision.Event) []decision.Action { return nil }, carrier{carry: hang}, true)
 		begun := time.Now()
 		a, err := d.Serve(t.Context(), request(1), last, nil)
-		if took := time.Since(begun); err != nil || a.Verdict != core.Late || took != last {
+		if took := time.Since(begun); err != nil || a.Verdict != lifecycle.DeadlineExceeded || took != last {
 			t.Errorf("%+v, %v after %v", a, err, took)
 		}
 	})
@@ -196,8 +196,8 @@
 func TestLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := start(t, func(ev decision.Event) []decision.Action {
-			if _, ok := ev.(decision.ClientGone); ok {
-				return []decision.Action{decision.Cancel{Request: 1}}
+			if _, ok := ev.(decision.ClientDisconnected); ok {
+				return []decision.Action{decision.CancelAttempt{Request: 1}}
 			}
 			return sendOnce(ev)
 		}, carrier{carry: hang}, true)
@@ -205,8 +205,8 @@
 		defer leave()
 		begun := time.Now()
 		a, err := d.Serve(ctx, request(1), last, nil)
-		if took := time.Since(begun); err != nil || a.Verdict != core.Left || took != 100*time.Millisecond || d.Open() != 0 {
-			t.Errorf("%+v, %v after %v, %d open", a, err, took, d.Open())
+		if took := time.Since(begun); err != nil || a.Verdict != lifecycle.ClientDisconnected || took != 100*time.Millisecond || d.OpenRequests() != 0 {
+			t.Errorf("%+v, %v after %v, %d open", a, err, took, d.OpenRequests())
 		}
 	})
 }
@@ -220,14 +220,14 @@
 		switch ev := ev.(type) {
 		case decision.Request:
 			leave() // the decision is made, and nothing carried out yet
-			return []decision.Action{decision.Send{Request: 1, Backend: 1}, decision.Cancel{Request: 1}}
+			return []decision.Action{decision.StartAttempt{Request: 1, Backend: 1}, decision.CancelAttempt{Request: 1}}
 		case decision.Outcome:
 			outcome = ev
 		}
 		return nil
-	}, carrier{carry: func(*Attempt) Reply { sent++; return result(decision.Answered) }}, true)
+	}, carrier{carry: func(*Attempt) Response { sent++; return result(decision.Succeeded) }}, true)
 	a, err := d.Serve(ctx, request(1), last, nil)
-	if err != nil || a.Verdict != core.Left || sent != 0 || outcome.Result != decision.NotSent {
+	if err != nil || a.Verdict != lifecycle.ClientDisconnected || sent != 0 || outcome.Result != decision.NotSent {
 		t.Errorf("%+v, %v; %d sent, the outcome %+v", a, err, sent, outcome)
 	}
 }
@@ -238,28 +238,28 @@
 		d := start(t, func(ev decision.Event) []decision.Action {
 			switch ev := ev.(type) {
 			case decision.Request:
-				return []decision.Action{decision.Send{Request: 1, Backend: 1}, decision.Send{Request: 1, Backend: 2}}
+				return []decision.Action{decision.StartAttempt{Request: 1, Backend: 1}, decision.StartAttempt{Request: 1, Backend: 2}}
 			case decision.Outcome:
-				if ev.Result == decision.Answered {
-					return []decision.Action{decision.Cancel{Request: 1, Attempt: 1 - ev.Attempt}}
+				if ev.Result == decision.Succeeded {
+					return []decision.Action{decision.CancelAttempt{Request: 1, Attempt: 1 - ev.Attempt}}
 				}
 			}
 			return nil
-		}, carrier{carry: func(a *Attempt) Reply {
+		}, carrier{carry: func(a *Attempt) Response {
 			if a.Backend == 1 {
 				return hang(a)
 			}
 			time.Sleep(50 * time.Millisecond)
-			r := result(decision.Answered)
+			r := result(decision.Succeeded)
 			r.Body = "two"
 			return r
 		}}, true)
 		a, err := d.Serve(t.Context(), request(1), last, nil)
-		if err != nil || a.Verdict != core.Served || a.Reply.Body != "two" || a.Attempts != 2 {
+		if err != nil || a.Verdict != lifecycle.Served || a.Response.Body != "two" || a.Attempts != 2 {
 			t.Errorf("%+v, %v", a, err)
 		}
 		synctest.Wait()
-		if d.Open() != 0 {
+		if d.OpenRequests() != 0 {
 			t.Error("an attempt is left")
 		}
 	})
@@ -268,8 +268,8 @@
 func TestDrainAndStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := start(t, func(ev decision.Event) []decision.Action {
-			if _, ok := ev.(decision.ClientGone); ok {
-				return []decision.Action{decision.Cancel{Request: 1}}
+			if _, ok := ev.(decision.ClientDisconnected); ok {
+				return []decision.Action{decision.CancelAttempt{Request: 1}}
 			}
 			return sendOnce(ev)
 		}, carrier{carry: hang}, true)
@@ -277,7 +277,7 @@
 			t.Errorf("%d owed of none", owed)
 		}
 		d = start(t, sendOnce, carrier{carry: hang}, true)
-		got := make(chan Answer, 1)
+		got := make(chan Result, 1)
 		go func() {
 			a, _ := d.Serve(t.Context(), request(1), last, nil)
 			got <- a
@@ -288,15 +288,15 @@
 		if owed := d.Drain(ctx); owed != 1 {
 			t.Errorf("%d owed, want the one that hangs", owed)
 		}
-		if _, err := d.Serve(t.Context(), request(2), last, nil); !errors.Is(err, core.ErrClosed) {
+		if _, err := d.Serve(t.Context(), request(2), last, nil); !errors.Is(err, lifecycle.ErrClosed) {
 			t.Errorf("while draining: %v", err)
 		}
 		d.Stop()
-		if a := <-got; a.Verdict != core.Aborted {
+		if a := <-got; a.Verdict != lifecycle.Aborted {
 			t.Errorf("%+v", a)
 		}
 		synctest.Wait()
-		if d.Open() != 0 {
+		if d.OpenRequests() != 0 {
 			t.Error("something is left")
 		}
 	})
@@ -308,9 +308,9 @@
 		refused := 0
 		d := start(t, func(ev decision.Event) []decision.Action {
 			switch ev := ev.(type) {
-			case decision.BackendList:
+			case decision.EndpointUpdate:
 				var as []decision.Action
-				for range 2 * mostProbes {
+				for range 2 * maxProbes {
 					as = append(as, decision.Probe{Backend: 1})
 				}
 				return as
@@ -327,9 +327,9 @@
 			out.Add(-1)
 			return decision.ProbeResult{Backend: 1}
 		}}, true)
-		d.List(decision.BackendList{})
+		d.UpdateEndpoints(decision.EndpointUpdate{})
 		time.Sleep(2 * time.Second)
-		if most.Load() > mostProbes || ended.Load() != 2*mostProbes || refused != mostProbes {
+		if most.Load() > maxProbes || ended.Load() != 2*maxProbes || refused != maxProbes {
 			t.Errorf("%d probes at once, %d ended, %d not sent", most.Load(), ended.Load(), refused)
 		}
 	})
@@ -338,37 +338,37 @@
 // Many callers at once, with everything that can happen to a request: each gets one answer, and all is given back.
 func TestManyCallers(t *testing.T) {
 	clock := NewClock()
-	set := decision.Settings{FrontDoors: 1, MaxAttempts: 3, CanCancel: true, Plans: []decision.Plan{{Name: "p"}},
-		Classes: []decision.Class{{Name: "c", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}
+	set := decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: true, Plans: []decision.Plan{{Name: "p"}},
+		Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 	g, err := decision.New(set, 1, clock.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var n atomic.Int64
-	d := New(clock, core.New(g, set.Classes, core.Limits{}, clock.Now()), carrier{carry: func(a *Attempt) Reply {
-		if a.Load == true { // its caller leaves
+	d := New(clock, lifecycle.New(g, set.Classes, lifecycle.Limits{}, clock.Now()), carrier{carry: func(a *Attempt) Response {
+		if a.Payload == true { // its caller leaves
 			return hang(a)
 		}
 		switch n.Add(1) % 7 {
 		case 0:
-			return result(decision.Refused)
+			return result(decision.Rejected)
 		case 1:
-			return result(decision.Broken)
+			return result(decision.ConnectionLost)
 		case 2:
 			return hang(a)
 		case 3:
 			time.Sleep(time.Millisecond)
 		}
-		return result(decision.Answered)
+		return result(decision.Succeeded)
 	}}, true)
 	defer d.Stop()
-	list := decision.BackendList{Kind: decision.ListFull}
+	list := decision.EndpointUpdate{Kind: decision.UpdateFull}
 	for i := range 5 {
-		list.Backends = append(list.Backends, decision.BackendInfo{ID: decision.BackendID(i + 1)})
+		list.Endpoints = append(list.Endpoints, decision.Endpoint{ID: decision.BackendID(i + 1)})
 	}
-	d.List(list)
+	d.UpdateEndpoints(list)
 	var callers sync.WaitGroup
-	verdicts := make([]atomic.Int64, core.Aborted+1)
+	verdicts := make([]atomic.Int64, lifecycle.Aborted+1)
 	for c := range 16 {
 		callers.Go(func() {
 			for i := range 50 {
@@ -378,7 +378,7 @@
 					time.AfterFunc(time.Millisecond, cancel)
 				}
 				req := decision.Request{ID: decision.RequestID(c*1000 + i), Customer: decision.CustomerID(c), Class: "c", Plan: "p",
-					Units: 1, Patience: 60 * time.Millisecond, Spread: 1}
+					Cost: 1, Timeout: 60 * time.Millisecond, GatewaySpread: 1}
 				a, err := d.Serve(ctx, req, 80*time.Millisecond, leaves)
 				if err != nil {
 					t.Error(err)
@@ -389,27 +389,27 @@
 		})
 	}
 	callers.Wait()
-	if owed := d.Drain(t.Context()); owed != 0 || d.Open() != 0 {
-		t.Errorf("%d owed, %d open", owed, d.Open())
+	if owed := d.Drain(t.Context()); owed != 0 || d.OpenRequests() != 0 {
+		t.Errorf("%d owed, %d open", owed, d.OpenRequests())
 	}
-	if verdicts[core.Served].Load() == 0 || verdicts[core.Left].Load() == 0 {
-		t.Errorf("verdicts %v", fmt.Sprint(verdicts[core.Served].Load(), verdicts[core.Left].Load()))
+	if verdicts[lifecycle.Served].Load() == 0 || verdicts[lifecycle.ClientDisconnected].Load() == 0 {
+		t.Errorf("verdicts %v", fmt.Sprint(verdicts[lifecycle.Served].Load(), verdicts[lifecycle.ClientDisconnected].Load()))
 	}
 }
 
 func TestClock(t *testing.T) {
 	c := NewClock()
 	now := time.Now()
-	if got := c.Unix(now.Add(-time.Hour)); got < c.Now()-time.Hour-time.Second || got > c.Now()-time.Hour+time.Second {
+	if got := c.FromWallTime(now.Add(-time.Hour)); got < c.Now()-time.Hour-time.Second || got > c.Now()-time.Hour+time.Second {
 		t.Errorf("an hour ago is %v, and now is %v", got, c.Now())
 	}
-	if got := c.Unix(time.Time{}); got != 0 {
+	if got := c.FromWallTime(time.Time{}); got != 0 {
 		t.Errorf("long ago is %v", got)
 	}
-	if got := c.Unix(now.Add(-48 * time.Hour)); got != 0 {
+	if got := c.FromWallTime(now.Add(-48 * time.Hour)); got != 0 {
 		t.Errorf("before the origin is %v", got)
 	}
-	if at := c.At(c.Now()); at.Sub(time.Now()).Abs() > time.Second {
+	if at := c.ToWallTime(c.Now()); at.Sub(time.Now()).Abs() > time.Second {
 		t.Errorf("now is %v", at)
 	}
 }
--- a/internal/drive/mux_test.go
+++ b/internal/executor/mux_test.go
@@ -1,4 +1,4 @@
-package drive
+package executor
 
 import (
 	"fmt"
@@ -16,9 +16,9 @@
 	told *[]string
 }
 
-func (s spoken) Carry(*Attempt) Reply {
+func (s spoken) RoundTrip(*Attempt) Response {
 	*s.told = append(*s.told, s.name+" carries")
-	return result(decision.Answered)
+	return result(decision.Succeeded)
 }
 
 func (s spoken) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
@@ -42,7 +42,7 @@
 // gone from the first.
 func TestMux(t *testing.T) {
 	var told []string
-	m := NewMux(map[string]Backends{"a": spoken{"a", &told}, "b": spoken{"b", &told}})
+	m := NewTransportMux(map[string]BackendTransport{"a": spoken{"a", &told}, "b": spoken{"b", &told}})
 	step := func(want string, do func()) {
 		t.Helper()
 		told = nil
@@ -53,16 +53,16 @@
 	}
 	change := func(id decision.BackendID, protocol string, state decision.BackendState) func() {
 		return func() {
-			m.Apply([]membership.Change{{BackendInfo: decision.BackendInfo{ID: id, Protocol: protocol, State: state}}})
+			m.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: id, Protocol: protocol, State: state}}})
 		}
 	}
 	step("a: 1 is in state 0", change(1, "a", decision.Ready))
 	step("b: 2 is in state 0", change(2, "b", decision.Ready))
 	step("b probes 2", func() { m.Probe(2, time.Second) })
-	step("a carries", func() { m.Carry(NewAttempt(1, time.Now(), loadOf("a"))) })
-	step("b carries", func() { m.Carry(NewAttempt(2, time.Now(), loadOf("b"))) })
+	step("a carries", func() { m.RoundTrip(NewAttempt(1, time.Now(), loadOf("a"))) })
+	step("b carries", func() { m.RoundTrip(NewAttempt(2, time.Now(), loadOf("b"))) })
 	step("", func() {
-		if r := m.Carry(NewAttempt(2, time.Now(), loadOf("c"))); r.Result != decision.NotSent {
+		if r := m.RoundTrip(NewAttempt(2, time.Now(), loadOf("c"))); r.Result != decision.NotSent {
 			t.Errorf("an attempt over a protocol that nobody speaks: %v", r.Result)
 		}
 		if p := m.Probe(3, time.Second); p.Result != decision.NotSent {
@@ -75,10 +75,10 @@
 	if got := strings.Join(told, "; "); got != "a: 1 is in state 2; b: 1 is in state 0" && got != "b: 1 is in state 0; a: 1 is in state 2" {
 		t.Errorf("a backend that goes over to another protocol: %q", got)
 	}
-	change(1, "b", decision.Gone)()
-	change(2, "b", decision.Gone)()
-	change(3, "c", decision.Gone)()
-	if len(m.speaks) != 0 {
-		t.Errorf("%v is kept of backends that are gone", m.speaks)
+	change(1, "b", decision.Removed)()
+	change(2, "b", decision.Removed)()
+	change(3, "c", decision.Removed)()
+	if len(m.protocols) != 0 {
+		t.Errorf("%v is kept of backends that are gone", m.protocols)
 	}
 }
--- a/internal/standin/backend.go
+++ b/internal/fakes/backend.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
@@ -122,12 +122,12 @@
 
 // Endpoint is its entry in discovery's list.
 func (b *Backend) Endpoint() platform.Endpoint {
-	e := platform.Endpoint{Host: b.config.Name, Dial: b.addr, Site: b.config.Zone, Class: b.config.Kind, Health: "Ready", Share: 1}
+	e := platform.Endpoint{Name: b.config.Name, Addr: b.addr, Zone: b.config.Zone, InstanceType: b.config.Kind, Health: "Ready", Weight: 1}
 	if b.config.Cell != nil {
-		e.Block = b.config.Cell.Number
+		e.Cell = b.config.Cell.Number
 	}
 	if !b.born.IsZero() {
-		e.BornMS = b.born.UnixMilli()
+		e.StartedAtMS = b.born.UnixMilli()
 	}
 	return e
 }
--- a/internal/standin/discovery.go
+++ b/internal/fakes/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -51,7 +51,7 @@
 	defer d.mu.Unlock()
 	d.seq++
 	for _, e := range es {
-		d.hosts[e.Host] = entry{e, d.seq}
+		d.hosts[e.Name] = entry{e, d.seq}
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -76,22 +76,22 @@
 }
 
 // List is the whole list, as a front door would be told it.
-func (d *Discovery) List() platform.EndpointList {
+func (d *Discovery) List() platform.EndpointUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(-1)
 }
 
 // since gives what changed after a version; -1: all that is not gone.
-func (d *Discovery) since(from int64) platform.EndpointList {
-	l := platform.EndpointList{Seq: d.seq, Whole: from < 0, Hosts: []platform.Endpoint{}}
+func (d *Discovery) since(from int64) platform.EndpointUpdate {
+	l := platform.EndpointUpdate{Seq: d.seq, Full: from < 0, Endpoints: []platform.Endpoint{}}
 	for _, e := range d.hosts {
 		if e.seq > from && (from >= 0 || e.Health != "Gone") {
-			l.Hosts = append(l.Hosts, e.Endpoint)
+			l.Endpoints = append(l.Endpoints, e.Endpoint)
 		}
 	}
-	slices.SortFunc(l.Hosts, func(a, b platform.Endpoint) int {
-		if a.Host < b.Host {
+	slices.SortFunc(l.Endpoints, func(a, b platform.Endpoint) int {
+		if a.Name < b.Name {
 			return -1
 		}
 		return 1
@@ -119,7 +119,7 @@
 		down, changed := d.down, d.changed
 		l := d.since(from)
 		d.mu.Unlock()
-		if !down && (first || len(l.Hosts) > 0) {
+		if !down && (first || len(l.Endpoints) > 0) {
 			if json.NewEncoder(w).Encode(l) != nil || control.Flush() != nil {
 				return
 			}
--- a/internal/standin/ledger.go
+++ b/internal/fakes/ledger.go
@@ -1,8 +1,8 @@
-// Package standin holds stand-ins for what a front door meets: backends with work, queues, drains, cold starts and
+// Package fakes holds stand-ins for what a front door meets: backends with work, queues, drains, cold starts and
 // memories of keys; discovery with its watch; the counter; and the requests of clients. They are written from the
 // platform's pages, listen on loopback only, and count what reached them, so that tests and the demo can tell what
 // a front door really did. ledger.go is where they count.
-package standin
+package fakes
 
 import (
 	"maps"
--- a/internal/standin/standin_test.go
+++ b/internal/fakes/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -156,9 +156,9 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	d.Set(platform.Endpoint{Host: "a", Dial: "x:1", Health: "Ready"}, platform.Endpoint{Host: "b", Dial: "x:2", Health: "Ready"})
+	d.Set(platform.Endpoint{Name: "a", Addr: "x:1", Health: "Ready"}, platform.Endpoint{Name: "b", Addr: "x:2", Health: "Ready"})
 	list := d.List()
-	if !list.Whole || len(list.Hosts) != 2 || list.Hosts[0].Host != "a" {
+	if !list.Full || len(list.Endpoints) != 2 || list.Endpoints[0].Name != "a" {
 		t.Fatalf("%+v", list)
 	}
 	res, err := http.Get(fmt.Sprintf("http://%s/v1/endpoints?watch=1&from=%d", d.Addr(), list.Seq))
@@ -167,7 +167,7 @@
 	}
 	defer res.Body.Close()
 	lines := bufio.NewReader(res.Body)
-	next := func() platform.EndpointList {
+	next := func() platform.EndpointUpdate {
 		t.Helper()
 		for {
 			line, err := lines.ReadString('\n')
@@ -175,7 +175,7 @@
 				t.Fatal(err)
 			}
 			if strings.TrimSpace(line) != "" {
-				var l platform.EndpointList
+				var l platform.EndpointUpdate
 				if err := json.Unmarshal([]byte(line), &l); err != nil {
 					t.Fatal(err)
 				}
@@ -183,20 +183,20 @@
 			}
 		}
 	}
-	if l := next(); l.Whole || len(l.Hosts) != 0 || l.Seq != list.Seq {
+	if l := next(); l.Full || len(l.Endpoints) != 0 || l.Seq != list.Seq {
 		t.Errorf("nothing has changed: %+v", l)
 	}
 	d.SetHealth("b", "Terminating")
-	if l := next(); len(l.Hosts) != 1 || l.Hosts[0].Host != "b" || l.Hosts[0].Health != "Terminating" || l.Seq <= list.Seq {
+	if l := next(); len(l.Endpoints) != 1 || l.Endpoints[0].Name != "b" || l.Endpoints[0].Health != "Terminating" || l.Seq <= list.Seq {
 		t.Errorf("%+v", l)
 	}
 	d.SetDown(true)
 	d.SetHealth("a", "Gone")
 	d.SetDown(false)
-	if l := next(); len(l.Hosts) != 1 || l.Hosts[0].Health != "Gone" {
+	if l := next(); len(l.Endpoints) != 1 || l.Endpoints[0].Health != "Gone" {
 		t.Errorf("%+v", l)
 	}
-	if l := d.List(); len(l.Hosts) != 1 {
+	if l := d.List(); len(l.Endpoints) != 1 {
 		t.Errorf("what is gone is listed: %+v", l)
 	}
 	if res, err := http.Get("http://" + d.Addr() + "/v1/endpoints?watch=1&from=x"); err != nil || res.StatusCode != 400 {
--- a/internal/grpcwire/call.go
+++ b/internal/grpcproto/call.go
@@ -1,8 +1,8 @@
-// Package grpcwire is gRPC over HTTP/2 as far as a front door must know it, after the protocol's own description
+// Package grpcproto is gRPC over HTTP/2 as far as a front door must know it, after the protocol's own description
 // (grpc/grpc doc/PROTOCOL-HTTP2.md, gRFC A6) and RFC 9113: time-outs, the framing of messages, and what the end of an
 // attempt proves: that it never ran, that it may have, or that it did. It is pure: what was seen on a stream goes in,
 // the outcome comes out; frames are the driver's.
-package grpcwire
+package grpcproto
 
 import (
 	"fmt"
@@ -118,12 +118,12 @@
 }
 
 // NoConnection tells that none came up.
-func (c *Call) NoConnection() { c.end(decision.NoConnection, NeverRan, "no connection") }
+func (c *Call) NoConnection() { c.end(decision.ConnectFailed, NeverRan, "no connection") }
 
 // Lost tells that the connection broke.
 func (c *Call) Lost() {
 	if !c.unsent("the connection broke") {
-		c.end(decision.Broken, MayHaveRun, "the connection broke")
+		c.end(decision.ConnectionLost, MayHaveRun, "the connection broke")
 	}
 }
 
@@ -149,7 +149,7 @@
 // 9113, 6.8). One whose last stream is not below changes nothing: the answer may still come.
 func (c *Call) GoAway(last, own uint32) {
 	if own > last && !c.headed {
-		c.end(decision.Refused, NeverRan, "GOAWAY with last stream %d, this is %d", last, own)
+		c.end(decision.Rejected, NeverRan, "GOAWAY with last stream %d, this is %d", last, own)
 	}
 }
 
@@ -157,12 +157,12 @@
 func (c *Call) Reset(code uint32) {
 	switch {
 	case code == refusedStream && !c.headed: // RFC 9113, 8.7
-		c.end(decision.Refused, NeverRan, "REFUSED_STREAM")
+		c.end(decision.Rejected, NeverRan, "REFUSED_STREAM")
 	case c.unsent("RST_STREAM"):
 	case c.messages.Whole > 0:
-		c.end(decision.Broken, Ran, "RST_STREAM (%d) after a message and before the status", code)
+		c.end(decision.ConnectionLost, Ran, "RST_STREAM (%d) after a message and before the status", code)
 	default:
-		c.end(decision.Broken, MayHaveRun, "RST_STREAM (%d)", code)
+		c.end(decision.ConnectionLost, MayHaveRun, "RST_STREAM (%d)", code)
 	}
 }
 
@@ -175,7 +175,7 @@
 	c.headed = true
 	switch {
 	case status != "200": // a proxy in between, or no gRPC server: see the protocol's http-grpc-status-mapping
-		c.end(decision.AnsweredErr, MayHaveRun, "HTTP status %.10q", status)
+		c.end(decision.ErrorResponse, MayHaveRun, "HTTP status %.10q", status)
 	case !IsContentType(contentType):
 		c.end(decision.Unknown, MayHaveRun, "content type %.40q", contentType)
 	}
@@ -222,13 +222,13 @@
 		c.end(decision.Unknown, Ran, "a good status without a message")
 	case code == OK, isAnswer(code):
 		c.outcome.Code = code
-		c.end(decision.Answered, Ran, "status %d", code)
+		c.end(decision.Succeeded, Ran, "status %d", code)
 	case (code == Unavailable || code == ResourceExhausted) && alone && pushedBack(t.Pushback):
 		// gRFC A6: the backend itself asks for the same again after a while, which is harmless only if it did not run.
-		c.end(decision.Refused, NeverRan, "status %d with a pushback of %s ms", code, t.Pushback)
+		c.end(decision.Rejected, NeverRan, "status %d with a pushback of %s ms", code, t.Pushback)
 	default:
 		c.outcome.Code = code
-		c.end(decision.AnsweredErr, MayHaveRun, "status %d", code)
+		c.end(decision.ErrorResponse, MayHaveRun, "status %d", code)
 	}
 }
 
--- a/internal/grpcwire/call_test.go
+++ b/internal/grpcproto/call_test.go
@@ -1,4 +1,4 @@
-package grpcwire
+package grpcproto
 
 import (
 	"encoding/binary"
@@ -77,53 +77,53 @@
 		result decision.Result
 		proof  Proof
 	}{
-		"connecting noconn": {decision.NoConnection, NeverRan},
+		"connecting noconn": {decision.ConnectFailed, NeverRan},
 		"connecting off":    {decision.NotSent, NeverRan},
 		"connecting timeup": {decision.NotSent, NeverRan},
 		"opened lost":       {decision.NotSent, NeverRan}, // before the last DATA frame
 		"opened rst=cancel": {decision.NotSent, NeverRan},
 		"opened off":        {decision.NotSent, NeverRan},
 		"opened timeup":     {decision.NotSent, NeverRan}, // the window was exhausted
-		"opened sent lost":  {decision.Broken, MayHaveRun},
+		"opened sent lost":  {decision.ConnectionLost, MayHaveRun},
 
-		"rst=refused":                 {decision.Refused, NeverRan},
-		"head rst=refused":            {decision.Broken, MayHaveRun}, // it has begun to answer: no proof
-		"rst=no":                      {decision.Broken, MayHaveRun},
-		"rst=internal":                {decision.Broken, MayHaveRun},
-		"rst=cancel":                  {decision.Broken, MayHaveRun},
-		"rst=calm":                    {decision.Broken, MayHaveRun},
-		"goaway=below":                {decision.Refused, NeverRan},
-		"goaway=below lost":           {decision.Refused, NeverRan},
-		"goaway=at lost":              {decision.Broken, MayHaveRun},
-		"goaway=above head msg end=0": {decision.Answered, Ran},
-		"head goaway=below lost":      {decision.Broken, MayHaveRun}, // it contradicts itself
+		"rst=refused":                 {decision.Rejected, NeverRan},
+		"head rst=refused":            {decision.ConnectionLost, MayHaveRun}, // it has begun to answer: no proof
+		"rst=no":                      {decision.ConnectionLost, MayHaveRun},
+		"rst=internal":                {decision.ConnectionLost, MayHaveRun},
+		"rst=cancel":                  {decision.ConnectionLost, MayHaveRun},
+		"rst=calm":                    {decision.ConnectionLost, MayHaveRun},
+		"goaway=below":                {decision.Rejected, NeverRan},
+		"goaway=below lost":           {decision.Rejected, NeverRan},
+		"goaway=at lost":              {decision.ConnectionLost, MayHaveRun},
+		"goaway=above head msg end=0": {decision.Succeeded, Ran},
+		"head goaway=below lost":      {decision.ConnectionLost, MayHaveRun}, // it contradicts itself
 
-		"lost":                   {decision.Broken, MayHaveRun},
-		"head lost":              {decision.Broken, MayHaveRun},
+		"lost":                   {decision.ConnectionLost, MayHaveRun},
+		"head lost":              {decision.ConnectionLost, MayHaveRun},
 		"timeup":                 {decision.TimedOut, MayHaveRun},
 		"head timeup":            {decision.TimedOut, MayHaveRun}, // and then silence
 		"off":                    {decision.Cancelled, MayHaveRun},
-		"head msg rst=cancel":    {decision.Broken, Ran}, // after the message, before the status
-		"head msg lost":          {decision.Broken, MayHaveRun},
-		"head half rst=internal": {decision.Broken, MayHaveRun},
+		"head msg rst=cancel":    {decision.ConnectionLost, Ran}, // after the message, before the status
+		"head msg lost":          {decision.ConnectionLost, MayHaveRun},
+		"head half rst=internal": {decision.ConnectionLost, MayHaveRun},
 
-		"head msg end=0":        {decision.Answered, Ran},
-		"head end=5":            {decision.Answered, Ran},
-		"end=5":                 {decision.Answered, Ran}, // trailers only
-		"end=3":                 {decision.Answered, Ran},
-		"end=12":                {decision.Answered, Ran},
-		"end=13":                {decision.AnsweredErr, MayHaveRun},
-		"end=14":                {decision.AnsweredErr, MayHaveRun},
-		"end=14/500":            {decision.Refused, NeverRan},
-		"head end=14/0":         {decision.Refused, NeverRan},
-		"end=8/20":              {decision.Refused, NeverRan},
-		"end=14/-1":             {decision.AnsweredErr, MayHaveRun},
-		"end=14/soon":           {decision.AnsweredErr, MayHaveRun},
-		"end=13/500":            {decision.AnsweredErr, MayHaveRun},
-		"head msg end=14/500":   {decision.AnsweredErr, MayHaveRun}, // it has answered: no proof
-		"head half end=14/500":  {decision.AnsweredErr, MayHaveRun},
-		"end=4":                 {decision.AnsweredErr, MayHaveRun},
-		"end=99":                {decision.AnsweredErr, MayHaveRun},
+		"head msg end=0":        {decision.Succeeded, Ran},
+		"head end=5":            {decision.Succeeded, Ran},
+		"end=5":                 {decision.Succeeded, Ran}, // trailers only
+		"end=3":                 {decision.Succeeded, Ran},
+		"end=12":                {decision.Succeeded, Ran},
+		"end=13":                {decision.ErrorResponse, MayHaveRun},
+		"end=14":                {decision.ErrorResponse, MayHaveRun},
+		"end=14/500":            {decision.Rejected, NeverRan},
+		"head end=14/0":         {decision.Rejected, NeverRan},
+		"end=8/20":              {decision.Rejected, NeverRan},
+		"end=14/-1":             {decision.ErrorResponse, MayHaveRun},
+		"end=14/soon":           {decision.ErrorResponse, MayHaveRun},
+		"end=13/500":            {decision.ErrorResponse, MayHaveRun},
+		"head msg end=14/500":   {decision.ErrorResponse, MayHaveRun}, // it has answered: no proof
+		"head half end=14/500":  {decision.ErrorResponse, MayHaveRun},
+		"end=4":                 {decision.ErrorResponse, MayHaveRun},
+		"end=99":                {decision.ErrorResponse, MayHaveRun},
 		"end=":                  {decision.Unknown, MayHaveRun},
 		"end=x":                 {decision.Unknown, MayHaveRun},
 		"end=-1":                {decision.Unknown, MayHaveRun},
@@ -135,21 +135,21 @@
 		"head long end=0":       {decision.Unknown, Ran},
 		"head flag end=0":       {decision.Unknown, Ran},
 		"head packed end=0":     {decision.Unknown, Ran}, // no encoding was offered
-		"head=502 lost":         {decision.AnsweredErr, MayHaveRun},
+		"head=502 lost":         {decision.ErrorResponse, MayHaveRun},
 		"head=html msg":         {decision.Unknown, MayHaveRun},
 		"msg":                   {decision.Unknown, MayHaveRun}, // data before a head
 		"head head":             {decision.Unknown, MayHaveRun},
-		"head msg end=0 lost":   {decision.Answered, Ran}, // what comes after the end changes nothing
-		"rst=refused end=0":     {decision.Refused, NeverRan},
-		"end=14/500 rst=cancel": {decision.Refused, NeverRan},
+		"head msg end=0 lost":   {decision.Succeeded, Ran}, // what comes after the end changes nothing
+		"rst=refused end=0":     {decision.Rejected, NeverRan},
+		"end=14/500 rst=cancel": {decision.Rejected, NeverRan},
 	} {
 		c := &Call{Limit: 100}
 		if got := play(c, words); got.Result != want.result || got.Proof != want.proof || got.Why == "" {
 			t.Errorf("%s: %v, %v (%s); want %v, %v", words, got.Result, got.Proof, got.Why, want.result, want.proof)
 		}
 	}
-	for words, want := range map[string]decision.Result{"head end=0": decision.Answered, "head msg msg msg end=0": decision.Answered,
-		"head msg half end=0": decision.Unknown, "head msg end=13": decision.AnsweredErr, "head msg long": decision.Unknown} {
+	for words, want := range map[string]decision.Result{"head end=0": decision.Succeeded, "head msg msg msg end=0": decision.Succeeded,
+		"head msg half end=0": decision.Unknown, "head msg end=13": decision.ErrorResponse, "head msg long": decision.Unknown} {
 		if got := play(&Call{Streaming: true, Limit: 100}, words); got.Result != want {
 			t.Errorf("streaming, %s: %v (%s), want %v", words, got.Result, got.Why, want)
 		}
--- a/internal/grpcwire/frame.go
+++ b/internal/grpcproto/frame.go
@@ -1,4 +1,4 @@
-package grpcwire
+package grpcproto
 
 import (
 	"encoding/binary"
--- a/internal/grpcback/backends.go
+++ b/internal/grpctransport/backends.go
@@ -1,9 +1,9 @@
-// Package grpcback makes attempts at backends over gRPC: each once and never again by itself, over a bounded number of
+// Package grpctransport makes attempts at backends over gRPC: each once and never again by itself, over a bounded number of
 // HTTP/2 connections and streams, with an outcome that claims no more than what was seen proves (internal/grpcwire has
 // the table). It is written on HTTP/2's frames, as what ends a stream must be told apart: gRPC's own client and
 // net/http's send a request again by themselves when a stream was refused, and tell neither. It decides nothing.
 // backends.go keeps who the backends are and picks connections, conn.go is one connection.
-package grpcback
+package grpctransport
 
 import (
 	"context"
@@ -16,11 +16,11 @@
 	"golang.org/x/time/rate"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/core"
-	"pumicecroft/internal/drive"
-	"pumicecroft/internal/grpcwire"
-	"pumicecroft/internal/readings"
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/grpcproto"
+	"pumicecroft/internal/lifecycle"
+	"pumicecroft/internal/loadreport"
 	"pumicecroft/membership"
 )
 
@@ -58,23 +58,23 @@
 // Protocol is what it goes over.
 func (r *Request) Protocol() string { return membership.ProtocolGRPC }
 
-// Parts tell a unary call apart from others of its key; nil of a streaming one. Metadata is not among them: a client's next try has others.
-func (r *Request) Parts() [][]byte {
+// DigestParts tell a unary call apart from others of its key; nil of a streaming one. Metadata is not among them: a client's next try has others.
+func (r *Request) DigestParts() [][]byte {
 	if r.Sink != nil {
 		return nil
 	}
 	return [][]byte{[]byte(r.Method), r.Body}
 }
 
-// Keep makes what can be kept of a backend's answer.
-func (r *Request) Keep(reply any) (keys.Answer, error) {
+// EncodeResponse makes what can be kept of a backend's answer.
+func (r *Request) EncodeResponse(reply any) (idempotency.Response, error) {
 	a := reply.(*Answer)
 	body, err := encodeStored(a)
-	return keys.Answer{Status: int(a.Code), ContentType: "application/grpc", Body: body}, err
+	return idempotency.Response{Status: int(a.Code), ContentType: "application/grpc", Body: body}, err
 }
 
-// Again makes the answer of what Keep made.
-func (r *Request) Again(a keys.Answer) (any, error) {
+// DecodeResponse makes the answer of what Keep made.
+func (r *Request) DecodeResponse(a idempotency.Response) (any, error) {
 	again, err := decodeStored(a.Body)
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 
 // Answer is a backend's answer.
 type Answer struct {
-	Code            grpcwire.Code
+	Code            grpcproto.Code
 	Message         string // grpc-message as it came
 	Header, Trailer []Field
 	Body            []byte // of a unary call: its message with its prefix
@@ -95,7 +95,7 @@
 // Backends makes attempts at the backends that it was told of. It is a drive.Carrier and safe for concurrent use.
 type Backends struct {
 	config   Config
-	readings readings.Reader
+	readings loadreport.Reader
 	faultLog rate.Sometimes
 
 	mu   sync.Mutex
@@ -103,7 +103,7 @@
 	ran  sync.WaitGroup // readers
 }
 
-var _ drive.Backends = (*Backends)(nil)
+var _ executor.BackendTransport = (*Backends)(nil)
 
 // backend is one that is known. Its fields are guarded by Backends.mu.
 type backend struct {
@@ -144,7 +144,7 @@
 	if c.Dial == nil {
 		c.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	return &Backends{config: c, readings: readings.New(c.LoadColumns), faultLog: rate.Sometimes{First: 10, Interval: time.Second}, byID: map[decision.BackendID]*backend{}}
+	return &Backends{config: c, readings: loadreport.New(c.LoadColumns), faultLog: rate.Sometimes{First: 10, Interval: time.Second}, byID: map[decision.BackendID]*backend{}}
 }
 
 // Apply takes in what has changed about backends. It holds for every attempt that begins after it returns.
@@ -153,13 +153,13 @@
 	b.mu.Lock()
 	for _, c := range changes {
 		be := b.byID[c.ID]
-		if be != nil && (c.State == decision.Gone || c.Moved) {
+		if be != nil && (c.State == decision.Removed || c.Replaced) {
 			drop = append(drop, be.conns...)
 			be.gone, be.conns = true, nil
 			delete(b.byID, c.ID)
 			be = nil
 		}
-		if c.State == decision.Gone {
+		if c.State == decision.Removed {
 			continue
 		}
 		if be == nil {
@@ -195,39 +195,39 @@
 	return decision.ProbeResult{Backend: id, Result: decision.NotSent}
 }
 
-// Carry makes an attempt. One that is answered, with an error too, gives an *Answer.
-func (b *Backends) Carry(a *drive.Attempt) drive.Reply {
-	req := a.Load.(*Request)
+// RoundTrip makes an attempt. One that is answered, with an error too, gives an *Answer.
+func (b *Backends) RoundTrip(a *executor.Attempt) executor.Response {
+	req := a.Payload.(*Request)
 	s := &stream{done: make(chan struct{})}
 	if req.Sink != nil {
 		s.call.Streaming, s.news = true, make(chan struct{}, 1)
 	}
 	s.call.Limit = b.config.MaxMessage
-	ctx, cancel := context.WithDeadline(context.Background(), a.Due)
+	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	defer cancel()
-	if a.Wait(cancel) != nil {
+	if a.OnCancel(cancel) != nil {
 		return reply(decision.NotSent)
 	}
 	c, result := b.conn(ctx, a.Backend)
 	if c == nil {
 		return reply(result)
 	}
-	if a.TooLate() { // a connection may have taken long to come up, or this process stood still
+	if a.SendForbidden() { // a connection may have taken long to come up, or this process stood still
 		return reply(decision.NotSent)
 	}
-	if err := c.open(s, req.fields(time.Until(a.Due))); err != nil && s.conn == nil {
+	if err := c.open(s, req.fields(time.Until(a.Deadline))); err != nil && s.conn == nil {
 		return reply(decision.NotSent) // it has ended, or is leaving, since it was picked
 	}
 	end := context.AfterFunc(ctx, func() {
-		how := (*grpcwire.Call).TimedOut
-		if a.Off() == drive.ErrCalledOff {
-			how = (*grpcwire.Call).CalledOff
+		how := (*grpcproto.Call).TimedOut
+		if a.CancelCause() == executor.ErrCancelled {
+			how = (*grpcproto.Call).CalledOff
 		}
 		c.giveUp(s, how)
 	})
 	defer end()
 	c.send(s, req.Body)
-	cut := decision.Answered // how passing it on has ended
+	cut := decision.Succeeded // how passing it on has ended
 	if req.Sink != nil {
 		cut = s.pass(ctx, a, req.Sink)
 	}
@@ -235,20 +235,20 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o, _ := s.call.Ended()
-	if o.Result == decision.Answered {
+	if o.Result == decision.Succeeded {
 		o.Result = cut
 	}
 	r := reply(o.Result)
 	switch o.Result {
-	case decision.Answered, decision.AnsweredErr:
+	case decision.Succeeded, decision.ErrorResponse:
 		s.answer.Code, s.answer.Body = o.Code, s.body.first()
 		r.Body = &s.answer
 	}
 	if v, ok := b.readings.Use(s.answer.use); ok {
-		r.HasUse, r.Use = true, v
+		r.HasUsage, r.Usage = true, v
 	}
-	r.Load = b.readings.Load(s.answer.load)
-	if o.Result != decision.Answered {
+	r.LoadReport = b.readings.Load(s.answer.load)
+	if o.Result != decision.Succeeded {
 		b.faultLog.Do(func() {
 			b.config.Log.Debug("an attempt over gRPC", "method", req.Method, "why", o.Why, "proof", o.Proof)
 		})
@@ -256,12 +256,14 @@
 	return r
 }
 
-func reply(r decision.Result) drive.Reply { return drive.Reply{Outcome: core.Outcome{Result: r}} }
+func reply(r decision.Result) executor.Response {
+	return executor.Response{Outcome: lifecycle.Outcome{Result: r}}
+}
 
 // fields are a request's head.
 func (r *Request) fields(left time.Duration) []Field {
 	return append([]Field{{":method", "POST"}, {":scheme", "http"}, {":path", r.Method}, {":authority", "backend"}, {"te", "trailers"},
-		{"content-type", "application/grpc"}, {"grpc-timeout", grpcwire.FormatTimeout(left)}}, r.Metadata...)
+		{"content-type", "application/grpc"}, {"grpc-timeout", grpcproto.FormatTimeout(left)}}, r.Metadata...)
 }
 
 // conn gives a connection with a stream that is reserved, or the result of an attempt that gets none. While one is coming
@@ -280,7 +282,7 @@
 		select {
 		case <-d.done:
 			if d.failed {
-				return nil, decision.NoConnection
+				return nil, decision.ConnectFailed
 			}
 		case <-ctx.Done():
 			return nil, decision.NotSent
--- a/internal/grpcback/backends_test.go
+++ b/internal/grpctransport/backends_test.go
@@ -1,4 +1,4 @@
-package grpcback
+package grpctransport
 
 import (
 	"bytes"
@@ -16,9 +16,9 @@
 	"golang.org/x/net/http2/hpack"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/drive"
-	"pumicecroft/internal/grpcwire"
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/fakes"
+	"pumicecroft/internal/grpcproto"
 	"pumicecroft/internal/testkit"
 	"pumicecroft/membership"
 )
@@ -26,26 +26,26 @@
 // rig is a backend and what makes attempts at it.
 type rig struct {
 	t       *testing.T
-	backend *standin.GRPCBackend
-	ledger  *standin.Ledger
+	backend *fakes.GRPCBackend
+	ledger  *fakes.Ledger
 	back    *Backends
 	lastID  atomic.Uint64
 }
 
-func newRig(t *testing.T, act func(standin.Attempt) standin.GRPCAct, change func(*standin.GRPCConfig, *Config)) *rig {
+func newRig(t *testing.T, act func(fakes.Attempt) fakes.GRPCAct, change func(*fakes.GRPCConfig, *Config)) *rig {
 	t.Helper()
-	r := &rig{t: t, ledger: &standin.Ledger{}}
-	sc := standin.GRPCConfig{Name: "g", Ledger: r.ledger, Act: act, Cell: &standin.Cell{Window: 5 * time.Second}, Keyed: func(m string) bool { return m == "/shop.Desk/Pay" }}
+	r := &rig{t: t, ledger: &fakes.Ledger{}}
+	sc := fakes.GRPCConfig{Name: "g", Ledger: r.ledger, Act: act, Cell: &fakes.Cell{Window: 5 * time.Second}, Keyed: func(m string) bool { return m == "/shop.Desk/Pay" }}
 	c := Config{Connect: testkit.Patient, MaxMessage: 1 << 20}
 	if change != nil {
 		change(&sc, &c)
 	}
 	var err error
-	if r.backend, err = standin.StartGRPC(sc); err != nil {
+	if r.backend, err = fakes.StartGRPC(sc); err != nil {
 		t.Fatal(err)
 	}
 	r.back = New(c)
-	r.back.Apply([]membership.Change{{BackendInfo: decision.BackendInfo{ID: 1}, Addr: r.backend.Addr()}})
+	r.back.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: 1}, Addr: r.backend.Addr()}})
 	t.Cleanup(func() { r.back.Close(); r.backend.Kill() })
 	return r
 }
@@ -60,28 +60,28 @@
 }
 
 // attempt makes one attempt; patience 0 is a long one.
-func (r *rig) attempt(req *Request, patience time.Duration) drive.Reply {
+func (r *rig) attempt(req *Request, patience time.Duration) executor.Response {
 	if patience == 0 {
 		patience = testkit.Patient
 	}
-	return r.back.Carry(drive.NewAttempt(1, time.Now().Add(patience), req))
+	return r.back.RoundTrip(executor.NewAttempt(1, time.Now().Add(patience), req))
 }
 
 // Each way in which a backend can end an attempt gives the result that the table has for it, and what the result calls
 // unrun has not run.
 func TestResults(t *testing.T) {
-	for act, want := range map[standin.GRPCAct]decision.Result{
-		standin.GRPCServe: decision.Answered, standin.GRPCNotFound: decision.Answered,
-		standin.GRPCStream:       decision.Unknown, // three messages for a unary call
-		standin.GRPCRefuseStream: decision.Refused, standin.GRPCGoAwayBelow: decision.Refused, standin.GRPCPushBack: decision.Refused,
-		standin.GRPCHang: decision.TimedOut, standin.GRPCHeadThenHang: decision.TimedOut,
-		standin.GRPCResetCancel: decision.Broken, standin.GRPCResetLate: decision.Broken, standin.GRPCBreak: decision.Broken, standin.GRPCBreakLate: decision.Broken,
-		standin.GRPCInternal:  decision.AnsweredErr,
-		standin.GRPCNoMessage: decision.Unknown, standin.GRPCTwoMessages: decision.Unknown, standin.GRPCTrailersCut: decision.Unknown, standin.GRPCTooLong: decision.Unknown,
+	for act, want := range map[fakes.GRPCAct]decision.Result{
+		fakes.GRPCServe: decision.Succeeded, fakes.GRPCNotFound: decision.Succeeded,
+		fakes.GRPCStream:       decision.Unknown, // three messages for a unary call
+		fakes.GRPCRefuseStream: decision.Rejected, fakes.GRPCGoAwayBelow: decision.Rejected, fakes.GRPCPushBack: decision.Rejected,
+		fakes.GRPCHang: decision.TimedOut, fakes.GRPCHeadThenHang: decision.TimedOut,
+		fakes.GRPCResetCancel: decision.ConnectionLost, fakes.GRPCResetLate: decision.ConnectionLost, fakes.GRPCBreak: decision.ConnectionLost, fakes.GRPCBreakLate: decision.ConnectionLost,
+		fakes.GRPCInternal:  decision.ErrorResponse,
+		fakes.GRPCNoMessage: decision.Unknown, fakes.GRPCTwoMessages: decision.Unknown, fakes.GRPCTrailersCut: decision.Unknown, fakes.GRPCTooLong: decision.Unknown,
 	} {
 		t.Run(fmt.Sprint(act), func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, func(standin.Attempt) standin.GRPCAct { return act }, nil)
+			r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return act }, nil)
 			patience := time.Duration(0)
 			if want == decision.TimedOut {
 				patience = 300 * time.Millisecond
@@ -93,16 +93,16 @@
 					t.Errorf("%v, want %v", reply.Result, want)
 				}
 				key := req.Metadata[1].Value
-				unrun := want == decision.Refused
+				unrun := want == decision.Rejected
 				if n := r.ledger.Effects(key); unrun && n != 0 || n > 1 {
 					t.Errorf("%d effects", n)
 				}
 				if as := r.ledger.Of(req.Metadata[0].Value); len(as) != 1 { // never again by itself
 					t.Errorf("it reached the backend %d times", len(as))
 				}
-				if a, ok := reply.Body.(*Answer); act == standin.GRPCServe && (!ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value) {
+				if a, ok := reply.Body.(*Answer); act == fakes.GRPCServe && (!ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value) {
 					t.Errorf("answered %+v", reply.Body)
-				} else if act == standin.GRPCNotFound && (!ok || a.Code != grpcwire.NotFound || a.Message != "as scripted") {
+				} else if act == fakes.GRPCNotFound && (!ok || a.Code != grpcproto.NotFound || a.Message != "as scripted") {
 					t.Errorf("answered %+v", reply.Body)
 				}
 			}
@@ -115,7 +115,7 @@
 func TestGoAwayHalfway(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	r := newRig(t, func(standin.Attempt) standin.GRPCAct { <-hold; return standin.GRPCServe }, nil)
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { <-hold; return fakes.GRPCServe }, nil)
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release)
 	var mu sync.Mutex
@@ -129,7 +129,7 @@
 			results[reply.Result]++
 		})
 	}
-	if !r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) == 100 }) {
+	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 100 }) {
 		t.Fatal("the attempts did not come")
 	}
 	open, _ := r.backend.Conns()
@@ -139,7 +139,7 @@
 	r.backend.GoAway(100) // streams are numbered in steps of two: half of them are above
 	for end := time.Now().Add(testkit.Patient); ; time.Sleep(time.Millisecond) {
 		mu.Lock()
-		n := results[decision.Refused]
+		n := results[decision.Rejected]
 		mu.Unlock()
 		if n == 50 {
 			break
@@ -150,10 +150,10 @@
 	}
 	release()
 	ran.Wait()
-	if results[decision.Answered] != 50 {
+	if results[decision.Succeeded] != 50 {
 		t.Errorf("%v", results)
 	}
-	if reply := r.attempt(r.request(10), 0); reply.Result != decision.Answered {
+	if reply := r.attempt(r.request(10), 0); reply.Result != decision.Succeeded {
 		t.Errorf("the next one: %v", reply.Result)
 	}
 	if _, total := r.backend.Conns(); total != open+1 {
@@ -165,12 +165,12 @@
 // and over so many at once only.
 func TestGoAwayEachTime(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(standin.Attempt) standin.GRPCAct { return standin.GRPCHang }, func(_ *standin.GRPCConfig, c *Config) { c.Conns = 1 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.Conns = 1 })
 	var ran sync.WaitGroup
 	defer ran.Wait()
 	for i := range 2 {
 		ran.Go(func() { r.attempt(r.request(10), time.Second) })
-		if !r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) == i+1 }) {
+		if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == i+1 }) {
 			t.Fatalf("attempt %d did not come", i)
 		}
 		r.backend.GoAway(0)
@@ -198,21 +198,21 @@
 // Calls that are given up reset their streams at once, and their slots are free again.
 func TestCalledOff(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(standin.Attempt) standin.GRPCAct { return standin.GRPCHang }, func(_ *standin.GRPCConfig, c *Config) { c.Conns, c.Streams = 1, 4 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.Conns, c.Streams = 1, 4 })
 	for range 20 {
-		a := drive.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
+		a := executor.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
 		before := len(r.ledger.Attempts())
 		go func() {
-			r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) > before })
-			a.CallOff(drive.ErrCalledOff)
+			r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) > before })
+			a.Cancel(executor.ErrCancelled)
 		}()
-		if reply := r.back.Carry(a); reply.Result != decision.Cancelled {
+		if reply := r.back.RoundTrip(a); reply.Result != decision.Cancelled {
 			t.Fatalf("%v", reply.Result)
 		}
 	}
-	a := drive.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
-	a.CallOff(drive.ErrCalledOff)
-	if reply := r.back.Carry(a); reply.Result != decision.NotSent {
+	a := executor.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
+	a.Cancel(executor.ErrCancelled)
+	if reply := r.back.RoundTrip(a); reply.Result != decision.NotSent {
 		t.Errorf("called off before it began: %v", reply.Result)
 	}
 	if _, total := r.backend.Conns(); total != 1 {
@@ -223,10 +223,10 @@
 // Streams and connections are bounded by both sides; what finds none free has not been sent.
 func TestBounds(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(standin.Attempt) standin.GRPCAct { return standin.GRPCHang },
-		func(s *standin.GRPCConfig, c *Config) { c.Conns, c.Streams, s.MaxStreams = 2, 8, 5 })
-	warm := drive.NewAttempt(1, time.Now().Add(100*time.Millisecond), r.request(10)) // so that the settings have come
-	r.back.Carry(warm)
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang },
+		func(s *fakes.GRPCConfig, c *Config) { c.Conns, c.Streams, s.MaxStreams = 2, 8, 5 })
+	warm := executor.NewAttempt(1, time.Now().Add(100*time.Millisecond), r.request(10)) // so that the settings have come
+	r.back.RoundTrip(warm)
 	var open sync.WaitGroup
 	sent := atomic.Int64{}
 	for range 40 {
@@ -248,7 +248,7 @@
 // A backend that stops reading with a request half written: it can't have run, and neighbours on other connections go on.
 func TestAWindowThatStaysShut(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, nil, func(s *standin.GRPCConfig, c *Config) { s.Window, c.Conns = 1000, 1 })
+	r := newRig(t, nil, func(s *fakes.GRPCConfig, c *Config) { s.Window, c.Conns = 1000, 1 })
 	r.attempt(r.request(10), 0) // the settings have come
 	if reply := r.attempt(r.request(5000), 300*time.Millisecond); reply.Result != decision.NotSent {
 		t.Errorf("half written: %v", reply.Result)
@@ -256,7 +256,7 @@
 	if n := len(r.ledger.Attempts()); n != 1 {
 		t.Errorf("%d requests came whole", n)
 	}
-	if reply := r.attempt(r.request(10), 0); reply.Result != decision.Answered {
+	if reply := r.attempt(r.request(10), 0); reply.Result != decision.Succeeded {
 		t.Errorf("the next one on the connection: %v", reply.Result)
 	}
 }
@@ -265,21 +265,21 @@
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	r := newRig(t, func(standin.Attempt) standin.GRPCAct { <-hold; return standin.GRPCServe }, nil)
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { <-hold; return fakes.GRPCServe }, nil)
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release)
 	ended := make(chan decision.Result)
 	go func() { ended <- r.attempt(r.request(10), 0).Result }()
-	r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) == 1 })
-	change := membership.Change{BackendInfo: decision.BackendInfo{ID: 1, State: decision.Draining}, Addr: r.backend.Addr()}
+	r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 })
+	change := membership.Change{Endpoint: decision.Endpoint{ID: 1, State: decision.Draining}, Addr: r.backend.Addr()}
 	r.back.Apply([]membership.Change{change})
 	if reply := r.attempt(r.request(10), 0); reply.Result != decision.NotSent {
 		t.Errorf("to a draining backend: %v", reply.Result)
 	}
-	change.State = decision.Gone
+	change.State = decision.Removed
 	r.back.Apply([]membership.Change{change})
 	release()
-	if got := <-ended; got != decision.Answered {
+	if got := <-ended; got != decision.Succeeded {
 		t.Errorf("what was in flight: %v", got)
 	}
 	for end := time.Now().Add(testkit.Patient); ; time.Sleep(time.Millisecond) { // and its connection ends then
@@ -300,12 +300,12 @@
 	ln.Close()
 	b := New(Config{})
 	defer b.Close()
-	b.Apply([]membership.Change{{BackendInfo: decision.BackendInfo{ID: 1}, Addr: ln.Addr().String()}})
+	b.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: 1}, Addr: ln.Addr().String()}})
 	r := &rig{t: t, back: b}
-	if reply := r.attempt(r.request(1), 0); reply.Result != decision.NoConnection {
+	if reply := r.attempt(r.request(1), 0); reply.Result != decision.ConnectFailed {
 		t.Errorf("%v", reply.Result)
 	}
-	if reply := b.Carry(drive.NewAttempt(9, time.Now().Add(time.Second), r.request(1))); reply.Result != decision.NotSent {
+	if reply := b.RoundTrip(executor.NewAttempt(9, time.Now().Add(time.Second), r.request(1))); reply.Result != decision.NotSent {
 		t.Errorf("to a backend that is not known: %v", reply.Result)
 	}
 }
@@ -323,7 +323,7 @@
 		serve(conn, f)
 	})
 	r := &rig{t: t, back: New(Config{Connect: testkit.Patient})}
-	r.back.Apply([]membership.Change{{BackendInfo: decision.BackendInfo{ID: 1}, Addr: addr}})
+	r.back.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: 1}, Addr: addr}})
 	t.Cleanup(r.back.Close)
 	return r
 }
@@ -369,7 +369,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			switch reply := r.attempt(r.request(10), 0); reply.Result {
-			case decision.Broken, decision.NotSent, decision.Unknown:
+			case decision.ConnectionLost, decision.NotSent, decision.Unknown:
 			default:
 				t.Errorf("%v", reply.Result)
 			}
@@ -386,17 +386,17 @@
 // Many at once over few connections, each with its own answer, one of them stuck.
 func TestManyStreams(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(a standin.Attempt) standin.GRPCAct {
+	r := newRig(t, func(a fakes.Attempt) fakes.GRPCAct {
 		if a.ID == fmt.Sprintf("%016x", 1) {
-			return standin.GRPCHang
+			return fakes.GRPCHang
 		}
-		return standin.GRPCServe
-	}, func(_ *standin.GRPCConfig, c *Config) { c.Conns, c.Streams = 1, 1000 })
+		return fakes.GRPCServe
+	}, func(_ *fakes.GRPCConfig, c *Config) { c.Conns, c.Streams = 1, 1000 })
 	ctx, cancel := context.WithCancel(t.Context())
-	stuck := drive.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
+	stuck := executor.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
 	ended := make(chan decision.Result)
-	go func() { ended <- r.back.Carry(stuck).Result }()
-	r.ledger.Await(testkit.Patient, func(as []standin.Attempt) bool { return len(as) == 1 })
+	go func() { ended <- r.back.RoundTrip(stuck).Result }()
+	r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 })
 	var ran sync.WaitGroup
 	for range 90 { // a backend that says nothing of it is taken to allow 100
 		ran.Go(func() {
@@ -415,7 +415,7 @@
 		})
 	}
 	ran.Wait()
-	stuck.CallOff(drive.ErrTimeUp)
+	stuck.Cancel(executor.ErrDeadlineExceeded)
 	if got := <-ended; got != decision.TimedOut {
 		t.Errorf("the one that is stuck: %v", got)
 	}
@@ -428,10 +428,10 @@
 // An answer that is longer than the windows comes whole, as they are opened while it is read.
 func TestALongAnswer(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(standin.Attempt) standin.GRPCAct { return standin.GRPCTooLong }, func(_ *standin.GRPCConfig, c *Config) { c.Conns, c.MaxMessage = 1, 16<<20 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCTooLong }, func(_ *fakes.GRPCConfig, c *Config) { c.Conns, c.MaxMessage = 1, 16<<20 })
 	for range 2 {
 		reply := r.attempt(r.request(10), 0)
-		if a, ok := reply.Body.(*Answer); !ok || len(a.Body) != standin.GRPCTooLongBytes+5 {
+		if a, ok := reply.Body.(*Answer); !ok || len(a.Body) != fakes.GRPCTooLongBytes+5 {
 			t.Fatalf("%v", reply.Result)
 		}
 	}
@@ -468,7 +468,7 @@
 		}
 	})
 	for _, size := range []int{1, 100} { // with the first answer the first settings have come
-		if reply := r.attempt(r.request(size), 0); reply.Result != decision.Answered {
+		if reply := r.attempt(r.request(size), 0); reply.Result != decision.Succeeded {
 			t.Errorf("%d bytes: %v", size, reply.Result)
 		}
 	}
--- a/internal/grpcback/conn.go
+++ b/internal/grpctransport/conn.go
@@ -1,4 +1,4 @@
-package grpcback
+package grpctransport
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 	"golang.org/x/net/http2/hpack"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/drive"
-	"pumicecroft/internal/grpcwire"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/grpcproto"
 )
 
 const (
@@ -49,7 +49,7 @@
 type stream struct {
 	conn   *conn
 	id     uint32
-	call   grpcwire.Call
+	call   grpcproto.Call
 	window int64 // for what this side sends
 	answer Answer
 	body   messages      // of the answer: of a unary one all of it, of a streamed one what was not taken
@@ -247,7 +247,7 @@
 }
 
 // giveUp ends a stream from this side: as says how.
-func (c *conn) giveUp(s *stream, as func(*grpcwire.Call)) {
+func (c *conn) giveUp(s *stream, as func(*grpcproto.Call)) {
 	c.mu.Lock()
 	if s.over {
 		c.mu.Unlock()
@@ -336,7 +336,7 @@
 	s := c.streams[id]
 	c.mu.Unlock()
 	if s != nil {
-		c.giveUp(s, func(k *grpcwire.Call) { k.Garbled("a head that can't be read") })
+		c.giveUp(s, func(k *grpcproto.Call) { k.Garbled("a head that can't be read") })
 	}
 }
 
@@ -466,7 +466,7 @@
 		s.call.Garbled("a head over the limit")
 		return
 	}
-	var t grpcwire.Trailer
+	var t grpcproto.Trailer
 	var rest []Field
 	contentType := ""
 	for _, h := range f.RegularFields() {
@@ -591,7 +591,7 @@
 	c := s.conn
 	for {
 		c.mu.Lock()
-		if o, _ := s.call.Ended(); s.over && (len(s.body.whole) == 0 || o.Result != decision.Answered) {
+		if o, _ := s.call.Ended(); s.over && (len(s.body.whole) == 0 || o.Result != decision.Succeeded) {
 			c.mu.Unlock()
 			return nil
 		}
@@ -622,15 +622,15 @@
 }
 
 // pass passes a streamed answer on, and tells how that has ended: Answered, or why its client did not get all of it.
-func (s *stream) pass(ctx context.Context, a *drive.Attempt, sink Sink) decision.Result {
+func (s *stream) pass(ctx context.Context, a *executor.Attempt, sink Sink) decision.Result {
 	for begun := false; ; begun = true {
 		p := s.take()
 		if p == nil {
-			return decision.Answered
+			return decision.Succeeded
 		}
 		if !begun {
-			if !a.Begin() {
-				s.conn.giveUp(s, (*grpcwire.Call).CalledOff)
+			if !a.StartResponse() {
+				s.conn.giveUp(s, (*grpcproto.Call).CalledOff)
 				return decision.Cancelled
 			}
 			s.conn.mu.Lock()
@@ -639,11 +639,11 @@
 			sink.Head(head)
 		}
 		if sink.Message(ctx, p) != nil {
-			if errors.Is(a.Off(), drive.ErrCalledOff) || ctx.Err() == nil {
-				s.conn.giveUp(s, (*grpcwire.Call).CalledOff)
+			if errors.Is(a.CancelCause(), executor.ErrCancelled) || ctx.Err() == nil {
+				s.conn.giveUp(s, (*grpcproto.Call).CalledOff)
 				return decision.Cancelled
 			}
-			s.conn.giveUp(s, (*grpcwire.Call).TimedOut)
+			s.conn.giveUp(s, (*grpcproto.Call).TimedOut)
 			return decision.TimedOut
 		}
 		s.taken()
--- a/internal/grpcback/golden_test.go
+++ b/internal/grpctransport/golden_test.go
@@ -1,11 +1,11 @@
-package grpcback
+package grpctransport
 
 import (
 	"encoding/hex"
 	"reflect"
 	"testing"
 
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
 )
 
 // keptAnswer is what an earlier build's Keep made of the answer below: it stands in journals of idempotency keys, which outlive the program.
@@ -23,15 +23,15 @@
 		t.Fatal(err)
 	}
 	var r Request
-	got, err := r.Again(keys.Answer{Status: 5, ContentType: "application/grpc", Body: body})
+	got, err := r.DecodeResponse(idempotency.Response{Status: 5, ContentType: "application/grpc", Body: body})
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, or it is given again as %+v, want %+v", err, got, want)
 	}
-	kept, err := r.Keep(want)
+	kept, err := r.EncodeResponse(want)
 	if err != nil || kept.Status != 5 || kept.ContentType != "application/grpc" {
 		t.Errorf("%v, or it is kept as %+v", err, kept)
 	}
-	if again, err := r.Again(kept); err != nil || !reflect.DeepEqual(again, want) {
+	if again, err := r.DecodeResponse(kept); err != nil || !reflect.DeepEqual(again, want) {
 		t.Errorf("%v, or it is kept and given again as %+v, want %+v", err, again, want)
 	}
 	if t.Failed() {
--- a/internal/grpcback/stored.go
+++ b/internal/grpctransport/stored.go
@@ -1,10 +1,10 @@
-package grpcback
+package grpctransport
 
 import (
 	"bytes"
 	"encoding/gob"
 
-	"pumicecroft/internal/grpcwire"
+	"pumicecroft/internal/grpcproto"
 )
 
 // The stored form of an answer is gob, which names a struct and its fields by their Go identifiers and has no tags. The types in
@@ -51,6 +51,6 @@
 		}
 		return out
 	}
-	return &Answer{Code: grpcwire.Code(stored.Code), Message: stored.Message, Header: fields(stored.Header), Trailer: fields(stored.Trailer),
+	return &Answer{Code: grpcproto.Code(stored.Code), Message: stored.Message, Header: fields(stored.Header), Trailer: fields(stored.Trailer),
 		Body: stored.Body, whole: true}, nil
 }
--- a/internal/grpcback/stored_test.go
+++ b/internal/grpctransport/stored_test.go
@@ -1,4 +1,4 @@
-package grpcback
+package grpctransport
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"reflect"
 	"testing"
 
-	"pumicecroft/internal/grpcwire"
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
+	"pumicecroft/internal/grpcproto"
 )
 
 var writeGolden = flag.Bool("write-golden", false, "write testdata/answer.gob anew: only for a new stored form")
@@ -19,9 +19,9 @@
 // name and which nothing reads.)
 func TestStoredAnswerKeepsItsForm(t *testing.T) {
 	const file = "testdata/answer.gob"
-	want := &Answer{Code: grpcwire.Code(9), Message: "no such%20item", Header: []Field{{Name: "a", Value: "1"}, {Name: "b-bin", Value: "\x00"}},
+	want := &Answer{Code: grpcproto.Code(9), Message: "no such%20item", Header: []Field{{Name: "a", Value: "1"}, {Name: "b-bin", Value: "\x00"}},
 		Trailer: []Field{{Name: "t", Value: "2"}}, Body: []byte("\x00\x00\x00\x00\x01m"), whole: true}
-	kept, err := (&Request{}).Keep(want)
+	kept, err := (&Request{}).EncodeResponse(want)
 	if err != nil || kept.Status != 9 || kept.ContentType != "application/grpc" {
 		t.Fatalf("%+v, %v", kept, err)
 	}
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := (&Request{}).Again(keys.Answer{Status: 9, ContentType: "application/grpc", Body: golden})
+	again, err := (&Request{}).DecodeResponse(idempotency.Response{Status: 9, ContentType: "application/grpc", Body: golden})
 	if err != nil || !reflect.DeepEqual(again, want) {
 		t.Errorf("%+v, %v; want %+v", again, err, want)
 	}
--- a/internal/hosttest/hosttest.go
+++ b/internal/hosttest/hosttest.go
@@ -13,8 +13,8 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/platform"
-	"pumicecroft/internal/standin"
 )
 
 // Patience is how long a test waits for something that must happen.
@@ -22,9 +22,9 @@
 
 // Rig is a Door over backends.
 type Rig struct {
-	Door     *pumicecroft.Door
-	Ledger   *standin.Ledger
-	Backends []*standin.Backend
+	Door     *pumicecroft.Gateway
+	Ledger   *fakes.Ledger
+	Backends []*fakes.Backend
 	t        testing.TB
 	mu       sync.Mutex
 	lastID   uint64
@@ -33,35 +33,35 @@
 // Config is a deployment with a safe, a keyed and an unsafe class, a plan without bounds ("shop"), one that may
 // have one attempt out ("one") and one of ten units ("tiny").
 func Config() pumicecroft.Config {
-	class := func(name string, e decision.Effect) decision.Class {
-		return decision.Class{Name: name, Effect: e, Group: decision.GroupCell, KeyWindow: 5 * time.Second,
-			Aim: 10 * time.Second, Deadline: 15 * time.Second, Worth: 1}
+	class := func(name string, e decision.Idempotency) decision.Class {
+		return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second,
+			LatencyObjective: 10 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 1}
 	}
-	return pumicecroft.Config{Seed: 1, Settings: decision.Settings{FrontDoors: 1, MaxAttempts: 3, CanCancel: true,
+	return pumicecroft.Config{Seed: 1, Settings: decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: true,
 		MaxRetryAfter: 900 * time.Millisecond,
-		Classes:       []decision.Class{class("look", decision.Safe), class("pay", decision.Keyed), class("once", decision.Unsafe)},
-		Plans: []decision.Plan{{Name: "shop", Price: 1}, {Name: "one", Open: 1, Price: 1},
+		Classes:       []decision.Class{class("look", decision.Idempotent), class("pay", decision.IdempotentByKey), class("once", decision.NonIdempotent)},
+		Plans: []decision.Plan{{Name: "shop", Price: 1}, {Name: "one", MaxInFlight: 1, Price: 1},
 			{Name: "tiny", Rate: 0.01, Burst: 10, Price: 1}}}}
 }
 
 // New makes one with n backends in one cell; act may be nil, and change too.
-func New(t testing.TB, n int, act func(standin.Attempt) standin.Act, change func(*pumicecroft.Config), options ...pumicecroft.Option) *Rig {
+func New(t testing.TB, n int, act func(fakes.Attempt) fakes.Act, change func(*pumicecroft.Config), options ...pumicecroft.Option) *Rig {
 	t.Helper()
-	r := &Rig{t: t, Ledger: &standin.Ledger{}, lastID: 0xab0000}
-	list := platform.EndpointList{Whole: true}
-	cell := &standin.Cell{Window: 5 * time.Second}
+	r := &Rig{t: t, Ledger: &fakes.Ledger{}, lastID: 0xab0000}
+	list := platform.EndpointUpdate{Full: true}
+	cell := &fakes.Cell{Window: 5 * time.Second}
 	for i := range n {
-		b, err := standin.StartBackend(standin.BackendConfig{Name: fmt.Sprintf("b%d", i), Ledger: r.Ledger, Act: act, Cell: cell,
+		b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprintf("b%d", i), Ledger: r.Ledger, Act: act, Cell: cell,
 			Keyed: func(class string) bool { return class != "look" }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(b.Kill)
 		r.Backends = append(r.Backends, b)
-		list.Hosts = append(list.Hosts, b.Endpoint())
+		list.Endpoints = append(list.Endpoints, b.Endpoint())
 	}
 	c := Config()
-	c.Known = list.Members()
+	c.InitialEndpoints = list.Membership()
 	if change != nil {
 		change(&c)
 	}
@@ -81,11 +81,11 @@
 }
 
 // Ask is a request with an id of its own.
-func (r *Rig) Ask(class string) standin.Ask {
+func (r *Rig) Ask(class string) fakes.Ask {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastID++
-	a := standin.Ask{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: 15 * time.Second}
+	a := fakes.Ask{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: 15 * time.Second}
 	if class != "look" {
 		a.Key, a.Body = fmt.Sprintf("key-%x", r.lastID), "amount=3"
 	}
@@ -109,7 +109,7 @@
 }
 
 // Do asks a server and gives the reply, whatever served it.
-func Do(t testing.TB, a standin.Ask, addr string) standin.Reply {
+func Do(t testing.TB, a fakes.Ask, addr string) fakes.Reply {
 	t.Helper()
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
@@ -119,9 +119,9 @@
 // Settled waits until a Door keeps nothing.
 func (r *Rig) Settled() {
 	r.t.Helper()
-	for end := time.Now().Add(Patience); r.Door.Open() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Patience); r.Door.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%d requests are kept", r.Door.Open())
+			r.t.Fatalf("%d requests are kept", r.Door.OpenRequests())
 		}
 	}
 }
--- a/internal/webwire/proof.go
+++ b/internal/http1proxy/proof.go
@@ -1,4 +1,4 @@
-package webwire
+package http1proxy
 
 import "pumicecroft/decision"
 
@@ -47,7 +47,7 @@
 		return decision.TimedOut
 	}
 	if !p.Ran() {
-		return decision.NoConnection
+		return decision.ConnectFailed
 	}
-	return decision.Broken
+	return decision.ConnectionLost
 }
--- a/internal/webwire/request.go
+++ b/internal/http1proxy/request.go
@@ -1,4 +1,4 @@
-package webwire
+package http1proxy
 
 import (
 	"fmt"
--- a/internal/webwire/status.go
+++ b/internal/http1proxy/status.go
@@ -1,4 +1,4 @@
-package webwire
+package http1proxy
 
 import (
 	"fmt"
@@ -37,40 +37,40 @@
 func (s *Statuses) Result(status int, retryAfter, notStarted bool) decision.Result {
 	switch {
 	case slices.Contains(s.Answered, status):
-		return decision.Answered
+		return decision.Succeeded
 	case slices.Contains(s.Refused, status):
-		return decision.Refused
+		return decision.Rejected
 	case slices.Contains(s.Failed, status):
-		return decision.AnsweredErr
+		return decision.ErrorResponse
 	}
 	switch status {
 	case 429:
-		return decision.Refused
+		return decision.Rejected
 	case 503:
 		if retryAfter || notStarted {
-			return decision.Refused
+			return decision.Rejected
 		}
-		return decision.AnsweredErr
+		return decision.ErrorResponse
 	case 504:
 		if notStarted {
-			return decision.Refused
+			return decision.Rejected
 		}
-		return decision.AnsweredErr
+		return decision.ErrorResponse
 	case 500, 502:
-		return decision.AnsweredErr
+		return decision.ErrorResponse
 	}
-	return decision.Answered
+	return decision.Succeeded
 }
 
 // Effect is what repeating a request may do, by its method (RFC 9110, 9.2): the ones that are safe or idempotent may be repeated. With a
 // key and a class whose backends drop repeats, others are keyed.
-func Effect(method string, key, dropsRepeats bool) decision.Effect {
+func Effect(method string, key, dropsRepeats bool) decision.Idempotency {
 	switch method {
 	case "GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE":
-		return decision.Safe
+		return decision.Idempotent
 	}
 	if key && dropsRepeats {
-		return decision.Keyed
+		return decision.IdempotentByKey
 	}
-	return decision.Unsafe
+	return decision.NonIdempotent
 }
--- a/internal/webwire/webwire.go
+++ b/internal/http1proxy/webwire.go
@@ -1,10 +1,10 @@
-// Package webwire settles what ordinary HTTP asks of a door between a client and a backend, without doing any of it: which fields go on
+// Package http1proxy settles what ordinary HTTP asks of a door between a client and a backend, without doing any of it: which fields go on
 // and which end here (fields.go), what a request is on the wire (request.go), what an answer's status means to the decision module
 // (status.go), and what the end of an attempt proves (proof.go). RFC 9110 and 9112 are its sources.
 //
 // The package is pure: it does no I/O, reads no clock, takes no lock and starts no goroutine. What it makes is not changed afterwards, and
 // is safe for concurrent use then. Package webback drives it over sockets, package webfront for clients.
-package webwire
+package http1proxy
 
 import "errors"
 
--- a/internal/webwire/webwire_test.go
+++ b/internal/http1proxy/webwire_test.go
@@ -1,4 +1,4 @@
-package webwire
+package http1proxy
 
 import (
 	"bufio"
@@ -18,21 +18,21 @@
 
 // What the end of an attempt proves never claims more than was seen: what may have run is not called unrun, whatever the end.
 func TestProofs(t *testing.T) {
-	unrun := map[decision.Result]bool{decision.NotSent: true, decision.NoConnection: true, decision.Refused: true}
+	unrun := map[decision.Result]bool{decision.NotSent: true, decision.ConnectFailed: true, decision.Rejected: true}
 	for _, why := range []Why{Ended, Spoilt, CalledOff, TimeUp, ClientCut} {
 		for wrote := range 4 {
 			p := Progress{Head: 2, Wrote: wrote}
 			if r := p.Result(why); unrun[r] && p.Ran() {
 				t.Errorf("%d after %d bytes: %d claims that it has not run", why, wrote, r)
-			} else if r == decision.Answered || r == decision.AnsweredErr {
+			} else if r == decision.Succeeded || r == decision.ErrorResponse {
 				t.Errorf("%d after %d bytes: answered", why, wrote)
 			}
 		}
 	}
-	if r := (Progress{Head: 2, Wrote: 1}).Result(Ended); r != decision.NoConnection {
+	if r := (Progress{Head: 2, Wrote: 1}).Result(Ended); r != decision.ConnectFailed {
 		t.Errorf("cut in its head: %d", r)
 	}
-	if r := (Progress{Head: 2, Wrote: 2}).Result(Ended); r != decision.Broken {
+	if r := (Progress{Head: 2, Wrote: 2}).Result(Ended); r != decision.ConnectionLost {
 		t.Errorf("cut behind its head: %d", r)
 	}
 }
@@ -45,11 +45,11 @@
 		after, notStarted bool
 		want              decision.Result
 	}{
-		{&Statuses{}, 200, false, false, decision.Answered}, {&Statuses{}, 304, true, true, decision.Answered}, {&Statuses{}, 404, false, false, decision.Answered},
-		{&Statuses{}, 429, false, false, decision.Refused}, {&Statuses{}, 503, true, false, decision.Refused}, {&Statuses{}, 503, false, false, decision.AnsweredErr},
-		{&Statuses{}, 503, false, true, decision.Refused}, {&Statuses{}, 504, false, true, decision.Refused}, {&Statuses{}, 504, true, false, decision.AnsweredErr},
-		{&Statuses{}, 500, true, true, decision.AnsweredErr}, {&Statuses{}, 502, false, false, decision.AnsweredErr}, {&Statuses{}, 501, false, false, decision.Answered},
-		{own, 503, true, true, decision.Answered}, {own, 425, false, false, decision.Refused}, {own, 404, false, false, decision.AnsweredErr},
+		{&Statuses{}, 200, false, false, decision.Succeeded}, {&Statuses{}, 304, true, true, decision.Succeeded}, {&Statuses{}, 404, false, false, decision.Succeeded},
+		{&Statuses{}, 429, false, false, decision.Rejected}, {&Statuses{}, 503, true, false, decision.Rejected}, {&Statuses{}, 503, false, false, decision.ErrorResponse},
+		{&Statuses{}, 503, false, true, decision.Rejected}, {&Statuses{}, 504, false, true, decision.Rejected}, {&Statuses{}, 504, true, false, decision.ErrorResponse},
+		{&Statuses{}, 500, true, true, decision.ErrorResponse}, {&Statuses{}, 502, false, false, decision.ErrorResponse}, {&Statuses{}, 501, false, false, decision.Succeeded},
+		{own, 503, true, true, decision.Succeeded}, {own, 425, false, false, decision.Rejected}, {own, 404, false, false, decision.ErrorResponse},
 	} {
 		if got := c.s.Result(c.status, c.after, c.notStarted); got != c.want {
 			t.Errorf("%d %v %v: %d, want %d", c.status, c.after, c.notStarted, got, c.want)
--- a/internal/httpfront/conns_test.go
+++ b/internal/httplistener/conns_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httplistener
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"pumicecroft/internal/netlook"
+	"pumicecroft/internal/socketpeek"
 	"pumicecroft/internal/testkit"
 )
 
@@ -93,7 +93,7 @@
 				clients.conns.mu.Lock()
 				defer clients.conns.mu.Unlock()
 				e := clients.conns.order.Front()
-				return e != nil && !e.Value.(*entry).busy && e.Value.(*entry).conn.(*clientConn).begun.Load() == begun
+				return e != nil && !e.Value.(*trackedConn).busy && e.Value.(*trackedConn).conn.(*clientConn).requestStarted.Load() == begun
 			}
 			for _, piece := range []bool{false, true} {
 				if piece {
@@ -122,7 +122,7 @@
 		server.conns.mu.Lock()
 		defer server.conns.mu.Unlock()
 		for c := range server.conns.open {
-			if c.(*clientConn).begun.Load() {
+			if c.(*clientConn).requestStarted.Load() {
 				n++
 			}
 		}
@@ -177,17 +177,17 @@
 		defer c.Close()
 		near = append(near, c)
 	}
-	table.note(near[0], http.StateNew)
-	table.note(near[0], http.StateActive) // a request is open
-	table.note(near[1], http.StateNew)
-	table.note(near[2], http.StateNew)
+	table.onStateChange(near[0], http.StateNew)
+	table.onStateChange(near[0], http.StateActive) // a request is open
+	table.onStateChange(near[1], http.StateNew)
+	table.onStateChange(near[2], http.StateNew)
 	io.WriteString(far[1], "G")
-	for deadline := time.Now().Add(testkit.Patient); netlook.At(near[1]) != netlook.Waiting && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testkit.Patient); socketpeek.At(near[1]) != socketpeek.Waiting && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	table.note(near[3], http.StateNew)
+	table.onStateChange(near[3], http.StateNew)
 	testkit.UntilEnd(t, far[2])
-	table.note(near[0], http.StateIdle) // the shortest silent now
-	table.note(near[4], http.StateNew)
+	table.onStateChange(near[0], http.StateIdle) // the shortest silent now
+	table.onStateChange(near[4], http.StateNew)
 	testkit.UntilEnd(t, far[3])
 }
--- a/internal/httpfront/crossings_test.go
+++ b/internal/httplistener/crossings_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httplistener
 
 import (
 	"bufio"
@@ -199,7 +199,7 @@
 
 // Frames of HTTP/2 may be of one byte.
 func TestOneByteFramesOfHTTP2(t *testing.T) {
-	s := start(t, Options{Ordinary: true}, func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) })
+	s := start(t, Options{GeneralPurpose: true}, func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) })
 	tr := &http.Transport{Protocols: new(http.Protocols)}
 	tr.Protocols.SetUnencryptedHTTP2(true)
 	defer tr.CloseIdleConnections()
@@ -253,7 +253,7 @@
 	for name, before := range map[string]int{"half a head on a kept connection": 1, "half a head on a new connection": 0} {
 		t.Run(name, func(t *testing.T) {
 			began, goOn := make(chan bool, 2), make(chan bool)
-			s := start(t, Options{Head: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
+			s := start(t, Options{HeaderTimeout: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get("A") == "" {
 					return
 				}
@@ -304,22 +304,22 @@
 		defer c.Close()
 		near = append(near, c)
 		for _, state := range []http.ConnState{http.StateNew, http.StateActive, http.StateIdle} {
-			table.note(c, state)
+			table.onStateChange(c, state)
 		}
 	}
 	io.WriteString(far[1], "G")
 	waiting := make(chan bool)
 	go near[1].(*clientConn).raw.Read(func(fd uintptr) bool { // until it is there
-		n, err := peek(fd)
+		n, err := peekByte(fd)
 		if n > 0 || err != nil {
 			close(waiting)
 		}
 		return n > 0 || err != nil
 	})
 	testkit.Await(t, waiting, "the byte")
-	table.note(near[2], http.StateActive)
+	table.onStateChange(near[2], http.StateActive)
 	ended := make(chan bool)
-	go func() { table.settle(t.Context()); close(ended) }()
+	go func() { table.closeIdle(t.Context()); close(ended) }()
 	testkit.UntilEnd(t, far[0])
 	table.mu.Lock()
 	if len(table.open) != 2 || table.open[near[1]] == nil || table.open[near[2]] == nil {
@@ -331,7 +331,7 @@
 		t.Error("it does not wait for what has begun")
 	default:
 	}
-	table.note(near[1], http.StateActive)
+	table.onStateChange(near[1], http.StateActive)
 	testkit.Await(t, ended, "all others to have a request open")
 }
 
--- a/internal/webload/webload.go
+++ b/internal/httpproxyconfig/webload.go
@@ -1,6 +1,6 @@
-// Package webload makes of an operator's file, and the files that it names, what a front for ordinary HTTP goes by: who asks, the listener's
+// Package httpproxyconfig makes of an operator's file, and the files that it names, what a front for ordinary HTTP goes by: who asks, the listener's
 // certificates, and how backends are reached over TLS. It reads files, and nothing else.
-package webload
+package httpproxyconfig
 
 import (
 	"bytes"
@@ -14,20 +14,20 @@
 	"slices"
 	"time"
 
+	"pumicecroft/httpproxy"
 	"pumicecroft/identity"
 	"pumicecroft/internal/certs"
-	"pumicecroft/internal/operator"
-	"pumicecroft/webfront"
+	"pumicecroft/internal/operatorconfig"
 )
 
 // Rules reads what says who asks, and gives the rules of the file. The error is an operator.Problems.
-func Rules(f *operator.File, read certs.ReadFile) (webfront.Rules, error) {
+func Rules(f *operatorconfig.File, read certs.ReadFile) (httpproxy.Rules, error) {
 	w := f.Web
 	var plans []string
 	for _, p := range f.Door.Settings.Plans {
 		plans = append(plans, p.Name)
 	}
-	var problems operator.Problems
+	var problems operatorconfig.Problems
 	var rules []identity.Named
 	for _, id := range w.Identities {
 		rule, err := rule(w, &id, plans, read)
@@ -38,12 +38,12 @@
 		rules = append(rules, identity.Named{Name: id.Name, Rule: rule})
 	}
 	if len(problems) > 0 {
-		return webfront.Rules{}, problems
+		return httpproxy.Rules{}, problems
 	}
-	return webfront.Rules{Routes: w.Table, Who: identity.New(w.Trusted, rules...), Remove: w.Remove}, nil
+	return httpproxy.Rules{Routes: w.Table, Who: identity.New(w.Trusted, rules...), Remove: w.Remove}, nil
 }
 
-func rule(w *operator.Web, id *operator.Identity, plans []string, read certs.ReadFile) (identity.Rule, error) {
+func rule(w *operatorconfig.Web, id *operatorconfig.Identity, plans []string, read certs.ReadFile) (identity.Rule, error) {
 	switch id.Kind {
 	case "address":
 		return &identity.Address{Plan: id.Plan, V6: id.V6}, nil
@@ -75,7 +75,7 @@
 
 // Listener makes the TLS of the listener, and the store that its certificates are in; nil, nil if it is plain. The error is an
 // operator.Problems.
-func Listener(f *operator.File, read certs.ReadFile, now func() time.Time, log *slog.Logger) (*tls.Config, *certs.Store, error) {
+func Listener(f *operatorconfig.File, read certs.ReadFile, now func() time.Time, log *slog.Logger) (*tls.Config, *certs.Store, error) {
 	t := f.Web.TLS
 	if t == nil {
 		return nil, nil, nil
@@ -94,7 +94,7 @@
 	}
 	if t.ClientCAFile != "" {
 		if config.ClientCAs, err = pool(t.ClientCAFile, read); err != nil {
-			return nil, nil, operator.Problems{t.At.Problem("client_ca_file", err)}
+			return nil, nil, operatorconfig.Problems{t.At.Problem("client_ca_file", err)}
 		}
 		config.ClientAuth = tls.RequireAndVerifyClientCert
 		if t.ClientAuth == "ask" {
@@ -105,7 +105,7 @@
 }
 
 // problems gives what is wrong with pairs their places.
-func problems(t *operator.TLS, err error) (out operator.Problems) {
+func problems(t *operatorconfig.TLS, err error) (out operatorconfig.Problems) {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		for _, e := range joined.Unwrap() {
 			out = append(out, problems(t, e)...)
@@ -113,9 +113,9 @@
 		return out
 	}
 	if p, ok := errors.AsType[*certs.PairError](err); ok {
-		return operator.Problems{t.Certificates[p.Number].At.Problem("cert_file", p.Err)}
+		return operatorconfig.Problems{t.Certificates[p.Number].At.Problem("cert_file", p.Err)}
 	}
-	return operator.Problems{t.At.Problem("certificate", err)}
+	return operatorconfig.Problems{t.At.Problem("certificate", err)}
 }
 
 func pool(file string, read certs.ReadFile) (*x509.CertPool, error) {
@@ -134,18 +134,18 @@
 var errPin = errors.New("the backend's key is none of the pinned ones")
 
 // Service makes how a service's backends are reached. The error is an operator.Problems.
-func Service(s operator.Service, read certs.ReadFile, log *slog.Logger) (webfront.ServiceConfig, error) {
+func Service(s operatorconfig.Service, read certs.ReadFile, log *slog.Logger) (httpproxy.ServiceConfig, error) {
 	out := s.ServiceConfig
 	out.Log = log
 	if s.HostOfBackend {
-		out.HostOf = func(addr string) string { return operator.HostOf(addr, s.TLS != nil) }
+		out.HostOf = func(addr string) string { return operatorconfig.HostOf(addr, s.TLS != nil) }
 	}
 	t := s.TLS
 	if t == nil {
 		return out, nil
 	}
-	bad := func(key string, err error) (webfront.ServiceConfig, error) {
-		return out, operator.Problems{t.At.Problem(key, err)}
+	bad := func(key string, err error) (httpproxy.ServiceConfig, error) {
+		return out, operatorconfig.Problems{t.At.Problem(key, err)}
 	}
 	config := &tls.Config{ServerName: t.Name, MinVersion: tls.VersionTLS13}
 	if t.MinTLS12 {
@@ -196,7 +196,7 @@
 
 // Warnings are what an operator should know of a file that is good: certificates that end soon, names that no route uses, and hosts of
 // routes that no certificate is for.
-func Warnings(f *operator.File, store *certs.Store, now time.Time) (out []string) {
+func Warnings(f *operatorconfig.File, store *certs.Store, now time.Time) (out []string) {
 	if store == nil {
 		return nil
 	}
--- a/internal/webback/attempt.go
+++ b/internal/httpproxytransport/attempt.go
@@ -1,4 +1,4 @@
-package webback
+package httpproxytransport
 
 import (
 	"errors"
@@ -9,17 +9,17 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/core"
-	"pumicecroft/internal/drive"
-	"pumicecroft/internal/webwire"
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/http1proxy"
+	"pumicecroft/internal/lifecycle"
 )
 
 // Request is what an attempt carries: see drive.Attempt.Load. It is one client's request, over all attempts.
 type Request struct {
-	webwire.Request
+	http1proxy.Request
 	Service  string // whose backends it goes to
-	Statuses *webwire.Statuses
+	Statuses *http1proxy.Statuses
 	Sink     Sink // nil: the answer is wanted whole, of MostWhole bytes at most
 	// MostWhole bounds an answer that is wanted whole, as the answer to a request with a key is.
 	MostWhole int
@@ -55,18 +55,18 @@
 // Protocol is what it goes over.
 func (r *Request) Protocol() string { return Protocol(r.Service) }
 
-// Parts tell a request with a key apart from others of it; nil: its answer can't be given again.
-func (r *Request) Parts() [][]byte { return r.Digest }
+// DigestParts tell a request with a key apart from others of it; nil: its answer can't be given again.
+func (r *Request) DigestParts() [][]byte { return r.Digest }
 
-// Keep makes what can be kept of a backend's answer.
-func (r *Request) Keep(reply any) (keys.Answer, error) {
+// EncodeResponse makes what can be kept of a backend's answer.
+func (r *Request) EncodeResponse(reply any) (idempotency.Response, error) {
 	a := reply.(*Answer)
 	body, err := encodeStored(a)
-	return keys.Answer{Status: a.Status, ContentType: "application/http", Body: body}, err
+	return idempotency.Response{Status: a.Status, ContentType: "application/http", Body: body}, err
 }
 
-// Again makes the answer of what Keep made.
-func (r *Request) Again(k keys.Answer) (any, error) {
+// DecodeResponse makes the answer of what Keep made.
+func (r *Request) DecodeResponse(k idempotency.Response) (any, error) {
 	a, err := decodeStored(k.Body)
 	if err != nil {
 		return nil, fmt.Errorf("a kept answer: %w", err)
@@ -106,9 +106,9 @@
 	rooms   = sync.Pool{New: func() any { b := make([]byte, copyRoom); return &b }}
 )
 
-// Carry makes an attempt. One that is answered, with an error too, gives an *Answer.
-func (b *Backends) Carry(a *drive.Attempt) drive.Reply {
-	req := a.Load.(*Request)
+// RoundTrip makes an attempt. One that is answered, with an error too, gives an *Answer.
+func (b *Backends) RoundTrip(a *executor.Attempt) executor.Response {
+	req := a.Payload.(*Request)
 	if req.Last() != nil {
 		req.setLast(nil)
 	}
@@ -133,20 +133,20 @@
 // exchange is one request on one connection.
 type exchange struct {
 	b    *Backends
-	a    *drive.Attempt
+	a    *executor.Attempt
 	req  *Request
 	c    *conn
-	at   webwire.Progress
+	at   http1proxy.Progress
 	beat chan error  // of a body that is written beside the reading
 	here func() bool // whether more of the answer has come already
 	addr string      // the backend's
 }
 
 // run makes the exchange; again: nothing of it has run, and another connection may do better.
-func (x *exchange) run() (r drive.Reply, again bool) {
+func (x *exchange) run() (r executor.Response, again bool) {
 	c := x.c
-	if x.a.Wait(c.cut) != nil || x.a.TooLate() {
-		x.a.Wait(nil)
+	if x.a.OnCancel(c.cut) != nil || x.a.SendForbidden() {
+		x.a.OnCancel(nil)
 		x.b.finish(c, x.a, false)
 		return reply(decision.NotSent), false
 	}
@@ -154,8 +154,8 @@
 	if err := x.write(); err != nil && !x.at.Ran() {
 		kept := c.pooled.Used()
 		x.b.drop(c)
-		if kept && x.a.Wait(nil) == nil {
-			return drive.Reply{}, true
+		if kept && x.a.OnCancel(nil) == nil {
+			return executor.Response{}, true
 		}
 		return reply(x.at.Result(x.why(err))), false
 	}
@@ -175,8 +175,8 @@
 }
 
 // finish gives a connection back.
-func (b *Backends) finish(c *conn, a *drive.Attempt, clean bool) {
-	if a.Wait(nil) != nil { // it was called off, and the connection cut
+func (b *Backends) finish(c *conn, a *executor.Attempt, clean bool) {
+	if a.OnCancel(nil) != nil { // it was called off, and the connection cut
 		clean = false
 	}
 	if clean {
@@ -187,23 +187,23 @@
 }
 
 // why tells how the attempt ended, given what a read or a write said.
-func (x *exchange) why(err error) webwire.Why {
-	switch x.a.Off() {
-	case drive.ErrCalledOff:
-		return webwire.CalledOff
-	case drive.ErrTimeUp:
-		return webwire.TimeUp
+func (x *exchange) why(err error) http1proxy.Why {
+	switch x.a.CancelCause() {
+	case executor.ErrCancelled:
+		return http1proxy.CalledOff
+	case executor.ErrDeadlineExceeded:
+		return http1proxy.TimeUp
 	}
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
-		return webwire.Ended
+		return http1proxy.Ended
 	}
 	if _, system := errors.AsType[interface {
 		error
 		Timeout() bool
 	}](err); system {
-		return webwire.Ended
+		return http1proxy.Ended
 	}
-	return webwire.Spoilt
+	return http1proxy.Spoilt
 }
 
 // write writes the request; a long body goes on beside the reading.
@@ -216,7 +216,7 @@
 	}
 	req := x.req.Request
 	req.Host = host
-	p := req.AppendHead((*buf)[:0], time.Until(x.a.Due))
+	p := req.AppendHead((*buf)[:0], time.Until(x.a.Deadline))
 	x.at.Head = len(p)
 	long := len(x.req.Body) > inlineBody
 	if !long {
@@ -243,7 +243,7 @@
 }
 
 // read reads the answer and passes it on. clean tells whether the connection may be used again.
-func (x *exchange) read() (r drive.Reply, clean bool) {
+func (x *exchange) read() (r executor.Response, clean bool) {
 	res, err := x.head()
 	if err != nil {
 		return x.failed(err), false
@@ -253,17 +253,17 @@
 }
 
 // answer takes an answer whose head is there. end tells whether its connection may be used again.
-func (x *exchange) answer(res *http.Response) (r drive.Reply, may bool) {
+func (x *exchange) answer(res *http.Response) (r executor.Response, may bool) {
 	var err error
 	a := &Answer{Status: res.StatusCode, Header: res.Header, Trailer: res.Trailer}
 	h := res.Header
 	result := x.req.Statuses.Result(res.StatusCode, len(h["Retry-After"]) > 0, len(h["Not-Started"]) == 1 && h["Not-Started"][0] == "1")
-	out := drive.Reply{Outcome: core.Outcome{Result: result}, Body: a}
+	out := executor.Response{Outcome: lifecycle.Outcome{Result: result}, Body: a}
 	if use := h["X-Ratelimit-Used"]; len(use) == 1 {
-		out.Use, out.HasUse = x.b.readings.Use(use[0])
+		out.Usage, out.HasUsage = x.b.readings.Use(use[0])
 	}
 	hold, most := int64(x.b.config.Hold), int64(x.req.MostWhole)
-	if result != decision.Answered {
+	if result != decision.Succeeded {
 		hold = int64(x.b.config.MaxError)
 	}
 	end := !res.Close
@@ -274,12 +274,12 @@
 			most = hold
 		}
 		err = x.whole(res, a, most)
-	case result == decision.Refused && res.ContentLength > hold: // its body is not worth a try elsewhere
+	case result == decision.Rejected && res.ContentLength > hold: // its body is not worth a try elsewhere
 		out.Body = nil
 		return out, false
-	case result != decision.Answered && res.ContentLength < 0:
+	case result != decision.Succeeded && res.ContentLength < 0:
 		var more bool
-		if more, err = x.some(res, a, hold); more && err == nil && result == decision.Refused {
+		if more, err = x.some(res, a, hold); more && err == nil && result == decision.Rejected {
 			out.Body = nil
 			return out, false
 		} else if more && err == nil {
@@ -291,7 +291,7 @@
 	switch {
 	case err != nil:
 		return x.failed(err), false
-	case result != decision.Answered:
+	case result != decision.Succeeded:
 		x.req.setLast(a)
 	}
 	return out, end
@@ -328,7 +328,7 @@
 		return nil
 	}
 	raw, _ := x.c.br.Peek(x.c.br.Buffered())
-	status, h, length, size, ok := webwire.PlainHead(raw)
+	status, h, length, size, ok := http1proxy.PlainHead(raw)
 	if !ok {
 		return nil
 	}
@@ -388,23 +388,23 @@
 }
 
 // stream passes an answer on as it comes, if it may begin.
-func (x *exchange) stream(res *http.Response, a *Answer, out drive.Reply, end bool) (drive.Reply, bool) {
-	if !x.a.Begin() {
+func (x *exchange) stream(res *http.Response, a *Answer, out executor.Response, end bool) (executor.Response, bool) {
+	if !x.a.StartResponse() {
 		return reply(decision.Cancelled), false
 	}
 	a.Streamed = true
 	sink := x.req.Sink
-	sink.Head(a, x.a.Due)
+	sink.Head(a, x.a.Deadline)
 	room := rooms.Get().(*[]byte)
 	defer rooms.Put(room)
 	if !x.here() {
 		if err := sink.Write(nil, true); err != nil {
-			return reply(x.at.Result(webwire.ClientCut)), false
+			return reply(x.at.Result(http1proxy.ClientCut)), false
 		}
 	}
 	if len(a.Body) > 0 { // read already
 		if err := sink.Write(a.Body, false); err != nil {
-			return reply(x.at.Result(webwire.ClientCut)), false
+			return reply(x.at.Result(http1proxy.ClientCut)), false
 		}
 		a.Body = nil
 	}
@@ -415,7 +415,7 @@
 		if n > 0 {
 			wait := err == nil && left != 0 && !x.here()
 			if err := sink.Write((*room)[:n], wait); err != nil {
-				return reply(x.at.Result(webwire.ClientCut)), false
+				return reply(x.at.Result(http1proxy.ClientCut)), false
 			}
 		}
 		switch {
@@ -430,7 +430,7 @@
 }
 
 // failed is an attempt without an answer.
-func (x *exchange) failed(err error) drive.Reply {
+func (x *exchange) failed(err error) executor.Response {
 	result := x.at.Result(x.why(err))
 	x.b.faultLog.Do(func() {
 		x.b.config.Log.Debug("an attempt without an answer", "service", x.b.config.Service, "addr", x.addr, "result", int(result), "err", err)
--- a/internal/webback/conn.go
+++ b/internal/httpproxytransport/conn.go
@@ -1,4 +1,4 @@
-package webback
+package httpproxytransport
 
 import (
 	"bufio"
@@ -7,7 +7,7 @@
 	"time"
 
 	"pumicecroft/internal/connpool"
-	"pumicecroft/internal/netlook"
+	"pumicecroft/internal/socketpeek"
 )
 
 // readRoom is a connection's room for what has come.
@@ -20,7 +20,7 @@
 type conn struct {
 	nc     net.Conn
 	host   string // its backend's address
-	look   *netlook.Looker
+	look   *socketpeek.Peeker
 	pooled *connpool.Conn
 	br     *bufio.Reader
 	left   int // bytes that may still be read; below 0: no bound
@@ -28,7 +28,7 @@
 
 // newConn takes a connection, and the one below it that the system knows.
 func newConn(nc, raw net.Conn) *conn {
-	c := &conn{nc: nc, look: netlook.New(raw), left: -1}
+	c := &conn{nc: nc, look: socketpeek.New(raw), left: -1}
 	c.br = bufio.NewReaderSize((*limited)(c), readRoom)
 	return c
 }
--- a/internal/webback/golden_test.go
+++ b/internal/httpproxytransport/golden_test.go
@@ -1,4 +1,4 @@
-package webback
+package httpproxytransport
 
 import (
 	"encoding/hex"
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
 )
 
 // keptAnswer is what an earlier build's Keep made of the answer below: it stands in journals of idempotency keys, which outlive the program.
@@ -23,15 +23,15 @@
 		t.Fatal(err)
 	}
 	var r Request
-	got, err := r.Again(keys.Answer{Status: 201, ContentType: "application/http", Body: body})
+	got, err := r.DecodeResponse(idempotency.Response{Status: 201, ContentType: "application/http", Body: body})
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, or it is given again as %+v, want %+v", err, got, want)
 	}
-	kept, err := r.Keep(want)
+	kept, err := r.EncodeResponse(want)
 	if err != nil || kept.Status != 201 || kept.ContentType != "application/http" {
 		t.Errorf("%v, or it is kept as %+v", err, kept)
 	}
-	if again, err := r.Again(kept); err != nil || !reflect.DeepEqual(again, want) {
+	if again, err := r.DecodeResponse(kept); err != nil || !reflect.DeepEqual(again, want) {
 		t.Errorf("%v, or it is kept and given again as %+v, want %+v", err, again, want)
 	}
 	if t.Failed() {
--- a/internal/webback/h2.go
+++ b/internal/httpproxytransport/h2.go
@@ -1,4 +1,4 @@
-package webback
+package httpproxytransport
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 	"golang.org/x/net/http2"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/drive"
-	"pumicecroft/internal/webwire"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/http1proxy"
 )
 
 // transport makes the connections; it dials none. What is on one is x/net's business; which one a request takes, and what an end proves, is
@@ -100,7 +100,7 @@
 }
 
 // connH2 gives a connection with a stream that is reserved, or the result of an attempt that gets none.
-func (b *Backends) connH2(ctx context.Context, a *drive.Attempt) (*http2.ClientConn, string, decision.Result) {
+func (b *Backends) connH2(ctx context.Context, a *executor.Attempt) (*http2.ClientConn, string, decision.Result) {
 	for waited := false; ; waited = true {
 		be, cc, coming, mine := b.pick(a.Backend)
 		switch {
@@ -112,7 +112,7 @@
 			b.mu.Lock()
 			b.came(be)
 			b.unlock()
-			return nil, "", decision.NoConnection
+			return nil, "", decision.ConnectFailed
 		case mine:
 			go b.dialH2(a.Backend, be)
 		}
@@ -125,20 +125,20 @@
 }
 
 // carryH2 makes an attempt over HTTP/2.
-func (b *Backends) carryH2(a *drive.Attempt, req *Request) drive.Reply {
+func (b *Backends) carryH2(a *executor.Attempt, req *Request) executor.Response {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if a.Wait(cancel) != nil {
+	if a.OnCancel(cancel) != nil {
 		return reply(decision.NotSent)
 	}
-	defer a.Wait(nil)
+	defer a.OnCancel(nil)
 	cc, addr, result := b.connH2(ctx, a)
 	if cc == nil {
 		return reply(result)
 	}
-	x := &exchange{b: b, a: a, req: req, addr: addr, here: func() bool { return false }, at: webwire.Progress{Head: 1}}
+	x := &exchange{b: b, a: a, req: req, addr: addr, here: func() bool { return false }, at: http1proxy.Progress{Head: 1}}
 	hr, err := x.requestH2(ctx, addr)
-	if err != nil || a.TooLate() {
+	if err != nil || a.SendForbidden() {
 		go leave(cc) // what was reserved on it is given back by nothing else
 		return reply(decision.NotSent)
 	}
@@ -179,7 +179,7 @@
 	}
 	h.Del("Connection")
 	if x.req.LeftIn != "" {
-		h.Set(x.req.LeftIn, webwire.Seconds(time.Until(x.a.Due)))
+		h.Set(x.req.LeftIn, http1proxy.Seconds(time.Until(x.a.Deadline)))
 	}
 	host, scheme := x.req.Host, "http"
 	if x.b.config.HostOf != nil {
@@ -206,16 +206,16 @@
 
 // failedH2 says what an error of a stream proves. A stream that the backend refused, or that is beyond the last one it says it looked at, was
 // not acted on (RFC 9113, 8.7); what x/net has no value for counts as broken.
-func (x *exchange) failedH2(err error) drive.Reply {
+func (x *exchange) failedH2(err error) executor.Response {
 	stream, is := errors.AsType[http2.StreamError](err)
 	switch {
-	case x.a.Off() != nil:
+	case x.a.CancelCause() != nil:
 	case is && stream.Code == http2.ErrCodeRefusedStream, strings.Contains(err.Error(), "graceful shutdown GOAWAY"):
-		return reply(decision.Refused)
+		return reply(decision.Rejected)
 	case is && stream.Code == http2.ErrCodeProtocol:
-		return reply(x.at.Result(webwire.Spoilt))
+		return reply(x.at.Result(http1proxy.Spoilt))
 	default:
-		return reply(x.at.Result(webwire.Ended))
+		return reply(x.at.Result(http1proxy.Ended))
 	}
 	return x.failed(err)
 }
--- a/internal/webback/stored.go
+++ b/internal/httpproxytransport/stored.go
@@ -1,4 +1,4 @@
-package webback
+package httpproxytransport
 
 import (
 	"bytes"
--- a/internal/webback/stored_test.go
+++ b/internal/httpproxytransport/stored_test.go
@@ -1,4 +1,4 @@
-package webback
+package httpproxytransport
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"reflect"
 	"testing"
 
-	"pumicecroft/keys"
+	"pumicecroft/idempotency"
 )
 
 var writeGolden = flag.Bool("write-golden", false, "write testdata/answer.gob anew: only for a new stored form")
@@ -18,7 +18,7 @@
 	const file = "testdata/answer.gob"
 	want := &Answer{Status: http.StatusCreated, Header: http.Header{"Location": {"/items/7", "/items/8"}}, Trailer: http.Header{"Checksum": {"c0ffee"}},
 		Body: []byte("made\x00"), Streamed: true}
-	kept, err := (&Request{}).Keep(want)
+	kept, err := (&Request{}).EncodeResponse(want)
 	if err != nil || kept.Status != http.StatusCreated || kept.ContentType != "application/http" {
 		t.Fatalf("%+v, %v", kept, err)
 	}
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := (&Request{}).Again(keys.Answer{Status: http.StatusCreated, ContentType: "application/http", Body: golden})
+	again, err := (&Request{}).DecodeResponse(idempotency.Response{Status: http.StatusCreated, ContentType: "application/http", Body: golden})
 	if err != nil || !reflect.DeepEqual(again, want) {
 		t.Errorf("%+v, %v; want %+v", again, err, want)
 	}
