--- a/internal/webback/webback.go
+++ b/internal/httpproxytransport/webback.go
@@ -1,9 +1,9 @@
-// Package webback makes attempts at the backends of one service over ordinary HTTP/1.1, with TLS or without: each once and never again by
+// Package httpproxytransport makes attempts at the backends of one service over ordinary HTTP/1.1, with TLS or without: each once and never again by
 // itself, over a bounded number of connections, with an outcome that claims no more than what was seen proves (internal/webwire has the
 // table). An answer that is short, and whose length is told, is held until it is whole, so that one that is cut can be made up for; others
 // are passed on as they come, once the core lets them begin. It decides nothing. webback.go keeps who the backends are and their connections,
 // attempt.go is one attempt, conn.go one connection.
-package webback
+package httpproxytransport
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 
 	"pumicecroft/decision"
 	"pumicecroft/internal/connpool"
-	"pumicecroft/internal/core"
-	"pumicecroft/internal/drive"
-	"pumicecroft/internal/netlook"
-	"pumicecroft/internal/readings"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/lifecycle"
+	"pumicecroft/internal/loadreport"
+	"pumicecroft/internal/socketpeek"
 	"pumicecroft/membership"
 )
 
@@ -56,7 +56,7 @@
 type Backends struct {
 	config   Config
 	faultLog rate.Sometimes
-	readings readings.Reader
+	readings loadreport.Reader
 
 	mu    sync.Mutex
 	byID  map[decision.BackendID]*backend
@@ -67,12 +67,12 @@
 
 type backend struct {
 	state  decision.BackendState
-	place  *connpool.Place
+	place  *connpool.Destination
 	h2     []*http2.ClientConn
 	coming chan struct{} // closed when the HTTP/2 connection that is coming up is there or has failed; nil: there is none
 }
 
-var _ drive.Backends = (*Backends)(nil)
+var _ executor.BackendTransport = (*Backends)(nil)
 
 // New knows no backends yet.
 func New(c Config) *Backends {
@@ -113,7 +113,7 @@
 		}
 	}
 	return &Backends{config: c, faultLog: rate.Sometimes{First: 10, Interval: time.Second}, byID: map[decision.BackendID]*backend{},
-		pool: connpool.New(connpool.Limits{Most: c.Conns, IdleFor: c.Idle * 6 / 10, Rest: rest, Least: rest}), start: time.Now()}
+		pool: connpool.New(connpool.Limits{MaxConns: c.Conns, IdleTimeout: c.Idle * 6 / 10, ReuseDelay: rest, MinReuseDelay: rest}), start: time.Now()}
 }
 
 // Apply takes in what has changed about backends. It holds for every attempt that begins after it returns.
@@ -122,17 +122,17 @@
 	defer b.unlock()
 	for _, c := range changes {
 		be := b.byID[c.ID]
-		if be != nil && (c.State == decision.Gone || c.Moved) {
-			b.pool.Clear(be.place)
+		if be != nil && (c.State == decision.Removed || c.Replaced) {
+			b.pool.CloseDestination(be.place)
 			b.leaveAll(be)
 			delete(b.byID, c.ID)
 			be = nil
 		}
-		if c.State == decision.Gone {
+		if c.State == decision.Removed {
 			continue
 		}
 		if be == nil {
-			be = &backend{place: &connpool.Place{Addr: c.Addr}}
+			be = &backend{place: &connpool.Destination{Addr: c.Addr}}
 			b.byID[c.ID] = be
 		}
 		be.state = c.State
@@ -143,7 +143,7 @@
 func (b *Backends) Close() {
 	b.mu.Lock()
 	defer b.unlock()
-	b.pool.End()
+	b.pool.Close()
 	for _, be := range b.byID {
 		b.leaveAll(be)
 	}
@@ -167,8 +167,8 @@
 
 // unlock closes what the pool has let go of, arms the next sweep and unlocks.
 func (b *Backends) unlock() {
-	closes := b.pool.Closes()
-	if at, ok := b.pool.Next(); ok && b.sweep == nil {
+	closes := b.pool.TakeDiscarded()
+	if at, ok := b.pool.NextExpiry(); ok && b.sweep == nil {
 		b.sweep = time.AfterFunc(at-time.Since(b.start), b.sweepNow)
 	}
 	b.mu.Unlock()
@@ -181,11 +181,11 @@
 	b.mu.Lock()
 	defer b.unlock()
 	b.sweep = nil
-	b.pool.Sweep(time.Since(b.start))
+	b.pool.CloseExpired(time.Since(b.start))
 }
 
 // conn gives a connection to a backend for an attempt's use, or the result of an attempt that gets none. fresh: not a kept one.
-func (b *Backends) conn(a *drive.Attempt, fresh bool) (*conn, decision.Result) {
+func (b *Backends) conn(a *executor.Attempt, fresh bool) (*conn, decision.Result) {
 	for {
 		b.mu.Lock()
 		be := b.byID[a.Backend]
@@ -194,7 +194,7 @@
 			return nil, decision.NotSent
 		}
 		place := be.place
-		kept, err := b.pool.Take(time.Since(b.start), place, fresh)
+		kept, err := b.pool.Acquire(time.Since(b.start), place, fresh)
 		b.unlock()
 		switch {
 		case err != nil:
@@ -203,7 +203,7 @@
 			return b.dial(a, place)
 		}
 		c := kept.Owner.(*conn)
-		if c.look.Look() == netlook.Clean {
+		if c.look.Peek() == socketpeek.Clean {
 			return c, 0
 		}
 		b.drop(c)
@@ -211,24 +211,24 @@
 }
 
 // dial brings a connection up.
-func (b *Backends) dial(a *drive.Attempt, place *connpool.Place) (*conn, decision.Result) {
+func (b *Backends) dial(a *executor.Attempt, place *connpool.Destination) (*conn, decision.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), b.config.Connect)
 	defer cancel()
 	give := func(r decision.Result) (*conn, decision.Result) {
 		b.mu.Lock()
-		b.pool.Release()
+		b.pool.OpenFailed()
 		b.unlock()
 		return nil, r
 	}
-	if a.Wait(cancel) != nil {
+	if a.OnCancel(cancel) != nil {
 		return give(decision.NotSent)
 	}
 	nc, raw, err := b.open(ctx, place.Addr)
 	if err != nil {
-		if off := a.Wait(nil); off != nil {
+		if off := a.OnCancel(nil); off != nil {
 			return give(decision.NotSent)
 		}
-		return give(decision.NoConnection)
+		return give(decision.ConnectFailed)
 	}
 	c := newConn(nc, raw)
 	c.host = place.Addr
@@ -277,7 +277,9 @@
 func (b *Backends) drop(c *conn) {
 	b.mu.Lock()
 	defer b.unlock()
-	b.pool.Drop(c.pooled)
+	b.pool.Discard(c.pooled)
 }
 
-func reply(r decision.Result) drive.Reply { return drive.Reply{Outcome: core.Outcome{Result: r}} }
+func reply(r decision.Result) executor.Response {
+	return executor.Response{Outcome: lifecycle.Outcome{Result: r}}
+}
--- a/internal/webback/webback_test.go
+++ b/internal/httpproxytransport/webback_test.go
@@ -1,4 +1,4 @@
-package webback
+package httpproxytransport
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/drive"
-	"pumicecroft/internal/webwire"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/http1proxy"
 	"pumicecroft/membership"
 )
 
@@ -81,7 +81,7 @@
 				}
 				s.Start()
 				t.Cleanup(s.Close)
-				changes = append(changes, membership.Change{BackendInfo: decision.BackendInfo{ID: decision.BackendID(i)}, Addr: strings.TrimPrefix(s.URL, "http://")})
+				changes = append(changes, membership.Change{Endpoint: decision.Endpoint{ID: decision.BackendID(i)}, Addr: strings.TrimPrefix(s.URL, "http://")})
 			}
 			b := New(Config{Service: "shop", Conns: 4, H2: h2, H2Conns: 1, Idle: 100 * time.Millisecond, Dial: dials.dial})
 			defer b.Close()
@@ -91,9 +91,9 @@
 			for i := range 40 {
 				ran.Go(func() {
 					for range 20 {
-						req := &Request{Request: webwire.Request{Method: "GET", Target: "/", Host: "x"}, Service: "shop", Statuses: &webwire.Statuses{}, MostWhole: 100}
-						switch b.Carry(drive.NewAttempt(decision.BackendID(i%3), time.Now().Add(20*time.Second), req)).Result {
-						case decision.Answered:
+						req := &Request{Request: http1proxy.Request{Method: "GET", Target: "/", Host: "x"}, Service: "shop", Statuses: &http1proxy.Statuses{}, MostWhole: 100}
+						switch b.RoundTrip(executor.NewAttempt(decision.BackendID(i%3), time.Now().Add(20*time.Second), req)).Result {
+						case decision.Succeeded:
 							answered.Add(1)
 						case decision.NotSent: // there was no room: it has not run
 							notSent.Add(1)
@@ -109,7 +109,7 @@
 			}
 			if h2 {
 				for i := range changes {
-					changes[i].State = decision.Gone
+					changes[i].State = decision.Removed
 				}
 				b.Apply(changes)
 			}
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -18,67 +18,67 @@
 // in the place for which it was written. synced is how much of the segment had been synced when the frame was written: what damage
 // there is below that was not done by a crash.
 const (
-	headLen    = 44
-	frameLen   = 16
-	headMark   = 0x31486a70 // "pjH1"
-	frameMark  = 0x31466a70 // "pjF1"
-	form       = 1
-	maxSegment = math.MaxUint32 // a frame's offset and synced have 32 bits
+	headerLen       = 44
+	frameHeaderLen  = 16
+	headerMagic     = 0x31486a70 // "pjH1"
+	frameMagic      = 0x31466a70 // "pjF1"
+	formatVersion   = 1
+	maxSegmentBytes = math.MaxUint32 // a frame's offset and synced have 32 bits
 )
 
 // Errors of Recover, wrapped with the segment and the offset.
 var (
-	// ErrDamaged: what had been synced is not there as it was written.
-	ErrDamaged = errors.New("damaged")
+	// ErrCorrupt: what had been synced is not there as it was written.
+	ErrCorrupt = errors.New("damaged")
 	// ErrForeign: a segment is another log's, or of another form.
 	ErrForeign = errors.New("not of this log")
 )
 
-// DamageError says where a log is damaged. It is an ErrDamaged.
-type DamageError struct {
+// CorruptError says where a log is damaged. It is an ErrDamaged.
+type CorruptError struct {
 	Segment uint64
 	Offset  int64
-	What    string
+	Reason  string
 }
 
-func (e *DamageError) Error() string {
-	return fmt.Sprintf("segment %d is damaged at offset %d: %s", e.Segment, e.Offset, e.What)
+func (e *CorruptError) Error() string {
+	return fmt.Sprintf("segment %d is damaged at offset %d: %s", e.Segment, e.Offset, e.Reason)
 }
 
 // Unwrap makes it an ErrDamaged.
-func (e *DamageError) Unwrap() error { return ErrDamaged }
+func (e *CorruptError) Unwrap() error { return ErrCorrupt }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// head is what a segment begins with.
-type head struct {
-	number uint64
-	log    uint64 // the same in all segments of one log, drawn when it was made
-	before uint64 // the segment before it; 0: it is the first
-	good   int64  // so much of that had been synced
+// segmentHeader is what a segment begins with.
+type segmentHeader struct {
+	number         uint64
+	logID          uint64 // the same in all segments of one log, drawn when it was made
+	previous       uint64 // the segment before it; 0: it is the first
+	previousSynced int64  // so much of that had been synced
 }
 
-// text is the head as it stands in the file.
-func (h head) text() []byte {
-	b := make([]byte, 0, headLen)
-	b = binary.LittleEndian.AppendUint32(b, headMark)
-	b = binary.LittleEndian.AppendUint32(b, form)
-	for _, v := range []uint64{h.number, h.log, h.before, uint64(h.good)} {
+// encode is the head as it stands in the file.
+func (h segmentHeader) encode() []byte {
+	b := make([]byte, 0, headerLen)
+	b = binary.LittleEndian.AppendUint32(b, headerMagic)
+	b = binary.LittleEndian.AppendUint32(b, formatVersion)
+	for _, v := range []uint64{h.number, h.logID, h.previous, uint64(h.previousSynced)} {
 		b = binary.LittleEndian.AppendUint64(b, v)
 	}
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// readHead reads a segment's head. What is not whole is errTorn, which only a segment may have that was never used.
-func readHead(number uint64, b []byte) (h head, err error) {
-	if len(b) < headLen || binary.LittleEndian.Uint32(b) != headMark ||
-		binary.LittleEndian.Uint32(b[headLen-4:]) != crc32.Checksum(b[:headLen-4], castagnoli) {
-		return h, errTorn
+// decodeHeader reads a segment's head. What is not whole is errTorn, which only a segment may have that was never used.
+func decodeHeader(number uint64, b []byte) (h segmentHeader, err error) {
+	if len(b) < headerLen || binary.LittleEndian.Uint32(b) != headerMagic ||
+		binary.LittleEndian.Uint32(b[headerLen-4:]) != crc32.Checksum(b[:headerLen-4], castagnoli) {
+		return h, errIncomplete
 	}
-	if v := binary.LittleEndian.Uint32(b[4:]); v != form {
-		return h, fmt.Errorf("segment %d: %w: it has form %d, and this program reads %d", number, ErrForeign, v, form)
+	if v := binary.LittleEndian.Uint32(b[4:]); v != formatVersion {
+		return h, fmt.Errorf("segment %d: %w: it has form %d, and this program reads %d", number, ErrForeign, v, formatVersion)
 	}
-	h = head{binary.LittleEndian.Uint64(b[8:]), binary.LittleEndian.Uint64(b[16:]), binary.LittleEndian.Uint64(b[24:]),
+	h = segmentHeader{binary.LittleEndian.Uint64(b[8:]), binary.LittleEndian.Uint64(b[16:]), binary.LittleEndian.Uint64(b[24:]),
 		int64(binary.LittleEndian.Uint64(b[32:]))}
 	if h.number != number {
 		return h, fmt.Errorf("segment %d: %w: it was written as segment %d", number, ErrForeign, h.number)
@@ -86,10 +86,10 @@
 	return h, nil
 }
 
-var errTorn = errors.New("torn")
+var errIncomplete = errors.New("torn")
 
-// seal is the sum of a frame: of its own head, of where it stands, and of its payload.
-func seal(log, segment uint64, offset int64, first12, payload []byte) uint32 {
+// frameChecksum is the sum of a frame: of its own head, of where it stands, and of its payload.
+func frameChecksum(log, segment uint64, offset int64, first12, payload []byte) uint32 {
 	var place [24]byte
 	binary.LittleEndian.PutUint64(place[:], log)
 	binary.LittleEndian.PutUint64(place[8:], segment)
@@ -99,35 +99,35 @@
 	return crc32.Update(sum, castagnoli, payload)
 }
 
-// finish makes a frame of room for its head and a payload behind it.
-func finish(b []byte, log, segment uint64, offset, synced int64) {
-	binary.LittleEndian.PutUint32(b, frameMark)
-	binary.LittleEndian.PutUint32(b[4:], uint32(len(b)-frameLen))
+// finishFrame makes a frame of room for its head and a payload behind it.
+func finishFrame(b []byte, log, segment uint64, offset, synced int64) {
+	binary.LittleEndian.PutUint32(b, frameMagic)
+	binary.LittleEndian.PutUint32(b[4:], uint32(len(b)-frameHeaderLen))
 	binary.LittleEndian.PutUint32(b[8:], uint32(synced))
-	binary.LittleEndian.PutUint32(b[12:], seal(log, segment, offset, b[:12], b[frameLen:]))
+	binary.LittleEndian.PutUint32(b[12:], frameChecksum(log, segment, offset, b[:12], b[frameHeaderLen:]))
 }
 
-// frameAt reads the frame at an offset of a segment; ok: it is whole and was written there.
-func frameAt(b []byte, log, segment uint64, offset int64) (payload []byte, synced int64, ok bool) {
+// decodeFrame reads the frame at an offset of a segment; ok: it is whole and was written there.
+func decodeFrame(b []byte, log, segment uint64, offset int64) (payload []byte, synced int64, ok bool) {
 	b = b[offset:]
-	if len(b) < frameLen || binary.LittleEndian.Uint32(b) != frameMark {
+	if len(b) < frameHeaderLen || binary.LittleEndian.Uint32(b) != frameMagic {
 		return nil, 0, false
 	}
 	n := int64(binary.LittleEndian.Uint32(b[4:]))
-	if int64(len(b))-frameLen < n {
+	if int64(len(b))-frameHeaderLen < n {
 		return nil, 0, false
 	}
-	payload = b[frameLen : frameLen+n]
-	return payload, int64(binary.LittleEndian.Uint32(b[8:])), binary.LittleEndian.Uint32(b[12:]) == seal(log, segment, offset, b[:12], payload)
+	payload = b[frameHeaderLen : frameHeaderLen+n]
+	return payload, int64(binary.LittleEndian.Uint32(b[8:])), binary.LittleEndian.Uint32(b[12:]) == frameChecksum(log, segment, offset, b[:12], payload)
 }
 
-// records gives each record of a payload. A payload whose sum is right was written by appendRecord, so that it reads wrongly is
+// eachRecord gives each record of a payload. A payload whose sum is right was written by appendRecord, so that it reads wrongly is
 // as good as impossible; it is damage all the same.
-func records(payload []byte, each func(rec []byte) error) error {
+func eachRecord(payload []byte, each func(rec []byte) error) error {
 	for len(payload) > 0 {
 		n, w := binary.Uvarint(payload)
 		if w <= 0 || n > uint64(len(payload)-w) {
-			return errTorn
+			return errIncomplete
 		}
 		if err := each(payload[w : w+int(n)]); err != nil {
 			return err
@@ -141,34 +141,34 @@
 	return append(binary.AppendUvarint(b, uint64(len(rec))), rec...)
 }
 
-// segmentFrames gives each payload of a segment and where its frame begins, as far as it is whole, and tells how far that is and how much of it is known to have
+// scanFrames gives each payload of a segment and where its frame begins, as far as it is whole, and tells how far that is and how much of it is known to have
 // been synced: at least must, which a later segment says.
 //
 // A crash may cut a segment off anywhere behind what was synced, and of what was not synced any part may be there. So what is not a
 // frame there is its end, unless a later frame says that it had been synced: then it is damaged.
-func segmentFrames(b []byte, h head, must int64, each func(at int64, payload []byte) error) (end, synced int64, err error) {
-	damaged := func(at int64, what string) (int64, int64, error) { return 0, 0, &DamageError{h.number, at, what} }
-	at := int64(headLen)
-	synced = max(must, headLen)
+func scanFrames(b []byte, h segmentHeader, must int64, each func(at int64, payload []byte) error) (end, synced int64, err error) {
+	damaged := func(at int64, what string) (int64, int64, error) { return 0, 0, &CorruptError{h.number, at, what} }
+	at := int64(headerLen)
+	synced = max(must, headerLen)
 	for at < int64(len(b)) {
-		payload, claim, ok := frameAt(b, h.log, h.number, at)
+		payload, claim, ok := decodeFrame(b, h.logID, h.number, at)
 		if !ok {
 			break
 		}
 		if err := each(at, payload); err != nil {
-			if errors.Is(err, errTorn) {
+			if errors.Is(err, errIncomplete) {
 				return damaged(at, "a record there makes no sense")
 			}
 			return 0, 0, err
 		}
 		synced = max(synced, claim)
-		at += frameLen + int64(len(payload))
+		at += frameHeaderLen + int64(len(payload))
 	}
 	if at < must {
 		return damaged(at, fmt.Sprintf("no whole frame is there, and %d bytes had been synced", must))
 	}
-	for later := at + 1; later+frameLen <= int64(len(b)); later++ {
-		if _, claim, ok := frameAt(b, h.log, h.number, later); ok && claim > at {
+	for later := at + 1; later+frameHeaderLen <= int64(len(b)); later++ {
+		if _, claim, ok := decodeFrame(b, h.logID, h.number, later); ok && claim > at {
 			return damaged(at, fmt.Sprintf("no whole frame is there, and the one at %d says that it had been synced", later))
 		}
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -37,10 +37,10 @@
 	value int
 }
 
-var rules = journal.Rules{SegmentBytes: 4 << 10, MostPending: 2 << 10, Retry: time.Second}
+var rules = journal.Options{SegmentBytes: 4 << 10, MaxPending: 2 << 10, RetryDelay: time.Second}
 
 // start begins with what is on the disk.
-func start(disk *simdisk.Disk, r journal.Rules, now time.Duration) (*owner, error) {
+func start(disk *simdisk.Disk, r journal.Options, now time.Duration) (*owner, error) {
 	o := &owner{disk: disk, now: now, slots: map[string]*slot{}, has: map[string]int{}, durable: map[string]int{}}
 	var err error
 	o.log, err = journal.Recover(r, 7, disk.List(), disk.Load, func(rec []byte) (*slot, error) {
@@ -84,7 +84,7 @@
 // step carries out one operation, and writes again what the log asks for.
 func (o *owner) step() bool {
 	op := o.log.Next(o.now)
-	if op.Kind != journal.Nothing {
+	if op.Kind != journal.None {
 		o.log.Done(o.now, o.disk.Do(op))
 	}
 	for len(o.waits) > 0 && o.waits[0].seq <= max(o.log.Durable(), o.log.Lost()) {
@@ -96,7 +96,7 @@
 	for s := o.log.Stale(); s != nil; s = o.log.Stale() {
 		o.put(s.Value, o.has[s.Value])
 	}
-	return op.Kind != journal.Nothing
+	return op.Kind != journal.None
 }
 
 func (o *owner) settle() {
@@ -104,7 +104,7 @@
 		if o.step() {
 			continue
 		}
-		at, ok := o.log.Wake()
+		at, ok := o.log.NextWake()
 		if !ok {
 			return
 		}
@@ -124,7 +124,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		r := rules
 		if rng.IntN(3) == 0 {
-			r.Gather = time.Duration(rng.IntN(5)) * time.Millisecond
+			r.GroupCommitDelay = time.Duration(rng.IntN(5)) * time.Millisecond
 		}
 		disk := simdisk.New()
 		o, err := start(disk, r, 0)
@@ -132,8 +132,8 @@
 			t.Fatal(err)
 		}
 		var fail error
-		disk.Part = func(n int) int { return rng.IntN(n + 1) }
-		disk.Fails = func(journal.Op) error {
+		disk.PartialWrite = func(n int) int { return rng.IntN(n + 1) }
+		disk.Fault = func(journal.Op) error {
 			if fail != nil && rng.IntN(3) > 0 {
 				return fail
 			}
@@ -163,7 +163,7 @@
 					disk.Crash(rng)
 				}
 				must := o.durable
-				disk.Fails, disk.Part = nil, nil
+				disk.Fault, disk.PartialWrite = nil, nil
 				again, err := start(disk, r, o.now)
 				if err != nil {
 					t.Fatalf("seed %d: after a crash: %v", seed, err)
@@ -180,8 +180,8 @@
 				}
 				maps.Copy(again.durable, must)
 				o = again
-				disk.Part = func(n int) int { return rng.IntN(n + 1) }
-				disk.Fails = func(journal.Op) error {
+				disk.PartialWrite = func(n int) int { return rng.IntN(n + 1) }
+				disk.Fault = func(journal.Op) error {
 					if fail != nil && rng.IntN(3) > 0 {
 						return fail
 					}
@@ -190,19 +190,19 @@
 			default:
 				o.step()
 			}
-			if o.log.Down() != nil {
+			if o.log.Err() != nil {
 				downs++
 			}
 		}
-		disk.Fails = nil
+		disk.Fault = nil
 		o.now += 2 * time.Minute
 		o.settle()
 		u := o.log.Usage()
-		if o.log.Down() != nil || u.Off > 0 || u.Pending > 0 || len(o.waits) > 0 {
-			t.Fatalf("seed %d: with a good disk it ends as %+v, %v", seed, u, o.log.Down())
+		if o.log.Err() != nil || u.UnwrittenBytes > 0 || u.PendingBytes > 0 || len(o.waits) > 0 {
+			t.Fatalf("seed %d: with a good disk it ends as %+v, %v", seed, u, o.log.Err())
 		}
-		if most := 2*u.Live + 4*r.SegmentBytes; u.Bytes > most || disk.Bytes() > int(most)+8*44 {
-			t.Fatalf("seed %d: %d bytes in %d segments, %d on disk, for %d that count", seed, u.Bytes, u.Segments, disk.Bytes(), u.Live)
+		if most := 2*u.LiveBytes + 4*r.SegmentBytes; u.Bytes > most || disk.Bytes() > int(most)+8*44 {
+			t.Fatalf("seed %d: %d bytes in %d segments, %d on disk, for %d that count", seed, u.Bytes, u.Segments, disk.Bytes(), u.LiveBytes)
 		}
 		disk.Crash(rng)
 		again, err := start(disk, r, o.now)
@@ -278,12 +278,12 @@
 		for _, n := range numbers {
 			for at := range len(disk.Segment(n)) {
 				hurt := disk.Clone()
-				hurt.Damage(n, int64(at), 0x40)
+				hurt.Corrupt(n, int64(at), 0x40)
 				again, err := start(hurt, rules, 0)
-				var damage *journal.DamageError
+				var damage *journal.CorruptError
 				switch {
 				case errors.As(err, &damage):
-					if damage.Segment != n || damage.Offset > int64(at) || !errors.Is(err, journal.ErrDamaged) {
+					if damage.Segment != n || damage.Offset > int64(at) || !errors.Is(err, journal.ErrCorrupt) {
 						t.Fatalf("closed %v: byte %d of segment %d: %v", closed, at, n, err)
 					}
 				case errors.Is(err, journal.ErrForeign): // its head tells of another log
@@ -322,14 +322,14 @@
 		}
 	}
 	check("whole", nil, func(*simdisk.Disk) {})
-	check("the middle is missing", journal.ErrDamaged, func(d *simdisk.Disk) { _ = d.Do(journal.Op{Kind: journal.Remove, Segment: numbers[1]}) })
+	check("the middle is missing", journal.ErrCorrupt, func(d *simdisk.Disk) { _ = d.Do(journal.Op{Kind: journal.Remove, Segment: numbers[1]}) })
 	check("under another name", journal.ErrForeign, func(d *simdisk.Disk) {
 		_ = d.Do(journal.Op{Kind: journal.Create, Segment: 99, Data: disk.Segment(numbers[1])})
 	})
 	check("another log's", journal.ErrForeign, func(d *simdisk.Disk) {
 		other := simdisk.New()
 		l, _ := journal.Recover(rules, 8, nil, other.Load, func([]byte) (*slot, error) { return nil, nil })
-		for op := l.Next(0); op.Kind != journal.Nothing; op = l.Next(0) {
+		for op := l.Next(0); op.Kind != journal.None; op = l.Next(0) {
 			l.Done(0, other.Do(op))
 		}
 		_ = d.Do(journal.Op{Kind: journal.Remove, Segment: numbers[0]})
@@ -356,7 +356,7 @@
 	o, _ := start(disk, rules, 0)
 	o.put("a", 1)
 	o.settle()
-	disk.Room = disk.Bytes() + 10
+	disk.Capacity = disk.Bytes() + 10
 	o.put("b", 2)
 	for range 1000 {
 		o.put("c", 3)
@@ -364,17 +364,17 @@
 		o.now += 100 * time.Millisecond
 	}
 	u := o.log.Usage()
-	if !errors.Is(o.log.Down(), simdisk.ErrFull) || u.Pending > 0 || u.Off == 0 || o.durable["a"] != 1 || len(o.durable) > 1 {
-		t.Fatalf("%v, %+v, durable %v", o.log.Down(), u, o.durable)
+	if !errors.Is(o.log.Err(), simdisk.ErrFull) || u.PendingBytes > 0 || u.UnwrittenBytes == 0 || o.durable["a"] != 1 || len(o.durable) > 1 {
+		t.Fatalf("%v, %+v, durable %v", o.log.Err(), u, o.durable)
 	}
-	if at, ok := o.log.Wake(); !ok || at > o.now+time.Minute {
+	if at, ok := o.log.NextWake(); !ok || at > o.now+time.Minute {
 		t.Fatalf("it wakes at %v, %v, and it is %v", at, ok, o.now)
 	}
-	disk.Room = 0
+	disk.Capacity = 0
 	o.now += time.Minute
 	o.settle()
-	if o.log.Down() != nil || o.durable["b"] != 2 || o.durable["c"] != 3 {
-		t.Fatalf("with room again: %v, durable %v", o.log.Down(), o.durable)
+	if o.log.Err() != nil || o.durable["b"] != 2 || o.durable["c"] != 3 {
+		t.Fatalf("with room again: %v, durable %v", o.log.Err(), o.durable)
 	}
 	again, err := start(disk, rules, 0)
 	if err != nil || !maps.Equal(again.has, map[string]int{"a": 1, "b": 2, "c": 3}) {
@@ -399,7 +399,7 @@
 		n := 0
 		l, err := journal.Recover(rules, 7, d.List(), d.Load, func(rec []byte) (*slot, error) { n += len(rec); return nil, nil })
 		if err != nil {
-			if !errors.Is(err, journal.ErrDamaged) && !errors.Is(err, journal.ErrForeign) {
+			if !errors.Is(err, journal.ErrCorrupt) && !errors.Is(err, journal.ErrForeign) {
 				t.Fatal(err)
 			}
 			return
@@ -408,11 +408,11 @@
 			t.Fatalf("%d bytes of records in %d", n, len(one)+len(two))
 		}
 		for range 100 {
-			if op := l.Next(0); op.Kind != journal.Nothing {
+			if op := l.Next(0); op.Kind != journal.None {
 				l.Done(0, d.Do(op))
 			}
 		}
-		if err := l.Down(); err != nil {
+		if err := l.Err(); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -14,7 +14,7 @@
 	Where    string // the levels of the other factors
 	A, B     string
 	Figure   *Figure
-	Told     paired.Difference
+	Told     paired.Comparison
 	Unpaired int   // runs of one way that the other lacks, or that failed
 	Err      error // why it can't be compared
 }
@@ -27,7 +27,7 @@
 
 // Within compares levels of a factor of one experiment: each of the others with the level of; with only the one that with names, if it
 // names one.
-func Within(r *Results, factor, of, with string, figures []string, rules paired.Rules) ([]Comparison, error) {
+func Within(r *Results, factor, of, with string, figures []string, rules paired.Options) ([]Comparison, error) {
 	i := slices.IndexFunc(r.Factors, func(f Factor) bool { return f.Name == factor })
 	if i < 0 {
 		return nil, fmt.Errorf("%w: no factor %q", ErrNoLevel, factor)
@@ -55,7 +55,7 @@
 }
 
 // Across compares two directories of one experiment, of different builds say, cell by cell.
-func Across(a, b *Results, nameA, nameB string, figures []string, rules paired.Rules) ([]Comparison, error) {
+func Across(a, b *Results, nameA, nameB string, figures []string, rules paired.Options) ([]Comparison, error) {
 	if a.Digest != b.Digest {
 		return nil, fmt.Errorf("%w: %q and %q; what differs between them belongs into a factor", ErrUnlike, a.Name, b.Name)
 	}
@@ -88,7 +88,7 @@
 }
 
 // compare goes through all cells but for one factor.
-func compare(e *Experiment, but int, a, b map[pairKey]*Row, nameA, nameB string, figures []string, rules paired.Rules) (out []Comparison) {
+func compare(e *Experiment, but int, a, b map[pairKey]*Row, nameA, nameB string, figures []string, rules paired.Options) (out []Comparison) {
 	var wheres []string
 	for _, c := range e.Cells {
 		if w := where(c.Levels, but); !slices.Contains(wheres, w) {
@@ -134,10 +134,10 @@
 	}
 	v := c.Told.Verdict.String()
 	switch {
-	case c.Told.Verdict != paired.CantTell:
-	case c.Told.More > 0:
-		v += fmt.Sprintf("; some %d more would", c.Told.More)
-	case c.Told.More < 0:
+	case c.Told.Verdict != paired.Inconclusive:
+	case c.Told.MorePairs > 0:
+		v += fmt.Sprintf("; some %d more would", c.Told.MorePairs)
+	case c.Told.MorePairs < 0:
 		v += "; nor would 100,000 more"
 	}
 	return v
--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -6,12 +6,12 @@
 	"sync"
 	"sync/atomic"
 
-	"pumicecroft/internal/region"
+	"pumicecroft/internal/emulator"
 )
 
 // Emulate runs a region to its end on some workers, or until ctx ends. What comes of it does not hang on how many there are. A region
 // is not run twice.
-func Emulate(ctx context.Context, r *region.Region, workers int) error {
+func Emulate(ctx context.Context, r *emulator.Region, workers int) error {
 	processors := runtime.GOMAXPROCS(0)
 	workers = max(1, min(workers, r.Shards(), processors))
 	// Windows are some hundred microseconds of work: who is done spins for the others.
@@ -27,7 +27,7 @@
 	work := func(w int) {
 		for n := 0; ; n++ {
 			if w == 0 {
-				over = !r.Next() || n%1024 == 0 && ctx.Err() != nil
+				over = !r.NextWindow() || n%1024 == 0 && ctx.Err() != nil
 				steps.Store(0)
 			}
 			b.wait()
@@ -35,14 +35,14 @@
 				return
 			}
 			for i := steps.Add(1) - 1; i < shards; i = steps.Add(1) - 1 {
-				r.Step(int(i))
+				r.RunShard(int(i))
 			}
 			if w == 0 {
 				takes.Store(0)
 			}
 			b.wait()
 			for i := takes.Add(1) - 1; i < shards; i = takes.Add(1) - 1 {
-				r.Take(int(i))
+				r.DeliverTo(int(i))
 			}
 			b.wait()
 		}
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/region"
+	"pumicecroft/internal/emulator"
+	"pumicecroft/internal/eventqueue"
 	"pumicecroft/internal/settings"
-	"pumicecroft/internal/virtual"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -39,7 +39,7 @@
 // Cell is one level of each factor.
 type Cell struct {
 	Levels []string // by factor
-	Config region.Config
+	Config emulator.Config
 }
 
 // Experiment is what an experiment's file says.
@@ -60,7 +60,9 @@
 const mostCells = 10_000
 
 // SeedOf is a repetition's, the same in all cells: differences between them are paired.
-func (e *Experiment) SeedOf(repetition int) uint64 { return virtual.Mix(e.Seed + uint64(repetition)) }
+func (e *Experiment) SeedOf(repetition int) uint64 {
+	return eventqueue.Mix(e.Seed + uint64(repetition))
+}
 
 // Parse reads an experiment's file. trace gives what a trace's file holds; all that is wrong comes in one error, settings.Problems.
 func Parse(text []byte, trace func(path string) ([]byte, error)) (*Experiment, error) {
@@ -118,8 +120,8 @@
 	}
 	e.traces = map[string][]byte{}
 	sums := map[string]uint64{}
-	arrivals := map[string][]region.Arrival{}
-	read := func(path string) (out []region.Arrival, err error) {
+	arrivals := map[string][]emulator.Arrival{}
+	read := func(path string) (out []emulator.Arrival, err error) {
 		if out, there := arrivals[path]; there {
 			return out, nil
 		}
@@ -149,7 +151,7 @@
 }
 
 // cell reads the region of one combination of levels. What a level sets stands where the file has the level.
-func (e *Experiment) cell(text []byte, n int, trace func(path string) ([]region.Arrival, error)) error {
+func (e *Experiment) cell(text []byte, n int, trace func(path string) ([]emulator.Arrival, error)) error {
 	d, err := settings.Parse(text)
 	if err != nil {
 		return err
@@ -215,47 +217,47 @@
 )
 
 // readRegion reads [region].
-func readRegion(d *settings.Document, s *settings.Section, c *region.Config, trace func(path string) ([]region.Arrival, error)) {
-	c.Doors = s.Whole("doors", 10, 1, 4096)
-	c.Policy = region.Policies[s.OneOf("policy", region.PolicyModule, region.Policies...)]
-	c.Length = s.Duration("length", time.Minute, time.Second, day)
+func readRegion(d *settings.Document, s *settings.Section, c *emulator.Config, trace func(path string) ([]emulator.Arrival, error)) {
+	c.Gateways = s.Whole("doors", 10, 1, 4096)
+	c.Policy = emulator.Policies[s.OneOf("policy", emulator.PolicyEngine, emulator.Policies...)]
+	c.Duration = s.Duration("length", time.Minute, time.Second, day)
 	c.Warmup = s.Duration("warmup", 10*time.Second, 0, day)
-	c.Lists = s.Duration("lists", 500*time.Millisecond, time.Millisecond, time.Hour)
-	c.Loses = s.Number("counter_loss", 0, 0, 1)
-	c.Ceiling = s.Number("limit", 0, 0, much)
+	c.UpdateInterval = s.Duration("lists", 500*time.Millisecond, time.Millisecond, time.Hour)
+	c.CounterLoss = s.Number("counter_loss", 0, 0, 1)
+	c.RateLimit = s.Number("limit", 0, 0, much)
 	y := s.Table("counter")
-	c.Counter = region.Counter{Rate: y.Number("rate", 0, 0, 1e9), Queue: y.Duration("queue", 30*time.Millisecond, 0, time.Minute),
-		Patience: y.Duration("patience", 100*time.Millisecond, time.Millisecond, time.Minute)}
+	c.Counter = emulator.Counter{Rate: y.Number("rate", 0, 0, 1e9), MaxWait: y.Duration("queue", 30*time.Millisecond, 0, time.Minute),
+		Timeout: y.Duration("patience", 100*time.Millisecond, time.Millisecond, time.Minute)}
 	y.Done()
 	n := s.Table("network")
-	c.Network = region.Network{Least: n.Duration("least", 250*time.Microsecond, 10*time.Microsecond, time.Second), More: n.Duration("more", 250*time.Microsecond, 0, time.Second)}
+	c.Network = emulator.Network{MinDelay: n.Duration("least", 250*time.Microsecond, 10*time.Microsecond, time.Second), MeanExtraDelay: n.Duration("more", 250*time.Microsecond, 0, time.Second)}
 	n.Done()
 	b := s.Table("backends")
-	c.Backends = region.Backends{Count: b.Whole("count", 100, 1, 100_000), Zones: b.Whole("zones", 2, 1, 1000), Slots: b.Whole("slots", 8, 1, 100_000),
-		Queue: b.Whole("queue", 32, 0, 100_000), Connect: b.Duration("connect", 250*time.Millisecond, time.Millisecond, time.Minute),
-		Restart: b.Duration("restart", 5*time.Second, time.Millisecond, time.Hour)}
+	c.Backends = emulator.Backends{Count: b.Whole("count", 100, 1, 100_000), Zones: b.Whole("zones", 2, 1, 1000), Concurrency: b.Whole("slots", 8, 1, 100_000),
+		MaxQueue: b.Whole("queue", 32, 0, 100_000), ConnectTimeout: b.Duration("connect", 250*time.Millisecond, time.Millisecond, time.Minute),
+		RestartTime: b.Duration("restart", 5*time.Second, time.Millisecond, time.Hour)}
 	c.Backends.Cells = b.Whole("cells", max(1, c.Backends.Count/8), 1, 100_000)
-	c.Backends.Service = region.Dist{Shape: region.Shape(b.OneOf("service", "exponential", "constant", "exponential", "lognormal", "pareto")),
-		Mean: b.Duration("mean", 40*time.Millisecond, time.Microsecond, time.Hour), Spread: b.Number("spread", 0, 0, 100), Cut: b.Number("cut", 0, 0, 1e6)}
+	c.Backends.Service = emulator.Distribution{Shape: emulator.Shape(b.OneOf("service", "exponential", "constant", "exponential", "lognormal", "pareto")),
+		Mean: b.Duration("mean", 40*time.Millisecond, time.Microsecond, time.Hour), Spread: b.Number("spread", 0, 0, 100), Cutoff: b.Number("cut", 0, 0, 1e6)}
 	b.Done()
 	k := s.Table("clients")
-	c.Clients = region.Clients{Customers: k.Whole("customers", 1000, 1, 10_000_000), Zipf: k.Number("zipf", 0, 0, 10), Strangers: k.Number("strangers", 0, 0, 1),
-		Spread: k.Whole("spread", 2, 1, 4096), Units: k.Number("units", 1, 1e-6, 1e6), Tries: k.Whole("tries", 3, 1, 100), Follow: k.Number("follow", 1, 0, 1),
+	c.Clients = emulator.Clients{Customers: k.Whole("customers", 1000, 1, 10_000_000), ZipfExponent: k.Number("zipf", 0, 0, 10), UniformShare: k.Number("strangers", 0, 0, 1),
+		GatewaySpread: k.Whole("spread", 2, 1, 4096), Cost: k.Number("units", 1, 1e-6, 1e6), MaxTries: k.Whole("tries", 3, 1, 100), FollowRetryAfter: k.Number("follow", 1, 0, 1),
 		Backoff: k.Duration("backoff", 100*time.Millisecond, 0, time.Minute)}
 	k.Done()
 	a := s.Table("arrivals")
-	c.Arrivals = region.Arrivals{Rate: a.Number("rate", 1000, 1e-6, 1e7), Burst: a.Number("burst", 0, 0, 1000), BurstFor: a.Duration("burst_for", time.Second, time.Millisecond, day),
-		Calm: a.Duration("calm", 10*time.Second, time.Millisecond, day), Day: a.Duration("day", 0, 0, day), Depth: a.Number("depth", 0, 0, 1)}
+	c.Arrivals = emulator.Arrivals{Rate: a.Number("rate", 1000, 1e-6, 1e7), BurstFactor: a.Number("burst", 0, 0, 1000), MeanBurst: a.Duration("burst_for", time.Second, time.Millisecond, day),
+		MeanCalm: a.Duration("calm", 10*time.Second, time.Millisecond, day), Period: a.Duration("day", 0, 0, day), Amplitude: a.Number("depth", 0, 0, 1)}
 	path := a.Text("trace", false)
 	a.Done()
 	readRules(s, c)
 	for _, f := range s.List("fault") {
-		kind := region.FaultKind(f.OneOf("kind", "", region.FaultNames...))
+		kind := emulator.FaultKind(f.OneOf("kind", "", emulator.FaultKindNames...))
 		if _, there := f.Get("kind"); !there {
 			d.Bad(f.Path, "kind", "it is missing")
 		}
-		c.Faults = append(c.Faults, region.Fault{Kind: kind, At: f.Duration("at", 0, 0, day), For: f.Duration("for", 10*time.Second, time.Millisecond, day),
-			Zone: f.Whole("zone", 0, 0, 1000), By: f.Number("by", 1, 0, 1e6), Share: f.Number("share", 0, 0, 1000)})
+		c.Faults = append(c.Faults, emulator.Fault{Kind: kind, At: f.Duration("at", 0, 0, day), Duration: f.Duration("for", 10*time.Second, time.Millisecond, day),
+			Zone: f.Whole("zone", 0, 0, 1000), Magnitude: f.Number("by", 1, 0, 1e6), Share: f.Number("share", 0, 0, 1000)})
 		f.Done()
 	}
 	s.Done()
@@ -269,40 +271,40 @@
 }
 
 // readRules reads classes, plans and what else the decision module is told.
-func readRules(s *settings.Section, c *region.Config) {
+func readRules(s *settings.Section, c *emulator.Config) {
 	g := s.Table("settings")
 	set := &c.Settings
-	*set = decision.Settings{FrontDoors: c.Doors, CanCancel: g.Yes("can_cancel", true), MaxAttempts: g.Whole("max_attempts", 3, 1, 100),
-		MaxRetryAfter: g.Duration("max_retry_after", time.Second, 0, time.Hour), AnswerGrace: 50 * time.Millisecond,
-		DrainGrace: g.Duration("drain_grace", 2*time.Second, 0, time.Hour), ColdFrom: g.Number("cold_from", 0.2, 0, 1),
-		WarmWithin: g.Duration("warm_within", 14*time.Second, 0, time.Hour), FallMultiple: g.Number("fall_multiple", 4, 0, 1000),
-		FallFor: g.Duration("fall_for", 3*time.Second, 0, time.Hour)}
+	*set = decision.Settings{GatewayCount: c.Gateways, CanCancel: g.Yes("can_cancel", true), MaxAttempts: g.Whole("max_attempts", 3, 1, 100),
+		MaxRetryAfter: g.Duration("max_retry_after", time.Second, 0, time.Hour), ResponseGrace: 50 * time.Millisecond,
+		DrainGrace: g.Duration("drain_grace", 2*time.Second, 0, time.Hour), SlowStartMinCapacity: g.Number("cold_from", 0.2, 0, 1),
+		SlowStartWindow: g.Duration("warm_within", 14*time.Second, 0, time.Hour), OverloadFactor: g.Number("fall_multiple", 4, 0, 1000),
+		OverloadDuration: g.Duration("fall_for", 3*time.Second, 0, time.Hour)}
 	if g.Yes("meter", true) {
-		set.MeterPeriod = 500 * time.Millisecond
+		set.UsagePeriod = 500 * time.Millisecond
 	}
 	g.Done()
 	for _, e := range s.List("class") {
-		k := decision.Class{Name: e.Text("name", true), Effect: decision.Effect(e.OneOf("effect", "safe", "safe", "keyed", "unsafe")),
-			Group: decision.Group(e.OneOf("group", "all", "all", "zone", "cell")), KeyWindow: e.Duration("key_window", 0, 0, day),
-			Deadline: e.Duration("deadline", 3*time.Second, time.Millisecond, time.Hour), Worth: e.Number("worth", 1, 0, much), LateWorth: e.Number("late_worth", 0, 0, 1)}
-		k.Aim = e.Duration("aim", k.Deadline/3, time.Millisecond, time.Hour)
+		k := decision.Class{Name: e.Text("name", true), Idempotency: decision.Idempotency(e.OneOf("effect", "safe", "safe", "keyed", "unsafe")),
+			DedupScope: decision.DedupScope(e.OneOf("group", "all", "all", "zone", "cell")), DedupWindow: e.Duration("key_window", 0, 0, day),
+			Deadline: e.Duration("deadline", 3*time.Second, time.Millisecond, time.Hour), PriorityWeight: e.Number("worth", 1, 0, much), LateWeightFactor: e.Number("late_worth", 0, 0, 1)}
+		k.LatencyObjective = e.Duration("aim", k.Deadline/3, time.Millisecond, time.Hour)
 		set.Classes = append(set.Classes, k)
-		c.Clients.Mix = append(c.Clients.Mix, region.Share{Name: k.Name, Part: e.Number("share", 1, 0, 1e6)})
+		c.Clients.Classes = append(c.Clients.Classes, emulator.Share{Name: k.Name, Weight: e.Number("share", 1, 0, 1e6)})
 		e.Done()
 	}
 	for _, e := range s.List("plan") {
 		p := decision.Plan{Name: e.Text("name", true), Rate: e.Number("rate", 0, 0, much), Burst: e.Number("burst", 0, 0, much), Price: e.Number("price", 1, 0, much),
-			OverWorth: e.Number("over_worth", 0, 0, 1), OverCost: e.Number("over_cost", 0, 0, 1000),
-			CeilingRate: e.Number("ceiling_rate", 0, 0, much), CeilingBurst: e.Number("ceiling_burst", 0, 0, much), CeilingSlack: e.Number("ceiling_slack", 0, 0, much)}
+			OverQuotaWeightFactor: e.Number("over_worth", 0, 0, 1), OverQuotaCostFactor: e.Number("over_cost", 0, 0, 1000),
+			HardLimitRate: e.Number("ceiling_rate", 0, 0, much), HardLimitBurst: e.Number("ceiling_burst", 0, 0, much), HardLimitOverdraft: e.Number("ceiling_slack", 0, 0, much)}
 		set.Plans = append(set.Plans, p)
-		c.Clients.Plans = append(c.Clients.Plans, region.Share{Name: p.Name, Part: e.Number("share", 1, 0, 1e6)})
+		c.Clients.Plans = append(c.Clients.Plans, emulator.Share{Name: p.Name, Weight: e.Number("share", 1, 0, 1e6)})
 		e.Done()
 	}
 	if len(set.Classes) == 0 {
-		set.Classes, c.Clients.Mix = []decision.Class{{Name: "look", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, []region.Share{{Name: "look", Part: 1}}
+		set.Classes, c.Clients.Classes = []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1}}, []emulator.Share{{Name: "look", Weight: 1}}
 	}
 	if len(set.Plans) == 0 {
-		set.Plans, c.Clients.Plans = []decision.Plan{{Name: "everyone", Price: 1}}, []region.Share{{Name: "everyone", Part: 1}}
+		set.Plans, c.Clients.Plans = []decision.Plan{{Name: "everyone", Price: 1}}, []emulator.Share{{Name: "everyone", Weight: 1}}
 	}
 }
 
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"testing"
 
-	"pumicecroft/internal/region"
+	"pumicecroft/internal/emulator"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -15,11 +15,11 @@
 // goldenRow has a value of its own in each field.
 func goldenRow(t *testing.T) *Row {
 	t.Helper()
-	res := region.Result{Latency: hdrhistogram.New(1, 600_000_000, 3), Beyond: 101, Jain: 0.8125, Events: 102, Shards: 3,
-		Counts: region.Counts{Offered: 1001, Served: 902, InAim: 803, Refused: 64, Failed: 35, WorthOffered: 2002.5, WorthServed: 1753.25, Tries: 1106, Attempts: 1207,
-			Cold: 48, Draining: 9, Doubled: 10, Falls: 11, Calls: 412, CallsLost: 113, Units: 1514.5, UnitsOver: 215.25, WorthOver: 116.125, Overshoot: 17.0625, PastCeiling: 18},
-		Seconds: []region.Second{{Offered: 501, Served: 452, Refused: 33, Failed: 16, WorthOffered: 1000.5, WorthServed: 877.25},
-			{Offered: 500, Served: 450, Refused: 31, Failed: 19, WorthOffered: 1002, WorthServed: 876}}}
+	res := emulator.Result{Latency: hdrhistogram.New(1, 600_000_000, 3), OutOfRange: 101, JainIndex: 0.8125, Events: 102, Shards: 3,
+		Counts: emulator.Counts{Offered: 1001, Served: 902, InObjective: 803, Rejected: 64, Failed: 35, WeightOffered: 2002.5, WeightServed: 1753.25, Tries: 1106, Attempts: 1207,
+			ToWarming: 48, ToDraining: 9, RepeatedEffects: 10, Overloads: 11, CounterCalls: 412, CounterCallsLost: 113, Cost: 1514.5, CostOverQuota: 215.25, WeightOverQuota: 116.125, MaxOvershoot: 17.0625, PeriodsOverHardLimit: 18},
+		Seconds: []emulator.Second{{Offered: 501, Served: 452, Rejected: 33, Failed: 16, WeightOffered: 1000.5, WeightServed: 877.25},
+			{Offered: 500, Served: 450, Rejected: 31, Failed: 19, WeightOffered: 1002, WeightServed: 876}}}
 	for i := range int64(902) {
 		if err := res.Latency.RecordValue(500 + i*i); err != nil {
 			t.Fatal(err)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"pumicecroft/internal/emulator"
 	"pumicecroft/internal/paired"
-	"pumicecroft/internal/region"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cockroachdb/datadriven"
@@ -32,7 +32,7 @@
 		}
 		var b strings.Builder
 		for _, c := range e.Cells {
-			fmt.Fprintf(&b, "%s: %s, %d doors, %d backends, rate %v\n", strings.Join(c.Levels, " / "), c.Config.Policy, c.Config.Doors, c.Config.Backends.Count, c.Config.Arrivals.Rate)
+			fmt.Fprintf(&b, "%s: %s, %d doors, %d backends, rate %v\n", strings.Join(c.Levels, " / "), c.Config.Policy, c.Config.Gateways, c.Config.Backends.Count, c.Config.Arrivals.Rate)
 		}
 		return b.String()
 	})
@@ -103,7 +103,7 @@
 	if err != nil || len(r.Rows) != 24 {
 		t.Fatalf("%d rows, %v", len(r.Rows), err)
 	}
-	told, err := Within(r, "service", "", "", r.Figures, paired.Rules{})
+	told, err := Within(r, "service", "", "", r.Figures, paired.Options{})
 	if err != nil || len(told) != 6 {
 		t.Fatalf("%+v, %v", told, err)
 	}
@@ -116,13 +116,13 @@
 			t.Errorf("%s against %s in %s: %s, %+v", c.B, c.A, c.Figure.Name, c.Verdict(), c.Told)
 		}
 	}
-	if _, err := Within(r, "service", "x", "", r.Figures, paired.Rules{}); !errors.Is(err, ErrNoLevel) {
+	if _, err := Within(r, "service", "x", "", r.Figures, paired.Options{}); !errors.Is(err, ErrNoLevel) {
 		t.Error(err)
 	}
-	if told, err = Across(r, r, "a", "b", r.Figures, paired.Rules{}); err != nil || len(told) != 9 || told[0].Told.Verdict != paired.Same {
+	if told, err = Across(r, r, "a", "b", r.Figures, paired.Options{}); err != nil || len(told) != 9 || told[0].Told.Verdict != paired.Same {
 		t.Errorf("%+v, %v", told, err)
 	}
-	page, err := HTML(r, "", paired.Rules{})
+	page, err := HTML(r, "", paired.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 	if err != nil {
 		return "", err
 	}
-	text, err := Markdown(r, "", paired.Rules{})
+	text, err := Markdown(r, "", paired.Options{})
 	return string(text), err
 }
 
@@ -258,12 +258,12 @@
 	if r, err = Read(out); err != nil {
 		t.Fatal(err)
 	}
-	page, err := HTML(r, "", paired.Rules{})
+	page, err := HTML(r, "", paired.Options{})
 	if err != nil || strings.Contains(string(page), "<x>") || strings.Contains(string(page), "NaN") {
 		t.Errorf("%v, or it holds what a level said, or a NaN", err)
 	}
 	// Latencies beyond the histogram's range are counted.
-	res := region.Result{Latency: hdrhistogram.New(1, 1000, 3), Beyond: 3}
+	res := emulator.Result{Latency: hdrhistogram.New(1, 1000, 3), OutOfRange: 3}
 	var row Row
 	if err := row.fill(&res); err != nil || row.Beyond != 3 || row.Figures["worth"] != 0 {
 		t.Errorf("%+v, %v", row, err)
@@ -276,11 +276,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var first region.Result
+	var first emulator.Result
 	for i, workers := range []int{1, 2, 3, 5} {
 		c := e.Cells[0].Config
-		c.Shards, c.Length, c.Warmup = 5, time.Second, 100*time.Millisecond
-		r, err := region.New(c, 3)
+		c.Shards, c.Duration, c.Warmup = 5, time.Second, 100*time.Millisecond
+		r, err := emulator.New(c, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -299,7 +299,7 @@
 	for _, workers := range []int{1, 4} {
 		c := e.Cells[0].Config
 		c.Shards = 5
-		r, err := region.New(c, 3)
+		r, err := emulator.New(c, 3)
 		if err == nil {
 			err = Emulate(ctx, r, workers)
 		}
@@ -333,7 +333,7 @@
 			for j := range a {
 				a[j], b[j] = r.Rows[order[j]].Figures[figure], r.Rows[order[10+j]].Figures[figure]
 			}
-			if d, err := paired.Compare(a, b, true, paired.Rules{Seed: uint64(i), Resamples: 1000}); err != nil || d.Verdict == paired.Better || d.Verdict == paired.Worse {
+			if d, err := paired.Compare(a, b, true, paired.Options{Seed: uint64(i), Resamples: 1000}); err != nil || d.Verdict == paired.Better || d.Verdict == paired.Worse {
 				told++
 			}
 		}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -70,7 +70,7 @@
 }
 
 // gather puts a report together; by names the factor whose levels stand side by side, the first if it is empty.
-func gather(r *Results, by string, rules paired.Rules) (*report, error) {
+func gather(r *Results, by string, rules paired.Options) (*report, error) {
 	out := &report{Experiment: r.Experiment, Rows: len(r.Rows), Torn: r.Torn}
 	for _, name := range r.Figures {
 		out.Figures = append(out.Figures, FigureOf(name))
@@ -165,8 +165,8 @@
 				l.seconds = append(l.seconds, secondMeans{})
 			}
 			l.seconds[i].offered = l.seconds[i].offered || s.Offered > 0
-			l.seconds[i].worth += share(s.WorthServed, s.WorthOffered)
-			l.seconds[i].refused += share(float64(s.Refused+s.Failed), float64(s.Offered))
+			l.seconds[i].worth += share(s.WeightServed, s.WeightOffered)
+			l.seconds[i].refused += share(float64(s.Rejected+s.Failed), float64(s.Offered))
 		}
 	}
 	for i := range l.seconds {
@@ -206,7 +206,7 @@
 }
 
 // HTML is a report in one file that needs nothing else.
-func HTML(r *Results, by string, rules paired.Rules) ([]byte, error) {
+func HTML(r *Results, by string, rules paired.Options) ([]byte, error) {
 	rep, err := gather(r, by, rules)
 	if err != nil {
 		return nil, err
@@ -236,7 +236,7 @@
 }
 
 // Markdown is a report without its plots.
-func Markdown(r *Results, by string, rules paired.Rules) ([]byte, error) {
+func Markdown(r *Results, by string, rules paired.Options) ([]byte, error) {
 	rep, err := gather(r, by, rules)
 	if err != nil {
 		return nil, err
@@ -495,7 +495,7 @@
 }
 
 // Plot is one figure over the levels of a factor, a line for each place, as SVG.
-func Plot(r *Results, by, figure string, rules paired.Rules) ([]byte, error) {
+func Plot(r *Results, by, figure string, rules paired.Options) ([]byte, error) {
 	r.Figures = []string{figure}
 	rep, err := gather(r, by, rules)
 	if err != nil {
--- a/internal/lab/rows.go
+++ b/internal/lab/rows.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"pumicecroft/internal/atomicfile"
-	"pumicecroft/internal/region"
+	"pumicecroft/internal/emulator"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cespare/xxhash/v2"
@@ -27,16 +27,16 @@
 	Seed       uint64             `json:"seed"`
 	Failed     string             `json:"failed,omitempty"` // why there is nothing else
 	Figures    map[string]float64 `json:"figures,omitempty"`
-	Counts     region.Counts      `json:"counts"`
+	Counts     emulator.Counts    `json:"counts"`
 	Latency    []byte             `json:"latency,omitempty"` // an HDR histogram's compressed form, microseconds
 	Beyond     int                `json:"beyond"`            // latencies above its range, which are in no quantile
-	Seconds    []region.Second    `json:"seconds,omitempty"`
+	Seconds    []emulator.Second  `json:"seconds,omitempty"`
 	Events     uint64             `json:"events"`
 }
 
 // fill puts in what the run came to.
-func (r *Row) fill(of *region.Result) (err error) {
-	r.Figures, r.Counts, r.Beyond, r.Seconds, r.Events = map[string]float64{}, of.Counts, of.Beyond, of.Seconds, of.Events
+func (r *Row) fill(of *emulator.Result) (err error) {
+	r.Figures, r.Counts, r.Beyond, r.Seconds, r.Events = map[string]float64{}, of.Counts, of.OutOfRange, of.Seconds, of.Events
 	for _, f := range Figures {
 		r.Figures[f.Name] = f.of(of)
 	}
--- a/internal/lab/runs.go
+++ b/internal/lab/runs.go
@@ -7,7 +7,7 @@
 	"runtime/debug"
 	"sync"
 
-	"pumicecroft/internal/region"
+	"pumicecroft/internal/emulator"
 )
 
 // RunOptions say how an experiment is run.
@@ -58,7 +58,7 @@
 	ran := Ran{All: len(e.Cells) * e.Repetitions, Torn: had.Torn}
 	type job struct {
 		row    Row
-		config region.Config
+		config emulator.Config
 	}
 	var todo []job
 	for rep := range e.Repetitions { // by repetition: what is done when it is ended early can be compared
@@ -123,7 +123,7 @@
 }
 
 // runOne makes one run. A panic is that run's failure alone.
-func runOne(ctx context.Context, c region.Config, row *Row, workers int) (err error) {
+func runOne(ctx context.Context, c emulator.Config, row *Row, workers int) (err error) {
 	if workers == 1 {
 		defer func() {
 			if p := recover(); p != nil {
@@ -131,7 +131,7 @@
 			}
 		}()
 	}
-	r, err := region.New(c, row.Seed)
+	r, err := emulator.New(c, row.Seed)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"pumicecroft/internal/region"
+	"pumicecroft/internal/emulator"
 )
 
 // mostTrace bounds a trace.
@@ -17,11 +17,11 @@
 
 // ReadTrace reads arrivals from CSV, a line each: seconds from the start, customer (a number from 0), class, units. A first line of names
 // is passed over. An error names the line.
-func ReadTrace(text []byte) ([]region.Arrival, error) {
+func ReadTrace(text []byte) ([]emulator.Arrival, error) {
 	r := csv.NewReader(bytes.NewReader(text))
 	r.FieldsPerRecord = 4
 	r.ReuseRecord = true
-	var out []region.Arrival
+	var out []emulator.Arrival
 	for first := true; ; first = false {
 		f, err := r.Read()
 		if errors.Is(err, io.EOF) {
@@ -45,7 +45,7 @@
 		if len(out) == mostTrace {
 			return nil, fmt.Errorf("line %d: more than %d arrivals", line, mostTrace)
 		}
-		out = append(out, region.Arrival{At: time.Duration(at * float64(time.Second)), Customer: customer, Class: string([]byte(f[2])), Units: units})
+		out = append(out, emulator.Arrival{At: time.Duration(at * float64(time.Second)), Customer: customer, Class: string([]byte(f[2])), Cost: units})
 	}
 	if len(out) == 0 {
 		return nil, errors.New("it holds no arrival")
--- a/internal/core/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -1,4 +1,4 @@
-package core
+package lifecycle
 
 import (
 	"errors"
@@ -13,18 +13,18 @@
 
 const ms = time.Millisecond
 
-var classes = []decision.Class{{Name: "safe"}, {Name: "keyed", Effect: decision.Keyed}, {Name: "unsafe", Effect: decision.Unsafe}}
+var classes = []decision.Class{{Name: "safe"}, {Name: "keyed", Idempotency: decision.IdempotentByKey}, {Name: "unsafe", Idempotency: decision.NonIdempotent}}
 
-// rig is a core over a decision module that does as the test says, and keeps what it heard.
-type rig struct {
-	t     *testing.T
-	c     *Core
-	now   time.Duration
-	heard []string
-	on    func(ev decision.Event) []decision.Action
+// harness is a core over a decision module that does as the test says, and keeps what it heard.
+type harness struct {
+	t       *testing.T
+	machine *Machine
+	now     time.Duration
+	heard   []string
+	on      func(ev decision.Event) []decision.Action
 }
 
-func (r *rig) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
+func (r *harness) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
 	if now != r.now {
 		r.t.Errorf("the decision module is told that it is %v, it is %v", now, r.now)
 	}
@@ -35,9 +35,9 @@
 	return as
 }
 
-func newRig(t *testing.T, l Limits, on func(decision.Event) []decision.Action) *rig {
-	r := &rig{t: t, on: on, now: time.Hour}
-	r.c = New(r, classes, l, r.now)
+func newRig(t *testing.T, l Limits, on func(decision.Event) []decision.Action) *harness {
+	r := &harness{t: t, on: on, now: time.Hour}
+	r.machine = New(r, classes, l, r.now)
 	return r
 }
 
@@ -46,20 +46,20 @@
 	var lines []string
 	for _, e := range es {
 		switch e.Kind {
-		case Start:
-			lines = append(lines, fmt.Sprintf("start %d/%d at %d by %v", e.Request, e.Attempt, e.Backend, e.Due-time.Hour))
-		case CallOff:
+		case StartAttempt:
+			lines = append(lines, fmt.Sprintf("start %d/%d at %d by %v", e.Request, e.Attempt, e.Backend, e.Deadline-time.Hour))
+		case CancelAttempt:
 			lines = append(lines, fmt.Sprintf("calloff %d/%d%s", e.Request, e.Attempt, map[bool]string{true: " late"}[e.TimedOut]))
-		case Final:
+		case Respond:
 			verdict := []string{"served", "refused", "failed", "late", "left", "aborted"}[e.Verdict]
-			if e.Verdict == Refused {
+			if e.Verdict == Rejected {
 				verdict += " " + e.RetryAfter.String()
 			}
 			if e.Verdict == Served {
 				verdict += fmt.Sprint(" by ", e.Attempt)
 			}
 			lines = append(lines, fmt.Sprintf("final %d %s", e.Request, verdict))
-		case Probe:
+		case ProbeBackend:
 			lines = append(lines, fmt.Sprintf("probe %d", e.Backend))
 		case Subscribe:
 			lines = append(lines, "subscribe")
@@ -68,38 +68,38 @@
 	return strings.Join(lines, "; ")
 }
 
-func (r *rig) want(what string, es []Effect, want string) {
+func (r *harness) want(what string, es []Effect, want string) {
 	r.t.Helper()
 	if got := tell(es); got != want {
 		r.t.Errorf("%s: %q, want %q", what, got, want)
 	}
 }
 
-func (r *rig) arrive(id decision.RequestID, class string) []Effect {
+func (r *harness) arrive(id decision.RequestID, class string) []Effect {
 	r.t.Helper()
-	es, err := r.c.Arrive(r.now, id, decision.Request{ID: id, Class: class, Patience: 960 * ms}, 980*ms)
+	es, err := r.machine.Submit(r.now, id, decision.Request{ID: id, Class: class, Timeout: 960 * ms}, 980*ms)
 	if err != nil {
 		r.t.Fatalf("request %d: %v", id, err)
 	}
 	return es
 }
 
-func (r *rig) at(d time.Duration) time.Duration {
+func (r *harness) at(d time.Duration) time.Duration {
 	r.now = time.Hour + d
 	return r.now
 }
 
-func (r *rig) heardLast(part string) {
+func (r *harness) heardLast(part string) {
 	r.t.Helper()
 	if len(r.heard) == 0 || !strings.Contains(r.heard[len(r.heard)-1], part) {
 		r.t.Errorf("the decision module heard %q last, want %q in it", r.heard[max(0, len(r.heard)-1):], part)
 	}
 }
 
-func (r *rig) empty() {
+func (r *harness) empty() {
 	r.t.Helper()
-	if r.c.Open() != 0 || len(r.c.timers) != 0 {
-		r.t.Errorf("%d requests and %d timers are left", r.c.Open(), len(r.c.timers))
+	if r.machine.OpenRequests() != 0 || len(r.machine.timers) != 0 {
+		r.t.Errorf("%d requests and %d timers are left", r.machine.OpenRequests(), len(r.machine.timers))
 	}
 }
 
@@ -107,7 +107,7 @@
 func sendOn(more func(decision.Event) []decision.Action) func(decision.Event) []decision.Action {
 	return func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
-			return []decision.Action{decision.Send{Request: r.ID, Backend: 7}}
+			return []decision.Action{decision.StartAttempt{Request: r.ID, Backend: 7}}
 		}
 		if more != nil {
 			return more(ev)
@@ -119,36 +119,36 @@
 func TestServed(t *testing.T) {
 	r := newRig(t, Limits{}, sendOn(nil))
 	r.want("arrival", r.arrive(1, "safe"), "start 1/0 at 7 by 960ms")
-	r.want("answer", r.c.Ended(r.at(30*ms), 1, 0, Outcome{Result: decision.Answered, HasUse: true, Use: 5, Load: []float64{2}}), "final 1 served by 0")
+	r.want("answer", r.machine.AttemptEnded(r.at(30*ms), 1, 0, Outcome{Result: decision.Succeeded, HasUsage: true, Usage: 5, LoadReport: []float64{2}}), "final 1 served by 0")
 	r.heardLast("{request=1 backend=7 attempt=0 result=0 latency=30ms final=true has_usage=true usage=5 cost=0 load=[2]}")
-	r.want("a second word", r.c.Ended(r.now, 1, 0, Outcome{}), "")
+	r.want("a second word", r.machine.AttemptEnded(r.now, 1, 0, Outcome{}), "")
 	r.empty()
 }
 
 func TestRetriedOnceMoreAndServed(t *testing.T) {
 	r := newRig(t, Limits{}, sendOn(func(ev decision.Event) []decision.Action {
 		if o, ok := ev.(decision.Outcome); ok && o.Attempt == 0 {
-			return []decision.Action{decision.Send{Request: o.Request, Backend: 8, Timeout: 100 * ms}}
+			return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8, Timeout: 100 * ms}}
 		}
 		return nil
 	}))
 	r.arrive(1, "safe")
-	r.want("broken", r.c.Ended(r.at(10*ms), 1, 0, Outcome{Result: decision.Broken}), "start 1/1 at 8 by 110ms")
-	r.want("the attempt's own time", r.c.Tick(r.at(110*ms)), "calloff 1/1 late")
-	r.want("its answer all the same", r.c.Ended(r.at(111*ms), 1, 1, Outcome{Result: decision.Answered}), "final 1 served by 1")
+	r.want("broken", r.machine.AttemptEnded(r.at(10*ms), 1, 0, Outcome{Result: decision.ConnectionLost}), "start 1/1 at 8 by 110ms")
+	r.want("the attempt's own time", r.machine.Tick(r.at(110*ms)), "calloff 1/1 late")
+	r.want("its answer all the same", r.machine.AttemptEnded(r.at(111*ms), 1, 1, Outcome{Result: decision.Succeeded}), "final 1 served by 1")
 	r.empty()
 }
 
 func TestRefusedAndFailedOnlyOnce(t *testing.T) {
 	r := newRig(t, Limits{}, func(ev decision.Event) []decision.Action {
 		if q, ok := ev.(decision.Request); ok {
-			return []decision.Action{decision.Refuse{Request: q.ID, RetryAfter: 250 * ms}, decision.Fail{Request: q.ID}}
+			return []decision.Action{decision.Reject{Request: q.ID, RetryAfter: 250 * ms}, decision.Fail{Request: q.ID}}
 		}
 		return nil
 	})
 	r.want("refusal", r.arrive(1, "safe"), "final 1 refused 250ms")
-	if r.c.Strays() != 1 {
-		t.Errorf("%d strays, want the second answer", r.c.Strays())
+	if r.machine.UnmatchedOutcomes() != 1 {
+		t.Errorf("%d strays, want the second answer", r.machine.UnmatchedOutcomes())
 	}
 	r.empty()
 }
@@ -157,14 +157,14 @@
 func TestLastMoment(t *testing.T) {
 	r := newRig(t, Limits{}, sendOn(nil))
 	r.arrive(1, "safe")
-	if at, ok := r.c.Next(); !ok || at != time.Hour+960*ms {
+	if at, ok := r.machine.Next(); !ok || at != time.Hour+960*ms {
 		t.Errorf("next at %v %v", at, ok)
 	}
-	r.want("early", r.c.Tick(r.at(959*ms)), "")
-	r.want("attempts' time", r.c.Tick(r.at(960*ms)), "calloff 1/0 late")
-	r.want("last moment", r.c.Tick(r.at(980*ms)), "final 1 late")
+	r.want("early", r.machine.Tick(r.at(959*ms)), "")
+	r.want("attempts' time", r.machine.Tick(r.at(960*ms)), "calloff 1/0 late")
+	r.want("last moment", r.machine.Tick(r.at(980*ms)), "final 1 late")
 	r.heardLast("client_disconnected{")
-	r.want("the end of it", r.c.Ended(r.at(981*ms), 1, 0, Outcome{Result: decision.TimedOut}), "")
+	r.want("the end of it", r.machine.AttemptEnded(r.at(981*ms), 1, 0, Outcome{Result: decision.TimedOut}), "")
 	r.heardLast("final=true")
 	r.empty()
 }
@@ -176,10 +176,10 @@
 	r.arrive(1, "safe")
 	r.now += 5 * ms
 	r.arrive(2, "safe")
-	r.want("all at once", r.c.Ended(r.at(5*time.Second), 2, 0, Outcome{Result: decision.Answered}),
+	r.want("all at once", r.machine.AttemptEnded(r.at(5*time.Second), 2, 0, Outcome{Result: decision.Succeeded}),
 		"calloff 1/0 late; final 1 late; calloff 2/0 late; final 2 late")
 	r.heardLast("result=0 latency=4.995s final=true")
-	r.want("nothing more", r.c.Tick(r.now), "")
+	r.want("nothing more", r.machine.Tick(r.now), "")
 }
 
 func TestTimersAtOneInstantKeepTheirOrder(t *testing.T) {
@@ -198,8 +198,8 @@
 		return nil
 	})
 	r.arrive(1, "safe")
-	r.c.Tick(r.now)
-	r.c.Tick(r.at(10 * ms))
+	r.machine.Tick(r.now)
+	r.machine.Tick(r.at(10 * ms))
 	if want := []uint64{9, 9, 3, 1, 0}; !slices.Equal(tokens, want) {
 		t.Errorf("timers came as %v, want %v", tokens, want)
 	}
@@ -207,20 +207,20 @@
 
 func TestAClientThatLeaves(t *testing.T) {
 	r := newRig(t, Limits{}, sendOn(func(ev decision.Event) []decision.Action {
-		if g, ok := ev.(decision.ClientGone); ok {
-			return []decision.Action{decision.Cancel{Request: g.Request}, decision.Send{Request: g.Request, Backend: 9}}
+		if g, ok := ev.(decision.ClientDisconnected); ok {
+			return []decision.Action{decision.CancelAttempt{Request: g.Request}, decision.StartAttempt{Request: g.Request, Backend: 9}}
 		}
 		return nil
 	}))
 	r.arrive(1, "safe")
-	r.want("another's tag", r.c.Leave(r.now, "stranger", 1), "")
-	r.want("left", r.c.Leave(r.at(10*ms), decision.RequestID(1), 1), "final 1 left; calloff 1/0")
+	r.want("another's tag", r.machine.Disconnect(r.now, "stranger", 1), "")
+	r.want("left", r.machine.Disconnect(r.at(10*ms), decision.RequestID(1), 1), "final 1 left; calloff 1/0")
 	r.heardLast("attempt=1 result=7") // what it wanted to send after the end was not sent
-	r.want("twice", r.c.Leave(r.now, decision.RequestID(1), 1), "")
-	if r.c.Open() != 1 || r.c.Owed() != 0 {
-		t.Errorf("open %d, owed %d, want the attempt only", r.c.Open(), r.c.Owed())
+	r.want("twice", r.machine.Disconnect(r.now, decision.RequestID(1), 1), "")
+	if r.machine.OpenRequests() != 1 || r.machine.Unanswered() != 0 {
+		t.Errorf("open %d, owed %d, want the attempt only", r.machine.OpenRequests(), r.machine.Unanswered())
 	}
-	r.c.Ended(r.at(11*ms), 1, 0, Outcome{Result: decision.Cancelled})
+	r.machine.AttemptEnded(r.at(11*ms), 1, 0, Outcome{Result: decision.Cancelled})
 	r.empty()
 }
 
@@ -228,59 +228,59 @@
 func TestAnAttemptPastItsRequest(t *testing.T) {
 	r := newRig(t, Limits{}, func(ev decision.Event) []decision.Action {
 		if q, ok := ev.(decision.Request); ok {
-			return []decision.Action{decision.Send{Request: q.ID, Backend: 7}, decision.Fail{Request: q.ID}}
+			return []decision.Action{decision.StartAttempt{Request: q.ID, Backend: 7}, decision.Fail{Request: q.ID}}
 		}
 		return nil
 	})
 	r.want("arrival", r.arrive(1, "safe"), "start 1/0 at 7 by 960ms; final 1 failed")
-	if _, err := r.c.Arrive(r.now, 1, decision.Request{ID: 1, Class: "safe", Patience: 1}, 1); !errors.Is(err, ErrOpen) {
+	if _, err := r.machine.Submit(r.now, 1, decision.Request{ID: 1, Class: "safe", Timeout: 1}, 1); !errors.Is(err, ErrDuplicateID) {
 		t.Errorf("its id again: %v", err)
 	}
-	r.want("its time", r.c.Tick(r.at(960*ms)), "calloff 1/0 late")
-	r.want("its answer", r.c.Ended(r.at(970*ms), 1, 0, Outcome{Result: decision.Answered}), "")
+	r.want("its time", r.machine.Tick(r.at(960*ms)), "calloff 1/0 late")
+	r.want("its answer", r.machine.AttemptEnded(r.at(970*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
 	r.heardLast("result=0 latency=970ms final=true")
 	r.empty()
 }
 
 func TestWhatIsNotLetIn(t *testing.T) {
-	r := newRig(t, Limits{Open: 2, Attempts: 1}, sendOn(func(ev decision.Event) []decision.Action {
+	r := newRig(t, Limits{MaxOpenRequests: 2, MaxAttempts: 1}, sendOn(func(ev decision.Event) []decision.Action {
 		if o, ok := ev.(decision.Outcome); ok && o.Attempt < 3 {
-			return []decision.Action{decision.Send{Request: o.Request, Backend: 8}}
+			return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8}}
 		}
 		return nil
 	}))
 	again := func(id decision.RequestID, class string) error {
-		_, err := r.c.Arrive(r.now, id, decision.Request{ID: id, Class: class, Patience: time.Second}, time.Second)
+		_, err := r.machine.Submit(r.now, id, decision.Request{ID: id, Class: class, Timeout: time.Second}, time.Second)
 		return err
 	}
 	r.arrive(1, "safe")
-	if err := again(1, "safe"); !errors.Is(err, ErrOpen) {
+	if err := again(1, "safe"); !errors.Is(err, ErrDuplicateID) {
 		t.Errorf("an open id: %v", err)
 	}
 	r.arrive(2, "keyed")
-	if err := again(3, "safe"); !errors.Is(err, ErrFull) {
+	if err := again(3, "safe"); !errors.Is(err, ErrTooManyRequests) {
 		t.Errorf("one too many: %v", err)
 	}
-	r.want("attempts beyond the bound", r.c.Ended(r.now, 1, 0, Outcome{Result: decision.Refused}), "")
+	r.want("attempts beyond the bound", r.machine.AttemptEnded(r.now, 1, 0, Outcome{Result: decision.Rejected}), "")
 	r.heardLast("attempt=3 result=7")
-	r.c.Close()
+	r.machine.Close()
 	if err := again(4, "safe"); !errors.Is(err, ErrClosed) {
 		t.Errorf("closed: %v", err)
 	}
-	r.want("abort", r.c.Abort(r.now), "final 1 aborted; final 2 aborted; calloff 2/0")
-	r.c.Ended(r.now, 2, 0, Outcome{Result: decision.Cancelled})
+	r.want("abort", r.machine.Abort(r.now), "final 1 aborted; final 2 aborted; calloff 2/0")
+	r.machine.AttemptEnded(r.now, 2, 0, Outcome{Result: decision.Cancelled})
 	r.empty()
 }
 
 // A host that runs its handlers again must not make an effect happen twice. What provably never ran may come again.
 func TestAReplayedIDIsNotSentAgain(t *testing.T) {
-	r := newRig(t, Limits{Ids: 2, Remember: time.Second}, sendOn(nil))
+	r := newRig(t, Limits{MaxRememberedIDs: 2, IDRetention: time.Second}, sendOn(nil))
 	try := func(id decision.RequestID, class string, end decision.Result) error {
-		if _, err := r.c.Arrive(r.now, id, decision.Request{ID: id, Class: class, Patience: time.Second}, time.Second); err != nil {
+		if _, err := r.machine.Submit(r.now, id, decision.Request{ID: id, Class: class, Timeout: time.Second}, time.Second); err != nil {
 			return err
 		}
-		r.c.Ended(r.now, id, 0, Outcome{Result: end})
-		r.c.Leave(r.now, id, id)
+		r.machine.AttemptEnded(r.now, id, 0, Outcome{Result: end})
+		r.machine.Disconnect(r.now, id, id)
 		return nil
 	}
 	for _, c := range []struct {
@@ -288,10 +288,10 @@
 		end   decision.Result
 		again bool
 	}{
-		{"safe", decision.Answered, true}, {"keyed", decision.Answered, false}, {"keyed", decision.Broken, false},
-		{"keyed", decision.Refused, true}, {"unsafe", decision.Cancelled, false}, {"unsafe", decision.TimedOut, false},
-		{"unsafe", decision.NoConnection, true}, {"unsafe", decision.NotSent, true}, {"unsafe", decision.Unknown, false},
-		{"unsafe", decision.AnsweredErr, false},
+		{"safe", decision.Succeeded, true}, {"keyed", decision.Succeeded, false}, {"keyed", decision.ConnectionLost, false},
+		{"keyed", decision.Rejected, true}, {"unsafe", decision.Cancelled, false}, {"unsafe", decision.TimedOut, false},
+		{"unsafe", decision.ConnectFailed, true}, {"unsafe", decision.NotSent, true}, {"unsafe", decision.Unknown, false},
+		{"unsafe", decision.ErrorResponse, false},
 	} {
 		r.now += time.Minute
 		for i, want := range []bool{true, c.again} {
@@ -302,43 +302,43 @@
 	}
 	r.now += time.Minute
 	for id := range decision.RequestID(50) {
-		if err := try(id, "unsafe", decision.Answered); err != nil {
+		if err := try(id, "unsafe", decision.Succeeded); err != nil {
 			t.Fatal(err)
 		}
-		if len(r.c.ids) > 2 || len(r.c.idFIFO) > 2 {
-			t.Fatalf("%d ids are kept, 2 may be", len(r.c.ids))
+		if len(r.machine.rememberedIDs) > 2 || len(r.machine.rememberedOrder) > 2 {
+			t.Fatalf("%d ids are kept, 2 may be", len(r.machine.rememberedIDs))
 		}
 	}
-	if err := try(49, "unsafe", decision.Answered); !errors.Is(err, ErrReplayed) {
+	if err := try(49, "unsafe", decision.Succeeded); !errors.Is(err, ErrReplayed) {
 		t.Errorf("the latest id: %v", err)
 	}
 	r.now += time.Second
-	if err := try(49, "unsafe", decision.Answered); err != nil {
+	if err := try(49, "unsafe", decision.Succeeded); err != nil {
 		t.Errorf("after the time that ids are remembered: %v", err)
 	}
 }
 
 func TestOtherActionsAndEvents(t *testing.T) {
 	r := newRig(t, Limits{}, func(ev decision.Event) []decision.Action {
-		if _, ok := ev.(decision.BackendList); ok {
-			return []decision.Action{decision.Probe{Backend: 3}, decision.Subscribe{}, decision.Send{Request: 99},
-				decision.Cancel{Request: 99}, decision.Refuse{Request: 99}, nil}
+		if _, ok := ev.(decision.EndpointUpdate); ok {
+			return []decision.Action{decision.Probe{Backend: 3}, decision.Subscribe{}, decision.StartAttempt{Request: 99},
+				decision.CancelAttempt{Request: 99}, decision.Reject{Request: 99}, nil}
 		}
 		return nil
 	})
-	r.want("list", r.c.List(r.now, decision.BackendList{}), "probe 3; subscribe")
-	if r.c.Strays() != 3 {
-		t.Errorf("%d strays, want 3", r.c.Strays())
+	r.want("list", r.machine.UpdateEndpoints(r.now, decision.EndpointUpdate{}), "probe 3; subscribe")
+	if r.machine.UnmatchedOutcomes() != 3 {
+		t.Errorf("%d strays, want 3", r.machine.UnmatchedOutcomes())
 	}
-	r.want("probed", r.c.Probed(r.now, decision.ProbeResult{Backend: 3}), "")
+	r.want("probed", r.machine.ProbeAnswered(r.now, decision.ProbeResult{Backend: 3}), "")
 	r.heardLast("probe_result{")
 	r.began("of none", 5, 0, false, "")
 	r.heardLast("probe_result{")
 }
 
-func (r *rig) began(what string, id decision.RequestID, attempt int, may bool, want string) {
+func (r *harness) began(what string, id decision.RequestID, attempt int, may bool, want string) {
 	r.t.Helper()
-	es, got := r.c.Began(r.now, id, attempt)
+	es, got := r.machine.ResponseStarted(r.now, id, attempt)
 	r.want(what, es, want)
 	if got != may {
 		r.t.Errorf("%s: the answer may begin: %v, want %v", what, got, may)
@@ -349,9 +349,9 @@
 func twice(ev decision.Event) []decision.Action {
 	switch ev := ev.(type) {
 	case decision.Request:
-		return []decision.Action{decision.Send{Request: ev.ID, Backend: 7}, decision.SetTimer{After: 100 * ms, Token: 1, Request: ev.ID}}
+		return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 7}, decision.SetTimer{After: 100 * ms, Token: 1, Request: ev.ID}}
 	case decision.Timer:
-		return []decision.Action{decision.Send{Request: 1, Backend: 8}}
+		return []decision.Action{decision.StartAttempt{Request: 1, Backend: 8}}
 	}
 	return nil
 }
@@ -361,35 +361,35 @@
 func TestABegunAnswerBinds(t *testing.T) {
 	r := newRig(t, Limits{}, twice)
 	r.arrive(1, "safe")
-	r.want("a second attempt", r.c.Tick(r.at(100*ms)), "start 1/1 at 8 by 960ms")
+	r.want("a second attempt", r.machine.Tick(r.at(100*ms)), "start 1/1 at 8 by 960ms")
 	r.began("the second one's", 1, 1, true, "calloff 1/0")
 	r.heardLast("response_started{")
 	r.began("again", 1, 1, false, "")
 	r.began("the first one's", 1, 0, false, "")
-	r.want("the first was answered", r.c.Ended(r.at(120*ms), 1, 0, Outcome{Result: decision.Answered}), "")
-	r.want("the end", r.c.Ended(r.at(130*ms), 1, 1, Outcome{Result: decision.Answered}), "final 1 served by 1")
+	r.want("the first was answered", r.machine.AttemptEnded(r.at(120*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
+	r.want("the end", r.machine.AttemptEnded(r.at(130*ms), 1, 1, Outcome{Result: decision.Succeeded}), "final 1 served by 1")
 	r.empty()
 }
 
 // The end of an attempt whose answer has begun is the request's: it is made no more, whatever its class, and never refused.
 func TestABegunAnswerThatBreaks(t *testing.T) {
-	for result, want := range map[decision.Result]string{decision.Broken: "final 1 failed", decision.Refused: "final 1 failed",
-		decision.AnsweredErr: "final 1 failed", decision.TimedOut: "final 1 late"} {
+	for result, want := range map[decision.Result]string{decision.ConnectionLost: "final 1 failed", decision.Rejected: "final 1 failed",
+		decision.ErrorResponse: "final 1 failed", decision.TimedOut: "final 1 late"} {
 		again := sendOn(func(ev decision.Event) []decision.Action {
 			if o, ok := ev.(decision.Outcome); ok && o.Attempt == 0 {
-				return []decision.Action{decision.Send{Request: o.Request, Backend: 8}, decision.Refuse{Request: o.Request}}
+				return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8}, decision.Reject{Request: o.Request}}
 			}
 			return nil
 		})
 		r := newRig(t, Limits{}, again)
 		r.arrive(1, "safe")
 		r.began("it", 1, 0, true, "")
-		r.want(want, r.c.Ended(r.at(30*ms), 1, 0, Outcome{Result: result}), want)
+		r.want(want, r.machine.AttemptEnded(r.at(30*ms), 1, 0, Outcome{Result: result}), want)
 		r.empty()
 	}
 	r := newRig(t, Limits{}, sendOn(func(ev decision.Event) []decision.Action {
-		if _, ok := ev.(decision.AnswerStarted); ok {
-			return []decision.Action{decision.Send{Request: 1, Backend: 8}, decision.Refuse{Request: 1}}
+		if _, ok := ev.(decision.ResponseStarted); ok {
+			return []decision.Action{decision.StartAttempt{Request: 1, Backend: 8}, decision.Reject{Request: 1}}
 		}
 		return nil
 	}))
@@ -403,7 +403,7 @@
 	r.arrive(1, "safe")
 	r.at(960 * ms)
 	r.began("when its time is up", 1, 0, false, "calloff 1/0 late")
-	r.want("the last moment", r.c.Tick(r.at(980*ms)), "final 1 late")
+	r.want("the last moment", r.machine.Tick(r.at(980*ms)), "final 1 late")
 	r.began("after the end", 1, 0, false, "")
 }
 
@@ -412,7 +412,7 @@
 	r := newRig(t, Limits{}, sendOn(nil))
 	r.arrive(1, "safe")
 	r.began("it", 1, 0, true, "")
-	r.want("its time", r.c.Tick(r.at(960*ms)), "calloff 1/0 late")
-	r.want("its end", r.c.Ended(r.at(961*ms), 1, 0, Outcome{Result: decision.TimedOut}), "final 1 late")
+	r.want("its time", r.machine.Tick(r.at(960*ms)), "calloff 1/0 late")
+	r.want("its end", r.machine.AttemptEnded(r.at(961*ms), 1, 0, Outcome{Result: decision.TimedOut}), "final 1 late")
 	r.empty()
 }
--- a/internal/core/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -1,4 +1,4 @@
-package core
+package lifecycle
 
 import (
 	"fmt"
@@ -15,27 +15,27 @@
 	switch ev := ev.(type) {
 	case decision.Request:
 		return fmt.Sprintf("request{id=%d customer=%d class=%s plan=%s cost=%v timeout=%v first_gateway=%d spread=%d protocol=%s}",
-			ev.ID, ev.Customer, ev.Class, ev.Plan, ev.Units, ev.Patience, ev.FirstDoor, ev.Spread, ev.Protocol)
-	case decision.BackendList:
+			ev.ID, ev.Customer, ev.Class, ev.Plan, ev.Cost, ev.Timeout, ev.FirstGateway, ev.GatewaySpread, ev.Protocol)
+	case decision.EndpointUpdate:
 		text := fmt.Sprintf("endpoint_update{kind=%d endpoints=[", ev.Kind)
-		for _, b := range ev.Backends {
+		for _, b := range ev.Endpoints {
 			text += fmt.Sprintf("{id=%d state=%d zone=%s instance_type=%s cell=%d started_at=%v weight=%v protocol=%s}",
-				b.ID, b.State, b.Zone, b.Kind, b.Cell, b.Started, b.Weight, b.Protocol)
+				b.ID, b.State, b.Zone, b.InstanceType, b.Cell, b.StartedAt, b.Weight, b.Protocol)
 		}
 		return text + "]}"
 	case decision.Outcome:
 		return fmt.Sprintf("outcome{request=%d backend=%d attempt=%d result=%d latency=%v final=%v has_usage=%v usage=%v cost=%v load=%v}",
-			ev.Request, ev.Backend, ev.Attempt, ev.Result, ev.Took, ev.Final, ev.HasUse, ev.Use, ev.Units, ev.Load)
-	case decision.AnswerStarted:
+			ev.Request, ev.Backend, ev.Attempt, ev.Result, ev.Latency, ev.Final, ev.HasUsage, ev.Usage, ev.SettledCost, ev.LoadReport)
+	case decision.ResponseStarted:
 		return fmt.Sprintf("response_started{request=%d attempt=%d}", ev.Request, ev.Attempt)
-	case decision.ClientGone:
+	case decision.ClientDisconnected:
 		return fmt.Sprintf("client_disconnected{request=%d}", ev.Request)
 	case decision.ProbeResult:
-		return fmt.Sprintf("probe_result{backend=%d result=%d latency=%v load=%v}", ev.Backend, ev.Result, ev.Took, ev.Load)
-	case decision.Counted:
+		return fmt.Sprintf("probe_result{backend=%d result=%d latency=%v load=%v}", ev.Backend, ev.Result, ev.Latency, ev.LoadReport)
+	case decision.CounterResult:
 		return fmt.Sprintf("counter_result{ref=%d result=%d total=%v}", ev.Ref, ev.Result, ev.Total)
-	case decision.Stood:
-		return fmt.Sprintf("process_paused{duration=%v}", ev.For)
+	case decision.ProcessPaused:
+		return fmt.Sprintf("process_paused{duration=%v}", ev.Duration)
 	case decision.Timer:
 		return fmt.Sprintf("timer{token=%d}", ev.Token)
 	}
@@ -44,8 +44,8 @@
 
 // A field that an event gets and encodeEvent doesn't name would not be compared any more.
 func TestEncodeEvent_NamesEveryField(t *testing.T) {
-	for _, zero := range []decision.Event{decision.Request{}, decision.BackendList{}, decision.Outcome{}, decision.AnswerStarted{},
-		decision.ClientGone{}, decision.ProbeResult{}, decision.Counted{}, decision.Stood{}, decision.Timer{}} {
+	for _, zero := range []decision.Event{decision.Request{}, decision.EndpointUpdate{}, decision.Outcome{}, decision.ResponseStarted{},
+		decision.ClientDisconnected{}, decision.ProbeResult{}, decision.CounterResult{}, decision.ProcessPaused{}, decision.Timer{}} {
 		for i := range reflect.TypeOf(zero).NumField() {
 			changed := reflect.New(reflect.TypeOf(zero)).Elem()
 			fill(t, changed.Field(i))
@@ -54,11 +54,11 @@
 			}
 		}
 	}
-	entry := reflect.TypeFor[decision.BackendInfo]()
-	empty := encodeEvent(decision.BackendList{Backends: make([]decision.BackendInfo, 1)})
+	entry := reflect.TypeFor[decision.Endpoint]()
+	empty := encodeEvent(decision.EndpointUpdate{Endpoints: make([]decision.Endpoint, 1)})
 	for i := range entry.NumField() {
-		changed := decision.BackendList{Backends: make([]decision.BackendInfo, 1)}
-		fill(t, reflect.ValueOf(&changed.Backends[0]).Elem().Field(i))
+		changed := decision.EndpointUpdate{Endpoints: make([]decision.Endpoint, 1)}
+		fill(t, reflect.ValueOf(&changed.Endpoints[0]).Elem().Field(i))
 		if encodeEvent(changed) == empty {
 			t.Errorf("an entry of a list: field %d is not in its text", i)
 		}
--- a/internal/core/property_test.go
+++ b/internal/lifecycle/property_test.go
@@ -1,4 +1,4 @@
-package core
+package lifecycle
 
 import (
 	"flag"
@@ -38,16 +38,16 @@
 }
 
 type world struct {
-	t     *rapid.T
-	c     *Core
-	inner Decider // nil: chance
-	now   time.Duration
-	reqs  map[decision.RequestID]*seen
-	order []decision.RequestID
-	depth int
-	owed  uint64        // the CatchUp that has no answer yet; 0: none
-	last  time.Duration // when anything happened last
-	still bool          // pauses are noticed
+	t       *rapid.T
+	machine *Machine
+	inner   DecisionEngine // nil: chance
+	now     time.Duration
+	reqs    map[decision.RequestID]*seen
+	order   []decision.RequestID
+	depth   int
+	owed    uint64        // the CatchUp that has no answer yet; 0: none
+	last    time.Duration // when anything happened last
+	still   bool          // pauses are noticed
 }
 
 // Handle is the decision module: chance, or the one that ships, watched.
@@ -63,7 +63,7 @@
 		if s.outcomes[o.Attempt]++; s.outcomes[o.Attempt] > 1 {
 			w.t.Fatalf("a second outcome: %+v", o)
 		}
-		if o.Final != (s.finals > 0) && w.c.calls[o.Request] != nil && o.Final != w.c.calls[o.Request].ended {
+		if o.Final != (s.finals > 0) && w.machine.calls[o.Request] != nil && o.Final != w.machine.calls[o.Request].answered {
 			w.t.Fatalf("%+v, and the request has %d final answers", o, s.finals)
 		}
 	}
@@ -73,7 +73,7 @@
 		as = w.chance(as)
 	}
 	for _, a := range as {
-		if s, ok := a.(decision.Send); ok && w.reqs[s.Request] != nil && w.c.calls[s.Request] != nil {
+		if s, ok := a.(decision.StartAttempt); ok && w.reqs[s.Request] != nil && w.machine.calls[s.Request] != nil {
 			w.reqs[s.Request].sends++
 		}
 	}
@@ -89,13 +89,13 @@
 		after := time.Duration(rapid.IntRange(-5, 800).Draw(w.t, "after")) * ms
 		switch rapid.IntRange(0, 6).Draw(w.t, "action") {
 		case 0, 1:
-			as = append(as, decision.Send{Request: id, Backend: 1, Timeout: max(0, after)})
+			as = append(as, decision.StartAttempt{Request: id, Backend: 1, Timeout: max(0, after)})
 		case 2:
-			as = append(as, decision.Refuse{Request: id, RetryAfter: max(0, after)})
+			as = append(as, decision.Reject{Request: id, RetryAfter: max(0, after)})
 		case 3:
 			as = append(as, decision.Fail{Request: id})
 		case 4:
-			as = append(as, decision.Cancel{Request: id, Attempt: rapid.IntRange(-1, 3).Draw(w.t, "attempt")})
+			as = append(as, decision.CancelAttempt{Request: id, Attempt: rapid.IntRange(-1, 3).Draw(w.t, "attempt")})
 		case 5:
 			as = append(as, decision.SetTimer{After: after, Token: uint64(rapid.IntRange(1, 3).Draw(w.t, "token")), Request: id})
 		}
@@ -109,12 +109,12 @@
 	for _, e := range es {
 		s := w.reqs[e.Request]
 		switch e.Kind {
-		case CatchUp:
-			if !w.still || e.Serial <= w.owed {
+		case SyncSources:
+			if !w.still || e.SyncID <= w.owed {
 				w.t.Fatalf("%+v after %d", e, w.owed)
 			}
-			w.owed = e.Serial
-		case Start:
+			w.owed = e.SyncID
+		case StartAttempt:
 			if w.owed > 0 {
 				w.t.Fatalf("%+v before the core has caught up", e)
 			}
@@ -124,7 +124,7 @@
 			if s.finals > 0 {
 				w.t.Fatalf("a start after the final answer: %+v", e)
 			}
-			if e.Due > w.now+900*ms || e.Attempt < len(s.starts) {
+			if e.Deadline > w.now+900*ms || e.Attempt < len(s.starts) {
 				w.t.Fatalf("an odd start: %+v", e)
 			}
 			for len(s.starts) <= e.Attempt {
@@ -132,16 +132,16 @@
 			}
 			s.starts[e.Attempt] = true
 			s.made = append(s.made, e.Attempt)
-		case CallOff:
+		case CancelAttempt:
 			if !s.starts[e.Attempt] || s.offs[e.Attempt] {
 				w.t.Fatalf("an attempt called off that is not out, or twice: %+v", e)
 			}
 			s.offs[e.Attempt] = true
-		case Final:
+		case Respond:
 			if s.finals++; s.finals > 1 {
 				w.t.Fatalf("a second final answer: %+v", e)
 			}
-			if s.begun > 0 && (e.Verdict == Refused || e.Verdict == Served && e.Attempt != s.begun-1) {
+			if s.begun > 0 && (e.Verdict == Rejected || e.Verdict == Served && e.Attempt != s.begun-1) {
 				w.t.Fatalf("%+v, and the answer of attempt %d has begun", e, s.begun-1)
 			}
 		}
@@ -161,7 +161,7 @@
 	if w.still && rapid.IntRange(0, 9).Draw(w.t, "stands still") == 0 {
 		w.now += time.Duration(rapid.IntRange(100, 7000).Draw(w.t, "for")) * ms
 	}
-	if w.now-w.last > recovery.Pulse+recovery.Late && w.still && w.last > 0 {
+	if w.now-w.last > recovery.DefaultCheckInterval+recovery.DefaultTolerance && w.still && w.last > 0 {
 		before, from := w.owed, w.last
 		defer func() {
 			if w.last > from && w.owed == before {
@@ -181,11 +181,11 @@
 		if len(w.order) > 0 && rapid.IntRange(0, 9).Draw(w.t, "again") == 0 {
 			id = w.anID()
 		}
-		for at, ok := w.c.Next(); ok && at <= w.now; at, ok = w.c.Next() {
-			w.see(w.c.Tick(w.now)) // what is due may end the one that has the id
+		for at, ok := w.machine.Next(); ok && at <= w.now; at, ok = w.machine.Next() {
+			w.see(w.machine.Tick(w.now)) // what is due may end the one that has the id
 		}
 		old := w.reqs[id]
-		if old != nil && w.c.calls[id] == nil {
+		if old != nil && w.machine.calls[id] == nil {
 			return // an id that was used is used again on purpose only: see TestAReplayedIDIsNotSentAgain
 		}
 		if old == nil {
@@ -193,8 +193,8 @@
 			w.order = append(w.order, id)
 		}
 		class := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(w.t, "class")
-		es, err := w.c.Arrive(w.now, w.reqs[id], decision.Request{ID: id, Class: class, Plan: "p", Units: 1, Spread: 1,
-			Patience: 900 * ms}, 950*ms)
+		es, err := w.machine.Submit(w.now, w.reqs[id], decision.Request{ID: id, Class: class, Plan: "p", Cost: 1, GatewaySpread: 1,
+			Timeout: 900 * ms}, 950*ms)
 		w.see(es)
 		if (err != nil) != (old != nil) {
 			w.t.Fatalf("request %d: %v, open before: %v", id, err, old != nil)
@@ -208,56 +208,56 @@
 		id := w.anID()
 		if s := w.reqs[id]; s != nil && len(s.starts) > 0 {
 			n := rapid.IntRange(0, len(s.starts)-1).Draw(w.t, "begins")
-			es, may := w.c.Began(w.now, id, n)
+			es, may := w.machine.ResponseStarted(w.now, id, n)
 			w.see(es)
 			if may && (s.begun > 0 || !s.starts[n] || s.offs[n] || s.finals > 0) {
 				w.t.Fatalf("the answer of attempt %d may begin: %+v", n, s)
 			}
-			if may || len(es) > 0 && w.c.calls[id] != nil && w.c.calls[id].begun > 0 {
-				s.begun = w.c.calls[id].begun
+			if may || len(es) > 0 && w.machine.calls[id] != nil && w.machine.calls[id].respondingAttempt > 0 {
+				s.begun = w.machine.calls[id].respondingAttempt
 			}
 		}
 	case 5:
 		if id := w.anID(); w.reqs[id] != nil {
-			w.see(w.c.Leave(w.now, w.reqs[id], id))
+			w.see(w.machine.Disconnect(w.now, w.reqs[id], id))
 		}
 	case 6:
-		w.see(w.c.Tick(w.now))
+		w.see(w.machine.Tick(w.now))
 	case 7:
 		w.stop()
-		w.see(w.c.List(w.now, decision.BackendList{Kind: decision.ListFull, Backends: []decision.BackendInfo{{ID: 1}, {ID: 2, Cell: 1}}}))
+		w.see(w.machine.UpdateEndpoints(w.now, decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: []decision.Endpoint{{ID: 1}, {ID: 2, Cell: 1}}}))
 	}
 }
 
 // stop takes a list's word on backends, and looks whether the open attempts that it stops are those which a walk over all finds.
 func (w *world) stop() {
-	list := decision.BackendList{Kind: decision.ListKind(rapid.IntRange(0, int(decision.ListFailed)).Draw(w.t, "kind"))}
+	list := decision.EndpointUpdate{Kind: decision.UpdateKind(rapid.IntRange(0, int(decision.UpdateFailed)).Draw(w.t, "kind"))}
 	last := map[decision.BackendID]decision.BackendState{}
 	for range rapid.IntRange(0, 3).Draw(w.t, "entries") {
-		b := decision.BackendInfo{ID: decision.BackendID(rapid.IntRange(0, 3).Draw(w.t, "backend")), State: decision.BackendState(rapid.IntRange(0, 2).Draw(w.t, "state"))}
-		list.Backends, last[b.ID] = append(list.Backends, b), b.State
+		b := decision.Endpoint{ID: decision.BackendID(rapid.IntRange(0, 3).Draw(w.t, "backend")), State: decision.BackendState(rapid.IntRange(0, 2).Draw(w.t, "state"))}
+		list.Endpoints, last[b.ID] = append(list.Endpoints, b), b.State
 	}
-	want, open := map[ref]bool{}, 0
-	for _, k := range w.c.calls {
-		for i, t := range k.tries {
+	want, open := map[attemptRef]bool{}, 0
+	for _, k := range w.machine.calls {
+		for i, t := range k.attempts {
 			state, named := last[t.backend]
 			if t.open {
 				open++
 			}
-			hit := t.open && list.Kind != decision.ListFailed && (named && state != decision.Ready || !named && list.Kind != decision.ListChanges)
-			want[ref{k, i}] = t.stopped || hit
+			hit := t.open && list.Kind != decision.UpdateFailed && (named && state != decision.Ready || !named && list.Kind != decision.UpdateDelta)
+			want[attemptRef{k, i}] = t.drained || hit
 		}
 	}
-	w.c.stop(&list)
+	w.machine.markDrained(&list)
 	for r, is := range want {
-		if r.try().stopped != is {
-			w.t.Fatalf("request %d, attempt %d at %d, after %+v: stopped %v, want %v", r.call.id, r.n, r.try().backend, list, !is, is)
+		if r.attempt().drained != is {
+			w.t.Fatalf("request %d, attempt %d at %d, after %+v: stopped %v, want %v", r.call.id, r.number, r.attempt().backend, list, !is, is)
 		}
 	}
-	for id, r := range w.c.openAt {
-		for ; r.call != nil; r = r.try().next {
-			if open--; !r.try().open || r.try().backend != id {
-				w.t.Fatalf("request %d, attempt %d is among those open at %d: %+v", r.call.id, r.n, id, *r.try())
+	for id, r := range w.machine.openAttempts {
+		for ; r.call != nil; r = r.attempt().next {
+			if open--; !r.attempt().open || r.attempt().backend != id {
+				w.t.Fatalf("request %d, attempt %d is among those open at %d: %+v", r.call.id, r.number, id, *r.attempt())
 			}
 		}
 	}
@@ -272,8 +272,8 @@
 	if serial == owed {
 		w.owed = 0
 	}
-	es := w.c.CaughtUp(w.now, serial)
-	if len(es) > 0 && es[0].Kind == CatchUp {
+	es := w.machine.SourcesSynced(w.now, serial)
+	if len(es) > 0 && es[0].Kind == SyncSources {
 		w.owed = owed
 	}
 	w.see(es)
@@ -285,7 +285,7 @@
 		return
 	}
 	result := decision.Result(rapid.IntRange(0, int(decision.Unknown)).Draw(w.t, "result"))
-	w.see(w.c.Ended(w.now, id, attempt, Outcome{Result: result})) // what was due may call it off first
+	w.see(w.machine.AttemptEnded(w.now, id, attempt, Outcome{Result: result})) // what was due may call it off first
 	s.starts[attempt] = false
 }
 
@@ -297,22 +297,22 @@
 	for range 200 {
 		w.depth = 0
 		w.caughtUp(w.owed)
-		if at, ok := w.c.Next(); ok {
+		if at, ok := w.machine.Next(); ok {
 			w.now = max(w.now, at)
 		}
-		w.see(w.c.Tick(w.now))
+		w.see(w.machine.Tick(w.now))
 		for _, id := range w.order {
 			for n := range w.reqs[id].starts {
 				w.depth = 0
 				w.end(id, n)
 			}
 		}
-		if w.c.Open() == 0 {
+		if w.machine.OpenRequests() == 0 {
 			break
 		}
 	}
-	if w.c.Open() != 0 {
-		w.t.Fatalf("%d requests are left", w.c.Open())
+	if w.machine.OpenRequests() != 0 {
+		w.t.Fatalf("%d requests are left", w.machine.OpenRequests())
 	}
 	for _, id := range w.order {
 		s := w.reqs[id]
@@ -325,7 +325,7 @@
 			}
 		}
 	}
-	for _, t := range w.c.timers {
+	for _, t := range w.machine.timers {
 		if t.call != nil || t.token != 0 {
 			w.t.Fatalf("a timer of a request is left: %+v", t)
 		}
@@ -336,7 +336,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, reqs: map[decision.RequestID]*seen{}}
 		w.still = rapid.Bool().Draw(t, "pauses are noticed")
-		w.c = New(w, classes, Limits{Attempts: 4, Standstills: w.still}, 0)
+		w.machine = New(w, classes, Limits{MaxAttempts: 4, DetectPauses: w.still}, 0)
 		w.run()
 	})
 }
@@ -344,10 +344,10 @@
 func TestAnyOrderOfEventsWithTheShippedModule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, reqs: map[decision.RequestID]*seen{}}
-		set := decision.Settings{FrontDoors: 1, MaxAttempts: 3, CanCancel: rapid.Bool().Draw(t, "cancel"),
+		set := decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: rapid.Bool().Draw(t, "cancel"),
 			MaxRetryAfter: time.Second, Plans: []decision.Plan{{Name: "p", Rate: 50, Burst: 50, Price: 1}}}
 		for _, c := range classes {
-			c.Aim, c.Deadline, c.Worth, c.KeyWindow = time.Second, 2*time.Second, 1, 5*time.Second
+			c.LatencyObjective, c.Deadline, c.PriorityWeight, c.DedupWindow = time.Second, 2*time.Second, 1, 5*time.Second
 			set.Classes = append(set.Classes, c)
 		}
 		g, err := decision.New(set, rapid.Uint64().Draw(t, "seed"), 0)
@@ -356,10 +356,10 @@
 		}
 		w.inner = g
 		w.still = rapid.Bool().Draw(t, "pauses are noticed")
-		w.c = New(w, set.Classes, Limits{Standstills: w.still}, 0)
+		w.machine = New(w, set.Classes, Limits{DetectPauses: w.still}, 0)
 		w.run()
-		if w.c.Strays() != 0 {
-			t.Fatalf("%d actions of the decision module fit no request", w.c.Strays())
+		if w.machine.UnmatchedOutcomes() != 0 {
+			t.Fatalf("%d actions of the decision module fit no request", w.machine.UnmatchedOutcomes())
 		}
 	})
 }
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
+	"pumicecroft/internal/eventqueue"
 	"pumicecroft/internal/settings"
-	"pumicecroft/internal/virtual"
 )
 
 // Plan is what is asked.
@@ -88,8 +88,8 @@
 	times  *rand.Rand
 	shots  *rand.Rand
 	zipf   *rand.Zipf
-	plans  virtual.Picker
-	kinds  virtual.Picker
+	plans  eventqueue.WeightedPicker
+	kinds  eventqueue.WeightedPicker
 	at     time.Duration
 	number uint64
 	recent [][]uint64 // keys, by kind
@@ -97,7 +97,7 @@
 
 // NewDrawer begins to draw.
 func NewDrawer(p *Plan) *Drawer {
-	d := &Drawer{p: p, times: virtual.Chance(p.Seed, forTimes), shots: virtual.Chance(p.Seed, forShot), recent: make([][]uint64, len(p.Kinds))}
+	d := &Drawer{p: p, times: eventqueue.NewRand(p.Seed, forTimes), shots: eventqueue.NewRand(p.Seed, forShot), recent: make([][]uint64, len(p.Kinds))}
 	var plans, kinds []float64
 	for _, v := range p.Plans {
 		plans = append(plans, v.Part)
@@ -105,7 +105,7 @@
 	for _, k := range p.Kinds {
 		kinds = append(kinds, k.Part)
 	}
-	d.plans, d.kinds = virtual.NewPicker(plans...), virtual.NewPicker(kinds...)
+	d.plans, d.kinds = eventqueue.NewWeightedPicker(plans...), eventqueue.NewWeightedPicker(kinds...)
 	if p.Zipf > 0 && p.Customers > 1 {
 		d.zipf = rand.NewZipf(d.shots, p.Zipf, 1, uint64(p.Customers-1))
 	}
@@ -124,8 +124,8 @@
 		return Shot{}, false
 	}
 	d.number++
-	s := Shot{At: d.at, Number: p.First + d.number, Plan: p.Plans[d.plans.At(d.shots.Float64())].Name,
-		Kind: d.kinds.At(d.shots.Float64()), Follows: d.shots.Float64() < p.Follow}
+	s := Shot{At: d.at, Number: p.First + d.number, Plan: p.Plans[d.plans.Pick(d.shots.Float64())].Name,
+		Kind: d.kinds.Pick(d.shots.Float64()), Follows: d.shots.Float64() < p.Follow}
 	if p.Hasty > 0 {
 		s.Hasty = d.shots.Float64() < p.Hasty
 		s.Follows = s.Follows && !s.Hasty
@@ -136,7 +136,7 @@
 		s.Customer = d.shots.IntN(p.Customers)
 	}
 	s.Customer += p.FirstOne
-	s.Key = virtual.Mix(p.Seed ^ s.Number)
+	s.Key = eventqueue.Mix(p.Seed ^ s.Number)
 	if keys := d.recent[s.Kind]; len(keys) > 0 && d.shots.Float64() < p.Kinds[s.Kind].Repeat {
 		s.Key = keys[d.shots.IntN(len(keys))]
 		return s, true
@@ -159,7 +159,9 @@
 }
 
 // id names a try.
-func id(s *Shot, try int) string { return fmt.Sprintf("%016x", virtual.Mix(s.Number<<8|uint64(try))) }
+func id(s *Shot, try int) string {
+	return fmt.Sprintf("%016x", eventqueue.Mix(s.Number<<8|uint64(try)))
+}
 
 // platform are the fields of the platform's dialect.
 func platform(class string) []Header {
--- a/internal/readings/readings.go
+++ b/internal/loadreport/readings.go
@@ -1,6 +1,6 @@
-// Package readings reads what backends tell beside their answers: a customer's use and their own load, in the platform's
+// Package loadreport reads what backends tell beside their answers: a customer's use and their own load, in the platform's
 // forms, over whatever protocol. What makes no sense says nothing. It is pure.
-package readings
+package loadreport
 
 import (
 	"slices"
--- a/internal/readings/readings_test.go
+++ b/internal/loadreport/readings_test.go
@@ -1,4 +1,4 @@
-package readings
+package loadreport
 
 import (
 	"slices"
--- a/internal/logfile/logfile.go
+++ b/internal/logfile/logfile.go
@@ -25,8 +25,8 @@
 // ErrInUse says that another process has the directory.
 var ErrInUse = errors.New("another process keeps its log there")
 
-// Files is what a log's operations are carried out on. One caller at a time uses it.
-type Files interface {
+// SegmentStore is what a log's operations are carried out on. One caller at a time uses it.
+type SegmentStore interface {
 	// Do carries out an operation. Whatever it has left undone is its error.
 	Do(journal.Op) error
 	// List names the segments that are there.
@@ -37,16 +37,16 @@
 }
 
 const (
-	ending   = ".journal"
-	lockName = "lock"
+	segmentSuffix = ".journal"
+	lockName      = "lock"
 )
 
 // Dir is a directory on disk. It is not safe for concurrent use.
 type Dir struct {
-	path   string
-	lock   *atomicfile.Lock
-	number uint64
-	file   *os.File // of number; nil: none is open
+	path       string
+	lock       *atomicfile.Lock
+	openNumber uint64
+	openFile   *os.File // of number; nil: none is open
 }
 
 // OpenDir takes a directory, which it makes if it is not there, for this process.
@@ -64,7 +64,9 @@
 	return &Dir{path: path, lock: lock}, nil
 }
 
-func (d *Dir) name(n uint64) string { return filepath.Join(d.path, fmt.Sprintf("%016x%s", n, ending)) }
+func (d *Dir) segmentPath(n uint64) string {
+	return filepath.Join(d.path, fmt.Sprintf("%016x%s", n, segmentSuffix))
+}
 
 // List names the segments; other files are passed over.
 func (d *Dir) List() (numbers []uint64, err error) {
@@ -73,7 +75,7 @@
 		return nil, err
 	}
 	for _, e := range entries {
-		text, ok := strings.CutSuffix(e.Name(), ending)
+		text, ok := strings.CutSuffix(e.Name(), segmentSuffix)
 		if n, err := strconv.ParseUint(text, 16, 64); ok && err == nil && len(text) == 16 && e.Type().IsRegular() {
 			numbers = append(numbers, n)
 		}
@@ -83,7 +85,7 @@
 
 // Load reads the first bytes of a segment.
 func (d *Dir) Load(number uint64, most int64) ([]byte, error) {
-	f, err := os.Open(d.name(number))
+	f, err := os.Open(d.segmentPath(number))
 	if err != nil {
 		return nil, err
 	}
@@ -104,24 +106,24 @@
 func (d *Dir) Do(op journal.Op) error {
 	switch op.Kind {
 	case journal.Create:
-		f, err := os.OpenFile(d.name(op.Segment), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+		f, err := os.OpenFile(d.segmentPath(op.Segment), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
-		d.use(op.Segment, f)
+		d.setOpen(op.Segment, f)
 		_, err = f.Write(op.Data)
 		return err
 	case journal.Write:
-		if err := d.open(op.Segment); err != nil {
+		if err := d.openSegment(op.Segment); err != nil {
 			return err
 		}
-		_, err := d.file.WriteAt(op.Data, op.Offset)
+		_, err := d.openFile.WriteAt(op.Data, op.Offset)
 		return err
 	case journal.Sync:
-		if err := d.open(op.Segment); err != nil {
+		if err := d.openSegment(op.Segment); err != nil {
 			return err
 		}
-		return d.file.Sync()
+		return d.openFile.Sync()
 	case journal.SyncDir:
 		f, err := os.Open(d.path)
 		if err != nil {
@@ -129,43 +131,43 @@
 		}
 		return cmp.Or(f.Sync(), f.Close())
 	case journal.Remove:
-		if err := os.Remove(d.name(op.Segment)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := os.Remove(d.segmentPath(op.Segment)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
 	return nil
 }
 
-// open has the file of a segment open. It is opened once and kept until another is wanted, as an error of writing back shows at one
+// openSegment has the file of a segment open. It is opened once and kept until another is wanted, as an error of writing back shows at one
 // descriptor only once.
-func (d *Dir) open(number uint64) error {
-	if d.file != nil && d.number == number {
+func (d *Dir) openSegment(number uint64) error {
+	if d.openFile != nil && d.openNumber == number {
 		return nil
 	}
-	f, err := os.OpenFile(d.name(number), os.O_WRONLY, 0)
+	f, err := os.OpenFile(d.segmentPath(number), os.O_WRONLY, 0)
 	if err == nil {
-		d.use(number, f)
+		d.setOpen(number, f)
 	}
 	return err
 }
 
-func (d *Dir) use(number uint64, f *os.File) {
-	if d.file != nil {
-		d.file.Close() // what it has to say of it was said by Sync
+func (d *Dir) setOpen(number uint64, f *os.File) {
+	if d.openFile != nil {
+		d.openFile.Close() // what it has to say of it was said by Sync
 	}
-	d.number, d.file = number, f
+	d.openNumber, d.openFile = number, f
 }
 
 // Close lets go of the directory.
 func (d *Dir) Close() error {
-	if d.file != nil {
-		d.file.Close()
+	if d.openFile != nil {
+		d.openFile.Close()
 	}
 	return d.lock.Close()
 }
 
-// NewID draws what a new log is known by.
-func NewID() uint64 {
+// NewLogID draws what a new log is known by.
+func NewLogID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // it never fails
 	return binary.LittleEndian.Uint64(b[:])
@@ -174,27 +176,27 @@
 // Runner carries out a log's operations, in a goroutine of its own, while others append under the lock that it shares with them.
 // Nothing is done on files under that lock.
 type Runner[T any] struct {
-	mu    sync.Locker
-	log   *journal.Log[T]
-	files Files
-	clock func() time.Duration
-	each  func()
-	kick  chan struct{}
-	done  chan struct{}
+	mu         sync.Locker
+	log        *journal.Log[T]
+	files      SegmentStore
+	clock      func() time.Duration
+	onProgress func()
+	wake       chan struct{}
+	done       chan struct{}
 }
 
 // Run begins. each is called under the lock after each operation, and when the log wakes by itself: to see what is durable or
 // lost, and to append what is stale. clock is the log's.
-func Run[T any](mu sync.Locker, log *journal.Log[T], files Files, clock func() time.Duration, each func()) *Runner[T] {
-	r := &Runner[T]{mu: mu, log: log, files: files, clock: clock, each: each, kick: make(chan struct{}, 1), done: make(chan struct{})}
+func Run[T any](mu sync.Locker, log *journal.Log[T], files SegmentStore, clock func() time.Duration, each func()) *Runner[T] {
+	r := &Runner[T]{mu: mu, log: log, files: files, clock: clock, onProgress: each, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go r.run()
 	return r
 }
 
-// Kick says that something was appended. It does not wait.
-func (r *Runner[T]) Kick() {
+// Wake says that something was appended. It does not wait.
+func (r *Runner[T]) Wake() {
 	select {
-	case r.kick <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
@@ -205,13 +207,13 @@
 	defer timer.Stop()
 	for {
 		r.mu.Lock()
-		r.each()
+		r.onProgress()
 		op := r.log.Next(r.clock())
-		at, wakes := r.log.Wake()
+		at, wakes := r.log.NextWake()
 		closed := r.log.Closed()
 		r.mu.Unlock()
 		switch {
-		case op.Kind != journal.Nothing:
+		case op.Kind != journal.None:
 			err := r.files.Do(op)
 			r.mu.Lock()
 			r.log.Done(r.clock(), err)
@@ -220,12 +222,12 @@
 		case closed:
 			return
 		case !wakes:
-			<-r.kick
+			<-r.wake
 			continue
 		}
 		timer.Reset(max(0, at-r.clock()))
 		select {
-		case <-r.kick:
+		case <-r.wake:
 		case <-timer.C:
 		}
 	}
@@ -237,14 +239,14 @@
 	r.mu.Lock()
 	r.log.Close()
 	r.mu.Unlock()
-	r.Kick()
+	r.Wake()
 	select {
 	case <-r.done:
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 	r.mu.Lock()
-	err := r.log.Down()
+	err := r.log.Err()
 	r.mu.Unlock()
 	return cmp.Or(err, r.files.Close())
 }
--- a/internal/operator/grpc.go
+++ b/internal/operatorconfig/grpc.go
@@ -1,18 +1,18 @@
-package operator
+package operatorconfig
 
 import (
 	"slices"
 	"time"
 
-	"pumicecroft/grpcfront"
+	"pumicecroft/grpcproxy"
 	"pumicecroft/internal/settings"
 )
 
 // GRPC is what a file says of gRPC.
 type GRPC struct {
 	Listen   string // host:port for clients
-	Front    grpcfront.Config
-	Backends grpcfront.BackendConfig
+	Front    grpcproxy.Config
+	Backends grpcproxy.BackendConfig
 }
 
 // readGRPC reads [grpc]; the classes have been read.
@@ -23,14 +23,14 @@
 	if g.Listen != "" {
 		checkAddress(d, s, "listen", g.Listen)
 	}
-	usual := grpcfront.PlatformNames
+	usual := grpcproxy.PlatformNames
 	seen := map[string]bool{}
 	name := func(key, usual string) string {
 		v := usual
 		if _, there := s.Get(key); there {
 			v = s.Text(key, false)
 		}
-		if err := grpcfront.CheckName(v); err != nil {
+		if err := grpcproxy.CheckName(v); err != nil {
 			d.Bad(s.Path, key, "%v", err)
 		} else if v != "" && seen[v] {
 			d.Bad(s.Path, key, "%q stands for something else already", v)
@@ -38,7 +38,7 @@
 		seen[v] = true
 		return v
 	}
-	c.Names = grpcfront.Names{Customer: name("customer", usual.Customer), Plan: name("plan", usual.Plan), Units: name("units", usual.Units),
+	c.Names = grpcproxy.Names{Customer: name("customer", usual.Customer), Plan: name("plan", usual.Plan), Units: name("units", usual.Units),
 		ID: name("id", usual.ID), Key: name("key", usual.Key), Terms: name("terms", usual.Terms)}
 	if c.Names.Customer == "" {
 		d.Bad(s.Path, "customer", "it is empty: calls must say who asks")
@@ -56,15 +56,15 @@
 	b.Streams = s.Whole("backend_streams", 100, 1, many)
 	b.MaxMessage = s.Whole("max_answer", 4<<20, 1, 1<<30)
 	b.Connect, b.Idle = f.Door.ConnectTimeout, f.Door.IdleTimeout
-	c.Methods = map[string]grpcfront.Method{}
+	c.Methods = map[string]grpcproxy.Method{}
 	classes := map[string]bool{}
 	for _, k := range f.Door.Settings.Classes {
 		classes[k.Name] = true
 	}
 	for _, e := range s.List("method") {
 		n := e.Text("name", true)
-		m := grpcfront.Method{Class: e.Text("class", true), Streaming: e.Yes("streaming", false)}
-		if err := grpcfront.CheckMethod(n); n != "" && err != nil {
+		m := grpcproxy.Method{Class: e.Text("class", true), Streaming: e.Yes("streaming", false)}
+		if err := grpcproxy.CheckMethod(n); n != "" && err != nil {
 			d.Bad(e.Path, "name", "%v", err)
 		}
 		if _, twice := c.Methods[n]; twice {
--- a/internal/operator/grpc_test.go
+++ b/internal/operatorconfig/grpc_test.go
@@ -1,11 +1,11 @@
-package operator
+package operatorconfig
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"pumicecroft/grpcfront"
+	"pumicecroft/grpcproxy"
 )
 
 const goodGRPC = good + `
@@ -32,11 +32,11 @@
 		t.Fatal(err)
 	}
 	c := f.GRPC.Front
-	if f.GRPC.Listen != "127.0.0.1:8090" || c.Names != (grpcfront.Names{Customer: "x-tenant", Plan: "x-tier", ID: "request-id", Key: "idempotency-key"}) ||
+	if f.GRPC.Listen != "127.0.0.1:8090" || c.Names != (grpcproxy.Names{Customer: "x-tenant", Plan: "x-tier", ID: "request-id", Key: "idempotency-key"}) ||
 		!c.CustomerText || c.Strict || c.ReadTimeout != 300*time.Millisecond || c.MaxMessage != 4<<20 || c.Streams != 1000 {
 		t.Errorf("%+v", f.GRPC)
 	}
-	if len(c.Methods) != 2 || c.Methods["/shop.List/*"] != (grpcfront.Method{Class: "look", Streaming: true}) {
+	if len(c.Methods) != 2 || c.Methods["/shop.List/*"] != (grpcproxy.Method{Class: "look", Streaming: true}) {
 		t.Errorf("%+v", c.Methods)
 	}
 	if f.Backends.Nodes[0].Protocol != "grpc" || f.Door.Protocol != "http" || f.GRPC.Backends.Connect != f.Door.ConnectTimeout {
--- a/internal/operator/members.go
+++ b/internal/operatorconfig/members.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"net"
@@ -83,15 +83,15 @@
 
 func readRules(s *settings.Section, f *File) {
 	r := &f.Door.Membership
-	r.HoldFirst = s.Duration("hold_first", time.Second, time.Millisecond, time.Hour)
-	r.HoldMost = s.Duration("hold_most", time.Minute, time.Millisecond, day)
-	r.Forget = s.Duration("forget", time.Minute, time.Millisecond, day)
-	r.ColdFor = s.Duration("cold_for", 15*time.Second, time.Millisecond, day)
-	r.LossShare = s.Number("loss_share", 0.5, 0.01, 1)
-	r.LossLeast = s.Whole("loss_least", 3, 1, many)
-	r.LossFor = s.Duration("loss_for", 1500*time.Millisecond, time.Millisecond, time.Hour)
-	r.LossAll = s.Duration("loss_all", 5*time.Minute, time.Millisecond, day)
-	r.Most = s.Whole("most", membership.DefaultMost, 1, many)
+	r.ProbationMin = s.Duration("hold_first", time.Second, time.Millisecond, time.Hour)
+	r.ProbationMax = s.Duration("hold_most", time.Minute, time.Millisecond, day)
+	r.ProbationReset = s.Duration("forget", time.Minute, time.Millisecond, day)
+	r.WarmupWindow = s.Duration("cold_for", 15*time.Second, time.Millisecond, day)
+	r.MassRemovalRatio = s.Number("loss_share", 0.5, 0.01, 1)
+	r.MassRemovalMin = s.Whole("loss_least", 3, 1, many)
+	r.MassRemovalDelay = s.Duration("loss_for", 1500*time.Millisecond, time.Millisecond, time.Hour)
+	r.FullRemovalDelay = s.Duration("loss_all", 5*time.Minute, time.Millisecond, day)
+	r.MaxNodes = s.Whole("most", membership.DefaultMaxNodes, 1, many)
 	s.Done()
 }
 
@@ -106,7 +106,7 @@
 	o.Consistency = consul.Consistency(s.OneOf("consistency", "default", "default", "stale", "consistent"))
 	o.Wait = s.Duration("wait", 10*time.Second, 100*time.Millisecond, 10*time.Minute)
 	o.MaxStale = s.Duration("max_stale", 10*time.Second, 0, day)
-	o.RetryMost = s.Duration("retry_most", 5*time.Second, 100*time.Millisecond, time.Hour)
+	o.RetryMax = s.Duration("retry_most", 5*time.Second, 100*time.Millisecond, time.Hour)
 	if (o.CertFile == "") != (o.KeyFile == "") {
 		d.Bad(s.Path, "key_file", "cert_file and key_file go together")
 	}
@@ -116,16 +116,16 @@
 		names(d, seen, e, v.Name)
 		v.HealthOnly = e.Yes("health_only", false)
 		m := &v.Mapping
-		m.Zone, m.Cell, m.Model, m.Started = e.Text("zone", false), e.Text("cell", false), e.Text("model", false), e.Text("started", false)
+		m.Zone, m.Cell, m.InstanceType, m.Started = e.Text("zone", false), e.Text("cell", false), e.Text("model", false), e.Text("started", false)
 		m.Protocol = e.Text("protocol", false)
-		m.Speaks = serves(e, "service", "", f)
+		m.DefaultProtocol = serves(e, "service", "", f)
 		m.Name = e.Text("node_name", false)
 		m.ServeWarning = e.OneOf("warning", "drain", "drain", "serve") == 1
 		for _, class := range f.Door.Settings.Classes { // a repeat to a backend that does not drop it runs twice
-			if class.Effect == decision.Keyed && class.Group == decision.GroupZone && m.Zone == "" {
+			if class.Idempotency == decision.IdempotentByKey && class.DedupScope == decision.DedupScopeZone && m.Zone == "" {
 				d.Bad(e.Path, "zone", "it is missing, and class %q is repeated within a zone", class.Name)
 			}
-			if class.Effect == decision.Keyed && class.Group == decision.GroupCell && m.Cell == "" {
+			if class.Idempotency == decision.IdempotentByKey && class.DedupScope == decision.DedupScopeCell && m.Cell == "" {
 				d.Bad(e.Path, "cell", "it is missing, and class %q is repeated within a cell", class.Name)
 			}
 		}
@@ -137,7 +137,7 @@
 	}
 	if r := s.Table("register"); r.Keys != nil {
 		c.Register = &consul.Registration{Name: r.Text("name", true), ID: r.Text("id", false), Address: r.Text("address", false),
-			Tags: r.Texts("tags"), TTL: r.Duration("ttl", 10*time.Second, time.Second, day), Forget: r.Duration("forget", 10*time.Minute, time.Minute, day)}
+			Tags: r.Texts("tags"), TTL: r.Duration("ttl", 10*time.Second, time.Second, day), DeregisterAfter: r.Duration("forget", 10*time.Minute, time.Minute, day)}
 		c.Notice = r.Duration("notice", time.Second, 0, time.Minute)
 		if c.Register.Address == "" {
 			c.Register.Address = f.Listen
--- a/internal/operator/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -1,7 +1,7 @@
-// Package operator reads the operator's own file, such as deploy/pumicecroft.toml: a front door that is not run
+// Package operatorconfig reads the operator's own file, such as deploy/pumicecroft.toml: a front door that is not run
 // by the platform has its classes, plans and backends from there. Every problem of a file is found in one go and
 // names its key and line. The package reads text; files and sockets are the caller's.
-package operator
+package operatorconfig
 
 import (
 	"math"
@@ -12,9 +12,9 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
+	"pumicecroft/httpproxy"
 	"pumicecroft/internal/settings"
 	"pumicecroft/membership"
-	"pumicecroft/webfront"
 )
 
 // Problem is one thing that is wrong with a file, and Problems all of them.
@@ -28,10 +28,10 @@
 	Listen      string // host:port for clients
 	ClientConns int    // connections that clients may hold
 	Door        pumicecroft.Config
-	Members     string          // host:port on loopback for who asks what the door believes of its backends; empty: nobody
-	Sources     []string        // of backends, by precedence: SourceConsul and so on
-	Backends    membership.List // of SourceFile
-	Discovery   string          // host:port of the platform's discovery
+	Members     string            // host:port on loopback for who asks what the door believes of its backends; empty: nobody
+	Sources     []string          // of backends, by precedence: SourceConsul and so on
+	Backends    membership.Update // of SourceFile
+	Discovery   string            // host:port of the platform's discovery
 	// DiscoverySpeaks is what the backends there speak; empty: what the door takes them to.
 	DiscoverySpeaks string
 	Consul          *Consul
@@ -69,7 +69,7 @@
 		f.GRPC = readGRPC(d, s, &f)
 	}
 	if s := top.Table("keys"); s.Keys != nil {
-		f.Door.Keys = readKeys(d, s, &f)
+		f.Door.Idempotency = readKeys(d, s, &f)
 	}
 	top.Done()
 	if err := d.Result(); err != nil {
@@ -110,34 +110,34 @@
 	if f.Web == nil || !slices.ContainsFunc(f.Web.Services, func(v Service) bool { return v.Name == name }) {
 		s.Bad(key, "there is no service %q", name)
 	}
-	return webfront.Protocol(name)
+	return httpproxy.Protocol(name)
 }
 
 func readDoor(s *settings.Section, f *File) {
 	set, c := &f.Door.Settings, &f.Door
-	set.FrontDoors = s.Whole("of", 1, 1, 10_000)
-	set.Me = s.Whole("number", 0, 0, 9_999)
-	if set.Me >= set.FrontDoors {
-		s.Bad("number", "%d is not below of = %d: doors count from 0", set.Me, set.FrontDoors)
+	set.GatewayCount = s.Whole("of", 1, 1, 10_000)
+	set.GatewayIndex = s.Whole("number", 0, 0, 9_999)
+	if set.GatewayIndex >= set.GatewayCount {
+		s.Bad("number", "%d is not below of = %d: doors count from 0", set.GatewayIndex, set.GatewayCount)
 	}
 	set.Zone = s.Text("zone", false)
 	set.MaxAttempts = s.Whole("max_attempts", 3, 1, 16)
 	set.CanCancel = s.Yes("cancel", true)
 	set.MaxRetryAfter = s.Duration("max_retry_after", time.Second, 0, time.Hour)
-	set.MeterPeriod = s.Duration("meter_period", 0, 0, time.Minute)
-	set.LargestUnits = s.Number("largest_units", 0, 0, any_)
-	set.ColdFrom = s.Number("cold_from", 0.2, 0, 1)
-	set.WarmWithin = s.Duration("warm_within", 0, 0, time.Hour)
-	set.FallMultiple = s.Number("fall_multiple", 0, 0, 1000)
-	set.FallFor = s.Duration("fall_for", 0, 0, time.Hour)
-	set.AnswerGrace = s.Duration("answer_grace", 0, 0, time.Minute)
-	set.StartSpent = s.Yes("start_spent", false)
+	set.UsagePeriod = s.Duration("meter_period", 0, 0, time.Minute)
+	set.MaxCost = s.Number("largest_units", 0, 0, any_)
+	set.SlowStartMinCapacity = s.Number("cold_from", 0.2, 0, 1)
+	set.SlowStartWindow = s.Duration("warm_within", 0, 0, time.Hour)
+	set.OverloadFactor = s.Number("fall_multiple", 0, 0, 1000)
+	set.OverloadDuration = s.Duration("fall_for", 0, 0, time.Hour)
+	set.ResponseGrace = s.Duration("answer_grace", 0, 0, time.Minute)
+	set.AssumeQuotaSpent = s.Yes("start_spent", false)
 	set.DrainGrace = s.Duration("drain_grace", 2*time.Second, 0, time.Hour)
 	c.Protocol = protocol(s, membership.ProtocolHTTP)
-	c.MaxOpen = s.Whole("max_open", 4096, 1, many)
-	c.BackendConns = s.Whole("backend_connections", 256, 1, many)
+	c.MaxOpenRequests = s.Whole("max_open", 4096, 1, many)
+	c.MaxBackendConns = s.Whole("backend_connections", 256, 1, many)
 	f.ClientConns = s.Whole("client_connections", 400, 1, many)
-	c.BodyTimeout = s.Duration("body_timeout", time.Second, time.Millisecond, time.Hour)
+	c.BodyReadTimeout = s.Duration("body_timeout", time.Second, time.Millisecond, time.Hour)
 	c.ConnectTimeout = s.Duration("connect_timeout", 250*time.Millisecond, time.Millisecond, time.Minute)
 	c.IdleTimeout = s.Duration("idle_timeout", 15*time.Second, time.Millisecond, day)
 	s.Done()
@@ -154,14 +154,14 @@
 // readClass reads what a class has beside its name and effect.
 func readClass(d *settings.Document, s *settings.Section, name string) decision.Class {
 	c := decision.Class{Name: name}
-	c.Group = decision.Group(s.OneOf("group", "all", "all", "zone", "cell"))
-	c.KeyWindow = s.Duration("key_window", 0, 0, day)
+	c.DedupScope = decision.DedupScope(s.OneOf("group", "all", "all", "zone", "cell"))
+	c.DedupWindow = s.Duration("key_window", 0, 0, day)
 	c.Deadline = s.Duration("deadline", 10*time.Second, time.Millisecond, time.Hour)
-	c.Aim = s.Duration("aim", c.Deadline/2, time.Millisecond, time.Hour)
-	c.Worth = s.Number("worth", 1, 0, any_)
-	c.LateWorth = s.Number("late_worth", 0, 0, 1)
-	if c.Aim > c.Deadline {
-		d.Bad(s.Path, "aim", "%v is over the deadline of %v", c.Aim, c.Deadline)
+	c.LatencyObjective = s.Duration("aim", c.Deadline/2, time.Millisecond, time.Hour)
+	c.PriorityWeight = s.Number("worth", 1, 0, any_)
+	c.LateWeightFactor = s.Number("late_worth", 0, 0, 1)
+	if c.LatencyObjective > c.Deadline {
+		d.Bad(s.Path, "aim", "%v is over the deadline of %v", c.LatencyObjective, c.Deadline)
 	}
 	return c
 }
@@ -175,8 +175,8 @@
 		names(d, seen, s, c.Name)
 		_, told := s.Get("effect")
 		c.byMethod = f.Web != nil && !told
-		c.Effect = decision.Effect(s.OneOf("effect", "safe", "safe", "keyed", "unsafe"))
-		if c.Effect == decision.Keyed && c.KeyWindow == 0 {
+		c.Idempotency = decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe"))
+		if c.Idempotency == decision.IdempotentByKey && c.DedupWindow == 0 {
 			d.Bad(s.Path, "key_window", "a keyed class needs it: how long backends of a group drop a repeat")
 		}
 		s.Done()
@@ -207,15 +207,15 @@
 		names(d, seen, s, p.Name)
 		p.Rate = s.Number("rate", 0, 0, any_)
 		p.Burst = s.Number("burst", 0, 0, any_)
-		p.Open = s.Whole("open", 0, 0, many)
+		p.MaxInFlight = s.Whole("open", 0, 0, many)
 		p.Price = s.Number("price", 1, 0, any_)
-		p.CeilingRate = s.Number("ceiling_rate", 0, 0, any_)
-		p.CeilingBurst = s.Number("ceiling_burst", 0, 0, any_)
-		p.CeilingSlack = s.Number("ceiling_slack", 0, 0, any_)
+		p.HardLimitRate = s.Number("ceiling_rate", 0, 0, any_)
+		p.HardLimitBurst = s.Number("ceiling_burst", 0, 0, any_)
+		p.HardLimitOverdraft = s.Number("ceiling_slack", 0, 0, any_)
 		if (p.Rate > 0) != (p.Burst > 0) {
 			d.Bad(s.Path, "burst", "rate and burst go together")
 		}
-		if (p.CeilingRate > 0) != (p.CeilingBurst > 0) {
+		if (p.HardLimitRate > 0) != (p.HardLimitBurst > 0) {
 			d.Bad(s.Path, "ceiling_burst", "ceiling_rate and ceiling_burst go together")
 		}
 		s.Done()
@@ -231,10 +231,10 @@
 
 func readBackends(d *settings.Document, top *settings.Section, f *File) {
 	seen := map[string]bool{}
-	f.Backends.Whole = true
+	f.Backends.Full = true
 	for _, s := range top.List("backend") {
 		n := membership.Node{Name: s.Text("name", true), Addr: s.Text("address", true), Zone: s.Text("zone", false),
-			Kind: s.Text("model", false), Cell: s.Whole("cell", 0, 0, math.MaxInt32), Weight: s.Number("weight", 1, 0, any_),
+			InstanceType: s.Text("model", false), Cell: s.Whole("cell", 0, 0, math.MaxInt32), Weight: s.Number("weight", 1, 0, any_),
 			Protocol: protocol(s, "")}
 		n.Protocol = serves(s, "service", n.Protocol, f)
 		names(d, seen, s, n.Name)
--- a/internal/operator/operator_test.go
+++ b/internal/operatorconfig/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"errors"
@@ -49,18 +49,18 @@
 		t.Fatal(err)
 	}
 	set := f.Door.Settings
-	if f.Listen != "127.0.0.1:8080" || set.Me != 1 || set.FrontDoors != 2 || set.MaxRetryAfter != 1500*time.Millisecond ||
-		f.Door.BodyTimeout != 500*time.Millisecond || f.ClientConns != 400 || set.LongestDeadline() != 10*time.Second {
+	if f.Listen != "127.0.0.1:8080" || set.GatewayIndex != 1 || set.GatewayCount != 2 || set.MaxRetryAfter != 1500*time.Millisecond ||
+		f.Door.BodyReadTimeout != 500*time.Millisecond || f.ClientConns != 400 || set.LongestDeadline() != 10*time.Second {
 		t.Errorf("%+v", f)
 	}
-	if c := set.Classes[1]; c.Effect != decision.Keyed || c.Group != decision.GroupCell || c.KeyWindow != 5*time.Second ||
-		c.Worth != 5 || set.Classes[0].Aim != time.Second {
+	if c := set.Classes[1]; c.Idempotency != decision.IdempotentByKey || c.DedupScope != decision.DedupScopeCell || c.DedupWindow != 5*time.Second ||
+		c.PriorityWeight != 5 || set.Classes[0].LatencyObjective != time.Second {
 		t.Errorf("%+v", set.Classes)
 	}
 	if p := set.Plans[0]; p.Rate != 10 || p.Burst != 20.5 || p.Price != 1 {
 		t.Errorf("%+v", p)
 	}
-	if n := f.Backends.Nodes; len(n) != 1 || n[0].Addr != "127.0.0.1:9000" || n[0].Cell != 3 || !f.Backends.Whole {
+	if n := f.Backends.Nodes; len(n) != 1 || n[0].Addr != "127.0.0.1:9000" || n[0].Cell != 3 || !f.Backends.Full {
 		t.Errorf("%+v", n)
 	}
 }
@@ -75,7 +75,7 @@
 	}
 	on := regexp.MustCompile(`(?m)^#([^ ])`).ReplaceAllString(string(text), "$1") // what is off in it is good too
 	f, err := Parse([]byte(on))
-	if err != nil || f.Consul == nil || f.Consul.Register == nil || f.Door.Keys == nil || f.Door.Keys.Keep != 24*time.Hour || f.GRPC == nil || f.GRPC.Front.Methods["/shop.Desk/Activate"].Class != "activate" || f.Discovery == "" || len(f.Sources) != 3 ||
+	if err != nil || f.Consul == nil || f.Consul.Register == nil || f.Door.Idempotency == nil || f.Door.Idempotency.TTL != 24*time.Hour || f.GRPC == nil || f.GRPC.Front.Methods["/shop.Desk/Activate"].Class != "activate" || f.Discovery == "" || len(f.Sources) != 3 ||
 		f.Web == nil || len(f.Web.Services) != 1 || len(f.Web.Routes) != 2 || len(f.Web.Identities) != 5 || f.Web.TLS == nil || f.Web.Services[0].TLS == nil {
 		t.Errorf("%v %+v", err, f)
 	}
@@ -207,7 +207,7 @@
 	}
 	c := f.Consul
 	if !slices.Equal(f.Sources, []string{"file", "consul", "discovery"}) || f.Discovery != "127.0.0.1:7000" || f.Members != "127.0.0.1:8081" ||
-		f.Door.StateDir != "/var/lib/doors" || f.Door.Membership.HoldFirst != 2*time.Second || f.Door.Membership.LossShare != 0.3 {
+		f.Door.StateDir != "/var/lib/doors" || f.Door.Membership.ProbationMin != 2*time.Second || f.Door.Membership.MassRemovalRatio != 0.3 {
 		t.Errorf("%+v", f)
 	}
 	if len(c.Services) != 2 || c.Services[0].Mapping != (consul.Mapping{Cell: "rack", Zone: "node:floor", ServeWarning: true}) || !c.Services[1].HealthOnly ||
--- a/internal/operator/web.go
+++ b/internal/operatorconfig/web.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"fmt"
@@ -9,20 +9,20 @@
 	"time"
 
 	"pumicecroft/decision"
+	"pumicecroft/httpproxy"
 	"pumicecroft/identity"
+	"pumicecroft/internal/http1proxy"
 	"pumicecroft/internal/settings"
-	"pumicecroft/internal/webwire"
 	"pumicecroft/membership"
 	"pumicecroft/routes"
-	"pumicecroft/webfront"
 )
 
 // Web is what a file says of ordinary HTTP. Files that it names are not read here.
 type Web struct {
-	Front      webfront.Config // without its Rules
+	Front      httpproxy.Config // without its Rules
 	Services   []Service
-	Routes     []routes.Rule[*webfront.Route]
-	Table      *routes.Table[*webfront.Route]
+	Routes     []routes.Rule[*httpproxy.Route]
+	Table      *routes.Table[*httpproxy.Route]
 	Identities []Identity
 	Trusted    []netip.Prefix
 	Remove     []string
@@ -31,7 +31,7 @@
 
 // Service is one service.
 type Service struct {
-	webfront.ServiceConfig
+	httpproxy.ServiceConfig
 	HostOfBackend bool // Host is the backend's address
 	TLS           *ServiceTLS
 }
@@ -104,19 +104,19 @@
 )
 
 // spread makes the variants of a class whose effect is by method.
-func spread(c decision.Class) ([]decision.Class, webfront.Classes) {
-	out := webfront.Classes{Safe: c.Name, Unsafe: c.Name + onceSuffix}
-	c.Effect = decision.Safe
+func spread(c decision.Class) ([]decision.Class, httpproxy.Classes) {
+	out := httpproxy.Classes{Safe: c.Name, Unsafe: c.Name + onceSuffix}
+	c.Idempotency = decision.Idempotent
 	once := c
-	once.Name, once.Effect, once.KeyWindow = out.Unsafe, decision.Unsafe, 0
+	once.Name, once.Idempotency, once.DedupWindow = out.Unsafe, decision.NonIdempotent, 0
 	all := []decision.Class{c, once}
-	if c.KeyWindow > 0 {
+	if c.DedupWindow > 0 {
 		keyed := c
 		out.Keyed = c.Name + keyedSuffix
-		keyed.Name, keyed.Effect = out.Keyed, decision.Keyed
+		keyed.Name, keyed.Idempotency = out.Keyed, decision.IdempotentByKey
 		all = append(all, keyed)
 	}
-	all[0].KeyWindow = 0
+	all[0].DedupWindow = 0
 	return all, out
 }
 
@@ -138,7 +138,7 @@
 			if slices.ContainsFunc(f.Backends.Nodes, func(n membership.Node) bool { return n.Name == v.Name+"/"+addr }) {
 				d.Bad(s.Path, "backends", "%q is there twice", addr)
 			}
-			f.Backends.Nodes = append(f.Backends.Nodes, membership.Node{Name: v.Name + "/" + addr, Addr: addr, Weight: 1, Protocol: webfront.Protocol(v.Name)})
+			f.Backends.Nodes = append(f.Backends.Nodes, membership.Node{Name: v.Name + "/" + addr, Addr: addr, Weight: 1, Protocol: httpproxy.Protocol(v.Name)})
 		}
 		v.Conns = s.Whole("backend_connections", 256, 1, many)
 		v.Connect = s.Duration("connect_timeout", 0, time.Millisecond, time.Minute)
@@ -221,7 +221,7 @@
 		}
 		w.Trusted = append(w.Trusted, p.Masked())
 	}
-	c.Style = []webfront.Style{webfront.XForwarded, webfront.Forwarded, webfront.Untold}[s.OneOf("forwarded", "x-forwarded", "x-forwarded", "rfc7239", "none")]
+	c.Style = []httpproxy.Style{httpproxy.XForwarded, httpproxy.Forwarded, httpproxy.Untold}[s.OneOf("forwarded", "x-forwarded", "x-forwarded", "rfc7239", "none")]
 	field := func(key, usual string) string {
 		v := usual
 		if _, there := s.Get(key); there {
@@ -229,7 +229,7 @@
 		}
 		return field(s, key, v)
 	}
-	if c.Via = s.Text("via", false); c.Via != "" && !webwire.IsName(c.Via) {
+	if c.Via = s.Text("via", false); c.Via != "" && !http1proxy.IsName(c.Via) {
 		d.Bad(s.Path, "via", "%q is no pseudonym that Via can hold", c.Via)
 	}
 	c.TimeoutIn, c.LeftIn, c.IDIn, c.KeyIn = field("timeout_header", ""), field("left_header", ""), field("id_header", "X-Request-Id"), field("key_header", "Idempotency-Key")
@@ -242,20 +242,20 @@
 
 // field checks that a text can be a field's name.
 func field(s *settings.Section, key, v string) string {
-	if v != "" && !webwire.IsName(v) {
+	if v != "" && !http1proxy.IsName(v) {
 		s.Bad(key, "%q can't be a field's name", v)
 	}
-	return webwire.Canonical(v)
+	return http1proxy.Canonical(v)
 }
 
 func readRoutes(d *settings.Document, top *settings.Section, f *File) {
 	w := f.Web
-	classOf := map[string]webfront.Classes{}
+	classOf := map[string]httpproxy.Classes{}
 	for _, c := range f.classes {
 		if c.byMethod {
 			_, classOf[c.Name] = spread(c.Class)
 		} else {
-			classOf[c.Name] = map[decision.Effect]webfront.Classes{decision.Safe: {Safe: c.Name}, decision.Keyed: {Keyed: c.Name}, decision.Unsafe: {Unsafe: c.Name}}[c.Effect]
+			classOf[c.Name] = map[decision.Idempotency]httpproxy.Classes{decision.Idempotent: {Safe: c.Name}, decision.IdempotentByKey: {Keyed: c.Name}, decision.NonIdempotent: {Unsafe: c.Name}}[c.Idempotency]
 		}
 	}
 	serves := func(name string) bool {
@@ -263,8 +263,8 @@
 	}
 	list := top.List("route")
 	for i, s := range list {
-		to := &webfront.Route{}
-		r := routes.Rule[*webfront.Route]{Name: s.Text("name", false), Line: placeOf(s).Line, Host: s.Text("host", false), Path: s.Text("path", false),
+		to := &httpproxy.Route{}
+		r := routes.Rule[*httpproxy.Route]{Name: s.Text("name", false), Line: placeOf(s).Line, Host: s.Text("host", false), Path: s.Text("path", false),
 			Methods: s.Texts("methods"), To: to}
 		if r.Name == "" {
 			r.Name = fmt.Sprintf("route %d", i)
@@ -296,13 +296,13 @@
 				d.Bad(s.Path, "class", "there is no class %q", name)
 			}
 			if _, there := s.Get("effect"); there {
-				e := decision.Effect(s.OneOf("effect", "safe", "safe", "keyed", "unsafe"))
+				e := decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe"))
 				to.Effect = &e
 			}
 			to.Units = s.Number("units", 0, 0, any_)
 			to.Timeout = s.Duration("timeout", 0, time.Millisecond, time.Hour)
 			to.MaxBody = int64(s.Whole("max_body", 1<<20, 0, 1<<40))
-			to.Statuses = webfront.Statuses{Answered: s.Wholes("answered"), Refused: s.Wholes("refused"), Failed: s.Wholes("failed")}
+			to.Statuses = httpproxy.Statuses{Answered: s.Wholes("answered"), Refused: s.Wholes("refused"), Failed: s.Wholes("failed")}
 			if err := to.Statuses.Check(); err != nil {
 				d.Bad(s.Path, "failed", "%v", err)
 			}
@@ -312,7 +312,7 @@
 	}
 	if len(list) == 0 {
 		for _, s := range w.Services[:min(1, len(w.Services))] {
-			w.Routes = append(w.Routes, routes.Rule[*webfront.Route]{Name: "all", Line: 1, Path: "/{rest...}", To: &webfront.Route{Service: s.Name, Class: classOf[s.Name]}})
+			w.Routes = append(w.Routes, routes.Rule[*httpproxy.Route]{Name: "all", Line: 1, Path: "/{rest...}", To: &httpproxy.Route{Service: s.Name, Class: classOf[s.Name]}})
 		}
 		if len(w.Services) > 1 {
 			d.Bad("", "route", "there is none, and there are several services: [[route]] with a service and a host or path")
@@ -322,7 +322,7 @@
 	if w.Table, err = routes.New(w.Routes); err != nil {
 		for _, p := range err.(routes.Problems) {
 			at := ""
-			if i := slices.IndexFunc(w.Routes, func(r routes.Rule[*webfront.Route]) bool { return r.Line == p.Line }); i >= 0 && len(list) > 0 {
+			if i := slices.IndexFunc(w.Routes, func(r routes.Rule[*httpproxy.Route]) bool { return r.Line == p.Line }); i >= 0 && len(list) > 0 {
 				at = fmt.Sprintf("route[%d]", i)
 			}
 			if p.Other > 0 {
--- a/internal/operator/web_test.go
+++ b/internal/operatorconfig/web_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"strings"
@@ -18,7 +18,7 @@
 		}
 		var b strings.Builder
 		for _, c := range f.Door.Settings.Classes {
-			b.WriteString("class " + c.Name + " " + []string{"safe", "keyed", "unsafe"}[c.Effect] + " " + c.Deadline.String() + "\n")
+			b.WriteString("class " + c.Name + " " + []string{"safe", "keyed", "unsafe"}[c.Idempotency] + " " + c.Deadline.String() + "\n")
 		}
 		for _, p := range f.Door.Settings.Plans {
 			b.WriteString("plan " + p.Name + "\n")
@@ -29,7 +29,7 @@
 		for _, r := range f.Web.Routes {
 			to := r.To
 			b.WriteString("route " + r.Name + " " + r.Host + r.Path + " -> " + strings.Join([]string{to.Service, to.Class.Safe, to.Class.Keyed, to.Class.Unsafe}, "|"))
-			if to.Effect != nil && *to.Effect == decision.Safe {
+			if to.Effect != nil && *to.Effect == decision.Idempotent {
 				b.WriteString(" safe")
 			}
 			b.WriteString("\n")
--- a/internal/paired/paired_test.go
+++ b/internal/paired/paired_test.go
@@ -40,10 +40,10 @@
 			a[j], b[j] = draw(rng), draw(rng)
 			c[j] = a[j] + 1.5*(1+0.5*rng.NormFloat64())
 		}
-		if d, err := Compare(a, b, true, Rules{Seed: uint64(i), Resamples: 400}); err != nil || d.Verdict == Better || d.Verdict == Worse {
+		if d, err := Compare(a, b, true, Options{Seed: uint64(i), Resamples: 400}); err != nil || d.Verdict == Better || d.Verdict == Worse {
 			told++
 		}
-		if d, err := Compare(a, c, false, Rules{Seed: uint64(i), Resamples: 400}); err != nil || n > 5 && d.Verdict != Worse || d.Verdict == Better {
+		if d, err := Compare(a, c, false, Options{Seed: uint64(i), Resamples: 400}); err != nil || n > 5 && d.Verdict != Worse || d.Verdict == Better {
 			wrong++
 		}
 	}
@@ -65,22 +65,22 @@
 		more func(int) bool
 	}{
 		{"none", nil, nil, ErrEmpty, 0, nil},
-		{"not paired", []float64{1}, []float64{1, 2}, ErrOdd, 0, nil},
+		{"not paired", []float64{1}, []float64{1, 2}, ErrUnpaired, 0, nil},
 		{"no number", []float64{1, nan}, []float64{1, 2}, ErrNaN, 0, nil},
 		{"no end", []float64{1, 3}, []float64{1, inf}, ErrNaN, 0, nil},
-		{"one", []float64{1}, []float64{2}, nil, CantTell, func(n int) bool { return n == 4 }},
-		{"too few", []float64{1, 1, 1}, []float64{2, 2.1, 2}, nil, CantTell, func(n int) bool { return n == 2 }},
+		{"one", []float64{1}, []float64{2}, nil, Inconclusive, func(n int) bool { return n == 4 }},
+		{"too few", []float64{1, 1, 1}, []float64{2, 2.1, 2}, nil, Inconclusive, func(n int) bool { return n == 2 }},
 		{"ties", []float64{1, 2, 3, 4, 5}, []float64{1, 2, 3, 4, 5}, nil, Same, func(n int) bool { return n == 0 }},
 		{"the same difference", []float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6}, nil, Better, func(n int) bool { return n == 0 }},
-		{"no difference in the mean", []float64{0, 0, 0, 0, 0, 0}, []float64{1, -1, 1, -1, 1, -1}, nil, CantTell, func(n int) bool { return n == -1 }},
-		{"a little", []float64{0, 0, 0, 0, 0, 0}, []float64{1, -1, 1.5, -1, 1.5, -1}, nil, CantTell, func(n int) bool { return n > 100 && n < 1000 }},
+		{"no difference in the mean", []float64{0, 0, 0, 0, 0, 0}, []float64{1, -1, 1, -1, 1, -1}, nil, Inconclusive, func(n int) bool { return n == -1 }},
+		{"a little", []float64{0, 0, 0, 0, 0, 0}, []float64{1, -1, 1.5, -1, 1.5, -1}, nil, Inconclusive, func(n int) bool { return n > 100 && n < 1000 }},
 	} {
-		d, err := Compare(c.a, c.b, true, Rules{})
-		if !errors.Is(err, c.err) || err == nil && (d.Verdict != c.want || !c.more(d.More)) {
+		d, err := Compare(c.a, c.b, true, Options{})
+		if !errors.Is(err, c.err) || err == nil && (d.Verdict != c.want || !c.more(d.MorePairs)) {
 			t.Errorf("%s: %+v, %v", c.name, d, err)
 		}
 	}
-	if d, _ := Compare([]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6.1}, true, Rules{Floor: 2}); d.Verdict != CantTell {
+	if d, _ := Compare([]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6.1}, true, Options{MinDifference: 2}); d.Verdict != Inconclusive {
 		t.Errorf("below the floor: %+v", d)
 	}
 }
@@ -91,9 +91,9 @@
 		n := rapid.IntRange(2, 12).Draw(t, "n")
 		a := rapid.SliceOfN(rapid.Float64Range(-10, 10), n, n).Draw(t, "a")
 		b := rapid.SliceOfN(rapid.Float64Range(-10, 10), n, n).Draw(t, "b")
-		d, err := Compare(a, b, true, Rules{Resamples: 200})
-		e, err2 := Compare(b, a, false, Rules{Resamples: 200})
-		if err != nil || err2 != nil || d.Mean != -e.Mean || !(d.Low <= d.Mean && d.Mean <= d.High) || d.Pairs != e.Pairs || d.A != e.B {
+		d, err := Compare(a, b, true, Options{Resamples: 200})
+		e, err2 := Compare(b, a, false, Options{Resamples: 200})
+		if err != nil || err2 != nil || d.Mean != -e.Mean || !(d.Low <= d.Mean && d.Mean <= d.High) || d.Pairs != e.Pairs || d.MeanA != e.MeanB {
 			t.Fatalf("%+v %+v %v %v", d, e, err, err2)
 		}
 	})
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -11,7 +11,7 @@
 	"strconv"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/wire"
+	"pumicecroft/internal/simwire"
 )
 
 // Limits are what this front door may use.
@@ -28,9 +28,9 @@
 // BackendConns is how many connections to backends may be open, idle ones among them.
 func (l Limits) BackendConns() int { return max(1, l.Sockets*5/12) }
 
-// Backends is how many backends may be known. One costs 0.7 to 1 KiB for as long as it is known (the table, the decision module and the
+// MaxBackends is how many backends may be known. One costs 0.7 to 1 KiB for as long as it is known (the table, the decision module and the
 // addresses), and 0.3 KiB more while a whole list is taken; the rest is for requests.
-func (l Limits) Backends() int { return int(max(1, l.MemoryMB<<20/1536)) }
+func (l Limits) MaxBackends() int { return int(max(1, l.MemoryMB<<20/1536)) }
 
 // Config is what a front door is told at its start.
 type Config struct {
@@ -40,9 +40,9 @@
 	Counter   string // empty: there is none
 	Seed      uint64
 	Limits    Limits
-	Known     EndpointList // the backends as this front door last had them
+	Known     EndpointUpdate // the backends as this front door last had them
 	Settings  decision.Settings
-	Conns     wire.Connections
+	Conns     simwire.Connections
 }
 
 // LoadConfig reads and checks the file that NODE_CONFIG names.
@@ -70,7 +70,7 @@
 		Counter   string          `json:"counter"`
 		Seed      string          `json:"seed"`
 		Limits    Limits          `json:"limits"`
-		Known     EndpointList    `json:"known"`
+		Known     EndpointUpdate  `json:"known"`
 		Settings  json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -89,17 +89,17 @@
 	if len(file.Settings) == 0 {
 		return Config{}, errors.New("it holds no settings")
 	}
-	settings, conns, err := wire.DecodeSettings(file.Settings)
+	settings, conns, err := simwire.DecodeSettings(file.Settings)
 	if err != nil {
 		return Config{}, err
 	}
 	if err := settings.Validate(); err != nil {
 		return Config{}, err
 	}
-	if conns.Idle <= 0 || conns.Connect <= 0 {
+	if conns.IdleTimeout <= 0 || conns.ConnectTimeout <= 0 {
 		return Config{}, errors.New("settings without the time-outs of connections")
 	}
-	if settings.SharedCounter && (file.Counter == "" || conns.Count <= 0) {
+	if settings.HasSharedCounter && (file.Counter == "" || conns.CounterTimeout <= 0) {
 		return Config{}, errors.New("settings with a counter, without its address or its time-out")
 	}
 	return Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Counter: file.Counter, Seed: seed,
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -32,8 +32,8 @@
 
 func TestConfig(t *testing.T) {
 	c := config(t)
-	if c.Seed != 0x8c1f30d27a5be964 || c.Known.Seq != 41 || c.Conns.Idle != 15*time.Second ||
-		c.Conns.Connect != 250*time.Millisecond || len(c.Settings.Classes) != 2 || c.Limits.Sockets != 1024 {
+	if c.Seed != 0x8c1f30d27a5be964 || c.Known.Seq != 41 || c.Conns.IdleTimeout != 15*time.Second ||
+		c.Conns.ConnectTimeout != 250*time.Millisecond || len(c.Settings.Classes) != 2 || c.Limits.Sockets != 1024 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -43,8 +43,8 @@
 	for how, want := range map[string]time.Duration{"on_request": 10 * time.Second, "pushed": 0} {
 		text := strings.Replace(testConfig, `"settings":{`, `"settings":{"discovery":"`+how+`",`, 1)
 		c, err := ParseConfig([]byte(strings.Replace(text, `"obligations":{`, `"obligations":{"must_ask_in_us":10000000,`, 1)))
-		if err != nil || c.Conns.Ask != want {
-			t.Errorf("%s: asked within %v, want %v (%v)", how, c.Conns.Ask, want, err)
+		if err != nil || c.Conns.SubscribeWithin != want {
+			t.Errorf("%s: asked within %v, want %v (%v)", how, c.Conns.SubscribeWithin, want, err)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 // The largest deployment's backends have room in the memory that a front door has on the days that are scored.
 func TestRoomForBackends(t *testing.T) {
 	for mb, want := range map[int64]int{1: 682, 192: 131_072, 2048: 1_398_101} {
-		if got := (Limits{MemoryMB: mb}).Backends(); got != want {
+		if got := (Limits{MemoryMB: mb}).MaxBackends(); got != want {
 			t.Errorf("%d MB: %d backends, want %d", mb, got, want)
 		}
 	}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -37,11 +37,11 @@
 			fmt.Fprintf(w, "\n"+`{"seq":43,"whole":false,"hosts":[`+entry+"]}\n", 7, "Terminating")
 		}
 	})
-	lists := make(chan EndpointList, 10)
+	lists := make(chan EndpointUpdate, 10)
 	from := int64(41)
 	for want, wantSeq := range []int64{42, 42, 43} {
 		ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
-		err := (&Discovery{}).watch(ctx, &http.Transport{}, addr, clocks{silence: time.Second}, &from, func(l EndpointList) { lists <- l })
+		err := (&Discovery{}).watch(ctx, &http.Transport{}, addr, watchTimeouts{silence: time.Second}, &from, func(l EndpointUpdate) { lists <- l })
 		if err == nil || ctx.Err() != nil || from != wantSeq {
 			t.Errorf("watch %d ended with %v at version %d, want %d", want+1, err, from, wantSeq)
 		}
@@ -52,7 +52,7 @@
 			t.Errorf("watch %d asked %q, want %q", i+1, got, want)
 		}
 	}
-	if a, b := <-lists, <-lists; !a.Whole || a.Hosts[0].Block != 3 || b.Hosts[0].Health != "Terminating" {
+	if a, b := <-lists, <-lists; !a.Full || a.Endpoints[0].Cell != 3 || b.Endpoints[0].Health != "Terminating" {
 		t.Errorf("heard %+v and %+v", a, b)
 	}
 }
@@ -69,7 +69,7 @@
 		fmt.Fprintln(w, `{"seq":50,"whole":true,"hosts":[]}`)
 	})
 	from := int64(1)
-	err := (&Discovery{}).watch(t.Context(), &http.Transport{}, addr, clocks{silence: silence}, &from, func(EndpointList) {})
+	err := (&Discovery{}).watch(t.Context(), &http.Transport{}, addr, watchTimeouts{silence: silence}, &from, func(EndpointUpdate) {})
 	if from != 50 {
 		t.Errorf("ended with %v at version %d", err, from)
 	}
@@ -96,11 +96,11 @@
 		}
 		return `{"seq":7,"whole":true,"hosts":[]}`
 	})
-	moves, lists := make(chan string), make(chan EndpointList, 100)
+	moves, lists := make(chan string), make(chan EndpointUpdate, 100)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
-		(&Discovery{Addr: first, From: 800, Moves: moves}).Follow(ctx, func(l EndpointList) { lists <- l })
+		(&Discovery{Addr: first, FromVersion: 800, AddrChanges: moves}).Follow(ctx, func(l EndpointUpdate) { lists <- l })
 		close(ended)
 	}()
 	if got := <-askedFirst; got != "/v1/endpoints?watch=1&from=800" {
@@ -115,7 +115,7 @@
 			t.Errorf("question %d to the second was %s, want %s", i+1, got, want)
 		}
 	}
-	if l := <-lists; l.Seq != 7 || !l.Whole {
+	if l := <-lists; l.Seq != 7 || !l.Full {
 		t.Errorf("the second told %+v", l)
 	}
 	cancel()
@@ -133,10 +133,10 @@
 			<-r.Context().Done()
 		}
 	})
-	moves, lists, ended := make(chan string), make(chan EndpointList, 100), make(chan bool)
+	moves, lists, ended := make(chan string), make(chan EndpointUpdate, 100), make(chan bool)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		(&Discovery{Addr: good, From: 3, Moves: moves, Ask: 50 * time.Millisecond, Seed: 1}).Follow(ctx, func(l EndpointList) { lists <- l })
+		(&Discovery{Addr: good, FromVersion: 3, AddrChanges: moves, PollWithin: 50 * time.Millisecond, Seed: 1}).Follow(ctx, func(l EndpointUpdate) { lists <- l })
 		close(ended)
 	}()
 	testkit.Await(t, lists, "the first list")
@@ -150,7 +150,7 @@
 	case <-time.After(fetchTimeout + 200*time.Millisecond): // it has been asked more than once
 	}
 	moves <- good
-	if l := testkit.Await(t, lists, "the list after the second move"); !l.Whole || l.Seq != 7 {
+	if l := testkit.Await(t, lists, "the list after the second move"); !l.Full || l.Seq != 7 {
 		t.Errorf("%+v", l)
 	}
 	cancel()
@@ -163,14 +163,14 @@
 	d := newScriptedDiscovery(t)
 	var reported atomic.Int64
 	gate := make(chan bool, 1) // held: nothing is reported
-	source := &Discovery{Addr: d.addr, From: 1}
-	if err := source.CatchUp(t.Context(), time.Now()); !errors.Is(err, errSilent) {
+	source := &Discovery{Addr: d.addr, FromVersion: 1}
+	if err := source.Sync(t.Context(), time.Now()); !errors.Is(err, errSilent) {
 		t.Errorf("before anything was asked: %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
-		source.Follow(ctx, func(l EndpointList) {
+		source.Follow(ctx, func(l EndpointUpdate) {
 			gate <- true
 			reported.Store(l.Seq)
 			<-gate
@@ -181,7 +181,7 @@
 		t.Helper()
 		long, stop := context.WithTimeout(t.Context(), testkit.Patient)
 		defer stop()
-		if err := source.CatchUp(long, since); err != nil || reported.Load() < want {
+		if err := source.Sync(long, since); err != nil || reported.Load() < want {
 			t.Fatalf("caught up (%v) with %d reported, %d had been told", err, reported.Load(), want)
 		}
 	}
@@ -210,24 +210,24 @@
 	d.down()
 	d.cut()
 	for open := true; open; time.Sleep(time.Millisecond) { // until the end of the watch is seen
-		source.ears.mu.Lock()
-		open = source.ears.told
-		source.ears.mu.Unlock()
+		source.state.mu.Lock()
+		open = source.state.synced
+		source.state.mu.Unlock()
 	}
 	short, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
-	if err := source.CatchUp(short, begin); err == nil {
+	if err := source.Sync(short, begin); err == nil {
 		t.Error("nothing can be heard, and it has caught up")
 	}
-	if err := source.CatchUp(t.Context(), time.Now()); !errors.Is(err, errSilent) {
+	if err := source.Sync(t.Context(), time.Now()); !errors.Is(err, errSilent) {
 		t.Errorf("what could not be heard before is waited for: %v", err)
 	}
 	cancel()
 	testkit.Await(t, ended, "the end")
 }
 
-// scripted is a discovery whose watches say what the test says.
-type scripted struct {
+// scriptedDiscovery is a discovery whose watches say what the test says.
+type scriptedDiscovery struct {
 	addr  string
 	mu    sync.Mutex
 	seq   int64
@@ -237,8 +237,8 @@
 	wrote chan int64 // takes each version that was written
 }
 
-func newScriptedDiscovery(t *testing.T) *scripted {
-	d := &scripted{seq: 2, news: make(chan bool), end: make(chan bool), wrote: make(chan int64, 100)}
+func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
+	d := &scriptedDiscovery{seq: 2, news: make(chan bool), end: make(chan bool), wrote: make(chan int64, 100)}
 	d.addr = testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		for {
 			d.mu.Lock()
@@ -263,7 +263,7 @@
 }
 
 // tell says a version to all watches and returns when it has been written.
-func (d *scripted) tell(t *testing.T, seq int64) {
+func (d *scriptedDiscovery) tell(t *testing.T, seq int64) {
 	d.mu.Lock()
 	d.seq = seq
 	close(d.news)
@@ -273,14 +273,14 @@
 	}
 }
 
-func (d *scripted) cut() {
+func (d *scriptedDiscovery) cut() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	close(d.end)
 	d.end = make(chan bool)
 }
 
-func (d *scripted) down() {
+func (d *scriptedDiscovery) down() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dead = true
@@ -306,41 +306,41 @@
 	const indented = "{\n  \"seq\": 42,\n  \"whole\": true,\n\n  \"hosts\": [\n    " + entry + "\n  ]\n}\n\n"
 	for _, c := range []struct {
 		name  string
-		may   clocks
+		may   watchTimeouts
 		say   func(w http.ResponseWriter, r *http.Request)
 		err   error
 		heard int // lists
 	}{
-		{"a list that drips", clocks{silence: 200 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request) {
+		{"a list that drips", watchTimeouts{silence: 200 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request) {
 			flushed(w, fmt.Sprintf(indented, 7, "Ready")+`{"seq":43,"whole":false,"hosts":[`)
 			drips(w, r, " ")
 		}, errSilent, 1},
-		{"half a list behind a whole one", clocks{silence: 200 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request) {
+		{"half a list behind a whole one", watchTimeouts{silence: 200 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request) {
 			flushed(w, fmt.Sprintf(indented, 7, "Ready"))
 			flushed(w, `{"seq":43,"who`)
 			<-r.Context().Done()
 		}, errSilent, 1},
-		{"empty lines and no list", clocks{first: 200 * time.Millisecond, silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
+		{"empty lines and no list", watchTimeouts{first: 200 * time.Millisecond, silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
 			drips(w, r, "\n")
 		}, errSilent, 0},
-		{"no answer", clocks{first: 200 * time.Millisecond, silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
+		{"no answer", watchTimeouts{first: 200 * time.Millisecond, silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 		}, errSilent, 0},
-		{"a list without end", clocks{silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
+		{"a list without end", watchTimeouts{silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
 			flushed(w, fmt.Sprintf(indented, 7, "Ready")+`{"seq":43,"whole":false,"hosts":[`)
 			for r.Context().Err() == nil {
 				flushed(w, strings.Repeat(" ", 1<<16))
 			}
-		}, errHuge, 1},
+		}, errEntryTooLong, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient/2)
 			defer cancel()
 			from, heard := int64(1), 0
 			addr := testkit.Serve(t, c.say)
-			err := (&Discovery{}).watch(ctx, &http.Transport{DisableKeepAlives: true}, addr, c.may, &from, func(l EndpointList) {
+			err := (&Discovery{}).watch(ctx, &http.Transport{DisableKeepAlives: true}, addr, c.may, &from, func(l EndpointUpdate) {
 				heard++
-				if l.Hosts[0].Block != 3 {
+				if l.Endpoints[0].Cell != 3 {
 					t.Errorf("heard %+v", l)
 				}
 			})
@@ -367,10 +367,10 @@
 		}
 		<-r.Context().Done()
 	})
-	lists, ended := make(chan EndpointList, 10), make(chan bool)
+	lists, ended := make(chan EndpointUpdate, 10), make(chan bool)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		(&Discovery{Addr: addr, From: 41}).Follow(ctx, func(l EndpointList) { lists <- l })
+		(&Discovery{Addr: addr, FromVersion: 41}).Follow(ctx, func(l EndpointUpdate) { lists <- l })
 		close(ended)
 	}()
 	testkit.Await(t, lists, "the first list")
@@ -388,23 +388,23 @@
 // An entry that makes no sense changes nothing of its backend, in a whole list too, where a backend that is missing is gone.
 func TestAnEntryThatMakesNoSense(t *testing.T) {
 	at := func(time.Time) time.Duration { return 0 }
-	table := membership.NewTable(membership.Rules{}, membership.Origin{Name: "discovery", Plain: true})
-	list := func(hosts ...Endpoint) membership.List {
-		return EndpointList{Seq: 1, Whole: true, Hosts: hosts}.Members()
+	table := membership.NewTable(membership.Policy{}, membership.SourceInfo{Name: "discovery", Trusted: true})
+	list := func(hosts ...Endpoint) membership.Update {
+		return EndpointUpdate{Seq: 1, Full: true, Endpoints: hosts}.Membership()
 	}
-	good := Endpoint{Host: "s-1", Dial: "127.0.0.1:1", Health: "Ready"}
-	table.Report(0, "discovery", list(good, Endpoint{Host: "s-2", Dial: "127.0.0.1:2", Health: "Ready"}), at)
+	good := Endpoint{Name: "s-1", Addr: "127.0.0.1:1", Health: "Ready"}
+	table.Report(0, "discovery", list(good, Endpoint{Name: "s-2", Addr: "127.0.0.1:2", Health: "Ready"}), at)
 	for name, bad := range map[string]Endpoint{
-		"an unknown state":       {Host: "s-1", Dial: "127.0.0.1:1", Health: "Dozing"},
-		"a start before 1970":    {Host: "s-1", Dial: "127.0.0.1:1", Health: "Ready", BornMS: -1},
-		"no address to reach it": {Host: "s-1", Health: "Ready"},
+		"an unknown state":       {Name: "s-1", Addr: "127.0.0.1:1", Health: "Dozing"},
+		"a start before 1970":    {Name: "s-1", Addr: "127.0.0.1:1", Health: "Ready", StartedAtMS: -1},
+		"no address to reach it": {Name: "s-1", Health: "Ready"},
 	} {
-		changes, _ := table.Report(0, "discovery", list(bad, Endpoint{Host: "s-2", Dial: "127.0.0.1:2", Health: "Ready"}), at)
+		changes, _ := table.Report(0, "discovery", list(bad, Endpoint{Name: "s-2", Addr: "127.0.0.1:2", Health: "Ready"}), at)
 		if len(changes) > 0 {
 			t.Errorf("%s: %+v", name, changes)
 		}
 	}
-	if changes, _ := table.Report(0, "discovery", list(Endpoint{Host: "s-2", Dial: "127.0.0.1:2", Health: "Ready"}), at); len(changes) != 1 || changes[0].Name != "s-1" {
+	if changes, _ := table.Report(0, "discovery", list(Endpoint{Name: "s-2", Addr: "127.0.0.1:2", Health: "Ready"}), at); len(changes) != 1 || changes[0].Name != "s-1" {
 		t.Errorf("without it: %+v", changes)
 	}
 }
--- a/internal/platform/hardlists_test.go
+++ b/internal/platform/hardlists_test.go
@@ -20,35 +20,35 @@
 )
 
 // A scene is a discovery that says what a test says, one answer after another, a table of what is heard of it, and what the table has told.
-type scene struct {
-	t       *testing.T
-	addr    string
-	answers chan *saying // as they begin
-	source  *Discovery
-	heard   chan string // what the table believes, after each report
-	reports chan membership.List
+type discoveryTest struct {
+	t         *testing.T
+	addr      string
+	responses chan *scriptedResponse // as they begin
+	source    *Discovery
+	states    chan string // what the table believes, after each report
+	reports   chan membership.Update
 }
 
-// saying is an answer of discovery's; what is sent to say is written, and closing it ends the answer.
-type saying struct {
+// scriptedResponse is an answer of discovery's; what is sent to say is written, and closing it ends the answer.
+type scriptedResponse struct {
 	query string
 	say   chan string
 	done  <-chan struct{}
 }
 
-func (s *saying) end() { close(s.say) }
+func (s *scriptedResponse) end() { close(s.say) }
 
-func newScene(t *testing.T, from int64, most int, moves chan string) *scene {
-	s := &scene{t: t, answers: make(chan *saying, 10), heard: make(chan string, 100), reports: make(chan membership.List, 100)}
+func newDiscoveryTest(t *testing.T, from int64, most int, moves chan string) *discoveryTest {
+	s := &discoveryTest{t: t, responses: make(chan *scriptedResponse, 10), states: make(chan string, 100), reports: make(chan membership.Update, 100)}
 	s.addr = s.serve()
-	s.source = &Discovery{Addr: s.addr, From: from, Most: most, Moves: moves}
-	table := membership.NewTable(membership.Rules{}, membership.Origin{Name: "discovery", Plain: true})
+	s.source = &Discovery{Addr: s.addr, FromVersion: from, MaxEntries: most, AddrChanges: moves}
+	table := membership.NewTable(membership.Policy{}, membership.SourceInfo{Name: "discovery", Trusted: true})
 	believed := map[string]string{}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
-		s.source.Run(ctx, func(l membership.List) {
+		s.source.Run(ctx, func(l membership.Update) {
 			changes, _ := table.Report(0, "discovery", l, func(time.Time) time.Duration { return 0 })
 			for _, c := range changes {
 				switch c.State {
@@ -61,7 +61,7 @@
 				}
 			}
 			s.reports <- l
-			s.heard <- strings.Join(slices.Sorted(maps.Values(believed)), " ")
+			s.states <- strings.Join(slices.Sorted(maps.Values(believed)), " ")
 		})
 	}()
 	t.Cleanup(func() {
@@ -72,11 +72,11 @@
 }
 
 // serve is one discovery.
-func (s *scene) serve() string {
+func (s *discoveryTest) serve() string {
 	return testkit.Serve(s.t, func(w http.ResponseWriter, r *http.Request) {
-		a := &saying{r.URL.RequestURI(), make(chan string), r.Context().Done()}
+		a := &scriptedResponse{r.URL.RequestURI(), make(chan string), r.Context().Done()}
 		select {
-		case s.answers <- a:
+		case s.responses <- a:
 		case <-a.done:
 			return
 		}
@@ -94,8 +94,8 @@
 	})
 }
 
-// tells has an answer go on.
-func (s *scene) tells(a *saying, text string) {
+// send has an answer go on.
+func (s *discoveryTest) send(a *scriptedResponse, text string) {
 	s.t.Helper()
 	select {
 	case a.say <- text:
@@ -104,34 +104,34 @@
 	}
 }
 
-// asked waits for the next question.
-func (s *scene) asked(want string) *saying {
+// waitRequest waits for the next question.
+func (s *discoveryTest) waitRequest(want string) *scriptedResponse {
 	s.t.Helper()
-	a := testkit.Await(s.t, s.answers, "the question "+want)
+	a := testkit.Await(s.t, s.responses, "the question "+want)
 	if a.query != "/v1/endpoints"+want {
 		s.t.Fatalf("discovery was asked for %s, want %s", a.query, want)
 	}
 	return a
 }
 
-// believes waits for the next report and tells what is believed by it.
-func (s *scene) believes(want string) {
+// wantState waits for the next report and tells what is believed by it.
+func (s *discoveryTest) wantState(want string) {
 	s.t.Helper()
-	if got := testkit.Await(s.t, s.heard, "the belief "+want); got != want {
+	if got := testkit.Await(s.t, s.states, "the belief "+want); got != want {
 		s.t.Fatalf("believed: %q, want %q", got, want)
 	}
 }
 
-// quiet tells that nothing more has been reported.
-func (s *scene) quiet() {
+// wantNoReport tells that nothing more has been reported.
+func (s *discoveryTest) wantNoReport() {
 	s.t.Helper()
-	if len(s.heard) > 0 {
-		s.t.Fatalf("it was reported that %q", <-s.heard)
+	if len(s.states) > 0 {
+		s.t.Fatalf("it was reported that %q", <-s.states)
 	}
 }
 
-// told is a list's text: entries as "a", "a:out" and "a:gone". Without its last bytes it is cut.
-func told(seq int, whole bool, entries string) string {
+// encodeNamed is a list's text: entries as "a", "a:out" and "a:gone". Without its last bytes it is cut.
+func encodeNamed(seq int, whole bool, entries string) string {
 	var b strings.Builder
 	for i, e := range strings.Fields(entries) {
 		name, state, _ := strings.Cut(e, ":")
@@ -148,93 +148,93 @@
 func TestAListThatIsCut(t *testing.T) {
 	for name, cut := range map[string]int{"within an entry": len(`"share":1}]}`), "behind the last entry": len("]}"), "before the end": len("}")} {
 		t.Run(name, func(t *testing.T) {
-			s := newScene(t, 3, 0, nil)
-			a := s.asked("?watch=1&from=3")
-			s.tells(a, told(4, true, "a b c")+"\n")
-			s.believes("a b c")
-			whole := told(9, true, "d a:out x:out b e")
-			s.tells(a, whole[:len(whole)-cut])
-			s.believes("a:out b c")
+			s := newDiscoveryTest(t, 3, 0, nil)
+			a := s.waitRequest("?watch=1&from=3")
+			s.send(a, encodeNamed(4, true, "a b c")+"\n")
+			s.wantState("a b c")
+			whole := encodeNamed(9, true, "d a:out x:out b e")
+			s.send(a, whole[:len(whole)-cut])
+			s.wantState("a:out b c")
 			a.end()
-			a = s.asked("?watch=1&from=4")
-			s.tells(a, told(10, false, "b:out d:gone")+"\n")
-			s.believes("a:out b:out c")
-			s.tells(a, told(11, true, "a b:out d")+"\n")
-			s.believes("a b:out d")
-			s.quiet()
+			a = s.waitRequest("?watch=1&from=4")
+			s.send(a, encodeNamed(10, false, "b:out d:gone")+"\n")
+			s.wantState("a:out b:out c")
+			s.send(a, encodeNamed(11, true, "a b:out d")+"\n")
+			s.wantState("a b:out d")
+			s.wantNoReport()
 		})
 	}
 }
 
 // The first list of all is cut: the whole of it is asked for again, and nothing is believed by halves.
 func TestAFirstListThatIsCut(t *testing.T) {
-	s := newScene(t, FromTheStart, 0, nil)
-	a := s.asked("")
-	s.tells(a, strings.TrimSuffix(told(9, true, "a b:out c"), "}"))
+	s := newDiscoveryTest(t, FromFullUpdate, 0, nil)
+	a := s.waitRequest("")
+	s.send(a, strings.TrimSuffix(encodeNamed(9, true, "a b:out c"), "}"))
 	a.end()
-	a = s.asked("")
-	s.tells(a, told(9, true, "a b:out c")+"\n")
-	s.believes("") // b drains, and is not known
-	s.believes("a b:out c")
-	s.asked("?watch=1&from=9")
-	s.quiet()
+	a = s.waitRequest("")
+	s.send(a, encodeNamed(9, true, "a b:out c")+"\n")
+	s.wantState("") // b drains, and is not known
+	s.wantState("a b:out c")
+	s.waitRequest("?watch=1&from=9")
+	s.wantNoReport()
 }
 
 // Two whole lists and a change stand one behind the other, in one piece: they hold in their order.
 func TestListsOneBehindTheOther(t *testing.T) {
-	s := newScene(t, 3, 0, nil)
-	a := s.asked("?watch=1&from=3")
-	s.tells(a, told(4, false, "a b")+told(5, true, "a c d")+"\n\n"+told(6, true, "c:out e")+told(7, false, "c")+told(8, false, "e:gone")+"\n")
+	s := newDiscoveryTest(t, 3, 0, nil)
+	a := s.waitRequest("?watch=1&from=3")
+	s.send(a, encodeNamed(4, false, "a b")+encodeNamed(5, true, "a c d")+"\n\n"+encodeNamed(6, true, "c:out e")+encodeNamed(7, false, "c")+encodeNamed(8, false, "e:gone")+"\n")
 	for _, want := range []string{"a b", "a c d", "c:out e", "c"} {
-		s.believes(want)
+		s.wantState(want)
 	}
 	a.end()
-	s.asked("?watch=1&from=8")
-	s.quiet()
+	s.waitRequest("?watch=1&from=8")
+	s.wantNoReport()
 }
 
 // A drain that a list tells is heard while the list is still being taken, and CatchUp does not return before it is: a standstill in the middle of
 // a list leaves nothing sent to what has been told to drain. Nothing else of the list counts before its end.
 func TestADrainWithinAList(t *testing.T) {
-	s := newScene(t, 3, 0, nil)
-	a := s.asked("?watch=1&from=3")
-	s.tells(a, told(4, true, "a b c")+"\n")
-	s.believes("a b c")
+	s := newDiscoveryTest(t, 3, 0, nil)
+	a := s.waitRequest("?watch=1&from=3")
+	s.send(a, encodeNamed(4, true, "a b c")+"\n")
+	s.wantState("a b c")
 	for i, text := range []string{`{"hosts":[`, `{"host":"a","dial":"h:a","health":"Ready"},`, `{"host":"b","dial":"h:b","health":"Terminating"},`} {
-		s.tells(a, text)
+		s.send(a, text)
 		if i == 2 {
-			s.believes("a b:out c")
+			s.wantState("a b:out c")
 		}
 	}
-	s.tells(a, `{"host":"c","dial":"h:c","health":"Gone"},`)
-	s.believes("a b:out c:out")
-	if err := s.source.CatchUp(t.Context(), time.Now()); err != nil {
+	s.send(a, `{"host":"c","dial":"h:c","health":"Gone"},`)
+	s.wantState("a b:out c:out")
+	if err := s.source.Sync(t.Context(), time.Now()); err != nil {
 		t.Errorf("in the middle of a list: %v", err)
 	}
-	s.quiet()
-	s.tells(a, `{"host":"d","dial":"h:d","health":"Ready"}],"whole":false,"seq":5}`)
-	s.believes("a b:out d")
-	s.quiet()
+	s.wantNoReport()
+	s.send(a, `{"host":"d","dial":"h:d","health":"Ready"}],"whole":false,"seq":5}`)
+	s.wantState("a b:out d")
+	s.wantNoReport()
 }
 
 // SIGHUP moves discovery in the middle of a list: what has not ended is let go, and the new one's list is taken. The end of the program in the
 // middle of a list is the same without a new one.
 func TestAMoveInTheMiddleOfAList(t *testing.T) {
 	moves := make(chan string)
-	s := newScene(t, 3, 0, moves)
-	a := s.asked("?watch=1&from=3")
-	s.tells(a, told(4, true, "a b c")+"\n")
-	s.believes("a b c")
-	s.tells(a, strings.TrimSuffix(told(5, true, "a:out d"), "]}"))
-	s.believes("a:out b c")
+	s := newDiscoveryTest(t, 3, 0, moves)
+	a := s.waitRequest("?watch=1&from=3")
+	s.send(a, encodeNamed(4, true, "a b c")+"\n")
+	s.wantState("a b c")
+	s.send(a, strings.TrimSuffix(encodeNamed(5, true, "a:out d"), "]}"))
+	s.wantState("a:out b c")
 	moves <- s.serve()
 	testkit.Await(t, a.done, "the end of the old one's answer")
-	b := s.asked("")
-	s.tells(b, told(1, true, "a b"))
-	s.believes("a b")
-	b = s.asked("?watch=1&from=1")
-	s.tells(b, `{"seq":2,"whole":true,"hosts":[{"host":"e"`)
-	s.quiet()
+	b := s.waitRequest("")
+	s.send(b, encodeNamed(1, true, "a b"))
+	s.wantState("a b")
+	b = s.waitRequest("?watch=1&from=1")
+	s.send(b, `{"seq":2,"whole":true,"hosts":[{"host":"e"`)
+	s.wantNoReport()
 }
 
 // A list of more entries than a door may hold costs no more than these, leaves what was believed, and is said in one line with its address.
@@ -242,16 +242,16 @@
 	var log bytes.Buffer
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
-	s := newScene(t, 3, 3, nil)
+	s := newDiscoveryTest(t, 3, 3, nil)
 	t.Cleanup(func() { slog.SetDefault(old) })
-	a := s.asked("?watch=1&from=3")
-	s.tells(a, told(4, true, "a b c")+"\n")
-	s.believes("a b c")
-	s.tells(a, strings.TrimSuffix(told(5, true, "d e f g"), "]}"))
+	a := s.waitRequest("?watch=1&from=3")
+	s.send(a, encodeNamed(4, true, "a b c")+"\n")
+	s.wantState("a b c")
+	s.send(a, strings.TrimSuffix(encodeNamed(5, true, "d e f g"), "]}"))
 	testkit.Await(t, a.done, "the door to leave it")
-	a = s.asked("?watch=1&from=4")
-	s.tells(a, told(6, false, "b:out")+"\n")
-	s.believes("a b:out c")
+	a = s.waitRequest("?watch=1&from=4")
+	s.send(a, encodeNamed(6, false, "b:out")+"\n")
+	s.wantState("a b:out c")
 	said := 0
 	for line := range strings.Lines(log.String()) {
 		if strings.Contains(line, "more than 3 entries") && strings.Contains(line, s.addr) {
@@ -263,10 +263,10 @@
 	}
 }
 
-// bare is a transport whose answers have a body of the test's.
-type bare struct{ body io.Reader }
+// bodyTransport is a transport whose answers have a body of the test's.
+type bodyTransport struct{ body io.Reader }
 
-func (b bare) RoundTrip(*http.Request) (*http.Response, error) {
+func (b bodyTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(b.body)}, nil
 }
 
@@ -276,20 +276,20 @@
 	const n = 200
 	var text strings.Builder
 	for i := range n {
-		text.WriteString(told(10+i, false, fmt.Sprintf("s-%d:out", i%50)) + "\n")
+		text.WriteString(encodeNamed(10+i, false, fmt.Sprintf("s-%d:out", i%50)) + "\n")
 	}
-	for behind, want := range map[string]error{"": io.ErrUnexpectedEOF, `{"seq":2}`: errGoneBack, `{"seq":"x"}`: nil} {
-		var lists []EndpointList
+	for behind, want := range map[string]error{"": io.ErrUnexpectedEOF, `{"seq":2}`: errVersionWentBack, `{"seq":"x"}`: nil} {
+		var lists []EndpointUpdate
 		from := int64(9)
-		err := (&Discovery{}).watch(t.Context(), bare{&pieces{text.String() + behind, 1 << 20, io.ErrUnexpectedEOF}}, "agent", clocks{silence: testkit.Patient}, &from,
-			func(l EndpointList) { lists = append(lists, l) })
+		err := (&Discovery{}).watch(t.Context(), bodyTransport{&chunkReader{text.String() + behind, 1 << 20, io.ErrUnexpectedEOF}}, "agent", watchTimeouts{silence: testkit.Patient}, &from,
+			func(l EndpointUpdate) { lists = append(lists, l) })
 		if err == nil || want != nil && !errors.Is(err, want) {
 			t.Errorf("%q: ended with %v", behind, err)
 		}
-		if len(lists) != 1 || lists[0].Lines != n || len(lists[0].Hosts) != n || lists[0].Hosts[n-1].Host != "s-49" || lists[0].Seq != 9+n {
+		if len(lists) != 1 || lists[0].MergedUpdates != n || len(lists[0].Endpoints) != n || lists[0].Endpoints[n-1].Name != "s-49" || lists[0].Seq != 9+n {
 			t.Fatalf("%q: %d reports, the first %+v", behind, len(lists), lists[0])
 		}
-		if back := want == errGoneBack; back != (from == FromTheStart) || !back && from != 9+n {
+		if back := want == errVersionWentBack; back != (from == FromFullUpdate) || !back && from != 9+n {
 			t.Errorf("%q: goes on from %d", behind, from)
 		}
 	}
@@ -302,7 +302,7 @@
 		entries int // every time
 		err     error
 		heard   int
-	}{{progress / 2, nil, 1}, {1, errSilent, 0}} {
+	}{{progressEntries / 2, nil, 1}, {1, errSilent, 0}} {
 		t.Run(fmt.Sprint(c.entries), func(t *testing.T) {
 			t.Parallel()
 			addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -320,7 +320,7 @@
 				flushed(w, "]}")
 			})
 			from, heard := int64(1), 0
-			err := (&Discovery{}).watch(t.Context(), &http.Transport{DisableKeepAlives: true}, addr, clocks{silence: silence}, &from, func(EndpointList) { heard++ })
+			err := (&Discovery{}).watch(t.Context(), &http.Transport{DisableKeepAlives: true}, addr, watchTimeouts{silence: silence}, &from, func(EndpointUpdate) { heard++ })
 			if heard != c.heard || c.err != nil && !errors.Is(err, c.err) {
 				t.Errorf("ended with %v after %d lists", err, heard)
 			}
@@ -334,10 +334,10 @@
 	asked := make(chan time.Time, 100)
 	addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		asked <- time.Now()
-		flushed(w, told(4, true, "a b")+"\n"+told(5, true, "a b c d"))
+		flushed(w, encodeNamed(4, true, "a b")+"\n"+encodeNamed(5, true, "a b c d"))
 		<-r.Context().Done()
 	})
-	hears(t, &Discovery{Addr: addr, From: 3, Most: 3})
+	follow(t, &Discovery{Addr: addr, FromVersion: 3, MaxEntries: 3})
 	first := testkit.Await(t, asked, "the first question")
 	for range 5 {
 		testkit.Await(t, asked, "a further question")
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -14,8 +14,8 @@
 	"pumicecroft/internal/testkit"
 )
 
-// hosts is a list of n hosts, each an entry of the protocol's usual length.
-func hosts(seq, n int, whole bool, health string) []byte {
+// encodeUpdate is a list of n hosts, each an entry of the protocol's usual length.
+func encodeUpdate(seq, n int, whole bool, health string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"seq":%d,"whole":%v,"hosts":[`, seq, whole)
 	for i := range n {
@@ -29,12 +29,12 @@
 	return b.Bytes()
 }
 
-// hears follows a discovery of the test until the test ends, and gives what is heard.
-func hears(t *testing.T, d *Discovery) chan EndpointList {
-	lists, ended := make(chan EndpointList, 1000), make(chan bool)
+// follow follows a discovery of the test until the test ends, and gives what is heard.
+func follow(t *testing.T, d *Discovery) chan EndpointUpdate {
+	lists, ended := make(chan EndpointUpdate, 1000), make(chan bool)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		d.Follow(ctx, func(l EndpointList) { lists <- l })
+		d.Follow(ctx, func(l EndpointUpdate) { lists <- l })
 		close(ended)
 	}()
 	t.Cleanup(func() {
@@ -48,7 +48,7 @@
 // that was asked from a known version begins with it too.
 func TestALongListInPieces(t *testing.T) {
 	const n = 110_000
-	text := hosts(41, n, true, "Ready")
+	text := encodeUpdate(41, n, true, "Ready")
 	addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		apart := time.NewTicker(2 * time.Millisecond)
 		defer apart.Stop()
@@ -65,22 +65,22 @@
 			<-r.Context().Done()
 		}
 	})
-	for _, from := range []int64{FromTheStart, 7} {
-		lists := hears(t, &Discovery{Addr: addr, From: from, Most: n})
-		if l := testkit.Await(t, lists, "the list"); !l.Whole || l.Seq != 41 || len(l.Hosts) != n || l.Hosts[n-1].Host != fmt.Sprintf("s-%08x", n-1) {
-			t.Errorf("from %d: version %d, whole %v, %d hosts", from, l.Seq, l.Whole, len(l.Hosts))
+	for _, from := range []int64{FromFullUpdate, 7} {
+		lists := follow(t, &Discovery{Addr: addr, FromVersion: from, MaxEntries: n})
+		if l := testkit.Await(t, lists, "the list"); !l.Full || l.Seq != 41 || len(l.Endpoints) != n || l.Endpoints[n-1].Name != fmt.Sprintf("s-%08x", n-1) {
+			t.Errorf("from %d: version %d, whole %v, %d hosts", from, l.Seq, l.Full, len(l.Endpoints))
 		}
 	}
 }
 
-// pieces gives a text a few bytes at a time, and then err.
-type pieces struct {
+// chunkReader gives a text a few bytes at a time, and then err.
+type chunkReader struct {
 	text string
 	size int
 	err  error
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *chunkReader) Read(b []byte) (int, error) {
 	n := copy(b, p.text[:min(len(p.text), p.size)])
 	if p.text = p.text[n:]; n == 0 {
 		return 0, p.err
@@ -98,31 +98,31 @@
 		`{"hosts":null,"seq":3}`:                                              "3 false 0",
 		`{}`:                                                                  "0 false 0",
 		`{"seq":3}` + "\n\n" + `{"seq":4,"hosts":[]}{"seq":5,"hosts":[` + host + `]}`: "3 false 0; 4 false 0; 5 false 1",
-		`{"seq":3,"hosts":[` + host + `],"hosts":[]}`:                                 errTwice.Error(),
-		`[]`:                   errForm.Error(),
-		`{"seq":3,"hosts":{}}`: errForm.Error(),
-		`{"seq":3}` + "\n" + `{"seq":4,"hosts":[` + host + `,{"host":"s-`:              "3 false 0; " + io.ErrUnexpectedEOF.Error(),
-		`{"seq":4,"hosts":[` + host + `]`:                                              io.ErrUnexpectedEOF.Error(),
-		`{"seq":4,"hosts":[` + strings.Repeat(host+",", 3) + host + `]}`:               "more than 3 entries",
-		`{"seq":4,"hosts":[{"host":"` + strings.Repeat("s", 4*entryRoom) + `"}]}`:      "more than 3 entries",
-		`{"seq":4,"hosts":[{"host":"` + strings.Repeat("s", 2*mostEntry+readAhead):     errHuge.Error(),
-		`{"seq":4,"hosts":[` + host + `,` + strings.Repeat(" ", 2*mostEntry+readAhead): errHuge.Error(),
-		`{` + strings.Repeat(`"a":1,`, (2*mostEntry+readAhead)/6) + `"a":1}`:           errHuge.Error(),
-		strings.Repeat("\n", 2*mostEntry+readAhead) + `{"seq":3}`:                      "3 false 0",
+		`{"seq":3,"hosts":[` + host + `],"hosts":[]}`:                                 errDuplicateHosts.Error(),
+		`[]`:                   errNotUpdate.Error(),
+		`{"seq":3,"hosts":{}}`: errNotUpdate.Error(),
+		`{"seq":3}` + "\n" + `{"seq":4,"hosts":[` + host + `,{"host":"s-`:                       "3 false 0; " + io.ErrUnexpectedEOF.Error(),
+		`{"seq":4,"hosts":[` + host + `]`:                                                       io.ErrUnexpectedEOF.Error(),
+		`{"seq":4,"hosts":[` + strings.Repeat(host+",", 3) + host + `]}`:                        "more than 3 entries",
+		`{"seq":4,"hosts":[{"host":"` + strings.Repeat("s", 4*bytesPerEntry) + `"}]}`:           "more than 3 entries",
+		`{"seq":4,"hosts":[{"host":"` + strings.Repeat("s", 2*maxEntryBytes+readBufferSize):     errEntryTooLong.Error(),
+		`{"seq":4,"hosts":[` + host + `,` + strings.Repeat(" ", 2*maxEntryBytes+readBufferSize): errEntryTooLong.Error(),
+		`{` + strings.Repeat(`"a":1,`, (2*maxEntryBytes+readBufferSize)/6) + `"a":1}`:           errEntryTooLong.Error(),
+		strings.Repeat("\n", 2*maxEntryBytes+readBufferSize) + `{"seq":3}`:                      "3 false 0",
 	} {
 		for _, size := range []int{1, 7, 1 << 20} {
-			in := newLists(&pieces{text, size, io.EOF}, 3)
+			in := newUpdateReader(&chunkReader{text, size, io.EOF}, 3)
 			var got []string
 			for {
 				l, err := in.next()
-				var bad *listError
+				var bad *invalidUpdateError
 				if errors.As(err, &bad) {
 					got = append(got, bad.err.Error())
 				}
 				if err != nil {
 					break
 				}
-				got = append(got, fmt.Sprint(l.Seq, l.Whole, len(l.Hosts)))
+				got = append(got, fmt.Sprint(l.Seq, l.Full, len(l.Endpoints)))
 			}
 			if got := strings.Join(got, "; "); got != want {
 				t.Errorf("in pieces of %d: %.80q: %s, want %s", size, text, got, want)
@@ -137,9 +137,9 @@
 	asked := make(chan time.Time, 100)
 	addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		asked <- time.Now()
-		w.Write(hosts(41, 4, true, "Ready"))
+		w.Write(encodeUpdate(41, 4, true, "Ready"))
 	})
-	lists := hears(t, &Discovery{Addr: addr, From: FromTheStart, Most: 3})
+	lists := follow(t, &Discovery{Addr: addr, FromVersion: FromFullUpdate, MaxEntries: 3})
 	last := testkit.Await(t, asked, "the first question")
 	for i := range 5 {
 		at := testkit.Await(t, asked, "a further question")
--- a/internal/platform/told_test.go
+++ b/internal/platform/told_test.go
@@ -10,14 +10,14 @@
 	"testing"
 	"time"
 
-	"pumicecroft/internal/pace"
+	"pumicecroft/internal/pollbackoff"
 	"pumicecroft/internal/testkit"
 )
 
-// counts is when a change counts as told, after discovery had it and could be reached, whatever became of calls.
-const counts = 6 * time.Second
+// visibilityDeadline is when a change counts as told, after discovery had it and could be reached, whatever became of calls.
+const visibilityDeadline = 6 * time.Second
 
-const must = 10 * time.Second // within which doors have to ask
+const pollWithin = 10 * time.Second // within which doors have to ask
 
 // Discovery is back, and has news, in the moment in which a call or a watch of a door fails in one of these ways, which says nothing any more itself; the door has
 // been turned away often before. It hears the news within 6 s all the same: what the call took to fail, the wait, and the next call's answer together.
@@ -65,7 +65,7 @@
 		{"a byte a second", 42, says(`{"seq":43,"whole":true,`, drips(" ", time.Second)), 2},
 		{"a watch that falls silent", 42, says(list, silent), 2},
 		{"a watch that is reset", 42, says(list, reset), 2},
-		{"the whole list, no answer", FromTheStart, silent, 2},
+		{"the whole list, no answer", FromFullUpdate, silent, 2},
 		{"a call that waits for its turn", 42, says("\n", func(w http.ResponseWriter, r *http.Request) {
 			for range 5 {
 				time.Sleep(800 * time.Millisecond) // what is within the test: longer than a watch may be silent
@@ -77,11 +77,11 @@
 	} {
 		for seed := range uint64(6) {
 			doors.Go(func() {
-				asking := pace.New(must, seed)
+				asking := pollbackoff.New(pollWithin, seed)
 				for range 6 {
-					asking.Lost(false, 0)
+					asking.AfterLoss(false, 0)
 				}
-				if late, calls := heardAfter(t, must, asking, c.from, c.fails, news); late > counts || calls != c.calls {
+				if late, calls := measureDelay(t, pollWithin, asking, c.from, c.fails, news); late > visibilityDeadline || calls != c.calls {
 					t.Errorf("%s, seed %d: the news is heard %v after discovery was back, by call %d", c.name, seed, late, calls)
 				}
 			})
@@ -89,16 +89,16 @@
 	}
 	doors.Go(func() {
 		const ask = 2 * time.Second
-		if late, _ := heardAfter(t, ask, pace.New(ask, 1), 42, says("\n", drips("\n", 300*time.Millisecond)), news); late > ask+2*time.Second {
+		if late, _ := measureDelay(t, ask, pollbackoff.New(ask, 1), 42, says("\n", drips("\n", 300*time.Millisecond)), news); late > ask+2*time.Second {
 			t.Errorf("a turn that never comes: the news is heard %v after the call, which may wait %v", late, ask)
 		}
 	})
 	doors.Wait()
 }
 
-// heardAfter has a door follow a discovery whose first answer fails, and tells how long after that call's beginning it hears the news that every
+// measureDelay has a door follow a discovery whose first answer fails, and tells how long after that call's beginning it hears the news that every
 // later answer begins with, and by which call.
-func heardAfter(t *testing.T, ask time.Duration, asking *pace.Pace, from int64, fails http.HandlerFunc, news string) (late time.Duration, call int64) {
+func measureDelay(t *testing.T, ask time.Duration, asking *pollbackoff.Backoff, from int64, fails http.HandlerFunc, news string) (late time.Duration, call int64) {
 	var calls atomic.Int64
 	begun := make(chan time.Time, 1)
 	addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -114,7 +114,7 @@
 	})
 	ctx, heard := context.WithTimeout(t.Context(), testkit.Patient)
 	defer heard()
-	(&Discovery{Ask: ask}).keepWatching(ctx, addr, from, 0, asking, func(l EndpointList) {
+	(&Discovery{PollWithin: ask}).followAddr(ctx, addr, from, 0, asking, func(l EndpointUpdate) {
 		if l.Seq == 43 && call == 0 {
 			late, call = time.Since(<-begun), calls.Load()
 			heard()
@@ -145,7 +145,7 @@
 			defer heard()
 			moves, late := make(chan string, 1), testkit.Patient
 			var moved time.Time
-			(&Discovery{Addr: before, From: FromTheStart, Moves: moves, Ask: time.Minute, Seed: seed}).Follow(ctx, func(l EndpointList) {
+			(&Discovery{Addr: before, FromVersion: FromFullUpdate, AddrChanges: moves, PollWithin: time.Minute, Seed: seed}).Follow(ctx, func(l EndpointUpdate) {
 				if l.Seq == 5 && moved.IsZero() {
 					moved = time.Now()
 					moves <- after
--- a/internal/httpwire/answer_test.go
+++ b/internal/platformhttp/answer_test.go
@@ -1,4 +1,4 @@
-package httpwire
+package platformhttp
 
 import (
 	"bufio"
@@ -14,21 +14,21 @@
 
 // readAll reads an answer that comes in pieces of the sizes given, over and over, and tells of it in a line.
 func readAll(text string, sizes []int) string {
-	var r reader
+	var r responseReader
 	r.reset("POST", nil)
 	for i := 0; text != ""; i++ {
-		room := r.room()
+		room := r.buffer()
 		if len(room) == 0 {
 			return "no room"
 		}
 		n := copy(room[:min(len(room), sizes[i%len(sizes)])], text)
 		text = text[n:]
-		whole, err := r.came(n)
+		whole, err := r.advance(n)
 		if err != nil {
 			return "spoilt"
 		}
 		if whole {
-			return fmt.Sprintf("%d %q %q %q %v %v, then %d", r.head.status, r.head.contentType, r.head.use, r.body, r.head.notStarted, r.head.close,
+			return fmt.Sprintf("%d %q %q %q %v %v, then %d", r.header.status, r.header.contentType, r.header.usage, r.body, r.header.notStarted, r.header.close,
 				min(1, len(text)+behind(&r)))
 		}
 	}
@@ -36,8 +36,8 @@
 }
 
 // behind is how much came with the answer's last piece and is not its own.
-func behind(r *reader) int {
-	if r.extra {
+func behind(r *responseReader) int {
+	if r.trailing {
 		return 1
 	}
 	return 0
@@ -126,15 +126,15 @@
 		"early": strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", 1<<14), "chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nx\r\n", 1<<17),
 		"one chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n" + strings.Repeat("x", 1<<20)} {
 		for _, size := range []int{7, 1 << 20} {
-			var r reader
+			var r responseReader
 			r.reset("GET", nil)
 			left, err := text, error(nil)
 			for left != "" && err == nil {
-				n := copy(r.room()[:min(len(r.room()), size)], left)
+				n := copy(r.buffer()[:min(len(r.buffer()), size)], left)
 				left = left[n:]
-				_, err = r.came(n)
+				_, err = r.advance(n)
 			}
-			if err == nil || cap(r.raw) > maxHead+2*MaxBody+firstRoom {
+			if err == nil || cap(r.raw) > maxHeaderBytes+2*MaxBody+initialBufferSize {
 				t.Errorf("%s in pieces of %d: %v, %d bytes kept", name, size, err, cap(r.raw))
 			}
 		}
--- a/internal/httpwire/exchange_test.go
+++ b/internal/platformhttp/exchange_test.go
@@ -1,4 +1,4 @@
-package httpwire
+package platformhttp
 
 import (
 	"errors"
@@ -14,17 +14,17 @@
 	"pumicecroft/membership"
 )
 
-var opNames = map[Op]string{Look: "look", Dial: "dial", Write: "write", Read: "read", Finish: "finish", End: "end"}
+var opNames = map[Op]string{CheckConn: "look", Dial: "dial", Write: "write", Read: "read", Finish: "finish", End: "end"}
 
-var resultNames = map[decision.Result]string{decision.Answered: "answered", decision.AnsweredErr: "answered with an error", decision.Refused: "refused",
-	decision.TimedOut: "timed out", decision.NoConnection: "no connection", decision.Broken: "broken", decision.Cancelled: "cancelled", decision.NotSent: "not sent",
+var resultNames = map[decision.Result]string{decision.Succeeded: "answered", decision.ErrorResponse: "answered with an error", decision.Rejected: "refused",
+	decision.TimedOut: "timed out", decision.ConnectFailed: "no connection", decision.ConnectionLost: "broken", decision.Cancelled: "cancelled", decision.NotSent: "not sent",
 	decision.Unknown: "unknown"}
 
 // story runs one script: each line is an event, and what the exchange then wants is told.
 func story(t *testing.T, script string) string {
-	f := NewFleet(2, 10*time.Second, []string{"depth"})
+	f := NewBackendSet(2, 10*time.Second, []string{"depth"})
 	list := func(state decision.BackendState, moved bool) {
-		f.Apply([]membership.Change{{BackendInfo: decision.BackendInfo{ID: 1, State: state}, Name: "b", Addr: "here", Moved: moved}})
+		f.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: 1, State: state}, Name: "b", Addr: "here", Replaced: moved}})
 	}
 	list(decision.Ready, false)
 	var x Exchange
@@ -40,13 +40,13 @@
 		}
 		switch verb {
 		case "begin":
-			op = x.Begin(f, 1, &Request{Method: "POST", Target: "/pay", Host: "h", Body: []byte("b")}, now+time.Second, latest, now)
+			op = x.Start(f, 1, &Request{Method: "POST", Target: "/pay", Host: "h", Body: []byte("b")}, now+time.Second, latest, now)
 		case "looked":
-			op = x.Looked(now, rest == "clean")
+			op = x.ConnChecked(now, rest == "clean")
 		case "dialed":
 			dials++
 			if rest == "short" {
-				err = fmt.Errorf("%w: 7 of 7", ErrShort)
+				err = fmt.Errorf("%w: 7 of 7", ErrNoDescriptors)
 			}
 			op = x.Dialed(now, dials, err)
 		case "latest":
@@ -57,21 +57,21 @@
 			latest = now + d
 			continue
 		case "wrote":
-			if _, late := x.Text(nil, now); late != nil {
+			if _, late := x.AppendRequest(nil, now); late != nil {
 				err = late
 			}
 			op = x.Wrote(now, nil, err)
 		case "came":
 			text, _ := strconv.Unquote(rest)
 			if rest == "eof" || rest == "late" {
-				op = x.Came(now, 0, errors.New(rest))
+				op = x.Received(now, 0, errors.New(rest))
 				break
 			}
-			op = x.Came(now, copy(x.Room(), text), nil)
+			op = x.Received(now, copy(x.ReadBuffer(), text), nil)
 		case "finish":
 			op = x.Finish(now)
 		case "calloff":
-			x.CallOff(map[string]Off{"wanted no more": CalledOff, "time up": TimeUp}[rest])
+			x.Cancel(map[string]CancelReason{"wanted no more": Cancelled, "time up": TimedOut}[rest])
 			continue
 		case "later":
 			d, err := time.ParseDuration(rest)
@@ -81,21 +81,21 @@
 			now += d
 			continue
 		case "list":
-			list(map[string]decision.BackendState{"ready": decision.Ready, "drains": decision.Draining, "gone": decision.Gone, "moved": decision.Ready}[rest], rest == "moved")
+			list(map[string]decision.BackendState{"ready": decision.Ready, "drains": decision.Draining, "gone": decision.Removed, "moved": decision.Ready}[rest], rest == "moved")
 			continue
 		default:
 			t.Fatalf("no event %q", line)
 		}
 		fmt.Fprintf(&out, "%s: %s", line, opNames[op])
-		if op == Read && x.Until > 0 {
-			fmt.Fprintf(&out, " until %v on", x.Until-now)
+		if op == Read && x.ReadDeadline > 0 {
+			fmt.Fprintf(&out, " until %v on", x.ReadDeadline-now)
 		}
 		if op == End {
 			fmt.Fprintf(&out, ", %s", resultNames[x.Result.Result])
-			if x.Answer != nil {
-				fmt.Fprintf(&out, " %q", x.Answer.Body)
+			if x.Response != nil {
+				fmt.Fprintf(&out, " %q", x.Response.Body)
 			}
-			fmt.Fprintf(&out, "; %d connections, %d idle, %d closed", f.Pool.Count(), f.Pool.Idle(), len(f.Pool.Closes()))
+			fmt.Fprintf(&out, "; %d connections, %d idle, %d closed", f.Pool.Count(), f.Pool.Idle(), len(f.Pool.TakeDiscarded()))
 		}
 		out.WriteString("\n")
 	}
--- a/internal/httpwire/plain_test.go
+++ b/internal/platformhttp/plain_test.go
@@ -1,4 +1,4 @@
-package httpwire
+package platformhttp
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 // What the plain reader takes, http.ReadResponse must take for the same; what it can't, it must leave untouched.
 func samePlain(t *testing.T, text string) (taken bool) {
 	t.Helper()
-	var head head
-	rest, body, ok := plainAnswer([]byte(text), &head)
+	var head responseHeader
+	rest, body, ok := parsePlainResponse([]byte(text), &head)
 	if !ok {
 		return false
 	}
@@ -46,7 +46,7 @@
 	left2, _ := io.ReadAll(r2)
 	firstOf := func(name string) string { return res.Header.Get(name) }
 	if !bytes.Equal(body, want) || want != nil && !bytes.Equal(left, left2) || head.contentType != firstOf("Content-Type") && firstOf("Content-Type") != "" ||
-		head.use != firstOf("X-RateLimit-Used") && firstOf("X-RateLimit-Used") != "" || head.load != firstOf("Server-Load") && firstOf("Server-Load") != "" {
+		head.usage != firstOf("X-RateLimit-Used") && firstOf("X-RateLimit-Used") != "" || head.load != firstOf("Server-Load") && firstOf("Server-Load") != "" {
 		t.Fatalf("%q: %q %+v, http.ReadResponse has %q %v", text, body, head, want, res.Header)
 	}
 	return true
--- a/internal/httpwire/request.go
+++ b/internal/platformhttp/request.go
@@ -1,4 +1,4 @@
-// Package httpwire is an attempt over HTTP/1.1 without its I/O, as PROTOCOL has it: what stands on the wire, which
+// Package platformhttp is an attempt over HTTP/1.1 without its I/O, as PROTOCOL has it: what stands on the wire, which
 // connection carries it, when it may be sent again, and what its end proves. request.go writes requests, answer.go and
 // plain.go read answers from bytes as they come, fleet.go keeps who the backends are and their connections, exchange.go is
 // one attempt as a state machine.
@@ -6,7 +6,7 @@
 // The package is pure: bytes, ends of I/O and times go in, operations and one outcome come out. Package httpback drives it
 // over sockets, package sim over a network that a seed decides. It uses net/http's reader of answers on bytes that are
 // there, and nothing else of that package.
-package httpwire
+package platformhttp
 
 import (
 	"fmt"
@@ -39,8 +39,8 @@
 // Protocol is what it goes over.
 func (m *Request) Protocol() string { return membership.ProtocolHTTP }
 
-// Check tells what of a request cannot stand on the wire as it is.
-func (m *Request) Check() error {
+// Validate tells what of a request cannot stand on the wire as it is.
+func (m *Request) Validate() error {
 	switch {
 	case m.Method == "" || !httpguts.ValidHeaderFieldName(m.Method):
 		return fmt.Errorf("the method %.20q", m.Method)
