--- a/internal/httpback/backends_test.go
+++ b/internal/platformtransport/backends_test.go
@@ -1,4 +1,4 @@
-package httpback
+package platformtransport
 
 import (
 	"context"
@@ -15,18 +15,18 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/drive"
-	"pumicecroft/internal/httpwire"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/platformhttp"
 	"pumicecroft/internal/testkit"
 	"pumicecroft/membership"
 )
 
 func config() Config {
-	return Config{Conns: 426, Idle: 15 * time.Second, Connect: 250 * time.Millisecond, LoadColumns: []string{"depth", "tps"}}
+	return Config{MaxConns: 426, IdleTimeout: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond, LoadReportFields: []string{"depth", "tps"}}
 }
 
-func ready(addrs ...string) membership.List {
-	list := membership.List{Whole: true}
+func ready(addrs ...string) membership.Update {
+	list := membership.Update{Full: true}
 	for i, addr := range addrs {
 		list.Nodes = append(list.Nodes, membership.Node{Name: fmt.Sprintf("s-%d", i), Addr: addr, Weight: 1})
 	}
@@ -35,17 +35,17 @@
 
 // listed are backends that are told of lists.
 type listed struct {
-	*Backends
+	*Transport
 	table *membership.Table
-	clock drive.Clock
+	clock executor.Clock
 }
 
 func newListed(c Config) *listed {
-	return &listed{New(c), membership.NewTable(membership.Rules{}, membership.Origin{Name: "own", Plain: true}), drive.NewClock()}
+	return &listed{New(c), membership.NewTable(membership.Policy{}, membership.SourceInfo{Name: "own", Trusted: true}), executor.NewClock()}
 }
 
-func (l *listed) update(list membership.List) []membership.Change {
-	changes, _ := l.table.Report(l.clock.Now(), "own", list, l.clock.Unix)
+func (l *listed) update(list membership.Update) []membership.Change {
+	changes, _ := l.table.Report(l.clock.Now(), "own", list, l.clock.FromWallTime)
 	l.Apply(changes)
 	return slices.Clone(changes)
 }
@@ -58,25 +58,25 @@
 }
 
 // send makes one attempt that is called off when ctx ends.
-func send(b *listed, ctx context.Context, id decision.BackendID, m *Request) drive.Reply {
+func send(b *listed, ctx context.Context, id decision.BackendID, m *Request) executor.Response {
 	due, ok := ctx.Deadline()
 	if !ok {
 		due = time.Now().Add(testkit.Patient)
 	}
-	a := drive.NewAttempt(id, due, m)
+	a := executor.NewAttempt(id, due, m)
 	stop := context.AfterFunc(ctx, func() {
 		if ctx.Err() == context.DeadlineExceeded {
-			a.CallOff(drive.ErrTimeUp)
+			a.Cancel(executor.ErrDeadlineExceeded)
 		} else {
-			a.CallOff(drive.ErrCalledOff)
+			a.Cancel(executor.ErrCancelled)
 		}
 	})
 	defer stop()
-	return b.Carry(a)
+	return b.RoundTrip(a)
 }
 
-func text(r drive.Reply) string {
-	if a, ok := r.Body.(*Answer); ok {
+func text(r executor.Response) string {
+	if a, ok := r.Body.(*Response); ok {
 		return string(a.Body)
 	}
 	return ""
@@ -105,11 +105,11 @@
 		b, id := attempts(t, addr)
 		ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
 		defer cancel()
-		if r := send(b, ctx, id, m); r.Result != decision.Answered {
+		if r := send(b, ctx, id, m); r.Result != decision.Succeeded {
 			t.Fatalf("%s: first attempt ended as %v", name, r.Result)
 		}
-		time.Sleep(2 * httpwire.RestTime) // so that the second takes the same connection
-		if r := send(b, ctx, id, m); r.Result != decision.Broken {
+		time.Sleep(2 * platformhttp.ReuseDelay) // so that the second takes the same connection
+		if r := send(b, ctx, id, m); r.Result != decision.ConnectionLost {
 			t.Errorf("%s: on a connection that broke the attempt ended as %v, want Broken", name, r.Result)
 		}
 		if n := seen.Load(); n != 2 {
@@ -143,19 +143,19 @@
 		answer func(int, net.Conn)
 		want   decision.Result
 	}{
-		"served":               {reply(200), decision.Answered},
-		"error":                {reply(500), decision.AnsweredErr},
-		"not found":            {reply(404), decision.AnsweredErr},
-		"turned away with 503": {reply(503, "Not-Started", "1"), decision.Refused},
-		"turned away with 504": {reply(504, "Not-Started", "1"), decision.Refused},
-		"503 without proof":    {reply(503), decision.AnsweredErr},
-		"504 that denies it":   {reply(504, "Not-Started", "0"), decision.AnsweredErr},
-		"500 never proves it":  {reply(500, "Not-Started", "1"), decision.AnsweredErr},
-		"connection ends":      {cut(""), decision.Broken},
+		"served":               {reply(200), decision.Succeeded},
+		"error":                {reply(500), decision.ErrorResponse},
+		"not found":            {reply(404), decision.ErrorResponse},
+		"turned away with 503": {reply(503, "Not-Started", "1"), decision.Rejected},
+		"turned away with 504": {reply(504, "Not-Started", "1"), decision.Rejected},
+		"503 without proof":    {reply(503), decision.ErrorResponse},
+		"504 that denies it":   {reply(504, "Not-Started", "0"), decision.ErrorResponse},
+		"500 never proves it":  {reply(500, "Not-Started", "1"), decision.ErrorResponse},
+		"connection ends":      {cut(""), decision.ConnectionLost},
 		"connection reset": {func(_ int, conn net.Conn) {
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
-		}, decision.Broken},
+		}, decision.ConnectionLost},
 		// A spoilt answer may have run, and says nothing bad of the backend: as Broken it would be held back and
 		// taken for one that has restarted.
 		"body cut midway":     {cut("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), decision.Unknown},
@@ -172,18 +172,18 @@
 		"chunks over the limit": {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3)), decision.Unknown},
 		"1xx without end":         {open(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", (16<<10)/20)), decision.Unknown},
-		"1xx ahead":               {open("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + okReply), decision.Answered},
+		"1xx ahead":               {open("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + okReply), decision.Succeeded},
 		"switch":                  {open("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"), decision.Unknown},
-		"chunks":                  {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), decision.Answered},
-		"largest body":            {open("HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", MaxBody)), decision.Answered},
-		"absurd use":              {reply(200, "X-RateLimit-Used", "1e300", "Server-Load", "queue=-5,qps=1"), decision.Answered},
-		"use below 0":             {reply(200, "X-RateLimit-Used", "-3", "Server-Load", "queue=NaN,qps=1"), decision.Answered},
-		"unreadable use and load": {reply(200, "X-RateLimit-Used", "lots", "Server-Load", "queue=x,qps="), decision.Answered},
+		"chunks":                  {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), decision.Succeeded},
+		"largest body":            {open("HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", MaxBody)), decision.Succeeded},
+		"absurd use":              {reply(200, "X-RateLimit-Used", "1e300", "Server-Load", "queue=-5,qps=1"), decision.Succeeded},
+		"use below 0":             {reply(200, "X-RateLimit-Used", "-3", "Server-Load", "queue=NaN,qps=1"), decision.Succeeded},
+		"unreadable use and load": {reply(200, "X-RateLimit-Used", "lots", "Server-Load", "queue=x,qps="), decision.Succeeded},
 	} {
 		b, id := attempts(t, testkit.Raw(t, c.answer))
 		ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
-		if r := send(b, ctx, id, payMessage); r.Result != c.want || r.HasUse || r.Load != nil {
-			t.Errorf("%s: %v, want %v; use %v, load %v", name, r.Result, c.want, r.HasUse, r.Load)
+		if r := send(b, ctx, id, payMessage); r.Result != c.want || r.HasUsage || r.LoadReport != nil {
+			t.Errorf("%s: %v, want %v; use %v, load %v", name, r.Result, c.want, r.HasUsage, r.LoadReport)
 		}
 		cancel()
 	}
@@ -196,7 +196,7 @@
 	}
 	ln.Close() // nobody listens there now
 	b, id := attempts(t, ln.Addr().String())
-	if r := send(b, t.Context(), id, payMessage); r.Result != decision.NoConnection {
+	if r := send(b, t.Context(), id, payMessage); r.Result != decision.ConnectFailed {
 		t.Errorf("refused connection: %v", r.Result)
 	}
 	silent := func(_ int, _ net.Conn) { <-t.Context().Done() }
@@ -222,8 +222,8 @@
 		w.Header().Set("Server-Load", "qps=31.5, queue=2,new=7")
 	}))
 	r := send(b, t.Context(), id, lookMessage)
-	if !r.HasUse || r.Use != 85 || !slices.Equal(r.Load, []float64{2, 31.5}) {
-		t.Errorf("use %v %v, load %v", r.HasUse, r.Use, r.Load)
+	if !r.HasUsage || r.Usage != 85 || !slices.Equal(r.LoadReport, []float64{2, 31.5}) {
+		t.Errorf("use %v %v, load %v", r.HasUsage, r.Usage, r.LoadReport)
 	}
 }
 
@@ -281,15 +281,15 @@
 	for i, c := range []struct {
 		left time.Duration
 		want decision.Result
-	}{{-time.Second, decision.NotSent}, {time.Hour, decision.Answered}, {-time.Second, decision.NotSent}, {0, decision.Answered}} {
-		a := drive.NewAttempt(id, time.Now().Add(testkit.Patient), payMessage)
+	}{{-time.Second, decision.NotSent}, {time.Hour, decision.Succeeded}, {-time.Second, decision.NotSent}, {0, decision.Succeeded}} {
+		a := executor.NewAttempt(id, time.Now().Add(testkit.Patient), payMessage)
 		if c.left != 0 {
 			a.NotAfter = time.Now().Add(c.left)
 		}
-		if r := b.Carry(a); r.Result != c.want {
+		if r := b.RoundTrip(a); r.Result != c.want {
 			t.Errorf("%d: %v, want %v", i, r.Result, c.want)
 		}
-		time.Sleep(2 * httpwire.RestTime)
+		time.Sleep(2 * platformhttp.ReuseDelay)
 	}
 	if b.Close(); seen != 2 {
 		t.Errorf("%d were sent", seen)
@@ -320,21 +320,21 @@
 	list := ready(ln.Addr().String())
 	id := b.update(list)[0].ID
 	for range 5 {
-		if r := send(b, t.Context(), id, lookMessage); r.Result != decision.Answered {
+		if r := send(b, t.Context(), id, lookMessage); r.Result != decision.Succeeded {
 			t.Fatal(r.Result)
 		}
-		time.Sleep(2 * httpwire.RestTime)
+		time.Sleep(2 * platformhttp.ReuseDelay)
 	}
 	if n := len(conns); n != 1 {
 		t.Errorf("%d connections for 5 attempts, one after another", n)
 	}
-	list.Nodes[0].Started = time.Now() // a new process
+	list.Nodes[0].StartedAt = time.Now() // a new process
 	if again := b.update(list)[0].ID; again != id {
 		t.Errorf("the host has the id %v, it had %v", again, id)
 	}
 	testkit.Await(t, closed, "the old process's connection to be closed")
 
-	c.Idle = 50 * time.Millisecond
+	c.IdleTimeout = 50 * time.Millisecond
 	b = newListed(c)
 	id = b.update(list)[0].ID
 	send(b, t.Context(), id, lookMessage)
@@ -346,7 +346,7 @@
 	read := make(chan bool, 1)
 	addr := testkit.Raw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() })
 	c := config()
-	c.Conns = 1
+	c.MaxConns = 1
 	b := newListed(c)
 	id := b.update(ready(addr))[0].ID
 	ctx, cancel := context.WithCancel(t.Context())
@@ -362,7 +362,7 @@
 	}
 	addr = testkit.Serve(t, func(http.ResponseWriter, *http.Request) {})
 	id = b.update(ready(addr))[0].ID
-	if r := send(b, t.Context(), id, lookMessage); r.Result != decision.Answered {
+	if r := send(b, t.Context(), id, lookMessage); r.Result != decision.Succeeded {
 		t.Errorf("with none out: %v", r.Result)
 	}
 }
@@ -386,7 +386,7 @@
 		}
 		io.WriteString(w, "queue=3,qps=9\n")
 	}))
-	if p := b.Probe(id, testkit.Patient); p.Result != decision.Answered || !slices.Equal(p.Load, []float64{3, 9}) {
+	if p := b.Probe(id, testkit.Patient); p.Result != decision.Succeeded || !slices.Equal(p.LoadReport, []float64{3, 9}) {
 		t.Errorf("%+v", p)
 	}
 }
@@ -403,7 +403,7 @@
 					begun := time.Now()
 					if late {
 						io.WriteString(conn, okReply)
-						time.Sleep(httpwire.RestTime / 2)
+						time.Sleep(platformhttp.ReuseDelay / 2)
 						io.WriteString(conn, surplus)
 					} else {
 						io.WriteString(conn, okReply+surplus)
@@ -414,14 +414,14 @@
 				slow := false
 				for range 3 {
 					r := send(b, t.Context(), id, lookMessage)
-					if took := <-wrote; took > httpwire.RestTime*3/4 { // the machine was busy: it came when nobody waits for it any more
+					if took := <-wrote; took > platformhttp.ReuseDelay*3/4 { // the machine was busy: it came when nobody waits for it any more
 						slow = true
 						break
 					}
-					if r.Result != decision.Answered || text(r) != "ok" {
+					if r.Result != decision.Succeeded || text(r) != "ok" {
 						t.Errorf("%s: %v %q", name, r.Result, text(r))
 					}
-					time.Sleep(2 * httpwire.RestTime)
+					time.Sleep(2 * platformhttp.ReuseDelay)
 				}
 				if slow && tries < 100 {
 					continue
@@ -458,14 +458,14 @@
 	close(goOn)
 	testkit.Await(t, done, "the first answer")
 	testkit.Await(t, done, "the second answer")
-	time.Sleep(2 * httpwire.RestTime)
+	time.Sleep(2 * platformhttp.ReuseDelay)
 	if r := send(b, t.Context(), id, lookMessage); r.Result != decision.Unknown {
 		t.Errorf("a spoilt answer ended as %v", r.Result)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.fleet.Pool.Count() != 1 || b.fleet.Pool.Idle() != 1 {
-		t.Errorf("%d connections, %d idle, want the one that was not spoilt", b.fleet.Pool.Count(), b.fleet.Pool.Idle())
+	if b.backends.Pool.Count() != 1 || b.backends.Pool.Idle() != 1 {
+		t.Errorf("%d connections, %d idle, want the one that was not spoilt", b.backends.Pool.Count(), b.backends.Pool.Idle())
 	}
 }
 
@@ -477,21 +477,21 @@
 	b := newListed(config())
 	ids := map[decision.BackendID]bool{}
 	for i := range 20 {
-		list := membership.List{Nodes: []membership.Node{{Name: "s-" + string(rune('a'+i)), Addr: addr}}}
+		list := membership.Update{Nodes: []membership.Node{{Name: "s-" + string(rune('a'+i)), Addr: addr}}}
 		id := b.update(list)[0].ID
 		ids[id] = true
-		if r := send(b, t.Context(), id, lookMessage); r.Result != decision.Answered {
+		if r := send(b, t.Context(), id, lookMessage); r.Result != decision.Succeeded {
 			t.Fatal(r.Result)
 		}
 		if i > 0 { // the next one is there before the last is gone
-			list.Nodes[0].Name, list.Nodes[0].State = "s-"+string(rune('a'+i-1)), decision.Gone
+			list.Nodes[0].Name, list.Nodes[0].State = "s-"+string(rune('a'+i-1)), decision.Removed
 			b.update(list)
 		}
 	}
 	if len(ids) != 20 || len(conns) != 20 {
 		t.Errorf("20 backends had %d ids and %d connections", len(ids), len(conns))
 	}
-	if b.fleet.Known() != 1 || b.fleet.Pool.Count() != 1 || b.fleet.Pool.Idle() != 1 {
-		t.Errorf("kept: %d backends, %d connections", b.fleet.Known(), b.fleet.Pool.Count())
+	if b.backends.Len() != 1 || b.backends.Pool.Count() != 1 || b.backends.Pool.Idle() != 1 {
+		t.Errorf("kept: %d backends, %d connections", b.backends.Len(), b.backends.Pool.Count())
 	}
 }
--- a/internal/httpback/size_test.go
+++ b/internal/platformtransport/size_test.go
@@ -1,4 +1,4 @@
-package httpback
+package platformtransport
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/core"
-	"pumicecroft/internal/drive"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/lifecycle"
 	"pumicecroft/internal/testkit"
 	"pumicecroft/membership"
 )
@@ -30,7 +30,7 @@
 func TestBackendsGoSomeAtATime(t *testing.T) {
 	const n = 100
 	addr := testkit.Raw(t, func(_ int, conn net.Conn) { fmt.Fprint(conn, okReply) })
-	var b *Backends
+	var b *Transport
 	var known []int // at each closing, under the lock
 	c := config()
 	c.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -38,26 +38,26 @@
 		if err != nil {
 			return nil, err
 		}
-		return &watched{nc.(*net.TCPConn), func() { known = append(known, b.fleet.Known()) }}, nil
+		return &watched{nc.(*net.TCPConn), func() { known = append(known, b.backends.Len()) }}, nil
 	}
 	b = New(c)
 	var changes []membership.Change
 	for i := range n {
-		changes = append(changes, membership.Change{BackendInfo: decision.BackendInfo{ID: decision.BackendID(i + 1)}, Addr: addr})
+		changes = append(changes, membership.Change{Endpoint: decision.Endpoint{ID: decision.BackendID(i + 1)}, Addr: addr})
 	}
 	b.Apply(changes)
 	for i := range n {
-		if r := b.Carry(drive.NewAttempt(decision.BackendID(i+1), time.Now().Add(testkit.Patient), lookMessage)); r.Result != decision.Answered {
+		if r := b.RoundTrip(executor.NewAttempt(decision.BackendID(i+1), time.Now().Add(testkit.Patient), lookMessage)); r.Result != decision.Succeeded {
 			t.Fatal(r.Result)
 		}
-		changes[i].State = decision.Gone
+		changes[i].State = decision.Removed
 	}
 	b.Apply(changes)
-	if len(known) != n || b.fleet.Known() != 0 {
-		t.Fatalf("%d connections of %d were closed, %d backends are known", len(known), n, b.fleet.Known())
+	if len(known) != n || b.backends.Len() != 0 {
+		t.Fatalf("%d connections of %d were closed, %d backends are known", len(known), n, b.backends.Len())
 	}
 	for i, k := range known {
-		if gone := n - k; gone > i+applyAtOnce {
+		if gone := n - k; gone > i+applyBatchSize {
 			t.Fatalf("%d backends were taken in when connection %d was closed", gone, i)
 		}
 	}
@@ -65,25 +65,25 @@
 
 // below is all that news meets below the table.
 type below struct {
-	mux    *drive.Mux
-	driver *drive.Driver
+	mux    *executor.TransportMux
+	driver *executor.Executor
 	all    []membership.Change
 }
 
 func newBelow(t testing.TB, n int) *below {
-	clock := drive.NewClock()
-	classes := []decision.Class{{Name: "look", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}
-	g, err := decision.New(decision.Settings{FrontDoors: 2800, MaxAttempts: 2, CanCancel: true, MaxRetryAfter: time.Second, FallMultiple: 2, ColdFrom: 0.2,
-		WarmWithin: 30 * time.Second, Classes: classes, Plans: []decision.Plan{{Name: "free", Price: 1}}}, 1, clock.Now())
+	clock := executor.NewClock()
+	classes := []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}}
+	g, err := decision.New(decision.Settings{GatewayCount: 2800, MaxAttempts: 2, CanCancel: true, MaxRetryAfter: time.Second, OverloadFactor: 2, SlowStartMinCapacity: 0.2,
+		SlowStartWindow: 30 * time.Second, Classes: classes, Plans: []decision.Plan{{Name: "free", Price: 1}}}, 1, clock.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &below{mux: drive.NewMux(map[string]drive.Backends{"": New(config())})}
-	b.driver = drive.New(clock, core.New(g, classes, core.Limits{Standstills: true}, clock.Now()), b.mux, true)
+	b := &below{mux: executor.NewTransportMux(map[string]executor.BackendTransport{"": New(config())})}
+	b.driver = executor.New(clock, lifecycle.New(g, classes, lifecycle.Limits{DetectPauses: true}, clock.Now()), b.mux, true)
 	t.Cleanup(b.driver.Stop)
 	t.Cleanup(b.mux.Close)
 	for i := range n {
-		b.all = append(b.all, membership.Change{BackendInfo: decision.BackendInfo{ID: decision.BackendID(i + 1), Zone: fmt.Sprint(i % 9), Weight: 1}, Addr: "127.0.0.1:1"})
+		b.all = append(b.all, membership.Change{Endpoint: decision.Endpoint{ID: decision.BackendID(i + 1), Zone: fmt.Sprint(i % 9), Weight: 1}, Addr: "127.0.0.1:1"})
 	}
 	b.news(b.all)
 	return b
@@ -91,16 +91,16 @@
 
 func (b *below) news(changes []membership.Change) {
 	b.mux.Apply(changes)
-	list := decision.BackendList{}
+	list := decision.EndpointUpdate{}
 	for _, c := range changes {
-		list.Backends = append(list.Backends, c.BackendInfo)
+		list.Endpoints = append(list.Endpoints, c.Endpoint)
 	}
-	b.driver.List(list)
+	b.driver.UpdateEndpoints(list)
 }
 
 // turn has the backends at i, i+step, ... go and come back, in lists of so many each.
 func (b *below) turn(count, step, each int) {
-	for _, state := range []decision.BackendState{decision.Gone, decision.Ready} {
+	for _, state := range []decision.BackendState{decision.Removed, decision.Ready} {
 		var list []membership.Change
 		for i := range count {
 			c := b.all[i*step]
--- a/internal/pace/pace_test.go
+++ b/internal/pollbackoff/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package pollbackoff
 
 import (
 	"math"
@@ -15,7 +15,7 @@
 func TestWithoutCostThereIsNoWait(t *testing.T) {
 	p := New(0, 1)
 	for range 5 {
-		if b, l := p.Begin(second), p.Lost(false, 0); b != 0 || l != atOnce {
+		if b, l := p.First(second), p.AfterLoss(false, 0); b != 0 || l != minDelay {
 			t.Fatalf("first call after %v, the next after %v", b, l)
 		}
 	}
@@ -35,11 +35,11 @@
 			switch granted, unsure := rapid.Bool().Draw(t, "granted"), span(7*second, "unsure"); rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				wanted := span(2*within, "wanted")
-				wait, most = p.Begin(wanted), max(wanted*4/5, second)
+				wait, most = p.First(wanted), max(wanted*4/5, second)
 			case 1:
-				wait, most = p.Lost(granted, unsure), max(5*second-unsure, atOnce)
+				wait, most = p.AfterLoss(granted, unsure), max(5*second-unsure, minDelay)
 			case 2:
-				wait, most = p.Spoilt(granted, unsure), max(5*second-unsure, atOnce)
+				wait, most = p.AfterInvalid(granted, unsure), max(5*second-unsure, minDelay)
 			}
 			if within > 0 {
 				most = min(most, within*4/5)
@@ -57,9 +57,9 @@
 	for _, c := range []struct {
 		name   string
 		within time.Duration
-		next   func(p *Pace, granted bool, unsure time.Duration) time.Duration
+		next   func(p *Backoff, granted bool, unsure time.Duration) time.Duration
 		first  time.Duration
-	}{{"turned away", 10 * second, (*Pace).Lost, second}, {"spoilt", 10 * second, (*Pace).Spoilt, second}, {"spoilt, at no cost", 0, (*Pace).Spoilt, atOnce}} {
+	}{{"turned away", 10 * second, (*Backoff).AfterLoss, second}, {"spoilt", 10 * second, (*Backoff).AfterInvalid, second}, {"spoilt, at no cost", 0, (*Backoff).AfterInvalid, minDelay}} {
 		p := New(c.within, 1)
 		for round := range 3 {
 			least, most := c.first/2, c.first
@@ -68,11 +68,11 @@
 					t.Errorf("%s, round %d: waits %v after %d failures, not %v to %v", c.name, round, w, k+1, least, most)
 				}
 				most = min(2*most, 5*second)
-				least = most - min(most/2, spread)
+				least = most - min(most/2, maxJitter)
 			}
-			p.Lost(true, 0)
-			if p.within == 0 {
-				p.Begin(0)
+			p.AfterLoss(true, 0)
+			if p.interval == 0 {
+				p.First(0)
 			}
 		}
 	}
@@ -98,7 +98,7 @@
 				if silent {
 					unsure, at = 3*second, 3*second
 				}
-				for at += p.Lost(true, unsure); at < back; {
+				for at += p.AfterLoss(true, unsure); at < back; {
 					perSecond[at/second]++
 					way := ways[rng.IntN(len(ways))]
 					if one < len(ways) {
@@ -106,9 +106,9 @@
 					}
 					wait := time.Duration(0)
 					if rng.IntN(4) == 0 {
-						wait = p.Spoilt(false, way)
+						wait = p.AfterInvalid(false, way)
 					} else {
-						wait = p.Lost(false, way)
+						wait = p.AfterLoss(false, way)
 					}
 					at += way + wait
 				}
@@ -122,7 +122,7 @@
 		}
 		mean := float64(calls) / length
 		t.Logf("%d doors: a change is heard %v after it could be at the latest; %.1f calls a second, %d at most in one, %d without pacing", doors, worst, mean, peak, 10*doors)
-		if worst > counts {
+		if worst > visibilityDeadline {
 			t.Errorf("%d doors: one hears %v after it could", doors, worst)
 		}
 		if mean > float64(doors)/4 {
@@ -134,24 +134,24 @@
 	}
 }
 
-// discovery takes calls in turn, each in so long, and has those wait in vain that it can't answer within patience: what it was
+// queueingServer takes calls in turn, each in so long, and has those wait in vain that it can't answer within patience: what it was
 // asked it works on all the same, and what it could not answer in so many times that it turns away at once.
-type discovery struct {
-	each, patience, busy time.Duration
-	times                time.Duration
+type queueingServer struct {
+	serviceTime, timeout, busyUntil time.Duration
+	maxQueuedTimeouts               time.Duration
 }
 
 // call tells when it answers, and whether with the list.
-func (d *discovery) call(now time.Duration) (at time.Duration, ok bool) {
-	d.busy = max(d.busy, now)
-	if d.busy-now > d.times*d.patience {
+func (d *queueingServer) call(now time.Duration) (at time.Duration, ok bool) {
+	d.busyUntil = max(d.busyUntil, now)
+	if d.busyUntil-now > d.maxQueuedTimeouts*d.timeout {
 		return now, false
 	}
-	d.busy += d.each
-	if d.busy-now > d.patience {
-		return now + d.patience, false
+	d.busyUntil += d.serviceTime
+	if d.busyUntil-now > d.timeout {
+		return now + d.timeout, false
 	}
-	return d.busy, true
+	return d.busyUntil, true
 }
 
 // Doors that start in one instant all have their lists within the time they may go without, whatever their number, as long as discovery can take a call of
@@ -181,12 +181,12 @@
 	} {
 		for _, doors := range c.doors {
 			for seed := range c.seeds {
-				d := discovery{each: c.all / time.Duration(doors), patience: 2 * second, times: c.times}
+				d := queueingServer{serviceTime: c.all / time.Duration(doors), timeout: 2 * second, maxQueuedTimeouts: c.times}
 				if doors < 8 {
-					d.each = second // a call that takes longer than anyone waits is never answered
+					d.serviceTime = second // a call that takes longer than anyone waits is never answered
 				}
 				type door struct {
-					pace *Pace
+					pace *Backoff
 					at   time.Duration // of its next call
 				}
 				all := make([]door, doors)
@@ -196,12 +196,12 @@
 					n.pace = New(10*second, seed<<16+uint64(i))
 					switch c.state {
 					case "started":
-						n.at = n.pace.Begin(10 * second)
+						n.at = n.pace.First(10 * second)
 					case "lost":
-						n.at = n.pace.Lost(true, 0)
+						n.at = n.pace.AfterLoss(true, 0)
 					case "back":
 						for begun = 20 * second; n.at < begun; {
-							n.at += n.pace.Lost(false, 0)
+							n.at += n.pace.AfterLoss(false, 0)
 						}
 					}
 				}
@@ -216,7 +216,7 @@
 					n := &all[next]
 					calls++
 					if at, ok := d.call(n.at); !ok {
-						n.at = at + n.pace.Lost(false, at-n.at)
+						n.at = at + n.pace.AfterLoss(false, at-n.at)
 					} else {
 						n.at, last = time.Hour, max(last, at-begun)
 						got++
--- a/internal/rig/clients.go
+++ b/internal/processtest/clients.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"pumicecroft/internal/eventqueue"
 	"pumicecroft/internal/load"
-	"pumicecroft/internal/virtual"
 )
 
 // Asking is who asks: customers of a plan, each request at any door that clients are sent to.
@@ -35,7 +35,7 @@
 	if a.Class == "pay" {
 		method, body = http.MethodPost, "pay {key}"
 	}
-	seed := virtual.Mix(f.Shape.Seed + uint64(number))
+	seed := eventqueue.Mix(f.Shape.Seed + uint64(number))
 	p := &load.Plan{Name: a.Name, Seed: seed, Rate: a.Rate, Duration: time.Hour, Requests: 1_000_000, Connections: 512, Open: 4096, Timeout: timeout, Follow: a.Follow,
 		Hasty: a.Hasty, Tries: max(1, a.Tries), Customers: max(1, a.Customers), FirstOne: a.First, Plans: []load.Weight{{Name: a.Plan, Part: 1}}, First: uint64(number) << 32,
 		Kinds: []load.Kind{{Name: a.Class, Part: 1, Method: method, Path: "/" + a.Class, Body: body, Headers: []load.Header{{Name: "Request-Id", Value: "{id}"},
@@ -66,7 +66,7 @@
 	if len(in) == 0 {
 		in = f.Doors
 	}
-	return in[virtual.Mix(s.Key^uint64(try)<<56)%uint64(len(in))].Addr
+	return in[eventqueue.Mix(s.Key^uint64(try)<<56)%uint64(len(in))].Addr
 }
 
 // Ends are the ends of tries that were asked from one time to another.
--- a/internal/rig/crowd_test.go
+++ b/internal/processtest/crowd_test.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"pumicecroft/internal/standin"
+	"pumicecroft/internal/fakes"
 )
 
 // crowd has so many clients hold connections to a door until ctx ends: each says something, rests until the door ends it, and comes again a tick later.
@@ -76,7 +76,7 @@
 			for range atOnce {
 				asking.Go(func() {
 					for range requests / atOnce {
-						a := standin.Ask{ID: 0xc0000 + uint64(id.Add(1)), Class: "look", Plan: "big", Customer: 7, Spread: len(f.Doors), Timeout: 2 * time.Second}
+						a := fakes.Ask{ID: 0xc0000 + uint64(id.Add(1)), Class: "look", Plan: "big", Customer: 7, Spread: len(f.Doors), Timeout: 2 * time.Second}
 						tr := &http.Transport{DisableKeepAlives: true}
 						r := a.Do(ctx, tr, d.Addr)
 						if r.Status == 0 && len(f.Ledger.Of(a.RequestID())) == 0 { // shut before it was read: its client asks once more
--- a/internal/rig/fleet.go
+++ b/internal/processtest/fleet.go
@@ -1,10 +1,10 @@
-// Package rig runs deployments of real processes of the program on loopback, with faults between them, for tests: doors, each with an
+// Package processtest runs deployments of real processes of the program on loopback, with faults between them, for tests: doors, each with an
 // agent of discovery of its own; stand-in backends with one ledger; the shared counter; relays between any two of them; and clients in
 // open loop. What happens is a script (script.go), which is data; what is judged are counts, rules and ratios within one run.
 //
 // fleet.go puts a deployment together, process.go is one process, relay.go what stands between two, clients.go who asks. The package
 // starts processes, listens on loopback, and writes only into the directory that it is given.
-package rig
+package processtest
 
 import (
 	"encoding/json"
@@ -23,9 +23,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/load"
 	"pumicecroft/internal/platform"
-	"pumicecroft/internal/standin"
 )
 
 // Most is how many processes a rig starts at the most.
@@ -59,7 +59,7 @@
 	Config  string // its file
 	State   string // its directory for state; empty: it has none
 	Process *Process
-	Agent   *standin.Discovery
+	Agent   *fakes.Discovery
 	Watch   *Relay   // to its agent; nil if nothing is relayed
 	Tally   *Relay   // to the counter
 	To      []*Relay // to each backend
@@ -69,10 +69,10 @@
 type Fleet struct {
 	Shape    Shape
 	Doors    []*Door
-	Backends []*standin.Backend
-	Ledger   *standin.Ledger
-	Counter  *standin.Counter
-	Meter    *standin.Meter
+	Backends []*fakes.Backend
+	Ledger   *fakes.Ledger
+	Counter  *fakes.Counter
+	Meter    *fakes.Meter
 	// Meanwhile is done while doors that were killed are away, before they are back.
 	Meanwhile func(f *Fleet) error
 	begun     time.Time
@@ -100,17 +100,17 @@
 		return nil, fmt.Errorf("rig: %d doors and %d backends", s.Doors, s.Backends)
 	}
 	s.Sites = max(1, s.Sites)
-	f = &Fleet{Shape: s, Ledger: &standin.Ledger{}, begun: time.Now(), told: map[string]time.Time{}, in: map[int]bool{}}
+	f = &Fleet{Shape: s, Ledger: &fakes.Ledger{}, begun: time.Now(), told: map[string]time.Time{}, in: map[int]bool{}}
 	defer func() {
 		if err != nil {
 			f.Close()
 		}
 	}()
 	if s.Meter {
-		f.Meter = &standin.Meter{}
+		f.Meter = &fakes.Meter{}
 	}
 	if s.Counter {
-		if f.Counter, err = standin.StartCounter(); err != nil {
+		if f.Counter, err = fakes.StartCounter(); err != nil {
 			return nil, err
 		}
 		f.closers = append(f.closers, f.Counter.Close)
@@ -126,7 +126,7 @@
 		if d.Addr, err = free(f.host(d)); err != nil {
 			return nil, err
 		}
-		if d.Agent, err = standin.StartDiscovery(); err != nil {
+		if d.Agent, err = fakes.StartDiscovery(); err != nil {
 			return nil, err
 		}
 		f.closers = append(f.closers, d.Agent.Close)
@@ -182,7 +182,7 @@
 // addBackend starts backend i, in place of the one before it if there was one.
 func (f *Fleet) addBackend(i int, cold bool) error {
 	s := f.Shape
-	b, err := standin.StartBackend(standin.BackendConfig{Name: backendName(i), Zone: fmt.Sprint("site-", i%s.Sites), Kind: "m", Cell: &standin.Cell{Number: i, Window: 5 * time.Second},
+	b, err := fakes.StartBackend(fakes.BackendConfig{Name: backendName(i), Zone: fmt.Sprint("site-", i%s.Sites), Kind: "m", Cell: &fakes.Cell{Number: i, Window: 5 * time.Second},
 		Slots: s.Slots, Queue: s.Queue, Work: func(string) time.Duration { return s.Work }, Keyed: func(class string) bool { return class == "pay" },
 		ColdFrom: 0.2, WarmWithin: s.Warm, FallMultiple: 4, FallFor: time.Second, Cold: cold, Ledger: f.Ledger, Meter: f.Meter})
 	if err != nil {
@@ -202,7 +202,7 @@
 	e := f.Backends[i].Endpoint()
 	e.Health = health
 	if f.Shape.Relayed {
-		e.Dial = d.To[i].Addr()
+		e.Addr = d.To[i].Addr()
 	}
 	return e
 }
@@ -413,7 +413,7 @@
 }
 
 // Stale are the attempts that reached backends later than the grace after their drain was told, and before it was over.
-func (f *Fleet) Stale() (out []standin.Attempt) {
+func (f *Fleet) Stale() (out []fakes.Attempt) {
 	f.mu.Lock()
 	all := slices.Clone(f.drained)
 	for name, from := range f.told {
--- a/internal/rig/fresh_test.go
+++ b/internal/processtest/fresh_test.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"pumicecroft/internal/kept"
 	"pumicecroft/internal/load"
+	"pumicecroft/internal/snapshotfile"
 	"pumicecroft/recovery"
 )
 
@@ -40,7 +40,7 @@
 				if err != nil {
 					return err
 				}
-				s.At, s.Customers, s.Whole = s.At.Add(-24*time.Hour), nil, true
+				s.TakenAt, s.Customers, s.Complete = s.TakenAt.Add(-24*time.Hour), nil, true
 				if text, err = recovery.Encode(s); err != nil {
 					return err
 				}
@@ -49,7 +49,7 @@
 		},
 		"swapped between doors": func(f *Fleet) error {
 			return eachDoor(f, func(d *Door, path string) error {
-				return os.Rename(path, kept.Path(f.Doors[(d.Number+1)%len(f.Doors)].State, d.Number)) // each finds its neighbour's alone
+				return os.Rename(path, snapshotfile.Path(f.Doors[(d.Number+1)%len(f.Doors)].State, d.Number)) // each finds its neighbour's alone
 			})
 		},
 		"where nothing can be kept": func(f *Fleet) error {
@@ -86,7 +86,7 @@
 // eachDoor does something to what each door has kept.
 func eachDoor(f *Fleet, do func(d *Door, path string) error) error {
 	for _, d := range f.Doors {
-		if err := do(d, kept.Path(d.State, d.Number)); err != nil {
+		if err := do(d, snapshotfile.Path(d.State, d.Number)); err != nil {
 			return err
 		}
 	}
--- a/internal/rig/script.go
+++ b/internal/processtest/script.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"context"
--- a/internal/terms/terms.go
+++ b/internal/requestmeta/terms.go
@@ -1,6 +1,6 @@
-// Package terms reads the figures that the platform's clients bring with a request, in the forms that all fronts share:
+// Package requestmeta reads the figures that the platform's clients bring with a request, in the forms that all fronts share:
 // numbers as 16 hex digits, and terms such as "units=2,spread=3,first=1". It is pure.
-package terms
+package requestmeta
 
 import (
 	"math"
@@ -42,8 +42,8 @@
 		}
 	}
 	return t, units && spread && first && t.Units > 0 && !math.IsInf(t.Units, 0) &&
-		(set.LargestUnits <= 0 || t.Units <= set.LargestUnits) &&
-		t.Spread >= 1 && t.Spread <= set.FrontDoors && t.First >= 0 && t.First < set.FrontDoors
+		(set.MaxCost <= 0 || t.Units <= set.MaxCost) &&
+		t.Spread >= 1 && t.Spread <= set.GatewayCount && t.First >= 0 && t.First < set.GatewayCount
 }
 
 // Hex reads a number of 16 hex digits.
--- a/internal/payoff/paper.go
+++ b/internal/reservemodel/paper.go
@@ -1,14 +1,14 @@
-package payoff
+package reservemodel
 
 // Case is one of the paper's loads, with what its Figs. 5 and 6 say of the best splits.
 type Case struct {
-	Name          string
-	N             int
-	Load          Load
-	PaperNo       Split // without sub-rating
-	PaperNoPayoff float64
-	PaperSub      Split
-	PaperSubPay   float64
+	Name                string
+	N                   int
+	Load                Load
+	PaperWithout        Split // without sub-rating
+	PaperWithoutPayoff  float64
+	PaperSubRated       Split
+	PaperSubRatedPayoff float64
 }
 
 // Cases are the paper's: (lambda_h, lambda_l, mu, v_h, v_l, q_h, q_l) for 16 slots, and twice the rates for 32.
@@ -36,18 +36,18 @@
 	return out
 }
 
-// Found is what exhaustive search finds for a load.
-type Found struct {
-	No, Sub             Split // the best
-	NoPayoff, SubPayoff float64
-	GainMean, GainBest  float64    // of sub-rating at the same split, over all splits
-	Chosen              [2]Split   // by Methods I and II
-	ChosenPayoff        [2]float64 // what these come to, with sub-rating
-	Same                float64    // the payoff of the split that the paper names for sub-rating
+// SearchResult is what exhaustive search finds for a load.
+type SearchResult struct {
+	Without, SubRated             Split // the best
+	WithoutPayoff, SubRatedPayoff float64
+	GainMean, GainBest            float64    // of sub-rating at the same split, over all splits
+	Chosen                        [2]Split   // by Methods I and II
+	ChosenPayoff                  [2]float64 // what these come to, with sub-rating
+	PaperSplitPayoff              float64    // the payoff of the split that the paper names for sub-rating
 }
 
 // Search solves all splits of a case. do runs a job for each number below n, at once if it likes.
-func Search(c Case, do func(n int, job func(i int))) (Found, error) {
+func Search(c Case, do func(n int, job func(i int))) (SearchResult, error) {
 	all := Splits(c.N)
 	no, sub := make([]float64, len(all)), make([]float64, len(all))
 	errs := make([]error, len(all))
@@ -59,17 +59,17 @@
 			errs[i] = err2
 		}
 	})
-	f := Found{NoPayoff: -1e9, SubPayoff: -1e9, GainBest: -1e9}
+	f := SearchResult{WithoutPayoff: -1e9, SubRatedPayoff: -1e9, GainBest: -1e9}
 	best := [2]float64{-1e9, -1e9}
 	for i, s := range all {
 		if errs[i] != nil {
 			return f, errs[i]
 		}
-		if no[i] > f.NoPayoff+1e-9 {
-			f.No, f.NoPayoff = s, no[i]
+		if no[i] > f.WithoutPayoff+1e-9 {
+			f.Without, f.WithoutPayoff = s, no[i]
 		}
-		if sub[i] > f.SubPayoff+1e-9 {
-			f.Sub, f.SubPayoff = s, sub[i]
+		if sub[i] > f.SubRatedPayoff+1e-9 {
+			f.SubRated, f.SubRatedPayoff = s, sub[i]
 		}
 		gain := (sub[i] - no[i]) / no[i]
 		f.GainMean += gain / float64(len(all))
@@ -79,8 +79,8 @@
 				best[m], f.Chosen[m], f.ChosenPayoff[m] = v, s, sub[i]
 			}
 		}
-		if s == c.PaperSub {
-			f.Same = sub[i]
+		if s == c.PaperSubRated {
+			f.PaperSplitPayoff = sub[i]
 		}
 	}
 	return f, nil
--- a/internal/payoff/payoff.go
+++ b/internal/reservemodel/payoff.go
@@ -1,4 +1,4 @@
-// Package payoff solves the paper's model of admission by three parts of N slots (high, pool, low), with and without sub-rating, exactly, and by
+// Package reservemodel solves the paper's model of admission by three parts of N slots (high, pool, low), with and without sub-rating, exactly, and by
 // its two approximations: Cheng, Chen and Chen, Dynamic quota-based admission control with sub-rating in multimedia servers, Sects. 3 to
 // 5. The decision module re-splits by Method II (decision/reserves.go, payoff, with q = v); here its choices are held against exhaustive search. It is pure.
 //
@@ -6,7 +6,7 @@
 // paper's Petri net has alpha tokens a slot; as degraded clients are resumed at once where tokens are free, D is above 0 only in a full pool,
 // and there SH and SL tell it. So a split (nh, nm, nl) has some (nh+1)(nl+1)nm^2 states, and Gauss-Seidel solves all 561 splits of N = 32
 // in seconds, where the paper's tool took two hours for one load.
-package payoff
+package reservemodel
 
 import (
 	"fmt"
@@ -24,13 +24,13 @@
 
 // Rates are what a split comes to, a unit of time.
 type Rates struct {
-	High, Low, Degraded     float64 // served
-	RejectedHigh, RejectedL float64
-	Payoff                  float64 // (1)
+	High, Low, Degraded       float64 // served
+	RejectedHigh, RejectedLow float64
+	Payoff                    float64 // (1)
 }
 
 // state is one of the chain's, without H and L.
-type poolState struct{ sh, sl, d int }
+type poolState struct{ high, low, degraded int }
 
 // Exact solves a split. sub tells whether high clients may be taken by sub-rating.
 func Exact(l Load, s Split, sub bool) (Rates, error) {
@@ -43,25 +43,25 @@
 
 // chain is the Markov chain of a split.
 type chain struct {
-	l    Load
-	s    Split
-	sub  bool
-	pool []poolState
-	at   map[poolState]int32
-	from [][]arc // into each state
-	out  []float64
-	p    []float64
+	load        Load
+	split       Split
+	subRating   bool
+	pool        []poolState
+	poolIndex   map[poolState]int32
+	incoming    [][]transition // into each state
+	outRate     []float64
+	probability []float64
 }
 
-type arc struct {
+type transition struct {
 	from int32
 	rate float64
 }
 
 func newChain(l Load, s Split, sub bool) *chain {
-	c := &chain{l: l, s: s, sub: sub, at: map[poolState]int32{}}
+	c := &chain{load: l, split: s, subRating: sub, poolIndex: map[poolState]int32{}}
 	add := func(v poolState) {
-		c.at[v] = int32(len(c.pool))
+		c.poolIndex[v] = int32(len(c.pool))
 		c.pool = append(c.pool, v)
 	}
 	for sh := 0; sh <= s.Pool; sh++ {
@@ -77,11 +77,11 @@
 		}
 	}
 	n := (s.High + 1) * (s.Low + 1) * len(c.pool)
-	c.from, c.out, c.p = make([][]arc, n), make([]float64, n), make([]float64, n)
+	c.incoming, c.outRate, c.probability = make([][]transition, n), make([]float64, n), make([]float64, n)
 	for h := 0; h <= s.High; h++ {
 		for lo := 0; lo <= s.Low; lo++ {
 			for i, v := range c.pool {
-				c.leave(h, lo, int32(i), v)
+				c.addTransitions(h, lo, int32(i), v)
 			}
 		}
 	}
@@ -89,68 +89,70 @@
 }
 
 func (c *chain) index(h, lo int, pool int32) int32 {
-	return int32((h*(c.s.Low+1)+lo)*len(c.pool)) + pool
+	return int32((h*(c.split.Low+1)+lo)*len(c.pool)) + pool
 }
 
-func (c *chain) free(v poolState) int { return alpha*c.s.Pool - alpha*(v.sh+v.sl) - v.d }
+func (c *chain) freeUnits(v poolState) int {
+	return alpha*c.split.Pool - alpha*(v.high+v.low) - v.degraded
+}
 
-// resumed gives degraded clients back what is free.
-func (c *chain) resumed(v poolState) poolState {
-	for c.free(v) > 0 && v.d > 0 {
-		v.d--
-		v.sl++
+// resume gives degraded clients back what is free.
+func (c *chain) resume(v poolState) poolState {
+	for c.freeUnits(v) > 0 && v.degraded > 0 {
+		v.degraded--
+		v.low++
 	}
 	return v
 }
 
-// leave notes all ways out of a state.
-func (c *chain) leave(h, lo int, i int32, v poolState) {
+// addTransitions notes all ways out of a state.
+func (c *chain) addTransitions(h, lo int, i int32, v poolState) {
 	me := c.index(h, lo, i)
 	to := func(h, lo int, v poolState, rate float64) {
 		if rate <= 0 {
 			return
 		}
-		at := c.index(h, lo, c.at[v])
-		c.from[at] = append(c.from[at], arc{me, rate})
-		c.out[me] += rate
+		at := c.index(h, lo, c.poolIndex[v])
+		c.incoming[at] = append(c.incoming[at], transition{me, rate})
+		c.outRate[me] += rate
 	}
-	room := c.free(v) >= alpha
+	room := c.freeUnits(v) >= alpha
 	switch {
-	case h < c.s.High:
-		to(h+1, lo, v, c.l.LambdaH)
+	case h < c.split.High:
+		to(h+1, lo, v, c.load.LambdaH)
 	case room:
-		to(h, lo, poolState{v.sh + 1, v.sl, v.d}, c.l.LambdaH)
-	case c.sub && v.sl >= alpha:
-		to(h, lo, poolState{v.sh + 1, v.sl - alpha, v.d + alpha}, c.l.LambdaH)
+		to(h, lo, poolState{v.high + 1, v.low, v.degraded}, c.load.LambdaH)
+	case c.subRating && v.low >= alpha:
+		to(h, lo, poolState{v.high + 1, v.low - alpha, v.degraded + alpha}, c.load.LambdaH)
 	}
 	switch {
-	case lo < c.s.Low:
-		to(h, lo+1, v, c.l.LambdaL)
+	case lo < c.split.Low:
+		to(h, lo+1, v, c.load.LambdaL)
 	case room:
-		to(h, lo, poolState{v.sh, v.sl + 1, v.d}, c.l.LambdaL)
+		to(h, lo, poolState{v.high, v.low + 1, v.degraded}, c.load.LambdaL)
 	}
 	if h > 0 {
-		to(h-1, lo, v, float64(h)*c.l.Mu)
+		to(h-1, lo, v, float64(h)*c.load.Mu)
 	}
 	if lo > 0 {
-		to(h, lo-1, v, float64(lo)*c.l.Mu)
+		to(h, lo-1, v, float64(lo)*c.load.Mu)
 	}
-	if v.sh > 0 {
-		to(h, lo, c.resumed(poolState{v.sh - 1, v.sl, v.d}), float64(v.sh)*c.l.Mu)
+	if v.high > 0 {
+		to(h, lo, c.resume(poolState{v.high - 1, v.low, v.degraded}), float64(v.high)*c.load.Mu)
 	}
-	if v.sl > 0 {
-		to(h, lo, c.resumed(poolState{v.sh, v.sl - 1, v.d}), float64(v.sl)*c.l.Mu)
+	if v.low > 0 {
+		to(h, lo, c.resume(poolState{v.high, v.low - 1, v.degraded}), float64(v.low)*c.load.Mu)
 	}
-	if v.d > 0 {
-		to(h, lo, c.resumed(poolState{v.sh, v.sl, v.d - 1}), float64(v.d)*c.l.Mu)
+	if v.degraded > 0 {
+		to(h, lo, c.resume(poolState{v.high, v.low, v.degraded - 1}), float64(v.degraded)*c.load.Mu)
 	}
 }
 
 // solve finds the steady state by Gauss-Seidel, in both directions in turn.
 func (c *chain) solve() error {
-	n := len(c.p)
-	for i := range c.p {
-		c.p[i] = 1 / float64(n)
+	n := len(c.probability)
+	for i := range c.probability {
+		c.probability[i] = 1 / float64(n)
 	}
 	if n == 1 { // no slots: nothing moves
 		return nil
@@ -160,12 +162,12 @@
 		change, sum := 0.0, 0.0
 		step := func(i int) {
 			in := 0.0
-			for _, a := range c.from[i] {
-				in += c.p[a.from] * a.rate
+			for _, a := range c.incoming[i] {
+				in += c.probability[a.from] * a.rate
 			}
-			v := in / c.out[i]
-			change += math.Abs(v - c.p[i])
-			c.p[i] = v
+			v := in / c.outRate[i]
+			change += math.Abs(v - c.probability[i])
+			c.probability[i] = v
 			sum += v
 		}
 		for i := range n {
@@ -175,36 +177,36 @@
 				step(n - 1 - i)
 			}
 		}
-		for i := range c.p {
-			c.p[i] /= sum
+		for i := range c.probability {
+			c.probability[i] /= sum
 		}
 		if change/sum < 1e-10 {
 			return nil
 		}
 	}
-	return fmt.Errorf("split {High:%d Pool:%d Low:%d} did not settle in %d rounds", c.s.High, c.s.Pool, c.s.Low, most)
+	return fmt.Errorf("split {High:%d Pool:%d Low:%d} did not settle in %d rounds", c.split.High, c.split.Pool, c.split.Low, most)
 }
 
 func (c *chain) rates() (r Rates) {
-	for h := 0; h <= c.s.High; h++ {
-		for lo := 0; lo <= c.s.Low; lo++ {
+	for h := 0; h <= c.split.High; h++ {
+		for lo := 0; lo <= c.split.Low; lo++ {
 			for i, v := range c.pool {
-				p := c.p[c.index(h, lo, int32(i))]
-				r.High += p * float64(h+v.sh) * c.l.Mu
-				r.Low += p * float64(lo+v.sl) * c.l.Mu
-				r.Degraded += p * float64(v.d) * c.l.Mu
-				room := c.free(v) >= alpha
-				if h == c.s.High && !room && !(c.sub && v.sl >= alpha) {
-					r.RejectedHigh += p * c.l.LambdaH
+				p := c.probability[c.index(h, lo, int32(i))]
+				r.High += p * float64(h+v.high) * c.load.Mu
+				r.Low += p * float64(lo+v.low) * c.load.Mu
+				r.Degraded += p * float64(v.degraded) * c.load.Mu
+				room := c.freeUnits(v) >= alpha
+				if h == c.split.High && !room && !(c.subRating && v.low >= alpha) {
+					r.RejectedHigh += p * c.load.LambdaH
 				}
-				if lo == c.s.Low && !room {
-					r.RejectedL += p * c.l.LambdaL
+				if lo == c.split.Low && !room {
+					r.RejectedLow += p * c.load.LambdaL
 				}
 			}
 		}
 	}
-	l := c.l
-	r.Payoff = r.High*l.VH + r.Low*l.VL + r.Degraded*l.VL*(alpha-1)/alpha - r.RejectedHigh*l.QH - r.RejectedL*l.QL
+	l := c.load
+	r.Payoff = r.High*l.VH + r.Low*l.VL + r.Degraded*l.VL*(alpha-1)/alpha - r.RejectedHigh*l.QH - r.RejectedLow*l.QL
 	return r
 }
 
--- a/internal/payoff/payoff_test.go
+++ b/internal/reservemodel/payoff_test.go
@@ -1,4 +1,4 @@
-package payoff
+package reservemodel
 
 import (
 	"math"
@@ -25,15 +25,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if f.No != c.PaperNo || !near(f.NoPayoff, c.PaperNoPayoff) {
-				t.Errorf("%s without: %+v %.3f, the paper has %+v %.2f", c.Name, f.No, f.NoPayoff, c.PaperNo, c.PaperNoPayoff)
+			if f.Without != c.PaperWithout || !near(f.WithoutPayoff, c.PaperWithoutPayoff) {
+				t.Errorf("%s without: %+v %.3f, the paper has %+v %.2f", c.Name, f.Without, f.WithoutPayoff, c.PaperWithout, c.PaperWithoutPayoff)
 			}
-			if odd := c.Name >= "D" && c.Name <= "F"; near(f.SubPayoff, c.PaperSubPay) == odd || near(f.Same, c.PaperSubPay) == odd {
-				t.Errorf("%s with: %+v %.3f, the paper's split %.3f, the paper has %+v %.2f", c.Name, f.Sub, f.SubPayoff, f.Same, c.PaperSub, c.PaperSubPay)
+			if odd := c.Name >= "D" && c.Name <= "F"; near(f.SubRatedPayoff, c.PaperSubRatedPayoff) == odd || near(f.PaperSplitPayoff, c.PaperSubRatedPayoff) == odd {
+				t.Errorf("%s with: %+v %.3f, the paper's split %.3f, the paper has %+v %.2f", c.Name, f.SubRated, f.SubRatedPayoff, f.PaperSplitPayoff, c.PaperSubRated, c.PaperSubRatedPayoff)
 			}
 			for m := range f.Chosen {
-				if f.ChosenPayoff[m] > f.SubPayoff+1e-6 || f.ChosenPayoff[m] < 0.7*f.SubPayoff {
-					t.Errorf("%s: method %d chooses %+v, %.3f of %.3f", c.Name, m+1, f.Chosen[m], f.ChosenPayoff[m], f.SubPayoff)
+				if f.ChosenPayoff[m] > f.SubRatedPayoff+1e-6 || f.ChosenPayoff[m] < 0.7*f.SubRatedPayoff {
+					t.Errorf("%s: method %d chooses %+v, %.3f of %.3f", c.Name, m+1, f.Chosen[m], f.ChosenPayoff[m], f.SubRatedPayoff)
 				}
 			}
 		})
@@ -47,12 +47,12 @@
 		s := Split{rapid.IntRange(0, 4).Draw(t, "nh"), rapid.IntRange(0, 5).Draw(t, "nm"), rapid.IntRange(0, 4).Draw(t, "nl")}
 		sub := rapid.Bool().Draw(t, "sub")
 		r, err := Exact(l, s, sub)
-		if err != nil || math.Abs(r.High+r.RejectedHigh-l.LambdaH) > 1e-5 || math.Abs(r.Low+r.Degraded+r.RejectedL-l.LambdaL) > 1e-5 {
+		if err != nil || math.Abs(r.High+r.RejectedHigh-l.LambdaH) > 1e-5 || math.Abs(r.Low+r.Degraded+r.RejectedLow-l.LambdaL) > 1e-5 {
 			t.Fatalf("%+v, %v", r, err)
 		}
 		if s.Pool == 0 {
 			h, lo := erlang(l.LambdaH, s.High), erlang(l.LambdaL, s.Low)
-			if math.Abs(r.RejectedHigh-l.LambdaH*h[s.High]) > 1e-6 || math.Abs(r.RejectedL-l.LambdaL*lo[s.Low]) > 1e-6 || r.Degraded != 0 {
+			if math.Abs(r.RejectedHigh-l.LambdaH*h[s.High]) > 1e-6 || math.Abs(r.RejectedLow-l.LambdaL*lo[s.Low]) > 1e-6 || r.Degraded != 0 {
 				t.Fatalf("%+v", r)
 			}
 		}
--- a/internal/sim/corpus.go
+++ b/internal/sim/corpus.go
@@ -38,7 +38,7 @@
 func (c Case) MarshalTOML() ([]byte, error) {
 	t := caseText{Seed: c.Seed, Cause: c.Cause, Rule: c.Rule}
 	for _, f := range c.Script {
-		t.Fault = append(t.Fault, faultText{f.At.String(), f.For.String(), f.Kind.String(), f.Target, f.Other, f.Share})
+		t.Fault = append(t.Fault, faultText{f.At.String(), f.Duration.String(), f.Kind.String(), f.Target, f.Variant, f.Share})
 	}
 	return toml.Marshal(struct {
 		Case []caseText `toml:"case"`
@@ -63,15 +63,15 @@
 		for _, f := range t.Fault {
 			at, err := time.ParseDuration(f.At)
 			length, err2 := time.ParseDuration(f.For)
-			kind := slices.Index(kindNames[:], f.Kind)
+			kind := slices.Index(faultKindNames[:], f.Kind)
 			if err := errors.Join(err, err2); err != nil || kind < 0 {
-				return nil, fmt.Errorf("case %d: fault %q: %w", i+1, f.Kind, errors.Join(err, errKind))
+				return nil, fmt.Errorf("case %d: fault %q: %w", i+1, f.Kind, errors.Join(err, errInvalidFault))
 			}
-			c.Script = append(c.Script, Fault{At: at, For: length, Kind: Kind(kind), Target: f.Target, Other: f.Other, Share: f.Share})
+			c.Script = append(c.Script, Fault{At: at, Duration: length, Kind: FaultKind(kind), Target: f.Target, Variant: f.Other, Share: f.Share})
 		}
 		cases = append(cases, c)
 	}
 	return cases, nil
 }
 
-var errKind = errors.New("its kind or its times make no sense")
+var errInvalidFault = errors.New("its kind or its times make no sense")
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -3,81 +3,81 @@
 import (
 	"time"
 
+	"pumicecroft/idempotency"
 	"pumicecroft/internal/journal"
 	"pumicecroft/internal/simdisk"
-	"pumicecroft/keys"
 )
 
-// journaled is a door's journal of keys: the disk, which outlives processes, and what a process knows of it.
-type journaled struct {
-	disk  *simdisk.Disk
-	log   *journal.Log[keys.Entry] // nil: the process has none
-	goes  bool                     // an operation is under way
-	waits []record                 // until they are durable
-	ends  []record                 // until they are written
-	slow  time.Duration            // an operation takes so long at the most
-	fails error                    // what operations end with, by chance
-	known map[string]string        // answers that clients have, by key, and that every later process must give again
+// gatewayJournal is a door's journal of keys: the disk, which outlives processes, and what a process knows of it.
+type gatewayJournal struct {
+	disk            *simdisk.Disk
+	log             *journal.Log[idempotency.Entry] // nil: the process has none
+	busy            bool                            // an operation is under way
+	awaitingDurable []recordWait                    // until they are durable
+	awaitingWritten []recordWait                    // until they are written
+	maxLatency      time.Duration                   // an operation takes so long at the most
+	fault           error                           // what operations end with, by chance
+	mustReplay      map[string]string               // answers that clients have, by key, and that every later process must give again
 }
 
-// record is something that waits for a record.
-type record struct {
+// recordWait is something that waits for a record.
+type recordWait struct {
 	seq  uint64
-	told func(there bool)
+	done func(there bool)
 }
 
-// diskPatience is how long requests wait for the disk.
-const diskPatience = 300 * time.Millisecond
+// diskTimeout is how long requests wait for the disk.
+const diskTimeout = 300 * time.Millisecond
 
-var journalRules = journal.Rules{SegmentBytes: 8 << 10, MostPending: 16 << 10, Retry: 200 * time.Millisecond}
+var journalPolicy = journal.Options{SegmentBytes: 8 << 10, MaxPending: 16 << 10, RetryDelay: 200 * time.Millisecond}
 
 // openJournal has a door's process read its journal.
-func (d *door) openJournal() {
+func (d *gateway) openJournal() {
 	j := &d.journal
 	if j.disk == nil {
-		j.disk, j.known = simdisk.New(), map[string]string{}
+		j.disk, j.mustReplay = simdisk.New(), map[string]string{}
 	}
-	j.goes, j.waits, j.ends = false, nil, nil
-	rng := d.w.chance(21, uint64(d.number), uint64(d.epoch))
-	j.disk.Part = func(n int) int { return rng.IntN(n + 1) }
-	j.disk.Fails = func(journal.Op) error {
-		if j.fails != nil && rng.IntN(3) > 0 {
-			return j.fails
+	j.busy, j.awaitingDurable, j.awaitingWritten = false, nil, nil
+	rng := d.world.newRand(21, uint64(d.number), uint64(d.epoch))
+	j.disk.PartialWrite = func(n int) int { return rng.IntN(n + 1) }
+	j.disk.Fault = func(journal.Op) error {
+		if j.fault != nil && rng.IntN(3) > 0 {
+			return j.fault
 		}
 		return nil
 	}
 	var err error
-	j.log, err = journal.Recover(journalRules, mix(d.w.seed^uint64(d.number)), j.disk.List(), j.disk.Load, func(rec []byte) (*journal.Slot[keys.Entry], error) {
-		return d.keys.Restore(d.w.now, 0, rec)
+	j.log, err = journal.Recover(journalPolicy, mix(d.world.seed^uint64(d.number)), j.disk.List(), j.disk.Load, func(rec []byte) (*journal.Slot[idempotency.Entry], error) {
+		return d.dedup.Restore(d.world.now, 0, rec)
 	})
 	if err != nil {
-		d.w.broken("the journal is read again", "door %d: %v", d.number, err)
+		d.world.violatef("the journal is read again", "door %d: %v", d.number, err)
 		j.log = nil
 		return
 	}
 	u := j.log.Usage()
-	d.w.tell("door %d reads %d keys of %d bytes in %d segments", d.number, d.keys.Len(), u.Bytes, u.Segments)
-	d.keys.Logs(j.log, 0)
+	d.world.tracef("door %d reads %d keys of %d bytes in %d segments", d.number, d.dedup.Len(), u.Bytes, u.Segments)
+	d.dedup.AttachLog(j.log, 0)
 }
 
-// pump carries out the journal's next operation. What it does to the disk it does when it ends, or half-way: a process that is killed
+// pumpJournal carries out the journal's next operation. What it does to the disk it does when it ends, or half-way: a process that is killed
 // meanwhile leaves it done or not.
-func (d *door) pump() {
+func (d *gateway) pumpJournal() {
 	j := &d.journal
-	if j.log == nil || j.goes {
+	if j.log == nil || j.busy {
 		return
 	}
-	d.keys.Relog(d.w.now)
-	op := j.log.Next(d.w.now)
-	if op.Kind == journal.Nothing {
-		at, ok := j.log.Wake()
-		d.plan(4, at, ok, d.pump)
+	d.dedup.RewriteStale(d.world.now)
+	op := j.log.Next(d.world.now)
+	if op.Kind == journal.None {
+		at, ok := j.log.NextWake()
+		d.scheduleWakeup(4, at, ok, d.pumpJournal)
 		return
 	}
-	j.goes = true
+	j.busy = true
 	epoch, log := d.epoch, j.log
-	rng := d.w.chance(22, uint64(d.number), uint64(epoch), uint64(d.w.now), uint64(op.Kind))
-	d.w.after(between(rng, 20*time.Microsecond, max(3*time.Millisecond, j.slow)), func() {
+	rng := d.world.newRand(22, uint64(d.number), uint64(epoch), uint64(d.world.now), uint64(op.Kind))
+	d.world.scheduleAfter(randDuration(rng, 20*time.Microsecond, max(3*time.Millisecond, j.maxLatency)), func() {
 		if epoch != d.epoch && rng.IntN(2) == 0 {
 			return // the process was killed before the system took it
 		}
@@ -85,41 +85,41 @@
 			return
 		}
 		err := j.disk.Do(op)
-		d.in(epoch, nil, func() {
-			j.goes = false
-			log.Done(d.w.now, err)
-			if u := log.Usage(); u.Pending > journalRules.MostPending {
-				d.w.broken("everything has its bound", "door %d's journal has %d bytes pending", d.number, u.Pending)
+		d.enqueue(epoch, nil, func() {
+			j.busy = false
+			log.Done(d.world.now, err)
+			if u := log.Usage(); u.PendingBytes > journalPolicy.MaxPending {
+				d.world.violatef("everything has its bound", "door %d's journal has %d bytes pending", d.number, u.PendingBytes)
 			}
-			j.waits = toldOf(j.waits, log.Durable(), log.Lost())
-			j.ends = toldOf(j.ends, log.Written(), log.Lost())
-			d.arm()
+			j.awaitingDurable = notifyUpTo(j.awaitingDurable, log.Durable(), log.Lost())
+			j.awaitingWritten = notifyUpTo(j.awaitingWritten, log.Written(), log.Lost())
+			d.scheduleWakeups()
 		})
 	})
 }
 
-// toldOf tells those whose records are there or lost, and gives the rest.
-func toldOf(waits []record, there, lost uint64) []record {
+// notifyUpTo tells those whose records are there or lost, and gives the rest.
+func notifyUpTo(waits []recordWait, there, lost uint64) []recordWait {
 	n := 0
 	for n < len(waits) && waits[n].seq <= max(there, lost) {
 		n++
 	}
 	now := waits[:n:n]
 	for _, w := range now {
-		w.told(w.seq <= there)
+		w.done(w.seq <= there)
 	}
 	return waits[n:]
 }
 
-// onceKept has an ask go on when it is durable that its key passed, or when it has waited for long enough.
-func (d *door) onceKept(a *ask, goOn func()) {
+// whenDurable has an ask go on when it is durable that its key passed, or when it has waited for long enough.
+func (d *gateway) whenDurable(a *clientRequest, goOn func()) {
 	seq, epoch, over := a.ticket.Seq(), d.epoch, false
 	told := func(there bool) {
 		if over {
 			return
 		}
 		if over = true; !there {
-			d.c.loose[a.key] = true // as is stated: it goes on with its key in memory alone
+			d.check.volatileKeys[a.key] = true // as is stated: it goes on with its key in memory alone
 		}
 		goOn()
 	}
@@ -127,19 +127,19 @@
 		told(false)
 		return
 	}
-	d.journal.waits = append(d.journal.waits, record{seq, told})
-	d.w.after(min(diskPatience, a.timeout), func() { d.in(epoch, nil, func() { told(false) }) })
+	d.journal.awaitingDurable = append(d.journal.awaitingDurable, recordWait{seq, told})
+	d.world.scheduleAfter(min(diskTimeout, a.timeout), func() { d.enqueue(epoch, nil, func() { told(false) }) })
 }
 
-// onceWritten has something happen when an ask's answer is written, or when its client would wait for too long.
-func (d *door) onceWritten(a *ask, then func()) {
-	seq, epoch, over := d.keys.Answers(d.w.now, a.ticket, keys.Answer{Body: a.reply.Body}), d.epoch, false
+// whenWritten has something happen when an ask's answer is written, or when its client would wait for too long.
+func (d *gateway) whenWritten(a *clientRequest, then func()) {
+	seq, epoch, over := d.dedup.RecordResponse(d.world.now, a.ticket, idempotency.Response{Body: a.response.Body}), d.epoch, false
 	told := func(there bool) {
 		if over {
 			return
 		}
-		if over = true; there && len(a.reply.Body) < d.journal.log.MostRecord()-300 { // a larger one is told as answered, and not again
-			d.journal.known[a.whole()] = string(a.reply.Body)
+		if over = true; there && len(a.response.Body) < d.journal.log.MaxRecord()-300 { // a larger one is told as answered, and not again
+			d.journal.mustReplay[a.dedupIdentity()] = string(a.response.Body)
 		}
 		then()
 	}
@@ -147,33 +147,33 @@
 		told(false)
 		return
 	}
-	d.journal.ends = append(d.journal.ends, record{seq, told})
-	d.w.after(max(0, min(diskPatience, a.arrived+a.until()-d.w.now)), func() { d.in(epoch, nil, func() { told(false) }) })
-	d.arm()
+	d.journal.awaitingWritten = append(d.journal.awaitingWritten, recordWait{seq, told})
+	d.world.scheduleAfter(max(0, min(diskTimeout, a.arrivedAt+a.giveUpAfter()-d.world.now)), func() { d.enqueue(epoch, nil, func() { told(false) }) })
+	d.scheduleWakeups()
 }
 
-// endJournal is a process that ends by itself: who waits for the disk is told, and what the log has is written.
-func (d *door) endJournal() {
+// closeJournal is a process that ends by itself: who waits for the disk is told, and what the log has is written.
+func (d *gateway) closeJournal() {
 	j := &d.journal
-	for _, w := range append(j.waits, j.ends...) {
-		w.told(false)
+	for _, w := range append(j.awaitingDurable, j.awaitingWritten...) {
+		w.done(false)
 	}
-	j.waits, j.ends = nil, nil
+	j.awaitingDurable, j.awaitingWritten = nil, nil
 	if j.log == nil {
 		return
 	}
 	j.log.Close()
-	for op := j.log.Next(d.w.now); op.Kind != journal.Nothing; op = j.log.Next(d.w.now) {
-		j.log.Done(d.w.now, j.disk.Do(op))
+	for op := j.log.Next(d.world.now); op.Kind != journal.None; op = j.log.Next(d.world.now) {
+		j.log.Done(d.world.now, j.disk.Do(op))
 	}
 	j.log = nil
 }
 
 // crash is a machine that stops: what was not synced is there or not.
-func (d *door) crash() {
+func (d *gateway) crash() {
 	j := &d.journal
 	if j.disk != nil {
-		j.disk.Crash(d.w.chance(23, uint64(d.number), uint64(d.epoch)))
-		clear(j.known) // what was written and not synced may be undecided now
+		j.disk.Crash(d.world.newRand(23, uint64(d.number), uint64(d.epoch)))
+		clear(j.mustReplay) // what was written and not synced may be undecided now
 	}
 }
--- a/internal/sim/golden_test.go
+++ b/internal/sim/golden_test.go
@@ -23,9 +23,9 @@
 		{144, 0x36e335ef9a63720c, 18049, 555, 1890, 7, 8, 564},
 	} {
 		got := Run(want.seed, Options{})
-		if got.Hash != want.hash || got.Steps != want.steps || got.Served != want.served || got.Refused != want.refused || got.Failed != want.failed ||
-			got.Lost != want.lost || got.Counted != want.attempts {
-			t.Errorf("{%d, %#x, %d, %d, %d, %d, %d, %d}, want %+v", got.Seed, got.Hash, got.Steps, got.Served, got.Refused, got.Failed, got.Lost, got.Counted, want)
+		if got.Hash != want.hash || got.Steps != want.steps || got.Served != want.served || got.Rejected != want.refused || got.Failed != want.failed ||
+			got.LostWithGateway != want.lost || got.AttemptsStarted != want.attempts {
+			t.Errorf("{%d, %#x, %d, %d, %d, %d, %d, %d}, want %+v", got.Seed, got.Hash, got.Steps, got.Served, got.Rejected, got.Failed, got.LostWithGateway, got.AttemptsStarted, want)
 		}
 	}
 }
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -27,7 +27,7 @@
 	for i := range best.Script {
 		for range 4 {
 			s := slices.Clone(best.Script)
-			s[i].For /= 2
+			s[i].Duration /= 2
 			if !try(s) {
 				break
 			}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -9,15 +9,15 @@
 	"testing"
 	"time"
 
-	"pumicecroft/internal/httpwire"
+	"pumicecroft/internal/platformhttp"
 )
 
-// seedsInCI are the seeds that CI runs, always the same.
-const seedsInCI = 400
+// ciSeeds are the seeds that CI runs, always the same.
+const ciSeeds = 400
 
-// many runs seeds side by side and gives what came of them, in their order. Two at once leave room for the tests of other
+// runSeeds runs seeds side by side and gives what came of them, in their order. Two at once leave room for the tests of other
 // packages, which wait on sockets meanwhile.
-func many(n uint64, run func(seed uint64) Result) []Result {
+func runSeeds(n uint64, run func(seed uint64) Result) []Result {
 	out := make([]Result, n)
 	var running sync.WaitGroup
 	next := make(chan uint64)
@@ -38,16 +38,16 @@
 
 // No seed of a fixed share breaks a rule, and between them they meet every kind of fault and every end of a request.
 func TestSeeds(t *testing.T) {
-	var met [kinds]int
+	var met [faultKindCount]int
 	served, refused, failed, lost := 0, 0, 0, 0
-	for _, res := range many(seedsInCI, func(seed uint64) Result { return Run(seed, Options{}) }) {
+	for _, res := range runSeeds(ciSeeds, func(seed uint64) Result { return Run(seed, Options{}) }) {
 		for _, v := range res.Violations {
 			t.Errorf("seed %d: %v\n%v", res.Seed, v, Shrink(res, Options{}).Script)
 		}
 		for _, f := range res.Script {
 			met[f.Kind]++
 		}
-		served, refused, failed, lost = served+res.Served, refused+res.Refused, failed+res.Failed, lost+res.Lost
+		served, refused, failed, lost = served+res.Served, refused+res.Rejected, failed+res.Failed, lost+res.LostWithGateway
 	}
 	if slices.Contains(met[:], 0) || served == 0 || refused == 0 || failed == 0 || lost == 0 {
 		t.Errorf("faults met: %v; served %d, refused %d, failed %d, lost with their doors %d", met, served, refused, failed, lost)
@@ -90,10 +90,10 @@
 		lines[seed] = nil
 		return Run(seed, Options{Trace: func(l string) { lines[seed] = append(lines[seed], l) }})
 	}
-	first := many(n, traced)
+	first := runSeeds(n, traced)
 	was := lines
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	second := many(n, traced)
+	second := runSeeds(n, traced)
 	hashes := map[uint64]bool{}
 	for i := range n {
 		if first[i].Hash != second[i].Hash || !slices.Equal(was[i], lines[i]) || len(was[i]) < 40 {
@@ -116,7 +116,7 @@
 		order := func() string {
 			w, got := newWorld(seed, nil), ""
 			for _, name := range []string{"a", "b", "c"} {
-				w.after(time.Second, func() { got += name })
+				w.scheduleAfter(time.Second, func() { got += name })
 			}
 			w.run(start+time.Minute, 100)
 			return got
@@ -132,13 +132,13 @@
 	}
 }
 
-// quiet is a world with one door and two backends, in which nothing happens by itself.
-func quiet(t *testing.T, trace *[]string) *runner {
+// quietRunner is a world with one door and two backends, in which nothing happens by itself.
+func quietRunner(t *testing.T, trace *[]string) *runner {
 	t.Helper()
 	r := newRunner(7, Options{Trace: func(l string) { *trace = append(*trace, l) }})
-	r.shape = drawShape(r.chance(0))
-	r.shape.doors, r.shape.backends, r.shape.catalogue, r.shape.discovery, r.shape.restless, r.shape.conns = 1, 2, false, true, false, 8
-	r.shape.canCancel, r.shape.mostOpen, r.shape.idle = true, 100, 15*time.Second
+	r.config = drawConfig(r.newRand(0))
+	r.config.gateways, r.config.backends, r.config.usesCatalog, r.config.usesDiscovery, r.config.perturbsEngine, r.config.maxConns = 1, 2, false, true, false, 8
+	r.config.canCancel, r.config.maxOpenRequests, r.config.idleTimeout = true, 100, 15*time.Second
 	r.populate(func(int) int { return 0 })
 	return r
 }
@@ -147,48 +147,48 @@
 // the connection has ended.
 func TestConnections(t *testing.T) {
 	var trace []string
-	r := quiet(t, &trace)
-	d, b := r.doors[0], r.backends[0]
-	var l *link
-	d.dial(b.addr(), nil, func(up *link, err error) { l = up })
+	r := quietRunner(t, &trace)
+	d, b := r.gateways[0], r.backends[0]
+	var l *conn
+	d.dial(b.addr(), nil, func(up *conn, err error) { l = up })
 	r.run(start+time.Second, 1000)
-	if l == nil || l.way <= 0 {
+	if l == nil || l.latency <= 0 {
 		t.Fatal("it does not come up")
 	}
 	sent := r.now
-	l.answer([]byte("ab"), time.Second)
-	l.answer([]byte("cd"), 0)
+	l.sendToGateway([]byte("ab"), time.Second)
+	l.sendToGateway([]byte("cd"), 0)
 	r.run(sent+time.Second, 1000)
-	if len(l.come) > 0 {
-		t.Errorf("%q came before its time", l.come)
+	if len(l.received) > 0 {
+		t.Errorf("%q came before its time", l.received)
 	}
 	r.run(sent+2*time.Second, 1000)
-	if string(l.come) != "abcd" {
-		t.Errorf("%q", l.come)
-	}
-	d.cutOff[b] = r.now + 3*time.Second
-	l.answer([]byte("ef"), 0)
-	l.answer([]byte("gh"), 0)
-	r.run(d.cutOff[b]-1, 10_000)
-	before := string(l.come)
-	r.run(d.cutOff[b]+time.Second, 10_000)
-	if before != "abcd" || string(l.come) != "abcdefgh" {
-		t.Errorf("%q while nothing passes, %q then", before, l.come)
-	}
-	l.breaks()
-	l.answer([]byte("ij"), 0)
+	if string(l.received) != "abcd" {
+		t.Errorf("%q", l.received)
+	}
+	d.partitionedUntil[b] = r.now + 3*time.Second
+	l.sendToGateway([]byte("ef"), 0)
+	l.sendToGateway([]byte("gh"), 0)
+	r.run(d.partitionedUntil[b]-1, 10_000)
+	before := string(l.received)
+	r.run(d.partitionedUntil[b]+time.Second, 10_000)
+	if before != "abcd" || string(l.received) != "abcdefgh" {
+		t.Errorf("%q while nothing passes, %q then", before, l.received)
+	}
+	l.reset()
+	l.sendToGateway([]byte("ij"), 0)
 	r.run(r.now+time.Second, 10_000)
-	if string(l.come) != "abcdefgh" || l.end != errReset {
-		t.Errorf("%q, ended by %v", l.come, l.end)
+	if string(l.received) != "abcdefgh" || l.readErr != errConnReset {
+		t.Errorf("%q, ended by %v", l.received, l.readErr)
 	}
 	for _, c := range []struct {
 		set  func()
 		want error
-	}{{func() { b.up = false }, errRefused}, {func() { b.up, b.faults[RefuseConn] = true, 1 }, errRefused},
-		{func() { b.faults[RefuseConn], b.faults[HangConn] = 0, 1 }, errHung}, {func() { b.faults[HangConn], d.descriptors = 0, 0 }, httpwire.ErrShort}} {
+	}{{func() { b.up = false }, errConnRefused}, {func() { b.up, b.faultShares[ConnRefused] = true, 1 }, errConnRefused},
+		{func() { b.faultShares[ConnRefused], b.faultShares[ConnHangs] = 0, 1 }, errConnTimeout}, {func() { b.faultShares[ConnHangs], d.maxDescriptors = 0, 0 }, platformhttp.ErrNoDescriptors}} {
 		c.set()
 		got := error(nil)
-		d.dial(b.addr(), nil, func(_ *link, err error) { got = err })
+		d.dial(b.addr(), nil, func(_ *conn, err error) { got = err })
 		r.run(r.now+time.Second, 10_000)
 		if got != c.want {
 			t.Errorf("%v, want %v", got, c.want)
@@ -205,37 +205,37 @@
 		do     func(r *runner, past time.Duration, units float64)
 	}{
 		{"a drain's grace", "drains are honoured", func(r *runner, past time.Duration, _ float64) {
-			d := r.doors[0]
-			d.lists.told["b0"], d.lists.byID[1] = r.now-r.shape.grace-past, "b0"
-			r.check.started(d, &attempt{ask: &ask{class: "look", customer: 1}, backend: 1})
+			d := r.gateways[0]
+			d.endpoints.drainKnownSince["b0"], d.endpoints.nameByID[1] = r.now-r.config.drainGrace-past, "b0"
+			r.check.onAttemptStarted(d, &attempt{request: &clientRequest{class: "look", customer: 1}, backend: 1})
 		}},
 		{"a leaver's", "who has left is sent nothing", func(r *runner, past time.Duration, _ float64) {
 			r.now += time.Second
-			r.check.leaves(r.doors[0], &attempt{ask: &ask{class: "look", leaves: true, leftAt: r.now - leaverSlack - past}})
+			r.check.onAttemptSent(r.gateways[0], &attempt{request: &clientRequest{class: "look", disconnected: true, disconnectedAt: r.now - disconnectTolerance - past}})
 		}},
 		{"an answer's time", "answers in time", func(r *runner, past time.Duration, _ float64) {
-			r.check.final(&ask{class: "look", door: r.doors[0], arrived: r.now - 500*ms - past, timeout: 500 * ms}, "failed", nil)
+			r.check.onFinal(&clientRequest{class: "look", gateway: r.gateways[0], arrivedAt: r.now - 500*ms - past, timeout: 500 * ms}, "failed", nil)
 		}},
 		{"the ceiling's slack", "ceilings hold", func(r *runner, _ time.Duration, units float64) {
-			r.check.started(r.doors[0], &attempt{ask: &ask{class: "look", customer: flagshipAsker, units: ceilingBurst + ceilingSlack + units}})
+			r.check.onAttemptStarted(r.gateways[0], &attempt{request: &clientRequest{class: "look", customer: flagshipCustomer, cost: hardLimitBurst + hardLimitOverdraft + units}})
 		}},
 		{"what is owed", "one final answer", func(r *runner, past time.Duration, _ float64) {
-			r.check.owedAsks = []*ask{{class: "look", door: r.doors[0], epoch: r.doors[0].epoch, arrived: r.now - 500*ms - past, timeout: 500 * ms}}
-			r.check.owed()
+			r.check.unanswered = []*clientRequest{{class: "look", gateway: r.gateways[0], gatewayEpoch: r.gateways[0].epoch, arrivedAt: r.now - 500*ms - past, timeout: 500 * ms}}
+			r.check.checkDeadlines()
 		}},
 	} {
 		for _, past := range []bool{false, true} {
 			var trace []string
-			r := quiet(t, &trace)
-			c.do(r, time.Duration(b2i(past)), 0.001*float64(b2i(past)))
-			if got := len(r.found) > 0; got != past || got && r.found[0].Rule != c.breaks {
-				t.Errorf("%s, past it: %v: %v", c.name, past, r.found)
+			r := quietRunner(t, &trace)
+			c.do(r, time.Duration(boolToInt(past)), 0.001*float64(boolToInt(past)))
+			if got := len(r.violations) > 0; got != past || got && r.violations[0].Rule != c.breaks {
+				t.Errorf("%s, past it: %v: %v", c.name, past, r.violations)
 			}
 		}
 	}
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -244,22 +244,22 @@
 
 // A key's window binds at its exact end, and a backend that is cold falls by one more than it can take.
 func TestEdgesOfBackends(t *testing.T) {
-	m := memory{map[uint64]time.Duration{1: time.Second}}
-	if m.first(1, 6*time.Second-1, 5*time.Second) || !m.first(1, 6*time.Second, 5*time.Second) {
+	m := dedupMemory{map[uint64]time.Duration{1: time.Second}}
+	if m.remember(1, 6*time.Second-1, 5*time.Second) || !m.remember(1, 6*time.Second, 5*time.Second) {
 		t.Error("a key's window")
 	}
 	for _, more := range []int{0, 1} {
 		var trace []string
-		r := quiet(t, &trace)
+		r := quietRunner(t, &trace)
 		b := r.backends[0]
-		b.born, b.fallMultiple, b.fallFor = r.now, 4, 3*time.Second
+		b.startedAt, b.overloadFactor, b.overloadDuration = r.now, 4, 3*time.Second
 		r.now += 3*time.Second + 1
-		most := int(b.fallMultiple * b.warmth() * capacity * b.fallFor.Seconds())
+		most := int(b.overloadFactor * b.warmupFraction() * capacity * b.overloadDuration.Seconds())
 		for range most + more {
-			b.arrive(&job{ask: &ask{class: "look"}, link: &link{w: r.world, door: r.doors[0], backend: b}})
+			b.onRequest(&receivedRequest{request: &clientRequest{class: "look"}, conn: &conn{world: r.world, gateway: r.gateways[0], backend: b}})
 		}
-		if len(r.found) != more {
-			t.Errorf("%d of %d: %v", most+more, most, r.found)
+		if len(r.violations) != more {
+			t.Errorf("%d of %d: %v", most+more, most, r.violations)
 		}
 	}
 }
@@ -268,22 +268,22 @@
 // asked; nothing is lost, nothing is answered twice.
 func TestAPauseOverDeadlines(t *testing.T) {
 	var lines []string
-	r := quiet(t, &lines)
+	r := quietRunner(t, &lines)
 	for i := range 20 {
-		r.after(time.Duration(i)*100*time.Millisecond, func() {
-			r.ask(&ask{class: classes[i%5], key: uint64(i), customer: 1, units: 1, timeout: 400 * time.Millisecond}, 0, 1)
+		r.scheduleAfter(time.Duration(i)*100*time.Millisecond, func() {
+			r.submit(&clientRequest{class: classes[i%5], key: uint64(i), customer: 1, cost: 1, timeout: 400 * time.Millisecond}, 0, 1)
 		})
 	}
-	r.after(950*time.Millisecond, func() { r.doors[0].pause(2 * time.Second) })
+	r.scheduleAfter(950*time.Millisecond, func() { r.gateways[0].pause(2 * time.Second) })
 	r.run(start+10*time.Second, 100_000)
-	r.check.owed()
+	r.check.checkDeadlines()
 	for _, l := range lines {
 		if at := strings.TrimSpace(l[:10]); at > "0.9500" && at < "2.9500" && len(at) == 6 && strings.Contains(l, "door 0") {
 			t.Errorf("while it stands still: %s", l)
 		}
 	}
-	if c := &r.check; len(r.found) > 0 || len(c.owedAsks) > 0 || c.lost > 0 || c.served == 0 || len(r.asks) < 20 || c.served+c.refused+c.failed != len(r.asks) {
-		t.Errorf("served %d, refused %d, failed %d, lost %d, owed %d, %v", c.served, c.refused, c.failed, c.lost, len(c.owedAsks), r.found)
+	if c := &r.check; len(r.violations) > 0 || len(c.unanswered) > 0 || c.lostWithGateway > 0 || c.served == 0 || len(r.requests) < 20 || c.served+c.rejected+c.failed != len(r.requests) {
+		t.Errorf("served %d, refused %d, failed %d, lost %d, owed %d, %v", c.served, c.rejected, c.failed, c.lostWithGateway, len(c.unanswered), r.violations)
 	}
 }
 
@@ -291,18 +291,18 @@
 // seeds it does, and no rule breaks.
 func TestKillsBetween(t *testing.T) {
 	between, after := 0, 0
-	for _, res := range many(150, func(seed uint64) Result {
+	for _, res := range runSeeds(150, func(seed uint64) Result {
 		var s Script
 		for at := 500 * time.Millisecond; at < 4*time.Second; at += 700 * time.Millisecond {
-			s = append(s, Fault{At: at, For: 300 * time.Millisecond, Kind: KillCounting}, Fault{At: at, For: 300 * time.Millisecond, Kind: KillAnswering})
+			s = append(s, Fault{At: at, Duration: 300 * time.Millisecond, Kind: KillAtAttemptStart}, Fault{At: at, Duration: 300 * time.Millisecond, Kind: KillAtAttemptEnd})
 		}
 		return Run(seed, Options{Script: &s})
 	}) {
 		for _, v := range res.Violations {
 			t.Errorf("seed %d: %v", res.Seed, v)
 		}
-		between += res.Counted - res.Left
-		after += res.Lost
+		between += res.AttemptsStarted - res.AttemptsSent
+		after += res.LostWithGateway
 	}
 	if between == 0 || after == 0 {
 		t.Errorf("%d attempts were counted and never left, %d requests were lost with their door", between, after)
@@ -312,21 +312,21 @@
 // What a shrunk script keeps is needed: here a rule breaks by a drain and a kill together, whatever else goes wrong.
 func TestShrink(t *testing.T) {
 	breaks := func(s Script) Result {
-		has := func(k Kind) bool {
-			return slices.ContainsFunc(s, func(f Fault) bool { return f.Kind == k && f.For > 100*time.Millisecond })
+		has := func(k FaultKind) bool {
+			return slices.ContainsFunc(s, func(f Fault) bool { return f.Kind == k && f.Duration > 100*time.Millisecond })
 		}
 		res := Result{Script: s}
-		if has(Drain) && has(Kill) {
+		if has(DrainBackend) && has(KillGateway) {
 			res.Violations = []Violation{{Rule: "a rule"}}
 		}
 		return res
 	}
 	for seed := range uint64(200) {
 		r := newWorld(seed, nil)
-		shape := drawShape(r.chance(0))
-		script := append(draw(r.chance(1), &shape), Fault{Kind: Drain, For: time.Second}, Fault{Kind: Kill, For: time.Second})
+		shape := drawConfig(r.newRand(0))
+		script := append(drawScript(r.newRand(1), &shape), Fault{Kind: DrainBackend, Duration: time.Second}, Fault{Kind: KillGateway, Duration: time.Second})
 		got := shrink(breaks(script), breaks)
-		if len(got.Script) != 2 || got.Script[0].For > 300*time.Millisecond || len(got.Violations) != 1 {
+		if len(got.Script) != 2 || got.Script[0].Duration > 300*time.Millisecond || len(got.Violations) != 1 {
 			t.Fatalf("seed %d: of\n%vis left\n%v", seed, script, got.Script)
 		}
 	}
@@ -334,7 +334,7 @@
 
 // A run has an end: a bound on its steps.
 func TestABoundOnSteps(t *testing.T) {
-	if res := Run(1, Options{Steps: 500}); res.Steps != 500 || len(res.Violations) > 0 {
+	if res := Run(1, Options{MaxSteps: 500}); res.Steps != 500 || len(res.Violations) > 0 {
 		t.Errorf("%d steps, %v", res.Steps, res.Violations)
 	}
 }
@@ -355,7 +355,7 @@
 		{"once", "turned away", []int{0}, "refused", 1},
 		{"look", "hung", []int{0, 0}, "refused", 1},
 	} {
-		if told, attempts, _ := One(c.class, c.cells, c.act); told != c.want || attempts != c.attempts {
+		if told, attempts, _ := RunSingleRequest(c.class, c.cells, c.act); told != c.want || attempts != c.attempts {
 			t.Errorf("%+v: %s, %d attempts", c, told, attempts)
 		}
 	}
--- a/internal/sim/sources.go
+++ b/internal/sim/sources.go
@@ -9,290 +9,290 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/blocking"
-	"pumicecroft/internal/core"
-	"pumicecroft/internal/registry"
+	"pumicecroft/internal/blockingquery"
+	"pumicecroft/internal/consulcatalog"
+	"pumicecroft/internal/lifecycle"
 	"pumicecroft/membership"
 )
 
 // The sources of lists.
 const (
-	discovery = "discovery" // the platform's: it pushes what changes, late
-	catalogue = "consul:backends"
+	discoverySource = "discovery" // the platform's: it pushes what changes, late
+	catalogSource   = "consul:backends"
 )
 
-// lists is what a door's process knows of the backends beside its table, and what is kept of it.
-type lists struct {
-	last     membership.List // as discovery told last
-	pushedAt time.Duration   // when its last word comes
-	kept     []membership.Node
-	keptAt   time.Duration
-	recall   *membership.Recall
-	watch    *watch
-	words    map[string]map[string]decision.BackendState // by node, by source, as told last
-	whole    map[string]map[string]bool                  // by source, what its last whole list named
-	told     map[string]time.Duration                    // since when it has been told that a node drains or is gone
-	arrived  map[string]time.Duration                    // the same, of what came while it stood still and is not read
-	starts   map[string]time.Duration                    // the latest start of a node that it has been told of
-	byID     map[decision.BackendID]string
-}
-
-// unix is the run's clock for a time of day.
-func unix(t time.Time) time.Duration {
+// endpointSources is what a door's process knows of the backends beside its table, and what is kept of it.
+type endpointSources struct {
+	lastDiscovery   membership.Update // as discovery told last
+	lastDiscoveryAt time.Duration     // when its last word comes
+	cachedCatalog   []membership.Node
+	cachedAt        time.Duration
+	startTimes      *membership.StartTimes
+	watch           *catalogWatch
+	reports         map[string]map[string]decision.BackendState // by node, by source, as told last
+	lastFull        map[string]map[string]bool                  // by source, what its last whole list named
+	drainKnownSince map[string]time.Duration                    // since when it has been told that a node drains or is gone
+	drainArrivedAt  map[string]time.Duration                    // the same, of what came while it stood still and is not read
+	latestStart     map[string]time.Duration                    // the latest start of a node that it has been told of
+	nameByID        map[decision.BackendID]string
+}
+
+// sinceEpoch is the run's clock for a time of day.
+func sinceEpoch(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
 	return max(0, t.Sub(time.Unix(0, 0)))
 }
 
-// day is a time of day for the run's clock.
-func day(d time.Duration) time.Time {
+// wallTime is a time of day for the run's clock.
+func wallTime(d time.Duration) time.Time {
 	if d == 0 {
 		return time.Time{}
 	}
 	return time.Unix(0, 0).Add(d)
 }
 
-// begin starts a process's lists: what was kept, and then what its sources say.
-func (d *door) begin() {
-	k := &d.lists
-	k.words, k.whole, k.told, k.byID = map[string]map[string]decision.BackendState{}, map[string]map[string]bool{}, map[string]time.Duration{}, map[decision.BackendID]string{}
-	k.starts, k.arrived = map[string]time.Duration{}, map[string]time.Duration{}
-	var origins []membership.Origin
-	if d.r.shape.catalogue {
-		origins = append(origins, membership.Origin{Name: catalogue})
+// startSources starts a process's lists: what was kept, and then what its sources say.
+func (d *gateway) startSources() {
+	k := &d.endpoints
+	k.reports, k.lastFull, k.drainKnownSince, k.nameByID = map[string]map[string]decision.BackendState{}, map[string]map[string]bool{}, map[string]time.Duration{}, map[decision.BackendID]string{}
+	k.latestStart, k.drainArrivedAt = map[string]time.Duration{}, map[string]time.Duration{}
+	var origins []membership.SourceInfo
+	if d.runner.config.usesCatalog {
+		origins = append(origins, membership.SourceInfo{Name: catalogSource})
 	}
-	if d.r.shape.discovery {
-		origins = append(origins, membership.Origin{Name: discovery, Plain: true})
+	if d.runner.config.usesDiscovery {
+		origins = append(origins, membership.SourceInfo{Name: discoverySource, Trusted: true})
 	}
-	d.table = membership.NewTable(membership.Rules{}, origins...)
+	d.table = membership.NewTable(membership.Policy{}, origins...)
 	epoch := d.epoch
-	saved := membership.List{Whole: true, Saved: true}
-	if d.r.shape.discovery {
-		saved.Nodes = k.last.Nodes
+	saved := membership.Update{Full: true, Cached: true}
+	if d.runner.config.usesDiscovery {
+		saved.Nodes = k.lastDiscovery.Nodes
 	}
-	d.heard(discovery, saved)
-	if d.r.shape.discovery {
-		d.w.at(d.lateness(), func() { d.in(epoch, discovery, func() { d.pushed(d.r.allNodes()) }) })
+	d.onUpdate(discoverySource, saved)
+	if d.runner.config.usesDiscovery {
+		d.world.scheduleAt(d.nextDiscoveryAt(), func() { d.enqueue(epoch, discoverySource, func() { d.onDiscoveryUpdate(d.runner.fullUpdate()) }) })
 	}
-	if !d.r.shape.catalogue {
+	if !d.runner.config.usesCatalog {
 		return
 	}
-	k.recall = nil
-	if d.r.shape.keeps {
-		if k.keptAt > 0 {
-			d.heard(catalogue, membership.List{Whole: true, Saved: true, Nodes: k.kept})
-			k.recall = membership.NewRecall(k.kept, day(k.keptAt))
+	k.startTimes = nil
+	if d.runner.config.cachesCatalog {
+		if k.cachedAt > 0 {
+			d.onUpdate(catalogSource, membership.Update{Full: true, Cached: true, Nodes: k.cachedCatalog})
+			k.startTimes = membership.NewStartTimes(k.cachedCatalog, wallTime(k.cachedAt))
 		}
-		d.keep(epoch, 0)
+		d.cacheCatalog(epoch, 0)
 	}
-	k.watch = &watch{d: d, epoch: epoch, book: registry.NewBook(registry.Mapping{Name: "name", Cell: "cell", Zone: "zone", Started: "started"}, true)}
+	k.watch = &catalogWatch{gateway: d, epoch: epoch, catalog: consulcatalog.NewCatalog(consulcatalog.Mapping{Name: "name", Cell: "cell", Zone: "zone", Started: "started"}, true)}
 	for i := range k.watch.loops {
-		k.watch.loops[i] = blocking.New(blocking.Rules{}, mix(d.w.seed^uint64(d.number)<<20^uint64(d.epoch)<<4^uint64(i)))
-		k.watch.ask(i)
+		k.watch.loops[i] = blockingquery.New(blockingquery.Policy{}, mix(d.world.seed^uint64(d.number)<<20^uint64(d.epoch)<<4^uint64(i)))
+		k.watch.query(i)
 	}
 }
 
-// keep writes the catalogue's list every second, if it has changed.
-func (d *door) keep(epoch int, version uint64) {
-	d.w.after(time.Second, func() {
-		d.in(epoch, nil, func() {
-			nodes, now := d.table.Words(catalogue)
+// cacheCatalog writes the catalogue's list every second, if it has changed.
+func (d *gateway) cacheCatalog(epoch int, version uint64) {
+	d.world.scheduleAfter(time.Second, func() {
+		d.enqueue(epoch, nil, func() {
+			nodes, now := d.table.NodesFrom(catalogSource)
 			if now != version {
-				d.lists.kept, d.lists.keptAt = nodes, d.w.now
+				d.endpoints.cachedCatalog, d.endpoints.cachedAt = nodes, d.world.now
 			}
-			d.keep(epoch, now)
+			d.cacheCatalog(epoch, now)
 		})
 	})
 }
 
-// lateness is when discovery's next word comes to a door: late, and never before the one before.
-func (d *door) lateness() time.Duration {
-	late := d.w.now + between(d.w.chance(6, uint64(d.number), uint64(d.w.now)), 5*time.Millisecond, 300*time.Millisecond) + d.lag
-	d.lists.pushedAt = max(d.lists.pushedAt+1, late)
-	return d.lists.pushedAt
+// nextDiscoveryAt is when discovery's next word comes to a door: late, and never before the one before.
+func (d *gateway) nextDiscoveryAt() time.Duration {
+	late := d.world.now + randDuration(d.world.newRand(6, uint64(d.number), uint64(d.world.now)), 5*time.Millisecond, 300*time.Millisecond) + d.discoveryLag
+	d.endpoints.lastDiscoveryAt = max(d.endpoints.lastDiscoveryAt+1, late)
+	return d.endpoints.lastDiscoveryAt
 }
 
-// pushed is discovery's word.
-func (d *door) pushed(news membership.List) {
-	k := &d.lists
-	k.last = merge(k.last, news)
-	d.heard(discovery, news)
+// onDiscoveryUpdate is discovery's word.
+func (d *gateway) onDiscoveryUpdate(news membership.Update) {
+	k := &d.endpoints
+	k.lastDiscovery = mergeNodes(k.lastDiscovery, news)
+	d.onUpdate(discoverySource, news)
 }
 
-// merge keeps what is known of all nodes.
-func merge(all, news membership.List) membership.List {
+// mergeNodes keeps what is known of all nodes.
+func mergeNodes(all, news membership.Update) membership.Update {
 	var out []membership.Node
 	named := func(name string) func(membership.Node) bool {
 		return func(n membership.Node) bool { return n.Name == name }
 	}
 	for _, n := range all.Nodes {
-		if !news.Whole && !slices.ContainsFunc(news.Nodes, named(n.Name)) {
+		if !news.Full && !slices.ContainsFunc(news.Nodes, named(n.Name)) {
 			out = append(out, n)
 		}
 	}
 	for _, n := range news.Nodes {
-		if n.State != decision.Gone {
+		if n.State != decision.Removed {
 			out = append(out, n)
 		}
 	}
-	return membership.List{Nodes: out}
+	return membership.Update{Nodes: out}
 }
 
-// heard passes a list on to the table and what has changed to the connections and the core.
-func (d *door) heard(source string, l membership.List) {
-	if source == catalogue && d.lists.recall != nil {
-		d.lists.recall.Heard(&l)
+// onUpdate passes a list on to the table and what has changed to the connections and the core.
+func (d *gateway) onUpdate(source string, l membership.Update) {
+	if source == catalogSource && d.endpoints.startTimes != nil {
+		d.endpoints.startTimes.FillIn(&l)
 	}
-	d.word(source, l)
-	d.w.tell("door %d hears %d nodes of %s, %s", d.number, len(l.Nodes), source, cmp.Or(failure(l), "well"))
-	changes, bad := d.table.Report(d.w.now, source, l, unix)
+	d.recordReport(source, l)
+	d.world.tracef("door %d hears %d nodes of %s, %s", d.number, len(l.Nodes), source, cmp.Or(errorText(l), "well"))
+	changes, bad := d.table.Report(d.world.now, source, l, sinceEpoch)
 	if len(bad) > 0 {
-		d.w.broken("lists make sense", "%v", bad)
+		d.world.violatef("lists make sense", "%v", bad)
 	}
-	kind := decision.ListChanges
-	if l.Saved && source == discovery {
-		kind = decision.ListSaved
+	kind := decision.UpdateDelta
+	if l.Cached && source == discoverySource {
+		kind = decision.UpdateCached
 	}
-	d.changed(kind, changes)
+	d.applyChanges(kind, changes)
 }
 
-func failure(l membership.List) string {
-	if l.Failed != nil {
-		return l.Failed.Error()
+func errorText(l membership.Update) string {
+	if l.Err != nil {
+		return l.Err.Error()
 	}
 	return ""
 }
 
-// word notes for the rules what a process has been told, whatever its table makes of it.
-func (d *door) word(source string, l membership.List) {
-	k := &d.lists
-	if l.Failed != nil {
+// recordReport notes for the rules what a process has been told, whatever its table makes of it.
+func (d *gateway) recordReport(source string, l membership.Update) {
+	k := &d.endpoints
+	if l.Err != nil {
 		return
 	}
-	if l.Whole {
-		k.whole[source] = map[string]bool{}
+	if l.Full {
+		k.lastFull[source] = map[string]bool{}
 	}
 	for _, n := range l.Nodes {
-		k.starts[n.Name] = max(k.starts[n.Name], unix(n.Started))
-		if k.whole[source] != nil {
-			k.whole[source][n.Name] = true
+		k.latestStart[n.Name] = max(k.latestStart[n.Name], sinceEpoch(n.StartedAt))
+		if k.lastFull[source] != nil {
+			k.lastFull[source][n.Name] = true
 		}
-		words := k.words[n.Name]
+		words := k.reports[n.Name]
 		if words == nil {
 			words = map[string]decision.BackendState{}
-			k.words[n.Name] = words
+			k.reports[n.Name] = words
 		}
-		if words[source] = n.State; n.State == decision.Gone {
+		if words[source] = n.State; n.State == decision.Removed {
 			delete(words, source)
 		}
-		arrived, came := k.arrived[n.Name]
+		arrived, came := k.drainArrivedAt[n.Name]
 		if !came {
-			arrived = d.w.now
+			arrived = d.world.now
 		}
-		if _, known := k.told[n.Name]; !known && n.State == decision.Draining {
-			k.told[n.Name] = arrived
+		if _, known := k.drainKnownSince[n.Name]; !known && n.State == decision.Draining {
+			k.drainKnownSince[n.Name] = arrived
 		}
-		if n.State == decision.Draining || !d.draining(n.Name) { // it is read, or what was said since is
-			delete(k.arrived, n.Name)
+		if n.State == decision.Draining || !d.reportedDraining(n.Name) { // it is read, or what was said since is
+			delete(k.drainArrivedAt, n.Name)
 		}
 	}
 }
 
-// arrives notes for the rules that a process has been told that a node drains, whether or not it has read that: it may stand still.
-func (d *door) arrives(name string) {
-	if _, known := d.lists.arrived[name]; !known && d.w.now < d.paused {
-		d.lists.arrived[name] = d.w.now
+// noteDrainArrived notes for the rules that a process has been told that a node drains, whether or not it has read that: it may stand still.
+func (d *gateway) noteDrainArrived(name string) {
+	if _, known := d.endpoints.drainArrivedAt[name]; !known && d.world.now < d.pausedUntil {
+		d.endpoints.drainArrivedAt[name] = d.world.now
 	}
 }
 
-// comes is arrives, of an answer on health.
-func (d *door) comes(entries []registry.Entry) {
+// noteHealthArrived is arrives, of an answer on health.
+func (d *gateway) noteHealthArrived(entries []consulcatalog.Entry) {
 	for _, e := range entries {
-		if name := e.Meta["name"]; e.Checks[0].Status != "passing" && (d.lists.whole[catalogue] == nil || d.lists.whole[catalogue][name]) {
-			d.arrives(name)
+		if name := e.Meta["name"]; e.Checks[0].Status != "passing" && (d.endpoints.lastFull[catalogSource] == nil || d.endpoints.lastFull[catalogSource][name]) {
+			d.noteDrainArrived(name)
 		}
 	}
 }
 
-// raw notes for the rules what the catalogue's entries say by themselves.
-func (d *door) raw(entries []registry.Entry, whole bool) {
-	l := membership.List{Whole: whole}
+// recordCatalogEntries notes for the rules what the catalogue's entries say by themselves.
+func (d *gateway) recordCatalogEntries(entries []consulcatalog.Entry, whole bool) {
+	l := membership.Update{Full: whole}
 	for _, e := range entries {
 		n := membership.Node{Name: e.Meta["name"]}
-		n.Started, _ = time.Parse(time.RFC3339Nano, e.Meta["started"]) // the zero time is long ago
+		n.StartedAt, _ = time.Parse(time.RFC3339Nano, e.Meta["started"]) // the zero time is long ago
 		if e.Checks[0].Status != "passing" {
 			n.State = decision.Draining
 		}
-		known := d.lists.whole[catalogue] == nil || d.lists.whole[catalogue][n.Name] // else it may be older than what took it out
+		known := d.endpoints.lastFull[catalogSource] == nil || d.endpoints.lastFull[catalogSource][n.Name] // else it may be older than what took it out
 		if whole || known && n.State == decision.Draining {
 			l.Nodes = append(l.Nodes, n)
 		}
 	}
-	d.word(catalogue+", raw", l)
+	d.recordReport(catalogSource+", raw", l)
 }
 
-// changed passes on what has changed.
-func (d *door) changed(kind decision.ListKind, changes []membership.Change) {
-	if len(changes) == 0 && kind != decision.ListSaved {
-		d.arm()
+// applyChanges passes on what has changed.
+func (d *gateway) applyChanges(kind decision.UpdateKind, changes []membership.Change) {
+	if len(changes) == 0 && kind != decision.UpdateCached {
+		d.scheduleWakeups()
 		return
 	}
-	k := &d.lists
-	news := decision.BackendList{Kind: kind}
+	k := &d.endpoints
+	news := decision.EndpointUpdate{Kind: kind}
 	for i := range changes {
 		c := &changes[i]
 		c.Protocol = membership.ProtocolHTTP
-		k.byID[c.ID] = c.Name
-		d.w.tell("door %d takes %s for %d", d.number, c.Name, int(c.State))
+		k.nameByID[c.ID] = c.Name
+		d.world.tracef("door %d takes %s for %d", d.number, c.Name, int(c.State))
 		switch {
-		case c.State == decision.Ready && !d.draining(c.Name):
-			delete(k.told, c.Name)
-		case c.State == decision.Gone:
-			d.c.letGo(d, c.Name)
-			if _, known := k.told[c.Name]; !known {
-				k.told[c.Name] = d.w.now
+		case c.State == decision.Ready && !d.reportedDraining(c.Name):
+			delete(k.drainKnownSince, c.Name)
+		case c.State == decision.Removed:
+			d.check.onBackendRemoved(d, c.Name)
+			if _, known := k.drainKnownSince[c.Name]; !known {
+				k.drainKnownSince[c.Name] = d.world.now
 			}
 		}
-		news.Backends = append(news.Backends, c.BackendInfo)
+		news.Endpoints = append(news.Endpoints, c.Endpoint)
 	}
-	d.fleet.Apply(changes)
-	d.tidy()
-	d.carry(d.core.List(d.w.now, news))
+	d.httpPool.Apply(changes)
+	d.closeDiscarded()
+	d.execute(d.machine.UpdateEndpoints(d.world.now, news))
 }
 
-// draining tells whether any source that knows a node says that it drains. One that has told of all nodes without it does not
+// reportedDraining tells whether any source that knows a node says that it drains. One that has told of all nodes without it does not
 // know it any more, unless that list lacks so much that it is doubted.
-func (d *door) draining(name string) bool {
-	k := &d.lists
-	lacked := slices.ContainsFunc(d.table.Views(), func(v membership.View) bool { return v.Name == name && v.Lacked })
-	for source, state := range k.words[name] {
-		if state == decision.Draining && (lacked || k.whole[source] == nil || k.whole[source][name]) {
+func (d *gateway) reportedDraining(name string) bool {
+	k := &d.endpoints
+	lacked := slices.ContainsFunc(d.table.Statuses(), func(v membership.NodeStatus) bool { return v.Name == name && v.MissingFromUpdate })
+	for source, state := range k.reports[name] {
+		if state == decision.Draining && (lacked || k.lastFull[source] == nil || k.lastFull[source][name]) {
 			return true
 		}
 	}
 	return false
 }
 
-// push has the lists tell of a backend: discovery a little late, later where it lags, and the catalogue at its next answer.
-func (r *runner) push(b *backend) {
+// publishBackend has the lists tell of a backend: discovery a little late, later where it lags, and the catalogue at its next answer.
+func (r *runner) publishBackend(b *backend) {
 	n := b.node()
-	for _, d := range r.doors {
-		if epoch := d.epoch; r.shape.discovery && d.up {
-			r.at(d.lateness(), func() {
+	for _, d := range r.gateways {
+		if epoch := d.epoch; r.config.usesDiscovery && d.up {
+			r.scheduleAt(d.nextDiscoveryAt(), func() {
 				if epoch == d.epoch && n.State == decision.Draining {
-					d.arrives(n.Name)
+					d.noteDrainArrived(n.Name)
 				}
-				d.in(epoch, discovery, func() { d.pushed(membership.List{Nodes: []membership.Node{n}}) })
+				d.enqueue(epoch, discoverySource, func() { d.onDiscoveryUpdate(membership.Update{Nodes: []membership.Node{n}}) })
 			})
 		}
 	}
-	r.agent.change()
+	r.agent.bumpIndex()
 }
 
-// allNodes is the whole of discovery's list.
-func (r *runner) allNodes() membership.List {
-	l := membership.List{Whole: true}
+// fullUpdate is the whole of discovery's list.
+func (r *runner) fullUpdate() membership.Update {
+	l := membership.Update{Full: true}
 	for _, b := range r.backends {
 		if b.listed {
 			l.Nodes = append(l.Nodes, b.node())
@@ -301,69 +301,69 @@
 	return l
 }
 
-// watch is a door's watch of the catalogue: two blocking queries, for health and for what exists, that fill one book.
-type watch struct {
-	d      *door
-	epoch  int
-	book   *registry.Book
-	loops  [2]*blocking.Loop // of health, of the catalogue
-	asked  [2]int            // how often each was asked
-	failed [2]time.Duration  // since when it fails; 0: it does not
-	wanted [2][]func()       // wait for the end of a question that is asked from now on
-	again  [2]bool           // the next one is
-	came   [2]int            // the last question whose answer has arrived
+// catalogWatch is a door's watch of the catalogue: two blocking queries, for health and for what exists, that fill one book.
+type catalogWatch struct {
+	gateway       *gateway
+	epoch         int
+	catalog       *consulcatalog.Catalog
+	loops         [2]*blockingquery.Loop // of health, of the catalogue
+	querySerial   [2]int                 // how often each was asked
+	failingSince  [2]time.Duration       // since when it fails; 0: it does not
+	waiters       [2][]func()            // wait for the end of a question that is asked from now on
+	requery       [2]bool                // the next one is
+	arrivedSerial [2]int                 // the last question whose answer has arrived
 }
 
 var (
-	errNoAgent = errors.New("the agent can't be reached")
-	errSilent  = errors.New("the agent is silent")
-	errPartly  = errors.New("an answer that is not believed in whole")
+	errAgentUnreachable = errors.New("the agent can't be reached")
+	errAgentTimeout     = errors.New("the agent is silent")
+	errPartialResponse  = errors.New("an answer that is not believed in whole")
 )
 
-// ask asks a question when it is due, and again when it has an end.
-func (s *watch) ask(i int) {
-	d, loop := s.d, s.loops[i]
+// query asks a question when it is due, and again when it has an end.
+func (s *catalogWatch) query(i int) {
+	d, loop := s.gateway, s.loops[i]
 	q := loop.Next()
-	s.asked[i]++
-	number := s.asked[i] // a later one takes its place
-	d.w.at(q.At, func() {
-		d.in(s.epoch, s, func() {
-			if s.asked[i] != number {
+	s.querySerial[i]++
+	number := s.querySerial[i] // a later one takes its place
+	d.world.scheduleAt(q.NotBefore, func() {
+		d.enqueue(s.epoch, s, func() {
+			if s.querySerial[i] != number {
 				return
 			}
-			loop.Asked(d.w.now)
-			end := func(a blocking.Answer, entries []registry.Entry, err error) {
-				if err == nil && s.asked[i] == number {
-					if s.came[i] = number; i == 0 {
-						d.comes(entries)
+			loop.Sent(d.world.now)
+			end := func(a blockingquery.Response, entries []consulcatalog.Entry, err error) {
+				if err == nil && s.querySerial[i] == number {
+					if s.arrivedSerial[i] = number; i == 0 {
+						d.noteHealthArrived(entries)
 					}
 				}
-				d.in(s.epoch, s, func() {
-					if s.asked[i] == number {
-						s.answered(i, a, entries, err)
-						wanted := s.wanted[i]
-						if s.again[i] { // it was asked before they wanted it
-							s.loops[i].Refresh(d.w.now)
+				d.enqueue(s.epoch, s, func() {
+					if s.querySerial[i] == number {
+						s.onResponse(i, a, entries, err)
+						wanted := s.waiters[i]
+						if s.requery[i] { // it was asked before they wanted it
+							s.loops[i].Refresh(d.world.now)
 							wanted = nil
 						} else {
-							s.wanted[i] = nil
+							s.waiters[i] = nil
 						}
-						s.again[i] = false
-						s.ask(i)
+						s.requery[i] = false
+						s.query(i)
 						for _, w := range wanted {
 							w()
 						}
 					}
 				})
 			}
-			d.w.after(q.Patience, func() { end(blocking.Answer{}, nil, errSilent) })
-			d.r.agent.ask(d, i, q, end)
+			d.world.scheduleAfter(q.Timeout, func() { end(blockingquery.Response{}, nil, errAgentTimeout) })
+			d.runner.agent.query(d, i, q, end)
 		})
 	})
 }
 
-// catchUp asks anew, and has done called when that has an end. What failed since before a time is not waited for.
-func (s *watch) catchUp(since time.Duration, done func()) {
+// sync asks anew, and has done called when that has an end. What failed since before a time is not waited for.
+func (s *catalogWatch) sync(since time.Duration, done func()) {
 	left := 1
 	end := func() {
 		if left--; left == 0 {
@@ -371,114 +371,114 @@
 		}
 	}
 	for i := range s.loops {
-		if s.failed[i] > 0 && s.failed[i] < since {
+		if s.failingSince[i] > 0 && s.failingSince[i] < since {
 			continue
 		}
 		left++
-		s.wanted[i] = append(s.wanted[i], end)
-		if s.came[i] == s.asked[i] { // what has come is told, whatever becomes of the next question
-			s.again[i] = true
+		s.waiters[i] = append(s.waiters[i], end)
+		if s.arrivedSerial[i] == s.querySerial[i] { // what has come is told, whatever becomes of the next question
+			s.requery[i] = true
 			continue
 		}
-		s.loops[i].Refresh(s.d.w.now)
-		s.ask(i)
+		s.loops[i].Refresh(s.gateway.world.now)
+		s.query(i)
 	}
 	end()
 }
 
-// answered takes in what came of a question.
-func (s *watch) answered(i int, a blocking.Answer, entries []registry.Entry, err error) {
-	d, now, health := s.d, day(s.d.w.now), i == 0
+// onResponse takes in what came of a question.
+func (s *catalogWatch) onResponse(i int, a blockingquery.Response, entries []consulcatalog.Entry, err error) {
+	d, now, health := s.gateway, wallTime(s.gateway.world.now), i == 0
 	tell := func(anew bool) {
-		if l := s.book.Drains(); len(l.Nodes) > 0 {
-			d.heard(catalogue, l)
+		if l := s.catalog.UnlistedDrains(); len(l.Nodes) > 0 {
+			d.onUpdate(catalogSource, l)
 		}
-		if l, ok := s.book.List(now); ok {
-			l.Anew = anew
-			d.heard(catalogue, l)
+		if l, ok := s.catalog.Update(now); ok {
+			l.SourceReset = anew
+			d.onUpdate(catalogSource, l)
 		}
 	}
 	if err != nil {
-		s.loops[i].Failed(d.w.now)
-		s.failed[i] = cmp.Or(s.failed[i], d.w.now)
+		s.loops[i].Failed(d.world.now)
+		s.failingSince[i] = cmp.Or(s.failingSince[i], d.world.now)
 		switch {
 		case health:
-			d.heard(catalogue, membership.List{Failed: err})
-		case s.book.CatalogueFailed():
+			d.onUpdate(catalogSource, membership.Update{Err: err})
+		case s.catalog.ServicesFailed():
 			tell(false)
 		}
 		return
 	}
-	v := s.loops[i].Answered(d.w.now, a)
-	s.failed[i] = 0
+	v := s.loops[i].Answered(d.world.now, a)
+	s.failingSince[i] = 0
 	switch {
 	case health:
-		d.raw(entries, v.Whole)
-		if errs := s.book.Health(now, entries, v.Whole, v.Anew); len(errs) > 0 {
-			d.w.broken("lists make sense", "%v", errs)
+		d.recordCatalogEntries(entries, v.Full)
+		if errs := s.catalog.UpdateHealth(now, entries, v.Full, v.IndexReset); len(errs) > 0 {
+			d.world.violatef("lists make sense", "%v", errs)
 		}
-	case !v.Whole:
+	case !v.Full:
 		return // health says so too, and the list as it was is no news
 	default:
 		var names []string
 		for _, e := range entries {
-			names = append(names, registry.Name(e.Node, e.ID))
+			names = append(names, consulcatalog.Name(e.Node, e.ID))
 		}
-		s.book.Catalogue(names)
+		s.catalog.UpdateServices(names)
 	}
-	tell(v.Anew)
-	if health && !v.Whole {
-		d.heard(catalogue, membership.List{Failed: errPartly})
+	tell(v.IndexReset)
+	if health && !v.Full {
+		d.onUpdate(catalogSource, membership.Update{Err: errPartialResponse})
 	}
 }
 
 // agent is Consul's: it holds a question until something has changed.
 type agent struct {
-	r       *runner
-	index   uint64
-	waiting []*question
-	lost    [2]func(*backend) bool // what the answers on health and on the catalogue lack now
-	found   time.Duration          // when they came back last, or what was deregistered did
-	fails   map[*door]int          // how it fails for a door, from 1
+	runner      *runner
+	index       uint64
+	waiting     []*pendingQuery
+	missing     [2]func(*backend) bool // what the answers on health and on the catalogue lack now
+	restoredAt  time.Duration          // when they came back last, or what was deregistered did
+	failureMode map[*gateway]int       // how it fails for a door, from 1
 }
 
-type question struct {
-	door  *door
-	index uint64
-	over  bool
-	give  func()
+type pendingQuery struct {
+	gateway *gateway
+	index   uint64
+	done    bool
+	respond func()
 }
 
-// change is news of anything.
-func (a *agent) change() {
+// bumpIndex is news of anything.
+func (a *agent) bumpIndex() {
 	a.index++
 	waiting := a.waiting
 	a.waiting = nil
 	for _, q := range waiting {
 		if q.index < a.index {
-			q.give()
+			q.respond()
 		} else {
 			a.waiting = append(a.waiting, q)
 		}
 	}
 }
 
-// ask takes a question of a door.
-func (a *agent) ask(d *door, i int, q blocking.Question, end func(blocking.Answer, []registry.Entry, error)) {
-	w := a.r.world
+// query takes a question of a door.
+func (a *agent) query(d *gateway, i int, q blockingquery.Query, end func(blockingquery.Response, []consulcatalog.Entry, error)) {
+	w := a.runner.world
 	w.seq++
-	way := between(w.chance(11, w.seq), 200*time.Microsecond, 5*time.Millisecond)
-	asked := &question{door: d, index: q.Index}
-	asked.give = func() {
-		if asked.over {
+	way := randDuration(w.newRand(11, w.seq), 200*time.Microsecond, 5*time.Millisecond)
+	asked := &pendingQuery{gateway: d, index: q.Index}
+	asked.respond = func() {
+		if asked.done {
 			return
 		}
-		asked.over = true
-		head := blocking.Answer{Index: a.index, KnownLeader: true}
+		asked.done = true
+		head := blockingquery.Response{Index: a.index, KnownLeader: true}
 		entries := a.entries(i)
-		switch a.fails[d] {
+		switch a.failureMode[d] {
 		case 1:
-			w.after(way, func() { end(head, nil, errNoAgent) })
+			w.scheduleAfter(way, func() { end(head, nil, errAgentUnreachable) })
 			return
 		case 2: // silent
 			return
@@ -487,30 +487,30 @@
 		case 4:
 			head.LastContact = time.Minute
 		}
-		head.Size = len(entries)
-		w.after(way, func() { end(head, entries, nil) })
+		head.Entries = len(entries)
+		w.scheduleAfter(way, func() { end(head, entries, nil) })
 	}
-	w.after(way, func() {
-		if q.Index == 0 || q.Index != a.index || a.fails[d] > 0 {
-			asked.give()
+	w.scheduleAfter(way, func() {
+		if q.Index == 0 || q.Index != a.index || a.failureMode[d] > 0 {
+			asked.respond()
 			return
 		}
 		a.waiting = append(a.waiting, asked)
-		w.after(q.Wait, asked.give)
+		w.scheduleAfter(q.Wait, asked.respond)
 	})
 }
 
 // entries is what an answer lists.
-func (a *agent) entries(i int) (out []registry.Entry) {
-	for _, b := range a.r.backends {
-		if !b.listed || a.lost[i] != nil && a.lost[i](b) {
+func (a *agent) entries(i int) (out []consulcatalog.Entry) {
+	for _, b := range a.runner.backends {
+		if !b.listed || a.missing[i] != nil && a.missing[i](b) {
 			continue
 		}
-		e := registry.Entry{Node: "machine-" + b.name(), ID: "backend", Host: b.name(), Port: 1, Addr: b.addr(), Passing: 1, Create: b.created,
+		e := consulcatalog.Entry{Node: "machine-" + b.name(), ID: "backend", Host: b.name(), Port: 1, Addr: b.addr(), PassingWeight: 1, CreateIndex: b.createIndex,
 			Meta:   map[string]string{"name": b.name(), "cell": strconv.Itoa(b.cell), "zone": b.zone},
-			Checks: []registry.Check{{ID: "alive", Status: "passing"}}}
-		if b.born > 0 {
-			e.Meta["started"] = day(b.born).UTC().Format(time.RFC3339Nano)
+			Checks: []consulcatalog.Check{{ID: "alive", Status: "passing"}}}
+		if b.startedAt > 0 {
+			e.Meta["started"] = wallTime(b.startedAt).UTC().Format(time.RFC3339Nano)
 		}
 		if n := b.node(); n.State == decision.Draining {
 			e.Checks[0].Status = "critical"
@@ -520,31 +520,31 @@
 	return out
 }
 
-// fail has the agent fail for a door.
-func (a *agent) fail(d *door, how int) {
-	a.fails[d] = 1 + how%4
+// startFailure has the agent fail for a door.
+func (a *agent) startFailure(d *gateway, how int) {
+	a.failureMode[d] = 1 + how%4
 	waiting := a.waiting
 	a.waiting = nil
 	for _, q := range waiting { // what is held breaks with it, or stays without an answer
-		if q.door == d {
-			q.give()
+		if q.gateway == d {
+			q.respond()
 		} else {
 			a.waiting = append(a.waiting, q)
 		}
 	}
 }
 
-// lose has the catalogue lose most of its entries, all of them, those of its health alone, or begin anew.
-func (a *agent) lose(how int) (over func()) {
-	if a.lost[0] != nil || a.found > 0 && a.r.now < a.found+2*time.Second { // it does already, or two would look like one long one
+// startLoss has the catalogue lose most of its entries, all of them, those of its health alone, or begin anew.
+func (a *agent) startLoss(how int) (over func()) {
+	if a.missing[0] != nil || a.restoredAt > 0 && a.runner.now < a.restoredAt+2*time.Second { // it does already, or two would look like one long one
 		return func() {}
 	}
-	first := slices.IndexFunc(a.r.backends, func(b *backend) bool { return b.listed })
-	second := 1 + first + slices.IndexFunc(a.r.backends[1+first:], func(b *backend) bool { return b.listed })
+	first := slices.IndexFunc(a.runner.backends, func(b *backend) bool { return b.listed })
+	second := 1 + first + slices.IndexFunc(a.runner.backends[1+first:], func(b *backend) bool { return b.listed })
 	some := func(b *backend) bool { return b.number != first }
 	all := func(*backend) bool { return true }
 	n := 0
-	for _, b := range a.r.backends {
+	for _, b := range a.runner.backends {
 		if b.listed {
 			n++
 		}
@@ -554,38 +554,38 @@
 	case how%4 == 0:
 		left := 1
 		lacks := func(b *backend) bool { return some(b) && (left == 1 || b.number != second) }
-		if how > 0 && n > 4 && a.r.now > start+time.Second { // little by little, once all doors know what there was
+		if how > 0 && n > 4 && a.runner.now > start+time.Second { // little by little, once all doors know what there was
 			left = 2
-			processes := a.processes()
-			a.r.after(300*time.Millisecond, func() {
-				if a.processes() == processes { // to one that knows two nodes, one of them is not most
+			processes := a.processSum()
+			a.runner.scheduleAfter(300*time.Millisecond, func() {
+				if a.processSum() == processes { // to one that knows two nodes, one of them is not most
 					left = 1
-					a.change()
+					a.bumpIndex()
 				}
 			})
 		}
-		a.lost = [2]func(*backend) bool{lacks, lacks}
+		a.missing = [2]func(*backend) bool{lacks, lacks}
 	case how%4 == 1:
-		a.lost = [2]func(*backend) bool{all, nil}
+		a.missing = [2]func(*backend) bool{all, nil}
 	case how%4 == 2:
 		a.index = a.index % 7
-		for _, b := range a.r.backends {
-			b.created = a.index + 1
+		for _, b := range a.runner.backends {
+			b.createIndex = a.index + 1
 		}
 		fallthrough
 	default:
-		a.lost = [2]func(*backend) bool{all, all}
+		a.missing = [2]func(*backend) bool{all, all}
 	}
-	a.change()
+	a.bumpIndex()
 	return func() {
-		a.lost, a.found = [2]func(*backend) bool{}, a.r.now
-		a.change()
+		a.missing, a.restoredAt = [2]func(*backend) bool{}, a.runner.now
+		a.bumpIndex()
 	}
 }
 
-// processes tells sets of doors' processes apart.
-func (a *agent) processes() (n int) {
-	for _, d := range a.r.doors {
+// processSum tells sets of doors' processes apart.
+func (a *agent) processSum() (n int) {
+	for _, d := range a.runner.gateways {
 		if d.up {
 			n += 1 + d.epoch
 		}
@@ -593,25 +593,25 @@
 	return n
 }
 
-// restless makes more of the decision module's word than it says, within what its interface allows: attempts that end
+// perturbedEngine makes more of the decision module's word than it says, within what its interface allows: attempts that end
 // earlier than their clients' time, and probes.
-type restless struct {
-	core.Decider
+type perturbedEngine struct {
+	lifecycle.DecisionEngine
 	rng      *rand.Rand
 	backends int
-	over     *bool // nothing is asked any more
+	stopped  *bool // nothing is asked any more
 }
 
 // Handle passes an event on.
-func (r *restless) Handle(now time.Duration, ev decision.Event, actions []decision.Action) []decision.Action {
-	actions = r.Decider.Handle(now, ev, actions)
+func (r *perturbedEngine) Handle(now time.Duration, ev decision.Event, actions []decision.Action) []decision.Action {
+	actions = r.DecisionEngine.Handle(now, ev, actions)
 	for i, a := range actions {
-		if s, ok := a.(decision.Send); ok && r.rng.IntN(3) == 0 {
-			s.Timeout = between(r.rng, 20*time.Millisecond, 900*time.Millisecond)
+		if s, ok := a.(decision.StartAttempt); ok && r.rng.IntN(3) == 0 {
+			s.Timeout = randDuration(r.rng, 20*time.Millisecond, 900*time.Millisecond)
 			actions[i] = s
 		}
 	}
-	if t, ok := ev.(decision.Timer); ok && t.Token == 0 && !*r.over {
+	if t, ok := ev.(decision.Timer); ok && t.Token == 0 && !*r.stopped {
 		actions = append(actions, decision.Probe{Backend: decision.BackendID(1 + r.rng.IntN(r.backends))})
 	}
 	return actions
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -15,22 +15,22 @@
 	"math/rand/v2"
 	"time"
 
-	"pumicecroft/internal/virtual"
+	"pumicecroft/internal/eventqueue"
 
 	"github.com/cespare/xxhash/v2"
 )
 
 // world is the clock and all that happens by it.
 type world struct {
-	seed  uint64
-	now   time.Duration
-	queue virtual.Queue[func()]
-	seq   uint64
-	steps int
-	hash  xxhash.Digest // of the trace
-	line  []byte        // room for what goes into it
-	trace func(string)
-	found []Violation
+	seed       uint64
+	now        time.Duration
+	queue      eventqueue.Queue[func()]
+	seq        uint64
+	steps      int
+	hash       xxhash.Digest // of the trace
+	scratch    []byte        // room for what goes into it
+	trace      func(string)
+	violations []Violation
 }
 
 // start is where the clock begins: late enough for backends that have run for long.
@@ -42,26 +42,26 @@
 	return w
 }
 
-// chance is a source of chance that hangs on the seed and the numbers given alone: what is taken out of a script leaves the
+// newRand is a source of chance that hangs on the seed and the numbers given alone: what is taken out of a script leaves the
 // chance of everything else as it was.
-func (w *world) chance(of ...uint64) *rand.Rand { return virtual.Chance(w.seed, of...) }
+func (w *world) newRand(of ...uint64) *rand.Rand { return eventqueue.NewRand(w.seed, of...) }
 
 // mix makes different numbers of different ones.
-func mix(z uint64) uint64 { return virtual.Mix(z) }
+func mix(z uint64) uint64 { return eventqueue.Mix(z) }
 
-// after lets something happen later, or at this instant once what happens now is over.
-func (w *world) after(d time.Duration, do func()) {
+// scheduleAfter lets something happen later, or at this instant once what happens now is over.
+func (w *world) scheduleAfter(d time.Duration, do func()) {
 	w.seq++
 	w.queue.Push(w.now+max(0, d), mix(w.seed^w.seq), do) // among events of one instant by chance, so that seeds try every order
 }
 
-// at lets something happen at a time that is not before now.
-func (w *world) at(at time.Duration, do func()) { w.after(at-w.now, do) }
+// scheduleAt lets something happen at a time that is not before now.
+func (w *world) scheduleAt(at time.Duration, do func()) { w.scheduleAfter(at-w.now, do) }
 
-// tell adds a line to the trace. Its hash takes in the time, the format and the values: a line is made of them only for who
+// tracef adds a line to the trace. Its hash takes in the time, the format and the values: a line is made of them only for who
 // wants to read it.
-func (w *world) tell(format string, args ...any) {
-	b := binary.AppendVarint(w.line[:0], int64(w.now))
+func (w *world) tracef(format string, args ...any) {
+	b := binary.AppendVarint(w.scratch[:0], int64(w.now))
 	b = append(b, format...)
 	for _, a := range args {
 		switch a := a.(type) {
@@ -77,7 +77,7 @@
 			b = fmt.Append(b, a)
 		}
 	}
-	w.line = b
+	w.scratch = b
 	_, _ = w.hash.Write(b)
 	if w.trace != nil {
 		w.trace(fmt.Sprintf("%10.4f ", (w.now-start).Seconds()) + fmt.Sprintf(format, args...))
@@ -86,7 +86,7 @@
 
 // run lets things happen until a time, a number of steps, or a violation.
 func (w *world) run(until time.Duration, steps int) {
-	for w.steps < steps && len(w.found) == 0 {
+	for w.steps < steps && len(w.violations) == 0 {
 		if at, ok := w.queue.Next(); !ok || at > until {
 			return
 		}
@@ -99,18 +99,18 @@
 
 // Violation is a broken rule.
 type Violation struct {
-	Rule string // the invariant's name
-	What string // in terms of the trace
-	At   time.Duration
+	Rule   string // the invariant's name
+	Detail string // in terms of the trace
+	At     time.Duration
 }
 
 // String is the violation in a line.
 func (v Violation) String() string {
-	return fmt.Sprintf("%s at %.4f: %s", v.Rule, v.At.Seconds(), v.What)
+	return fmt.Sprintf("%s at %.4f: %s", v.Rule, v.At.Seconds(), v.Detail)
 }
 
-func (w *world) broken(rule, format string, args ...any) {
+func (w *world) violatef(rule, format string, args ...any) {
 	v := Violation{rule, fmt.Sprintf(format, args...), w.now - start}
-	w.found = append(w.found, v)
-	w.tell("BROKEN %v", v)
+	w.violations = append(w.violations, v)
+	w.tracef("BROKEN %v", v)
 }
--- a/internal/simdisk/simdisk.go
+++ b/internal/simdisk/simdisk.go
@@ -17,35 +17,35 @@
 
 // Errors that operations end with.
 var (
-	ErrFull  = errors.New("no space left on the disk")
-	ErrIO    = errors.New("input/output error")
-	errState = errors.New("simdisk: the operation does not fit what is there")
+	ErrFull             = errors.New("no space left on the disk")
+	ErrIO               = errors.New("input/output error")
+	errInvalidOperation = errors.New("simdisk: the operation does not fit what is there")
 )
 
 type file struct {
-	now, synced []byte
-	frozen      bool // a sync of it failed
-	listed      bool // its name survives a crash
+	content, synced []byte
+	syncFailed      bool // a sync of it failed
+	nameSynced      bool // its name survives a crash
 }
 
 func (f *file) clone() *file {
 	c := *f
-	c.now, c.synced = append([]byte(nil), f.now...), append([]byte(nil), f.synced...)
+	c.content, c.synced = append([]byte(nil), f.content...), append([]byte(nil), f.synced...)
 	return &c
 }
 
 // Disk is one directory of files.
 type Disk struct {
-	files map[uint64]*file
-	gone  map[uint64]*file // removed, and it is not synced that they are
-	Room  int              // bytes that it has; 0: enough
-	// Fails is asked before each operation, and what it gives is how that ends. A write that fails leaves a part of its data.
-	Fails func(journal.Op) error
-	Part  func(n int) int // how much of n bytes a failed write leaves; nil: all
+	files    map[uint64]*file
+	removed  map[uint64]*file // removed, and it is not synced that they are
+	Capacity int              // bytes that it has; 0: enough
+	// Fault is asked before each operation, and what it gives is how that ends. A write that fails leaves a part of its data.
+	Fault        func(journal.Op) error
+	PartialWrite func(n int) int // how much of n bytes a failed write leaves; nil: all
 }
 
 // New makes an empty one.
-func New() *Disk { return &Disk{files: map[uint64]*file{}, gone: map[uint64]*file{}} }
+func New() *Disk { return &Disk{files: map[uint64]*file{}, removed: map[uint64]*file{}} }
 
 // List names the segments that are there, in no order.
 func (d *Disk) List() (numbers []uint64) {
@@ -59,15 +59,15 @@
 func (d *Disk) Load(number uint64, most int64) ([]byte, error) {
 	f := d.files[number]
 	if f == nil {
-		return nil, errState
+		return nil, errInvalidOperation
 	}
-	return append([]byte(nil), f.now[:min(int64(len(f.now)), most)]...), nil
+	return append([]byte(nil), f.content[:min(int64(len(f.content)), most)]...), nil
 }
 
 // Bytes is what all files take.
 func (d *Disk) Bytes() (n int) {
 	for _, f := range d.files {
-		n += len(f.now)
+		n += len(f.content)
 	}
 	return n
 }
@@ -75,14 +75,14 @@
 // Do carries out an operation.
 func (d *Disk) Do(op journal.Op) error {
 	var err error
-	if d.Fails != nil {
-		err = d.Fails(op)
+	if d.Fault != nil {
+		err = d.Fault(op)
 	}
 	f := d.files[op.Segment]
 	switch op.Kind {
 	case journal.Create:
 		if f != nil {
-			return errState
+			return errInvalidOperation
 		}
 		if err != nil {
 			return err
@@ -90,31 +90,31 @@
 		d.files[op.Segment] = &file{}
 		return d.write(d.files[op.Segment], 0, op.Data, nil)
 	case journal.Write:
-		if f == nil || op.Offset != int64(len(f.now)) {
-			return errState
+		if f == nil || op.Offset != int64(len(f.content)) {
+			return errInvalidOperation
 		}
 		return d.write(f, op.Offset, op.Data, err)
 	case journal.Sync:
 		switch {
 		case f == nil:
-			return errState
+			return errInvalidOperation
 		case err != nil:
-			f.frozen = true
-		case !f.frozen:
-			f.synced = append([]byte(nil), f.now...)
+			f.syncFailed = true
+		case !f.syncFailed:
+			f.synced = append([]byte(nil), f.content...)
 		}
 	case journal.SyncDir:
 		if err == nil {
 			for _, f := range d.files {
-				f.listed = true
+				f.nameSynced = true
 			}
-			clear(d.gone)
+			clear(d.removed)
 		}
 	case journal.Remove:
 		if err == nil && f != nil {
 			delete(d.files, op.Segment)
-			if f.listed {
-				d.gone[op.Segment] = f
+			if f.nameSynced {
+				d.removed[op.Segment] = f
 			}
 		}
 	}
@@ -123,32 +123,32 @@
 
 // write appends, as far as there is room.
 func (d *Disk) write(f *file, at int64, data []byte, err error) error {
-	if room := d.Room - d.Bytes(); err == nil && d.Room > 0 && len(data) > room {
+	if room := d.Capacity - d.Bytes(); err == nil && d.Capacity > 0 && len(data) > room {
 		data, err = data[:max(0, room)], ErrFull
-	} else if err != nil && d.Part != nil {
-		data = data[:d.Part(len(data))]
+	} else if err != nil && d.PartialWrite != nil {
+		data = data[:d.PartialWrite(len(data))]
 	}
-	f.now = append(f.now[:at], data...)
+	f.content = append(f.content[:at], data...)
 	return err
 }
 
 // Crash stops the machine: what was not synced is there or not. What it leaves is synced. Chance hangs on rng alone.
 func (d *Disk) Crash(rng *rand.Rand) {
-	for _, n := range sorted(d.gone) {
-		if f := d.gone[n]; rng.IntN(2) == 0 {
+	for _, n := range sortedNumbers(d.removed) {
+		if f := d.removed[n]; rng.IntN(2) == 0 {
 			d.files[n] = f
 		}
 	}
-	clear(d.gone)
-	for _, n := range sorted(d.files) {
+	clear(d.removed)
+	for _, n := range sortedNumbers(d.files) {
 		f := d.files[n]
-		if !f.listed && rng.IntN(2) == 0 {
+		if !f.nameSynced && rng.IntN(2) == 0 {
 			delete(d.files, n)
 			continue
 		}
 		length := len(f.synced)
-		if len(f.now) > length {
-			length += rng.IntN(len(f.now) - length + 1)
+		if len(f.content) > length {
+			length += rng.IntN(len(f.content) - length + 1)
 		}
 		kept := make([]byte, length)
 		copy(kept, f.synced)
@@ -156,10 +156,10 @@
 		for at := len(f.synced) / Sector * Sector; at < length; at += Sector {
 			if rng.IntN(4) <= odds {
 				from := max(at, len(f.synced)) // what was synced is not written anew
-				copy(kept[from:min(at+Sector, length)], f.now[from:])
+				copy(kept[from:min(at+Sector, length)], f.content[from:])
 			}
 		}
-		d.files[n] = &file{now: kept, synced: append([]byte(nil), kept...), listed: true}
+		d.files[n] = &file{content: kept, synced: append([]byte(nil), kept...), nameSynced: true}
 	}
 }
 
@@ -169,28 +169,28 @@
 	for n, f := range d.files {
 		c.files[n] = f.clone()
 	}
-	for n, f := range d.gone {
-		c.gone[n] = f.clone()
+	for n, f := range d.removed {
+		c.removed[n] = f.clone()
 	}
 	return c
 }
 
-// Damage changes a byte of a segment, which was synced, and tells whether there is one.
-func (d *Disk) Damage(number uint64, at int64, by byte) bool {
+// Corrupt changes a byte of a segment, which was synced, and tells whether there is one.
+func (d *Disk) Corrupt(number uint64, at int64, by byte) bool {
 	f := d.files[number]
-	if f == nil || at >= int64(len(f.now)) || by == 0 {
+	if f == nil || at >= int64(len(f.content)) || by == 0 {
 		return false
 	}
-	f.now[at] ^= by
+	f.content[at] ^= by
 	return true
 }
 
 // Segment is what a segment's file holds, not to be changed.
 func (d *Disk) Segment(number uint64) []byte {
 	if f := d.files[number]; f != nil {
-		return f.now
+		return f.content
 	}
 	return nil
 }
 
-func sorted(m map[uint64]*file) []uint64 { return slices.Sorted(maps.Keys(m)) }
+func sortedNumbers(m map[uint64]*file) []uint64 { return slices.Sorted(maps.Keys(m)) }
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -16,17 +16,17 @@
 		`{"m":"detach","door":2}`:            {Instance: 2, Stop: true},
 		`{"m":"call","door":3,"txn":"d4b7b4c55d3a91c4","opts":1,"spread":3,"terms":"kis","grace_us":240000,` +
 			`"cost_units":2,"first_door":1,"grade":"c","caller":7,"new":[1]}`: {Instance: 3, Event: decision.Request{
-			ID: 0xd4b7b4c55d3a91c4, Customer: 7, Class: "c", Plan: "kis", Units: 2, Patience: 240 * time.Millisecond,
-			FirstDoor: 1, Spread: 3}},
+			ID: 0xd4b7b4c55d3a91c4, Customer: 7, Class: "c", Plan: "kis", Cost: 2, Timeout: 240 * time.Millisecond,
+			FirstGateway: 1, GatewaySpread: 3}},
 		`{"m":"reminder","door":3,"ref":77}`: {Instance: 3, Event: decision.Timer{Token: 77}},
 		`{"m":"client_left","door":5,"txn":"00000000000000ff"}`: {Instance: 5,
-			Event: decision.ClientGone{Request: 255}},
+			Event: decision.ClientDisconnected{Request: 255}},
 		`{"m":"established","door":5,"txn":"00000000000000ff","backend":1,"try":2}`: {Instance: 5,
-			Event: decision.AnswerStarted{Request: 255, Attempt: 2}},
+			Event: decision.ResponseStarted{Request: 255, Attempt: 2}},
 		`{"m":"tally_back","door":1,"counter_key":5,"level":-2.5,"duration_us":9,"rc":"delivered"}`: {Instance: 1,
-			Tally: Tally{Told: true, Name: 5, Counted: decision.Counted{Total: -2.5}}},
+			CounterReply: CounterReply{Present: true, Key: 5, Result: decision.CounterResult{Total: -2.5}}},
 		`{"m":"tally_back","door":1,"counter_key":5,"rc":"shed"}`: {Instance: 1,
-			Tally: Tally{Told: true, Name: 5, Counted: decision.Counted{Result: decision.Refused}}},
+			CounterReply: CounterReply{Present: true, Key: 5, Result: decision.CounterResult{Result: decision.Rejected}}},
 		`{"m":"something_new","door":1}`: {Instance: 1},
 	} {
 		got, err := Decode([]byte(text))
@@ -40,12 +40,12 @@
 	m, err := Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","duration_us":18500,"try":1,` +
 		`"seen_use":87,"backend":51530247,"rc":"delivered","last":true,"settled":3,"health_info":[0.62,140]}`))
 	o, ok := m.Event.(decision.Outcome)
-	if err != nil || !ok || o.Result != decision.Answered || !o.HasUse || o.Use != 86 || !o.Final || o.Attempt != 1 ||
-		len(o.Load) != 2 || o.Backend != 51530247 || o.Took != 18500*time.Microsecond {
+	if err != nil || !ok || o.Result != decision.Succeeded || !o.HasUsage || o.Usage != 86 || !o.Final || o.Attempt != 1 ||
+		len(o.LoadReport) != 2 || o.Backend != 51530247 || o.Latency != 18500*time.Microsecond {
 		t.Errorf("%+v %v", m, err)
 	}
 	m, err = Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","backend":1,"rc":"odd"}`))
-	if o := m.Event.(decision.Outcome); err != nil || o.Result != decision.Unknown || o.HasUse {
+	if o := m.Event.(decision.Outcome); err != nil || o.Result != decision.Unknown || o.HasUsage {
 		t.Errorf("an unknown outcome code: %+v %v", o, err)
 	}
 }
@@ -53,9 +53,9 @@
 func TestDecodeList(t *testing.T) {
 	m, err := Decode([]byte(`{"m":"targets","door":3,"mode":"SAVED","elements":[{"health":"healthy","az":"a",` +
 		`"cell":4,"backend":5,"boot_time_us":6},{"health":"deregistered","backend":6}]}`))
-	l, ok := m.Event.(decision.BackendList)
-	if err != nil || !ok || l.Kind != decision.ListSaved || len(l.Backends) != 2 || l.Backends[1].State != decision.Gone ||
-		l.Backends[0] != (decision.BackendInfo{ID: 5, Zone: "a", Cell: 4, Started: 6 * time.Microsecond}) {
+	l, ok := m.Event.(decision.EndpointUpdate)
+	if err != nil || !ok || l.Kind != decision.UpdateCached || len(l.Endpoints) != 2 || l.Endpoints[1].State != decision.Removed ||
+		l.Endpoints[0] != (decision.Endpoint{ID: 5, Zone: "a", Cell: 4, StartedAt: 6 * time.Microsecond}) {
 		t.Errorf("%+v %v", m, err)
 	}
 }
@@ -79,8 +79,8 @@
 func TestActions(t *testing.T) {
 	var b bytes.Buffer
 	for _, a := range []decision.Action{
-		decision.Send{Request: 255, Backend: 9, Timeout: time.Millisecond}, decision.Refuse{Request: 1, RetryAfter: time.Second},
-		decision.Fail{Request: 2}, decision.Cancel{Request: 3, Attempt: 1}, decision.SetTimer{After: 100 * time.Hour, Token: 4},
+		decision.StartAttempt{Request: 255, Backend: 9, Timeout: time.Millisecond}, decision.Reject{Request: 1, RetryAfter: time.Second},
+		decision.Fail{Request: 2}, decision.CancelAttempt{Request: 3, Attempt: 1}, decision.SetTimer{After: 100 * time.Hour, Token: 4},
 		decision.Probe{Backend: 5}, decision.Subscribe{},
 	} {
 		AppendAction(&b, 6, a)
--- a/internal/kept/kept.go
+++ b/internal/snapshotfile/kept.go
@@ -1,7 +1,7 @@
-// Package kept holds a door's snapshot of its decisions in a directory that outlives the process: one file for each number of a door, which
+// Package snapshotfile holds a door's snapshot of its decisions in a directory that outlives the process: one file for each number of a door, which
 // is replaced as a whole, and a lock, so that two processes of one number do not write it in turn. It reads and writes files, and knows
 // nothing of what they say: that is package recovery's.
-package kept
+package snapshotfile
 
 import (
 	"errors"
@@ -16,11 +16,11 @@
 	"pumicecroft/internal/atomicfile"
 )
 
-// ErrTaken is a file that another process keeps.
-var ErrTaken = errors.New("another process keeps it")
+// ErrInUse is a file that another process keeps.
+var ErrInUse = errors.New("another process keeps it")
 
-// MaxFile bounds a file, in bytes.
-const MaxFile = 64 << 20
+// MaxFileBytes bounds a file, in bytes.
+const MaxFileBytes = 64 << 20
 
 const prefix, suffix = "door-", ".decisions"
 
@@ -40,7 +40,7 @@
 	path := Path(dir, number)
 	lock, err := atomicfile.TryLock(path + ".lock")
 	if errors.Is(err, atomicfile.ErrLocked) {
-		err = ErrTaken
+		err = ErrInUse
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -58,9 +58,9 @@
 		return nil, err
 	}
 	defer r.Close()
-	text, err := io.ReadAll(io.LimitReader(r, MaxFile+1))
-	if err == nil && len(text) > MaxFile {
-		err = fmt.Errorf("it has more than %d bytes", MaxFile)
+	text, err := io.ReadAll(io.LimitReader(r, MaxFileBytes+1))
+	if err == nil && len(text) > MaxFileBytes {
+		err = fmt.Errorf("it has more than %d bytes", MaxFileBytes)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
--- a/internal/kept/kept_test.go
+++ b/internal/snapshotfile/kept_test.go
@@ -1,4 +1,4 @@
-package kept
+package snapshotfile
 
 import (
 	"errors"
@@ -27,7 +27,7 @@
 			t.Errorf("%q, %v", got, err)
 		}
 	}
-	if _, err := Open(dir, 3); !errors.Is(err, ErrTaken) {
+	if _, err := Open(dir, 3); !errors.Is(err, ErrInUse) {
 		t.Errorf("a second one: %v", err)
 	}
 	other, err := Open(dir, 4)
@@ -62,7 +62,7 @@
 	if _, err := Open(filepath.Join(dir, "none"), 0); err == nil {
 		t.Error("a directory that is not there was taken")
 	}
-	if err := os.Truncate(Path(dir, 3), MaxFile+1); err != nil {
+	if err := os.Truncate(Path(dir, 3), MaxFileBytes+1); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := f.Read(); err == nil {
--- a/internal/netlook/netlook.go
+++ b/internal/socketpeek/netlook.go
@@ -1,6 +1,6 @@
-// Package netlook tells what can be seen on a connection without taking anything from it. It asks the system,
+// Package socketpeek tells what can be seen on a connection without taking anything from it. It asks the system,
 // and keeps nothing.
-package netlook
+package socketpeek
 
 import (
 	"net"
@@ -20,10 +20,10 @@
 )
 
 // At looks whether something has come on a connection that nobody has read yet. It never waits.
-func At(c net.Conn) Sight { return New(c).Look() }
+func At(c net.Conn) Sight { return New(c).Peek() }
 
-// Looker looks at one connection again and again. It is not safe for concurrent use.
-type Looker struct {
+// Peeker looks at one connection again and again. It is not safe for concurrent use.
+type Peeker struct {
 	raw  syscall.RawConn // nil: there is nothing that could be seen
 	look func(fd uintptr)
 	seen Sight
@@ -31,8 +31,8 @@
 }
 
 // New makes a Looker.
-func New(c net.Conn) *Looker {
-	l := &Looker{}
+func New(c net.Conn) *Peeker {
+	l := &Peeker{}
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			l.raw, l.look = raw, l.peek
@@ -41,8 +41,8 @@
 	return l
 }
 
-// Look tells what can be seen now. It never waits.
-func (l *Looker) Look() Sight {
+// Peek tells what can be seen now. It never waits.
+func (l *Peeker) Peek() Sight {
 	l.seen = Ended
 	if l.raw == nil || l.raw.Control(l.look) != nil {
 		return Ended
@@ -50,7 +50,7 @@
 	return l.seen
 }
 
-func (l *Looker) peek(fd uintptr) {
+func (l *Peeker) peek(fd uintptr) {
 	switch n, _, err := syscall.Recvfrom(int(fd), l.b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 	case n > 0:
 		l.seen = Waiting
--- a/internal/netlook/netlook_test.go
+++ b/internal/socketpeek/netlook_test.go
@@ -1,4 +1,4 @@
-package netlook
+package socketpeek
 
 import (
 	"io"
--- a/internal/wheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
@@ -47,14 +47,14 @@
 				last := time.Duration(0)
 				w.Advance(now, func(tm *Timer[int]) {
 					i := slices.IndexFunc(model, func(s set) bool { return s.t == tm })
-					if i < 0 || model[i].at > now/tick || model[i].at < last || tm.Set() {
+					if i < 0 || model[i].at > now/tick || model[i].at < last || tm.Scheduled() {
 						t.Fatalf("%d comes at %v, in order of %v", tm.Value, now, last)
 					}
 					last = model[i].at
 					model = slices.Delete(model, i, i+1)
 				})
 				for _, s := range model {
-					if s.at <= now/tick || !s.t.Set() {
+					if s.at <= now/tick || !s.t.Scheduled() {
 						t.Fatalf("%d of tick %d has not come at %v", s.t.Value, s.at, now)
 					}
 				}
@@ -120,7 +120,7 @@
 					now += step
 					w.Advance(now, due)
 					if unset && len(used) > n/2 {
-						if t := used[i%len(used)]; t.Set() {
+						if t := used[i%len(used)]; t.Scheduled() {
 							w.Remove(t)
 							free = append(free, t)
 						}
--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -9,14 +9,14 @@
 	"syscall"
 	"time"
 
-	"pumicecroft/internal/netlook"
+	"pumicecroft/internal/socketpeek"
 )
 
 // Conn is a connection that tells what of it is unread. One goroutine reads it at a time; the rest is safe for concurrent use.
 type Conn struct {
 	net.Conn
 	raw  syscall.RawConn // nil: nothing can be told
-	look *netlook.Looker
+	look *socketpeek.Peeker
 	tell func() // hears of each time at which a reader found nothing, and of the end
 
 	mu    sync.Mutex // held while the system is asked, so that nothing is read and not yet told
@@ -27,7 +27,7 @@
 
 // New makes one of a connection. tell may be nil; it is called without a lock, by the reading goroutine.
 func New(c net.Conn, tell func()) *Conn {
-	u := &Conn{Conn: c, tell: tell, look: netlook.New(c)}
+	u := &Conn{Conn: c, tell: tell, look: socketpeek.New(c)}
 	if sc, ok := c.(syscall.Conn); ok {
 		u.raw, _ = sc.SyscallConn()
 	}
@@ -88,7 +88,7 @@
 	if c.raw == nil || c.ended || !c.empty {
 		return false
 	}
-	return c.look.Look() == netlook.Clean
+	return c.look.Peek() == socketpeek.Clean
 }
 
 // Got is how many bytes have been read.
--- a/keeper.go
+++ b/keeper.go
@@ -6,47 +6,47 @@
 	"io/fs"
 	"time"
 
-	"pumicecroft/internal/prepared"
+	"pumicecroft/internal/endpointcache"
 	"pumicecroft/membership"
 )
 
-// keepEvery is how often a source's list is written at the most.
-const keepEvery = time.Second
+// endpointCacheInterval is how often a source's list is written at the most.
+const endpointCacheInterval = time.Second
 
-// keeper keeps what one source has told on disk. Its fields are guarded by Door.update.
-type keeper struct {
-	door    *Door
-	source  string
-	version uint64             // of what is on disk
-	recall  *membership.Recall // what was on disk; nil: nothing
+// endpointCache keeps what one source has told on disk. Its fields are guarded by Door.update.
+type endpointCache struct {
+	gateway    *Gateway
+	source     string
+	version    uint64                 // of what is on disk
+	startTimes *membership.StartTimes // what was on disk; nil: nothing
 }
 
-// newKeeper begins with what is on disk, if that is good.
-func newKeeper(d *Door, source string) *keeper {
-	k := &keeper{door: d, source: source}
-	nodes, at, err := prepared.Read(d.config.StateDir, source)
+// newEndpointCache begins with what is on disk, if that is good.
+func newEndpointCache(d *Gateway, source string) *endpointCache {
+	k := &endpointCache{gateway: d, source: source}
+	nodes, at, err := endpointcache.Read(d.config.StateDir, source)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
 		d.log.Warn("the list that was kept is no good, the door begins without it", "source", source, "err", err)
 	default:
 		d.log.Info("the door begins with the list that was kept", "source", source, "of", at, "nodes", len(nodes))
-		d.report(source, membership.List{Whole: true, Saved: true, Nodes: nodes})
-		k.recall = membership.NewRecall(nodes, at)
+		d.applyUpdate(source, membership.Update{Full: true, Cached: true, Nodes: nodes})
+		k.startTimes = membership.NewStartTimes(nodes, at)
 	}
-	d.update.Lock()
-	defer d.update.Unlock()
-	k.version = d.members.Version(source)
+	d.updateMu.Lock()
+	defer d.updateMu.Unlock()
+	k.version = d.membershipTable.SourceVersion(source)
 	return k
 }
 
 // run writes what has changed, until ctx ends, and then once more.
-func (k *keeper) run(ctx context.Context) {
-	keepOn(ctx, keepEvery, k.write)
+func (k *endpointCache) run(ctx context.Context) {
+	runPeriodically(ctx, endpointCacheInterval, k.write)
 }
 
-// keepOn writes every so often until ctx ends, and then once more.
-func keepOn(ctx context.Context, every time.Duration, write func()) {
+// runPeriodically writes every so often until ctx ends, and then once more.
+func runPeriodically(ctx context.Context, every time.Duration, write func()) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for ended := false; !ended; {
@@ -59,24 +59,24 @@
 	}
 }
 
-func (k *keeper) write() {
-	d := k.door
-	turn := d.turns[k.source]
+func (k *endpointCache) write() {
+	d := k.gateway
+	turn := d.reportLocks[k.source]
 	turn.Lock() // half of a list is nothing to keep
-	d.update.Lock()
-	if d.members.Version(k.source) == k.version {
-		d.update.Unlock()
+	d.updateMu.Lock()
+	if d.membershipTable.SourceVersion(k.source) == k.version {
+		d.updateMu.Unlock()
 		turn.Unlock()
 		return
 	}
-	nodes, version := d.members.Words(k.source)
-	d.update.Unlock()
+	nodes, version := d.membershipTable.NodesFrom(k.source)
+	d.updateMu.Unlock()
 	turn.Unlock()
-	if err := prepared.Write(d.config.StateDir, k.source, nodes, time.Now()); err != nil {
-		d.listLog.Do(func() { d.log.Warn("the list of members can't be kept", "source", k.source, "err", err) })
+	if err := endpointcache.Write(d.config.StateDir, k.source, nodes, time.Now()); err != nil {
+		d.endpointLog.Do(func() { d.log.Warn("the list of members can't be kept", "source", k.source, "err", err) })
 		return // it is tried again
 	}
-	d.update.Lock()
+	d.updateMu.Lock()
 	k.version = version
-	d.update.Unlock()
+	d.updateMu.Unlock()
 }
--- a/leaving_test.go
+++ b/leaving_test.go
@@ -9,26 +9,26 @@
 	"time"
 
 	"pumicecroft/decision"
-	"pumicecroft/internal/core"
+	"pumicecroft/internal/lifecycle"
 	"pumicecroft/internal/testkit"
 )
 
 // noticing is a decision module that tells when it hears that a client has gone.
 type noticing struct {
-	core.Decider
+	lifecycle.DecisionEngine
 	left chan bool
 }
 
 func (n noticing) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
-	as = n.Decider.Handle(now, ev, as)
-	if _, ok := ev.(decision.ClientGone); ok {
+	as = n.DecisionEngine.Handle(now, ev, as)
+	if _, ok := ev.(decision.ClientDisconnected); ok {
 		n.left <- true
 	}
 	return as
 }
 
 // startNoticing starts a Door behind the daemon's server whose decision module, the one that ships if none is given, tells of clients that go.
-func startNoticing(t *testing.T, config Config, decider core.Decider, options ...Option) (*served, chan bool) {
+func startNoticing(t *testing.T, config Config, decider lifecycle.DecisionEngine, options ...Option) (*served, chan bool) {
 	t.Helper()
 	if decider == nil {
 		g, err := decision.New(config.Settings, config.Seed, 24*time.Hour)
@@ -42,10 +42,12 @@
 }
 
 // holding is a counter that answers when the test says so.
-type holding struct{ asked chan func(decision.Counted) }
+type holding struct {
+	asked chan func(decision.CounterResult)
+}
 
-func (h holding) Add(c decision.Count, done func(decision.Counted)) {
-	h.asked <- func(a decision.Counted) { a.Ref = c.Ref; done(a) }
+func (h holding) Add(c decision.CounterAdd, done func(decision.CounterResult)) {
+	h.asked <- func(a decision.CounterResult) { a.Ref = c.Ref; done(a) }
 }
 
 // A request that waits for something, and whose client leaves meanwhile, is sent to nobody when what it waited for is there: whatever it
@@ -61,8 +63,8 @@
 					came <- string(text)
 				})
 				config, options := testConfig(), []Option(nil)
-				config.Known = ready(addr)
-				var decider core.Decider
+				config.InitialEndpoints = ready(addr)
+				var decider lifecycle.DecisionEngine
 				slow := WithDialer(func(_ context.Context, network, to string) (net.Conn, error) {
 					if to == addr {
 						waiting <- true
@@ -80,39 +82,39 @@
 							io.WriteString(conn, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 						}
 					})
-					config.Known = ready(first, addr)
+					config.InitialEndpoints = ready(first, addr)
 					decider = testkit.Script(func(ev decision.Event) []decision.Action {
 						var as []decision.Action
 						if ev, ok := ev.(decision.Request); ok {
-							as = append(as, decision.Send{Request: ev.ID, Backend: 1})
+							as = append(as, decision.StartAttempt{Request: ev.ID, Backend: 1})
 							if wait == beside {
-								as = append(as, decision.Send{Request: ev.ID, Backend: 2})
+								as = append(as, decision.StartAttempt{Request: ev.ID, Backend: 2})
 							}
 						}
 						if ev, ok := ev.(decision.Outcome); ok && ev.Attempt == 0 && !ev.Final {
-							as = append(as, decision.Send{Request: ev.Request, Backend: 2})
+							as = append(as, decision.StartAttempt{Request: ev.Request, Backend: 2})
 						}
-						if ev, ok := ev.(decision.ClientGone); ok { // as the module that ships does
-							as = append(as, decision.Cancel{Request: ev.Request, Attempt: 0}, decision.Cancel{Request: ev.Request, Attempt: 1})
+						if ev, ok := ev.(decision.ClientDisconnected); ok { // as the module that ships does
+							as = append(as, decision.CancelAttempt{Request: ev.Request, Attempt: 0}, decision.CancelAttempt{Request: ev.Request, Attempt: 1})
 						}
 						return as
 					})
 				case "the counter":
-					h := holding{make(chan func(decision.Counted), 10)}
-					config.Settings.SharedCounter = true
+					h := holding{make(chan func(decision.CounterResult), 10)}
+					config.Settings.HasSharedCounter = true
 					p := &config.Settings.Plans[0]
-					p.CeilingRate, p.CeilingBurst = 1, 60 // of which this door has nothing right after its start
+					p.HardLimitRate, p.HardLimitBurst = 1, 60 // of which this door has nothing right after its start
 					options = append(options, WithCounter(h))
 					go func() {
 						select {
 						case answer := <-h.asked:
 							waiting <- true
 							<-goOn
-							answer(decision.Counted{Result: decision.Answered, Total: 20})
+							answer(decision.CounterResult{Result: decision.Succeeded, Total: 20})
 							for { // what is put back
 								select {
 								case answer := <-h.asked:
-									answer(decision.Counted{Result: decision.Answered, Total: 20})
+									answer(decision.CounterResult{Result: decision.Succeeded, Total: 20})
 								case <-t.Context().Done():
 									return
 								}
@@ -126,14 +128,14 @@
 						<-goOn
 						io.WriteString(conn, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 					})
-					config.Known = ready(first, addr)
+					config.InitialEndpoints = ready(first, addr)
 					decider = testkit.Script(func(ev decision.Event) []decision.Action { // it is sent once more, whatever became of it
 						switch ev := ev.(type) {
 						case decision.Request:
-							return []decision.Action{decision.Send{Request: ev.ID, Backend: 1}}
+							return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 1}}
 						case decision.Outcome:
 							if ev.Attempt == 0 {
-								return []decision.Action{decision.Send{Request: ev.Request, Backend: 2}}
+								return []decision.Action{decision.StartAttempt{Request: ev.Request, Backend: 2}}
 							}
 						}
 						return nil
@@ -148,7 +150,7 @@
 				io.WriteString(conn, behind)
 				conn.Close()
 				testkit.Await(t, left, "it to be seen that its client has left")
-				d.door.Open() // and what comes of that is done: it is one step
+				d.door.OpenRequests() // and what comes of that is done: it is one step
 				close(goOn)
 				patient, stop := context.WithTimeout(t.Context(), testkit.Patient)
 				defer stop()
--- a/membership/names_test.go
+++ b/membership/names_test.go
@@ -4,7 +4,7 @@
 
 // The states' names stand in the output of "pumicecroft members", in JSON and in traces: they don't follow the constants' names.
 func TestStateNames(t *testing.T) {
-	for state, want := range map[State]string{Unknown: "unknown", Cold: "cold", Ready: "ready", Suspect: "suspect", Draining: "draining", Gone: "gone"} {
+	for state, want := range map[State]string{Unknown: "unknown", WarmingUp: "cold", Ready: "ready", Probation: "suspect", Draining: "draining", Removed: "gone"} {
 		if got := state.String(); got != want {
 			t.Errorf("state %d is called %q, want %q", state, got, want)
 		}
--- a/membership/steps.go
+++ b/membership/steps.go
@@ -8,7 +8,7 @@
 	"pumicecroft/decision"
 )
 
-// Steps is one source's report, which a Table takes in step by step. What comes between two steps, other sources' reports and the table's time,
+// Merge is one source's report, which a Table takes in step by step. What comes between two steps, other sources' reports and the table's time,
 // is dealt with as if the report came by itself: only two reports of one source must not mix.
 //
 // Between two steps the table holds a state in which each node stands either as its source had it before the list, or as the list has it. What
@@ -18,190 +18,190 @@
 //
 // A list that names a node more than once is taken by its words in their order; what comes first of a node that drains does not undo that, if
 // its draining comes behind it in the list.
-type Steps struct {
-	table   *Table
-	source  int
-	list    List
-	started func(time.Time) time.Duration
-	number  uint64 // of the list
-	stage   stage
-	at      int            // in the stage's entries
-	gone    map[string]int // the places at which nodes that were known have gone
-	full    []int          // the places of those for which there was no room
-	missing []string       // what the list does not name, and is to be dropped
-	bad     []error
+type Merge struct {
+	table        *Table
+	sourceIndex  int
+	update       Update
+	startOffset  func(time.Time) time.Duration
+	updateNumber uint64 // of the list
+	stage        stage
+	position     int            // in the stage's entries
+	removedIndex map[string]int // the places at which nodes that were known have gone
+	overflow     []int          // the places of those for which there was no room
+	missing      []string       // what the list does not name, and is to be dropped
+	invalid      []error
 }
 
 type stage uint8
 
 const (
-	fresh   stage = iota // nothing is taken
-	drains               // what takes nothing new any more, of the nodes that are known
-	rest                 // all else
-	lacking              // what is not named
-	crammed              // what found no room: there may be some now
-	complete
+	stageStart    stage = iota // nothing is taken
+	stageDrains                // what takes nothing new any more, of the nodes that are known
+	stageEntries               // all else
+	stageMissing               // what is not named
+	stageOverflow              // what found no room: there may be some now
+	stageDone
 )
 
-// Begin begins a report, of which Next takes in as much as it is told. started turns a node's start into the table's time. The list's nodes must
+// BeginMerge begins a report, of which Next takes in as much as it is told. started turns a node's start into the table's time. The list's nodes must
 // not change before the report ends.
-func (t *Table) Begin(source string, l List, started func(time.Time) time.Duration) *Steps {
-	t.lists++
-	return &Steps{table: t, source: t.source(source), list: l, started: started, number: t.lists}
+func (t *Table) BeginMerge(source string, l Update, started func(time.Time) time.Duration) *Merge {
+	t.updateCount++
+	return &Merge{table: t, sourceIndex: t.sourceIndex(source), update: l, startOffset: started, updateNumber: t.updateCount}
 }
 
 // Report takes in at once what a source says. Entries that make no sense change nothing, and come back in bad; the rest counts. The changes are
 // good until the next call.
-func (t *Table) Report(now time.Duration, source string, l List, started func(time.Time) time.Duration) (changes []Change, bad []error) {
-	changes, bad, _ = t.Begin(source, l, started).Next(now, math.MaxInt)
+func (t *Table) Report(now time.Duration, source string, l Update, started func(time.Time) time.Duration) (changes []Change, bad []error) {
+	changes, bad, _ = t.BeginMerge(source, l, started).Next(now, math.MaxInt)
 	return changes, bad
 }
 
 // Next takes in so many entries, or what is left, and tells whether there is more. The changes are good until the table's next call.
-func (s *Steps) Next(now time.Duration, entries int) (changes []Change, bad []error, more bool) {
+func (s *Merge) Next(now time.Duration, entries int) (changes []Change, bad []error, more bool) {
 	t := s.table
-	t.begin(now, s.source)
+	t.advance(now, s.sourceIndex)
 	switch {
-	case s.source < 0 || s.stage == complete:
-		return t.out, nil, false
-	case s.list.Failed != nil:
-		t.fail(s.source)
-		s.stage = complete
-		return t.out, nil, false
+	case s.sourceIndex < 0 || s.stage == stageDone:
+		return t.changes, nil, false
+	case s.update.Err != nil:
+		t.markFailed(s.sourceIndex)
+		s.stage = stageDone
+		return t.changes, nil, false
 	}
-	o := &t.origins[s.source]
-	s.bad = nil
-	for entries > 0 && s.stage < complete {
+	o := &t.sources[s.sourceIndex]
+	s.invalid = nil
+	for entries > 0 && s.stage < stageDone {
 		switch s.stage {
-		case fresh:
-			o.failed, o.saved = false, s.list.Whole && s.list.Saved || o.saved && !s.list.Whole
-			for _, name := range s.list.Unclear {
-				s.name(name)
+		case stageStart:
+			o.failed, o.cached = false, s.update.Full && s.update.Cached || o.cached && !s.update.Full
+			for _, name := range s.update.Invalid {
+				s.markNamed(name)
 			}
-			s.next()
-		case drains:
-			if s.at == len(s.list.Nodes) {
-				s.next()
+			s.nextStage()
+		case stageDrains:
+			if s.position == len(s.update.Nodes) {
+				s.nextStage()
 				continue
 			}
-			if n := &s.list.Nodes[s.at]; n.State != decision.Ready && s.known(n.Name) && (s.list.Early || n.Check() == nil) {
-				s.take(s.at)
+			if n := &s.update.Nodes[s.position]; n.State != decision.Ready && s.isKnown(n.Name) && (s.update.DrainsOnly || n.Check() == nil) {
+				s.applyEntry(s.position)
 				entries--
 			}
-			s.at++
-		case rest:
-			if s.at == len(s.list.Nodes) {
-				s.next()
-				if s.list.Whole {
-					s.missing = t.lose(s.source, s.lacks(), &s.list)
+			s.position++
+		case stageEntries:
+			if s.position == len(s.update.Nodes) {
+				s.nextStage()
+				if s.update.Full {
+					s.missing = t.recordMissing(s.sourceIndex, s.findMissing(), &s.update)
 				}
 				continue
 			}
-			s.take(s.at)
+			s.applyEntry(s.position)
 			entries--
-			s.at++
-		case lacking:
-			if s.at == len(s.missing) {
-				s.next()
+			s.position++
+		case stageMissing:
+			if s.position == len(s.missing) {
+				s.nextStage()
 				continue
 			}
-			t.drop(s.source, s.missing[s.at])
+			t.removeReport(s.sourceIndex, s.missing[s.position])
 			entries--
-			s.at++
-		case crammed:
-			if s.at == len(s.full) {
-				s.next()
-				t.believe(o, s.list.Whole)
+			s.position++
+		case stageOverflow:
+			if s.position == len(s.overflow) {
+				s.nextStage()
+				t.settleRemovals(o, s.update.Full)
 				continue
 			}
-			if len(t.members) < t.rules.Most {
-				t.passed--
-				s.take(s.full[s.at])
+			if len(t.members) < t.policy.MaxNodes {
+				t.skipped--
+				s.applyEntry(s.overflow[s.position])
 				entries--
 			}
-			s.at++
+			s.position++
 		}
 	}
-	return t.out, s.bad, s.stage < complete
+	return t.changes, s.invalid, s.stage < stageDone
 }
 
-// next goes on to the next stage.
-func (s *Steps) next() {
+// nextStage goes on to the next stage.
+func (s *Merge) nextStage() {
 	s.stage++
-	s.at = 0
+	s.position = 0
 }
 
-// take takes in one entry, unless a later one on the same node has been.
-func (s *Steps) take(i int) {
-	t, n := s.table, s.list.Nodes[i]
-	if s.list.Early {
+// applyEntry takes in one entry, unless a later one on the same node has been.
+func (s *Merge) applyEntry(i int) {
+	t, n := s.table, s.update.Nodes[i]
+	if s.update.DrainsOnly {
 		known := t.members[n.Name]
 		if known == nil {
 			return
 		}
-		if n = *known.words[0].node; known.of(s.source) != nil {
-			n = *known.of(s.source)
+		if n = *known.reports[0].node; known.nodeFrom(s.sourceIndex) != nil {
+			n = *known.nodeFrom(s.sourceIndex)
 		}
 		n.State = decision.Draining
 	}
 	if err := n.Check(); err != nil {
-		s.bad = append(s.bad, err)
-		s.name(n.Name) // it stays as it was
+		s.invalid = append(s.invalid, err)
+		s.markNamed(n.Name) // it stays as it was
 		return
 	}
-	w := s.word(n.Name)
+	w := s.report(n.Name)
 	known := w != nil
-	at, went := s.gone[n.Name]
-	if went && i <= at || known && w.list == s.number && i <= w.place {
+	at, went := s.removedIndex[n.Name]
+	if went && i <= at || known && w.updateNumber == s.updateNumber && i <= w.entryIndex {
 		return
 	}
-	t.origins[s.source].found(n.Name)
-	switch room := t.say(s.source, n, s.started(n.Started)); {
+	t.sources[s.sourceIndex].clearMissing(n.Name)
+	switch room := t.applyReport(s.sourceIndex, n, s.startOffset(n.StartedAt)); {
 	case !room:
-		if s.stage == rest {
-			s.full = append(s.full, i)
+		if s.stage == stageEntries {
+			s.overflow = append(s.overflow, i)
 		}
-	case n.State == decision.Gone && (known || went):
-		if s.gone == nil {
-			s.gone = map[string]int{}
+	case n.State == decision.Removed && (known || went):
+		if s.removedIndex == nil {
+			s.removedIndex = map[string]int{}
 		}
-		s.gone[n.Name] = i
+		s.removedIndex[n.Name] = i
 	default:
-		if w := s.word(n.Name); w != nil {
-			w.list, w.place = s.number, i
+		if w := s.report(n.Name); w != nil {
+			w.updateNumber, w.entryIndex = s.updateNumber, i
 		}
 	}
 }
 
-// known tells whether a node was known when the list began, or is by now.
-func (s *Steps) known(name string) bool {
-	_, went := s.gone[name]
+// isKnown tells whether a node was known when the list began, or is by now.
+func (s *Merge) isKnown(name string) bool {
+	_, went := s.removedIndex[name]
 	return went || s.table.members[name] != nil
 }
 
-// word is what the source says of a node, or nil.
-func (s *Steps) word(name string) *word {
+// report is what the source says of a node, or nil.
+func (s *Merge) report(name string) *report {
 	if m := s.table.members[name]; m != nil {
-		if i, ok := m.find(s.source); ok {
-			return &m.words[i]
+		if i, ok := m.findReport(s.sourceIndex); ok {
+			return &m.reports[i]
 		}
 	}
 	return nil
 }
 
-// name notes that the list names a node, and says nothing of it.
-func (s *Steps) name(name string) {
-	if w := s.word(name); w != nil && w.list != s.number {
-		w.list, w.place = s.number, -1
+// markNamed notes that the list names a node, and says nothing of it.
+func (s *Merge) markNamed(name string) {
+	if w := s.report(name); w != nil && w.updateNumber != s.updateNumber {
+		w.updateNumber, w.entryIndex = s.updateNumber, -1
 	}
 }
 
-// lacks gives what the list does not name and was not lacked before. This alone looks at all that the source has a word on.
-func (s *Steps) lacks() []string {
-	o := &s.table.origins[s.source]
+// findMissing gives what the list does not name and was not lacked before. This alone looks at all that the source has a word on.
+func (s *Merge) findMissing() []string {
+	o := &s.table.sources[s.sourceIndex]
 	var missing []string
-	for _, m := range o.known {
-		if i, _ := m.find(s.source); m.words[i].list != s.number && o.lacked[m.name] == nil {
+	for _, m := range o.members {
+		if i, _ := m.findReport(s.sourceIndex); m.reports[i].updateNumber != s.updateNumber && o.missing[m.name] == nil {
 			missing = append(missing, m.name)
 		}
 	}
--- a/membership/steps_test.go
+++ b/membership/steps_test.go
@@ -11,30 +11,30 @@
 	"pumicecroft/decision"
 )
 
-// held is what somebody has made of a table's changes.
-type held map[string]Change
+// mirror is what somebody has made of a table's changes.
+type mirror map[string]Change
 
-// take follows changes, and tells which nodes have become ready by them.
-func (h held) take(cs []Change) (ready []string) {
+// apply follows changes, and tells which nodes have become ready by them.
+func (h mirror) apply(cs []Change) (ready []string) {
 	for _, c := range cs {
 		switch was, known := h[c.Name]; {
-		case c.State == decision.Gone:
+		case c.State == decision.Removed:
 			delete(h, c.Name)
 			continue
 		case c.State == decision.Ready && (!known || was.State != decision.Ready):
 			ready = append(ready, c.Name)
 		}
-		c.Moved = false
+		c.Replaced = false
 		h[c.Name] = c
 	}
 	return ready
 }
 
 // any list of a few nodes, some of them named more than once, some of which make no sense.
-func anyList(rng *rand.Rand) List {
-	l := List{Whole: rng.IntN(3) > 0, Early: rng.IntN(6) == 0}
-	if l.Early {
-		l.Whole = false
+func randomUpdate(rng *rand.Rand) Update {
+	l := Update{Full: rng.IntN(3) > 0, DrainsOnly: rng.IntN(6) == 0}
+	if l.DrainsOnly {
+		l.Full = false
 	}
 	for range rng.IntN(12) {
 		name := fmt.Sprintf("n%d", rng.IntN(8))
@@ -43,7 +43,7 @@
 			n.Addr = ""
 		}
 		if rng.IntN(10) == 0 {
-			l.Unclear = append(l.Unclear, name)
+			l.Invalid = append(l.Invalid, name)
 		} else {
 			l.Nodes = append(l.Nodes, n)
 		}
@@ -56,16 +56,16 @@
 func TestStepsComeToWhatOnePieceDoes(t *testing.T) {
 	for seed := range uint64(4000) {
 		rng := rand.New(rand.NewPCG(seed, 17))
-		rules := Rules{Most: []int{4, 100}[rng.IntN(2)]}
-		whole, steps := NewTable(rules, origins("a!", "b!")...), NewTable(rules, origins("a!", "b!")...)
-		one, other, words := held{}, held{}, map[string]Node{}
+		rules := Policy{MaxNodes: []int{4, 100}[rng.IntN(2)]}
+		whole, steps := NewTable(rules, sourceInfos("a!", "b!")...), NewTable(rules, sourceInfos("a!", "b!")...)
+		one, other, words := mirror{}, mirror{}, map[string]Node{}
 		for round := range 12 {
 			at := time.Duration(round) * sec
-			l := anyList(rng)
-			cs, badOne := whole.Report(at, "a", l, starts)
+			l := randomUpdate(rng)
+			cs, badOne := whole.Report(at, "a", l, startOffset)
 			last := map[string]decision.BackendState{} // what the list comes to
 			for _, n := range l.Nodes {
-				if l.Early || n.Check() == nil {
+				if l.DrainsOnly || n.Check() == nil {
 					last[n.Name] = n.State
 				}
 			}
@@ -73,31 +73,31 @@
 			for name := range one {
 				before[name] = true
 			}
-			one.take(cs)
-			sequel(words, l)
+			one.apply(cs)
+			applyInOrder(words, l)
 			badSteps := 0
-			walk := steps.Begin("a", l, starts)
+			walk := steps.BeginMerge("a", l, startOffset)
 			for more, n := true, 0; more; n++ {
 				var cs []Change
 				var bad []error
 				cs, bad, more = walk.Next(at, 1+rng.IntN(3))
 				badSteps += len(bad)
-				for _, name := range other.take(cs) {
-					if state, named := last[name]; !named || state != decision.Ready && (before[name] || !twice(l, name)) {
+				for _, name := range other.apply(cs) {
+					if state, named := last[name]; !named || state != decision.Ready && (before[name] || !namedTwice(l, name)) {
 						t.Fatalf("seed %d, round %d: step %d makes %s ready; the list: %+v", seed, round, n, name, l)
 					}
 				}
 				if rng.IntN(3) == 0 {
-					other.take(steps.Tick(at))
+					other.apply(steps.Tick(at))
 				}
 			}
 			if badSteps != len(badOne) {
 				t.Fatalf("seed %d, round %d: %d entries that make no sense in steps, %d in one piece", seed, round, badSteps, len(badOne))
 			}
-			if !maps.EqualFunc(one, other, func(a, b Change) bool { a.ID, b.ID = 0, 0; return a == b }) || whole.Passed() != steps.Passed() {
+			if !maps.EqualFunc(one, other, func(a, b Change) bool { a.ID, b.ID = 0, 0; return a == b }) || whole.SkippedEntries() != steps.SkippedEntries() {
 				t.Fatalf("seed %d, round %d: in steps %+v, in one piece %+v, by %+v", seed, round, other, one, l)
 			}
-			if rules.Most == 100 && !maps.EqualFunc(one, words, func(c Change, n Node) bool {
+			if rules.MaxNodes == 100 && !maps.EqualFunc(one, words, func(c Change, n Node) bool {
 				return c.Addr == n.Addr && (c.State == decision.Ready) == (n.State == decision.Ready)
 			}) {
 				t.Fatalf("seed %d, round %d: %+v, by the words themselves %+v, by %+v", seed, round, one, words, l)
@@ -106,21 +106,21 @@
 	}
 }
 
-// sequel follows a list's words as they stand in it, one after another.
-func sequel(words map[string]Node, l List) {
+// applyInOrder follows a list's words as they stand in it, one after another.
+func applyInOrder(words map[string]Node, l Update) {
 	named := map[string]bool{}
-	for _, name := range l.Unclear {
+	for _, name := range l.Invalid {
 		named[name] = true
 	}
 	for _, n := range l.Nodes {
 		named[n.Name] = true
 		known, there := words[n.Name]
 		switch {
-		case l.Early && there:
+		case l.DrainsOnly && there:
 			known.State = decision.Draining
 			words[n.Name] = known
-		case l.Early || n.Check() != nil:
-		case n.State == decision.Gone:
+		case l.DrainsOnly || n.Check() != nil:
+		case n.State == decision.Removed:
 			delete(words, n.Name)
 		default:
 			if n.Addr == "" {
@@ -129,13 +129,13 @@
 			words[n.Name] = n
 		}
 	}
-	if l.Whole {
+	if l.Full {
 		maps.DeleteFunc(words, func(name string, _ Node) bool { return !named[name] })
 	}
 }
 
-// twice tells whether a list names a node more than once.
-func twice(l List, name string) bool {
+// namedTwice tells whether a list names a node more than once.
+func namedTwice(l Update, name string) bool {
 	n := 0
 	for _, node := range l.Nodes {
 		if node.Name == name {
@@ -147,9 +147,9 @@
 
 // What drains comes in front of all else, what is gone by not being named behind it, and another source's word between two steps counts at once.
 func TestTheOrderOfSteps(t *testing.T) {
-	r := newRig(t, Rules{}, "s!", "t!")
-	r.whole(0, "s", "a b c d", "a#1:ready; b#2:ready; c#3:ready; d#4:ready")
-	walk := r.tb.Begin("s", List{Whole: true, Nodes: nodes("e a f b:draining g d")}, starts)
+	r := newTableTest(t, Policy{}, "s!", "t!")
+	r.full(0, "s", "a b c d", "a#1:ready; b#2:ready; c#3:ready; d#4:ready")
+	walk := r.tb.BeginMerge("s", Update{Full: true, Nodes: parseNodes("e a f b:draining g d")}, startOffset)
 	next := func(n int, want string, wantMore bool) {
 		t.Helper()
 		cs, _, more := walk.Next(sec, n)
@@ -170,24 +170,24 @@
 
 // Nodes that a list has draining before it has ended drain if they are known, whatever becomes of the list; nothing else comes of it.
 func TestEarlyDrains(t *testing.T) {
-	r := newRig(t, Rules{}, "s!", "t!")
-	r.whole(0, "s", "a b", "a#1:ready; b#2:ready")
-	r.whole(0, "t", "c", "c#3:ready")
-	early := List{Early: true, Nodes: []Node{{Name: "a", State: decision.Draining}, {Name: "c", State: decision.Draining}, {Name: "z", State: decision.Draining}}}
-	cs, bad := r.tb.Report(sec, "s", early, starts)
+	r := newTableTest(t, Policy{}, "s!", "t!")
+	r.full(0, "s", "a b", "a#1:ready; b#2:ready")
+	r.full(0, "t", "c", "c#3:ready")
+	early := Update{DrainsOnly: true, Nodes: []Node{{Name: "a", State: decision.Draining}, {Name: "c", State: decision.Draining}, {Name: "z", State: decision.Draining}}}
+	cs, bad := r.tb.Report(sec, "s", early, startOffset)
 	r.want(sec, cs, "a#1:draining; c#3:draining")
-	if len(bad) > 0 || r.tb.Len() != 3 || cs[0].Addr != "h:a" || cs[0].Moved {
+	if len(bad) > 0 || r.tb.Len() != 3 || cs[0].Addr != "h:a" || cs[0].Replaced {
 		t.Errorf("%v, %d nodes, %+v", bad, r.tb.Len(), cs[0])
 	}
-	r.whole(2*sec, "s", "a b", "a#1:ready; c#3:ready") // it says nothing of c
+	r.full(2*sec, "s", "a b", "a#1:ready; c#3:ready") // it says nothing of c
 }
 
 // A whole list takes the place of one that filled the table.
 func TestRoomThatAListMakes(t *testing.T) {
-	r := newRig(t, Rules{Most: 3}, "s!")
-	r.whole(0, "s", "a b c", "a#1:ready; b#2:ready; c#3:ready")
-	r.whole(sec, "s", "x c y z", "a#1:gone; b#2:gone; x#4:ready; y#5:ready")
-	if r.tb.Passed() != 1 {
-		t.Errorf("%d were passed over", r.tb.Passed())
+	r := newTableTest(t, Policy{MaxNodes: 3}, "s!")
+	r.full(0, "s", "a b c", "a#1:ready; b#2:ready; c#3:ready")
+	r.full(sec, "s", "x c y z", "a#1:gone; b#2:gone; x#4:ready; y#5:ready")
+	if r.tb.SkippedEntries() != 1 {
+		t.Errorf("%d were passed over", r.tb.SkippedEntries())
 	}
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -15,59 +15,59 @@
 
 const sec = time.Second
 
-// rig is a table whose reports and changes are short lines. A node is "a", with ":draining" or ":gone" behind it,
+// tableTest is a table whose reports and changes are short lines. A node is "a", with ":draining" or ":gone" behind it,
 // "@addr" and "^7" for a start at 7 s.
-type rig struct {
+type tableTest struct {
 	t  *testing.T
 	tb *Table
 }
 
-func newRig(t *testing.T, r Rules, sources ...string) *rig {
-	return &rig{t, NewTable(r, origins(sources...)...)}
+func newTableTest(t *testing.T, r Policy, sources ...string) *tableTest {
+	return &tableTest{t, NewTable(r, sourceInfos(sources...)...)}
 }
 
-// origins are sources by name; one with a "!" behind it is plain.
-func origins(names ...string) []Origin {
-	var out []Origin
+// sourceInfos are sources by name; one with a "!" behind it is plain.
+func sourceInfos(names ...string) []SourceInfo {
+	var out []SourceInfo
 	for _, name := range names {
 		name, plain := strings.CutSuffix(name, "!")
-		out = append(out, Origin{Name: name, Plain: plain})
+		out = append(out, SourceInfo{Name: name, Trusted: plain})
 	}
 	return out
 }
 
-func starts(at time.Time) time.Duration {
+func startOffset(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
 	}
 	return time.Duration(at.UnixNano())
 }
 
-func nodes(text string) []Node {
+func parseNodes(text string) []Node {
 	var out []Node
 	for field := range strings.FieldsSeq(text) {
 		field, start, _ := strings.Cut(field, "^")
 		field, addr, _ := strings.Cut(field, "@")
 		name, state, _ := strings.Cut(field, ":")
-		n := Node{Name: name, Addr: "h:" + name + addr, State: map[string]decision.BackendState{"draining": decision.Draining, "gone": decision.Gone}[state]}
+		n := Node{Name: name, Addr: "h:" + name + addr, State: map[string]decision.BackendState{"draining": decision.Draining, "gone": decision.Removed}[state]}
 		if start != "" {
 			var s int64
 			fmt.Sscan(start, &s)
-			n.Started = time.Unix(s, 0)
+			n.StartedAt = time.Unix(s, 0)
 		}
 		out = append(out, n)
 	}
 	return out
 }
 
-func tell(cs []Change) string {
+func formatChanges(cs []Change) string {
 	var out []string
 	for _, c := range cs {
 		line := fmt.Sprintf("%s#%d:%s", c.Name, c.ID, []string{"ready", "draining", "gone"}[c.State])
-		if c.Started > 0 {
-			line += fmt.Sprintf("^%d", int(c.Started/sec))
+		if c.StartedAt > 0 {
+			line += fmt.Sprintf("^%d", int(c.StartedAt/sec))
 		}
-		if c.Moved {
+		if c.Replaced {
 			line += " moved to " + c.Addr
 		}
 		out = append(out, line)
@@ -75,45 +75,45 @@
 	return strings.Join(out, "; ")
 }
 
-func (r *rig) changes(at time.Duration, source, text, want string) {
+func (r *tableTest) changes(at time.Duration, source, text, want string) {
 	r.t.Helper()
-	cs, bad := r.tb.Report(at, source, List{Nodes: nodes(text)}, starts)
+	cs, bad := r.tb.Report(at, source, Update{Nodes: parseNodes(text)}, startOffset)
 	r.want(at, cs, want)
 	if len(bad) > 0 {
 		r.t.Errorf("at %v: %v", at, bad)
 	}
 }
 
-func (r *rig) whole(at time.Duration, source, text, want string) {
+func (r *tableTest) full(at time.Duration, source, text, want string) {
 	r.t.Helper()
-	cs, _ := r.tb.Report(at, source, List{Whole: true, Nodes: nodes(text)}, starts)
+	cs, _ := r.tb.Report(at, source, Update{Full: true, Nodes: parseNodes(text)}, startOffset)
 	r.want(at, cs, want)
 }
 
-func (r *rig) tick(at time.Duration, want string) {
+func (r *tableTest) tick(at time.Duration, want string) {
 	r.t.Helper()
 	r.want(at, r.tb.Tick(at), want)
 }
 
-func (r *rig) want(at time.Duration, cs []Change, want string) {
+func (r *tableTest) want(at time.Duration, cs []Change, want string) {
 	r.t.Helper()
-	if got := tell(cs); got != want {
+	if got := formatChanges(cs); got != want {
 		r.t.Errorf("at %v: %q, want %q", at, got, want)
 	}
 }
 
-// view is a node as people see it.
-func (r *rig) view(name, want string) {
+// wantStatus is a node as people see it.
+func (r *tableTest) wantStatus(name, want string) {
 	r.t.Helper()
 	got := "unknown"
-	for _, v := range r.tb.Views() {
+	for _, v := range r.tb.Statuses() {
 		if v.Name == name {
-			got = fmt.Sprintf("%v since %v by %s", v.Belief, v.Since, v.Source)
-			if v.Old {
+			got = fmt.Sprintf("%v since %v by %s", v.EffectiveState, v.Since, v.Source)
+			if v.Stale {
 				got += ", old"
 			}
-			if v.Until > 0 {
-				got += fmt.Sprintf(", until %v", v.Until)
+			if v.ProbationUntil > 0 {
+				got += fmt.Sprintf(", until %v", v.ProbationUntil)
 			}
 		}
 	}
@@ -123,25 +123,25 @@
 }
 
 func TestOneSource(t *testing.T) {
-	r := newRig(t, Rules{}, "s!")
-	r.whole(1*sec, "s", "a b", "a#1:ready; b#2:ready")
-	r.whole(2*sec, "s", "a b", "") // nothing has changed
+	r := newTableTest(t, Policy{}, "s!")
+	r.full(1*sec, "s", "a b", "a#1:ready; b#2:ready")
+	r.full(2*sec, "s", "a b", "") // nothing has changed
 	r.changes(3*sec, "s", "c", "c#3:ready")
 	r.changes(4*sec, "s", "b:gone", "b#2:gone")
 	r.changes(5*sec, "s", "b", "b#4:ready") // a new one, under a new id
-	r.whole(6*sec, "s", "b", "a#1:gone; c#3:gone")
+	r.full(6*sec, "s", "b", "a#1:gone; c#3:gone")
 	r.changes(7*sec, "s", "z:gone", "") // never named
 	r.changes(7*sec, "nobody", "z", "") // no such source
 	if r.tb.Len() != 1 {
 		t.Errorf("%d nodes", r.tb.Len())
 	}
-	r.view("b", "ready since 5s by s")
-	r.view("a", "unknown")
+	r.wantStatus("b", "ready since 5s by s")
+	r.wantStatus("a", "unknown")
 }
 
 // Going away is believed at once; coming back is earned, for longer each time.
 func TestFlapping(t *testing.T) {
-	r := newRig(t, Rules{HoldFirst: sec, HoldMost: 5 * sec, Forget: 20 * sec}, "s")
+	r := newTableTest(t, Policy{ProbationMin: sec, ProbationMax: 5 * sec, ProbationReset: 20 * sec}, "s")
 	r.changes(0, "s", "a", "a#1:ready")
 	at := time.Duration(0)
 	for i, hold := range []time.Duration{1 * sec, 2 * sec, 4 * sec, 5 * sec, 5 * sec} {
@@ -149,7 +149,7 @@
 		r.changes(at, "s", "a:draining", "a#1:draining")
 		at += sec / 2
 		r.changes(at, "s", "a", "")
-		r.view("a", fmt.Sprintf("suspect since %v by s, until %v", at, at+hold))
+		r.wantStatus("a", fmt.Sprintf("suspect since %v by s, until %v", at, at+hold))
 		r.tick(at+hold-1, "")
 		at += hold
 		if next, ok := r.tb.Next(); !ok || next != at {
@@ -159,12 +159,12 @@
 	}
 	// Well for long, it is forgiven one time after another.
 	r.tick(at+35*sec, "")
-	if got := r.tb.Views()[0].Times; got != 3 {
+	if got := r.tb.Statuses()[0].RecentOutages; got != 3 {
 		t.Errorf("%d times are remembered, want 3", got)
 	}
 	r.tick(at+200*sec, "")
-	if _, ok := r.tb.Next(); ok || r.tb.Views()[0].Times != 0 {
-		t.Errorf("%d times are remembered for good", r.tb.Views()[0].Times)
+	if _, ok := r.tb.Next(); ok || r.tb.Statuses()[0].RecentOutages != 0 {
+		t.Errorf("%d times are remembered for good", r.tb.Statuses()[0].RecentOutages)
 	}
 	r.changes(at+201*sec, "s", "a:draining", "a#1:draining")
 	r.changes(at+202*sec, "s", "a", "")
@@ -174,7 +174,7 @@
 // A node that flaps every second for a minute is taken back a few times at the most, and the decision module is not
 // flooded with events.
 func TestAMinuteOfFlapping(t *testing.T) {
-	tb := NewTable(Rules{}, origins("s")...)
+	tb := NewTable(Policy{}, sourceInfos("s")...)
 	in, events := 0, 0
 	ready := false
 	see := func(cs []Change) {
@@ -188,7 +188,7 @@
 	for half := range 120 {
 		at := time.Duration(half) * sec / 2
 		state := []decision.BackendState{decision.Ready, decision.Draining}[half%2]
-		cs, _ := tb.Report(at, "s", List{Nodes: []Node{{Name: "a", Addr: "h:1", State: state}}}, starts)
+		cs, _ := tb.Report(at, "s", Update{Nodes: []Node{{Name: "a", Addr: "h:1", State: state}}}, startOffset)
 		see(cs)
 		if state == decision.Draining && ready {
 			t.Fatalf("at %v it fails and is believed ready", at)
@@ -205,14 +205,14 @@
 // Whether a node is sent anything is the most careful word of those that know it; one that does not know it says
 // nothing.
 func TestTwoSources(t *testing.T) {
-	r := newRig(t, Rules{HoldFirst: sec}, "consul", "platform")
-	r.whole(0, "platform", "a b", "a#1:ready; b#2:ready")
-	r.whole(1*sec, "consul", "a@x c", "a#1:ready moved to h:ax; c#3:ready") // the first source's address counts
-	r.changes(2*sec, "consul", "a:draining@x", "a#1:draining")              // they disagree
-	r.view("a", "draining since 2s by consul")
+	r := newTableTest(t, Policy{ProbationMin: sec}, "consul", "platform")
+	r.full(0, "platform", "a b", "a#1:ready; b#2:ready")
+	r.full(1*sec, "consul", "a@x c", "a#1:ready moved to h:ax; c#3:ready") // the first source's address counts
+	r.changes(2*sec, "consul", "a:draining@x", "a#1:draining")             // they disagree
+	r.wantStatus("a", "draining since 2s by consul")
 	r.changes(3*sec, "platform", "a:draining", "")
 	r.changes(4*sec, "consul", "a@x", "") // the other is late: it still says draining
-	r.view("a", "draining since 2s by platform")
+	r.wantStatus("a", "draining since 2s by platform")
 	r.changes(14*sec, "platform", "a", "") // by 10 s
 	r.tick(15*sec, "a#1:ready")
 	r.changes(16*sec, "consul", "c:gone", "c#3:gone")               // which only one of them knew
@@ -225,24 +225,24 @@
 
 // A source that fails keeps its last words, and they are marked.
 func TestASourceThatFails(t *testing.T) {
-	r := newRig(t, Rules{}, "s")
-	r.whole(0, "s", "a b", "a#1:ready; b#2:ready")
-	if cs := failed(r.tb, 1*sec, "s"); len(cs) > 0 {
+	r := newTableTest(t, Policy{}, "s")
+	r.full(0, "s", "a b", "a#1:ready; b#2:ready")
+	if cs := reportFailure(r.tb, 1*sec, "s"); len(cs) > 0 {
 		t.Errorf("%v", cs)
 	}
 	r.tick(time.Hour, "")
-	r.view("a", "ready since 0s by s, old")
-	r.whole(time.Hour, "s", "a c", "c#3:ready; b#2:gone") // the difference alone
-	r.view("a", "ready since 0s by s")
+	r.wantStatus("a", "ready since 0s by s, old")
+	r.full(time.Hour, "s", "a c", "c#3:ready; b#2:gone") // the difference alone
+	r.wantStatus("a", "ready since 0s by s")
 }
 
 // One whose process or registration is new is a new one at the same name: it is cold, and connections lead nowhere.
 func TestStartedAnew(t *testing.T) {
-	r := newRig(t, Rules{}, "s", "o")
+	r := newTableTest(t, Policy{}, "s", "o")
 	r.changes(100*sec, "s", "a^90", "a#1:ready^90")
-	r.view("a", "cold since 1m40s by s")
+	r.wantStatus("a", "cold since 1m40s by s")
 	r.tick(106*sec, "")
-	r.view("a", "ready since 1m40s by s")
+	r.wantStatus("a", "ready since 1m40s by s")
 	r.changes(110*sec, "s", "a^109", "a#1:ready^109 moved to h:a")
 	r.changes(111*sec, "o", "a^105", "") // an older word
 	r.changes(112*sec, "o", "a^111", "a#1:ready^111 moved to h:a")
@@ -252,56 +252,58 @@
 }
 
 func TestWhatMakesNoSense(t *testing.T) {
-	tb := NewTable(Rules{Most: 2}, origins("s")...)
-	cs, bad := tb.Report(0, "s", List{Nodes: []Node{{Name: ""}, {Name: "a"}, {Name: "b", Addr: "h", State: 7},
-		{Name: "c", Addr: "h"}, {Name: "d", Addr: "h"}, {Name: "e", Addr: "h"}}}, starts)
-	if len(cs) != 2 || len(bad) != 3 || tb.Len() != 2 || tb.Passed() != 1 {
-		t.Errorf("%s, %v, %d kept, %d passed over", tell(cs), bad, tb.Len(), tb.Passed())
+	tb := NewTable(Policy{MaxNodes: 2}, sourceInfos("s")...)
+	cs, bad := tb.Report(0, "s", Update{Nodes: []Node{{Name: ""}, {Name: "a"}, {Name: "b", Addr: "h", State: 7},
+		{Name: "c", Addr: "h"}, {Name: "d", Addr: "h"}, {Name: "e", Addr: "h"}}}, startOffset)
+	if len(cs) != 2 || len(bad) != 3 || tb.Len() != 2 || tb.SkippedEntries() != 1 {
+		t.Errorf("%s, %v, %d kept, %d passed over", formatChanges(cs), bad, tb.Len(), tb.SkippedEntries())
 	}
 	for i := range 10_000 { // names that are ever new
 		name := fmt.Sprint("n", i)
-		tb.Report(0, "s", List{Whole: true, Nodes: []Node{{Name: name, Addr: "h"}}}, starts)
-		tb.Report(0, "s", List{Nodes: []Node{{Name: name, Addr: "h", State: decision.Draining}}}, starts)
+		tb.Report(0, "s", Update{Full: true, Nodes: []Node{{Name: name, Addr: "h"}}}, startOffset)
+		tb.Report(0, "s", Update{Nodes: []Node{{Name: name, Addr: "h", State: decision.Draining}}}, startOffset)
 	}
-	if tb.Len() > 2 || len(tb.waits) > 2 {
-		t.Errorf("%d nodes, %d waits", tb.Len(), len(tb.waits))
+	if tb.Len() > 2 || len(tb.queue) > 2 {
+		t.Errorf("%d nodes, %d waits", tb.Len(), len(tb.queue))
 	}
 }
 
 // model is the table's rules told once more, without a thought for cost: what each source said last.
 type model struct {
-	words map[string]map[string]Node // by node, by source
+	reports map[string]map[string]Node // by node, by source
 }
 
-func (m *model) say(source string, l List) {
-	if l.Whole {
-		for _, w := range m.words {
+func (m *model) apply(source string, l Update) {
+	if l.Full {
+		for _, w := range m.reports {
 			delete(w, source)
 		}
 	}
 	for _, n := range l.Nodes {
-		if m.words[n.Name] == nil {
-			m.words[n.Name] = map[string]Node{}
+		if m.reports[n.Name] == nil {
+			m.reports[n.Name] = map[string]Node{}
 		}
-		if n.State == decision.Gone {
-			delete(m.words[n.Name], source)
+		if n.State == decision.Removed {
+			delete(m.reports[n.Name], source)
 		} else {
-			m.words[n.Name][source] = n
+			m.reports[n.Name][source] = n
 		}
 	}
 }
 
-// failed tells a table that a source can't be heard.
-func failed(tb *Table, now time.Duration, source string) []Change {
-	return first(tb.Report(now, source, List{Failed: errors.New("cut")}, starts))
+// reportFailure tells a table that a source can't be heard.
+func reportFailure(tb *Table, now time.Duration, source string) []Change {
+	return changesOf(tb.Report(now, source, Update{Err: errors.New("cut")}, startOffset))
 }
 
-// doubts tells whether a table keeps what a source's whole list lacks.
-func doubts(tb *Table, source string) bool { return len(tb.origins[tb.source(source)].lacked) > 0 }
+// doubtsRemoval tells whether a table keeps what a source's whole list lacks.
+func doubtsRemoval(tb *Table, source string) bool {
+	return len(tb.sources[tb.sourceIndex(source)].missing) > 0
+}
 
-// lacked tells whether a node is kept although a whole list lacks it.
-func lacked(tb *Table, name string) bool {
-	return slices.ContainsFunc(tb.origins, func(o origin) bool { return o.lacked[name] != nil })
+// isMissing tells whether a node is kept although a whole list lacks it.
+func isMissing(tb *Table, name string) bool {
+	return slices.ContainsFunc(tb.sources, func(o source) bool { return o.missing[name] != nil })
 }
 
 // Whatever sources say in whatever order: what was emitted adds up to what a table believes, nothing that any
@@ -311,15 +313,15 @@
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		sources := []string{"x", "y", "z"}[:1+rng.IntN(3)]
-		tb := NewTable(Rules{HoldFirst: sec, HoldMost: 8 * sec, Forget: 10 * sec}, origins(sources...)...)
-		m := &model{words: map[string]map[string]Node{}}
+		tb := NewTable(Policy{ProbationMin: sec, ProbationMax: 8 * sec, ProbationReset: 10 * sec}, sourceInfos(sources...)...)
+		m := &model{reports: map[string]map[string]Node{}}
 		known := map[string]Change{}
 		ids := map[decision.BackendID]string{}
 		now := time.Duration(0)
 		see := func(cs []Change) {
 			for _, c := range cs {
 				old, was := known[c.Name]
-				if was && old.ID != c.ID || !was && ids[c.ID] != "" || !was && c.State == decision.Gone {
+				if was && old.ID != c.ID || !was && ids[c.ID] != "" || !was && c.State == decision.Removed {
 					t.Fatalf("seed %d: %+v after %+v", seed, c, old)
 				}
 				if was && old == c {
@@ -327,7 +329,7 @@
 				}
 				ids[c.ID] = c.Name
 				known[c.Name] = c
-				if c.State == decision.Gone {
+				if c.State == decision.Removed {
 					delete(known, c.Name)
 				}
 			}
@@ -335,36 +337,36 @@
 		for range 100 {
 			now += time.Duration(rng.IntN(3000)) * time.Millisecond
 			source := sources[rng.IntN(len(sources))]
-			l := List{Whole: rng.IntN(4) == 0}
+			l := Update{Full: rng.IntN(4) == 0}
 			for _, name := range []string{"a", "b", "c", "d"} {
 				if rng.IntN(2) == 0 {
 					l.Nodes = append(l.Nodes, Node{Name: name, Addr: fmt.Sprint("h:", rng.IntN(3)), State: decision.BackendState(rng.IntN(3)),
-						Started: []time.Time{{}, time.Unix(int64(rng.IntN(5)), 0)}[rng.IntN(2)]})
+						StartedAt: []time.Time{{}, time.Unix(int64(rng.IntN(5)), 0)}[rng.IntN(2)]})
 				}
 			}
 			switch rng.IntN(5) {
 			case 0:
 				see(tb.Tick(now))
 			case 1:
-				see(failed(tb, now, source))
+				see(reportFailure(tb, now, source))
 			default:
-				cs, bad := tb.Report(now, source, l, starts)
+				cs, bad := tb.Report(now, source, l, startOffset)
 				if len(bad) > 0 {
 					t.Fatal(bad)
 				}
 				see(cs)
-				m.say(source, l)
-				doubtful := doubts(tb, source) // and what is said twice may end a doubt
-				if cs, _ := tb.Report(now, source, l, starts); len(cs) > 0 && !doubtful {
-					t.Fatalf("seed %d: said twice: %s", seed, tell(cs))
+				m.apply(source, l)
+				doubtful := doubtsRemoval(tb, source) // and what is said twice may end a doubt
+				if cs, _ := tb.Report(now, source, l, startOffset); len(cs) > 0 && !doubtful {
+					t.Fatalf("seed %d: said twice: %s", seed, formatChanges(cs))
 				} else {
 					see(cs)
 				}
 			}
-			for name, words := range m.words {
+			for name, words := range m.reports {
 				careful := slices.ContainsFunc(sources, func(s string) bool { n, ok := words[s]; return ok && n.State == decision.Draining })
 				c, ok := known[name]
-				if !ok && len(words) > 0 || ok && len(words) == 0 && !lacked(tb, name) || ok && careful && c.State == decision.Ready {
+				if !ok && len(words) > 0 || ok && len(words) == 0 && !isMissing(tb, name) || ok && careful && c.State == decision.Ready {
 					t.Fatalf("seed %d: %s is %+v (%v), and the sources say %+v", seed, name, c, ok, words)
 				}
 			}
@@ -373,9 +375,9 @@
 		for at, ok := tb.Next(); ok && at <= now+2*time.Hour; at, ok = tb.Next() {
 			see(tb.Tick(at))
 		}
-		for name, words := range m.words {
+		for name, words := range m.reports {
 			careful := slices.ContainsFunc(sources, func(s string) bool { n, ok := words[s]; return ok && n.State == decision.Draining })
-			if c, ok := known[name]; ok && !careful && c.State != decision.Ready && !lacked(tb, name) {
+			if c, ok := known[name]; ok && !careful && c.State != decision.Ready && !isMissing(tb, name) {
 				t.Fatalf("seed %d: %s is out for good: %+v", seed, name, c)
 			}
 		}
@@ -384,29 +386,29 @@
 
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
-		list := List{Whole: true}
+		list := Update{Full: true}
 		for i := range n {
 			list.Nodes = append(list.Nodes, Node{Name: fmt.Sprint("node-", i), Addr: fmt.Sprint("10.0.0.1:", i), Zone: "z", Cell: i % 20})
 		}
 		b.Run(fmt.Sprintf("change/%d", n), func(b *testing.B) {
-			tb := NewTable(Rules{}, origins("s")...)
-			tb.Report(0, "s", list, starts)
+			tb := NewTable(Policy{}, sourceInfos("s")...)
+			tb.Report(0, "s", list, startOffset)
 			b.ReportAllocs()
 			now := time.Duration(0)
 			for i := 0; b.Loop(); i++ {
 				now += sec
 				one := list.Nodes[i%n]
 				one.State = decision.BackendState(i / n % 2)
-				tb.Report(now, "s", List{Nodes: []Node{one}}, starts)
+				tb.Report(now, "s", Update{Nodes: []Node{one}}, startOffset)
 			}
 		})
 		b.Run(fmt.Sprintf("whole/%d", n), func(b *testing.B) {
-			tb := NewTable(Rules{}, origins("s")...)
+			tb := NewTable(Policy{}, sourceInfos("s")...)
 			b.ReportAllocs()
 			now := time.Duration(0)
 			for b.Loop() {
 				now += sec
-				tb.Report(now, "s", list, starts)
+				tb.Report(now, "s", list, startOffset)
 			}
 		})
 	}
@@ -418,25 +420,25 @@
 	all := "a b c d e f"
 	ready := "a#1:ready; b#2:ready; c#3:ready; d#4:ready; e#5:ready; f#6:ready"
 	t.Run("most", func(t *testing.T) {
-		r := newRig(t, Rules{}, "s")
-		r.whole(0, "s", all, ready)
-		r.whole(1*sec, "s", "a b:draining g", "b#2:draining; g#7:ready") // lacks four of six
-		r.view("c", "ready since 0s by s")
-		if !doubts(r.tb, "s") {
+		r := newTableTest(t, Policy{}, "s")
+		r.full(0, "s", all, ready)
+		r.full(1*sec, "s", "a b:draining g", "b#2:draining; g#7:ready") // lacks four of six
+		r.wantStatus("c", "ready since 0s by s")
+		if !doubtsRemoval(r.tb, "s") {
 			t.Error("it does not doubt")
 		}
 		r.tick(10*sec, "") // it was said once only
-		r.whole(11*sec, "s", "a b:draining d g", "c#3:gone; e#5:gone; f#6:gone")
-		r.view("d", "ready since 0s by s")
-		if doubts(r.tb, "s") {
+		r.full(11*sec, "s", "a b:draining d g", "c#3:gone; e#5:gone; f#6:gone")
+		r.wantStatus("d", "ready since 0s by s")
+		if doubtsRemoval(r.tb, "s") {
 			t.Error("it doubts still")
 		}
 	})
 	t.Run("said twice, then due", func(t *testing.T) {
-		r := newRig(t, Rules{}, "s")
-		r.whole(0, "s", all, ready)
-		r.whole(1*sec, "s", "a b", "")
-		r.whole(1200*time.Millisecond, "s", "a b", "")
+		r := newTableTest(t, Policy{}, "s")
+		r.full(0, "s", all, ready)
+		r.full(1*sec, "s", "a b", "")
+		r.full(1200*time.Millisecond, "s", "a b", "")
 		if at, ok := r.tb.Next(); !ok || at != 2500*time.Millisecond {
 			t.Errorf("next at %v, %v", at, ok)
 		}
@@ -445,68 +447,68 @@
 		if at, ok := r.tb.Next(); ok {
 			t.Errorf("it waits for its source alone, and for %v", at)
 		}
-		r.whole(3*sec, "s", "a b", "c#3:gone; d#4:gone; e#5:gone; f#6:gone")
-		r.whole(4*sec, "s", all, "c#7:draining; d#8:draining; e#9:draining; f#10:draining") // back, and not trusted at once
+		r.full(3*sec, "s", "a b", "c#3:gone; d#4:gone; e#5:gone; f#6:gone")
+		r.full(4*sec, "s", all, "c#7:draining; d#8:draining; e#9:draining; f#10:draining") // back, and not trusted at once
 		r.tick(5*sec, "c#7:ready; d#8:ready; e#9:ready; f#10:ready")
 	})
 	t.Run("little by little", func(t *testing.T) { // a source that loses most nodes and then the rest has lost more, not less
-		r := newRig(t, Rules{}, "s")
-		r.whole(0, "s", all, ready)
-		r.whole(1*sec, "s", "a b", "")
-		r.whole(2*sec, "s", "a", "") // b counts from now
+		r := newTableTest(t, Policy{}, "s")
+		r.full(0, "s", all, ready)
+		r.full(1*sec, "s", "a b", "")
+		r.full(2*sec, "s", "a", "") // b counts from now
 		r.tick(2500*time.Millisecond, "")
-		r.whole(2600*time.Millisecond, "s", "a", "c#3:gone; d#4:gone; e#5:gone; f#6:gone")
-		r.view("b", "ready since 0s by s")
+		r.full(2600*time.Millisecond, "s", "a", "c#3:gone; d#4:gone; e#5:gone; f#6:gone")
+		r.wantStatus("b", "ready since 0s by s")
 		r.tick(3500*time.Millisecond, "")
-		r.whole(3600*time.Millisecond, "s", "a b", "") // and was not gone
-		r.whole(4*sec, "s", "a", "b#2:gone")           // one of two that are left is no failure of the source
+		r.full(3600*time.Millisecond, "s", "a b", "") // and was not gone
+		r.full(4*sec, "s", "a", "b#2:gone")           // one of two that are left is no failure of the source
 	})
 	t.Run("half", func(t *testing.T) {
-		r := newRig(t, Rules{}, "s")
-		r.whole(0, "s", all, ready)
-		r.whole(1*sec, "s", "a b c", "d#4:gone; e#5:gone; f#6:gone")
-		r.whole(2*sec, "s", "a", "b#2:gone; c#3:gone") // two are too few to be doubted
+		r := newTableTest(t, Policy{}, "s")
+		r.full(0, "s", all, ready)
+		r.full(1*sec, "s", "a b c", "d#4:gone; e#5:gone; f#6:gone")
+		r.full(2*sec, "s", "a", "b#2:gone; c#3:gone") // two are too few to be doubted
 	})
 	t.Run("all", func(t *testing.T) {
-		r := newRig(t, Rules{}, "s")
-		r.whole(0, "s", "a", "a#1:ready")
-		r.whole(1*sec, "s", "", "")
-		r.whole(2*sec, "s", "", "")
+		r := newTableTest(t, Policy{}, "s")
+		r.full(0, "s", "a", "a#1:ready")
+		r.full(1*sec, "s", "", "")
+		r.full(2*sec, "s", "", "")
 		r.tick(300*sec, "")
-		r.whole(300*sec, "s", "a", "") // and is back as if nothing had been
+		r.full(300*sec, "s", "a", "") // and is back as if nothing had been
 		r.tick(400*sec, "")
-		r.whole(401*sec, "s", "", "")
-		r.whole(402*sec, "s", "", "")
+		r.full(401*sec, "s", "", "")
+		r.full(402*sec, "s", "", "")
 		r.tick(701*sec, "")
 		r.tick(702*sec, "")
-		r.whole(703*sec, "s", "", "a#1:gone")
+		r.full(703*sec, "s", "", "a#1:gone")
 	})
 	t.Run("anew", func(t *testing.T) {
-		r := newRig(t, Rules{}, "s")
-		r.whole(0, "s", all, ready)
-		r.want(1*sec, first(r.tb.Report(1*sec, "s", List{Whole: true, Anew: true, Nodes: nodes("a b")}, starts)), "")
-		r.whole(10*sec, "s", "a b c d e", "")       // f alone is lacked, and still only not back yet
-		r.whole(11*sec, "s", "a b c d", "e#5:gone") // e was back, and has gone since
-		r.view("f", "ready since 0s by s")
+		r := newTableTest(t, Policy{}, "s")
+		r.full(0, "s", all, ready)
+		r.want(1*sec, changesOf(r.tb.Report(1*sec, "s", Update{Full: true, SourceReset: true, Nodes: parseNodes("a b")}, startOffset)), "")
+		r.full(10*sec, "s", "a b c d e", "")       // f alone is lacked, and still only not back yet
+		r.full(11*sec, "s", "a b c d", "e#5:gone") // e was back, and has gone since
+		r.wantStatus("f", "ready since 0s by s")
 		r.tick(301*sec, "")
-		r.whole(310*sec, "s", "a b c d", "f#6:gone")
+		r.full(310*sec, "s", "a b c d", "f#6:gone")
 	})
 	t.Run("fails meanwhile", func(t *testing.T) {
-		r := newRig(t, Rules{}, "s")
-		r.whole(0, "s", all, ready)
-		r.whole(1*sec, "s", "a b", "")
-		r.whole(2*sec, "s", "a b", "")
-		failed(r.tb, 2200*time.Millisecond, "s")
+		r := newTableTest(t, Policy{}, "s")
+		r.full(0, "s", all, ready)
+		r.full(1*sec, "s", "a b", "")
+		r.full(2*sec, "s", "a b", "")
+		reportFailure(r.tb, 2200*time.Millisecond, "s")
 		r.tick(60*sec, "")
-		r.whole(61*sec, "s", "a b", "") // once more, and since it failed
+		r.full(61*sec, "s", "a b", "") // once more, and since it failed
 		r.tick(64*sec, "")
-		r.whole(65*sec, "s", "a b", "c#3:gone; d#4:gone; e#5:gone; f#6:gone")
+		r.full(65*sec, "s", "a b", "c#3:gone; d#4:gone; e#5:gone; f#6:gone")
 	})
 	t.Run("a plain source", func(t *testing.T) {
-		r := newRig(t, Rules{}, "s!")
-		r.whole(0, "s", all, ready)
-		r.whole(1*sec, "s", "", "a#1:gone; b#2:gone; c#3:gone; d#4:gone; e#5:gone; f#6:gone")
-		r.whole(2*sec, "s", "a", "a#7:ready")
+		r := newTableTest(t, Policy{}, "s!")
+		r.full(0, "s", all, ready)
+		r.full(1*sec, "s", "", "a#1:gone; b#2:gone; c#3:gone; d#4:gone; e#5:gone; f#6:gone")
+		r.full(2*sec, "s", "a", "a#7:ready")
 		r.changes(3*sec, "s", "a:draining", "a#7:draining")
 		r.changes(4*sec, "s", "a", "a#7:ready")
 	})
@@ -516,31 +518,31 @@
 // it counts anew.
 func TestALossOverAPause(t *testing.T) {
 	for _, ticks := range []bool{false, true} {
-		r := newRig(t, Rules{}, "s")
-		r.whole(0, "s", "a b c d e f", "a#1:ready; b#2:ready; c#3:ready; d#4:ready; e#5:ready; f#6:ready")
-		r.whole(1*sec, "s", "a", "")
-		r.whole(1200*time.Millisecond, "s", "a", "")
+		r := newTableTest(t, Policy{}, "s")
+		r.full(0, "s", "a b c d e f", "a#1:ready; b#2:ready; c#3:ready; d#4:ready; e#5:ready; f#6:ready")
+		r.full(1*sec, "s", "a", "")
+		r.full(1200*time.Millisecond, "s", "a", "")
 		if ticks {
 			r.tick(4*sec, "")
 		}
-		r.whole(4*sec, "s", "a", "") // it waited meanwhile
-		r.whole(4100*time.Millisecond, "s", "a b", "")
+		r.full(4*sec, "s", "a", "") // it waited meanwhile
+		r.full(4100*time.Millisecond, "s", "a b", "")
 		r.tick(5400*time.Millisecond, "")
-		r.whole(5500*time.Millisecond, "s", "a b", "c#3:gone; d#4:gone; e#5:gone; f#6:gone")
+		r.full(5500*time.Millisecond, "s", "a b", "c#3:gone; d#4:gone; e#5:gone; f#6:gone")
 	}
 }
 
-func first(cs []Change, _ []error) []Change { return cs }
+func changesOf(cs []Change, _ []error) []Change { return cs }
 
 // A node that comes and goes under the same name has to earn its place as one that is critical now and then does.
 func TestComingAndGoing(t *testing.T) {
-	r := newRig(t, Rules{}, "s")
+	r := newTableTest(t, Policy{}, "s")
 	r.changes(0, "s", "a b", "a#1:ready; b#2:ready")
 	taken, events := 0, 0
 	for i := range 60 {
 		now := time.Duration(i+1) * sec
 		word := []string{"a:gone", "a"}[i%2]
-		for _, cs := range [][]Change{r.tb.Tick(now), first(r.tb.Report(now, "s", List{Nodes: nodes(word)}, starts))} {
+		for _, cs := range [][]Change{r.tb.Tick(now), changesOf(r.tb.Report(now, "s", Update{Nodes: parseNodes(word)}, startOffset))} {
 			for _, c := range cs {
 				events++
 				if c.State == decision.Ready {
@@ -557,29 +559,29 @@
 	}
 	r.changes(70*sec, "s", "a:gone", "a#32:gone")
 	r.changes(20*60*sec, "s", "a", "a#33:ready") // long forgotten
-	if len(r.tb.ghosts) > 0 || len(r.tb.order) > 0 {
-		t.Errorf("%d ghosts, %d in order", len(r.tb.ghosts), len(r.tb.order))
+	if len(r.tb.tombstones) > 0 || len(r.tb.tombstoneOrder) > 0 {
+		t.Errorf("%d ghosts, %d in order", len(r.tb.tombstones), len(r.tb.tombstoneOrder))
 	}
 	for i := range 30_000 { // names that are ever new, gone at once
 		r.changes(21*60*sec, "s", fmt.Sprintf("n%d", i), fmt.Sprintf("n%d#%d:ready", i, 34+i))
 		r.changes(21*60*sec, "s", fmt.Sprintf("n%d:gone", i), fmt.Sprintf("n%d#%d:gone", i, 34+i))
 	}
-	if len(r.tb.ghosts) > 20_001 || len(r.tb.order) > 20_001 {
-		t.Errorf("%d ghosts, %d in order", len(r.tb.ghosts), len(r.tb.order))
+	if len(r.tb.tombstones) > 20_001 || len(r.tb.tombstoneOrder) > 20_001 {
+		t.Errorf("%d ghosts, %d in order", len(r.tb.tombstones), len(r.tb.tombstoneOrder))
 	}
 }
 
 // What was saved is old until its source is heard.
 func TestSaved(t *testing.T) {
-	r := newRig(t, Rules{}, "s")
-	r.want(0, first(r.tb.Report(0, "s", List{Whole: true, Saved: true, Nodes: nodes("a b")}, starts)), "a#1:ready; b#2:ready")
-	r.view("a", "ready since 0s by s, old")
+	r := newTableTest(t, Policy{}, "s")
+	r.want(0, changesOf(r.tb.Report(0, "s", Update{Full: true, Cached: true, Nodes: parseNodes("a b")}, startOffset)), "a#1:ready; b#2:ready")
+	r.wantStatus("a", "ready since 0s by s, old")
 	r.changes(1*sec, "s", "a", "") // of the rest nothing is known
-	r.view("b", "ready since 0s by s, old")
-	r.whole(2*sec, "s", "a b", "")
-	r.view("a", "ready since 0s by s")
-	failed(r.tb, 3*sec, "s")
-	r.view("a", "ready since 0s by s, old")
+	r.wantStatus("b", "ready since 0s by s, old")
+	r.full(2*sec, "s", "a b", "")
+	r.wantStatus("a", "ready since 0s by s")
+	reportFailure(r.tb, 3*sec, "s")
+	r.wantStatus("a", "ready since 0s by s, old")
 }
 
 // BenchmarkServices is a table of twenty services of one catalogue, each a source: what one change costs, alone and as
@@ -588,19 +590,19 @@
 	const services = 20
 	for _, n := range []int{100, 1000, 10_000} {
 		var names []string
-		lists := make([]List, services)
+		lists := make([]Update, services)
 		for s := range services {
 			names = append(names, fmt.Sprint("consul:service-", s))
-			lists[s].Whole = true
+			lists[s].Full = true
 		}
 		for i := range n {
 			l := &lists[i%services]
 			l.Nodes = append(l.Nodes, Node{Name: fmt.Sprint("node-", i, "/instance"), Addr: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "z", Cell: i % 50, Weight: 1})
 		}
 		fill := func() *Table {
-			tb := NewTable(Rules{}, origins(names...)...)
+			tb := NewTable(Policy{}, sourceInfos(names...)...)
 			for s := range lists {
-				tb.Report(0, names[s], lists[s], starts)
+				tb.Report(0, names[s], lists[s], startOffset)
 			}
 			return tb
 		}
@@ -615,7 +617,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				s, node := turn(i)
-				tb.Report(time.Duration(i), names[s], List{Nodes: []Node{node}}, starts)
+				tb.Report(time.Duration(i), names[s], Update{Nodes: []Node{node}}, startOffset)
 			}
 		})
 		b.Run(fmt.Sprintf("service/%d", n), func(b *testing.B) {
@@ -623,9 +625,9 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				s, node := turn(i)
-				l := List{Whole: true, Nodes: slices.Clone(lists[s].Nodes)}
+				l := Update{Full: true, Nodes: slices.Clone(lists[s].Nodes)}
 				l.Nodes[i/services%len(l.Nodes)] = node
-				tb.Report(time.Duration(i), names[s], l, starts)
+				tb.Report(time.Duration(i), names[s], l, startOffset)
 			}
 		})
 		b.Run(fmt.Sprintf("all/%d", n), func(b *testing.B) {
@@ -649,10 +651,10 @@
 
 // A node that one source lets go keeps the start that another has told, and its connections.
 func TestLetGoByOneSource(t *testing.T) {
-	r := newRig(t, Rules{}, "s", "o!")
-	r.whole(1*sec, "o", "a^90 b^90 c^90 d^90", "a#1:ready^90; b#2:ready^90; c#3:ready^90; d#4:ready^90")
-	r.whole(2*sec, "s", "a b c d", "")
-	r.whole(3*sec, "s", "a b c", "")
-	r.whole(4*sec, "s", "a", "")
+	r := newTableTest(t, Policy{}, "s", "o!")
+	r.full(1*sec, "o", "a^90 b^90 c^90 d^90", "a#1:ready^90; b#2:ready^90; c#3:ready^90; d#4:ready^90")
+	r.full(2*sec, "s", "a b c d", "")
+	r.full(3*sec, "s", "a b c", "")
+	r.full(4*sec, "s", "a", "")
 	r.changes(5*sec, "s", "a:gone", "")
 }
