--- a/middleware/gin/gin.go
+++ b/middleware/gin/gin.go
@@ -18,7 +18,7 @@
 
 // New makes the middleware; add it with Use, to the engine or to a group. For gin to run it on paths that have no
 // handler of their own, use it on the engine or give those paths a route: Serve is a handler for that.
-func New(d *pumicecroft.Door, options ...middleware.Option) gin.HandlerFunc {
+func New(d *pumicecroft.Gateway, options ...middleware.Option) gin.HandlerFunc {
 	c := middleware.New(d, options...)
 	return func(g *gin.Context) {
 		if c.Takes(g.Request.URL.Path) {
@@ -28,17 +28,17 @@
 }
 
 // Serve is a handler that passes whatever it is given through the Door.
-func Serve(d *pumicecroft.Door, options ...middleware.Option) gin.HandlerFunc {
+func Serve(d *pumicecroft.Gateway, options ...middleware.Option) gin.HandlerFunc {
 	c := middleware.New(d, options...)
 	return func(g *gin.Context) { serve(d, g, c.Mapper) }
 }
 
-func serve(d *pumicecroft.Door, g *gin.Context, m pumicecroft.Mapper) {
+func serve(d *pumicecroft.Gateway, g *gin.Context, m pumicecroft.Mapper) {
 	g.Abort()
 	if m == nil {
 		m = d.PlatformRequest
 	}
-	answer, err := d.Ask(g.Writer, g.Request, func(r *http.Request) (pumicecroft.Request, error) {
+	answer, err := d.DoHTTP(g.Writer, g.Request, func(r *http.Request) (pumicecroft.Request, error) {
 		req, err := m(r)
 		if body, ok := g.Get(gin.BodyBytesKey); ok && req.Body == nil {
 			req.Body, _ = body.([]byte)
@@ -54,5 +54,5 @@
 		g.Status(http.StatusGatewayTimeout)
 		return
 	}
-	pumicecroft.WriteAnswer(g.Writer, answer, err)
+	pumicecroft.WriteResponse(g.Writer, answer, err)
 }
--- a/middleware/gin/gin_test.go
+++ b/middleware/gin/gin_test.go
@@ -13,8 +13,8 @@
 	"github.com/gin-gonic/gin/binding"
 
 	"pumicecroft"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/hosttest"
-	"pumicecroft/internal/standin"
 	"pumicecroft/middleware"
 	pumicegin "pumicecroft/middleware/gin"
 )
@@ -50,11 +50,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var hang atomic.Bool
-			r := hosttest.New(t, 2, func(standin.Attempt) standin.Act {
+			r := hosttest.New(t, 2, func(fakes.Attempt) fakes.Act {
 				if hang.Load() {
-					return standin.Hang
+					return fakes.Hang
 				}
-				return standin.Work
+				return fakes.Work
 			}, nil)
 			e := gin.New()
 			var told atomic.Value
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -29,13 +29,13 @@
 func Mapper(m pumicecroft.Mapper) Option { return func(c *Config) { c.Mapper = m } }
 
 // New collects options for a Door.
-func New(d *pumicecroft.Door, options ...Option) Config {
+func New(d *pumicecroft.Gateway, options ...Option) Config {
 	var c Config
 	for _, o := range options {
 		o(&c)
 	}
 	if len(c.Prefixes) == 0 {
-		for _, name := range d.Classes() {
+		for _, name := range d.ClassNames() {
 			c.Prefixes = append(c.Prefixes, "/"+name)
 		}
 	}
--- a/middleware/nethttp/nethttp.go
+++ b/middleware/nethttp/nethttp.go
@@ -15,7 +15,7 @@
 )
 
 // New makes the middleware. The Door stays the caller's: close it when the host's server has shut down.
-func New(d *pumicecroft.Door, options ...middleware.Option) func(http.Handler) http.Handler {
+func New(d *pumicecroft.Gateway, options ...middleware.Option) func(http.Handler) http.Handler {
 	c := middleware.New(d, options...)
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/middleware/nethttp/nethttp_test.go
+++ b/middleware/nethttp/nethttp_test.go
@@ -18,8 +18,8 @@
 
 	"pumicecroft"
 	"pumicecroft/decision"
+	"pumicecroft/internal/fakes"
 	"pumicecroft/internal/hosttest"
-	"pumicecroft/internal/standin"
 	"pumicecroft/middleware"
 	"pumicecroft/middleware/nethttp"
 )
@@ -96,11 +96,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var hang atomic.Bool
-			r := hosttest.New(t, 2, func(standin.Attempt) standin.Act {
+			r := hosttest.New(t, 2, func(fakes.Attempt) fakes.Act {
 				if hang.Load() {
-					return standin.Hang
+					return fakes.Hang
 				}
-				return standin.Work
+				return fakes.Work
 			}, nil)
 			addr := hosttest.Serve(t, c.host(nethttp.New(r.Door)(http.HandlerFunc(own))), quiet)
 			for range 10 { // TimeoutHandler picks by chance if the handler returns too soon
@@ -269,7 +269,7 @@
 	if reply := hosttest.Do(t, r.Ask("look"), addr); reply.Status != 500 {
 		t.Errorf("%v", reply)
 	}
-	if r.Door.Open() != 0 {
+	if r.Door.OpenRequests() != 0 {
 		t.Error("the panic left a request open")
 	}
 	panics = false
@@ -281,9 +281,9 @@
 // A host that runs its handlers again, as retry middleware does, must not make an effect happen twice, on whatever
 // backend the repeat would end.
 func TestAHostThatReplaysHandlers(t *testing.T) {
-	for _, act := range []standin.Act{standin.RunAndBreak, standin.RunAndError, standin.Work} {
+	for _, act := range []fakes.Act{fakes.RunAndBreak, fakes.RunAndError, fakes.Work} {
 		for _, class := range []string{"pay", "once"} {
-			r := hosttest.New(t, 1, standin.Once(act), nil)
+			r := hosttest.New(t, 1, fakes.Once(act), nil)
 			h := nethttp.New(r.Door)(http.HandlerFunc(own))
 			addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 				body, _ := io.ReadAll(req.Body)
@@ -354,8 +354,8 @@
 	var addrs []string
 	for me := range 2 {
 		r := hosttest.New(t, 1, nil, func(c *pumicecroft.Config) {
-			c.Settings.FrontDoors, c.Settings.Me = 2, me
-			c.Settings.Plans = []decision.Plan{{Name: "shop", Rate: 1000, Burst: 1000, Price: 1, CeilingRate: rate, CeilingBurst: burst, CeilingSlack: 4}}
+			c.Settings.GatewayCount, c.Settings.GatewayIndex = 2, me
+			c.Settings.Plans = []decision.Plan{{Name: "shop", Rate: 1000, Burst: 1000, Price: 1, HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: 4}}
 		}, pumicecroft.WithDeployment(dep))
 		rigs = append(rigs, r)
 		addrs = append(addrs, hosttest.Serve(t, nethttp.New(r.Door)(http.HandlerFunc(own)), nil))
@@ -378,18 +378,18 @@
 	}
 
 	config := hosttest.Config()
-	config.Settings.FrontDoors, config.Settings.Me = 2, 1
-	if _, err := pumicecroft.New(config, pumicecroft.WithDeployment(dep)); !errors.Is(err, pumicecroft.ErrDoorTaken) {
+	config.Settings.GatewayCount, config.Settings.GatewayIndex = 2, 1
+	if _, err := pumicecroft.New(config, pumicecroft.WithDeployment(dep)); !errors.Is(err, pumicecroft.ErrGatewayIndexTaken) {
 		t.Errorf("a number that is taken: %v", err)
 	}
-	config.Settings.FrontDoors, config.Settings.Me = 3, 2
+	config.Settings.GatewayCount, config.Settings.GatewayIndex = 3, 2
 	if _, err := pumicecroft.New(config, pumicecroft.WithDeployment(dep)); !errors.Is(err, pumicecroft.ErrConfig) {
 		t.Errorf("another count of front doors: %v", err)
 	}
 	if err := rigs[1].Door.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
-	config.Settings.FrontDoors, config.Settings.Me = 2, 1
+	config.Settings.GatewayCount, config.Settings.GatewayIndex = 2, 1
 	again, err := pumicecroft.New(config, pumicecroft.WithDeployment(dep))
 	if err != nil {
 		t.Fatalf("a number that was given back: %v", err)
@@ -460,7 +460,7 @@
 
 // A client that resets its stream has left, and its neighbours on the connection have not.
 func TestHTTP2ClientLeaves(t *testing.T) {
-	r := hosttest.New(t, 1, standin.Once(standin.Hang), nil)
+	r := hosttest.New(t, 1, fakes.Once(fakes.Hang), nil)
 	addr := hosttest.Serve(t, nethttp.New(r.Door)(http.HandlerFunc(own)), func(s *http.Server) {
 		s.Protocols = new(http.Protocols)
 		s.Protocols.SetUnencryptedHTTP2(true)
@@ -471,9 +471,9 @@
 	ctx, leave := context.WithCancel(t.Context())
 	a := r.Ask("pay")
 	a.Plan = "one"
-	gone := make(chan standin.Reply, 1)
+	gone := make(chan fakes.Reply, 1)
 	go func() { gone <- a.Do(ctx, tr, addr) }()
-	if !r.Ledger.Await(hosttest.Patience, func(as []standin.Attempt) bool { return len(as) == 1 && as[0].End == "hung" }) {
+	if !r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End == "hung" }) {
 		t.Fatal("the request never came")
 	}
 	if reply := r.Ask("look").Do(t.Context(), tr, addr); reply.String() != "served" {
@@ -516,7 +516,7 @@
 			return pumicecroft.Request{}, errNoShop
 		}
 		if req.FormValue("shop") == "closed" {
-			return pumicecroft.Request{}, &pumicecroft.RefusedError{RetryAfter: 2 * time.Second}
+			return pumicecroft.Request{}, &pumicecroft.RejectedError{RetryAfter: 2 * time.Second}
 		}
 		return pumicecroft.Request{Class: "look", Plan: "shop", Customer: 4, Target: "/look"}, nil
 	}))(http.HandlerFunc(own)), nil)
--- a/purity_test.go
+++ b/purity_test.go
@@ -14,7 +14,7 @@
 
 // purePackages do no I/O, read no clock, take no lock and start no goroutine, so that the same code runs under
 // real sockets, under a virtual clock and in the simulator.
-var purePackages = []string{"decision", "keys", "internal/journal", "internal/simdisk", "routes", "identity", "internal/webwire", "internal/wheel", "internal/roster", "internal/core", "membership", "internal/backoff", "internal/blocking", "internal/pace", "internal/connpool", "internal/httpwire", "internal/registry", "internal/grpcwire", "internal/readings", "internal/sim", "internal/terms", "internal/virtual", "internal/region", "internal/paired", "internal/payoff", "quota", "recovery"}
+var purePackages = []string{"decision", "idempotency", "internal/journal", "internal/simdisk", "routes", "identity", "internal/http1proxy", "internal/timerwheel", "internal/endpointindex", "internal/lifecycle", "membership", "internal/backoff", "internal/blockingquery", "internal/pollbackoff", "internal/connpool", "internal/platformhttp", "internal/consulcatalog", "internal/grpcproto", "internal/loadreport", "internal/sim", "internal/requestmeta", "internal/eventqueue", "internal/emulator", "internal/paired", "internal/reservemodel", "quota", "recovery"}
 
 var impureImports = []string{"net", "os", "sync", "log", "syscall", "context", "io", "runtime", "testing", "unsafe"}
 
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -32,91 +32,91 @@
 	"time"
 
 	"pumicecroft/internal/backoff"
-	"pumicecroft/internal/virtual"
+	"pumicecroft/internal/eventqueue"
 )
 
-// Keep is the life of a pool's name; what is in it then is lost.
-const Keep = time.Minute
+// BucketTTL is the life of a pool's name; what is in it then is lost.
+const BucketTTL = time.Minute
 
-const tiny = 1e-3 // what a total may be off by: it holds seven digits
+const totalTolerance = 1e-3 // what a total may be off by: it holds seven digits
 
 // fullPause is how long nothing is given to a pool that was full.
 var fullPause = backoff.Exponential{Initial: 500 * time.Millisecond, Max: 8 * time.Second}
 
-// Pool is a door's view of one customer's pool. The zero value is of none.
-type Pool struct {
-	key   uint64  // the same at every door: doors that ask for a part of the customers only ask for the same ones
-	most  float64 // that may lie in it
-	keep  float64 // the most that a door holds of its own
-	gift  float64
-	next  time.Duration // no gift before
-	pause time.Duration // since the last one
+// SharedBucket is a door's view of one customer's pool. The zero value is of none.
+type SharedBucket struct {
+	key            uint64  // the same at every door: doors that ask for a part of the customers only ask for the same ones
+	capacity       float64 // that may lie in it
+	localShare     float64 // the most that a door holds of its own
+	surplus        float64
+	nextDepositAt  time.Duration // no gift before
+	depositBackoff time.Duration // since the last one
 }
 
-// NewPool is the pool of a customer under a plan whose ceiling holds burst units, over so many doors, of requests of largest units
+// NewSharedBucket is the pool of a customer under a plan whose ceiling holds burst units, over so many doors, of requests of largest units
 // at most.
-func NewPool(customer uint64, plan string, burst float64, doors int, largest float64) Pool {
-	key := mix(customer)
+func NewSharedBucket(customer uint64, plan string, burst float64, doors int, largest float64) SharedBucket {
+	key := mixBits(customer)
 	for i := range len(plan) {
-		key = mix(key ^ uint64(plan[i]))
+		key = mixBits(key ^ uint64(plan[i]))
 	}
 	part := burst / float64(doors)
-	p := Pool{key: key, keep: part / 2}
-	p.gift = p.keep / 2
+	p := SharedBucket{key: key, localShare: part / 2}
+	p.surplus = p.localShare / 2
 	if part < largest {
-		p.gift = p.keep
-	} else if p.keep < largest {
-		p.keep = largest
+		p.surplus = p.localShare
+	} else if p.localShare < largest {
+		p.localShare = largest
 	}
-	p.most = burst - p.keep*float64(doors)
-	if p.most < largest { // it could lend nothing
-		return Pool{key: key, keep: part}
+	p.capacity = burst - p.localShare*float64(doors)
+	if p.capacity < largest { // it could lend nothing
+		return SharedBucket{key: key, localShare: part}
 	}
 	return p
 }
 
-// Keep is the most that a door holds of its own.
-func (p *Pool) Keep() float64 { return p.keep }
+// LocalShare is the most that a door holds of its own.
+func (p *SharedBucket) LocalShare() float64 { return p.localShare }
 
-// mix spreads all bits of a number over all bits: a step of splitmix64.
-func mix(x uint64) uint64 { return virtual.Mix(x + 0x9e3779b97f4a7c15) }
+// mixBits spreads all bits of a number over all bits: a step of splitmix64.
+func mixBits(x uint64) uint64 { return eventqueue.Mix(x + 0x9e3779b97f4a7c15) }
 
 // Exists tells whether there is one.
-func (p *Pool) Exists() bool { return p.most > 0 }
+func (p *SharedBucket) Exists() bool { return p.capacity > 0 }
 
-// Name is the number's name: below 2^63.
-func (p *Pool) Name() uint64 { return p.key >> 1 }
+// Key is the number's name: below 2^63.
+func (p *SharedBucket) Key() uint64 { return p.key >> 1 }
 
-// Gift is what a door gives that holds all it keeps, or 0 for now.
-func (p *Pool) Gift(now time.Duration) float64 {
-	if now < p.next {
+// Surplus is what a door gives that holds all it keeps, or 0 for now.
+func (p *SharedBucket) Surplus(now time.Duration) float64 {
+	if now < p.nextDepositAt {
 		return 0
 	}
-	return p.gift
+	return p.surplus
 }
 
-// Given takes the total after a gift and returns what must be added to it, below 0: what is over the pool's part. A full
+// Deposited takes the total after a gift and returns what must be added to it, below 0: what is over the pool's part. A full
 // pool is given to less and less often, an emptied one as soon as there is something to give. chance, from 0 to 1, keeps
 // doors apart.
-func (p *Pool) Given(now time.Duration, total, chance float64) float64 {
-	if total >= p.most-tiny {
-		p.pause = fullPause.Next(p.pause)
+func (p *SharedBucket) Deposited(now time.Duration, total, chance float64) float64 {
+	if total >= p.capacity-totalTolerance {
+		p.depositBackoff = fullPause.Next(p.depositBackoff)
 	} else {
-		p.pause = fullPause.Initial
+		p.depositBackoff = fullPause.Initial
 	}
-	p.next = now + time.Duration((0.5+chance)*float64(p.pause))
-	return -max(0, total-p.most)
+	p.nextDepositAt = now + time.Duration((0.5+chance)*float64(p.depositBackoff))
+	return -max(0, total-p.capacity)
 }
 
-// Drawn takes the total after units were taken out. got: they were there. back is what must be added to the total: the units
+// Withdrawn takes the total after units were taken out. got: they were there. back is what must be added to the total: the units
 // again, if they were not there; what is over the pool's part, below 0.
-func (p *Pool) Drawn(units, total float64) (got bool, back float64) {
+func (p *SharedBucket) Withdrawn(units, total float64) (got bool, back float64) {
 	before := total + units
 	switch {
-	case total < -tiny:
+	case total < -totalTolerance:
 		return false, units
-	case before > p.most+tiny: // gifts crossed, or it is another's number: none of it is trusted
-		return false, p.most - total
+	case before > p.capacity+totalTolerance: // gifts crossed, or it is another's number: none of it is trusted
+		return false, p.capacity - total
 	}
 	return true, 0
 }
--- a/quota/pool_test.go
+++ b/quota/pool_test.go
@@ -35,11 +35,11 @@
 		type half struct {
 			have float64
 			at   time.Duration
-			pool Pool
+			pool SharedBucket
 		}
 		all := make([]half, doors)
 		for i := range all {
-			all[i].pool = NewPool(7, "flagship", burst, doors, most)
+			all[i].pool = NewSharedBucket(7, "flagship", burst, doors, most)
 		}
 		truth := account{left: burst}
 		total, now := 0.0, time.Duration(0)
@@ -63,13 +63,13 @@
 				i = rng.IntN(doors)
 			}
 			d := &all[i]
-			part := d.pool.Keep()
+			part := d.pool.LocalShare()
 			d.have = min(part, d.have+rate/float64(doors)*(now-d.at).Seconds())
 			d.at = now
-			if gift := d.pool.Gift(now); gift > 0 && d.have >= part && rng.Float64() < 0.3 {
+			if gift := d.pool.Surplus(now); gift > 0 && d.have >= part && rng.Float64() < 0.3 {
 				d.have -= gift
 				if sum, heard := call(gift, 0); heard {
-					if back := d.pool.Given(now, sum, rng.Float64()); back != 0 {
+					if back := d.pool.Deposited(now, sum, rng.Float64()); back != 0 {
 						call(back, 0)
 					}
 				}
@@ -83,7 +83,7 @@
 				if !heard {
 					continue
 				}
-				got, back := d.pool.Drawn(units, sum)
+				got, back := d.pool.Withdrawn(units, sum)
 				if back != 0 {
 					call(back, max(0, back))
 				}
@@ -114,8 +114,8 @@
 		{"over its half by a gift", 3, 49, false, -2 + 3},
 		{"over its half by more", 3, 60, false, -10},
 	} {
-		p := NewPool(1, "x", 100, 10, 3)
-		if got, back := p.Drawn(c.units, c.total); got != c.got || math.Abs(back-c.back) > 1e-9 {
+		p := NewSharedBucket(1, "x", 100, 10, 3)
+		if got, back := p.Withdrawn(c.units, c.total); got != c.got || math.Abs(back-c.back) > 1e-9 {
 			t.Errorf("%s: %v, back %v; want %v, %v", c.name, got, back, c.got, c.back)
 		}
 	}
@@ -123,75 +123,75 @@
 
 // A full pool is given to ever more seldom, by each door at moments of its own; one that was emptied soon again.
 func TestGiftsArePaced(t *testing.T) {
-	p, now := NewPool(1, "x", 100, 10, 3), time.Duration(0)
+	p, now := NewSharedBucket(1, "x", 100, 10, 3), time.Duration(0)
 	var at []time.Duration
 	for now < 60*time.Second {
-		if p.Gift(now) > 0 {
+		if p.Surplus(now) > 0 {
 			at = append(at, now)
-			p.Given(now, 50, 0.5)
+			p.Deposited(now, 50, 0.5)
 		}
 		now += 100 * time.Millisecond
 	}
 	if n := len(at); n < 8 || n > 14 {
 		t.Errorf("%d gifts in a minute to a full pool: %v", n, at)
 	}
-	p.Given(now, 10, 0.5)
-	if p.Gift(now+time.Second) == 0 {
+	p.Deposited(now, 10, 0.5)
+	if p.Surplus(now+time.Second) == 0 {
 		t.Error("no gift a second after the pool was seen to be low")
 	}
-	if back := p.Given(now, 52, 0); math.Abs(back+2) > 1e-9 {
+	if back := p.Deposited(now, 52, 0); math.Abs(back+2) > 1e-9 {
 		t.Errorf("a gift that is 2 too many takes back %v", back)
 	}
-	none := Pool{}
-	if none.Exists() || none.Gift(now) != 0 {
+	none := SharedBucket{}
+	if none.Exists() || none.Surplus(now) != 0 {
 		t.Error("the zero value is a pool")
 	}
 }
 
 // A counter that is gone is asked by one call at a time, and ever more seldom; one that is crowded for fewer customers.
 func TestLine(t *testing.T) {
-	l, now, p := NewLine(), time.Duration(0), NewPool(1, "x", 100, 10, 3)
+	l, now, p := NewCounterLink(), time.Duration(0), NewSharedBucket(1, "x", 100, 10, 3)
 	asked := 0
 	for ; now < 60*time.Second; now += 50 * time.Millisecond {
-		if l.May(now, &p) {
-			l.Asked()
+		if l.Allow(now, &p) {
+			l.CallStarted()
 			asked++
-			if l.lost >= downAfter && l.May(now, &p) {
+			if l.failures >= downThreshold && l.Allow(now, &p) {
 				t.Fatal("two trials at once")
 			}
-			l.Lost(now, 0.5)
+			l.CallFailed(now, 0.5)
 		}
 	}
 	if asked < 15 || asked > 30 {
 		t.Errorf("%d calls in a minute to a counter that is gone", asked)
 	}
-	l.Asked()
-	l.Answered()
-	if !l.May(now, &p) {
+	l.CallStarted()
+	l.CallSucceeded()
+	if !l.Allow(now, &p) {
 		t.Error("an answer does not bring it back")
 	}
-	l = NewLine()
+	l = NewCounterLink()
 	for range 20 {
-		l.Asked()
-		l.Crowded(now, 0.5)
-		l.Asked()
-		l.Answered()
+		l.CallStarted()
+		l.CallRejected(now, 0.5)
+		l.CallStarted()
+		l.CallSucceeded()
 	}
 	may := 0
 	for c := range 1000 {
-		q := NewPool(uint64(c), "x", 100, 10, 3)
-		if l.May(now, &q) {
+		q := NewSharedBucket(uint64(c), "x", 100, 10, 3)
+		if l.Allow(now, &q) {
 			may++
 		}
 	}
 	if may < 2 || may > 100 {
 		t.Errorf("%d of 1,000 customers are asked for after 20 calls turned away", may)
 	}
-	l = NewLine()
-	for range mostOut {
-		l.Asked()
+	l = NewCounterLink()
+	for range maxCallsInFlight {
+		l.CallStarted()
 	}
-	if l.May(now, &p) {
+	if l.Allow(now, &p) {
 		t.Error("more calls out than the bound")
 	}
 }
@@ -213,17 +213,17 @@
 		{68, 200, 3, 0.17, 34, true, false},
 		{5, 2, 3, 1.25, 2.5, false, false}, // the pool could not lend one
 	} {
-		p := NewPool(1, "x", c.burst, c.doors, c.largest)
+		p := NewSharedBucket(1, "x", c.burst, c.doors, c.largest)
 		if !c.lends {
 			c.keep = c.burst / float64(c.doors)
 		}
-		if p.Exists() != c.lends || p.Keep() != c.keep || p.Exists() && math.Abs(p.most-c.most) > 1e-9 || p.Gift(0) > p.Keep() {
-			t.Errorf("%+v: keeps %v, pool of %v, gifts of %v", c, p.Keep(), p.most, p.Gift(0))
+		if p.Exists() != c.lends || p.LocalShare() != c.keep || p.Exists() && math.Abs(p.capacity-c.most) > 1e-9 || p.Surplus(0) > p.LocalShare() {
+			t.Errorf("%+v: keeps %v, pool of %v, gifts of %v", c, p.LocalShare(), p.capacity, p.Surplus(0))
 		}
-		if p.Exists() && math.Abs(p.Keep()*float64(c.doors)+p.most-c.burst) > 1e-9 {
+		if p.Exists() && math.Abs(p.LocalShare()*float64(c.doors)+p.capacity-c.burst) > 1e-9 {
 			t.Errorf("%+v: parts are not the whole", c)
 		}
-		if c.bear && p.Keep() < c.largest {
+		if c.bear && p.LocalShare() < c.largest {
 			t.Errorf("%+v: a door can let in nothing by itself", c)
 		}
 	}
--- a/recovery/fleet_test.go
+++ b/recovery/fleet_test.go
@@ -24,7 +24,7 @@
 }
 
 type process struct {
-	g     *decision.Gateway
+	g     *decision.Engine
 	until time.Duration // it is away until then
 	kept  *Snapshot
 	spent bool
@@ -35,32 +35,32 @@
 
 func (f *restarts) boot(d *process, me int) {
 	set := f.set
-	set.Me, set.StartSpent = me, true
-	b := Nothing(nil)
+	set.GatewayIndex, set.AssumeQuotaSpent = me, true
+	b := RestoreNothing(nil)
 	if d.kept != nil {
-		b = Begin(d.kept, Door{Number: me, Of: set.FrontDoors, Plans: set.Plans}, time.Unix(0, 0).Add(f.now))
-		set.StartSpent = b.Spent
+		b = Restore(d.kept, GatewayInfo{Index: me, Count: set.GatewayCount, Plans: set.Plans}, time.Unix(0, 0).Add(f.now))
+		set.AssumeQuotaSpent = b.AssumeQuotaSpent
 	}
 	g, err := decision.New(set, f.rng.Uint64(), f.now)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	g.Restore(f.now, b.Customers)
-	g.Handle(f.now, decision.BackendList{Kind: decision.ListFull, Backends: []decision.BackendInfo{{ID: 1}}}, nil)
-	d.g, d.spent, d.began = g, set.StartSpent, f.now
+	g.Handle(f.now, decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: []decision.Endpoint{{ID: 1}}}, nil)
+	d.g, d.spent, d.began = g, set.AssumeQuotaSpent, f.now
 }
 
 func (f *restarts) keep(d *process, me int) {
-	debtors := NewDebtors(f.set.Plans, MostCustomers)
+	debtors := NewQuotaDebts(f.set.Plans, MaxCustomers)
 	d.g.Handle(f.now, decision.Timer{Token: 1 << 40}, nil) // its clock
 	for c, owes := range d.g.Customers() {
 		if owes {
 			debtors.Add(c)
 		}
 	}
-	s := &Snapshot{Door: me, Of: f.set.FrontDoors, At: time.Unix(0, 0).Add(f.now)}
-	s.Customers, s.Whole = debtors.All()
-	s.Whole = s.Whole && (!d.spent || f.now-d.began >= Refilled(f.set.Plans))
+	s := &Snapshot{GatewayIndex: me, GatewayCount: f.set.GatewayCount, TakenAt: time.Unix(0, 0).Add(f.now)}
+	s.Customers, s.Complete = debtors.Largest()
+	s.Complete = s.Complete && (!d.spent || f.now-d.began >= RefillTime(f.set.Plans))
 	d.kept = s
 }
 
@@ -68,8 +68,8 @@
 func (f *restarts) ask(d *process, c decision.CustomerID) bool {
 	f.id++
 	sent := false
-	for _, a := range d.g.Handle(f.now, decision.Request{ID: f.id, Customer: c, Class: "look", Plan: "shop", Units: 1, Patience: time.Second, Spread: len(f.doors)}, nil) {
-		_, ok := a.(decision.Send)
+	for _, a := range d.g.Handle(f.now, decision.Request{ID: f.id, Customer: c, Class: "look", Plan: "shop", Cost: 1, Timeout: time.Second, GatewaySpread: len(f.doors)}, nil) {
+		_, ok := a.(decision.StartAttempt)
 		sent = sent || ok
 	}
 	if !sent {
@@ -81,8 +81,8 @@
 		f.meter[c] = m
 	}
 	m[0]++
-	d.g.Handle(f.now, decision.Outcome{Request: f.id, Backend: 1, Result: decision.Answered, Took: time.Millisecond, Final: true, HasUse: true,
-		Use: 100 * m[1] / (f.set.Plans[0].Rate * period.Seconds())}, nil)
+	d.g.Handle(f.now, decision.Outcome{Request: f.id, Backend: 1, Result: decision.Succeeded, Latency: time.Millisecond, Final: true, HasUsage: true,
+		Usage: 100 * m[1] / (f.set.Plans[0].Rate * period.Seconds())}, nil)
 	return true
 }
 
@@ -93,8 +93,8 @@
 	const length, step = 24 * time.Second, 10 * time.Millisecond
 	run := func(t *rapid.T, seed uint64, n int, rate, burst float64, kills map[time.Duration][]int, keeps []bool) (flood, lastSecond float64, honest, asked int, killed int) {
 		f := &restarts{t: t, rng: rand.New(rand.NewPCG(seed, 1)), meter: map[decision.CustomerID]*[2]float64{},
-			set: decision.Settings{FrontDoors: n, MaxAttempts: 1, CanCancel: true, MaxRetryAfter: time.Second, MeterPeriod: period, LargestUnits: 1,
-				Classes: []decision.Class{{Name: "look", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+			set: decision.Settings{GatewayCount: n, MaxAttempts: 1, CanCancel: true, MaxRetryAfter: time.Second, UsagePeriod: period, MaxCost: 1,
+				Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
 				Plans:   []decision.Plan{{Name: "shop", Rate: rate, Burst: burst, Price: 1}}}}
 		load := rand.New(rand.NewPCG(seed, 2)) // the same with kills and without
 		for i := range n {
--- a/recovery/stored_test.go
+++ b/recovery/stored_test.go
@@ -18,11 +18,11 @@
 // storedSnapshot is what storedPath holds. No field of it, nor of its first customer, is zero.
 func storedSnapshot() *Snapshot {
 	return &Snapshot{
-		Door: 3, Of: 7, Boot: 0xfeed_beef_0123_4567, At: time.Date(2026, time.December, 3, 7, 4, 5, 123_456_789, time.UTC),
-		Settings: 0x0123_4567_89ab_cdef, Whole: true,
+		GatewayIndex: 3, GatewayCount: 7, BootID: 0xfeed_beef_0123_4567, TakenAt: time.Date(2026, time.December, 3, 7, 4, 5, 123_456_789, time.UTC),
+		SettingsDigest: 0x0123_4567_89ab_cdef, Complete: true,
 		Customers: []decision.CustomerState{
-			{ID: 1 << 40, Plan: "shop", Doors: 5, Member: true, Missing: 123.25, Pass: 0.75, Metered: 50.5, Own: 12.125, Heard: 1.5},
-			{ID: 9, Plan: "open", Doors: 1, Pass: 0.1},
+			{ID: 1 << 40, Plan: "shop", Gateways: 5, Member: true, MissingTokens: 123.25, AdmitProbability: 0.75, MeteredUsage: 50.5, OwnUsage: 12.125, MeteredSeconds: 1.5},
+			{ID: 9, Plan: "open", Gateways: 1, AdmitProbability: 0.1},
 		},
 	}
 }
@@ -30,19 +30,19 @@
 // storedSettings have no field at its zero value.
 func storedSettings() decision.Settings {
 	return decision.Settings{
-		FrontDoors: 7, Me: 3, Zone: "z1",
+		GatewayCount: 7, GatewayIndex: 3, Zone: "z1",
 		Classes: []decision.Class{
-			{Name: "look", Effect: decision.Unsafe, Group: decision.GroupCell, KeyWindow: 5 * time.Second, Aim: 200 * ms,
-				Deadline: 2 * time.Second, Worth: 1.5, LateWorth: 0.25, Stream: true},
-			{Name: "pay", Effect: decision.Keyed, Group: decision.GroupZone, KeyWindow: 6 * time.Second, Aim: 300 * ms,
-				Deadline: 3 * time.Second, Worth: 2.5, LateWorth: 0.125, Stream: true},
+			{Name: "look", Idempotency: decision.NonIdempotent, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second, LatencyObjective: 200 * ms,
+				Deadline: 2 * time.Second, PriorityWeight: 1.5, LateWeightFactor: 0.25, Streaming: true},
+			{Name: "pay", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeZone, DedupWindow: 6 * time.Second, LatencyObjective: 300 * ms,
+				Deadline: 3 * time.Second, PriorityWeight: 2.5, LateWeightFactor: 0.125, Streaming: true},
 		},
-		Plans: []decision.Plan{{Name: "shop", Rate: 10, Burst: 100, Open: 4, Price: 2, OverWorth: 0.5, OverCost: 0.125,
-			CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 8}},
-		MeterPeriod: 500 * ms, LargestUnits: 3, MaxAttempts: 4, ParallelTries: true, CanCancel: true, CanProbe: true,
-		MaxRetryAfter: time.Minute, AskForList: true, LoadColumns: []string{"depth", "tps"}, LoadInAnswers: true, AnswerGrace: 20 * ms,
-		DrainGrace: 2 * time.Second, ColdFrom: 0.2, WarmWithin: 30 * time.Second, FallMultiple: 4, FallFor: 5 * time.Second,
-		StartSpent: true, SharedCounter: true,
+		Plans: []decision.Plan{{Name: "shop", Rate: 10, Burst: 100, MaxInFlight: 4, Price: 2, OverQuotaWeightFactor: 0.5, OverQuotaCostFactor: 0.125,
+			HardLimitRate: 20, HardLimitBurst: 40, HardLimitOverdraft: 8}},
+		UsagePeriod: 500 * ms, MaxCost: 3, MaxAttempts: 4, AllowHedging: true, CanCancel: true, CanProbe: true,
+		MaxRetryAfter: time.Minute, SubscribeToEndpoints: true, LoadReportFields: []string{"depth", "tps"}, LoadReportsInResponses: true, ResponseGrace: 20 * ms,
+		DrainGrace: 2 * time.Second, SlowStartMinCapacity: 0.2, SlowStartWindow: 30 * time.Second, OverloadFactor: 4, OverloadDuration: 5 * time.Second,
+		AssumeQuotaSpent: true, HasSharedCounter: true,
 	}
 }
 
@@ -91,11 +91,11 @@
 		}
 	}
 	const want = uint64(0xda351da2feeccea0)
-	if got := Digest(set); got != want {
+	if got := SettingsDigest(set); got != want {
 		t.Errorf("%#x, want %#x", got, want)
 	}
-	set.StartSpent = false
-	if got := Digest(set); got != want {
+	set.AssumeQuotaSpent = false
+	if got := SettingsDigest(set); got != want {
 		t.Errorf("%#x without what follows from a snapshot, want %#x", got, want)
 	}
 }
