--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -5,6 +5,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -50,12 +51,12 @@
 	inBatch := false
 	for number := 1; ; number++ {
 		text, err := r.ReadBytes('\n')
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		text = bytes.TrimSpace(text)
 		if len(text) == 0 {
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				if inBatch {
 					return fmt.Errorf("line %d: the input ended inside a batch", number)
 				}
--- a/cmd/pumicecroft/kills_test.go
+++ b/cmd/pumicecroft/kills_test.go
@@ -123,7 +123,7 @@
 				key := keys[rng.IntN(len(keys))]
 				mu.Unlock()
 				var w uint64
-				fmt.Sscanf(key, "w%d-", &w)
+				_, _ = fmt.Sscanf(key, "w%d-", &w)
 				res, body, err := press(ctx, addr, w, key)
 				if err != nil {
 					return
@@ -145,7 +145,7 @@
 			pressing.Wait()
 			for _, key := range keys {
 				var w uint64
-				fmt.Sscanf(key, "w%d-", &w)
+				_, _ = fmt.Sscanf(key, "w%d-", &w)
 				res, body, err := press(t.Context(), addr, w, key)
 				if err != nil {
 					t.Fatal(err)
@@ -160,7 +160,7 @@
 		if err := cmd.Process.Kill(); err != nil {
 			t.Fatal(err)
 		}
-		cmd.Wait()
+		_ = cmd.Wait()
 		stop() // who has no key to press yet would wait for one
 		pressing.Wait()
 	}
--- a/cmd/pumicecroft/lab_variants.go
+++ b/cmd/pumicecroft/lab_variants.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	program, err := m.build(root, dir)
 	if err != nil {
 		return err
--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -95,7 +95,8 @@
 		return err
 	}
 	defer func() { // kong ends the process once it has printed its help; this ends the command alone
-		if p := recover(); p == errHelped {
+		p := recover()
+		if helped, ok := p.(error); ok && errors.Is(helped, errHelped) {
 			err = nil
 		} else if p != nil {
 			panic(p)
--- a/cmd/pumicecroft/sim_mutants.go
+++ b/cmd/pumicecroft/sim_mutants.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	var list struct {
 		Mutant []mutant `toml:"mutant"`
 	}
@@ -125,7 +125,7 @@
 		v.err = err
 		return v
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	program, err := m.build(root, dir)
 	if err != nil {
 		v.err = err
--- a/cmd/pumicecroft/sockets_test.go
+++ b/cmd/pumicecroft/sockets_test.go
@@ -60,7 +60,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		real, err := load.Run(t.Context(), p, load.Options{Target: strings.TrimPrefix(front.URL, "http://")})
+		measured, err := load.Run(t.Context(), p, load.Options{Target: strings.TrimPrefix(front.URL, "http://")})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,8 +87,8 @@
 		ms := func(us int64) float64 { return float64(us) / 1e3 }
 		q := func(of float64) float64 { return ms(emulated.Latency.ValueAtQuantile(of)) }
 		d := func(v time.Duration) float64 { return ms(v.Microseconds()) }
-		servedReal, servedEmulated := float64(real.Good)/float64(real.Asked), float64(emulated.Served)/float64(emulated.Offered)
-		t.Logf("| %s | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f | %s |", c.name, servedReal, servedEmulated, d(real.Served.P50), q(50), d(real.Served.P90), q(90), d(real.Served.P99), q(99), real.Invalid)
+		servedReal, servedEmulated := float64(measured.Good)/float64(measured.Asked), float64(emulated.Served)/float64(emulated.Offered)
+		t.Logf("| %s | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f | %s |", c.name, servedReal, servedEmulated, d(measured.Served.P50), q(50), d(measured.Served.P90), q(90), d(measured.Served.P99), q(99), measured.Invalid)
 		if diff := servedReal - servedEmulated; diff < -0.08 || diff > 0.08 {
 			t.Errorf("%s: %.3f are served on sockets, %.3f emulated", c.name, servedReal, servedEmulated)
 		}
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -62,7 +62,7 @@
 	if err := server.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { server.Process.Kill(); server.Wait() })
+	t.Cleanup(func() { server.Process.Kill(); _ = server.Wait() })
 	var port int
 	if _, err := fmt.Fscan(out, &port); err != nil {
 		t.Fatal(err)
@@ -240,7 +240,7 @@
 	}
 	t.Cleanup(agent.Close)
 	for _, name := range []string{"a", "b"} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "by "+name) }))
+		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "by "+name) }))
 		t.Cleanup(s.Close)
 		host, port, _ := net.SplitHostPort(strings.TrimPrefix(s.URL, "http://"))
 		number, _ := strconv.Atoi(port)
--- a/conformance/conformance.go
+++ b/conformance/conformance.go
@@ -182,10 +182,9 @@
 }
 
 // start starts the case's front.
-func (r *rig) serve(f figures) *rig {
+func (r *rig) serve(f figures) {
 	r.t.Helper()
 	r.front = r.another(f)
-	return r
 }
 
 // another starts a further front of the case's.
--- a/conformance/fronts_test.go
+++ b/conformance/fronts_test.go
@@ -38,8 +38,9 @@
 	path, file := os.Getenv("PUMICECROFT_AS_DAEMON"), os.Getenv("PUMICECROFT_BY_FILE")
 	if path != "" || file != "" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-		defer stop()
-		if err := serve(ctx, path, file); err != nil {
+		err := serve(ctx, path, file)
+		stop()
+		if err != nil {
 			slog.Error("the daemon ended", "err", err)
 			os.Exit(1)
 		}
@@ -106,7 +107,7 @@
 	}
 	t.Cleanup(func() {
 		p.cmd.Process.Kill()
-		p.Stop()
+		_ = p.Stop()
 	})
 	var said strings.Builder
 	lines := bufio.NewScanner(log)
@@ -188,7 +189,7 @@
 	}
 	h := &hosted{door: door, server: &http.Server{Handler: handler}, addr: ln.Addr().String()}
 	go h.server.Serve(ln)
-	t.Cleanup(func() { h.Stop() })
+	t.Cleanup(func() { _ = h.Stop() })
 	return h
 }
 
--- a/conformance/grpc_test.go
+++ b/conformance/grpc_test.go
@@ -44,7 +44,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	g := &grpcHosted{door: door, addr: ln.Addr().String(), stop: stop, served: make(chan error, 1)}
 	go func() { g.served <- front.Serve(ctx, ln) }()
-	t.Cleanup(func() { g.Stop() })
+	t.Cleanup(func() { _ = g.Stop() })
 	return g
 }
 
--- a/conformance/interop_test.go
+++ b/conformance/interop_test.go
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close(t.Context())
+	defer func() { _ = door.Close(t.Context()) }()
 	const name = "/grpc.testing.TestService/"
 	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: map[string]grpcproxy.Method{name + "EmptyCall": {Class: "safe"},
 		name + "UnaryCall": {Class: "unsafe"}, name + "StreamingOutputCall": {Class: "safe", Streaming: true},
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	client := testpb.NewTestServiceClient(conn)
 	for name, do := range map[string]func(context.Context, testpb.TestServiceClient, ...grpc.CallOption){
 		"empty_unary": interop.DoEmptyUnaryCall, "large_unary": interop.DoLargeUnaryCall, "server_streaming": interop.DoServerStreaming,
--- a/examples/grpc/main.go
+++ b/examples/grpc/main.go
@@ -62,13 +62,14 @@
 	}
 
 	stop, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
-	defer cancel()
 	go func() {
 		<-stop.Done()
 		// First the server, so that nothing new comes and what is in flight ends; then the door.
 		server.GracefulStop()
 	}()
-	if err := server.Serve(listener); err != nil {
+	err = server.Serve(listener)
+	cancel()
+	if err != nil {
 		log.Fatal(err)
 	}
 	ending, done := context.WithTimeout(context.Background(), 5*time.Second)
--- a/examples/nethttp/main.go
+++ b/examples/nethttp/main.go
@@ -3,6 +3,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log"
 	"net/http"
@@ -44,13 +45,14 @@
 		Handler: nethttp.New(door, middleware.Routes("/stock-lookup", "/activate"))(mux)}
 
 	stop, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
-	defer cancel()
 	go func() {
 		<-stop.Done()
 		// First the server, so that nothing new comes; then the door.
-		server.Shutdown(context.Background())
+		_ = server.Shutdown(context.Background())
 	}()
-	if err := server.ListenAndServe(); err != http.ErrServerClosed {
+	err = server.ListenAndServe()
+	cancel()
+	if !errors.Is(err, http.ErrServerClosed) {
 		log.Fatal(err)
 	}
 	ending, done := context.WithTimeout(context.Background(), 5*time.Second)
--- a/grpcproxy/bench_test.go
+++ b/grpcproxy/bench_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { c.Close() })
+	b.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
@@ -84,7 +84,7 @@
 		if err != nil {
 			return err
 		}
-		ss.SetHeader(head)
+		_ = ss.SetHeader(head)
 		return ss.SendMsg(out)
 	}
 	set := deskSettings()
@@ -93,7 +93,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { door.Close(context.Background()) })
+	b.Cleanup(func() { _ = door.Close(context.Background()) })
 	front, err := New(door, Config{Methods: deskMethods})
 	if err != nil {
 		b.Fatal(err)
--- a/grpcproxy/frames_test.go
+++ b/grpcproxy/frames_test.go
@@ -62,7 +62,7 @@
 	}
 	w.head.Reset()
 	for fields = append(fields, more...); len(fields) > 1; fields = fields[2:] {
-		w.enc.WriteField(hpack.HeaderField{Name: fields[0], Value: fields[1]})
+		_ = w.enc.WriteField(hpack.HeaderField{Name: fields[0], Value: fields[1]})
 	}
 	block := w.head.Bytes()
 	first := block[:min(len(block), 16<<10)]
@@ -81,7 +81,7 @@
 	w.t.Helper()
 	id, err := w.open(c, more...)
 	if err == nil {
-		err = w.f.WriteData(id, true, message_(c.text))
+		err = w.f.WriteData(id, true, frame(c.text))
 	}
 	if err != nil {
 		return err.Error()
@@ -100,13 +100,13 @@
 		case *http2.SettingsFrame:
 			if !f.IsAck() {
 				w.mu.Lock()
-				w.f.WriteSettingsAck()
+				_ = w.f.WriteSettingsAck()
 				w.mu.Unlock()
 			}
 		case *http2.PingFrame:
 			if !f.IsAck() {
 				w.mu.Lock()
-				w.f.WritePing(true, f.Data)
+				_ = w.f.WritePing(true, f.Data)
 				w.mu.Unlock()
 			}
 		case *http2.GoAwayFrame:
@@ -230,7 +230,7 @@
 		w.mu.Lock()
 		id, err := w.open(c)
 		if err == nil {
-			err = w.f.WriteData(id, true, message_(c.text))
+			err = w.f.WriteData(id, true, frame(c.text))
 		}
 		w.mu.Unlock()
 		if err == nil && i%10 == 0 { // it has become an attempt; the others are mostly gone before they are looked at
--- a/grpcproxy/front.go
+++ b/grpcproxy/front.go
@@ -124,16 +124,17 @@
 	go func() { // it ends with the call at the latest
 		var first, second framed
 		err := ss.RecvMsg(&first)
-		if err == nil {
+		switch {
+		case err == nil:
 			if streaming {
 				come <- got{first, nil}
 			}
-			if err = ss.RecvMsg(&second); err == io.EOF {
+			if err = ss.RecvMsg(&second); errors.Is(err, io.EOF) {
 				err = nil
 			} else if err == nil {
 				err = errStreaming
 			}
-		} else if err == io.EOF {
+		case errors.Is(err, io.EOF):
 			err = fmt.Errorf("%w: no message", pumicecroft.ErrBadRequest)
 		}
 		if first != nil && streaming {
--- a/grpcproxy/front_test.go
+++ b/grpcproxy/front_test.go
@@ -91,7 +91,7 @@
 // A door that is closed turns calls away as one that another door may take.
 func TestClosed(t *testing.T) {
 	r := newRig(t, nil)
-	r.door.Close(t.Context())
+	_ = r.door.Close(t.Context())
 	if res := r.do(r.call("Pay")); res.st.Code() != codes.Unavailable || res.pushback != "" {
 		t.Errorf("%v, pushback %q", res.st, res.pushback)
 	}
@@ -203,7 +203,7 @@
 					gone <- err
 					return
 				}
-				err = errors.Join(s.SendMsg(message_(c.text)), s.CloseSend())
+				err = errors.Join(s.SendMsg(frame(c.text)), s.CloseSend())
 				if method == "Buy" && err == nil {
 					var first framed
 					err = s.RecvMsg(&first)
@@ -379,7 +379,7 @@
 	defer cancel()
 	s, err := r.client.NewStream(cctx, watching, c.method)
 	if err == nil {
-		err = errors.Join(s.SendMsg(message_(c.text)), s.CloseSend())
+		err = errors.Join(s.SendMsg(frame(c.text)), s.CloseSend())
 	}
 	for n := 0; err == nil && n < 1000; n++ {
 		var m framed
@@ -424,7 +424,7 @@
 	defer cancel()
 	s, err := r.client.NewStream(ctx, watching, c.method)
 	if err == nil {
-		err = errors.Join(s.SendMsg(message_(c.text)), s.CloseSend())
+		err = errors.Join(s.SendMsg(frame(c.text)), s.CloseSend())
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -549,7 +549,7 @@
 			t.Fatal(err)
 		}
 		for range send {
-			if err := s.SendMsg(message_("m")); err != nil {
+			if err := s.SendMsg(frame("m")); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -576,17 +576,17 @@
 			t.Fatal(err)
 		}
 		var out framed
-		if err := errors.Join(s.SendMsg(message_("m")), s.RecvMsg(&out)); err != nil {
+		if err := errors.Join(s.SendMsg(frame("m")), s.RecvMsg(&out)); err != nil {
 			t.Fatal(err)
 		}
 		if more {
-			if err = s.SendMsg(message_("m")); err == nil {
+			if err = s.SendMsg(frame("m")); err == nil {
 				err = s.RecvMsg(&out)
 			}
 			if codeOf(err) != codes.InvalidArgument || len(s.Trailer()[Pushback]) != 1 {
 				t.Errorf("a second message: %v", err)
 			}
-		} else if err := errors.Join(s.RecvMsg(&out), s.RecvMsg(&out), s.CloseSend()); err != nil || s.RecvMsg(&out) != io.EOF {
+		} else if err := errors.Join(s.RecvMsg(&out), s.RecvMsg(&out), s.CloseSend()); err != nil || !errors.Is(s.RecvMsg(&out), io.EOF) {
 			t.Errorf("one message: %v", err)
 		}
 		if n := len(r.ledger.Of(c.id)); n != 1 || r.ledger.Effects(c.key) != 1 {
@@ -644,7 +644,7 @@
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
 	r := newRig(t, func(o *options) {
-		o.act = func(a fakes.Attempt) fakes.GRPCAct {
+		o.act = func(fakes.Attempt) fakes.GRPCAct {
 			<-hold
 			return fakes.GRPCStream
 		}
@@ -660,7 +660,7 @@
 	r.stop()
 	await(t, "the listener's end", func() bool {
 		late := r.connect()
-		defer late.Close()
+		defer func() { _ = late.Close() }()
 		c := r.call("Look")
 		c.timeout = time.Second
 		return c.on(t.Context(), late).st.Code() == codes.Unavailable
--- a/grpcproxy/host_test.go
+++ b/grpcproxy/host_test.go
@@ -21,7 +21,7 @@
 )
 
 // known is an earlier interceptor of a host's that knows who asks.
-func known(_ any, ss grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
+func known(_ any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) error {
 	ctx := pumicecroft.WithIdentity(ss.Context(), pumicecroft.Identity{Customer: 9, Plan: "shop"})
 	return next(nil, identified{ss, ctx})
 }
@@ -43,7 +43,7 @@
 		healthpb.RegisterHealthServer(s, h)
 		return s
 	}
-	nothing := func(_ any, ss grpc.ServerStream) error { return status.Error(codes.DataLoss, "the host's own answer") }
+	nothing := func(_ any, _ grpc.ServerStream) error { return status.Error(codes.DataLoss, "the host's own answer") }
 	for name, c := range map[string]struct {
 		server  func(f *Front) *grpc.Server
 		unknown codes.Code // of a method that nobody has
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close(t.Context())
+	defer func() { _ = door.Close(t.Context()) }()
 	for name, c := range map[string]struct {
 		config Config
 		want   string
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -113,7 +113,7 @@
 	}
 	defer func() {
 		door.Process.Signal(syscall.SIGTERM)
-		door.Wait()
+		_ = door.Wait()
 	}()
 	addr, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
@@ -123,7 +123,7 @@
 	var conns []*grpc.ClientConn
 	for range 10 {
 		c := r.connect()
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		conns = append(conns, c)
 		k := r.call("Look")
 		k.timeout = 50 * time.Millisecond
@@ -142,7 +142,7 @@
 			cctx, cancel := k.context(ctx)
 			s, err := conns[i%len(conns)].NewStream(cctx, watching, k.method)
 			if err == nil {
-				if err = errors.Join(s.SendMsg(message_(k.text)), s.CloseSend()); err == nil {
+				if err = errors.Join(s.SendMsg(frame(k.text)), s.CloseSend()); err == nil {
 					var m framed
 					err = s.RecvMsg(&m)
 				}
--- a/grpcproxy/rig_test.go
+++ b/grpcproxy/rig_test.go
@@ -119,11 +119,11 @@
 	r.client = r.connect()
 	t.Cleanup(func() {
 		stop()
-		r.client.Close()
+		_ = r.client.Close()
 		if err := <-r.served; err != nil {
 			t.Error(err)
 		}
-		r.door.Close(context.Background())
+		_ = r.door.Close(context.Background())
 		for _, b := range r.backends {
 			b.Kill()
 		}
@@ -148,7 +148,7 @@
 	return c
 }
 
-func message_(text string) framed {
+func frame(text string) framed {
 	return append(binary.BigEndian.AppendUint32([]byte{0}, uint32(len(text))), text...)
 }
 
@@ -196,7 +196,7 @@
 	defer cancel()
 	var out framed
 	var res result
-	err := conn.Invoke(ctx, c.method, message_(c.text), &out, grpc.Header(&res.header), grpc.Trailer(&res.trailer))
+	err := conn.Invoke(ctx, c.method, frame(c.text), &out, grpc.Header(&res.header), grpc.Trailer(&res.trailer))
 	res.st = status.Convert(err)
 	if err == nil {
 		res.text = string(out[5:])
@@ -218,7 +218,7 @@
 	var res result
 	s, err := r.client.NewStream(ctx, watching, c.method)
 	if err == nil {
-		if err = s.SendMsg(message_(c.text)); err == nil {
+		if err = s.SendMsg(frame(c.text)); err == nil {
 			err = s.CloseSend()
 		}
 	}
--- a/grpcproxy/server.go
+++ b/grpcproxy/server.go
@@ -65,7 +65,6 @@
 	return []grpc.ServerOption{grpc.ForceServerCodecV2(Codec()), grpc.UnknownServiceHandler(f.Handle),
 		grpc.MaxConcurrentStreams(uint32(f.config.Streams)), grpc.MaxRecvMsgSize(f.config.MaxMessage), grpc.MaxHeaderListSize(maxHeads),
 		grpc.InitialWindowSize(streamWindow), grpc.InitialConnWindowSize(connWindow), grpc.ConnectionTimeout(handshake),
-		grpc.SharedWriteBuffer(true),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: aliveAfter, Timeout: aliveWithin}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingsApart, PermitWithoutStream: true})}
 }
--- a/httpproxy/example_test.go
+++ b/httpproxy/example_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		panic(err)
 	}
-	defer door.Close(context.Background())
+	defer func() { _ = door.Close(context.Background()) }()
 	table, err := routes.New([]routes.Rule[*httpproxy.Route]{
 		{Name: "items", Path: "/items/{id}", To: &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Safe: "read", Unsafe: "write"}}}})
 	if err != nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		panic(err)
 	}
-	own := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "the host's own") })
+	own := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "the host's own") })
 	server := httptest.NewServer(front.Or(own))
 	defer server.Close()
 
--- a/httpproxy/front_test.go
+++ b/httpproxy/front_test.go
@@ -74,11 +74,11 @@
 		s.mu.Lock()
 		s.got = append(s.got, req.Method+" "+req.RequestURI+" "+string(body))
 		s.mu.Unlock()
-		switch {
-		case answer == "close":
+		switch answer {
+		case "close":
 			c.(*net.TCPConn).SetLinger(0)
 			return
-		case answer == "hang":
+		case "hang":
 			io.Copy(io.Discard, in)
 			return
 		}
@@ -315,7 +315,7 @@
 	for name, length := range map[string]string{"chunks": "", "a long one of known length": "100000"} {
 		t.Run(name, func(t *testing.T) {
 			more := make(chan bool)
-			backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				if length != "" {
 					w.Header().Set("Content-Length", length)
 				}
@@ -370,7 +370,7 @@
 				break
 			}
 			head := make([]byte, 100)
-			io.ReadFull(c, head)
+			_, _ = io.ReadFull(c, head)
 			c.Close()
 			// an attempt that took all of its time may have the next one refused for a moment
 			if !strings.HasPrefix(string(head), "HTTP/1.1 503") || time.Since(begun) > patience {
@@ -393,7 +393,7 @@
 // Rules that are swapped hold for what comes from then on; a request that waits goes on by its own.
 func TestSwapWhileARequestWaits(t *testing.T) {
 	came, goOn := make(chan bool), make(chan bool)
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		came <- true
 		<-goOn
 		io.WriteString(w, "done")
@@ -421,15 +421,20 @@
 	if !errors.Is(err, httpproxy.ErrRules) {
 		t.Errorf("rules of another service: %v", err)
 	}
-	if res, err := http.Get("http://" + r.addr + "/a"); err != nil || res.StatusCode != 403 {
-		t.Errorf("after a bad swap: %v %v", res, err)
+	res, err = http.Get("http://" + r.addr + "/a")
+	if err != nil {
+		t.Fatalf("after a bad swap: %v", err)
+	}
+	defer res.Body.Close()
+	if res.StatusCode != 403 {
+		t.Errorf("after a bad swap: %v", res)
 	}
 }
 
 // A quota spans services, and refusals tell reason, time and what is left.
 func TestOneQuotaOverServices(t *testing.T) {
 	var n atomic.Int64
-	count := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { n.Add(1) })
+	count := http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { n.Add(1) })
 	r := start(t, service("a", serve(t, count, nil))+service("b", serve(t, count, nil))+`
 [[plan]]
 name = "small"
@@ -498,7 +503,7 @@
 // The room for bodies is bounded over all requests, and given back.
 func TestBodiesAreBounded(t *testing.T) {
 	goOn := make(chan bool)
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body); <-goOn }), nil)
+	backend := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body); <-goOn }), nil)
 	r := start(t, service("shop", backend)+"[http]\nbody_memory = 100000\nbody_timeout = \"300ms\"\n")
 	post := func(size int) int {
 		res, err := http.Post("http://"+r.addr+"/", "text/plain", io.LimitReader(zeros{}, int64(size)))
@@ -539,7 +544,7 @@
 // A host's own word on who asks goes before all rules; its time-out is its own answer.
 func TestInAHost(t *testing.T) {
 	var seen atomic.Value
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		seen.Store(r.RequestURI)
 		if r.URL.Path == "/slow" {
 			<-r.Context().Done()
@@ -589,7 +594,7 @@
 	path := testcerts.Write(t, t.TempDir(), map[string][]byte{"secret": []byte(secret)})
 	ends := time.Now().Truncate(time.Second).Add(2 * time.Second)
 	var n atomic.Int64
-	b := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	b := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if n.Add(1) == 1 {
 			time.Sleep(time.Until(ends.Add(100 * time.Millisecond)))
 			w.WriteHeader(500) // and it is made again, after the token's end
@@ -654,7 +659,11 @@
 	io.WriteString(c, "ab")
 	c.SetReadDeadline(begun.Add(patience))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if took := time.Since(begun); err != nil || res.StatusCode/100 != 5 || took > 2800*time.Millisecond {
-		t.Errorf("%v %v after %v", res, err, took)
+	if err != nil {
+		t.Fatalf("%v after %v", err, time.Since(begun))
+	}
+	defer res.Body.Close()
+	if took := time.Since(begun); res.StatusCode/100 != 5 || took > 2800*time.Millisecond {
+		t.Errorf("%v after %v", res, took)
 	}
 }
--- a/httpproxy/h2_test.go
+++ b/httpproxy/h2_test.go
@@ -36,7 +36,7 @@
 					return
 				}
 				f := http2.NewFramer(c, c)
-				f.WriteSettings()
+				_ = f.WriteSettings()
 				for {
 					frame, err := f.ReadFrame()
 					if err != nil {
@@ -50,8 +50,8 @@
 						continue
 					}
 					var b bytes.Buffer
-					hpack.NewEncoder(&b).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
-					f.WriteHeaders(http2.HeadersFrameParam{StreamID: h.StreamID, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true})
+					_ = hpack.NewEncoder(&b).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
+					_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: h.StreamID, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true})
 				}
 			}()
 		}
@@ -67,14 +67,16 @@
 		post, get int // statuses
 		again     bool
 	}{
-		"refused":  {func(f *http2.Framer, s uint32) { f.WriteRSTStream(s, http2.ErrCodeRefusedStream) }, 200, 200, true},
-		"leaving":  {func(f *http2.Framer, s uint32) { f.WriteGoAway(s-1, http2.ErrCodeNo, nil) }, 200, 200, true},
-		"an error": {func(f *http2.Framer, s uint32) { f.WriteRSTStream(s, http2.ErrCodeInternal) }, 502, 200, false},
+		"refused":  {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream) }, 200, 200, true},
+		"leaving":  {func(f *http2.Framer, s uint32) { _ = f.WriteGoAway(s-1, http2.ErrCodeNo, nil) }, 200, 200, true},
+		"an error": {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeInternal) }, 502, 200, false},
 		"leaving badly": {func(f *http2.Framer, s uint32) {
-			f.WriteGoAway(s, http2.ErrCodeInternal, nil)
-			f.WriteRSTStream(s, http2.ErrCodeCancel)
+			_ = f.WriteGoAway(s, http2.ErrCodeInternal, nil)
+			_ = f.WriteRSTStream(s, http2.ErrCodeCancel)
+		}, 502, 200, false},
+		"noise": {func(f *http2.Framer, s uint32) {
+			_ = f.WriteRawFrame(http2.FrameData, 0, s, []byte("data before a head"))
 		}, 502, 200, false},
-		"noise": {func(f *http2.Framer, s uint32) { f.WriteRawFrame(http2.FrameData, 0, s, []byte("data before a head")) }, 502, 200, false},
 	} {
 		for _, method := range []string{"POST", "GET"} {
 			t.Run(name+" "+method, func(t *testing.T) {
--- a/httpproxy/hostile_test.go
+++ b/httpproxy/hostile_test.go
@@ -31,15 +31,15 @@
 // hostile makes a head whose framing can be read in two ways, or that is bad in a place or two, with a second request behind it that belongs to
 // its body by one reading at least: no backend may see that one. Where only one reading is left, the request is part of the body by it.
 func hostile(rng *rand.Rand) string {
-	any := func(from ...string) string { return from[rng.IntN(len(from))] }
+	oneOf := func(from ...string) string { return from[rng.IntN(len(from))] }
 	pick := func(usual string, from ...string) string { // mostly the usual, so that most heads are bad in few places
 		if rng.IntN(6) > 0 {
 			return usual
 		}
-		return any(from...)
+		return oneOf(from...)
 	}
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: x\r\nX-A: b\r\n\r\n"
-	body := any("0\r\n\r\n"+smuggled, "5\r\nhello\r\n0\r\n\r\n"+smuggled, fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(smuggled), smuggled), "0\r\nX: y\r\n\r\n"+smuggled,
+	body := oneOf("0\r\n\r\n"+smuggled, "5\r\nhello\r\n0\r\n\r\n"+smuggled, fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(smuggled), smuggled), "0\r\nX: y\r\n\r\n"+smuggled,
 		"0;ext=\"\r\n\r\n"+smuggled, "00000000000000000000\r\n\r\n"+smuggled, "0\n\n"+smuggled, "-1\r\n"+smuggled, "0x0\r\n\r\n"+smuggled)
 	mutate := rng.IntN(5) == 0
 	whole := fmt.Sprint("Content-Length: ", len(body))
@@ -53,17 +53,17 @@
 	case 1:
 		fields = []string{chunked}
 	default:
-		length := any("0", "1", "5", fmt.Sprint(len(body)-len(smuggled)), "+3", "-1", "0x5", "5, 5", "5,6", "", " ", "99999999999999999999", "1e1", "٣", fmt.Sprint(len(body)))
+		length := oneOf("0", "1", "5", fmt.Sprint(len(body)-len(smuggled)), "+3", "-1", "0x5", "5, 5", "5,6", "", " ", "99999999999999999999", "1e1", "٣", fmt.Sprint(len(body)))
 		if mutate { // the coding's field may be another by it, and the length alone be right
 			length = fmt.Sprint(len(body))
 		}
 		fields = []string{"Content-Length: " + length, chunked}
 		if rng.IntN(4) == 0 && !mutate {
-			fields = append(fields, "Content-Length: "+any("0", "7"))
+			fields = append(fields, "Content-Length: "+oneOf("0", "7"))
 		}
 	}
 	if rng.IntN(2) == 0 {
-		fields = append(fields, any("Host: y", "Connection: close", "Connection: Content-Length, Transfer-Encoding", "Expect: 100-continue", "Upgrade: h2c", "X-"+strings.Repeat("n", rng.IntN(300))+": v",
+		fields = append(fields, oneOf("Host: y", "Connection: close", "Connection: Content-Length, Transfer-Encoding", "Expect: 100-continue", "Upgrade: h2c", "X-"+strings.Repeat("n", rng.IntN(300))+": v",
 			": novalue", "novalue", "\tfold: x", "X-Forwarded-For: ::", "Via: x", "Te: trailers, chunked", "Trailer: Content-Length", "Content-Encoding: gzip", "X: \xff\xfe", "Idempotency-Key: "+strings.Repeat("k", rng.IntN(3000))))
 	}
 	rng.Shuffle(len(fields), func(i, j int) { fields[i], fields[j] = fields[j], fields[i] })
@@ -98,7 +98,7 @@
 	backends := bufconn.Listen(64 << 10)
 	var mu sync.Mutex
 	var from string
-	bs := &http.Server{ErrorLog: log.New(io.Discard, "", 0), Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	bs := &http.Server{ErrorLog: log.New(io.Discard, "", 0), Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		arrived.Add(1)
 		if strings.Contains(r.RequestURI, "smuggled") {
 			smuggled.Add(1)
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close(context.Background())
+	defer func() { _ = door.Close(context.Background()) }()
 	door.Update(f.Backends)
 	front, err := httpproxy.New(door, httpproxy.Config{Rules: (&rig{t: t}).rules(f), BodyTimeout: 100 * time.Millisecond})
 	if err != nil {
--- a/httpproxy/leaving_test.go
+++ b/httpproxy/leaving_test.go
@@ -49,7 +49,10 @@
 					ended := make(chan error, 1)
 					go func() {
 						req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/left", nil)
-						_, err := tr.RoundTrip(req)
+						res, err := tr.RoundTrip(req)
+						if err == nil {
+							res.Body.Close()
+						}
 						ended <- err
 					}()
 					testkit.Await(t, waiting, "it to wait")
--- a/httpproxy/rig_test.go
+++ b/httpproxy/rig_test.go
@@ -28,7 +28,6 @@
 	door  *pumicecroft.Gateway
 	front *httpproxy.Front
 	addr  string
-	tls   *tls.Config
 }
 
 // parse reads a file's text, less "listen".
@@ -42,9 +41,9 @@
 }
 
 // start serves by a file's text.
-func start(t testing.TB, text string, options ...pumicecroft.Option) *rig {
+func start(t testing.TB, text string) *rig {
 	t.Helper()
-	return startDialing(t, text, nil, options...)
+	return startDialing(t, text, nil)
 }
 
 // startDialing is start with a way to open connections to backends.
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -42,7 +42,9 @@
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-ended
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
 	})
 	return ln.Addr().String(), store
 }
@@ -120,7 +122,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		return c.ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
 	bad := 0
@@ -187,7 +189,7 @@
 		"another authority":     {fmt.Sprintf("ca_file = %q\n", path("other")) + mine, false},
 		"pinned":                {fmt.Sprintf("ca_file = %q\npins = [%q]\n", path("ca"), pin) + mine, true},
 		"pinned alone":          {fmt.Sprintf("verify = \"pins\"\npins = [%q]\n", pin) + mine, true},
-		"another pin":           {fmt.Sprintf("verify = \"pins\"\npins = [\"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\"]\n") + mine, false},
+		"another pin":           {"verify = \"pins\"\npins = [\"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\"]\n" + mine, false},
 		"without a certificate": {fmt.Sprintf("ca_file = %q\n", path("ca")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -219,7 +221,7 @@
 	a, other := testcerts.New(t), testcerts.New(t)
 	cert, key := a.Pair(nil, "shop.example")
 	path := testcerts.Write(t, t.TempDir(), map[string][]byte{"c": cert, "k": key, "ca": a.PEM})
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {}), nil)
+	backend := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), nil)
 	r := start(t, service("shop", backend)+fmt.Sprintf("[tls]\nclient_ca_file = %q\nclient_auth = \"ask\"\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("ca"), path("c"), path("k"))+`
 [[identity]]
 kind = "certificate"
--- a/identity/identity.go
+++ b/identity/identity.go
@@ -223,13 +223,14 @@
 		return Who{}, there, err
 	}
 	w := Who{Name: name, Plan: r.Plan}
-	if r.Hex {
+	switch {
+	case r.Hex:
 		if w.Customer, err = requestmeta.Customer(name); err != nil {
 			return Who{}, true, fmt.Errorf("%s is no customer's number", r.Customer)
 		}
-	} else if name == "" {
+	case name == "":
 		return Who{}, true, fmt.Errorf("%s is empty", r.Customer)
-	} else {
+	default:
 		w.Customer = number("asserted", name)
 	}
 	if r.PlanIn != "" {
--- a/identity/identity_test.go
+++ b/identity/identity_test.go
@@ -33,7 +33,7 @@
 }
 
 // keysFor makes signing keys of each kind, and the rules' side of them.
-func keysFor(t *testing.T) (ec *ecdsa.PrivateKey, rs *rsa.PrivateKey, ed ed25519.PrivateKey, public []byte) {
+func keysFor(t *testing.T) (ec *ecdsa.PrivateKey, rs *rsa.PrivateKey, public []byte) {
 	t.Helper()
 	ec, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -42,7 +42,7 @@
 	if rs, err = rsa.GenerateKey(rand.Reader, 2048); err != nil {
 		t.Fatal(err)
 	}
-	pub, ed, err := ed25519.GenerateKey(rand.Reader)
+	pub, _, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,11 +53,11 @@
 		}
 		public = append(public, pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Headers: map[string]string{"kid": kid}, Bytes: der})...)
 	}
-	return ec, rs, ed, public
+	return ec, rs, public
 }
 
 func TestResolve(t *testing.T) {
-	ec, rs, _, public := keysFor(t)
+	ec, rs, public := keysFor(t)
 	keys, err := ParseTokenKeys(public)
 	if err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	_, _, _, public := keysFor(t)
+	_, _, public := keysFor(t)
 	keys, err := ParseTokenKeys(public)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capacitytest/agent.go
+++ b/internal/capacitytest/agent.go
@@ -141,7 +141,7 @@
 	gone := make(chan struct{})
 	a.ran.Go(func() {
 		defer close(gone)
-		c.Read(make([]byte, 1)) // a watch asks once
+		_, _ = c.Read(make([]byte, 1)) // a watch asks once
 	})
 	if a.Silent.Load() {
 		<-gone
@@ -190,7 +190,7 @@
 			}
 		}
 		if r.URL.Query().Get("watch") == "" {
-			c.Write([]byte("0\r\n\r\n"))
+			_, _ = c.Write([]byte("0\r\n\r\n"))
 			return
 		}
 	}
--- a/internal/capacitytest/backends_test.go
+++ b/internal/capacitytest/backends_test.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { b.door.Stop() })
+	t.Cleanup(func() { _ = b.door.Stop() })
 	return b
 }
 
--- a/internal/capacitytest/config_test.go
+++ b/internal/capacitytest/config_test.go
@@ -55,7 +55,6 @@
 		if len(keys) != n {
 			t.Errorf("of %d keys %d are there", n, len(keys))
 		}
-		keys = nil
 		t.Logf("%d tenants' keys, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a tenant are held", n, float64(b.Len())/(1<<20), spent, cost, (held()-empty)/float64(n))
 		runtime.KeepAlive(rule)
 	}
--- a/internal/capacitytest/door.go
+++ b/internal/capacitytest/door.go
@@ -138,7 +138,9 @@
 	if p.PerSecond > 0 {
 		go d.ask(ctx, p)
 	}
-	write.Encode(Told{At: time.Now()})
+	if err := write.Encode(Told{At: time.Now()}); err != nil {
+		return err
+	}
 	for lines.Scan() {
 		var q question
 		if err := json.Unmarshal(lines.Bytes(), &q); err != nil {
@@ -147,7 +149,9 @@
 		if q.Nodes > 0 {
 			d.await(q.Nodes, q.Within)
 		}
-		write.Encode(d.tell(q))
+		if err := write.Encode(d.tell(q)); err != nil {
+			return err
+		}
 	}
 	return nil
 }
@@ -251,7 +255,7 @@
 	text, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(text)) {
 		if rest, ok := strings.CutPrefix(line, name); ok {
-			fmt.Sscan(rest, &bytes)
+			_, _ = fmt.Sscan(rest, &bytes)
 		}
 	}
 	return bytes << 10
@@ -328,7 +332,7 @@
 
 // Stop ends it.
 func (d *DoorProcess) Stop() error {
-	d.in.Close()
+	_ = d.in.Close()
 	return d.cmd.Wait()
 }
 
--- a/internal/daemon/file.go
+++ b/internal/daemon/file.go
@@ -112,7 +112,7 @@
 	serve := httplistener.NewServer(door, f.ClientConns, f.Door.Settings.LongestDeadline(), slog.Default(), httplistener.Options{}).Run
 	if w != nil {
 		if serve, err = w.front(door, f); err != nil {
-			door.Close(ctx)
+			_ = door.Close(ctx) // err says why nothing is served
 			return err
 		}
 		watching, stop := context.WithCancel(context.Background())
@@ -124,7 +124,7 @@
 	if f.Members != "" {
 		stop, err := tellMembers(door, f.Members)
 		if err != nil {
-			door.Close(ctx)
+			_ = door.Close(ctx) // err says why nothing is served
 			return err
 		}
 		defer stop()
@@ -133,7 +133,7 @@
 	if f.GRPC != nil {
 		serve, err := listenGRPC(door, f)
 		if err != nil {
-			door.Close(ctx)
+			_ = door.Close(ctx) // err says why nothing is served
 			return err
 		}
 		beside = append(beside, serve)
@@ -200,10 +200,10 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(door.Backends())
+		_ = json.NewEncoder(w).Encode(door.Backends()) // the client has gone
 	})
 	s := &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second, MaxHeaderBytes: 8 << 10}
-	go s.Serve(ln)
+	go func() { _ = s.Serve(ln) }()
 	slog.Info("members", "listen", ln.Addr().String())
 	return func() { s.Close() }, nil
 }
--- a/internal/daemon/web.go
+++ b/internal/daemon/web.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	end := func() { door.Close(context.Background()) }
+	end := func() { _ = door.Close(context.Background()) }
 	if _, err = w.front(door, f); err != nil {
 		end()
 		return nil, nil, err
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -174,7 +174,7 @@
 	s.close = append(s.close, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		door.Close(ctx)
+		_ = door.Close(ctx)
 	})
 	ln, err := net.Listen("tcp", s.options.Addr)
 	if err != nil {
@@ -185,7 +185,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		httplistener.NewServer(door, 512, 3*time.Second, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln)
+		_ = httplistener.NewServer(door, 512, 3*time.Second, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln)
 	}()
 	s.close = append(s.close, func() { s.transport.CloseIdleConnections(); stop(); <-ended })
 	return nil
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -45,7 +45,7 @@
 	return v
 }
 
-func zoneName(z int32) string { return string(rune('a'+z%26)) + string(rune('a'+z/26%26)) }
+func zoneName(z int32) string { return string('a'+z%26) + string('a'+z/26%26) }
 
 // publish tells discovery.
 func (b *backend) publish() {
@@ -116,7 +116,7 @@
 // execute begins a request. It takes as long as its call's chance has it, whoever sent it when.
 func (b *backend) execute(m *message, warmth float64) {
 	s, r := b.shard, b.region
-	u := eventqueue.RandFloat64(r.seed, purposeService, m.call.number, uint64(m.requestID&127), uint64(m.attempt))
+	u := eventqueue.RandFloat64(r.seed, purposeService, m.call.number, m.requestID&127, uint64(m.attempt))
 	took := time.Duration(float64(r.service.sample(u)) * r.slowdown(b.zone, s.now) / warmth)
 	b.running = append(b.running, *m)
 	s.schedule(s.now+took, message{kind: msgDone, backend: b.number, epoch: b.epoch, requestID: m.requestID, attempt: m.attempt})
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -55,7 +55,7 @@
 			if day.change != nil {
 				day.change(&c)
 			}
-			r := play(t, c, 7, false)
+			r := play(t, c, 7)
 			if r.Offered != r.Served+r.Rejected+r.Failed {
 				t.Errorf("%d calls, %d ends", r.Offered, r.Served+r.Rejected+r.Failed)
 			}
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -23,7 +23,7 @@
 		c.Faults = []Fault{{Kind: Deploy, At: 2 * time.Second, Duration: time.Second, Magnitude: 6}, {Kind: GatewayRestart, At: 3 * time.Second, Duration: 500 * time.Millisecond, Magnitude: 2},
 			{Kind: ZoneLoss, At: 5 * time.Second, Duration: time.Second, Zone: 1}, {Kind: ZoneSlow, At: 6 * time.Second, Duration: 2 * time.Second, Magnitude: 6},
 			{Kind: Flood, At: 4 * time.Second, Duration: 3 * time.Second, Magnitude: 3, Share: 0.5}, {Kind: RetryStorm, At: 7 * time.Second, Duration: time.Second, Magnitude: 2}}
-		r := play(t, c, 3, false)
+		r := play(t, c, 3)
 		got, err := json.Marshal(struct {
 			Counts
 			Last                      Second
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -43,7 +43,7 @@
 		}
 	case PolicyBlindRetry:
 		p.pick = func() int { return p.rng.IntN(len(p.ready)) }
-		p.retry = func(a *openRequest, r decision.Result) bool { return a.attempts <= 3 }
+		p.retry = func(a *openRequest, _ decision.Result) bool { return a.attempts <= 3 }
 		p.deadlineParts = 4
 	case PolicyRateLimit:
 		p.useRoundRobin()
--- a/internal/emulator/region.go
+++ b/internal/emulator/region.go
@@ -180,13 +180,13 @@
 
 // NextWindow opens the next window, unless the run is over. It waits for all Takes, and no other call may run beside it.
 func (r *Region) NextWindow() bool {
-	first, any := time.Duration(0), false
+	first, found := time.Duration(0), false
 	for _, s := range r.shards {
-		if at, ok := s.queue.Next(); ok && (!any || at < first) {
-			first, any = at, true
+		if at, ok := s.queue.Next(); ok && (!found || at < first) {
+			first, found = at, true
 		}
 	}
-	if !any || first >= r.config.Duration+r.settleTime() {
+	if !found || first >= r.config.Duration+r.settleTime() {
 		return false
 	}
 	for p := int64(first / meterPeriod); r.period < p; { // what nothing happened in passes as well
--- a/internal/emulator/region_test.go
+++ b/internal/emulator/region_test.go
@@ -28,8 +28,8 @@
 		Arrivals: Arrivals{Rate: 800}}
 }
 
-// play runs a region on this goroutine; backwards has its shards take their turns in the other order.
-func play(t testing.TB, c Config, seed uint64, backwards bool) Result {
+// play runs a region on this goroutine.
+func play(t testing.TB, c Config, seed uint64) Result {
 	t.Helper()
 	r, err := New(c, seed)
 	if err != nil {
@@ -38,9 +38,6 @@
 	n := r.Shards()
 	each := func(do func(int)) {
 		for i := range n {
-			if backwards {
-				i = n - 1 - i
-			}
 			do(i)
 		}
 	}
@@ -111,7 +108,7 @@
 		c := smallConfig()
 		c.Policy = p
 		c.Backends.Concurrency = 100 // nothing waits: a call takes what it takes
-		r := play(t, c, 5, false)
+		r := play(t, c, 5)
 		offered[r.WeightOffered] = true
 		calm = append(calm, r.Latency)
 	}
@@ -212,11 +209,11 @@
 		"clients ask again and again": {PolicyRoundRobin, func(c *Config) {
 			c.Arrivals.Rate = 3000
 			c.Faults = at(Fault{Kind: RetryStorm, Magnitude: 10})
-		}, func(calm, r *Result) bool { return r.Tries > 3*r.Offered/2 }},
+		}, func(_, r *Result) bool { return r.Tries > 3*r.Offered/2 }},
 		"a customer floods": {PolicyEngine, func(c *Config) { c.Faults = at(Fault{Kind: Flood, Magnitude: 1, Share: 1}) },
 			func(calm, r *Result) bool { return r.Offered > calm.Offered+5000 && r.Rejected > 4000 }},
 		"a customer floods, and nothing holds it": {PolicyTwoChoices, func(c *Config) { c.Faults = at(Fault{Kind: Flood, Magnitude: 1, Share: 1}) },
-			func(calm, r *Result) bool { return r.CostOverQuota > 4000 && r.Rejected < 2000 }},
+			func(_, r *Result) bool { return r.CostOverQuota > 4000 && r.Rejected < 2000 }},
 		"doors restart": {PolicyEngine, func(c *Config) {
 			c.Faults = []Fault{{Kind: GatewayRestart, At: 5 * time.Second, Duration: time.Second, Magnitude: 1}}
 		},
@@ -230,7 +227,7 @@
 		"blind attempts double effects": {PolicyBlindRetry, func(c *Config) { c.Faults = at(Fault{Kind: ZoneSlow, Magnitude: 30}) },
 			func(calm, r *Result) bool { return r.RepeatedEffects > 20 && calm.RepeatedEffects == 0 }},
 		"the module's do not": {PolicyEngine, func(c *Config) { c.Faults = at(Fault{Kind: ZoneSlow, Magnitude: 30}) },
-			func(calm, r *Result) bool { return r.RepeatedEffects == 0 && r.Attempts > r.Tries }},
+			func(_, r *Result) bool { return r.RepeatedEffects == 0 && r.Attempts > r.Tries }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -239,7 +236,7 @@
 			c.change(&with)
 			c.change(&without)
 			without.Faults = nil
-			calm, r := play(t, without, 9, false), play(t, with, 9, false)
+			calm, r := play(t, without, 9), play(t, with, 9)
 			if !c.harm(&calm, &r) {
 				t.Errorf("calm   %+v p95 %d\nfaulty %+v p95 %d", calm.Counts, calm.Latency.ValueAtQuantile(95), r.Counts, r.Latency.ValueAtQuantile(95))
 			}
@@ -252,7 +249,7 @@
 	c := smallConfig()
 	c.Warmup = 0
 	c.Arrivals.Trace = []Arrival{{0, 1, "look", 1}, {time.Second, 2, "pay", 2}, {time.Second, 2, "once", 1}, {time.Hour, 3, "look", 1}}
-	r := play(t, c, 1, false)
+	r := play(t, c, 1)
 	if r.Offered != 3 || r.Served != 3 || r.Seconds[0].Offered != 1 || r.Seconds[1].Offered != 2 {
 		t.Errorf("%+v", r.Counts)
 	}
@@ -347,7 +344,7 @@
 	base.Settings.Plans = []decision.Plan{{Name: "flagship", Rate: 100, Burst: 400, Price: 1, HardLimitRate: 30, HardLimitBurst: 60, HardLimitOverdraft: 5}}
 	base.Clients.Plans, base.Clients.Cost = []Share{{"flagship", 1}}, 3
 	base.Arrivals = Arrivals{Rate: 60, BurstFactor: 2, MeanBurst: time.Second, MeanCalm: 4 * time.Second}
-	without := play(t, base, 5, false)
+	without := play(t, base, 5)
 	for name, change := range map[string]func(*Config){
 		"sound":   func(*Config) {},
 		"losing":  func(c *Config) { c.CounterLoss = 0.5 },
@@ -359,7 +356,7 @@
 		c := base
 		c.Counter = Counter{Rate: 600, MaxWait: 30 * time.Millisecond, Timeout: 100 * time.Millisecond}
 		change(&c)
-		r := play(t, c, 5, false)
+		r := play(t, c, 5)
 		if r.PeriodsOverHardLimit > 0 || r.CounterCalls == 0 || r.CounterCallsLost > r.CounterCalls*3/4 {
 			t.Errorf("%s: %+v", name, r.Counts)
 		}
--- a/internal/fakes/ask.go
+++ b/internal/fakes/ask.go
@@ -69,12 +69,12 @@
 
 // String is the kind of the reply: served, refused, failed with its status, or lost.
 func (r Reply) String() string {
-	switch {
-	case r.Status == 0:
+	switch r.Status {
+	case 0:
 		return "lost"
-	case r.Status == http.StatusOK:
+	case http.StatusOK:
 		return "served"
-	case r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests:
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return "refused"
 	}
 	return "failed " + strconv.Itoa(r.Status)
--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -113,7 +113,7 @@
 		return nil, "", err
 	}
 	s := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
-	go s.Serve(ln)
+	go func() { _ = s.Serve(ln) }()
 	return s, ln.Addr().String(), nil
 }
 
@@ -307,9 +307,9 @@
 	defer conn.Close()
 	switch act {
 	case RunAndSpoil:
-		io.WriteString(conn, "\x00\x01noise\r\n\r\n")
+		_, _ = io.WriteString(conn, "\x00\x01noise\r\n\r\n")
 	case RunAndCut:
-		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
+		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 	default:
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
--- a/internal/fakes/consul.go
+++ b/internal/fakes/consul.go
@@ -117,7 +117,7 @@
 	mux.HandleFunc("PUT /v1/agent/service/maintenance/{id}", c.maintenance)
 	mux.HandleFunc("PUT /v1/agent/check/update/{check}", c.update)
 	c.server = &http.Server{Handler: c.guard(mux), ErrorLog: log.New(io.Discard, "", 0)}
-	go c.server.Serve(ln)
+	go func() { _ = c.server.Serve(ln) }()
 	return nil
 }
 
@@ -249,11 +249,12 @@
 		k.Name = cmp.Or(k.Name, in.Checks[n].Name)
 	}
 	k.Name = cmp.Or(k.Name, k.ID)
-	if n < 0 {
+	switch {
+	case n < 0:
 		in.Checks = append(in.Checks, k)
-	} else if in.Checks[n] == k {
+	case in.Checks[n] == k:
 		return
-	} else {
+	default:
 		in.Checks[n] = k
 	}
 	c.touch(in.Service)
@@ -360,7 +361,7 @@
 			}
 			fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Consul-Index: 99\r\n"+
 				"X-Consul-KnownLeader: true\r\nX-Consul-LastContact: 0\r\nContent-Length: 4000\r\n\r\n[{\"Node\":{\"Node\":\"cut\"")
-			buf.Flush()
+			_ = buf.Flush()
 			conn.Close()
 		case Garbling:
 			c.head(w, 99)
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -102,7 +102,7 @@
 // endpoints answers with the whole list, or with a watch.
 func (d *Discovery) endpoints(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") != "1" {
-		json.NewEncoder(w).Encode(d.List())
+		_ = json.NewEncoder(w).Encode(d.List()) // the client has gone
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -130,7 +130,7 @@
 		case <-quiet.C:
 			if !down {
 				io.WriteString(w, "\n")
-				control.Flush()
+				_ = control.Flush()
 			}
 		case <-r.Context().Done():
 			return
--- a/internal/fakes/grpc.go
+++ b/internal/fakes/grpc.go
@@ -136,7 +136,7 @@
 	defer b.mu.Unlock()
 	for c := range b.conns {
 		c.mu.Lock()
-		c.framer.WriteGoAway(c.highest-min(less, c.highest), http2.ErrCodeNo, nil)
+		_ = c.framer.WriteGoAway(c.highest-min(less, c.highest), http2.ErrCodeNo, nil)
 		c.mu.Unlock()
 	}
 }
@@ -423,7 +423,7 @@
 		c.reset(s, http2.ErrCodeRefusedStream)
 	case GRPCGoAwayBelow:
 		c.mu.Lock()
-		c.framer.WriteGoAway(s.id-1, http2.ErrCodeNo, nil)
+		_ = c.framer.WriteGoAway(s.id-1, http2.ErrCodeNo, nil)
 		c.mu.Unlock()
 	case GRPCResetCancel:
 		c.reset(s, http2.ErrCodeCancel)
@@ -511,16 +511,16 @@
 	}
 	c.head.Reset()
 	for _, f := range fields {
-		c.encoder.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
+		_ = c.encoder.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
 	}
-	c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: c.head.Bytes(), EndHeaders: true, EndStream: last})
+	_ = c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: c.head.Bytes(), EndHeaders: true, EndStream: last})
 }
 
 func (c *grpcConn) reset(s *grpcStream, code http2.ErrCode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !s.reset && !c.ended {
-		c.framer.WriteRSTStream(s.id, code)
+		_ = c.framer.WriteRSTStream(s.id, code)
 	}
 }
 
--- a/internal/fakes/grpc_test.go
+++ b/internal/fakes/grpc_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { client.Close() })
+	t.Cleanup(func() { _ = client.Close() })
 	for i, c := range []struct {
 		act  GRPCAct
 		code codes.Code
@@ -83,7 +83,7 @@
 	if err := stream.SendMsg(&in); err != nil {
 		t.Fatal(err)
 	}
-	stream.CloseSend()
+	_ = stream.CloseSend()
 	n := 0
 	for out := []byte(nil); stream.RecvMsg(&out) == nil; n++ {
 	}
--- a/internal/fakes/standin_test.go
+++ b/internal/fakes/standin_test.go
@@ -199,8 +199,13 @@
 	if l := d.List(); len(l.Endpoints) != 1 {
 		t.Errorf("what is gone is listed: %+v", l)
 	}
-	if res, err := http.Get("http://" + d.Addr() + "/v1/endpoints?watch=1&from=x"); err != nil || res.StatusCode != 400 {
-		t.Errorf("%v %v", res, err)
+	res, err = http.Get("http://" + d.Addr() + "/v1/endpoints?watch=1&from=x")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer res.Body.Close()
+	if res.StatusCode != 400 {
+		t.Error(res)
 	}
 }
 
--- a/internal/grpctransport/backends.go
+++ b/internal/grpctransport/backends.go
@@ -7,6 +7,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"net"
 	"slices"
@@ -220,7 +221,7 @@
 	}
 	end := context.AfterFunc(ctx, func() {
 		how := (*grpcproto.Call).TimedOut
-		if a.CancelCause() == executor.ErrCancelled {
+		if errors.Is(a.CancelCause(), executor.ErrCancelled) {
 			how = (*grpcproto.Call).CalledOff
 		}
 		c.giveUp(s, how)
--- a/internal/grpctransport/backends_test.go
+++ b/internal/grpctransport/backends_test.go
@@ -319,7 +319,7 @@
 			return
 		}
 		f := http2.NewFramer(conn, conn)
-		f.WriteSettings()
+		_ = f.WriteSettings()
 		serve(conn, f)
 	})
 	r := &rig{t: t, back: New(Config{Connect: testkit.Patient})}
@@ -441,7 +441,7 @@
 func TestASettingHalfway(t *testing.T) {
 	t.Parallel()
 	r := raw(t, func(_ net.Conn, f *http2.Framer) {
-		f.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 10})
+		_ = f.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 10})
 		var head bytes.Buffer
 		encoder := hpack.NewEncoder(&head)
 		got := map[uint32]int{}
@@ -455,16 +455,16 @@
 				continue
 			}
 			if got[d.StreamID] += len(d.Data()); got[d.StreamID] == 10 && !d.StreamEnded() {
-				f.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1000})
+				_ = f.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1000})
 			}
 			if !d.StreamEnded() {
 				continue
 			}
 			head.Reset()
 			for _, h := range [][2]string{{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-status", "5"}} {
-				encoder.WriteField(hpack.HeaderField{Name: h[0], Value: h[1]})
+				_ = encoder.WriteField(hpack.HeaderField{Name: h[0], Value: h[1]})
 			}
-			f.WriteHeaders(http2.HeadersFrameParam{StreamID: d.StreamID, BlockFragment: head.Bytes(), EndHeaders: true, EndStream: true})
+			_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: d.StreamID, BlockFragment: head.Bytes(), EndHeaders: true, EndStream: true})
 		}
 	})
 	for _, size := range []int{1, 100} { // with the first answer the first settings have come
--- a/internal/grpctransport/conn.go
+++ b/internal/grpctransport/conn.go
@@ -36,10 +36,9 @@
 )
 
 var (
-	errFlood    = errors.New("grpcback: too many frames that carry nothing")
-	errTooMany  = errors.New("grpcback: no stream is free")
-	errLeaving  = errors.New("grpcback: the backend has said GOAWAY")
-	errProtocol = errors.New("grpcback: not HTTP/2 as it should be")
+	errFlood   = errors.New("grpcback: too many frames that carry nothing")
+	errTooMany = errors.New("grpcback: no stream is free")
+	errLeaving = errors.New("grpcback: the backend has said GOAWAY")
 )
 
 // Field is one field of metadata, its name in lower case.
@@ -118,7 +117,7 @@
 type deadlined struct{ net.Conn }
 
 func (d deadlined) Write(p []byte) (int, error) {
-	d.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	d.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return d.Conn.Write(p)
 }
 
@@ -181,7 +180,7 @@
 
 	c.head.Reset()
 	for _, f := range fields {
-		c.encoder.WriteField(hpack.HeaderField{Name: f.Name, Value: f.Value})
+		_ = c.encoder.WriteField(hpack.HeaderField{Name: f.Name, Value: f.Value})
 	}
 	block := c.head.Bytes()
 	first := block[:min(len(block), frame)]
@@ -385,7 +384,7 @@
 			c.ifEnded(s)
 		}
 	case *http2.DataFrame:
-		n := uint32(f.Length)
+		n := f.Length
 		idle = n == 0
 		s := c.streams[f.StreamID]
 		if s != nil {
@@ -457,7 +456,7 @@
 func (c *conn) cancel(id uint32) {
 	c.wmu.Lock()
 	defer c.wmu.Unlock()
-	c.wrote(errors.Join(c.writer.WriteRSTStream(id, http2.ErrCodeCancel), c.out.Flush()))
+	_ = c.wrote(errors.Join(c.writer.WriteRSTStream(id, http2.ErrCodeCancel), c.out.Flush()))
 }
 
 // headers takes a head of the answer.
@@ -618,7 +617,7 @@
 	}
 	c.wmu.Lock()
 	defer c.wmu.Unlock()
-	c.wrote(errors.Join(c.writer.WriteWindowUpdate(s.id, n), c.out.Flush()))
+	_ = c.wrote(errors.Join(c.writer.WriteWindowUpdate(s.id, n), c.out.Flush()))
 }
 
 // pass passes a streamed answer on, and tells how that has ended: Answered, or why its client did not get all of it.
--- a/internal/grpctransport/stored.go
+++ b/internal/grpctransport/stored.go
@@ -16,7 +16,7 @@
 	type Field struct{ Name, Value string }
 	stored := func(in []given) (out []Field) {
 		for _, f := range in {
-			out = append(out, Field{Name: f.Name, Value: f.Value})
+			out = append(out, Field(f))
 		}
 		return out
 	}
@@ -47,7 +47,7 @@
 	}
 	fields := func(in []storedField) (out []Field) {
 		for _, f := range in {
-			out = append(out, Field{Name: f.Name, Value: f.Value})
+			out = append(out, Field(f))
 		}
 		return out
 	}
--- a/internal/hosttest/hosttest.go
+++ b/internal/hosttest/hosttest.go
@@ -103,7 +103,7 @@
 	if change != nil {
 		change(s)
 	}
-	go s.Serve(ln)
+	go func() { _ = s.Serve(ln) }()
 	t.Cleanup(func() { s.Close() })
 	return ln.Addr().String()
 }
--- a/internal/http1proxy/webwire_test.go
+++ b/internal/http1proxy/webwire_test.go
@@ -119,7 +119,7 @@
 			}
 		}
 		told := strings.Join(got.Header["X-Forwarded-For"], ",")
-		if o.Style == XForwarded && !(told == from.Addr || from.Trusted && strings.HasSuffix(told, ", "+from.Addr)) || o.Style != XForwarded && told != "" {
+		if o.Style == XForwarded && told != from.Addr && (!from.Trusted || !strings.HasSuffix(told, ", "+from.Addr)) || o.Style != XForwarded && told != "" {
 			t.Fatalf("X-Forwarded-For: %q", told)
 		}
 	})
@@ -183,6 +183,7 @@
 		if err != nil {
 			t.Fatalf("net/http: %v of %q", err, raw)
 		}
+		defer res.Body.Close()
 		if res.StatusCode != status || res.ContentLength != length || res.Close || len(res.TransferEncoding) > 0 || fmt.Sprint(res.Header) != fmt.Sprint(h) || !bytes.HasSuffix(raw[:size], []byte("\r\n\r\n")) {
 			t.Fatalf("%d %d %v, net/http: %d %d %v of %q", status, length, h, res.StatusCode, res.ContentLength, res.Header, raw)
 		}
--- a/internal/httpproxytransport/attempt.go
+++ b/internal/httpproxytransport/attempt.go
@@ -146,7 +146,7 @@
 func (x *exchange) run() (r executor.Response, again bool) {
 	c := x.c
 	if x.a.OnCancel(c.cut) != nil || x.a.SendForbidden() {
-		x.a.OnCancel(nil)
+		_ = x.a.OnCancel(nil)
 		x.b.finish(c, x.a, false)
 		return reply(decision.NotSent), false
 	}
@@ -167,7 +167,7 @@
 		default: // answered before the backend had the request whole
 			clean = false
 			c.cut()
-			<-x.beat
+			<-x.beat //nolint:errcheck // the write was cut short, which clean says already
 		}
 	}
 	x.b.finish(c, x.a, clean && c.br.Buffered() == 0)
@@ -188,13 +188,13 @@
 
 // why tells how the attempt ended, given what a read or a write said.
 func (x *exchange) why(err error) http1proxy.Why {
-	switch x.a.CancelCause() {
-	case executor.ErrCancelled:
+	switch cause := x.a.CancelCause(); {
+	case errors.Is(cause, executor.ErrCancelled):
 		return http1proxy.CalledOff
-	case executor.ErrDeadlineExceeded:
+	case errors.Is(cause, executor.ErrDeadlineExceeded):
 		return http1proxy.TimeUp
 	}
-	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return http1proxy.Ended
 	}
 	if _, system := errors.AsType[interface {
@@ -367,7 +367,7 @@
 	if res.ContentLength >= 0 {
 		a.Body = make([]byte, res.ContentLength)
 		_, err = io.ReadFull(res.Body, a.Body)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
 	} else if a.Body, err = io.ReadAll(io.LimitReader(res.Body, most+1)); err == nil && int64(len(a.Body)) > most {
--- a/internal/httpproxytransport/h2.go
+++ b/internal/httpproxytransport/h2.go
@@ -89,7 +89,7 @@
 	b.came(be)
 	b.unlock()
 	if err == nil && !known {
-		cc.Close()
+		_ = cc.Close()
 	}
 }
 
@@ -131,7 +131,7 @@
 	if a.OnCancel(cancel) != nil {
 		return reply(decision.NotSent)
 	}
-	defer a.OnCancel(nil)
+	defer func() { _ = a.OnCancel(nil) }()
 	cc, addr, result := b.connH2(ctx, a)
 	if cc == nil {
 		return reply(result)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -25,7 +25,7 @@
 		}
 		return nil, fmt.Errorf("there is no %s", path)
 	}
-	datadriven.RunTest(t, "testdata/problems", func(t *testing.T, d *datadriven.TestData) string {
+	datadriven.RunTest(t, "testdata/problems", func(_ *testing.T, d *datadriven.TestData) string {
 		e, err := Parse([]byte("name = \"x\"\n"+d.Input), traces)
 		if err != nil {
 			return err.Error() + "\n"
@@ -314,7 +314,8 @@
 	dir := t.TempDir()
 	file, out := filepath.Join(dir, "one.toml"), filepath.Join(dir, "out")
 	text := strings.NewReplacer(`length = "5s"`, `length = "3s"`, "rate = 200", "rate = 150").Replace(fmt.Sprintf(experiment, 60))
-	if err := os.WriteFile(file, []byte(text[:strings.Index(text, "[[factor]]")]), 0o600); err != nil {
+	text, _, _ = strings.Cut(text, "[[factor]]")
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Run(t.Context(), file, out, RunOptions{Jobs: 4}); err != nil {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -49,7 +49,6 @@
 	Beyond       int
 	latency      *hdrhistogram.Histogram
 	seconds      []secondMeans
-	jains        []float64
 }
 
 type secondMeans struct {
--- a/internal/lab/rows.go
+++ b/internal/lab/rows.go
@@ -235,7 +235,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	h := xxhash.New()
 	if _, err := io.Copy(h, f); err != nil {
 		return "", err
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -59,7 +59,7 @@
 func TestKnownDelay(t *testing.T) {
 	const delay, stall = 30 * time.Millisecond, 400 * time.Millisecond
 	var stalled atomic.Int64
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := target(t, func(http.ResponseWriter, *http.Request) {
 		time.Sleep(delay)
 		time.Sleep(time.Until(time.Unix(0, stalled.Load())))
 	})
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 		res.Body.Close()
-		closed.RecordValue(time.Since(begun).Microseconds())
+		_ = closed.RecordValue(time.Since(begun).Microseconds())
 	}
 	if p90 := closed.ValueAtQuantile(90); p90 > 100_000 {
 		t.Errorf("a closed loop's p90 is %d us: then the stall is no test", p90)
@@ -165,7 +165,7 @@
 func TestSilentTarget(t *testing.T) {
 	var n atomic.Int64
 	gone := make(chan bool)
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := target(t, func(_ http.ResponseWriter, r *http.Request) {
 		if n.Add(1) > 50 {
 			select {
 			case <-gone:
--- a/internal/load/ways.go
+++ b/internal/load/ways.go
@@ -129,7 +129,7 @@
 
 func (w *overGRPC) close() {
 	for _, c := range w.conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
--- a/internal/operatorconfig/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -17,11 +17,11 @@
 	"pumicecroft/membership"
 )
 
-// Problem is one thing that is wrong with a file, and Problems all of them.
-type (
-	Problem  = settings.Problem
-	Problems = settings.Problems
-)
+// Problem is one thing that is wrong with a file.
+type Problem = settings.Problem
+
+// Problems are all things that are wrong with a file.
+type Problems = settings.Problems
 
 // File is what an operator's file says.
 type File struct {
@@ -42,9 +42,9 @@
 }
 
 const (
-	day  = 24 * time.Hour
-	many = 1 << 20
-	any_ = math.MaxFloat64
+	day       = 24 * time.Hour
+	many      = 1 << 20
+	unbounded = math.MaxFloat64
 )
 
 // Parse reads a file's text. The error is a Problems.
@@ -125,7 +125,7 @@
 	set.CanCancel = s.Yes("cancel", true)
 	set.MaxRetryAfter = s.Duration("max_retry_after", time.Second, 0, time.Hour)
 	set.UsagePeriod = s.Duration("meter_period", 0, 0, time.Minute)
-	set.MaxCost = s.Number("largest_units", 0, 0, any_)
+	set.MaxCost = s.Number("largest_units", 0, 0, unbounded)
 	set.SlowStartMinCapacity = s.Number("cold_from", 0.2, 0, 1)
 	set.SlowStartWindow = s.Duration("warm_within", 0, 0, time.Hour)
 	set.OverloadFactor = s.Number("fall_multiple", 0, 0, 1000)
@@ -158,7 +158,7 @@
 	c.DedupWindow = s.Duration("key_window", 0, 0, day)
 	c.Deadline = s.Duration("deadline", 10*time.Second, time.Millisecond, time.Hour)
 	c.LatencyObjective = s.Duration("aim", c.Deadline/2, time.Millisecond, time.Hour)
-	c.PriorityWeight = s.Number("worth", 1, 0, any_)
+	c.PriorityWeight = s.Number("worth", 1, 0, unbounded)
 	c.LateWeightFactor = s.Number("late_worth", 0, 0, 1)
 	if c.LatencyObjective > c.Deadline {
 		d.Bad(s.Path, "aim", "%v is over the deadline of %v", c.LatencyObjective, c.Deadline)
@@ -205,13 +205,13 @@
 	for _, s := range top.List("plan") {
 		p := decision.Plan{Name: s.Text("name", true)}
 		names(d, seen, s, p.Name)
-		p.Rate = s.Number("rate", 0, 0, any_)
-		p.Burst = s.Number("burst", 0, 0, any_)
+		p.Rate = s.Number("rate", 0, 0, unbounded)
+		p.Burst = s.Number("burst", 0, 0, unbounded)
 		p.MaxInFlight = s.Whole("open", 0, 0, many)
-		p.Price = s.Number("price", 1, 0, any_)
-		p.HardLimitRate = s.Number("ceiling_rate", 0, 0, any_)
-		p.HardLimitBurst = s.Number("ceiling_burst", 0, 0, any_)
-		p.HardLimitOverdraft = s.Number("ceiling_slack", 0, 0, any_)
+		p.Price = s.Number("price", 1, 0, unbounded)
+		p.HardLimitRate = s.Number("ceiling_rate", 0, 0, unbounded)
+		p.HardLimitBurst = s.Number("ceiling_burst", 0, 0, unbounded)
+		p.HardLimitOverdraft = s.Number("ceiling_slack", 0, 0, unbounded)
 		if (p.Rate > 0) != (p.Burst > 0) {
 			d.Bad(s.Path, "burst", "rate and burst go together")
 		}
@@ -234,7 +234,7 @@
 	f.Backends.Full = true
 	for _, s := range top.List("backend") {
 		n := membership.Node{Name: s.Text("name", true), Addr: s.Text("address", true), Zone: s.Text("zone", false),
-			InstanceType: s.Text("model", false), Cell: s.Whole("cell", 0, 0, math.MaxInt32), Weight: s.Number("weight", 1, 0, any_),
+			InstanceType: s.Text("model", false), Cell: s.Whole("cell", 0, 0, math.MaxInt32), Weight: s.Number("weight", 1, 0, unbounded),
 			Protocol: protocol(s, "")}
 		n.Protocol = serves(s, "service", n.Protocol, f)
 		names(d, seen, s, n.Name)
--- a/internal/operatorconfig/operator_test.go
+++ b/internal/operatorconfig/operator_test.go
@@ -119,7 +119,7 @@
 		"door is no table":             {"[door]\nnumber = 1\nof = 2\nmax_retry_after = \"1.5s\"\nbody_timeout = \"500ms\"", "door = 3", "line 3: door: it is a whole number, not a table"},
 		"yes or no":                    {`of = 2`, "of = 2\ncancel = \"yes\"", "line 6: door.cancel: it is a text, not true or false"},
 	} {
-		text := strings.Replace(good, c.old, c.new, -1)
+		text := strings.ReplaceAll(good, c.old, c.new)
 		if text == good {
 			t.Fatalf("%s: nothing was changed", name)
 		}
@@ -243,7 +243,7 @@
 		"a TTL too short":       {`ttl = "6s"`, `ttl = "6ms"`, "line 38: consul.register.ttl: 6ms is not from 1s"},
 		"a share over 1":        {`loss_share = 0.3`, `loss_share = 3`, "line 17: membership.loss_share: 3 is not from 0.01 to 1"},
 	} {
-		text := strings.Replace(goodConsul, c.old, c.new, -1)
+		text := strings.ReplaceAll(goodConsul, c.old, c.new)
 		if text == goodConsul {
 			t.Fatalf("%s: nothing was changed", name)
 		}
--- a/internal/operatorconfig/web.go
+++ b/internal/operatorconfig/web.go
@@ -1,6 +1,7 @@
 package operatorconfig
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"net/netip"
@@ -299,7 +300,7 @@
 				e := decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe"))
 				to.Effect = &e
 			}
-			to.Units = s.Number("units", 0, 0, any_)
+			to.Units = s.Number("units", 0, 0, unbounded)
 			to.Timeout = s.Duration("timeout", 0, time.Millisecond, time.Hour)
 			to.MaxBody = int64(s.Whole("max_body", 1<<20, 0, 1<<40))
 			to.Statuses = httpproxy.Statuses{Answered: s.Wholes("answered"), Refused: s.Wholes("refused"), Failed: s.Wholes("failed")}
@@ -320,7 +321,11 @@
 	}
 	var err error
 	if w.Table, err = routes.New(w.Routes); err != nil {
-		for _, p := range err.(routes.Problems) {
+		problems, ok := errors.AsType[routes.Problems](err)
+		if !ok {
+			panic(err) // routes.New has no other error
+		}
+		for _, p := range problems {
 			at := ""
 			if i := slices.IndexFunc(w.Routes, func(r routes.Rule[*httpproxy.Route]) bool { return r.Line == p.Line }); i >= 0 && len(list) > 0 {
 				at = fmt.Sprintf("route[%d]", i)
@@ -450,7 +455,7 @@
 // HostOf gives the host of a backend's address, with its port unless it is the scheme's own.
 func HostOf(addr string, tls bool) string {
 	host, port, err := net.SplitHostPort(addr)
-	if err != nil || !(tls && port == "443" || !tls && port == "80") {
+	if err != nil || (!tls || port != "443") && (tls || port != "80") {
 		return addr
 	}
 	if strings.Contains(host, ":") {
--- a/internal/operatorconfig/web_test.go
+++ b/internal/operatorconfig/web_test.go
@@ -11,7 +11,7 @@
 
 // Files of ordinary HTTP: what they come to, or each problem with line and key. The file's line 1 is "listen".
 func TestWeb(t *testing.T) {
-	datadriven.RunTest(t, "testdata/web", func(t *testing.T, d *datadriven.TestData) string {
+	datadriven.RunTest(t, "testdata/web", func(_ *testing.T, d *datadriven.TestData) string {
 		f, err := Parse([]byte("listen = \"127.0.0.1:0\"\n" + d.Input))
 		if err != nil {
 			return err.Error() + "\n"
--- a/internal/processtest/fresh_test.go
+++ b/internal/processtest/fresh_test.go
@@ -28,10 +28,10 @@
 			return eachDoor(f, func(d *Door, _ string) error { return os.RemoveAll(d.State) })
 		},
 		"torn": func(f *Fleet) error {
-			return eachDoor(f, func(d *Door, path string) error { return os.Truncate(path, 40) })
+			return eachDoor(f, func(_ *Door, path string) error { return os.Truncate(path, 40) })
 		},
 		"with yesterday's copy, of when nobody owed": func(f *Fleet) error {
-			return eachDoor(f, func(d *Door, path string) error {
+			return eachDoor(f, func(_ *Door, path string) error {
 				text, err := os.ReadFile(path)
 				if err != nil {
 					return err
@@ -53,7 +53,7 @@
 			})
 		},
 		"where nothing can be kept": func(f *Fleet) error {
-			return eachDoor(f, func(d *Door, path string) error { return errors.Join(os.Remove(path), os.Mkdir(path, 0o700)) })
+			return eachDoor(f, func(_ *Door, path string) error { return errors.Join(os.Remove(path), os.Mkdir(path, 0o700)) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -32,7 +32,7 @@
 	build := exec.Command("go", "build", "-o", path, "./cmd/pumicecroft")
 	build.Dir = filepath.Join(filepath.Dir(here), "..", "..")
 	if text, err := build.CombinedOutput(); err != nil {
-		os.RemoveAll(dir)
+		_ = os.RemoveAll(dir)
 		return "", fmt.Errorf("the program can't be built: %w: %s", err, text)
 	}
 	return path, nil
@@ -41,7 +41,7 @@
 // End removes what Program has built. A test's main calls it last.
 func End() {
 	if path, err := Program(); err == nil {
-		os.RemoveAll(filepath.Dir(path))
+		_ = os.RemoveAll(filepath.Dir(path))
 	}
 }
 
@@ -75,7 +75,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, errors.Join(err, r.Close(), w.Close())
 	}
-	w.Close()
+	_ = w.Close()
 	go p.read(r)
 	return p, nil
 }
@@ -134,7 +134,7 @@
 // Signal sends a signal; to one that has ended it does nothing.
 func (p *Process) Signal(s syscall.Signal) {
 	if p.Alive() {
-		p.cmd.Process.Signal(s)
+		_ = p.cmd.Process.Signal(s)
 	}
 }
 
--- a/internal/processtest/relay.go
+++ b/internal/processtest/relay.go
@@ -235,7 +235,7 @@
 		for _, c := range []net.Conn{p.near, p.far} {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				tcp.SetLinger(0)
-				tcp.Close()
+				_ = tcp.Close()
 			}
 		}
 	})
--- a/internal/reservemodel/payoff.go
+++ b/internal/reservemodel/payoff.go
@@ -196,7 +196,7 @@
 				r.Low += p * float64(lo+v.low) * c.load.Mu
 				r.Degraded += p * float64(v.degraded) * c.load.Mu
 				room := c.freeUnits(v) >= alpha
-				if h == c.split.High && !room && !(c.subRating && v.low >= alpha) {
+				if h == c.split.High && !room && (!c.subRating || v.low < alpha) {
 					r.RejectedHigh += p * c.load.LambdaH
 				}
 				if lo == c.split.Low && !room {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -3,6 +3,7 @@
 package settings
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -52,7 +53,7 @@
 func Parse(text []byte) (*Document, error) {
 	d := &Document{Root: map[string]any{}, lines: map[string]int{}}
 	if err := toml.Unmarshal(text, &d.Root); err != nil {
-		if de, ok := err.(*toml.DecodeError); ok {
+		if de, ok := errors.AsType[*toml.DecodeError](err); ok {
 			line, _ := de.Position()
 			return nil, Problems{{Line: line, Key: strings.Join(de.Key(), "."), What: de.Error()}}
 		}
--- a/internal/sim/door.go
+++ b/internal/sim/door.go
@@ -1,6 +1,7 @@
 package sim
 
 import (
+	"errors"
 	"slices"
 	"time"
 
@@ -526,7 +527,7 @@
 		err = late
 	case try.cancelCause != platformhttp.NotCancelled:
 		err = errCancelled
-	case l.readErr == errConnReset:
+	case errors.Is(l.readErr, errConnReset):
 		err = errConnReset
 	case b.hitBy(ConnLostBeforeRequest, try.randKey()...):
 		rng := d.world.newRand(append(try.randKey(), 3)...)
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -1,6 +1,7 @@
 package sim
 
 import (
+	"errors"
 	"os"
 	"runtime"
 	"slices"
@@ -150,7 +151,7 @@
 	r := quietRunner(t, &trace)
 	d, b := r.gateways[0], r.backends[0]
 	var l *conn
-	d.dial(b.addr(), nil, func(up *conn, err error) { l = up })
+	d.dial(b.addr(), nil, func(up *conn, _ error) { l = up })
 	r.run(start+time.Second, 1000)
 	if l == nil || l.latency <= 0 {
 		t.Fatal("it does not come up")
@@ -178,7 +179,7 @@
 	l.reset()
 	l.sendToGateway([]byte("ij"), 0)
 	r.run(r.now+time.Second, 10_000)
-	if string(l.received) != "abcdefgh" || l.readErr != errConnReset {
+	if string(l.received) != "abcdefgh" || !errors.Is(l.readErr, errConnReset) {
 		t.Errorf("%q, ended by %v", l.received, l.readErr)
 	}
 	for _, c := range []struct {
@@ -190,7 +191,7 @@
 		got := error(nil)
 		d.dial(b.addr(), nil, func(_ *conn, err error) { got = err })
 		r.run(r.now+time.Second, 10_000)
-		if got != c.want {
+		if !errors.Is(got, c.want) {
 			t.Errorf("%v, want %v", got, c.want)
 		}
 	}
--- a/internal/sim/sources.go
+++ b/internal/sim/sources.go
@@ -568,7 +568,7 @@
 	case how%4 == 1:
 		a.missing = [2]func(*backend) bool{all, nil}
 	case how%4 == 2:
-		a.index = a.index % 7
+		a.index %= 7
 		for _, b := range a.runner.backends {
 			b.createIndex = a.index + 1
 		}
--- a/internal/socketpeek/netlook_test.go
+++ b/internal/socketpeek/netlook_test.go
@@ -29,12 +29,12 @@
 	defer near.Close()
 	seen := []Sight{At(near)}
 	io.WriteString(far, "x")
-	near.Read(nil)
+	_, _ = near.Read(nil)
 	for deadline := time.Now().Add(testkit.Patient); At(near) == Clean && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	seen = append(seen, At(near), At(near))
-	near.Read(make([]byte, 1))
+	_, _ = near.Read(make([]byte, 1))
 	far.Close()
 	for deadline := time.Now().Add(testkit.Patient); At(near) == Clean && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -147,7 +148,7 @@
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(Patient))
 	said, err := io.ReadAll(c)
-	if ne, ok := err.(net.Error); ok && ne.Timeout() {
+	if ne, ok := errors.AsType[net.Error](err); ok && ne.Timeout() {
 		t.Errorf("the connection was never closed; it said %q", said)
 	}
 	return string(said)
--- a/internal/unread/unread_test.go
+++ b/internal/unread/unread_test.go
@@ -1,6 +1,7 @@
 package unread
 
 import (
+	"errors"
 	"io"
 	"net"
 	"testing"
@@ -59,10 +60,10 @@
 	}
 	testkit.Await(t, told, "the reader to wait")
 	far.Close()
-	if err := testkit.Await(t, ended, "the end"); err != io.EOF {
+	if err := testkit.Await(t, ended, "the end"); !errors.Is(err, io.EOF) {
 		t.Errorf("it ended with %v", err)
 	}
-	c.Close()
+	_ = c.Close()
 	if c.Nothing() {
 		t.Error("it is closed, and nothing is unread")
 	}
--- a/middleware/gin/gin.go
+++ b/middleware/gin/gin.go
@@ -46,7 +46,7 @@
 		return req, err
 	})
 	if err != nil {
-		g.Error(err)
+		_ = g.Error(err)
 	}
 	if errors.Is(err, context.DeadlineExceeded) && g.Request.Context().Err() != nil {
 		// The host's own time is up. The status is only noted: a handler of the host's that answers by itself
--- a/middleware/gin/gin_test.go
+++ b/middleware/gin/gin_test.go
@@ -120,9 +120,9 @@
 		}
 		if bind.Load() {
 			var form struct{ Amount int }
-			c.ShouldBindBodyWith(&form, binding.JSON)
+			_ = c.ShouldBindBodyWith(&form, binding.JSON)
 		} else {
-			c.GetRawData()
+			_, _ = c.GetRawData()
 		}
 	}, pumicegin.New(r.Door))
 	addr := hosttest.Serve(t, e, nil)
--- a/middleware/nethttp/nethttp_test.go
+++ b/middleware/nethttp/nethttp_test.go
@@ -217,7 +217,7 @@
 	}{
 		"left alone": {func(http.ResponseWriter, *http.Request) {}, 200},
 		"read":       {func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) }, 400},
-		"half read":  {func(_ http.ResponseWriter, r *http.Request) { r.Body.Read(make([]byte, 3)) }, 400},
+		"half read":  {func(_ http.ResponseWriter, r *http.Request) { _, _ = r.Body.Read(make([]byte, 3)) }, 400},
 		"read and put back": {func(_ http.ResponseWriter, r *http.Request) {
 			text, _ := io.ReadAll(r.Body)
 			r.Body = io.NopCloser(strings.NewReader(string(text)))
@@ -394,7 +394,7 @@
 	if err != nil {
 		t.Fatalf("a number that was given back: %v", err)
 	}
-	again.Close(t.Context())
+	_ = again.Close(t.Context())
 }
 
 // Over HTTP/2 the host's server frames bodies by itself, and many requests share a connection.
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -187,7 +187,7 @@
 			r := anyRequest(rng)
 			want, wantErr := naive(rules, r)
 			got, err := table.Match(r)
-			if (err == nil) != (wantErr == nil) || kindOf(err) != kindOf(wantErr) || err == nil && got.Rule.Line != want.Line {
+			if (err == nil) != (wantErr == nil) || !errors.Is(kindOf(err), kindOf(wantErr)) || err == nil && got.Rule.Line != want.Line {
 				t.Fatalf("%s %q %q: %+v, %v, and by the rule %+v, %v, of\n%+v", r.Method, r.Host, r.Path, got.Rule, err, want, wantErr, rules)
 			}
 			if err == nil {
@@ -306,7 +306,7 @@
 		r := &Request{Method: "GET", Host: host, Path: path}
 		want, wantErr := naive(rules, r)
 		got, err := table.Match(r)
-		if (err == nil) != (wantErr == nil) || kindOf(err) != kindOf(wantErr) || err == nil && got.Rule.Line != want.Line {
+		if (err == nil) != (wantErr == nil) || !errors.Is(kindOf(err), kindOf(wantErr)) || err == nil && got.Rule.Line != want.Line {
 			t.Fatalf("%q %q: %+v, %v, and by the rule %+v, %v", host, path, got.Rule, err, want, wantErr)
 		}
 	})
--- a/routes/text.go
+++ b/routes/text.go
@@ -25,7 +25,7 @@
 	}
 	name = strings.TrimSuffix(name, ".")
 	if name == "" && host != "" || len(name) > 253 || strings.ContainsFunc(name, func(c rune) bool {
-		return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '.' || c == '_')
+		return (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '-' && c != '.' && c != '_'
 	}) || strings.Contains(name, "..") || strings.HasPrefix(name, ".") {
 		return "", fmt.Errorf("%w: %.60q", ErrHost, host)
 	}
