--- a/cmd/pumicecroft/sim_test.go
+++ b/cmd/pumicecroft/sim_test.go
@@ -86,16 +86,16 @@
 name = "nothing"
 rule = "none"
 [[mutant.edit]]
-file = "internal/core/core.go"
-old = "Owed is how many"
-new = "Owed tells how many"
+file = "internal/simdisk/simdisk.go"
+old = "// Sector is "
+new = "// Sector means "
 [[mutant]]
 name = "no program"
 rule = "none"
 [[mutant.edit]]
-file = "internal/core/core.go"
-old = "package core\n"
-new = "package cor e\n"
+file = "internal/simdisk/simdisk.go"
+old = "package simdisk\n"
+new = "package simdis k\n"
 `
 	if err := os.WriteFile(own, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
