--- a/bench_web_test.go
+++ b/bench_web_test.go
@@ -42,17 +42,17 @@
 	}
 	b.Cleanup(func() { door.Close(context.Background()) })
 	front := func(n int) http.Handler {
-		to := &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Safe: "look"}}
-		rules := []routes.Rule[*httpproxy.Route]{{Name: "all", Path: "/{rest...}", To: to}}
+		to := &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Idempotent: "look"}}
+		rules := []routes.Rule[*httpproxy.Route]{{Name: "all", Path: "/{rest...}", Target: to}}
 		for i := range n - 1 {
-			rules = append(rules, routes.Rule[*httpproxy.Route]{Name: fmt.Sprint(i), Line: i, Path: fmt.Sprintf("/v%d/items-%d/{id}", i%10, i), To: to})
+			rules = append(rules, routes.Rule[*httpproxy.Route]{Name: fmt.Sprint(i), Line: i, Path: fmt.Sprintf("/v%d/items-%d/{id}", i%10, i), Target: to})
 		}
 		table, err := routes.New(rules)
 		if err != nil {
 			b.Fatal(err)
 		}
 		f, err := httpproxy.New(door, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
-			Who: identity.New(nil, identity.Named{Name: "address", Rule: &identity.Address{Plan: "basic"}})}})
+			Resolver: identity.New(nil, identity.NamedRule{Name: "address", Rule: &identity.AddressRule{Plan: "basic"}})}})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -15,20 +15,20 @@
 	"pumicecroft/internal/simwire"
 )
 
-// door is one instance, with its calls of the counter that have no answer, by name and in their order.
-type door struct {
+// instance is one instance, with its calls of the counter that have no answer, by name and in their order.
+type instance struct {
 	*decision.Engine
-	counts map[uint64][]uint64
+	pendingCounts map[uint64][]uint64
 }
 
-// counted gives an answer of the counter to the call that it is for.
-func (d *door) counted(t simwire.CounterReply) (decision.Event, error) {
-	refs := d.counts[t.Key]
+// matchCounterReply gives an answer of the counter to the call that it is for.
+func (d *instance) matchCounterReply(t simwire.CounterReply) (decision.Event, error) {
+	refs := d.pendingCounts[t.Key]
 	if len(refs) == 0 {
 		return nil, fmt.Errorf("an answer of the counter for %d, which was not asked for", t.Key)
 	}
-	if d.counts[t.Key] = refs[1:]; len(refs) == 1 {
-		delete(d.counts, t.Key)
+	if d.pendingCounts[t.Key] = refs[1:]; len(refs) == 1 {
+		delete(d.pendingCounts, t.Key)
 	}
 	t.Result.Ref = refs[0]
 	return t.Result, nil
@@ -44,7 +44,7 @@
 // run serves until the input ends. An input that ends inside a batch is an error.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	doors := map[int]*door{}
+	doors := map[int]*instance{}
 	var reply bytes.Buffer
 	var actions []decision.Action
 	var now time.Duration
@@ -85,7 +85,7 @@
 			if err != nil {
 				return fmt.Errorf("line %d: %w", number, err)
 			}
-			doors[m.Instance] = &door{g, map[uint64][]uint64{}}
+			doors[m.Instance] = &instance{g, map[uint64][]uint64{}}
 		case m.Stop:
 			delete(doors, m.Instance)
 		case m.Event != nil || m.CounterReply.Present:
@@ -94,14 +94,14 @@
 				return fmt.Errorf("line %d: an event for instance %d, which is not running", number, m.Instance)
 			}
 			if m.CounterReply.Present {
-				if m.Event, err = d.counted(m.CounterReply); err != nil {
+				if m.Event, err = d.matchCounterReply(m.CounterReply); err != nil {
 					return fmt.Errorf("line %d: %w", number, err)
 				}
 			}
 			actions = d.Handle(now, m.Event, actions[:0])
 			for _, a := range actions {
 				if c, ok := a.(decision.CounterAdd); ok {
-					d.counts[c.Key] = append(d.counts[c.Key], c.Ref)
+					d.pendingCounts[c.Key] = append(d.pendingCounts[c.Key], c.Ref)
 				}
 				simwire.AppendAction(&reply, m.Instance, a)
 			}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const boot = `{"m":"clock","at_time_us":1000}
+const startLines = `{"m":"clock","at_time_us":1000}
 {"m":"boot","door":0,"random_seed":3,"params":{"balancers":1,"policy_limits":{"max_attempts":2},"lanes":[{"name":"c",` +
 	`"effect":"retryable","goal_time_us":1000000,"deadline_us":2000000,"gain":1}],"tariffs":[{"name":"p","units_per_s":5,` +
 	`"burst":5,"value_factor":1}],"unknown":{}}}
@@ -14,9 +14,9 @@
 {"m":"eob"}
 `
 
-func TestServesAndEndsWithItsInput(t *testing.T) {
+func TestRunEndsWithInput(t *testing.T) {
 	var out bytes.Buffer
-	in := boot + `{"m":"clock","at_time_us":2000}
+	in := startLines + `{"m":"clock","at_time_us":2000}
 {"m":"call","door":0,"txn":"00000000000000ff","spread":1,"terms":"p","grace_us":1000000,"cost_units":1,"grade":"c","caller":1}
 {"m":"eob"}
 `
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestMalformedInputIsAnError(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	for name, in := range map[string]string{
 		"not JSON":           "hello\n",
 		"event before clock": `{"m":"reminder","door":0,"ref":1}` + "\n",
--- a/cmd/pumicecroft/commands_test.go
+++ b/cmd/pumicecroft/commands_test.go
@@ -24,7 +24,7 @@
 	"pumicecroft/internal/snapshotfile"
 )
 
-func file(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "pumicecroft.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -48,7 +48,7 @@
 	if err := run(t.Context(), []string{"check", "../../deploy/pumicecroft.toml"}, &out); err != nil || !strings.Contains(out.String(), "is good: door 0 of 1, 3 classes, 2 plans, 2 backends, sources file") {
 		t.Errorf("%v %q", err, out.String())
 	}
-	bad := file(t, strings.NewReplacer(`"look"`, `""`, `name = "shop"`, `nmae = "shop"`).Replace(operatorFile))
+	bad := writeFile(t, strings.NewReplacer(`"look"`, `""`, `name = "shop"`, `nmae = "shop"`).Replace(operatorFile))
 	err := run(t.Context(), []string{"check", bad}, &out)
 	for _, want := range []string{"line 3: class[0].name: it is empty", "line 4: plan[0].name: it is missing", "line 5: plan[0].nmae: no such key"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -58,7 +58,7 @@
 }
 
 // A command line that can't be taken ends with 2 and a word on what was meant; what fails ends with 1.
-func TestExits(t *testing.T) {
+func TestExitCodes(t *testing.T) {
 	t.Setenv("NODE_CONFIG", "")
 	for _, c := range []struct {
 		args string
@@ -101,7 +101,7 @@
 			t.Errorf("%q: exits with %d, want %d; %q lacks %q", c.args, exitCode(err), c.code, got, c.want)
 		}
 	}
-	for _, args := range [][]string{{"members", file(t, operatorFile)}, {"members", file(t, "members = \"127.0.0.1:1\"\n"+operatorFile)}, {"serve", file(t, "listen = 3")}} {
+	for _, args := range [][]string{{"members", writeFile(t, operatorFile)}, {"members", writeFile(t, "members = \"127.0.0.1:1\"\n"+operatorFile)}, {"serve", writeFile(t, "listen = 3")}} {
 		if err := run(t.Context(), args, io.Discard); exitCode(err) != 1 {
 			t.Errorf("%q: %v", args, err)
 		}
@@ -115,8 +115,8 @@
 	}
 }
 
-// serving starts the program by an operator's file and gives where it listens for clients and for members.
-func serving(t *testing.T, path string) (cmd *exec.Cmd, addr, members string) {
+// startServing starts the program by an operator's file and gives where it listens for clients and for members.
+func startServing(t *testing.T, path string) (cmd *exec.Cmd, addr, members string) {
 	t.Helper()
 	cmd = exec.Command(os.Args[0], "serve", path)
 	cmd.Env = append(os.Environ(), "PUMICECROFT_AS_PROGRAM=1")
@@ -146,7 +146,7 @@
 
 // The daemon serves by an operator's file, and ends well.
 func TestServeFile(t *testing.T) {
-	cmd, addr, _ := serving(t, file(t, operatorFile))
+	cmd, addr, _ := startServing(t, writeFile(t, operatorFile))
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+addr+"/look", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -184,7 +184,7 @@
 	number, _ := strconv.Atoi(port)
 	agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: "b", Service: "web", Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
 		fakes.Instance{Node: "n", NodeAddr: host, ID: "c", Service: "web", Port: 1, Checks: []fakes.Check{{ID: "up", Status: "critical", Output: "no \x1b[31mroute"}}})
-	cmd, addr, at := serving(t, file(t, fmt.Sprintf(`listen = "127.0.0.1:0"
+	cmd, addr, at := startServing(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
 [[class]]
 name = "look"
@@ -209,7 +209,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	var out bytes.Buffer
-	if err := run(t.Context(), []string{"members", file(t, fmt.Sprintf("members = %q\n", at)+operatorFile)}, &out); err != nil {
+	if err := run(t.Context(), []string{"members", writeFile(t, fmt.Sprintf("members = %q\n", at)+operatorFile)}, &out); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"NODE +ADDRESS +STATE +SINCE +SOURCE +WHY\n", `n/b +` + backend.Addr() + ` +ready +20.* consul:web +consul:web says that it is ready\n`,
@@ -242,8 +242,8 @@
 	discovery.Set(platform.Endpoint{Name: "a", Addr: "127.0.0.1:7", Zone: "z", Health: "Terminating", Weight: 1},
 		platform.Endpoint{Name: "d", Addr: "127.0.0.1:8", Health: "Ready", Weight: 1})
 	text := operatorFile + fmt.Sprintf("[discovery]\naddress = %q\n", discovery.Addr())
-	cmd, _, at := serving(t, file(t, "members = \"127.0.0.1:0\"\nsources = [\"file\", \"discovery\"]\n"+text))
-	asked := file(t, fmt.Sprintf("members = %q\n", at)+text)
+	cmd, _, at := startServing(t, writeFile(t, "members = \"127.0.0.1:0\"\nsources = [\"file\", \"discovery\"]\n"+text))
+	asked := writeFile(t, fmt.Sprintf("members = %q\n", at)+text)
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		var out bytes.Buffer
 		if err := run(t.Context(), []string{"members", asked}, &out); err != nil {
@@ -264,8 +264,8 @@
 }
 
 // The program's own words are text or JSON, each with its door, and those below the level are not said.
-func TestLogForms(t *testing.T) {
-	path := file(t, operatorFile)
+func TestLogFormats(t *testing.T) {
+	path := writeFile(t, operatorFile)
 	for _, c := range []struct {
 		args []string
 		want string // of the first line
@@ -296,7 +296,7 @@
 	}
 	usual := slog.Default()
 	defer slog.SetDefault(usual)
-	(&program{LogFormat: "json", LogLevel: "error"}).speak()
+	(&commandLine{LogFormat: "json", LogLevel: "error"}).setUpLogging()
 	if slog.Default().Enabled(t.Context(), slog.LevelWarn) || !slog.Default().Enabled(t.Context(), slog.LevelError) {
 		t.Error("--log-level error says warnings, or no errors")
 	}
@@ -317,8 +317,8 @@
 		t.Errorf("of an empty directory: %s", got)
 	}
 	text := "listen = \"127.0.0.1:0\"\nstate_dir = \"" + dir + "\"\n[door]\nnumber = 1\nof = %d\n[[class]]\nname = \"look\"\n[[plan]]\nname = \"shop\"\nrate = 1\nburst = 5\n[[backend]]\nname = \"b\"\naddress = \"127.0.0.1:1\"\n"
-	path := file(t, fmt.Sprintf(text, 2))
-	cmd, _, _ := serving(t, path)
+	path := writeFile(t, fmt.Sprintf(text, 2))
+	cmd, _, _ := startServing(t, path)
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Fatal(err)
@@ -326,10 +326,10 @@
 	if got := tell("--file", path); !strings.Contains(got, "door 1") || !strings.Contains(got, "it is young, and others may owe") {
 		t.Errorf("of the door that kept it: %s", got)
 	}
-	if got := tell("--file", file(t, fmt.Sprintf(text, 3))); !strings.Contains(got, "another door's: door 1 of 2, this is door 1 of 3") {
+	if got := tell("--file", writeFile(t, fmt.Sprintf(text, 3))); !strings.Contains(got, "another door's: door 1 of 2, this is door 1 of 3") {
 		t.Errorf("of another count of doors: %s", got)
 	}
-	if got := tell("--file", file(t, strings.Replace(fmt.Sprintf(text, 2), "rate = 1", "rate = 2", 1))); !strings.Contains(got, "other settings") {
+	if got := tell("--file", writeFile(t, strings.Replace(fmt.Sprintf(text, 2), "rate = 1", "rate = 2", 1))); !strings.Contains(got, "other settings") {
 		t.Errorf("under other settings: %s", got)
 	}
 	if err := os.WriteFile(snapshotfile.Path(dir, 1), []byte("noise"), 0o600); err != nil {
--- a/cmd/pumicecroft/kills_test.go
+++ b/cmd/pumicecroft/kills_test.go
@@ -26,7 +26,7 @@
 
 // The program is killed at points of chance, again and again, with its journal of keys on. Clients press until they have an end: no key has
 // its effect twice, and one that was answered is answered alike ever after, by each later process.
-func TestKeysOutliveKills(t *testing.T) {
+func TestIdempotencyKeysSurviveKills(t *testing.T) {
 	ledger := &fakes.Ledger{}
 	var nodes strings.Builder
 	for i := range 2 { // of one cell each that forgets at once, so that only the edge drops repeats
@@ -39,7 +39,7 @@
 		fmt.Fprintf(&nodes, "[[backend]]\nname = \"b%d\"\naddress = %q\ncell = %d\n", i, b.Addr(), i+1)
 	}
 	dir := filepath.Join(t.TempDir(), "keys")
-	path := file(t, fmt.Sprintf("listen = \"127.0.0.1:0\"\n[keys]\njournal = %q\njournal_sync = %q\n[[class]]\nname = \"once\"\neffect = \"unsafe\"\ndeadline = \"5s\"\n[[plan]]\nname = \"shop\"\n", dir, *killsSync)+nodes.String())
+	path := writeFile(t, fmt.Sprintf("listen = \"127.0.0.1:0\"\n[keys]\njournal = %q\njournal_sync = %q\n[[class]]\nname = \"once\"\neffect = \"unsafe\"\ndeadline = \"5s\"\n[[plan]]\nname = \"shop\"\n", dir, *killsSync)+nodes.String())
 
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -90,7 +90,7 @@
 	inHand := make([]string, workers) // the key that each has pressed and has no end of
 	next := make([]int, workers)
 	for kill := range *killsFlag + 1 {
-		cmd, addr, _ := serving(t, path)
+		cmd, addr, _ := startServing(t, path)
 		ctx, stop := context.WithCancel(t.Context())
 		var pressing sync.WaitGroup
 		for w := range workers {
--- a/cmd/pumicecroft/lab.go
+++ b/cmd/pumicecroft/lab.go
@@ -72,17 +72,19 @@
 	return err
 }
 
-// judging is how verdicts are reached.
-type judging struct {
+// comparisonOptions is how verdicts are reached.
+type comparisonOptions struct {
 	Level  float64  `name:"level" default:"0.95" help:"Of the intervals."`
 	Figure []string `name:"figure" short:"f" help:"A figure to compare; those that the experiment names, if none is given. May be repeated."`
 }
 
-func (j *judging) rules() paired.Options { return paired.Options{Confidence: j.Level, Seed: 1} }
+func (j *comparisonOptions) pairedOptions() paired.Options {
+	return paired.Options{Confidence: j.Level, Seed: 1}
+}
 
-func (j *judging) figures(e *lab.Experiment) ([]string, error) {
+func (j *comparisonOptions) selectedFigures(e *lab.Experiment) ([]string, error) {
 	for _, name := range j.Figure {
-		if err := isFigure(name); err != nil {
+		if err := checkFigure(name); err != nil {
 			return nil, err
 		}
 	}
@@ -92,7 +94,7 @@
 	return j.Figure, nil
 }
 
-func isFigure(name string) error {
+func checkFigure(name string) error {
 	if lab.FigureOf(name) == nil {
 		return usageError{fmt.Errorf("%q is none of %s", name, strings.Join(lab.FigureNames(), ", "))}
 	}
@@ -100,7 +102,7 @@
 }
 
 type labCompare struct {
-	judging
+	comparisonOptions
 	Dir    string `arg:"" name:"dir" help:"Results."`
 	Other  string `arg:"" name:"other" optional:"" help:"Results of the same experiment by another build, to compare with the first."`
 	Factor string `name:"factor" help:"Within one directory: the factor whose levels are compared; the first, if none is given."`
@@ -114,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	figures, err := c.figures(a.Experiment)
+	figures, err := c.selectedFigures(a.Experiment)
 	if err != nil {
 		return err
 	}
@@ -124,7 +126,7 @@
 		if err != nil {
 			return err
 		}
-		told, err = lab.Across(a, b, c.Dir, c.Other, figures, c.rules())
+		told, err = lab.Across(a, b, c.Dir, c.Other, figures, c.pairedOptions())
 		if err != nil {
 			return err
 		}
@@ -132,15 +134,15 @@
 		if c.Factor == "" && len(a.Factors) > 0 {
 			c.Factor = a.Factors[0].Name
 		}
-		if told, err = lab.Within(a, c.Factor, c.Of, c.With, figures, c.rules()); err != nil {
+		if told, err = lab.Within(a, c.Factor, c.Of, c.With, figures, c.pairedOptions()); err != nil {
 			return usageError{err}
 		}
 	}
-	return tellCompared(told, out)
+	return printComparisons(told, out)
 }
 
-// tellCompared prints a table of verdicts.
-func tellCompared(told []lab.Comparison, out io.Writer) error {
+// printComparisons prints a table of verdicts.
+func printComparisons(told []lab.Comparison, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WHERE\tA\tB\tFIGURE\tPAIRS\tA'S\tB'S\tDIFFERENCE\tINTERVAL\tB IS")
 	for _, t := range told {
@@ -151,7 +153,7 @@
 }
 
 type labReport struct {
-	judging
+	comparisonOptions
 	Dir      string `arg:"" name:"dir" help:"Results."`
 	By       string `name:"by" help:"The factor whose levels stand side by side; the first, if none is given."`
 	Out      string `name:"out" short:"o" help:"The file to write; report.html or report.md in the directory, if none is given."`
@@ -165,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	if r.Figures, err = c.figures(r.Experiment); err != nil {
+	if r.Figures, err = c.selectedFigures(r.Experiment); err != nil {
 		return err
 	}
 	write, name := lab.HTML, "report.html"
@@ -173,7 +175,7 @@
 		write, name = lab.Markdown, "report.md"
 	}
 	if c.Plot != "" {
-		if err := isFigure(c.Plot); err != nil {
+		if err := checkFigure(c.Plot); err != nil {
 			return err
 		}
 		name = c.Plot + ".svg"
@@ -181,7 +183,7 @@
 			return lab.Plot(r, by, c.Plot, rules)
 		}
 	}
-	text, err := write(r, c.By, c.rules())
+	text, err := write(r, c.By, c.pairedOptions())
 	if err != nil {
 		return err
 	}
--- a/cmd/pumicecroft/lab_variants.go
+++ b/cmd/pumicecroft/lab_variants.go
@@ -15,7 +15,7 @@
 )
 
 type labVariants struct {
-	judging
+	comparisonOptions
 	File       string `arg:"" name:"file" help:"Variants: edits of the program's files, in the form of internal/sim/testdata/mutants.toml."`
 	Experiment string `arg:"" name:"experiment" help:"An experiment's file."`
 	Dir        string `name:"dir" short:"d" required:"" help:"Where results are kept, a directory for each variant."`
@@ -23,7 +23,7 @@
 	Jobs       int    `name:"jobs" short:"j" default:"${jobs}" help:"Processors to use."`
 }
 
-var notInNames = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
+var unsafePathChars = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
 
 // Run builds the program as it is and with each variant, runs the experiment with all of them, and compares. The tree stays as it is.
 func (c *labVariants) Run(ctx context.Context, out io.Writer) error {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	figures, err := c.figures(a.Experiment)
+	figures, err := c.selectedFigures(a.Experiment)
 	if err != nil {
 		return err
 	}
@@ -55,17 +55,17 @@
 		if err != nil {
 			return err
 		}
-		more, err := lab.Across(a, b, asItIs.Name, m.Name, figures, c.rules())
+		more, err := lab.Across(a, b, asItIs.Name, m.Name, figures, c.pairedOptions())
 		if err != nil {
 			return err
 		}
 		told = append(told, more...)
 	}
-	return tellCompared(told, out)
+	return printComparisons(told, out)
 }
 
 func (c *labVariants) dir(m mutant) string {
-	return filepath.Join(c.Dir, notInNames.ReplaceAllString(m.Name, "-"))
+	return filepath.Join(c.Dir, unsafePathChars.ReplaceAllString(m.Name, "-"))
 }
 
 // run builds one variant, and runs the experiment by it.
--- a/cmd/pumicecroft/load.go
+++ b/cmd/pumicecroft/load.go
@@ -10,8 +10,8 @@
 	"pumicecroft/internal/load"
 )
 
-// errInvalid ends a run that says nothing of its target.
-var errInvalid = errors.New("the run is not valid")
+// errInvalidRun ends a run that says nothing of its target.
+var errInvalidRun = errors.New("the run is not valid")
 
 type loadCommand struct {
 	File     string  `arg:"" name:"file" help:"What to ask, such as lab/load.toml."`
@@ -53,7 +53,7 @@
 		}
 	}
 	if r.Invalid != "" {
-		return fmt.Errorf("%w: %s", errInvalid, r.Invalid)
+		return fmt.Errorf("%w: %s", errInvalidRun, r.Invalid)
 	}
 	return nil
 }
--- a/cmd/pumicecroft/load_test.go
+++ b/cmd/pumicecroft/load_test.go
@@ -36,7 +36,7 @@
 	}
 	t.Cleanup(func() { _ = door.Close(context.Background()) })
 	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: map[string]grpcproxy.Method{"/shop.Stock/Get": {Class: "look"}}, CustomerText: true,
-		Names: grpcproxy.Names{Customer: "x-tenant", Plan: "x-plan"}})
+		Names: grpcproxy.MetadataNames{Customer: "x-tenant", Plan: "x-plan"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -49,8 +49,8 @@
 	return 1
 }
 
-// program is the command line.
-type program struct {
+// commandLine is the command line.
+type commandLine struct {
 	LogFormat string `name:"log-format" enum:"text,json" default:"text" placeholder:"text|json" help:"The form of the program's own words on standard error."`
 	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" placeholder:"LEVEL" help:"The least of them that are said: debug, info, warn or error."`
 
@@ -79,24 +79,24 @@
 	return nil
 }
 
-// errHelped ends a parser that has printed its help.
-var errHelped = errors.New("helped")
+// errHelpPrinted ends a parser that has printed its help.
+var errHelpPrinted = errors.New("helped")
 
 // run parses and runs a command line.
 func run(ctx context.Context, args []string, out io.Writer) (err error) {
 	if path := os.Getenv("NODE_CONFIG"); len(args) == 0 && path != "" {
-		return daemon.Serve(ctx, path, daemon.Hangups(context.WithoutCancel(ctx))) // also while it ends: what it holds is still sent on
+		return daemon.Serve(ctx, path, daemon.NotifyHangup(context.WithoutCancel(ctx))) // also while it ends: what it holds is still sent on
 	}
-	var c program
+	var c commandLine
 	parser, err := kong.New(&c, kong.Name("pumicecroft"), kong.Description("A front door that holds every customer of a shared set of backends to its plan. Without a command it serves as the file says that NODE_CONFIG names."),
-		kong.Writers(out, out), kong.Exit(func(int) { panic(errHelped) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.BindTo(ctx, (*context.Context)(nil)), kong.BindTo(out, (*io.Writer)(nil)),
+		kong.Writers(out, out), kong.Exit(func(int) { panic(errHelpPrinted) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.BindTo(ctx, (*context.Context)(nil)), kong.BindTo(out, (*io.Writer)(nil)),
 		kong.Vars{"corpus": corpusFile, "jobs": strconv.Itoa(runtime.GOMAXPROCS(0))})
 	if err != nil {
 		return err
 	}
 	defer func() { // kong ends the process once it has printed its help; this ends the command alone
 		p := recover()
-		if helped, ok := p.(error); ok && errors.Is(helped, errHelped) {
+		if helped, ok := p.(error); ok && errors.Is(helped, errHelpPrinted) {
 			err = nil
 		} else if p != nil {
 			panic(p)
@@ -110,12 +110,12 @@
 	if err != nil {
 		return usageError{err}
 	}
-	c.speak()
+	c.setUpLogging()
 	return k.Run()
 }
 
-// speak sets the form of the program's own words, if another one is wanted than the usual.
-func (c *program) speak() {
+// setUpLogging sets the form of the program's own words, if another one is wanted than the usual.
+func (c *commandLine) setUpLogging() {
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(c.LogLevel)) // kong has looked
 	if c.LogFormat == "json" {
--- a/cmd/pumicecroft/main_test.go
+++ b/cmd/pumicecroft/main_test.go
@@ -27,7 +27,7 @@
   "tariffs":[{"name":"p","units_per_s":5,"burst":5,"value_factor":1}],
   "policy_limits":{"max_attempts":2,"conn_idle_us":15000000,"connect_timeout_us":250000}}}`
 
-func write(t *testing.T, text string) string {
+func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -36,15 +36,15 @@
 	return path
 }
 
-func TestEndsByItselfAfterSIGTERM(t *testing.T) {
+func TestExitsAfterSIGTERM(t *testing.T) {
 	ctx, sigterm := context.WithCancel(context.Background())
 	sigterm()
-	if err := daemon.Serve(ctx, write(t, fmt.Sprintf(config, "127.0.0.1:0", "127.0.0.1:1")), nil); err != nil {
+	if err := daemon.Serve(ctx, writeConfig(t, fmt.Sprintf(config, "127.0.0.1:0", "127.0.0.1:1")), nil); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestWhatItCannotStartWith(t *testing.T) {
+func TestInvalidStartConfig(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -52,8 +52,8 @@
 	defer taken.Close()
 	for name, path := range map[string]string{
 		"no file":       "",
-		"bad file":      write(t, "{"),
-		"address taken": write(t, fmt.Sprintf(config, taken.Addr(), "127.0.0.1:1")),
+		"bad file":      writeConfig(t, "{"),
+		"address taken": writeConfig(t, fmt.Sprintf(config, taken.Addr(), "127.0.0.1:1")),
 	} {
 		if err := daemon.Serve(context.Background(), path, nil); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want an error of one line", name, err)
@@ -99,8 +99,8 @@
 	return p
 }
 
-// says waits for a line.
-func (p *process) says(t *testing.T, what string) string {
+// waitForLine waits for a line.
+func (p *process) waitForLine(t *testing.T, what string) string {
 	t.Helper()
 	timeout := time.After(20 * time.Second)
 	for {
@@ -118,8 +118,8 @@
 	}
 }
 
-// asked tells what a discovery is asked for.
-func asked(t *testing.T) (addr string, asked chan string) {
+// startDiscoveryProbe tells what a discovery is asked for.
+func startDiscoveryProbe(t *testing.T) (addr string, asked chan string) {
 	t.Helper()
 	asked = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -134,37 +134,37 @@
 	return strings.TrimPrefix(s.URL, "http://"), asked
 }
 
-func replace(t *testing.T, path, text string) {
+func replaceFile(t *testing.T, path, text string) {
 	t.Helper()
-	if err := os.Rename(write(t, text), path); err != nil {
+	if err := os.Rename(writeConfig(t, text), path); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // A program that is ending still sends on what it holds, and goes by the discovery that a new configuration names: SIGHUP behind SIGTERM
 // moves it too, and so does each of two that come one behind the other.
-func TestSIGHUPMovesDiscoveryWhileItEnds(t *testing.T) {
-	old, askedOld := asked(t)
-	now, askedNow := asked(t)
-	last, askedLast := asked(t)
-	path := write(t, fmt.Sprintf(config, "127.0.0.1:0", old))
+func TestSIGHUPMovesDiscoveryDuringShutdown(t *testing.T) {
+	old, askedOld := startDiscoveryProbe(t)
+	now, askedNow := startDiscoveryProbe(t)
+	last, askedLast := startDiscoveryProbe(t)
+	path := writeConfig(t, fmt.Sprintf(config, "127.0.0.1:0", old))
 	p := startProgram(t, path, "")
 	testkit.Await(t, askedOld, "the first watch")
-	_, addr, _ := strings.Cut(p.says(t, "listen="), "listen=")
+	_, addr, _ := strings.Cut(p.waitForLine(t, "listen="), "listen=")
 	begun, err := net.Dial("tcp", addr) // half a head: it is waited for
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer begun.Close()
 	fmt.Fprint(begun, "GET /c HTT")
-	replace(t, path, fmt.Sprintf(config, "127.0.0.1:0", now))
+	replaceFile(t, path, fmt.Sprintf(config, "127.0.0.1:0", now))
 	p.Process.Signal(syscall.SIGTERM)
-	p.says(t, "told to end")
+	p.waitForLine(t, "told to end")
 	p.Process.Signal(syscall.SIGHUP)
 	if got := testkit.Await(t, askedNow, "the new discovery to be asked"); got != "/v1/endpoints" {
 		t.Errorf("it was asked for %s", got)
 	}
-	replace(t, path, fmt.Sprintf(config, "127.0.0.1:0", last))
+	replaceFile(t, path, fmt.Sprintf(config, "127.0.0.1:0", last))
 	p.Process.Signal(syscall.SIGHUP)
 	p.Process.Signal(syscall.SIGHUP)
 	testkit.Await(t, askedLast, "the last discovery to be asked")
@@ -174,7 +174,7 @@
 }
 
 // SIGHUP to a process that does not want it yet does no harm, as the deploy file starts it: the configuration is read later.
-func TestSIGHUPBeforeItIsWanted(t *testing.T) {
+func TestSIGHUPBeforeServing(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -187,11 +187,11 @@
 	if !ok {
 		t.Fatalf("run is %q", deploy.Run)
 	}
-	addr, asked := asked(t)
-	p := startProgram(t, write(t, fmt.Sprintf(config, "127.0.0.1:0", addr)), before+" kill -HUP $$;")
+	addr, asked := startDiscoveryProbe(t)
+	p := startProgram(t, writeConfig(t, fmt.Sprintf(config, "127.0.0.1:0", addr)), before+" kill -HUP $$;")
 	testkit.Await(t, asked, "the first watch")
 	p.Process.Signal(syscall.SIGHUP) // and now it is wanted
-	p.says(t, "configured anew")
+	p.waitForLine(t, "configured anew")
 	p.Process.Signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
@@ -212,16 +212,16 @@
 			t.Fatalf("discovery was never asked for %s", want)
 		}
 	}
-	old, askedOld := asked(t)
-	now, askedNow := asked(t)
-	path := write(t, fmt.Sprintf(config, "127.0.0.1:0", old))
+	old, askedOld := startDiscoveryProbe(t)
+	now, askedNow := startDiscoveryProbe(t)
+	path := writeConfig(t, fmt.Sprintf(config, "127.0.0.1:0", old))
 	p := startProgram(t, path, "")
 	await(askedOld, "/v1/endpoints?watch=1&from=1")
 
-	replace(t, path, "{")
+	replaceFile(t, path, "{")
 	p.Process.Signal(syscall.SIGHUP)
-	p.says(t, "no good")
-	replace(t, path, fmt.Sprintf(config, "127.0.0.1:0", now))
+	p.waitForLine(t, "no good")
+	replaceFile(t, path, fmt.Sprintf(config, "127.0.0.1:0", now))
 	p.Process.Signal(syscall.SIGHUP)
 	await(askedNow, "/v1/endpoints")
 	await(askedNow, "/v1/endpoints?watch=1&from=3")
--- a/cmd/pumicecroft/names_test.go
+++ b/cmd/pumicecroft/names_test.go
@@ -35,7 +35,7 @@
 version
 completion [<shell>]: --code -c
 `
-	parser, err := kong.New(&program{}, kong.Name("pumicecroft"), kong.Vars{"corpus": corpusFile, "jobs": "8"})
+	parser, err := kong.New(&commandLine{}, kong.Name("pumicecroft"), kong.Vars{"corpus": corpusFile, "jobs": "8"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pumicecroft/operator.go
+++ b/cmd/pumicecroft/operatorfile.go
@@ -40,8 +40,8 @@
 		return err
 	}
 	var warnings []string
-	if f.Web != nil {
-		if warnings, err = daemon.CheckWeb(f); err != nil {
+	if f.HTTP != nil {
+		if warnings, err = daemon.CheckHTTP(f); err != nil {
 			return fmt.Errorf("%s:\n%w", c.File, err)
 		}
 	}
@@ -49,7 +49,7 @@
 		fmt.Fprintf(out, "%s: warning: %s\n", c.File, w)
 	}
 	fmt.Fprintf(out, "%s is good: door %d of %d, %d classes, %d plans, %d backends, sources %s, to listen on %s\n", c.File,
-		f.Door.Settings.GatewayIndex, f.Door.Settings.GatewayCount, len(f.Door.Settings.Classes), len(f.Door.Settings.Plans),
+		f.Gateway.Settings.GatewayIndex, f.Gateway.Settings.GatewayCount, len(f.Gateway.Settings.Classes), len(f.Gateway.Settings.Plans),
 		len(f.Backends.Nodes), strings.Join(f.Sources, ", "), f.Listen)
 	return nil
 }
@@ -62,10 +62,10 @@
 	if err != nil {
 		return err
 	}
-	if f.Members == "" {
+	if f.StatusAddr == "" {
 		return fmt.Errorf(`%s: it names no address to ask at: members = "127.0.0.1:PORT"`, c.File)
 	}
-	all, err := daemon.AskMembers(ctx, f.Members)
+	all, err := daemon.FetchBackendStatus(ctx, f.StatusAddr)
 	if err != nil {
 		return err
 	}
@@ -103,5 +103,5 @@
 	if err != nil {
 		return err
 	}
-	return daemon.ServeFile(ctx, f, c.read, daemon.Hangups(context.WithoutCancel(ctx)))
+	return daemon.ServeFile(ctx, f, c.read, daemon.NotifyHangup(context.WithoutCancel(ctx)))
 }
--- a/cmd/pumicecroft/pairs_test.go
+++ b/cmd/pumicecroft/pairs_test.go
@@ -74,10 +74,10 @@
 					return string(a.Body), 0, nil
 				}
 			} else {
-				path := file(t, fmt.Sprintf("listen = \"127.0.0.1:0\"\n[door]\nbackend_connections = 1024\nclient_connections = 4096\n[keys]\njournal = %q\n"+
+				path := writeFile(t, fmt.Sprintf("listen = \"127.0.0.1:0\"\n[door]\nbackend_connections = 1024\nclient_connections = 4096\n[keys]\njournal = %q\n"+
 					"[[class]]\nname = \"pay\"\neffect = \"keyed\"\ngroup = \"cell\"\nkey_window = %q\ndeadline = \"40s\"\n[[class]]\nname = \"once\"\neffect = \"unsafe\"\ndeadline = \"40s\"\n[[plan]]\nname = \"shop\"\n",
 					filepath.Join(t.TempDir(), "keys"), (5*unit).String())+nodes.String())
-				cmd, addr, _ := serving(t, path)
+				cmd, addr, _ := startServing(t, path)
 				defer func() {
 					if err := errors.Join(cmd.Process.Signal(syscall.SIGTERM), cmd.Wait()); err != nil {
 						t.Error(err)
--- a/cmd/pumicecroft/routes.go
+++ b/cmd/pumicecroft/routes.go
@@ -28,25 +28,25 @@
 	if err != nil {
 		return err
 	}
-	if f.Web == nil {
+	if f.HTTP == nil {
 		return fmt.Errorf("%s: it has no [[service]], and so no routes", a.File)
 	}
-	r, err := request(a)
+	r, err := newRequest(a)
 	if err != nil {
 		return err
 	}
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	front, end, err := daemon.FrontOf(f)
+	front, end, err := daemon.NewOfflineProxy(f)
 	if err != nil {
 		return fmt.Errorf("%s:\n%w", a.File, err)
 	}
 	defer end()
-	tell(out, &f, front.Settle(r, time.Now()), front)
+	printResolved(out, &f, front.Resolve(r, time.Now()), front)
 	return nil
 }
 
-// request is the one that the arguments tell of.
-func request(a *routesCommand) (*http.Request, error) {
+// newRequest is the one that the arguments tell of.
+func newRequest(a *routesCommand) (*http.Request, error) {
 	text := a.URL
 	if strings.HasPrefix(text, "/") {
 		text = "http://localhost" + text
@@ -76,8 +76,8 @@
 	return r, nil
 }
 
-// tell prints a plan.
-func tell(out io.Writer, f *operatorconfig.File, p httpproxy.Plan, front *httpproxy.Front) {
+// printResolved prints a plan.
+func printResolved(out io.Writer, f *operatorconfig.File, p httpproxy.ResolvedRequest, front *httpproxy.Proxy) {
 	line := func(name, format string, args ...any) {
 		fmt.Fprintf(out, "%-9s %s\n", name, printable(fmt.Sprintf(format, args...)))
 	}
@@ -87,26 +87,26 @@
 			line("", "%s = %q", v.Name, v.Value)
 		}
 	}
-	if p.Who.Rule != "" {
-		line("who", "%s, by %s, plan %s", p.Who.Name, p.Who.Rule, p.Who.Plan)
+	if p.Caller.Rule != "" {
+		line("who", "%s, by %s, plan %s", p.Caller.Name, p.Caller.Rule, p.Caller.Plan)
 	}
 	if p.Err != nil {
-		status, why := front.Refusal(p)
+		status, why := front.RejectionStatus(p)
 		line("refused", "%d: %s", status, why)
 		return
 	}
-	line("service", "%s", p.Rule.To.Service)
-	line("class", "%s: %s", p.Class, [...]string{"safe to repeat", "keyed: repeated where backends drop repeats", "never repeated once it may have run"}[p.Effect])
-	for _, c := range f.Door.Settings.Classes {
+	line("service", "%s", p.Rule.Target.Service)
+	line("class", "%s: %s", p.Class, [...]string{"safe to repeat", "keyed: repeated where backends drop repeats", "never repeated once it may have run"}[p.Idempotency])
+	for _, c := range f.Gateway.Settings.Classes {
 		if c.Name == p.Class {
 			deadline := c.Deadline
-			if t := p.Rule.To.Timeout; t > 0 {
+			if t := p.Rule.Target.Timeout; t > 0 {
 				deadline = min(deadline, t)
 			}
 			line("deadline", "%v", deadline)
 		}
 	}
-	units := p.Rule.To.Units
+	units := p.Rule.Target.Cost
 	if units == 0 {
 		units = 1
 	}
--- a/cmd/pumicecroft/sim.go
+++ b/cmd/pumicecroft/sim.go
@@ -8,8 +8,8 @@
 	"pumicecroft/internal/sim"
 )
 
-// errBroken ends a command that found a rule broken, or a planted bug that was not found.
-var errBroken = errors.New("a rule was broken")
+// errRuleBroken ends a command that found a rule broken, or a planted bug that was not found.
+var errRuleBroken = errors.New("a rule was broken")
 
 // simCommand is seeded runs.
 type simCommand struct {
@@ -20,15 +20,15 @@
 	Mutants mutantsCommand `cmd:"" name:"mutants" help:"Build the simulation with one planted bug at a time and run seeds until each is caught."`
 }
 
-// tellRun prints what came of one run.
-func tellRun(r sim.Result, out io.Writer) error {
+// printRun prints what came of one run.
+func printRun(r sim.Result, out io.Writer) error {
 	fmt.Fprintf(out, "seed %d: %d steps, %.1f s, trace %016x; served %d, refused %d, failed %d, lost with their doors %d\n%v", r.Seed, r.Steps,
 		r.Simulated.Seconds(), r.Hash, r.Served, r.Rejected, r.Failed, r.LostWithGateway, r.Script)
 	for _, v := range r.Violations {
 		fmt.Fprintln(out, "BROKEN", v)
 	}
 	if len(r.Violations) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
--- a/cmd/pumicecroft/sim_corpus.go
+++ b/cmd/pumicecroft/sim_corpus.go
@@ -29,7 +29,7 @@
 	var broken error
 	for _, k := range cases {
 		fmt.Fprintf(out, "%s (%s):\n", k.Cause, k.Rule)
-		broken = errors.Join(broken, tellRun(sim.Run(k.Seed, sim.Options{Script: &k.Script}), out))
+		broken = errors.Join(broken, printRun(sim.Run(k.Seed, sim.Options{Script: &k.Script}), out))
 	}
 	return broken
 }
--- a/cmd/pumicecroft/sim_mutants.go
+++ b/cmd/pumicecroft/sim_mutants.go
@@ -110,15 +110,15 @@
 	err        error
 }
 
-// found begins the names of bugs that this world found: the corpus has a script of each.
-const found = "found: "
+// foundPrefix begins the names of bugs that this world found: the corpus has a script of each.
+const foundPrefix = "found: "
 
 var corpusLine = regexp.MustCompile(`BROKEN (.+) at [0-9.]+:`)
 
 var brokeLine = regexp.MustCompile(`BROKEN (.+): \d+ seeds, \[(\d+)`)
 
-// try builds the bug and runs seeds until a rule breaks.
-func (m mutant) try(root string, seeds string) (v verdict) {
+// run builds the bug and runs seeds until a rule breaks.
+func (m mutant) run(root string, seeds string) (v verdict) {
 	v.mutant = m
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
@@ -132,7 +132,7 @@
 		return v
 	}
 	begun := time.Now()
-	if strings.HasPrefix(m.Name, found) { // its script is known
+	if strings.HasPrefix(m.Name, foundPrefix) { // its script is known
 		out, _ := exec.Command(program, "sim", "corpus", "--file", filepath.Join(root, corpusFile)).CombinedOutput()
 		if broke := corpusLine.FindStringSubmatch(string(out)); broke != nil {
 			v.rule, v.seed, v.took = broke[1], "corpus", time.Since(begun)
@@ -150,11 +150,11 @@
 }
 
 type mutantsCommand struct {
-	File  string `name:"file" default:"internal/sim/testdata/mutants.toml" help:"The planted bugs."`
-	Root  string `name:"root" default:"." help:"The module's folder."`
-	Seeds span   `name:"seeds" default:"0..19999" help:"Seeds to run at the most, A..B."`
-	Jobs  jobs   `name:"jobs" default:"4" help:"Bugs at once."`
-	Only  string `name:"only" help:"Those whose names hold this text."`
+	File  string    `name:"file" default:"internal/sim/testdata/mutants.toml" help:"The planted bugs."`
+	Root  string    `name:"root" default:"." help:"The module's folder."`
+	Seeds seedRange `name:"seeds" default:"0..19999" help:"Seeds to run at the most, A..B."`
+	Jobs  jobs      `name:"jobs" default:"4" help:"Bugs at once."`
+	Only  string    `name:"only" help:"Those whose names hold this text."`
 }
 
 // Run tries all planted bugs and prints a table.
@@ -175,7 +175,7 @@
 			continue
 		}
 		running.Go(func() error {
-			results[i] = m.try(root, fmt.Sprintf("%d..%d", c.Seeds.first, c.Seeds.last))
+			results[i] = m.run(root, fmt.Sprintf("%d..%d", c.Seeds.first, c.Seeds.last))
 			return nil
 		})
 	}
@@ -201,7 +201,7 @@
 	}
 	fmt.Fprintf(out, "\n%d of %d caught\n", caught, tried)
 	if caught < tried {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
--- a/cmd/pumicecroft/sim_replay.go
+++ b/cmd/pumicecroft/sim_replay.go
@@ -18,7 +18,7 @@
 	if c.Trace {
 		o.Trace = func(l string) { fmt.Fprintln(out, l) }
 	}
-	return tellRun(sim.Run(c.Seed, o), out)
+	return printRun(sim.Run(c.Seed, o), out)
 }
 
 type shrinkCommand struct {
@@ -28,7 +28,7 @@
 // Run shrinks a seed's script, and prints it as an entry for the corpus.
 func (c *shrinkCommand) Run(out io.Writer) error {
 	res := sim.Shrink(sim.Run(c.Seed, sim.Options{}), sim.Options{})
-	err := tellRun(res, out)
+	err := printRun(res, out)
 	if err != nil {
 		text, err := sim.Case{Seed: res.Seed, Cause: "?", Rule: res.Violations[0].Rule, Script: res.Script}.MarshalTOML()
 		if err != nil {
--- a/cmd/pumicecroft/sim_run.go
+++ b/cmd/pumicecroft/sim_run.go
@@ -15,11 +15,11 @@
 	"pumicecroft/internal/sim"
 )
 
-// span is a range of seeds.
-type span struct{ first, last uint64 }
+// seedRange is a range of seeds.
+type seedRange struct{ first, last uint64 }
 
 // UnmarshalText reads A..B.
-func (s *span) UnmarshalText(text []byte) (err error) {
+func (s *seedRange) UnmarshalText(text []byte) (err error) {
 	from, to, ok := strings.Cut(string(text), "..")
 	if s.first, err = strconv.ParseUint(from, 10, 64); err == nil {
 		s.last, err = strconv.ParseUint(to, 10, 64)
@@ -31,9 +31,9 @@
 }
 
 type runCommand struct {
-	Seeds span `name:"seeds" default:"0..999" help:"Seeds to run, A..B."`
-	Jobs  jobs `name:"jobs" default:"${jobs}" help:"Runs at once."`
-	First bool `name:"first" help:"End at the first seed that breaks a rule."`
+	Seeds seedRange `name:"seeds" default:"0..999" help:"Seeds to run, A..B."`
+	Jobs  jobs      `name:"jobs" default:"${jobs}" help:"Runs at once."`
+	First bool      `name:"first" help:"End at the first seed that breaks a rule."`
 }
 
 // Run runs all seeds of the range, and says what broke, by rule, with the first seeds.
@@ -71,7 +71,7 @@
 		fmt.Fprintf(out, "BROKEN %s: %d seeds, %v the first\n", rule, len(broke), broke[:min(5, len(broke))])
 	}
 	if len(rules) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
--- a/cmd/pumicecroft/sim_test.go
+++ b/cmd/pumicecroft/sim_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func ask(args ...string) (string, error) {
+func runProgram(args ...string) (string, error) {
 	var out strings.Builder
 	err := run(context.Background(), append([]string{"sim"}, args...), &out)
 	return out.String(), err
@@ -23,26 +23,26 @@
 
 func TestCommands(t *testing.T) {
 	all := regexp.MustCompile(`all traces (\w+)`)
-	one, err := ask("run", "--seeds", "0..19", "--jobs", "1")
-	four, err4 := ask("run", "--seeds", "0..19", "--jobs", "4")
+	one, err := runProgram("run", "--seeds", "0..19", "--jobs", "1")
+	four, err4 := runProgram("run", "--seeds", "0..19", "--jobs", "4")
 	if err != nil || err4 != nil || all.FindString(one) == "" || all.FindString(one) != all.FindString(four) {
 		t.Errorf("%v, %v:\n%s%s", err, err4, one, four)
 	}
-	if out, err := ask("replay", "--seed", "3", "--trace"); err != nil || strings.Count(out, "\n") < 50 {
+	if out, err := runProgram("replay", "--seed", "3", "--trace"); err != nil || strings.Count(out, "\n") < 50 {
 		t.Errorf("%v: %s", err, out)
 	}
-	if out, err := ask("shrink", "--seed", "3"); err != nil || strings.Contains(out, "[[case]]") { // there is nothing to shrink
+	if out, err := runProgram("shrink", "--seed", "3"); err != nil || strings.Contains(out, "[[case]]") { // there is nothing to shrink
 		t.Errorf("%v: %s", err, out)
 	}
-	if out, err := ask("corpus", "--file", "../../internal/sim/testdata/corpus.toml"); err != nil || !strings.Contains(out, "seed ") {
+	if out, err := runProgram("corpus", "--file", "../../internal/sim/testdata/corpus.toml"); err != nil || !strings.Contains(out, "seed ") {
 		t.Errorf("%v: %s", err, out)
 	}
-	if out, err := ask("--help"); err != nil || !strings.Contains(out, "mutants") {
+	if out, err := runProgram("--help"); err != nil || !strings.Contains(out, "mutants") {
 		t.Errorf("%v: %s", err, out)
 	}
 	for _, bad := range [][]string{nil, {"walk"}, {"run", "--seeds", "5"}, {"run", "--seeds", "9..3"}, {"run", "--jobs", "0"}, {"run", "more"}, {"replay"},
 		{"corpus", "--file", "none"}, {"mutants", "--file", "none"}, {"mutants", "--root", root, "--file", mutants, "--jobs", "0"}} {
-		if out, err := ask(bad...); err == nil || errors.Is(err, errBroken) {
+		if out, err := runProgram(bad...); err == nil || errors.Is(err, errRuleBroken) {
 			t.Errorf("%q: %v %s", bad, err, out)
 		}
 	}
@@ -77,7 +77,7 @@
 	if testing.Short() {
 		t.Skip("it builds programs")
 	}
-	out, err := ask("mutants", "--root", root, "--file", mutants, "--only", "a connection more than may be", "--seeds", "0..50")
+	out, err := runProgram("mutants", "--root", root, "--file", mutants, "--only", "a connection more than may be", "--seeds", "0..50")
 	if err != nil || !strings.Contains(out, "| everything has its bound |") || !strings.Contains(out, "1 of 1 caught") {
 		t.Errorf("%v: %s", err, out)
 	}
@@ -100,15 +100,15 @@
 	if err := os.WriteFile(own, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, err = ask("mutants", "--root", root, "--file", own, "--seeds", "0..3")
-	if !errors.Is(err, errBroken) || !strings.Contains(out, "| nothing | NOT CAUGHT |") || !strings.Contains(out, "no program | FAILED") ||
+	out, err = runProgram("mutants", "--root", root, "--file", own, "--seeds", "0..3")
+	if !errors.Is(err, errRuleBroken) || !strings.Contains(out, "| nothing | NOT CAUGHT |") || !strings.Contains(out, "no program | FAILED") ||
 		!strings.Contains(out, "0 of 2 caught") {
 		t.Errorf("%v: %s", err, out)
 	}
 	if err := os.WriteFile(own, []byte("[[mutant]]\nnam = 'x'\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ask("mutants", "--file", own); err == nil || !strings.Contains(err.Error(), "nam") {
+	if _, err := runProgram("mutants", "--file", own); err == nil || !strings.Contains(err.Error(), "nam") {
 		t.Error(err)
 	}
 }
--- a/cmd/pumicecroft/state.go
+++ b/cmd/pumicecroft/state.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		set := f.Door.Settings
+		set := f.Gateway.Settings
 		door = &recovery.GatewayInfo{Index: set.GatewayIndex, Count: set.GatewayCount, SettingsDigest: recovery.SettingsDigest(set), Plans: set.Plans}
 		if found[door.Index] == "" {
 			found[door.Index] = snapshotfile.Path(c.Dir, door.Index)
@@ -50,7 +50,7 @@
 	fmt.Fprintln(w, "KIND\tOF\tAGE\tHOLDS\tWHAT BECOMES OF IT")
 	for _, n := range slices.Sorted(maps.Keys(found)) {
 		if door == nil || n == door.Index {
-			tellDecisions(w, found[n], n, door, now)
+			printSnapshot(w, found[n], n, door, now)
 		}
 	}
 	for _, path := range lists {
@@ -71,8 +71,8 @@
 	return w.Flush()
 }
 
-// tellDecisions tells of one snapshot, to the door that would begin with it if one is named.
-func tellDecisions(w io.Writer, path string, number int, door *recovery.GatewayInfo, now time.Time) {
+// printSnapshot tells of one snapshot, to the door that would begin with it if one is named.
+func printSnapshot(w io.Writer, path string, number int, door *recovery.GatewayInfo, now time.Time) {
 	tell := func(s *recovery.Snapshot, b recovery.Restored) {
 		age, holds, becomes := "-", "-", b.Explanation
 		if s != nil {
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -34,7 +34,7 @@
 `
 
 // curl and Node's client and server, which nobody here wrote, through the daemon by a file of ten lines.
-func TestPeers(t *testing.T) {
+func TestPeerClientsAndBackends(t *testing.T) {
 	node, err := exec.LookPath("node")
 	if err != nil {
 		t.Skip("there is no node")
@@ -67,7 +67,7 @@
 	if _, err := fmt.Fscan(out, &port); err != nil {
 		t.Fatal(err)
 	}
-	_, addr, _ := serving(t, file(t, fmt.Sprintf(tenLines, fmt.Sprintf("127.0.0.1:%d", port))))
+	_, addr, _ := startServing(t, writeFile(t, fmt.Sprintf(tenLines, fmt.Sprintf("127.0.0.1:%d", port))))
 	run := func(name string, args ...string) string {
 		var b bytes.Buffer
 		c := exec.CommandContext(t.Context(), name, args...)
@@ -121,7 +121,7 @@
 }
 
 // A SIGHUP puts other routes in force, a bad file none, and what waits goes on by the routes that it came by.
-func TestRoutesChangeBySIGHUP(t *testing.T) {
+func TestSIGHUPReloadsRoutes(t *testing.T) {
 	came, goOn := make(chan bool, 1), make(chan bool)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/held" {
@@ -132,8 +132,8 @@
 	}))
 	defer backend.Close()
 	text := fmt.Sprintf(tenLines, strings.TrimPrefix(backend.URL, "http://"))
-	path := file(t, text)
-	cmd, addr, _ := serving(t, path)
+	path := writeFile(t, text)
+	cmd, addr, _ := startServing(t, path)
 	status := func(path string) int {
 		res, err := http.Get("http://" + addr + path)
 		if err != nil {
@@ -192,7 +192,7 @@
 		"without a place": {"", "line 16: tls.certificate: there is none"},
 	} {
 		var out bytes.Buffer
-		err := run(t.Context(), []string{"check", file(t, base+c.more)}, &out)
+		err := run(t.Context(), []string{"check", writeFile(t, base+c.more)}, &out)
 		if got := out.String() + fmt.Sprint(err); !strings.Contains(got, c.want) {
 			t.Errorf("%s: %s", name, got)
 		}
@@ -201,7 +201,7 @@
 
 // routes says what would become of a request.
 func TestShowRoute(t *testing.T) {
-	path := file(t, fmt.Sprintf(tenLines, "127.0.0.1:9")+`[http]
+	path := writeFile(t, fmt.Sprintf(tenLines, "127.0.0.1:9")+`[http]
 trusted = ["10.0.0.0/8"]
 [[identity]]
 kind = "header"
@@ -247,7 +247,7 @@
 		agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
 			fakes.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1, Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.Check{{ID: "up", Status: "passing"}}})
 	}
-	_, addr, _ := serving(t, file(t, fmt.Sprintf(`listen = "127.0.0.1:0"
+	_, addr, _ := startServing(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
 [[service]]
 name = "a"
--- a/conformance/conformance.go
+++ b/conformance/conformance.go
@@ -22,8 +22,8 @@
 	"pumicecroft/internal/fakes"
 )
 
-// Front is a front door that serves.
-type Front interface {
+// Gateway is a front door that serves.
+type Gateway interface {
 	// Addr is where it is asked.
 	Addr() string
 	// Stop ends it as planned restarts do: it returns when all that was taken has its answer.
@@ -34,13 +34,13 @@
 type Starter struct {
 	// Start starts one from the text of a platform's configuration. It is up when Start returns, and is stopped at the end
 	// of the test if it was not before.
-	Start func(t testing.TB, config string) Front
+	Start func(t testing.TB, config string) Gateway
 	// GRPC says that its clients and backends speak gRPC. The cases are the same; what is asked goes as DoGRPC has it.
 	GRPC bool
-	// Own says that a backend's own error is passed on, and that what cannot be read has statuses of the front's own.
-	Own bool
-	// Keys says that it recognises idempotency keys. The cases are the same but for ids that come again.
-	Keys bool
+	// PassesBackendErrors says that a backend's own error is passed on, and that what cannot be read has statuses of the front's own.
+	PassesBackendErrors bool
+	// IdempotencyKeys says that it recognises idempotency keys. The cases are the same but for ids that come again.
+	IdempotencyKeys bool
 }
 
 // Transcript holds what the cases tell, by case.
@@ -69,36 +69,36 @@
 	return b.String()
 }
 
-// patience is how long a case waits for something that must happen.
-const patience = 20 * time.Second
+// waitLimit is how long a case waits for something that must happen.
+const waitLimit = 20 * time.Second
 
-// busy is how late an answer may be seen here that was given in time: what comes later, the platform counts as lost.
-const busy = 500 * time.Millisecond
+// schedulingSlack is how late an answer may be seen here that was given in time: what comes later, the platform counts as lost.
+const schedulingSlack = 500 * time.Millisecond
 
 // timeout is a client's, of requests that are to have time enough on a busy machine, and short of those that wait
 // for the end of it.
 const (
-	timeout = 15 * time.Second
-	short   = 1200 * time.Millisecond
+	clientTimeout = 15 * time.Second
+	shortTimeout  = 1200 * time.Millisecond
 )
 
-// figures are what a case may set in the configuration.
-type figures struct {
-	doors, me  int
-	plans      string // JSON
-	meter      bool
-	noCancel   bool
-	aimMS      int
-	deadlineMS int
+// caseConfig are what a case may set in the configuration.
+type caseConfig struct {
+	gatewayCount, gatewayIndex int
+	plans                      string // JSON
+	usageReports               bool
+	noCancel                   bool
+	objectiveMS                int
+	deadlineMS                 int
 }
 
-const usualPlans = `{"name":"shop","units_per_s":100000,"burst":100000,"value_factor":1}`
+const defaultPlans = `{"name":"shop","units_per_s":100000,"burst":100000,"value_factor":1}`
 
-// rig is one case's deployment.
-type rig struct {
+// testCase is one case's deployment.
+type testCase struct {
 	t         *testing.T
-	start     Starter
-	front     Front
+	starter   Starter
+	gateway   Gateway
 	ledger    *fakes.Ledger
 	discovery *fakes.Discovery
 	transport *http.Transport
@@ -107,13 +107,13 @@
 	mu        sync.Mutex
 }
 
-func newRig(t *testing.T, start Starter) *rig {
+func newTestCase(t *testing.T, start Starter) *testCase {
 	t.Helper()
 	d, err := fakes.StartDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, start: start, ledger: &fakes.Ledger{}, discovery: d, lastID: 0x5ca1ab1e00000000,
+	r := &testCase{t: t, starter: start, ledger: &fakes.Ledger{}, discovery: d, lastID: 0x5ca1ab1e00000000,
 		transport: &http.Transport{MaxIdleConnsPerHost: 100, DisableCompression: true}}
 	if start.GRPC {
 		r.transport = fakes.GRPCTransport()
@@ -128,11 +128,11 @@
 	return r
 }
 
-// backend starts one in a cell and puts it into the list.
-func (r *rig) backend(cell *fakes.Cell, change func(*fakes.BackendConfig)) *fakes.Backend {
+// startBackend starts one in a cell and puts it into the list.
+func (r *testCase) startBackend(cell *fakes.Cell, change func(*fakes.BackendConfig)) *fakes.Backend {
 	r.t.Helper()
 	c := fakes.BackendConfig{Name: fmt.Sprintf("b%d", len(r.backends)), Zone: "z", Kind: "k", Cell: cell,
-		Ledger: r.ledger, Keyed: func(class string) bool { return class != "look" }, GRPC: r.start.GRPC}
+		Ledger: r.ledger, Keyed: func(class string) bool { return class != "look" }, GRPC: r.starter.GRPC}
 	if change != nil {
 		change(&c)
 	}
@@ -145,30 +145,30 @@
 	return b
 }
 
-func cell(n int) *fakes.Cell { return &fakes.Cell{Number: n, Window: 5 * time.Second} }
+func newCell(n int) *fakes.Cell { return &fakes.Cell{Number: n, Window: 5 * time.Second} }
 
 // Config is a configuration as the platform writes it, for the list that discovery has now.
-func (r *rig) config(f figures) string {
+func (r *testCase) configText(f caseConfig) string {
 	known, err := json.Marshal(r.discovery.List())
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	if f.plans == "" {
-		f.plans = usualPlans
+		f.plans = defaultPlans
 	}
-	if f.aimMS == 0 {
-		f.aimMS = 10_000
+	if f.objectiveMS == 0 {
+		f.objectiveMS = 10_000
 	}
 	if f.deadlineMS == 0 {
 		f.deadlineMS = 15_000
 	}
 	meter := 0
-	if f.meter {
+	if f.usageReports {
 		meter = 500_000
 	}
 	class := func(name, effect string, gain int) string {
 		return fmt.Sprintf(`{"name":%q,"effect":%q,"group":"cell","key_ttl_us":5000000,"goal_time_us":%d,"deadline_us":%d,"gain":%d}`,
-			name, effect, f.aimMS*1000, f.deadlineMS*1000, gain)
+			name, effect, f.objectiveMS*1000, f.deadlineMS*1000, gain)
 	}
 	return fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"cores":2.0,"memory_mb":256,"sockets":1024},"known":%s,
@@ -177,39 +177,39 @@
   "policy_limits":{"cancel":%v,"max_attempts":3,"max_retry_after_us":900000,"retry_after":true,
    "conn_idle_us":15000000,"connect_timeout_us":250000},
   "obligations":{"grace_to_answer_us":50000,"stop_sending_within_us":2000000,"cold_from":0.2,"warm_within_us":6000000,
-   "fall_multiple":4,"fall_us":1000000}}}`, f.me, r.discovery.Addr(), known, max(f.doors, 1), f.me,
+   "fall_multiple":4,"fall_us":1000000}}}`, f.gatewayIndex, r.discovery.Addr(), known, max(f.gatewayCount, 1), f.gatewayIndex,
 		class("look", "retryable", 1)+","+class("pay", "dedup", 5)+","+class("once", "fragile", 3), f.plans, meter, !f.noCancel)
 }
 
 // start starts the case's front.
-func (r *rig) serve(f figures) {
+func (r *testCase) startGateway(f caseConfig) {
 	r.t.Helper()
-	r.front = r.another(f)
+	r.gateway = r.startAnother(f)
 }
 
-// another starts a further front of the case's.
-func (r *rig) another(f figures) Front {
+// startAnother starts a further front of the case's.
+func (r *testCase) startAnother(f caseConfig) Gateway {
 	r.t.Helper()
-	return r.start.Start(r.t, r.config(f))
+	return r.starter.Start(r.t, r.configText(f))
 }
 
-// ask is a request of a class with an id of its own.
-func (r *rig) ask(class string) fakes.Ask {
+// newRequest is a request of a class with an id of its own.
+func (r *testCase) newRequest(class string) fakes.Ask {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastID++
-	a := fakes.Ask{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: timeout}
+	a := fakes.Ask{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: clientTimeout}
 	if class != "look" {
 		a.Key, a.Body = fmt.Sprintf("key-%x", r.lastID), "amount=3"
 	}
 	return a
 }
 
-func (r *rig) do(a fakes.Ask) fakes.Reply { return r.doAt(r.t.Context(), a, r.front) }
+func (r *testCase) send(a fakes.Ask) fakes.Reply { return r.sendTo(r.t.Context(), a, r.gateway) }
 
-// doAt asks one of several fronts.
-func (r *rig) doAt(ctx context.Context, a fakes.Ask, f Front) fakes.Reply {
-	if r.start.GRPC {
+// sendTo asks one of several fronts.
+func (r *testCase) sendTo(ctx context.Context, a fakes.Ask, f Gateway) fakes.Reply {
+	if r.starter.GRPC {
 		return a.DoGRPC(ctx, r.transport, f.Addr())
 	}
 	return a.Do(ctx, r.transport, f.Addr())
@@ -220,19 +220,19 @@
 	tr := &Transcript{}
 	t.Run("cases", func(t *testing.T) {
 		for name, run := range map[string]func(*testing.T, Starter, *Transcript){
-			"one final answer, single effects": outcomes,
-			"drains are honoured":              drains,
-			"a cold backend is spared":         coldBackend,
-			"quota and advice":                 quota,
-			"the ceiling holds over two doors": ceiling,
-			"a quota over two doors":           quotaOfTwo,
-			"a client that leaves":             leaving,
-			"the end loses nothing":            ending,
-			"what cannot be read":              malformed,
-			"bodies pass unchanged":            bodies,
-			"ids that come again":              replays,
-			"no backend at all":                nobody,
-			"many at once":                     many,
+			"one final answer, single effects": testOutcomes,
+			"drains are honoured":              testDrains,
+			"a cold backend is spared":         testColdBackend,
+			"quota and advice":                 testQuota,
+			"the ceiling holds over two doors": testHardLimit,
+			"a quota over two doors":           testSharedQuota,
+			"a client that leaves":             testClientDisconnect,
+			"the end loses nothing":            testShutdown,
+			"what cannot be read":              testMalformedRequests,
+			"bodies pass unchanged":            testBodies,
+			"ids that come again":              testReplays,
+			"no backend at all":                testNoBackend,
+			"many at once":                     testManyRequests,
 		} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
@@ -243,9 +243,9 @@
 	return tr
 }
 
-// outcomes is rules 1 and 2: for each way in which a first attempt can end, each class, and fleets in which a
+// testOutcomes is rules 1 and 2: for each way in which a first attempt can end, each class, and fleets in which a
 // repeat may or may not go elsewhere.
-func outcomes(t *testing.T, start Starter, tr *Transcript) {
+func testOutcomes(t *testing.T, start Starter, tr *Transcript) {
 	acts := map[string]fakes.Act{"served": fakes.Work, "error": fakes.RunAndError, "turned away": fakes.TurnAway,
 		"ran and broke": fakes.RunAndBreak, "broke unheard": fakes.BreakUnheard, "spoilt": fakes.RunAndSpoil,
 		"cut": fakes.RunAndCut, "hung": fakes.Hang, "hung unrun": fakes.HangUnrun}
@@ -256,28 +256,28 @@
 				name := fmt.Sprintf("%s, %s, %s", what, fleet, class)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					oneOutcome(t, start, tr, name, act, cells, class)
+					testOutcome(t, start, tr, name, act, cells, class)
 				})
 			}
 		}
 	}
 }
 
-func oneOutcome(t *testing.T, start Starter, tr *Transcript, name string, act fakes.Act, cells []int, class string) {
-	r := newRig(t, start)
-	memories := []*fakes.Cell{cell(0), cell(1)}
+func testOutcome(t *testing.T, start Starter, tr *Transcript, name string, act fakes.Act, cells []int, class string) {
+	r := newTestCase(t, start)
+	memories := []*fakes.Cell{newCell(0), newCell(1)}
 	once := fakes.Once(act)
 	for _, n := range cells {
-		r.backend(memories[n], func(c *fakes.BackendConfig) { c.Act = once })
+		r.startBackend(memories[n], func(c *fakes.BackendConfig) { c.Act = once })
 	}
-	r.serve(figures{})
-	a := r.ask(class)
+	r.startGateway(caseConfig{})
+	a := r.newRequest(class)
 	if act == fakes.Hang || act == fakes.HangUnrun {
-		a.Timeout, a.Patience = short, patience
+		a.Timeout, a.Patience = shortTimeout, waitLimit
 	}
-	reply := r.do(a)
+	reply := r.send(a)
 	// On a busy machine the answer is seen later than it was given, by how late this goroutine is run.
-	if reply.Status == 0 || reply.Took > a.Timeout+busy {
+	if reply.Status == 0 || reply.Took > a.Timeout+schedulingSlack {
 		t.Fatalf("no answer in %v, but after %v: %v", a.Timeout, reply.Took, reply.Err)
 	}
 	seen := r.ledger.Of(a.RequestID())
@@ -305,23 +305,23 @@
 	tr.add("outcome "+name, "%v, %d attempts, %d effects", reply, len(seen), effects)
 }
 
-// drains is rule 3: after the list has told that a backend drains or is gone, nothing new goes there once the grace
+// testDrains is rule 3: after the list has told that a backend drains or is gone, nothing new goes there once the grace
 // is over.
-func drains(t *testing.T, start Starter, tr *Transcript) {
+func testDrains(t *testing.T, start Starter, tr *Transcript) {
 	for _, health := range []string{"Terminating", "Gone"} {
 		t.Run(health, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, start)
-			r.backend(cell(0), nil)
-			r.backend(cell(0), nil)
-			r.serve(figures{})
+			r := newTestCase(t, start)
+			r.startBackend(newCell(0), nil)
+			r.startBackend(newCell(0), nil)
+			r.startGateway(caseConfig{})
 			const before, grace, after = 300 * time.Millisecond, 2 * time.Second, 300 * time.Millisecond
 			begun := time.Now()
 			var asking sync.WaitGroup
 			for range 4 {
 				asking.Go(func() {
 					for time.Since(begun) < before+grace+after {
-						if reply := r.do(r.ask("look")); reply.String() != "served" {
+						if reply := r.send(r.newRequest("look")); reply.String() != "served" {
 							t.Errorf("while one backend drains: %v %v", reply, reply.Err)
 						}
 						time.Sleep(5 * time.Millisecond)
@@ -352,9 +352,9 @@
 	// What a draining backend holds ends well.
 	t.Run("held", func(t *testing.T) {
 		t.Parallel()
-		r := newRig(t, start)
+		r := newTestCase(t, start)
 		goOn := make(chan bool)
-		r.backend(cell(0), func(c *fakes.BackendConfig) {
+		r.startBackend(newCell(0), func(c *fakes.BackendConfig) {
 			c.Act = func(a fakes.Attempt) fakes.Act {
 				if a.Body == "hold" {
 					<-goOn
@@ -362,18 +362,18 @@
 				return fakes.Work
 			}
 		})
-		r.serve(figures{})
+		r.startGateway(caseConfig{})
 		held := make(chan fakes.Reply, 1)
-		a := r.ask("pay")
+		a := r.newRequest("pay")
 		a.Body = "hold"
-		go func() { held <- r.do(a) }()
-		if !r.ledger.Await(patience, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
+		go func() { held <- r.send(a) }()
+		if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
 			t.Fatal("the request that is to be held never came")
 		}
 		r.discovery.SetHealth("b0", "Terminating")
 		told := false
-		for end := time.Now().Add(patience); !told && time.Now().Before(end); time.Sleep(time.Millisecond) {
-			told = r.do(r.ask("look")).String() == "refused" // there is no other backend
+		for end := time.Now().Add(waitLimit); !told && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			told = r.send(r.newRequest("look")).String() == "refused" // there is no other backend
 		}
 		close(goOn)
 		reply := <-held
@@ -384,19 +384,19 @@
 	})
 }
 
-// coldBackend is rule 4: a backend that has just started, beside warm ones under load, must not be sent so much
+// testColdBackend is rule 4: a backend that has just started, beside warm ones under load, must not be sent so much
 // that it falls.
-func coldBackend(t *testing.T, start Starter, tr *Transcript) {
-	r := newRig(t, start)
+func testColdBackend(t *testing.T, start Starter, tr *Transcript) {
+	r := newTestCase(t, start)
 	limits := func(c *fakes.BackendConfig) {
 		c.Capacity, c.Work = 400, func(string) time.Duration { return 10 * time.Millisecond }
 		c.ColdFrom, c.WarmWithin, c.FallMultiple, c.FallFor = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
 	}
 	for range 3 {
-		r.backend(cell(0), limits)
+		r.startBackend(newCell(0), limits)
 	}
-	r.serve(figures{})
-	cold := r.backend(cell(0), func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
+	r.startGateway(caseConfig{})
+	cold := r.startBackend(newCell(0), func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
 	// The load is light, some 75 a second for each backend that can do 400, and the cold one falls at 0.15 times what
 	// it can do: its share of what a warm one gets stays well under that, and as much as a warm one gets does not.
 	var asking sync.WaitGroup
@@ -406,7 +406,7 @@
 			pace := time.NewTicker(26 * time.Millisecond)
 			defer pace.Stop()
 			for time.Now().Before(end) {
-				if reply := r.do(r.ask("look")); reply.Status == 0 {
+				if reply := r.send(r.newRequest("look")); reply.Status == 0 {
 					t.Errorf("lost: %v", reply.Err)
 				}
 				<-pace.C
@@ -427,53 +427,53 @@
 	tr.add("cold", "fallen: %v", cold.Fallen())
 }
 
-// quota: what a customer asks beyond its plan is refused at once, with a word on when to come back, and costs no
+// testQuota: what a customer asks beyond its plan is refused at once, with a word on when to come back, and costs no
 // backend anything.
-func quota(t *testing.T, start Starter, tr *Transcript) {
-	r := newRig(t, start)
-	r.backend(cell(0), nil)
-	r.serve(figures{plans: usualPlans + `,{"name":"tiny","units_per_s":0.01,"burst":10,"value_factor":1}`})
+func testQuota(t *testing.T, start Starter, tr *Transcript) {
+	r := newTestCase(t, start)
+	r.startBackend(newCell(0), nil)
+	r.startGateway(caseConfig{plans: defaultPlans + `,{"name":"tiny","units_per_s":0.01,"burst":10,"value_factor":1}`})
 	kinds := ""
 	for range 20 {
-		a := r.ask("look")
+		a := r.newRequest("look")
 		a.Plan = "tiny"
-		reply := r.do(a)
+		reply := r.send(a)
 		kinds += reply.String()[:1]
-		if reply.String() == "refused" && (reply.RetryAfter != "0.900" || reply.Took > timeout/2) {
+		if reply.String() == "refused" && (reply.RetryAfter != "0.900" || reply.Took > clientTimeout/2) {
 			t.Errorf("refused after %v with Retry-After %q", reply.Took, reply.RetryAfter)
 		}
-		if n := len(r.ledger.Of(a.RequestID())); n != b2i(reply.String() == "served") {
+		if n := len(r.ledger.Of(a.RequestID())); n != boolToInt(reply.String() == "served") {
 			t.Errorf("%v, and %d attempts", reply, n)
 		}
 	}
 	if served := strings.Count(kinds, "s"); served < 1 || served > 10 {
 		t.Errorf("%d requests of a quota of 10 were served", served)
 	}
-	if reply := r.do(r.ask("look")); reply.String() != "refused" && reply.String() != "served" {
+	if reply := r.send(r.newRequest("look")); reply.String() != "refused" && reply.String() != "served" {
 		t.Errorf("another customer: %v", reply)
 	}
 	tr.add("quota", "%s", kinds)
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// ceiling is rule 5: two doors together stay under a hard ceiling, whatever is asked.
-func ceiling(t *testing.T, start Starter, tr *Transcript) {
+// testHardLimit is rule 5: two doors together stay under a hard ceiling, whatever is asked.
+func testHardLimit(t *testing.T, start Starter, tr *Transcript) {
 	const rate, burst, slack = 20.0, 30.0, 3.0
 	plans := fmt.Sprintf(`{"name":"shop","units_per_s":%v,"burst":%v,"value_factor":1,"ceiling_rate":%v,"never_over_depth":%v,"cap_slack":%v}`,
 		1000, 1000, rate, burst, slack)
-	r := newRig(t, start)
+	r := newTestCase(t, start)
 	for range 2 {
-		r.backend(cell(0), nil)
+		r.startBackend(newCell(0), nil)
 	}
-	var fronts []Front
+	var fronts []Gateway
 	for me := range 2 {
-		fronts = append(fronts, r.another(figures{doors: 2, me: me, plans: plans}))
+		fronts = append(fronts, r.startAnother(caseConfig{gatewayCount: 2, gatewayIndex: me, plans: plans}))
 	}
 	time.Sleep(300 * time.Millisecond) // so that the ceiling's stores have something
 	var asking sync.WaitGroup
@@ -481,9 +481,9 @@
 	for i := range 8 {
 		asking.Go(func() {
 			for time.Now().Before(end) {
-				a := r.ask("look")
+				a := r.newRequest("look")
 				a.Spread, a.Timeout = 2, 5*time.Second
-				if reply := r.doAt(t.Context(), a, fronts[i%2]); reply.Status == 0 {
+				if reply := r.sendTo(t.Context(), a, fronts[i%2]); reply.Status == 0 {
 					t.Errorf("lost: %v", reply.Err)
 				} else if reply.String() == "refused" {
 					time.Sleep(2 * time.Millisecond)
@@ -508,30 +508,30 @@
 	tr.add("ceiling", "held: %v", least >= -slack)
 }
 
-// quotaOfTwo: two doors that cannot talk to each other hold one customer to one quota, by what the meter tells of
+// testSharedQuota: two doors that cannot talk to each other hold one customer to one quota, by what the meter tells of
 // both. What the other door uses is unseen for as long as a reading is late, so the bound is the burst, the rate,
 // and what the rate gives in 1.5 s.
-func quotaOfTwo(t *testing.T, start Starter, tr *Transcript) {
+func testSharedQuota(t *testing.T, start Starter, tr *Transcript) {
 	const rate, burst, unseen = 40.0, 40.0, 1.5
-	r := newRig(t, start)
+	r := newTestCase(t, start)
 	meter := &fakes.Meter{}
 	for range 2 {
-		r.backend(cell(0), func(c *fakes.BackendConfig) { c.Meter = meter })
+		r.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Meter = meter })
 	}
 	plans := fmt.Sprintf(`{"name":"shop","units_per_s":%v,"burst":%v,"value_factor":1}`, rate, burst)
-	var fronts []Front
+	var fronts []Gateway
 	for me := range 2 {
-		fronts = append(fronts, r.another(figures{doors: 2, me: me, plans: plans, meter: true}))
+		fronts = append(fronts, r.startAnother(caseConfig{gatewayCount: 2, gatewayIndex: me, plans: plans, usageReports: true}))
 	}
 	begun := time.Now()
 	var asking sync.WaitGroup
 	for i := range 4 {
 		asking.Go(func() {
 			for time.Since(begun) < 4*time.Second {
-				a := r.ask("look")
+				a := r.newRequest("look")
 				a.Spread = 2
 				meter.Enter(a.RequestID(), a.Customer, 1, rate)
-				if reply := r.doAt(t.Context(), a, fronts[i%2]); reply.Status == 0 {
+				if reply := r.sendTo(t.Context(), a, fronts[i%2]); reply.Status == 0 {
 					t.Errorf("lost: %v", reply.Err)
 				}
 				meter.Forget(a.RequestID())
@@ -549,27 +549,27 @@
 	tr.add("quota of two", "held")
 }
 
-// leaving: a client that goes away is owed nothing, its attempt is called off, and its slot and open place are
+// testClientDisconnect: a client that goes away is owed nothing, its attempt is called off, and its slot and open place are
 // free at once: of a plan that may have one attempt out, the next one is served.
-func leaving(t *testing.T, start Starter, tr *Transcript) {
-	r := newRig(t, start)
-	r.backend(cell(0), func(c *fakes.BackendConfig) { c.Act = fakes.Once(fakes.Hang) })
-	r.serve(figures{plans: `{"name":"shop","parallel":1,"value_factor":1}`})
+func testClientDisconnect(t *testing.T, start Starter, tr *Transcript) {
+	r := newTestCase(t, start)
+	r.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Act = fakes.Once(fakes.Hang) })
+	r.startGateway(caseConfig{plans: `{"name":"shop","parallel":1,"value_factor":1}`})
 	ctx, leave := context.WithCancel(t.Context())
-	a := r.ask("pay")
+	a := r.newRequest("pay")
 	gone := make(chan fakes.Reply, 1)
-	go func() { gone <- r.doAt(ctx, a, r.front) }()
-	if !r.ledger.Await(patience, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End == "hung" }) {
+	go func() { gone <- r.sendTo(ctx, a, r.gateway) }()
+	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End == "hung" }) {
 		t.Fatal("the request never came")
 	}
-	if reply := r.do(r.ask("look")); reply.String() != "refused" {
+	if reply := r.send(r.newRequest("look")); reply.String() != "refused" {
 		t.Errorf("while the plan's one place is taken: %v", reply)
 	}
 	leave()
 	<-gone
 	var reply fakes.Reply
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if reply = r.do(r.ask("look")); reply.String() == "served" {
+	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if reply = r.send(r.newRequest("look")); reply.String() == "served" {
 			break
 		}
 	}
@@ -582,25 +582,25 @@
 	tr.add("leaving", "place taken: refused; after: %v; attempts 1", reply)
 }
 
-// ending is rule 1 at a planned restart: all that was taken is answered before the front ends.
-func ending(t *testing.T, start Starter, tr *Transcript) {
-	r := newRig(t, start)
+// testShutdown is rule 1 at a planned restart: all that was taken is answered before the front ends.
+func testShutdown(t *testing.T, start Starter, tr *Transcript) {
+	r := newTestCase(t, start)
 	goOn := make(chan bool)
-	r.backend(cell(0), func(c *fakes.BackendConfig) {
+	r.startBackend(newCell(0), func(c *fakes.BackendConfig) {
 		c.Act = func(fakes.Attempt) fakes.Act { <-goOn; return fakes.Work }
 	})
-	r.serve(figures{})
+	r.startGateway(caseConfig{})
 	const n = 10
 	replies := make(chan fakes.Reply, n)
 	for i := range n {
-		a := r.ask([]string{"look", "pay", "once"}[i%3])
-		go func() { replies <- r.do(a) }()
+		a := r.newRequest([]string{"look", "pay", "once"}[i%3])
+		go func() { replies <- r.send(a) }()
 	}
-	if !r.ledger.Await(patience, func(as []fakes.Attempt) bool { return len(as) == n }) {
+	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == n }) {
 		t.Fatal("not all requests came")
 	}
 	stopped := make(chan error, 1)
-	go func() { stopped <- r.front.Stop() }()
+	go func() { stopped <- r.gateway.Stop() }()
 	select {
 	case err := <-stopped:
 		t.Errorf("it ended with %d requests open: %v", n, err)
@@ -620,17 +620,17 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitLimit):
 		t.Error("it never ended")
 	}
 	tr.add("ending", "%d of %d served", served, n)
 }
 
-// malformed: what cannot be read gets an error at once, and no backend hears of it.
-func malformed(t *testing.T, start Starter, tr *Transcript) {
-	r := newRig(t, start)
-	r.backend(cell(0), nil)
-	r.serve(figures{})
+// testMalformedRequests: what cannot be read gets an error at once, and no backend hears of it.
+func testMalformedRequests(t *testing.T, start Starter, tr *Transcript) {
+	r := newTestCase(t, start)
+	r.startBackend(newCell(0), nil)
+	r.startGateway(caseConfig{})
 	header := func(name string, v ...string) func(*fakes.Ask) {
 		return func(a *fakes.Ask) { a.Header = http.Header{name: v} }
 	}
@@ -661,12 +661,12 @@
 		{"a GET of a keyed class", "pay", func(a *fakes.Ask) { a.Key = "" }},
 		{"a POST of a safe class", "look", func(a *fakes.Ask) { a.Key = "k" }},
 	} {
-		a := r.ask(c.class)
+		a := r.newRequest(c.class)
 		if c.change != nil {
 			c.change(&a)
 		}
-		reply := r.do(a)
-		if reply.Took > timeout/20 {
+		reply := r.send(a)
+		if reply.Took > clientTimeout/20 {
 			t.Errorf("%s: answered after %v", c.name, reply.Took)
 		}
 		if reply.Status < 400 || reply.Status > 499 {
@@ -677,20 +677,20 @@
 	if as := r.ledger.Attempts(); len(as) > 0 {
 		t.Errorf("backends heard of %+v", as)
 	}
-	if reply := r.do(r.ask("pay")); reply.String() != "served" {
+	if reply := r.send(r.newRequest("pay")); reply.String() != "served" {
 		t.Errorf("a good one afterwards: %v", reply)
 	}
 }
 
-// bodies pass on unchanged, up to the limit.
-func bodies(t *testing.T, start Starter, tr *Transcript) {
-	r := newRig(t, start)
-	r.backend(cell(0), nil)
-	r.serve(figures{})
+// testBodies pass on unchanged, up to the limit.
+func testBodies(t *testing.T, start Starter, tr *Transcript) {
+	r := newTestCase(t, start)
+	r.startBackend(newCell(0), nil)
+	r.startGateway(caseConfig{})
 	for name, body := range map[string]string{"empty": "", "small": "a=1&b=\x00\xff\r\n\r\nGET / HTTP/1.1", "largest": strings.Repeat("y", 64<<10)} {
-		a := r.ask("pay")
+		a := r.newRequest("pay")
 		a.Body = body
-		reply := r.do(a)
+		reply := r.send(a)
 		seen := r.ledger.Of(a.RequestID())
 		if reply.String() != "served" || len(seen) != 1 || seen[0].Body != body || seen[0].Key != a.Key || seen[0].Timeout == "" {
 			t.Errorf("%s: %v, %d attempts", name, reply, len(seen))
@@ -699,12 +699,12 @@
 	tr.add("bodies", "unchanged")
 }
 
-// replays: an id that is open is turned away; one that may have run, of a class whose effect must stay single, is
+// testReplays: an id that is open is turned away; one that may have run, of a class whose effect must stay single, is
 // not sent again.
-func replays(t *testing.T, start Starter, tr *Transcript) {
-	r := newRig(t, start)
+func testReplays(t *testing.T, start Starter, tr *Transcript) {
+	r := newTestCase(t, start)
 	goOn := make(chan bool)
-	r.backend(nil, func(c *fakes.BackendConfig) { // it drops no repeats
+	r.startBackend(nil, func(c *fakes.BackendConfig) { // it drops no repeats
 		c.Act = func(a fakes.Attempt) fakes.Act {
 			if a.Body == "hold" {
 				<-goOn
@@ -712,20 +712,20 @@
 			return fakes.Work
 		}
 	})
-	r.serve(figures{})
-	held := r.ask("pay")
+	r.startGateway(caseConfig{})
+	held := r.newRequest("pay")
 	held.Body = "hold"
 	first := make(chan fakes.Reply, 1)
-	go func() { first <- r.do(held) }()
-	if !r.ledger.Await(patience, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
+	go func() { first <- r.send(held) }()
+	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
 		t.Fatal("the request never came")
 	}
-	if start.Keys { // a repeat waits for the first one's answer, and is given it from then on: ids that come again are told apart by their keys
+	if start.IdempotencyKeys { // a repeat waits for the first one's answer, and is given it from then on: ids that come again are told apart by their keys
 		second := make(chan fakes.Reply, 1)
-		go func() { second <- r.do(held) }()
+		go func() { second <- r.send(held) }()
 		close(goOn)
-		once := r.ask("once")
-		for what, reply := range map[string]fakes.Reply{"the first": <-first, "while it is open": <-second, "later": r.do(held), "once": r.do(once), "once more": r.do(once)} {
+		once := r.newRequest("once")
+		for what, reply := range map[string]fakes.Reply{"the first": <-first, "while it is open": <-second, "later": r.send(held), "once": r.send(once), "once more": r.send(once)} {
 			if reply.String() != "served" {
 				t.Errorf("%s: %v", what, reply)
 			}
@@ -735,12 +735,12 @@
 		}
 		return
 	}
-	open := r.do(held)
+	open := r.send(held)
 	close(goOn)
-	tr.add("replays", "open: %v, the first: %v, again: %v", open, <-first, r.do(held))
+	tr.add("replays", "open: %v, the first: %v, again: %v", open, <-first, r.send(held))
 	for _, class := range []string{"look", "once"} {
-		a := r.ask(class)
-		tr.add("replays", "%s: %v, again: %v", class, r.do(a), r.do(a))
+		a := r.newRequest(class)
+		tr.add("replays", "%s: %v, again: %v", class, r.send(a), r.send(a))
 		if class == "once" && len(r.ledger.Of(a.RequestID())) != 1 {
 			t.Errorf("%s: %d attempts", class, len(r.ledger.Of(a.RequestID())))
 		}
@@ -750,29 +750,29 @@
 	}
 }
 
-// nobody: without a backend everything is refused at once, and said when to come back.
-func nobody(t *testing.T, start Starter, tr *Transcript) {
-	r := newRig(t, start)
-	r.serve(figures{})
+// testNoBackend: without a backend everything is refused at once, and said when to come back.
+func testNoBackend(t *testing.T, start Starter, tr *Transcript) {
+	r := newTestCase(t, start)
+	r.startGateway(caseConfig{})
 	for _, class := range []string{"look", "pay", "once"} {
-		reply := r.do(r.ask(class))
-		if reply.String() != "refused" || reply.RetryAfter == "" || reply.Took > timeout/2 {
+		reply := r.send(r.newRequest(class))
+		if reply.String() != "refused" || reply.RetryAfter == "" || reply.Took > clientTimeout/2 {
 			t.Errorf("%s: %v after %v, Retry-After %q", class, reply, reply.Took, reply.RetryAfter)
 		}
 		tr.add("nobody", "%s: %v", class, reply)
 	}
 }
 
-// many: whatever backends do, each of many requests at once has one answer in time, and no effect is doubled.
-func many(t *testing.T, start Starter, tr *Transcript) {
-	r := newRig(t, start)
+// testManyRequests: whatever backends do, each of many requests at once has one answer in time, and no effect is doubled.
+func testManyRequests(t *testing.T, start Starter, tr *Transcript) {
+	r := newTestCase(t, start)
 	acts := []fakes.Act{fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work,
 		fakes.RunAndError, fakes.TurnAway, fakes.RunAndBreak, fakes.BreakUnheard, fakes.RunAndSpoil, fakes.RunAndCut, fakes.Hang}
-	memories := []*fakes.Cell{cell(0), cell(1)}
+	memories := []*fakes.Cell{newCell(0), newCell(1)}
 	for i := range 4 {
 		var mu sync.Mutex
 		n := i
-		r.backend(memories[i%2], func(c *fakes.BackendConfig) {
+		r.startBackend(memories[i%2], func(c *fakes.BackendConfig) {
 			c.Slots, c.Work = 8, func(string) time.Duration { return 2 * time.Millisecond }
 			c.Act = func(fakes.Attempt) fakes.Act {
 				mu.Lock()
@@ -782,18 +782,18 @@
 			}
 		})
 	}
-	r.serve(figures{aimMS: 300, deadlineMS: 2500})
+	r.startGateway(caseConfig{objectiveMS: 300, deadlineMS: 2500})
 	var mu sync.Mutex
 	kinds := map[string]int{}
 	var asking sync.WaitGroup
 	for i := range 16 {
 		asking.Go(func() {
 			for n := range 20 {
-				a := r.ask([]string{"look", "pay", "once"}[(i+n)%3])
+				a := r.newRequest([]string{"look", "pay", "once"}[(i+n)%3])
 				// The client waits for its answer for longer than it says: it must come, and on a busy machine it is late by how late
 				// this goroutine is run.
-				a.Timeout, a.Patience = 1500*time.Millisecond, patience
-				reply := r.do(a)
+				a.Timeout, a.Patience = 1500*time.Millisecond, waitLimit
+				reply := r.send(a)
 				if reply.Status == 0 {
 					t.Errorf("lost after %v: %v", reply.Took, reply.Err)
 				}
--- a/conformance/consul_test.go
+++ b/conformance/consul_test.go
@@ -22,9 +22,9 @@
 
 const consulService = "nodes"
 
-// mirror keeps a stand-in Consul agent as the stand-in discovery is: what is ready there passes here, what terminates
+// startMirror keeps a stand-in Consul agent as the stand-in discovery is: what is ready there passes here, what terminates
 // is critical, what is gone is deregistered. It returns when the agent holds what discovery holds now.
-func mirror(t testing.TB, addr string) *fakes.Consul {
+func startMirror(t testing.TB, addr string) *fakes.Consul {
 	t.Helper()
 	agent, err := fakes.StartConsul(nil)
 	if err != nil {
@@ -60,22 +60,22 @@
 	t.Cleanup(func() { stop(); <-ended; agent.Close() })
 	select {
 	case <-first:
-	case <-time.After(patience):
+	case <-time.After(waitLimit):
 		t.Fatal("discovery told nothing")
 	}
 	return agent
 }
 
-// knows waits until a door knows all that the agent holds.
-func knows(t testing.TB, agent *fakes.Consul, ask func() ([]pumicecroft.BackendStatus, error)) {
+// waitForBackends waits until a door knows all that the agent holds.
+func waitForBackends(t testing.TB, agent *fakes.Consul, ask func() ([]pumicecroft.BackendStatus, error)) {
 	t.Helper()
-	knowsAll(t, slices.Sorted(maps.Keys(agent.Instances(consulService))), ask)
+	waitForNames(t, slices.Sorted(maps.Keys(agent.Instances(consulService))), ask)
 }
 
-// knowsAll waits until a door knows the members of these names, which are sorted.
-func knowsAll(t testing.TB, want []string, ask func() ([]pumicecroft.BackendStatus, error)) {
+// waitForNames waits until a door knows the members of these names, which are sorted.
+func waitForNames(t testing.TB, want []string, ask func() ([]pumicecroft.BackendStatus, error)) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); ; time.Sleep(2 * time.Millisecond) {
 		ms, err := ask()
 		var got []string
 		for _, m := range ms {
@@ -93,42 +93,42 @@
 var mapping = consul.Mapping{Cell: "cell", Zone: "zone", InstanceType: "model", Started: "started"}
 
 // libraryWithConsul is the library's handler with Consul as its source.
-func libraryWithConsul(t testing.TB, config string) Front {
+func libraryWithConsul(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent := mirror(t, c.Discovery)
+	agent := startMirror(t, c.Discovery)
 	client, err := consul.New(consul.Config{Address: agent.Addr()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := client.Service(consul.Service{Name: consulService, Mapping: mapping})
-	dc := daemon.DoorConfig(c)
+	dc := daemon.GatewayConfig(c)
 	dc.InitialEndpoints.Nodes = nil
 	door, err := pumicecroft.New(dc, pumicecroft.WithNamedSource(w.SourceInfo(), w))
 	if err != nil {
 		t.Fatal(err)
 	}
-	knows(t, agent, func() ([]pumicecroft.BackendStatus, error) { return door.Backends(), nil })
-	return host(t, door, door)
+	waitForBackends(t, agent, func() ([]pumicecroft.BackendStatus, error) { return door.Backends(), nil })
+	return startHost(t, door, door)
 }
 
 // daemonWithConsul is the daemon by an operator's file, with Consul as its source.
-func daemonWithConsul(t testing.TB, config string) Front {
+func daemonWithConsul(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent := mirror(t, c.Discovery)
+	agent := startMirror(t, c.Discovery)
 	path := filepath.Join(t.TempDir(), "pumicecroft.toml")
 	if err := os.WriteFile(path, []byte(operatorFile(c, agent.Addr())), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p := startAs(t, "PUMICECROFT_BY_FILE="+path)
-	knows(t, agent, func() ([]pumicecroft.BackendStatus, error) { return daemon.AskMembers(t.Context(), p.members) })
+	waitForBackends(t, agent, func() ([]pumicecroft.BackendStatus, error) { return daemon.FetchBackendStatus(t.Context(), p.members) })
 	return p
 }
 
@@ -138,11 +138,11 @@
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	line("[consul]\naddress = %q\n[[consul.service]]\nname = %q", agent, consulService)
 	line("cell = %q\nzone = %q\nmodel = %q\nstarted = %q", mapping.Cell, mapping.Zone, mapping.InstanceType, mapping.Started)
-	return fileBut(c, "") + b.String()
+	return fileWith(c, "") + b.String()
 }
 
-// fileBut is such a file but for where backends come from; more goes into its [door].
-func fileBut(c platform.Config, more string) string {
+// fileWith is such a file but for where backends come from; more goes into its [door].
+func fileWith(c platform.Config, more string) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	s := c.Settings
@@ -165,9 +165,9 @@
 }
 
 // What the file says must be what the configuration says.
-func TestTheOperatorFileSaysTheSame(t *testing.T) {
-	r := newRig(t, Starter{})
-	c, err := platform.ParseConfig([]byte(r.config(figures{doors: 3, me: 1, meter: true})))
+func TestOperatorFileMatchesPlatformConfig(t *testing.T) {
+	r := newTestCase(t, Starter{})
+	c, err := platform.ParseConfig([]byte(r.configText(caseConfig{gatewayCount: 3, gatewayIndex: 1, usageReports: true})))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, want := f.Door.Settings, c.Settings
+	got, want := f.Gateway.Settings, c.Settings
 	want.LoadReportFields, want.SubscribeToEndpoints = nil, false // there is no key for them
 	if a, b := fmt.Sprintf("%+v", got), fmt.Sprintf("%+v", want); a != b {
 		t.Errorf("the file says\n%s\nthe configuration\n%s", a, b)
--- a/conformance/fronts_test.go
+++ b/conformance/gateways_test.go
@@ -84,7 +84,7 @@
 
 var listens = regexp.MustCompile(`(serving|members|grpc) .*listen=(\S+)`)
 
-func startProcess(t testing.TB, config string) Front {
+func startProcess(t testing.TB, config string) Gateway {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -139,8 +139,8 @@
 	return p.err
 }
 
-// hosted is a Door in a host's server in this process.
-type hosted struct {
+// hostedGateway is a Door in a host's server in this process.
+type hostedGateway struct {
 	door   *pumicecroft.Gateway
 	server *http.Server
 	addr   string
@@ -148,26 +148,28 @@
 	err    error
 }
 
-// inHost starts fronts whose Door is behind a handler of a host.
-func inHost(handler func(*pumicecroft.Gateway) http.Handler) Starter { return inHostWith(handler, nil) }
+// startInHost starts fronts whose Door is behind a handler of a host.
+func startInHost(handler func(*pumicecroft.Gateway) http.Handler) Starter {
+	return startInHostWith(handler, nil)
+}
 
-// withKeys is inHost with keys recognised, and kept on disk.
-func withKeys(handler func(*pumicecroft.Gateway) http.Handler) Starter {
-	s := inHostWith(handler, func(t testing.TB, c *pumicecroft.Config) {
+// startWithKeys is inHost with keys recognised, and kept on disk.
+func startWithKeys(handler func(*pumicecroft.Gateway) http.Handler) Starter {
+	s := startInHostWith(handler, func(t testing.TB, c *pumicecroft.Config) {
 		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: t.TempDir()}
 	})
-	s.Keys = true
+	s.IdempotencyKeys = true
 	return s
 }
 
-func inHostWith(handler func(*pumicecroft.Gateway) http.Handler, change func(testing.TB, *pumicecroft.Config)) Starter {
-	return Starter{Start: func(t testing.TB, config string) Front {
+func startInHostWith(handler func(*pumicecroft.Gateway) http.Handler, change func(testing.TB, *pumicecroft.Config)) Starter {
+	return Starter{Start: func(t testing.TB, config string) Gateway {
 		t.Helper()
 		c, err := platform.ParseConfig([]byte(config))
 		if err != nil {
 			t.Fatal(err)
 		}
-		dc := daemon.DoorConfig(c)
+		dc := daemon.GatewayConfig(c)
 		if change != nil {
 			change(t, &dc)
 		}
@@ -176,58 +178,58 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return host(t, door, handler(door))
+		return startHost(t, door, handler(door))
 	}}
 }
 
-// host serves a door behind a handler.
-func host(t testing.TB, door *pumicecroft.Gateway, handler http.Handler) *hosted {
+// startHost serves a door behind a handler.
+func startHost(t testing.TB, door *pumicecroft.Gateway, handler http.Handler) *hostedGateway {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hosted{door: door, server: &http.Server{Handler: handler}, addr: ln.Addr().String()}
+	h := &hostedGateway{door: door, server: &http.Server{Handler: handler}, addr: ln.Addr().String()}
 	go h.server.Serve(ln)
 	t.Cleanup(func() { _ = h.Stop() })
 	return h
 }
 
-func (h *hosted) Addr() string { return h.addr }
+func (h *hostedGateway) Addr() string { return h.addr }
 
-func (h *hosted) Stop() error {
+func (h *hostedGateway) Stop() error {
 	h.once.Do(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		defer cancel()
 		h.err = errors.Join(h.server.Shutdown(ctx), h.door.Close(ctx))
 	})
 	return h.err
 }
 
-func notHere(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }
+func notFound(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }
 
-// fronts are all that the suite runs against.
-var fronts = map[string]Starter{
+// starters are all that the suite runs against.
+var starters = map[string]Starter{
 	"daemon":              {Start: startProcess},
 	"daemon with Consul":  {Start: daemonWithConsul},
 	"library with Consul": {Start: libraryWithConsul},
-	"daemon with HTTP":    {Start: daemonWithHTTP, Own: true},
-	"ordinary HTTP":       {Start: ordinaryHTTP, Own: true},
+	"daemon with HTTP":    {Start: daemonWithHTTP, PassesBackendErrors: true},
+	"ordinary HTTP":       {Start: libraryWithHTTP, PassesBackendErrors: true},
 	"daemon with gRPC":    {Start: daemonWithGRPC, GRPC: true},
 	"gRPC":                {Start: overGRPC, GRPC: true},
-	"library with keys":   withKeys(func(d *pumicecroft.Gateway) http.Handler { return d }),
-	"nethttp with keys": withKeys(func(d *pumicecroft.Gateway) http.Handler {
-		return nethttp.New(d)(http.HandlerFunc(notHere))
+	"library with keys":   startWithKeys(func(d *pumicecroft.Gateway) http.Handler { return d }),
+	"nethttp with keys": startWithKeys(func(d *pumicecroft.Gateway) http.Handler {
+		return nethttp.New(d)(http.HandlerFunc(notFound))
 	}),
-	"library": inHost(func(d *pumicecroft.Gateway) http.Handler { return d }),
-	"nethttp under chi": inHost(func(d *pumicecroft.Gateway) http.Handler {
+	"library": startInHost(func(d *pumicecroft.Gateway) http.Handler { return d }),
+	"nethttp under chi": startInHost(func(d *pumicecroft.Gateway) http.Handler {
 		r := chi.NewRouter()
 		r.Use(chimiddleware.RequestID, chimiddleware.Recoverer, chimiddleware.Timeout(time.Minute), nethttp.New(d))
-		r.NotFound(notHere)
-		r.Get("/own", notHere) // without a route of its own chi runs no middleware
+		r.NotFound(notFound)
+		r.Get("/own", notFound) // without a route of its own chi runs no middleware
 		return r
 	}),
-	"gin": inHost(func(d *pumicecroft.Gateway) http.Handler {
+	"gin": startInHost(func(d *pumicecroft.Gateway) http.Handler {
 		e := gin.New()
 		e.Use(gin.Recovery(), pumicegin.New(d))
 		e.NoRoute(func(c *gin.Context) { c.Status(http.StatusTeapot) })
@@ -235,8 +237,8 @@
 	}),
 }
 
-// without is a transcript less one case.
-func without(transcript, name string) string {
+// withoutCase is a transcript less one case.
+func withoutCase(transcript, name string) string {
 	from := strings.Index(transcript, name+"\n")
 	to := from + len(name) + 1
 	for strings.HasPrefix(transcript[to:], "  ") {
@@ -250,7 +252,7 @@
 	var mu sync.Mutex
 	told := map[string]string{}
 	t.Run("fronts", func(t *testing.T) {
-		for name, start := range fronts {
+		for name, start := range starters {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				tr := Run(t, start).String()
@@ -264,22 +266,22 @@
 		return
 	}
 	want := told["daemon"]
-	if want == "" || len(told) != len(fronts) {
+	if want == "" || len(told) != len(starters) {
 		t.Fatalf("%d fronts told something", len(told))
 	}
 	for name, got := range told {
 		want := want
-		if fronts[name].Keys { // ids that come again have answers of their own there, which the case looks at
-			want = without(want, "replays")
+		if starters[name].IdempotencyKeys { // ids that come again have answers of their own there, which the case looks at
+			want = withoutCase(want, "replays")
 		}
-		if fronts[name].Own {
-			want, got = without(want, "malformed"), without(got, "malformed")
+		if starters[name].PassesBackendErrors {
+			want, got = withoutCase(want, "malformed"), withoutCase(got, "malformed")
 			name := ""
 			for line := range strings.Lines(got) { // a backend's own error is its own: the daemon says 502, or 503 of what may be repeated
 				if !strings.HasPrefix(line, " ") {
 					name = strings.TrimSpace(line)
 				} else if strings.Contains(line, "failed 500") {
-					want, got = without(want, name), without(got, name)
+					want, got = withoutCase(want, name), withoutCase(got, name)
 				}
 			}
 		}
@@ -287,7 +289,7 @@
 			t.Errorf("%s differs from the daemon:\n%s", name, diff(want, got))
 		}
 	}
-	worldAgrees(t, want)
+	compareWithWorld(t, want)
 	t.Logf("all fronts:\n%s", want)
 }
 
--- a/conformance/grpc_test.go
+++ b/conformance/grpc_test.go
@@ -20,20 +20,20 @@
 )
 
 // overGRPC is a Door in this process behind a gRPC server, with backends that speak gRPC.
-func overGRPC(t testing.TB, config string) Front {
+func overGRPC(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	dc := daemon.DoorConfig(c)
+	dc := daemon.GatewayConfig(c)
 	dc.Protocol = membership.ProtocolGRPC
 	door, err := pumicecroft.New(dc, grpcproxy.WithBackends(grpcproxy.BackendConfig{}),
 		pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: deskMethods(door), Strict: true, MaxMessage: pumicecroft.MaxBody})
+	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: deskMethods(door), Strict: true, MaxMessageBytes: pumicecroft.MaxBody})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,20 +42,20 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	g := &grpcHosted{door: door, addr: ln.Addr().String(), stop: stop, served: make(chan error, 1)}
+	g := &hostedGRPC{door: door, addr: ln.Addr().String(), stop: stop, served: make(chan error, 1)}
 	go func() { g.served <- front.Serve(ctx, ln) }()
 	t.Cleanup(func() { _ = g.Stop() })
 	return g
 }
 
 // daemonWithGRPC is the daemon by an operator's file, asked over gRPC, with backends that speak it.
-func daemonWithGRPC(t testing.TB, config string) Front {
+func daemonWithGRPC(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := fileBut(c, `protocol = "grpc"`) + fmt.Sprintf("[discovery]\naddress = %q\n", c.Discovery)
+	text := fileWith(c, `protocol = "grpc"`) + fmt.Sprintf("[discovery]\naddress = %q\n", c.Discovery)
 	text += fmt.Sprintf("[grpc]\nlisten = \"127.0.0.1:0\"\nstrict = true\nmax_message = %d\n", pumicecroft.MaxBody)
 	for _, class := range c.Settings.Classes {
 		text += fmt.Sprintf("[[grpc.method]]\nname = \"/%s/%s\"\nclass = %q\n", fakes.GRPCService, class.Name, class.Name)
@@ -78,7 +78,7 @@
 		names = append(names, n.Name)
 	}
 	slices.Sort(names)
-	knowsAll(t, names, func() ([]pumicecroft.BackendStatus, error) { return daemon.AskMembers(t.Context(), p.members) })
+	waitForNames(t, names, func() ([]pumicecroft.BackendStatus, error) { return daemon.FetchBackendStatus(t.Context(), p.members) })
 	return p
 }
 
@@ -91,7 +91,7 @@
 	return methods
 }
 
-type grpcHosted struct {
+type hostedGRPC struct {
 	door   *pumicecroft.Gateway
 	addr   string
 	stop   func()
@@ -100,12 +100,12 @@
 	err    error
 }
 
-func (g *grpcHosted) Addr() string { return g.addr }
+func (g *hostedGRPC) Addr() string { return g.addr }
 
-func (g *grpcHosted) Stop() error {
+func (g *hostedGRPC) Stop() error {
 	g.once.Do(func() {
 		g.stop()
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		defer cancel()
 		g.err = errors.Join(<-g.served, g.door.Close(ctx))
 	})
--- a/conformance/web_test.go
+++ b/conformance/http_test.go
@@ -19,7 +19,7 @@
 // webFile is an operator's file by which ordinary HTTP is what the platform's dialect is.
 func webFile(c platform.Config) string {
 	var b strings.Builder
-	b.WriteString(fileBut(c, ""))
+	b.WriteString(fileWith(c, ""))
 	fmt.Fprintf(&b, "[[service]]\nname = \"desk\"\nbackend_connections = %d\nconnect_timeout = %q\nidle_timeout = %q\n", c.Limits.BackendConns(), c.Conns.ConnectTimeout, c.Conns.IdleTimeout)
 	fmt.Fprintf(&b, "[discovery]\naddress = %q\nservice = \"desk\"\n", c.Discovery)
 	b.WriteString(`[http]
@@ -48,7 +48,7 @@
 }
 
 // daemonWithHTTP is the daemon by an operator's file, for ordinary HTTP.
-func daemonWithHTTP(t testing.TB, config string) Front {
+func daemonWithHTTP(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
@@ -57,8 +57,8 @@
 	return startByFile(t, webFile(c), c)
 }
 
-// ordinaryHTTP is a webfront.Front in a host's server in this process.
-func ordinaryHTTP(t testing.TB, config string) Front {
+// libraryWithHTTP is a webfront.Front in a host's server in this process.
+func libraryWithHTTP(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
@@ -68,12 +68,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dc := f.Door
+	dc := f.Gateway
 	dc.InitialEndpoints = c.Known.Membership()
 	for i := range dc.InitialEndpoints.Nodes {
 		dc.InitialEndpoints.Nodes[i].Protocol = httpproxy.Protocol("desk")
 	}
-	s, err := httpproxyconfig.Service(f.Web.Services[0], os.ReadFile, slog.Default())
+	s, err := httpproxyconfig.Service(f.HTTP.Services[0], os.ReadFile, slog.Default())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,8 +81,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	follow(t, door, c, httpproxy.Protocol("desk"))
-	fc := f.Web.Front
+	followDiscovery(t, door, c, httpproxy.Protocol("desk"))
+	fc := f.HTTP.Proxy
 	if fc.Rules, err = httpproxyconfig.Rules(&f, os.ReadFile); err != nil {
 		t.Fatal(err)
 	}
@@ -90,11 +90,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return host(t, door, front)
+	return startHost(t, door, front)
 }
 
-// follow has a door's list follow discovery, with what its backends speak.
-func follow(t testing.TB, door *pumicecroft.Gateway, c platform.Config, protocol string) {
+// followDiscovery has a door's list follow discovery, with what its backends speak.
+func followDiscovery(t testing.TB, door *pumicecroft.Gateway, c platform.Config, protocol string) {
 	d := &platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}
 	go d.Run(t.Context(), func(l membership.Update) {
 		for i := range l.Nodes {
@@ -107,8 +107,8 @@
 // One customer that asks two services over HTTP and a third over gRPC has what it has of one of them.
 func TestOneQuotaOverServicesAndProtocols(t *testing.T) {
 	count := func(t *testing.T, ways ...string) (served int) {
-		r := newRig(t, Starter{})
-		r.backend(cell(0), nil)
+		r := newTestCase(t, Starter{})
+		r.startBackend(newCell(0), nil)
 		beside := map[string]*fakes.Backend{}
 		for _, name := range []string{"two", "grpc"} {
 			b, err := fakes.StartBackend(fakes.BackendConfig{Name: name, Ledger: r.ledger, GRPC: name == "grpc"})
@@ -118,7 +118,7 @@
 			t.Cleanup(b.Kill)
 			beside[name] = b
 		}
-		c, err := platform.ParseConfig([]byte(r.config(figures{plans: usualPlans + `,{"name":"tiny","units_per_s":0.001,"burst":16,"value_factor":1}`})))
+		c, err := platform.ParseConfig([]byte(r.configText(caseConfig{plans: defaultPlans + `,{"name":"tiny","units_per_s":0.001,"burst":16,"value_factor":1}`})))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -146,7 +146,7 @@
 		overGRPC := fakes.GRPCTransport()
 		t.Cleanup(overGRPC.CloseIdleConnections)
 		for i := range 60 {
-			a := r.ask("look")
+			a := r.newRequest("look")
 			a.Plan = "tiny"
 			reply := fakes.Reply{}
 			switch ways[i%len(ways)] {
--- a/conformance/world_test.go
+++ b/conformance/world_test.go
@@ -8,9 +8,9 @@
 	"pumicecroft/internal/sim"
 )
 
-// worldAgrees holds the world that a seed decides against the real one: each of the suite's outcomes, as all fronts told it on
+// compareWithWorld holds the world that a seed decides against the real one: each of the suite's outcomes, as all fronts told it on
 // sockets, must be the world's too, in verdict, attempts and effects.
-func worldAgrees(t *testing.T, transcript string) {
+func compareWithWorld(t *testing.T, transcript string) {
 	t.Helper()
 	fleets := map[string][]int{"one backend": {0}, "two of one cell": {0, 0}, "two of two cells": {0, 1}}
 	lines := strings.Split(transcript, "\n")
--- a/examples/grpc/main.go
+++ b/examples/grpc/main.go
@@ -47,7 +47,7 @@
 			"/shop.Stock/List":    {Class: "stock-lookup", Streaming: true},
 		},
 		CustomerText: true,
-		Names:        grpcproxy.Names{Customer: "x-tenant", Plan: "x-plan", Key: "idempotency-key"},
+		Names:        grpcproxy.MetadataNames{Customer: "x-tenant", Plan: "x-plan", IdempotencyKey: "idempotency-key"},
 	})
 	if err != nil {
 		log.Fatal(err)
--- a/grpcproxy/bench_test.go
+++ b/grpcproxy/bench_test.go
@@ -22,8 +22,8 @@
 	"pumicecroft/membership"
 )
 
-// cpu is what this process has used of the processors, in user and system time.
-func cpu() time.Duration {
+// cpuTime is what this process has used of the processors, in user and system time.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -52,18 +52,18 @@
 	return c
 }
 
-// way is one way to a backend.
-type way struct {
+// benchmarkPath is one way to a backend.
+type benchmarkPath struct {
 	name string
 	conn *grpc.ClientConn
 }
 
-// ways are a backend's, which answers with what it is asked: straight, through a plain proxy that receives a call, makes it
+// benchmarkPaths are a backend's, which answers with what it is asked: straight, through a plain proxy that receives a call, makes it
 // again with grpc-go's client and sends the answer, and through the door. All of it runs in this process, so what a way
 // costs by itself is its figure less that of "direct". All servers have the same options, but for their handlers.
-func ways(b *testing.B) []way {
+func benchmarkPaths(b *testing.B) []benchmarkPath {
 	echo := func(_ any, ss grpc.ServerStream) error {
-		var m framed
+		var m framedMessage
 		if err := ss.RecvMsg(&m); err != nil {
 			return err
 		}
@@ -74,7 +74,7 @@
 	proxy := func(_ any, ss grpc.ServerStream) error {
 		method, _ := grpc.MethodFromServerStream(ss)
 		md, _ := metadata.FromIncomingContext(ss.Context())
-		var in, out framed
+		var in, out framedMessage
 		if err := ss.RecvMsg(&in); err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 	}
 	set := deskSettings()
 	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, InitialEndpoints: membership.Update{Nodes: []membership.Node{
-		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{Conns: 1}))
+		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{MaxConnsPerBackend: 1}))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -99,21 +99,21 @@
 		b.Fatal(err)
 	}
 	plain := grpc.NewServer(append(front.ServerOptions(), grpc.UnknownServiceHandler(proxy))...)
-	return []way{{"direct", dialTo(b, backend)}, {"proxy", dialTo(b, listenServe(b, plain))},
+	return []benchmarkPath{{"direct", dialTo(b, backend)}, {"proxy", dialTo(b, listenServe(b, plain))},
 		{"door", dialTo(b, listenServe(b, grpc.NewServer(front.ServerOptions()...)))}}
 }
 
-// BenchmarkOwnPart asks by all ways in turn, a round each, with 1 and with 64 calls out at once, and reports for each the
+// BenchmarkOverhead asks by all ways in turn, a round each, with 1 and with 64 calls out at once, and reports for each the
 // median over the rounds of its CPU, allocations, p50 and p99 (a call that the door refuses comes back when it is told to, and
 // its time goes on): door/proxy is the ratio as it stands, own the ratio with
 // "direct" taken off both.
 //
 //	go test -run xxx -bench OwnPart -benchtime 60x ./grpcfront
-func BenchmarkOwnPart(b *testing.B) {
+func BenchmarkOverhead(b *testing.B) {
 	for _, streams := range []int{1, 64} {
 		b.Run(fmt.Sprint(streams, " streams"), func(b *testing.B) {
 			const round = 2000
-			all := ways(b)
+			all := benchmarkPaths(b)
 			var figures [3][4][]float64 // by way: CPU, allocations, p50, p99
 			var id uint64
 			var refused atomic.Int64
@@ -123,7 +123,7 @@
 					runtime.GC()
 					var m0, m1 runtime.MemStats
 					runtime.ReadMemStats(&m0)
-					start := cpu()
+					start := cpuTime()
 					var asking sync.WaitGroup
 					base := id
 					id += round
@@ -148,7 +148,7 @@
 						})
 					}
 					asking.Wait()
-					used := cpu() - start
+					used := cpuTime() - start
 					runtime.ReadMemStats(&m1)
 					slices.Sort(took)
 					for f, v := range []float64{float64(used.Nanoseconds()) / 1e3 / round, float64(m1.Mallocs-m0.Mallocs) / round, took[round/2], took[round*99/100]} {
--- a/grpcproxy/leaving_test.go
+++ b/grpcproxy/disconnect_test.go
@@ -15,7 +15,7 @@
 
 // A call that its client cancels while it waits for a connection to a backend, for a first attempt or a further one, is sent to nobody when that
 // connection is up, which goes on to serve others.
-func TestACancelledCallThatWaitsForAConnection(t *testing.T) {
+func TestCallCancelledWhileDialing(t *testing.T) {
 	for _, further := range []bool{false, true} {
 		t.Run(fmt.Sprintf("further %t", further), func(t *testing.T) {
 			dials, waiting, goOn := atomic.Int32{}, make(chan bool, 10), make(chan bool)
@@ -39,7 +39,7 @@
 			if res := testkit.Await(t, ended, "its client to have left"); res.st.Code() != codes.Canceled {
 				t.Errorf("it ended with %v", res.st)
 			}
-			await(t, "the end of all that was open", func() bool { return r.door.OpenRequests() == 0 })
+			await(t, "the end of all that was open", func() bool { return r.gateway.OpenRequests() == 0 })
 			close(goOn)
 			for range 4 { // at both backends
 				if res := r.do(r.call("Look")); res.st.Code() != codes.OK {
--- a/grpcproxy/rig_test.go
+++ b/grpcproxy/fixture_test.go
@@ -39,13 +39,13 @@
 		Plans:   append(plans, decision.Plan{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1})}
 }
 
-// rig is a Door behind a gRPC server, with stand-in backends and a client.
-type rig struct {
+// fixture is a Door behind a gRPC server, with stand-in backends and a client.
+type fixture struct {
 	t        testing.TB
 	ledger   *fakes.Ledger
 	backends []*fakes.GRPCBackend
-	door     *pumicecroft.Gateway
-	front    *Front
+	gateway  *pumicecroft.Gateway
+	proxy    *Proxy
 	addr     string
 	stop     context.CancelFunc
 	served   chan error
@@ -64,18 +64,18 @@
 	back     BackendConfig
 	more     []membership.Node // of other protocols
 	ledger   *fakes.Ledger
-	server   func(*Front) *grpc.Server
+	server   func(*Proxy) *grpc.Server
 	door     func(*pumicecroft.Config)
 }
 
-func newRig(t testing.TB, change func(*options)) *rig {
+func newRig(t testing.TB, change func(*options)) *fixture {
 	t.Helper()
 	before := runtime.NumGoroutine()
-	o := options{cells: []int{0, 0}, settings: deskSettings(), config: Config{Methods: deskMethods}, back: BackendConfig{Connect: testkit.Patient}}
+	o := options{cells: []int{0, 0}, settings: deskSettings(), config: Config{Methods: deskMethods}, back: BackendConfig{ConnectTimeout: testkit.Patient}}
 	if change != nil {
 		change(&o)
 	}
-	r := &rig{t: t, ledger: cmp.Or(o.ledger, &fakes.Ledger{}), served: make(chan error, 1)}
+	r := &fixture{t: t, ledger: cmp.Or(o.ledger, &fakes.Ledger{}), served: make(chan error, 1)}
 	known := membership.Update{Nodes: o.more}
 	memories := map[int]*fakes.Cell{}
 	for i, cell := range o.cells {
@@ -95,11 +95,11 @@
 	if o.door != nil {
 		o.door(&door)
 	}
-	r.door, err = pumicecroft.New(door, WithBackends(o.back))
+	r.gateway, err = pumicecroft.New(door, WithBackends(o.back))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.front, err = New(r.door, o.config); err != nil {
+	if r.proxy, err = New(r.gateway, o.config); err != nil {
 		t.Fatal(err)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,11 +110,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
 	if o.server != nil {
-		s := o.server(r.front)
+		s := o.server(r.proxy)
 		go func() { r.served <- s.Serve(ln) }()
 		go func() { <-ctx.Done(); s.Stop() }()
 	} else {
-		go func() { r.served <- r.front.Serve(ctx, ln) }()
+		go func() { r.served <- r.proxy.Serve(ctx, ln) }()
 	}
 	r.client = r.connect()
 	t.Cleanup(func() {
@@ -123,7 +123,7 @@
 		if err := <-r.served; err != nil {
 			t.Error(err)
 		}
-		_ = r.door.Close(context.Background())
+		_ = r.gateway.Close(context.Background())
 		for _, b := range r.backends {
 			b.Kill()
 		}
@@ -139,7 +139,7 @@
 }
 
 // connect makes a client with a connection of its own.
-func (r *rig) connect() *grpc.ClientConn {
+func (r *fixture) connect() *grpc.ClientConn {
 	c, err := grpc.NewClient("passthrough:///"+r.addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
 		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(Codec()), grpc.MaxCallRecvMsgSize(64<<20), grpc.MaxCallSendMsgSize(64<<20)))
 	if err != nil {
@@ -148,7 +148,7 @@
 	return c
 }
 
-func frame(text string) framed {
+func frame(text string) framedMessage {
 	return append(binary.BigEndian.AppendUint32([]byte{0}, uint32(len(text))), text...)
 }
 
@@ -163,7 +163,7 @@
 }
 
 // call makes one of a method with an id and a key of its own.
-func (r *rig) call(method string) call {
+func (r *fixture) call(method string) call {
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
 	c := call{id: id, method: "/shop.Desk/" + method, text: "amount=3", timeout: 15 * time.Second,
 		md: metadata.Pairs("x-api-key", "0000000000000007", "x-tier", "shop", "request-id", id)}
@@ -189,19 +189,19 @@
 }
 
 // do makes a unary call.
-func (r *rig) do(c call) result { return c.on(r.t.Context(), r.client) }
+func (r *fixture) do(c call) result { return c.on(r.t.Context(), r.client) }
 
 func (c call) on(ctx context.Context, conn grpc.ClientConnInterface) result {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
-	var out framed
+	var out framedMessage
 	var res result
 	err := conn.Invoke(ctx, c.method, frame(c.text), &out, grpc.Header(&res.header), grpc.Trailer(&res.trailer))
 	res.st = status.Convert(err)
 	if err == nil {
 		res.text = string(out[5:])
 	}
-	res.pushback = strings.Join(res.trailer[Pushback], ",")
+	res.pushback = strings.Join(res.trailer[PushbackTrailer], ",")
 	return res
 }
 
@@ -212,7 +212,7 @@
 func codeOf(err error) codes.Code { return status.Code(err) }
 
 // watch makes a server-streaming call and reads it to its end; seen, if it is there, is called after each message.
-func (r *rig) watch(c call, seen func(n int)) result {
+func (r *fixture) watch(c call, seen func(n int)) result {
 	ctx, cancel := c.context(r.t.Context())
 	defer cancel()
 	var res result
@@ -223,7 +223,7 @@
 		}
 	}
 	for err == nil {
-		var out framed
+		var out framedMessage
 		if err = s.RecvMsg(&out); err == nil {
 			res.texts = append(res.texts, string(out[5:]))
 			if seen != nil {
@@ -237,7 +237,7 @@
 	if s != nil {
 		res.header, _ = s.Header()
 		res.trailer = s.Trailer()
-		res.pushback = strings.Join(res.trailer[Pushback], ",")
+		res.pushback = strings.Join(res.trailer[PushbackTrailer], ",")
 	}
 	return res
 }
--- a/grpcproxy/frames_test.go
+++ b/grpcproxy/frames_test.go
@@ -20,8 +20,8 @@
 	"pumicecroft/internal/testkit"
 )
 
-// raw is a client on bare frames.
-type raw struct {
+// rawClient is a client on bare frames.
+type rawClient struct {
 	t    *testing.T
 	conn net.Conn
 	f    *http2.Framer
@@ -32,7 +32,7 @@
 	over atomic.Uint32 // the last stream that end has seen ended by the other side
 }
 
-func (r *rig) raw(t *testing.T) *raw {
+func (r *fixture) raw(t *testing.T) *rawClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(testkit.Patient))
-	w := &raw{t: t, conn: conn, f: http2.NewFramer(conn, conn), next: 1}
+	w := &rawClient{t: t, conn: conn, f: http2.NewFramer(conn, conn), next: 1}
 	w.enc = hpack.NewEncoder(&w.head)
 	w.f.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	_, err = io.WriteString(conn, http2.ClientPreface)
@@ -51,7 +51,7 @@
 }
 
 // open opens a stream for a call, with more fields; an error is one of the connection.
-func (w *raw) open(c call, more ...string) (id uint32, err error) {
+func (w *rawClient) open(c call, more ...string) (id uint32, err error) {
 	id = w.next
 	w.next += 2
 	fields := []string{":method", "POST", ":scheme", "http", ":path", c.method, ":authority", "desk", "content-type", "application/grpc", "te", "trailers"}
@@ -77,7 +77,7 @@
 }
 
 // ask makes a whole call and gives what came back: the last head's status, or how the stream ended.
-func (w *raw) ask(c call, more ...string) string {
+func (w *rawClient) ask(c call, more ...string) string {
 	w.t.Helper()
 	id, err := w.open(c, more...)
 	if err == nil {
@@ -90,7 +90,7 @@
 }
 
 // end reads until a stream ends.
-func (w *raw) end(id uint32) string {
+func (w *rawClient) end(id uint32) string {
 	for {
 		f, err := w.f.ReadFrame()
 		if err != nil {
@@ -132,7 +132,7 @@
 }
 
 // Deadlines of 0, below it, of noise, and of longer than a time can be.
-func TestOddDeadlines(t *testing.T) {
+func TestUnusualTimeouts(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
 	for timeout, want := range map[string]string{"0S": "status 4", "0n": "status 4", "-1S": "status 13", "soon": "status 13", "": "status 13",
@@ -155,7 +155,7 @@
 }
 
 // A call's time as a backend sees it is less than what the client gave.
-func TestTheDeadlineShrinks(t *testing.T) {
+func TestRemainingTimeoutIsForwarded(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
 	if got := w.ask(r.call("Look"), "grpc-timeout", "2S"); got != "status 0" {
@@ -168,7 +168,7 @@
 }
 
 // Metadata over the limit: the call is turned away, its neighbours on the connection go on.
-func TestAHeadOverTheLimit(t *testing.T) {
+func TestHeaderListOverLimit(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
 	if got := w.ask(r.call("Look"), "x-much", strings.Repeat("m", 40<<10)); got == "status 0" {
@@ -183,7 +183,7 @@
 }
 
 // A client that floods with pings is sent away; others do not notice.
-func TestAPingFlood(t *testing.T) {
+func TestPingFlood(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
 	if got := w.ask(r.call("Look")); got != "status 0" {
@@ -217,8 +217,8 @@
 			}
 			return fakes.GRPCServe
 		}
-		o.config.Streams = 20
-		o.back.Conns = 10
+		o.config.MaxStreamsPerConn = 20
+		o.back.MaxConnsPerBackend = 10
 	})
 	w := r.raw(t)
 	var reading sync.WaitGroup
@@ -235,7 +235,7 @@
 		w.mu.Unlock()
 		if err == nil && i%10 == 0 { // it has become an attempt; the others are mostly gone before they are looked at
 			await(t, "an attempt, or a refusal", func() bool { return len(r.ledger.Of(c.id)) > 0 || w.over.Load() == id })
-			most = max(most, r.door.OpenRequests())
+			most = max(most, r.gateway.OpenRequests())
 		}
 		if err == nil {
 			w.mu.Lock()
@@ -250,9 +250,9 @@
 				t.Errorf("another client: %v", res.st)
 			}
 		}
-		most = max(most, r.door.OpenRequests())
+		most = max(most, r.gateway.OpenRequests())
 	}
-	await(t, "the end of all that was open", func() bool { return r.door.OpenRequests() == 0 })
+	await(t, "the end of all that was open", func() bool { return r.gateway.OpenRequests() == 0 })
 	w.conn.Close()
 	reading.Wait()
 	if most == 0 || most > 2*20+2 { // twice, as one that is called off is open until its attempt has ended
@@ -265,7 +265,7 @@
 }
 
 // A connection that says no HTTP/2 is closed.
-func TestNoHTTP2(t *testing.T) {
+func TestClientWithoutHTTP2(t *testing.T) {
 	r := newRig(t, nil)
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
--- a/grpcproxy/host_test.go
+++ b/grpcproxy/host_test.go
@@ -35,7 +35,7 @@
 
 // In a host's own server the Front takes its methods, by its interceptor or as the handler of unknown services, and the
 // host's own services go on beside it, with messages of their own.
-func TestInAHostsServer(t *testing.T) {
+func TestProxyInHostServer(t *testing.T) {
 	own := func(o ...grpc.ServerOption) *grpc.Server {
 		s := grpc.NewServer(append(o, grpc.ForceServerCodecV2(Codec()))...)
 		h := health.NewServer()
@@ -45,14 +45,14 @@
 	}
 	nothing := func(_ any, _ grpc.ServerStream) error { return status.Error(codes.DataLoss, "the host's own answer") }
 	for name, c := range map[string]struct {
-		server  func(f *Front) *grpc.Server
+		server  func(f *Proxy) *grpc.Server
 		unknown codes.Code // of a method that nobody has
 		nobody  codes.Code // of a call that does not say who asks
 	}{
-		"interceptor": {func(f *Front) *grpc.Server {
+		"interceptor": {func(f *Proxy) *grpc.Server {
 			return own(grpc.ChainStreamInterceptor(known, f.Interceptor()), grpc.UnknownServiceHandler(nothing))
 		}, codes.DataLoss, codes.OK},
-		"handler": {func(f *Front) *grpc.Server { return own(grpc.UnknownServiceHandler(f.Handle)) }, codes.Unimplemented, codes.InvalidArgument},
+		"handler": {func(f *Proxy) *grpc.Server { return own(grpc.UnknownServiceHandler(f.Handle)) }, codes.Unimplemented, codes.InvalidArgument},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, func(o *options) { o.server = c.server })
@@ -81,14 +81,14 @@
 }
 
 // What a client is told, for each word of the Door.
-func TestFinal(t *testing.T) {
-	answer := func(code grpcproto.Code, message string) *grpctransport.Answer {
-		return &grpctransport.Answer{Code: code, Message: message, Trailer: []grpctransport.Field{{Name: "x-more", Value: "1"},
+func TestStatusFor(t *testing.T) {
+	answer := func(code grpcproto.Code, message string) *grpctransport.Response {
+		return &grpctransport.Response{Code: code, Message: message, Trailer: []grpctransport.Field{{Name: "x-more", Value: "1"},
 			{Name: "grpc-encoding", Value: "gzip"}, {Name: "grpc-status-details-bin", Value: "CA0="}}}
 	}
 	for name, c := range map[string]struct {
 		err      error
-		reply    *grpctransport.Answer
+		reply    *grpctransport.Response
 		effect   decision.Idempotency
 		code     codes.Code
 		pushback string
@@ -111,11 +111,11 @@
 		"failed by one that is tried": {pumicecroft.ErrFailed, answer(14, "away"), decision.IdempotentByKey, codes.Unknown, "-1", "away"},
 		"the same of a safe one":      {pumicecroft.ErrFailed, answer(14, "away"), decision.Idempotent, codes.Unavailable, "-1", "away"},
 	} {
-		st, md := final(c.err, c.reply, c.effect)
-		if st.Code() != c.code || strings.Join(md[Pushback], ",") != c.pushback || !strings.Contains(st.Message(), c.message) {
-			t.Errorf("%s: %v, pushback %q", name, st, md[Pushback])
+		st, md := statusFor(c.err, c.reply, c.effect)
+		if st.Code() != c.code || strings.Join(md[PushbackTrailer], ",") != c.pushback || !strings.Contains(st.Message(), c.message) {
+			t.Errorf("%s: %v, pushback %q", name, st, md[PushbackTrailer])
 		}
-		if c.effect != decision.Idempotent && c.pushback == "-1" && retried(st.Code()) && !errors.Is(c.err, pumicecroft.ErrBodyTooLarge) && !errors.Is(c.err, pumicecroft.ErrDeadlineExceeded) {
+		if c.effect != decision.Idempotent && c.pushback == "-1" && clientsRetry(st.Code()) && !errors.Is(c.err, pumicecroft.ErrBodyTooLarge) && !errors.Is(c.err, pumicecroft.ErrDeadlineExceeded) {
 			t.Errorf("%s: clients make it again by %v", name, st.Code())
 		}
 		if c.reply != nil && !errors.Is(c.err, pumicecroft.ErrRejected) {
@@ -127,7 +127,7 @@
 }
 
 // A Front that could not work is not made, and the error says why.
-func TestConfigThatCannotWork(t *testing.T) {
+func TestInvalidConfig(t *testing.T) {
 	set := deskSettings()
 	door, err := pumicecroft.New(pumicecroft.Config{Settings: set}, WithBackends(BackendConfig{}))
 	if err != nil {
@@ -142,9 +142,9 @@
 		"unknown class": {Config{Methods: map[string]Method{"/a.B/C": {Class: "nap"}}}, `"nap"`},
 		"no method":     {Config{Methods: map[string]Method{"a.B/C": {Class: "look"}}}, `"a.B/C" is no method`},
 		"wildcard":      {Config{Methods: map[string]Method{"/a.*/C": {Class: "look"}}}, `"/a.*/C" is no method`},
-		"a name twice":  {Config{Methods: deskMethods, Names: Names{Customer: "x", Plan: "x"}}, `"x" stands for two things`},
-		"gRPC's name":   {Config{Methods: deskMethods, Names: Names{Customer: "grpc-status"}}, `"grpc-status"`},
-		"below 0":       {Config{Methods: deskMethods, MaxMessage: -1}, "below 0"},
+		"a name twice":  {Config{Methods: deskMethods, Names: MetadataNames{Customer: "x", Plan: "x"}}, `"x" stands for two things`},
+		"gRPC's name":   {Config{Methods: deskMethods, Names: MetadataNames{Customer: "grpc-status"}}, `"grpc-status"`},
+		"below 0":       {Config{Methods: deskMethods, MaxMessageBytes: -1}, "below 0"},
 	} {
 		if _, err := New(door, c.config); !errors.Is(err, pumicecroft.ErrConfig) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
--- a/grpcproxy/keys_test.go
+++ b/grpcproxy/idempotency_test.go
@@ -16,7 +16,7 @@
 )
 
 // again is a call once more, by a client that pressed twice: the same key, an id of its own.
-func (r *rig) again(c call) call {
+func (r *fixture) again(c call) call {
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
 	c.md = c.md.Copy()
 	c.md.Set("request-id", id)
@@ -26,7 +26,7 @@
 
 // Repeats over gRPC, with the first one's end, what comes then, and how many calls were sent on: a repeat gets the same message, status, header and
 // trailers; also by another door that reads its journal.
-func TestRepeatedKeys(t *testing.T) {
+func TestRepeatedIdempotencyKeys(t *testing.T) {
 	for _, c := range []struct {
 		name, method string
 		act          fakes.GRPCAct
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -24,12 +24,12 @@
 	"pumicecroft/membership"
 )
 
-// asDoor names the variable that makes the test's binary a door of its own, for the backend at the address that it holds.
-const asDoor = "PUMICECROFT_GRPC_DOOR"
+// runAsGateway names the variable that makes the test's binary a door of its own, for the backend at the address that it holds.
+const runAsGateway = "PUMICECROFT_GRPC_DOOR"
 
 func TestMain(m *testing.M) {
-	if addr := os.Getenv(asDoor); addr != "" {
-		if err := beDoor(addr); err != nil {
+	if addr := os.Getenv(runAsGateway); addr != "" {
+		if err := serveGateway(addr); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -47,13 +47,13 @@
 	return s
 }
 
-// beDoor is a door over gRPC until SIGTERM.
-func beDoor(backend string) error {
+// serveGateway is a door over gRPC until SIGTERM.
+func serveGateway(backend string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	set := longSettings()
 	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15, InitialEndpoints: membership.Update{Nodes: []membership.Node{
-		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{Conns: 20, Streams: 1000, Connect: testkit.Patient}))
+		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000, ConnectTimeout: testkit.Patient}))
 	if err != nil {
 		return err
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// rss is a process's memory, in KiB.
-func rss(t testing.TB, pid int) int {
+// residentBytes is a process's memory, in KiB.
+func residentBytes(t testing.TB, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -96,9 +96,9 @@
 	return 0
 }
 
-// held opens n streams at a door in a process of its own over ten connections, reads one message of each, and gives what
+// memoryPerStream opens n streams at a door in a process of its own over ten connections, reads one message of each, and gives what
 // the door's memory grew by, in KiB for each, once it no longer grows.
-func held(t testing.TB, act fakes.GRPCAct, n int) float64 {
+func memoryPerStream(t testing.TB, act fakes.GRPCAct, n int) float64 {
 	t.Helper()
 	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Act: always(act), MaxStreams: 1000})
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 	defer backend.Kill()
 	door := exec.Command(os.Args[0])
-	door.Env = append(os.Environ(), asDoor+"="+backend.Addr())
+	door.Env = append(os.Environ(), runAsGateway+"="+backend.Addr())
 	out, err := door.StdoutPipe()
 	if err = errors.Join(err, door.Start()); err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, addr: strings.TrimSpace(addr)}
+	r := &fixture{t: t, addr: strings.TrimSpace(addr)}
 	var conns []*grpc.ClientConn
 	for range 10 {
 		c := r.connect()
@@ -129,7 +129,7 @@
 		k.timeout = 50 * time.Millisecond
 		k.on(context.Background(), c) // so that it is connected
 	}
-	before := rss(t, door.Process.Pid)
+	before := residentBytes(t, door.Process.Pid)
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
 	first := make(chan error, n)
@@ -143,7 +143,7 @@
 			s, err := conns[i%len(conns)].NewStream(cctx, watching, k.method)
 			if err == nil {
 				if err = errors.Join(s.SendMsg(frame(k.text)), s.CloseSend()); err == nil {
-					var m framed
+					var m framedMessage
 					err = s.RecvMsg(&m)
 				}
 			}
@@ -159,19 +159,19 @@
 		}
 	}
 	last := 0
-	for now := rss(t, door.Process.Pid); now > last+last/100; now = rss(t, door.Process.Pid) { // by more than 1% in a second
+	for now := residentBytes(t, door.Process.Pid); now > last+last/100; now = residentBytes(t, door.Process.Pid) { // by more than 1% in a second
 		last = now
 		time.Sleep(time.Second)
 	}
-	return float64(rss(t, door.Process.Pid)-before) / float64(n)
+	return float64(residentBytes(t, door.Process.Pid)-before) / float64(n)
 }
 
 // A stream that is slow or idle costs a door bounded memory.
 func TestMemoryOfSlowStreams(t *testing.T) {
-	if raceOn {
+	if raceEnabled {
 		t.Skip("the race detector's own memory counts too")
 	}
-	if got := held(t, fakes.GRPCEndless, 100); got > 512 {
+	if got := memoryPerStream(t, fakes.GRPCEndless, 100); got > 512 {
 		t.Errorf("%.0f KiB for each stream of a client that does not read", got)
 	}
 }
@@ -182,7 +182,7 @@
 //	go test -run xxx -bench Memory -benchtime 1x ./grpcfront
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
-		b.ReportMetric(held(b, fakes.GRPCStreamHang, 10_000), "KiB-idle")
-		b.ReportMetric(held(b, fakes.GRPCEndless, 1000), "KiB-slow")
+		b.ReportMetric(memoryPerStream(b, fakes.GRPCStreamHang, 10_000), "KiB-idle")
+		b.ReportMetric(memoryPerStream(b, fakes.GRPCEndless, 1000), "KiB-slow")
 	}
 }
--- a/grpcproxy/norace_test.go
+++ b/grpcproxy/norace_test.go
@@ -2,4 +2,4 @@
 
 package grpcproxy
 
-const raceOn = false
+const raceEnabled = false
--- a/grpcproxy/grpcfront.go
+++ b/grpcproxy/proxy.go
@@ -36,21 +36,21 @@
 
 // BackendConfig says how backends are reached over gRPC. What is 0 takes the default that is given.
 type BackendConfig struct {
-	Conns      int           // connections to one backend; 2. Up to as many again may be ending
-	Streams    int           // calls on one connection; 100, or fewer if the backend says so
-	Connect    time.Duration // a connection that is not up by then counts as failed; 250 ms
-	Idle       time.Duration // a backend may close a connection that was idle for this long; 15 s
-	MaxMessage int           // of an answer, in bytes; 4 MiB
-	// LoadColumns are the settings' names of load figures, where backends report their load (metadata server-load).
-	LoadColumns []string
-	Log         *slog.Logger // nil: silence
-	Dial        func(ctx context.Context, network, addr string) (net.Conn, error)
+	MaxConnsPerBackend int           // connections to one backend; 2. Up to as many again may be ending
+	MaxStreamsPerConn  int           // calls on one connection; 100, or fewer if the backend says so
+	ConnectTimeout     time.Duration // a connection that is not up by then counts as failed; 250 ms
+	IdleTimeout        time.Duration // a backend may close a connection that was idle for this long; 15 s
+	MaxMessageBytes    int           // of an answer, in bytes; 4 MiB
+	// LoadReportFields are the settings' names of load figures, where backends report their load (metadata server-load).
+	LoadReportFields []string
+	Log              *slog.Logger // nil: silence
+	Dial             func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 // WithBackends lets a Door reach backends that speak gRPC. They make each attempt once and never again by themselves.
 func WithBackends(c BackendConfig) pumicecroft.Option {
-	return pumicecroft.WithProtocol(membership.ProtocolGRPC, grpctransport.New(grpctransport.Config{Conns: c.Conns, Streams: c.Streams, Connect: c.Connect,
-		Idle: c.Idle, MaxMessage: c.MaxMessage, LoadColumns: c.LoadColumns, Log: c.Log, Dial: c.Dial}))
+	return pumicecroft.WithProtocol(membership.ProtocolGRPC, grpctransport.New(grpctransport.Config{MaxConnsPerBackend: c.MaxConnsPerBackend, MaxStreamsPerConn: c.MaxStreamsPerConn, ConnectTimeout: c.ConnectTimeout,
+		IdleTimeout: c.IdleTimeout, MaxMessageBytes: c.MaxMessageBytes, LoadReportFields: c.LoadReportFields, Log: c.Log, Dial: c.Dial}))
 }
 
 // Method says what becomes of a method's calls.
@@ -59,18 +59,18 @@
 	Streaming bool   // it answers with a stream of messages
 }
 
-// Names are the metadata in which calls tell about themselves. A name that is empty is not looked for.
-type Names struct {
-	Customer string // a number as 16 hex digits, or any text: see Config.CustomerText
-	Plan     string
-	Units    string // a number
-	ID       string // of the try, 16 hex digits; a call without one is given one, which backends see under this name
-	Key      string // the idempotency key
-	Terms    string // the platform's "units=2,spread=3,first=1"
+// MetadataNames are the metadata in which calls tell about themselves. A name that is empty is not looked for.
+type MetadataNames struct {
+	Customer       string // a number as 16 hex digits, or any text: see Config.CustomerText
+	Plan           string
+	Cost           string // a number
+	ID             string // of the try, 16 hex digits; a call without one is given one, which backends see under this name
+	IdempotencyKey string // the idempotency key
+	Terms          string // the platform's "units=2,spread=3,first=1"
 }
 
 // PlatformNames are those of the platform's headers.
-var PlatformNames = Names{Customer: "x-api-key", Plan: "x-tier", ID: "request-id", Key: "idempotency-key", Terms: "x-call-terms"}
+var PlatformNames = MetadataNames{Customer: "x-api-key", Plan: "x-tier", ID: "request-id", IdempotencyKey: "idempotency-key", Terms: "x-call-terms"}
 
 // Config is what a Front is made of.
 type Config struct {
@@ -78,7 +78,7 @@
 	// for all of a service that are not named.
 	Methods map[string]Method
 	// Names are PlatformNames if all of them are empty.
-	Names Names
+	Names MetadataNames
 	// Strict wants each call to bring an id, a deadline and, where they have a name, its terms, and a key only if its class
 	// is keyed or unsafe, as the platform does. Else an id is given, the class's deadline holds, and a call takes one unit
 	// and may use all doors.
@@ -87,63 +87,63 @@
 	CustomerText bool
 	// ReadTimeout is for a call's message to come whole; 1 s.
 	ReadTimeout time.Duration
-	// MaxMessage bounds a call's message, in bytes; 4 MiB.
-	MaxMessage int
-	Log        *slog.Logger // nil: silence
+	// MaxMessageBytes bounds a call's message, in bytes; 4 MiB.
+	MaxMessageBytes int
+	Log             *slog.Logger // nil: silence
 
 	// What follows is for Serve and ServerOptions.
 
-	Conns   int // that clients may hold; further ones wait to be accepted; 400
-	Streams int // open on one connection of a client; 1,000
+	MaxClientConns    int // that clients may hold; further ones wait to be accepted; 400
+	MaxStreamsPerConn int // open on one connection of a client; 1,000
 }
 
 const (
-	defaultReadTimeout = time.Second
-	defaultMaxMessage  = 4 << 20
-	defaultConns       = 400
-	defaultStreams     = 1000
+	defaultReadTimeout       = time.Second
+	defaultMaxMessageBytes   = 4 << 20
+	defaultMaxClientConns    = 400
+	defaultMaxStreamsPerConn = 1000
 )
 
-// Front carries calls to a Door. It is safe for concurrent use.
-type Front struct {
-	door    *pumicecroft.Gateway
-	config  Config
-	set     decision.Settings // the Door's
-	effects map[string]decision.Idempotency
-	log     *slog.Logger
+// Proxy carries calls to a Door. It is safe for concurrent use.
+type Proxy struct {
+	gateway     *pumicecroft.Gateway
+	config      Config
+	settings    decision.Settings // the Door's
+	idempotency map[string]decision.Idempotency
+	logger      *slog.Logger
 }
 
 // New makes a Front for a Door that was made with WithBackends. The error is a pumicecroft.ErrConfig.
-func New(door *pumicecroft.Gateway, c Config) (*Front, error) {
-	bad := func(format string, args ...any) (*Front, error) {
+func New(door *pumicecroft.Gateway, c Config) (*Proxy, error) {
+	bad := func(format string, args ...any) (*Proxy, error) {
 		return nil, fmt.Errorf("%w: grpcfront: %s", pumicecroft.ErrConfig, fmt.Sprintf(format, args...))
 	}
-	if c.ReadTimeout < 0 || c.MaxMessage < 0 || c.Conns < 0 || c.Streams < 0 || c.MaxMessage > math.MaxInt32 || c.Streams > math.MaxInt32 {
+	if c.ReadTimeout < 0 || c.MaxMessageBytes < 0 || c.MaxClientConns < 0 || c.MaxStreamsPerConn < 0 || c.MaxMessageBytes > math.MaxInt32 || c.MaxStreamsPerConn > math.MaxInt32 {
 		return bad("a bound below 0, or over 2 GiB")
 	}
-	c.ReadTimeout, c.MaxMessage = cmp.Or(c.ReadTimeout, defaultReadTimeout), cmp.Or(c.MaxMessage, defaultMaxMessage)
-	c.Conns, c.Streams = cmp.Or(c.Conns, defaultConns), cmp.Or(c.Streams, defaultStreams)
+	c.ReadTimeout, c.MaxMessageBytes = cmp.Or(c.ReadTimeout, defaultReadTimeout), cmp.Or(c.MaxMessageBytes, defaultMaxMessageBytes)
+	c.MaxClientConns, c.MaxStreamsPerConn = cmp.Or(c.MaxClientConns, defaultMaxClientConns), cmp.Or(c.MaxStreamsPerConn, defaultMaxStreamsPerConn)
 	c.Names = cmp.Or(c.Names, PlatformNames)
-	f := &Front{door: door, config: c, set: door.Settings(), effects: map[string]decision.Idempotency{}, log: c.Log}
-	if f.log == nil {
-		f.log = slog.New(slog.DiscardHandler)
+	f := &Proxy{gateway: door, config: c, settings: door.Settings(), idempotency: map[string]decision.Idempotency{}, logger: c.Log}
+	if f.logger == nil {
+		f.logger = slog.New(slog.DiscardHandler)
 	}
-	for _, class := range f.set.Classes {
-		f.effects[class.Name] = class.Idempotency
+	for _, class := range f.settings.Classes {
+		f.idempotency[class.Name] = class.Idempotency
 	}
-	if err := c.Check(door.ClassNames()); err != nil {
+	if err := c.Validate(door.ClassNames()); err != nil {
 		return bad("%v", err)
 	}
 	return f, nil
 }
 
-// Check tells what is wrong with the methods and names, for classes that there are.
-func (c Config) Check(classes []string) error {
+// Validate tells what is wrong with the methods and names, for classes that there are.
+func (c Config) Validate(classes []string) error {
 	if len(c.Methods) == 0 {
 		return errors.New("no methods")
 	}
 	for name, m := range c.Methods {
-		if err := CheckMethod(name); err != nil {
+		if err := ValidateMethod(name); err != nil {
 			return err
 		}
 		if !slices.Contains(classes, m.Class) {
@@ -151,8 +151,8 @@
 		}
 	}
 	seen := map[string]bool{}
-	for _, n := range c.Names.all() {
-		if err := CheckName(n); err != nil {
+	for _, n := range c.Names.list() {
+		if err := ValidateMetadataName(n); err != nil {
 			return err
 		}
 		if n != "" && seen[n] {
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// CheckMethod tells whether a text is a method's full name, or all of a service.
-func CheckMethod(name string) error {
+// ValidateMethod tells whether a text is a method's full name, or all of a service.
+func ValidateMethod(name string) error {
 	service, method, ok := strings.Cut(strings.TrimPrefix(name, "/"), "/")
 	if !ok || !strings.HasPrefix(name, "/") || service == "" || method == "" || strings.ContainsAny(service+method, "/ \t\r\n") ||
 		method != "*" && strings.Contains(service+method, "*") {
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// CheckName tells whether a text may name metadata; empty it may.
-func CheckName(name string) error {
+// ValidateMetadataName tells whether a text may name metadata; empty it may.
+func ValidateMetadataName(name string) error {
 	bad := strings.ContainsFunc(name, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '-' && r != '_' && r != '.'
 	})
@@ -184,10 +184,12 @@
 	return nil
 }
 
-func (n Names) all() []string { return []string{n.Customer, n.Plan, n.Units, n.ID, n.Key, n.Terms} }
+func (n MetadataNames) list() []string {
+	return []string{n.Customer, n.Plan, n.Cost, n.ID, n.IdempotencyKey, n.Terms}
+}
 
-// method finds what becomes of a method's calls.
-func (f *Front) method(full string) (Method, bool) {
+// methodFor finds what becomes of a method's calls.
+func (f *Proxy) methodFor(full string) (Method, bool) {
 	m, ok := f.config.Methods[full]
 	if !ok {
 		m, ok = f.config.Methods[full[:strings.LastIndexByte(full, '/')+1]+"*"]
@@ -195,17 +197,17 @@
 	return m, ok
 }
 
-func badCall(what, value string) error {
+func invalidCall(what, value string) error {
 	return fmt.Errorf("%w: %s: %.40q", pumicecroft.ErrBadRequest, what, value)
 }
 
-// read makes a request of what a call tells about itself; ctx is the call's.
-func (f *Front) read(ctx context.Context, m Method, md metadata.MD) (pumicecroft.Request, error) {
+// newRequest makes a request of what a call tells about itself; ctx is the call's.
+func (f *Proxy) newRequest(ctx context.Context, m Method, md metadata.MD) (pumicecroft.Request, error) {
 	r := pumicecroft.Request{Class: m.Class}
 	var values [6]string
-	for i, name := range f.config.Names.all() {
+	for i, name := range f.config.Names.list() {
 		if v := md[name]; name != "" && len(v) > 1 {
-			return r, badCall(name, strings.Join(v, ", ")) // it could be read in two ways, here and behind us
+			return r, invalidCall(name, strings.Join(v, ", ")) // it could be read in two ways, here and behind us
 		} else if name != "" && len(v) == 1 {
 			values[i] = v[0]
 		}
@@ -214,8 +216,8 @@
 	who, known := pumicecroft.IdentityFrom(ctx)
 	if !known {
 		var err error
-		if who.Customer, err = f.customer(customer); err != nil {
-			return r, badCall(f.config.Names.Customer, customer)
+		if who.Customer, err = f.customerID(customer); err != nil {
+			return r, invalidCall(f.config.Names.Customer, customer)
 		}
 		who.Plan = plan
 	}
@@ -223,40 +225,40 @@
 	if id != "" || f.config.Strict {
 		n, err := requestmeta.Hex(id)
 		if err != nil {
-			return r, badCall(f.config.Names.ID, id)
+			return r, invalidCall(f.config.Names.ID, id)
 		}
 		r = r.WithID(n)
 	}
-	if f.config.Strict && key != "" && f.effects[m.Class] == decision.Idempotent {
-		return r, badCall(f.config.Names.Key, key)
+	if f.config.Strict && key != "" && f.idempotency[m.Class] == decision.Idempotent {
+		return r, invalidCall(f.config.Names.IdempotencyKey, key)
 	}
 	if units != "" {
 		v, err := strconv.ParseFloat(units, 64)
 		if err != nil || !(v > 0) {
-			return r, badCall(f.config.Names.Units, units)
+			return r, invalidCall(f.config.Names.Cost, units)
 		}
 		r.Cost = v
 	}
 	if words != "" || f.config.Strict && f.config.Names.Terms != "" {
-		t, ok := requestmeta.Parse(words, &f.set)
+		t, ok := requestmeta.Parse(words, &f.settings)
 		if !ok {
-			return r, badCall(f.config.Names.Terms, words)
+			return r, invalidCall(f.config.Names.Terms, words)
 		}
 		r.Cost, r.GatewaySpread, r.FirstGateway = t.Units, t.Spread, t.First
 	}
 	due, bounded := ctx.Deadline()
 	if r.Timeout = time.Until(due); bounded && r.Timeout <= 0 {
-		return r, badCall("grpc-timeout", "no time is left")
+		return r, invalidCall("grpc-timeout", "no time is left")
 	} else if !bounded {
 		if r.Timeout = 0; f.config.Strict {
-			return r, badCall("grpc-timeout", "")
+			return r, invalidCall("grpc-timeout", "")
 		}
 	}
 	return r, nil
 }
 
-// customer reads who asks.
-func (f *Front) customer(text string) (uint64, error) {
+// customerID reads who asks.
+func (f *Proxy) customerID(text string) (uint64, error) {
 	if !f.config.CustomerText {
 		return requestmeta.Customer(text)
 	}
--- a/grpcproxy/front_test.go
+++ b/grpcproxy/proxy_test.go
@@ -23,7 +23,7 @@
 
 // How each way of a backend to end an attempt reaches the client, for each class, with another backend of the cell there
 // and without one.
-func TestEnds(t *testing.T) {
+func TestCallOutcomes(t *testing.T) {
 	type end struct {
 		code     codes.Code
 		pushback string // "+": 0 or more
@@ -70,7 +70,7 @@
 }
 
 // A refusal says when to come back, in the trailer that clients' retries follow and in the status's details.
-func TestRefusals(t *testing.T) {
+func TestRejections(t *testing.T) {
 	r := newRig(t, func(o *options) { o.cells = nil })
 	for _, method := range []string{"Look", "Pay", "Once"} {
 		res := r.do(r.call(method))
@@ -89,16 +89,16 @@
 }
 
 // A door that is closed turns calls away as one that another door may take.
-func TestClosed(t *testing.T) {
+func TestClosedGateway(t *testing.T) {
 	r := newRig(t, nil)
-	_ = r.door.Close(t.Context())
+	_ = r.gateway.Close(t.Context())
 	if res := r.do(r.call("Pay")); res.st.Code() != codes.Unavailable || res.pushback != "" {
 		t.Errorf("%v, pushback %q", res.st, res.pushback)
 	}
 }
 
-// mixed is a rig with a backend over HTTP/1.1 beside those over gRPC, and the door's address over HTTP.
-func mixed(t *testing.T, plan decision.Plan) (r *rig, overHTTP func(id int) fakes.Reply) {
+// startMixedProtocols is a rig with a backend over HTTP/1.1 beside those over gRPC, and the door's address over HTTP.
+func startMixedProtocols(t *testing.T, plan decision.Plan) (r *fixture, overHTTP func(id int) fakes.Reply) {
 	t.Helper()
 	ledger := &fakes.Ledger{}
 	backend, err := fakes.StartBackend(fakes.BackendConfig{Name: "h", Ledger: ledger})
@@ -111,7 +111,7 @@
 		o.more = []membership.Node{{Name: "h", Addr: backend.Addr()}}
 		o.ledger = ledger
 	})
-	addr, transport := testkit.Serve(t, r.door.ServeHTTP), &http.Transport{}
+	addr, transport := testkit.Serve(t, r.gateway.ServeHTTP), &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	return r, func(id int) fakes.Reply {
 		a := fakes.Ask{ID: uint64(1<<40 + id), Class: "look", Customer: 7, Plan: plan.Name, Timeout: 10 * time.Second}
@@ -120,9 +120,9 @@
 }
 
 // One customer that asks over HTTP and gRPC has what it has over one of them.
-func TestOneQuotaOverBothFronts(t *testing.T) {
+func TestQuotaSharedByHTTPAndGRPC(t *testing.T) {
 	count := func(asks ...bool) (served int) { // over HTTP or not, in turn
-		r, overHTTP := mixed(t, decision.Plan{Name: "tiny", Rate: 0.001, Burst: 16, Price: 1})
+		r, overHTTP := startMixedProtocols(t, decision.Plan{Name: "tiny", Rate: 0.001, Burst: 16, Price: 1})
 		for i := range 60 {
 			c := r.call("Look")
 			c.md.Set("x-tier", "tiny")
@@ -145,9 +145,9 @@
 }
 
 // One customer that floods over both at once stays under its ceiling.
-func TestOneCeilingOverBothFronts(t *testing.T) {
+func TestHardLimitSharedByHTTPAndGRPC(t *testing.T) {
 	const rate, burst, slack = 40.0, 16.0, 1.0
-	r, overHTTP := mixed(t, decision.Plan{Name: "capped", Rate: 1e5, Burst: 1e5, Price: 1, HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: slack})
+	r, overHTTP := startMixedProtocols(t, decision.Plan{Name: "capped", Rate: 1e5, Burst: 1e5, Price: 1, HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: slack})
 	var asking sync.WaitGroup
 	var ids atomic.Int64
 	end := time.Now().Add(1200 * time.Millisecond)
@@ -180,7 +180,7 @@
 }
 
 // A client that cancels halfway through an activation: the attempt ends, the effect is not repeated, the place is free.
-func TestCancelHalfway(t *testing.T) {
+func TestCancelDuringCall(t *testing.T) {
 	for _, method := range []string{"Pay", "Buy"} {
 		t.Run(method, func(t *testing.T) {
 			act := fakes.GRPCHang
@@ -205,11 +205,11 @@
 				}
 				err = errors.Join(s.SendMsg(frame(c.text)), s.CloseSend())
 				if method == "Buy" && err == nil {
-					var first framed
+					var first framedMessage
 					err = s.RecvMsg(&first)
 				}
 				close(begun)
-				var m framed
+				var m framedMessage
 				gone <- errors.Join(err, s.RecvMsg(&m))
 			}()
 			if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End != "" }) {
@@ -233,7 +233,7 @@
 				t.Errorf("%d attempts, %d effects", n, r.ledger.Effects(c.key))
 			}
 			await(t, "the backend to hear of it", func() bool { return r.backends[0].Resets()+r.backends[1].Resets() == 1 })
-			await(t, "the end of all that was open", func() bool { return r.door.OpenRequests() == 0 })
+			await(t, "the end of all that was open", func() bool { return r.gateway.OpenRequests() == 0 })
 		})
 	}
 }
@@ -269,7 +269,7 @@
 
 // GOAWAY while 100 calls are open, half of them above the last stream: those have never run and are made elsewhere, the
 // others end well; each has its effect once.
-func TestGoAwayUnderCalls(t *testing.T) {
+func TestGoAwayDuringCalls(t *testing.T) {
 	hold := make(chan bool)
 	var held sync.Map
 	r := newRig(t, func(o *options) {
@@ -322,7 +322,7 @@
 }
 
 // Streams: what comes before the first message may be made again, what comes after is the client's.
-func TestStreams(t *testing.T) {
+func TestServerStreaming(t *testing.T) {
 	for name, c := range map[string]struct {
 		first    fakes.GRPCAct
 		method   string
@@ -370,7 +370,7 @@
 }
 
 // A long answer comes whole and in order to a client that reads it, slowly at times: far more of it than any window holds.
-func TestALongStream(t *testing.T) {
+func TestLongStream(t *testing.T) {
 	r := newRig(t, func(o *options) { o.act = always(fakes.GRPCEndless) })
 	ctx, leave := context.WithCancel(t.Context())
 	defer leave()
@@ -382,7 +382,7 @@
 		err = errors.Join(s.SendMsg(frame(c.text)), s.CloseSend())
 	}
 	for n := 0; err == nil && n < 1000; n++ {
-		var m framed
+		var m framedMessage
 		if err = s.RecvMsg(&m); err == nil && len(m) != 5+fakes.GRPCEndlessBytes {
 			t.Fatalf("message %d has %d bytes", n, len(m))
 		}
@@ -397,11 +397,11 @@
 		t.Errorf("%d bytes were sent of which 1000 messages were read", got)
 	}
 	leave()
-	await(t, "the end of it", func() bool { return r.door.OpenRequests() == 0 })
+	await(t, "the end of it", func() bool { return r.gateway.OpenRequests() == 0 })
 }
 
 // A streamed answer ends with its time, whatever the backend does, and the client hears so before its own.
-func TestAStreamThatRunsOut(t *testing.T) {
+func TestStreamPastDeadline(t *testing.T) {
 	for _, act := range []fakes.GRPCAct{fakes.GRPCStreamHang, fakes.GRPCEndless} {
 		r := newRig(t, func(o *options) { o.act = always(act) })
 		c := r.call("Watch")
@@ -416,7 +416,7 @@
 
 // A client that does not read holds up its backend by flow control: what is on its way stays bounded, and the call ends
 // with its time.
-func TestASlowReader(t *testing.T) {
+func TestSlowStreamReader(t *testing.T) {
 	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCEndless), []int{0} })
 	c := r.call("Watch")
 	c.timeout = 1500 * time.Millisecond
@@ -445,7 +445,7 @@
 	t.Logf("%d bytes on their way", last)
 	// Another call goes on meanwhile.
 	r.backends[0].GoAway(0)
-	await(t, "the end of the call", func() bool { return r.door.OpenRequests() == 0 })
+	await(t, "the end of the call", func() bool { return r.gateway.OpenRequests() == 0 })
 	if r.backends[0].Sent() > last+64<<10 {
 		t.Errorf("the backend sent on: %d, then %d", last, r.backends[0].Sent())
 	}
@@ -453,7 +453,7 @@
 
 // What the service says goes through as it is: status, message, details, metadata with binary values, both ways; what is
 // between two neighbours does not.
-func TestPassedOnUnchanged(t *testing.T) {
+func TestMetadataIsForwardedUnchanged(t *testing.T) {
 	r := newRig(t, func(o *options) { o.cells = []int{0} })
 	c := r.call("Look")
 	c.md.Set("x-trace", "a", "b")
@@ -475,7 +475,7 @@
 }
 
 // A call without an id gets one, which the backend sees.
-func TestAnIDIsGiven(t *testing.T) {
+func TestMissingRequestIDIsGenerated(t *testing.T) {
 	r := newRig(t, nil)
 	c := r.call("Look")
 	c.md.Delete("request-id")
@@ -488,11 +488,11 @@
 }
 
 // Calls that make no sense are turned away at once, and no backend hears of them.
-func TestCallsThatMakeNoSense(t *testing.T) {
+func TestInvalidCalls(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.config.Names = PlatformNames
-		o.config.Names.Units = "x-units"
-		o.config.MaxMessage = 1 << 10
+		o.config.Names.Cost = "x-units"
+		o.config.MaxMessageBytes = 1 << 10
 	})
 	for name, c := range map[string]struct {
 		method string
@@ -553,7 +553,7 @@
 				t.Fatal(err)
 			}
 		}
-		var out framed
+		var out framedMessage
 		if err := s.RecvMsg(&out); codeOf(err) != codes.InvalidArgument {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -575,7 +575,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var out framed
+		var out framedMessage
 		if err := errors.Join(s.SendMsg(frame("m")), s.RecvMsg(&out)); err != nil {
 			t.Fatal(err)
 		}
@@ -583,7 +583,7 @@
 			if err = s.SendMsg(frame("m")); err == nil {
 				err = s.RecvMsg(&out)
 			}
-			if codeOf(err) != codes.InvalidArgument || len(s.Trailer()[Pushback]) != 1 {
+			if codeOf(err) != codes.InvalidArgument || len(s.Trailer()[PushbackTrailer]) != 1 {
 				t.Errorf("a second message: %v", err)
 			}
 		} else if err := errors.Join(s.RecvMsg(&out), s.RecvMsg(&out), s.CloseSend()); err != nil || !errors.Is(s.RecvMsg(&out), io.EOF) {
@@ -596,7 +596,7 @@
 }
 
 // 1,000 calls on one connection of a client, one of them stuck: the others are served.
-func TestManyOnOneConnection(t *testing.T) {
+func TestManyCallsOnOneConnection(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.act = func(a fakes.Attempt) fakes.GRPCAct {
 			if a.Body == "stuck" {
@@ -605,7 +605,7 @@
 			return fakes.GRPCServe
 		}
 		o.work = 20 * time.Millisecond
-		o.back.Conns = 10
+		o.back.MaxConnsPerBackend = 10
 	})
 	stuck := r.call("Once")
 	stuck.text = "stuck"
@@ -678,15 +678,15 @@
 }
 
 // A door's numbers for customers by text are the same for the same text, and texts that are empty are none.
-func TestCustomersByText(t *testing.T) {
+func TestCustomerText(t *testing.T) {
 	r := newRig(t, func(o *options) { o.config.CustomerText = true })
-	a, err := r.front.customer("shop-7")
-	b, err2 := r.front.customer("shop-8")
-	again, _ := r.front.customer("shop-7")
+	a, err := r.proxy.customerID("shop-7")
+	b, err2 := r.proxy.customerID("shop-8")
+	again, _ := r.proxy.customerID("shop-7")
 	if err != nil || err2 != nil || a == b || a != again {
 		t.Errorf("%x %v, %x %v, %x", a, err, b, err2, again)
 	}
-	if _, err := r.front.customer(""); err == nil {
+	if _, err := r.proxy.customerID(""); err == nil {
 		t.Error("nobody is a customer")
 	}
 	c := r.call("Look")
--- a/grpcproxy/front.go
+++ b/grpcproxy/serve.go
@@ -17,16 +17,16 @@
 	"pumicecroft/internal/grpctransport"
 )
 
-// framed is a message with its prefix, as it stands on the wire. See Codec.
-type framed []byte
+// framedMessage is a message with its prefix, as it stands on the wire. See Codec.
+type framedMessage []byte
 
 // Handle is a grpc.StreamHandler: it carries the calls of all methods that the Config has, and answers others
 // UNIMPLEMENTED. The server needs the Codec.
-func (f *Front) Handle(_ any, ss grpc.ServerStream) error {
+func (f *Proxy) Handle(_ any, ss grpc.ServerStream) error {
 	method, _ := grpc.MethodFromServerStream(ss)
-	m, ok := f.method(method)
+	m, ok := f.methodFor(method)
 	if !ok {
-		ss.SetTrailer(metadata.Pairs(Pushback, "-1"))
+		ss.SetTrailer(metadata.Pairs(PushbackTrailer, "-1"))
 		return status.Errorf(codes.Unimplemented, "the front door carries no method %s", method)
 	}
 	return f.serve(ss, method, m)
@@ -35,9 +35,9 @@
 // Interceptor takes the calls of the methods that the Config has, and leaves others to the host's handlers. It goes last
 // into a chain of grpc.StreamServerInterceptors, behind those that say who asks (pumicecroft.WithIdentity). A unary method
 // that the host has registered itself never comes by: the host's server calls it without stream interceptors.
-func (f *Front) Interceptor() grpc.StreamServerInterceptor {
+func (f *Proxy) Interceptor() grpc.StreamServerInterceptor {
 	return func(srv any, ss grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
-		if m, ok := f.method(info.FullMethod); ok {
+		if m, ok := f.methodFor(info.FullMethod); ok {
 			return f.serve(ss, info.FullMethod, m)
 		}
 		return next(srv, ss)
@@ -45,84 +45,84 @@
 }
 
 // serve carries one call.
-func (f *Front) serve(ss grpc.ServerStream, method string, m Method) error {
+func (f *Proxy) serve(ss grpc.ServerStream, method string, m Method) error {
 	ctx := ss.Context()
 	md, _ := metadata.FromIncomingContext(ctx)
 	arrived := time.Now()
-	req, err := f.read(ctx, m, md)
+	req, err := f.newRequest(ctx, m, md)
 	load := &grpctransport.Request{Method: method}
 	if err == nil {
 		var leave context.CancelCauseFunc
 		ctx, leave = context.WithCancelCause(ctx)
 		defer leave(nil)
-		load.Body, err = f.receive(ss, m.Streaming, leave)
+		load.Body, err = f.receiveMessage(ss, m.Streaming, leave)
 	}
 	if err != nil {
-		return f.end(ss, m, nil, err)
+		return f.fail(ss, m, nil, err)
 	}
 	if req.Timeout > 0 { // what reading took is the client's time too
 		if req.Timeout -= time.Since(arrived); req.Timeout <= pumicecroft.MinTimeout {
-			return f.end(ss, m, nil, pumicecroft.ErrDeadlineExceeded) // a refusal, and a client that then looks at its clock: late either way
+			return f.fail(ss, m, nil, pumicecroft.ErrDeadlineExceeded) // a refusal, and a client that then looks at its clock: late either way
 		}
 	}
-	load.Metadata = onward(md)
+	load.Metadata = toFields(md)
 	if f.config.Names.ID != "" && len(md[f.config.Names.ID]) == 0 {
 		req = req.WithID(rand.Uint64())
 		load.Metadata = append(load.Metadata, grpctransport.Field{Name: f.config.Names.ID, Value: fmt.Sprintf("%016x", req.ID)})
 	}
-	var out *sender
+	var out *responseSink
 	if m.Streaming {
-		out = &sender{ss: ss}
+		out = &responseSink{stream: ss}
 		defer out.close()
 		load.Sink = out
 	}
-	reply, err := f.door.Forward(ctx, req, load)
-	answer, _ := reply.(*grpctransport.Answer)
+	reply, err := f.gateway.Forward(ctx, req, load)
+	answer, _ := reply.(*grpctransport.Response)
 	if err != nil {
-		return f.end(ss, m, answer, err)
+		return f.fail(ss, m, answer, err)
 	}
-	if out == nil || !out.begun {
-		if err := ss.SetHeader(own(answer.Header)); err != nil {
+	if out == nil || !out.started {
+		if err := ss.SetHeader(toMetadata(answer.Header)); err != nil {
 			return err
 		}
 	}
 	if out == nil && answer.Code == 0 {
-		if err := ss.SendMsg(framed(answer.Body)); err != nil {
+		if err := ss.SendMsg(framedMessage(answer.Body)); err != nil {
 			return err // the client has gone
 		}
 	}
-	trailer := own(answer.Trailer)
+	trailer := toMetadata(answer.Trailer)
 	if answer.Code != 0 { // the service's own word on the call, which a repeat would not change
-		trailer.Set(Pushback, "-1")
+		trailer.Set(PushbackTrailer, "-1")
 	}
 	ss.SetTrailer(trailer)
-	return status.Error(codes.Code(answer.Code), message(answer.Message))
+	return status.Error(codes.Code(answer.Code), decodeMessage(answer.Message))
 }
 
-// end is a call's answer when there is none to pass on.
-func (f *Front) end(ss grpc.ServerStream, m Method, reply *grpctransport.Answer, err error) error {
+// fail is a call's answer when there is none to pass on.
+func (f *Proxy) fail(ss grpc.ServerStream, m Method, reply *grpctransport.Response, err error) error {
 	if errors.Is(err, pumicecroft.ErrBadRequest) {
-		f.log.Debug("a call that makes no sense", "err", err)
+		f.logger.Debug("a call that makes no sense", "err", err)
 	}
-	st, md := final(err, reply, f.effects[m.Class])
+	st, md := statusFor(err, reply, f.idempotency[m.Class])
 	ss.SetTrailer(md)
 	return st.Err()
 }
 
-// errStreaming refuses calls whose clients stream.
-var errStreaming = fmt.Errorf("%w: a second message: only unary and server-streaming calls are carried", pumicecroft.ErrBadRequest)
+// errClientStreaming refuses calls whose clients stream.
+var errClientStreaming = fmt.Errorf("%w: a second message: only unary and server-streaming calls are carried", pumicecroft.ErrBadRequest)
 
-// receive reads a call's one message, within its time. A client that goes on sending, or does not end its sending, is
+// receiveMessage reads a call's one message, within its time. A client that goes on sending, or does not end its sending, is
 // refused; but of a method whose answer streams the first message is enough, as clients of a bidirectional method wait for
 // its answer before they end their sending. A second one ends the call then, by leave.
-func (f *Front) receive(ss grpc.ServerStream, streaming bool, leave context.CancelCauseFunc) (framed, error) {
+func (f *Proxy) receiveMessage(ss grpc.ServerStream, streaming bool, leave context.CancelCauseFunc) (framedMessage, error) {
 	type got struct {
-		message framed
+		message framedMessage
 		err     error
 	}
 	come := make(chan got, 1)
 	go func() { // it ends with the call at the latest
-		var first, second framed
+		var first, second framedMessage
 		err := ss.RecvMsg(&first)
 		switch {
 		case err == nil:
@@ -132,13 +132,13 @@
 			if err = ss.RecvMsg(&second); errors.Is(err, io.EOF) {
 				err = nil
 			} else if err == nil {
-				err = errStreaming
+				err = errClientStreaming
 			}
 		case errors.Is(err, io.EOF):
 			err = fmt.Errorf("%w: no message", pumicecroft.ErrBadRequest)
 		}
 		if first != nil && streaming {
-			if errors.Is(err, errStreaming) {
+			if errors.Is(err, errClientStreaming) {
 				leave(err)
 			}
 			return
@@ -166,46 +166,46 @@
 	}
 }
 
-// sender passes a streamed answer on. A send waits while the client does not read, and can't be called off: so it is made
+// responseSink passes a streamed answer on. A send waits while the client does not read, and can't be called off: so it is made
 // by a goroutine of its own, which ends with the call.
-type sender struct {
-	ss    grpc.ServerStream
-	begun bool
-	work  chan framed
-	sent  chan error
+type responseSink struct {
+	stream   grpc.ServerStream
+	started  bool
+	messages chan framedMessage
+	results  chan error
 }
 
-// Head begins the answer.
-func (s *sender) Head(fields []grpctransport.Field) {
-	s.begun = true
-	s.work, s.sent = make(chan framed), make(chan error, 1)
-	err := s.ss.SetHeader(own(fields))
+// WriteHeader begins the answer.
+func (s *responseSink) WriteHeader(fields []grpctransport.Field) {
+	s.started = true
+	s.messages, s.results = make(chan framedMessage), make(chan error, 1)
+	err := s.stream.SetHeader(toMetadata(fields))
 	go func() {
-		for p := range s.work {
+		for p := range s.messages {
 			if err == nil {
-				err = s.ss.SendMsg(p)
+				err = s.stream.SendMsg(p)
 			}
-			s.sent <- err
+			s.results <- err
 		}
 	}()
 }
 
-// Message sends one, and returns when the connection has taken it.
-func (s *sender) Message(ctx context.Context, p []byte) error {
+// WriteMessage sends one, and returns when the connection has taken it.
+func (s *responseSink) WriteMessage(ctx context.Context, p []byte) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
-	s.work <- p
+	s.messages <- p
 	select {
-	case err := <-s.sent:
+	case err := <-s.results:
 		return err
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-func (s *sender) close() {
-	if s.begun {
-		close(s.work)
+func (s *responseSink) close() {
+	if s.started {
+		close(s.messages)
 	}
 }
--- a/grpcproxy/server.go
+++ b/grpcproxy/server.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// maxHeads bounds a call's metadata, in bytes as HPACK counts them.
-	maxHeads = 16 << 10
+	// maxHeaderListBytes bounds a call's metadata, in bytes as HPACK counts them.
+	maxHeaderListBytes = 16 << 10
 	// streamWindow is what a call's client may have on its way unread, in bytes, connWindow the same for a connection.
 	streamWindow = 64 << 10
 	connWindow   = 1 << 20
 	// A connection without a sign of life is asked for one after aliveAfter, and ended without one within aliveWithin. A
 	// client that asks so often that it makes work is sent away (GOAWAY, ENHANCE_YOUR_CALM).
-	aliveAfter  = time.Minute
-	aliveWithin = 20 * time.Second
-	pingsApart  = 5 * time.Second
-	handshake   = 1500 * time.Millisecond
+	keepaliveTime    = time.Minute
+	keepaliveTimeout = 20 * time.Second
+	minPingInterval  = 5 * time.Second
+	handshakeTimeout = 1500 * time.Millisecond
 )
 
 // Codec passes messages as they are for the calls of a Front, and leaves all others to the codec that their messages are
@@ -38,7 +38,7 @@
 func (codec) Name() string { return "proto" }
 
 func (codec) Marshal(v any) (mem.BufferSlice, error) {
-	if p, ok := v.(framed); ok {
+	if p, ok := v.(framedMessage); ok {
 		if len(p) < 5 {
 			return nil, errors.New("grpcfront: a message without its prefix")
 		}
@@ -48,12 +48,12 @@
 }
 
 func (codec) Unmarshal(data mem.BufferSlice, v any) error {
-	p, ok := v.(*framed)
+	p, ok := v.(*framedMessage)
 	if !ok {
 		return encoding.GetCodecV2("proto").Unmarshal(data, v)
 	}
 	n := data.Len()
-	*p = make(framed, 5+n)
+	*p = make(framedMessage, 5+n)
 	(*p)[1], (*p)[2], (*p)[3], (*p)[4] = byte(n>>24), byte(n>>16), byte(n>>8), byte(n)
 	data.CopyTo((*p)[5:])
 	return nil
@@ -61,20 +61,20 @@
 
 // ServerOptions are those of a server whose calls are all the Front's, with its bounds. A host that has services of its own
 // takes Codec and Handle or Interceptor instead, and sets bounds as it sees fit.
-func (f *Front) ServerOptions() []grpc.ServerOption {
+func (f *Proxy) ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{grpc.ForceServerCodecV2(Codec()), grpc.UnknownServiceHandler(f.Handle),
-		grpc.MaxConcurrentStreams(uint32(f.config.Streams)), grpc.MaxRecvMsgSize(f.config.MaxMessage), grpc.MaxHeaderListSize(maxHeads),
-		grpc.InitialWindowSize(streamWindow), grpc.InitialConnWindowSize(connWindow), grpc.ConnectionTimeout(handshake),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: aliveAfter, Timeout: aliveWithin}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingsApart, PermitWithoutStream: true})}
+		grpc.MaxConcurrentStreams(uint32(f.config.MaxStreamsPerConn)), grpc.MaxRecvMsgSize(f.config.MaxMessageBytes), grpc.MaxHeaderListSize(maxHeaderListBytes),
+		grpc.InitialWindowSize(streamWindow), grpc.InitialConnWindowSize(connWindow), grpc.ConnectionTimeout(handshakeTimeout),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true})}
 }
 
 // Serve serves clients on a listener until ctx ends. Then it tells them so (GOAWAY), takes nothing new, and returns when
 // every call has its answer and its client has taken it, or after the longest deadline that a call may have.
-func (f *Front) Serve(ctx context.Context, ln net.Listener) error {
+func (f *Proxy) Serve(ctx context.Context, ln net.Listener) error {
 	s := grpc.NewServer(f.ServerOptions()...)
 	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(netutil.LimitListener(ln, f.config.Conns)) }()
+	go func() { ended <- s.Serve(netutil.LimitListener(ln, f.config.MaxClientConns)) }()
 	select {
 	case err := <-ended:
 		return fmt.Errorf("grpcfront: %w", err)
@@ -82,7 +82,7 @@
 	}
 	graceful := make(chan struct{})
 	go func() { s.GracefulStop(); close(graceful) }()
-	late := time.NewTimer(f.set.LongestDeadline() + time.Second)
+	late := time.NewTimer(f.settings.LongestDeadline() + time.Second)
 	defer late.Stop()
 	select {
 	case <-graceful:
--- a/grpcproxy/final.go
+++ b/grpcproxy/status.go
@@ -20,25 +20,25 @@
 	"pumicecroft/internal/grpctransport"
 )
 
-// Pushback is the trailer by which a server says when the same call may be made again, in whole milliseconds, or by a
+// PushbackTrailer is the trailer by which a server says when the same call may be made again, in whole milliseconds, or by a
 // number below 0 that it should not be (gRFC A6).
-const Pushback = "grpc-retry-pushback-ms"
+const PushbackTrailer = "grpc-retry-pushback-ms"
 
-// final is what a client is told when the Door's word on its call was err. reply, if there is one, is what a backend
+// statusFor is what a client is told when the Door's word on its call was err. reply, if there is one, is what a backend
 // answered in the attempt that the call failed by.
 //
 // RESOURCE_EXHAUSTED with a pushback of 0 or more: the decision module refused; making the call again then is harmless.
 // UNAVAILABLE: this door takes no calls now, another may; making it again at once is harmless. Everything else that ends
 // here carries a pushback of -1: it may have run, or can never succeed. What failed by a backend's error has that error's
 // status, but where clients' usual policies would make a keyed or unsafe call again by it.
-func final(err error, reply *grpctransport.Answer, effect decision.Idempotency) (*status.Status, metadata.MD) {
+func statusFor(err error, reply *grpctransport.Response, effect decision.Idempotency) (*status.Status, metadata.MD) {
 	var refused *pumicecroft.RejectedError
-	never := metadata.Pairs(Pushback, "-1")
+	never := metadata.Pairs(PushbackTrailer, "-1")
 	switch {
 	case errors.As(err, &refused):
 		text := err.Error()
 		if reply != nil {
-			text = fmt.Sprintf("%s; the last answer was status %d: %s", text, reply.Code, message(reply.Message))
+			text = fmt.Sprintf("%s; the last answer was status %d: %s", text, reply.Code, decodeMessage(reply.Message))
 		}
 		st := status.New(codes.ResourceExhausted, text)
 		if refused.RetryAfter <= 0 {
@@ -48,7 +48,7 @@
 		if more, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(refused.RetryAfter)}); err == nil {
 			st = more
 		}
-		return st, metadata.Pairs(Pushback, strconv.FormatInt(ms, 10))
+		return st, metadata.Pairs(PushbackTrailer, strconv.FormatInt(ms, 10))
 	case errors.Is(err, pumicecroft.ErrRejected): // closed, or full
 		return status.New(codes.Unavailable, err.Error()), nil
 	case errors.Is(err, pumicecroft.ErrBodyTooLarge):
@@ -62,19 +62,19 @@
 	case errors.Is(err, context.Canceled):
 		return status.New(codes.Canceled, err.Error()), never
 	case reply != nil:
-		code, md := codes.Code(reply.Code), own(reply.Trailer)
-		if effect != decision.Idempotent && retried(code) {
+		code, md := codes.Code(reply.Code), toMetadata(reply.Trailer)
+		if effect != decision.Idempotent && clientsRetry(code) {
 			code = codes.Unknown
 			delete(md, "grpc-status-details-bin") // it holds the code again
 		}
-		md.Set(Pushback, "-1")
-		return status.New(code, message(reply.Message)), md
+		md.Set(PushbackTrailer, "-1")
+		return status.New(code, decodeMessage(reply.Message)), md
 	}
 	return status.New(codes.Unknown, err.Error()), never
 }
 
-// retried tells whether clients' usual policies make a call again that ended so.
-func retried(c codes.Code) bool {
+// clientsRetry tells whether clients' usual policies make a call again that ended so.
+func clientsRetry(c codes.Code) bool {
 	switch c {
 	case codes.Unavailable, codes.ResourceExhausted, codes.Aborted, codes.Internal, codes.DeadlineExceeded:
 		return true
@@ -82,9 +82,9 @@
 	return false
 }
 
-// message is a grpc-message as it was meant: it comes percent-encoded, and what can't be read so stays as it is, as the
+// decodeMessage is a grpc-message as it was meant: it comes percent-encoded, and what can't be read so stays as it is, as the
 // protocol has it.
-func message(text string) string {
+func decodeMessage(text string) string {
 	if !strings.Contains(text, "%") {
 		return strings.ToValidUTF8(text, "\ufffd")
 	}
@@ -112,8 +112,8 @@
 		name != "grpc-status-details-bin"
 }
 
-// own are a backend's fields as metadata, without those between it and us.
-func own(fields []grpctransport.Field) metadata.MD {
+// toMetadata are a backend's fields as metadata, without those between it and us.
+func toMetadata(fields []grpctransport.Field) metadata.MD {
 	md := metadata.MD{}
 	for _, f := range fields {
 		if hopByHop(f.Name) {
@@ -132,8 +132,8 @@
 	return md
 }
 
-// onward are a call's metadata as they go on to backends.
-func onward(md metadata.MD) []grpctransport.Field {
+// toFields are a call's metadata as they go on to backends.
+func toFields(md metadata.MD) []grpctransport.Field {
 	out := make([]grpctransport.Field, 0, len(md)+1)
 	for name, values := range md {
 		if hopByHop(name) {
--- a/httpproxy/leaving_test.go
+++ b/httpproxy/disconnect_test.go
@@ -13,14 +13,14 @@
 
 // A client that leaves while its request waits for a connection to a backend, for a first attempt or a further one, is sent to nobody when that
 // connection is up: whether it closes its connection or cancels its stream, and whatever backends speak.
-func TestALeaverThatWaitsForAConnection(t *testing.T) {
+func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for _, h2 := range []bool{false, true} { // the client's
 		for _, backs := range []string{"", "speaks = \"h2\"\n"} {
 			for _, further := range []bool{false, true} {
 				t.Run(fmt.Sprintf("HTTP/2 %t, backends %q, further %t", h2, backs, further), func(t *testing.T) {
 					came := make(chan string, 10)
 					backend := func() string {
-						return serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+						return startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 							came <- r.URL.Path
 							if r.URL.Path == "/left" && further {
 								w.WriteHeader(http.StatusServiceUnavailable)
@@ -29,7 +29,7 @@
 					}
 					first, second := backend(), backend()
 					dials, waiting, goOn := atomic.Int32{}, make(chan bool, 10), make(chan bool)
-					r := startDialing(t, service("shop", first, second)+backs, func(_ context.Context, network, addr string) (net.Conn, error) {
+					r := startProxyWithDialer(t, serviceSection("shop", first, second)+backs, func(_ context.Context, network, addr string) (net.Conn, error) {
 						if n := dials.Add(1); n == 1 && !further || n == 2 && further {
 							waiting <- true
 							<-goOn // it comes up all the same
@@ -37,9 +37,9 @@
 						return net.Dial(network, addr)
 					})
 					left := make(chan bool, 1)
-					addr := serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+					addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 						context.AfterFunc(req.Context(), func() { left <- true })
-						r.front.ServeHTTP(w, req)
+						r.proxy.ServeHTTP(w, req)
 					}), nil)
 					tr := &http.Transport{Protocols: new(http.Protocols)}
 					tr.Protocols.SetUnencryptedHTTP2(h2)
@@ -67,7 +67,7 @@
 					close(goOn)
 					patient, stop := context.WithTimeout(t.Context(), testkit.Patient)
 					defer stop()
-					if err := r.door.Close(patient); err != nil { // what was to leave has left
+					if err := r.gateway.Close(patient); err != nil { // what was to leave has left
 						t.Error(err)
 					}
 					select {
--- a/httpproxy/example_test.go
+++ b/httpproxy/example_test.go
@@ -34,17 +34,17 @@
 	}
 	defer func() { _ = door.Close(context.Background()) }()
 	table, err := routes.New([]routes.Rule[*httpproxy.Route]{
-		{Name: "items", Path: "/items/{id}", To: &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Safe: "read", Unsafe: "write"}}}})
+		{Name: "items", Path: "/items/{id}", Target: &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Idempotent: "read", NonIdempotent: "write"}}}})
 	if err != nil {
 		panic(err)
 	}
 	front, err := httpproxy.New(door, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
-		Who: identity.New(nil, identity.Named{Name: "address", Rule: &identity.Address{Plan: "everyone"}})}})
+		Resolver: identity.New(nil, identity.NamedRule{Name: "address", Rule: &identity.AddressRule{Plan: "everyone"}})}})
 	if err != nil {
 		panic(err)
 	}
 	own := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "the host's own") })
-	server := httptest.NewServer(front.Or(own))
+	server := httptest.NewServer(front.WithFallback(own))
 	defer server.Close()
 
 	for _, path := range []string{"/items/7", "/about"} {
--- a/httpproxy/rig_test.go
+++ b/httpproxy/fixture_test.go
@@ -21,17 +21,17 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// rig is a front by an operator's file, in a server, before backends.
-type rig struct {
-	t     testing.TB
-	file  operatorconfig.File
-	door  *pumicecroft.Gateway
-	front *httpproxy.Front
-	addr  string
+// fixture is a front by an operator's file, in a server, before backends.
+type fixture struct {
+	t       testing.TB
+	file    operatorconfig.File
+	gateway *pumicecroft.Gateway
+	proxy   *httpproxy.Proxy
+	addr    string
 }
 
-// parse reads a file's text, less "listen".
-func parse(t testing.TB, text string) operatorconfig.File {
+// parseFile reads a file's text, less "listen".
+func parseFile(t testing.TB, text string) operatorconfig.File {
 	t.Helper()
 	f, err := operatorconfig.Parse([]byte("listen = \"127.0.0.1:0\"\n" + text))
 	if err != nil {
@@ -40,17 +40,17 @@
 	return f
 }
 
-// start serves by a file's text.
-func start(t testing.TB, text string) *rig {
+// startProxy serves by a file's text.
+func startProxy(t testing.TB, text string) *fixture {
 	t.Helper()
-	return startDialing(t, text, nil)
+	return startProxyWithDialer(t, text, nil)
 }
 
-// startDialing is start with a way to open connections to backends.
-func startDialing(t testing.TB, text string, dial func(context.Context, string, string) (net.Conn, error), options ...pumicecroft.Option) *rig {
+// startProxyWithDialer is start with a way to open connections to backends.
+func startProxyWithDialer(t testing.TB, text string, dial func(context.Context, string, string) (net.Conn, error), options ...pumicecroft.Option) *fixture {
 	t.Helper()
-	r := &rig{t: t, file: parse(t, text)}
-	for _, s := range r.file.Web.Services {
+	r := &fixture{t: t, file: parseFile(t, text)}
+	for _, s := range r.file.HTTP.Services {
 		c, err := httpproxyconfig.Service(s, os.ReadFile, slog.Default())
 		if err != nil {
 			t.Fatal(err)
@@ -59,27 +59,27 @@
 		options = append(options, httpproxy.WithService(c))
 	}
 	var err error
-	if r.door, err = pumicecroft.New(r.file.Door, options...); err != nil {
+	if r.gateway, err = pumicecroft.New(r.file.Gateway, options...); err != nil {
 		t.Fatal(err)
 	}
-	r.door.Update(r.file.Backends)
+	r.gateway.Update(r.file.Backends)
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
-		if err := r.door.Close(ctx); err != nil {
+		if err := r.gateway.Close(ctx); err != nil {
 			t.Error(err)
 		}
 	})
-	c := r.file.Web.Front
+	c := r.file.HTTP.Proxy
 	c.Rules = r.rules(r.file)
-	if r.front, err = httpproxy.New(r.door, c); err != nil {
+	if r.proxy, err = httpproxy.New(r.gateway, c); err != nil {
 		t.Fatal(err)
 	}
-	r.addr = serve(t, r.front, nil)
+	r.addr = startServer(t, r.proxy, nil)
 	return r
 }
 
-func (r *rig) rules(f operatorconfig.File) httpproxy.Rules {
+func (r *fixture) rules(f operatorconfig.File) httpproxy.Rules {
 	r.t.Helper()
 	rules, err := httpproxyconfig.Rules(&f, os.ReadFile)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return rules
 }
 
-// serve serves a handler on a port of the system's.
-func serve(t testing.TB, h http.Handler, config *tls.Config) string {
+// startServer serves a handler on a port of the system's.
+func startServer(t testing.TB, h http.Handler, config *tls.Config) string {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
 	s.Config.ErrorLog = log.New(io.Discard, "", 0)
@@ -109,8 +109,8 @@
 	return strings.TrimPrefix(strings.TrimPrefix(s.URL, "http://"), "https://")
 }
 
-// raw sends bytes and gives all that comes back until the connection ends or nothing comes for a while.
-func raw(t testing.TB, addr, text string, patience time.Duration) string {
+// sendRaw sends bytes and gives all that comes back until the connection ends or nothing comes for a while.
+func sendRaw(t testing.TB, addr, text string, patience time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return string(b)
 }
 
-func service(name string, addrs ...string) string {
+func serviceSection(name string, addrs ...string) string {
 	quoted := make([]string, len(addrs))
 	for i, a := range addrs {
 		quoted[i] = fmt.Sprintf("%q", a)
--- a/httpproxy/hostile_test.go
+++ b/httpproxy/hostile_test.go
@@ -28,9 +28,9 @@
 	seed  = flag.Uint64("seed", 1, "that they are made of")
 )
 
-// hostile makes a head whose framing can be read in two ways, or that is bad in a place or two, with a second request behind it that belongs to
+// hostileRequest makes a head whose framing can be read in two ways, or that is bad in a place or two, with a second request behind it that belongs to
 // its body by one reading at least: no backend may see that one. Where only one reading is left, the request is part of the body by it.
-func hostile(rng *rand.Rand) string {
+func hostileRequest(rng *rand.Rand) string {
 	oneOf := func(from ...string) string { return from[rng.IntN(len(from))] }
 	pick := func(usual string, from ...string) string { // mostly the usual, so that most heads are bad in few places
 		if rng.IntN(6) > 0 {
@@ -78,12 +78,12 @@
 	return head + body
 }
 
-// addressed gives connections in memory an address, as who asks is told by it.
-type addressed struct{ net.Listener }
+// addressedListener gives connections in memory an address, as who asks is told by it.
+type addressedListener struct{ net.Listener }
 
 type addressedConn struct{ net.Conn }
 
-func (l addressed) Accept() (net.Conn, error) {
+func (l addressedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	return addressedConn{c}, err
 }
@@ -93,7 +93,7 @@
 // However a head is made, there is an answer or an end in bounded time, and no request is smuggled to a backend.
 //
 //	go test ./webfront -run HostileHeads -heads 1000000 -seed 7 -timeout 30m
-func TestHostileHeads(t *testing.T) {
+func TestHostileRequestHeads(t *testing.T) {
 	var smuggled, arrived atomic.Int64
 	backends := bufconn.Listen(64 << 10)
 	var mu sync.Mutex
@@ -111,20 +111,20 @@
 	go bs.Serve(backends)
 	defer bs.Close()
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) { return backends.DialContext(ctx) }
-	f := parse(t, service("shop", "127.0.0.1:1")+"deadline = \"2s\"\n")
-	door, err := pumicecroft.New(f.Door, httpproxy.WithService(httpproxy.ServiceConfig{Name: "shop", Dial: dial}))
+	f := parseFile(t, serviceSection("shop", "127.0.0.1:1")+"deadline = \"2s\"\n")
+	door, err := pumicecroft.New(f.Gateway, httpproxy.WithService(httpproxy.ServiceConfig{Name: "shop", Dial: dial}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = door.Close(context.Background()) }()
 	door.Update(f.Backends)
-	front, err := httpproxy.New(door, httpproxy.Config{Rules: (&rig{t: t}).rules(f), BodyTimeout: 100 * time.Millisecond})
+	front, err := httpproxy.New(door, httpproxy.Config{Rules: (&fixture{t: t}).rules(f), BodyReadTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	clients := bufconn.Listen(64 << 10)
 	fs := &http.Server{Handler: front, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 100 * time.Millisecond, IdleTimeout: 100 * time.Millisecond}
-	go fs.Serve(addressed{clients})
+	go fs.Serve(addressedListener{clients})
 	defer fs.Close()
 	t.Logf("seed %d", *seed)
 	var next, answered, closed atomic.Int64
@@ -137,7 +137,7 @@
 				if i > int64(*heads) || t.Failed() {
 					return
 				}
-				text := hostile(rand.New(rand.NewPCG(*seed, uint64(i))))
+				text := hostileRequest(rand.New(rand.NewPCG(*seed, uint64(i))))
 				before, begun := smuggled.Load(), time.Now()
 				c, err := clients.Dial()
 				if err != nil {
--- a/httpproxy/h2_test.go
+++ b/httpproxy/http2_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// frames is a backend on HTTP/2's frames: each stream that comes is ended by act, which answers if it is nil.
-func frames(t testing.TB, act func(n int64, f *http2.Framer, stream uint32) (answered bool)) (addr string, came *atomic.Int64) {
+// startFrameBackend is a backend on HTTP/2's frames: each stream that comes is ended by act, which answers if it is nil.
+func startFrameBackend(t testing.TB, act func(n int64, f *http2.Framer, stream uint32) (answered bool)) (addr string, came *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +61,7 @@
 
 // What an HTTP/2 backend does with a stream proves whether it ran: refused or beyond a GOAWAY it has not, and goes elsewhere whatever its method;
 // else one that must not be repeated is not.
-func TestWaysOfHTTP2(t *testing.T) {
+func TestHTTP2BackendBehaviours(t *testing.T) {
 	for name, c := range map[string]struct {
 		act       func(f *http2.Framer, stream uint32)
 		post, get int // statuses
@@ -81,13 +81,13 @@
 		for _, method := range []string{"POST", "GET"} {
 			t.Run(name+" "+method, func(t *testing.T) {
 				t.Parallel()
-				addr, came := frames(t, func(n int64, f *http2.Framer, s uint32) bool {
+				addr, came := startFrameBackend(t, func(n int64, f *http2.Framer, s uint32) bool {
 					if n == 1 {
 						c.act(f, s)
 					}
 					return n == 1
 				})
-				r := start(t, service("shop", addr, strings.Replace(addr, "127.0.0.1", "localhost", 1))+"speaks = \"h2\"\n")
+				r := startProxy(t, serviceSection("shop", addr, strings.Replace(addr, "127.0.0.1", "localhost", 1))+"speaks = \"h2\"\n")
 				req, _ := http.NewRequest(method, "http://"+r.addr+"/", nil)
 				res, err := http.DefaultClient.Do(req)
 				if err != nil {
@@ -109,17 +109,17 @@
 }
 
 // Many at once share few connections, over TLS as without; streams beyond what the backend allows are not queued behind others.
-func TestManyOverHTTP2(t *testing.T) {
+func TestManyRequestsOverHTTP2(t *testing.T) {
 	var mu sync.Mutex
 	conns := map[string]bool{}
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		conns[r.RemoteAddr] = true
 		mu.Unlock()
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s", r.Proto, body)
 	}), nil)
-	r := start(t, service("shop", backend)+"speaks = \"h2\"\n")
+	r := startProxy(t, serviceSection("shop", backend)+"speaks = \"h2\"\n")
 	var ran sync.WaitGroup
 	var bad atomic.Int64
 	for i := range 64 {
--- a/httpproxy/final.go
+++ b/httpproxy/problem.go
@@ -28,59 +28,59 @@
 	RetryAfter float64 `json:"retry_after,omitempty"`
 }
 
-// final is an answer of the door's own.
-type final struct {
-	status int
-	name   string
-	title  string
-	detail string
-	after  time.Duration
-	close  bool // what else the client sends is not waited for
+// problemResponse is an answer of the door's own.
+type problemResponse struct {
+	status     int
+	name       string
+	title      string
+	detail     string
+	retryAfter time.Duration
+	closeConn  bool // what else the client sends is not waited for
 }
 
-// final says what becomes of a request that is not passed on, or had no answer.
-func (f *Front) final(p *Plan, err error) final {
+// problemFor says what becomes of a request that is not passed on, or had no answer.
+func (f *Proxy) problemFor(p *ResolvedRequest, err error) problemResponse {
 	var method *routes.MethodError
 	var refused *pumicecroft.RejectedError
 	var undecided *pumicecroft.OutcomeUnknownError
-	bad := func(status int, name, title string) final {
-		return final{status: status, name: name, title: title, detail: err.Error()}
+	bad := func(status int, name, title string) problemResponse {
+		return problemResponse{status: status, name: name, title: title, detail: err.Error()}
 	}
 	switch {
 	case errors.As(err, &method):
 		return bad(http.StatusMethodNotAllowed, "method", "No route takes this method")
-	case errors.Is(err, routes.ErrNone):
-		return final{status: http.StatusNotFound, name: "no-route", title: "No route takes such a request"}
-	case errors.Is(err, routes.ErrPath), errors.Is(err, routes.ErrHost), errors.Is(err, http1proxy.ErrTarget), errors.Is(err, http1proxy.ErrField), errors.Is(err, errShape):
+	case errors.Is(err, routes.ErrNoRoute):
+		return problemResponse{status: http.StatusNotFound, name: "no-route", title: "No route takes such a request"}
+	case errors.Is(err, routes.ErrInvalidPath), errors.Is(err, routes.ErrInvalidHost), errors.Is(err, http1proxy.ErrInvalidTarget), errors.Is(err, http1proxy.ErrInvalidField), errors.Is(err, errMalformedRequest):
 		out := bad(http.StatusBadRequest, "bad-request", "The request makes no sense")
-		out.close = true
+		out.closeConn = true
 		return out
 	case errors.Is(err, http1proxy.ErrLoop):
 		return bad(http.StatusLoopDetected, "loop", "The request goes in a circle")
-	case errors.Is(err, errRouteRefuses):
-		return final{status: p.Rule.To.Refuse, name: "route-refuses", title: "The route refuses"}
-	case errors.Is(err, errUpgrade):
+	case errors.Is(err, errRouteRejects):
+		return problemResponse{status: p.Rule.Target.RejectStatus, name: "route-refuses", title: "The route refuses"}
+	case errors.Is(err, errUpgradeUnsupported):
 		return bad(http.StatusNotImplemented, "upgrade", "Connections are not upgraded here")
-	case errors.Is(err, identity.ErrNone):
-		return final{status: http.StatusUnauthorized, name: "nobody", title: "Nothing says who asks"}
-	case errors.Is(err, identity.ErrBad):
+	case errors.Is(err, identity.ErrNoCredential):
+		return problemResponse{status: http.StatusUnauthorized, name: "nobody", title: "Nothing says who asks"}
+	case errors.Is(err, identity.ErrInvalidCredential):
 		return bad(http.StatusUnauthorized, "credential", "A credential is not good")
-	case errors.Is(err, errLarge):
+	case errors.Is(err, errBodyTooLarge):
 		out := bad(http.StatusRequestEntityTooLarge, "body-too-large", "The body is larger than the route takes")
-		out.close = true
+		out.closeConn = true
 		return out
-	case errors.Is(err, errSlowBody):
+	case errors.Is(err, errBodyReadTimeout):
 		out := bad(http.StatusRequestTimeout, "body-too-slow", "The body did not come in its time")
-		out.close = true
+		out.closeConn = true
 		return out
-	case errors.Is(err, errMemory):
-		return final{status: http.StatusServiceUnavailable, name: "no-memory", title: "There is no room for the body now", after: time.Second, close: true}
+	case errors.Is(err, errNoBodyMemory):
+		return problemResponse{status: http.StatusServiceUnavailable, name: "no-memory", title: "There is no room for the body now", retryAfter: time.Second, closeConn: true}
 	case errors.As(err, &undecided):
 		out := bad(http.StatusConflict, "undecided", "A request with this key may have run")
-		out.after = undecided.RetryAfter
+		out.retryAfter = undecided.RetryAfter
 		return out
 	case errors.As(err, &refused):
-		return f.refused(refused)
+		return f.problemForRejection(refused)
 	case errors.Is(err, pumicecroft.ErrRejected):
 		return bad(http.StatusServiceUnavailable, "busy", "The door takes nothing more now")
 	case errors.Is(err, pumicecroft.ErrKeyConflict):
@@ -90,15 +90,15 @@
 	case errors.Is(err, pumicecroft.ErrReplayed), errors.Is(err, pumicecroft.ErrResponseNotRetained):
 		return bad(http.StatusConflict, "replayed", "The request was here before")
 	case errors.Is(err, pumicecroft.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
-		return final{status: http.StatusGatewayTimeout, name: "late", title: "There was no answer in time; it may have run"}
+		return problemResponse{status: http.StatusGatewayTimeout, name: "late", title: "There was no answer in time; it may have run"}
 	}
 	// ErrFailed, or the client has left; it may have ended its sending only, and then reads this.
-	return final{status: http.StatusBadGateway, name: "failed", title: "There is no answer to pass on; it may have run"}
+	return problemResponse{status: http.StatusBadGateway, name: "failed", title: "There is no answer to pass on; it may have run"}
 }
 
-// refused is a refusal by the decision module: nothing has run, or running again is harmless.
-func (f *Front) refused(r *pumicecroft.RejectedError) final {
-	out := final{status: http.StatusServiceUnavailable, after: r.RetryAfter}
+// problemForRejection is a refusal by the decision module: nothing has run, or running again is harmless.
+func (f *Proxy) problemForRejection(r *pumicecroft.RejectedError) problemResponse {
+	out := problemResponse{status: http.StatusServiceUnavailable, retryAfter: r.RetryAfter}
 	switch r.Reason {
 	case decision.OverQuota:
 		out.status, out.name, out.title = http.StatusTooManyRequests, "over-quota", "The plan's quota is used up"
@@ -114,17 +114,17 @@
 	return out
 }
 
-// Refusal tells the status by which a request is refused that goes no further, and why.
-func (f *Front) Refusal(p Plan) (status int, why string) {
-	x := f.final(&p, p.Err)
+// RejectionStatus tells the status by which a request is refused that goes no further, and why.
+func (f *Proxy) RejectionStatus(p ResolvedRequest) (status int, why string) {
+	x := f.problemFor(&p, p.Err)
 	if x.detail != "" {
 		return x.status, x.detail
 	}
 	return x.status, x.title
 }
 
-// advise says when to come back; 0: it does not.
-func (f *Front) advise(h http.Header, after time.Duration) {
+// setRetryAfter says when to come back; 0: it does not.
+func (f *Proxy) setRetryAfter(h http.Header, after time.Duration) {
 	switch {
 	case after <= 0:
 	case f.config.Strict:
@@ -134,11 +134,11 @@
 	}
 }
 
-// refuse answers a request by the door's own word.
-func (f *Front) refuse(w http.ResponseWriter, r *http.Request, p *Plan, err error) {
-	x := f.final(p, err)
+// writeProblem answers a request by the door's own word.
+func (f *Proxy) writeProblem(w http.ResponseWriter, r *http.Request, p *ResolvedRequest, err error) {
+	x := f.problemFor(p, err)
 	if x.status == http.StatusBadRequest || x.status == http.StatusUnauthorized {
-		f.logOf.Do(func() { f.log.Warn("a request that is not taken", "from", r.RemoteAddr, "err", err) })
+		f.rejectLogLimit.Do(func() { f.logger.Warn("a request that is not taken", "from", r.RemoteAddr, "err", err) })
 	}
 	h := w.Header()
 	var method *routes.MethodError
@@ -148,21 +148,21 @@
 	if x.status == http.StatusUnauthorized { // RFC 9110, 15.5.2
 		h["Www-Authenticate"] = []string{`Bearer realm="` + f.config.Via + `"`}
 	}
-	f.advise(h, x.after)
-	if plan := f.plans[p.Who.Plan]; plan != nil && plan.Rate > 0 { // draft-ietf-httpapi-ratelimit-headers
+	f.setRetryAfter(h, x.retryAfter)
+	if plan := f.plans[p.Caller.Plan]; plan != nil && plan.Rate > 0 { // draft-ietf-httpapi-ratelimit-headers
 		h["Ratelimit-Policy"] = []string{fmt.Sprintf("%q;q=%d;w=%d", plan.Name, int64(plan.Burst), int64(math.Ceil(plan.Burst/plan.Rate)))}
 		if x.status == http.StatusTooManyRequests {
 			limit := fmt.Sprintf("%q;r=0", plan.Name)
-			if x.after > 0 {
+			if x.retryAfter > 0 {
 				limit += ";t=" + h["Retry-After"][0]
 			}
 			h["Ratelimit"] = []string{limit}
 		}
 	}
-	if x.close {
+	if x.closeConn {
 		h["Connection"] = []string{"close"}
 	}
-	body, _ := json.Marshal(Problem{Type: "urn:pumicecroft:problem:" + x.name, Title: x.title, Status: x.status, Detail: x.detail, RetryAfter: x.after.Seconds()})
+	body, _ := json.Marshal(Problem{Type: "urn:pumicecroft:problem:" + x.name, Title: x.title, Status: x.status, Detail: x.detail, RetryAfter: x.retryAfter.Seconds()})
 	body = append(body, '\n')
 	h["Content-Type"] = []string{"application/problem+json"}
 	h["Content-Length"] = []string{strconv.Itoa(len(body))}
