--- a/httpproxy/front_test.go
+++ b/httpproxy/proxy_test.go
@@ -24,23 +24,23 @@
 	"pumicecroft/internal/testcerts"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// scripted is a backend below HTTP: each connection's requests are answered by the texts in turn, and "close" resets it.
-type scripted struct {
+// scriptedBackend is a backend below HTTP: each connection's requests are answered by the texts in turn, and "close" resets it.
+type scriptedBackend struct {
 	ln   net.Listener
 	mu   sync.Mutex
 	next int
 	got  []string // heads, and bodies of known length
 }
 
-func script(t testing.TB, answers ...string) *scripted {
+func startScriptedBackend(t testing.TB, answers ...string) *scriptedBackend {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{ln: ln}
+	s := &scriptedBackend{ln: ln}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -54,7 +54,7 @@
 	return s
 }
 
-func (s *scripted) serve(c net.Conn, answers []string) {
+func (s *scriptedBackend) serve(c net.Conn, answers []string) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -85,7 +85,7 @@
 		if rest, late := strings.CutPrefix(answer, "late:"); late {
 			io.WriteString(c, rest)
 			time.Sleep(20 * time.Millisecond)
-			answer = strings.Replace(ok2, "ok", "no", 1) // that nobody asked for
+			answer = strings.Replace(okResponse, "ok", "no", 1) // that nobody asked for
 		}
 		if _, err := io.WriteString(c, strings.TrimPrefix(answer, "early:")); err != nil || early {
 			time.Sleep(50 * time.Millisecond)
@@ -97,16 +97,16 @@
 	}
 }
 
-func (s *scripted) addr() string { return s.ln.Addr().String() }
+func (s *scriptedBackend) addr() string { return s.ln.Addr().String() }
 
-func (s *scripted) seen() []string {
+func (s *scriptedBackend) requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string{}, s.got...)
 }
 
-// answerOf reads one answer, 1xx ones in a line each ahead of it.
-func answerOf(t testing.TB, method, text string) (infos []int, res *http.Response, body string, err error) {
+// exchangeRaw reads one answer, 1xx ones in a line each ahead of it.
+func exchangeRaw(t testing.TB, method, text string) (infos []int, res *http.Response, body string, err error) {
 	t.Helper()
 	in := bufio.NewReader(strings.NewReader(text))
 	for {
@@ -122,11 +122,11 @@
 	return infos, res, string(b), err
 }
 
-const ok2 = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // What a backend does is what its client gets, or what the door makes of it: for each way of a backend, requests that may be repeated and ones
 // that may not.
-func TestWaysOfBackends(t *testing.T) {
+func TestBackendBehaviours(t *testing.T) {
 	const get, post, put = "GET", "POST", "PUT"
 	for _, c := range []struct {
 		name, method, body string
@@ -135,56 +135,56 @@
 		want               string // the body, or a part of the problem's type
 		cut                bool
 	}{
-		{"broken, of an idempotent method", put, "x", []string{"close", ok2}, 200, 2, "ok", false},
-		{"broken, of one that is not", post, "x", []string{"close", ok2}, 502, 1, "problem:failed", false},
-		{"503 that says when", post, "x", []string{"HTTP/1.1 503 X\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n", ok2}, 200, 2, "ok", false},
-		{"503 that does not", post, "x", []string{"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy", ok2}, 503, 1, "busy", false},
-		{"503 that does not, to be repeated at will", get, "", []string{"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", ok2}, 200, 2, "ok", false},
-		{"429", post, "x", []string{"HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n", ok2}, 200, 2, "ok", false},
+		{"broken, of an idempotent method", put, "x", []string{"close", okResponse}, 200, 2, "ok", false},
+		{"broken, of one that is not", post, "x", []string{"close", okResponse}, 502, 1, "problem:failed", false},
+		{"503 that says when", post, "x", []string{"HTTP/1.1 503 X\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2, "ok", false},
+		{"503 that does not", post, "x", []string{"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy", okResponse}, 503, 1, "busy", false},
+		{"503 that does not, to be repeated at will", get, "", []string{"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2, "ok", false},
+		{"429", post, "x", []string{"HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2, "ok", false},
 		{"500", post, "x", []string{"HTTP/1.1 500 X\r\nContent-Length: 3\r\n\r\nbad"}, 500, 1, "bad", false},
 		{"500 in chunks", post, "x", []string{"HTTP/1.1 500 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbad\r\n0\r\n\r\n"}, 500, 1, "bad", false},
-		{"a large 500, to be repeated at will", get, "", []string{"HTTP/1.1 500 X\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("e", 70000), ok2}, 200, 2, "ok", false},
+		{"a large 500, to be repeated at will", get, "", []string{"HTTP/1.1 500 X\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("e", 70000), okResponse}, 200, 2, "ok", false},
 		{"500 too large to be held", post, "x", []string{"HTTP/1.1 500 X\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("e", 300000)}, 500, 1, strings.Repeat("e", 300000), false},
-		{"a refusal too large to be held", post, "x", []string{"HTTP/1.1 503 X\r\nRetry-After: 1\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("e", 300000), ok2}, 200, 2, "ok", false},
-		{"a refusal too large to be held, in chunks", post, "x", []string{"HTTP/1.1 429 X\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n" + strings.Repeat("e", 300000) + "\r\n0\r\n\r\n", ok2}, 200, 2, "ok", false},
+		{"a refusal too large to be held", post, "x", []string{"HTTP/1.1 503 X\r\nRetry-After: 1\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("e", 300000), okResponse}, 200, 2, "ok", false},
+		{"a refusal too large to be held, in chunks", post, "x", []string{"HTTP/1.1 429 X\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n" + strings.Repeat("e", 300000) + "\r\n0\r\n\r\n", okResponse}, 200, 2, "ok", false},
 		{"501", get, "", []string{"HTTP/1.1 501 X\r\nContent-Length: 0\r\n\r\n"}, 501, 1, "", false},
 		{"a status line of its own making", get, "", []string{"HTTP/1.1 299 All Quite Fine\r\nContent-Length: 2\r\n\r\nok"}, 299, 1, "ok", false},
 		{"a status that is none", post, "", []string{"HTTP/1.1 042 X\r\nContent-Length: 0\r\n\r\n"}, 502, 1, "problem:failed", false},
 		{"noise", post, "", []string{"\x00\x01noise\r\n\r\n"}, 502, 1, "problem:failed", false},
 		{"HTTP/1.0 to the end", get, "", []string{"HTTP/1.0 200 OK\r\n\r\nold cut"}, 200, 1, "old cut", false},
-		{"a short answer cut, then whole", get, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut", ok2}, 200, 2, "ok", false},
+		{"a short answer cut, then whole", get, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut", okResponse}, 200, 2, "ok", false},
 		{"a short answer cut, not to be repeated", post, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut"}, 502, 1, "problem:failed", false},
-		{"chunks cut", get, "", []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\ncut", ok2}, 200, 1, "hello", true},
+		{"chunks cut", get, "", []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\ncut", okResponse}, 200, 1, "hello", true},
 		{"a body to HEAD", "HEAD", "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"}, 200, 1, "", false},
 		{"a switch that nobody asked for", post, "", []string{"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"}, 502, 1, "problem:failed", false},
 		{"two lengths", post, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"}, 502, 1, "problem:failed", false},
 		{"a head without an end", post, "", []string{"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: "+strings.Repeat("a", 1000)+"\r\n", 100)}, 502, 1, "problem:failed", false},
 		{"before it has the request", post, strings.Repeat("b", 900_000), []string{"early:HTTP/1.1 413 X\r\nContent-Length: 3\r\n\r\nbig"}, 413, 1, "big", false},
 		{"204", "DELETE", "", []string{"HTTP/1.1 204 X\r\n\r\n"}, 204, 1, "", false},
-		{"hints", get, "", []string{"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + ok2}, 200, 1, "ok", false},
-		{"hints without an end", post, "", []string{strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) + ok2}, 502, 1, "problem:failed", false},
+		{"hints", get, "", []string{"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + okResponse}, 200, 1, "ok", false},
+		{"hints without an end", post, "", []string{strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) + okResponse}, 502, 1, "problem:failed", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := script(t, c.answers...)
+			b := startScriptedBackend(t, c.answers...)
 			// Two names of one backend: a repeat may go to the other.
-			r := start(t, service("shop", b.addr(), strings.Replace(b.addr(), "127.0.0.1", "localhost", 1))+"hold = 65536\n")
+			r := startProxy(t, serviceSection("shop", b.addr(), strings.Replace(b.addr(), "127.0.0.1", "localhost", 1))+"hold = 65536\n")
 			text := fmt.Sprintf("%s /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", c.method, len(c.body), c.body)
-			got := raw(t, r.addr, text, patience)
-			infos, res, body, err := answerOf(t, c.method, got)
+			got := sendRaw(t, r.addr, text, testTimeout)
+			infos, res, body, err := exchangeRaw(t, c.method, got)
 			if res == nil {
 				t.Fatalf("%v: %.200q", err, got)
 			}
 			if res.StatusCode != c.status || !strings.Contains(body, c.want) || (err != nil) != c.cut {
 				t.Errorf("%d %.80q %v", res.StatusCode, body, err)
 			}
-			if n := len(b.seen()); n != c.attempts {
-				t.Errorf("%d attempts: %.80q", n, b.seen())
+			if n := len(b.requests()); n != c.attempts {
+				t.Errorf("%d attempts: %.80q", n, b.requests())
 			}
 			if strings.HasPrefix(c.name, "hints") && len(infos) == 0 {
 				t.Error("no hints came")
 			}
-			if open := r.door.OpenRequests(); open != 0 {
+			if open := r.gateway.OpenRequests(); open != 0 {
 				t.Errorf("%d requests are open", open)
 			}
 		})
@@ -192,16 +192,16 @@
 }
 
 // What clients send is taken or refused by a stated rule, and what they may not say for themselves does not arrive.
-func TestWaysOfClients(t *testing.T) {
+func TestClientRequests(t *testing.T) {
 	var mu sync.Mutex
 	var got *http.Request
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		got = r
 		w.WriteHeader(http.StatusEarlyHints)
 	}), nil)
-	r := start(t, service("shop", backend)+`
+	r := startProxy(t, serviceSection("shop", backend)+`
 [http]
 trusted = ["10.0.0.0/8"]
 [[identity]]
@@ -277,8 +277,8 @@
 			if !strings.Contains(text, "\nConnection:") {
 				text = strings.Replace(text, "\r\n", "\r\nConnection: close\r\n", 1)
 			}
-			all := raw(t, r.addr, text, 2*time.Second)
-			infos, res, body, _ := answerOf(t, "GET", all)
+			all := sendRaw(t, r.addr, text, 2*time.Second)
+			infos, res, body, _ := exchangeRaw(t, "GET", all)
 			if strings.Contains(text, "HTTP/1.0") && len(infos) > 0 {
 				t.Errorf("%v to a client of HTTP/1.0", infos)
 			}
@@ -311,11 +311,11 @@
 }
 
 // An answer is passed on as it comes: what was sent is there before the rest is.
-func TestAsItComes(t *testing.T) {
+func TestResponseIsStreamedAsItArrives(t *testing.T) {
 	for name, length := range map[string]string{"chunks": "", "a long one of known length": "100000"} {
 		t.Run(name, func(t *testing.T) {
 			more := make(chan bool)
-			backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				if length != "" {
 					w.Header().Set("Content-Length", length)
 				}
@@ -327,7 +327,7 @@
 				<-more
 				io.WriteString(w, strings.Repeat("x", 99995))
 			}), nil)
-			r := start(t, service("shop", backend))
+			r := startProxy(t, serviceSection("shop", backend))
 			res, err := http.Get("http://" + r.addr + "/")
 			if err != nil {
 				t.Fatal(err)
@@ -347,9 +347,9 @@
 }
 
 // A client that does not read its answer ends when its time is up, and one that leaves is called off; neither holds anything then.
-func TestClientsThatDoNotRead(t *testing.T) {
+func TestClientThatDoesNotReadIsBounded(t *testing.T) {
 	gone := make(chan bool, 10)
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() { gone <- true }()
 		for r.Context().Err() == nil {
 			if _, err := w.Write(make([]byte, 32<<10)); err != nil {
@@ -357,7 +357,7 @@
 			}
 		}
 	}), nil)
-	r := start(t, service("shop", backend)+"deadline = \"700ms\"\n")
+	r := startProxy(t, serviceSection("shop", backend)+"deadline = \"700ms\"\n")
 	for _, leaves := range []bool{false, true} {
 		for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 			c, err := net.Dial("tcp", r.addr)
@@ -373,16 +373,16 @@
 			_, _ = io.ReadFull(c, head)
 			c.Close()
 			// an attempt that took all of its time may have the next one refused for a moment
-			if !strings.HasPrefix(string(head), "HTTP/1.1 503") || time.Since(begun) > patience {
+			if !strings.HasPrefix(string(head), "HTTP/1.1 503") || time.Since(begun) > testTimeout {
 				break
 			}
 		}
 		select {
 		case <-gone:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the backend is still asked")
 		}
-		for end := time.Now().Add(patience); r.door.OpenRequests() > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); r.gateway.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the request is still open")
 			}
@@ -391,21 +391,21 @@
 }
 
 // Rules that are swapped hold for what comes from then on; a request that waits goes on by its own.
-func TestSwapWhileARequestWaits(t *testing.T) {
+func TestSetRulesDuringOpenRequest(t *testing.T) {
 	came, goOn := make(chan bool), make(chan bool)
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		came <- true
 		<-goOn
 		io.WriteString(w, "done")
 	}), nil)
-	r := start(t, service("shop", backend))
+	r := startProxy(t, serviceSection("shop", backend))
 	old := make(chan string)
 	go func() {
-		_, res, body, _ := answerOf(t, "GET", raw(t, r.addr, "GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", patience))
+		_, res, body, _ := exchangeRaw(t, "GET", sendRaw(t, r.addr, "GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
 		old <- fmt.Sprint(res.StatusCode, body)
 	}()
 	<-came
-	if err := r.front.Swap(r.rules(parse(t, service("shop", backend)+"[[route]]\nrefuse = 403\n"))); err != nil {
+	if err := r.proxy.SetRules(r.rules(parseFile(t, serviceSection("shop", backend)+"[[route]]\nrefuse = 403\n"))); err != nil {
 		t.Fatal(err)
 	}
 	res, err := http.Get("http://" + r.addr + "/a")
@@ -417,8 +417,8 @@
 	if got := <-old; got != "200done" {
 		t.Error(got)
 	}
-	err = r.front.Swap(r.rules(parse(t, service("other", backend))))
-	if !errors.Is(err, httpproxy.ErrRules) {
+	err = r.proxy.SetRules(r.rules(parseFile(t, serviceSection("other", backend))))
+	if !errors.Is(err, httpproxy.ErrInvalidRules) {
 		t.Errorf("rules of another service: %v", err)
 	}
 	res, err = http.Get("http://" + r.addr + "/a")
@@ -435,7 +435,7 @@
 func TestOneQuotaOverServices(t *testing.T) {
 	var n atomic.Int64
 	count := http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { n.Add(1) })
-	r := start(t, service("a", serve(t, count, nil))+service("b", serve(t, count, nil))+`
+	r := startProxy(t, serviceSection("a", startServer(t, count, nil))+serviceSection("b", startServer(t, count, nil))+`
 [[plan]]
 name = "small"
 rate = 0.01
@@ -469,15 +469,15 @@
 }
 
 // A repeat with a key is given the first one's answer, whole, by whichever connection; another request with the key is refused.
-func TestKeys(t *testing.T) {
+func TestIdempotencyKeys(t *testing.T) {
 	var n atomic.Int64
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Order", string(body))
 		w.WriteHeader(201)
 		fmt.Fprintf(w, "order %d", n.Add(1))
 	}), nil)
-	r := start(t, service("shop", backend)+"[keys]\n")
+	r := startProxy(t, serviceSection("shop", backend)+"[keys]\n")
 	for i, want := range []string{"201 order 1 a", "201 order 1 a", "422", "201 order 2 a"} {
 		key, body := "k", "a"
 		switch i {
@@ -501,12 +501,12 @@
 }
 
 // The room for bodies is bounded over all requests, and given back.
-func TestBodiesAreBounded(t *testing.T) {
+func TestRequestBodyLimits(t *testing.T) {
 	goOn := make(chan bool)
-	backend := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body); <-goOn }), nil)
-	r := start(t, service("shop", backend)+"[http]\nbody_memory = 100000\nbody_timeout = \"300ms\"\n")
+	backend := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body); <-goOn }), nil)
+	r := startProxy(t, serviceSection("shop", backend)+"[http]\nbody_memory = 100000\nbody_timeout = \"300ms\"\n")
 	post := func(size int) int {
-		res, err := http.Post("http://"+r.addr+"/", "text/plain", io.LimitReader(zeros{}, int64(size)))
+		res, err := http.Post("http://"+r.addr+"/", "text/plain", io.LimitReader(zeroReader{}, int64(size)))
 		if err != nil {
 			t.Error(err)
 			return 0
@@ -516,7 +516,7 @@
 	}
 	first := make(chan int)
 	go func() { first <- post(60_000) }()
-	for end := time.Now().Add(patience); r.door.OpenRequests() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.gateway.OpenRequests() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	if got := post(60_000); got != 503 {
 		t.Errorf("without room: %d", got)
@@ -528,7 +528,7 @@
 	if got := post(60_000); got != 200 {
 		t.Errorf("with room again: %d", got)
 	}
-	_, res, _, _ := answerOf(t, "POST", raw(t, r.addr, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf", patience))
+	_, res, _, _ := exchangeRaw(t, "POST", sendRaw(t, r.addr, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf", testTimeout))
 	if res == nil || res.StatusCode != 408 {
 		t.Errorf("a body that does not come: %v", res)
 	}
@@ -537,21 +537,21 @@
 	}
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) { return len(p), nil }
+func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
 // A host's own word on who asks goes before all rules; its time-out is its own answer.
-func TestInAHost(t *testing.T) {
+func TestProxyInHostServer(t *testing.T) {
 	var seen atomic.Value
-	backend := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	backend := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		seen.Store(r.RequestURI)
 		if r.URL.Path == "/slow" {
 			<-r.Context().Done()
 		}
 	}), nil)
-	r := start(t, service("shop", backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n")
-	host := http.StripPrefix("/api", http.TimeoutHandler(r.front, time.Second, "host's"))
+	r := startProxy(t, serviceSection("shop", backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n")
+	host := http.StripPrefix("/api", http.TimeoutHandler(r.proxy, time.Second, "host's"))
 	ask := func(target string, who bool) *httptest.ResponseRecorder {
 		req := httptest.NewRequest("GET", target, nil)
 		if who {
@@ -568,18 +568,18 @@
 		t.Errorf("nobody: %d", w.Code)
 	}
 	for target, want := range map[string]int{"/a": 200, "/own": 418} {
-		swap := r.rules(parse(t, service("shop", backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n[[route]]\npath = \"/a\"\n[[route]]\npath = \"/own\"\nmethods = [\"PUT\"]\n"))
-		if err := r.front.Swap(swap); err != nil {
+		swap := r.rules(parseFile(t, serviceSection("shop", backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n[[route]]\npath = \"/a\"\n[[route]]\npath = \"/own\"\nmethods = [\"PUT\"]\n"))
+		if err := r.proxy.SetRules(swap); err != nil {
 			t.Fatal(err)
 		}
 		w := httptest.NewRecorder()
 		req := httptest.NewRequest("GET", target, nil).WithContext(pumicecroft.WithIdentity(context.Background(), pumicecroft.Identity{Customer: 7, Plan: "p"}))
-		r.front.Or(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(418) })).ServeHTTP(w, req)
+		r.proxy.WithFallback(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(418) })).ServeHTTP(w, req)
 		if w.Code != want {
 			t.Errorf("%s beside a host's own: %d", target, w.Code)
 		}
 	}
-	if err := r.front.Swap(r.rules(r.file)); err != nil {
+	if err := r.proxy.SetRules(r.rules(r.file)); err != nil {
 		t.Fatal(err)
 	}
 	if w := ask("/api/slow", true); w.Code != 503 || w.Body.String() != "host's" {
@@ -588,19 +588,19 @@
 }
 
 // A token counts for a whole request that came while it held, with its repeats; the next request is refused.
-func TestATokenThatEndsMeanwhile(t *testing.T) {
+func TestTokenExpiresDuringRequest(t *testing.T) {
 	t.Parallel()
 	secret := strings.Repeat("s", 32)
 	path := testcerts.Write(t, t.TempDir(), map[string][]byte{"secret": []byte(secret)})
 	ends := time.Now().Truncate(time.Second).Add(2 * time.Second)
 	var n atomic.Int64
-	b := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	b := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if n.Add(1) == 1 {
 			time.Sleep(time.Until(ends.Add(100 * time.Millisecond)))
 			w.WriteHeader(500) // and it is made again, after the token's end
 		}
 	}), nil)
-	r := start(t, service("shop", b, strings.Replace(b, "127.0.0.1", "localhost", 1))+fmt.Sprintf(`
+	r := startProxy(t, serviceSection("shop", b, strings.Replace(b, "127.0.0.1", "localhost", 1))+fmt.Sprintf(`
 [[identity]]
 kind = "token"
 algorithms = ["HS256"]
@@ -629,15 +629,15 @@
 }
 
 // What stands behind an answer is not taken for the next one's.
-func TestNoiseBehindAnAnswer(t *testing.T) {
-	evil := strings.Replace(ok2, "ok", "no", 1)
-	b := script(t, ok2+evil, ok2, ok2+"\r\n", "late:"+ok2, ok2)
-	r := start(t, service("shop", b.addr()))
+func TestBytesBehindResponseCloseConnection(t *testing.T) {
+	evil := strings.Replace(okResponse, "ok", "no", 1)
+	b := startScriptedBackend(t, okResponse+evil, okResponse, okResponse+"\r\n", "late:"+okResponse, okResponse)
+	r := startProxy(t, serviceSection("shop", b.addr()))
 	for i := range 5 {
 		if i == 4 {
 			time.Sleep(100 * time.Millisecond) // what comes late has come
 		}
-		_, res, body, err := answerOf(t, "GET", raw(t, r.addr, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", patience))
+		_, res, body, err := exchangeRaw(t, "GET", sendRaw(t, r.addr, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
 		if err != nil || res.StatusCode != 200 || body != "ok" {
 			t.Errorf("answer %d: %v %q %v", i, res, body, err)
 		}
@@ -645,9 +645,9 @@
 }
 
 // A client's time begins with its request, not with its body's end.
-func TestASlowBodyTakesTheClientsTime(t *testing.T) {
+func TestBodyReadTimeCountsAgainstTimeout(t *testing.T) {
 	t.Parallel()
-	r := start(t, service("shop", script(t, "hang").addr())+"deadline = \"2s\"\n")
+	r := startProxy(t, serviceSection("shop", startScriptedBackend(t, "hang").addr())+"deadline = \"2s\"\n")
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -657,7 +657,7 @@
 	io.WriteString(c, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n")
 	time.Sleep(1200 * time.Millisecond)
 	io.WriteString(c, "ab")
-	c.SetReadDeadline(begun.Add(patience))
+	c.SetReadDeadline(begun.Add(testTimeout))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatalf("%v after %v", err, time.Since(begun))
--- a/httpproxy/sink.go
+++ b/httpproxy/response.go
@@ -11,33 +11,33 @@
 	"pumicecroft/internal/httpproxytransport"
 )
 
-// sink passes an answer on as it comes. An attempt may outlive its request by a little; nothing is written then.
-type sink struct {
+// responseSink passes an answer on as it comes. An attempt may outlive its request by a little; nothing is written then.
+type responseSink struct {
 	w http.ResponseWriter
 
-	old bool // HTTP/1.0: there are no 1xx answers (RFC 9110, 15.2)
+	http10 bool // HTTP/1.0: there are no 1xx answers (RFC 9110, 15.2)
 
-	mu     sync.Mutex
-	begun  bool
-	ended  bool // the answer is whole
-	closed bool
+	mu       sync.Mutex
+	started  bool
+	complete bool // the answer is whole
+	closed   bool
 }
 
-var errClosed = errors.New("the request has ended")
+var errRequestEnded = errors.New("the request has ended")
 
 // writeGrace is how long past the attempt's end a client may take its answer.
 const writeGrace = time.Second
 
-// Info passes on a 1xx answer.
-func (s *sink) Info(status int, h http.Header) {
+// WriteInformational passes on a 1xx answer.
+func (s *responseSink) WriteInformational(status int, h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || s.begun || s.old {
+	if s.closed || s.started || s.http10 {
 		return
 	}
 	own := s.w.Header()
 	kept := own.Clone()
-	http1proxy.Back(own, h)
+	http1proxy.CopyResponseHeader(own, h)
 	s.w.WriteHeader(status)
 	clear(own)
 	for name, v := range kept {
@@ -45,27 +45,27 @@
 	}
 }
 
-// Head begins the answer.
-func (s *sink) Head(a *httpproxytransport.Answer, due time.Time) {
+// WriteHeader begins the answer.
+func (s *responseSink) WriteHeader(a *httpproxytransport.Response, due time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return
 	}
-	s.begun = true
+	s.started = true
 	// A client that does not read is not waited for beyond the attempt's end. A writer that the host has wrapped may not let the deadline be
 	// set; then the host's own must do.
 	_ = http.NewResponseController(s.w).SetWriteDeadline(due.Add(writeGrace))
-	head(s.w, a)
+	setResponseHeader(s.w, a)
 	s.w.WriteHeader(a.Status)
 }
 
-// Write passes on a part of the body.
-func (s *sink) Write(p []byte, flush bool) error {
+// WriteBody passes on a part of the body.
+func (s *responseSink) WriteBody(p []byte, flush bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return errClosed
+		return errRequestEnded
 	}
 	if len(p) > 0 {
 		if _, err := s.w.Write(p); err != nil {
@@ -78,41 +78,41 @@
 	return nil
 }
 
-// Trailer ends the answer.
-func (s *sink) Trailer(h http.Header) {
+// WriteTrailer ends the answer.
+func (s *responseSink) WriteTrailer(h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closed {
-		s.ended = true
-		trail(s.w, h)
+		s.complete = true
+		setTrailers(s.w, h)
 		_ = http.NewResponseController(s.w).SetWriteDeadline(time.Time{})
 	}
 }
 
-func (s *sink) began() bool {
+func (s *responseSink) hasStarted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.begun
+	return s.started
 }
 
-func (s *sink) whole() bool {
+func (s *responseSink) isComplete() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ended
+	return s.complete
 }
 
 // close lets nothing more be written. What is being written is waited for, and ends by its deadline.
-func (s *sink) close() {
+func (s *responseSink) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 }
 
-// head puts an answer's fields into the client's.
-func head(w http.ResponseWriter, a *httpproxytransport.Answer) {
+// setResponseHeader puts an answer's fields into the client's.
+func setResponseHeader(w http.ResponseWriter, a *httpproxytransport.Response) {
 	h := w.Header()
 	closing := h["Connection"]
-	http1proxy.Back(h, a.Header)
+	http1proxy.CopyResponseHeader(h, a.Header)
 	if closing != nil {
 		h["Connection"] = closing
 	}
@@ -128,8 +128,8 @@
 	}
 }
 
-// trail puts the fields behind the body.
-func trail(w http.ResponseWriter, trailer http.Header) {
+// setTrailers puts the fields behind the body.
+func setTrailers(w http.ResponseWriter, trailer http.Header) {
 	h := w.Header()
 	announced := strings.Join(h["Trailer"], ", ")
 	for name, values := range trailer {
@@ -140,15 +140,15 @@
 	}
 }
 
-// write writes an answer that is whole.
-func write(w http.ResponseWriter, a *httpproxytransport.Answer) {
-	head(w, a)
+// writeResponse writes an answer that is whole.
+func writeResponse(w http.ResponseWriter, a *httpproxytransport.Response) {
+	setResponseHeader(w, a)
 	w.WriteHeader(a.Status)
 	if len(a.Body) > 0 {
 		_, _ = w.Write(a.Body) // if it fails, the connection is closed: the client sees a cut answer
 	}
 	if len(a.Trailer) > 0 {
 		_ = http.NewResponseController(w).Flush() // else the server tells a length, and no trailers go with one
-		trail(w, a.Trailer)
+		setTrailers(w, a.Trailer)
 	}
 }
--- a/httpproxy/oracle_test.go
+++ b/httpproxy/reverseproxy_test.go
@@ -22,44 +22,44 @@
 )
 
 // What differs from httputil.ReverseProxy by intent, as it arrives at a backend.
-var differs = map[string]string{
+var intendedDifferences = map[string]string{
 	"Via":          "a gateway must say that it was there (RFC 9110, 7.6.3)",
 	"X-Request-Id": "made where the client brings none",
 	"Connection":   "TE goes on with the Connection that it needs (RFC 9110, 10.1.4)",
 }
 
-// exchange is what is asked and answered.
-type exchange struct {
+// proxiedExchange is what is asked and answered.
+type proxiedExchange struct {
 	method, target string
-	fields         http.Header
+	header         http.Header
 	body           []byte
 	chunked        bool
 	trailer        http.Header
 
-	status      int
-	infos       []int
-	answer      http.Header
-	answerBody  []byte
-	answerChunk bool
-	after       http.Header
+	status          int
+	infos           []int
+	responseHeader  http.Header
+	responseBody    []byte
+	responseChunked bool
+	responseTrailer http.Header
 }
 
-// seen is what arrived, or what came back.
-type seen struct {
+// observedMessage is what arrived, or what came back.
+type observedMessage struct {
 	line    string
-	fields  http.Header
+	header  http.Header
 	body    string
 	trailer http.Header
 	infos   []string
 }
 
-func (s seen) String() string {
-	return fmt.Sprintf("%s\n%v\n%d bytes %.60q\ntrailer %v\ninfos %v", s.line, s.fields, len(s.body), s.body, s.trailer, s.infos)
+func (s observedMessage) String() string {
+	return fmt.Sprintf("%s\n%v\n%d bytes %.60q\ntrailer %v\ninfos %v", s.line, s.header, len(s.body), s.body, s.trailer, s.infos)
 }
 
-var names = []string{"X-A", "X-B", "Accept", "Cookie", "X-Empty", "Authorization", "Forwarded", "X-Forwarded-For", "Keep-Alive", "Proxy-Authorization", "Upgrade"}
+var headerNames = []string{"X-A", "X-B", "Accept", "Cookie", "X-Empty", "Authorization", "Forwarded", "X-Forwarded-For", "Keep-Alive", "Proxy-Authorization", "Upgrade"}
 
-func drawFields(t *rapid.T, label string, from []string) http.Header {
+func drawHeader(t *rapid.T, label string, from []string) http.Header {
 	h := http.Header{}
 	for range rapid.IntRange(0, 4).Draw(t, label) {
 		name := rapid.SampledFrom(from).Draw(t, "name")
@@ -68,10 +68,10 @@
 	return h
 }
 
-func draw(t *rapid.T) *exchange {
-	x := &exchange{fields: drawFields(t, "fields", names), answer: drawFields(t, "answer", []string{"X-C", "Set-Cookie", "Content-Type", "Etag", "Retry-After", "Keep-Alive", "Warning"})}
-	if x.answer["Content-Type"] == nil { // behind ReverseProxy the server guesses one
-		x.answer["Content-Type"] = []string{"text/x"}
+func drawExchange(t *rapid.T) *proxiedExchange {
+	x := &proxiedExchange{header: drawHeader(t, "fields", headerNames), responseHeader: drawHeader(t, "answer", []string{"X-C", "Set-Cookie", "Content-Type", "Etag", "Retry-After", "Keep-Alive", "Warning"})}
+	if x.responseHeader["Content-Type"] == nil { // behind ReverseProxy the server guesses one
+		x.responseHeader["Content-Type"] = []string{"text/x"}
 	}
 	x.method = rapid.SampledFrom([]string{"GET", "GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "PURGE"}).Draw(t, "method")
 	for range rapid.IntRange(1, 4).Draw(t, "segments") {
@@ -88,10 +88,10 @@
 		}
 	}
 	if nominate := rapid.SampledFrom([]string{"", "", "X-A", "x-b, close-not", "X-A,Accept"}).Draw(t, "nominated"); nominate != "" {
-		x.fields["Connection"] = []string{nominate}
+		x.header["Connection"] = []string{nominate}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "te") == 0 {
-		x.fields["Te"] = []string{"trailers"}
+		x.header["Te"] = []string{"trailers"}
 	}
 	size := rapid.SampledFrom([]int{0, 0, 1, 100, 5000, 70_000}).Draw(t, "body")
 	if x.method != "GET" && x.method != "HEAD" && x.method != "OPTIONS" && x.method != "PURGE" && x.method != "DELETE" {
@@ -106,28 +106,28 @@
 		x.infos = []int{103}
 	}
 	if x.status != 204 && x.status != 304 {
-		x.answerBody = bytes.Repeat([]byte("a"), rapid.SampledFrom([]int{0, 1, 300, 5000, 100_000}).Draw(t, "answer body"))
-		x.answerChunk = rapid.Bool().Draw(t, "answer chunked")
-		if x.answerChunk && x.method != "HEAD" && rapid.Bool().Draw(t, "answer trailer") {
-			x.after = http.Header{"X-Check": {"9"}}
+		x.responseBody = bytes.Repeat([]byte("a"), rapid.SampledFrom([]int{0, 1, 300, 5000, 100_000}).Draw(t, "answer body"))
+		x.responseChunked = rapid.Bool().Draw(t, "answer chunked")
+		if x.responseChunked && x.method != "HEAD" && rapid.Bool().Draw(t, "answer trailer") {
+			x.responseTrailer = http.Header{"X-Check": {"9"}}
 		}
 	}
 	return x
 }
 
-// echo is a backend that answers as it is told, and notes what arrived.
-type echo struct {
-	mu  sync.Mutex
-	x   *exchange
-	got []seen
+// echoBackend is a backend that answers as it is told, and notes what arrived.
+type echoBackend struct {
+	mu       sync.Mutex
+	exchange *proxiedExchange
+	received []observedMessage
 }
 
-func (e *echo) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *echoBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	body, _ := io.ReadAll(r.Body)
-	e.got = append(e.got, seen{line: r.Method + " " + r.RequestURI + " " + r.Host, fields: r.Header, body: string(body), trailer: r.Trailer})
-	x := e.x
+	e.received = append(e.received, observedMessage{line: r.Method + " " + r.RequestURI + " " + r.Host, header: r.Header, body: string(body), trailer: r.Trailer})
+	x := e.exchange
 	for _, status := range x.infos {
 		w.Header()["Link"] = []string{"</s.css>"}
 		w.WriteHeader(status)
@@ -135,35 +135,35 @@
 	}
 	h := w.Header()
 	h["Date"] = []string{"Tue, 01 Dec 2026 00:00:00 GMT"}
-	maps.Copy(h, x.answer)
-	for name := range x.after {
+	maps.Copy(h, x.responseHeader)
+	for name := range x.responseTrailer {
 		h.Add("Trailer", name)
 	}
-	if !x.answerChunk && x.status != 204 && x.status != 304 {
-		h["Content-Length"] = []string{fmt.Sprint(len(x.answerBody))}
+	if !x.responseChunked && x.status != 204 && x.status != 304 {
+		h["Content-Length"] = []string{fmt.Sprint(len(x.responseBody))}
 	}
 	w.WriteHeader(x.status)
-	if x.answerChunk {
+	if x.responseChunked {
 		w.(http.Flusher).Flush()
 	}
-	w.Write(x.answerBody)
-	maps.Copy(h, x.after)
+	w.Write(x.responseBody)
+	maps.Copy(h, x.responseTrailer)
 }
 
-func (e *echo) came() int {
+func (e *echoBackend) receivedCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.got)
+	return len(e.received)
 }
 
-// ask makes an exchange by way of an address.
-func ask(x *exchange, rt http.RoundTripper, addr string) (seen, error) {
-	var s seen
+// roundTrip makes an exchange by way of an address.
+func roundTrip(x *proxiedExchange, rt http.RoundTripper, addr string) (observedMessage, error) {
+	var s observedMessage
 	ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
 		s.infos = append(s.infos, fmt.Sprint(code, http.Header(h)))
 		return nil
 	}})
-	req := (&http.Request{Method: x.method, URL: &url.URL{Scheme: "http", Host: addr, Opaque: x.target}, Host: "shop.example", Header: x.fields.Clone(), Trailer: x.trailer.Clone()}).WithContext(ctx)
+	req := (&http.Request{Method: x.method, URL: &url.URL{Scheme: "http", Host: addr, Opaque: x.target}, Host: "shop.example", Header: x.header.Clone(), Trailer: x.trailer.Clone()}).WithContext(ctx)
 	if _, told := req.Header["User-Agent"]; !told {
 		req.Header["User-Agent"] = []string{"test"}
 	}
@@ -180,21 +180,21 @@
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
-	s.line, s.fields, s.body, s.trailer = fmt.Sprint(res.StatusCode, " ", res.ContentLength), res.Header, string(body), res.Trailer
+	s.line, s.header, s.body, s.trailer = fmt.Sprint(res.StatusCode, " ", res.ContentLength), res.Header, string(body), res.Trailer
 	return s, err
 }
 
 // Exchanges through the front arrive and come back as through httputil.ReverseProxy, but for what differs by intent.
-func TestAsReverseProxyDoes(t *testing.T) {
+func TestBehavesAsReverseProxy(t *testing.T) {
 	for _, speaks := range []string{"http/1.1", "h2"} {
-		t.Run(speaks, func(t *testing.T) { asReverseProxy(t, speaks) })
+		t.Run(speaks, func(t *testing.T) { compareWithReverseProxy(t, speaks) })
 	}
 }
 
-func asReverseProxy(t *testing.T, speaks string) {
-	e := &echo{}
-	backend := serve(t, e, nil)
-	r := start(t, service("shop", backend)+fmt.Sprintf("aim = \"4ms\"\nspeaks = %q\n", speaks)+"[http]\ntrusted = [\"127.0.0.1\"]\n") // it is believed what came before it, as ReverseProxy is told to
+func compareWithReverseProxy(t *testing.T, speaks string) {
+	e := &echoBackend{}
+	backend := startServer(t, e, nil)
+	r := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("aim = \"4ms\"\nspeaks = %q\n", speaks)+"[http]\ntrusted = [\"127.0.0.1\"]\n") // it is believed what came before it, as ReverseProxy is told to
 	proxy := &httputil.ReverseProxy{ErrorLog: log.New(io.Discard, "", 0), Transport: &http.Transport{DisableCompression: true},
 		Rewrite: func(p *httputil.ProxyRequest) {
 			p.Out.URL.Scheme, p.Out.URL.Host = "http", backend
@@ -202,32 +202,32 @@
 			p.SetXForwarded()
 			p.Out.Host = p.In.Host
 		}}
-	other := serve(t, proxy, nil)
+	other := startServer(t, proxy, nil)
 	client := &http.Transport{DisableCompression: true}
 	t.Cleanup(client.CloseIdleConnections)
 	rapid.Check(t, func(rt *rapid.T) {
-		x := draw(rt)
-		through := func(addr string) (arrived, back seen) {
+		x := drawExchange(rt)
+		through := func(addr string) (arrived, back observedMessage) {
 			e.mu.Lock()
-			e.x, e.got = x, nil
+			e.exchange, e.received = x, nil
 			e.mu.Unlock()
-			back, err := ask(x, client, addr)
-			for end := time.Now().Add(3 * time.Second); err == nil && e.came() == 0 && time.Now().Before(end); { // the one backend has refused just before, and is spared for a little
+			back, err := roundTrip(x, client, addr)
+			for end := time.Now().Add(3 * time.Second); err == nil && e.receivedCount() == 0 && time.Now().Before(end); { // the one backend has refused just before, and is spared for a little
 				time.Sleep(time.Millisecond)
-				back, err = ask(x, client, addr)
+				back, err = roundTrip(x, client, addr)
 			}
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			if err != nil || len(e.got) == 0 {
-				rt.Fatalf("%s: %v, %d arrived, answered %v", addr, err, len(e.got), back)
+			if err != nil || len(e.received) == 0 {
+				rt.Fatalf("%s: %v, %d arrived, answered %v", addr, err, len(e.received), back)
 			}
-			return e.got[len(e.got)-1], back
+			return e.received[len(e.received)-1], back
 		}
 		wantAt, want := through(other)
 		gotAt, got := through(r.addr)
-		for name := range differs {
-			delete(wantAt.fields, name)
-			delete(gotAt.fields, name)
+		for name := range intendedDifferences {
+			delete(wantAt.header, name)
+			delete(gotAt.header, name)
 		}
 		normal := func(h http.Header) http.Header {
 			h = h.Clone()
@@ -247,26 +247,26 @@
 		}
 		wantAt.trailer = x.trailer // ReverseProxy loses the values
 		if x.chunked {             // a body that is held whole goes on with its length
-			delete(gotAt.fields, "Content-Length")
+			delete(gotAt.header, "Content-Length")
 		}
-		wantAt.fields, gotAt.fields = normal(wantAt.fields), normal(gotAt.fields)
+		wantAt.header, gotAt.header = normal(wantAt.header), normal(gotAt.header)
 		if a, b := wantAt.String(), gotAt.String(); a != b {
 			rt.Errorf("arrived through ReverseProxy:\n%s\nthrough the front:\n%s", a, b)
 		}
-		if x.answerChunk { // and so does an answer
+		if x.responseChunked { // and so does an answer
 			want.line, got.line = want.line[:3], got.line[:3]
-			delete(got.fields, "Content-Length")
-			delete(want.fields, "Content-Length")
+			delete(got.header, "Content-Length")
+			delete(want.header, "Content-Length")
 		}
 		if len(want.infos) > 0 { // a request that is tried again has its 1xx answers again
 			got.infos = got.infos[:min(1, len(got.infos))]
 		}
-		if len(got.fields["Connection"]) > 0 || x.chunked { // what came in chunks may have had another length: its connection ends
-			delete(got.fields, "Connection")
+		if len(got.header["Connection"]) > 0 || x.chunked { // what came in chunks may have had another length: its connection ends
+			delete(got.header, "Connection")
 		}
 		if x.status == 429 || x.status == 503 {
-			delete(got.fields, "Retry-After") // given where the backend gave none
-			delete(want.fields, "Retry-After")
+			delete(got.header, "Retry-After") // given where the backend gave none
+			delete(want.header, "Retry-After")
 		}
 		if a, b := want.String(), got.String(); a != b {
 			rt.Errorf("came back through ReverseProxy:\n%s\nthrough the front:\n%s", a, b)
--- a/httpproxy/serve.go
+++ b/httpproxy/serve.go
@@ -26,44 +26,44 @@
 	"pumicecroft/routes"
 )
 
-const usualBody = 1 << 20
+const defaultMaxBodyBytes = 1 << 20
 
-// Plan is what would become of a request: the outcome of all that is settled before the Door is asked.
-type Plan struct {
-	Rule   *routes.Rule[*Route] // nil: none takes it
-	Params []routes.Param
-	Who    identity.Who
-	Effect decision.Idempotency
-	Class  string
-	Target string
-	Err    error // why it goes no further
+// ResolvedRequest is what would become of a request: the outcome of all that is settled before the Door is asked.
+type ResolvedRequest struct {
+	Rule        *routes.Rule[*Route] // nil: none takes it
+	Params      []routes.Param
+	Caller      identity.Caller
+	Idempotency decision.Idempotency
+	Class       string
+	Target      string
+	Err         error // why it goes no further
 }
 
 // Errors beside those of packages routes and identity by which a request goes no further.
 var (
-	errRouteRefuses = errors.New("the route refuses")
-	errUpgrade      = errors.New("the connection can't become one of another protocol here")
-	errShape        = errors.New("a request that can be read in two ways")
+	errRouteRejects       = errors.New("the route refuses")
+	errUpgradeUnsupported = errors.New("the connection can't become one of another protocol here")
+	errMalformedRequest   = errors.New("a request that can be read in two ways")
 )
 
-// Settle tells what would become of a request at a time, and asks nobody. Its body is not looked at.
-func (f *Front) Settle(r *http.Request, now time.Time) Plan {
-	p, _ := f.settle(f.rules.Load(), r, now)
+// Resolve tells what would become of a request at a time, and asks nobody. Its body is not looked at.
+func (f *Proxy) Resolve(r *http.Request, now time.Time) ResolvedRequest {
+	p, _ := f.resolve(f.rules.Load(), r, now)
 	return p
 }
 
-func (f *Front) settle(rules *compiled, r *http.Request, now time.Time) (p Plan, from http1proxy.Origin) {
+func (f *Proxy) resolve(rules *compiledRules, r *http.Request, now time.Time) (p ResolvedRequest, from http1proxy.Origin) {
 	h := r.Header
 	p.Target = reqtarget.Of(r)
 	if r.URL.Host != "" || r.Method == http.MethodConnect { // a target of another form
-		p.Err = fmt.Errorf("%w: %.60q", http1proxy.ErrTarget, r.RequestURI)
+		p.Err = fmt.Errorf("%w: %.60q", http1proxy.ErrInvalidTarget, r.RequestURI)
 		return p, from
 	}
 	if p.Err = http1proxy.CheckTarget(p.Target); p.Err != nil {
 		return p, from
 	}
 	path, query, asked := strings.Cut(p.Target, "?")
-	m := routes.Request{Method: r.Method, Host: r.Host, Path: path, Header: func(name string) []string { return h[http1proxy.Canonical(name)] }}
+	m := routes.Request{Method: r.Method, Host: r.Host, Path: path, Header: func(name string) []string { return h[http1proxy.CanonicalHeaderName(name)] }}
 	if asked {
 		var values url.Values // read at the first condition on it
 		m.Query = func(name string) []string {
@@ -79,50 +79,50 @@
 		return p, from
 	}
 	p.Rule, p.Params = match.Rule, match.Params
-	to := p.Rule.To
-	if to.Refuse != 0 {
-		p.Err = errRouteRefuses
+	to := p.Rule.Target
+	if to.RejectStatus != 0 {
+		p.Err = errRouteRejects
 		return p, from
 	}
 	if httpguts.HeaderValuesContainsToken(h["Connection"], "upgrade") && httpguts.HeaderValuesContainsToken(h["Upgrade"], "websocket") ||
 		r.ProtoMajor == 2 && len(h[":protocol"]) > 0 {
-		p.Err = errUpgrade
+		p.Err = errUpgradeUnsupported
 		return p, from
 	}
-	facts := identity.Facts{Header: h, Now: now}
+	facts := identity.Request{Header: h, Now: now}
 	if ap, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
-		facts.Peer = ap.Addr().Unmap().WithZone("")
+		facts.PeerAddr = ap.Addr().Unmap().WithZone("")
 	}
-	facts.Client = rules.Who.Client(facts.Peer, h)
+	facts.ClientAddr = rules.Resolver.ClientAddr(facts.PeerAddr, h)
 	if r.TLS != nil && len(r.TLS.VerifiedChains) > 0 {
-		facts.Cert = r.TLS.VerifiedChains[0][0]
+		facts.ClientCert = r.TLS.VerifiedChains[0][0]
 	}
 	if id, known := pumicecroft.IdentityFrom(r.Context()); known { // the host knows
-		p.Who = identity.Who{Customer: id.Customer, Plan: id.Plan, Rule: "host"}
-	} else if p.Who, p.Err = rules.Who.Resolve(&facts); p.Err != nil {
+		p.Caller = identity.Caller{Customer: id.Customer, Plan: id.Plan, Rule: "host"}
+	} else if p.Caller, p.Err = rules.Resolver.Resolve(&facts); p.Err != nil {
 		return p, from
 	}
-	keys := h[f.config.KeyIn]
+	keys := h[f.config.IdempotencyKeyHeader]
 	if len(keys) > 1 {
-		p.Err = fmt.Errorf("%w: %s is there twice", errShape, f.config.KeyIn)
+		p.Err = fmt.Errorf("%w: %s is there twice", errMalformedRequest, f.config.IdempotencyKeyHeader)
 		return p, from
 	}
 	key := len(keys) == 1 && keys[0] != ""
-	if p.Effect = http1proxy.Effect(r.Method, key, to.Class.Keyed != ""); to.Effect != nil {
-		p.Effect = *to.Effect
+	if p.Idempotency = http1proxy.MethodIdempotency(r.Method, key, to.Class.IdempotentByKey != ""); to.Idempotency != nil {
+		p.Idempotency = *to.Idempotency
 	}
-	p.Class = to.Class.of(p.Effect)
+	p.Class = to.Class.forIdempotency(p.Idempotency)
 	if c := f.classes[p.Class]; c.Idempotency == decision.IdempotentByKey && !key {
-		if to.Class.Unsafe == "" {
-			p.Err = fmt.Errorf("%w: %s is missing", errShape, f.config.KeyIn)
+		if to.Class.NonIdempotent == "" {
+			p.Err = fmt.Errorf("%w: %s is missing", errMalformedRequest, f.config.IdempotencyKeyHeader)
 			return p, from
 		}
-		p.Class = to.Class.Unsafe
+		p.Class = to.Class.NonIdempotent
 	}
-	p.Effect = f.classes[p.Class].Idempotency
-	from = http1proxy.Origin{Host: r.Host, TLS: r.TLS != nil, Trusted: rules.Who.Trusts(facts.Peer), Proto: "1.1"}
-	if facts.Peer.IsValid() {
-		from.Addr = facts.Peer.String()
+	p.Idempotency = f.classes[p.Class].Idempotency
+	from = http1proxy.Origin{Host: r.Host, TLS: r.TLS != nil, TrustedPeer: rules.Resolver.IsTrusted(facts.PeerAddr), Proto: "1.1"}
+	if facts.PeerAddr.IsValid() {
+		from.Addr = facts.PeerAddr.String()
 	} else {
 		from.Addr = "unknown"
 	}
@@ -135,20 +135,20 @@
 	return p, from
 }
 
-// Or is a handler for hosts with routes of their own: what no route of the Front takes goes to next, untouched; all else is the Front's, refusals
+// WithFallback is a handler for hosts with routes of their own: what no route of the Front takes goes to next, untouched; all else is the Front's, refusals
 // among it.
-func (f *Front) Or(next http.Handler) http.Handler {
+func (f *Proxy) WithFallback(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { f.serve(w, r, next) })
 }
 
 // ServeHTTP gives a request its one final answer. One that is cut when it has begun ends its connection (http.ErrAbortHandler).
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.serve(w, r, nil) }
+func (f *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.serve(w, r, nil) }
 
-func (f *Front) serve(w http.ResponseWriter, r *http.Request, next http.Handler) {
+func (f *Proxy) serve(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	arrived := time.Now()
 	rules := f.rules.Load()
-	p, from := f.settle(rules, r, arrived)
-	if next != nil && (errors.Is(p.Err, routes.ErrNone) || errors.Is(p.Err, routes.ErrMethod)) {
+	p, from := f.resolve(rules, r, arrived)
+	if next != nil && (errors.Is(p.Err, routes.ErrNoRoute) || errors.Is(p.Err, routes.ErrMethodNotAllowed)) {
 		next.ServeHTTP(w, r)
 		return
 	}
@@ -158,142 +158,142 @@
 		w.Header()["Connection"] = []string{"close"}
 	}
 	if p.Err != nil {
-		f.refuse(w, r, &p, p.Err)
+		f.writeProblem(w, r, &p, p.Err)
 		return
 	}
-	load, req, err := f.load(rules, &p, r, from)
+	load, req, err := f.newBackendRequest(rules, &p, r, from)
 	if err != nil {
-		f.refuse(w, r, &p, err)
+		f.writeProblem(w, r, &p, err)
 		return
 	}
-	most := p.Rule.To.MaxBody
+	most := p.Rule.Target.MaxBodyBytes
 	if most == 0 {
-		most = usualBody
+		most = defaultMaxBodyBytes
 	}
 	body, held, err := f.readBody(w, r, most)
-	defer f.bodies.Add(-held)
+	defer f.bodyMemoryUsed.Add(-held)
 	if err != nil {
-		f.refuse(w, r, &p, err)
+		f.writeProblem(w, r, &p, err)
 		return
 	}
 	load.Body = body
 	if len(r.Trailer) > 0 {
-		load.Trailer = http1proxy.Trailers(r.Trailer)
+		load.Trailer = http1proxy.ForwardableTrailer(r.Trailer)
 	}
-	if err := load.Check(); err != nil {
-		f.refuse(w, r, &p, err)
+	if err := load.Validate(); err != nil {
+		f.writeProblem(w, r, &p, err)
 		return
 	}
 	req.Timeout = max(1, req.Timeout-time.Since(arrived)) // what reading took is the client's time too
-	var out *sink
-	if req.IdempotencyKey != "" && f.door.IdempotencyEnabled() && p.Effect != decision.Idempotent {
-		load.MostWhole = f.config.MostKeyed
+	var out *responseSink
+	if req.IdempotencyKey != "" && f.gateway.IdempotencyEnabled() && p.Idempotency != decision.Idempotent {
+		load.MaxResponseBytes = f.config.MaxIdempotentResponseBytes
 		load.Digest = [][]byte{[]byte(load.Method), []byte(load.Host), []byte(load.Target), []byte(strings.Join(r.Header["Content-Type"], ",")), body}
 	} else {
-		out = &sink{w: w, old: !r.ProtoAtLeast(1, 1)}
+		out = &responseSink{w: w, http10: !r.ProtoAtLeast(1, 1)}
 		load.Sink = out
 		defer out.close()
 	}
-	reply, err := f.door.Forward(r.Context(), req, load)
-	answer, _ := reply.(*httpproxytransport.Answer)
+	reply, err := f.gateway.Forward(r.Context(), req, load)
+	answer, _ := reply.(*httpproxytransport.Response)
 	switch {
-	case out != nil && out.began():
-		if !out.whole() { // it was cut: the client must see that
-			_ = out.Write(nil, true) // what there is of it
+	case out != nil && out.hasStarted():
+		if !out.isComplete() { // it was cut: the client must see that
+			_ = out.WriteBody(nil, true) // what there is of it
 			out.close()
 			panic(http.ErrAbortHandler)
 		}
 	case answer != nil && (err == nil || errors.Is(err, pumicecroft.ErrFailed)): // a backend's own error too
-		write(w, answer)
-	case err != nil && load.Last() != nil && errors.Is(err, pumicecroft.ErrRejected): // a backend's own word, that the door has nothing better for
-		a := load.Last()
+		writeResponse(w, answer)
+	case err != nil && load.LastErrorResponse() != nil && errors.Is(err, pumicecroft.ErrRejected): // a backend's own word, that the door has nothing better for
+		a := load.LastErrorResponse()
 		if refused, ok := errors.AsType[*pumicecroft.RejectedError](err); ok && (a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests) {
-			f.advise(w.Header(), refused.RetryAfter) // the backend's own advice takes its place
+			f.setRetryAfter(w.Header(), refused.RetryAfter) // the backend's own advice takes its place
 		}
-		write(w, a)
+		writeResponse(w, a)
 	case errors.Is(err, context.DeadlineExceeded) && r.Context().Err() != nil:
 		pumicecroft.WriteGatewayTimeout(w) // the host's time-out
 	default:
-		f.refuse(w, r, &p, err)
+		f.writeProblem(w, r, &p, err)
 	}
 }
 
-// load makes what goes on, short of its body, and what the Door is told of it.
-func (f *Front) load(rules *compiled, p *Plan, r *http.Request, from http1proxy.Origin) (*httpproxytransport.Request, pumicecroft.Request, error) {
-	to := p.Rule.To
+// newBackendRequest makes what goes on, short of its body, and what the Door is told of it.
+func (f *Proxy) newBackendRequest(rules *compiledRules, p *ResolvedRequest, r *http.Request, from http1proxy.Origin) (*httpproxytransport.Request, pumicecroft.Request, error) {
+	to := p.Rule.Target
 	class := f.classes[p.Class]
-	req := pumicecroft.Request{Class: p.Class, Plan: p.Who.Plan, Customer: p.Who.Customer, Cost: to.Units, Timeout: class.Deadline}
+	req := pumicecroft.Request{Class: p.Class, Plan: p.Caller.Plan, Customer: p.Caller.Customer, Cost: to.Cost, Timeout: class.Deadline}
 	if to.Timeout > 0 {
 		req.Timeout = min(req.Timeout, to.Timeout)
 	}
 	bad := func(name string) (*httpproxytransport.Request, pumicecroft.Request, error) {
-		return nil, req, fmt.Errorf("%w: %s", errShape, name)
+		return nil, req, fmt.Errorf("%w: %s", errMalformedRequest, name)
 	}
 	h := r.Header
-	if f.config.TimeoutIn != "" && (len(h[f.config.TimeoutIn]) > 0 || f.config.Strict) {
-		d, ok := timeout(h[f.config.TimeoutIn])
+	if f.config.TimeoutHeader != "" && (len(h[f.config.TimeoutHeader]) > 0 || f.config.Strict) {
+		d, ok := parseTimeout(h[f.config.TimeoutHeader])
 		if !ok {
-			return bad(f.config.TimeoutIn)
+			return bad(f.config.TimeoutHeader)
 		}
 		req.Timeout = min(req.Timeout, d)
 	}
-	if p.Who.Units == "" && p.Who.Trusted && f.config.Strict {
+	if p.Caller.DeclaredCost == "" && p.Caller.TrustedPeer && f.config.Strict {
 		return bad("units")
 	}
-	if p.Who.Units != "" {
-		if strings.Contains(p.Who.Units, "=") {
-			t, ok := requestmeta.Parse(p.Who.Units, &f.set)
+	if p.Caller.DeclaredCost != "" {
+		if strings.Contains(p.Caller.DeclaredCost, "=") {
+			t, ok := requestmeta.Parse(p.Caller.DeclaredCost, &f.settings)
 			if !ok {
 				return bad("terms")
 			}
 			req.Cost, req.GatewaySpread, req.FirstGateway = t.Units, t.Spread, t.First
 		} else {
-			u, err := strconv.ParseFloat(p.Who.Units, 64)
+			u, err := strconv.ParseFloat(p.Caller.DeclaredCost, 64)
 			if err != nil || !(u > 0) || math.IsInf(u, 0) {
 				return bad("units")
 			}
 			req.Cost = u
 		}
 	}
-	if keys := h[f.config.KeyIn]; len(keys) == 1 {
+	if keys := h[f.config.IdempotencyKeyHeader]; len(keys) == 1 {
 		req.IdempotencyKey = keys[0]
 	}
 	var add []string
-	switch ids := h[f.config.IDIn]; {
+	switch ids := h[f.config.RequestIDHeader]; {
 	case f.config.Strict:
 		if len(ids) != 1 {
-			return bad(f.config.IDIn)
+			return bad(f.config.RequestIDHeader)
 		}
 		id, err := requestmeta.Hex(ids[0])
 		if err != nil {
-			return bad(f.config.IDIn)
+			return bad(f.config.RequestIDHeader)
 		}
 		req = req.WithID(id)
 	case len(ids) == 0:
 		id := rand.Uint64()
 		req = req.WithID(id)
-		add = []string{f.config.IDIn, hex16(id)}
+		add = []string{f.config.RequestIDHeader, formatRequestID(id)}
 	}
 	load := &httpproxytransport.Request{Service: to.Service, Statuses: &to.Statuses}
-	load.Method, load.Target, load.Host, load.LeftIn = r.Method, p.Target, r.Host, f.config.LeftIn
-	if load.LeftIn != "" {
-		h = without(h, load.LeftIn)
+	load.Method, load.Target, load.Host, load.RemainingTimeoutHeader = r.Method, p.Target, r.Host, f.config.RemainingTimeoutHeader
+	if load.RemainingTimeoutHeader != "" {
+		h = withoutHeader(h, load.RemainingTimeoutHeader)
 	}
 	if load.Host == "" {
 		load.Host = to.Service // HTTP/1.0
 	}
 	var err error
-	load.Fields, err = rules.onward.Append(make([]byte, 0, 512), h, from, add...)
+	load.HeaderBlock, err = rules.headers.Append(make([]byte, 0, 512), h, from, add...)
 	return load, req, err
 }
 
-// hex16 writes 16 hex digits.
-func hex16(id uint64) string {
+// formatRequestID writes 16 hex digits.
+func formatRequestID(id uint64) string {
 	s := strconv.FormatUint(id, 16)
 	return "0000000000000000"[len(s):] + s
 }
 
-func without(h http.Header, name string) http.Header {
+func withoutHeader(h http.Header, name string) http.Header {
 	if _, there := h[name]; !there {
 		return h
 	}
@@ -302,8 +302,8 @@
 	return h
 }
 
-// timeout reads how long a client waits.
-func timeout(values []string) (time.Duration, bool) {
+// parseTimeout reads how long a client waits.
+func parseTimeout(values []string) (time.Duration, bool) {
 	if len(values) != 1 {
 		return 0, false
 	}
@@ -315,26 +315,26 @@
 }
 
 var (
-	errCutBody  = fmt.Errorf("%w: the body is not whole", errShape)
-	errSlowBody = errors.New("the body did not come in its time")
-	errLarge    = errors.New("the body is larger than the route takes")
-	errMemory   = errors.New("there is no room for the body now")
+	errTruncatedBody   = fmt.Errorf("%w: the body is not whole", errMalformedRequest)
+	errBodyReadTimeout = errors.New("the body did not come in its time")
+	errBodyTooLarge    = errors.New("the body is larger than the route takes")
+	errNoBodyMemory    = errors.New("there is no room for the body now")
 )
 
 // readBody reads a body whole, within its time and with room of Config.BodyMemory. held is to be given back.
-func (f *Front) readBody(w http.ResponseWriter, r *http.Request, most int64) (body []byte, held int64, err error) {
+func (f *Proxy) readBody(w http.ResponseWriter, r *http.Request, most int64) (body []byte, held int64, err error) {
 	if r.ContentLength > most {
-		return nil, 0, errLarge
+		return nil, 0, errBodyTooLarge
 	}
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return nil, 0, nil
 	}
 	hold := func(n int64) bool {
 		held += n
-		return f.bodies.Add(n) <= f.config.BodyMemory
+		return f.bodyMemoryUsed.Add(n) <= f.config.MaxBodyMemory
 	}
 	control := http.NewResponseController(w)
-	timed := control.SetReadDeadline(time.Now().Add(f.config.BodyTimeout)) == nil
+	timed := control.SetReadDeadline(time.Now().Add(f.config.BodyReadTimeout)) == nil
 	room := int64(4 << 10)
 	if r.ContentLength > 0 {
 		room = r.ContentLength
@@ -343,7 +343,7 @@
 		if len(body) == cap(body) && int64(len(body)) != r.ContentLength {
 			room = min(max(room, int64(len(body))), most+1-int64(len(body)))
 			if !hold(room) {
-				return nil, held, errMemory
+				return nil, held, errNoBodyMemory
 			}
 			body = append(make([]byte, 0, int64(len(body))+room), body...)
 		}
@@ -354,7 +354,7 @@
 		var n int
 		n, err = r.Body.Read(into)
 		if body = body[:min(len(body)+n, cap(body))]; int64(len(body)) > most {
-			return nil, held, errLarge
+			return nil, held, errBodyTooLarge
 		}
 	}
 	if err == io.EOF && (r.ContentLength < 0 || int64(len(body)) == r.ContentLength) {
@@ -365,9 +365,9 @@
 			error
 			Timeout() bool
 		}](err); ok && t.Timeout() {
-			return nil, held, errSlowBody
+			return nil, held, errBodyReadTimeout
 		}
-		return nil, held, fmt.Errorf("%w: %w", errCutBody, err)
+		return nil, held, fmt.Errorf("%w: %w", errTruncatedBody, err)
 	}
 	if timed {
 		_ = control.SetReadDeadline(time.Time{})
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -24,8 +24,8 @@
 	"pumicecroft/internal/testcerts"
 )
 
-// listenTLS serves a rig's front as the daemon does, by the [tls] of its file.
-func listenTLS(t testing.TB, r *rig) (addr string, store *certs.Store) {
+// startTLSListener serves a rig's front as the daemon does, by the [tls] of its file.
+func startTLSListener(t testing.TB, r *fixture) (addr string, store *certs.Store) {
 	t.Helper()
 	config, store, err := httpproxyconfig.Listener(&r.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -38,7 +38,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- httplistener.NewServer(r.front, 2000, 5*time.Second, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
+		ended <- httplistener.NewServer(r.proxy, 2000, 5*time.Second, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -49,27 +49,27 @@
 	return ln.Addr().String(), store
 }
 
-func client(a *testcerts.Authority, name string, h2 bool, own ...tls.Certificate) *http.Client {
+func newTLSClient(a *testcerts.Authority, name string, h2 bool, own ...tls.Certificate) *http.Client {
 	return &http.Client{Transport: &http.Transport{ForceAttemptHTTP2: h2, MaxIdleConnsPerHost: 2000, TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: name, Certificates: own}}}
 }
 
 // A certificate is put in place of another 100 times, some of them bad, while 1,000 requests at a time are in flight: none fails, and the new one is
 // what new connections see.
-func TestCertificatesSwappedUnderLoad(t *testing.T) {
+func TestCertificateReloadUnderLoad(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
 	cert, key := a.Pair(nil, "shop.example", "*.wild.example")
 	path := testcerts.Write(t, dir, map[string][]byte{"c": cert, "k": key})
 	held, goOn := make(chan bool, 1000), make(chan bool)
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/held" {
 			held <- true
 			<-goOn
 		}
 		io.WriteString(w, r.Proto)
 	}), nil)
-	r := start(t, service("shop", backend)+"backend_connections = 2000\nconnect_timeout = \"20s\"\ndeadline = \"1h\"\naim = \"1h\"\n"+fmt.Sprintf("[tls]\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("c"), path("k")))
-	addr, store := listenTLS(t, r)
+	r := startProxy(t, serviceSection("shop", backend)+"backend_connections = 2000\nconnect_timeout = \"20s\"\ndeadline = \"1h\"\naim = \"1h\"\n"+fmt.Sprintf("[tls]\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("c"), path("k")))
+	addr, store := startTLSListener(t, r)
 	get := func(c *http.Client, path string) error {
 		res, err := c.Get("https://" + addr + path)
 		if err != nil {
@@ -81,7 +81,7 @@
 		}
 		return nil
 	}
-	waiting := client(a, "shop.example", true)
+	waiting := newTLSClient(a, "shop.example", true)
 	defer waiting.CloseIdleConnections()
 	var ran sync.WaitGroup
 	var failed atomic.Int64
@@ -98,7 +98,7 @@
 	for range 1000 {
 		select {
 		case <-held:
-		case <-time.After(3 * patience):
+		case <-time.After(3 * testTimeout):
 			close(goOn)
 			ran.Wait()
 			t.Fatalf("not all came: %d failed, first: %v", failed.Load(), first.Load())
@@ -109,7 +109,7 @@
 	for i := range 4 {
 		ran.Go(func() {
 			for ctx.Err() == nil {
-				c := client(a, []string{"shop.example", "x.wild.example"}[i%2], i < 2)
+				c := newTLSClient(a, []string{"shop.example", "x.wild.example"}[i%2], i < 2)
 				fail(get(c, "/"))
 				fail(get(c, "/"))
 				c.CloseIdleConnections()
@@ -168,7 +168,7 @@
 	own, ownKey := a.Pair(nil, "door.example")
 	path := testcerts.Write(t, t.TempDir(), map[string][]byte{"ca": a.PEM, "other": other.PEM, "c": own, "k": ownKey})
 	var resumed, came atomic.Int64
-	backend := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		came.Add(1)
 		if r.TLS.DidResume {
 			resumed.Add(1)
@@ -193,7 +193,7 @@
 		"without a certificate": {fmt.Sprintf("ca_file = %q\n", path("ca")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := start(t, service("shop", backend)+"[service.tls]\n"+c.text)
+			r := startProxy(t, serviceSection("shop", backend)+"[service.tls]\n"+c.text)
 			before := came.Load()
 			for range 3 {
 				res, err := http.Get("http://" + r.addr + "/")
@@ -221,8 +221,8 @@
 	a, other := testcerts.New(t), testcerts.New(t)
 	cert, key := a.Pair(nil, "shop.example")
 	path := testcerts.Write(t, t.TempDir(), map[string][]byte{"c": cert, "k": key, "ca": a.PEM})
-	backend := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), nil)
-	r := start(t, service("shop", backend)+fmt.Sprintf("[tls]\nclient_ca_file = %q\nclient_auth = \"ask\"\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("ca"), path("c"), path("k"))+`
+	backend := startServer(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), nil)
+	r := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("[tls]\nclient_ca_file = %q\nclient_auth = \"ask\"\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("ca"), path("c"), path("k"))+`
 [[identity]]
 kind = "certificate"
 customer = "uri"
@@ -230,7 +230,7 @@
 [[plan]]
 name = "p"
 `)
-	addr, _ := listenTLS(t, r)
+	addr, _ := startTLSListener(t, r)
 	load := func(a *testcerts.Authority, names ...string) tls.Certificate {
 		c, err := tls.X509KeyPair(a.Pair(nil, names...))
 		if err != nil {
@@ -249,7 +249,7 @@
 		"another authority's": {[]tls.Certificate{load(other, "d", "spiffe://x/desk")}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hc := client(a, "shop.example", false, c.own...)
+			hc := newTLSClient(a, "shop.example", false, c.own...)
 			defer hc.CloseIdleConnections()
 			res, err := hc.Get("https://" + addr + "/")
 			if err != nil || c.status == 0 {
--- a/identity/keys.go
+++ b/identity/apikey.go
@@ -75,20 +75,20 @@
 	return out, nil
 }
 
-// APIKey is a Rule for keys of a file.
-type APIKey struct {
-	Field  string // canonical
-	Scheme string // such as "Bearer", before the key; empty: the field is the key
-	by     map[uint64][]Key
-	plans  []string
+// APIKeyRule is a Rule for keys of a file.
+type APIKeyRule struct {
+	Header       string // canonical
+	Scheme       string // such as "Bearer", before the key; empty: the field is the key
+	byHashPrefix map[uint64][]Key
+	plans        []string
 }
 
-// NewAPIKey makes one of keys.
-func NewAPIKey(field, scheme string, keys []Key) *APIKey {
-	r := &APIKey{Field: field, Scheme: scheme, by: make(map[uint64][]Key, len(keys))}
+// NewAPIKeyRule makes one of keys.
+func NewAPIKeyRule(field, scheme string, keys []Key) *APIKeyRule {
+	r := &APIKeyRule{Header: field, Scheme: scheme, byHashPrefix: make(map[uint64][]Key, len(keys))}
 	for _, k := range keys {
 		at := binary.BigEndian.Uint64(k.Hash[:8])
-		r.by[at] = append(r.by[at], k)
+		r.byHashPrefix[at] = append(r.byHashPrefix[at], k)
 		if !contains(r.plans, k.Plan) {
 			r.plans = append(r.plans, k.Plan)
 		}
@@ -98,36 +98,36 @@
 
 var errUnknownKey = errors.New("the key is not known")
 
-// Find looks a key up by its hash, which tells who asks nothing about the keys that there are; the whole of it is compared in constant time.
-func (r *APIKey) Find(f *Facts) (Who, bool, error) {
-	v, there, err := one(f.Header, r.Field)
+// Identify looks a key up by its hash, which tells who asks nothing about the keys that there are; the whole of it is compared in constant time.
+func (r *APIKeyRule) Identify(f *Request) (Caller, bool, error) {
+	v, there, err := singleValue(f.Header, r.Header)
 	if !there || err != nil {
-		return Who{}, there, err
+		return Caller{}, there, err
 	}
-	key, mine := token(v, r.Scheme)
+	key, mine := cutScheme(v, r.Scheme)
 	if !mine {
 		if r.Scheme != "" {
-			return Who{}, false, nil
+			return Caller{}, false, nil
 		}
-		return Who{}, true, errUnknownKey
+		return Caller{}, true, errUnknownKey
 	}
 	sum := sha256.Sum256([]byte(key))
 	found := -1
-	list := r.by[binary.BigEndian.Uint64(sum[:8])]
+	list := r.byHashPrefix[binary.BigEndian.Uint64(sum[:8])]
 	for i := range list {
 		if subtle.ConstantTimeCompare(list[i].Hash[:], sum[:]) == 1 {
 			found = i
 		}
 	}
 	if found < 0 {
-		return Who{}, true, errUnknownKey
+		return Caller{}, true, errUnknownKey
 	}
 	k := &list[found]
-	return Who{Customer: number("key", k.Customer), Name: k.Customer, Plan: k.Plan}, true, nil
+	return Caller{Customer: customerID("key", k.Customer), Name: k.Customer, Plan: k.Plan}, true, nil
 }
 
-// Fields is the key's.
-func (r *APIKey) Fields() []string { return []string{r.Field} }
+// HeaderNames is the key's.
+func (r *APIKeyRule) HeaderNames() []string { return []string{r.Header} }
 
 // Plans are those of the keys.
-func (r *APIKey) Plans() []string { return r.plans }
+func (r *APIKeyRule) Plans() []string { return r.plans }
--- a/identity/identity.go
+++ b/identity/identity.go
@@ -20,68 +20,68 @@
 	"pumicecroft/internal/requestmeta"
 )
 
-// Facts are what is known of a request.
-type Facts struct {
-	Header map[string][]string // canonical names
-	Peer   netip.Addr          // whose connection it came on
-	Client netip.Addr          // whom a trusted peer speaks for: see Resolver.Client; else the peer
-	Cert   *x509.Certificate   // the client's, verified; nil: none
-	Now    time.Time
+// Request are what is known of a request.
+type Request struct {
+	Header     map[string][]string // canonical names
+	PeerAddr   netip.Addr          // whose connection it came on
+	ClientAddr netip.Addr          // whom a trusted peer speaks for: see Resolver.Client; else the peer
+	ClientCert *x509.Certificate   // the client's, verified; nil: none
+	Now        time.Time
 }
 
-// Who is who asks.
-type Who struct {
-	Customer uint64
-	Name     string // the customer's, for people; of a credential that is a secret it is what the rule's file calls it
-	Plan     string
-	Rule     string // that decided
-	Trusted  bool   // the peer is one that may speak for others
-	Units    string // what a trusted peer says of the request's cost: see Asserted
+// Caller is who asks.
+type Caller struct {
+	Customer     uint64
+	Name         string // the customer's, for people; of a credential that is a secret it is what the rule's file calls it
+	Plan         string
+	Rule         string // that decided
+	TrustedPeer  bool   // the peer is one that may speak for others
+	DeclaredCost string // what a trusted peer says of the request's cost: see Asserted
 }
 
 // Errors of Resolve. Test with errors.Is.
 var (
-	// ErrNone: no rule finds its credential.
-	ErrNone = errors.New("nothing says who asks")
-	// ErrBad: a credential that is not good. What is wrong with it does not hold anything of the credential.
-	ErrBad = errors.New("a credential that is not good")
+	// ErrNoCredential: no rule finds its credential.
+	ErrNoCredential = errors.New("nothing says who asks")
+	// ErrInvalidCredential: a credential that is not good. What is wrong with it does not hold anything of the credential.
+	ErrInvalidCredential = errors.New("a credential that is not good")
 )
 
 // Rule finds one sort of credential.
 type Rule interface {
-	// Find tells who asks; there is whether the credential was there at all. An error is an ErrBad.
-	Find(f *Facts) (w Who, there bool, err error)
-	// Fields are the fields that it reads.
-	Fields() []string
+	// Identify tells who asks; there is whether the credential was there at all. An error is an ErrBad.
+	Identify(f *Request) (w Caller, there bool, err error)
+	// HeaderNames are the fields that it reads.
+	HeaderNames() []string
 	// Plans are the plans that it may give.
 	Plans() []string
 }
 
-// Named is a Rule with the name that people know it by.
-type Named struct {
+// NamedRule is a Rule with the name that people know it by.
+type NamedRule struct {
 	Name string
 	Rule
 }
 
 // Resolver is an installation's rules.
 type Resolver struct {
-	rules   []Named
+	rules   []NamedRule
 	trusted []netip.Prefix
 }
 
 // New makes one of rules, in their order. trusted are peers that may speak for others.
-func New(trusted []netip.Prefix, rules ...Named) *Resolver {
+func New(trusted []netip.Prefix, rules ...NamedRule) *Resolver {
 	return &Resolver{rules: rules, trusted: trusted}
 }
 
-// Trusts tells whether a peer may speak for others.
-func (r *Resolver) Trusts(peer netip.Addr) bool { return within(r.trusted, peer) }
+// IsTrusted tells whether a peer may speak for others.
+func (r *Resolver) IsTrusted(peer netip.Addr) bool { return containsAddr(r.trusted, peer) }
 
-// Client is the address that a request came from: the peer's, or where the peer is trusted the last one in X-Forwarded-For that is not.
-func (r *Resolver) Client(peer netip.Addr, h map[string][]string) netip.Addr {
+// ClientAddr is the address that a request came from: the peer's, or where the peer is trusted the last one in X-Forwarded-For that is not.
+func (r *Resolver) ClientAddr(peer netip.Addr, h map[string][]string) netip.Addr {
 	chain := h["X-Forwarded-For"]
 	for at := peer; ; {
-		if !r.Trusts(at) {
+		if !r.IsTrusted(at) {
 			return at
 		}
 		last := ""
@@ -105,7 +105,7 @@
 	}
 }
 
-func within(prefixes []netip.Prefix, a netip.Addr) bool {
+func containsAddr(prefixes []netip.Prefix, a netip.Addr) bool {
 	a = a.Unmap()
 	for _, p := range prefixes {
 		if p.Contains(a) {
@@ -116,40 +116,40 @@
 }
 
 // Resolve tells who asks. The error is an ErrNone or ErrBad.
-func (r *Resolver) Resolve(f *Facts) (Who, error) {
+func (r *Resolver) Resolve(f *Request) (Caller, error) {
 	for _, rule := range r.rules {
-		w, there, err := rule.Find(f)
+		w, there, err := rule.Identify(f)
 		if !there && err == nil {
 			continue
 		}
 		if err != nil {
-			return Who{}, fmt.Errorf("%w: %s: %w", ErrBad, rule.Name, err)
+			return Caller{}, fmt.Errorf("%w: %s: %w", ErrInvalidCredential, rule.Name, err)
 		}
-		w.Rule, w.Trusted = rule.Name, r.Trusts(f.Peer)
+		w.Rule, w.TrustedPeer = rule.Name, r.IsTrusted(f.PeerAddr)
 		return w, nil
 	}
-	return Who{}, ErrNone
+	return Caller{}, ErrNoCredential
 }
 
-// Asserted are the fields by which peers speak for others: of one that is not trusted they must not go on.
-func (r *Resolver) Asserted() (out []string) {
+// AssertedHeaders are the fields by which peers speak for others: of one that is not trusted they must not go on.
+func (r *Resolver) AssertedHeaders() (out []string) {
 	for _, rule := range r.rules {
-		if a, ok := rule.Rule.(*Asserted); ok {
-			out = append(out, a.Fields()...)
+		if a, ok := rule.Rule.(*AssertedRule); ok {
+			out = append(out, a.HeaderNames()...)
 		}
 	}
 	return out
 }
 
-// number makes a customer's number of a name. The kind keeps an address from being a key's owner. All doors make the same of it.
-func number(kind, name string) uint64 {
+// customerID makes a customer's number of a name. The kind keeps an address from being a key's owner. All doors make the same of it.
+func customerID(kind, name string) uint64 {
 	var room [128]byte
 	sum := sha256.Sum256(append(append(append(room[:0], kind...), 0), name...))
 	return binary.BigEndian.Uint64(sum[:8])
 }
 
-// one gives a field's value that may be there once only, as two could be read in two ways, here and behind us.
-func one(h map[string][]string, name string) (v string, there bool, err error) {
+// singleValue gives a field's value that may be there once only, as two could be read in two ways, here and behind us.
+func singleValue(h map[string][]string, name string) (v string, there bool, err error) {
 	switch vs := h[name]; len(vs) {
 	case 0:
 		return "", false, nil
@@ -159,8 +159,8 @@
 	return "", true, fmt.Errorf("%s is there twice", name)
 }
 
-// token takes a scheme such as "Bearer" off a field's value; one of another scheme is another rule's business.
-func token(v, scheme string) (string, bool) {
+// cutScheme takes a scheme such as "Bearer" off a field's value; one of another scheme is another rule's business.
+func cutScheme(v, scheme string) (string, bool) {
 	if scheme == "" {
 		return v, v != ""
 	}
@@ -169,94 +169,94 @@
 	return rest, ok && rest != "" && strings.EqualFold(head, scheme)
 }
 
-// Address is a Rule for whoever has an address: the last one.
-type Address struct {
+// AddressRule is a Rule for whoever has an address: the last one.
+type AddressRule struct {
 	Plan string
-	// V6 are the bits of an IPv6 address that count, as one customer has a whole prefix; 0: 64.
-	V6 int
+	// IPv6PrefixBits are the bits of an IPv6 address that count, as one customer has a whole prefix; 0: 64.
+	IPv6PrefixBits int
 }
 
-// Find gives a customer by its address.
-func (r *Address) Find(f *Facts) (Who, bool, error) {
-	a := f.Client.Unmap().WithZone("")
+// Identify gives a customer by its address.
+func (r *AddressRule) Identify(f *Request) (Caller, bool, error) {
+	a := f.ClientAddr.Unmap().WithZone("")
 	if !a.IsValid() {
-		return Who{}, false, nil
+		return Caller{}, false, nil
 	}
 	bits := a.BitLen()
 	if a.Is6() {
-		if bits = r.V6; bits == 0 {
+		if bits = r.IPv6PrefixBits; bits == 0 {
 			bits = 64
 		}
 	}
 	p, err := a.Prefix(bits)
 	if err != nil {
-		return Who{}, true, err
+		return Caller{}, true, err
 	}
 	name := p.String()
-	return Who{Customer: number("address", name), Name: name, Plan: r.Plan}, true, nil
+	return Caller{Customer: customerID("address", name), Name: name, Plan: r.Plan}, true, nil
 }
 
-// Fields are none.
-func (r *Address) Fields() []string { return nil }
+// HeaderNames are none.
+func (r *AddressRule) HeaderNames() []string { return nil }
 
 // Plans is the one.
-func (r *Address) Plans() []string { return []string{r.Plan} }
+func (r *AddressRule) Plans() []string { return []string{r.Plan} }
 
-// Asserted is a Rule for fields that a trusted peer sets. Of any other peer they are not looked at.
-type Asserted struct {
-	Customer string // the field's name, canonical
-	// PlanIn is the field that names the plan, and Plan the one where it is empty or not there.
-	PlanIn, Plan string
-	Known        []string // plans that it may name
-	UnitsIn      string   // the field that tells what the request costs; empty: none
-	Hex          bool     // customers are numbers of 16 hex digits, as the platform has them
-	Trusted      []netip.Prefix
+// AssertedRule is a Rule for fields that a trusted peer sets. Of any other peer they are not looked at.
+type AssertedRule struct {
+	CustomerHeader string // the field's name, canonical
+	// PlanHeader is the field that names the plan, and Plan the one where it is empty or not there.
+	PlanHeader, DefaultPlan string
+	AllowedPlans            []string // plans that it may name
+	CostHeader              string   // the field that tells what the request costs; empty: none
+	HexCustomers            bool     // customers are numbers of 16 hex digits, as the platform has them
+	TrustedPeers            []netip.Prefix
 }
 
-// Find takes the peer's word.
-func (r *Asserted) Find(f *Facts) (Who, bool, error) {
-	if !within(r.Trusted, f.Peer) {
-		return Who{}, false, nil
+// Identify takes the peer's word.
+func (r *AssertedRule) Identify(f *Request) (Caller, bool, error) {
+	if !containsAddr(r.TrustedPeers, f.PeerAddr) {
+		return Caller{}, false, nil
 	}
-	name, there, err := one(f.Header, r.Customer)
+	name, there, err := singleValue(f.Header, r.CustomerHeader)
 	if !there || err != nil {
-		return Who{}, there, err
+		return Caller{}, there, err
 	}
-	w := Who{Name: name, Plan: r.Plan}
+	w := Caller{Name: name, Plan: r.DefaultPlan}
 	switch {
-	case r.Hex:
+	case r.HexCustomers:
 		if w.Customer, err = requestmeta.Customer(name); err != nil {
-			return Who{}, true, fmt.Errorf("%s is no customer's number", r.Customer)
+			return Caller{}, true, fmt.Errorf("%s is no customer's number", r.CustomerHeader)
 		}
 	case name == "":
-		return Who{}, true, fmt.Errorf("%s is empty", r.Customer)
+		return Caller{}, true, fmt.Errorf("%s is empty", r.CustomerHeader)
 	default:
-		w.Customer = number("asserted", name)
+		w.Customer = customerID("asserted", name)
 	}
-	if r.PlanIn != "" {
-		plan, there, err := one(f.Header, r.PlanIn)
+	if r.PlanHeader != "" {
+		plan, there, err := singleValue(f.Header, r.PlanHeader)
 		switch {
 		case err != nil:
-			return Who{}, true, err
+			return Caller{}, true, err
 		case there && plan != "":
-			if w.Plan = plan; !contains(r.Known, plan) {
-				return Who{}, true, fmt.Errorf("%s names no plan", r.PlanIn)
+			if w.Plan = plan; !contains(r.AllowedPlans, plan) {
+				return Caller{}, true, fmt.Errorf("%s names no plan", r.PlanHeader)
 			}
 		case w.Plan == "":
-			return Who{}, true, fmt.Errorf("%s is missing", r.PlanIn)
+			return Caller{}, true, fmt.Errorf("%s is missing", r.PlanHeader)
 		}
 	}
-	if r.UnitsIn != "" {
-		if w.Units, _, err = one(f.Header, r.UnitsIn); err != nil {
-			return Who{}, true, err
+	if r.CostHeader != "" {
+		if w.DeclaredCost, _, err = singleValue(f.Header, r.CostHeader); err != nil {
+			return Caller{}, true, err
 		}
 	}
 	return w, true, nil
 }
 
-// Fields are those it reads.
-func (r *Asserted) Fields() (out []string) {
-	for _, f := range []string{r.Customer, r.PlanIn, r.UnitsIn} {
+// HeaderNames are those it reads.
+func (r *AssertedRule) HeaderNames() (out []string) {
+	for _, f := range []string{r.CustomerHeader, r.PlanHeader, r.CostHeader} {
 		if f != "" {
 			out = append(out, f)
 		}
@@ -265,11 +265,11 @@
 }
 
 // Plans are all that it may name.
-func (r *Asserted) Plans() []string {
-	if r.Plan == "" {
-		return r.Known
+func (r *AssertedRule) Plans() []string {
+	if r.DefaultPlan == "" {
+		return r.AllowedPlans
 	}
-	return append([]string{r.Plan}, r.Known...)
+	return append([]string{r.DefaultPlan}, r.AllowedPlans...)
 }
 
 func contains(list []string, s string) bool {
--- a/identity/identity_test.go
+++ b/identity/identity_test.go
@@ -27,13 +27,13 @@
 	trusted = []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}
 )
 
-func hash(key string) string {
+func hashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// keysFor makes signing keys of each kind, and the rules' side of them.
-func keysFor(t *testing.T) (ec *ecdsa.PrivateKey, rs *rsa.PrivateKey, public []byte) {
+// newTestKeys makes signing keys of each kind, and the rules' side of them.
+func newTestKeys(t *testing.T) (ec *ecdsa.PrivateKey, rs *rsa.PrivateKey, public []byte) {
 	t.Helper()
 	ec, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -57,21 +57,21 @@
 }
 
 func TestResolve(t *testing.T) {
-	ec, rs, public := keysFor(t)
+	ec, rs, public := newTestKeys(t)
 	keys, err := ParseTokenKeys(public)
 	if err != nil {
 		t.Fatal(err)
 	}
-	token, err := NewJWT(JWT{Field: "Authorization", Scheme: "Bearer", Issuer: "iss", Audience: "shop", PlanIn: "tier", Plan: "open", Known: plans, Leeway: time.Second}, []string{"ES256", "RS256", "EdDSA"}, keys)
+	token, err := NewJWTRule(JWTRule{Header: "Authorization", Scheme: "Bearer", Issuer: "iss", Audience: "shop", PlanClaim: "tier", DefaultPlan: "open", AllowedPlans: plans, Leeway: time.Second}, []string{"ES256", "RS256", "EdDSA"}, keys)
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := ParseKeys([]byte("# keys\n"+hash("k1")+" desk gold\n"+hash("k2")+" desk gold # another\n"+hash("k3")+" else open\n"), plans)
+	list, err := ParseKeys([]byte("# keys\n"+hashKey("k1")+" desk gold\n"+hashKey("k2")+" desk gold # another\n"+hashKey("k3")+" else open\n"), plans)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := New(trusted, Named{"tokens", token}, Named{"keys", NewAPIKey("X-Api-Key", "", list)},
-		Named{"peer", &Asserted{Customer: "X-Customer", PlanIn: "X-Tier", Plan: "open", Known: plans, Trusted: trusted}}, Named{"address", &Address{Plan: "open"}})
+	r := New(trusted, NamedRule{"tokens", token}, NamedRule{"keys", NewAPIKeyRule("X-Api-Key", "", list)},
+		NamedRule{"peer", &AssertedRule{CustomerHeader: "X-Customer", PlanHeader: "X-Tier", DefaultPlan: "open", AllowedPlans: plans, TrustedPeers: trusted}}, NamedRule{"address", &AddressRule{Plan: "open"}})
 	claims := func(change func(jwt.MapClaims)) jwt.MapClaims {
 		c := jwt.MapClaims{"iss": "iss", "aud": "shop", "sub": "u1", "exp": now.Add(time.Minute).Unix(), "tier": "gold"}
 		if change != nil {
@@ -130,7 +130,7 @@
 		{"a key", h("X-Api-Key", "k1"), "1.2.3.4", "keys desk gold"},
 		{"a key that is not known, of one that has an address", h("X-Api-Key", "k9"), "1.2.3.4", "not known"},
 		{"an empty key", h("X-Api-Key", ""), "1.2.3.4", "not known"},
-		{"the hash for the key", h("X-Api-Key", hash("k1")), "1.2.3.4", "not known"},
+		{"the hash for the key", h("X-Api-Key", hashKey("k1")), "1.2.3.4", "not known"},
 		{"a bad token beside a good key", h("X-Api-Key", "k1", "Authorization", "Bearer x"), "1.2.3.4", "malformed"},
 		{"a trusted peer", h("X-Customer", "c", "X-Tier", "gold"), "10.1.2.3", "peer c gold"},
 		{"a trusted peer over IPv6", h("X-Customer", "c"), "::ffff:10.1.2.3", "peer c open"},
@@ -143,17 +143,17 @@
 		{"IPv6", nil, "2001:db8:1:2:3:4:5:6", "address 2001:db8:1:2::/64 open"},
 	} {
 		peer := netip.MustParseAddr(c.peer)
-		w, err := r.Resolve(&Facts{Header: c.header, Peer: peer, Client: r.Client(peer, c.header), Now: now})
+		w, err := r.Resolve(&Request{Header: c.header, PeerAddr: peer, ClientAddr: r.ClientAddr(peer, c.header), Now: now})
 		got := fmt.Sprint(w.Rule, " ", w.Name, " ", w.Plan)
 		if err != nil {
-			if got = err.Error(); !errors.Is(err, ErrBad) {
+			if got = err.Error(); !errors.Is(err, ErrInvalidCredential) {
 				t.Errorf("%s: %v", c.name, err)
 			}
 		}
 		if !strings.Contains(got, c.want) {
 			t.Errorf("%s: %s", c.name, got)
 		}
-		for _, secret := range []string{"k9", hash("k1"), parts[1], parts[2]} {
+		for _, secret := range []string{"k9", hashKey("k1"), parts[1], parts[2]} {
 			if err != nil && strings.Contains(got, secret) {
 				t.Errorf("%s: it tells of the credential: %s", c.name, got)
 			}
@@ -162,7 +162,7 @@
 	// A customer is the same by each of its keys, and is nobody else of the same name.
 	who := func(h map[string][]string, peer string) uint64 {
 		a := netip.MustParseAddr(peer)
-		w, err := r.Resolve(&Facts{Header: h, Peer: a, Client: a, Now: now})
+		w, err := r.Resolve(&Request{Header: h, PeerAddr: a, ClientAddr: a, Now: now})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,21 +171,21 @@
 	if a, b, c := who(h("X-Api-Key", "k1"), "1.1.1.1"), who(h("X-Api-Key", "k2"), "2.2.2.2"), who(h("X-Customer", "desk"), "10.0.0.1"); a != b || a == c {
 		t.Errorf("%x %x %x", a, b, c)
 	}
-	if _, err := New(nil).Resolve(&Facts{}); !errors.Is(err, ErrNone) {
+	if _, err := New(nil).Resolve(&Request{}); !errors.Is(err, ErrNoCredential) {
 		t.Error(err)
 	}
 }
 
-func TestFilesThatMakeNoSense(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	for text, want := range map[string]string{
-		"zz desk gold":          "line 1: the first word is no SHA-256",
-		hash("a") + " desk":     "line 1: a hash, a customer and a plan",
-		hash("a") + " desk tin": `line 1: there is no plan "tin"`,
-		hash("a") + " d gold\n" + hash("a") + " e gold":       "line 2: the key is there twice (line 1)",
-		hash("a") + " d gold\n\n" + hash("b") + " d open":     `line 3: customer "d" has plan "gold" in line 1`,
-		hash("a") + " d gold\n" + strings.Repeat("x", 70_000): "token too long",
+		"zz desk gold":             "line 1: the first word is no SHA-256",
+		hashKey("a") + " desk":     "line 1: a hash, a customer and a plan",
+		hashKey("a") + " desk tin": `line 1: there is no plan "tin"`,
+		hashKey("a") + " d gold\n" + hashKey("a") + " e gold":    "line 2: the key is there twice (line 1)",
+		hashKey("a") + " d gold\n\n" + hashKey("b") + " d open":  `line 3: customer "d" has plan "gold" in line 1`,
+		hashKey("a") + " d gold\n" + strings.Repeat("x", 70_000): "token too long",
 	} {
-		if _, err := ParseKeys([]byte(text), plans); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), hash("a")) {
+		if _, err := ParseKeys([]byte(text), plans); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), hashKey("a")) {
 			t.Errorf("%.90q: %v", text, err)
 		}
 	}
@@ -194,7 +194,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	_, _, public := keysFor(t)
+	_, _, public := newTestKeys(t)
 	keys, err := ParseTokenKeys(public)
 	if err != nil {
 		t.Fatal(err)
@@ -204,7 +204,7 @@
 		keys       []TokenKey
 	}{"no keys": {[]string{"ES256"}, nil}, "no algorithm": {nil, keys}, "none": {[]string{"none"}, keys}, "a key without an algorithm": {[]string{"ES256"}, keys},
 		"a short secret": {[]string{"HS256"}, []TokenKey{{Key: []byte("short")}}}, "a curve of another": {[]string{"ES384"}, keys[:1]}} {
-		if _, err := NewJWT(JWT{}, c.algorithms, c.keys); err == nil {
+		if _, err := NewJWTRule(JWTRule{}, c.algorithms, c.keys); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -212,16 +212,16 @@
 
 // FuzzResolve: whatever stands in the fields of an untrusted client, it is nobody but itself.
 func FuzzResolve(f *testing.F) {
-	list, err := ParseKeys([]byte(hash("k1")+" desk gold\n"), plans)
+	list, err := ParseKeys([]byte(hashKey("k1")+" desk gold\n"), plans)
 	if err != nil {
 		f.Fatal(err)
 	}
 	secret := []byte(strings.Repeat("s", 32))
-	token, err := NewJWT(JWT{Field: "Authorization", Scheme: "Bearer", Audience: "a", Plan: "gold", Known: plans}, []string{"HS256"}, []TokenKey{{Key: secret}})
+	token, err := NewJWTRule(JWTRule{Header: "Authorization", Scheme: "Bearer", Audience: "a", DefaultPlan: "gold", AllowedPlans: plans}, []string{"HS256"}, []TokenKey{{Key: secret}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	r := New(trusted, Named{"t", token}, Named{"k", NewAPIKey("X-Api-Key", "", list)}, Named{"p", &Asserted{Customer: "X-Customer", Plan: "gold", Trusted: trusted}}, Named{"a", &Address{Plan: "open"}})
+	r := New(trusted, NamedRule{"t", token}, NamedRule{"k", NewAPIKeyRule("X-Api-Key", "", list)}, NamedRule{"p", &AssertedRule{CustomerHeader: "X-Customer", DefaultPlan: "gold", TrustedPeers: trusted}}, NamedRule{"a", &AddressRule{Plan: "open"}})
 	f.Add("Bearer eyJhbGciOiJub25lIn0.e30.", "", "boss", "10.0.0.1")
 	f.Add("", "k", "", "10.0.0.1, ::1,")
 	f.Fuzz(func(t *testing.T, auth, key, customer, chain string) {
@@ -233,7 +233,7 @@
 			h["X-Api-Key"] = []string{key}
 		}
 		peer := netip.MustParseAddr("1.2.3.4")
-		w, err := r.Resolve(&Facts{Header: h, Peer: peer, Client: r.Client(peer, h), Now: now})
+		w, err := r.Resolve(&Request{Header: h, PeerAddr: peer, ClientAddr: r.ClientAddr(peer, h), Now: now})
 		if err == nil && key != "k1" && (w.Plan != "open" || w.Name != "1.2.3.4/32") {
 			t.Errorf("%+v by %q %q %q %q", w, auth, key, customer, chain)
 		}
--- a/identity/tokens.go
+++ b/identity/jwt.go
@@ -16,15 +16,15 @@
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// JWT is a Rule for JSON Web Tokens (RFC 7519), by the rules of RFC 8725: the algorithms are pinned, and each key serves only the
+// JWTRule is a Rule for JSON Web Tokens (RFC 7519), by the rules of RFC 8725: the algorithms are pinned, and each key serves only the
 // algorithms of its own kind. What a token says counts for the whole of a request that came while it held: it is not looked at again.
-type JWT struct {
-	Field, Scheme    string // such as Authorization and Bearer
-	Issuer, Audience string // must be so; an empty Issuer is not looked at
-	CustomerIn       string // the claim that names the customer; empty: sub
-	PlanIn, Plan     string // the claim that names the plan, and the plan of tokens without it
-	Known            []string
-	Leeway           time.Duration // between this clock and the issuer's
+type JWTRule struct {
+	Header, Scheme         string // such as Authorization and Bearer
+	Issuer, Audience       string // must be so; an empty Issuer is not looked at
+	CustomerClaim          string // the claim that names the customer; empty: sub
+	PlanClaim, DefaultPlan string // the claim that names the plan, and the plan of tokens without it
+	AllowedPlans           []string
+	Leeway                 time.Duration // between this clock and the issuer's
 
 	algorithms []string
 	keys       []TokenKey
@@ -37,11 +37,11 @@
 	Key any    // *rsa.PublicKey, *ecdsa.PublicKey, ed25519.PublicKey, or []byte
 }
 
-// maxToken bounds a token, in bytes.
-const maxToken = 8 << 10
+// maxTokenBytes bounds a token, in bytes.
+const maxTokenBytes = 8 << 10
 
-// kinds are the algorithms by the kind of key that they take. There is no "none".
-var kinds = func() map[string]func(any) bool {
+// keyTypeChecks are the algorithms by the kind of key that they take. There is no "none".
+var keyTypeChecks = func() map[string]func(any) bool {
 	kinds := map[string]func(any) bool{}
 	is := func(ok func(any) bool, algorithms ...string) {
 		for _, a := range algorithms {
@@ -59,15 +59,15 @@
 
 // CheckAlgorithm tells whether an algorithm's name is one that tokens may be signed by.
 func CheckAlgorithm(name string) error {
-	if kinds[name] == nil {
+	if keyTypeChecks[name] == nil {
 		return fmt.Errorf("%q is no algorithm that signs tokens", name)
 	}
 	return nil
 }
 
-// NewJWT makes a rule of its settings, the algorithms that tokens may have, and keys. Each algorithm needs a key of its kind, and each key an
+// NewJWTRule makes a rule of its settings, the algorithms that tokens may have, and keys. Each algorithm needs a key of its kind, and each key an
 // algorithm.
-func NewJWT(r JWT, algorithms []string, keys []TokenKey) (*JWT, error) {
+func NewJWTRule(r JWTRule, algorithms []string, keys []TokenKey) (*JWTRule, error) {
 	if len(algorithms) == 0 || len(keys) == 0 {
 		return nil, errors.New("tokens need algorithms and keys")
 	}
@@ -82,14 +82,14 @@
 		}
 		fits := false
 		for _, a := range algorithms {
-			fits = fits || kinds[a](k.Key)
+			fits = fits || keyTypeChecks[a](k.Key)
 		}
 		if !fits {
 			return nil, fmt.Errorf("key %d is for none of %s", i+1, strings.Join(algorithms, ", "))
 		}
 	}
-	if r.CustomerIn == "" {
-		r.CustomerIn = "sub"
+	if r.CustomerClaim == "" {
+		r.CustomerClaim = "sub"
 	}
 	r.algorithms, r.keys = algorithms, keys
 	r.parser = jwt.NewParser(jwt.WithValidMethods(algorithms), jwt.WithoutClaimsValidation(), jwt.WithStrictDecoding())
@@ -128,25 +128,25 @@
 	return out, nil
 }
 
-// Find reads a token.
-func (r *JWT) Find(f *Facts) (Who, bool, error) {
-	v, there, err := one(f.Header, r.Field)
+// Identify reads a token.
+func (r *JWTRule) Identify(f *Request) (Caller, bool, error) {
+	v, there, err := singleValue(f.Header, r.Header)
 	if !there || err != nil {
-		return Who{}, there, err
+		return Caller{}, there, err
 	}
-	text, mine := token(v, r.Scheme)
+	text, mine := cutScheme(v, r.Scheme)
 	if !mine {
 		if r.Scheme != "" {
-			return Who{}, false, nil
+			return Caller{}, false, nil
 		}
-		return Who{}, true, errors.New("there is no token")
+		return Caller{}, true, errors.New("there is no token")
 	}
-	if len(text) > maxToken {
-		return Who{}, true, errors.New("the token is too long")
+	if len(text) > maxTokenBytes {
+		return Caller{}, true, errors.New("the token is too long")
 	}
 	claims := jwt.MapClaims{}
-	if _, err := r.parser.ParseWithClaims(text, claims, r.key); err != nil {
-		return Who{}, true, plain(err)
+	if _, err := r.parser.ParseWithClaims(text, claims, r.verificationKeys); err != nil {
+		return Caller{}, true, redactTokenError(err)
 	}
 	now := f.Now
 	options := []jwt.ParserOption{jwt.WithTimeFunc(func() time.Time { return now }), jwt.WithLeeway(r.Leeway), jwt.WithExpirationRequired(), jwt.WithIssuedAt()}
@@ -157,29 +157,29 @@
 		options = append(options, jwt.WithAudience(r.Audience))
 	}
 	if err := jwt.NewValidator(options...).Validate(claims); err != nil {
-		return Who{}, true, plain(err)
+		return Caller{}, true, redactTokenError(err)
 	}
-	name, _ := claims[r.CustomerIn].(string)
+	name, _ := claims[r.CustomerClaim].(string)
 	if name == "" {
-		return Who{}, true, fmt.Errorf("it has no claim %q that is a text", r.CustomerIn)
+		return Caller{}, true, fmt.Errorf("it has no claim %q that is a text", r.CustomerClaim)
 	}
-	w := Who{Customer: number("token", r.Issuer+"\x00"+name), Name: name, Plan: r.Plan}
-	if r.PlanIn != "" {
-		if plan, there := claims[r.PlanIn]; there {
-			if w.Plan, _ = plan.(string); !contains(r.Known, w.Plan) {
-				return Who{}, true, fmt.Errorf("its claim %q names no plan", r.PlanIn)
+	w := Caller{Customer: customerID("token", r.Issuer+"\x00"+name), Name: name, Plan: r.DefaultPlan}
+	if r.PlanClaim != "" {
+		if plan, there := claims[r.PlanClaim]; there {
+			if w.Plan, _ = plan.(string); !contains(r.AllowedPlans, w.Plan) {
+				return Caller{}, true, fmt.Errorf("its claim %q names no plan", r.PlanClaim)
 			}
 		}
 	}
 	if w.Plan == "" {
-		return Who{}, true, fmt.Errorf("it has no claim %q", r.PlanIn)
+		return Caller{}, true, fmt.Errorf("it has no claim %q", r.PlanClaim)
 	}
 	return w, true, nil
 }
 
-// key gives the keys that may have signed a token: of its algorithm's kind, and by its kid where both have one.
-func (r *JWT) key(t *jwt.Token) (any, error) {
-	fits, kid := kinds[t.Method.Alg()], ""
+// verificationKeys gives the keys that may have signed a token: of its algorithm's kind, and by its kid where both have one.
+func (r *JWTRule) verificationKeys(t *jwt.Token) (any, error) {
+	fits, kid := keyTypeChecks[t.Method.Alg()], ""
 	if v, there := t.Header["kid"]; there {
 		if kid, _ = v.(string); kid == "" {
 			return nil, errors.New("kid")
@@ -197,8 +197,8 @@
 	return set, nil
 }
 
-// plain says what is wrong with a token, and nothing of what is in it.
-func plain(err error) error {
+// redactTokenError says what is wrong with a token, and nothing of what is in it.
+func redactTokenError(err error) error {
 	for _, e := range []error{jwt.ErrTokenExpired, jwt.ErrTokenNotValidYet, jwt.ErrTokenUsedBeforeIssued, jwt.ErrTokenInvalidIssuer,
 		jwt.ErrTokenInvalidAudience, jwt.ErrTokenRequiredClaimMissing, jwt.ErrTokenSignatureInvalid, jwt.ErrTokenUnverifiable, jwt.ErrTokenMalformed} {
 		if errors.Is(err, e) {
@@ -208,43 +208,43 @@
 	return jwt.ErrTokenMalformed
 }
 
-// Fields is the token's.
-func (r *JWT) Fields() []string { return []string{r.Field} }
+// HeaderNames is the token's.
+func (r *JWTRule) HeaderNames() []string { return []string{r.Header} }
 
 // Plans are all that it may give.
-func (r *JWT) Plans() []string {
-	if r.Plan == "" {
-		return r.Known
+func (r *JWTRule) Plans() []string {
+	if r.DefaultPlan == "" {
+		return r.AllowedPlans
 	}
-	return append([]string{r.Plan}, r.Known...)
+	return append([]string{r.DefaultPlan}, r.AllowedPlans...)
 }
 
-// CertName is what of a client's certificate names the customer.
-type CertName uint8
+// CertNameSource is what of a client's certificate names the customer.
+type CertNameSource uint8
 
 // The names.
 const (
-	CommonName  CertName = iota
-	DNSName              // the first
-	URIName              // the first, as SPIFFE has it
-	Fingerprint          // SHA-256 of the certificate's key
+	CommonName  CertNameSource = iota
+	DNSName                    // the first
+	URIName                    // the first, as SPIFFE has it
+	Fingerprint                // SHA-256 of the certificate's key
 )
 
-// ClientCert is a Rule for clients' certificates, which the listener has verified.
-type ClientCert struct {
-	Name   CertName
-	Plan   string            // of those that PlanOf does not have; empty: they are refused
-	PlanOf map[string]string // by the customer's name
+// ClientCertRule is a Rule for clients' certificates, which the listener has verified.
+type ClientCertRule struct {
+	NameSource     CertNameSource
+	DefaultPlan    string            // of those that PlanOf does not have; empty: they are refused
+	PlanByCustomer map[string]string // by the customer's name
 }
 
-// Find reads a certificate.
-func (r *ClientCert) Find(f *Facts) (Who, bool, error) {
-	c := f.Cert
+// Identify reads a certificate.
+func (r *ClientCertRule) Identify(f *Request) (Caller, bool, error) {
+	c := f.ClientCert
 	if c == nil {
-		return Who{}, false, nil
+		return Caller{}, false, nil
 	}
 	name := ""
-	switch r.Name {
+	switch r.NameSource {
 	case CommonName:
 		name = c.Subject.CommonName
 	case DNSName:
@@ -260,27 +260,27 @@
 		name = hex.EncodeToString(sum[:])
 	}
 	if name == "" {
-		return Who{}, true, errors.New("the certificate has no such name")
+		return Caller{}, true, errors.New("the certificate has no such name")
 	}
-	w := Who{Customer: number("certificate", name), Name: name, Plan: r.Plan}
-	if plan, ok := r.PlanOf[name]; ok {
+	w := Caller{Customer: customerID("certificate", name), Name: name, Plan: r.DefaultPlan}
+	if plan, ok := r.PlanByCustomer[name]; ok {
 		w.Plan = plan
 	}
 	if w.Plan == "" {
-		return Who{}, true, errors.New("the certificate's name has no plan")
+		return Caller{}, true, errors.New("the certificate's name has no plan")
 	}
 	return w, true, nil
 }
 
-// Fields are none.
-func (r *ClientCert) Fields() []string { return nil }
+// HeaderNames are none.
+func (r *ClientCertRule) HeaderNames() []string { return nil }
 
 // Plans are all that it may give.
-func (r *ClientCert) Plans() (out []string) {
-	if r.Plan != "" {
-		out = append(out, r.Plan)
+func (r *ClientCertRule) Plans() (out []string) {
+	if r.DefaultPlan != "" {
+		out = append(out, r.DefaultPlan)
 	}
-	for _, p := range r.PlanOf {
+	for _, p := range r.PlanByCustomer {
 		out = append(out, p)
 	}
 	return out
--- a/internal/capacitytest/config_test.go
+++ b/internal/capacitytest/config_test.go
@@ -31,8 +31,8 @@
 		}
 		spent, cost := time.Since(began), CPU()-cpu
 		t.Logf("%d routes, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a route are held", n, float64(b.Len())/(1<<20), spent, cost, (held()-empty)/float64(n))
-		if len(f.Web.Routes) != n {
-			t.Errorf("of %d routes %d are there", n, len(f.Web.Routes))
+		if len(f.HTTP.Routes) != n {
+			t.Errorf("of %d routes %d are there", n, len(f.HTTP.Routes))
 		}
 		runtime.KeepAlive(f)
 	}
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rule := identity.NewAPIKey("X-Api-Key", "", keys)
+		rule := identity.NewAPIKeyRule("X-Api-Key", "", keys)
 		spent, cost := time.Since(began), CPU()-cpu
 		if len(keys) != n {
 			t.Errorf("of %d keys %d are there", n, len(keys))
--- a/internal/capacitytest/door.go
+++ b/internal/capacitytest/door.go
@@ -116,7 +116,7 @@
 	d.told.Errors = map[string]int{}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)) // the log is part of the price
 	slog.SetDefault(log)
-	set := daemon.DoorConfig(config)
+	set := daemon.GatewayConfig(config)
 	if p.Most > 0 {
 		set.Membership.MaxNodes = p.Most
 	}
--- a/internal/capacitytest/routes_test.go
+++ b/internal/capacitytest/routes_test.go
@@ -15,7 +15,7 @@
 		rules := make([]routes.Rule[int], n)
 		for i := range rules {
 			rules[i] = routes.Rule[int]{Name: fmt.Sprint("route-", i), Line: i + 1, Host: fmt.Sprintf("h%d.example.org", i%2300),
-				Path: fmt.Sprintf("/v1/things-%d/{id}/parts", i), Methods: []string{"GET"}, To: i}
+				Path: fmt.Sprintf("/v1/things-%d/{id}/parts", i), Methods: []string{"GET"}, Target: i}
 		}
 		empty := held()
 		began := time.Now()
@@ -29,7 +29,7 @@
 			began := time.Now()
 			m, err := table.Match(&routes.Request{Method: "GET", Host: fmt.Sprintf("h%d.example.org", i%2300), Path: fmt.Sprintf("/v1/things-%d/17/parts", i)})
 			spent := time.Since(began)
-			if err != nil || m.Rule.To != i {
+			if err != nil || m.Rule.Target != i {
 				t.Fatalf("route %d: %v, %v", i, m.Rule, err)
 			}
 			return spent
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -24,37 +24,37 @@
 
 // Store holds the certificates of a listener. It is safe for concurrent use.
 type Store struct {
-	read ReadFile
-	log  *slog.Logger
-	now  func() time.Time
-	set  atomic.Pointer[Set]
+	readFile ReadFile
+	logger   *slog.Logger
+	now      func() time.Time
+	current  atomic.Pointer[Set]
 
 	mu    sync.Mutex // readers of files
-	pairs []pair
+	pairs []trackedPair
 }
 
-type pair struct {
+type trackedPair struct {
 	Pair
-	seen [sha256.Size]byte // of what was read last, good or bad
-	cert *tls.Certificate
+	digest [sha256.Size]byte // of what was read last, good or bad
+	cert   *tls.Certificate
 }
 
 // PairError is what is wrong with a pair.
 type PairError struct {
-	Number int // from 0
-	Err    error
+	Index int // from 0
+	Err   error
 }
 
-func (e *PairError) Error() string { return fmt.Sprintf("certificate %d: %v", e.Number+1, e.Err) }
+func (e *PairError) Error() string { return fmt.Sprintf("certificate %d: %v", e.Index+1, e.Err) }
 
 // Unwrap gives the cause.
 func (e *PairError) Unwrap() error { return e.Err }
 
 // New reads pairs. All must be good to begin with; the errors are PairErrors.
 func New(pairs []Pair, read ReadFile, now func() time.Time, log *slog.Logger) (*Store, error) {
-	s := &Store{read: read, log: log, now: now}
+	s := &Store{readFile: read, logger: log, now: now}
 	for _, p := range pairs {
-		s.pairs = append(s.pairs, pair{Pair: p})
+		s.pairs = append(s.pairs, trackedPair{Pair: p})
 	}
 	if err := s.Reload(); err != nil {
 		return nil, err
@@ -86,23 +86,23 @@
 		}
 	}
 	if changed {
-		s.set.Store(NewSet(all))
+		s.current.Store(NewSet(all))
 	}
 	return errors.Join(bad...)
 }
 
 // readPair gives a pair's certificate if it is another than the last; nil, nil: nothing has changed.
-func (s *Store) readPair(p *pair) (*tls.Certificate, error) {
-	certText, err := s.read(p.CertFile)
+func (s *Store) readPair(p *trackedPair) (*tls.Certificate, error) {
+	certText, err := s.readFile(p.CertFile)
 	var keyText []byte
 	if err == nil {
-		keyText, err = s.read(p.KeyFile)
+		keyText, err = s.readFile(p.KeyFile)
 	}
 	seen := sha256.Sum256(bytes.Join([][]byte{certText, keyText, []byte(fmt.Sprint(err))}, []byte{0}))
-	if seen == p.seen {
+	if seen == p.digest {
 		return nil, nil
 	}
-	p.seen = seen
+	p.digest = seen
 	if err != nil {
 		return nil, err
 	}
@@ -119,16 +119,16 @@
 			return
 		case <-t.C:
 			if err := s.Reload(); err != nil {
-				s.log.Error("a certificate that can't be used: the one before stays in force", "err", err)
+				s.logger.Error("a certificate that can't be used: the one before stays in force", "err", err)
 			}
 		}
 	}
 }
 
 // Set is what is in force.
-func (s *Store) Set() *Set { return s.set.Load() }
+func (s *Store) Set() *Set { return s.current.Load() }
 
-// Get is a tls.Config's GetCertificate.
-func (s *Store) Get(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
-	return s.set.Load().For(hello)
+// GetCertificate is a tls.Config's GetCertificate.
+func (s *Store) GetCertificate(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
+	return s.current.Load().Select(hello)
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -14,7 +14,7 @@
 )
 
 // Each pair stands by itself: a bad one, and one that has not changed, leave what is in force of it. A bad content is said once.
-func TestPairsByThemselves(t *testing.T) {
+func TestPairErrorsAreIndependent(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
 	write := func(name string, cert, key []byte) {
@@ -34,7 +34,7 @@
 		return &tls.ClientHelloInfo{ServerName: name, SupportedVersions: []uint16{tls.VersionTLS13}, SignatureSchemes: []tls.SignatureScheme{tls.ECDSAWithP256AndSHA256}, SupportedCurves: []tls.CurveID{tls.CurveP256}}
 	}
 	serial := func(name string) string {
-		c, err := s.Get(hello(name))
+		c, err := s.GetCertificate(hello(name))
 		if err != nil {
 			return err.Error()
 		}
@@ -58,7 +58,7 @@
 	expired, ek := pair(func(c *x509.Certificate) { c.NotAfter = time.Now().Add(-time.Minute) }, "b.example")
 	write("2", expired, ek)
 	err = s.Reload()
-	if p, ok := errors.AsType[*PairError](err); !ok || p.Number != 1 || !strings.Contains(err.Error(), "ended on") {
+	if p, ok := errors.AsType[*PairError](err); !ok || p.Index != 1 || !strings.Contains(err.Error(), "ended on") {
 		t.Errorf("an ended one: %v", err)
 	}
 	if serial("a.example") == one || serial("b.example") != two {
@@ -75,7 +75,7 @@
 	}
 	if h := hello("a.example"); true {
 		h.SignatureSchemes = []tls.SignatureScheme{tls.PSSWithSHA256}
-		if _, err := s.Get(h); !errors.Is(err, ErrNoCertificate) {
+		if _, err := s.GetCertificate(h); !errors.Is(err, ErrNoCertificate) {
 			t.Errorf("a client that can't use any: %v", err)
 		}
 	}
--- a/internal/certs/set.go
+++ b/internal/certs/set.go
@@ -11,16 +11,16 @@
 
 // Set are certificates by the names that they are for. It does not change.
 type Set struct {
-	all   []*tls.Certificate
-	named map[string][]*tls.Certificate // by name, in lower case; "*.example.org" under that
+	all    []*tls.Certificate
+	byName map[string][]*tls.Certificate // by name, in lower case; "*.example.org" under that
 }
 
 // NewSet makes one; the first certificate is for clients that ask for no name, or one that none is for.
 func NewSet(all []*tls.Certificate) *Set {
-	s := &Set{all: all, named: map[string][]*tls.Certificate{}}
+	s := &Set{all: all, byName: map[string][]*tls.Certificate{}}
 	for _, c := range all {
 		for _, name := range Names(c) {
-			s.named[name] = append(s.named[name], c)
+			s.byName[name] = append(s.byName[name], c)
 		}
 	}
 	return s
@@ -40,14 +40,14 @@
 // ErrNoCertificate says that there is none that a client could use.
 var ErrNoCertificate = errors.New("no certificate that the client supports")
 
-// For gives the certificate for a client: one for the very name, else one for all names of its domain, else the first; of several, one
+// Select gives the certificate for a client: one for the very name, else one for all names of its domain, else the first; of several, one
 // that the client supports.
-func (s *Set) For(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
+func (s *Set) Select(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	name := strings.ToLower(strings.TrimSuffix(hello.ServerName, "."))
 	_, domain, _ := strings.Cut(name, ".")
-	for _, list := range [][]*tls.Certificate{s.named[name], s.named["*."+domain], s.all} {
+	for _, list := range [][]*tls.Certificate{s.byName[name], s.byName["*."+domain], s.all} {
 		for _, c := range list {
-			if hello.SupportsCertificate(c) == nil || supportsBut(hello, c) {
+			if hello.SupportsCertificate(c) == nil || supportsIgnoringName(hello, c) {
 				return c, nil
 			}
 		}
@@ -55,9 +55,9 @@
 	return nil, ErrNoCertificate
 }
 
-// supportsBut tells whether a client supports a certificate but for its name: who asks for a name that no certificate is for gets the first
+// supportsIgnoringName tells whether a client supports a certificate but for its name: who asks for a name that no certificate is for gets the first
 // one that it can read, and says itself what it thinks of it.
-func supportsBut(hello *tls.ClientHelloInfo, c *tls.Certificate) bool {
+func supportsIgnoringName(hello *tls.ClientHelloInfo, c *tls.Certificate) bool {
 	h := *hello
 	h.ServerName = ""
 	return h.SupportsCertificate(c) == nil
@@ -67,7 +67,7 @@
 func (s *Set) Covers(host string) bool {
 	host = strings.ToLower(host)
 	_, domain, _ := strings.Cut(host, ".")
-	return len(s.named[host]) > 0 || len(s.named["*."+domain]) > 0
+	return len(s.byName[host]) > 0 || len(s.byName["*."+domain]) > 0
 }
 
 // Unused are names of certificates that none of the hosts needs, sorted.
@@ -75,7 +75,7 @@
 	if slices.Contains(hosts, "") { // a route for any host
 		return nil
 	}
-	for name := range s.named {
+	for name := range s.byName {
 		used := slices.ContainsFunc(hosts, func(h string) bool {
 			h = strings.ToLower(h)
 			_, domain, _ := strings.Cut(h, ".")
@@ -90,8 +90,8 @@
 	return out
 }
 
-// Soonest is the certificate that ends first.
-func (s *Set) Soonest() *tls.Certificate {
+// SoonestExpiry is the certificate that ends first.
+func (s *Set) SoonestExpiry() *tls.Certificate {
 	return slices.MinFunc(s.all, func(a, b *tls.Certificate) int { return a.Leaf.NotAfter.Compare(b.Leaf.NotAfter) })
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -43,23 +43,23 @@
 		moved = counter.SetAddr
 		options = append(options, pumicecroft.WithCounter(counter))
 	}
-	door, err := pumicecroft.New(DoorConfig(config), options...)
+	door, err := pumicecroft.New(GatewayConfig(config), options...)
 	if err != nil {
 		return err
 	}
 	reloading, stop := context.WithCancel(context.Background())
 	defer stop()
-	go reload(reloading, path, hup, moves, moved)
+	go followConfig(reloading, path, hup, moves, moved)
 	front := httplistener.NewServer(door, config.Limits.ClientConns(), config.Settings.LongestDeadline(), slog.Default(), httplistener.Options{})
-	return run(ctx, door, config.Name, config.Listen, front.Run)
+	return serveAll(ctx, door, config.Name, config.Listen, front.Run)
 }
 
-// server serves clients until ctx ends, and then until all that it took has its answer.
-type server func(ctx context.Context) error
+// serveFunc serves clients until ctx ends, and then until all that it took has its answer.
+type serveFunc func(ctx context.Context) error
 
-// run serves a door on a socket, with servers beside it that listen already, until ctx ends or one of them fails, and all
+// serveAll serves a door on a socket, with servers beside it that listen already, until ctx ends or one of them fails, and all
 // that was taken has its answer.
-func run(ctx context.Context, door *pumicecroft.Gateway, name, listen string, serveOn func(context.Context, net.Listener) error, beside ...server) error {
+func serveAll(ctx context.Context, door *pumicecroft.Gateway, name, listen string, serveOn func(context.Context, net.Listener) error, beside ...serveFunc) error {
 	defer func() {
 		now, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -88,16 +88,16 @@
 	return err
 }
 
-// DoorConfig is the platform's configuration in the library's terms.
-func DoorConfig(c platform.Config) pumicecroft.Config {
+// GatewayConfig is the platform's configuration in the library's terms.
+func GatewayConfig(c platform.Config) pumicecroft.Config {
 	return pumicecroft.Config{Settings: c.Settings, Seed: c.Seed, InitialEndpoints: c.Known.Membership(),
 		Membership:      membership.Policy{MaxNodes: c.Limits.MaxBackends()},
 		MaxBackendConns: c.Limits.BackendConns(), ConnectTimeout: c.Conns.ConnectTimeout, IdleTimeout: c.Conns.IdleTimeout}
 }
 
-// reload reads the file again at each value of hup and tells where discovery and the counter are now. A file that is no
+// followConfig reads the file again at each value of hup and tells where discovery and the counter are now. A file that is no
 // good changes nothing. What else it holds is for the next start.
-func reload(ctx context.Context, path string, hup <-chan struct{}, moves chan<- string, counter func(addr string)) {
+func followConfig(ctx context.Context, path string, hup <-chan struct{}, moves chan<- string, counter func(addr string)) {
 	for {
 		select {
 		case <-hup:
@@ -119,8 +119,8 @@
 	}
 }
 
-// Hangups tells of SIGHUP. One that waits stands for all that came since: the file is read after it.
-func Hangups(ctx context.Context) <-chan struct{} {
+// NotifyHangup tells of SIGHUP. One that waits stands for all that came since: the file is read after it.
+func NotifyHangup(ctx context.Context) <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	told := make(chan struct{})
--- a/internal/daemon/file.go
+++ b/internal/daemon/servefile.go
@@ -20,24 +20,24 @@
 	"pumicecroft/membership"
 )
 
-// fixed is a source whose list does not change.
-type fixed struct {
-	list membership.Update
-	told chan struct{} // closed when it has reported
+// staticSource is a source whose list does not change.
+type staticSource struct {
+	endpoints membership.Update
+	reported  chan struct{} // closed when it has reported
 }
 
-func (f fixed) Run(_ context.Context, update func(membership.Update)) {
-	update(f.list)
-	close(f.told)
+func (f staticSource) Run(_ context.Context, update func(membership.Update)) {
+	update(f.endpoints)
+	close(f.reported)
 }
 
-// speaking is a source whose nodes speak what it does not say.
-type speaking struct {
+// protocolSource is a source whose nodes speak what it does not say.
+type protocolSource struct {
 	pumicecroft.Source
 	protocol string
 }
 
-func (s speaking) Run(ctx context.Context, update func(membership.Update)) {
+func (s protocolSource) Run(ctx context.Context, update func(membership.Update)) {
 	s.Source.Run(ctx, func(l membership.Update) {
 		if s.protocol != "" {
 			l.Nodes = slices.Clone(l.Nodes)
@@ -50,15 +50,15 @@
 }
 
 // Sync is the source's, if it has one.
-func (s speaking) Sync(ctx context.Context, since time.Time) error {
+func (s protocolSource) Sync(ctx context.Context, since time.Time) error {
 	if c, ok := s.Source.(pumicecroft.Syncer); ok {
 		return c.Sync(ctx, since)
 	}
 	return nil
 }
 
-// sources are a file's, by precedence, with Consul's client if there is one; told is closed when what the file itself lists is known.
-func sources(f operatorconfig.File, told chan struct{}) (options []pumicecroft.Option, client *consul.Client, err error) {
+// newSources are a file's, by precedence, with Consul's client if there is one; told is closed when what the file itself lists is known.
+func newSources(f operatorconfig.File, told chan struct{}) (options []pumicecroft.Option, client *consul.Client, err error) {
 	for _, name := range f.Sources {
 		switch name {
 		case operatorconfig.SourceConsul:
@@ -71,10 +71,10 @@
 			}
 		case operatorconfig.SourceDiscovery:
 			options = append(options, pumicecroft.WithNamedSource(membership.SourceInfo{Name: name, Trusted: true},
-				speaking{&platform.Discovery{Addr: f.Discovery, FromVersion: platform.FromFullUpdate, DrainGrace: f.Door.Settings.DrainGrace,
-					MaxEntries: f.Door.Membership.MaxNodes}, f.DiscoverySpeaks}))
+				protocolSource{&platform.Discovery{Addr: f.DiscoveryAddr, FromVersion: platform.FromFullUpdate, DrainGrace: f.Gateway.Settings.DrainGrace,
+					MaxEntries: f.Gateway.Membership.MaxNodes}, f.DiscoveryProtocol}))
 		case operatorconfig.SourceFile:
-			options = append(options, pumicecroft.WithNamedSource(membership.SourceInfo{Name: name, Trusted: true}, fixed{f.Backends, told}))
+			options = append(options, pumicecroft.WithNamedSource(membership.SourceInfo{Name: name, Trusted: true}, staticSource{f.Backends, told}))
 		}
 	}
 	return options, client, nil
@@ -84,9 +84,9 @@
 // ends. At each value of hup it reads the file again, by again, and goes by the routes, the identities and the certificates that it names
 // then; nil: it does not. What else the file holds is for the next start.
 func ServeFile(ctx context.Context, f operatorconfig.File, again func() (operatorconfig.File, error), hup <-chan struct{}) error {
-	slog.SetDefault(slog.With("door", f.Door.Settings.GatewayIndex))
+	slog.SetDefault(slog.With("door", f.Gateway.Settings.GatewayIndex))
 	told := make(chan struct{})
-	options, client, err := sources(f, told)
+	options, client, err := newSources(f, told)
 	if err != nil {
 		return err
 	}
@@ -95,23 +95,23 @@
 		f.GRPC.Backends.Log = slog.Default()
 		options = append(options, grpcproxy.WithBackends(f.GRPC.Backends))
 	}
-	var w *web
-	if f.Web != nil {
-		if w, err = newWeb(f); err != nil {
+	var w *httpServer
+	if f.HTTP != nil {
+		if w, err = newHTTPServer(f); err != nil {
 			return err
 		}
 		options = append(options, w.options...)
 	}
-	door, err := pumicecroft.New(f.Door, options...)
+	door, err := pumicecroft.New(f.Gateway, options...)
 	if err != nil {
 		return err
 	}
 	if slices.Contains(f.Sources, operatorconfig.SourceFile) {
 		<-told // before the first client comes
 	}
-	serve := httplistener.NewServer(door, f.ClientConns, f.Door.Settings.LongestDeadline(), slog.Default(), httplistener.Options{}).Run
+	serve := httplistener.NewServer(door, f.MaxClientConns, f.Gateway.Settings.LongestDeadline(), slog.Default(), httplistener.Options{}).Run
 	if w != nil {
-		if serve, err = w.front(door, f); err != nil {
+		if serve, err = w.newServe(door, f); err != nil {
 			_ = door.Close(ctx) // err says why nothing is served
 			return err
 		}
@@ -121,15 +121,15 @@
 		defer stop()
 		ran.Go(func() { w.watch(watching, f, again, hup) })
 	}
-	if f.Members != "" {
-		stop, err := tellMembers(door, f.Members)
+	if f.StatusAddr != "" {
+		stop, err := serveBackendStatus(door, f.StatusAddr)
 		if err != nil {
 			_ = door.Close(ctx) // err says why nothing is served
 			return err
 		}
 		defer stop()
 	}
-	var beside []server
+	var beside []serveFunc
 	if f.GRPC != nil {
 		serve, err := listenGRPC(door, f)
 		if err != nil {
@@ -138,11 +138,11 @@
 		}
 		beside = append(beside, serve)
 	}
-	if f.Consul != nil && f.Consul.Register != nil {
+	if f.Consul != nil && f.Consul.Registration != nil {
 		serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 		defer stop()
-		defer register(client, *f.Consul.Register, ctx.Done())()
-		asked, notice := ctx.Done(), f.Consul.Notice
+		defer register(client, *f.Consul.Registration, ctx.Done())()
+		asked, notice := ctx.Done(), f.Consul.DrainNotice
 		go func() { // a door that stands in the catalogue goes on until those who look there know that it drains
 			select {
 			case <-asked:
@@ -153,12 +153,12 @@
 		}()
 		ctx = serving
 	}
-	return run(ctx, door, "", f.Listen, serve, beside...)
+	return serveAll(ctx, door, "", f.Listen, serve, beside...)
 }
 
 // listenGRPC makes a file's gRPC front, which listens and does not serve yet.
-func listenGRPC(door *pumicecroft.Gateway, f operatorconfig.File) (server, error) {
-	c := f.GRPC.Front
+func listenGRPC(door *pumicecroft.Gateway, f operatorconfig.File) (serveFunc, error) {
+	c := f.GRPC.Proxy
 	c.Log = slog.Default()
 	front, err := grpcproxy.New(door, c)
 	if err != nil {
@@ -191,8 +191,8 @@
 	return func() { stop(); ran.Wait() }
 }
 
-// tellMembers answers who asks what a door believes of its backends.
-func tellMembers(door *pumicecroft.Gateway, addr string) (stop func(), err error) {
+// serveBackendStatus answers who asks what a door believes of its backends.
+func serveBackendStatus(door *pumicecroft.Gateway, addr string) (stop func(), err error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -208,8 +208,8 @@
 	return func() { s.Close() }, nil
 }
 
-// AskMembers asks a running door at its address for members.
-func AskMembers(ctx context.Context, addr string) ([]pumicecroft.BackendStatus, error) {
+// FetchBackendStatus asks a running door at its address for members.
+func FetchBackendStatus(ctx context.Context, addr string) ([]pumicecroft.BackendStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/members", nil)
--- a/internal/grpcproto/call.go
+++ b/internal/grpcproto/call.go
@@ -33,7 +33,7 @@
 	Unavailable
 	DataLoss
 	Unauthenticated
-	codes // how many there are
+	codeCount // how many there are
 )
 
 // Proof is what the end of an attempt proves.
@@ -66,21 +66,21 @@
 	Result decision.Result
 	Proof  Proof
 	Code   Code   // of an answer that is passed on
-	Why    string // in words
+	Reason string // in words
 }
 
 // Call is what was seen of one attempt of a unary or server-streaming call. The zero value is one that has not begun;
 // it is told in the order of events, and what comes after the end changes nothing. It is not safe for concurrent use.
 type Call struct {
-	Streaming bool // any number of messages may come
-	Limit     int  // of a message, in bytes; 0: none
-
-	opened   bool // the request's head may have been written
-	sent     bool // and so may be the last byte of its message
-	headed   bool // the answer's head has come
-	messages Messages
-	ended    bool
-	outcome  Outcome
+	Streaming       bool // any number of messages may come
+	MaxMessageBytes int  // of a message, in bytes; 0: none
+
+	opened          bool // the request's head may have been written
+	requestSent     bool // and so may be the last byte of its message
+	headersReceived bool // the answer's head has come
+	messages        Messages
+	ended           bool
+	outcome         Outcome
 }
 
 // Opened tells that the request's head is about to be written.
@@ -88,16 +88,16 @@
 
 // Sent tells that the last frame of the request is about to be written: before it the backend can't have the whole
 // message, and a unary or server-streaming method does not begin without.
-func (c *Call) Sent() { c.sent = true }
+func (c *Call) Sent() { c.requestSent = true }
 
-// HasSent tells whether the request's last frame is on its way.
-func (c *Call) HasSent() bool { return c.sent }
+// RequestSent tells whether the request's last frame is on its way.
+func (c *Call) RequestSent() bool { return c.requestSent }
 
-// Garbled tells that what came can't be read.
-func (c *Call) Garbled(what string) { c.end(decision.Unknown, MayHaveRun, "%s", what) }
+// MalformedResponse tells that what came can't be read.
+func (c *Call) MalformedResponse(what string) { c.end(decision.Unknown, MayHaveRun, "%s", what) }
 
-// Started tells whether the answer has begun.
-func (c *Call) Started() bool { return c.headed }
+// ResponseStarted tells whether the answer has begun.
+func (c *Call) ResponseStarted() bool { return c.headersReceived }
 
 // Ended gives the outcome, once there is one.
 func (c *Call) Ended() (Outcome, bool) { return c.outcome, c.ended }
@@ -105,24 +105,24 @@
 func (c *Call) end(r decision.Result, p Proof, format string, args ...any) {
 	if !c.ended {
 		c.ended = true
-		c.outcome.Result, c.outcome.Proof, c.outcome.Why = r, p, fmt.Sprintf(format, args...)
+		c.outcome.Result, c.outcome.Proof, c.outcome.Reason = r, p, fmt.Sprintf(format, args...)
 	}
 }
 
-// unsent ends an attempt whose request has not left whole; it tells whether it did.
-func (c *Call) unsent(what string) bool {
-	if !c.sent {
+// endIfUnsent ends an attempt whose request has not left whole; it tells whether it did.
+func (c *Call) endIfUnsent(what string) bool {
+	if !c.requestSent {
 		c.end(decision.NotSent, NeverRan, "%s before the request was whole", what)
 	}
-	return !c.sent
+	return !c.requestSent
 }
 
-// NoConnection tells that none came up.
-func (c *Call) NoConnection() { c.end(decision.ConnectFailed, NeverRan, "no connection") }
+// ConnectFailed tells that none came up.
+func (c *Call) ConnectFailed() { c.end(decision.ConnectFailed, NeverRan, "no connection") }
 
-// Lost tells that the connection broke.
-func (c *Call) Lost() {
-	if !c.unsent("the connection broke") {
+// ConnectionLost tells that the connection broke.
+func (c *Call) ConnectionLost() {
+	if !c.endIfUnsent("the connection broke") {
 		c.end(decision.ConnectionLost, MayHaveRun, "the connection broke")
 	}
 }
@@ -130,17 +130,17 @@
 // TimedOut tells that the attempt's time was up; the stream is reset by this side.
 func (c *Call) TimedOut() {
 	switch {
-	case c.unsent("the time was up"):
-	case c.headed:
+	case c.endIfUnsent("the time was up"):
+	case c.headersReceived:
 		c.end(decision.TimedOut, MayHaveRun, "a head, and then nothing in time")
 	default:
 		c.end(decision.TimedOut, MayHaveRun, "no answer in time")
 	}
 }
 
-// CalledOff tells that this side gave the attempt up.
-func (c *Call) CalledOff() {
-	if !c.unsent("called off") {
+// Cancelled tells that this side gave the attempt up.
+func (c *Call) Cancelled() {
+	if !c.endIfUnsent("called off") {
 		c.end(decision.Cancelled, MayHaveRun, "called off")
 	}
 }
@@ -148,7 +148,7 @@
 // GoAway tells of a GOAWAY whose last stream is below this one's: the backend has not looked at it, and will not (RFC
 // 9113, 6.8). One whose last stream is not below changes nothing: the answer may still come.
 func (c *Call) GoAway(last, own uint32) {
-	if own > last && !c.headed {
+	if own > last && !c.headersReceived {
 		c.end(decision.Rejected, NeverRan, "GOAWAY with last stream %d, this is %d", last, own)
 	}
 }
@@ -156,23 +156,23 @@
 // Reset tells of a RST_STREAM from the backend.
 func (c *Call) Reset(code uint32) {
 	switch {
-	case code == refusedStream && !c.headed: // RFC 9113, 8.7
+	case code == refusedStream && !c.headersReceived: // RFC 9113, 8.7
 		c.end(decision.Rejected, NeverRan, "REFUSED_STREAM")
-	case c.unsent("RST_STREAM"):
-	case c.messages.Whole > 0:
+	case c.endIfUnsent("RST_STREAM"):
+	case c.messages.Complete > 0:
 		c.end(decision.ConnectionLost, Ran, "RST_STREAM (%d) after a message and before the status", code)
 	default:
 		c.end(decision.ConnectionLost, MayHaveRun, "RST_STREAM (%d)", code)
 	}
 }
 
-// Head tells of the answer's first head: its HTTP status and content type.
-func (c *Call) Head(status, contentType string) {
-	if c.headed {
+// ResponseHeaders tells of the answer's first head: its HTTP status and content type.
+func (c *Call) ResponseHeaders(status, contentType string) {
+	if c.headersReceived {
 		c.end(decision.Unknown, MayHaveRun, "a second head")
 		return
 	}
-	c.headed = true
+	c.headersReceived = true
 	switch {
 	case status != "200": // a proxy in between, or no gRPC server: see the protocol's http-grpc-status-mapping
 		c.end(decision.ErrorResponse, MayHaveRun, "HTTP status %.10q", status)
@@ -186,15 +186,15 @@
 	if c.ended {
 		return
 	}
-	if !c.headed {
+	if !c.headersReceived {
 		c.end(decision.Unknown, MayHaveRun, "data before a head")
 		return
 	}
-	c.messages.Limit = c.Limit
+	c.messages.MaxMessageBytes = c.MaxMessageBytes
 	if err := c.messages.Add(p); err != nil {
 		c.end(decision.Unknown, Ran, "%v", err)
-	} else if !c.Streaming && c.messages.Whole > 1 {
-		c.end(decision.Unknown, Ran, "%d messages in a unary answer", c.messages.Whole)
+	} else if !c.Streaming && c.messages.Complete > 1 {
+		c.end(decision.Unknown, Ran, "%d messages in a unary answer", c.messages.Complete)
 	} else if last {
 		c.end(decision.Unknown, MayHaveRun, "the stream ended without a status")
 	}
@@ -210,20 +210,20 @@
 	case err != nil || t.Status == "" || len(t.Status) > 2:
 		c.end(decision.Unknown, MayHaveRun, "grpc-status %.10q", t.Status)
 		return
-	case n >= uint64(codes):
+	case n >= uint64(codeCount):
 		n = uint64(Unknown) // so the protocol has it
 	}
 	code := Code(n)
-	alone := !c.headed || c.messages.Whole == 0 && c.messages.Rest() == 0
+	alone := !c.headersReceived || c.messages.Complete == 0 && c.messages.PartialBytes() == 0
 	switch {
-	case code == OK && c.messages.Rest() > 0:
+	case code == OK && c.messages.PartialBytes() > 0:
 		c.end(decision.Unknown, Ran, "the last message was cut off")
-	case code == OK && !c.Streaming && c.messages.Whole == 0:
+	case code == OK && !c.Streaming && c.messages.Complete == 0:
 		c.end(decision.Unknown, Ran, "a good status without a message")
-	case code == OK, isAnswer(code):
+	case code == OK, isFinalStatus(code):
 		c.outcome.Code = code
 		c.end(decision.Succeeded, Ran, "status %d", code)
-	case (code == Unavailable || code == ResourceExhausted) && alone && pushedBack(t.Pushback):
+	case (code == Unavailable || code == ResourceExhausted) && alone && allowsRetry(t.Pushback):
 		// gRFC A6: the backend itself asks for the same again after a while, which is harmless only if it did not run.
 		c.end(decision.Rejected, NeverRan, "status %d with a pushback of %s ms", code, t.Pushback)
 	default:
@@ -232,9 +232,9 @@
 	}
 }
 
-// isAnswer tells whether a status is the service's word on the request, which goes to the client as it is, and not one
+// isFinalStatus tells whether a status is the service's word on the request, which goes to the client as it is, and not one
 // that tells of a failure on the way.
-func isAnswer(c Code) bool {
+func isFinalStatus(c Code) bool {
 	switch c {
 	case InvalidArgument, NotFound, AlreadyExists, PermissionDenied, FailedPrecondition, Aborted, OutOfRange, Unimplemented, Unauthenticated:
 		return true
@@ -242,8 +242,8 @@
 	return false
 }
 
-// pushedBack tells whether a pushback asks for the same again; one below 0 or that is no number says not to.
-func pushedBack(ms string) bool {
+// allowsRetry tells whether a pushback asks for the same again; one below 0 or that is no number says not to.
+func allowsRetry(ms string) bool {
 	n, err := strconv.ParseInt(ms, 10, 32)
 	return err == nil && n >= 0
 }
--- a/internal/grpcproto/call_test.go
+++ b/internal/grpcproto/call_test.go
@@ -16,9 +16,9 @@
 	return append(p, make([]byte, n)...)
 }
 
-// play tells a call what short words say, after its request has gone out whole unless the first is "opened", "connecting"
+// playEvents tells a call what short words say, after its request has gone out whole unless the first is "opened", "connecting"
 // or "unsent".
-func play(c *Call, words string) Outcome {
+func playEvents(c *Call, words string) Outcome {
 	for i, w := range strings.Fields(words) {
 		name, arg, _ := strings.Cut(w, "=")
 		if i == 0 && name != "connecting" && name != "opened" {
@@ -32,19 +32,19 @@
 		case "sent":
 			c.Sent()
 		case "noconn":
-			c.NoConnection()
+			c.ConnectFailed()
 		case "lost":
-			c.Lost()
+			c.ConnectionLost()
 		case "timeup":
 			c.TimedOut()
 		case "off":
-			c.CalledOff()
+			c.Cancelled()
 		case "goaway":
 			c.GoAway(map[string]uint32{"below": 5, "at": 7, "above": 9}[arg], 7)
 		case "rst":
 			c.Reset(map[string]uint32{"no": 0, "internal": 2, "refused": 7, "cancel": 8, "calm": 11}[arg])
 		case "head":
-			c.Head(map[string]string{"": "200", "502": "502", "html": "200"}[arg], map[string]string{"": "application/grpc+proto", "html": "text/html"}[arg])
+			c.ResponseHeaders(map[string]string{"": "200", "502": "502", "html": "200"}[arg], map[string]string{"": "application/grpc+proto", "html": "text/html"}[arg])
 		case "msg":
 			c.Data(message(10), false)
 		case "long":
@@ -66,13 +66,13 @@
 	}
 	o, ended := c.Ended()
 	if !ended {
-		return Outcome{Why: "not ended"}
+		return Outcome{Reason: "not ended"}
 	}
 	return o
 }
 
 // The table of what an end proves. What is not proof of "never ran" must never be taken for it.
-func TestOutcomes(t *testing.T) {
+func TestCallOutcomes(t *testing.T) {
 	for words, want := range map[string]struct {
 		result decision.Result
 		proof  Proof
@@ -143,35 +143,35 @@
 		"rst=refused end=0":     {decision.Rejected, NeverRan},
 		"end=14/500 rst=cancel": {decision.Rejected, NeverRan},
 	} {
-		c := &Call{Limit: 100}
-		if got := play(c, words); got.Result != want.result || got.Proof != want.proof || got.Why == "" {
-			t.Errorf("%s: %v, %v (%s); want %v, %v", words, got.Result, got.Proof, got.Why, want.result, want.proof)
+		c := &Call{MaxMessageBytes: 100}
+		if got := playEvents(c, words); got.Result != want.result || got.Proof != want.proof || got.Reason == "" {
+			t.Errorf("%s: %v, %v (%s); want %v, %v", words, got.Result, got.Proof, got.Reason, want.result, want.proof)
 		}
 	}
 	for words, want := range map[string]decision.Result{"head end=0": decision.Succeeded, "head msg msg msg end=0": decision.Succeeded,
 		"head msg half end=0": decision.Unknown, "head msg end=13": decision.ErrorResponse, "head msg long": decision.Unknown} {
-		if got := play(&Call{Streaming: true, Limit: 100}, words); got.Result != want {
-			t.Errorf("streaming, %s: %v (%s), want %v", words, got.Result, got.Why, want)
+		if got := playEvents(&Call{Streaming: true, MaxMessageBytes: 100}, words); got.Result != want {
+			t.Errorf("streaming, %s: %v (%s), want %v", words, got.Result, got.Reason, want)
 		}
 	}
-	if got := play(&Call{}, "head msg"); got.Why != "not ended" {
+	if got := playEvents(&Call{}, "head msg"); got.Reason != "not ended" {
 		t.Errorf("it has ended: %+v", got)
 	}
 }
 
 // Whatever is told in whatever order: an attempt ends once, and only what the table names proves that it never ran.
-func TestAnyCourse(t *testing.T) {
+func TestRandomEventSequences(t *testing.T) {
 	words := strings.Fields("sent lost timeup off goaway=below goaway=at rst=refused rst=cancel head msg half last end=0 end=14 end=14/5 end=5")
 	for seed := range uint64(3000) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		c := &Call{Limit: 100}
+		c := &Call{MaxMessageBytes: 100}
 		course := "opened"
 		sent, headed, answered := false, false, false
 		for range 8 {
 			w := words[rng.IntN(len(words))]
 			course += " " + w
 			before, was := c.Ended()
-			o := play(c, "connecting "+w)
+			o := playEvents(c, "connecting "+w)
 			if was && o != before {
 				t.Fatalf("seed %d: %s: %+v, then %+v", seed, course, before, o)
 			}
@@ -186,7 +186,7 @@
 }
 
 // Bytes may come in any pieces.
-func TestMessagesInPieces(t *testing.T) {
+func TestMessagesSplitAnywhere(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		var all []byte
@@ -204,28 +204,28 @@
 			}
 			all = all[k:]
 		}
-		if m.Whole != n || m.Rest() != int64(rest) {
-			t.Fatalf("seed %d: %d whole and %d more, want %d and %d", seed, m.Whole, m.Rest(), n, rest)
+		if m.Complete != n || m.PartialBytes() != int64(rest) {
+			t.Fatalf("seed %d: %d whole and %d more, want %d and %d", seed, m.Complete, m.PartialBytes(), n, rest)
 		}
 	}
-	m := Messages{Limit: 10}
-	if err := m.Add(message(11)[:5]); !errors.Is(err, ErrTooLong) {
+	m := Messages{MaxMessageBytes: 10}
+	if err := m.Add(message(11)[:5]); !errors.Is(err, ErrMessageTooLarge) {
 		t.Errorf("over the limit: %v", err) // by its prefix alone
 	}
-	if err := m.Add(message(1)); !errors.Is(err, ErrTooLong) {
+	if err := m.Add(message(1)); !errors.Is(err, ErrMessageTooLarge) {
 		t.Errorf("and then: %v", err)
 	}
 }
 
 func TestTimeouts(t *testing.T) {
 	for s, want := range map[string]time.Duration{"0n": 0, "1H": time.Hour, "2M": 2 * time.Minute, "3S": 3 * time.Second, "4m": 4 * time.Millisecond,
-		"5u": 5 * time.Microsecond, "6n": 6, "99999999S": 99999999 * time.Second, "99999999H": mostTimeout, "00000007m": 7 * time.Millisecond} {
+		"5u": 5 * time.Microsecond, "6n": 6, "99999999S": 99999999 * time.Second, "99999999H": maxTimeout, "00000007m": 7 * time.Millisecond} {
 		if got, err := ParseTimeout(s); err != nil || got != want {
 			t.Errorf("%s: %v, %v", s, got, err)
 		}
 	}
 	for _, s := range []string{"", "1", "S", "-1S", "+1S", "1.5S", "1 S", "1s", "123456789S", "١S", "1SS", "1S "} {
-		if got, err := ParseTimeout(s); !errors.Is(err, ErrTimeout) {
+		if got, err := ParseTimeout(s); !errors.Is(err, ErrInvalidTimeout) {
 			t.Errorf("%q: %v, %v", s, got, err)
 		}
 	}
--- a/internal/grpctransport/conn.go
+++ b/internal/grpctransport/conn.go
@@ -26,8 +26,8 @@
 	// read holds up no other.
 	streamWindow = 64 << 10
 	connWindow   = 1 << 20
-	// maxHeads bounds a head, in bytes as they are counted in HPACK.
-	maxHeads = 16 << 10
+	// maxHeaderBytes bounds a head, in bytes as they are counted in HPACK.
+	maxHeaderBytes = 16 << 10
 	// A write that has made no way for this long ends its connection: nothing behind it could go out either.
 	writeTimeout = time.Second
 	// maxIdleFrames is how many frames that carry nothing (pings, settings, empty data) a backend may send for each
@@ -36,9 +36,9 @@
 )
 
 var (
-	errFlood   = errors.New("grpcback: too many frames that carry nothing")
-	errTooMany = errors.New("grpcback: no stream is free")
-	errLeaving = errors.New("grpcback: the backend has said GOAWAY")
+	errFlood        = errors.New("grpcback: too many frames that carry nothing")
+	errNoFreeStream = errors.New("grpcback: no stream is free")
+	errGoAway       = errors.New("grpcback: the backend has said GOAWAY")
 )
 
 // Field is one field of metadata, its name in lower case.
@@ -46,77 +46,77 @@
 
 // stream is one attempt on a connection. Its fields are guarded by conn.mu but for those that say otherwise.
 type stream struct {
-	conn   *conn
-	id     uint32
-	call   grpcproto.Call
-	window int64 // for what this side sends
-	answer Answer
-	body   messages      // of the answer: of a unary one all of it, of a streamed one what was not taken
-	news   chan struct{} // holds one when a streamed answer has gone on; nil: it is a unary one
-	owed   uint32        // of the stream's window, given back when what was sent is taken
-	done   chan struct{} // closed when call has ended
-	over   bool          // done is closed
+	conn             *conn
+	id               uint32
+	call             grpcproto.Call
+	sendWindow       int64 // for what this side sends
+	response         Response
+	messages         messageBuffer // of the answer: of a unary one all of it, of a streamed one what was not taken
+	changed          chan struct{} // holds one when a streamed answer has gone on; nil: it is a unary one
+	unreturnedWindow uint32        // of the stream's window, given back when what was sent is taken
+	done             chan struct{} // closed when call has ended
+	ended            bool          // done is closed
 }
 
 // conn is one connection over HTTP/2 to a backend. The reader is a goroutine of its own; whoever has something to
 // write writes it, under wmu. mu is never held while something waits for the network; wmu is taken before mu.
 type conn struct {
-	nc     net.Conn
-	most   int // streams at once, by this side's configuration
-	onEnd  func(*conn)
-	reader *http2.Framer
-
-	wmu     sync.Mutex
-	out     *bufio.Writer
-	writer  *http2.Framer
-	head    bytes.Buffer
-	encoder *hpack.Encoder
-
-	mu       sync.Mutex
-	opened   *sync.Cond // a window was opened, a stream has ended, or the connection has
-	streams  map[uint32]*stream
-	reserved int // streams that are about to be opened
-	next     uint32
-	allowed  uint32    // streams at once, by the backend's settings
-	initial  int64     // window of a new stream, by the backend's settings
-	frame    int       // largest frame that the backend takes
-	window   int64     // for what this side sends on all streams
-	leaving  bool      // GOAWAY has come
-	err      error     // why it has ended
-	idle     int       // frames that carried nothing since the last end of a stream
-	since    time.Time // it has had no stream since
+	netConn     net.Conn
+	maxStreams  int // streams at once, by this side's configuration
+	onClose     func(*conn)
+	frameReader *http2.Framer
+
+	writeMu     sync.Mutex
+	writeBuffer *bufio.Writer
+	frameWriter *http2.Framer
+	headerBlock bytes.Buffer
+	encoder     *hpack.Encoder
+
+	mu                sync.Mutex
+	changed           *sync.Cond // a window was opened, a stream has ended, or the connection has
+	streams           map[uint32]*stream
+	reserved          int // streams that are about to be opened
+	nextStreamID      uint32
+	peerMaxStreams    uint32    // streams at once, by the backend's settings
+	peerInitialWindow int64     // window of a new stream, by the backend's settings
+	peerMaxFrame      int       // largest frame that the backend takes
+	sendWindow        int64     // for what this side sends on all streams
+	draining          bool      // GOAWAY has come
+	err               error     // why it has ended
+	emptyFrames       int       // frames that carried nothing since the last end of a stream
+	idleSince         time.Time // it has had no stream since
 }
 
 // newConn begins a connection; onEnd is called once, when it takes nothing any more.
 func newConn(nc net.Conn, most int, onEnd func(*conn)) (*conn, error) {
-	c := &conn{nc: nc, most: most, onEnd: onEnd, streams: map[uint32]*stream{}, next: 1, allowed: 100, initial: 65535, frame: 16384, window: 65535,
-		since: time.Now()}
-	c.opened = sync.NewCond(&c.mu)
-	c.out = bufio.NewWriterSize(deadlined{nc}, 16<<10)
-	c.writer = http2.NewFramer(c.out, nil)
-	c.encoder = hpack.NewEncoder(&c.head)
-	c.reader = http2.NewFramer(nil, bufio.NewReaderSize(nc, 16<<10))
-	c.reader.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	c.reader.MaxHeaderListSize = maxHeads
-	c.reader.SetMaxReadFrameSize(16 << 10)
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
-	_, err := io.WriteString(c.out, http2.ClientPreface)
-	err = errors.Join(err, c.writer.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 0},
-		http2.Setting{ID: http2.SettingInitialWindowSize, Val: streamWindow}, http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: maxHeads}),
-		c.writer.WriteWindowUpdate(0, connWindow-65535), c.out.Flush())
+	c := &conn{netConn: nc, maxStreams: most, onClose: onEnd, streams: map[uint32]*stream{}, nextStreamID: 1, peerMaxStreams: 100, peerInitialWindow: 65535, peerMaxFrame: 16384, sendWindow: 65535,
+		idleSince: time.Now()}
+	c.changed = sync.NewCond(&c.mu)
+	c.writeBuffer = bufio.NewWriterSize(deadlineWriter{nc}, 16<<10)
+	c.frameWriter = http2.NewFramer(c.writeBuffer, nil)
+	c.encoder = hpack.NewEncoder(&c.headerBlock)
+	c.frameReader = http2.NewFramer(nil, bufio.NewReaderSize(nc, 16<<10))
+	c.frameReader.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	c.frameReader.MaxHeaderListSize = maxHeaderBytes
+	c.frameReader.SetMaxReadFrameSize(16 << 10)
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_, err := io.WriteString(c.writeBuffer, http2.ClientPreface)
+	err = errors.Join(err, c.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 0},
+		http2.Setting{ID: http2.SettingInitialWindowSize, Val: streamWindow}, http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: maxHeaderBytes}),
+		c.frameWriter.WriteWindowUpdate(0, connWindow-65535), c.writeBuffer.Flush())
 	if err != nil {
 		nc.Close()
 		return nil, err
 	}
-	go c.read()
+	go c.readLoop()
 	return c, nil
 }
 
-// deadlined gives each write a time.
-type deadlined struct{ net.Conn }
+// deadlineWriter gives each write a time.
+type deadlineWriter struct{ net.Conn }
 
-func (d deadlined) Write(p []byte) (int, error) {
+func (d deadlineWriter) Write(p []byte) (int, error) {
 	d.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return d.Conn.Write(p)
 }
@@ -128,10 +128,10 @@
 	switch {
 	case c.err != nil:
 		return c.err
-	case c.leaving:
-		return errLeaving
-	case len(c.streams)+c.reserved >= min(c.most, int(c.allowed)) || c.next > 1<<30:
-		return errTooMany
+	case c.draining:
+		return errGoAway
+	case len(c.streams)+c.reserved >= min(c.maxStreams, int(c.peerMaxStreams)) || c.nextStreamID > 1<<30:
+		return errNoFreeStream
 	}
 	c.reserved++
 	return nil
@@ -139,148 +139,148 @@
 
 // What a connection takes.
 const (
-	fresh   = iota // new streams
-	leaving        // none, and ends what it has
-	ended          // nothing
+	stateOpen     = iota // new streams
+	stateDraining        // none, and ends what it has
+	stateClosed          // nothing
 )
 
-func (c *conn) takes() int {
+func (c *conn) state() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.err != nil:
-		return ended
-	case c.leaving:
-		return leaving
+		return stateClosed
+	case c.draining:
+		return stateDraining
 	}
-	return fresh
+	return stateOpen
 }
 
-// open opens the stream that was reserved and writes its head.
-func (c *conn) open(s *stream, fields []Field) error {
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
+// openStream opens the stream that was reserved and writes its head.
+func (c *conn) openStream(s *stream, fields []Field) error {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.mu.Lock()
 	c.reserved--
 	err := c.err
-	if err == nil && c.leaving {
-		err = errLeaving
+	if err == nil && c.draining {
+		err = errGoAway
 	}
 	if err != nil {
-		c.settle()
+		c.noteIdle()
 		c.mu.Unlock()
 		return err
 	}
-	s.conn, s.id, s.window = c, c.next, c.initial
-	c.next += 2
+	s.conn, s.id, s.sendWindow = c, c.nextStreamID, c.peerInitialWindow
+	c.nextStreamID += 2
 	c.streams[s.id] = s
 	s.call.Opened()
-	frame := c.frame
+	frame := c.peerMaxFrame
 	c.mu.Unlock()
 
-	c.head.Reset()
+	c.headerBlock.Reset()
 	for _, f := range fields {
 		_ = c.encoder.WriteField(hpack.HeaderField{Name: f.Name, Value: f.Value})
 	}
-	block := c.head.Bytes()
+	block := c.headerBlock.Bytes()
 	first := block[:min(len(block), frame)]
 	block = block[len(first):]
-	err = c.writer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: first, EndHeaders: len(block) == 0})
+	err = c.frameWriter.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: first, EndHeaders: len(block) == 0})
 	for err == nil && len(block) > 0 {
 		next := block[:min(len(block), frame)]
 		block = block[len(next):]
-		err = c.writer.WriteContinuation(s.id, len(block) == 0, next)
+		err = c.frameWriter.WriteContinuation(s.id, len(block) == 0, next)
 	}
-	return c.wrote(err)
+	return c.checkWrite(err)
 }
 
-// wrote ends the connection if a write has failed; it wants wmu.
-func (c *conn) wrote(err error) error {
+// checkWrite ends the connection if a write has failed; it wants wmu.
+func (c *conn) checkWrite(err error) error {
 	if err != nil {
 		c.fail(fmt.Errorf("grpcback: write: %w", err))
 	}
 	return err
 }
 
-// send writes the request's body, as the windows allow. It returns early when the stream has ended.
-func (c *conn) send(s *stream, p []byte) {
+// sendBody writes the request's body, as the windows allow. It returns early when the stream has ended.
+func (c *conn) sendBody(s *stream, p []byte) {
 	for {
 		c.mu.Lock()
 		n := 0
 		for {
-			if s.over || c.err != nil {
+			if s.ended || c.err != nil {
 				c.mu.Unlock()
 				return
 			}
-			if n = int(min(int64(len(p)), int64(c.frame), c.window, s.window)); n > 0 || len(p) == 0 {
+			if n = int(min(int64(len(p)), int64(c.peerMaxFrame), c.sendWindow, s.sendWindow)); n > 0 || len(p) == 0 {
 				break
 			}
-			c.opened.Wait()
+			c.changed.Wait()
 		}
-		c.window -= int64(n)
-		s.window -= int64(n)
+		c.sendWindow -= int64(n)
+		s.sendWindow -= int64(n)
 		last := n == len(p)
 		c.mu.Unlock()
 
-		c.wmu.Lock()
+		c.writeMu.Lock()
 		c.mu.Lock()
-		over := s.over
+		over := s.ended
 		if last && !over {
 			s.call.Sent()
 		}
 		c.mu.Unlock()
 		if !over {
-			err := c.writer.WriteData(s.id, last, p[:n])
+			err := c.frameWriter.WriteData(s.id, last, p[:n])
 			if err == nil { // also of a part: the backend may open the window only when it has it
-				err = c.out.Flush()
+				err = c.writeBuffer.Flush()
 			}
-			if c.wrote(err) != nil {
+			if c.checkWrite(err) != nil {
 				over = true
 			}
 		}
-		c.wmu.Unlock()
+		c.writeMu.Unlock()
 		if p = p[n:]; last || over {
 			return
 		}
 	}
 }
 
-// giveUp ends a stream from this side: as says how.
-func (c *conn) giveUp(s *stream, as func(*grpcproto.Call)) {
+// resetStream ends a stream from this side: as says how.
+func (c *conn) resetStream(s *stream, as func(*grpcproto.Call)) {
 	c.mu.Lock()
-	if s.over {
+	if s.ended {
 		c.mu.Unlock()
 		return
 	}
 	as(&s.call)
-	c.finish(s)
+	c.finishStream(s)
 	c.mu.Unlock()
-	c.cancel(s.id)
+	c.sendReset(s.id)
 }
 
-// finish lets a stream go that has ended; it wants mu.
-func (c *conn) finish(s *stream) {
-	if s.over {
+// finishStream lets a stream go that has ended; it wants mu.
+func (c *conn) finishStream(s *stream) {
+	if s.ended {
 		return
 	}
-	s.over = true
+	s.ended = true
 	close(s.done)
-	s.tell()
+	s.notify()
 	delete(c.streams, s.id)
-	c.idle = 0
-	c.settle()
-	c.opened.Broadcast()
+	c.emptyFrames = 0
+	c.noteIdle()
+	c.changed.Broadcast()
 }
 
-// settle notes that the connection has no streams; one that takes none any more is closed then. It wants mu.
-func (c *conn) settle() {
+// noteIdle notes that the connection has no streams; one that takes none any more is closed then. It wants mu.
+func (c *conn) noteIdle() {
 	if len(c.streams)+c.reserved > 0 {
 		return
 	}
-	c.since = time.Now()
-	if c.leaving && c.err == nil {
-		c.err = errLeaving
-		c.nc.Close()
+	c.idleSince = time.Now()
+	if c.draining && c.err == nil {
+		c.err = errGoAway
+		c.netConn.Close()
 	}
 }
 
@@ -291,7 +291,7 @@
 	if len(c.streams)+c.reserved > 0 {
 		return 0
 	}
-	return now.Sub(c.since)
+	return now.Sub(c.idleSince)
 }
 
 // fail ends the connection and all that is on it. It may be called with wmu held, not with mu.
@@ -301,26 +301,26 @@
 		c.err = err
 	}
 	for _, s := range c.streams {
-		s.call.Lost()
-		c.finish(s)
+		s.call.ConnectionLost()
+		c.finishStream(s)
 	}
-	c.opened.Broadcast()
+	c.changed.Broadcast()
 	c.mu.Unlock()
-	c.nc.Close()
+	c.netConn.Close()
 }
 
-// read takes frames until the connection ends.
-func (c *conn) read() {
-	defer c.onEnd(c)
+// readLoop takes frames until the connection ends.
+func (c *conn) readLoop() {
+	defer c.onClose(c)
 	for {
-		f, err := c.reader.ReadFrame()
+		f, err := c.frameReader.ReadFrame()
 		var se http2.StreamError
 		if errors.As(err, &se) { // such as a head that makes no sense
-			c.broken(se.StreamID)
+			c.failStream(se.StreamID)
 			continue
 		}
 		if err == nil {
-			err = c.take(f)
+			err = c.handleFrame(f)
 		}
 		if err != nil {
 			c.fail(fmt.Errorf("grpcback: read: %w", err))
@@ -329,87 +329,87 @@
 	}
 }
 
-// broken ends a stream of which came what can't be read.
-func (c *conn) broken(id uint32) {
+// failStream ends a stream of which came what can't be read.
+func (c *conn) failStream(id uint32) {
 	c.mu.Lock()
 	s := c.streams[id]
 	c.mu.Unlock()
 	if s != nil {
-		c.giveUp(s, func(k *grpcproto.Call) { k.Garbled("a head that can't be read") })
+		c.resetStream(s, func(k *grpcproto.Call) { k.MalformedResponse("a head that can't be read") })
 	}
 }
 
-// take deals with one frame.
-func (c *conn) take(f http2.Frame) error {
+// handleFrame deals with one frame.
+func (c *conn) handleFrame(f http2.Frame) error {
 	var answer func() error // to be written once mu is let go
 	c.mu.Lock()
 	idle := true
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
 		if !f.IsAck() {
-			err := f.ForeachSetting(func(s http2.Setting) error { return c.set(s) })
+			err := f.ForeachSetting(func(s http2.Setting) error { return c.applySetting(s) })
 			if err != nil {
 				c.mu.Unlock()
 				return err
 			}
-			answer = c.writer.WriteSettingsAck
+			answer = c.frameWriter.WriteSettingsAck
 		}
 	case *http2.PingFrame:
 		if data := f.Data; !f.IsAck() {
-			answer = func() error { return c.writer.WritePing(true, data) }
+			answer = func() error { return c.frameWriter.WritePing(true, data) }
 		}
 	case *http2.WindowUpdateFrame:
 		if f.StreamID == 0 {
-			c.window += int64(f.Increment)
+			c.sendWindow += int64(f.Increment)
 		} else if s := c.streams[f.StreamID]; s != nil {
-			s.window += int64(f.Increment)
+			s.sendWindow += int64(f.Increment)
 		}
-		c.opened.Broadcast()
+		c.changed.Broadcast()
 		idle = false
 	case *http2.GoAwayFrame:
-		c.leaving = true
+		c.draining = true
 		for _, s := range c.streams {
 			s.call.GoAway(f.LastStreamID, s.id)
-			c.ifEnded(s)
+			c.finishIfEnded(s)
 		}
-		c.settle()
+		c.noteIdle()
 	case *http2.RSTStreamFrame:
 		if s := c.streams[f.StreamID]; s != nil {
 			s.call.Reset(uint32(f.ErrCode))
-			c.ifEnded(s)
+			c.finishIfEnded(s)
 		}
 	case *http2.MetaHeadersFrame:
 		if s := c.streams[f.StreamID]; s != nil {
-			s.headers(f)
-			c.ifEnded(s)
+			s.handleHeaders(f)
+			c.finishIfEnded(s)
 		}
 	case *http2.DataFrame:
 		n := f.Length
 		idle = n == 0
 		s := c.streams[f.StreamID]
 		if s != nil {
-			s.data(f.Data(), f.StreamEnded())
-			c.ifEnded(s)
+			s.handleData(f.Data(), f.StreamEnded())
+			c.finishIfEnded(s)
 		}
 		if n > 0 {
 			id, back := f.StreamID, uint32(0)
-			if s != nil && !s.over {
-				s.owed += n
-				back = s.credit()
+			if s != nil && !s.ended {
+				s.unreturnedWindow += n
+				back = s.takeWindowCredit()
 			}
 			answer = func() error {
-				err := c.writer.WriteWindowUpdate(0, n)
+				err := c.frameWriter.WriteWindowUpdate(0, n)
 				if back > 0 {
-					err = errors.Join(err, c.writer.WriteWindowUpdate(id, back))
+					err = errors.Join(err, c.frameWriter.WriteWindowUpdate(id, back))
 				}
 				return err
 			}
 		}
 	}
 	if idle {
-		c.idle++
+		c.emptyFrames++
 	}
-	flood := c.idle > maxIdleFrames
+	flood := c.emptyFrames > maxIdleFrames
 	c.mu.Unlock()
 	if flood {
 		return errFlood
@@ -417,52 +417,52 @@
 	if answer == nil {
 		return nil
 	}
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
-	return errors.Join(answer(), c.out.Flush())
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	return errors.Join(answer(), c.writeBuffer.Flush())
 }
 
-// set takes one of the backend's settings; it wants mu.
-func (c *conn) set(s http2.Setting) error {
+// applySetting takes one of the backend's settings; it wants mu.
+func (c *conn) applySetting(s http2.Setting) error {
 	if err := s.Valid(); err != nil {
 		return err
 	}
 	switch s.ID {
 	case http2.SettingMaxConcurrentStreams:
-		c.allowed = s.Val
+		c.peerMaxStreams = s.Val
 	case http2.SettingMaxFrameSize:
-		c.frame = int(min(s.Val, 64<<10))
+		c.peerMaxFrame = int(min(s.Val, 64<<10))
 	case http2.SettingInitialWindowSize:
 		for _, st := range c.streams {
-			st.window += int64(s.Val) - c.initial
+			st.sendWindow += int64(s.Val) - c.peerInitialWindow
 		}
-		c.initial = int64(s.Val)
-		c.opened.Broadcast()
+		c.peerInitialWindow = int64(s.Val)
+		c.changed.Broadcast()
 	}
 	return nil
 }
 
-// ifEnded lets a stream go whose call has ended; it wants mu.
-func (c *conn) ifEnded(s *stream) {
-	if _, ended := s.call.Ended(); ended && !s.over {
-		if id := s.id; !s.answer.whole || !s.call.HasSent() { // the backend may still be sending: it need not
-			go c.cancel(id)
+// finishIfEnded lets a stream go whose call has ended; it wants mu.
+func (c *conn) finishIfEnded(s *stream) {
+	if _, ended := s.call.Ended(); ended && !s.ended {
+		if id := s.id; !s.response.complete || !s.call.RequestSent() { // the backend may still be sending: it need not
+			go c.sendReset(id)
 		}
-		c.finish(s)
+		c.finishStream(s)
 	}
 }
 
-// cancel tells the backend that a stream is not waited for.
-func (c *conn) cancel(id uint32) {
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
-	_ = c.wrote(errors.Join(c.writer.WriteRSTStream(id, http2.ErrCodeCancel), c.out.Flush()))
+// sendReset tells the backend that a stream is not waited for.
+func (c *conn) sendReset(id uint32) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_ = c.checkWrite(errors.Join(c.frameWriter.WriteRSTStream(id, http2.ErrCodeCancel), c.writeBuffer.Flush()))
 }
 
-// headers takes a head of the answer.
-func (s *stream) headers(f *http2.MetaHeadersFrame) {
+// handleHeaders takes a head of the answer.
+func (s *stream) handleHeaders(f *http2.MetaHeadersFrame) {
 	if f.Truncated {
-		s.call.Garbled("a head over the limit")
+		s.call.MalformedResponse("a head over the limit")
 		return
 	}
 	var t grpcproto.Trailer
@@ -473,178 +473,178 @@
 		case "grpc-status":
 			t.Status = h.Value
 		case "grpc-message":
-			s.answer.Message = h.Value
+			s.response.Message = h.Value
 		case "grpc-retry-pushback-ms":
 			t.Pushback = h.Value
 		case "content-type":
 			contentType = h.Value
 		case "x-ratelimit-used": // this and the next are for the door, in a head or in trailers
-			s.answer.use = h.Value
+			s.response.usage = h.Value
 		case "server-load":
-			s.answer.load = h.Value
+			s.response.loadReport = h.Value
 		default:
 			rest = append(rest, Field{h.Name, h.Value})
 		}
 	}
-	if !s.call.Started() {
+	if !s.call.ResponseStarted() {
 		if !f.StreamEnded() {
-			s.answer.Header = rest
-			s.call.Head(f.PseudoValue("status"), contentType)
+			s.response.Header = rest
+			s.call.ResponseHeaders(f.PseudoValue("status"), contentType)
 			return
 		}
 		if status := f.PseudoValue("status"); status != "200" {
-			s.call.Head(status, contentType)
+			s.call.ResponseHeaders(status, contentType)
 			return
 		}
 	} else if !f.StreamEnded() {
-		s.call.Head("", "") // a second one
+		s.call.ResponseHeaders("", "") // a second one
 		return
 	}
-	s.answer.whole = true
-	s.answer.Trailer = rest
+	s.response.complete = true
+	s.response.Trailer = rest
 	s.call.Trailers(t)
 }
 
-// data takes a part of the answer's body.
-func (s *stream) data(p []byte, last bool) {
+// handleData takes a part of the answer's body.
+func (s *stream) handleData(p []byte, last bool) {
 	s.call.Data(p, last)
 	if _, ended := s.call.Ended(); !ended {
-		s.body.add(p)
-		s.tell()
+		s.messages.add(p)
+		s.notify()
 	}
 }
 
-// credit is how much of its window a stream gives back now: what has come, unless it is a streamed answer that is not
+// takeWindowCredit is how much of its window a stream gives back now: what has come, unless it is a streamed answer that is not
 // read as fast as it comes. A message that is not whole is waited for, however long it is; its length is bounded. It wants
 // the connection's lock.
-func (s *stream) credit() uint32 {
-	if s.news != nil && len(s.body.whole) > 0 {
+func (s *stream) takeWindowCredit() uint32 {
+	if s.changed != nil && len(s.messages.complete) > 0 {
 		return 0
 	}
-	n := s.owed
-	s.owed = 0
+	n := s.unreturnedWindow
+	s.unreturnedWindow = 0
 	return n
 }
 
-// messages are those of an answer that are there, each in memory of its own, with its prefix.
-type messages struct {
-	whole [][]byte
-	part  []byte // the one that is coming
+// messageBuffer are those of an answer that are there, each in memory of its own, with its prefix.
+type messageBuffer struct {
+	complete [][]byte
+	partial  []byte // the one that is coming
 }
 
-// mostRoom is how much memory a message is given before it has come, in bytes: its prefix may promise more than follows.
-const mostRoom = 64 << 10
+// maxInitialBuffer is how much memory a message is given before it has come, in bytes: its prefix may promise more than follows.
+const maxInitialBuffer = 64 << 10
 
 // add takes in the next bytes, which are known to be framed well.
-func (m *messages) add(p []byte) {
+func (m *messageBuffer) add(p []byte) {
 	for len(p) > 0 {
-		if m.part == nil {
+		if m.partial == nil {
 			room := 5
 			if len(p) >= 5 {
-				room = min(5+int(binary.BigEndian.Uint32(p[1:])), mostRoom)
+				room = min(5+int(binary.BigEndian.Uint32(p[1:])), maxInitialBuffer)
 			}
-			m.part = make([]byte, 0, room)
+			m.partial = make([]byte, 0, room)
 		}
 		want := 5
-		if len(m.part) >= 5 {
-			want += int(binary.BigEndian.Uint32(m.part[1:]))
+		if len(m.partial) >= 5 {
+			want += int(binary.BigEndian.Uint32(m.partial[1:]))
 		}
-		if want > cap(m.part) && cap(m.part) <= 5 {
-			m.part = append(make([]byte, 0, min(want, mostRoom)), m.part...)
+		if want > cap(m.partial) && cap(m.partial) <= 5 {
+			m.partial = append(make([]byte, 0, min(want, maxInitialBuffer)), m.partial...)
 		}
-		n := min(want-len(m.part), len(p))
-		m.part = append(m.part, p[:n]...)
+		n := min(want-len(m.partial), len(p))
+		m.partial = append(m.partial, p[:n]...)
 		p = p[n:]
-		if len(m.part) >= 5 && len(m.part) == 5+int(binary.BigEndian.Uint32(m.part[1:])) {
-			m.whole, m.part = append(m.whole, m.part), nil
+		if len(m.partial) >= 5 && len(m.partial) == 5+int(binary.BigEndian.Uint32(m.partial[1:])) {
+			m.complete, m.partial = append(m.complete, m.partial), nil
 		}
 	}
 }
 
-// first takes the first whole message out; nil: there is none.
-func (m *messages) first() []byte {
-	if len(m.whole) == 0 {
+// next takes the first whole message out; nil: there is none.
+func (m *messageBuffer) next() []byte {
+	if len(m.complete) == 0 {
 		return nil
 	}
-	p := m.whole[0]
-	m.whole[0] = nil
-	if m.whole = m.whole[1:]; len(m.whole) == 0 {
-		m.whole = nil
+	p := m.complete[0]
+	m.complete[0] = nil
+	if m.complete = m.complete[1:]; len(m.complete) == 0 {
+		m.complete = nil
 	}
 	return p
 }
 
-// tell rouses who passes a streamed answer on.
-func (s *stream) tell() {
-	if s.news != nil {
+// notify rouses who passes a streamed answer on.
+func (s *stream) notify() {
+	if s.changed != nil {
 		select {
-		case s.news <- struct{}{}:
+		case s.changed <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// take gives the next message of a streamed answer, or nil once it has ended; a message that came before a good end is
+// nextMessage gives the next message of a streamed answer, or nil once it has ended; a message that came before a good end is
 // given, one before a bad end need not be.
-func (s *stream) take() []byte {
+func (s *stream) nextMessage() []byte {
 	c := s.conn
 	for {
 		c.mu.Lock()
-		if o, _ := s.call.Ended(); s.over && (len(s.body.whole) == 0 || o.Result != decision.Succeeded) {
+		if o, _ := s.call.Ended(); s.ended && (len(s.messages.complete) == 0 || o.Result != decision.Succeeded) {
 			c.mu.Unlock()
 			return nil
 		}
-		p := s.body.first()
+		p := s.messages.next()
 		c.mu.Unlock()
 		if p != nil {
 			return p
 		}
-		<-s.news
+		<-s.changed
 	}
 }
 
-// taken gives the backend's window back for what was taken.
-func (s *stream) taken() {
+// returnWindow gives the backend's window back for what was taken.
+func (s *stream) returnWindow() {
 	c := s.conn
 	c.mu.Lock()
 	n := uint32(0)
-	if !s.over {
-		n = s.credit()
+	if !s.ended {
+		n = s.takeWindowCredit()
 	}
 	c.mu.Unlock()
 	if n == 0 {
 		return
 	}
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
-	_ = c.wrote(errors.Join(c.writer.WriteWindowUpdate(s.id, n), c.out.Flush()))
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_ = c.checkWrite(errors.Join(c.frameWriter.WriteWindowUpdate(s.id, n), c.writeBuffer.Flush()))
 }
 
-// pass passes a streamed answer on, and tells how that has ended: Answered, or why its client did not get all of it.
-func (s *stream) pass(ctx context.Context, a *executor.Attempt, sink Sink) decision.Result {
+// forwardTo passes a streamed answer on, and tells how that has ended: Answered, or why its client did not get all of it.
+func (s *stream) forwardTo(ctx context.Context, a *executor.Attempt, sink Sink) decision.Result {
 	for begun := false; ; begun = true {
-		p := s.take()
+		p := s.nextMessage()
 		if p == nil {
 			return decision.Succeeded
 		}
 		if !begun {
 			if !a.StartResponse() {
-				s.conn.giveUp(s, (*grpcproto.Call).CalledOff)
+				s.conn.resetStream(s, (*grpcproto.Call).Cancelled)
 				return decision.Cancelled
 			}
 			s.conn.mu.Lock()
-			head := s.answer.Header
+			head := s.response.Header
 			s.conn.mu.Unlock()
-			sink.Head(head)
+			sink.WriteHeader(head)
 		}
-		if sink.Message(ctx, p) != nil {
+		if sink.WriteMessage(ctx, p) != nil {
 			if errors.Is(a.CancelCause(), executor.ErrCancelled) || ctx.Err() == nil {
-				s.conn.giveUp(s, (*grpcproto.Call).CalledOff)
+				s.conn.resetStream(s, (*grpcproto.Call).Cancelled)
 				return decision.Cancelled
 			}
-			s.conn.giveUp(s, (*grpcproto.Call).TimedOut)
+			s.conn.resetStream(s, (*grpcproto.Call).TimedOut)
 			return decision.TimedOut
 		}
-		s.taken()
+		s.returnWindow()
 	}
 }
--- a/internal/grpctransport/stored.go
+++ b/internal/grpctransport/stored.go
@@ -11,7 +11,7 @@
 // this file hold these names, so that a rename elsewhere leaves journals that were written before readable.
 
 // encodeStored gives the stored form of an answer.
-func encodeStored(a *Answer) ([]byte, error) {
+func encodeStored(a *Response) ([]byte, error) {
 	type given = Field
 	type Field struct{ Name, Value string }
 	stored := func(in []given) (out []Field) {
@@ -33,7 +33,7 @@
 }
 
 // decodeStored reads what encodeStored wrote. Only a stream that its backend has ended was stored.
-func decodeStored(text []byte) (*Answer, error) {
+func decodeStored(text []byte) (*Response, error) {
 	type storedField struct{ Name, Value string }
 	var stored struct {
 		Code    uint32
@@ -51,6 +51,6 @@
 		}
 		return out
 	}
-	return &Answer{Code: grpcproto.Code(stored.Code), Message: stored.Message, Header: fields(stored.Header), Trailer: fields(stored.Trailer),
-		Body: stored.Body, whole: true}, nil
+	return &Response{Code: grpcproto.Code(stored.Code), Message: stored.Message, Header: fields(stored.Header), Trailer: fields(stored.Trailer),
+		Body: stored.Body, complete: true}, nil
 }
--- a/internal/grpctransport/stored_test.go
+++ b/internal/grpctransport/stored_test.go
@@ -17,10 +17,10 @@
 // An answer that an earlier release kept for an idempotency key is given again with all its fields, and what is kept now has the names by which
 // that release finds them. (The bytes are alike but for the description of the type of Header and Trailer, in which gob writes the package's
 // name and which nothing reads.)
-func TestStoredAnswerKeepsItsForm(t *testing.T) {
+func TestStoredResponseKeepsItsForm(t *testing.T) {
 	const file = "testdata/answer.gob"
-	want := &Answer{Code: grpcproto.Code(9), Message: "no such%20item", Header: []Field{{Name: "a", Value: "1"}, {Name: "b-bin", Value: "\x00"}},
-		Trailer: []Field{{Name: "t", Value: "2"}}, Body: []byte("\x00\x00\x00\x00\x01m"), whole: true}
+	want := &Response{Code: grpcproto.Code(9), Message: "no such%20item", Header: []Field{{Name: "a", Value: "1"}, {Name: "b-bin", Value: "\x00"}},
+		Trailer: []Field{{Name: "t", Value: "2"}}, Body: []byte("\x00\x00\x00\x00\x01m"), complete: true}
 	kept, err := (&Request{}).EncodeResponse(want)
 	if err != nil || kept.Status != 9 || kept.ContentType != "application/grpc" {
 		t.Fatalf("%+v, %v", kept, err)
--- a/internal/grpctransport/backends.go
+++ b/internal/grpctransport/transport.go
@@ -27,15 +27,15 @@
 
 // Config says how backends are reached. What is 0 takes the default.
 type Config struct {
-	Conns      int           // to one backend; 2. Up to as many again may be ending
-	Streams    int           // on one connection; 100
-	Connect    time.Duration // a connection that is not up by then counts as failed; 250 ms
-	Idle       time.Duration // one that was idle for longer is not used; 15 s
-	MaxMessage int           // of an answer, in bytes; 4 MiB
-	// LoadColumns are the settings' names of load figures; none: there are no load reports.
-	LoadColumns []string
-	Log         *slog.Logger
-	Dial        func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the system's
+	MaxConnsPerBackend int           // to one backend; 2. Up to as many again may be ending
+	MaxStreamsPerConn  int           // on one connection; 100
+	ConnectTimeout     time.Duration // a connection that is not up by then counts as failed; 250 ms
+	IdleTimeout        time.Duration // one that was idle for longer is not used; 15 s
+	MaxMessageBytes    int           // of an answer, in bytes; 4 MiB
+	// LoadReportFields are the settings' names of load figures; none: there are no load reports.
+	LoadReportFields []string
+	Log              *slog.Logger
+	Dial             func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the system's
 }
 
 // Request is a client's call as it goes on to a backend, with each attempt.
@@ -49,11 +49,11 @@
 // Sink takes a streamed answer as it comes. It is called by one goroutine at a time, and only after the attempt's answer
 // was allowed to begin, so by one attempt of a request only.
 type Sink interface {
-	// Head comes once, before the first message.
-	Head(fields []Field)
-	// Message takes a message with its prefix, and keeps it. It waits while its client does not read, until ctx ends: what
+	// WriteHeader comes once, before the first message.
+	WriteHeader(fields []Field)
+	// WriteMessage takes a message with its prefix, and keeps it. It waits while its client does not read, until ctx ends: what
 	// the backend may send meanwhile is bounded by the stream's window. An error ends the attempt.
-	Message(ctx context.Context, p []byte) error
+	WriteMessage(ctx context.Context, p []byte) error
 }
 
 // Protocol is what it goes over.
@@ -69,7 +69,7 @@
 
 // EncodeResponse makes what can be kept of a backend's answer.
 func (r *Request) EncodeResponse(reply any) (idempotency.Response, error) {
-	a := reply.(*Answer)
+	a := reply.(*Response)
 	body, err := encodeStored(a)
 	return idempotency.Response{Status: int(a.Code), ContentType: "application/grpc", Body: body}, err
 }
@@ -83,61 +83,61 @@
 	return again, nil
 }
 
-// Answer is a backend's answer.
-type Answer struct {
-	Code            grpcproto.Code
-	Message         string // grpc-message as it came
-	Header, Trailer []Field
-	Body            []byte // of a unary call: its message with its prefix
-	whole           bool   // the backend has ended the stream
-	use, load       string // what the backend told of the customer and of itself, as it came
+// Response is a backend's answer.
+type Response struct {
+	Code              grpcproto.Code
+	Message           string // grpc-message as it came
+	Header, Trailer   []Field
+	Body              []byte // of a unary call: its message with its prefix
+	complete          bool   // the backend has ended the stream
+	usage, loadReport string // what the backend told of the customer and of itself, as it came
 }
 
-// Backends makes attempts at the backends that it was told of. It is a drive.Carrier and safe for concurrent use.
-type Backends struct {
-	config   Config
-	readings loadreport.Reader
-	faultLog rate.Sometimes
+// Transport makes attempts at the backends that it was told of. It is a drive.Carrier and safe for concurrent use.
+type Transport struct {
+	config          Config
+	loadReader      loadreport.Reader
+	failureLogLimit rate.Sometimes
 
-	mu   sync.Mutex
-	byID map[decision.BackendID]*backend
-	ran  sync.WaitGroup // readers
+	mu        sync.Mutex
+	byID      map[decision.BackendID]*backend
+	readLoops sync.WaitGroup // readers
 }
 
-var _ executor.BackendTransport = (*Backends)(nil)
+var _ executor.BackendTransport = (*Transport)(nil)
 
 // backend is one that is known. Its fields are guarded by Backends.mu.
 type backend struct {
 	addr    string
 	state   decision.BackendState
 	conns   []*conn
-	dialing []*dial
-	gone    bool // what is dialled for it is closed
+	dialing []*pendingDial
+	removed bool // what is dialled for it is closed
 }
 
-// dial is a connection that is coming up.
-type dial struct {
-	waiting int           // attempts, the one that dials among them; guarded by Backends.mu
+// pendingDial is a connection that is coming up.
+type pendingDial struct {
+	waiters int           // attempts, the one that dials among them; guarded by Backends.mu
 	done    chan struct{} // closed at its end
 	failed  bool          // guarded by done
 }
 
 // New knows no backends yet.
-func New(c Config) *Backends {
-	if c.Conns <= 0 {
-		c.Conns = 2
+func New(c Config) *Transport {
+	if c.MaxConnsPerBackend <= 0 {
+		c.MaxConnsPerBackend = 2
 	}
-	if c.Streams <= 0 {
-		c.Streams = 100
+	if c.MaxStreamsPerConn <= 0 {
+		c.MaxStreamsPerConn = 100
 	}
-	if c.Connect <= 0 {
-		c.Connect = 250 * time.Millisecond
+	if c.ConnectTimeout <= 0 {
+		c.ConnectTimeout = 250 * time.Millisecond
 	}
-	if c.Idle <= 0 {
-		c.Idle = 15 * time.Second
+	if c.IdleTimeout <= 0 {
+		c.IdleTimeout = 15 * time.Second
 	}
-	if c.MaxMessage <= 0 {
-		c.MaxMessage = 4 << 20
+	if c.MaxMessageBytes <= 0 {
+		c.MaxMessageBytes = 4 << 20
 	}
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
@@ -145,18 +145,18 @@
 	if c.Dial == nil {
 		c.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	return &Backends{config: c, readings: loadreport.New(c.LoadColumns), faultLog: rate.Sometimes{First: 10, Interval: time.Second}, byID: map[decision.BackendID]*backend{}}
+	return &Transport{config: c, loadReader: loadreport.New(c.LoadReportFields), failureLogLimit: rate.Sometimes{First: 10, Interval: time.Second}, byID: map[decision.BackendID]*backend{}}
 }
 
 // Apply takes in what has changed about backends. It holds for every attempt that begins after it returns.
-func (b *Backends) Apply(changes []membership.Change) {
+func (b *Transport) Apply(changes []membership.Change) {
 	var drop []*conn
 	b.mu.Lock()
 	for _, c := range changes {
 		be := b.byID[c.ID]
 		if be != nil && (c.State == decision.Removed || c.Replaced) {
 			drop = append(drop, be.conns...)
-			be.gone, be.conns = true, nil
+			be.removed, be.conns = true, nil
 			delete(b.byID, c.ID)
 			be = nil
 		}
@@ -171,66 +171,66 @@
 	}
 	b.mu.Unlock()
 	for _, c := range drop {
-		c.leave()
+		c.drain()
 	}
 }
 
 // Close ends all connections and waits until nothing of them runs.
-func (b *Backends) Close() {
+func (b *Transport) Close() {
 	b.mu.Lock()
 	var drop []*conn
 	for _, be := range b.byID {
 		drop = append(drop, be.conns...)
-		be.gone, be.conns = true, nil
+		be.removed, be.conns = true, nil
 	}
 	clear(b.byID)
 	b.mu.Unlock()
 	for _, c := range drop {
 		c.fail(net.ErrClosed)
 	}
-	b.ran.Wait()
+	b.readLoops.Wait()
 }
 
 // Probe tells nothing: there are no load reports over gRPC.
-func (b *Backends) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
+func (b *Transport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
 	return decision.ProbeResult{Backend: id, Result: decision.NotSent}
 }
 
 // RoundTrip makes an attempt. One that is answered, with an error too, gives an *Answer.
-func (b *Backends) RoundTrip(a *executor.Attempt) executor.Response {
+func (b *Transport) RoundTrip(a *executor.Attempt) executor.Response {
 	req := a.Payload.(*Request)
 	s := &stream{done: make(chan struct{})}
 	if req.Sink != nil {
-		s.call.Streaming, s.news = true, make(chan struct{}, 1)
+		s.call.Streaming, s.changed = true, make(chan struct{}, 1)
 	}
-	s.call.Limit = b.config.MaxMessage
+	s.call.MaxMessageBytes = b.config.MaxMessageBytes
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	defer cancel()
 	if a.OnCancel(cancel) != nil {
-		return reply(decision.NotSent)
+		return responseWith(decision.NotSent)
 	}
-	c, result := b.conn(ctx, a.Backend)
+	c, result := b.acquire(ctx, a.Backend)
 	if c == nil {
-		return reply(result)
+		return responseWith(result)
 	}
 	if a.SendForbidden() { // a connection may have taken long to come up, or this process stood still
-		return reply(decision.NotSent)
+		return responseWith(decision.NotSent)
 	}
-	if err := c.open(s, req.fields(time.Until(a.Deadline))); err != nil && s.conn == nil {
-		return reply(decision.NotSent) // it has ended, or is leaving, since it was picked
+	if err := c.openStream(s, req.headerFields(time.Until(a.Deadline))); err != nil && s.conn == nil {
+		return responseWith(decision.NotSent) // it has ended, or is leaving, since it was picked
 	}
 	end := context.AfterFunc(ctx, func() {
 		how := (*grpcproto.Call).TimedOut
 		if errors.Is(a.CancelCause(), executor.ErrCancelled) {
-			how = (*grpcproto.Call).CalledOff
+			how = (*grpcproto.Call).Cancelled
 		}
-		c.giveUp(s, how)
+		c.resetStream(s, how)
 	})
 	defer end()
-	c.send(s, req.Body)
+	c.sendBody(s, req.Body)
 	cut := decision.Succeeded // how passing it on has ended
 	if req.Sink != nil {
-		cut = s.pass(ctx, a, req.Sink)
+		cut = s.forwardTo(ctx, a, req.Sink)
 	}
 	<-s.done
 	c.mu.Lock()
@@ -239,37 +239,37 @@
 	if o.Result == decision.Succeeded {
 		o.Result = cut
 	}
-	r := reply(o.Result)
+	r := responseWith(o.Result)
 	switch o.Result {
 	case decision.Succeeded, decision.ErrorResponse:
-		s.answer.Code, s.answer.Body = o.Code, s.body.first()
-		r.Body = &s.answer
+		s.response.Code, s.response.Body = o.Code, s.messages.next()
+		r.Body = &s.response
 	}
-	if v, ok := b.readings.Use(s.answer.use); ok {
+	if v, ok := b.loadReader.Use(s.response.usage); ok {
 		r.HasUsage, r.Usage = true, v
 	}
-	r.LoadReport = b.readings.Load(s.answer.load)
+	r.LoadReport = b.loadReader.Load(s.response.loadReport)
 	if o.Result != decision.Succeeded {
-		b.faultLog.Do(func() {
-			b.config.Log.Debug("an attempt over gRPC", "method", req.Method, "why", o.Why, "proof", o.Proof)
+		b.failureLogLimit.Do(func() {
+			b.config.Log.Debug("an attempt over gRPC", "method", req.Method, "why", o.Reason, "proof", o.Proof)
 		})
 	}
 	return r
 }
 
-func reply(r decision.Result) executor.Response {
+func responseWith(r decision.Result) executor.Response {
 	return executor.Response{Outcome: lifecycle.Outcome{Result: r}}
 }
 
-// fields are a request's head.
-func (r *Request) fields(left time.Duration) []Field {
+// headerFields are a request's head.
+func (r *Request) headerFields(left time.Duration) []Field {
 	return append([]Field{{":method", "POST"}, {":scheme", "http"}, {":path", r.Method}, {":authority", "backend"}, {"te", "trailers"},
 		{"content-type", "application/grpc"}, {"grpc-timeout", grpcproto.FormatTimeout(left)}}, r.Metadata...)
 }
 
-// conn gives a connection with a stream that is reserved, or the result of an attempt that gets none. While one is coming
+// acquire gives a connection with a stream that is reserved, or the result of an attempt that gets none. While one is coming
 // up, as many attempts as it has streams wait for it.
-func (b *Backends) conn(ctx context.Context, id decision.BackendID) (*conn, decision.Result) {
+func (b *Transport) acquire(ctx context.Context, id decision.BackendID) (*conn, decision.Result) {
 	for {
 		be, c, d, mine := b.pick(id)
 		switch {
@@ -292,12 +292,12 @@
 }
 
 // pick finds a stream that is free, or a connection that is coming up and will have one; mine: it has to be dialled.
-func (b *Backends) pick(id decision.BackendID) (be *backend, c *conn, d *dial, mine bool) {
+func (b *Transport) pick(id decision.BackendID) (be *backend, c *conn, d *pendingDial, mine bool) {
 	now := time.Now()
 	var drop []*conn
 	defer func() {
 		for _, c := range drop {
-			c.leave()
+			c.drain()
 		}
 	}()
 	b.mu.Lock()
@@ -307,7 +307,7 @@
 		return nil, nil, nil, false
 	}
 	be.conns = slices.DeleteFunc(be.conns, func(c *conn) bool {
-		old := c.idleFor(now) > b.config.Idle*6/10 // as over HTTP/1.1: the backend may be closing it
+		old := c.idleFor(now) > b.config.IdleTimeout*6/10 // as over HTTP/1.1: the backend may be closing it
 		if old {
 			drop = append(drop, c)
 		}
@@ -319,63 +319,63 @@
 		}
 	}
 	for _, d := range be.dialing {
-		if d.waiting < b.config.Streams {
-			d.waiting++
+		if d.waiters < b.config.MaxStreamsPerConn {
+			d.waiters++
 			return be, nil, d, false
 		}
 	}
 	fit := 0 // one that the backend is leaving does not count while its last streams end, up to a bound
 	for _, c := range be.conns {
-		if c.takes() == fresh {
+		if c.state() == stateOpen {
 			fit++
 		}
 	}
-	if fit+len(be.dialing) >= b.config.Conns || len(be.conns)+len(be.dialing) >= 2*b.config.Conns {
+	if fit+len(be.dialing) >= b.config.MaxConnsPerBackend || len(be.conns)+len(be.dialing) >= 2*b.config.MaxConnsPerBackend {
 		return be, nil, nil, false
 	}
-	d = &dial{waiting: 1, done: make(chan struct{})}
+	d = &pendingDial{waiters: 1, done: make(chan struct{})}
 	be.dialing = append(be.dialing, d)
-	b.ran.Add(1)
+	b.readLoops.Add(1)
 	return be, nil, d, true
 }
 
 // dial brings a connection up. It goes on when the attempt that began it is called off, as others may wait for it.
-func (b *Backends) dial(be *backend, d *dial) {
-	ctx, cancel := context.WithTimeout(context.Background(), b.config.Connect)
+func (b *Transport) dial(be *backend, d *pendingDial) {
+	ctx, cancel := context.WithTimeout(context.Background(), b.config.ConnectTimeout)
 	defer cancel()
 	nc, err := b.config.Dial(ctx, "tcp", be.addr)
 	var c *conn
 	if err == nil {
-		c, err = newConn(nc, b.config.Streams, func(c *conn) { b.forget(be, c); b.ran.Done() })
+		c, err = newConn(nc, b.config.MaxStreamsPerConn, func(c *conn) { b.removeConn(be, c); b.readLoops.Done() })
 	}
 	if err != nil {
-		b.ran.Done()
+		b.readLoops.Done()
 	}
 	b.mu.Lock()
-	be.dialing = slices.DeleteFunc(be.dialing, func(o *dial) bool { return o == d })
-	gone := be.gone
-	if err == nil && !gone && c.takes() != ended {
+	be.dialing = slices.DeleteFunc(be.dialing, func(o *pendingDial) bool { return o == d })
+	gone := be.removed
+	if err == nil && !gone && c.state() != stateClosed {
 		be.conns = append(be.conns, c)
 	}
 	b.mu.Unlock()
 	if err == nil && gone {
-		c.leave()
+		c.drain()
 	}
 	d.failed = err != nil
 	close(d.done)
 }
 
-// forget drops a connection that has ended.
-func (b *Backends) forget(be *backend, c *conn) {
+// removeConn drops a connection that has ended.
+func (b *Transport) removeConn(be *backend, c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	be.conns = slices.DeleteFunc(be.conns, func(o *conn) bool { return o == c })
 }
 
-// leave lets nothing new onto a connection and ends it when what is on it has ended.
-func (c *conn) leave() {
+// drain lets nothing new onto a connection and ends it when what is on it has ended.
+func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = true
-	c.settle()
+	c.draining = true
+	c.noteIdle()
 }
--- a/internal/grpctransport/backends_test.go
+++ b/internal/grpctransport/transport_test.go
@@ -23,20 +23,20 @@
 	"pumicecroft/membership"
 )
 
-// rig is a backend and what makes attempts at it.
-type rig struct {
+// fixture is a backend and what makes attempts at it.
+type fixture struct {
 	t       *testing.T
 	backend *fakes.GRPCBackend
 	ledger  *fakes.Ledger
-	back    *Backends
+	back    *Transport
 	lastID  atomic.Uint64
 }
 
-func newRig(t *testing.T, act func(fakes.Attempt) fakes.GRPCAct, change func(*fakes.GRPCConfig, *Config)) *rig {
+func newRig(t *testing.T, act func(fakes.Attempt) fakes.GRPCAct, change func(*fakes.GRPCConfig, *Config)) *fixture {
 	t.Helper()
-	r := &rig{t: t, ledger: &fakes.Ledger{}}
+	r := &fixture{t: t, ledger: &fakes.Ledger{}}
 	sc := fakes.GRPCConfig{Name: "g", Ledger: r.ledger, Act: act, Cell: &fakes.Cell{Window: 5 * time.Second}, Keyed: func(m string) bool { return m == "/shop.Desk/Pay" }}
-	c := Config{Connect: testkit.Patient, MaxMessage: 1 << 20}
+	c := Config{ConnectTimeout: testkit.Patient, MaxMessageBytes: 1 << 20}
 	if change != nil {
 		change(&sc, &c)
 	}
@@ -54,13 +54,13 @@
 	return append(binary.BigEndian.AppendUint32([]byte{0}, uint32(n)), make([]byte, n)...)
 }
 
-func (r *rig) request(size int) *Request {
+func (r *fixture) request(size int) *Request {
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
 	return &Request{Method: "/shop.Desk/Pay", Body: framed(size), Metadata: []Field{{"request-id", id}, {"idempotency-key", "key-" + id}}}
 }
 
 // attempt makes one attempt; patience 0 is a long one.
-func (r *rig) attempt(req *Request, patience time.Duration) executor.Response {
+func (r *fixture) attempt(req *Request, patience time.Duration) executor.Response {
 	if patience == 0 {
 		patience = testkit.Patient
 	}
@@ -100,7 +100,7 @@
 				if as := r.ledger.Of(req.Metadata[0].Value); len(as) != 1 { // never again by itself
 					t.Errorf("it reached the backend %d times", len(as))
 				}
-				if a, ok := reply.Body.(*Answer); act == fakes.GRPCServe && (!ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value) {
+				if a, ok := reply.Body.(*Response); act == fakes.GRPCServe && (!ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value) {
 					t.Errorf("answered %+v", reply.Body)
 				} else if act == fakes.GRPCNotFound && (!ok || a.Code != grpcproto.NotFound || a.Message != "as scripted") {
 					t.Errorf("answered %+v", reply.Body)
@@ -112,7 +112,7 @@
 
 // A GOAWAY while streams are open: those above its last stream have not run and are told so, the others end well, and
 // what comes next goes to another connection.
-func TestGoAwayHalfway(t *testing.T) {
+func TestGoAwayDuringCalls(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
 	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { <-hold; return fakes.GRPCServe }, nil)
@@ -163,9 +163,9 @@
 
 // A backend that says GOAWAY again and again, with a stream that does not end each time, is asked over new connections,
 // and over so many at once only.
-func TestGoAwayEachTime(t *testing.T) {
+func TestGoAwayAfterEachCall(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.Conns = 1 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend = 1 })
 	var ran sync.WaitGroup
 	defer ran.Wait()
 	for i := range 2 {
@@ -177,7 +177,7 @@
 		for end := time.Now().Add(testkit.Patient); ; time.Sleep(time.Millisecond) {
 			r.back.mu.Lock()
 			conns := r.back.byID[1].conns
-			left := len(conns) == i+1 && conns[i].takes() == leaving
+			left := len(conns) == i+1 && conns[i].state() == stateDraining
 			r.back.mu.Unlock()
 			if left {
 				break
@@ -196,9 +196,9 @@
 }
 
 // Calls that are given up reset their streams at once, and their slots are free again.
-func TestCalledOff(t *testing.T) {
+func TestCancelledAttempt(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.Conns, c.Streams = 1, 4 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxStreamsPerConn = 1, 4 })
 	for range 20 {
 		a := executor.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
 		before := len(r.ledger.Attempts())
@@ -221,10 +221,12 @@
 }
 
 // Streams and connections are bounded by both sides; what finds none free has not been sent.
-func TestBounds(t *testing.T) {
+func TestConnectionAndStreamLimits(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang },
-		func(s *fakes.GRPCConfig, c *Config) { c.Conns, c.Streams, s.MaxStreams = 2, 8, 5 })
+		func(s *fakes.GRPCConfig, c *Config) {
+			c.MaxConnsPerBackend, c.MaxStreamsPerConn, s.MaxStreams = 2, 8, 5
+		})
 	warm := executor.NewAttempt(1, time.Now().Add(100*time.Millisecond), r.request(10)) // so that the settings have come
 	r.back.RoundTrip(warm)
 	var open sync.WaitGroup
@@ -246,9 +248,9 @@
 }
 
 // A backend that stops reading with a request half written: it can't have run, and neighbours on other connections go on.
-func TestAWindowThatStaysShut(t *testing.T) {
+func TestClosedSendWindow(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, nil, func(s *fakes.GRPCConfig, c *Config) { s.Window, c.Conns = 1000, 1 })
+	r := newRig(t, nil, func(s *fakes.GRPCConfig, c *Config) { s.Window, c.MaxConnsPerBackend = 1000, 1 })
 	r.attempt(r.request(10), 0) // the settings have come
 	if reply := r.attempt(r.request(5000), 300*time.Millisecond); reply.Result != decision.NotSent {
 		t.Errorf("half written: %v", reply.Result)
@@ -292,7 +294,7 @@
 	}
 }
 
-func TestNoConnection(t *testing.T) {
+func TestConnectFailure(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -301,7 +303,7 @@
 	b := New(Config{})
 	defer b.Close()
 	b.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: 1}, Addr: ln.Addr().String()}})
-	r := &rig{t: t, back: b}
+	r := &fixture{t: t, back: b}
 	if reply := r.attempt(r.request(1), 0); reply.Result != decision.ConnectFailed {
 		t.Errorf("%v", reply.Result)
 	}
@@ -310,8 +312,8 @@
 	}
 }
 
-// raw serves connections by hand, after the preface and the settings.
-func raw(t *testing.T, serve func(c net.Conn, f *http2.Framer)) *rig {
+// startRawBackend serves connections by hand, after the preface and the settings.
+func startRawBackend(t *testing.T, serve func(c net.Conn, f *http2.Framer)) *fixture {
 	t.Helper()
 	addr := testkit.Accept(t, func(conn net.Conn) {
 		buf := make([]byte, len(http2.ClientPreface))
@@ -322,7 +324,7 @@
 		_ = f.WriteSettings()
 		serve(conn, f)
 	})
-	r := &rig{t: t, back: New(Config{Connect: testkit.Patient})}
+	r := &fixture{t: t, back: New(Config{ConnectTimeout: testkit.Patient})}
 	r.back.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: 1}, Addr: addr}})
 	t.Cleanup(r.back.Close)
 	return r
@@ -330,7 +332,7 @@
 
 // A backend that floods with frames that carry nothing, or sends what is no HTTP/2, loses its connection, and memory
 // stays what it was.
-func TestFloods(t *testing.T) {
+func TestFrameFloods(t *testing.T) {
 	for name, serve := range map[string]func(c net.Conn, f *http2.Framer){
 		"pings": func(_ net.Conn, f *http2.Framer) {
 			for f.WritePing(false, [8]byte{}) == nil {
@@ -355,7 +357,7 @@
 		t.Run(name, func(t *testing.T) {
 			var before, after runtime.MemStats
 			dropped := make(chan bool, 10)
-			r := raw(t, func(c net.Conn, f *http2.Framer) {
+			r := startRawBackend(t, func(c net.Conn, f *http2.Framer) {
 				go func() { // it reads, so that nothing is held up by that
 					for {
 						if _, err := c.Read(make([]byte, 1<<16)); err != nil {
@@ -391,7 +393,7 @@
 			return fakes.GRPCHang
 		}
 		return fakes.GRPCServe
-	}, func(_ *fakes.GRPCConfig, c *Config) { c.Conns, c.Streams = 1, 1000 })
+	}, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxStreamsPerConn = 1, 1000 })
 	ctx, cancel := context.WithCancel(t.Context())
 	stuck := executor.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
 	ended := make(chan decision.Result)
@@ -403,7 +405,7 @@
 			for range 20 {
 				req := r.request(2000)
 				reply := r.attempt(req, 0)
-				a, ok := reply.Body.(*Answer)
+				a, ok := reply.Body.(*Response)
 				if !ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value {
 					t.Errorf("%v %+v", reply.Result, reply.Body)
 					cancel()
@@ -426,21 +428,21 @@
 }
 
 // An answer that is longer than the windows comes whole, as they are opened while it is read.
-func TestALongAnswer(t *testing.T) {
+func TestLargeResponse(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCTooLong }, func(_ *fakes.GRPCConfig, c *Config) { c.Conns, c.MaxMessage = 1, 16<<20 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCTooLong }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxMessageBytes = 1, 16<<20 })
 	for range 2 {
 		reply := r.attempt(r.request(10), 0)
-		if a, ok := reply.Body.(*Answer); !ok || len(a.Body) != fakes.GRPCTooLongBytes+5 {
+		if a, ok := reply.Body.(*Response); !ok || len(a.Body) != fakes.GRPCTooLongBytes+5 {
 			t.Fatalf("%v", reply.Result)
 		}
 	}
 }
 
 // A backend that opens the window of streams by a setting, halfway through a request, gets the rest of it.
-func TestASettingHalfway(t *testing.T) {
+func TestSettingsChangeDuringCall(t *testing.T) {
 	t.Parallel()
-	r := raw(t, func(_ net.Conn, f *http2.Framer) {
+	r := startRawBackend(t, func(_ net.Conn, f *http2.Framer) {
 		_ = f.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 10})
 		var head bytes.Buffer
 		encoder := hpack.NewEncoder(&head)
