--- a/decision/admission.go
+++ b/decision/admission.go
@@ -2,83 +2,123 @@
 
 import (
 	"math"
-	"slices"
+	"time"
 )
 
-// onRequest is the ordinary path: the quota, the tier, the reserves, then a backend.
-func (g *Engine) onRequest(ev Request) {
-	if g.requests[ev.ID] != nil {
+// weightSamples is how many recent arrivals the boundary between the priority tiers is the median of.
+const weightSamples = 256
+
+// request is a request that has no final answer yet, or whose attempts are not all over.
+type request struct {
+	id       RequestID
+	seq      uint64 // its number and its timer's token; 0: not registered
+	class    *class
+	protocol string
+	pool     *protocolPool // nil: no backend has ever spoken its protocol
+	customer *customer
+	deadline time.Duration // when its client stops waiting
+	cost     float64       // units
+	borrowed bool          // its hard-limit tokens come out of the shared bucket
+	attempts []attempt
+	finished bool // it has its final answer, or its client has left
+	// streaming says that its response has started, so the attempt is the client's.
+	streaming bool
+}
+
+// onRequest takes a request through its customer's limits, and on to admit. It is rejected where the quota does not
+// allow it, and where the hard limit does not, unless the other gateways can lend what it lacks.
+func (e *Engine) onRequest(event Request) {
+	if e.requests[event.ID] != nil {
 		return
 	}
-	cl, plan := g.classes[ev.Class], g.plans[ev.Plan]
-	if cl == nil || plan == nil || !(ev.Cost >= 0) || math.IsInf(ev.Cost, 0) || ev.Timeout <= 0 {
-		g.emit(Reject{Request: ev.ID})
+	class, plan := e.classes[event.Class], e.plans[event.Plan]
+	validCost := event.Cost >= 0 && !math.IsInf(event.Cost, 0)
+	if class == nil || plan == nil || !validCost || event.Timeout <= 0 {
+		e.emit(Reject{Request: event.ID, Reason: Invalid})
 		return
 	}
-	c := g.customerFor(ev, plan)
-	r := &request{id: ev.ID, class: cl, customer: c, cost: ev.Cost, deadline: g.now + ev.Timeout, protocol: ev.Protocol, pool: g.pools[ev.Protocol]}
-	c.newcomers.RecordRequest(cl.PriorityWeight, ev.Cost)
-	within := g.withinQuota(c, cl.PriorityWeight, ev.Cost)
-	if under := g.withinHardLimit(c, ev.Cost); within && !under && g.borrow(r) {
-		return
-	} else if !within || !under {
-		g.emit(Reject{ev.ID, g.retryAfterQuota(c, cl.PriorityWeight, ev.Cost), OverQuota})
-		return
+	customer := e.customerFor(event, plan)
+	req := &request{
+		id:       event.ID,
+		class:    class,
+		protocol: event.Protocol,
+		pool:     e.pools[event.Protocol],
+		customer: customer,
+		deadline: e.now + event.Timeout,
+		cost:     event.Cost,
+	}
+	customer.newcomers.RecordRequest(class.PriorityWeight, event.Cost)
+	withinQuota := e.withinQuota(customer, class.PriorityWeight, event.Cost)
+	withinHardLimit := e.withinHardLimit(customer, event.Cost)
+	switch {
+	case withinQuota && withinHardLimit:
+		e.admit(req)
+	case withinQuota && e.borrow(req): // it waits for the counter
+	default:
+		e.rejectOverQuota(req)
 	}
-	g.admit(r)
 }
 
-// register begins a request's life: from here on it is held, until end and drop.
-func (g *Engine) register(r *request) {
-	g.seq++
-	r.seq = g.seq
-	g.requests[r.id], g.bySeq[r.seq] = r, r
-	g.emit(SetTimer{After: r.deadline - g.now, Token: r.seq, Request: r.id})
+// rejectOverQuota rejects a request that its customer's plan does not allow.
+func (e *Engine) rejectOverQuota(req *request) {
+	retryAfter := e.retryAfterQuota(req.customer, req.class.PriorityWeight, req.cost)
+	e.emit(Reject{Request: req.id, RetryAfter: retryAfter, Reason: OverQuota})
 }
 
-// admit is the ordinary path from the customer's limits on. It tells whether the request was sent on; if not it is refused.
-func (g *Engine) admit(r *request) bool {
-	c, plan, units := r.customer, r.customer.plan, r.cost
-	worth := r.class.PriorityWeight * plan.Price * units
-	high := g.isHighPriority(worth)
-	t := &g.tiers[boolToInt(high)]
-	t.arrivals++
-	t.weight += worth
-	b := g.selectBackend(r)
-	var s *slot
-	why := NoBackend
-	if b != nil {
-		s, why = g.acquireSlot(high), Overloaded
-	}
-	if s == nil {
-		g.emit(Reject{r.id, g.retryAfterSlot(), why})
-		g.finish(r)
+// admit forwards a request that its customer's plan allows: to the backend that selection finds, in a slot of its
+// priority tier. It reports whether it did; if not, the request is rejected.
+func (e *Engine) admit(req *request) bool {
+	high := e.recordArrival(req)
+	backend := e.selectBackend(req)
+	if backend == nil {
+		e.rejectForLoad(req, NoBackend)
 		return false
 	}
-	if !r.borrowed {
-		g.register(r)
-		c.hardLimitTokens -= units
+	slot := e.acquireSlot(high)
+	if slot == nil {
+		e.rejectForLoad(req, Overloaded)
+		return false
 	}
-	if plan.Rate > 0 {
-		most := maxDebits
-		if g.settings.UsagePeriod <= 0 && c.gateways == 1 { // nothing is unseen and nothing will be told: the store alone is exact
-			most = 2
-		}
-		if len(c.debits) >= most { // no readings: the older half goes into the store
-			at := c.debits[most/2-1].at
-			c.tokens, c.tokensAt, c.debits = c.available(at), at, slices.Delete(c.debits, 0, most/2)
-		}
-		c.debits = append(c.debits, debit{g.now, 100 * units / plan.Rate})
+	if !req.borrowed {
+		e.register(req)
+		req.customer.hardLimitTokens -= req.cost
 	}
-	g.startAttempt(r, b, s)
-	r.class.firstAttempts = append(r.class.firstAttempts, r)
+	e.recordDebit(req.customer, req.cost)
+	e.startAttempt(req, backend, slot)
+	req.class.firstAttempts = append(req.class.firstAttempts, req)
 	return true
 }
 
-// isHighPriority compares a worth with the recent median.
-func (g *Engine) isHighPriority(worth float64) bool {
-	if g.recentWeights = append(g.recentWeights, worth); len(g.recentWeights) > weightSamples {
-		g.recentWeights = g.recentWeights[1:]
+// rejectForLoad rejects a request that no backend can take now.
+func (e *Engine) rejectForLoad(req *request, reason Reason) {
+	e.emit(Reject{Request: req.id, RetryAfter: e.retryAfterSlot(), Reason: reason})
+	e.finish(req)
+}
+
+// register begins a request's life: from here on it is held, until finish and forget.
+func (e *Engine) register(req *request) {
+	e.seq++
+	req.seq = e.seq
+	e.requests[req.id], e.bySeq[req.seq] = req, req
+	e.emit(SetTimer{After: req.deadline - e.now, Token: req.seq, Request: req.id})
+}
+
+// recordArrival counts a request in its priority tier, and reports whether that is the high one. A request's weight is
+// its class's PriorityWeight times its plan's Price times its cost.
+func (e *Engine) recordArrival(req *request) (high bool) {
+	weight := req.class.PriorityWeight * req.customer.plan.Price * req.cost
+	high = e.isHighPriority(weight)
+	tier := &e.tiers[boolToInt(high)]
+	tier.arrivals++
+	tier.weight += weight
+	return high
+}
+
+// isHighPriority reports whether a weight is above the recent median. One that equals it is low.
+func (e *Engine) isHighPriority(weight float64) bool {
+	e.recentWeights = append(e.recentWeights, weight)
+	if len(e.recentWeights) > weightSamples {
+		e.recentWeights = e.recentWeights[1:]
 	}
-	return worth > g.medianWeight
+	return weight > e.medianWeight
 }
--- a/decision/attempts.go
+++ b/decision/attempts.go
@@ -2,129 +2,155 @@
 
 import "time"
 
-func (g *Engine) startAttempt(r *request, b *backend, s *slot) {
+const (
+	// latencySampleWeight is the weight of one response in the running means of latency. The low marks of these rise by
+	// a quarter of its square with each response, so they outlast a jam.
+	latencySampleWeight = 1.0 / 16
+	bestLatencyGrowth   = latencySampleWeight * latencySampleWeight / 4
+
+	// minSlowness is the least slowness of a backend.
+	minSlowness = 0.1
+)
+
+// attempt is one attempt of a request.
+type attempt struct {
+	backend     *backend
+	slot        *slot
+	sentAt      time.Duration
+	pausedFor   time.Duration // how much of the time since this process was paused
+	outstanding bool          // its outcome has not come
+	countedLate bool          // it was counted as late while it was outstanding
+	cancelled   bool          // as slow, to be made elsewhere
+	result      Result
+}
+
+// waited is how long a response has been waited for, in seconds.
+func (a *attempt) waited(now time.Duration) float64 { return (now - a.sentAt - a.pausedFor).Seconds() }
+
+// hasOutstanding reports whether an attempt's outcome has not come. There is never more than one such attempt.
+func (r *request) hasOutstanding() bool {
+	return len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].outstanding
+}
+
+// startAttempt sends a request to a backend, in a slot that is held already. A repeat of what may have run must leave
+// while the backend still drops it.
+func (e *Engine) startAttempt(req *request, backend *backend, slot *slot) {
 	notAfter := time.Duration(0)
-	if t := r.executedAttempt(); t != nil && r.class.Idempotency == IdempotentByKey {
-		notAfter = t.sentAt + r.class.DedupWindow - g.settings.ResponseGrace
+	if executed := req.executedAttempt(); executed != nil && req.class.Idempotency == IdempotentByKey {
+		notAfter = executed.sentAt + req.class.DedupWindow - e.settings.ResponseGrace
 	}
-	r.attempts = append(r.attempts, attempt{backend: b, sentAt: g.now, outstanding: true, slot: s})
-	g.overdue(b)
-	b.inFlight++
-	b.warmupTokens--
-	g.sendsThisSecond++
-	r.pool.sendsThisSecond++
-	g.cancelBudget = min(cancelBudgetMax, g.cancelBudget+cancelBudgetPerSend)
-	r.customer.inFlight++
-	g.emit(StartAttempt{Request: r.id, Backend: b.ID, NotAfter: notAfter})
+	req.attempts = append(req.attempts, attempt{backend: backend, sentAt: e.now, outstanding: true, slot: slot})
+	e.overdue(backend)
+	backend.inFlight++
+	backend.warmupTokens--
+	e.sendsThisSecond++
+	req.pool.sendsThisSecond++
+	e.cancelBudget = min(cancelBudgetMax, e.cancelBudget+cancelBudgetPerSend)
+	req.customer.inFlight++
+	e.emit(StartAttempt{Request: req.id, Backend: backend.ID, NotAfter: notAfter})
 }
 
-func (g *Engine) onOutcome(ev Outcome) {
-	r := g.requests[ev.Request]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].outstanding {
+// onOutcome ends an attempt: the request is finished, is retried in the same slot, or gets its final answer. An outcome
+// of no attempt that is outstanding is ignored.
+func (e *Engine) onOutcome(event Outcome) {
+	req := e.requests[event.Request]
+	if req == nil || event.Attempt < 0 || event.Attempt >= len(req.attempts) ||
+		!req.attempts[event.Attempt].outstanding {
 		return
 	}
-	t := &r.attempts[ev.Attempt]
-	t.outstanding, t.result = false, ev.Result
-	g.recordOutcome(r, t, ev)
-	s := t.slot
-	t.backend.inFlight--
-	r.customer.inFlight--
-	if ev.HasUsage {
-		g.onUsage(r.customer, max(0, ev.Usage))
+	ended := &req.attempts[event.Attempt]
+	ended.outstanding, ended.result = false, event.Result
+	e.recordOutcome(req, ended, event)
+	slot := ended.slot
+	ended.backend.inFlight--
+	req.customer.inFlight--
+	if event.HasUsage {
+		e.onUsage(req.customer, max(0, event.Usage))
 	}
-	if ev.Final {
-		g.finish(r)
+	if event.Final {
+		e.finish(req)
 	}
-	if r.finished || r.streaming || !g.retry(r, s) {
-		g.releaseSlot(s)
-		if !r.finished && !r.streaming {
-			g.respondUnserved(r)
+	if req.finished || req.streaming || !e.retry(req, slot) {
+		e.releaseSlot(slot)
+		if !req.finished && !req.streaming {
+			e.respondUnserved(req)
 		}
 	}
-	g.forget(r)
+	e.forget(req)
 }
 
-// recordOutcome takes what an outcome tells of its backend and of the back end as a whole.
-func (g *Engine) recordOutcome(r *request, t *attempt, ev Outcome) {
-	b, took := t.backend, ev.Latency.Seconds()
-	g.overdue(b)
-	late := ev.Result == TimedOut || ev.Result == Succeeded && took > r.class.lateAfter()
-	if ev.Result != Cancelled && ev.Result != NotSent && !t.countedLate {
-		g.endedAttempts++
-		if late || ev.Result == Rejected {
-			g.badOutcomes++
-			g.index.RecordFailure(&b.entry, g.now)
-		}
-	}
-	switch ev.Result {
-	case ErrorResponse, Unknown: // the backend said something
-		b.overdueResponses = 0
+// recordOutcome takes what an outcome tells of its backend, of its class and of all backends together.
+func (e *Engine) recordOutcome(req *request, ended *attempt, event Outcome) {
+	backend, latency := ended.backend, event.Latency.Seconds()
+	e.overdue(backend)
+	e.countOutcome(req.class, ended, event)
+	switch event.Result {
 	case Succeeded:
-		b.overdueResponses, b.connectFailures, b.cancelledAttempts = 0, 0, 0
-		g.sustainableSum += r.class.lateAfter()
-		g.responseCount++
-		r.class.meanLatency += latencySampleWeight * (took - r.class.meanLatency)
-		r.class.bestLatency = min(r.class.meanLatency, r.class.bestLatency*(1+latencySampleWeight*latencySampleWeight/4))
-		g.meanLatency += latencySampleWeight * (took - g.meanLatency)
-		g.bestLatency = min(g.meanLatency, g.bestLatency*(1+latencySampleWeight*latencySampleWeight/4))
-		b.slowness += 2 * latencySampleWeight * (took/r.class.meanLatency - b.slowness)
-	case TimedOut, Cancelled: // it would have taken as long, unless it was dead
-		if t.cancelled {
-			g.recordCancelled(b)
-			break
-		}
-		b.slowness += 2 * latencySampleWeight * max(0, min(took/r.class.meanLatency, slowAttemptFactor)-b.slowness)
+		backend.overdueResponses, backend.connectFailures, backend.cancelledAttempts = 0, 0, 0
+		e.recordLatency(req.class, backend, latency)
+	case ErrorResponse, Unknown: // the backend responded
+		backend.overdueResponses = 0
+	case TimedOut, Cancelled:
+		e.recordNoResponse(req.class, ended, latency)
 	case Rejected:
-		b.overdueResponses, b.holdUntil = 0, g.now+seconds(g.meanLatency/2)
+		backend.overdueResponses, backend.holdUntil = 0, e.now+durationOf(e.meanLatency/2)
 	case ConnectFailed:
-		g.onConnectFailed(b)
+		e.onConnectFailed(backend)
 	}
-	b.slowness = max(b.slowness, 0.1)
+	backend.slowness = max(backend.slowness, minSlowness)
 }
 
-// retry sends a request whose attempts have all failed once more, in the slot of the last, if the client can
-// still be answered in time. It needs no budget of its own: N bounds all that is out.
-func (g *Engine) retry(r *request, s *slot) bool {
-	if len(r.attempts) >= g.settings.MaxAttempts || (r.deadline-g.now).Seconds() < r.class.meanLatency/2 {
-		return false
+// countOutcome counts an attempt for the concurrency limit, unless it was counted as late already.
+func (e *Engine) countOutcome(class *class, ended *attempt, event Outcome) {
+	if event.Result == Cancelled || event.Result == NotSent || ended.countedLate {
+		return
 	}
-	b := g.selectBackend(r)
-	if b != nil {
-		g.startAttempt(r, b, s)
+	late := event.Result == TimedOut || event.Result == Succeeded && event.Latency.Seconds() > class.lateAfter()
+	e.endedAttempts++
+	if late || event.Result == Rejected {
+		e.badOutcomes++
+		e.index.RecordFailure(&ended.backend.entry, e.now)
 	}
-	return b != nil
 }
 
-// respondUnserved gives the final answer to a request that was not served: a refusal where that is true to rule 2. Where all backends
-// drop repeats, that is while they still do when the client follows the advice and its next try is sent on as late as it may be.
-func (g *Engine) respondUnserved(r *request) {
-	t := r.executedAttempt()
-	if t == nil || r.class.Idempotency == Idempotent ||
-		r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupScopeAll &&
-			g.now-t.sentAt+g.settings.MaxRetryAfter+r.class.Deadline+g.settings.ResponseGrace < r.class.DedupWindow {
-		g.emit(Reject{r.id, g.retryAfterSlot(), Unprocessed})
-	} else {
-		g.emit(Fail{Request: r.id})
+// recordLatency takes in the latency of a response, in seconds.
+func (e *Engine) recordLatency(class *class, backend *backend, latency float64) {
+	e.sustainableSum += class.lateAfter()
+	e.responseCount++
+	class.meanLatency += latencySampleWeight * (latency - class.meanLatency)
+	class.bestLatency = min(class.meanLatency, class.bestLatency*(1+bestLatencyGrowth))
+	e.meanLatency += latencySampleWeight * (latency - e.meanLatency)
+	e.bestLatency = min(e.meanLatency, e.bestLatency*(1+bestLatencyGrowth))
+	backend.slowness += 2 * latencySampleWeight * (latency/class.meanLatency - backend.slowness)
+}
+
+// recordNoResponse takes in that an attempt had no response for a latency in seconds: it would have taken that long at
+// least, but no more than slowAttemptFactor counts, as its connection may have been dead.
+func (e *Engine) recordNoResponse(class *class, ended *attempt, latency float64) {
+	if ended.cancelled {
+		e.recordCancelled(ended.backend)
+		return
 	}
-	g.finish(r)
+	backend := ended.backend
+	backend.slowness += 2 * latencySampleWeight * max(0, min(latency/class.meanLatency, slowAttemptFactor)-backend.slowness)
 }
 
-// finish stops all that goes on for a request. Its attempts keep their slots until their outcomes come.
-func (g *Engine) finish(r *request) {
-	if r == nil || r.finished {
+// finish stops all that goes on for a request. Its attempt keeps its slot until the outcome comes.
+func (e *Engine) finish(req *request) {
+	if req == nil || req.finished {
 		return
 	}
-	r.finished = true
-	if r.hasOutstanding() && g.settings.CanCancel {
-		g.emit(CancelAttempt{Request: r.id, Attempt: len(r.attempts) - 1})
+	req.finished = true
+	if req.hasOutstanding() && e.settings.CanCancel {
+		e.emit(CancelAttempt{Request: req.id, Attempt: len(req.attempts) - 1})
 	}
-	g.forget(r)
+	e.forget(req)
 }
 
-// forget forgets a request once nothing of it is left.
-func (g *Engine) forget(r *request) {
-	if r.finished && !r.hasOutstanding() {
-		delete(g.requests, r.id)
-		delete(g.bySeq, r.seq)
+// forget drops a request once nothing of it is left.
+func (e *Engine) forget(req *request) {
+	if req.finished && !req.hasOutstanding() {
+		delete(e.requests, req.id)
+		delete(e.bySeq, req.seq)
 	}
 }
--- a/decision/cold_test.go
+++ b/decision/cold_test.go
@@ -60,7 +60,7 @@
 	c.takes = func(b BackendID, now time.Duration) time.Duration {
 		w := warmth(b)
 		if !r.slow && w < 1 {
-			return seconds(0.05 + 0.1*rng.ExpFloat64())
+			return durationOf(0.05 + 0.1*rng.ExpFloat64())
 		}
 		can := capacity * w
 		queue[b] = max(0, queue[b]-can*(now-queueAt[b]).Seconds()) + 1
@@ -68,7 +68,7 @@
 		if r.sick && born[b] == 0 && len(born) > 0 && b%8 == 0 {
 			return 3 * second
 		}
-		return seconds(0.1*rng.ExpFloat64()+0.05/w) + seconds(queue[b]/can)
+		return durationOf(0.1*rng.ExpFloat64()+0.05/w) + durationOf(queue[b]/can)
 	}
 	c.sees = func(door int, b BackendID) {
 		w := warmth(b)
@@ -142,7 +142,7 @@
 				next += 100 * ms
 				each()
 			}
-			c.pass(seconds(rng.ExpFloat64() / (r.each * float64(r.backends) * times)))
+			c.pass(durationOf(rng.ExpFloat64() / (r.each * float64(r.backends) * times)))
 			tell()
 			c.next++
 			door, _ := slices.BinarySearch(weights, rng.Float64()*sum)
@@ -198,14 +198,14 @@
 		uneven: some(0) || some(1), shifts: some(1), restarts: some(2), killed: some(3), again: some(4), sick: some(5), slow: some(6)}
 	r.cold = max(1, r.backends*[]int{0, 3, 5, 6, 9}[rng.IntN(5)]/10)
 	if some(4) || some(5) {
-		r.apart = seconds(0.5 + 3*rng.Float64())
+		r.apart = durationOf(0.5 + 3*rng.Float64())
 	}
 	if some(0) || some(3) {
 		r.burst = 1.2 + 0.5*rng.Float64()
 	}
 	s := testSettings()
 	s.OverloadFactor, s.OverloadDuration = []float64{2.5, 3, 4}[rng.IntN(3)], time.Duration(1+rng.IntN(3))*second
-	s.SlowStartMinCapacity, s.SlowStartWindow = 0.15+0.35*rng.Float64(), seconds(5+15*rng.Float64())
+	s.SlowStartMinCapacity, s.SlowStartWindow = 0.15+0.35*rng.Float64(), durationOf(5+15*rng.Float64())
 	return r, s
 }
 
--- a/decision/counter.go
+++ b/decision/counter.go
@@ -7,98 +7,115 @@
 	"pumicecroft/quota"
 )
 
-// What front doors lend each other of a customer's ceiling, over the counter that they share. The ordinary path asks
-// nothing of it: only a request that this door's own part of the ceiling can't bear waits for an answer, and where there is
-// none in time, it is refused as it would be without a counter.
+// What gateways lend each other of a customer's hard limit, over the counter that they share (package quota has the
+// rules of it). The ordinary path asks nothing of the counter: only a request that this gateway's own share cannot bear
+// waits for it, and where it does not respond in time the request is rejected, as it would be without a counter.
 
 const (
-	depositsPerSecondAll = 100 // a second, by all doors
-	depositsPerTickMax   = 8   // ... and by one, as it gives them in one moment
+	// depositsPerSecondAll bounds the deposits of all gateways together: a sixth of some 600 calls a second that the
+	// counter serves. depositsPerTickMax bounds those of one, which it makes at one moment.
+	depositsPerSecondAll = 100
+	depositsPerTickMax   = 8
 )
 
-// counterCall is a call that the counter has not answered.
+// counterCall is a CounterAdd whose result has not come.
 type counterCall struct {
 	customer *customer
-	request  *request // that waits for units out of the pool; nil: none
-	cost     float64
-	deposit  bool
+	request  *request // that waits for tokens; nil: none does
+	cost     float64  // of that request, units
+	deposit  bool     // the call puts surplus into the shared bucket
 }
 
-// borrow asks the pool for what a request lacks and tells whether it waits for that.
-func (g *Engine) borrow(r *request) bool {
-	p := &r.customer.sharedBucket
-	if !p.Exists() || !g.counterLink.Allow(g.now, p) {
+// borrow asks the shared bucket for the cost of a request, and reports whether the request now waits for that.
+func (e *Engine) borrow(req *request) bool {
+	bucket := &req.customer.sharedBucket
+	if !bucket.Exists() || !e.counterLink.Allow(e.now, bucket) {
 		return false
 	}
-	r.borrowed = true
-	g.register(r)
-	g.callCounter(counterCall{customer: r.customer, request: r, cost: r.cost}, -r.cost)
+	req.borrowed = true
+	e.register(req)
+	e.callCounter(counterCall{customer: req.customer, request: req, cost: req.cost}, -req.cost)
 	return true
 }
 
-// depositSurplus gives what would overflow, for some of the customers whose parts are full here. Doors that have little of a customer's
-// traffic are asked for it by nobody, so it is the second's tick that does it; all doors' gifts together must not crowd the
-// counter, which takes some 600 calls a second: they have a sixth of that, and each door one.
-func (g *Engine) depositSurplus() {
-	if !g.settings.HasSharedCounter {
+// depositSurplus puts what would overflow into the shared buckets of some of the customers whose share is full here. It
+// runs with the tick: gateways that have little of a customer's traffic, and so a surplus, hear of it from no request.
+func (e *Engine) depositSurplus() {
+	if !e.settings.HasSharedCounter {
 		return
 	}
-	var full []*customer
-	for _, id := range slices.Sorted(maps.Keys(g.customers)) {
-		if c := g.customers[id]; c.sharedBucket.Surplus(g.now) > 0 && g.withinHardLimit(c, c.hardLimitShare()) {
-			full = append(full, c)
-		}
-	}
-	for left := max(1, min(depositsPerTickMax, depositsPerSecondAll/g.settings.GatewayCount)); left > 0 && len(full) > 0; {
-		i := g.rng.IntN(len(full))
-		c := full[i]
+	full := e.customersWithSurplus()
+	left := max(1, min(depositsPerTickMax, depositsPerSecondAll/e.settings.GatewayCount))
+	for left > 0 && len(full) > 0 {
+		i := e.rng.IntN(len(full))
+		customer := full[i]
 		full = slices.Delete(full, i, i+1)
-		if !g.counterLink.Allow(g.now, &c.sharedBucket) { // asked before each, as each is a call that is out
+		if !e.counterLink.Allow(e.now, &customer.sharedBucket) { // asked for each, as each is a call in flight
 			continue
 		}
-		gift := c.sharedBucket.Surplus(g.now)
-		c.hardLimitTokens -= gift // first, so that it is never in two places
-		g.callCounter(counterCall{customer: c, deposit: true}, gift)
+		surplus := customer.sharedBucket.Surplus(e.now)
+		customer.hardLimitTokens -= surplus // before the call, so that no token is ever in two places
+		e.callCounter(counterCall{customer: customer, deposit: true}, surplus)
 		left--
 	}
 }
 
-func (g *Engine) callCounter(a counterCall, amount float64) {
-	g.counterLink.CallStarted()
-	g.lastCounterRef++
-	g.counterCalls[g.lastCounterRef] = a
-	g.emit(CounterAdd{Ref: g.lastCounterRef, Key: a.customer.sharedBucket.Key(), Amount: amount, TTL: quota.BucketTTL})
+// customersWithSurplus returns the customers that may deposit now, in the order of their ids.
+func (e *Engine) customersWithSurplus() (full []*customer) {
+	for _, id := range slices.Sorted(maps.Keys(e.customers)) {
+		customer := e.customers[id]
+		if customer.sharedBucket.Surplus(e.now) > 0 && e.withinHardLimit(customer, customer.hardLimitShare()) {
+			full = append(full, customer)
+		}
+	}
+	return full
 }
 
-func (g *Engine) onCounterResult(ev CounterResult) {
-	a, ok := g.counterCalls[ev.Ref]
-	if !ok {
+// callCounter adds an amount to the customer's shared bucket.
+func (e *Engine) callCounter(call counterCall, amount float64) {
+	e.counterLink.CallStarted()
+	e.lastCounterRef++
+	e.counterCalls[e.lastCounterRef] = call
+	e.emit(CounterAdd{Ref: e.lastCounterRef, Key: call.customer.sharedBucket.Key(), Amount: amount, TTL: quota.BucketTTL})
+}
+
+// onCounterResult ends a call: a request that waits for it is admitted or rejected, and what must not stay in the
+// bucket, or was taken in vain, is put back by a further call.
+func (e *Engine) onCounterResult(event CounterResult) {
+	call, known := e.counterCalls[event.Ref]
+	if !known {
 		return
 	}
-	delete(g.counterCalls, ev.Ref)
-	told := ev.Result == Succeeded
+	delete(e.counterCalls, event.Ref)
+	e.recordCounterResult(event.Result)
+	succeeded := event.Result == Succeeded
+	granted, correction := false, 0.0
 	switch {
-	case told:
-		g.counterLink.CallSucceeded()
-	case ev.Result == Rejected:
-		g.counterLink.CallRejected(g.now, g.rng.Float64())
-	default: // what was asked for may have been taken out all the same: then nobody has it
-		g.counterLink.CallFailed(g.now, g.rng.Float64())
+	case succeeded && call.deposit:
+		correction = call.customer.sharedBucket.Deposited(e.now, event.Total, e.rng.Float64())
+	case succeeded && call.request != nil:
+		granted, correction = call.customer.sharedBucket.Withdrawn(call.cost, event.Total)
 	}
-	got, back := false, 0.0
-	switch {
-	case told && a.deposit:
-		back = a.customer.sharedBucket.Deposited(g.now, ev.Total, g.rng.Float64())
-	case told && a.request != nil:
-		got, back = a.customer.sharedBucket.Withdrawn(a.cost, ev.Total)
+	if req := call.request; req != nil && granted && (req.finished || !e.admit(req)) {
+		correction = call.cost
+	} else if req != nil && !req.finished && !granted {
+		e.rejectOverQuota(req)
+		e.finish(req)
 	}
-	if r := a.request; r != nil && got && (r.finished || !g.admit(r)) {
-		back = a.cost
-	} else if r != nil && !r.finished && !got {
-		g.emit(Reject{r.id, g.retryAfterQuota(r.customer, r.class.PriorityWeight, r.cost), OverQuota})
-		g.finish(r)
+	if correction != 0 {
+		e.callCounter(counterCall{customer: call.customer}, correction)
 	}
-	if back != 0 {
-		g.callCounter(counterCall{customer: a.customer}, back)
+}
+
+// recordCounterResult tells the link how a call ended. After a call that was lost, tokens that it asked for may have
+// been taken out all the same: then nobody has them, and the limit holds.
+func (e *Engine) recordCounterResult(result Result) {
+	switch result {
+	case Succeeded:
+		e.counterLink.CallSucceeded()
+	case Rejected:
+		e.counterLink.CallRejected(e.now, e.rng.Float64())
+	default:
+		e.counterLink.CallFailed(e.now, e.rng.Float64())
 	}
 }
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -233,7 +233,7 @@
 		for _, asks := range []float64{0.5, 4} {
 			t.Run(fmt.Sprint(doors, "x", asks), func(t *testing.T) {
 				s := testSettings()
-				s.UsagePeriod = seconds(period)
+				s.UsagePeriod = durationOf(period)
 				s.Plans = append(s.Plans, Plan{Name: "shop", Rate: rate, Burst: burst, Price: 1})
 				c := newCrowd(t, s, doors, fleet(60))
 				begun := c.now
@@ -244,7 +244,7 @@
 				}
 				rng := rand.New(rand.NewPCG(uint64(doors), 1))
 				for (c.now - begun).Seconds() < last { // at doors as chance has it: one of them takes a fifth of all
-					c.pass(seconds(rng.ExpFloat64() / (asks * rate)))
+					c.pass(durationOf(rng.ExpFloat64() / (asks * rate)))
 					door := 0
 					if rng.Float64() > 0.2 {
 						door = rng.IntN(doors)
@@ -296,12 +296,12 @@
 			least = min(least, left)
 		}
 		n := 0
-		for end := c.now + seconds(last); c.now < end; n++ {
+		for end := c.now + durationOf(last); c.now < end; n++ {
 			asked := asks
 			if c.now > end-5*second {
 				asked = 20 * asks // a flood
 			}
-			c.pass(seconds(rng.ExpFloat64() * 2 / asked))
+			c.pass(durationOf(rng.ExpFloat64() * 2 / asked))
 			door := 0
 			if rng.Float64() > 0.5 {
 				door = rng.IntN(17)
--- a/decision/gateway_test.go
+++ b/decision/gateway_test.go
@@ -10,7 +10,10 @@
 	"time"
 )
 
-const ms = time.Millisecond
+const (
+	ms     = time.Millisecond
+	second = time.Second
+)
 
 func testSettings() Settings {
 	return Settings{GatewayCount: 2, Zone: "z1", UsagePeriod: second, MaxCost: 2, MaxAttempts: 3,
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -44,7 +44,7 @@
 
 // wait lets the time pass after which a first attempt may be called off, and gives what the next event leads to.
 func (r *rig) wait() []Action {
-	r.now += seconds(slowAttemptFactor*0.1) + ms
+	r.now += durationOf(slowAttemptFactor*0.1) + ms
 	return r.do(ProbeResult{})
 }
 
@@ -77,7 +77,7 @@
 		{"no cancels", "safe", func(r *rig) { r.g.settings.CanCancel = false }, 0},
 		{"the client gives up soon", "safe", func(r *rig) {
 			for _, q := range r.g.requests {
-				q.deadline = r.now + seconds(slowAttemptFactor*0.1) + 150*ms
+				q.deadline = r.now + durationOf(slowAttemptFactor*0.1) + 150*ms
 			}
 		}, 0},
 	} {
--- /dev/null
+++ b/decision/partitionsearch.go
@@ -0,0 +1,70 @@
+package decision
+
+import "math"
+
+// The search for the partitions that earn most, after "Dynamic quota-based admission control with sub-rating in
+// multimedia servers" (Cheng, Chen, Chen), Method II. Its symbols: n_h, n_l and n_m are the slots for high priority, low
+// priority and both; lambda and v a tier's arrival rate and mean weight; mu the service rate; alpha is subratedPerSlot.
+
+const (
+	// partitionSteps is how many steps N is searched in; each is one slot at least.
+	partitionSteps = 20
+	// payoffTolerance is the share of the best payoff that a partition must earn over it.
+	payoffTolerance = 1e-9
+)
+
+// bestPartition returns the slots for high and low priority, of n, for which payoff is highest. The rest is shared. All
+// of an unlimited n is shared. Among equal partitions that with the smaller reserves wins, as it is found first.
+//
+// A small n is divided as its part of a larger whole, as gateways even each other out; so the result may be fractions.
+func bestPartition(n, lambdaHigh, lambdaLow, mu, valueHigh, valueLow float64) (highSlots, lowSlots float64) {
+	if math.IsInf(n, 1) {
+		return 0, 0
+	}
+	scale := max(1, partitionSteps/max(n, minPartitionSlots))
+	slots := int(n*scale + slotTolerance)
+	lambdaHigh, lambdaLow = lambdaHigh*scale, lambdaLow*scale
+	step := max(1, (slots+partitionSteps-1)/partitionSteps)
+	best := payoff(0, 0, slots, lambdaHigh, lambdaLow, mu, valueHigh, valueLow)
+	for high := 0; high <= slots; high += step {
+		for low := 0; low+high <= slots; low += step {
+			earned := payoff(high, low, slots-high-low, lambdaHigh, lambdaLow, mu, valueHigh, valueLow)
+			if earned > best+payoffTolerance*math.Abs(best) {
+				best, highSlots, lowSlots = earned, float64(high)/scale, float64(low)/scale
+			}
+		}
+	}
+	return highSlots, lowSlots
+}
+
+// payoff is what a partition earns a second: (2)+(3)+(7)+(11)-(9) of the paper, with a rejected request costing what it
+// would have earned (q = v). Each truncated sum of the paper is a loss formula B(a, n): the mean number in service is
+// a(1-B).
+func payoff(highSlots, lowSlots, sharedSlots int, lambdaHigh, lambdaLow, mu, valueHigh, valueLow float64) float64 {
+	lossHigh, lossLow := erlangLoss(lambdaHigh/mu, highSlots)[highSlots], erlangLoss(lambdaLow/mu, lowSlots)[lowSlots]
+	total := lambdaHigh*(1-lossHigh)*valueHigh + lambdaLow*(1-lossLow)*valueLow
+	overflowHigh, overflowLow := lambdaHigh*lossHigh, lambdaLow*lossLow // arrivals a second at the shared slots
+	sharedHigh, sharedLow := erlangLoss(overflowHigh/mu, sharedSlots), erlangLoss(overflowLow/mu, sharedSlots)
+	chance := sharedHigh[sharedSlots] // of i high ones in the shared slots, from i = sharedSlots down
+	for i := sharedSlots; i >= 0; i-- {
+		full := chance * sharedLow[sharedSlots-i]
+		total += chance * (float64(i)*mu*valueHigh + overflowLow*(1-sharedLow[sharedSlots-i])*valueLow)
+		lossSubrated := sharedHigh[(sharedSlots-i)/subratedPerSlot]
+		total += full * (overflowHigh*(1-lossSubrated)*(valueHigh-valueLow) -
+			overflowHigh*valueHigh*lossSubrated - overflowLow*valueLow)
+		if chance *= float64(i) * mu / overflowHigh; overflowHigh == 0 {
+			chance = float64(boolToInt(i == 1)) // without high arrivals none is there
+		}
+	}
+	return total
+}
+
+// erlangLoss returns Erlang's loss formula B(a, k) for k = 0..n, by its recurrence.
+func erlangLoss(a float64, n int) []float64 {
+	loss := make([]float64, n+1)
+	loss[0] = 1
+	for k := 1; k <= n; k++ {
+		loss[k] = a * loss[k-1] / (float64(k) + a*loss[k-1])
+	}
+	return loss
+}
--- /dev/null
+++ b/decision/quota.go
@@ -0,0 +1,328 @@
+package decision
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"pumicecroft/quota"
+)
+
+// A plan's quota is a token bucket over all gateways: Plan.Rate fills it, up to Plan.Burst. Tokens are counted in
+// percent-seconds of the rate, as usage reports are in percent of it: a second at exactly the rate uses 100.
+//
+// A gateway learns what a customer used from usage reports, which come with responses and tell of a period that is over
+// for some time. What this gateway forwarded since that period is known (debits); what the others did is estimated.
+//
+// Where the bucket is empty all the same, a share of the requests passes at random, the admit probability, that follows
+// the reports.
+
+const (
+	fullRate = 100.0 // percent of a plan's rate
+
+	// usageDelayPeriods is how old a usage report is taken to be, in periods from the end of the one it tells of.
+	usageDelayPeriods = 2
+	// quotaMarginRatio is the share of the burst that a request must leave: the use of other gateways is unseen.
+	quotaMarginRatio = 1.0 / 8
+	// usageRetention is what one usage report leaves of the weight of those before it, where the customer uses
+	// fewGateways or fewer. Of more each sees that much less of its requests, and forgets more slowly.
+	usageRetention = 0.9
+	fewGateways    = 4
+	// priorUsagePercent is the use that a customer is taken to have before any report, in percent of its rate; at one
+	// of very many gateways it is priorUsagePercentMany, as a customer met there is mostly one that asks for much.
+	priorUsagePercent     = 40
+	priorUsagePercentMany = 60
+	// priorTokens is the weight of that assumption: what it counts as, in percent-seconds a gateway.
+	priorTokens = 100
+
+	// maxDebits bounds what is kept of a customer's requests between two usage reports.
+	maxDebits = 64
+	// maxDebitsExact is the same where there are neither reports nor other gateways: the bucket alone is exact.
+	maxDebitsExact = 2
+
+	// maxNewcomerRejectRatio is the share of newcomers' requests that is rejected where forwarding them gains nothing.
+	// It is below 1 so that reports of every class's customers keep coming.
+	maxNewcomerRejectRatio = 0.8
+	// newcomerGainFactor is how much smaller that share is for each unit of net gain.
+	newcomerGainFactor = 2
+	// maxReserveFactor bounds the reserve for requests of higher weight, in multiples of the margin.
+	maxReserveFactor = 3
+
+	// customerIdleTTL is how long a customer without requests is remembered.
+	customerIdleTTL = time.Minute
+	// minCost stands in for a cost of zero where the last request's cost divides, in units.
+	minCost = 1e-6
+	// minUsagePeriod does so for a usage period of zero, in seconds.
+	minUsagePeriod = 1e-3
+)
+
+// customer is what this gateway knows of a customer.
+type customer struct {
+	plan       *Plan
+	newcomers  *quota.NewcomerStats // of its plan
+	gateways   float64              // how many it uses
+	isMember   bool                 // this is one of them
+	lastSeenAt time.Duration
+	inFlight   int     // attempts
+	lastCost   float64 // of its last request, units
+
+	tokens           float64 // of the quota, percent-seconds, as of tokensAt
+	tokensAt         time.Duration
+	debits           []debit // this gateway's requests since tokensAt, in order of time
+	admitProbability float64 // while there are no tokens
+
+	usagePeriod float64       // seconds
+	usageAt     time.Duration // when the last report was counted
+	lastUsage   float64       // what it said, percent
+	// What reports told, fading by retention with each: of all gateways, of the part that this one forwarded itself
+	// (both percent-seconds), and of how many seconds.
+	meteredUsage, ownUsage, meteredSeconds float64
+	retention                              float64
+
+	hardLimitTokens   float64 // this gateway's share, units, as of hardLimitTokensAt
+	hardLimitTokensAt time.Duration
+	sharedBucket      quota.SharedBucket // what gateways lend each other of the hard limit
+}
+
+// debit is what one request took out of the quota.
+type debit struct {
+	at     time.Duration
+	amount float64 // percent-seconds
+}
+
+// customerFor returns the customer of a request, which is new if it was not met within customerIdleTTL or under another
+// plan.
+func (e *Engine) customerFor(event Request, plan *Plan) *customer {
+	customer := e.customers[event.Customer]
+	if customer == nil || customer.plan != plan {
+		customer = e.newCustomer(event, plan)
+		e.customers[event.Customer] = customer
+	}
+	customer.lastSeenAt, customer.lastCost = e.now, max(event.Cost, minCost)
+	return customer
+}
+
+// newCustomer begins with a full bucket, or with what it filled by since the Engine was created (AssumeQuotaSpent). A
+// newcomer at one of many gateways has room for this request alone: else each of them would hand out a whole burst.
+func (e *Engine) newCustomer(event Request, plan *Plan) *customer {
+	count := e.settings.GatewayCount
+	gateways := min(max(event.GatewaySpread, 1), count)
+	offset := ((e.settings.GatewayIndex-event.FirstGateway)%count + count) % count
+	c := &customer{
+		plan:              plan,
+		newcomers:         e.newcomersByPlan[plan.Name],
+		gateways:          float64(gateways),
+		isMember:          offset < gateways,
+		admitProbability:  1,
+		tokensAt:          e.now,
+		hardLimitTokensAt: e.createdAt,
+		usagePeriod:       e.settings.UsagePeriod.Seconds(),
+		retention:         1 - (1-usageRetention)*min(1, fewGateways/float64(gateways)),
+	}
+	c.tokens = c.burstTokens()
+	if e.settings.AssumeQuotaSpent {
+		c.tokens = min(c.tokens, quotaMarginRatio*c.tokens+fullRate*(e.now-e.createdAt).Seconds())
+	}
+	if c.isNewcomer() {
+		c.tokens = min(c.tokens, 1+c.percentSeconds(event.Cost)+quotaMarginRatio*c.tokens)
+	}
+	if e.settings.HasSharedCounter && plan.HardLimitRate > 0 && c.isMember && gateways > 1 {
+		c.sharedBucket = quota.NewSharedBucket(uint64(event.Customer), plan.Name, plan.HardLimitBurst, gateways,
+			e.settings.MaxCost)
+	}
+	return c
+}
+
+// forgetIdleCustomers forgets those without attempts in flight that asked for nothing for customerIdleTTL.
+func (e *Engine) forgetIdleCustomers() {
+	for id, customer := range e.customers { // deletes only: the map's order reaches no action
+		if customer.inFlight == 0 && e.now-customer.lastSeenAt > customerIdleTTL {
+			delete(e.customers, id)
+		}
+	}
+}
+
+// percentSeconds converts a cost in units. It must not be called for a plan without a rate.
+func (c *customer) percentSeconds(cost float64) float64 { return fullRate * cost / c.plan.Rate }
+
+// burstTokens is the size of the quota's bucket; 0 without a rate.
+func (c *customer) burstTokens() float64 {
+	if c.plan.Rate <= 0 {
+		return 0
+	}
+	return c.percentSeconds(c.plan.Burst)
+}
+
+// isNewcomer reports whether nothing is known yet of a customer that uses many gateways: no usage report of it has come.
+func (c *customer) isNewcomer() bool {
+	return c.meteredSeconds == 0 && c.gateways > fewGateways && c.usagePeriod > 0
+}
+
+// globalUsageFactor is what the customer uses over all gateways for each unit forwarded here, by the reports; before
+// any, as if its requests were spread evenly.
+func (c *customer) globalUsageFactor() float64 {
+	return max(1, (c.meteredUsage+c.gateways*priorTokens)/(c.ownUsage+priorTokens))
+}
+
+// available estimates the tokens at a time t: those of the last reported period, filled since, less what this gateway
+// and, by estimate, the others have forwarded since.
+func (c *customer) available(t time.Duration) float64 {
+	steady, perOwn := c.otherGatewaysUsage(t)
+	tokens, at := c.tokens, c.tokensAt
+	for _, d := range c.debits {
+		if d.at > t {
+			break
+		}
+		filled := min(c.burstTokens(), tokens+(fullRate-steady)*(d.at-at).Seconds())
+		tokens = max(0, filled-(1+perOwn)*d.amount)
+		at = d.at
+	}
+	return max(0, min(c.burstTokens(), tokens+(fullRate-steady)*(t-at).Seconds()))
+}
+
+// otherGatewaysUsage estimates what the customer used at other gateways from the last reported period until t: steady,
+// in percent of its rate, and perOwn, for each unit that this gateway forwarded itself.
+//
+// Two things tell of it. The fading mean of the reports does, begun with one request of a customer that uses
+// priorUsagePercent; this gateway's own requests do, for its share of the time only. Each is weighed by what it tells: at
+// one of two gateways nearly all comes from the requests, at one of 300 nearly all from the reports.
+func (c *customer) otherGatewaysUsage(t time.Duration) (steady, perOwn float64) {
+	factor, since := c.globalUsageFactor(), max(0, (t-c.tokensAt).Seconds())
+	fade := math.Pow(c.retention, since/max(c.usagePeriod, minUsagePeriod))
+	last := c.percentSeconds(c.lastCost)
+	prior := priorUsagePercent + (priorUsagePercentMany-priorUsagePercent)*(c.retention-usageRetention)/(1-usageRetention)
+	mean := (last + fade*c.meteredUsage) / (last/prior + fade*c.meteredSeconds)
+	since = max(since, usageDelayPeriods*c.usagePeriod) // a burst at once tells as much as one that took so long
+	ownWeight := since / factor / (last/mean + since/factor)
+	return mean * (1 - ownWeight) * (factor - 1) / factor, ownWeight * (factor - 1)
+}
+
+// withinQuota reports whether a customer's plan allows a request of a cost and a priority weight a unit.
+//
+// While reports come and the bucket is empty, requests pass with the admit probability. Beside that the estimate of
+// available must hold the cost and the reserve at any time: reports come late, and a short burst is over before one
+// tells of it. Of newcomers' requests some are rejected at random, those that gain least first: nothing else tells
+// newcomers apart.
+func (e *Engine) withinQuota(customer *customer, priorityWeight, cost float64) bool {
+	plan := customer.plan
+	if plan.MaxInFlight > 0 && float64(customer.inFlight) >= math.Ceil(float64(plan.MaxInFlight)/customer.gateways) {
+		return false
+	}
+	// The admit probability binds only while reports come. They come with responses: were so much rejected that there
+	// are none, it could never rise again, and the customer would be rejected for good.
+	reported := e.now-customer.usageAt <= 2*usageDelayPeriods*e.settings.UsagePeriod
+	if reported && (plan.Rate <= 0 || customer.tokens <= 0) && e.rng.Float64() >= customer.admitProbability {
+		return false
+	}
+	newcomerRejected := e.rejectsNewcomer(customer, priorityWeight, cost)
+	if plan.Rate <= 0 {
+		return true
+	}
+	needed := customer.percentSeconds(cost) + customer.reservedTokens(priorityWeight)
+	return !newcomerRejected && customer.available(e.now) >= needed
+}
+
+// rejectsNewcomer draws whether a newcomer's request is rejected for gaining too little. NetGain is the share of its
+// weight that forwarding it gains, less what the requests that it displaces lose.
+func (e *Engine) rejectsNewcomer(customer *customer, priorityWeight, cost float64) bool {
+	if !customer.isNewcomer() {
+		return false
+	}
+	overQuotaLoss := 1 - customer.plan.OverQuotaWeightFactor + customer.plan.OverQuotaCostFactor
+	gain := customer.newcomers.NetGain(priorityWeight, cost, overQuotaLoss)
+	return e.rng.Float64() < maxNewcomerRejectRatio-newcomerGainFactor*max(0, gain)
+}
+
+// reservedTokens is what a request must leave in the bucket: more where its weight is less, so that the last tokens go
+// to the requests of most weight.
+func (c *customer) reservedTokens(priorityWeight float64) float64 {
+	if c.isNewcomer() || c.gateways <= fewGateways {
+		return quotaMarginRatio * c.burstTokens()
+	}
+	relative := max(1.0/maxReserveFactor, min(1, c.newcomers.RelativeWeight(priorityWeight)))
+	return quotaMarginRatio * c.burstTokens() / relative
+}
+
+// recordDebit takes an admitted request out of the quota.
+func (e *Engine) recordDebit(customer *customer, cost float64) {
+	if customer.plan.Rate <= 0 {
+		return
+	}
+	limit := maxDebits
+	if e.settings.UsagePeriod <= 0 && customer.gateways == 1 {
+		limit = maxDebitsExact
+	}
+	if len(customer.debits) >= limit { // no report has come: the older half goes into the bucket
+		customer.settleDebits(limit / 2)
+	}
+	customer.debits = append(customer.debits, debit{at: e.now, amount: customer.percentSeconds(cost)})
+}
+
+// settleDebits moves the bucket on to the n-th debit, and drops the first n.
+func (c *customer) settleDebits(n int) {
+	at := c.debits[n-1].at
+	c.tokens, c.tokensAt = c.available(at), at
+	c.debits = slices.Delete(c.debits, 0, n)
+}
+
+// onUsage counts a usage report, in percent of the plan's rate.
+func (e *Engine) onUsage(customer *customer, usage float64) {
+	period := e.settings.UsagePeriod
+	if period <= 0 || !customer.isNewReport(e.now, period, usage) {
+		return
+	}
+	first := customer.isNewcomer()
+	customer.usageAt, customer.lastUsage = e.now, usage
+	customer.settlePeriod(e.now, period, usage)
+	if first {
+		customer.onFirstUsage(usage)
+	}
+	if customer.tokens > 0 || usage <= 0 {
+		customer.admitProbability = 1
+	} else {
+		customer.admitProbability = min(1, customer.admitProbability*fullRate/usage)
+	}
+}
+
+// isNewReport reports whether a usage report tells of a period that has not been counted. Many responses repeat one
+// report, and they come with jitter and out of order: a repeat is told by its value and by the time. A report counts for
+// no period that has not ended; else tokensAt would run ahead of the clock, and the bucket would not fill any more.
+func (c *customer) isNewReport(now, period time.Duration, usage float64) bool {
+	if c.meteredSeconds <= 0 {
+		return true
+	}
+	sinceLast := now - c.usageAt
+	return sinceLast >= period/2 && (usage != c.lastUsage || sinceLast >= period) && c.tokensAt+period <= now
+}
+
+// settlePeriod moves the bucket on to the end of the period that a report tells of, which is taken to have ended
+// usageDelayPeriods ago. Of a gap before it only this gateway's own requests are known.
+func (c *customer) settlePeriod(now, period time.Duration, usage float64) {
+	from := max(c.tokensAt, now-(1+usageDelayPeriods)*period)
+	if c.plan.Rate > 0 {
+		c.tokens = c.available(from)
+	}
+	c.tokensAt = from + period
+	own := 0.0
+	c.debits = slices.DeleteFunc(c.debits, func(d debit) bool {
+		if d.at > from && d.at <= c.tokensAt {
+			own += d.amount
+		}
+		return d.at <= c.tokensAt
+	})
+	c.meteredUsage = c.retention*c.meteredUsage + usage*period.Seconds()
+	c.meteredSeconds = c.retention*c.meteredSeconds + period.Seconds()
+	c.ownUsage = c.retention*c.ownUsage + own
+	c.tokens = max(0, min(c.burstTokens(), c.tokens+(fullRate-usage)*period.Seconds()))
+}
+
+// onFirstUsage takes a newcomer's first report as what it has done at the other gateways until now: one of many gateways
+// meets most customers once or twice, and a customer over its rate has mostly been so for long, so its bucket is empty.
+// What one request makes of a period's use tells nothing.
+func (c *customer) onFirstUsage(usage float64) {
+	c.newcomers.RecordFirstUsage(usage)
+	c.tokens = max(c.tokens, 2*quotaMarginRatio*c.burstTokens())
+	if c.plan.Rate > 0 && usage > fullRate+fullRate*c.lastCost/(c.plan.Rate*c.usagePeriod) {
+		c.tokens = 0
+	}
+}
--- a/decision/quota_test.go
+++ b/decision/quota_test.go
@@ -256,7 +256,7 @@
 			if a, ok := a.(Reject); ok {
 				told++
 				// 2 units at 20 a second, beside what it is taken to use at the other doors
-				if least, most := 100*ms, seconds(0.1/(1-priorUsagePercentMany/100.0)); a.RetryAfter < least || a.RetryAfter > most {
+				if least, most := 100*ms, durationOf(0.1/(1-priorUsagePercentMany/100.0)); a.RetryAfter < least || a.RetryAfter > most {
 					t.Errorf("a newcomer of 20 units a second that asked for 2 is told to come back after %v, want %v to %v", a.RetryAfter, least, most)
 				}
 			}
--- a/decision/state.go
+++ b/decision/state.go
@@ -2,78 +2,105 @@
 
 import (
 	"iter"
-	"math"
-	"slices"
 	"time"
 )
 
-// What a later process of the same door would do ill to forget. It is read off the decisions and put back before any; nothing is decided
-// here.
+// minQuotaDebt is the least debt, as QuotaDebt returns it, that is worth remembering.
+const minQuotaDebt = 1e-3
 
-// CustomerState is what a gateway knows of a customer that owes. Its cbor tags are names in stored snapshots, and never change.
+// CustomerState is what a later process of the same gateway must not forget of a customer. It is read off an Engine and
+// put back into another one before any event; nothing is decided by it here. Its cbor tags are names in stored snapshots
+// and must never change.
 type CustomerState struct {
-	ID               CustomerID `cbor:"ID"`
-	Plan             string     `cbor:"Plan"`
-	Gateways         int        `cbor:"Doors"`   // that it uses
-	Member           bool       `cbor:"Member"`  // this is one of them
-	MissingTokens    float64    `cbor:"Missing"` // what its store lacks of being full, in percent of its rate times seconds
-	AdmitProbability float64    `cbor:"Pass"`    // the share of its requests that may pass while the store is empty
-	// What readings told of its use, fading: percent-seconds over all doors, those of this door's own, and of how many seconds.
+	ID       CustomerID `cbor:"ID"`
+	Plan     string     `cbor:"Plan"`
+	Gateways int        `cbor:"Doors"`  // how many the customer uses
+	Member   bool       `cbor:"Member"` // this is one of them
+	// MissingTokens is what its quota lacks of a full burst, in percent-seconds of its rate.
+	MissingTokens float64 `cbor:"Missing"`
+	// AdmitProbability is the share of its requests that pass while the quota is empty, 0 to 1.
+	AdmitProbability float64 `cbor:"Pass"`
+	// What usage reports told, fading: its use over all gateways and at this one, in percent-seconds, and of how many
+	// seconds.
 	MeteredUsage   float64 `cbor:"Metered"`
 	OwnUsage       float64 `cbor:"Own"`
 	MeteredSeconds float64 `cbor:"Heard"`
 }
 
-// QuotaDebt is how much of its burst a customer has used, from 0 to 1, and over 1 if it is held down besides.
+// QuotaDebt is how much of its burst a customer has used, 0 to 1, and more if it is held down besides.
 func (s *CustomerState) QuotaDebt(plan *Plan) float64 {
 	if plan.Rate <= 0 {
 		return 1 - s.AdmitProbability
 	}
-	return s.MissingTokens*plan.Rate/(100*plan.Burst) + 1 - s.AdmitProbability
+	return s.MissingTokens*plan.Rate/(fullRate*plan.Burst) + 1 - s.AdmitProbability
 }
 
-// Customers goes through all customers, each as it is at the moment, in no order, and says whether it owes anything. Between two of them
-// the gateway may be used: who comes meanwhile may be left out.
-func (g *Engine) Customers() iter.Seq2[CustomerState, bool] {
+// Customers iterates over all customers, each as it is at the moment, in no order, and tells whether it has a debt worth
+// remembering. The Engine may be used between two steps: a customer that is new meanwhile may be left out.
+func (e *Engine) Customers() iter.Seq2[CustomerState, bool] {
 	return func(yield func(CustomerState, bool) bool) {
-		for id, c := range g.customers { // whoever makes something of it puts it in an order
-			s := CustomerState{ID: id, Plan: c.plan.Name, Gateways: int(c.gateways), Member: c.isMember, AdmitProbability: c.admitProbability, MeteredUsage: c.meteredUsage, OwnUsage: c.ownUsage, MeteredSeconds: c.meteredSeconds}
-			if c.plan.Rate > 0 {
-				s.MissingTokens = c.burstTokens() - c.available(g.now)
-			}
-			if !yield(s, s.QuotaDebt(c.plan) > minQuotaDebt) {
+		for id, customer := range e.customers { // the map's order: the caller sorts
+			state := e.customerState(id, customer)
+			if !yield(state, state.QuotaDebt(customer.plan) > minQuotaDebt) {
 				return
 			}
 		}
 	}
 }
 
-const minQuotaDebt = 1e-3
+func (e *Engine) customerState(id CustomerID, c *customer) CustomerState {
+	state := CustomerState{
+		ID:               id,
+		Plan:             c.plan.Name,
+		Gateways:         int(c.gateways),
+		Member:           c.isMember,
+		AdmitProbability: c.admitProbability,
+		MeteredUsage:     c.meteredUsage,
+		OwnUsage:         c.ownUsage,
+		MeteredSeconds:   c.meteredSeconds,
+	}
+	if c.plan.Rate > 0 {
+		state.MissingTokens = c.burstTokens() - c.available(e.now)
+	}
+	return state
+}
 
-// Restore puts back what an earlier process knew, before anything is handled. What makes no sense under these settings is passed over,
-// and counted.
-func (g *Engine) Restore(now time.Duration, states []CustomerState) (passedOver int) {
-	for _, s := range states {
-		plan := g.plans[s.Plan]
-		sound := func(vs ...float64) bool {
-			return !slices.ContainsFunc(vs, func(v float64) bool { return !(v >= 0) || math.IsInf(v, 1) })
-		}
-		if plan == nil || s.Gateways < 1 || s.Gateways > g.settings.GatewayCount || !sound(s.MissingTokens, s.MeteredUsage, s.OwnUsage, s.MeteredSeconds) || !(s.AdmitProbability >= 0 && s.AdmitProbability <= 1) || g.started {
-			passedOver++
+// Restore puts back what an earlier process knew, at a time of the Engine's clock. It must be called before the first
+// event: later, all states are ignored. States that make no sense under these settings are ignored too. It returns how
+// many were.
+func (e *Engine) Restore(now time.Duration, states []CustomerState) (ignored int) {
+	for _, state := range states {
+		plan := e.plans[state.Plan]
+		if plan == nil || e.started || !state.valid(e.settings.GatewayCount) {
+			ignored++
 			continue
 		}
-		first := 0
-		if !s.Member {
-			first = (g.settings.GatewayIndex + 1) % g.settings.GatewayCount
-		}
-		g.now = max(g.now, now)
-		c := g.customerFor(Request{Customer: s.ID, Cost: max(1, plan.Burst), FirstGateway: first, GatewaySpread: s.Gateways}, plan) // no newcomer's store
-		c.isMember, c.lastCost = s.Member, 1
-		c.admitProbability, c.meteredUsage, c.ownUsage, c.meteredSeconds = s.AdmitProbability, s.MeteredUsage, s.OwnUsage, s.MeteredSeconds
-		if plan.Rate > 0 {
-			c.tokens = max(0, min(c.burstTokens()-s.MissingTokens, c.tokens))
-		}
-		c.usageAt = g.now // so that f binds until readings have had time to come
+		e.now = max(e.now, now)
+		e.restoreCustomer(state, plan)
+	}
+	return ignored
+}
+
+// valid reports whether all figures can be those of a customer of so many gateways.
+func (s *CustomerState) valid(gateways int) bool {
+	return s.Gateways >= 1 && s.Gateways <= gateways && s.AdmitProbability >= 0 && s.AdmitProbability <= 1 &&
+		finiteNonNegative(s.MissingTokens, s.MeteredUsage, s.OwnUsage, s.MeteredSeconds)
+}
+
+func (e *Engine) restoreCustomer(state CustomerState, plan *Plan) {
+	first := 0
+	if !state.Member {
+		first = (e.settings.GatewayIndex + 1) % e.settings.GatewayCount
+	}
+	// The cost of a whole burst: a newcomer's bucket would else begin with room for one small request.
+	cost := max(1, plan.Burst)
+	customer := e.customerFor(Request{Customer: state.ID, Cost: cost, FirstGateway: first, GatewaySpread: state.Gateways}, plan)
+	customer.isMember, customer.lastCost = state.Member, 1
+	customer.admitProbability = state.AdmitProbability
+	customer.meteredUsage, customer.ownUsage = state.MeteredUsage, state.OwnUsage
+	customer.meteredSeconds = state.MeteredSeconds
+	if plan.Rate > 0 {
+		customer.tokens = max(0, min(customer.burstTokens()-state.MissingTokens, customer.tokens))
 	}
-	return passedOver
+	customer.usageAt = e.now // so that the admit probability binds until usage reports have had time to come
 }
