--- a/decision/actions.go
+++ b/decision/actions.go
@@ -11,8 +11,8 @@
 	Backend BackendID
 	// Timeout is how long to wait for the response. Zero: until the client disconnects.
 	Timeout time.Duration
-	// NotAfter is the time after which the attempt must not be sent any more: it then ends as NotSent. Zero: no limit.
-	// Backends drop repeats of what may have run for the DedupWindow only.
+	// NotAfter is the time after which the attempt must not be sent any more: it then ends as
+	// NotSent. Zero: no limit. Backends drop repeats of what may have run for the DedupWindow only.
 	NotAfter time.Duration
 }
 
@@ -24,7 +24,8 @@
 	Reason     Reason
 }
 
-// Reason is why a request was rejected, for people and for the form of the answer. The zero value is Invalid.
+// Reason is why a request was rejected, for people and for the form of the answer. The zero value
+// is Invalid.
 type Reason uint8
 
 // The reasons.
@@ -50,8 +51,8 @@
 	Attempt int
 }
 
-// SetTimer asks for a Timer event with the same Token. Token 0 is the Engine's own tick; any other belongs to Request,
-// and once that has its final answer the timer need not come any more.
+// SetTimer asks for a Timer event with the same Token. Token 0 is the Engine's own tick; any other
+// belongs to Request, and once that has its final answer the timer need not come any more.
 type SetTimer struct {
 	After   time.Duration
 	Token   uint64
@@ -61,7 +62,8 @@
 // Probe asks a backend for its load report. One ProbeResult follows.
 type Probe struct{ Backend BackendID }
 
-// CounterAdd adds Amount to a number that all gateways share, and asks for the total. One CounterResult follows.
+// CounterAdd adds Amount to a number that all gateways share, and asks for the total. One
+// CounterResult follows.
 type CounterAdd struct {
 	Ref    uint64
 	Key    uint64 // of the number, below 2^63
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// weightSamples is how many recent arrivals the boundary between the priority tiers is the median of.
+// weightSamples is how many recent arrivals the boundary between the priority tiers is the median
+// of.
 const weightSamples = 256
 
 // request is a request that has no final answer yet, or whose attempts are not all over.
@@ -25,8 +26,9 @@
 	streaming bool
 }
 
-// onRequest takes a request through its customer's limits, and on to admit. It is rejected where the quota does not
-// allow it, and where the hard limit does not, unless the other gateways can lend what it lacks.
+// onRequest takes a request through its customer's limits, and on to admit. It is rejected where
+// the quota does not allow it, and where the hard limit does not, unless the other gateways can
+// lend what it lacks.
 func (e *Engine) onRequest(event Request) {
 	if e.requests[event.ID] != nil {
 		return
@@ -65,8 +67,8 @@
 	e.emit(Reject{Request: req.id, RetryAfter: retryAfter, Reason: OverQuota})
 }
 
-// admit forwards a request that its customer's plan allows: to the backend that selection finds, in a slot of its
-// priority tier. It reports whether it did; if not, the request is rejected.
+// admit forwards a request that its customer's plan allows: to the backend that selection finds, in
+// a slot of its priority tier. It reports whether it did; if not, the request is rejected.
 func (e *Engine) admit(req *request) bool {
 	high := e.recordArrival(req)
 	backend := e.selectBackend(req)
@@ -103,8 +105,8 @@
 	e.emit(SetTimer{After: req.deadline - e.now, Token: req.seq, Request: req.id})
 }
 
-// recordArrival counts a request in its priority tier, and reports whether that is the high one. A request's weight is
-// its class's PriorityWeight times its plan's Price times its cost.
+// recordArrival counts a request in its priority tier, and reports whether that is the high one. A
+// request's weight is its class's PriorityWeight times its plan's Price times its cost.
 func (e *Engine) recordArrival(req *request) (high bool) {
 	weight := req.class.PriorityWeight * req.customer.plan.Price * req.cost
 	high = e.isHighPriority(weight)
--- a/decision/attempts.go
+++ b/decision/attempts.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// latencySampleWeight is the weight of one response in the running means of latency. The low marks of these rise by
-	// a quarter of its square with each response, so they outlast a jam.
+	// latencySampleWeight is the weight of one response in the running means of latency. The low
+	// marks of these rise by a quarter of its square with each response, so they outlast a jam.
 	latencySampleWeight = 1.0 / 16
 	bestLatencyGrowth   = latencySampleWeight * latencySampleWeight / 4
 
@@ -27,13 +27,14 @@
 // waited is how long a response has been waited for, in seconds.
 func (a *attempt) waited(now time.Duration) float64 { return (now - a.sentAt - a.pausedFor).Seconds() }
 
-// hasOutstanding reports whether an attempt's outcome has not come. There is never more than one such attempt.
+// hasOutstanding reports whether an attempt's outcome has not come. There is never more than one
+// such attempt.
 func (r *request) hasOutstanding() bool {
 	return len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].outstanding
 }
 
-// startAttempt sends a request to a backend, in a slot that is held already. A repeat of what may have run must leave
-// while the backend still drops it.
+// startAttempt sends a request to a backend, in a slot that is held already. A repeat of what may
+// have run must leave while the backend still drops it.
 func (e *Engine) startAttempt(req *request, backend *backend, slot *slot) {
 	notAfter := time.Duration(0)
 	if executed := req.executedAttempt(); executed != nil && req.class.Idempotency == IdempotentByKey {
@@ -50,8 +51,8 @@
 	e.emit(StartAttempt{Request: req.id, Backend: backend.ID, NotAfter: notAfter})
 }
 
-// onOutcome ends an attempt: the request is finished, is retried in the same slot, or gets its final answer. An outcome
-// of no attempt that is outstanding is ignored.
+// onOutcome ends an attempt: the request is finished, is retried in the same slot, or gets its
+// final answer. An outcome of no attempt that is outstanding is ignored.
 func (e *Engine) onOutcome(event Outcome) {
 	req := e.requests[event.Request]
 	if req == nil || event.Attempt < 0 || event.Attempt >= len(req.attempts) ||
@@ -79,7 +80,8 @@
 	e.forget(req)
 }
 
-// recordOutcome takes what an outcome tells of its backend, of its class and of all backends together.
+// recordOutcome takes what an outcome tells of its backend, of its class and of all backends
+// together.
 func (e *Engine) recordOutcome(req *request, ended *attempt, event Outcome) {
 	backend, latency := ended.backend, event.Latency.Seconds()
 	e.overdue(backend)
@@ -124,8 +126,9 @@
 	backend.slowness += 2 * latencySampleWeight * (latency/class.meanLatency - backend.slowness)
 }
 
-// recordNoResponse takes in that an attempt had no response for a latency in seconds: it would have taken that long at
-// least, but no more than slowAttemptFactor counts, as its connection may have been dead.
+// recordNoResponse takes in that an attempt had no response for a latency in seconds: it would have
+// taken that long at least, but no more than slowAttemptFactor counts, as its connection may have
+// been dead.
 func (e *Engine) recordNoResponse(class *class, ended *attempt, latency float64) {
 	if ended.cancelled {
 		e.recordCancelled(ended.backend)
--- a/decision/size_test.go
+++ b/decision/benchmark_test.go
@@ -7,11 +7,9 @@
 	"time"
 )
 
-// What news, a second and a request cost by the number of backends. The ratios within one run are what counts.
-
 var benchSizes = []int{100, 1_000, 10_000, 110_000}
 
-// benchFleet is so many backends in nine zones, of one protocol.
+// benchFleet returns n endpoints in nine zones, of one protocol.
 func benchFleet(n int) []Endpoint {
 	out := make([]Endpoint, n)
 	for i := range out {
@@ -20,7 +18,7 @@
 	return out
 }
 
-// benchGateway is one of 2,800 doors, which knows them.
+// benchGateway returns the engine of one of 2,800 gateways, which knows all these endpoints.
 func benchGateway(t testing.TB, all []Endpoint) *Engine {
 	s := testSettings()
 	s.GatewayCount, s.UsagePeriod = 2800, 0
@@ -33,12 +31,13 @@
 	return g
 }
 
-// News of one, and a second, cost about the same whether 100 or 20,000 are known: an order's depth more, not the walk over all that was
-// 130 times as much. The best of some rounds counts, so that a machine that is busy says the same.
-func TestNewsCostsWhatChanged(t *testing.T) {
+// One gateway may know 20,000 backends. Were an update of one endpoint, or a tick, to walk over
+// all, it would cost 130 times as much as with 100 backends. It must cost about the same: an
+// order's depth more. The best of some rounds counts, so that a busy machine says the same.
+func TestEndpointUpdate_CostFollowsChange(t *testing.T) {
 	best := func(n int) (one, tick time.Duration) {
 		all := benchFleet(n)
-		for i := range all[:n/9] { // some are cold
+		for i := range all[:n/9] { // some are warming up
 			all[i].StartedAt = 999 * second
 		}
 		g, now := benchGateway(t, all), 1000*second
@@ -62,11 +61,14 @@
 	}
 	one, tick := best(100)
 	if manyOne, manyTick := best(20_000); manyOne > 10*one || manyTick > 10*tick {
-		t.Errorf("200 changes take %v and 100 seconds %v where 20,000 are known, %v and %v where 100 are", manyOne, manyTick, one, tick)
+		t.Errorf("200 changes take %v and 100 seconds %v where 20,000 are known, %v and %v where 100 are",
+			manyOne, manyTick, one, tick)
 	}
 }
 
-func BenchmarkSize(b *testing.B) {
+// BenchmarkEngine measures updates, ticks and requests by the number of backends. The ratios within
+// one run are what counts.
+func BenchmarkEngine(b *testing.B) {
 	for _, n := range benchSizes {
 		all := benchFleet(n)
 		run := func(name string, f func(b *testing.B, g *Engine, now *time.Duration)) {
@@ -81,7 +83,7 @@
 				benchGateway(b, all)
 			}
 		})
-		run("again", func(b *testing.B, g *Engine, now *time.Duration) { // a whole list that says what is known
+		run("again", func(b *testing.B, g *Engine, now *time.Duration) { // a full update that says what is known
 			for range b.N {
 				g.Handle(*now, EndpointUpdate{Kind: UpdateFull, Endpoints: all}, nil)
 			}
@@ -94,7 +96,7 @@
 				g.Handle(*now, EndpointUpdate{Endpoints: one}, nil)
 			}
 		})
-		// a ninth is lost and comes back started, in as many lists of one
+		// a ninth is removed and comes back started, in as many updates of one
 		run("zone", func(b *testing.B, g *Engine, now *time.Duration) {
 			one := make([]Endpoint, 1)
 			for range b.N {
@@ -132,10 +134,12 @@
 			for i := range b.N {
 				id := RequestID(i + 1)
 				*now += 4 * time.Millisecond
-				acts = g.Handle(*now, Request{ID: id, Customer: 1, Class: "safe", Plan: "free", Cost: 1, Timeout: second}, acts[:0])
+				acts = g.Handle(*now, Request{ID: id, Customer: 1, Class: "safe", Plan: "free", Cost: 1,
+					Timeout: second}, acts[:0])
 				for _, a := range acts {
 					if s, ok := a.(StartAttempt); ok {
-						g.Handle(*now, Outcome{Request: id, Backend: s.Backend, Result: Succeeded, Latency: time.Millisecond, Final: true}, nil)
+						g.Handle(*now, Outcome{Request: id, Backend: s.Backend, Result: Succeeded,
+							Latency: time.Millisecond, Final: true}, nil)
 					}
 				}
 				if i%250 == 0 {
--- a/decision/concurrencylimit.go
+++ b/decision/concurrencylimit.go
@@ -5,51 +5,58 @@
 const (
 	// badOutcomeRatio is the share of a second's outcomes that may be bad before the limit is cut.
 	badOutcomeRatio = 0.05
-	// limitDecreaseFactor is what a cut leaves, of the attempts in flight; limitIncreaseFactor is the growth in any
-	// other second.
+	// limitDecreaseFactor is what a cut leaves, of the attempts in flight; limitIncreaseFactor is
+	// the growth in any other second.
 	limitDecreaseFactor = 0.9
 	limitIncreaseFactor = 1.1
 
-	// lateObjectiveRatio is the share of its class's latency objective from which an attempt counts as late for the
-	// limit; it does so from lateLatencyFactor times its class's best latency, if that is earlier, but never inside
-	// lateObjectiveMinRatio of the objective: latencies that short vary by themselves.
+	// lateObjectiveRatio is the share of its class's latency objective from which an attempt counts
+	// as late for the limit; it does so from lateLatencyFactor times its class's best latency, if
+	// that is earlier, but never inside lateObjectiveMinRatio of the objective: latencies that
+	// short vary by themselves.
 	lateObjectiveRatio    = 0.5
 	lateLatencyFactor     = 6.0
 	lateObjectiveMinRatio = 1.0 / 64
 
-	// minOutcomeSamples is how many outcomes badOutcomeRatio is counted over at least, and how many responses make the
-	// sustainable concurrency known. A gateway that sends so many attempts a second weighs each second fully.
+	// minOutcomeSamples is how many outcomes badOutcomeRatio is counted over at least, and how many
+	// responses make the sustainable concurrency known. A gateway that sends so many attempts a
+	// second weighs each second fully.
 	minOutcomeSamples = 20
-	// chanceDeviations is how many standard deviations over badOutcomeRatio the bad outcomes of a second must be.
+	// chanceDeviations is how many standard deviations over badOutcomeRatio the bad outcomes of a
+	// second must be.
 	chanceDeviations = 3.0
-	// minSampleWeight and maxSampleWeight bound the weight of one second in the running means. The least evens out the
-	// noise of one of hundreds of gateways.
+	// minSampleWeight and maxSampleWeight bound the weight of one second in the running means. The
+	// least evens out the noise of one of hundreds of gateways.
 	minSampleWeight = 1.0 / 4
 	maxSampleWeight = 0.5
-	// sustainableKnownWeight is from which weight on the sustainable concurrency bounds the limit at a gateway of few
-	// responses: its first second holds hardly one.
+	// sustainableKnownWeight is from which weight on the sustainable concurrency bounds the limit
+	// at a gateway of few responses: its first second holds hardly one.
 	sustainableKnownWeight = 2.0 / 3
 )
 
-// lateAfter is the age, in seconds, from which an attempt of the class counts as late for the concurrency limit.
+// lateAfter is the age, in seconds, from which an attempt of the class counts as late for the
+// concurrency limit.
 func (c *class) lateAfter() float64 {
 	objective := c.LatencyObjective.Seconds()
 	return min(lateObjectiveRatio*objective, max(lateLatencyFactor*c.bestLatency, lateObjectiveMinRatio*objective))
 }
 
-// adjustConcurrencyLimit sets the concurrency limit N, how many of this gateway's attempts may be in flight. It runs
-// once a second, elapsed seconds after the last time.
+// adjustConcurrencyLimit sets the concurrency limit N, how many of this gateway's attempts may be
+// in flight. It runs once a second, elapsed seconds after the last time.
 //
-// N is not limited at first. A second with too many bad outcomes cuts it to limitDecreaseFactor of what is in flight;
-// any other second in which something ended grows it by limitIncreaseFactor. It stays between half and all of the
-// sustainable concurrency: cuts come late and go on after a jam, and by Little's law what is beyond it must be late.
+// N is not limited at first. A second with too many bad outcomes cuts it to limitDecreaseFactor of
+// what is in flight; any other second in which something ended grows it by limitIncreaseFactor. It
+// stays between half and all of the sustainable concurrency: cuts come late and go on after a jam,
+// and by Little's law what is beyond it must be late.
 //
-// Bad outcomes are attempts that a backend turned away, and late ones, ended or in flight: the client's own time-out
-// comes only when the queues hold nothing but requests that nobody waits for. Subrated attempts count as the slots that
-// they were squeezed from, else each would lift the next cut.
+// Bad outcomes are attempts that a backend turned away, and late ones, ended or in flight: the
+// client's own time-out comes only when the queues hold nothing but requests that nobody waits for.
+// Subrated attempts count as the slots that they were squeezed from, else each would lift the next
+// cut.
 //
-// Where there are many gateways a second holds an attempt or two: so the means fade over seconds, N is a fraction where
-// that is a gateway's share, and it grows only if something has ended since its cut.
+// Where there are many gateways a second holds an attempt or two: so the means fade over seconds, N
+// is a fraction where that is a gateway's share, and it grows only if something has ended since its
+// cut.
 func (e *Engine) adjustConcurrencyLimit(elapsed float64) {
 	weight := max(minSampleWeight, min(maxSampleWeight, e.sendRate/minOutcomeSamples))
 	e.countLateAttempts()
@@ -78,7 +85,8 @@
 	e.resizePartitions(previous)
 }
 
-// countLateAttempts counts those that have become late while they are in flight, as if they had ended badly.
+// countLateAttempts counts those that have become late while they are in flight, as if they had
+// ended badly.
 func (e *Engine) countLateAttempts() {
 	for _, req := range e.requests { // counts only: the map's order reaches no action
 		for i := range req.attempts {
@@ -93,11 +101,13 @@
 	}
 }
 
-// overloaded reports whether the bad outcomes say that the backends as a whole have too much in flight.
+// overloaded reports whether the bad outcomes say that the backends as a whole have too much in
+// flight.
 //
-// They must be spread over more backends than half their number, or than a third of all: a few bad ones are left to the
-// selection. And as more than badOutcomeRatio of a few dozen outcomes are often bad by chance, and N takes many seconds
-// to grow back, they must lie chanceDeviations above it, unless most are bad.
+// They must be spread over more backends than half their number, or than a third of all: a few bad
+// ones are left to the selection. And as more than badOutcomeRatio of a few dozen outcomes are
+// often bad by chance, and N takes many seconds to grow back, they must lie chanceDeviations above
+// it, unless most are bad.
 func (e *Engine) overloaded(weight float64, ready int) bool {
 	failing := e.index.RecentFailures(e.now, durationOf(maxSampleWeight/weight))
 	spread := float64(failing) > min(e.badOutcomes/2, float64(ready)/3)
--- a/decision/counter.go
+++ b/decision/counter.go
@@ -7,13 +7,15 @@
 	"pumicecroft/quota"
 )
 
-// What gateways lend each other of a customer's hard limit, over the counter that they share (package quota has the
-// rules of it). The ordinary path asks nothing of the counter: only a request that this gateway's own share cannot bear
-// waits for it, and where it does not respond in time the request is rejected, as it would be without a counter.
+// What gateways lend each other of a customer's hard limit, over the counter that they share
+// (package quota has the rules of it). The ordinary path asks nothing of the counter: only a
+// request that this gateway's own share cannot bear waits for it, and where it does not respond in
+// time the request is rejected, as it would be without a counter.
 
 const (
-	// depositsPerSecondAll bounds the deposits of all gateways together: a sixth of some 600 calls a second that the
-	// counter serves. depositsPerTickMax bounds those of one, which it makes at one moment.
+	// depositsPerSecondAll bounds the deposits of all gateways together: a sixth of some 600 calls
+	// a second that the counter serves. depositsPerTickMax bounds those of one, which it makes at
+	// one moment.
 	depositsPerSecondAll = 100
 	depositsPerTickMax   = 8
 )
@@ -26,7 +28,8 @@
 	deposit  bool     // the call puts surplus into the shared bucket
 }
 
-// borrow asks the shared bucket for the cost of a request, and reports whether the request now waits for that.
+// borrow asks the shared bucket for the cost of a request, and reports whether the request now
+// waits for that.
 func (e *Engine) borrow(req *request) bool {
 	bucket := &req.customer.sharedBucket
 	if !bucket.Exists() || !e.counterLink.Allow(e.now, bucket) {
@@ -38,8 +41,9 @@
 	return true
 }
 
-// depositSurplus puts what would overflow into the shared buckets of some of the customers whose share is full here. It
-// runs with the tick: gateways that have little of a customer's traffic, and so a surplus, hear of it from no request.
+// depositSurplus puts what would overflow into the shared buckets of some of the customers whose
+// share is full here. It runs with the tick: gateways that have little of a customer's traffic, and
+// so a surplus, hear of it from no request.
 func (e *Engine) depositSurplus() {
 	if !e.settings.HasSharedCounter {
 		return
@@ -79,8 +83,8 @@
 	e.emit(CounterAdd{Ref: e.lastCounterRef, Key: call.customer.sharedBucket.Key(), Amount: amount, TTL: quota.BucketTTL})
 }
 
-// onCounterResult ends a call: a request that waits for it is admitted or rejected, and what must not stay in the
-// bucket, or was taken in vain, is put back by a further call.
+// onCounterResult ends a call: a request that waits for it is admitted or rejected, and what must
+// not stay in the bucket, or was taken in vain, is put back by a further call.
 func (e *Engine) onCounterResult(event CounterResult) {
 	call, known := e.counterCalls[event.Ref]
 	if !known {
@@ -107,8 +111,8 @@
 	}
 }
 
-// recordCounterResult tells the link how a call ended. After a call that was lost, tokens that it asked for may have
-// been taken out all the same: then nobody has them, and the limit holds.
+// recordCounterResult tells the link how a call ended. After a call that was lost, tokens that it
+// asked for may have been taken out all the same: then nobody has them, and the limit holds.
 func (e *Engine) recordCounterResult(result Result) {
 	switch result {
 	case Succeeded:
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -1,10 +1,12 @@
-// Package decision makes the decisions of one gateway: which requests it forwards, to which backend, when an attempt
-// is made again, and when a request is rejected. It holds every customer of a shared set of backends to its plan.
+// Package decision makes the decisions of one gateway: which requests it forwards, to which
+// backend, when an attempt is made again, and when a request is rejected. It holds every customer
+// of a shared set of backends to its plan.
 //
-// A gateway creates one Engine with New and passes it every event, in order, by Handle. It carries out the returned
-// actions at once and in order. The Engine is a state machine: it has no clock, does no I/O, takes no locks, starts no
-// goroutines and keeps no package state, so the same seed and events always give the same actions. It is not safe for
-// concurrent use. All times are durations on one monotonic clock whose origin does not matter.
+// A gateway creates one Engine with New and passes it every event, in order, by Handle. It carries
+// out the returned actions at once and in order. The Engine is a state machine: it has no clock,
+// does no I/O, takes no locks, starts no goroutines and keeps no package state, so the same seed
+// and events always give the same actions. It is not safe for concurrent use. All times are
+// durations on one monotonic clock whose origin does not matter.
 //
 // Each rule stands in one file:
 //
--- a/decision/encoding_test.go
+++ b/decision/encoding_test.go
@@ -13,8 +13,9 @@
 	"testing"
 )
 
-// encodeAction writes an action with all its fields under names of its own, so that a fingerprint tells what a gateway
-// does and nothing of how Go spells it. TestEncodingKnowsEveryField checks that nothing is left out.
+// encodeAction writes an action with all its fields under names of its own, so that a fingerprint
+// tells what a gateway does and nothing of how Go spells it. TestEncodingKnowsEveryField checks
+// that nothing is left out.
 func encodeAction(action Action) string {
 	switch a := action.(type) {
 	case StartAttempt:
@@ -38,13 +39,14 @@
 	panic(fmt.Sprintf("an action that the encoding does not know: %T", action))
 }
 
-// Were an action or a field added that the encoding leaves out, two engines that differ in it alone would have one
-// fingerprint. So each type that the package's source marks as an action is encoded, each field is written once, and a
-// change of any one field changes what is written.
+// Were an action or a field added that the encoding leaves out, two engines that differ in it alone
+// would have one fingerprint. So each type that the package's source marks as an action is encoded,
+// each field is written once, and a change of any one field changes what is written.
 func TestEncodingKnowsEveryField(t *testing.T) {
 	declared := declaredActions(t)
 	encoded, kinds := map[string]bool{}, map[string]bool{}
-	for _, zero := range []Action{StartAttempt{}, Reject{}, Fail{}, CancelAttempt{}, SetTimer{}, Probe{}, CounterAdd{}, Subscribe{}} {
+	for _, zero := range []Action{StartAttempt{}, Reject{}, Fail{}, CancelAttempt{}, SetTimer{}, Probe{},
+		CounterAdd{}, Subscribe{}} {
 		typ := reflect.TypeOf(zero)
 		encoded[typ.Name()] = true
 		text := encodeAction(zero)
@@ -70,7 +72,8 @@
 	}
 }
 
-// declaredActions are the names of the types that have the method isAction, by the package's source.
+// declaredActions are the names of the types that have the method isAction, by the package's
+// source.
 func declaredActions(t *testing.T) map[string]bool {
 	t.Helper()
 	paths, err := filepath.Glob("*.go")
--- a/decision/endpointupdates.go
+++ b/decision/endpointupdates.go
@@ -27,8 +27,8 @@
 	warmupTokensAt time.Duration
 }
 
-// onEndpointUpdate takes in a change of the set of backends. From here on nothing new is sent to those that drain or
-// are removed. After an update that failed the backends stay as they are.
+// onEndpointUpdate takes in a change of the set of backends. From here on nothing new is sent to
+// those that drain or are removed. After an update that failed the backends stay as they are.
 func (e *Engine) onEndpointUpdate(event EndpointUpdate) {
 	if event.Kind == UpdateFailed {
 		if e.settings.SubscribeToEndpoints {
@@ -49,8 +49,8 @@
 	e.index.Advance(e.now)
 }
 
-// updateEndpoint takes in one entry of an update. A process that has started anew since the last one is put into slow
-// start, and what was known of the one before it is dropped.
+// updateEndpoint takes in one entry of an update. A process that has started anew since the last
+// one is put into slow start, and what was known of the one before it is dropped.
 func (e *Engine) updateEndpoint(endpoint Endpoint) {
 	known := e.backends[endpoint.ID]
 	if known == nil {
@@ -69,8 +69,9 @@
 	e.index.MarkDirty(&known.entry)
 }
 
-// reconcile forgets a backend that is removed and has no attempt in flight; any other is put into the index as it is
-// now. It reports whether that is all: a removed backend is visited again after the next update.
+// reconcile forgets a backend that is removed and has no attempt in flight; any other is put into
+// the index as it is now. It reports whether that is all: a removed backend is visited again after
+// the next update.
 func (e *Engine) reconcile(backend *backend) bool {
 	if backend.State == Removed && backend.inFlight == 0 {
 		e.index.Remove(&backend.entry)
--- a/decision/engine.go
+++ b/decision/engine.go
@@ -14,8 +14,8 @@
 	// tickToken is the token of the timer by which the Engine calls itself once a second.
 	tickToken = 0
 
-	// initialLatencyDivisor gives the mean latency that a class is assumed to have before any response: its latency
-	// objective over this.
+	// initialLatencyDivisor gives the mean latency that a class is assumed to have before any
+	// response: its latency objective over this.
 	initialLatencyDivisor = 4
 
 	// sendRateWeight is the weight of one second in the running means of attempts a second.
@@ -88,13 +88,13 @@
 	Class
 	meanLatency float64 // running mean latency of responses, seconds
 	bestLatency float64 // a low mark of it that rises slowly, seconds
-	// firstAttempts are the requests whose first attempt may still be cancelled as slow, in the order in which they
-	// were sent. Some have finished.
+	// firstAttempts are the requests whose first attempt may still be cancelled as slow, in the
+	// order in which they were sent. Some have finished.
 	firstAttempts []*request
 }
 
-// protocolPool is the backends that speak one protocol: a request goes to no others. Members of the group that are
-// ready may be sent attempts; those of them that are warming up are warming in it.
+// protocolPool is the backends that speak one protocol: a request goes to no others. Members of the
+// group that are ready may be sent attempts; those of them that are warming up are warming in it.
 type protocolPool struct {
 	endpointindex.Group[*backend]
 	sendsThisSecond float64
@@ -103,8 +103,8 @@
 	peakSendRate    float64 // the highest that meanSendRate was, fading
 }
 
-// New starts an Engine at a time of its clock. It knows no backends until the first EndpointUpdate. The error is that
-// of settings.Validate.
+// New starts an Engine at a time of its clock. It knows no backends until the first EndpointUpdate.
+// The error is that of settings.Validate.
 func New(settings Settings, seed uint64, now time.Duration) (*Engine, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -143,8 +143,8 @@
 	return e, nil
 }
 
-// Handle takes one event at a time of the Engine's clock, and appends to actions what must be done about it. A time
-// before that of an earlier event counts as that one's.
+// Handle takes one event at a time of the Engine's clock, and appends to actions what must be done
+// about it. A time before that of an earlier event counts as that one's.
 func (e *Engine) Handle(now time.Duration, event Event, actions []Action) []Action {
 	e.now, e.actions = max(now, e.now), actions
 	if !e.started {
@@ -156,8 +156,8 @@
 	return actions
 }
 
-// start sets the first tick at a random moment: gateways that start together would else call the shared counter in the
-// same moment of every second, and it turns away calls that come at once.
+// start sets the first tick at a random moment: gateways that start together would else call the
+// shared counter in the same moment of every second, and it turns away calls that come at once.
 func (e *Engine) start() {
 	e.started = true
 	e.lastTickAt = e.now
--- a/decision/events.go
+++ b/decision/events.go
@@ -14,21 +14,26 @@
 // Event is something that happened at this gateway.
 type Event interface{ isEvent() }
 
-// Request is a client's request. From now on it is owed one final answer: a response, a Reject or a Fail.
+// Request is a client's request. From now on it is owed one final answer: a response, a Reject or a
+// Fail.
 type Request struct {
 	ID       RequestID
 	Customer CustomerID
-	// Class and Plan are names of Settings.Classes and Settings.Plans. An unknown one is rejected as Invalid.
+	// Class and Plan are names of Settings.Classes and Settings.Plans. An unknown one is rejected
+	// as Invalid.
 	Class string
 	Plan  string
-	// Cost is what the request counts against the plan, in units. It must be finite and not negative.
+	// Cost is what the request counts against the plan, in units. It must be finite and not
+	// negative.
 	Cost float64
 	// Timeout is how long this client waits for this try. It must be positive.
 	Timeout time.Duration
-	// FirstGateway and GatewaySpread say which gateways the customer uses: so many in a row, from the first one on.
+	// FirstGateway and GatewaySpread say which gateways the customer uses: so many in a row, from
+	// the first one on.
 	FirstGateway  int
 	GatewaySpread int
-	// Protocol is the name of what the request speaks. It goes only to backends of the same Protocol.
+	// Protocol is the name of what the request speaks. It goes only to backends of the same
+	// Protocol.
 	Protocol string
 }
 
@@ -52,7 +57,8 @@
 	// StartedAt is when the backend's process last started. Zero: long ago.
 	StartedAt time.Duration
 	Weight    float64
-	// Protocol is what the backend speaks, a name without a meaning here. A backend keeps it as long as its ID.
+	// Protocol is what the backend speaks, a name without a meaning here. A backend keeps it as
+	// long as its ID.
 	Protocol string
 }
 
@@ -76,7 +82,8 @@
 // Result is how an attempt, a probe or a call to the counter ended. The zero value is Succeeded.
 type Result uint8
 
-// The results. Rejected, ConnectFailed and NotSent prove that the attempt never ran; all others may mean that it did.
+// The results. Rejected, ConnectFailed and NotSent prove that the attempt never ran; all others may
+// mean that it did.
 const (
 	Succeeded      Result = iota // the backend served it
 	ErrorResponse                // the backend responded with an error
@@ -98,8 +105,8 @@
 	Latency time.Duration
 	// Final says that the request has ended with this outcome; no further answer is owed.
 	Final bool
-	// HasUsage says that Usage holds a report: the customer's use over all gateways in the last completed usage
-	// period, in percent of its plan's rate.
+	// HasUsage says that Usage holds a report: the customer's use over all gateways in the last
+	// completed usage period, in percent of its plan's rate.
 	HasUsage bool
 	Usage    float64
 	// SettledCost is the true cost in units where it is settled afterwards, else 0.
@@ -108,8 +115,8 @@
 	LoadReport []float64
 }
 
-// ResponseStarted tells that the first part of a streamed response has been passed on. The attempt now belongs to the
-// client: it is neither cancelled nor repeated.
+// ResponseStarted tells that the first part of a streamed response has been passed on. The attempt
+// now belongs to the client: it is neither cancelled nor repeated.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
@@ -126,16 +133,16 @@
 	LoadReport []float64
 }
 
-// CounterResult ends one CounterAdd. Total is valid for Succeeded alone. Rejected and ConnectFailed prove that nothing
-// was added; with any other result it may have been.
+// CounterResult ends one CounterAdd. Total is valid for Succeeded alone. Rejected and ConnectFailed
+// prove that nothing was added; with any other result it may have been.
 type CounterResult struct {
 	Ref    uint64
 	Result Result
 	Total  float64
 }
 
-// ProcessPaused tells that this process may not have run for the given time until now. Attempts in flight are not slow
-// by that much: their backends may have responded meanwhile.
+// ProcessPaused tells that this process may not have run for the given time until now. Attempts in
+// flight are not slow by that much: their backends may have responded meanwhile.
 type ProcessPaused struct{ Duration time.Duration }
 
 // Timer tells that a SetTimer has come due.
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -7,14 +7,15 @@
 	"pumicecroft/decision"
 )
 
-// A front door passes events in and carries out what comes back.
+// A gateway passes events in and carries out what comes back.
 func Example() {
 	g, err := decision.New(decision.Settings{
 		GatewayCount: 1,
 		MaxAttempts:  3,
 		UsagePeriod:  time.Second,
-		Classes:      []decision.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
-		Plans:        []decision.Plan{{Name: "basic", Rate: 2, Burst: 6, Price: 1}},
+		Classes: []decision.Class{{Name: "lookup", LatencyObjective: time.Second,
+			Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Plans: []decision.Plan{{Name: "basic", Rate: 2, Burst: 6, Price: 1}},
 	}, 1, 0)
 	if err != nil {
 		fmt.Println(err)
--- a/decision/hardlimit.go
+++ b/decision/hardlimit.go
@@ -1,10 +1,11 @@
 package decision
 
-// A hard limit is a token bucket of units of cost that must hold over all gateways whatever fails. Gateways do not see
-// what the others forward, so each enforces a share by itself; the shares together are the whole.
+// A hard limit is a token bucket of units of cost that must hold over all gateways whatever fails.
+// Gateways do not see what the others forward, so each enforces a share by itself; the shares
+// together are the whole.
 
-// hardLimitShare is the most that this gateway holds of the hard limit's tokens, in units: an even share, or less where
-// the rest may lie in the bucket that gateways share.
+// hardLimitShare is the most that this gateway holds of the hard limit's tokens, in units: an even
+// share, or less where the rest may lie in the bucket that gateways share.
 func (c *customer) hardLimitShare() float64 {
 	if c.sharedBucket.Exists() {
 		return c.sharedBucket.LocalShare()
@@ -12,9 +13,9 @@
 	return c.plan.HardLimitBurst / c.gateways
 }
 
-// withinHardLimit refills this gateway's share, and reports whether it holds enough for a cost. A customer that was not
-// met since the Engine was created is taken to have used its share up just then, as before a restart it may have. A
-// gateway that the customer does not use has no share.
+// withinHardLimit refills this gateway's share, and reports whether it holds enough for a cost. A
+// customer that was not met since the Engine was created is taken to have used its share up just
+// then, as before a restart it may have. A gateway that the customer does not use has no share.
 func (e *Engine) withinHardLimit(customer *customer, cost float64) bool {
 	if customer.plan.HardLimitRate <= 0 {
 		return true
--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -5,39 +5,42 @@
 	"time"
 )
 
-// What this gateway notices of its backends before any endpoint update tells: those that cannot be reached are held,
-// silent and slow ones cost more to select, and first attempts that wait out of all proportion are cancelled and made
-// again elsewhere.
+// What this gateway notices of its backends before any endpoint update tells: those that cannot be
+// reached are held, silent and slow ones cost more to select, and first attempts that wait out of
+// all proportion are cancelled and made again elsewhere.
 
 const (
-	// After a failed connection nothing is sent to a backend for connectBackoffInitial, twice as long after each further
-	// one in a row, and connectBackoffMax at the most.
+	// After a failed connection nothing is sent to a backend for connectBackoffInitial, twice as
+	// long after each further one in a row, and connectBackoffMax at the most.
 	connectBackoffInitial = 125 * time.Millisecond
 	connectBackoffMax     = time.Second
-	// connectFailureThreshold is how many failed connections in a row mean that a backend's process is down.
+	// connectFailureThreshold is how many failed connections in a row mean that a backend's process
+	// is down.
 	connectFailureThreshold = 3
 
-	// overdueTolerance is how many responses, in mean ones, a backend may owe before it costs more to select.
+	// overdueTolerance is how many responses, in mean ones, a backend may owe before it costs more
+	// to select.
 	overdueTolerance = 2.0
-	// overdueDecaySeconds and slownessDecaySeconds are the times in which what an idle backend has overdue, and its
-	// slowness over the mean, fade to 1/e.
+	// overdueDecaySeconds and slownessDecaySeconds are the times in which what an idle backend has
+	// overdue, and its slowness over the mean, fade to 1/e.
 	overdueDecaySeconds  = 1.0
 	slownessDecaySeconds = 2.0
 
-	// slowAttemptFactor is after how many mean latencies of its class a first attempt is cancelled, if another one can
-	// be made.
+	// slowAttemptFactor is after how many mean latencies of its class a first attempt is cancelled,
+	// if another one can be made.
 	slowAttemptFactor = 10.0
-	// cancelBudgetPerSend is the share of attempts that may be cancelled, cancelBudgetMax how many at once.
+	// cancelBudgetPerSend is the share of attempts that may be cancelled, cancelBudgetMax how many
+	// at once.
 	cancelBudgetPerSend = 1.0 / 16
 	cancelBudgetMax     = 8.0
-	// cancelPenaltyMax bounds what a backend has overdue after an attempt there was cancelled, in mean responses over
-	// overdueTolerance.
+	// cancelPenaltyMax bounds what a backend has overdue after an attempt there was cancelled, in
+	// mean responses over overdueTolerance.
 	cancelPenaltyMax = 8.0
 )
 
-// onConnectFailed holds a backend that could not be reached, for longer each time in a row. Only after
-// connectFailureThreshold is its process taken to be down, and to start anew before it responds again: a single
-// connection that breaks tells nothing of the rest.
+// onConnectFailed holds a backend that could not be reached, for longer each time in a row. Only
+// after connectFailureThreshold is its process taken to be down, and to start anew before it
+// responds again: a single connection that breaks tells nothing of the rest.
 func (e *Engine) onConnectFailed(backend *backend) {
 	backend.holdUntil = e.now + min(connectBackoffInitial<<backend.connectFailures, connectBackoffMax)
 	backend.connectFailures++
@@ -48,13 +51,15 @@
 	}
 }
 
-// overdue brings up to date how many responses, in mean ones, a backend owes since its last one, and returns it. So a
-// backend that goes silent, as it hangs, is paused or is cut off, shows before any time-out.
+// overdue brings up to date how many responses, in mean ones, a backend owes since its last one,
+// and returns it. So a backend that goes silent, as it hangs, is paused or is cut off, shows before
+// any time-out.
 //
-// A few long requests, or one on a dead connection, can raise it wrongly, so it only raises the cost of selection. With
-// nothing in flight it fades, and so does slowness: else every backend would be avoided in turn for a minute after one
-// dead attempt, and the rest, crowded, would respond late. That costs an attempt every few seconds at a backend that
-// stays silent, which cancelSlowAttempts makes up for.
+// A few long requests, or one on a dead connection, can raise it wrongly, so it only raises the
+// cost of selection. With nothing in flight it fades, and so does slowness: else every backend
+// would be avoided in turn for a minute after one dead attempt, and the rest, crowded, would
+// respond late. That costs an attempt every few seconds at a backend that stays silent, which
+// cancelSlowAttempts makes up for.
 func (e *Engine) overdue(backend *backend) float64 {
 	elapsed := (e.now - backend.overdueAt).Seconds()
 	backend.overdueAt = e.now
@@ -66,13 +71,13 @@
 	return backend.overdueResponses
 }
 
-// cancelSlowAttempts ends first attempts that have waited slowAttemptFactor times their class's mean latency, so that
-// they are made once more elsewhere, in the same slot. A connection that has gone silent, or a backend that hangs, would
-// else hold the slot until the client stops waiting, a hundred times as long as a response takes; a few of them are all
-// of a small concurrency limit.
+// cancelSlowAttempts ends first attempts that have waited slowAttemptFactor times their class's
+// mean latency, so that they are made once more elsewhere, in the same slot. A connection that has
+// gone silent, or a backend that hangs, would else hold the slot until the client stops waiting, a
+// hundred times as long as a response takes; a few of them are all of a small concurrency limit.
 //
-// In a jam many attempts wait as long, and what is cancelled there is work done twice: so the budget bounds it to a small
-// share of the attempts, and none is cancelled again.
+// In a jam many attempts wait as long, and what is cancelled there is work done twice: so the
+// budget bounds it to a small share of the attempts, and none is cancelled again.
 func (e *Engine) cancelSlowAttempts() {
 	for _, class := range e.orderedClasses {
 		for len(class.firstAttempts) > 0 {
@@ -93,8 +98,9 @@
 	}
 }
 
-// recordCancelled raises the cost of a backend after a slow attempt there was cancelled. That may have been the
-// connection's fault, so the backend is soon tried again; each further one doubles it until a response comes.
+// recordCancelled raises the cost of a backend after a slow attempt there was cancelled. That may
+// have been the connection's fault, so the backend is soon tried again; each further one doubles it
+// until a response comes.
 func (e *Engine) recordCancelled(backend *backend) {
 	penalty := min(cancelPenaltyMax, math.Ldexp(1, backend.cancelledAttempts))
 	backend.overdueResponses = min(backend.overdueResponses, overdueTolerance+penalty)
--- a/decision/partitions.go
+++ b/decision/partitions.go
@@ -6,19 +6,24 @@
 	"time"
 )
 
-// The slots of the concurrency limit N are divided in three partitions: one for requests of high priority, one for those
-// of low priority, and one that both share. A request takes a slot of its own partition, else a shared one; a request of
-// high priority that finds neither takes one by subrating: requests of low priority that hold shared slots are marked as
-// degraded, and the partition runs one over for each subratedPerSlot of them.
+// The slots of the concurrency limit N are divided in three partitions: one for requests of high
+// priority, one for those of low priority, and one that both share. A request takes a slot of its
+// own partition, else a shared one; a request of high priority that finds neither takes one by
+// subrating: requests of low priority that hold shared slots are marked as degraded, and the
+// partition runs one over for each subratedPerSlot of them.
 
 const (
-	// repartitionInterval is how often the division is chosen anew, by the load since the last time.
+	// repartitionInterval is how often the division is chosen anew, by the load since the last
+	// time.
 	repartitionInterval = 5 * time.Second
-	// subratedPerSlot is how many requests of low priority are subrated for one of high priority, once each.
+	// subratedPerSlot is how many requests of low priority are subrated for one of high priority,
+	// once each.
 	subratedPerSlot = 2
-	// smallPartitionSlots is the size, in slots, below which a partition is held on average: over so many mean services.
+	// smallPartitionSlots is the size, in slots, below which a partition is held on average: over
+	// so many mean services.
 	smallPartitionSlots = 8.0
-	// slotTolerance is what sums of slots may be off by, negligibleSlots the size of a partition that counts as none.
+	// slotTolerance is what sums of slots may be off by, negligibleSlots the size of a partition
+	// that counts as none.
 	slotTolerance   = 1e-9
 	negligibleSlots = 1e-6
 	// minPartitionSlots stands in for a size of zero where it divides.
@@ -47,8 +52,8 @@
 	arrivalRate, meanWeight float64 // in the time before it: arrivals a second, mean weight
 }
 
-// acquireSlot returns a slot of the tier's own partition, else of the shared one, else by subrating, or nil. A subrated
-// request counts 1-1/subratedPerSlot slots.
+// acquireSlot returns a slot of the tier's own partition, else of the shared one, else by
+// subrating, or nil. A subrated request counts 1-1/subratedPerSlot slots.
 func (e *Engine) acquireSlot(high bool) *slot {
 	own := partitionLow
 	if high {
@@ -78,8 +83,9 @@
 	}
 }
 
-// updatePartitionLoad brings partitionLoad up to now. At one of many gateways a partition is a few slots, or less than
-// one; as gateways even each other out, such a small one is held on average instead of at every moment.
+// updatePartitionLoad brings partitionLoad up to now. At one of many gateways a partition is a few
+// slots, or less than one; as gateways even each other out, such a small one is held on average
+// instead of at every moment.
 func (e *Engine) updatePartitionLoad() {
 	elapsed := (e.now - e.partitionLoadAt).Seconds()
 	e.partitionLoadAt = e.now
@@ -95,14 +101,15 @@
 	}
 }
 
-// hasRoom reports whether a partition has room for one more: a whole slot, or in a small one its share of one.
+// hasRoom reports whether a partition has room for one more: a whole slot, or in a small one its
+// share of one.
 func (e *Engine) hasRoom(partition int) bool {
 	size := e.partitionSize[partition]
 	return e.partitionLoad[partition]+min(1, size/smallPartitionSlots) <= size+slotTolerance && size > negligibleSlots
 }
 
-// subrateOldest subrates the oldest requests of low priority that hold shared slots, and reports whether there were
-// enough and the partition is not over its size already.
+// subrateOldest subrates the oldest requests of low priority that hold shared slots, and reports
+// whether there were enough and the partition is not over its size already.
 func (e *Engine) subrateOldest() bool {
 	e.subratable = slices.DeleteFunc(e.subratable, func(s *slot) bool { return s.released })
 	full := e.partitionLoad[partitionShared] > e.partitionSize[partitionShared]+slotTolerance
@@ -131,8 +138,8 @@
 	e.partition()
 }
 
-// partition divides N by the tiers' last load. Requests stay in their slots: a partition that shrank below its use gives
-// out none until it drains.
+// partition divides N by the tiers' last load. Requests stay in their slots: a partition that
+// shrank below its use gives out none until it drains.
 func (e *Engine) partition() {
 	low, high := e.tiers[0], e.tiers[1]
 	serviceRate := 1 / max(e.meanLatency, minMeanLatency)
@@ -141,7 +148,8 @@
 	e.partitionSize = [3]float64{highSlots, lowSlots, e.concurrencyLimit - highSlots - lowSlots}
 }
 
-// resizePartitions follows a change of N from previous: between two divisions the partitions keep their shares of it.
+// resizePartitions follows a change of N from previous: between two divisions the partitions keep
+// their shares of it.
 func (e *Engine) resizePartitions(previous float64) {
 	limit := e.concurrencyLimit
 	if limit == previous {
--- a/decision/partitionsearch.go
+++ b/decision/partitionsearch.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// The search for the partitions that earn most, after "Dynamic quota-based admission control with sub-rating in
-// multimedia servers" (Cheng, Chen, Chen), Method II. Its symbols: n_h, n_l and n_m are the slots for high priority, low
-// priority and both; lambda and v a tier's arrival rate and mean weight; mu the service rate; alpha is subratedPerSlot.
+// The search for the partitions that earn most, after "Dynamic quota-based admission control with
+// sub-rating in multimedia servers" (Cheng, Chen, Chen), Method II. Its symbols: n_h, n_l and n_m
+// are the slots for high priority, low priority and both; lambda and v a tier's arrival rate and
+// mean weight; mu the service rate; alpha is subratedPerSlot.
 
 const (
 	// partitionSteps is how many steps N is searched in; each is one slot at least.
@@ -13,10 +14,12 @@
 	payoffTolerance = 1e-9
 )
 
-// bestPartition returns the slots for high and low priority, of n, for which payoff is highest. The rest is shared. All
-// of an unlimited n is shared. Among equal partitions that with the smaller reserves wins, as it is found first.
+// bestPartition returns the slots for high and low priority, of n, for which payoff is highest. The
+// rest is shared. All of an unlimited n is shared. Among equal partitions that with the smaller
+// reserves wins, as it is found first.
 //
-// A small n is divided as its part of a larger whole, as gateways even each other out; so the result may be fractions.
+// A small n is divided as its part of a larger whole, as gateways even each other out; so the
+// result may be fractions.
 func bestPartition(n, lambdaHigh, lambdaLow, mu, valueHigh, valueLow float64) (highSlots, lowSlots float64) {
 	if math.IsInf(n, 1) {
 		return 0, 0
@@ -37,9 +40,9 @@
 	return highSlots, lowSlots
 }
 
-// payoff is what a partition earns a second: (2)+(3)+(7)+(11)-(9) of the paper, with a rejected request costing what it
-// would have earned (q = v). Each truncated sum of the paper is a loss formula B(a, n): the mean number in service is
-// a(1-B).
+// payoff is what a partition earns a second: (2)+(3)+(7)+(11)-(9) of the paper, with a rejected
+// request costing what it would have earned (q = v). Each truncated sum of the paper is a loss
+// formula B(a, n): the mean number in service is a(1-B).
 func payoff(highSlots, lowSlots, sharedSlots int, lambdaHigh, lambdaLow, mu, valueHigh, valueLow float64) float64 {
 	lossHigh, lossLow := erlangLoss(lambdaHigh/mu, highSlots)[highSlots], erlangLoss(lambdaLow/mu, lowSlots)[lowSlots]
 	total := lambdaHigh*(1-lossHigh)*valueHigh + lambdaLow*(1-lossLow)*valueLow
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -8,44 +8,53 @@
 	"pumicecroft/quota"
 )
 
-// A plan's quota is a token bucket over all gateways: Plan.Rate fills it, up to Plan.Burst. Tokens are counted in
-// percent-seconds of the rate, as usage reports are in percent of it: a second at exactly the rate uses 100.
+// A plan's quota is a token bucket over all gateways: Plan.Rate fills it, up to Plan.Burst. Tokens
+// are counted in percent-seconds of the rate, as usage reports are in percent of it: a second at
+// exactly the rate uses 100.
 //
-// A gateway learns what a customer used from usage reports, which come with responses and tell of a period that is over
-// for some time. What this gateway forwarded since that period is known (debits); what the others did is estimated.
+// A gateway learns what a customer used from usage reports, which come with responses and tell of a
+// period that is over for some time. What this gateway forwarded since that period is known
+// (debits); what the others did is estimated.
 //
-// Where the bucket is empty all the same, a share of the requests passes at random, the admit probability, that follows
-// the reports.
+// Where the bucket is empty all the same, a share of the requests passes at random, the admit
+// probability, that follows the reports.
 
 const (
 	fullRate = 100.0 // percent of a plan's rate
 
-	// usageDelayPeriods is how old a usage report is taken to be, in periods from the end of the one it tells of.
+	// usageDelayPeriods is how old a usage report is taken to be, in periods from the end of the
+	// one it tells of.
 	usageDelayPeriods = 2
-	// quotaMarginRatio is the share of the burst that a request must leave: the use of other gateways is unseen.
+	// quotaMarginRatio is the share of the burst that a request must leave: the use of other
+	// gateways is unseen.
 	quotaMarginRatio = 1.0 / 8
-	// usageRetention is what one usage report leaves of the weight of those before it, where the customer uses
-	// fewGateways or fewer. Of more each sees that much less of its requests, and forgets more slowly.
+	// usageRetention is what one usage report leaves of the weight of those before it, where the
+	// customer uses fewGateways or fewer. Of more each sees that much less of its requests, and
+	// forgets more slowly.
 	usageRetention = 0.9
 	fewGateways    = 4
-	// priorUsagePercent is the use that a customer is taken to have before any report, in percent of its rate; at one
-	// of very many gateways it is priorUsagePercentMany, as a customer met there is mostly one that asks for much.
+	// priorUsagePercent is the use that a customer is taken to have before any report, in percent
+	// of its rate; at one of very many gateways it is priorUsagePercentMany, as a customer met
+	// there is mostly one that asks for much.
 	priorUsagePercent     = 40
 	priorUsagePercentMany = 60
-	// priorTokens is the weight of that assumption: what it counts as, in percent-seconds a gateway.
+	// priorTokens is the weight of that assumption: what it counts as, in percent-seconds a
+	// gateway.
 	priorTokens = 100
 
 	// maxDebits bounds what is kept of a customer's requests between two usage reports.
 	maxDebits = 64
-	// maxDebitsExact is the same where there are neither reports nor other gateways: the bucket alone is exact.
+	// maxDebitsExact is the same where there are neither reports nor other gateways: the bucket
+	// alone is exact.
 	maxDebitsExact = 2
 
-	// maxNewcomerRejectRatio is the share of newcomers' requests that is rejected where forwarding them gains nothing.
-	// It is below 1 so that reports of every class's customers keep coming.
+	// maxNewcomerRejectRatio is the share of newcomers' requests that is rejected where forwarding
+	// them gains nothing. It is below 1 so that reports of every class's customers keep coming.
 	maxNewcomerRejectRatio = 0.8
 	// newcomerGainFactor is how much smaller that share is for each unit of net gain.
 	newcomerGainFactor = 2
-	// maxReserveFactor bounds the reserve for requests of higher weight, in multiples of the margin.
+	// maxReserveFactor bounds the reserve for requests of higher weight, in multiples of the
+	// margin.
 	maxReserveFactor = 3
 
 	// customerIdleTTL is how long a customer without requests is remembered.
@@ -74,8 +83,8 @@
 	usagePeriod float64       // seconds
 	usageAt     time.Duration // when the last report was counted
 	lastUsage   float64       // what it said, percent
-	// What reports told, fading by retention with each: of all gateways, of the part that this one forwarded itself
-	// (both percent-seconds), and of how many seconds.
+	// What reports told, fading by retention with each: of all gateways, of the part that this one
+	// forwarded itself (both percent-seconds), and of how many seconds.
 	meteredUsage, ownUsage, meteredSeconds float64
 	retention                              float64
 
@@ -90,8 +99,8 @@
 	amount float64 // percent-seconds
 }
 
-// customerFor returns the customer of a request, which is new if it was not met within customerIdleTTL or under another
-// plan.
+// customerFor returns the customer of a request, which is new if it was not met within
+// customerIdleTTL or under another plan.
 func (e *Engine) customerFor(event Request, plan *Plan) *customer {
 	customer := e.customers[event.Customer]
 	if customer == nil || customer.plan != plan {
@@ -102,8 +111,9 @@
 	return customer
 }
 
-// newCustomer begins with a full bucket, or with what it filled by since the Engine was created (AssumeQuotaSpent). A
-// newcomer at one of many gateways has room for this request alone: else each of them would hand out a whole burst.
+// newCustomer begins with a full bucket, or with what it filled by since the Engine was created
+// (AssumeQuotaSpent). A newcomer at one of many gateways has room for this request alone: else each
+// of them would hand out a whole burst.
 func (e *Engine) newCustomer(event Request, plan *Plan) *customer {
 	count := e.settings.GatewayCount
 	gateways := min(max(event.GatewaySpread, 1), count)
@@ -133,7 +143,8 @@
 	return c
 }
 
-// forgetIdleCustomers forgets those without attempts in flight that asked for nothing for customerIdleTTL.
+// forgetIdleCustomers forgets those without attempts in flight that asked for nothing for
+// customerIdleTTL.
 func (e *Engine) forgetIdleCustomers() {
 	for id, customer := range e.customers { // deletes only: the map's order reaches no action
 		if customer.inFlight == 0 && e.now-customer.lastSeenAt > customerIdleTTL {
@@ -153,19 +164,20 @@
 	return c.percentSeconds(c.plan.Burst)
 }
 
-// isNewcomer reports whether nothing is known yet of a customer that uses many gateways: no usage report of it has come.
+// isNewcomer reports whether nothing is known yet of a customer that uses many gateways: no usage
+// report of it has come.
 func (c *customer) isNewcomer() bool {
 	return c.meteredSeconds == 0 && c.gateways > fewGateways && c.usagePeriod > 0
 }
 
-// globalUsageFactor is what the customer uses over all gateways for each unit forwarded here, by the reports; before
-// any, as if its requests were spread evenly.
+// globalUsageFactor is what the customer uses over all gateways for each unit forwarded here, by
+// the reports; before any, as if its requests were spread evenly.
 func (c *customer) globalUsageFactor() float64 {
 	return max(1, (c.meteredUsage+c.gateways*priorTokens)/(c.ownUsage+priorTokens))
 }
 
-// available estimates the tokens at a time t: those of the last reported period, filled since, less what this gateway
-// and, by estimate, the others have forwarded since.
+// available estimates the tokens at a time t: those of the last reported period, filled since, less
+// what this gateway and, by estimate, the others have forwarded since.
 func (c *customer) available(t time.Duration) float64 {
 	steady, perOwn := c.otherGatewaysUsage(t)
 	tokens, at := c.tokens, c.tokensAt
@@ -180,12 +192,14 @@
 	return max(0, min(c.burstTokens(), tokens+(fullRate-steady)*(t-at).Seconds()))
 }
 
-// otherGatewaysUsage estimates what the customer used at other gateways from the last reported period until t: steady,
-// in percent of its rate, and perOwn, for each unit that this gateway forwarded itself.
+// otherGatewaysUsage estimates what the customer used at other gateways from the last reported
+// period until t: steady, in percent of its rate, and perOwn, for each unit that this gateway
+// forwarded itself.
 //
-// Two things tell of it. The fading mean of the reports does, begun with one request of a customer that uses
-// priorUsagePercent; this gateway's own requests do, for its share of the time only. Each is weighed by what it tells: at
-// one of two gateways nearly all comes from the requests, at one of 300 nearly all from the reports.
+// Two things tell of it. The fading mean of the reports does, begun with one request of a customer
+// that uses priorUsagePercent; this gateway's own requests do, for its share of the time only. Each
+// is weighed by what it tells: at one of two gateways nearly all comes from the requests, at one of
+// 300 nearly all from the reports.
 func (c *customer) otherGatewaysUsage(t time.Duration) (steady, perOwn float64) {
 	factor, since := c.globalUsageFactor(), max(0, (t-c.tokensAt).Seconds())
 	fade := math.Pow(c.retention, since/max(c.usagePeriod, minUsagePeriod))
@@ -197,19 +211,21 @@
 	return mean * (1 - ownWeight) * (factor - 1) / factor, ownWeight * (factor - 1)
 }
 
-// withinQuota reports whether a customer's plan allows a request of a cost and a priority weight a unit.
+// withinQuota reports whether a customer's plan allows a request of a cost and a priority weight a
+// unit.
 //
-// While reports come and the bucket is empty, requests pass with the admit probability. Beside that the estimate of
-// available must hold the cost and the reserve at any time: reports come late, and a short burst is over before one
-// tells of it. Of newcomers' requests some are rejected at random, those that gain least first: nothing else tells
-// newcomers apart.
+// While reports come and the bucket is empty, requests pass with the admit probability. Beside that
+// the estimate of available must hold the cost and the reserve at any time: reports come late, and
+// a short burst is over before one tells of it. Of newcomers' requests some are rejected at random,
+// those that gain least first: nothing else tells newcomers apart.
 func (e *Engine) withinQuota(customer *customer, priorityWeight, cost float64) bool {
 	plan := customer.plan
 	if plan.MaxInFlight > 0 && float64(customer.inFlight) >= math.Ceil(float64(plan.MaxInFlight)/customer.gateways) {
 		return false
 	}
-	// The admit probability binds only while reports come. They come with responses: were so much rejected that there
-	// are none, it could never rise again, and the customer would be rejected for good.
+	// The admit probability binds only while reports come. They come with responses: were so much
+	// rejected that there are none, it could never rise again, and the customer would be rejected
+	// for good.
 	reported := e.now-customer.usageAt <= 2*usageDelayPeriods*e.settings.UsagePeriod
 	if reported && (plan.Rate <= 0 || customer.tokens <= 0) && e.rng.Float64() >= customer.admitProbability {
 		return false
@@ -222,8 +238,8 @@
 	return !newcomerRejected && customer.available(e.now) >= needed
 }
 
-// rejectsNewcomer draws whether a newcomer's request is rejected for gaining too little. NetGain is the share of its
-// weight that forwarding it gains, less what the requests that it displaces lose.
+// rejectsNewcomer draws whether a newcomer's request is rejected for gaining too little. NetGain is
+// the share of its weight that forwarding it gains, less what the requests that it displaces lose.
 func (e *Engine) rejectsNewcomer(customer *customer, priorityWeight, cost float64) bool {
 	if !customer.isNewcomer() {
 		return false
@@ -233,8 +249,8 @@
 	return e.rng.Float64() < maxNewcomerRejectRatio-newcomerGainFactor*max(0, gain)
 }
 
-// reservedTokens is what a request must leave in the bucket: more where its weight is less, so that the last tokens go
-// to the requests of most weight.
+// reservedTokens is what a request must leave in the bucket: more where its weight is less, so that
+// the last tokens go to the requests of most weight.
 func (c *customer) reservedTokens(priorityWeight float64) float64 {
 	if c.isNewcomer() || c.gateways <= fewGateways {
 		return quotaMarginRatio * c.burstTokens()
@@ -284,9 +300,10 @@
 	}
 }
 
-// isNewReport reports whether a usage report tells of a period that has not been counted. Many responses repeat one
-// report, and they come with jitter and out of order: a repeat is told by its value and by the time. A report counts for
-// no period that has not ended; else tokensAt would run ahead of the clock, and the bucket would not fill any more.
+// isNewReport reports whether a usage report tells of a period that has not been counted. Many
+// responses repeat one report, and they come with jitter and out of order: a repeat is told by its
+// value and by the time. A report counts for no period that has not ended; else tokensAt would run
+// ahead of the clock, and the bucket would not fill any more.
 func (c *customer) isNewReport(now, period time.Duration, usage float64) bool {
 	if c.meteredSeconds <= 0 {
 		return true
@@ -295,8 +312,9 @@
 	return sinceLast >= period/2 && (usage != c.lastUsage || sinceLast >= period) && c.tokensAt+period <= now
 }
 
-// settlePeriod moves the bucket on to the end of the period that a report tells of, which is taken to have ended
-// usageDelayPeriods ago. Of a gap before it only this gateway's own requests are known.
+// settlePeriod moves the bucket on to the end of the period that a report tells of, which is taken
+// to have ended usageDelayPeriods ago. Of a gap before it only this gateway's own requests are
+// known.
 func (c *customer) settlePeriod(now, period time.Duration, usage float64) {
 	from := max(c.tokensAt, now-(1+usageDelayPeriods)*period)
 	if c.plan.Rate > 0 {
@@ -316,9 +334,9 @@
 	c.tokens = max(0, min(c.burstTokens(), c.tokens+(fullRate-usage)*period.Seconds()))
 }
 
-// onFirstUsage takes a newcomer's first report as what it has done at the other gateways until now: one of many gateways
-// meets most customers once or twice, and a customer over its rate has mostly been so for long, so its bucket is empty.
-// What one request makes of a period's use tells nothing.
+// onFirstUsage takes a newcomer's first report as what it has done at the other gateways until now:
+// one of many gateways meets most customers once or twice, and a customer over its rate has mostly
+// been so for long, so its bucket is empty. What one request makes of a period's use tells nothing.
 func (c *customer) onFirstUsage(usage float64) {
 	c.newcomers.RecordFirstUsage(usage)
 	c.tokens = max(c.tokens, 2*quotaMarginRatio*c.burstTokens())
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -5,7 +5,8 @@
 // notExecuted are the results that prove that an attempt never ran.
 var notExecuted = []Result{Rejected, ConnectFailed, NotSent}
 
-// executedAttempt returns the first attempt of a request that may have run, or nil. One without an outcome may have.
+// executedAttempt returns the first attempt of a request that may have run, or nil. One without an
+// outcome may have.
 func (r *request) executedAttempt() *attempt {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.outstanding || !slices.Contains(notExecuted, a.result) {
@@ -15,9 +16,10 @@
 	return nil
 }
 
-// retry makes a request whose attempts have all failed once more, in the slot of the last, and reports whether it did.
-// It does not where MaxAttempts are made, where the client would likely stop waiting first (half a mean latency is
-// left), or where no backend is eligible. Retries need no budget of their own: the concurrency limit bounds all attempts.
+// retry makes a request whose attempts have all failed once more, in the slot of the last, and
+// reports whether it did. It does not where MaxAttempts are made, where the client would likely
+// stop waiting first (half a mean latency is left), or where no backend is eligible. Retries need
+// no budget of their own: the concurrency limit bounds all attempts.
 func (e *Engine) retry(req *request, slot *slot) bool {
 	timeLeft := (req.deadline - e.now).Seconds()
 	if len(req.attempts) >= e.settings.MaxAttempts || timeLeft < req.class.meanLatency/2 {
@@ -31,8 +33,8 @@
 	return true
 }
 
-// respondUnserved gives the final answer to a request that was not served: a Reject where trying again is harmless, else
-// a Fail.
+// respondUnserved gives the final answer to a request that was not served: a Reject where trying
+// again is harmless, else a Fail.
 func (e *Engine) respondUnserved(req *request) {
 	if e.harmlessToRepeat(req) {
 		e.emit(Reject{Request: req.id, RetryAfter: e.retryAfterSlot(), Reason: Unprocessed})
@@ -42,9 +44,9 @@
 	e.finish(req)
 }
 
-// harmlessToRepeat reports whether the client may try again: where nothing ran, where repeats are harmless, or where all
-// backends drop them. They must still do so when the client follows the advice to come back, and its next try is
-// forwarded as late as it may be.
+// harmlessToRepeat reports whether the client may try again: where nothing ran, where repeats are
+// harmless, or where all backends drop them. They must still do so when the client follows the
+// advice to come back, and its next try is forwarded as late as it may be.
 func (e *Engine) harmlessToRepeat(req *request) bool {
 	executed, class := req.executedAttempt(), req.class
 	if executed == nil || class.Idempotency == Idempotent {
--- a/decision/retryafter.go
+++ b/decision/retryafter.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// When a rejected client is told to come back. A rejection is immediate, so this is all that keeps the client's next try
-// from meeting the same answer.
+// When a rejected client is told to come back. A rejection is immediate, so this is all that keeps
+// the client's next try from meeting the same answer.
 
-// retryAfterQuota returns the time in which the customer's quota, and this gateway's share of its hard limit, will have
-// filled enough for a cost, if the customer asks for nothing else. It is Settings.MaxRetryAfter at the most.
+// retryAfterQuota returns the time in which the customer's quota, and this gateway's share of its
+// hard limit, will have filled enough for a cost, if the customer asks for nothing else. It is
+// Settings.MaxRetryAfter at the most.
 func (e *Engine) retryAfterQuota(customer *customer, priorityWeight, cost float64) time.Duration {
 	wait := 0.0 // seconds
 	if customer.plan.Rate > 0 {
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// subsetWindow sets how many backends a gateway keeps to: as many as it sends attempts in this time, and at least
-	// minSubsetSize. It learns which backends are slow or silent only of those that it hears from every few seconds.
+	// subsetWindow sets how many backends a gateway keeps to: as many as it sends attempts in this
+	// time, and at least minSubsetSize. It learns which backends are slow or silent only of those
+	// that it hears from every few seconds.
 	subsetWindow  = 4 * time.Second
 	minSubsetSize = 4.0
 
@@ -16,18 +17,21 @@
 	selectionJitter = 0.05
 )
 
-// subsetSize is how many of a pool's backends this gateway keeps to, in warm ones' worth. Each gateway has its own
-// random order of them, so all are used alike. After a quiet time a burst goes to as many as there are requests.
+// subsetSize is how many of a pool's backends this gateway keeps to, in warm ones' worth. Each
+// gateway has its own random order of them, so all are used alike. After a quiet time a burst goes
+// to as many as there are requests.
 func (p *protocolPool) subsetSize(requests int) float64 {
 	return max(minSubsetSize, p.sendRate*subsetWindow.Seconds(), float64(requests))
 }
 
-// selectBackend returns the backend that an attempt of a request should go to, or nil where there is none: of this
-// gateway's subset of those that are ready, the one of least selectionCost. A backend that is on hold, or not eligible
-// for this request, is passed over; so is one that is warming up and has no token.
+// selectBackend returns the backend that an attempt of a request should go to, or nil where there
+// is none: of this gateway's subset of those that are ready, the one of least selectionCost. A
+// backend that is on hold, or not eligible for this request, is passed over; so is one that is
+// warming up and has no token.
 //
-// The subset ends where the warm-up fractions of those met reach its size, whether they have a token now or not: so one
-// that warms up is in as many gateways' subsets as it can bear. Silent ones don't count.
+// The subset ends where the warm-up fractions of those met reach its size, whether they have a
+// token now or not: so one that warms up is in as many gateways' subsets as it can bear. Silent
+// ones don't count.
 func (e *Engine) selectBackend(req *request) *backend {
 	if req.pool == nil {
 		return nil
@@ -53,8 +57,8 @@
 	return best
 }
 
-// selectionCost is lowest for the backend that should respond first: its attempts in flight with this one, times its
-// slowness, times a factor for the responses that are overdue. It has no unit.
+// selectionCost is lowest for the backend that should respond first: its attempts in flight with
+// this one, times its slowness, times a factor for the responses that are overdue. It has no unit.
 func (e *Engine) selectionCost(backend *backend, overdue float64) float64 {
 	silence := 1 + max(0, overdue-overdueTolerance)
 	cost := float64(backend.inFlight+1) * backend.slowness * silence * (1 + selectionJitter*e.rng.Float64())
@@ -64,9 +68,10 @@
 	return cost
 }
 
-// eligible reports whether a request may be sent to a backend. It is not sent to one where it was before, unless that is
-// the only one of its protocol. Once an attempt may have run, it is sent only where a repeat is harmless, or where
-// backends drop it: inside the DedupScope of that attempt, and as long as its DedupWindow surely lasts.
+// eligible reports whether a request may be sent to a backend. It is not sent to one where it was
+// before, unless that is the only one of its protocol. Once an attempt may have run, it is sent
+// only where a repeat is harmless, or where backends drop it: inside the DedupScope of that
+// attempt, and as long as its DedupWindow surely lasts.
 func (e *Engine) eligible(req *request, backend *backend) bool {
 	tried := func(a attempt) bool { return a.backend == backend }
 	if req.pool.Len() > 1 && slices.ContainsFunc(req.attempts, tried) {
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -18,7 +18,8 @@
 	NonIdempotent                      // it must not run twice
 )
 
-// DedupScope says which backends share the memory of idempotency keys. The zero value is DedupScopeAll.
+// DedupScope says which backends share the memory of idempotency keys. The zero value is
+// DedupScopeAll.
 type DedupScope uint8
 
 // The values of DedupScope.
@@ -28,30 +29,32 @@
 	DedupScopeCell                   // the backends of one cell
 )
 
-// Class describes one class of requests. Its cbor tags and the order of its fields go into the digest of settings in
-// stored snapshots, and must never change.
+// Class describes one class of requests. Its cbor tags and the order of its fields go into the
+// digest of settings in stored snapshots, and must never change.
 type Class struct {
 	Name        string      `cbor:"Name"`
 	Idempotency Idempotency `cbor:"Effect"`
 	// DedupScope is used for classes that are IdempotentByKey.
 	DedupScope DedupScope `cbor:"Group"`
-	// DedupWindow is how long backends drop repeats of a request that is IdempotentByKey, from its first attempt that
-	// may have run. Zero: they drop none, so such a request is never repeated.
+	// DedupWindow is how long backends drop repeats of a request that is IdempotentByKey, from its
+	// first attempt that may have run. Zero: they drop none, so such a request is never repeated.
 	DedupWindow time.Duration `cbor:"KeyWindow"`
-	// LatencyObjective is the latency up to which a response earns the full weight. It must be positive.
+	// LatencyObjective is the latency up to which a response earns the full weight. It must be
+	// positive.
 	LatencyObjective time.Duration `cbor:"Aim"`
 	// Deadline is the longest that a client waits over all its tries. It must be positive.
 	Deadline time.Duration `cbor:"Deadline"`
 	// PriorityWeight is what one unit of cost is worth, before the plan's Price. Zero: nothing.
 	PriorityWeight float64 `cbor:"Worth"`
-	// LateWeightFactor is the share of the weight, 0 to 1, that a response past the objective earns.
+	// LateWeightFactor is the share of the weight, 0 to 1, that a response past the objective
+	// earns.
 	LateWeightFactor float64 `cbor:"LateWorth"`
 	// Streaming says that a response starts (ResponseStarted) before it ends.
 	Streaming bool `cbor:"Stream"`
 }
 
-// Plan is what customers have bought. Its limits hold for each customer over all gateways together. Its cbor tags and the
-// order of its fields must not change, as those of Class.
+// Plan is what customers have bought. Its limits hold for each customer over all gateways together.
+// Its cbor tags and the order of its fields must not change, as those of Class.
 type Plan struct {
 	Name string `cbor:"Name"`
 	// Rate is the quota in units of cost a second. Zero: no such quota.
@@ -62,28 +65,35 @@
 	MaxInFlight int `cbor:"Open"`
 	// Price multiplies the class's PriorityWeight.
 	Price float64 `cbor:"Price"`
-	// OverQuotaWeightFactor is the share of its weight that a request forwarded beyond the quota earns.
+	// OverQuotaWeightFactor is the share of its weight that a request forwarded beyond the quota
+	// earns.
 	OverQuotaWeightFactor float64 `cbor:"OverWorth"`
-	// OverQuotaCostFactor is the share of its weight that a request forwarded beyond the quota costs.
+	// OverQuotaCostFactor is the share of its weight that a request forwarded beyond the quota
+	// costs.
 	OverQuotaCostFactor float64 `cbor:"OverCost"`
-	// HardLimitRate is the refill of the hard limit's token bucket, in units a second. Zero: no hard limit.
+	// HardLimitRate is the refill of the hard limit's token bucket, in units a second. Zero: no
+	// hard limit.
 	HardLimitRate float64 `cbor:"CeilingRate"`
 	// HardLimitBurst is the size of that bucket, in units.
 	HardLimitBurst float64 `cbor:"CeilingBurst"`
-	// HardLimitOverdraft is how far, in units, that bucket may go below zero before the limit counts as broken.
+	// HardLimitOverdraft is how far, in units, that bucket may go below zero before the limit
+	// counts as broken.
 	HardLimitOverdraft float64 `cbor:"CeilingSlack"`
 }
 
-// Settings are the facts that an Engine starts with. They never change; a gateway whose settings change starts a new
-// Engine. Their cbor tags and the order of their fields must not change, as those of Class.
+// Settings are the facts that an Engine starts with. They never change; a gateway whose settings
+// change starts a new Engine. Their cbor tags and the order of their fields must not change, as
+// those of Class.
 type Settings struct {
-	// GatewayCount is how many gateways share the backends, at least 1. GatewayIndex is this one's number, from 0.
+	// GatewayCount is how many gateways share the backends, at least 1. GatewayIndex is this one's
+	// number, from 0.
 	GatewayCount int     `cbor:"FrontDoors"`
 	GatewayIndex int     `cbor:"Me"`
 	Zone         string  `cbor:"Zone"`
 	Classes      []Class `cbor:"Classes"`
 	Plans        []Plan  `cbor:"Plans"`
-	// UsagePeriod is the period over which usage reports sum a customer's use. Zero: there are no reports.
+	// UsagePeriod is the period over which usage reports sum a customer's use. Zero: there are no
+	// reports.
 	UsagePeriod time.Duration `cbor:"MeterPeriod"`
 	// MaxCost is the largest cost of one request, in units.
 	MaxCost float64 `cbor:"LargestUnits"`
@@ -101,7 +111,8 @@
 	SubscribeToEndpoints bool `cbor:"AskForList"`
 	// LoadReportFields are the names of what a load report holds, in order.
 	LoadReportFields []string `cbor:"LoadColumns"`
-	// LoadReportsInResponses says that load reports come with outcomes as well as with probe results.
+	// LoadReportsInResponses says that load reports come with outcomes as well as with probe
+	// results.
 	LoadReportsInResponses bool `cbor:"LoadInAnswers"`
 	// ResponseGrace is how long past a client's deadline a final answer still counts.
 	ResponseGrace time.Duration `cbor:"AnswerGrace"`
@@ -111,12 +122,13 @@
 	SlowStartMinCapacity float64 `cbor:"ColdFrom"`
 	// SlowStartWindow is how long after its start a backend has all of its capacity.
 	SlowStartWindow time.Duration `cbor:"WarmWithin"`
-	// OverloadFactor and OverloadDuration say when a backend that is warming up fails: when it is sent more than this
-	// multiple of its present capacity for this long.
+	// OverloadFactor and OverloadDuration say when a backend that is warming up fails: when it is
+	// sent more than this multiple of its present capacity for this long.
 	OverloadFactor   float64       `cbor:"FallMultiple"`
 	OverloadDuration time.Duration `cbor:"FallFor"`
-	// AssumeQuotaSpent has the Engine assume that a customer it meets first had used up its burst, but for the quota
-	// margin, just before the Engine was created: before a restart it may have. Unset: it had used nothing.
+	// AssumeQuotaSpent has the Engine assume that a customer it meets first had used up its burst,
+	// but for the quota margin, just before the Engine was created: before a restart it may have.
+	// Unset: it had used nothing.
 	AssumeQuotaSpent bool `cbor:"StartSpent"`
 	// HasSharedCounter says that CounterAdd is carried out.
 	HasSharedCounter bool `cbor:"SharedCounter"`
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -6,11 +6,12 @@
 )
 
 // A backend whose process has just started has a part of its capacity only, which grows over
-// Settings.SlowStartWindow. Sent more than Settings.OverloadFactor times that for Settings.OverloadDuration it fails.
-// Each gateway limits what it sends by itself so that all of them together stay below: a token bucket of attempts.
+// Settings.SlowStartWindow. Sent more than Settings.OverloadFactor times that for
+// Settings.OverloadDuration it fails. Each gateway limits what it sends by itself so that all of
+// them together stay below: a token bucket of attempts.
 
-// warmupTokenLifetime is how long an attempt that is due is kept, or for the next warmupTokenSends attempts that this
-// gateway sends, if that is longer.
+// warmupTokenLifetime is how long an attempt that is due is kept, or for the next warmupTokenSends
+// attempts that this gateway sends, if that is longer.
 const (
 	warmupTokenLifetime = time.Second
 	warmupTokenSends    = 2
@@ -19,16 +20,16 @@
 	minWarmCapacity = 1e-6
 )
 
-// startWarmup puts a backend into slow start as of since. Each gateway begins with a random fraction of one token: where
-// each of many has one in half a minute, with equal fractions all would leave the backend idle for that long, and then
-// all send at once.
+// startWarmup puts a backend into slow start as of since. Each gateway begins with a random
+// fraction of one token: where each of many has one in half a minute, with equal fractions all
+// would leave the backend idle for that long, and then all send at once.
 func (e *Engine) startWarmup(backend *backend, since time.Duration) {
 	backend.warmingUp, backend.warmingSince = true, since
 	backend.warmupTokens, backend.warmupTokensAt = e.rng.Float64(), e.now
 }
 
-// warmupFraction is the least share of its capacity, 0 to 1, that a backend has by now. It ends slow start when that is
-// over.
+// warmupFraction is the least share of its capacity, 0 to 1, that a backend has by now. It ends
+// slow start when that is over.
 func (e *Engine) warmupFraction(backend *backend) float64 {
 	age, window := float64(e.now-backend.warmingSince), float64(e.settings.SlowStartWindow)
 	backend.warmingUp = backend.warmingUp && age < window
@@ -39,24 +40,26 @@
 	return min(1, least+(1-least)*max(0, age)/window)
 }
 
-// warmCapacity is the sum of the warm-up fractions of a pool's ready backends, as of the last update or tick.
+// warmCapacity is the sum of the warm-up fractions of a pool's ready backends, as of the last
+// update or tick.
 func (e *Engine) warmCapacity(pool *protocolPool) float64 {
 	count, ages := pool.Warming()
 	window := max(1, float64(e.settings.SlowStartWindow))
 	return float64(pool.ReadyLen()) - max(0, 1-e.settings.SlowStartMinCapacity)*(float64(count)-float64(ages)/window)
 }
 
-// hasWarmupToken refills a backend's tokens, and reports whether there is one for an attempt now; startAttempt takes it.
-// A backend that is not warming up always has one.
+// hasWarmupToken refills a backend's tokens, and reports whether there is one for an attempt now;
+// startAttempt takes it. A backend that is not warming up always has one.
 //
-// The rate is the backend's warm-up fraction of what this gateway sends a warm one, where nothing is sent one a second
-// from all gateways. If every gateway does so they stay within the backend's present capacity together, with the
-// overload factor as the margin; where many are warming up a warm one is sent more, and half of that margin is used.
-// What counts is the most that was sent lately: by a second that a jam holds down, backends that are warming up would
-// stand idle for as long as the warm ones are overloaded.
+// The rate is the backend's warm-up fraction of what this gateway sends a warm one, where nothing
+// is sent one a second from all gateways. If every gateway does so they stay within the backend's
+// present capacity together, with the overload factor as the margin; where many are warming up a
+// warm one is sent more, and half of that margin is used. What counts is the most that was sent
+// lately: by a second that a jam holds down, backends that are warming up would stand idle for as
+// long as the warm ones are overloaded.
 //
-// At most one token is saved up. At a gateway that has one every few seconds or less it expires if it is not used soon:
-// what many gateways have saved up would come at once.
+// At most one token is saved up. At a gateway that has one every few seconds or less it expires if
+// it is not used soon: what many gateways have saved up would come at once.
 func (e *Engine) hasWarmupToken(pool *protocolPool, backend *backend) bool {
 	fraction := e.warmupFraction(backend)
 	if !backend.warmingUp {
--- a/decision/state.go
+++ b/decision/state.go
@@ -8,9 +8,9 @@
 // minQuotaDebt is the least debt, as QuotaDebt returns it, that is worth remembering.
 const minQuotaDebt = 1e-3
 
-// CustomerState is what a later process of the same gateway must not forget of a customer. It is read off an Engine and
-// put back into another one before any event; nothing is decided by it here. Its cbor tags are names in stored snapshots
-// and must never change.
+// CustomerState is what a later process of the same gateway must not forget of a customer. It is
+// read off an Engine and put back into another one before any event; nothing is decided by it here.
+// Its cbor tags are names in stored snapshots and must never change.
 type CustomerState struct {
 	ID       CustomerID `cbor:"ID"`
 	Plan     string     `cbor:"Plan"`
@@ -20,14 +20,15 @@
 	MissingTokens float64 `cbor:"Missing"`
 	// AdmitProbability is the share of its requests that pass while the quota is empty, 0 to 1.
 	AdmitProbability float64 `cbor:"Pass"`
-	// What usage reports told, fading: its use over all gateways and at this one, in percent-seconds, and of how many
-	// seconds.
+	// What usage reports told, fading: its use over all gateways and at this one, in
+	// percent-seconds, and of how many seconds.
 	MeteredUsage   float64 `cbor:"Metered"`
 	OwnUsage       float64 `cbor:"Own"`
 	MeteredSeconds float64 `cbor:"Heard"`
 }
 
-// QuotaDebt is how much of its burst a customer has used, 0 to 1, and more if it is held down besides.
+// QuotaDebt is how much of its burst a customer has used, 0 to 1, and more if it is held down
+// besides.
 func (s *CustomerState) QuotaDebt(plan *Plan) float64 {
 	if plan.Rate <= 0 {
 		return 1 - s.AdmitProbability
@@ -35,8 +36,9 @@
 	return s.MissingTokens*plan.Rate/(fullRate*plan.Burst) + 1 - s.AdmitProbability
 }
 
-// Customers iterates over all customers, each as it is at the moment, in no order, and tells whether it has a debt worth
-// remembering. The Engine may be used between two steps: a customer that is new meanwhile may be left out.
+// Customers iterates over all customers, each as it is at the moment, in no order, and tells
+// whether it has a debt worth remembering. The Engine may be used between two steps: a customer
+// that is new meanwhile may be left out.
 func (e *Engine) Customers() iter.Seq2[CustomerState, bool] {
 	return func(yield func(CustomerState, bool) bool) {
 		for id, customer := range e.customers { // the map's order: the caller sorts
@@ -65,9 +67,9 @@
 	return state
 }
 
-// Restore puts back what an earlier process knew, at a time of the Engine's clock. It must be called before the first
-// event: later, all states are ignored. States that make no sense under these settings are ignored too. It returns how
-// many were.
+// Restore puts back what an earlier process knew, at a time of the Engine's clock. It must be
+// called before the first event: later, all states are ignored. States that make no sense under
+// these settings are ignored too. It returns how many were.
 func (e *Engine) Restore(now time.Duration, states []CustomerState) (ignored int) {
 	for _, state := range states {
 		plan := e.plans[state.Plan]
@@ -92,7 +94,8 @@
 	if !state.Member {
 		first = (e.settings.GatewayIndex + 1) % e.settings.GatewayCount
 	}
-	// The cost of a whole burst: a newcomer's bucket would else begin with room for one small request.
+	// The cost of a whole burst: a newcomer's bucket would else begin with room for one small
+	// request.
 	cost := max(1, plan.Burst)
 	customer := e.customerFor(Request{Customer: state.ID, Cost: cost, FirstGateway: first, GatewaySpread: state.Gateways}, plan)
 	customer.isMember, customer.lastCost = state.Member, 1
