--- a/decision/actions.go
+++ b/decision/actions.go
@@ -31,7 +31,7 @@
 // The reasons.
 const (
 	Invalid     Reason = iota // no such class or plan, a cost that is no cost, or no time
-	OverQuota                 // its customer has used up the plan's quota or hard limit, as far as this gateway knows
+	OverQuota                 // the plan's quota or hard limit is used up, as far as this gateway knows
 	NoBackend                 // there is no backend that it may be sent to now
 	Overloaded                // the backends have as much in flight as they can respond to in time
 	Unprocessed               // it was attempted, and ran nowhere or may run again
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -14,7 +14,6 @@
 	id       RequestID
 	seq      uint64 // its number and its timer's token; 0: not registered
 	class    *class
-	protocol string
 	pool     *protocolPool // nil: no backend has ever spoken its protocol
 	customer *customer
 	deadline time.Duration // when its client stops waiting
@@ -43,7 +42,6 @@
 	req := &request{
 		id:       event.ID,
 		class:    class,
-		protocol: event.Protocol,
 		pool:     e.pools[event.Protocol],
 		customer: customer,
 		deadline: e.now + event.Timeout,
--- a/decision/attempts.go
+++ b/decision/attempts.go
@@ -40,7 +40,8 @@
 	if executed := req.executedAttempt(); executed != nil && req.class.Idempotency == IdempotentByKey {
 		notAfter = executed.sentAt + req.class.DedupWindow - e.settings.ResponseGrace
 	}
-	req.attempts = append(req.attempts, attempt{backend: backend, sentAt: e.now, outstanding: true, slot: slot})
+	started := attempt{backend: backend, slot: slot, sentAt: e.now, outstanding: true}
+	req.attempts = append(req.attempts, started)
 	e.overdue(backend)
 	backend.inFlight++
 	backend.warmupTokens--
@@ -107,7 +108,8 @@
 	if event.Result == Cancelled || event.Result == NotSent || ended.countedLate {
 		return
 	}
-	late := event.Result == TimedOut || event.Result == Succeeded && event.Latency.Seconds() > class.lateAfter()
+	slow := event.Latency.Seconds() > class.lateAfter()
+	late := event.Result == TimedOut || event.Result == Succeeded && slow
 	e.endedAttempts++
 	if late || event.Result == Rejected {
 		e.badOutcomes++
@@ -135,7 +137,8 @@
 		return
 	}
 	backend := ended.backend
-	backend.slowness += 2 * latencySampleWeight * max(0, min(latency/class.meanLatency, slowAttemptFactor)-backend.slowness)
+	slowness := min(latency/class.meanLatency, slowAttemptFactor)
+	backend.slowness += 2 * latencySampleWeight * max(0, slowness-backend.slowness)
 }
 
 // finish stops all that goes on for a request. Its attempt keeps its slot until the outcome comes.
--- a/decision/concurrencylimit.go
+++ b/decision/concurrencylimit.go
@@ -38,7 +38,8 @@
 // concurrency limit.
 func (c *class) lateAfter() float64 {
 	objective := c.LatencyObjective.Seconds()
-	return min(lateObjectiveRatio*objective, max(lateLatencyFactor*c.bestLatency, lateObjectiveMinRatio*objective))
+	byLatency := max(lateLatencyFactor*c.bestLatency, lateObjectiveMinRatio*objective)
+	return min(lateObjectiveRatio*objective, byLatency)
 }
 
 // adjustConcurrencyLimit sets the concurrency limit N, how many of this gateway's attempts may be
@@ -71,7 +72,8 @@
 	previous := e.concurrencyLimit
 	if overloaded {
 		e.endedAttempts, e.badOutcomes = 0, 0
-		inFlight := e.partitionLoad[partitionHigh] + e.partitionLoad[partitionLow] + e.partitionLoad[partitionShared]
+		load := &e.partitionLoad
+		inFlight := load[partitionHigh] + load[partitionLow] + load[partitionShared]
 		e.concurrencyLimit = limitDecreaseFactor * min(e.concurrencyLimit, inFlight)
 	} else if anyEnded {
 		e.concurrencyLimit *= limitIncreaseFactor
--- a/decision/counter.go
+++ b/decision/counter.go
@@ -54,7 +54,8 @@
 		i := e.rng.IntN(len(full))
 		customer := full[i]
 		full = slices.Delete(full, i, i+1)
-		if !e.counterLink.Allow(e.now, &customer.sharedBucket) { // asked for each, as each is a call in flight
+		// Asked before each call, as each call in flight counts.
+		if !e.counterLink.Allow(e.now, &customer.sharedBucket) {
 			continue
 		}
 		surplus := customer.sharedBucket.Surplus(e.now)
@@ -68,7 +69,8 @@
 func (e *Engine) customersWithSurplus() (full []*customer) {
 	for _, id := range slices.Sorted(maps.Keys(e.customers)) {
 		customer := e.customers[id]
-		if customer.sharedBucket.Surplus(e.now) > 0 && e.withinHardLimit(customer, customer.hardLimitShare()) {
+		hasSurplus := customer.sharedBucket.Surplus(e.now) > 0
+		if hasSurplus && e.withinHardLimit(customer, customer.hardLimitShare()) {
 			full = append(full, customer)
 		}
 	}
@@ -80,7 +82,12 @@
 	e.counterLink.CallStarted()
 	e.lastCounterRef++
 	e.counterCalls[e.lastCounterRef] = call
-	e.emit(CounterAdd{Ref: e.lastCounterRef, Key: call.customer.sharedBucket.Key(), Amount: amount, TTL: quota.BucketTTL})
+	e.emit(CounterAdd{
+		Ref:    e.lastCounterRef,
+		Key:    call.customer.sharedBucket.Key(),
+		Amount: amount,
+		TTL:    quota.BucketTTL,
+	})
 }
 
 // onCounterResult ends a call: a request that waits for it is admitted or rejected, and what must
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -15,8 +15,8 @@
 //	actions.go           what it asks for
 //	engine.go            its state, the dispatch of events, and what runs once a second
 //	admission.go         the way of a request through the rules below, and its priority tier
-//	quota.go             a plan's rate and burst, by usage reports and by what this gateway has forwarded
-//	hardlimit.go         a plan's hard limit: this gateway's share
+//	quota.go             a plan's rate and burst
+//	hardlimit.go         this gateway's share of a plan's hard limit
 //	counter.go           what gateways lend each other of a hard limit, over the shared counter
 //	retryafter.go        when a rejected client is told to come back
 //	endpointupdates.go   changes of the set of backends
@@ -24,7 +24,7 @@
 //	slowstart.go         how much a backend that has just started is sent
 //	outliers.go          silent, slow and unreachable backends; slow attempts that are cancelled
 //	attempts.go          the life of an attempt, and what its outcome teaches
-//	retries.go           when an attempt is made again, and what a request without a response is answered
+//	retries.go           when an attempt is made again, and the final answer without one
 //	concurrencylimit.go  how many attempts may be in flight
 //	partitions.go        how these are divided between priority tiers
 //	partitionsearch.go   the search for the most valuable division
--- a/decision/endpointupdates.go
+++ b/decision/endpointupdates.go
@@ -9,8 +9,9 @@
 // backend is what this gateway knows of a backend.
 type backend struct {
 	Endpoint
-	entry    endpointindex.Entry[*backend] // among those of its protocol, in this gateway's own random order
-	inFlight int                           // this gateway's attempts
+	// entry is its place in the index: in the pool of its protocol, in this gateway's own random order.
+	entry    endpointindex.Entry[*backend]
+	inFlight int // this gateway's attempts
 
 	// What responses tell: see outliers.go.
 	slowness          float64       // running mean of latency over its class's mean; 1 is usual
@@ -58,7 +59,11 @@
 			return
 		}
 		known = &backend{slowness: 1, overdueAt: e.now, warmupTokensAt: e.now}
-		known.entry = endpointindex.Entry[*backend]{Value: known, Rank: e.rng.Uint64(), TieBreaker: uint32(endpoint.ID)}
+		known.entry = endpointindex.Entry[*backend]{
+			Value:      known,
+			Rank:       e.rng.Uint64(),
+			TieBreaker: uint32(endpoint.ID),
+		}
 		e.backends[endpoint.ID] = known
 	}
 	if endpoint.StartedAt > known.warmingSince && endpoint.StartedAt > 0 {
--- a/decision/engine.go
+++ b/decision/engine.go
@@ -42,7 +42,7 @@
 	actions    []Action // those of the event that is being handled
 
 	backends  map[BackendID]*backend
-	index     *endpointindex.Index[*backend] // finds them by what changed; their bad outcomes are recorded in it
+	index     *endpointindex.Index[*backend] // finds backends, and records their bad outcomes
 	pools     map[string]*protocolPool       // by protocol
 	requests  map[RequestID]*request         // registered and not forgotten
 	bySeq     map[uint64]*request            // the same by number, which is their timer's token
@@ -57,18 +57,18 @@
 	concurrencyLimit       float64 // attempts that may be in flight; +Inf: not limited yet
 	endedAttempts          float64 // attempts ended or late, fading
 	badOutcomes            float64 // those of them that ended badly or are late, fading
-	sustainableSum         float64 // of this second: the seconds by which its responses would have been late
-	sustainableConcurrency float64 // running mean of that a second
+	sustainableSum         float64 // of this second: its responses' lateAfter, seconds
+	sustainableConcurrency float64 // running mean of sustainableSum a second, in attempts
 	sustainableWeight      float64 // the weight of the seconds that the mean is of, 0 to 1
 	responseCount          int     // responses so far
 
 	// Its partitions: see partitions.go.
 	partitionSize   [3]float64
 	partitionInUse  [3]int
-	partitionLoad   [3]float64 // slots in use, as a mean over a small partition's window, as of partitionLoadAt
+	partitionLoad   [3]float64 // slots in use, on average where small, as of partitionLoadAt
 	partitionLoadAt time.Duration
 	subratedSlots   int
-	subratable      []*slot // low-priority ones in the shared partition that are not subrated, oldest first
+	subratable      []*slot // shared ones of low priority, not subrated, oldest first
 	tiers           [2]tier // low, high
 	repartitionedAt time.Duration
 
@@ -109,6 +109,7 @@
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
+	failureTTL := durationOf(maxSampleWeight / minSampleWeight)
 	e := &Engine{
 		settings:         settings,
 		classes:          map[string]*class{},
@@ -118,7 +119,7 @@
 		now:              now,
 		createdAt:        now,
 		backends:         map[BackendID]*backend{},
-		index:            endpointindex.New[*backend](settings.SlowStartWindow, durationOf(maxSampleWeight/minSampleWeight)),
+		index:            endpointindex.New[*backend](settings.SlowStartWindow, failureTTL),
 		pools:            map[string]*protocolPool{},
 		requests:         map[RequestID]*request{},
 		bySeq:            map[uint64]*request{},
@@ -161,7 +162,8 @@
 func (e *Engine) start() {
 	e.started = true
 	e.lastTickAt = e.now
-	e.emit(SetTimer{After: time.Duration((1 + e.rng.Float64()) * float64(time.Second)), Token: tickToken})
+	firstTick := time.Duration((1 + e.rng.Float64()) * float64(time.Second))
+	e.emit(SetTimer{After: firstTick, Token: tickToken})
 	if e.settings.SubscribeToEndpoints {
 		e.emit(Subscribe{})
 	}
--- a/decision/hardlimit.go
+++ b/decision/hardlimit.go
@@ -20,7 +20,8 @@
 	if customer.plan.HardLimitRate <= 0 {
 		return true
 	}
-	refill := customer.plan.HardLimitRate / customer.gateways * (e.now - customer.hardLimitTokensAt).Seconds()
+	elapsed := (e.now - customer.hardLimitTokensAt).Seconds()
+	refill := customer.plan.HardLimitRate / customer.gateways * elapsed
 	customer.hardLimitTokens = min(customer.hardLimitShare(), customer.hardLimitTokens+refill)
 	customer.hardLimitTokensAt = e.now
 	return customer.isMember && customer.hardLimitTokens >= cost
--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -67,7 +67,8 @@
 		backend.overdueResponses *= math.Exp(-elapsed / overdueDecaySeconds)
 		backend.slowness -= max(0, backend.slowness-1) * (1 - math.Exp(-elapsed/slownessDecaySeconds))
 	}
-	backend.overdueResponses += float64(backend.inFlight) * elapsed / (e.meanLatency * max(1, backend.slowness))
+	usualLatency := e.meanLatency * max(1, backend.slowness)
+	backend.overdueResponses += float64(backend.inFlight) * elapsed / usualLatency
 	return backend.overdueResponses
 }
 
@@ -89,7 +90,8 @@
 			}
 			class.firstAttempts[0], class.firstAttempts = nil, class.firstAttempts[1:]
 			inTime := (req.deadline - e.now).Seconds() > 2*class.meanLatency
-			if waiting && inTime && e.settings.CanCancel && e.cancelBudget >= 1 && e.selectBackend(req) != nil {
+			allowed := e.settings.CanCancel && e.cancelBudget >= 1
+			if waiting && inTime && allowed && e.selectBackend(req) != nil {
 				e.cancelBudget--
 				first.cancelled = true
 				e.emit(CancelAttempt{Request: req.id})
--- a/decision/partitions.go
+++ b/decision/partitions.go
@@ -90,10 +90,15 @@
 	elapsed := (e.now - e.partitionLoadAt).Seconds()
 	e.partitionLoadAt = e.now
 	shared := float64(e.partitionInUse[partitionShared]) - float64(e.subratedSlots)/subratedPerSlot
-	inUse := [3]float64{float64(e.partitionInUse[partitionHigh]), float64(e.partitionInUse[partitionLow]), shared}
+	inUse := [3]float64{
+		partitionHigh:   float64(e.partitionInUse[partitionHigh]),
+		partitionLow:    float64(e.partitionInUse[partitionLow]),
+		partitionShared: shared,
+	}
 	for p, current := range inUse {
-		window := e.bestLatency * (smallPartitionSlots/max(e.partitionSize[p], minPartitionSlots) - 1) // seconds
-		if e.partitionSize[p] >= smallPartitionSlots {
+		size := e.partitionSize[p]
+		window := e.bestLatency * (smallPartitionSlots/max(size, minPartitionSlots) - 1) // seconds
+		if size >= smallPartitionSlots {
 			e.partitionLoad[p] = current
 		} else {
 			e.partitionLoad[p] = current + (e.partitionLoad[p]-current)*math.Exp(-elapsed/window)
@@ -105,7 +110,8 @@
 // share of one.
 func (e *Engine) hasRoom(partition int) bool {
 	size := e.partitionSize[partition]
-	return e.partitionLoad[partition]+min(1, size/smallPartitionSlots) <= size+slotTolerance && size > negligibleSlots
+	needed := min(1, size/smallPartitionSlots)
+	return e.partitionLoad[partition]+needed <= size+slotTolerance && size > negligibleSlots
 }
 
 // subrateOldest subrates the oldest requests of low priority that hold shared slots, and reports
@@ -143,9 +149,18 @@
 func (e *Engine) partition() {
 	low, high := e.tiers[0], e.tiers[1]
 	serviceRate := 1 / max(e.meanLatency, minMeanLatency)
-	highSlots, lowSlots := bestPartition(e.concurrencyLimit, high.arrivalRate, low.arrivalRate, serviceRate,
-		max(high.meanWeight, low.meanWeight), low.meanWeight)
-	e.partitionSize = [3]float64{highSlots, lowSlots, e.concurrencyLimit - highSlots - lowSlots}
+	highSlots, lowSlots := bestPartition(e.concurrencyLimit, tierLoad{
+		arrivalsHigh: high.arrivalRate,
+		arrivalsLow:  low.arrivalRate,
+		serviceRate:  serviceRate,
+		valueHigh:    max(high.meanWeight, low.meanWeight),
+		valueLow:     low.meanWeight,
+	})
+	e.partitionSize = [3]float64{
+		partitionHigh:   highSlots,
+		partitionLow:    lowSlots,
+		partitionShared: e.concurrencyLimit - highSlots - lowSlots,
+	}
 }
 
 // resizePartitions follows a change of N from previous: between two divisions the partitions keep
--- a/decision/partitions_test.go
+++ b/decision/partitions_test.go
@@ -74,8 +74,16 @@
 	}
 }
 
+// newTierLoad takes the paper's symbols in its order: the tiers' arrival rates, the service rate, the
+// tiers' values.
+func newTierLoad(lh, ll, mu, vh, vl float64) tierLoad {
+	return tierLoad{arrivalsHigh: lh, arrivalsLow: ll, serviceRate: mu, valueHigh: vh, valueLow: vl}
+}
+
 // naivePayoff sums the paper's formulas (2), (3), (7), (11) and (9) as they stand, with factorials.
-func naivePayoff(nh, nl, nm int, lh, ll, mu, vh, vl float64) float64 {
+func naivePayoff(nh, nl, nm int, load tierLoad) float64 {
+	lh, ll, mu := load.arrivalsHigh, load.arrivalsLow, load.serviceRate
+	vh, vl := load.valueHigh, load.valueLow
 	fact := func(k int) float64 { return math.Gamma(float64(k) + 1) }
 	p := func(a float64, k, n int) float64 {
 		sum := 0.0
@@ -115,8 +123,8 @@
 		{2, 0, 14, 5, 10, 1, 2, 1}, {8, 0, 8, 10, 10, 1, 5, 1}, {3, 4, 9, 15, 10, 1, 10, 1}, {0, 0, 1, 3, 2, 4, 2, 2},
 		{5, 5, 0, 5, 5, 1, 3, 1}, {2, 2, 6, 0, 9, 1, 3, 1}, {2, 2, 6, 9, 0, 1, 3, 1}, {0, 0, 4, 0, 0, 1, 1, 1},
 	} {
-		got := payoff(c.nh, c.nl, c.nm, c.lh, c.ll, c.mu, c.vh, c.vl)
-		want := naivePayoff(c.nh, c.nl, c.nm, c.lh, c.ll, c.mu, c.vh, c.vl)
+		load := newTierLoad(c.lh, c.ll, c.mu, c.vh, c.vl)
+		got, want := payoff(c.nh, c.nl, c.nm, load), naivePayoff(c.nh, c.nl, c.nm, load)
 		if math.Abs(got-want) > 1e-9*(1+math.Abs(want)) {
 			t.Errorf("%+v: %v, want %v", c, got, want)
 		}
@@ -129,20 +137,21 @@
 		{math.Inf(1), 5, 5, 1, 2, 1}, {1, 5, 5, 1, 2, 1}, {16, 0, 9, 1, 2, 1}, {16, 9, 0, 1, 2, 1},
 		{16, 9, 9, 1, 1, 1}, {3000, 2000, 2000, 1, 2, 1}, {16, 0, 0, 1, 0, 0},
 	} {
-		h, l := bestPartition(c.n, c.lh, c.ll, c.mu, c.vh, c.vl)
+		h, l := bestPartition(c.n, newTierLoad(c.lh, c.ll, c.mu, c.vh, c.vl))
 		if math.IsNaN(h) || h < 0 || l < 0 || h+l > c.n || math.IsInf(c.n, 1) && h+l != 0 {
 			t.Errorf("%+v: %v %v", c, h, l)
 		}
 	}
+	load := newTierLoad(15, 10, 1, 2, 1)
 	best, bh, bl := math.Inf(-1), 0, 0
 	for h := 0; h <= 16; h++ {
 		for l := 0; l+h <= 16; l++ {
-			if p := naivePayoff(h, l, 16-h-l, 15, 10, 1, 2, 1); p > best+1e-9 {
+			if p := naivePayoff(h, l, 16-h-l, load); p > best+1e-9 {
 				best, bh, bl = p, h, l
 			}
 		}
 	}
-	if h, l := bestPartition(16, 15, 10, 1, 2, 1); int(h) != bh || int(l) != bl {
+	if h, l := bestPartition(16, load); int(h) != bh || int(l) != bl {
 		t.Errorf("partitions %v %v, the naive search finds %d %d", h, l, bh, bl)
 	}
 }
@@ -174,8 +183,8 @@
 
 // A small limit is divided as its part of a larger whole.
 func TestBestPartition_SmallLimitInProportion(t *testing.T) {
-	h, l := bestPartition(20, 15, 10, 1, 5, 1)
-	sh, sl := bestPartition(0.2, 0.15, 0.1, 1, 5, 1)
+	h, l := bestPartition(20, newTierLoad(15, 10, 1, 5, 1))
+	sh, sl := bestPartition(0.2, newTierLoad(0.15, 0.1, 1, 5, 1))
 	if math.Abs(sh-h/100) > 1e-9 || math.Abs(sl-l/100) > 1e-9 || h+l == 0 {
 		t.Errorf("partitions %v %v of 20 slots, %v %v of a fifth of one", h, l, sh, sl)
 	}
--- a/decision/partitionsearch.go
+++ b/decision/partitionsearch.go
@@ -3,9 +3,14 @@
 import "math"
 
 // The search for the partitions that earn most, after "Dynamic quota-based admission control with
-// sub-rating in multimedia servers" (Cheng, Chen, Chen), Method II. Its symbols: n_h, n_l and n_m
-// are the slots for high priority, low priority and both; lambda and v a tier's arrival rate and
-// mean weight; mu the service rate; alpha is subratedPerSlot.
+// sub-rating in multimedia servers" (Cheng, Chen, Chen), Method II. subratedPerSlot is its alpha.
+
+// tierLoad is the load that partitions are valued by.
+type tierLoad struct {
+	arrivalsHigh, arrivalsLow float64 // lambda: arrivals a second of the priority tiers
+	valueHigh, valueLow       float64 // v: what one request of the tier earns
+	serviceRate               float64 // mu: requests a second that one slot serves
+}
 
 const (
 	// partitionSteps is how many steps N is searched in; each is one slot at least.
@@ -20,18 +25,18 @@
 //
 // A small n is divided as its part of a larger whole, as gateways even each other out; so the
 // result may be fractions.
-func bestPartition(n, lambdaHigh, lambdaLow, mu, valueHigh, valueLow float64) (highSlots, lowSlots float64) {
+func bestPartition(n float64, load tierLoad) (highSlots, lowSlots float64) {
 	if math.IsInf(n, 1) {
 		return 0, 0
 	}
 	scale := max(1, partitionSteps/max(n, minPartitionSlots))
 	slots := int(n*scale + slotTolerance)
-	lambdaHigh, lambdaLow = lambdaHigh*scale, lambdaLow*scale
+	load.arrivalsHigh, load.arrivalsLow = load.arrivalsHigh*scale, load.arrivalsLow*scale
 	step := max(1, (slots+partitionSteps-1)/partitionSteps)
-	best := payoff(0, 0, slots, lambdaHigh, lambdaLow, mu, valueHigh, valueLow)
+	best := payoff(0, 0, slots, load)
 	for high := 0; high <= slots; high += step {
 		for low := 0; low+high <= slots; low += step {
-			earned := payoff(high, low, slots-high-low, lambdaHigh, lambdaLow, mu, valueHigh, valueLow)
+			earned := payoff(high, low, slots-high-low, load)
 			if earned > best+payoffTolerance*math.Abs(best) {
 				best, highSlots, lowSlots = earned, float64(high)/scale, float64(low)/scale
 			}
@@ -43,11 +48,16 @@
 // payoff is what a partition earns a second: (2)+(3)+(7)+(11)-(9) of the paper, with a rejected
 // request costing what it would have earned (q = v). Each truncated sum of the paper is a loss
 // formula B(a, n): the mean number in service is a(1-B).
-func payoff(highSlots, lowSlots, sharedSlots int, lambdaHigh, lambdaLow, mu, valueHigh, valueLow float64) float64 {
-	lossHigh, lossLow := erlangLoss(lambdaHigh/mu, highSlots)[highSlots], erlangLoss(lambdaLow/mu, lowSlots)[lowSlots]
-	total := lambdaHigh*(1-lossHigh)*valueHigh + lambdaLow*(1-lossLow)*valueLow
-	overflowHigh, overflowLow := lambdaHigh*lossHigh, lambdaLow*lossLow // arrivals a second at the shared slots
-	sharedHigh, sharedLow := erlangLoss(overflowHigh/mu, sharedSlots), erlangLoss(overflowLow/mu, sharedSlots)
+func payoff(highSlots, lowSlots, sharedSlots int, load tierLoad) float64 {
+	mu, valueHigh, valueLow := load.serviceRate, load.valueHigh, load.valueLow
+	lossHigh := erlangLoss(load.arrivalsHigh/mu, highSlots)[highSlots]
+	lossLow := erlangLoss(load.arrivalsLow/mu, lowSlots)[lowSlots]
+	total := load.arrivalsHigh*(1-lossHigh)*valueHigh + load.arrivalsLow*(1-lossLow)*valueLow
+
+	// What finds its own partition full arrives at the shared slots.
+	overflowHigh, overflowLow := load.arrivalsHigh*lossHigh, load.arrivalsLow*lossLow
+	sharedHigh := erlangLoss(overflowHigh/mu, sharedSlots)
+	sharedLow := erlangLoss(overflowLow/mu, sharedSlots)
 	chance := sharedHigh[sharedSlots] // of i high ones in the shared slots, from i = sharedSlots down
 	for i := sharedSlots; i >= 0; i-- {
 		full := chance * sharedLow[sharedSlots-i]
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -137,8 +137,8 @@
 		c.tokens = min(c.tokens, 1+c.percentSeconds(event.Cost)+quotaMarginRatio*c.tokens)
 	}
 	if e.settings.HasSharedCounter && plan.HardLimitRate > 0 && c.isMember && gateways > 1 {
-		c.sharedBucket = quota.NewSharedBucket(uint64(event.Customer), plan.Name, plan.HardLimitBurst, gateways,
-			e.settings.MaxCost)
+		c.sharedBucket = quota.NewSharedBucket(uint64(event.Customer), plan.Name,
+			plan.HardLimitBurst, gateways, e.settings.MaxCost)
 	}
 	return c
 }
@@ -204,9 +204,11 @@
 	factor, since := c.globalUsageFactor(), max(0, (t-c.tokensAt).Seconds())
 	fade := math.Pow(c.retention, since/max(c.usagePeriod, minUsagePeriod))
 	last := c.percentSeconds(c.lastCost)
-	prior := priorUsagePercent + (priorUsagePercentMany-priorUsagePercent)*(c.retention-usageRetention)/(1-usageRetention)
+	const priorRange = priorUsagePercentMany - priorUsagePercent
+	prior := priorUsagePercent + priorRange*(c.retention-usageRetention)/(1-usageRetention)
 	mean := (last + fade*c.meteredUsage) / (last/prior + fade*c.meteredSeconds)
-	since = max(since, usageDelayPeriods*c.usagePeriod) // a burst at once tells as much as one that took so long
+	// A burst at once tells as much as one that took as long as a report's delay.
+	since = max(since, usageDelayPeriods*c.usagePeriod)
 	ownWeight := since / factor / (last/mean + since/factor)
 	return mean * (1 - ownWeight) * (factor - 1) / factor, ownWeight * (factor - 1)
 }
@@ -220,14 +222,15 @@
 // those that gain least first: nothing else tells newcomers apart.
 func (e *Engine) withinQuota(customer *customer, priorityWeight, cost float64) bool {
 	plan := customer.plan
-	if plan.MaxInFlight > 0 && float64(customer.inFlight) >= math.Ceil(float64(plan.MaxInFlight)/customer.gateways) {
+	if customer.hasMaxInFlight() {
 		return false
 	}
 	// The admit probability binds only while reports come. They come with responses: were so much
 	// rejected that there are none, it could never rise again, and the customer would be rejected
 	// for good.
 	reported := e.now-customer.usageAt <= 2*usageDelayPeriods*e.settings.UsagePeriod
-	if reported && (plan.Rate <= 0 || customer.tokens <= 0) && e.rng.Float64() >= customer.admitProbability {
+	empty := plan.Rate <= 0 || customer.tokens <= 0
+	if reported && empty && e.rng.Float64() >= customer.admitProbability {
 		return false
 	}
 	newcomerRejected := e.rejectsNewcomer(customer, priorityWeight, cost)
@@ -238,6 +241,13 @@
 	return !newcomerRejected && customer.available(e.now) >= needed
 }
 
+// hasMaxInFlight reports whether the customer has this gateway's even share of Plan.MaxInFlight in
+// flight.
+func (c *customer) hasMaxInFlight() bool {
+	limit := c.plan.MaxInFlight
+	return limit > 0 && float64(c.inFlight) >= math.Ceil(float64(limit)/c.gateways)
+}
+
 // rejectsNewcomer draws whether a newcomer's request is rejected for gaining too little. NetGain is
 // the share of its weight that forwarding it gains, less what the requests that it displaces lose.
 func (e *Engine) rejectsNewcomer(customer *customer, priorityWeight, cost float64) bool {
@@ -309,7 +319,8 @@
 		return true
 	}
 	sinceLast := now - c.usageAt
-	return sinceLast >= period/2 && (usage != c.lastUsage || sinceLast >= period) && c.tokensAt+period <= now
+	repeated := usage == c.lastUsage && sinceLast < period
+	return sinceLast >= period/2 && !repeated && c.tokensAt+period <= now
 }
 
 // settlePeriod moves the bucket on to the end of the period that a report tells of, which is taken
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -52,6 +52,7 @@
 	if executed == nil || class.Idempotency == Idempotent {
 		return true
 	}
-	latestRepeat := e.now - executed.sentAt + e.settings.MaxRetryAfter + class.Deadline + e.settings.ResponseGrace
-	return class.Idempotency == IdempotentByKey && class.DedupScope == DedupScopeAll && latestRepeat < class.DedupWindow
+	droppedByAll := class.Idempotency == IdempotentByKey && class.DedupScope == DedupScopeAll
+	untilRepeat := e.settings.MaxRetryAfter + class.Deadline + e.settings.ResponseGrace
+	return droppedByAll && e.now-executed.sentAt+untilRepeat < class.DedupWindow
 }
--- a/decision/retryafter.go
+++ b/decision/retryafter.go
@@ -12,7 +12,7 @@
 	wait := 0.0 // seconds
 	if customer.plan.Rate > 0 {
 		if customer.tokens <= 0 && customer.admitProbability < 1 {
-			return e.settings.MaxRetryAfter // that must rise first, and it moves with usage reports alone
+			return e.settings.MaxRetryAfter // the probability must rise first, and only reports raise it
 		}
 		steady, _ := customer.otherGatewaysUsage(e.now)
 		missing := customer.percentSeconds(cost)
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -61,7 +61,8 @@
 // this one, times its slowness, times a factor for the responses that are overdue. It has no unit.
 func (e *Engine) selectionCost(backend *backend, overdue float64) float64 {
 	silence := 1 + max(0, overdue-overdueTolerance)
-	cost := float64(backend.inFlight+1) * backend.slowness * silence * (1 + selectionJitter*e.rng.Float64())
+	jitter := 1 + selectionJitter*e.rng.Float64()
+	cost := float64(backend.inFlight+1) * backend.slowness * silence * jitter
 	if backend.warmingUp { // the queues of the others are in their mean latency, and it has none
 		cost *= e.bestLatency / (e.meanLatency * e.warmupFraction(backend))
 	}
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -14,7 +14,7 @@
 // The values of Idempotency.
 const (
 	Idempotent      Idempotency = iota // repeating it is harmless
-	IdempotentByKey                    // backends of one DedupScope drop a repeat within the class's DedupWindow
+	IdempotentByKey                    // backends drop a repeat within DedupScope and DedupWindow
 	NonIdempotent                      // it must not run twice
 )
 
@@ -168,7 +168,7 @@
 func (c Class) validate() error {
 	if c.LatencyObjective <= 0 || c.Deadline <= 0 ||
 		!finiteNonNegative(c.PriorityWeight, c.LateWeightFactor, float64(c.DedupWindow)) {
-		return fmt.Errorf("decision: class %q needs a latency objective, a deadline and a priority weight", c.Name)
+		return fmt.Errorf("decision: class %q needs a latency objective, a deadline and a weight", c.Name)
 	}
 	return nil
 }
@@ -176,8 +176,8 @@
 func (p Plan) validate() error {
 	limited := p.Rate > 0 || p.MaxInFlight > 0 || p.HardLimitRate > 0
 	if !limited && p.Burst > 0 || p.Rate > 0 && p.Burst <= 0 ||
-		!finiteNonNegative(p.Rate, p.Burst, p.Price, p.HardLimitRate, p.HardLimitBurst, p.HardLimitOverdraft,
-			float64(p.MaxInFlight)) {
+		!finiteNonNegative(p.Rate, p.Burst, p.Price, float64(p.MaxInFlight)) ||
+		!finiteNonNegative(p.HardLimitRate, p.HardLimitBurst, p.HardLimitOverdraft) {
 		return fmt.Errorf("decision: plan %q has a quota that cannot be enforced", p.Name)
 	}
 	return nil
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -45,7 +45,8 @@
 func (e *Engine) warmCapacity(pool *protocolPool) float64 {
 	count, ages := pool.Warming()
 	window := max(1, float64(e.settings.SlowStartWindow))
-	return float64(pool.ReadyLen()) - max(0, 1-e.settings.SlowStartMinCapacity)*(float64(count)-float64(ages)/window)
+	missing := max(0, 1-e.settings.SlowStartMinCapacity) * (float64(count) - float64(ages)/window)
+	return float64(pool.ReadyLen()) - missing
 }
 
 // hasWarmupToken refills a backend's tokens, and reports whether there is one for an attempt now;
@@ -66,13 +67,16 @@
 		return true
 	}
 	ready, capacity := float64(pool.ReadyLen()), e.warmCapacity(pool)
-	warm := max(capacity, ready*min(1, 2/e.settings.OverloadFactor)) // what is sent is shared by warm-up fractions
+	// What is sent is shared by warm-up fractions.
+	warm := max(capacity, ready*min(1, 2/e.settings.OverloadFactor))
 	sends := max(pool.sendRate, ready/float64(e.settings.GatewayCount))
-	inSubset := min(1, pool.subsetSize(len(e.requests))/max(capacity, minWarmCapacity)) // the share of gateways that send to it
+	// It is in the subsets of this share of the gateways.
+	inSubset := min(1, pool.subsetSize(len(e.requests))/max(capacity, minWarmCapacity))
 	rate := fraction * max(sends, pool.peakSendRate) / (warm * inSubset)
 	backend.warmupTokens += rate * (e.now - backend.warmupTokensAt).Seconds()
 	backend.warmupTokensAt = e.now
-	expiry := rate * max(warmupTokenLifetime.Seconds(), warmupTokenSends/sends) // tokens that come while one is kept
+	// expiry is how many tokens come in the time that one is kept for.
+	expiry := rate * max(warmupTokenLifetime.Seconds(), warmupTokenSends/sends)
 	if expiry >= 1 {
 		backend.warmupTokens = min(1, backend.warmupTokens)
 	} else if backend.warmupTokens >= 1+expiry {
--- a/decision/state.go
+++ b/decision/state.go
@@ -85,7 +85,8 @@
 
 // valid reports whether all figures can be those of a customer of so many gateways.
 func (s *CustomerState) valid(gateways int) bool {
-	return s.Gateways >= 1 && s.Gateways <= gateways && s.AdmitProbability >= 0 && s.AdmitProbability <= 1 &&
+	return s.Gateways >= 1 && s.Gateways <= gateways &&
+		s.AdmitProbability >= 0 && s.AdmitProbability <= 1 &&
 		finiteNonNegative(s.MissingTokens, s.MeteredUsage, s.OwnUsage, s.MeteredSeconds)
 }
 
@@ -97,7 +98,12 @@
 	// The cost of a whole burst: a newcomer's bucket would else begin with room for one small
 	// request.
 	cost := max(1, plan.Burst)
-	customer := e.customerFor(Request{Customer: state.ID, Cost: cost, FirstGateway: first, GatewaySpread: state.Gateways}, plan)
+	customer := e.customerFor(Request{
+		Customer:      state.ID,
+		Cost:          cost,
+		FirstGateway:  first,
+		GatewaySpread: state.Gateways,
+	}, plan)
 	customer.isMember, customer.lastCost = state.Member, 1
 	customer.admitProbability = state.AdmitProbability
 	customer.meteredUsage, customer.ownUsage = state.MeteredUsage, state.OwnUsage
@@ -105,5 +111,6 @@
 	if plan.Rate > 0 {
 		customer.tokens = max(0, min(customer.burstTokens()-state.MissingTokens, customer.tokens))
 	}
-	customer.usageAt = e.now // so that the admit probability binds until usage reports have had time to come
+	// The admit probability binds until usage reports have had time to come.
+	customer.usageAt = e.now
 }
