--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"pumicecroft/internal/backoff"
 )
 
 // What this gateway notices of its backends before any endpoint update tells: those that cannot be
@@ -10,10 +12,6 @@
 // all proportion are cancelled and made again elsewhere.
 
 const (
-	// After a failed connection nothing is sent to a backend for connectBackoffInitial, twice as
-	// long after each further one in a row, and connectBackoffMax at the most.
-	connectBackoffInitial = 125 * time.Millisecond
-	connectBackoffMax     = time.Second
 	// connectFailureThreshold is how many failed connections in a row mean that a backend's process
 	// is down.
 	connectFailureThreshold = 3
@@ -38,11 +36,15 @@
 	cancelPenaltyMax = 8.0
 )
 
+// connectBackoff is how long nothing is sent to a backend after a failed connection, by the number of
+// those in a row before it.
+var connectBackoff = backoff.Exponential{Initial: 125 * time.Millisecond, Max: time.Second}
+
 // onConnectFailed holds a backend that could not be reached, for longer each time in a row. Only
 // after connectFailureThreshold is its process taken to be down, and to start anew before it
 // responds again: a single connection that breaks tells nothing of the rest.
 func (e *Engine) onConnectFailed(backend *backend) {
-	backend.holdUntil = e.now + min(connectBackoffInitial<<backend.connectFailures, connectBackoffMax)
+	backend.holdUntil = e.now + connectBackoff.Delay(backend.connectFailures)
 	backend.connectFailures++
 	if backend.connectFailures >= connectFailureThreshold {
 		e.startWarmup(backend, e.now)
