--- a/quota/newcomers_test.go
+++ b/quota/newcomers_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// seen is a plan of whose newcomers a share is over its rate, and of whose requests half are of 1 unit worth 3 and half of 2 units worth 1.
+// seen is a plan of whose newcomers a share is over its rate, and of whose requests half are of 1
+// unit worth 3 and half of 2 units worth 1.
 func seen(over float64) *NewcomerStats {
 	n, rng := &NewcomerStats{}, rand.New(rand.NewPCG(1, 1))
 	for i := range 2000 {
--- a/quota/pool_test.go
+++ b/quota/sharedbucket_test.go
@@ -21,8 +21,8 @@
 	return a.left
 }
 
-// Doors with halves of their parts and a pool, on a counter that loses calls, answers and names at any moment, never let in
-// more than the ceiling together, whoever asks where.
+// Doors with halves of their parts and a pool, on a counter that loses calls, answers and names at
+// any moment, never let in more than the ceiling together, whoever asks where.
 func TestDoorsNeverPassTheCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -121,7 +121,8 @@
 	}
 }
 
-// A full pool is given to ever more seldom, by each door at moments of its own; one that was emptied soon again.
+// A full pool is given to ever more seldom, by each door at moments of its own; one that was
+// emptied soon again.
 func TestGiftsArePaced(t *testing.T) {
 	p, now := NewSharedBucket(1, "x", 100, 10, 3), time.Duration(0)
 	var at []time.Duration
@@ -148,7 +149,8 @@
 	}
 }
 
-// A counter that is gone is asked by one call at a time, and ever more seldom; one that is crowded for fewer customers.
+// A counter that is gone is asked by one call at a time, and ever more seldom; one that is crowded
+// for fewer customers.
 func TestLine(t *testing.T) {
 	l, now, p := NewCounterLink(), time.Duration(0), NewSharedBucket(1, "x", 100, 10, 3)
 	asked := 0
@@ -196,8 +198,8 @@
 	}
 }
 
-// What doors keep and what the pool may hold are the ceiling's burst together, at any size; a door keeps what its largest request
-// takes where a part of its own can bear that.
+// What doors keep and what the pool may hold are the ceiling's burst together, at any size; a door
+// keeps what its largest request takes where a part of its own can bear that.
 func TestPartsAreTheWhole(t *testing.T) {
 	for _, c := range []struct {
 		burst       float64
