--- a/internal/endpointindex/index.go
+++ b/internal/endpointindex/index.go
@@ -1,42 +1,46 @@
-// Package endpointindex finds members of a large set by what changed of them, so that nobody walks all: those of a lane that are open, in an order
-// of their own; how many of these are young, and how old they are together; those that are to be looked at again; and those of whom something
-// was noted lately. What members and lanes are, and what is noted, is its caller's business: it decides nothing. It is pure.
+// Package endpointindex finds members of a large set by what changed of them, so that nobody walks
+// over all: the ready members of a group in an order, how many of these are warming up and for how
+// long together, members that are to be reconciled, and members that failed lately. It decides
+// nothing: what members, groups and failures are is its caller's business. It does no I/O and has
+// no clock; its one caller, the decision engine, owns each Index and all its entries.
 package endpointindex
 
 import (
 	"container/list"
-	"iter"
 	"time"
 
 	"github.com/tidwall/btree"
 )
 
-// Index is a set of members. It is not safe for concurrent use.
+// Index is a set of members of type T. It is not safe for concurrent use.
 type Index[T any] struct {
-	warmingPeriod, failureTTL time.Duration
-	ready                     int
-	epoch                     uint64
-	epochAt                   time.Duration // when that was
-	dirty                     []*Entry[T]
-	failures                  *list.List // of note[T], the latest last
+	warmingPeriod time.Duration
+	failureTTL    time.Duration
+	ready         int
+	epoch         uint64        // the number of calls of Advance
+	epochAt       time.Duration // when the last was
+	dirty         []*Entry[T]
+	failures      *list.List // of failureRecord[T], the latest last
 }
 
-// New makes an empty one, whose members are young for so long after they began, and for which what is noted is kept for so long.
-func New[T any](young, keep time.Duration) *Index[T] {
-	return &Index[T]{warmingPeriod: young, failureTTL: keep, failures: list.New()}
+// New returns an empty Index. Members are warming for up to warmingPeriod from their start;
+// failures are remembered for failureTTL.
+func New[T any](warmingPeriod, failureTTL time.Duration) *Index[T] {
+	return &Index[T]{warmingPeriod: warmingPeriod, failureTTL: failureTTL, failures: list.New()}
 }
 
-// Entry is where a member stands: in one lane at most. One that was never put is in none. Value, Rank and Tie are set once, before that.
+// Entry is a member's place in the Index: in one group at most, in none at first. Value, Rank and
+// TieBreaker are set once, before the first Put.
 type Entry[T any] struct {
 	Value      T      // the member
-	Rank       uint64 // its place in the order of any lane; members of equal rank need different Ties
-	TieBreaker uint32
+	Rank       uint64 // its place in the order of any group
+	TieBreaker uint32 // must differ for members of equal Rank
 	ready      bool
 	warming    bool
 	dirty      bool
 	group      *Group[T]
-	startedAt  time.Duration // if it is young
-	failure    *list.Element // in Roster.noted; nil: there is none
+	startedAt  time.Duration // meaningful while warming
+	failure    *list.Element // in Index.failures; nil: none
 }
 
 type failureRecord[T any] struct {
@@ -44,184 +48,109 @@
 	at    time.Duration
 }
 
-// orderedEntry is a place in an order. The rank lies beside the pointer, so that a search reads few other lines of memory.
-type orderedEntry[T any] struct {
-	rank  uint64
-	entry *Entry[T]
-}
-
-func less[T any](a, b orderedEntry[T]) bool {
-	return a.rank < b.rank || a.rank == b.rank && a.entry.TieBreaker < b.entry.TieBreaker
-}
-
-// Group is a part of the members. Some are open: they alone are in its order and counted as young.
-type Group[T any] struct {
-	index      *Index[T]
-	size       int
-	ready      *btree.BTreeG[orderedEntry[T]]
-	upcoming   startTimes    // when young ones begin that had not begun at the view that Young was asked for last
-	started    startTimes    // ... and when the others did
-	epoch      uint64        // that one
-	epochAt    time.Duration // when it was
-	warming    int           // what Young gave
-	warmingAge time.Duration
-}
-
-// NewGroup makes an empty one.
-func (r *Index[T]) NewGroup() Group[T] {
-	return Group[T]{index: r, ready: btree.NewBTreeGOptions(less[T], btree.Options{NoLocks: true})}
+// NewGroup returns an empty group of the Index.
+func (x *Index[T]) NewGroup() Group[T] {
+	return Group[T]{index: x, ready: btree.NewBTreeGOptions(less[T], btree.Options{NoLocks: true})}
 }
 
-// ReadyLen is how many members are open, in all lanes.
-func (r *Index[T]) ReadyLen() int { return r.ready }
+// ReadyLen returns how many members are ready, in all groups.
+func (x *Index[T]) ReadyLen() int { return x.ready }
 
-// Advance has Young tell of this moment from now on, which is not before an earlier one.
-func (r *Index[T]) Advance(now time.Duration) { r.epoch, r.epochAt = r.epoch+1, now }
+// Advance sets the time that Group.Warming tells of. It must not go back.
+func (x *Index[T]) Advance(now time.Duration) { x.epoch, x.epochAt = x.epoch+1, now }
 
-// Put has a member stand in a lane, and in no other any more: open or not, and if it is young since began. What is so already costs nothing.
-func (p *Entry[T]) Put(in *Group[T], open, young bool, began time.Duration) {
-	if p.group == in && p.ready == open && p.warming == young && p.startedAt == began {
+// Put puts a member into a group, and takes it out of any other. A member that is ready is in the
+// group's order; if it is warming too, it counts as warming from startedAt on. It costs nothing
+// where all is so already.
+func (e *Entry[T]) Put(group *Group[T], ready, warming bool, startedAt time.Duration) {
+	if e.group == group && e.ready == ready && e.warming == warming && e.startedAt == startedAt {
 		return
 	}
-	p.detach()
-	in.size++
-	p.group, p.ready, p.warming, p.startedAt = in, open, young, began
-	if !open {
+	e.detach()
+	group.size++
+	e.group, e.ready, e.warming, e.startedAt = group, ready, warming, startedAt
+	if !ready {
 		return
 	}
-	in.Warming() // of which this changes nothing before the next view
-	in.index.ready++
-	in.ready.Set(orderedEntry[T]{p.Rank, p})
-	if young {
-		in.startTimesFor(began).add(began, 1)
+	group.Warming() // before the change, which must not show before the next Advance
+	group.index.ready++
+	group.ready.Set(orderedEntry[T]{e.Rank, e})
+	if warming {
+		group.startTimesFor(startedAt).add(startedAt, 1)
 	}
 }
 
-// detach has a member stand nowhere.
-func (p *Entry[T]) detach() {
-	in := p.group
-	if in == nil {
+// detach takes a member out of its group.
+func (e *Entry[T]) detach() {
+	group := e.group
+	if group == nil {
 		return
 	}
-	in.size--
-	if p.ready {
-		in.Warming()
-		in.index.ready--
-		in.ready.Delete(orderedEntry[T]{p.Rank, p})
-		if p.warming {
-			in.startTimesFor(p.startedAt).add(p.startedAt, -1)
+	group.size--
+	if e.ready {
+		group.Warming()
+		group.index.ready--
+		group.ready.Delete(orderedEntry[T]{e.Rank, e})
+		if e.warming {
+			group.startTimesFor(e.startedAt).add(e.startedAt, -1)
 		}
 	}
-	p.group, p.ready = nil, false
+	e.group, e.ready = nil, false
 }
 
-// Len is how many members are in the lane, open or not.
-func (l *Group[T]) Len() int { return l.size }
-
-// ReadyLen is how many members of the lane are open.
-func (l *Group[T]) ReadyLen() int { return l.ready.Len() }
-
-// Ready goes through the open members in their order. No member may be put or forgotten meanwhile.
-func (l *Group[T]) Ready() iter.Seq[T] {
-	return func(yield func(T) bool) {
-		l.ready.Scan(func(e orderedEntry[T]) bool { return yield(e.entry.Value) })
+// MarkDirty has the next Reconcile visit a member.
+func (x *Index[T]) MarkDirty(entry *Entry[T]) {
+	if !entry.dirty {
+		entry.dirty, x.dirty = true, append(x.dirty, entry)
 	}
 }
 
-// Warming is how many of those that were open were young when See was called last: had begun less than the Roster's time ago, or would only
-// begin; and the sum of their ages, where one that has not begun has none. It costs what began or stopped being young since it was asked for
-// an earlier view.
-func (l *Group[T]) Warming() (n int, ages time.Duration) {
-	if l.epoch == l.index.epoch {
-		return l.warming, l.warmingAge
-	}
-	l.epoch, l.epochAt = l.index.epoch, l.index.epochAt
-	for at, some, ok := l.upcoming.counts.Min(); ok && at <= l.epochAt; at, some, ok = l.upcoming.counts.Min() {
-		l.upcoming.add(at, -some)
-		l.started.add(at, some)
-	}
-	for at, some, ok := l.started.counts.Min(); ok && at <= l.epochAt-l.index.warmingPeriod; at, some, ok = l.started.counts.Min() {
-		l.started.add(at, -some)
-	}
-	l.warming, l.warmingAge = l.upcoming.total+l.started.total, time.Duration(l.started.total)*l.epochAt-l.started.sum
-	return l.warming, l.warmingAge
-}
-
-func (l *Group[T]) startTimesFor(began time.Duration) *startTimes {
-	if began > l.epochAt {
-		return &l.upcoming
-	}
-	return &l.started
-}
-
-// startTimes are points in time, some of them several times over, with their number and sum. The sum may run over: what it is taken from
-// runs over as often, and the ages that are left are small.
-type startTimes struct {
-	counts btree.Map[time.Duration, int]
-	total  int
-	sum    time.Duration
-}
-
-// add adds a point so many times, or takes it away; what is not there can't be taken away, as it has been already.
-func (m *startTimes) add(at time.Duration, some int) {
-	had, _ := m.counts.Get(at)
-	if had+some < 0 {
-		return
-	}
-	m.total, m.sum = m.total+some, m.sum+time.Duration(some)*at
-	if had+some == 0 {
-		m.counts.Delete(at)
-		return
-	}
-	m.counts.Set(at, had+some)
-}
-
-// MarkDirty has a member looked at by the next Settle.
-func (r *Index[T]) MarkDirty(p *Entry[T]) {
-	if !p.dirty {
-		p.dirty, r.dirty = true, append(r.dirty, p)
-	}
-}
-
-// Reconcile looks at the members that it was to look at, each once; those with which it is not done are looked at again the next time.
-func (r *Index[T]) Reconcile(done func(T) bool) {
-	left := r.dirty[:0]
-	for _, p := range r.dirty {
-		if p.dirty = !done(p.Value); p.dirty {
-			left = append(left, p)
+// Reconcile calls visit for each member that is marked dirty, in the order in which they were
+// marked. Those for which it returns false are visited by the next Reconcile again.
+func (x *Index[T]) Reconcile(visit func(T) (done bool)) {
+	left := x.dirty[:0]
+	for _, entry := range x.dirty {
+		if entry.dirty = !visit(entry.Value); entry.dirty {
+			left = append(left, entry)
 		}
 	}
-	clear(r.dirty[len(left):])
-	if r.dirty = left; len(left) == 0 {
-		r.dirty = nil // it may have been as long as the set
+	clear(x.dirty[len(left):])
+	if x.dirty = left; len(left) == 0 {
+		x.dirty = nil // it may have been as long as the set
 	}
 }
 
-// Remove has a member stand nowhere, and forgets what was noted of it.
-func (r *Index[T]) Remove(p *Entry[T]) {
-	p.detach()
-	r.forgetFailure(p)
+// Remove takes a member out of its group and forgets its failures.
+func (x *Index[T]) Remove(entry *Entry[T]) {
+	entry.detach()
+	x.forgetFailure(entry)
 }
 
-// RecordFailure takes in that something was noted of a member, not before what was noted earlier of any.
-func (r *Index[T]) RecordFailure(p *Entry[T], at time.Duration) {
-	r.forgetFailure(p)
-	p.failure = r.failures.PushBack(failureRecord[T]{p, at})
-	for first := r.failures.Front().Value.(failureRecord[T]); at-first.at >= r.failureTTL; first = r.failures.Front().Value.(failureRecord[T]) {
-		r.forgetFailure(first.entry)
+// RecordFailure records a failure of a member, in place of an earlier one. at must not be before
+// that of any failure recorded earlier.
+func (x *Index[T]) RecordFailure(entry *Entry[T], at time.Duration) {
+	x.forgetFailure(entry)
+	entry.failure = x.failures.PushBack(failureRecord[T]{entry, at})
+	for {
+		oldest := x.failures.Front().Value.(failureRecord[T])
+		if at-oldest.at < x.failureTTL {
+			return
+		}
+		x.forgetFailure(oldest.entry)
 	}
 }
 
-func (r *Index[T]) forgetFailure(p *Entry[T]) {
-	if p.failure != nil {
-		r.failures.Remove(p.failure)
-		p.failure = nil
+func (x *Index[T]) forgetFailure(entry *Entry[T]) {
+	if entry.failure != nil {
+		x.failures.Remove(entry.failure)
+		entry.failure = nil
 	}
 }
 
-// RecentFailures is of how many members something was noted less than so long ago, which is not longer than it is kept.
-func (r *Index[T]) RecentFailures(now, ago time.Duration) (count int) {
-	for e := r.failures.Back(); e != nil && now-e.Value.(failureRecord[T]).at < ago; e = e.Prev() {
+// RecentFailures returns how many members failed less than window ago. window must not exceed
+// failureTTL.
+func (x *Index[T]) RecentFailures(now, window time.Duration) (count int) {
+	for e := x.failures.Back(); e != nil && now-e.Value.(failureRecord[T]).at < window; e = e.Prev() {
 		count++
 	}
 	return count
--- a/internal/endpointindex/index_test.go
+++ b/internal/endpointindex/index_test.go
@@ -130,7 +130,8 @@
 	}
 }
 
-// What is found is what a walk over all members finds, whatever they do, and Young what it found at the last view.
+// What is found is what a walk over all members finds, whatever they do, and Young what it found at
+// the last view.
 func TestAgainstAWalkOverAll(t *testing.T) {
 	for seed := range uint64(60) {
 		w := newWorld(t, seed)
@@ -188,7 +189,8 @@
 	}
 }
 
-// The sum of the beginnings of very many is over what a number holds; the sum of their ages is not. Nothing is kept of those that are gone.
+// The sum of the beginnings of very many is over what a number holds; the sum of their ages is not.
+// Nothing is kept of those that are gone.
 func TestManyBeginningsLongAfterTheOrigin(t *testing.T) {
 	const n = 110_000
 	now, r := 48*time.Hour, New[int](young, keep)
@@ -215,7 +217,8 @@
 	}
 }
 
-// What is not done with is looked at each time until it is, and what was noted long ago is let go of.
+// What is not done with is looked at each time until it is, and what was noted long ago is let go
+// of.
 func TestSettleAndNote(t *testing.T) {
 	r := New[int](young, keep)
 	a, b := &Entry[int]{Value: 1}, &Entry[int]{Value: 2}
