--- a/internal/endpointindex/index_test.go
+++ b/internal/endpointindex/index_test.go
@@ -9,158 +9,164 @@
 	"time"
 )
 
-const young, keep = 10 * time.Second, 2 * time.Second
+const testWarmingPeriod, testFailureTTL = 10 * time.Second, 2 * time.Second
 
-// member is one of a model that finds by walking over all.
+// member is one of a model that finds members by walking over all.
 type member struct {
-	place Entry[*member]
-	id    int
-	lane  int // -1: none
-	open  bool
-	young bool
-	began time.Duration
-	noted time.Duration // 0: nothing
-	look  bool
+	entry     Entry[*member]
+	id        int
+	group     int // -1: none
+	ready     bool
+	warming   bool
+	startedAt time.Duration
+	failedAt  time.Duration // 0: nothing
+	dirty     bool
 }
 
-// world is a Roster beside its model.
-type world struct {
-	t     *testing.T
-	where string
-	rng   *rand.Rand
-	now   time.Duration
-	r     *Index[*member]
-	lanes [3]Group[*member]
-	all   []*member
-	count [3]int // what the model's walk found young at the last view
-	ages  [3]time.Duration
+// indexModel is an Index beside its model.
+type indexModel struct {
+	t       *testing.T
+	where   string
+	rng     *rand.Rand
+	now     time.Duration
+	index   *Index[*member]
+	groups  [3]Group[*member]
+	members []*member
+	warming [3]int // what the model's walk found warming at the last advance
+	ages    [3]time.Duration
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * time.Hour, r: New[*member](young, keep)}
-	for i := range w.lanes {
-		w.lanes[i] = w.r.NewGroup()
+func newIndexModel(t *testing.T, seed uint64) *indexModel {
+	w := &indexModel{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * time.Hour,
+		index: New[*member](testWarmingPeriod, testFailureTTL)}
+	for i := range w.groups {
+		w.groups[i] = w.index.NewGroup()
 	}
 	for id := range 1 + w.rng.IntN(200) {
-		m := &member{id: id, lane: -1}
-		m.place = Entry[*member]{Value: m, Rank: w.rng.Uint64N(100), TieBreaker: uint32(id)}
-		w.all = append(w.all, m)
+		m := &member{id: id, group: -1}
+		m.entry = Entry[*member]{Value: m, Rank: w.rng.Uint64N(100), TieBreaker: uint32(id)}
+		w.members = append(w.members, m)
 	}
 	return w
 }
 
-// change does something with a member. Some begin behind or ahead of the clock, some at one moment.
-func (w *world) change() {
-	m := w.all[w.rng.IntN(len(w.all))]
+// change does something with a member. Some start before or after the current time, some at one moment.
+func (w *indexModel) change() {
+	m := w.members[w.rng.IntN(len(w.members))]
 	switch w.rng.IntN(10) {
 	case 0, 1:
-		m.lane, m.noted = -1, 0
-		w.r.Remove(&m.place)
+		m.group, m.failedAt = -1, 0
+		w.index.Remove(&m.entry)
 		return
 	case 2, 3:
-		m.noted = w.now
-		w.r.RecordFailure(&m.place, w.now)
+		m.failedAt = w.now
+		w.index.RecordFailure(&m.entry, w.now)
 		return
 	case 4:
-		m.look = true
-		w.r.MarkDirty(&m.place)
+		m.dirty = true
+		w.index.MarkDirty(&m.entry)
 		return
 	case 5:
-		w.settle()
+		w.reconcile()
 		return
 	}
-	m.lane, m.open = w.rng.IntN(3), w.rng.IntN(3) > 0
+	m.group, m.ready = w.rng.IntN(3), w.rng.IntN(3) > 0
 	if w.rng.IntN(2) == 0 {
-		m.began = w.now - 2*young + time.Duration(w.rng.IntN(25))*time.Second
+		m.startedAt = w.now - 2*testWarmingPeriod + time.Duration(w.rng.IntN(25))*time.Second
 	}
 	if w.rng.IntN(4) == 0 {
-		m.young = !m.young
+		m.warming = !m.warming
 	}
-	m.place.Put(&w.lanes[m.lane], m.open, m.young, m.began)
+	m.entry.Put(&w.groups[m.group], m.ready, m.warming, m.startedAt)
 }
 
-// settle is done with most, and finds each that is to be looked at once.
-func (w *world) settle() {
-	w.r.Reconcile(func(m *member) bool {
-		if !m.look {
-			w.t.Errorf("%s: %d is looked at, or once more", w.where, m.id)
+// reconcile checks that each dirty member is visited once.
+func (w *indexModel) reconcile() {
+	w.index.Reconcile(func(m *member) bool {
+		if !m.dirty {
+			w.t.Errorf("%s: %d is visited without being dirty, or twice", w.where, m.id)
 		}
-		m.look = false
+		m.dirty = false
 		return true
 	})
-	for _, m := range w.all {
-		if m.look {
-			w.t.Errorf("%s: %d is not looked at", w.where, m.id)
+	for _, m := range w.members {
+		if m.dirty {
+			w.t.Errorf("%s: %d is not visited", w.where, m.id)
 		}
 	}
 }
 
-func (w *world) see() {
-	w.r.Advance(w.now)
-	for i := range w.lanes {
-		w.count[i], w.ages[i] = 0, 0
-		for _, m := range w.all {
-			if m.lane == i && m.open && m.young && w.now-m.began < young {
-				w.count[i]++
-				w.ages[i] += max(0, w.now-m.began)
+func (w *indexModel) advance() {
+	w.index.Advance(w.now)
+	for i := range w.groups {
+		w.warming[i], w.ages[i] = 0, 0
+		for _, m := range w.members {
+			if m.group == i && m.ready && m.warming && w.now-m.startedAt < testWarmingPeriod {
+				w.warming[i]++
+				w.ages[i] += max(0, w.now-m.startedAt)
 			}
 		}
 	}
 }
 
-func (w *world) check(i int) {
-	known, l := 0, &w.lanes[i]
+func (w *indexModel) check(i int) {
+	known, l := 0, &w.groups[i]
 	var want []*member
-	for _, m := range w.all {
-		if m.lane == i {
+	for _, m := range w.members {
+		if m.group == i {
 			known++
-			if m.open {
+			if m.ready {
 				want = append(want, m)
 			}
 		}
 	}
 	slices.SortFunc(want, func(a, b *member) int {
-		return cmp.Or(cmp.Compare(a.place.Rank, b.place.Rank), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.entry.Rank, b.entry.Rank), cmp.Compare(a.id, b.id))
 	})
 	if got := slices.Collect(l.Ready()); !slices.Equal(got, want) || l.ReadyLen() != len(want) || l.Len() != known {
-		w.t.Errorf("%s, lane %d: %d of %d, %d open, want %d of %d, or another order", w.where, i, len(got), l.Len(), l.ReadyLen(), len(want), known)
+		w.t.Errorf("%s, group %d: %d of %d, %d ready, want %d of %d, or another order", w.where, i,
+			len(got), l.Len(), l.ReadyLen(), len(want), known)
 	}
-	if n, ages := l.Warming(); n != w.count[i] || ages != w.ages[i] {
-		w.t.Errorf("%s, lane %d: %d young of %v together, want %d of %v", w.where, i, n, ages, w.count[i], w.ages[i])
+	if n, ages := l.Warming(); n != w.warming[i] || ages != w.ages[i] {
+		w.t.Errorf("%s, group %d: %d warming of %v together, want %d of %v", w.where, i, n, ages,
+			w.warming[i], w.ages[i])
 	}
 }
 
-// What is found is what a walk over all members finds, whatever they do, and Young what it found at
-// the last view.
-func TestAgainstAWalkOverAll(t *testing.T) {
+// Whatever happens to members, the index finds what a walk over all finds, and Warming what the walk
+// found at the last Advance.
+func TestIndex_MatchesWalkOverMembers(t *testing.T) {
 	for seed := range uint64(60) {
-		w := newWorld(t, seed)
+		w := newIndexModel(t, seed)
 		for step := range 600 {
 			w.where = fmt.Sprintf("seed %d, step %d", seed, step)
 			for range w.rng.IntN(8) {
 				w.change()
 			}
 			if w.rng.IntN(2) == 0 {
-				w.see()
+				w.advance()
 			}
 			if w.rng.IntN(2) == 0 {
 				w.check(w.rng.IntN(3))
 			}
-			open, noted, kept := 0, 0, 0
-			ago := keep/2 + time.Duration(w.rng.IntN(5))*keep/8
-			for _, m := range w.all {
-				if m.lane >= 0 && m.open {
-					open++
+			ready, failed, remembered := 0, 0, 0
+			ago := testFailureTTL/2 + time.Duration(w.rng.IntN(5))*testFailureTTL/8
+			for _, m := range w.members {
+				if m.group >= 0 && m.ready {
+					ready++
 				}
-				if m.noted > 0 && w.now-m.noted < ago {
-					noted++
+				if m.failedAt > 0 && w.now-m.failedAt < ago {
+					failed++
 				}
-				if m.place.failure != nil {
-					kept++
+				if m.entry.failure != nil {
+					remembered++
 				}
 			}
-			if w.r.ReadyLen() != open || w.r.RecentFailures(w.now, ago) != noted || w.r.failures.Len() != kept {
-				t.Errorf("%s: %d open, %d noted of %d kept, want %d, %d of %d", w.where, w.r.ReadyLen(), w.r.RecentFailures(w.now, ago), w.r.failures.Len(), open, noted, kept)
+			if w.index.ReadyLen() != ready || w.index.RecentFailures(w.now, ago) != failed ||
+				w.index.failures.Len() != remembered {
+				t.Errorf("%s: %d ready, %d failed of %d remembered, want %d, %d of %d", w.where,
+					w.index.ReadyLen(), w.index.RecentFailures(w.now, ago), w.index.failures.Len(),
+					ready, failed, remembered)
 			}
 			if w.now += time.Duration(w.rng.IntN(5)) * 250 * time.Millisecond; t.Failed() {
 				return
@@ -169,11 +175,11 @@
 	}
 }
 
-// A walk that is ended goes no further, and an empty lane has none.
-func TestAWalkEnds(t *testing.T) {
-	l := New[int](young, keep).NewGroup()
+// A loop over Ready that breaks goes no further, and an empty group has no members.
+func TestReady_StopsEarly(t *testing.T) {
+	l := New[int](testWarmingPeriod, testFailureTTL).NewGroup()
 	for range l.Ready() {
-		t.Error("an empty lane has a member")
+		t.Error("an empty group has a member")
 	}
 	for i := range 1000 {
 		(&Entry[int]{Value: i, Rank: uint64(i)}).Put(&l, true, false, 0)
@@ -189,38 +195,38 @@
 	}
 }
 
-// The sum of the beginnings of very many is over what a number holds; the sum of their ages is not.
-// Nothing is kept of those that are gone.
-func TestManyBeginningsLongAfterTheOrigin(t *testing.T) {
+// Two days after the clock's origin the start times of 110,000 members sum up to more than a Duration
+// holds; the sum of their ages must be right all the same. Nothing is kept of members that are removed.
+func TestWarming_ManyMembersLongAfterOrigin(t *testing.T) {
 	const n = 110_000
-	now, r := 48*time.Hour, New[int](young, keep)
-	l, places := r.NewGroup(), make([]Entry[int], n)
-	for i := range places {
-		places[i] = Entry[int]{Rank: uint64(i)}
-		places[i].Put(&l, true, true, now-time.Second)
+	now, r := 48*time.Hour, New[int](testWarmingPeriod, testFailureTTL)
+	l, entries := r.NewGroup(), make([]Entry[int], n)
+	for i := range entries {
+		entries[i] = Entry[int]{Rank: uint64(i)}
+		entries[i].Put(&l, true, true, now-time.Second)
 	}
 	r.Advance(now)
 	if got, ages := l.Warming(); got != n || ages != n*time.Second {
 		t.Errorf("%d of %v together", got, ages)
 	}
-	for i := range places[1:] {
-		r.Remove(&places[i+1])
+	for i := range entries[1:] {
+		r.Remove(&entries[i+1])
 	}
 	r.Advance(now)
 	if got, ages := l.Warming(); got != 1 || ages != time.Second || l.Len() != 1 {
 		t.Errorf("of one: %d of %v together, %d known", got, ages, l.Len())
 	}
-	r.Advance(now + young)
-	r.Remove(&places[0])
+	r.Advance(now + testWarmingPeriod)
+	r.Remove(&entries[0])
 	if kept := l.started.counts.Len() + l.upcoming.counts.Len(); kept != 0 {
-		t.Errorf("%d beginnings are kept of nobody", kept)
+		t.Errorf("%d start times are kept of no member", kept)
 	}
 }
 
-// What is not done with is looked at each time until it is, and what was noted long ago is let go
-// of.
-func TestSettleAndNote(t *testing.T) {
-	r := New[int](young, keep)
+// A dirty member is visited each time until it is done with, and failures longer ago than the TTL are
+// forgotten.
+func TestReconcileAndRecordFailure(t *testing.T) {
+	r := New[int](testWarmingPeriod, testFailureTTL)
 	a, b := &Entry[int]{Value: 1}, &Entry[int]{Value: 2}
 	r.MarkDirty(a)
 	r.MarkDirty(b)
@@ -232,10 +238,10 @@
 		}
 	}
 	if r.dirty != nil {
-		t.Error("a list is kept for none")
+		t.Error("a list is kept for no members")
 	}
 	r.RecordFailure(a, time.Second)
-	if r.RecordFailure(b, time.Second+keep); r.failures.Len() != 1 {
-		t.Errorf("%d notes are kept, the older of which is %v old", r.failures.Len(), keep)
+	if r.RecordFailure(b, time.Second+testFailureTTL); r.failures.Len() != 1 {
+		t.Errorf("%d failures are remembered, the older of which is %v old", r.failures.Len(), testFailureTTL)
 	}
 }
