--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,10 @@
-// Package membership says which backends there are. It holds the form in which any source (the platform's
-// discovery, a file, a program's own list) reports them; a source only reports, and never learns what is made
-// of it. The package is pure: it does no I/O and reads no clock.
+// Package membership decides which backends exist and which of them may be sent requests, by what
+// several sources report: the platform's discovery, a service catalog, a file, or a program's own
+// list.
+//
+// A Table merges the sources' updates and owns all that is kept of them. Sources only report and
+// never learn what became of a report. The package is pure: updates and times go in, changes come
+// out. It does no I/O and reads no clock.
 package membership
 
 import (
@@ -10,51 +14,58 @@
 	"pumicecroft/decision"
 )
 
-// Node is one backend.
+// Node is one backend as a source reports it.
 type Node struct {
-	Name         string // the same for as long as this is the same machine, whatever its address
-	Addr         string // host:port to connect to; may be empty of a node that is gone
+	Name         string // identity: the same for as long as it is the same machine, whatever its address
+	Addr         string // host:port to connect to; may be empty in a removed node
 	Zone         string
-	InstanceType string // the model of the machine
-	// Protocol is what it speaks: ProtocolHTTP, ProtocolGRPC; empty: what the Door takes it to be.
+	InstanceType string
+	// Protocol is what the node speaks: ProtocolHTTP, ProtocolGRPC or the name of another transport.
+	// Empty means the gateway's default.
 	Protocol  string
-	Cell      int // backends of one cell drop each other's repeats
+	Cell      int // backends of one cell share their deduplication of idempotency keys
 	State     decision.BackendState
 	Weight    float64
-	StartedAt time.Time // when its process last started, or was registered; the zero time: long ago
-	Note      string    // why its source says so, for people
+	StartedAt time.Time // when its process started or was registered; zero means long ago
+	Note      string    // why the source reports this state, for people
 }
 
-// The protocols that a node may speak.
+// Protocols that a node may speak.
 const (
 	ProtocolHTTP = "http"
 	ProtocolGRPC = "grpc"
 )
 
-// Update is news of the nodes.
+// Update is what a source reports: all its nodes, or those that changed.
 type Update struct {
-	Full        bool // these are all nodes, and what is missing is gone; else only these have changed
-	Cached      bool // with Whole: it is the list as last held before a restart, and may be old
-	SourceReset bool // with Whole: its source began anew with other data; what it lacks may only not have come back yet
+	// Full means that Nodes are all the source has, so a node that is missing is removed. Otherwise
+	// nodes that are not named stay as they were.
+	Full bool
+	// Cached marks a Full update that was stored before a restart and may be out of date.
+	Cached bool
+	// SourceReset marks a Full update of a source that restarted with other data: a missing node may
+	// only not have registered again yet.
+	SourceReset bool
 	Nodes       []Node
-	// Invalid names nodes of which the list says something that makes no sense: they stay as they were.
+	// Invalid names nodes whose entries made no sense. They stay as they were.
 	Invalid []string
-	// DrainsOnly says that a list which names these as draining has begun and not ended. The nodes that are known drain from now on, whether
-	// or not it ends; the rest of it comes when it has.
+	// DrainsOnly marks the part of an unfinished update that names draining nodes. Those that are known
+	// drain from now on, whether or not the update is ever completed; nothing else is taken from it.
 	DrainsOnly bool
-	// Err says that the source can't be heard, and why; nothing else is looked at. What it said stays.
+	// Err means that the source can't be reached. The rest of the update is ignored, and what the source
+	// reported before stays in force.
 	Err error
 }
 
-// Check tells what is wrong with a node, or nil.
+// Check returns what is wrong with a node, or nil.
 func (n Node) Check() error {
 	switch {
 	case n.Name == "":
-		return fmt.Errorf("a node without a name, at %q", n.Addr)
+		return fmt.Errorf("membership: node without a name at %q", n.Addr)
 	case n.State > decision.Removed:
-		return fmt.Errorf("node %q has no state that is known", n.Name)
+		return fmt.Errorf("membership: node %q has an unknown state", n.Name)
 	case n.Addr == "" && n.State != decision.Removed:
-		return fmt.Errorf("node %q has no address", n.Name)
+		return fmt.Errorf("membership: node %q has no address", n.Name)
 	}
 	return nil
 }
