--- a/consul/source_test.go
+++ b/consul/source_test.go
@@ -121,7 +121,7 @@
 		r.agent.Remove("n1", id)
 	}
 	r.await(d, "five to go", func(ms map[string]pumicecroft.BackendStatus) bool { return len(ms) == 1 })
-	if n := len(r.agent.Questions()) - asked; n < 2 { // when, is membership's business: TestLosingMost has it to the millisecond
+	if n := len(r.agent.Questions()) - asked; n < 2 { // when, is membership's business: TestMassRemoval has it to the millisecond
 		t.Errorf("they were let go after %d questions", n)
 	}
 	r.whole(l)
--- /dev/null
+++ b/membership/helpers_test.go
@@ -0,0 +1,142 @@
+package membership
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"pumicecroft/decision"
+)
+
+const sec = time.Second
+
+// tableTest is a table whose updates and changes are written as short lines. A node is "a", followed by
+// ":draining" or ":gone", "@addr", and "^7" for a start at 7 s.
+type tableTest struct {
+	t     *testing.T
+	table *Table
+}
+
+func newTableTest(t *testing.T, policy Policy, sources ...string) *tableTest {
+	return &tableTest{t, NewTable(policy, sourceInfos(sources...)...)}
+}
+
+// sourceInfos returns sources by name; one with a "!" behind it is trusted.
+func sourceInfos(names ...string) []SourceInfo {
+	var out []SourceInfo
+	for _, name := range names {
+		name, trusted := strings.CutSuffix(name, "!")
+		out = append(out, SourceInfo{Name: name, Trusted: trusted})
+	}
+	return out
+}
+
+func startOffset(at time.Time) time.Duration {
+	if at.IsZero() {
+		return 0
+	}
+	return time.Duration(at.UnixNano())
+}
+
+func parseNodes(text string) []Node {
+	var out []Node
+	for field := range strings.FieldsSeq(text) {
+		field, start, _ := strings.Cut(field, "^")
+		field, addr, _ := strings.Cut(field, "@")
+		name, state, _ := strings.Cut(field, ":")
+		states := map[string]decision.BackendState{"draining": decision.Draining, "gone": decision.Removed}
+		n := Node{Name: name, Addr: "h:" + name + addr, State: states[state]}
+		if start != "" {
+			seconds, err := strconv.ParseInt(start, 10, 64)
+			if err != nil {
+				panic(err)
+			}
+			n.StartedAt = time.Unix(seconds, 0)
+		}
+		out = append(out, n)
+	}
+	return out
+}
+
+func formatChanges(changes []Change) string {
+	var out []string
+	for _, c := range changes {
+		line := fmt.Sprintf("%s#%d:%s", c.Name, c.ID, []string{"ready", "draining", "gone"}[c.State])
+		if c.StartedAt > 0 {
+			line += fmt.Sprintf("^%d", int(c.StartedAt/sec))
+		}
+		if c.Replaced {
+			line += " moved to " + c.Addr
+		}
+		out = append(out, line)
+	}
+	return strings.Join(out, "; ")
+}
+
+func (tt *tableTest) changes(at time.Duration, source, text, want string) {
+	tt.t.Helper()
+	changes, invalid := tt.table.Report(at, source, Update{Nodes: parseNodes(text)}, startOffset)
+	tt.want(at, changes, want)
+	if len(invalid) > 0 {
+		tt.t.Errorf("at %v: %v", at, invalid)
+	}
+}
+
+func (tt *tableTest) full(at time.Duration, source, text, want string) {
+	tt.t.Helper()
+	changes, _ := tt.table.Report(at, source, Update{Full: true, Nodes: parseNodes(text)}, startOffset)
+	tt.want(at, changes, want)
+}
+
+func (tt *tableTest) tick(at time.Duration, want string) {
+	tt.t.Helper()
+	tt.want(at, tt.table.Tick(at), want)
+}
+
+func (tt *tableTest) want(at time.Duration, changes []Change, want string) {
+	tt.t.Helper()
+	if got := formatChanges(changes); got != want {
+		tt.t.Errorf("at %v: %q, want %q", at, got, want)
+	}
+}
+
+// wantStatus checks a node as people see it.
+func (tt *tableTest) wantStatus(name, want string) {
+	tt.t.Helper()
+	got := "unknown"
+	for _, v := range tt.table.Statuses() {
+		if v.Name == name {
+			got = fmt.Sprintf("%v since %v by %s", v.EffectiveState, v.Since, v.Source)
+			if v.Stale {
+				got += ", old"
+			}
+			if v.ProbationUntil > 0 {
+				got += fmt.Sprintf(", until %v", v.ProbationUntil)
+			}
+		}
+	}
+	if got != want {
+		tt.t.Errorf("%s: %q, want %q", name, got, want)
+	}
+}
+
+// reportFailure has a source report that it can't be reached.
+func reportFailure(table *Table, now time.Duration, source string) []Change {
+	return changesOf(table.Report(now, source, Update{Err: errors.New("cut")}, startOffset))
+}
+
+// doubtsRemoval reports whether a table keeps nodes that a source's full update lacks.
+func doubtsRemoval(table *Table, source string) bool {
+	return len(table.sources[table.sourceIndex(source)].missing) > 0
+}
+
+// isMissing reports whether a node is kept although a full update lacks it.
+func isMissing(table *Table, name string) bool {
+	return slices.ContainsFunc(table.sources, func(o source) bool { return o.missing[name] != nil })
+}
+
+func changesOf(changes []Change, _ []error) []Change { return changes }
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -194,7 +194,10 @@
 	previous := m.report(node.Name)
 	reported := previous != nil
 	removedBy, removed := m.removedIndex[node.Name]
-	if removed && index <= removedBy || reported && previous.updateNumber == m.updateNumber && index <= previous.entryIndex {
+	if removed && index <= removedBy {
+		return
+	}
+	if reported && previous.updateNumber == m.updateNumber && index <= previous.entryIndex {
 		return
 	}
 	m.table.sources[m.sourceIndex].clearMissing(node.Name)
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -11,30 +11,30 @@
 	"pumicecroft/decision"
 )
 
-// mirror is what somebody has made of a table's changes.
+// mirror holds the last change of each node, as a consumer of a table's changes knows the nodes.
 type mirror map[string]Change
 
-// apply follows changes, and tells which nodes have become ready by them.
-func (h mirror) apply(cs []Change) (ready []string) {
-	for _, c := range cs {
-		switch was, known := h[c.Name]; {
+// apply follows changes and returns the nodes that became ready by them.
+func (m mirror) apply(changes []Change) (ready []string) {
+	for _, c := range changes {
+		switch was, known := m[c.Name]; {
 		case c.State == decision.Removed:
-			delete(h, c.Name)
+			delete(m, c.Name)
 			continue
 		case c.State == decision.Ready && (!known || was.State != decision.Ready):
 			ready = append(ready, c.Name)
 		}
 		c.Replaced = false
-		h[c.Name] = c
+		m[c.Name] = c
 	}
 	return ready
 }
 
-// any list of a few nodes, some of them named more than once, some of which make no sense.
+// randomUpdate returns an update of a few nodes, some of them named more than once, some invalid.
 func randomUpdate(rng *rand.Rand) Update {
-	l := Update{Full: rng.IntN(3) > 0, DrainsOnly: rng.IntN(6) == 0}
-	if l.DrainsOnly {
-		l.Full = false
+	update := Update{Full: rng.IntN(3) > 0, DrainsOnly: rng.IntN(6) == 0}
+	if update.DrainsOnly {
+		update.Full = false
 	}
 	for range rng.IntN(12) {
 		name := fmt.Sprintf("n%d", rng.IntN(8))
@@ -43,101 +43,106 @@
 			n.Addr = ""
 		}
 		if rng.IntN(10) == 0 {
-			l.Invalid = append(l.Invalid, name)
+			update.Invalid = append(update.Invalid, name)
 		} else {
-			l.Nodes = append(l.Nodes, n)
+			update.Nodes = append(update.Nodes, n)
 		}
 	}
-	return l
+	return update
 }
 
-// A list that is taken in steps of any size, with other sources' reports and ticks between them, ends where the same list in one piece ends
-// with those behind it or before it; and between two steps nothing is sent that the list takes out, or that neither it nor the state before it had ready.
-func TestStepsComeToWhatOnePieceDoes(t *testing.T) {
+// A long update is merged in steps, so that requests are decided between two of them. Whatever the size
+// of the steps and with ticks between them, the merge must end where the update in one piece ends, and in
+// between no node may become ready that the update takes out, or that neither it nor the state before
+// has ready.
+func TestMergeInStepsEqualsReport(t *testing.T) {
 	for seed := range uint64(4000) {
 		rng := rand.New(rand.NewPCG(seed, 17))
-		rules := Policy{MaxNodes: []int{4, 100}[rng.IntN(2)]}
-		whole, steps := NewTable(rules, sourceInfos("a!", "b!")...), NewTable(rules, sourceInfos("a!", "b!")...)
-		one, other, words := mirror{}, mirror{}, map[string]Node{}
+		policy := Policy{MaxNodes: []int{4, 100}[rng.IntN(2)]}
+		atOnce, inSteps := NewTable(policy, sourceInfos("a!", "b!")...), NewTable(policy, sourceInfos("a!", "b!")...)
+		want, got, literal := mirror{}, mirror{}, map[string]Node{}
 		for round := range 12 {
 			at := time.Duration(round) * sec
-			l := randomUpdate(rng)
-			cs, badOne := whole.Report(at, "a", l, startOffset)
-			last := map[string]decision.BackendState{} // what the list comes to
-			for _, n := range l.Nodes {
-				if l.DrainsOnly || n.Check() == nil {
+			update := randomUpdate(rng)
+			changes, wantInvalid := atOnce.Report(at, "a", update, startOffset)
+			last := map[string]decision.BackendState{} // what the update comes to
+			for _, n := range update.Nodes {
+				if update.DrainsOnly || n.Check() == nil {
 					last[n.Name] = n.State
 				}
 			}
 			before := map[string]bool{}
-			for name := range one {
+			for name := range want {
 				before[name] = true
 			}
-			one.apply(cs)
-			applyInOrder(words, l)
-			badSteps := 0
-			walk := steps.BeginMerge("a", l, startOffset)
-			for more, n := true, 0; more; n++ {
-				var cs []Change
-				var bad []error
-				cs, bad, more = walk.Next(at, 1+rng.IntN(3))
-				badSteps += len(bad)
-				for _, name := range other.apply(cs) {
-					if state, named := last[name]; !named || state != decision.Ready && (before[name] || !namedTwice(l, name)) {
-						t.Fatalf("seed %d, round %d: step %d makes %s ready; the list: %+v", seed, round, n, name, l)
+			want.apply(changes)
+			applyInOrder(literal, update)
+			invalidInSteps := 0
+			merge := inSteps.BeginMerge("a", update, startOffset)
+			for more, step := true, 0; more; step++ {
+				var changes []Change
+				var invalid []error
+				changes, invalid, more = merge.Next(at, 1+rng.IntN(3))
+				invalidInSteps += len(invalid)
+				for _, name := range got.apply(changes) {
+					state, named := last[name]
+					if !named || state != decision.Ready && (before[name] || !namedTwice(update, name)) {
+						t.Fatalf("seed %d, round %d: step %d makes %s ready; the update: %+v", seed, round, step, name, update)
 					}
 				}
 				if rng.IntN(3) == 0 {
-					other.apply(steps.Tick(at))
+					got.apply(inSteps.Tick(at))
 				}
 			}
-			if badSteps != len(badOne) {
-				t.Fatalf("seed %d, round %d: %d entries that make no sense in steps, %d in one piece", seed, round, badSteps, len(badOne))
+			if invalidInSteps != len(wantInvalid) {
+				t.Fatalf("seed %d, round %d: %d invalid entries in steps, %d at once",
+					seed, round, invalidInSteps, len(wantInvalid))
 			}
-			if !maps.EqualFunc(one, other, func(a, b Change) bool { a.ID, b.ID = 0, 0; return a == b }) || whole.SkippedEntries() != steps.SkippedEntries() {
-				t.Fatalf("seed %d, round %d: in steps %+v, in one piece %+v, by %+v", seed, round, other, one, l)
+			if !maps.EqualFunc(want, got, func(a, b Change) bool { a.ID, b.ID = 0, 0; return a == b }) ||
+				atOnce.SkippedEntries() != inSteps.SkippedEntries() {
+				t.Fatalf("seed %d, round %d: in steps %+v, at once %+v, by %+v", seed, round, got, want, update)
 			}
-			if rules.MaxNodes == 100 && !maps.EqualFunc(one, words, func(c Change, n Node) bool {
+			if policy.MaxNodes == 100 && !maps.EqualFunc(want, literal, func(c Change, n Node) bool {
 				return c.Addr == n.Addr && (c.State == decision.Ready) == (n.State == decision.Ready)
 			}) {
-				t.Fatalf("seed %d, round %d: %+v, by the words themselves %+v, by %+v", seed, round, one, words, l)
+				t.Fatalf("seed %d, round %d: %+v, entry by entry %+v, by %+v", seed, round, want, literal, update)
 			}
 		}
 	}
 }
 
-// applyInOrder follows a list's words as they stand in it, one after another.
-func applyInOrder(words map[string]Node, l Update) {
+// applyInOrder applies an update's entries one after another, as they stand in it.
+func applyInOrder(nodes map[string]Node, update Update) {
 	named := map[string]bool{}
-	for _, name := range l.Invalid {
+	for _, name := range update.Invalid {
 		named[name] = true
 	}
-	for _, n := range l.Nodes {
+	for _, n := range update.Nodes {
 		named[n.Name] = true
-		known, there := words[n.Name]
+		known, ok := nodes[n.Name]
 		switch {
-		case l.DrainsOnly && there:
+		case update.DrainsOnly && ok:
 			known.State = decision.Draining
-			words[n.Name] = known
-		case l.DrainsOnly || n.Check() != nil:
+			nodes[n.Name] = known
+		case update.DrainsOnly || n.Check() != nil:
 		case n.State == decision.Removed:
-			delete(words, n.Name)
+			delete(nodes, n.Name)
 		default:
 			if n.Addr == "" {
 				n.Addr = known.Addr
 			}
-			words[n.Name] = n
+			nodes[n.Name] = n
 		}
 	}
-	if l.Full {
-		maps.DeleteFunc(words, func(name string, _ Node) bool { return !named[name] })
+	if update.Full {
+		maps.DeleteFunc(nodes, func(name string, _ Node) bool { return !named[name] })
 	}
 }
 
-// namedTwice tells whether a list names a node more than once.
-func namedTwice(l Update, name string) bool {
+// namedTwice reports whether an update names a node more than once.
+func namedTwice(update Update, name string) bool {
 	n := 0
-	for _, node := range l.Nodes {
+	for _, node := range update.Nodes {
 		if node.Name == name {
 			n++
 		}
@@ -145,22 +150,23 @@
 	return n > 1
 }
 
-// What drains comes in front of all else, what is gone by not being named behind it, and another source's word between two steps counts at once.
-func TestTheOrderOfSteps(t *testing.T) {
-	r := newTableTest(t, Policy{}, "s!", "t!")
-	r.full(0, "s", "a b c d", "a#1:ready; b#2:ready; c#3:ready; d#4:ready")
-	walk := r.tb.BeginMerge("s", Update{Full: true, Nodes: parseNodes("e a f b:draining g d")}, startOffset)
+// Drains are merged before all other entries and missing nodes are removed after them; another source's
+// report between two steps counts at once.
+func TestMergeTakesDrainsFirst(t *testing.T) {
+	tt := newTableTest(t, Policy{}, "s!", "t!")
+	tt.full(0, "s", "a b c d", "a#1:ready; b#2:ready; c#3:ready; d#4:ready")
+	merge := tt.table.BeginMerge("s", Update{Full: true, Nodes: parseNodes("e a f b:draining g d")}, startOffset)
 	next := func(n int, want string, wantMore bool) {
 		t.Helper()
-		cs, _, more := walk.Next(sec, n)
-		r.want(sec, cs, want)
+		changes, _, more := merge.Next(sec, n)
+		tt.want(sec, changes, want)
 		if more != wantMore {
 			t.Errorf("%q: more %v", want, more)
 		}
 	}
 	next(1, "b#2:draining", true)
 	next(1, "e#5:ready", true)
-	r.changes(sec, "t", "d:draining", "d#4:draining")
+	tt.changes(sec, "t", "d:draining", "d#4:draining")
 	next(1, "", true)
 	next(3, "f#6:ready; g#7:ready", true)
 	next(1, "", true)
@@ -168,26 +174,30 @@
 	next(1, "", false)
 }
 
-// Nodes that a list has draining before it has ended drain if they are known, whatever becomes of the list; nothing else comes of it.
-func TestEarlyDrains(t *testing.T) {
-	r := newTableTest(t, Policy{}, "s!", "t!")
-	r.full(0, "s", "a b", "a#1:ready; b#2:ready")
-	r.full(0, "t", "c", "c#3:ready")
-	early := Update{DrainsOnly: true, Nodes: []Node{{Name: "a", State: decision.Draining}, {Name: "c", State: decision.Draining}, {Name: "z", State: decision.Draining}}}
-	cs, bad := r.tb.Report(sec, "s", early, startOffset)
-	r.want(sec, cs, "a#1:draining; c#3:draining")
-	if len(bad) > 0 || r.tb.Len() != 3 || cs[0].Addr != "h:a" || cs[0].Replaced {
-		t.Errorf("%v, %d nodes, %+v", bad, r.tb.Len(), cs[0])
+// An unfinished update reports drains before the rest of it has come. Those of known nodes count, whatever
+// becomes of the update; nothing else may come of it.
+func TestDrainsOnlyUpdate(t *testing.T) {
+	tt := newTableTest(t, Policy{}, "s!", "t!")
+	tt.full(0, "s", "a b", "a#1:ready; b#2:ready")
+	tt.full(0, "t", "c", "c#3:ready")
+	early := Update{DrainsOnly: true, Nodes: []Node{
+		{Name: "a", State: decision.Draining}, {Name: "c", State: decision.Draining}, {Name: "z", State: decision.Draining},
+	}}
+	changes, invalid := tt.table.Report(sec, "s", early, startOffset)
+	tt.want(sec, changes, "a#1:draining; c#3:draining")
+	if len(invalid) > 0 || tt.table.Len() != 3 || changes[0].Addr != "h:a" || changes[0].Replaced {
+		t.Errorf("%v, %d nodes, %+v", invalid, tt.table.Len(), changes[0])
 	}
-	r.full(2*sec, "s", "a b", "a#1:ready; c#3:ready") // it says nothing of c
+	tt.full(2*sec, "s", "a b", "a#1:ready; c#3:ready") // it says nothing of c
 }
 
-// A whole list takes the place of one that filled the table.
-func TestRoomThatAListMakes(t *testing.T) {
-	r := newTableTest(t, Policy{MaxNodes: 3}, "s!")
-	r.full(0, "s", "a b c", "a#1:ready; b#2:ready; c#3:ready")
-	r.full(sec, "s", "x c y z", "a#1:gone; b#2:gone; x#4:ready; y#5:ready")
-	if r.tb.SkippedEntries() != 1 {
-		t.Errorf("%d were passed over", r.tb.SkippedEntries())
+// A full update that replaces the nodes of a full table finds room: its last entries are skipped only
+// until the missing nodes are removed.
+func TestFullUpdateReplacesFullTable(t *testing.T) {
+	tt := newTableTest(t, Policy{MaxNodes: 3}, "s!")
+	tt.full(0, "s", "a b c", "a#1:ready; b#2:ready; c#3:ready")
+	tt.full(sec, "s", "x c y z", "a#1:gone; b#2:gone; x#4:ready; y#5:ready")
+	if tt.table.SkippedEntries() != 1 {
+		t.Errorf("%d entries were skipped", tt.table.SkippedEntries())
 	}
 }
--- a/membership/names_test.go
+++ b/membership/names_test.go
@@ -2,9 +2,17 @@
 
 import "testing"
 
-// The states' names stand in the output of "pumicecroft members", in JSON and in traces: they don't follow the constants' names.
+// The names of states are part of the output of "pumicecroft members", of JSON and of traces: a constant
+// that is renamed must not change them.
 func TestStateNames(t *testing.T) {
-	for state, want := range map[State]string{Unknown: "unknown", WarmingUp: "cold", Ready: "ready", Probation: "suspect", Draining: "draining", Removed: "gone"} {
+	for state, want := range map[State]string{
+		Unknown:   "unknown",
+		WarmingUp: "cold",
+		Ready:     "ready",
+		Probation: "suspect",
+		Draining:  "draining",
+		Removed:   "gone",
+	} {
 		if got := state.String(); got != want {
 			t.Errorf("state %d is called %q, want %q", state, got, want)
 		}
--- a/membership/policy.go
+++ b/membership/policy.go
@@ -41,8 +41,8 @@
 const DefaultMaxNodes = 20_000
 
 const (
-	defaultProbationMin     = time.Second
-	defaultProbationMax     = time.Minute
+	defaultMinProbation     = time.Second
+	defaultMaxProbation     = time.Minute
 	defaultProbationReset   = time.Minute
 	defaultWarmupWindow     = 15 * time.Second
 	defaultMassRemovalRatio = 0.5
@@ -53,8 +53,8 @@
 
 func (p Policy) withDefaults() Policy {
 	return Policy{
-		ProbationMin:     positiveOr(p.ProbationMin, defaultProbationMin),
-		ProbationMax:     positiveOr(p.ProbationMax, defaultProbationMax),
+		ProbationMin:     positiveOr(p.ProbationMin, defaultMinProbation),
+		ProbationMax:     positiveOr(p.ProbationMax, defaultMaxProbation),
 		ProbationReset:   positiveOr(p.ProbationReset, defaultProbationReset),
 		WarmupWindow:     positiveOr(p.WarmupWindow, defaultWarmupWindow),
 		MaxNodes:         positiveOr(p.MaxNodes, DefaultMaxNodes),
