--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -12,7 +12,8 @@
  "known":{"seq":41,"whole":true,"hosts":[]},
  "settings":{"balancers":2,"me":0,
   "lanes":[{"name":"look","effect":"retryable","goal_time_us":20000000,"deadline_us":60000000,"gain":1},
-   {"name":"pay","effect":"dedup","group":"cell","key_ttl_us":5000000,"goal_time_us":20000000,"deadline_us":60000000,"gain":5}],
+   {"name":"pay","effect":"dedup","group":"cell","key_ttl_us":5000000,"goal_time_us":20000000,
+    "deadline_us":60000000,"gain":5}],
   "tariffs":[{"name":"basic","units_per_s":1000,"burst":1000,"value_factor":1},
    {"name":"tiny","units_per_s":0.5,"burst":1,"value_factor":1}],
   "family_info":{"meter_period_us":500000,"largest":3},
@@ -38,18 +39,19 @@
 	}
 }
 
-// Discovery is asked in its time where asking costs it work, and at once where it tells by itself.
+// Discovery is polled where asking costs it work, and subscribed to at once where it pushes.
 func TestDiscoveryIsAskedWhereItDoesNotTell(t *testing.T) {
 	for how, want := range map[string]time.Duration{"on_request": 10 * time.Second, "pushed": 0} {
 		text := strings.Replace(testConfig, `"settings":{`, `"settings":{"discovery":"`+how+`",`, 1)
-		c, err := ParseConfig([]byte(strings.Replace(text, `"obligations":{`, `"obligations":{"must_ask_in_us":10000000,`, 1)))
+		text = strings.Replace(text, `"obligations":{`, `"obligations":{"must_ask_in_us":10000000,`, 1)
+		c, err := ParseConfig([]byte(text))
 		if err != nil || c.Conns.SubscribeWithin != want {
 			t.Errorf("%s: asked within %v, want %v (%v)", how, c.Conns.SubscribeWithin, want, err)
 		}
 	}
 }
 
-// Settings that can't be served name the key.
+// Invalid settings are rejected by an error that names the key.
 func TestBadSettingsNameTheKey(t *testing.T) {
 	for key, change := range map[string][2]string{
 		"deadline_us":            {`"deadline_us":60000000`, `"deadline_us":0`},
@@ -69,7 +71,7 @@
 	}
 }
 
-// Bad configuration is one clear line, not a front door that runs on defaults.
+// An invalid configuration is an error of one line, never a gateway that runs on defaults.
 func TestBadConfig(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"not JSON":       {"{", "["},
@@ -95,7 +97,7 @@
 	}
 }
 
-// The largest deployment's backends have room in the memory that a front door has on the days that are scored.
+// The backends of the largest deployment fit into the memory of a gateway.
 func TestRoomForBackends(t *testing.T) {
 	for mb, want := range map[int64]int{1: 682, 192: 131_072, 2048: 1_398_101} {
 		if got := (Limits{MemoryMB: mb}).MaxBackends(); got != want {
@@ -104,7 +106,7 @@
 	}
 }
 
-// The limits are named as the configuration page has them, in the line on what is wrong with them too.
+// An error of the limits names them as they are given.
 func TestLimitsNotAboveZero(t *testing.T) {
 	_, err := ParseConfig([]byte(strings.Replace(testConfig, `"sockets":1024`, `"sockets":0`, 1)))
 	if want := "limits {Cores:1 MemoryMB:192 Sockets:0} are not all above 0"; err == nil || err.Error() != want {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -7,7 +7,6 @@
 	"io"
 	"net/http"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -16,11 +15,12 @@
 	"pumicecroft/membership"
 )
 
-const entry = `{"host":"s-1","dial":"127.0.0.1:%d","site":"a","class":"m2","block":3,"health":"%s","share":1.0,"born_ms":0}`
+const entry = `{"host":"s-1","dial":"127.0.0.1:%d","site":"a","class":"m2","block":3,` +
+	`"health":"%s","share":1.0,"born_ms":0}`
 
-// A watch that is silent, ends or says what cannot be read is given up, and the next one asks from the version
-// that was heard last: nothing that discovery told may be lost on the way, a drain least of all.
-func TestWatchGoesOnWhereItWas(t *testing.T) {
+// A watch falls silent, ends or sends an invalid update. The next one asks from the last version that was
+// reported, so that no change is lost, a drain least of all.
+func TestWatchResumesFromLastVersion(t *testing.T) {
 	asked := make(chan string, 10)
 	n := 0
 	addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -41,7 +41,8 @@
 	from := int64(41)
 	for want, wantSeq := range []int64{42, 42, 43} {
 		ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
-		err := (&Discovery{}).watch(ctx, &http.Transport{}, addr, watchTimeouts{silence: time.Second}, &from, func(l EndpointUpdate) { lists <- l })
+		err := (&Discovery{}).watch(ctx, &http.Transport{}, addr, watchTimeouts{silence: time.Second}, &from,
+			func(u EndpointUpdate) { lists <- u })
 		if err == nil || ctx.Err() != nil || from != wantSeq {
 			t.Errorf("watch %d ended with %v at version %d, want %d", want+1, err, from, wantSeq)
 		}
@@ -57,8 +58,8 @@
 	}
 }
 
-// Empty lines keep a watch alive for longer than its time-out.
-func TestEmptyLinesKeepAWatch(t *testing.T) {
+// Empty lines are progress: they keep a watch alive for longer than its timeout.
+func TestEmptyLinesKeepWatchAlive(t *testing.T) {
 	const silence = time.Second
 	addr := testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 12 {
@@ -69,15 +70,16 @@
 		fmt.Fprintln(w, `{"seq":50,"whole":true,"hosts":[]}`)
 	})
 	from := int64(1)
-	err := (&Discovery{}).watch(t.Context(), &http.Transport{}, addr, watchTimeouts{silence: silence}, &from, func(EndpointUpdate) {})
+	err := (&Discovery{}).watch(t.Context(), &http.Transport{}, addr, watchTimeouts{silence: silence}, &from,
+		func(EndpointUpdate) {})
 	if from != 50 {
 		t.Errorf("ended with %v at version %d", err, from)
 	}
 }
 
-// After a move the versions of the old discovery mean nothing: the new one's whole list comes first, and then its
-// changes, from its own version on. The same holds where one discovery's versions go back.
-func TestAMoveTakesTheWholeList(t *testing.T) {
+// Versions of one discovery mean nothing to another. After a change of address, and where versions go back,
+// the full list is asked for first, and then its changes.
+func TestNewAddressStartsWithFullUpdate(t *testing.T) {
 	discovery := func(answer func(r *http.Request) string) (string, chan string) {
 		asked := make(chan string, 10)
 		return testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -92,7 +94,7 @@
 	first, askedFirst := discovery(func(*http.Request) string { return `{"seq":900,"whole":false,"hosts":[]}` })
 	second, askedSecond := discovery(func(r *http.Request) string {
 		if r.URL.RawQuery == "watch=1&from=7" {
-			return `{"seq":2,"whole":false,"hosts":[]}` // it has begun anew
+			return `{"seq":2,"whole":false,"hosts":[]}` // it was reset
 		}
 		return `{"seq":7,"whole":true,"hosts":[]}`
 	})
@@ -122,9 +124,9 @@
 	<-ended
 }
 
-// A move to a discovery that takes connections and never answers changes nothing that was believed, is given up when the next one comes, and
-// leaves nothing behind.
-func TestAMoveToADiscoveryThatNeverAnswers(t *testing.T) {
+// The new discovery accepts connections and never responds. Nothing changes, and the next change of address
+// ends the wait for it.
+func TestNewAddressThatNeverResponds(t *testing.T) {
 	silent := testkit.Serve(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	good := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, `{"seq":7,"whole":true,"hosts":[]}`)
@@ -136,197 +138,71 @@
 	moves, lists, ended := make(chan string), make(chan EndpointUpdate, 100), make(chan bool)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		(&Discovery{Addr: good, FromVersion: 3, AddrChanges: moves, PollWithin: 50 * time.Millisecond, Seed: 1}).Follow(ctx, func(l EndpointUpdate) { lists <- l })
+		d := &Discovery{Addr: good, FromVersion: 3, AddrChanges: moves, PollWithin: 50 * time.Millisecond, Seed: 1}
+		d.Follow(ctx, func(u EndpointUpdate) { lists <- u })
 		close(ended)
 	}()
 	testkit.Await(t, lists, "the first list")
 	moves <- silent
-	for len(lists) > 0 { // what came before the move
+	for len(lists) > 0 { // reported before the change
 		<-lists
 	}
 	select {
 	case l := <-lists:
-		t.Errorf("a discovery that says nothing told %+v", l)
+		t.Errorf("a discovery that never responds sent %+v", l)
 	case <-time.After(fetchTimeout + 200*time.Millisecond): // it has been asked more than once
 	}
 	moves <- good
-	if l := testkit.Await(t, lists, "the list after the second move"); !l.Full || l.Seq != 7 {
+	if l := testkit.Await(t, lists, "the list after the second change"); !l.Full || l.Seq != 7 {
 		t.Errorf("%+v", l)
 	}
 	cancel()
 	testkit.Await(t, ended, "the end")
 }
 
-// What discovery had told when CatchUp was asked for has been reported when it returns: what a reader had not come to, what a watch that
-// had ended would have said, and nothing is waited for that could not be heard before.
-func TestCatchUp(t *testing.T) {
-	d := newScriptedDiscovery(t)
-	var reported atomic.Int64
-	gate := make(chan bool, 1) // held: nothing is reported
-	source := &Discovery{Addr: d.addr, FromVersion: 1}
-	if err := source.Sync(t.Context(), time.Now()); !errors.Is(err, errSilent) {
-		t.Errorf("before anything was asked: %v", err)
-	}
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan bool)
-	go func() {
-		source.Follow(ctx, func(l EndpointUpdate) {
-			gate <- true
-			reported.Store(l.Seq)
-			<-gate
-		})
-		close(ended)
-	}()
-	caught := func(since time.Time, want int64) {
-		t.Helper()
-		long, stop := context.WithTimeout(t.Context(), testkit.Patient)
-		defer stop()
-		if err := source.Sync(long, since); err != nil || reported.Load() < want {
-			t.Fatalf("caught up (%v) with %d reported, %d had been told", err, reported.Load(), want)
-		}
-	}
-	begin := time.Now()
-	for reported.Load() < 2 {
-		time.Sleep(time.Millisecond)
-	}
-	for seq := int64(3); seq < 30; seq++ {
-		d.tell(t, seq)
-		caught(time.Now(), seq)
-	}
-	gate <- true // it can't report for now
-	d.tell(t, 30)
-	done := make(chan bool)
-	go func() { caught(time.Now(), 30); close(done) }()
-	select {
-	case <-done:
-		t.Error("it has caught up with what is not reported")
-	case <-time.After(50 * time.Millisecond):
-	}
-	<-gate
-	testkit.Await(t, done, "it to catch up")
-	d.tell(t, 31)
-	d.cut() // what was told waits, or is lost with its watch: the next one says it
-	caught(begin, 31)
-	d.down()
-	d.cut()
-	for open := true; open; time.Sleep(time.Millisecond) { // until the end of the watch is seen
-		source.state.mu.Lock()
-		open = source.state.synced
-		source.state.mu.Unlock()
-	}
-	short, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
-	defer stop()
-	if err := source.Sync(short, begin); err == nil {
-		t.Error("nothing can be heard, and it has caught up")
-	}
-	if err := source.Sync(t.Context(), time.Now()); !errors.Is(err, errSilent) {
-		t.Errorf("what could not be heard before is waited for: %v", err)
-	}
-	cancel()
-	testkit.Await(t, ended, "the end")
-}
-
-// scriptedDiscovery is a discovery whose watches say what the test says.
-type scriptedDiscovery struct {
-	addr  string
-	mu    sync.Mutex
-	seq   int64
-	dead  bool
-	news  chan bool  // closed at each change
-	end   chan bool  // closed to cut the watches
-	wrote chan int64 // takes each version that was written
-}
-
-func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
-	d := &scriptedDiscovery{seq: 2, news: make(chan bool), end: make(chan bool), wrote: make(chan int64, 100)}
-	d.addr = testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
-		for {
-			d.mu.Lock()
-			seq, dead, news, end := d.seq, d.dead, d.news, d.end
-			d.mu.Unlock()
-			if dead {
-				panic(http.ErrAbortHandler)
-			}
-			fmt.Fprintf(w, `{"seq":%d,"whole":false,"hosts":[]}`+"\n", seq)
-			w.(http.Flusher).Flush()
-			d.wrote <- seq
-			select {
-			case <-news:
-			case <-end:
-				panic(http.ErrAbortHandler)
-			case <-r.Context().Done():
-				return
-			}
-		}
-	})
-	return d
-}
-
-// tell says a version to all watches and returns when it has been written.
-func (d *scriptedDiscovery) tell(t *testing.T, seq int64) {
-	d.mu.Lock()
-	d.seq = seq
-	close(d.news)
-	d.news = make(chan bool)
-	d.mu.Unlock()
-	for testkit.Await(t, d.wrote, "a version to be written") != seq {
-	}
-}
-
-func (d *scriptedDiscovery) cut() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	close(d.end)
-	d.end = make(chan bool)
-}
-
-func (d *scriptedDiscovery) down() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.dead = true
-}
-
-// flushed writes to a watch, and says when that has gone.
+// flushed writes to a watch and flushes it.
 func flushed(w http.ResponseWriter, text string) {
 	io.WriteString(w, text)
 	w.(http.Flusher).Flush()
 }
 
-// A watch is held to be alive by whole words alone: not by a list that never ends, however it drips, and not by empty lines while the first
-// list is still owed. A list without a bound ends it too. What was heard before stays, and indented lists are lists.
-func TestWhatKeepsAWatchAlive(t *testing.T) {
-	drips := func(w http.ResponseWriter, r *http.Request, drop string) {
-		drip := time.NewTicker(5 * time.Millisecond)
-		defer drip.Stop()
+// What keeps a watch alive: not an update that trickles without end, nor empty lines before the first
+// update. An update without a bound ends it too. What was reported before stays, indented updates included.
+func TestWatchTimeouts(t *testing.T) {
+	trickle := func(w http.ResponseWriter, r *http.Request, piece string) {
+		tick := time.NewTicker(5 * time.Millisecond)
+		defer tick.Stop()
 		for r.Context().Err() == nil {
-			flushed(w, drop)
-			<-drip.C
+			flushed(w, piece)
+			<-tick.C
 		}
 	}
 	const indented = "{\n  \"seq\": 42,\n  \"whole\": true,\n\n  \"hosts\": [\n    " + entry + "\n  ]\n}\n\n"
+	short := watchTimeouts{silence: 200 * time.Millisecond}
+	shortFirst := watchTimeouts{first: 200 * time.Millisecond, silence: testkit.Patient}
 	for _, c := range []struct {
-		name  string
-		may   watchTimeouts
-		say   func(w http.ResponseWriter, r *http.Request)
-		err   error
-		heard int // lists
+		name     string
+		timeouts watchTimeouts
+		handle   func(w http.ResponseWriter, r *http.Request)
+		err      error
+		updates  int // reported
 	}{
-		{"a list that drips", watchTimeouts{silence: 200 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request) {
+		{"an update that trickles", short, func(w http.ResponseWriter, r *http.Request) {
 			flushed(w, fmt.Sprintf(indented, 7, "Ready")+`{"seq":43,"whole":false,"hosts":[`)
-			drips(w, r, " ")
+			trickle(w, r, " ")
 		}, errSilent, 1},
-		{"half a list behind a whole one", watchTimeouts{silence: 200 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request) {
+		{"half an update behind a valid one", short, func(w http.ResponseWriter, r *http.Request) {
 			flushed(w, fmt.Sprintf(indented, 7, "Ready"))
 			flushed(w, `{"seq":43,"who`)
 			<-r.Context().Done()
 		}, errSilent, 1},
-		{"empty lines and no list", watchTimeouts{first: 200 * time.Millisecond, silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
-			drips(w, r, "\n")
+		{"empty lines alone", shortFirst, func(w http.ResponseWriter, r *http.Request) {
+			trickle(w, r, "\n")
 		}, errSilent, 0},
-		{"no answer", watchTimeouts{first: 200 * time.Millisecond, silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
+		{"no response", shortFirst, func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 		}, errSilent, 0},
-		{"a list without end", watchTimeouts{silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
+		{"an update without end", watchTimeouts{silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
 			flushed(w, fmt.Sprintf(indented, 7, "Ready")+`{"seq":43,"whole":false,"hosts":[`)
 			for r.Context().Err() == nil {
 				flushed(w, strings.Repeat(" ", 1<<16))
@@ -336,24 +212,25 @@
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient/2)
 			defer cancel()
-			from, heard := int64(1), 0
-			addr := testkit.Serve(t, c.say)
-			err := (&Discovery{}).watch(ctx, &http.Transport{DisableKeepAlives: true}, addr, c.may, &from, func(l EndpointUpdate) {
-				heard++
-				if l.Endpoints[0].Cell != 3 {
-					t.Errorf("heard %+v", l)
+			from, updates := int64(1), 0
+			addr := testkit.Serve(t, c.handle)
+			transport := &http.Transport{DisableKeepAlives: true}
+			err := (&Discovery{}).watch(ctx, transport, addr, c.timeouts, &from, func(u EndpointUpdate) {
+				updates++
+				if u.Endpoints[0].Cell != 3 {
+					t.Errorf("reported %+v", u)
 				}
 			})
-			if !errors.Is(err, c.err) || ctx.Err() != nil || heard != c.heard {
-				t.Errorf("ended with %v after %d lists, want %v after %d", err, heard, c.err, c.heard)
+			if !errors.Is(err, c.err) || ctx.Err() != nil || updates != c.updates {
+				t.Errorf("ended with %v after %d updates, want %v after %d", err, updates, c.err, c.updates)
 			}
 		})
 	}
 }
 
-// A watch falls silent, and the one that is opened in its place says nothing either: what was told meanwhile is heard all the same
-// within 6 s of the silence, from when on it counts as told.
-func TestASecondSilentWatch(t *testing.T) {
+// A watch falls silent, and the next one too. A drain that discovery got meanwhile must be known within 6 s
+// of the silence all the same.
+func TestTwoSilentWatches(t *testing.T) {
 	t.Parallel()
 	n, last := atomic.Int64{}, make(chan time.Time, 1)
 	addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -378,33 +255,36 @@
 	if l := testkit.Await(t, lists, "the drain"); l.Seq != 43 {
 		t.Errorf("heard %+v", l)
 	}
-	if late := time.Since(silent); late > 6*time.Second {
-		t.Errorf("the drain was heard %v after the silence", late)
+	if delay := time.Since(silent); delay > 6*time.Second {
+		t.Errorf("the drain is known %v after the silence", delay)
 	}
 	cancel()
 	testkit.Await(t, ended, "the end")
 }
 
-// An entry that makes no sense changes nothing of its backend, in a whole list too, where a backend that is missing is gone.
-func TestAnEntryThatMakesNoSense(t *testing.T) {
+// An invalid entry in a full update must not remove its backend, as a missing one would: the backend stays
+// as it was.
+func TestInvalidEntryKeepsBackend(t *testing.T) {
 	at := func(time.Time) time.Duration { return 0 }
 	table := membership.NewTable(membership.Policy{}, membership.SourceInfo{Name: "discovery", Trusted: true})
 	list := func(hosts ...Endpoint) membership.Update {
 		return EndpointUpdate{Seq: 1, Full: true, Endpoints: hosts}.Membership()
 	}
 	good := Endpoint{Name: "s-1", Addr: "127.0.0.1:1", Health: "Ready"}
-	table.Report(0, "discovery", list(good, Endpoint{Name: "s-2", Addr: "127.0.0.1:2", Health: "Ready"}), at)
+	other := Endpoint{Name: "s-2", Addr: "127.0.0.1:2", Health: "Ready"}
+	table.Report(0, "discovery", list(good, other), at)
 	for name, bad := range map[string]Endpoint{
 		"an unknown state":       {Name: "s-1", Addr: "127.0.0.1:1", Health: "Dozing"},
 		"a start before 1970":    {Name: "s-1", Addr: "127.0.0.1:1", Health: "Ready", StartedAtMS: -1},
 		"no address to reach it": {Name: "s-1", Health: "Ready"},
 	} {
-		changes, _ := table.Report(0, "discovery", list(bad, Endpoint{Name: "s-2", Addr: "127.0.0.1:2", Health: "Ready"}), at)
+		changes, _ := table.Report(0, "discovery", list(bad, other), at)
 		if len(changes) > 0 {
 			t.Errorf("%s: %+v", name, changes)
 		}
 	}
-	if changes, _ := table.Report(0, "discovery", list(Endpoint{Name: "s-2", Addr: "127.0.0.1:2", Health: "Ready"}), at); len(changes) != 1 || changes[0].Name != "s-1" {
+	changes, _ := table.Report(0, "discovery", list(other), at)
+	if len(changes) != 1 || changes[0].Name != "s-1" {
 		t.Errorf("without it: %+v", changes)
 	}
 }
--- a/internal/platform/updatereader_test.go
+++ b/internal/platform/updatereader_test.go
@@ -14,39 +14,40 @@
 	"pumicecroft/internal/testkit"
 )
 
-// encodeUpdate is a list of n hosts, each an entry of the protocol's usual length.
-func encodeUpdate(seq, n int, whole bool, health string) []byte {
+// encodeUpdate returns an update of n hosts, each an entry of the protocol's usual length.
+func encodeUpdate(seq, n int, full bool, health string) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"seq":%d,"whole":%v,"hosts":[`, seq, whole)
+	fmt.Fprintf(&b, `{"seq":%d,"whole":%v,"hosts":[`, seq, full)
 	for i := range n {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		fmt.Fprintf(&b, `{"host":"s-%08x","dial":"10.1.%d.%d:8443","site":"a","class":"m2","block":3,"health":"%s","share":1.0,"born_ms":0}`,
-			i, i>>8, i&255, health)
+		fmt.Fprintf(&b, `{"host":"s-%08x","dial":"10.1.%d.%d:8443","site":"a","class":"m2","block":3,`, i, i>>8, i&255)
+		fmt.Fprintf(&b, `"health":"%s","share":1.0,"born_ms":0}`, health)
 	}
 	b.WriteString("]}\n")
 	return b.Bytes()
 }
 
-// follow follows a discovery of the test until the test ends, and gives what is heard.
+// follow follows a discovery until the test ends, and returns what it reports.
 func follow(t *testing.T, d *Discovery) chan EndpointUpdate {
-	lists, ended := make(chan EndpointUpdate, 1000), make(chan bool)
+	t.Helper()
+	updates, ended := make(chan EndpointUpdate, 1000), make(chan bool)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		d.Follow(ctx, func(l EndpointUpdate) { lists <- l })
+		d.Follow(ctx, func(u EndpointUpdate) { updates <- u })
 		close(ended)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		testkit.Await(t, ended, "the end")
 	})
-	return lists
+	return updates
 }
 
-// The list of the largest deployment is taken in the pieces that an agent writes, whatever its bytes, from an answer and from a watch; a watch
-// that was asked from a known version begins with it too.
-func TestALongListInPieces(t *testing.T) {
+// The list of the largest deployment arrives in the pieces that an agent writes, as a response of its own
+// and as the first update of a watch.
+func TestLargeUpdateInPieces(t *testing.T) {
 	const n = 110_000
 	text := encodeUpdate(41, n, true, "Ready")
 	addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -66,9 +67,10 @@
 		}
 	})
 	for _, from := range []int64{FromFullUpdate, 7} {
-		lists := follow(t, &Discovery{Addr: addr, FromVersion: from, MaxEntries: n})
-		if l := testkit.Await(t, lists, "the list"); !l.Full || l.Seq != 41 || len(l.Endpoints) != n || l.Endpoints[n-1].Name != fmt.Sprintf("s-%08x", n-1) {
-			t.Errorf("from %d: version %d, whole %v, %d hosts", from, l.Seq, l.Full, len(l.Endpoints))
+		updates := follow(t, &Discovery{Addr: addr, FromVersion: from, MaxEntries: n})
+		u := testkit.Await(t, updates, "the list")
+		if !u.Full || u.Seq != 41 || len(u.Endpoints) != n || u.Endpoints[n-1].Name != fmt.Sprintf("s-%08x", n-1) {
+			t.Errorf("from %d: version %d, full %v, %d hosts", from, u.Seq, u.Full, len(u.Endpoints))
 		}
 	}
 }
@@ -88,8 +90,9 @@
 	return n, nil
 }
 
-// What a list says does not hang on how it is written or comes: fields in any order, unknown ones, white space, pieces of any size.
-func TestHowAListIsWritten(t *testing.T) {
+// Updates are read alike however they are written and arrive: fields in any order, unknown fields, white
+// space, pieces of any size.
+func TestUpdateReader(t *testing.T) {
 	const host = `{"host":"s-1","dial":"h:1","health":"Ready","more":{"a":[1,{}]}}`
 	for text, want := range map[string]string{
 		`{"seq":3,"whole":true,"hosts":[` + host + `]}`:                       "3 true 1",
@@ -131,24 +134,26 @@
 	}
 }
 
-// A list that can't be taken is asked for less and less often, within 6 s.
-func TestAListThatIsNeverGood(t *testing.T) {
+// Discovery responds with a list over the limit each time. It is asked for less and less often, and still
+// every 6 s.
+func TestInvalidUpdateBacksOff(t *testing.T) {
 	t.Parallel()
 	asked := make(chan time.Time, 100)
-	addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		asked <- time.Now()
 		w.Write(encodeUpdate(41, 4, true, "Ready"))
 	})
-	lists := follow(t, &Discovery{Addr: addr, FromVersion: FromFullUpdate, MaxEntries: 3})
-	last := testkit.Await(t, asked, "the first question")
+	updates := follow(t, &Discovery{Addr: addr, FromVersion: FromFullUpdate, MaxEntries: 3})
+	last := testkit.Await(t, asked, "the first request")
 	for i := range 5 {
-		at := testkit.Await(t, asked, "a further question")
-		if least := 50 * time.Millisecond << i; at.Sub(last) < least || at.Sub(last) > 6*time.Second { // half of pace's 0.1 s, and twice as much each time
-			t.Errorf("question %d came %v after the one before, want %v at least", i+2, at.Sub(last), least)
+		at := testkit.Await(t, asked, "a further request")
+		least := 50 * time.Millisecond << i // half of the first delay of 0.1 s, doubled each time
+		if at.Sub(last) < least || at.Sub(last) > 6*time.Second {
+			t.Errorf("request %d came %v after the one before, want %v at least", i+2, at.Sub(last), least)
 		}
 		last = at
 	}
-	if len(lists) > 0 {
-		t.Errorf("a list over the limit was taken: %+v", <-lists)
+	if len(updates) > 0 {
+		t.Errorf("an update over the limit was reported: %+v", <-updates)
 	}
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -56,7 +56,7 @@
 		return recheckDelay
 	}, func() { cancel(errSilent) })
 	stream := &updateStream{ctx: ctx, close: func() { alarm.Stop(); cancel(nil) }}
-	res, err := get(ctx, rt, url)
+	res, err := get(ctx, rt, url) //nolint:bodyclose // stream.close closes it
 	if err != nil {
 		stream.close()
 		return nil, stream.cause(err)
