--- a/internal/platform/updatereader_test.go
+++ b/internal/platform/updatereader_test.go
@@ -94,41 +94,51 @@
 // space, pieces of any size.
 func TestUpdateReader(t *testing.T) {
 	const host = `{"host":"s-1","dial":"h:1","health":"Ready","more":{"a":[1,{}]}}`
-	for text, want := range map[string]string{
-		`{"seq":3,"whole":true,"hosts":[` + host + `]}`:                       "3 true 1",
-		`{"hosts":[` + host + `,` + host + `],"x":[{}],"whole":true,"seq":3}`: "3 true 2",
-		"\n\n { \"SEQ\" : 3 ,\n \"hosts\" : [ \n " + host + " ] \n }\n\n":     "3 false 1",
-		`{"hosts":null,"seq":3}`:                                              "3 false 0",
-		`{}`:                                                                  "0 false 0",
-		`{"seq":3}` + "\n\n" + `{"seq":4,"hosts":[]}{"seq":5,"hosts":[` + host + `]}`: "3 false 0; 4 false 0; 5 false 1",
-		`{"seq":3,"hosts":[` + host + `],"hosts":[]}`:                                 errDuplicateHosts.Error(),
-		`[]`:                   errNotUpdate.Error(),
-		`{"seq":3,"hosts":{}}`: errNotUpdate.Error(),
-		`{"seq":3}` + "\n" + `{"seq":4,"hosts":[` + host + `,{"host":"s-`:                       "3 false 0; " + io.ErrUnexpectedEOF.Error(),
-		`{"seq":4,"hosts":[` + host + `]`:                                                       io.ErrUnexpectedEOF.Error(),
-		`{"seq":4,"hosts":[` + strings.Repeat(host+",", 3) + host + `]}`:                        "more than 3 entries",
-		`{"seq":4,"hosts":[{"host":"` + strings.Repeat("s", 4*bytesPerEntry) + `"}]}`:           "more than 3 entries",
-		`{"seq":4,"hosts":[{"host":"` + strings.Repeat("s", 2*maxEntryBytes+readBufferSize):     errEntryTooLong.Error(),
-		`{"seq":4,"hosts":[` + host + `,` + strings.Repeat(" ", 2*maxEntryBytes+readBufferSize): errEntryTooLong.Error(),
-		`{` + strings.Repeat(`"a":1,`, (2*maxEntryBytes+readBufferSize)/6) + `"a":1}`:           errEntryTooLong.Error(),
-		strings.Repeat("\n", 2*maxEntryBytes+readBufferSize) + `{"seq":3}`:                      "3 false 0",
+	tooLong := 2*maxEntryBytes + readBufferSize
+	for _, c := range []struct{ name, text, want string }{
+		{"full", `{"seq":3,"whole":true,"hosts":[` + host + `]}`, "3 true 1"},
+		{"fields in another order", `{"hosts":[` + host + `,` + host + `],"x":[{}],"whole":true,"seq":3}`, "3 true 2"},
+		{"indented", "\n\n { \"SEQ\" : 3 ,\n \"hosts\" : [ \n " + host + " ] \n }\n\n", "3 false 1"},
+		{"null hosts", `{"hosts":null,"seq":3}`, "3 false 0"},
+		{"empty object", `{}`, "0 false 0"},
+		{
+			"several", `{"seq":3}` + "\n\n" + `{"seq":4,"hosts":[]}{"seq":5,"hosts":[` + host + `]}`,
+			"3 false 0; 4 false 0; 5 false 1",
+		},
+		{"hosts twice", `{"seq":3,"hosts":[` + host + `],"hosts":[]}`, errDuplicateHosts.Error()},
+		{"array", `[]`, errNotUpdate.Error()},
+		{"hosts that are no array", `{"seq":3,"hosts":{}}`, errNotUpdate.Error()},
+		{
+			"cut in an entry", `{"seq":3}` + "\n" + `{"seq":4,"hosts":[` + host + `,{"host":"s-`,
+			"3 false 0; " + io.ErrUnexpectedEOF.Error(),
+		},
+		{"cut behind the entries", `{"seq":4,"hosts":[` + host + `]`, io.ErrUnexpectedEOF.Error()},
+		{"too many entries", `{"seq":4,"hosts":[` + strings.Repeat(host+",", 3) + host + `]}`, "more than 3 entries"},
+		{
+			"an entry as long as four", `{"seq":4,"hosts":[{"host":"` + strings.Repeat("s", 4*bytesPerEntry) + `"}]}`,
+			"more than 3 entries",
+		},
+		{"endless name", `{"seq":4,"hosts":[{"host":"` + strings.Repeat("s", tooLong), errEntryTooLong.Error()},
+		{"endless space", `{"seq":4,"hosts":[` + host + `,` + strings.Repeat(" ", tooLong), errEntryTooLong.Error()},
+		{"endless fields", `{` + strings.Repeat(`"a":1,`, tooLong/6) + `"a":1}`, errEntryTooLong.Error()},
+		{"many empty lines", strings.Repeat("\n", tooLong) + `{"seq":3}`, "3 false 0"},
 	} {
 		for _, size := range []int{1, 7, 1 << 20} {
-			in := newUpdateReader(&chunkReader{text, size, io.EOF}, 3)
+			reader := newUpdateReader(&chunkReader{c.text, size, io.EOF}, 3)
 			var got []string
 			for {
-				l, err := in.next()
-				var bad *invalidUpdateError
-				if errors.As(err, &bad) {
-					got = append(got, bad.err.Error())
+				u, err := reader.next()
+				var invalid *invalidUpdateError
+				if errors.As(err, &invalid) {
+					got = append(got, invalid.err.Error())
 				}
 				if err != nil {
 					break
 				}
-				got = append(got, fmt.Sprint(l.Seq, l.Full, len(l.Endpoints)))
+				got = append(got, fmt.Sprint(u.Seq, u.Full, len(u.Endpoints)))
 			}
-			if got := strings.Join(got, "; "); got != want {
-				t.Errorf("in pieces of %d: %.80q: %s, want %s", size, text, got, want)
+			if got := strings.Join(got, "; "); got != c.want {
+				t.Errorf("%s, in pieces of %d: %s, want %s", c.name, size, got, c.want)
 			}
 		}
 	}
