--- a/bench_keys_test.go
+++ b/bench_keys_test.go
@@ -42,7 +42,7 @@
 			defer door.Close(b.Context())
 			var n, failed atomic.Int64
 			b.SetParallelism(8)
-			before := cpu()
+			before := processCPU()
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
@@ -53,7 +53,7 @@
 				}
 			})
 			b.StopTimer()
-			b.ReportMetric(float64((cpu()-before).Microseconds())/float64(b.N), "cpu-us/op")
+			b.ReportMetric(float64((processCPU()-before).Microseconds())/float64(b.N), "cpu-us/op")
 			b.ReportMetric(100*float64(failed.Load())/float64(b.N), "refused-%")
 		})
 	}
--- a/bench_test.go
+++ b/bench_test.go
@@ -26,7 +26,7 @@
 )
 
 // cpu is what this process has used of the processors, in user and system time.
-func cpu() time.Duration {
+func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -35,13 +35,13 @@
 }
 
 // way is one way to a backend.
-type way struct {
-	name string
-	ask  func() error
+type accessPath struct {
+	name    string
+	request func() error
 }
 
 // askOnce asks once, and reads the answer.
-func askOnce(client http.RoundTripper, req *http.Request) error {
+func requestOnce(client http.RoundTripper, req *http.Request) error {
 	res, err := client.RoundTrip(req)
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 // ways are a backend's: straight, through net/http/httputil.ReverseProxy, through the daemon's server, through the
 // middleware, and by Do. All of it, clients and the backend too, runs in this process, so what a way costs by itself
 // is its figure less that of "direct".
-func ways(b *testing.B) []way {
+func accessPaths(b *testing.B) []accessPath {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(backend.Close)
 	addr := strings.TrimPrefix(backend.URL, "http://")
@@ -88,10 +88,10 @@
 	go httplistener.NewServer(door, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln)
 
 	next := uint64(0)
-	overHTTP := func(name, addr string) way {
+	overHTTP := func(name, addr string) accessPath {
 		client := &http.Transport{DisableCompression: true}
 		b.Cleanup(client.CloseIdleConnections)
-		return way{name, func() error {
+		return accessPath{name, func() error {
 			next++
 			req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/look", nil)
 			if err != nil {
@@ -99,10 +99,10 @@
 			}
 			req.Header = http.Header{"Request-Id": {fmt.Sprintf("%016x", next)}, "Request-Class": {"look"}, "X-Tier": {"basic"},
 				"X-Api-Key": {"00000000b4d65521"}, "Request-Timeout": {"20.5"}, "X-Call-Terms": {"units=1,spread=1,first=0"}}
-			return askOnce(client, req)
+			return requestOnce(client, req)
 		}}
 	}
-	return []way{overHTTP("direct", addr), overHTTP("ReverseProxy", serve(proxy)), overHTTP("daemon", ln.Addr().String()),
+	return []accessPath{overHTTP("direct", addr), overHTTP("ReverseProxy", serve(proxy)), overHTTP("daemon", ln.Addr().String()),
 		overHTTP("middleware", serve(nethttp.New(door)(http.NotFoundHandler()))),
 		{"Do", func() error {
 			next++
@@ -115,16 +115,16 @@
 //
 //	go test -run xxx -bench Fronts -benchtime 3s -cpu 1 .
 func BenchmarkFronts(b *testing.B) {
-	for _, w := range ways(b) {
+	for _, w := range accessPaths(b) {
 		b.Run(w.name, func(b *testing.B) {
 			b.ReportAllocs()
-			start := cpu()
+			start := processCPU()
 			for b.Loop() {
-				if err := w.ask(); err != nil {
+				if err := w.request(); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64((cpu()-start).Nanoseconds())/1e3/float64(b.N), "cpu-us/op")
+			b.ReportMetric(float64((processCPU()-start).Nanoseconds())/1e3/float64(b.N), "cpu-us/op")
 		})
 	}
 }
@@ -135,23 +135,23 @@
 //
 //	go test -run xxx -bench OwnPart -benchtime 100x -cpu 1 .
 func BenchmarkOwnPart(b *testing.B) {
-	ownPart(b, ways(b), func(i int) bool { return i == 2 || i == 3 })
+	ownPart(b, accessPaths(b), func(i int) bool { return i == 2 || i == 3 })
 }
 
 // ownPart times ways in turn; the first is the direct one and the second ReverseProxy. shares tells whose are reported.
-func ownPart(b *testing.B, all []way, shares func(i int) bool) {
+func ownPart(b *testing.B, all []accessPath, shares func(i int) bool) {
 	const round = 400
 	took := make([][]float64, len(all))
 	rng := rand.New(rand.NewPCG(1, 1))
 	for b.Loop() {
 		for _, i := range rng.Perm(len(all)) { // a round pays for collecting some of what the one before it left: in one order, the same way always did
-			start := cpu()
+			start := processCPU()
 			for range round {
-				if err := all[i].ask(); err != nil {
+				if err := all[i].request(); err != nil {
 					b.Fatal(err)
 				}
 			}
-			took[i] = append(took[i], float64((cpu()-start).Nanoseconds())/1e3/round)
+			took[i] = append(took[i], float64((processCPU()-start).Nanoseconds())/1e3/round)
 		}
 	}
 	median := func(i int) float64 {
--- a/bench_web_test.go
+++ b/bench_web_test.go
@@ -27,7 +27,7 @@
 )
 
 // webWays are an ordinary client's: straight to a backend, through httputil.ReverseProxy, and through the front with one route and with 10,000.
-func webWays(b *testing.B, secure bool) []way {
+func webAccessPaths(b *testing.B, secure bool) []accessPath {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(backend.Close)
 	addr := strings.TrimPrefix(backend.URL, "http://")
@@ -73,7 +73,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	b.Cleanup(stop)
-	over := func(name string, h http.Handler, to string) way {
+	over := func(name string, h http.Handler, to string) accessPath {
 		scheme := "http"
 		if h != nil {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -88,20 +88,20 @@
 		}
 		client := &http.Transport{DisableCompression: true, TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: "shop.example"}}
 		b.Cleanup(client.CloseIdleConnections)
-		return way{name, func() error {
+		return accessPath{name, func() error {
 			req, err := http.NewRequest(http.MethodGet, scheme+"://"+to+"/v7/items-4567/9", nil)
 			if err != nil {
 				return err
 			}
 			req.Header = http.Header{"Accept": {"application/json"}, "User-Agent": {"bench"}, "Authorization": {"Bearer abc"}, "Cookie": {"a=b; c=d"}}
-			return askOnce(client, req)
+			return requestOnce(client, req)
 		}}
 	}
 	direct := over("direct", nil, addr)
 	if secure { // straight to the backend there is no TLS: what it costs is both proxies' own
 		direct = over("direct-over-TLS", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }), "")
 	}
-	return []way{direct, over("ReverseProxy", proxy, ""), over("front", front(1), ""), over("front-10000", front(10_000), "")}
+	return []accessPath{direct, over("ReverseProxy", proxy, ""), over("front", front(1), ""), over("front-10000", front(10_000), "")}
 }
 
 // BenchmarkWebOwnPart is BenchmarkOwnPart for ordinary HTTP: the front's own part with 1 route and with 10,000 as a share of ReverseProxy's, over plain
@@ -111,7 +111,7 @@
 func BenchmarkWebOwnPart(b *testing.B) {
 	for name, secure := range map[string]bool{"plain": false, "TLS": true} {
 		b.Run(name, func(b *testing.B) {
-			ownPart(b, webWays(b, secure), func(i int) bool { return i >= 2 })
+			ownPart(b, webAccessPaths(b, secure), func(i int) bool { return i >= 2 })
 		})
 	}
 }
--- a/decisions_test.go
+++ b/decisions_test.go
@@ -20,7 +20,7 @@
 
 // A Door that has used up a customer's burst leaves that to its next process. One that finds nothing, or what another process keeps, begins
 // with customers that have used theirs up; without a directory nothing is kept, and all begin with their bursts.
-func TestDecisionsOutliveTheProcess(t *testing.T) {
+func TestSnapshotOutlivesProcess(t *testing.T) {
 	addr := testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "done") })
 	dir := t.TempDir()
 	var said bytes.Buffer
--- a/door_http_test.go
+++ b/door_http_test.go
@@ -33,7 +33,7 @@
 		OverloadFactor: 4, OverloadDuration: time.Second}}
 }
 
-func ready(addrs ...string) membership.Update {
+func readyBackends(addrs ...string) membership.Update {
 	list := membership.Update{Full: true}
 	for i, addr := range addrs {
 		list.Nodes = append(list.Nodes, membership.Node{Name: fmt.Sprintf("s-%d", i), Addr: addr, Weight: 1})
@@ -42,23 +42,23 @@
 }
 
 // served is a Door behind the daemon's server, on a port of the system's choosing.
-type served struct {
-	addr string
-	door *Gateway
-	stop context.CancelFunc
-	done chan error
+type servedGateway struct {
+	addr    string
+	gateway *Gateway
+	stop    context.CancelFunc
+	done    chan error
 }
 
 // startDoor starts one with a decision module of the test's; nil: the one that ships.
-func startDoor(t testing.TB, decider lifecycle.DecisionEngine, addrs ...string) *served {
+func startGateway(t testing.TB, decider lifecycle.DecisionEngine, addrs ...string) *servedGateway {
 	t.Helper()
 	config := testConfig()
-	config.InitialEndpoints = ready(addrs...)
-	return startServed(t, config, decider)
+	config.InitialEndpoints = readyBackends(addrs...)
+	return startServedGateway(t, config, decider)
 }
 
 // startServed is startDoor for a configuration and options of the test's.
-func startServed(t testing.TB, config Config, decider lifecycle.DecisionEngine, options ...Option) *served {
+func startServedGateway(t testing.TB, config Config, decider lifecycle.DecisionEngine, options ...Option) *servedGateway {
 	t.Helper()
 	door, err := newGateway(config, decider, options)
 	if err != nil {
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	d := &served{addr: ln.Addr().String(), door: door, stop: stop, done: make(chan error, 1)}
+	d := &servedGateway{addr: ln.Addr().String(), gateway: door, stop: stop, done: make(chan error, 1)}
 	server := httplistener.NewServer(door, 426, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{})
 	go func() { d.done <- server.Run(ctx, ln) }()
 	t.Cleanup(func() {
@@ -82,7 +82,7 @@
 }
 
 // ask builds a good request; change alters it.
-func (d *served) ask(t testing.TB, class string, change func(*http.Request)) *http.Request {
+func (d *servedGateway) newRequest(t testing.TB, class string, change func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodGet, io.Reader(nil)
 	if class == "pay" {
@@ -106,7 +106,7 @@
 }
 
 // sendTo sends every request to a backend and does nothing else.
-func sendTo(id decision.BackendID) func(decision.Event) []decision.Action {
+func startOn(id decision.BackendID) func(decision.Event) []decision.Action {
 	return func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
 			return []decision.Action{decision.StartAttempt{Request: r.ID, Backend: id}}
@@ -115,9 +115,9 @@
 	}
 }
 
-func TestARequestGoesOnAndComesBackUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	body := strings.Repeat("b", 10000)
-	d := startDoor(t, nil, testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
+	d := startGateway(t, nil, testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		sent, _ := io.ReadAll(r.Body)
 		timeout, err := strconv.ParseFloat(r.Header.Get("Request-Timeout"), 64)
 		if r.RequestURI != "/pay/a%2Fb//c;d?x=1&y=%20&&" || r.Method != http.MethodPost || string(sent) != "amount=3" ||
@@ -128,7 +128,7 @@
 		}
 		io.WriteString(w, body)
 	}))
-	req := d.ask(t, "pay", func(r *http.Request) {
+	req := d.newRequest(t, "pay", func(r *http.Request) {
 		r.URL.Opaque = "/pay/a%2Fb//c;d?x=1&y=%20&&"
 		r.Host = "origin.svc"
 	})
@@ -178,10 +178,10 @@
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", MaxBody+1))), -1
 		}, 400},
 	} {
-		g := testkit.Script(sendTo(1))
-		d := startDoor(t, g, "127.0.0.1:1")
+		g := testkit.Script(startOn(1))
+		d := startGateway(t, g, "127.0.0.1:1")
 		testkit.Next[decision.EndpointUpdate](t, g)
-		if res, _ := testkit.Do(t, d.ask(t, c.class, c.change)); res.StatusCode != c.status {
+		if res, _ := testkit.Do(t, d.newRequest(t, c.class, c.change)); res.StatusCode != c.status {
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
 		if len(g.Heard) > 0 {
@@ -191,24 +191,24 @@
 	}
 }
 
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
-	d := startDoor(t, testkit.Script(func(ev decision.Event) []decision.Action {
+func TestRejectionCarriesRetryAfter(t *testing.T) {
+	d := startGateway(t, testkit.Script(func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
 			return []decision.Action{decision.Reject{Request: r.ID, RetryAfter: 250 * time.Millisecond}, decision.Fail{Request: r.ID}}
 		}
 		return nil
 	}))
-	res, _ := testkit.Do(t, d.ask(t, "look", nil))
+	res, _ := testkit.Do(t, d.newRequest(t, "look", nil))
 	if res.StatusCode != 503 || res.Header.Get("Retry-After") != "0.250" {
 		t.Errorf("%s, Retry-After %q", res.Status, res.Header.Get("Retry-After"))
 	}
 }
 
 // Whatever the gateway does or does not do, a request has an answer before its client's time is up.
-func TestLastMoment(t *testing.T) {
+func TestUnansweredRequestGets504(t *testing.T) {
 	g := testkit.Script(nil)
-	d := startDoor(t, g)
-	res, _ := testkit.Do(t, d.ask(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "0.5") }))
+	d := startGateway(t, g)
+	res, _ := testkit.Do(t, d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "0.5") }))
 	if res.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("%s, want the last moment's answer", res.Status)
 	}
@@ -219,7 +219,7 @@
 }
 
 // A client that closes its connection is gone: the gateway hears of it, and the attempt it calls off is closed.
-func TestClientThatLeaves(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	read, closed := make(chan bool, 1), make(chan bool, 1)
 	addr := testkit.Serve(t, func(_ http.ResponseWriter, r *http.Request) {
 		read <- true
@@ -235,12 +235,12 @@
 		}
 		return nil
 	})
-	d := startDoor(t, g, addr)
+	d := startGateway(t, g, addr)
 	conn, err := net.Dial("tcp", d.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.ask(t, "look", nil).Write(conn); err != nil {
+	if err := d.newRequest(t, "look", nil).Write(conn); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Await(t, read, "the attempt")
@@ -257,15 +257,15 @@
 
 // A client that ends only its sending counts as gone too, but it may still read: what it reads must not look
 // like a served answer.
-func TestClientThatEndsItsSending(t *testing.T) {
+func TestHalfClosedClientGetsNoEmpty200(t *testing.T) {
 	g := testkit.Script(nil)
-	d := startDoor(t, g)
+	d := startGateway(t, g)
 	conn, err := net.Dial("tcp", d.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if err := d.ask(t, "look", nil).Write(conn); err != nil {
+	if err := d.newRequest(t, "look", nil).Write(conn); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Next[decision.Request](t, g)
@@ -279,12 +279,12 @@
 }
 
 // An id that is open already would leave the second request without an answer: the gateway passes over it.
-func TestAnIDThatIsOpen(t *testing.T) {
+func TestDuplicateIDIsRejected(t *testing.T) {
 	g := testkit.Script(nil)
-	d := startDoor(t, g)
+	d := startGateway(t, g)
 	first := make(chan int, 1)
 	go func() {
-		res, err := http.DefaultTransport.RoundTrip(d.ask(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "1.5") }))
+		res, err := http.DefaultTransport.RoundTrip(d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "1.5") }))
 		if err != nil {
 			t.Error(err)
 			first <- 0
@@ -294,7 +294,7 @@
 		first <- res.StatusCode
 	}()
 	testkit.Next[decision.Request](t, g)
-	if res, _ := testkit.Do(t, d.ask(t, "look", nil)); res.StatusCode != 400 {
+	if res, _ := testkit.Do(t, d.newRequest(t, "look", nil)); res.StatusCode != 400 {
 		t.Errorf("the second of one id: %s", res.Status)
 	}
 	if got := <-first; got != http.StatusGatewayTimeout {
@@ -303,20 +303,20 @@
 }
 
 // A body that is cut midway is no answer: the attempt has failed, and the client is told so.
-func TestACutAnswerIsNotServed(t *testing.T) {
-	d := startDoor(t, nil, testkit.Raw(t, func(_ int, conn net.Conn) {
+func TestTruncatedResponseIsNotServed(t *testing.T) {
+	d := startGateway(t, nil, testkit.Raw(t, func(_ int, conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 		conn.Close()
 	}))
-	if res, body := testkit.Do(t, d.ask(t, "pay", nil)); res.StatusCode != http.StatusBadGateway || body != "" {
+	if res, body := testkit.Do(t, d.newRequest(t, "pay", nil)); res.StatusCode != http.StatusBadGateway || body != "" {
 		t.Errorf("%s %q", res.Status, body)
 	}
 }
 
 // After SIGTERM clients still come for a while, and what was taken must be answered before the end.
-func TestNothingIsLostAtTheEnd(t *testing.T) {
+func TestGracefulShutdownAnswersAll(t *testing.T) {
 	goOn, read := make(chan bool), make(chan bool, 2)
-	d := startDoor(t, nil, testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	d := startGateway(t, nil, testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		read <- true
 		<-goOn
 		io.WriteString(w, "done")
@@ -324,7 +324,7 @@
 	ask := func(id string) chan *http.Response {
 		c := make(chan *http.Response, 1)
 		go func() {
-			res, err := (&http.Transport{}).RoundTrip(d.ask(t, "look", func(r *http.Request) { r.Header.Set("Request-Id", id) }))
+			res, err := (&http.Transport{}).RoundTrip(d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Id", id) }))
 			if err != nil {
 				t.Error(err)
 			} else {
@@ -371,11 +371,11 @@
 }
 
 // Whoever sends no whole request must not hold a connection for long: it is owed an end within 3 s.
-func TestUnfinishedRequestsAreEnded(t *testing.T) {
+func TestIncompleteRequestsAreClosed(t *testing.T) {
 	head := "POST /pay HTTP/1.1\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n" +
 		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: units=1,spread=2,first=1\r\n"
 	g := testkit.Script(nil)
-	d := startDoor(t, g)
+	d := startGateway(t, g)
 	testkit.Next[decision.EndpointUpdate](t, g)
 	ends := make(chan string)
 	for name, text := range map[string]string{
@@ -405,9 +405,9 @@
 
 // A request that can be framed in two ways may hide another in its body. The server drops one of the two headers
 // before a handler sees them, so the one left must be enough to turn it away.
-func TestTwoFramingsAreTurnedAway(t *testing.T) {
+func TestAmbiguousFramingIsRejected(t *testing.T) {
 	g := testkit.Script(nil)
-	d := startDoor(t, g)
+	d := startGateway(t, g)
 	testkit.Next[decision.EndpointUpdate](t, g)
 	for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		c := dial(t, d.addr)
@@ -426,7 +426,7 @@
 // A connection that has gone silent takes a request and never answers, while its backend serves all others at once.
 // The request must be served by another backend long before its client gives up, the silent connection closed, and
 // what is keyed must not leave the cell that drops its repeats.
-func TestARequestOnASilentConnectionIsServedElsewhere(t *testing.T) {
+func TestRequestOnSilentConnectionIsRetried(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
 		block  int // of the second backend; the first one's is 0
@@ -448,12 +448,12 @@
 				}
 				io.WriteString(w, "ok")
 			}
-			list := ready(testkit.Serve(t, handler), testkit.Serve(t, handler))
+			list := readyBackends(testkit.Serve(t, handler), testkit.Serve(t, handler))
 			list.Nodes[1].Cell = c.block
-			d := startDoor(t, nil)
-			d.door.Update(list)
+			d := startGateway(t, nil)
+			d.gateway.Update(list)
 			ask := func(id int, timeout string) (*http.Response, string) {
-				return testkit.Do(t, d.ask(t, c.class, func(r *http.Request) {
+				return testkit.Do(t, d.newRequest(t, c.class, func(r *http.Request) {
 					r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 					r.Header.Set("Request-Timeout", timeout)
 				}))
@@ -472,7 +472,7 @@
 			if got := res.StatusCode == http.StatusOK && body == "ok"; got != c.served {
 				t.Errorf("answered %d %q, served: want %v", res.StatusCode, body, c.served)
 			}
-			if want := int64(1 + b2i(c.served)); asked.Load() != want {
+			if want := int64(1 + boolToInt(c.served)); asked.Load() != want {
 				t.Errorf("%d attempts were made, want %d", asked.Load(), want)
 			}
 		})
@@ -481,7 +481,7 @@
 
 // A backend that left one attempt unanswered for long, and that may well be the connection's fault, must be tried again
 // within seconds: it would else be shunned for as long as the silence was long against an ordinary answer.
-func TestABackendThatWasSilentIsTriedAgain(t *testing.T) {
+func TestBackendIsUsedAgainAfterSilence(t *testing.T) {
 	t.Parallel()
 	var hung atomic.Int64 // which backend keeps silent, from 1
 	var tried atomic.Int64
@@ -499,12 +499,12 @@
 			io.WriteString(w, "ok")
 		}
 	}
-	list := ready(testkit.Serve(t, handler(1)), testkit.Serve(t, handler(2)))
+	list := readyBackends(testkit.Serve(t, handler(1)), testkit.Serve(t, handler(2)))
 	list.Nodes[1].Cell = 1 // so that a keyed attempt can't be made elsewhere
-	d := startDoor(t, nil)
-	d.door.Update(list)
+	d := startGateway(t, nil)
+	d.gateway.Update(list)
 	ask := func(id int, timeout string) int {
-		res, _ := testkit.Do(t, d.ask(t, "pay", func(r *http.Request) {
+		res, _ := testkit.Do(t, d.newRequest(t, "pay", func(r *http.Request) {
 			r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 			r.Header.Set("Request-Timeout", timeout)
 		}))
@@ -533,10 +533,10 @@
 
 // Answers that tell a customer's use out of order tell one period more than once. A customer that stays within its
 // quota, by its own count and by every reading, must not be refused for that.
-func TestReadingsOutOfOrderRefuseNobody(t *testing.T) {
+func TestUsageOutOfOrderRejectsNobody(t *testing.T) {
 	t.Parallel()
 	var asked atomic.Int64
-	d := startDoor(t, nil, testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
+	d := startGateway(t, nil, testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-RateLimit-Used", fmt.Sprint(40+asked.Add(1)%2))
 		io.WriteString(w, "ok")
 	}))
@@ -544,7 +544,7 @@
 	defer pace.Stop()
 	for id := range 34 {
 		<-pace.C
-		res, _ := testkit.Do(t, d.ask(t, "look", func(r *http.Request) {
+		res, _ := testkit.Do(t, d.newRequest(t, "look", func(r *http.Request) {
 			r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 			r.Header.Set("X-Tier", "tiny")
 			r.Header.Set("X-Call-Terms", "units=0.05,spread=1,first=0") // 0.19 units a second of 0.5
@@ -555,7 +555,7 @@
 	}
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/door_keys_test.go
+++ b/door_keys_test.go
@@ -22,13 +22,13 @@
 )
 
 // withKeys is a door that recognises keys, before n backends of one cell each, so that only the edge can drop a repeat.
-func withKeys(t *testing.T, n int, act func(fakes.Attempt) fakes.Act, limits idempotency.Limits) *hosttest.Rig {
+func newDeduplicatingRig(t *testing.T, n int, act func(fakes.Attempt) fakes.Act, limits idempotency.Limits) *hosttest.Rig {
 	t.Helper()
 	return hosttest.New(t, n, act, func(c *pumicecroft.Config) { c.Idempotency = &limits })
 }
 
 // until waits until something holds.
-func until(t *testing.T, holds func() bool, what string) {
+func waitUntil(t *testing.T, holds func() bool, what string) {
 	t.Helper()
 	for end := time.Now().Add(hosttest.Patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -38,21 +38,21 @@
 }
 
 // keyed is a request by key; with another body than the rest if it is to conflict.
-func keyed(class, key, body string) pumicecroft.Request {
-	r := ask(class)
+func keyedRequest(class, key, body string) pumicecroft.Request {
+	r := newRequest(class)
 	r.IdempotencyKey, r.Body = key, []byte(body)
 	return r
 }
 
 // A repeat while the first one runs waits for it, one that comes later is given its answer; each pair has one effect, and is
 // counted and sent on once.
-func TestRepeats(t *testing.T) {
+func TestRepeatedKeyIsExecutedOnce(t *testing.T) {
 	const pairs = 200
-	r := withKeys(t, 2, nil, idempotency.Limits{})
+	r := newDeduplicatingRig(t, 2, nil, idempotency.Limits{})
 	var asking sync.WaitGroup
 	for i := range pairs {
 		asking.Go(func() {
-			req := keyed([]string{"pay", "once"}[i%2], fmt.Sprint("k", i), "b")
+			req := keyedRequest([]string{"pay", "once"}[i%2], fmt.Sprint("k", i), "b")
 			var answers [2]string
 			var pair sync.WaitGroup
 			for j := range 2 {
@@ -81,7 +81,7 @@
 }
 
 // The table of what becomes of a repeat, over HTTP: the first one's end, what comes then, and the status.
-func TestRepeatsOverHTTP(t *testing.T) {
+func TestRepeatedKeyOverHTTP(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		class  string
@@ -101,7 +101,7 @@
 		{"turned away: a repeat is a new request, whose backend is held back", "pay", fakes.TurnAway, nil, 503, 503, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := withKeys(t, 1, fakes.Once(c.act), idempotency.Limits{UnknownTTL: time.Minute})
+			r := newDeduplicatingRig(t, 1, fakes.Once(c.act), idempotency.Limits{UnknownTTL: time.Minute})
 			addr := hosttest.Serve(t, r.Door, nil)
 			first := r.Ask(c.class)
 			again := first
@@ -132,16 +132,16 @@
 }
 
 // The first client's leaving does not end what a second one waits for; when both have left, it is called off.
-func TestLeavingWithARepeatWaiting(t *testing.T) {
+func TestDisconnectWhileRepeatWaits(t *testing.T) {
 	hold := make(chan bool)
-	r := withKeys(t, 1, func(a fakes.Attempt) fakes.Act {
+	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Act {
 		if a.Body == "hold" {
 			<-hold
 		}
 		return fakes.Work
 	}, idempotency.Limits{})
 	firstLeaves, leave := context.WithCancel(t.Context())
-	req := keyed("pay", "k", "hold")
+	req := keyedRequest("pay", "k", "hold")
 	got := make(chan error, 1)
 	go func() {
 		_, err := r.Door.Do(firstLeaves, req)
@@ -156,7 +156,7 @@
 		second <- err
 	}()
 	waits := func() bool { _, _, joined := r.Door.IdempotencyStats(); return joined > 1 }
-	until(t, waits, "the second to wait")
+	waitUntil(t, waits, "the second to wait")
 	req.Body[0] = 'X' // the first caller may change its body from when it has left
 	leave()
 	if err := <-got; !errors.Is(err, context.Canceled) {
@@ -172,19 +172,19 @@
 }
 
 // Keys that make no sense are bad requests, and an answer that is too large is remembered as given.
-func TestOddKeys(t *testing.T) {
-	r := withKeys(t, 1, nil, idempotency.Limits{MaxResponseBytes: 3})
+func TestInvalidKeys(t *testing.T) {
+	r := newDeduplicatingRig(t, 1, nil, idempotency.Limits{MaxResponseBytes: 3})
 	for _, key := range []string{strings.Repeat("k", 64<<10), "a\tb", "ü"} {
-		if _, err := r.Door.Do(t.Context(), keyed("pay", key, "b")); !errors.Is(err, pumicecroft.ErrBadRequest) {
+		if _, err := r.Door.Do(t.Context(), keyedRequest("pay", key, "b")); !errors.Is(err, pumicecroft.ErrBadRequest) {
 			t.Errorf("%.10q: %v", key, err)
 		}
 	}
 	for i, want := range []error{nil, pumicecroft.ErrResponseNotRetained} {
-		if _, err := r.Door.Do(t.Context(), keyed("pay", "k", "b")); !errors.Is(err, want) {
+		if _, err := r.Door.Do(t.Context(), keyedRequest("pay", "k", "b")); !errors.Is(err, want) {
 			t.Errorf("%d: %v", i, err)
 		}
 	}
-	if _, err := r.Door.Do(t.Context(), keyed("pay", "k", "c")); !errors.Is(err, pumicecroft.ErrKeyConflict) {
+	if _, err := r.Door.Do(t.Context(), keyedRequest("pay", "k", "c")); !errors.Is(err, pumicecroft.ErrKeyConflict) {
 		t.Error(err)
 	}
 	w := httptest.NewRecorder()
@@ -194,9 +194,9 @@
 }
 
 // A customer that has as much in flight as it may is refused at once, with when to come back; another's request goes on.
-func TestBusyKeys(t *testing.T) {
+func TestTooManyKeysInFlight(t *testing.T) {
 	hold := make(chan bool)
-	r := withKeys(t, 1, func(a fakes.Attempt) fakes.Act {
+	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Act {
 		if a.Body == "hold" {
 			<-hold
 		}
@@ -211,10 +211,10 @@
 		answered := make(chan error, 1)
 		asking.Go(func() {
 			defer cancel()
-			_, err := r.Door.Do(ctx, keyed("pay", fmt.Sprint(i), "hold"))
+			_, err := r.Door.Do(ctx, keyedRequest("pay", fmt.Sprint(i), "hold"))
 			answered <- err
 		})
-		until(t, func() bool {
+		waitUntil(t, func() bool {
 			select {
 			case err := <-answered:
 				var refused *pumicecroft.RejectedError
@@ -232,7 +232,7 @@
 			break
 		}
 	}
-	other := keyed("pay", "k", "b")
+	other := keyedRequest("pay", "k", "b")
 	other.Customer = 8
 	if _, err := r.Door.Do(t.Context(), other); err != nil || !busy {
 		t.Errorf("refused: %v; another customer's: %v", busy, err)
@@ -240,7 +240,7 @@
 }
 
 // A disk that hangs takes no client beyond its time: what waited for it goes on with what is left.
-func TestAJournalOnASlowDisk(t *testing.T) {
+func TestSlowJournalKeepsDeadlines(t *testing.T) {
 	dir := t.TempDir()
 	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Act {
 		if a.Key == "slow" {
@@ -255,7 +255,7 @@
 		timeout time.Duration
 		want    error
 	}{{"slow", 900 * time.Millisecond, pumicecroft.ErrFailed}, {"short", 300 * time.Millisecond, nil}, {"good", 5 * time.Second, nil}} {
-		req := keyed("once", c.key, "b")
+		req := keyedRequest("once", c.key, "b")
 		req.Timeout = c.timeout
 		start := time.Now()
 		_, err := r.Door.Do(t.Context(), req)
@@ -267,7 +267,7 @@
 
 // A door that ends while pairs come and go: each client has one end, both of a pair the same answer if they have one, and the next door, with the
 // journal of the first, gives it again; what was refused is a new request there. Nothing has its effect twice.
-func TestPairsOverADoorsEnd(t *testing.T) {
+func TestRepeatedKeysAcrossRestart(t *testing.T) {
 	dir := t.TempDir()
 	withJournal := func(c *pumicecroft.Config) {
 		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: dir}
@@ -289,7 +289,7 @@
 				var pair sync.WaitGroup
 				for j := range 2 {
 					pair.Go(func() {
-						a, err := first.Door.Do(t.Context(), keyed("once", fmt.Sprint("k", i), "b"))
+						a, err := first.Door.Do(t.Context(), keyedRequest("once", fmt.Sprint("k", i), "b"))
 						switch {
 						case err == nil:
 							answers[i][j] = string(a.Body)
@@ -317,7 +317,7 @@
 	second := hosttest.New(t, 0, nil, func(c *pumicecroft.Config) { withJournal(c); c.InitialEndpoints = nodes })
 	answered, refused := 0, 0
 	for i, pair := range answers {
-		a, err := second.Door.Do(t.Context(), keyed("once", fmt.Sprint("k", i), "b"))
+		a, err := second.Door.Do(t.Context(), keyedRequest("once", fmt.Sprint("k", i), "b"))
 		if err != nil {
 			t.Fatalf("k%d at the next door: %v", i, err)
 		}
@@ -338,8 +338,8 @@
 }
 
 // A body that comes in other pieces is the same body; one of 60 MB is turned away, with its key as without, and its key stays free.
-func TestBodiesInPieces(t *testing.T) {
-	r := withKeys(t, 1, nil, idempotency.Limits{})
+func TestBodyInPiecesHasSameDigest(t *testing.T) {
+	r := newDeduplicatingRig(t, 1, nil, idempotency.Limits{})
 	addr := hosttest.Serve(t, r.Door, nil)
 	first := r.Ask("pay")
 	press := func(body io.Reader, size int64) int {
@@ -357,7 +357,7 @@
 		defer res.Body.Close()
 		return res.StatusCode
 	}
-	if got := press(io.LimitReader(neverEnding{}, 60<<20), 60<<20); got != 413 && got != 0 {
+	if got := press(io.LimitReader(endlessReader{}, 60<<20), 60<<20); got != 413 && got != 0 {
 		t.Errorf("60 MB: %d", got)
 	}
 	text := strings.Repeat("amount=3;", 1000)
@@ -371,16 +371,16 @@
 	}
 }
 
-type neverEnding struct{}
+type endlessReader struct{}
 
-func (neverEnding) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
 // A client that waits for less than the disk may take has its answer in its own time: refused, as nothing was sent.
-func TestAHurriedClientOnASlowDisk(t *testing.T) {
+func TestShortTimeoutOnSlowJournalIsRejected(t *testing.T) {
 	r := hosttest.New(t, 1, nil, func(c *pumicecroft.Config) {
 		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: t.TempDir(), GroupCommitDelay: 5 * time.Second, WriteTimeout: 4 * time.Second}
 	})
-	req := keyed("once", "k", "b")
+	req := keyedRequest("once", "k", "b")
 	req.Timeout = 200 * time.Millisecond
 	start := time.Now()
 	_, err := r.Door.Do(t.Context(), req)
--- a/door_test.go
+++ b/door_test.go
@@ -18,7 +18,7 @@
 	"pumicecroft/membership"
 )
 
-func ask(class string) pumicecroft.Request {
+func newRequest(class string) pumicecroft.Request {
 	r := pumicecroft.Request{Class: class, Plan: "shop", Customer: 7}
 	if class != "look" {
 		r.IdempotencyKey, r.Body = "k", []byte("amount=3")
@@ -29,12 +29,12 @@
 func TestDo(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
 	for _, class := range []string{"look", "pay", "once"} {
-		a, err := r.Door.Do(t.Context(), ask(class))
+		a, err := r.Door.Do(t.Context(), newRequest(class))
 		if err != nil || !strings.HasPrefix(string(a.Body), "done ") || a.Attempts != 1 || a.ContentType == "" {
 			t.Errorf("%s: %+v, %v", class, a, err)
 		}
 	}
-	req := ask("pay")
+	req := newRequest("pay")
 	req.ID, req.Target, req.Host, req.ContentType = 0xabc, "/pay/x?y=1", "h", "text/plain"
 	if _, err := r.Door.Do(t.Context(), req); err != nil {
 		t.Error(err)
@@ -49,7 +49,7 @@
 func TestErrors(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
 	bad := func(change func(*pumicecroft.Request)) error {
-		req := ask("pay")
+		req := newRequest("pay")
 		change(&req)
 		_, err := r.Door.Do(t.Context(), req)
 		return err
@@ -85,23 +85,23 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	why := errors.New("the shop has closed")
 	cancel(why)
-	if _, err := r.Door.Do(ctx, ask("look")); !errors.Is(err, why) {
+	if _, err := r.Door.Do(ctx, newRequest("look")); !errors.Is(err, why) {
 		t.Errorf("a context that has ended: %v", err)
 	}
 
 	empty := hosttest.New(t, 0, nil, nil)
-	_, err := empty.Door.Do(t.Context(), ask("look"))
+	_, err := empty.Door.Do(t.Context(), newRequest("look"))
 	var refused *pumicecroft.RejectedError
 	if !errors.Is(err, pumicecroft.ErrRejected) || !errors.As(err, &refused) || refused.RetryAfter <= 0 || errors.Is(err, pumicecroft.ErrFailed) {
 		t.Errorf("nobody there: %v", err)
 	}
 
 	broken := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.RunAndError }, nil)
-	if _, err := broken.Door.Do(t.Context(), ask("once")); !errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
+	if _, err := broken.Door.Do(t.Context(), newRequest("once")); !errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("failed: %v", err)
 	}
 	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.Hang }, nil)
-	req := ask("once")
+	req := newRequest("once")
 	req.Timeout = 200 * time.Millisecond
 	start := time.Now()
 	if _, err := hung.Door.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrFailed) || time.Since(start) > 15*time.Second {
@@ -109,10 +109,10 @@
 	}
 }
 
-func TestAnIDThatIsOpenOrWasHere(t *testing.T) {
+func TestDo_DuplicateAndReplayedID(t *testing.T) {
 	goOn := make(chan bool)
 	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { <-goOn; return fakes.Work }, nil)
-	req := ask("pay")
+	req := newRequest("pay")
 	req.ID = 5
 	first := make(chan error, 1)
 	go func() {
@@ -135,15 +135,15 @@
 	}
 }
 
-func TestRequestsAreBounded(t *testing.T) {
+func TestMaxOpenRequests(t *testing.T) {
 	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.Hang }, func(c *pumicecroft.Config) { c.MaxOpenRequests = 3 })
 	ctx, leave := context.WithCancel(t.Context())
 	var asking sync.WaitGroup
 	for range 3 {
-		asking.Go(func() { r.Door.Do(ctx, ask("look")) })
+		asking.Go(func() { r.Door.Do(ctx, newRequest("look")) })
 	}
 	r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 3 })
-	if _, err := r.Door.Do(t.Context(), ask("look")); !errors.Is(err, pumicecroft.ErrTooManyRequests) || !errors.Is(err, pumicecroft.ErrRejected) {
+	if _, err := r.Door.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrTooManyRequests) || !errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("one too many: %v", err)
 	}
 	leave()
@@ -163,14 +163,14 @@
 	}, nil)
 	first := make(chan error, 1)
 	go func() {
-		_, err := r.Door.Do(t.Context(), ask("pay"))
+		_, err := r.Door.Do(t.Context(), newRequest("pay"))
 		first <- err
 	}()
 	r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 })
 	closed := make(chan error, 1)
 	go func() { closed <- r.Door.Close(context.Background()) }()
 	for end := time.Now().Add(hosttest.Patience); ; time.Sleep(time.Millisecond) {
-		if _, err := r.Door.Do(t.Context(), ask("look")); errors.Is(err, pumicecroft.ErrClosed) && errors.Is(err, pumicecroft.ErrRejected) {
+		if _, err := r.Door.Do(t.Context(), newRequest("look")); errors.Is(err, pumicecroft.ErrClosed) && errors.Is(err, pumicecroft.ErrRejected) {
 			break
 		}
 		if time.Now().After(end) {
@@ -196,7 +196,7 @@
 
 	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.Hang }, nil)
 	go func() {
-		_, err := hung.Door.Do(t.Context(), ask("pay"))
+		_, err := hung.Door.Do(t.Context(), newRequest("pay"))
 		first <- err
 	}()
 	hung.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 })
@@ -211,12 +211,12 @@
 }
 
 // source is a list that the test pushes.
-type source struct {
+type pushedSource struct {
 	lists chan membership.Update
 	ended chan bool
 }
 
-func (s source) Run(ctx context.Context, update func(membership.Update)) {
+func (s pushedSource) Run(ctx context.Context, update func(membership.Update)) {
 	defer close(s.ended)
 	for {
 		select {
@@ -229,20 +229,20 @@
 	}
 }
 
-func TestASource(t *testing.T) {
-	s := source{make(chan membership.Update), make(chan bool)}
+func TestSource(t *testing.T) {
+	s := pushedSource{make(chan membership.Update), make(chan bool)}
 	r := hosttest.New(t, 1, nil, nil, pumicecroft.WithSource(s))
 	push := func(l membership.Update) { s.lists <- l; <-s.lists }
-	if _, err := r.Door.Do(t.Context(), ask("look")); err != nil {
+	if _, err := r.Door.Do(t.Context(), newRequest("look")); err != nil {
 		t.Error(err)
 	}
 	push(membership.Update{Nodes: []membership.Node{{Name: "b0", Addr: r.Backends[0].Addr(), State: decision.Draining}}})
-	if _, err := r.Door.Do(t.Context(), ask("look")); !errors.Is(err, pumicecroft.ErrRejected) {
+	if _, err := r.Door.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("while the one backend drains: %v", err)
 	}
 	push(membership.Update{Full: true, Nodes: []membership.Node{{Name: ""}, {Name: "bad", State: 9}, {Name: "none"},
 		{Name: "new", Addr: r.Backends[0].Addr()}}}) // three make no sense
-	if _, err := r.Door.Do(t.Context(), ask("look")); err != nil {
+	if _, err := r.Door.Do(t.Context(), newRequest("look")); err != nil {
 		t.Errorf("a new one: %v", err)
 	}
 	r.Door.Close(t.Context())
@@ -274,7 +274,7 @@
 }
 
 // A Door leaves nothing running, and several of them share nothing.
-func TestNothingIsLeftBehind(t *testing.T) {
+func TestCloseLeavesNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for range 20 {
 		var doors []*pumicecroft.Gateway
@@ -287,7 +287,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			req := ask("once")
+			req := newRequest("once")
 			req.ID = 77 // the same at each: they do not know of one another
 			if _, err := d.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrRejected) {
 				t.Errorf("door %d: %v", i, err)
@@ -307,16 +307,16 @@
 	}
 }
 
-type silent struct{}
+type idleSource struct{}
 
-func (silent) Run(context.Context, func(membership.Update)) {}
+func (idleSource) Run(context.Context, func(membership.Update)) {}
 
 // A source without a name, or of a name that is plain here and not there, is an error of the configuration.
-func TestBadOrigins(t *testing.T) {
+func TestInvalidSources(t *testing.T) {
 	for _, os := range [][]membership.SourceInfo{{{}}, {{Name: "x"}, {Name: "x", Trusted: true}}, {{Name: "own"}}} {
 		var options []pumicecroft.Option
 		for _, o := range os {
-			options = append(options, pumicecroft.WithNamedSource(o, silent{}))
+			options = append(options, pumicecroft.WithNamedSource(o, idleSource{}))
 		}
 		if _, err := pumicecroft.New(hosttest.Config(), options...); !errors.Is(err, pumicecroft.ErrConfig) {
 			t.Errorf("%+v: %v", os, err)
--- a/internal/executor/drive_test.go
+++ b/internal/executor/drive_test.go
@@ -18,42 +18,42 @@
 var classes = []decision.Class{{Name: "c"}, {Name: "pay", Idempotency: decision.IdempotentByKey}}
 
 // carrier makes attempts as the test says.
-type carrier struct {
-	carry func(a *Attempt) Response
-	probe func() decision.ProbeResult
+type fakeTransport struct {
+	roundTrip func(a *Attempt) Response
+	probe     func() decision.ProbeResult
 }
 
-func (c carrier) RoundTrip(a *Attempt) Response { return c.carry(a) }
+func (c fakeTransport) RoundTrip(a *Attempt) Response { return c.roundTrip(a) }
 
-func (c carrier) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
+func (c fakeTransport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
 	if c.probe == nil {
 		return decision.ProbeResult{Backend: id}
 	}
 	return c.probe()
 }
 
-func result(r decision.Result) Response { return Response{Outcome: lifecycle.Outcome{Result: r}} }
+func responseWith(r decision.Result) Response { return Response{Outcome: lifecycle.Outcome{Result: r}} }
 
 // hang waits until the attempt is called off.
-func hang(a *Attempt) Response {
+func waitForCancel(a *Attempt) Response {
 	off := make(chan bool)
 	if a.OnCancel(func() { close(off) }) == nil {
 		<-off
 	}
 	if errors.Is(a.CancelCause(), ErrDeadlineExceeded) {
-		return result(decision.TimedOut)
+		return responseWith(decision.TimedOut)
 	}
-	return result(decision.Cancelled)
+	return responseWith(decision.Cancelled)
 }
 
 // decider does as the test says, under the driver's lock.
-type decider func(ev decision.Event) []decision.Action
+type scriptedEngine func(ev decision.Event) []decision.Action
 
-func (d decider) Handle(_ time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
+func (d scriptedEngine) Handle(_ time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
 	return append(as, d(ev)...)
 }
 
-func start(t *testing.T, d decider, c carrier, canCancel bool) *Executor {
+func newTestExecutor(t *testing.T, d scriptedEngine, c fakeTransport, canCancel bool) *Executor {
 	t.Helper()
 	clock := NewClock()
 	dr := New(clock, lifecycle.New(d, classes, lifecycle.Limits{}, clock.Now()), c, canCancel)
@@ -61,30 +61,30 @@
 	return dr
 }
 
-func request(id int) decision.Request {
+func newRequest(id int) decision.Request {
 	return decision.Request{ID: decision.RequestID(id), Class: "c", Timeout: time.Second}
 }
 
-const last = 1020 * time.Millisecond
+const responseTimeout = 1020 * time.Millisecond
 
-func sendOnce(ev decision.Event) []decision.Action {
+func startOnce(ev decision.Event) []decision.Action {
 	if r, ok := ev.(decision.Request); ok {
 		return []decision.Action{decision.StartAttempt{Request: r.ID, Backend: 1}}
 	}
 	return nil
 }
 
-func TestServedByTheCallersGoroutine(t *testing.T) {
+func TestAttemptRunsOnCallersGoroutine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := runtime.NumGoroutine()
 		during := 0
-		d := start(t, sendOnce, carrier{carry: func(a *Attempt) Response {
+		d := newTestExecutor(t, startOnce, fakeTransport{roundTrip: func(a *Attempt) Response {
 			during = runtime.NumGoroutine()
-			r := result(decision.Succeeded)
+			r := responseWith(decision.Succeeded)
 			r.Body = a.Payload
 			return r
 		}}, true)
-		a, err := d.Serve(t.Context(), request(1), last, "hello")
+		a, err := d.Serve(t.Context(), newRequest(1), responseTimeout, "hello")
 		if err != nil || a.Verdict != lifecycle.Served || a.Response.Body != "hello" || a.Attempts != 1 {
 			t.Errorf("%+v, %v", a, err)
 		}
@@ -99,13 +99,13 @@
 
 // An attempt does not leave once its client has gone, though nobody has heard of that yet: a request's end is looked at when it is some
 // milliseconds old, and one that waited, for the sources after a standstill say, may be sent on as soon as it is there.
-func TestWhoHasGoneIsSentNothing(t *testing.T) {
+func TestDisconnectedClientIsSentNothing(t *testing.T) {
 	for _, which := range []string{"a first attempt", "a further one", "one beside another"} {
 		t.Run(which, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, leave := context.WithCancel(t.Context())
 				var left atomic.Int32
-				d := start(t, func(ev decision.Event) []decision.Action {
+				d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
 					send := decision.StartAttempt{Request: 1, Backend: 1}
 					switch ev := ev.(type) {
 					case decision.Request:
@@ -124,23 +124,23 @@
 						return []decision.Action{decision.CancelAttempt{Request: 1}, decision.CancelAttempt{Request: 1, Attempt: 1}}
 					}
 					return nil
-				}, carrier{carry: func(a *Attempt) Response {
+				}, fakeTransport{roundTrip: func(a *Attempt) Response {
 					switch {
 					case a.number == 0 && which == "a further one":
 						leave()
-						return result(decision.Rejected)
+						return responseWith(decision.Rejected)
 					case a.number == 0 && which == "one beside another":
-						return hang(a)
+						return waitForCancel(a)
 					case which == "one beside another":
 						leave()
 					}
 					if a.SendForbidden() {
-						return result(decision.NotSent)
+						return responseWith(decision.NotSent)
 					}
 					left.Add(1)
-					return result(decision.Succeeded)
+					return responseWith(decision.Succeeded)
 				}}, true)
-				a, err := d.Serve(ctx, request(1), last, nil)
+				a, err := d.Serve(ctx, newRequest(1), responseTimeout, nil)
 				synctest.Wait()
 				if err != nil || a.Verdict != lifecycle.ClientDisconnected || left.Load() != 0 || d.OpenRequests() != 0 {
 					t.Errorf("%+v, %v; %d attempts left, %d open", a, err, left.Load(), d.OpenRequests())
@@ -151,10 +151,10 @@
 }
 
 // The answer is given when it is due, whatever the carrier is at, be the attempt the serving goroutine's or not.
-func TestAnswersComeInTime(t *testing.T) {
+func TestResponseDoesNotWaitForTransport(t *testing.T) {
 	for _, canCancel := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			d := start(t, func(ev decision.Event) []decision.Action {
+			d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
 				switch ev := ev.(type) {
 				case decision.Request:
 					return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 1},
@@ -167,9 +167,9 @@
 					return as
 				}
 				return nil
-			}, carrier{carry: hang}, canCancel)
+			}, fakeTransport{roundTrip: waitForCancel}, canCancel)
 			begun := time.Now()
-			a, err := d.Serve(t.Context(), request(1), last, nil)
+			a, err := d.Serve(t.Context(), newRequest(1), responseTimeout, nil)
 			if took := time.Since(begun); err != nil || a.Verdict != lifecycle.Rejected || a.RetryAfter != time.Second || took != 300*time.Millisecond {
 				t.Errorf("cancel %v: %+v, %v after %v", canCancel, a, err, took)
 			}
@@ -181,30 +181,30 @@
 	}
 }
 
-func TestTheLastMoment(t *testing.T) {
+func TestUnansweredRequestEndsAtResponseDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := start(t, func(decision.Event) []decision.Action { return nil }, carrier{carry: hang}, true)
+		d := newTestExecutor(t, func(decision.Event) []decision.Action { return nil }, fakeTransport{roundTrip: waitForCancel}, true)
 		begun := time.Now()
-		a, err := d.Serve(t.Context(), request(1), last, nil)
-		if took := time.Since(begun); err != nil || a.Verdict != lifecycle.DeadlineExceeded || took != last {
+		a, err := d.Serve(t.Context(), newRequest(1), responseTimeout, nil)
+		if took := time.Since(begun); err != nil || a.Verdict != lifecycle.DeadlineExceeded || took != responseTimeout {
 			t.Errorf("%+v, %v after %v", a, err, took)
 		}
 	})
 }
 
 // A caller that leaves has its attempt called off at once, and what it left is given back.
-func TestLeaving(t *testing.T) {
+func TestClientDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := start(t, func(ev decision.Event) []decision.Action {
+		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
 			if _, ok := ev.(decision.ClientDisconnected); ok {
 				return []decision.Action{decision.CancelAttempt{Request: 1}}
 			}
-			return sendOnce(ev)
-		}, carrier{carry: hang}, true)
+			return startOnce(ev)
+		}, fakeTransport{roundTrip: waitForCancel}, true)
 		ctx, leave := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer leave()
 		begun := time.Now()
-		a, err := d.Serve(ctx, request(1), last, nil)
+		a, err := d.Serve(ctx, newRequest(1), responseTimeout, nil)
 		if took := time.Since(begun); err != nil || a.Verdict != lifecycle.ClientDisconnected || took != 100*time.Millisecond || d.OpenRequests() != 0 {
 			t.Errorf("%+v, %v after %v, %d open", a, err, took, d.OpenRequests())
 		}
@@ -212,11 +212,11 @@
 }
 
 // A context that ends between the decision and the send has nothing sent.
-func TestLeavingBetweenDecisionAndSend(t *testing.T) {
+func TestClientDisconnect_BetweenDecisionAndSend(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	sent := 0
 	var outcome decision.Outcome
-	d := start(t, func(ev decision.Event) []decision.Action {
+	d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
 		switch ev := ev.(type) {
 		case decision.Request:
 			leave() // the decision is made, and nothing carried out yet
@@ -225,17 +225,17 @@
 			outcome = ev
 		}
 		return nil
-	}, carrier{carry: func(*Attempt) Response { sent++; return result(decision.Succeeded) }}, true)
-	a, err := d.Serve(ctx, request(1), last, nil)
+	}, fakeTransport{roundTrip: func(*Attempt) Response { sent++; return responseWith(decision.Succeeded) }}, true)
+	a, err := d.Serve(ctx, newRequest(1), responseTimeout, nil)
 	if err != nil || a.Verdict != lifecycle.ClientDisconnected || sent != 0 || outcome.Result != decision.NotSent {
 		t.Errorf("%+v, %v; %d sent, the outcome %+v", a, err, sent, outcome)
 	}
 }
 
 // A second attempt beside the first has a goroutine of its own; the first answer is served, once.
-func TestAttemptsSideBySide(t *testing.T) {
+func TestHedgedAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := start(t, func(ev decision.Event) []decision.Action {
+		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
 			switch ev := ev.(type) {
 			case decision.Request:
 				return []decision.Action{decision.StartAttempt{Request: 1, Backend: 1}, decision.StartAttempt{Request: 1, Backend: 2}}
@@ -245,16 +245,16 @@
 				}
 			}
 			return nil
-		}, carrier{carry: func(a *Attempt) Response {
+		}, fakeTransport{roundTrip: func(a *Attempt) Response {
 			if a.Backend == 1 {
-				return hang(a)
+				return waitForCancel(a)
 			}
 			time.Sleep(50 * time.Millisecond)
-			r := result(decision.Succeeded)
+			r := responseWith(decision.Succeeded)
 			r.Body = "two"
 			return r
 		}}, true)
-		a, err := d.Serve(t.Context(), request(1), last, nil)
+		a, err := d.Serve(t.Context(), newRequest(1), responseTimeout, nil)
 		if err != nil || a.Verdict != lifecycle.Served || a.Response.Body != "two" || a.Attempts != 2 {
 			t.Errorf("%+v, %v", a, err)
 		}
@@ -267,19 +267,19 @@
 
 func TestDrainAndStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := start(t, func(ev decision.Event) []decision.Action {
+		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
 			if _, ok := ev.(decision.ClientDisconnected); ok {
 				return []decision.Action{decision.CancelAttempt{Request: 1}}
 			}
-			return sendOnce(ev)
-		}, carrier{carry: hang}, true)
+			return startOnce(ev)
+		}, fakeTransport{roundTrip: waitForCancel}, true)
 		if owed := d.Drain(t.Context()); owed != 0 {
 			t.Errorf("%d owed of none", owed)
 		}
-		d = start(t, sendOnce, carrier{carry: hang}, true)
+		d = newTestExecutor(t, startOnce, fakeTransport{roundTrip: waitForCancel}, true)
 		got := make(chan Result, 1)
 		go func() {
-			a, _ := d.Serve(t.Context(), request(1), last, nil)
+			a, _ := d.Serve(t.Context(), newRequest(1), responseTimeout, nil)
 			got <- a
 		}()
 		synctest.Wait()
@@ -288,7 +288,7 @@
 		if owed := d.Drain(ctx); owed != 1 {
 			t.Errorf("%d owed, want the one that hangs", owed)
 		}
-		if _, err := d.Serve(t.Context(), request(2), last, nil); !errors.Is(err, lifecycle.ErrClosed) {
+		if _, err := d.Serve(t.Context(), newRequest(2), responseTimeout, nil); !errors.Is(err, lifecycle.ErrClosed) {
 			t.Errorf("while draining: %v", err)
 		}
 		d.Stop()
@@ -306,7 +306,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var out, most, ended atomic.Int64
 		refused := 0
-		d := start(t, func(ev decision.Event) []decision.Action {
+		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
 			switch ev := ev.(type) {
 			case decision.EndpointUpdate:
 				var as []decision.Action
@@ -321,7 +321,7 @@
 				}
 			}
 			return nil
-		}, carrier{probe: func() decision.ProbeResult {
+		}, fakeTransport{probe: func() decision.ProbeResult {
 			most.Store(max(most.Load(), out.Add(1)))
 			time.Sleep(time.Second)
 			out.Add(-1)
@@ -336,7 +336,7 @@
 }
 
 // Many callers at once, with everything that can happen to a request: each gets one answer, and all is given back.
-func TestManyCallers(t *testing.T) {
+func TestConcurrentCallers(t *testing.T) {
 	clock := NewClock()
 	set := decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: true, Plans: []decision.Plan{{Name: "p"}},
 		Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}}}
@@ -345,21 +345,21 @@
 		t.Fatal(err)
 	}
 	var n atomic.Int64
-	d := New(clock, lifecycle.New(g, set.Classes, lifecycle.Limits{}, clock.Now()), carrier{carry: func(a *Attempt) Response {
+	d := New(clock, lifecycle.New(g, set.Classes, lifecycle.Limits{}, clock.Now()), fakeTransport{roundTrip: func(a *Attempt) Response {
 		if a.Payload == true { // its caller leaves
-			return hang(a)
+			return waitForCancel(a)
 		}
 		switch n.Add(1) % 7 {
 		case 0:
-			return result(decision.Rejected)
+			return responseWith(decision.Rejected)
 		case 1:
-			return result(decision.ConnectionLost)
+			return responseWith(decision.ConnectionLost)
 		case 2:
-			return hang(a)
+			return waitForCancel(a)
 		case 3:
 			time.Sleep(time.Millisecond)
 		}
-		return result(decision.Succeeded)
+		return responseWith(decision.Succeeded)
 	}}, true)
 	defer d.Stop()
 	list := decision.EndpointUpdate{Kind: decision.UpdateFull}
--- a/internal/executor/mux_test.go
+++ b/internal/executor/mux_test.go
@@ -11,38 +11,38 @@
 )
 
 // spoken notes what one protocol's backends are told.
-type spoken struct {
-	name string
-	told *[]string
+type recordingTransport struct {
+	name  string
+	calls *[]string
 }
 
-func (s spoken) RoundTrip(*Attempt) Response {
-	*s.told = append(*s.told, s.name+" carries")
-	return result(decision.Succeeded)
+func (s recordingTransport) RoundTrip(*Attempt) Response {
+	*s.calls = append(*s.calls, s.name+" carries")
+	return responseWith(decision.Succeeded)
 }
 
-func (s spoken) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
-	*s.told = append(*s.told, fmt.Sprintf("%s probes %d", s.name, id))
+func (s recordingTransport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
+	*s.calls = append(*s.calls, fmt.Sprintf("%s probes %d", s.name, id))
 	return decision.ProbeResult{Backend: id}
 }
 
-func (s spoken) Apply(cs []membership.Change) {
+func (s recordingTransport) Apply(cs []membership.Change) {
 	for _, c := range cs {
-		*s.told = append(*s.told, fmt.Sprintf("%s: %d is in state %d", s.name, c.ID, c.State))
+		*s.calls = append(*s.calls, fmt.Sprintf("%s: %d is in state %d", s.name, c.ID, c.State))
 	}
 }
 
-func (s spoken) Close() { *s.told = append(*s.told, s.name+" closes") }
+func (s recordingTransport) Close() { *s.calls = append(*s.calls, s.name+" closes") }
 
-type loadOf string
+type payloadFor string
 
-func (l loadOf) Protocol() string { return string(l) }
+func (l payloadFor) Protocol() string { return string(l) }
 
 // Attempts, probes and news go to the one that speaks the protocol, and a backend that goes over to another protocol is
 // gone from the first.
-func TestMux(t *testing.T) {
+func TestTransportMux(t *testing.T) {
 	var told []string
-	m := NewTransportMux(map[string]BackendTransport{"a": spoken{"a", &told}, "b": spoken{"b", &told}})
+	m := NewTransportMux(map[string]BackendTransport{"a": recordingTransport{"a", &told}, "b": recordingTransport{"b", &told}})
 	step := func(want string, do func()) {
 		t.Helper()
 		told = nil
@@ -59,10 +59,10 @@
 	step("a: 1 is in state 0", change(1, "a", decision.Ready))
 	step("b: 2 is in state 0", change(2, "b", decision.Ready))
 	step("b probes 2", func() { m.Probe(2, time.Second) })
-	step("a carries", func() { m.RoundTrip(NewAttempt(1, time.Now(), loadOf("a"))) })
-	step("b carries", func() { m.RoundTrip(NewAttempt(2, time.Now(), loadOf("b"))) })
+	step("a carries", func() { m.RoundTrip(NewAttempt(1, time.Now(), payloadFor("a"))) })
+	step("b carries", func() { m.RoundTrip(NewAttempt(2, time.Now(), payloadFor("b"))) })
 	step("", func() {
-		if r := m.RoundTrip(NewAttempt(2, time.Now(), loadOf("c"))); r.Result != decision.NotSent {
+		if r := m.RoundTrip(NewAttempt(2, time.Now(), payloadFor("c"))); r.Result != decision.NotSent {
 			t.Errorf("an attempt over a protocol that nobody speaks: %v", r.Result)
 		}
 		if p := m.Probe(3, time.Second); p.Result != decision.NotSent {
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -48,7 +48,7 @@
 		decision.ClientDisconnected{}, decision.ProbeResult{}, decision.CounterResult{}, decision.ProcessPaused{}, decision.Timer{}} {
 		for i := range reflect.TypeOf(zero).NumField() {
 			changed := reflect.New(reflect.TypeOf(zero)).Elem()
-			fill(t, changed.Field(i))
+			setNonZero(t, changed.Field(i))
 			if encodeEvent(changed.Interface().(decision.Event)) == encodeEvent(zero) {
 				t.Errorf("%T: field %d is not in its text", zero, i)
 			}
@@ -58,7 +58,7 @@
 	empty := encodeEvent(decision.EndpointUpdate{Endpoints: make([]decision.Endpoint, 1)})
 	for i := range entry.NumField() {
 		changed := decision.EndpointUpdate{Endpoints: make([]decision.Endpoint, 1)}
-		fill(t, reflect.ValueOf(&changed.Endpoints[0]).Elem().Field(i))
+		setNonZero(t, reflect.ValueOf(&changed.Endpoints[0]).Elem().Field(i))
 		if encodeEvent(changed) == empty {
 			t.Errorf("an entry of a list: field %d is not in its text", i)
 		}
@@ -66,7 +66,7 @@
 }
 
 // fill gives a field a value other than its zero one.
-func fill(t *testing.T, v reflect.Value) {
+func setNonZero(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Bool:
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -20,29 +20,29 @@
 	t       *testing.T
 	machine *Machine
 	now     time.Duration
-	heard   []string
-	on      func(ev decision.Event) []decision.Action
+	events  []string
+	react   func(ev decision.Event) []decision.Action
 }
 
 func (r *harness) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
 	if now != r.now {
 		r.t.Errorf("the decision module is told that it is %v, it is %v", now, r.now)
 	}
-	r.heard = append(r.heard, encodeEvent(ev))
-	if r.on != nil {
-		as = append(as, r.on(ev)...)
+	r.events = append(r.events, encodeEvent(ev))
+	if r.react != nil {
+		as = append(as, r.react(ev)...)
 	}
 	return as
 }
 
-func newRig(t *testing.T, l Limits, on func(decision.Event) []decision.Action) *harness {
-	r := &harness{t: t, on: on, now: time.Hour}
+func newHarness(t *testing.T, l Limits, on func(decision.Event) []decision.Action) *harness {
+	r := &harness{t: t, react: on, now: time.Hour}
 	r.machine = New(r, classes, l, r.now)
 	return r
 }
 
 // tell gives effects as short lines, such as "start 1/0 at 7 by 2s" and "final 1 served".
-func tell(es []Effect) string {
+func describeEffects(es []Effect) string {
 	var lines []string
 	for _, e := range es {
 		switch e.Kind {
@@ -68,14 +68,14 @@
 	return strings.Join(lines, "; ")
 }
 
-func (r *harness) want(what string, es []Effect, want string) {
+func (r *harness) wantEffects(what string, es []Effect, want string) {
 	r.t.Helper()
-	if got := tell(es); got != want {
+	if got := describeEffects(es); got != want {
 		r.t.Errorf("%s: %q, want %q", what, got, want)
 	}
 }
 
-func (r *harness) arrive(id decision.RequestID, class string) []Effect {
+func (r *harness) submit(id decision.RequestID, class string) []Effect {
 	r.t.Helper()
 	es, err := r.machine.Submit(r.now, id, decision.Request{ID: id, Class: class, Timeout: 960 * ms}, 980*ms)
 	if err != nil {
@@ -84,19 +84,19 @@
 	return es
 }
 
-func (r *harness) at(d time.Duration) time.Duration {
+func (r *harness) setTime(d time.Duration) time.Duration {
 	r.now = time.Hour + d
 	return r.now
 }
 
-func (r *harness) heardLast(part string) {
+func (r *harness) wantLastEvent(part string) {
 	r.t.Helper()
-	if len(r.heard) == 0 || !strings.Contains(r.heard[len(r.heard)-1], part) {
-		r.t.Errorf("the decision module heard %q last, want %q in it", r.heard[max(0, len(r.heard)-1):], part)
+	if len(r.events) == 0 || !strings.Contains(r.events[len(r.events)-1], part) {
+		r.t.Errorf("the decision module heard %q last, want %q in it", r.events[max(0, len(r.events)-1):], part)
 	}
 }
 
-func (r *harness) empty() {
+func (r *harness) wantNothingLeft() {
 	r.t.Helper()
 	if r.machine.OpenRequests() != 0 || len(r.machine.timers) != 0 {
 		r.t.Errorf("%d requests and %d timers are left", r.machine.OpenRequests(), len(r.machine.timers))
@@ -104,7 +104,7 @@
 }
 
 // sendOn sends each request to backend 7, and does nothing else but what more says.
-func sendOn(more func(decision.Event) []decision.Action) func(decision.Event) []decision.Action {
+func startOnBackend7(more func(decision.Event) []decision.Action) func(decision.Event) []decision.Action {
 	return func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
 			return []decision.Action{decision.StartAttempt{Request: r.ID, Backend: 7}}
@@ -116,75 +116,75 @@
 	}
 }
 
-func TestServed(t *testing.T) {
-	r := newRig(t, Limits{}, sendOn(nil))
-	r.want("arrival", r.arrive(1, "safe"), "start 1/0 at 7 by 960ms")
-	r.want("answer", r.machine.AttemptEnded(r.at(30*ms), 1, 0, Outcome{Result: decision.Succeeded, HasUsage: true, Usage: 5, LoadReport: []float64{2}}), "final 1 served by 0")
-	r.heardLast("{request=1 backend=7 attempt=0 result=0 latency=30ms final=true has_usage=true usage=5 cost=0 load=[2]}")
-	r.want("a second word", r.machine.AttemptEnded(r.now, 1, 0, Outcome{}), "")
-	r.empty()
+func TestFirstSuccessIsServed(t *testing.T) {
+	r := newHarness(t, Limits{}, startOnBackend7(nil))
+	r.wantEffects("arrival", r.submit(1, "safe"), "start 1/0 at 7 by 960ms")
+	r.wantEffects("answer", r.machine.AttemptEnded(r.setTime(30*ms), 1, 0, Outcome{Result: decision.Succeeded, HasUsage: true, Usage: 5, LoadReport: []float64{2}}), "final 1 served by 0")
+	r.wantLastEvent("{request=1 backend=7 attempt=0 result=0 latency=30ms final=true has_usage=true usage=5 cost=0 load=[2]}")
+	r.wantEffects("a second word", r.machine.AttemptEnded(r.now, 1, 0, Outcome{}), "")
+	r.wantNothingLeft()
 }
 
-func TestRetriedOnceMoreAndServed(t *testing.T) {
-	r := newRig(t, Limits{}, sendOn(func(ev decision.Event) []decision.Action {
+func TestRetryIsServed(t *testing.T) {
+	r := newHarness(t, Limits{}, startOnBackend7(func(ev decision.Event) []decision.Action {
 		if o, ok := ev.(decision.Outcome); ok && o.Attempt == 0 {
 			return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8, Timeout: 100 * ms}}
 		}
 		return nil
 	}))
-	r.arrive(1, "safe")
-	r.want("broken", r.machine.AttemptEnded(r.at(10*ms), 1, 0, Outcome{Result: decision.ConnectionLost}), "start 1/1 at 8 by 110ms")
-	r.want("the attempt's own time", r.machine.Tick(r.at(110*ms)), "calloff 1/1 late")
-	r.want("its answer all the same", r.machine.AttemptEnded(r.at(111*ms), 1, 1, Outcome{Result: decision.Succeeded}), "final 1 served by 1")
-	r.empty()
+	r.submit(1, "safe")
+	r.wantEffects("broken", r.machine.AttemptEnded(r.setTime(10*ms), 1, 0, Outcome{Result: decision.ConnectionLost}), "start 1/1 at 8 by 110ms")
+	r.wantEffects("the attempt's own time", r.machine.Tick(r.setTime(110*ms)), "calloff 1/1 late")
+	r.wantEffects("its answer all the same", r.machine.AttemptEnded(r.setTime(111*ms), 1, 1, Outcome{Result: decision.Succeeded}), "final 1 served by 1")
+	r.wantNothingLeft()
 }
 
-func TestRefusedAndFailedOnlyOnce(t *testing.T) {
-	r := newRig(t, Limits{}, func(ev decision.Event) []decision.Action {
+func TestOnlyFirstFinalAnswerCounts(t *testing.T) {
+	r := newHarness(t, Limits{}, func(ev decision.Event) []decision.Action {
 		if q, ok := ev.(decision.Request); ok {
 			return []decision.Action{decision.Reject{Request: q.ID, RetryAfter: 250 * ms}, decision.Fail{Request: q.ID}}
 		}
 		return nil
 	})
-	r.want("refusal", r.arrive(1, "safe"), "final 1 refused 250ms")
+	r.wantEffects("refusal", r.submit(1, "safe"), "final 1 refused 250ms")
 	if r.machine.UnmatchedOutcomes() != 1 {
 		t.Errorf("%d strays, want the second answer", r.machine.UnmatchedOutcomes())
 	}
-	r.empty()
+	r.wantNothingLeft()
 }
 
 // The last moment comes whatever the decision module does or does not do.
-func TestLastMoment(t *testing.T) {
-	r := newRig(t, Limits{}, sendOn(nil))
-	r.arrive(1, "safe")
+func TestUnansweredRequestEndsAtResponseDeadline(t *testing.T) {
+	r := newHarness(t, Limits{}, startOnBackend7(nil))
+	r.submit(1, "safe")
 	if at, ok := r.machine.Next(); !ok || at != time.Hour+960*ms {
 		t.Errorf("next at %v %v", at, ok)
 	}
-	r.want("early", r.machine.Tick(r.at(959*ms)), "")
-	r.want("attempts' time", r.machine.Tick(r.at(960*ms)), "calloff 1/0 late")
-	r.want("last moment", r.machine.Tick(r.at(980*ms)), "final 1 late")
-	r.heardLast("client_disconnected{")
-	r.want("the end of it", r.machine.AttemptEnded(r.at(981*ms), 1, 0, Outcome{Result: decision.TimedOut}), "")
-	r.heardLast("final=true")
-	r.empty()
+	r.wantEffects("early", r.machine.Tick(r.setTime(959*ms)), "")
+	r.wantEffects("attempts' time", r.machine.Tick(r.setTime(960*ms)), "calloff 1/0 late")
+	r.wantEffects("last moment", r.machine.Tick(r.setTime(980*ms)), "final 1 late")
+	r.wantLastEvent("client_disconnected{")
+	r.wantEffects("the end of it", r.machine.AttemptEnded(r.setTime(981*ms), 1, 0, Outcome{Result: decision.TimedOut}), "")
+	r.wantLastEvent("final=true")
+	r.wantNothingLeft()
 }
 
 // A driver that was paused finds all timers due at once: they come in the order of their times, before whatever
 // event woke it, and an answer that came too late serves nobody.
-func TestAfterAPause(t *testing.T) {
-	r := newRig(t, Limits{}, sendOn(nil))
-	r.arrive(1, "safe")
+func TestOverdueTimersFireBeforeLateEvent(t *testing.T) {
+	r := newHarness(t, Limits{}, startOnBackend7(nil))
+	r.submit(1, "safe")
 	r.now += 5 * ms
-	r.arrive(2, "safe")
-	r.want("all at once", r.machine.AttemptEnded(r.at(5*time.Second), 2, 0, Outcome{Result: decision.Succeeded}),
+	r.submit(2, "safe")
+	r.wantEffects("all at once", r.machine.AttemptEnded(r.setTime(5*time.Second), 2, 0, Outcome{Result: decision.Succeeded}),
 		"calloff 1/0 late; final 1 late; calloff 2/0 late; final 2 late")
-	r.heardLast("result=0 latency=4.995s final=true")
-	r.want("nothing more", r.machine.Tick(r.now), "")
+	r.wantLastEvent("result=0 latency=4.995s final=true")
+	r.wantEffects("nothing more", r.machine.Tick(r.now), "")
 }
 
-func TestTimersAtOneInstantKeepTheirOrder(t *testing.T) {
+func TestTimersOfOneInstantFireInOrder(t *testing.T) {
 	var tokens []uint64
-	r := newRig(t, Limits{}, func(ev decision.Event) []decision.Action {
+	r := newHarness(t, Limits{}, func(ev decision.Event) []decision.Action {
 		switch ev := ev.(type) {
 		case decision.Request:
 			return []decision.Action{decision.SetTimer{After: 10 * ms, Token: 3, Request: 1}, decision.SetTimer{After: 10 * ms, Token: 1, Request: 1},
@@ -197,53 +197,53 @@
 		}
 		return nil
 	})
-	r.arrive(1, "safe")
+	r.submit(1, "safe")
 	r.machine.Tick(r.now)
-	r.machine.Tick(r.at(10 * ms))
+	r.machine.Tick(r.setTime(10 * ms))
 	if want := []uint64{9, 9, 3, 1, 0}; !slices.Equal(tokens, want) {
 		t.Errorf("timers came as %v, want %v", tokens, want)
 	}
 }
 
-func TestAClientThatLeaves(t *testing.T) {
-	r := newRig(t, Limits{}, sendOn(func(ev decision.Event) []decision.Action {
+func TestDisconnectedClientStartsNothing(t *testing.T) {
+	r := newHarness(t, Limits{}, startOnBackend7(func(ev decision.Event) []decision.Action {
 		if g, ok := ev.(decision.ClientDisconnected); ok {
 			return []decision.Action{decision.CancelAttempt{Request: g.Request}, decision.StartAttempt{Request: g.Request, Backend: 9}}
 		}
 		return nil
 	}))
-	r.arrive(1, "safe")
-	r.want("another's tag", r.machine.Disconnect(r.now, "stranger", 1), "")
-	r.want("left", r.machine.Disconnect(r.at(10*ms), decision.RequestID(1), 1), "final 1 left; calloff 1/0")
-	r.heardLast("attempt=1 result=7") // what it wanted to send after the end was not sent
-	r.want("twice", r.machine.Disconnect(r.now, decision.RequestID(1), 1), "")
+	r.submit(1, "safe")
+	r.wantEffects("another's tag", r.machine.Disconnect(r.now, "stranger", 1), "")
+	r.wantEffects("left", r.machine.Disconnect(r.setTime(10*ms), decision.RequestID(1), 1), "final 1 left; calloff 1/0")
+	r.wantLastEvent("attempt=1 result=7") // what it wanted to send after the end was not sent
+	r.wantEffects("twice", r.machine.Disconnect(r.now, decision.RequestID(1), 1), "")
 	if r.machine.OpenRequests() != 1 || r.machine.Unanswered() != 0 {
 		t.Errorf("open %d, owed %d, want the attempt only", r.machine.OpenRequests(), r.machine.Unanswered())
 	}
-	r.machine.AttemptEnded(r.at(11*ms), 1, 0, Outcome{Result: decision.Cancelled})
-	r.empty()
+	r.machine.AttemptEnded(r.setTime(11*ms), 1, 0, Outcome{Result: decision.Cancelled})
+	r.wantNothingLeft()
 }
 
 // A decision module that gives an answer and calls nothing off leaves an attempt out. It still has an end.
-func TestAnAttemptPastItsRequest(t *testing.T) {
-	r := newRig(t, Limits{}, func(ev decision.Event) []decision.Action {
+func TestAttemptOutlivesItsRequest(t *testing.T) {
+	r := newHarness(t, Limits{}, func(ev decision.Event) []decision.Action {
 		if q, ok := ev.(decision.Request); ok {
 			return []decision.Action{decision.StartAttempt{Request: q.ID, Backend: 7}, decision.Fail{Request: q.ID}}
 		}
 		return nil
 	})
-	r.want("arrival", r.arrive(1, "safe"), "start 1/0 at 7 by 960ms; final 1 failed")
+	r.wantEffects("arrival", r.submit(1, "safe"), "start 1/0 at 7 by 960ms; final 1 failed")
 	if _, err := r.machine.Submit(r.now, 1, decision.Request{ID: 1, Class: "safe", Timeout: 1}, 1); !errors.Is(err, ErrDuplicateID) {
 		t.Errorf("its id again: %v", err)
 	}
-	r.want("its time", r.machine.Tick(r.at(960*ms)), "calloff 1/0 late")
-	r.want("its answer", r.machine.AttemptEnded(r.at(970*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
-	r.heardLast("result=0 latency=970ms final=true")
-	r.empty()
+	r.wantEffects("its time", r.machine.Tick(r.setTime(960*ms)), "calloff 1/0 late")
+	r.wantEffects("its answer", r.machine.AttemptEnded(r.setTime(970*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
+	r.wantLastEvent("result=0 latency=970ms final=true")
+	r.wantNothingLeft()
 }
 
-func TestWhatIsNotLetIn(t *testing.T) {
-	r := newRig(t, Limits{MaxOpenRequests: 2, MaxAttempts: 1}, sendOn(func(ev decision.Event) []decision.Action {
+func TestSubmit_Limits(t *testing.T) {
+	r := newHarness(t, Limits{MaxOpenRequests: 2, MaxAttempts: 1}, startOnBackend7(func(ev decision.Event) []decision.Action {
 		if o, ok := ev.(decision.Outcome); ok && o.Attempt < 3 {
 			return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8}}
 		}
@@ -253,28 +253,28 @@
 		_, err := r.machine.Submit(r.now, id, decision.Request{ID: id, Class: class, Timeout: time.Second}, time.Second)
 		return err
 	}
-	r.arrive(1, "safe")
+	r.submit(1, "safe")
 	if err := again(1, "safe"); !errors.Is(err, ErrDuplicateID) {
 		t.Errorf("an open id: %v", err)
 	}
-	r.arrive(2, "keyed")
+	r.submit(2, "keyed")
 	if err := again(3, "safe"); !errors.Is(err, ErrTooManyRequests) {
 		t.Errorf("one too many: %v", err)
 	}
-	r.want("attempts beyond the bound", r.machine.AttemptEnded(r.now, 1, 0, Outcome{Result: decision.Rejected}), "")
-	r.heardLast("attempt=3 result=7")
+	r.wantEffects("attempts beyond the bound", r.machine.AttemptEnded(r.now, 1, 0, Outcome{Result: decision.Rejected}), "")
+	r.wantLastEvent("attempt=3 result=7")
 	r.machine.Close()
 	if err := again(4, "safe"); !errors.Is(err, ErrClosed) {
 		t.Errorf("closed: %v", err)
 	}
-	r.want("abort", r.machine.Abort(r.now), "final 1 aborted; final 2 aborted; calloff 2/0")
+	r.wantEffects("abort", r.machine.Abort(r.now), "final 1 aborted; final 2 aborted; calloff 2/0")
 	r.machine.AttemptEnded(r.now, 2, 0, Outcome{Result: decision.Cancelled})
-	r.empty()
+	r.wantNothingLeft()
 }
 
 // A host that runs its handlers again must not make an effect happen twice. What provably never ran may come again.
-func TestAReplayedIDIsNotSentAgain(t *testing.T) {
-	r := newRig(t, Limits{MaxRememberedIDs: 2, IDRetention: time.Second}, sendOn(nil))
+func TestSubmit_ReplayedID(t *testing.T) {
+	r := newHarness(t, Limits{MaxRememberedIDs: 2, IDRetention: time.Second}, startOnBackend7(nil))
 	try := func(id decision.RequestID, class string, end decision.Result) error {
 		if _, err := r.machine.Submit(r.now, id, decision.Request{ID: id, Class: class, Timeout: time.Second}, time.Second); err != nil {
 			return err
@@ -318,35 +318,35 @@
 	}
 }
 
-func TestOtherActionsAndEvents(t *testing.T) {
-	r := newRig(t, Limits{}, func(ev decision.Event) []decision.Action {
+func TestUnmatchedActionsAreCounted(t *testing.T) {
+	r := newHarness(t, Limits{}, func(ev decision.Event) []decision.Action {
 		if _, ok := ev.(decision.EndpointUpdate); ok {
 			return []decision.Action{decision.Probe{Backend: 3}, decision.Subscribe{}, decision.StartAttempt{Request: 99},
 				decision.CancelAttempt{Request: 99}, decision.Reject{Request: 99}, nil}
 		}
 		return nil
 	})
-	r.want("list", r.machine.UpdateEndpoints(r.now, decision.EndpointUpdate{}), "probe 3; subscribe")
+	r.wantEffects("list", r.machine.UpdateEndpoints(r.now, decision.EndpointUpdate{}), "probe 3; subscribe")
 	if r.machine.UnmatchedOutcomes() != 3 {
 		t.Errorf("%d strays, want 3", r.machine.UnmatchedOutcomes())
 	}
-	r.want("probed", r.machine.ProbeAnswered(r.now, decision.ProbeResult{Backend: 3}), "")
-	r.heardLast("probe_result{")
-	r.began("of none", 5, 0, false, "")
-	r.heardLast("probe_result{")
+	r.wantEffects("probed", r.machine.ProbeAnswered(r.now, decision.ProbeResult{Backend: 3}), "")
+	r.wantLastEvent("probe_result{")
+	r.wantResponseStarted("of none", 5, 0, false, "")
+	r.wantLastEvent("probe_result{")
 }
 
-func (r *harness) began(what string, id decision.RequestID, attempt int, may bool, want string) {
+func (r *harness) wantResponseStarted(what string, id decision.RequestID, attempt int, may bool, want string) {
 	r.t.Helper()
 	es, got := r.machine.ResponseStarted(r.now, id, attempt)
-	r.want(what, es, want)
+	r.wantEffects(what, es, want)
 	if got != may {
 		r.t.Errorf("%s: the answer may begin: %v, want %v", what, got, may)
 	}
 }
 
 // twice sends each request to backend 7 and, at the module's timer, beside that to 8.
-func twice(ev decision.Event) []decision.Action {
+func hedgeAfter100ms(ev decision.Event) []decision.Action {
 	switch ev := ev.(type) {
 	case decision.Request:
 		return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 7}, decision.SetTimer{After: 100 * ms, Token: 1, Request: ev.ID}}
@@ -358,61 +358,61 @@
 
 // An answer that has begun binds its request to the attempt: others are called off and may not begin theirs, their good
 // end changes nothing, and none is made any more.
-func TestABegunAnswerBinds(t *testing.T) {
-	r := newRig(t, Limits{}, twice)
-	r.arrive(1, "safe")
-	r.want("a second attempt", r.machine.Tick(r.at(100*ms)), "start 1/1 at 8 by 960ms")
-	r.began("the second one's", 1, 1, true, "calloff 1/0")
-	r.heardLast("response_started{")
-	r.began("again", 1, 1, false, "")
-	r.began("the first one's", 1, 0, false, "")
-	r.want("the first was answered", r.machine.AttemptEnded(r.at(120*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
-	r.want("the end", r.machine.AttemptEnded(r.at(130*ms), 1, 1, Outcome{Result: decision.Succeeded}), "final 1 served by 1")
-	r.empty()
+func TestStartedResponseBindsRequest(t *testing.T) {
+	r := newHarness(t, Limits{}, hedgeAfter100ms)
+	r.submit(1, "safe")
+	r.wantEffects("a second attempt", r.machine.Tick(r.setTime(100*ms)), "start 1/1 at 8 by 960ms")
+	r.wantResponseStarted("the second one's", 1, 1, true, "calloff 1/0")
+	r.wantLastEvent("response_started{")
+	r.wantResponseStarted("again", 1, 1, false, "")
+	r.wantResponseStarted("the first one's", 1, 0, false, "")
+	r.wantEffects("the first was answered", r.machine.AttemptEnded(r.setTime(120*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
+	r.wantEffects("the end", r.machine.AttemptEnded(r.setTime(130*ms), 1, 1, Outcome{Result: decision.Succeeded}), "final 1 served by 1")
+	r.wantNothingLeft()
 }
 
 // The end of an attempt whose answer has begun is the request's: it is made no more, whatever its class, and never refused.
-func TestABegunAnswerThatBreaks(t *testing.T) {
+func TestStartedResponseThatBreaksIsNotRetried(t *testing.T) {
 	for result, want := range map[decision.Result]string{decision.ConnectionLost: "final 1 failed", decision.Rejected: "final 1 failed",
 		decision.ErrorResponse: "final 1 failed", decision.TimedOut: "final 1 late"} {
-		again := sendOn(func(ev decision.Event) []decision.Action {
+		again := startOnBackend7(func(ev decision.Event) []decision.Action {
 			if o, ok := ev.(decision.Outcome); ok && o.Attempt == 0 {
 				return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8}, decision.Reject{Request: o.Request}}
 			}
 			return nil
 		})
-		r := newRig(t, Limits{}, again)
-		r.arrive(1, "safe")
-		r.began("it", 1, 0, true, "")
-		r.want(want, r.machine.AttemptEnded(r.at(30*ms), 1, 0, Outcome{Result: result}), want)
-		r.empty()
+		r := newHarness(t, Limits{}, again)
+		r.submit(1, "safe")
+		r.wantResponseStarted("it", 1, 0, true, "")
+		r.wantEffects(want, r.machine.AttemptEnded(r.setTime(30*ms), 1, 0, Outcome{Result: result}), want)
+		r.wantNothingLeft()
 	}
-	r := newRig(t, Limits{}, sendOn(func(ev decision.Event) []decision.Action {
+	r := newHarness(t, Limits{}, startOnBackend7(func(ev decision.Event) []decision.Action {
 		if _, ok := ev.(decision.ResponseStarted); ok {
 			return []decision.Action{decision.StartAttempt{Request: 1, Backend: 8}, decision.Reject{Request: 1}}
 		}
 		return nil
 	}))
-	r.arrive(1, "safe")
-	r.began("a module that refuses what it is told has begun", 1, 0, false, "final 1 failed")
+	r.submit(1, "safe")
+	r.wantResponseStarted("a module that refuses what it is told has begun", 1, 0, false, "final 1 failed")
 }
 
 // An answer may not begin once its attempt is called off or its request has ended.
-func TestTooLateToBegin(t *testing.T) {
-	r := newRig(t, Limits{}, sendOn(nil))
-	r.arrive(1, "safe")
-	r.at(960 * ms)
-	r.began("when its time is up", 1, 0, false, "calloff 1/0 late")
-	r.want("the last moment", r.machine.Tick(r.at(980*ms)), "final 1 late")
-	r.began("after the end", 1, 0, false, "")
+func TestResponseStarted_TooLate(t *testing.T) {
+	r := newHarness(t, Limits{}, startOnBackend7(nil))
+	r.submit(1, "safe")
+	r.setTime(960 * ms)
+	r.wantResponseStarted("when its time is up", 1, 0, false, "calloff 1/0 late")
+	r.wantEffects("the last moment", r.machine.Tick(r.setTime(980*ms)), "final 1 late")
+	r.wantResponseStarted("after the end", 1, 0, false, "")
 }
 
 // A stream in flight ends with its time, and when its client leaves.
-func TestABegunAnswerRunsOut(t *testing.T) {
-	r := newRig(t, Limits{}, sendOn(nil))
-	r.arrive(1, "safe")
-	r.began("it", 1, 0, true, "")
-	r.want("its time", r.machine.Tick(r.at(960*ms)), "calloff 1/0 late")
-	r.want("its end", r.machine.AttemptEnded(r.at(961*ms), 1, 0, Outcome{Result: decision.TimedOut}), "final 1 late")
-	r.empty()
+func TestStartedResponseEndsAtDeadline(t *testing.T) {
+	r := newHarness(t, Limits{}, startOnBackend7(nil))
+	r.submit(1, "safe")
+	r.wantResponseStarted("it", 1, 0, true, "")
+	r.wantEffects("its time", r.machine.Tick(r.setTime(960*ms)), "calloff 1/0 late")
+	r.wantEffects("its end", r.machine.AttemptEnded(r.setTime(961*ms), 1, 0, Outcome{Result: decision.TimedOut}), "final 1 late")
+	r.wantNothingLeft()
 }
--- a/internal/lifecycle/property_test.go
+++ b/internal/lifecycle/property_test.go
@@ -27,60 +27,60 @@
 // answer, the shipped one among them. Whatever happens: one Final for each request let in, none for another; every
 // Start one outcome at the decision module, and no outcome without a send; nothing left once all has ended.
 
-type seen struct {
-	finals   int
-	starts   []bool // open
-	made     []int  // attempts that were started
-	offs     []bool
-	sends    int // that the decision module asked for
-	outcomes []int
-	begun    int // the attempt whose answer has begun, counted from 1
+type requestRecord struct {
+	finals            int
+	running           []bool // open
+	madeAttempts      []int  // attempts that were started
+	cancelled         []bool
+	requested         int // that the decision module asked for
+	outcomes          []int
+	respondingAttempt int // the attempt whose answer has begun, counted from 1
 }
 
-type world struct {
-	t       *rapid.T
-	machine *Machine
-	inner   DecisionEngine // nil: chance
-	now     time.Duration
-	reqs    map[decision.RequestID]*seen
-	order   []decision.RequestID
-	depth   int
-	owed    uint64        // the CatchUp that has no answer yet; 0: none
-	last    time.Duration // when anything happened last
-	still   bool          // pauses are noticed
+type propertyRun struct {
+	t            *rapid.T
+	machine      *Machine
+	engine       DecisionEngine // nil: chance
+	now          time.Duration
+	records      map[decision.RequestID]*requestRecord
+	order        []decision.RequestID
+	depth        int
+	pendingSync  uint64        // the CatchUp that has no answer yet; 0: none
+	lastEventAt  time.Duration // when anything happened last
+	detectPauses bool          // pauses are noticed
 }
 
 // Handle is the decision module: chance, or the one that ships, watched.
-func (w *world) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
+func (w *propertyRun) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
 	if o, ok := ev.(decision.Outcome); ok {
-		s := w.reqs[o.Request]
-		if s == nil || o.Attempt >= s.sends {
+		s := w.records[o.Request]
+		if s == nil || o.Attempt >= s.requested {
 			w.t.Fatalf("an outcome without a send: %+v", o)
 		}
-		for len(s.outcomes) < s.sends {
+		for len(s.outcomes) < s.requested {
 			s.outcomes = append(s.outcomes, 0)
 		}
 		if s.outcomes[o.Attempt]++; s.outcomes[o.Attempt] > 1 {
 			w.t.Fatalf("a second outcome: %+v", o)
 		}
-		if o.Final != (s.finals > 0) && w.machine.calls[o.Request] != nil && o.Final != w.machine.calls[o.Request].answered {
+		if o.Final != (s.finals > 0) && w.machine.requests[o.Request] != nil && o.Final != w.machine.requests[o.Request].answered {
 			w.t.Fatalf("%+v, and the request has %d final answers", o, s.finals)
 		}
 	}
-	if w.inner != nil {
-		as = w.inner.Handle(now, ev, as)
+	if w.engine != nil {
+		as = w.engine.Handle(now, ev, as)
 	} else {
-		as = w.chance(as)
+		as = w.randomActions(as)
 	}
 	for _, a := range as {
-		if s, ok := a.(decision.StartAttempt); ok && w.reqs[s.Request] != nil && w.machine.calls[s.Request] != nil {
-			w.reqs[s.Request].sends++
+		if s, ok := a.(decision.StartAttempt); ok && w.records[s.Request] != nil && w.machine.requests[s.Request] != nil {
+			w.records[s.Request].requested++
 		}
 	}
 	return as
 }
 
-func (w *world) chance(as []decision.Action) []decision.Action {
+func (w *propertyRun) randomActions(as []decision.Action) []decision.Action {
 	if w.depth++; w.depth > 50 { // else sends that are not made lead to sends for ever
 		return as
 	}
@@ -104,133 +104,133 @@
 }
 
 // see checks the effects of one step.
-func (w *world) see(es []Effect) {
-	w.last = w.now
+func (w *propertyRun) checkEffects(es []Effect) {
+	w.lastEventAt = w.now
 	for _, e := range es {
-		s := w.reqs[e.Request]
+		s := w.records[e.Request]
 		switch e.Kind {
 		case SyncSources:
-			if !w.still || e.SyncID <= w.owed {
-				w.t.Fatalf("%+v after %d", e, w.owed)
+			if !w.detectPauses || e.SyncID <= w.pendingSync {
+				w.t.Fatalf("%+v after %d", e, w.pendingSync)
 			}
-			w.owed = e.SyncID
+			w.pendingSync = e.SyncID
 		case StartAttempt:
-			if w.owed > 0 {
+			if w.pendingSync > 0 {
 				w.t.Fatalf("%+v before the core has caught up", e)
 			}
-			if s.begun > 0 {
+			if s.respondingAttempt > 0 {
 				w.t.Fatalf("a start after an answer has begun: %+v", e)
 			}
 			if s.finals > 0 {
 				w.t.Fatalf("a start after the final answer: %+v", e)
 			}
-			if e.Deadline > w.now+900*ms || e.Attempt < len(s.starts) {
+			if e.Deadline > w.now+900*ms || e.Attempt < len(s.running) {
 				w.t.Fatalf("an odd start: %+v", e)
 			}
-			for len(s.starts) <= e.Attempt {
-				s.starts, s.offs = append(s.starts, false), append(s.offs, false)
+			for len(s.running) <= e.Attempt {
+				s.running, s.cancelled = append(s.running, false), append(s.cancelled, false)
 			}
-			s.starts[e.Attempt] = true
-			s.made = append(s.made, e.Attempt)
+			s.running[e.Attempt] = true
+			s.madeAttempts = append(s.madeAttempts, e.Attempt)
 		case CancelAttempt:
-			if !s.starts[e.Attempt] || s.offs[e.Attempt] {
+			if !s.running[e.Attempt] || s.cancelled[e.Attempt] {
 				w.t.Fatalf("an attempt called off that is not out, or twice: %+v", e)
 			}
-			s.offs[e.Attempt] = true
+			s.cancelled[e.Attempt] = true
 		case Respond:
 			if s.finals++; s.finals > 1 {
 				w.t.Fatalf("a second final answer: %+v", e)
 			}
-			if s.begun > 0 && (e.Verdict == Rejected || e.Verdict == Served && e.Attempt != s.begun-1) {
-				w.t.Fatalf("%+v, and the answer of attempt %d has begun", e, s.begun-1)
+			if s.respondingAttempt > 0 && (e.Verdict == Rejected || e.Verdict == Served && e.Attempt != s.respondingAttempt-1) {
+				w.t.Fatalf("%+v, and the answer of attempt %d has begun", e, s.respondingAttempt-1)
 			}
 		}
 	}
 }
 
-func (w *world) anID() decision.RequestID {
+func (w *propertyRun) drawID() decision.RequestID {
 	if len(w.order) == 0 {
 		return 0
 	}
 	return rapid.SampledFrom(w.order).Draw(w.t, "request")
 }
 
-func (w *world) step() {
+func (w *propertyRun) step() {
 	w.depth = 0
 	w.now += time.Duration(rapid.IntRange(0, 300).Draw(w.t, "pass")) * ms
-	if w.still && rapid.IntRange(0, 9).Draw(w.t, "stands still") == 0 {
+	if w.detectPauses && rapid.IntRange(0, 9).Draw(w.t, "stands still") == 0 {
 		w.now += time.Duration(rapid.IntRange(100, 7000).Draw(w.t, "for")) * ms
 	}
-	if w.now-w.last > recovery.DefaultCheckInterval+recovery.DefaultTolerance && w.still && w.last > 0 {
-		before, from := w.owed, w.last
+	if w.now-w.lastEventAt > recovery.DefaultCheckInterval+recovery.DefaultTolerance && w.detectPauses && w.lastEventAt > 0 {
+		before, from := w.pendingSync, w.lastEventAt
 		defer func() {
-			if w.last > from && w.owed == before {
+			if w.lastEventAt > from && w.pendingSync == before {
 				w.t.Fatalf("%v went by, and nobody was asked to catch up", w.now-from)
 			}
 		}()
 	}
 	switch rapid.IntRange(0, 9).Draw(w.t, "event") {
 	case 9:
-		serial := w.owed
+		serial := w.pendingSync
 		if rapid.IntRange(0, 4).Draw(w.t, "older") == 0 {
 			serial--
 		}
-		w.caughtUp(serial)
+		w.sourcesSynced(serial)
 	case 0, 1, 2:
 		id := decision.RequestID(len(w.order) + 1)
 		if len(w.order) > 0 && rapid.IntRange(0, 9).Draw(w.t, "again") == 0 {
-			id = w.anID()
+			id = w.drawID()
 		}
 		for at, ok := w.machine.Next(); ok && at <= w.now; at, ok = w.machine.Next() {
-			w.see(w.machine.Tick(w.now)) // what is due may end the one that has the id
+			w.checkEffects(w.machine.Tick(w.now)) // what is due may end the one that has the id
 		}
-		old := w.reqs[id]
-		if old != nil && w.machine.calls[id] == nil {
+		old := w.records[id]
+		if old != nil && w.machine.requests[id] == nil {
 			return // an id that was used is used again on purpose only: see TestAReplayedIDIsNotSentAgain
 		}
 		if old == nil {
-			w.reqs[id] = &seen{}
+			w.records[id] = &requestRecord{}
 			w.order = append(w.order, id)
 		}
 		class := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(w.t, "class")
-		es, err := w.machine.Submit(w.now, w.reqs[id], decision.Request{ID: id, Class: class, Plan: "p", Cost: 1, GatewaySpread: 1,
+		es, err := w.machine.Submit(w.now, w.records[id], decision.Request{ID: id, Class: class, Plan: "p", Cost: 1, GatewaySpread: 1,
 			Timeout: 900 * ms}, 950*ms)
-		w.see(es)
+		w.checkEffects(es)
 		if (err != nil) != (old != nil) {
 			w.t.Fatalf("request %d: %v, open before: %v", id, err, old != nil)
 		}
 	case 3, 4:
-		id := w.anID()
-		if s := w.reqs[id]; s != nil && len(s.starts) > 0 {
-			w.end(id, rapid.IntRange(0, len(s.starts)-1).Draw(w.t, "attempt"))
+		id := w.drawID()
+		if s := w.records[id]; s != nil && len(s.running) > 0 {
+			w.endAttempt(id, rapid.IntRange(0, len(s.running)-1).Draw(w.t, "attempt"))
 		}
 	case 8:
-		id := w.anID()
-		if s := w.reqs[id]; s != nil && len(s.starts) > 0 {
-			n := rapid.IntRange(0, len(s.starts)-1).Draw(w.t, "begins")
+		id := w.drawID()
+		if s := w.records[id]; s != nil && len(s.running) > 0 {
+			n := rapid.IntRange(0, len(s.running)-1).Draw(w.t, "begins")
 			es, may := w.machine.ResponseStarted(w.now, id, n)
-			w.see(es)
-			if may && (s.begun > 0 || !s.starts[n] || s.offs[n] || s.finals > 0) {
+			w.checkEffects(es)
+			if may && (s.respondingAttempt > 0 || !s.running[n] || s.cancelled[n] || s.finals > 0) {
 				w.t.Fatalf("the answer of attempt %d may begin: %+v", n, s)
 			}
-			if may || len(es) > 0 && w.machine.calls[id] != nil && w.machine.calls[id].respondingAttempt > 0 {
-				s.begun = w.machine.calls[id].respondingAttempt
+			if may || len(es) > 0 && w.machine.requests[id] != nil && w.machine.requests[id].respondingAttempt > 0 {
+				s.respondingAttempt = w.machine.requests[id].respondingAttempt
 			}
 		}
 	case 5:
-		if id := w.anID(); w.reqs[id] != nil {
-			w.see(w.machine.Disconnect(w.now, w.reqs[id], id))
+		if id := w.drawID(); w.records[id] != nil {
+			w.checkEffects(w.machine.Disconnect(w.now, w.records[id], id))
 		}
 	case 6:
-		w.see(w.machine.Tick(w.now))
+		w.checkEffects(w.machine.Tick(w.now))
 	case 7:
-		w.stop()
-		w.see(w.machine.UpdateEndpoints(w.now, decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: []decision.Endpoint{{ID: 1}, {ID: 2, Cell: 1}}}))
+		w.checkMarkDrained()
+		w.checkEffects(w.machine.UpdateEndpoints(w.now, decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: []decision.Endpoint{{ID: 1}, {ID: 2, Cell: 1}}}))
 	}
 }
 
 // stop takes a list's word on backends, and looks whether the open attempts that it stops are those which a walk over all finds.
-func (w *world) stop() {
+func (w *propertyRun) checkMarkDrained() {
 	list := decision.EndpointUpdate{Kind: decision.UpdateKind(rapid.IntRange(0, int(decision.UpdateFailed)).Draw(w.t, "kind"))}
 	last := map[decision.BackendID]decision.BackendState{}
 	for range rapid.IntRange(0, 3).Draw(w.t, "entries") {
@@ -238,7 +238,7 @@
 		list.Endpoints, last[b.ID] = append(list.Endpoints, b), b.State
 	}
 	want, open := map[attemptRef]bool{}, 0
-	for _, k := range w.machine.calls {
+	for _, k := range w.machine.requests {
 		for i, t := range k.attempts {
 			state, named := last[t.backend]
 			if t.open {
@@ -251,13 +251,13 @@
 	w.machine.markDrained(&list)
 	for r, is := range want {
 		if r.attempt().drained != is {
-			w.t.Fatalf("request %d, attempt %d at %d, after %+v: stopped %v, want %v", r.call.id, r.number, r.attempt().backend, list, !is, is)
+			w.t.Fatalf("request %d, attempt %d at %d, after %+v: stopped %v, want %v", r.request.id, r.number, r.attempt().backend, list, !is, is)
 		}
 	}
 	for id, r := range w.machine.openAttempts {
-		for ; r.call != nil; r = r.attempt().next {
+		for ; r.request != nil; r = r.attempt().next {
 			if open--; !r.attempt().open || r.attempt().backend != id {
-				w.t.Fatalf("request %d, attempt %d is among those open at %d: %+v", r.call.id, r.number, id, *r.attempt())
+				w.t.Fatalf("request %d, attempt %d is among those open at %d: %+v", r.request.id, r.number, id, *r.attempt())
 			}
 		}
 	}
@@ -267,44 +267,44 @@
 }
 
 // caughtUp answers a CatchUp; one that is asked for in the same moment is another.
-func (w *world) caughtUp(serial uint64) {
-	owed := w.owed
+func (w *propertyRun) sourcesSynced(serial uint64) {
+	owed := w.pendingSync
 	if serial == owed {
-		w.owed = 0
+		w.pendingSync = 0
 	}
 	es := w.machine.SourcesSynced(w.now, serial)
 	if len(es) > 0 && es[0].Kind == SyncSources {
-		w.owed = owed
+		w.pendingSync = owed
 	}
-	w.see(es)
+	w.checkEffects(es)
 }
 
-func (w *world) end(id decision.RequestID, attempt int) {
-	s := w.reqs[id]
-	if !s.starts[attempt] {
+func (w *propertyRun) endAttempt(id decision.RequestID, attempt int) {
+	s := w.records[id]
+	if !s.running[attempt] {
 		return
 	}
 	result := decision.Result(rapid.IntRange(0, int(decision.Unknown)).Draw(w.t, "result"))
-	w.see(w.machine.AttemptEnded(w.now, id, attempt, Outcome{Result: result})) // what was due may call it off first
-	s.starts[attempt] = false
+	w.checkEffects(w.machine.AttemptEnded(w.now, id, attempt, Outcome{Result: result})) // what was due may call it off first
+	s.running[attempt] = false
 }
 
-func (w *world) run() {
+func (w *propertyRun) run() {
 	for range rapid.IntRange(1, 60).Draw(w.t, "steps") {
 		w.step()
 	}
 	// All time passes, and each attempt that was started ends.
 	for range 200 {
 		w.depth = 0
-		w.caughtUp(w.owed)
+		w.sourcesSynced(w.pendingSync)
 		if at, ok := w.machine.Next(); ok {
 			w.now = max(w.now, at)
 		}
-		w.see(w.machine.Tick(w.now))
+		w.checkEffects(w.machine.Tick(w.now))
 		for _, id := range w.order {
-			for n := range w.reqs[id].starts {
+			for n := range w.records[id].running {
 				w.depth = 0
-				w.end(id, n)
+				w.endAttempt(id, n)
 			}
 		}
 		if w.machine.OpenRequests() == 0 {
@@ -315,35 +315,35 @@
 		w.t.Fatalf("%d requests are left", w.machine.OpenRequests())
 	}
 	for _, id := range w.order {
-		s := w.reqs[id]
+		s := w.records[id]
 		if s.finals != 1 {
 			w.t.Fatalf("request %d has %d final answers", id, s.finals)
 		}
-		for _, n := range s.made {
+		for _, n := range s.madeAttempts {
 			if n >= len(s.outcomes) || s.outcomes[n] != 1 {
-				w.t.Fatalf("request %d: attempts %v were made, and the outcomes are %v", id, s.made, s.outcomes)
+				w.t.Fatalf("request %d: attempts %v were made, and the outcomes are %v", id, s.madeAttempts, s.outcomes)
 			}
 		}
 	}
 	for _, t := range w.machine.timers {
-		if t.call != nil || t.token != 0 {
+		if t.request != nil || t.token != 0 {
 			w.t.Fatalf("a timer of a request is left: %+v", t)
 		}
 	}
 }
 
-func TestAnyOrderOfEvents(t *testing.T) {
+func TestAnyOrderOfEvents_RandomEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, reqs: map[decision.RequestID]*seen{}}
-		w.still = rapid.Bool().Draw(t, "pauses are noticed")
-		w.machine = New(w, classes, Limits{MaxAttempts: 4, DetectPauses: w.still}, 0)
+		w := &propertyRun{t: t, records: map[decision.RequestID]*requestRecord{}}
+		w.detectPauses = rapid.Bool().Draw(t, "pauses are noticed")
+		w.machine = New(w, classes, Limits{MaxAttempts: 4, DetectPauses: w.detectPauses}, 0)
 		w.run()
 	})
 }
 
-func TestAnyOrderOfEventsWithTheShippedModule(t *testing.T) {
+func TestAnyOrderOfEvents_DecisionEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, reqs: map[decision.RequestID]*seen{}}
+		w := &propertyRun{t: t, records: map[decision.RequestID]*requestRecord{}}
 		set := decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: rapid.Bool().Draw(t, "cancel"),
 			MaxRetryAfter: time.Second, Plans: []decision.Plan{{Name: "p", Rate: 50, Burst: 50, Price: 1}}}
 		for _, c := range classes {
@@ -354,9 +354,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.inner = g
-		w.still = rapid.Bool().Draw(t, "pauses are noticed")
-		w.machine = New(w, set.Classes, Limits{DetectPauses: w.still}, 0)
+		w.engine = g
+		w.detectPauses = rapid.Bool().Draw(t, "pauses are noticed")
+		w.machine = New(w, set.Classes, Limits{DetectPauses: w.detectPauses}, 0)
 		w.run()
 		if w.machine.UnmatchedOutcomes() != 0 {
 			t.Fatalf("%d actions of the decision module fit no request", w.machine.UnmatchedOutcomes())
--- a/internal/lifecycle/timers.go
+++ b/internal/lifecycle/timers.go
@@ -2,14 +2,33 @@
 
 import (
 	"container/heap"
-	"maps"
-	"slices"
+	"time"
 
 	"pumicecroft/decision"
 )
 
-// timerHeap is a heap by time and, among equal times, by the order in which they were set. Timers of requests that
-// have ended are taken out at once, so it holds a few for each open request and one of the decision module's own.
+// timer is an entry of the timer heap.
+type timer struct {
+	at      time.Duration
+	seq     uint64       // orders timers of one instant by when they were set
+	index   int          // in the heap, from 1; 0: not set
+	request *openRequest // nil: the engine's own
+	token   uint64       // timerEngine: what the engine is told
+	kind    timerKind
+	attempt int // timerAttempt: the attempt's number
+}
+
+// timerKind says what a timer does when it fires.
+type timerKind uint8
+
+const (
+	timerEngine timerKind = iota
+	timerDeadline
+	timerAttempt
+)
+
+// timerHeap orders timers by time and, among equal times, by when they were set. Timers of requests that have ended
+// are taken out at once, so it holds a few for each open request and one of the engine's own.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -23,12 +42,14 @@
 	h[i].index, h[j].index = i+1, j+1
 }
 
+// Push is heap.Interface's: use setTimer.
 func (h *timerHeap) Push(x any) {
 	t := x.(*timer)
 	*h = append(*h, t)
 	t.index = len(*h)
 }
 
+// Pop is heap.Interface's: use fireTimers.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
@@ -38,55 +59,77 @@
 	return t
 }
 
-// setTimer puts a timer into the heap; it must not be there.
-func (c *Machine) setTimer(t *timer, as timer) {
-	c.seq++
-	*t = as
-	t.seq = c.seq
-	heap.Push(&c.timers, t)
+// nextTimer is when the first timer fires; !ok: none is set.
+func (m *Machine) nextTimer() (at time.Duration, ok bool) {
+	if len(m.timers) == 0 {
+		return 0, false
+	}
+	return m.timers[0].at, true
 }
 
-func (c *Machine) clearTimer(t *timer) {
+// setTimer sets t to value and puts it into the heap, where it must not be.
+func (m *Machine) setTimer(t *timer, value timer) {
+	m.timerSeq++
+	*t = value
+	t.seq = m.timerSeq
+	heap.Push(&m.timers, t)
+}
+
+// clearTimer takes a timer out of the heap, if it is there.
+func (m *Machine) clearTimer(t *timer) {
 	if t.index > 0 {
-		heap.Remove(&c.timers, t.index-1)
+		heap.Remove(&m.timers, t.index-1)
 	}
 }
 
-// setEngineTimer sets a timer of the decision module. One that belongs to a request that has ended is not set: the
-// module would pass over it.
-func (c *Machine) setEngineTimer(a decision.SetTimer) {
-	t := timer{at: c.now + max(a.After, 0), token: a.Token, kind: timerEngine}
-	if a.Token == 0 {
-		c.setTimer(new(timer), t)
+// setEngineTimer sets a timer for the engine. One that belongs to a request which is answered is not set: the engine
+// would ignore it.
+func (m *Machine) setEngineTimer(action decision.SetTimer) {
+	t := timer{at: m.now + max(action.After, 0), token: action.Token, kind: timerEngine}
+	if action.Token == 0 {
+		m.setTimer(new(timer), t)
 		return
 	}
-	k := c.calls[a.Request]
-	if k == nil || k.answered {
+	request := m.requests[action.Request]
+	if request == nil || request.answered {
 		return
 	}
-	t.call = k
-	if k.engineTimer.index == 0 {
-		c.setTimer(&k.engineTimer, t)
+	t.request = request
+	if request.engineTimer.index == 0 {
+		m.setTimer(&request.engineTimer, t)
 		return
 	}
-	c.setExtraTimer(k, t)
+	m.setExtraTimer(request, t)
 }
 
-// setExtraTimer sets one more timer of a request, in the place of one that has come if there is one.
-func (c *Machine) setExtraTimer(k *call, as timer) {
-	for _, t := range k.extraTimers {
+// setExtraTimer sets one more timer of a request, in the place of one that has fired if there is one.
+func (m *Machine) setExtraTimer(request *openRequest, value timer) {
+	for _, t := range request.extraTimers {
 		if t.index == 0 {
-			c.setTimer(t, as)
+			m.setTimer(t, value)
 			return
 		}
 	}
 	t := new(timer)
-	k.extraTimers = append(k.extraTimers, t)
-	c.setTimer(t, as)
+	request.extraTimers = append(request.extraTimers, t)
+	m.setTimer(t, value)
+}
+
+// clearEngineTimers clears the timers that the engine has set for a request.
+func (m *Machine) clearEngineTimers(request *openRequest) {
+	m.clearTimer(&request.engineTimer)
+	for _, t := range request.extraTimers {
+		if t.kind == timerEngine {
+			m.clearTimer(t)
+		}
+	}
 }
 
-// sortedIDs gives the ids of a table in an order of their own, so that what is done to each does not depend on
-// the map's.
-func sortedIDs(calls map[decision.RequestID]*call) []decision.RequestID {
-	return slices.Sorted(maps.Keys(calls))
+// clearTimers clears all timers of a request.
+func (m *Machine) clearTimers(request *openRequest) {
+	m.clearTimer(&request.deadlineTimer)
+	m.clearTimer(&request.engineTimer)
+	for _, t := range request.extraTimers {
+		m.clearTimer(t)
+	}
 }
--- a/leaving_test.go
+++ b/leaving_test.go
@@ -14,21 +14,21 @@
 )
 
 // noticing is a decision module that tells when it hears that a client has gone.
-type noticing struct {
+type disconnectObserver struct {
 	lifecycle.DecisionEngine
-	left chan bool
+	disconnected chan bool
 }
 
-func (n noticing) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
+func (n disconnectObserver) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
 	as = n.DecisionEngine.Handle(now, ev, as)
 	if _, ok := ev.(decision.ClientDisconnected); ok {
-		n.left <- true
+		n.disconnected <- true
 	}
 	return as
 }
 
 // startNoticing starts a Door behind the daemon's server whose decision module, the one that ships if none is given, tells of clients that go.
-func startNoticing(t *testing.T, config Config, decider lifecycle.DecisionEngine, options ...Option) (*served, chan bool) {
+func startObservedGateway(t *testing.T, config Config, decider lifecycle.DecisionEngine, options ...Option) (*servedGateway, chan bool) {
 	t.Helper()
 	if decider == nil {
 		g, err := decision.New(config.Settings, config.Seed, 24*time.Hour)
@@ -38,21 +38,21 @@
 		decider = g
 	}
 	left := make(chan bool, 10)
-	return startServed(t, config, noticing{decider, left}, options...), left
+	return startServedGateway(t, config, disconnectObserver{decider, left}, options...), left
 }
 
 // holding is a counter that answers when the test says so.
-type holding struct {
-	asked chan func(decision.CounterResult)
+type heldCounter struct {
+	calls chan func(decision.CounterResult)
 }
 
-func (h holding) Add(c decision.CounterAdd, done func(decision.CounterResult)) {
-	h.asked <- func(a decision.CounterResult) { a.Ref = c.Ref; done(a) }
+func (h heldCounter) Add(c decision.CounterAdd, done func(decision.CounterResult)) {
+	h.calls <- func(a decision.CounterResult) { a.Ref = c.Ref; done(a) }
 }
 
 // A request that waits for something, and whose client leaves meanwhile, is sent to nobody when what it waited for is there: whatever it
 // waits for, and whatever its client had sent behind it.
-func TestWhatALeaverWaitedForSendsNothing(t *testing.T) {
+func TestDisconnectWhileWaitingSendsNothing(t *testing.T) {
 	const late, further, beside = "a connection that comes up late", "a further attempt's connection", "a connection of an attempt beside another"
 	for _, wait := range []string{late, further, beside, "the counter", "the end of its first attempt"} {
 		for _, behind := range []string{"", "x"} {
@@ -63,7 +63,7 @@
 					came <- string(text)
 				})
 				config, options := testConfig(), []Option(nil)
-				config.InitialEndpoints = ready(addr)
+				config.InitialEndpoints = readyBackends(addr)
 				var decider lifecycle.DecisionEngine
 				slow := WithDialer(func(_ context.Context, network, to string) (net.Conn, error) {
 					if to == addr {
@@ -82,7 +82,7 @@
 							io.WriteString(conn, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 						}
 					})
-					config.InitialEndpoints = ready(first, addr)
+					config.InitialEndpoints = readyBackends(first, addr)
 					decider = testkit.Script(func(ev decision.Event) []decision.Action {
 						var as []decision.Action
 						if ev, ok := ev.(decision.Request); ok {
@@ -100,20 +100,20 @@
 						return as
 					})
 				case "the counter":
-					h := holding{make(chan func(decision.CounterResult), 10)}
+					h := heldCounter{make(chan func(decision.CounterResult), 10)}
 					config.Settings.HasSharedCounter = true
 					p := &config.Settings.Plans[0]
 					p.HardLimitRate, p.HardLimitBurst = 1, 60 // of which this door has nothing right after its start
 					options = append(options, WithCounter(h))
 					go func() {
 						select {
-						case answer := <-h.asked:
+						case answer := <-h.calls:
 							waiting <- true
 							<-goOn
 							answer(decision.CounterResult{Result: decision.Succeeded, Total: 20})
 							for { // what is put back
 								select {
-								case answer := <-h.asked:
+								case answer := <-h.calls:
 									answer(decision.CounterResult{Result: decision.Succeeded, Total: 20})
 								case <-t.Context().Done():
 									return
@@ -128,7 +128,7 @@
 						<-goOn
 						io.WriteString(conn, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 					})
-					config.InitialEndpoints = ready(first, addr)
+					config.InitialEndpoints = readyBackends(first, addr)
 					decider = testkit.Script(func(ev decision.Event) []decision.Action { // it is sent once more, whatever became of it
 						switch ev := ev.(type) {
 						case decision.Request:
@@ -141,20 +141,20 @@
 						return nil
 					})
 				}
-				d, left := startNoticing(t, config, decider, options...)
+				d, left := startObservedGateway(t, config, decider, options...)
 				conn := dial(t, d.addr)
-				if err := d.ask(t, "look", nil).Write(conn); err != nil {
+				if err := d.newRequest(t, "look", nil).Write(conn); err != nil {
 					t.Fatal(err)
 				}
 				testkit.Await(t, waiting, "it to wait")
 				io.WriteString(conn, behind)
 				conn.Close()
 				testkit.Await(t, left, "it to be seen that its client has left")
-				d.door.OpenRequests() // and what comes of that is done: it is one step
+				d.gateway.OpenRequests() // and what comes of that is done: it is one step
 				close(goOn)
 				patient, stop := context.WithTimeout(t.Context(), testkit.Patient)
 				defer stop()
-				if err := d.door.Close(patient); err != nil { // what was to leave has left
+				if err := d.gateway.Close(patient); err != nil { // what was to leave has left
 					t.Error(err)
 				}
 				if wait == late || wait == further || wait == beside {
--- a/recovery/fleet_test.go
+++ b/recovery/fleet_test.go
@@ -12,33 +12,33 @@
 
 // restarts is a fleet of decision modules whose processes are killed and start again, with a meter that tells what customers used over all
 // doors in the last half second, as the platform's does.
-type restarts struct {
-	t     *rapid.T
-	rng   *rand.Rand
-	set   decision.Settings
-	doors []*process
-	now   time.Duration
-	id    decision.RequestID
-	meter map[decision.CustomerID]*[2]float64 // of this period and the last one
-	most  float64                             // of the plan's rate, that anybody used in a period
+type fleet struct {
+	t        *rapid.T
+	rng      *rand.Rand
+	settings decision.Settings
+	gateways []*gatewayProcess
+	now      time.Duration
+	id       decision.RequestID
+	usage    map[decision.CustomerID]*[2]float64 // of this period and the last one
+	most     float64                             // of the plan's rate, that anybody used in a period
 }
 
-type process struct {
-	g     *decision.Engine
-	until time.Duration // it is away until then
-	kept  *Snapshot
-	spent bool
-	began time.Duration
+type gatewayProcess struct {
+	engine            *decision.Engine
+	downUntil         time.Duration // it is away until then
+	snapshot          *Snapshot
+	assumedQuotaSpent bool
+	startedAt         time.Duration
 }
 
 const period = 500 * time.Millisecond
 
-func (f *restarts) boot(d *process, me int) {
-	set := f.set
+func (f *fleet) boot(d *gatewayProcess, me int) {
+	set := f.settings
 	set.GatewayIndex, set.AssumeQuotaSpent = me, true
 	b := RestoreNothing(nil)
-	if d.kept != nil {
-		b = Restore(d.kept, GatewayInfo{Index: me, Count: set.GatewayCount, Plans: set.Plans}, time.Unix(0, 0).Add(f.now))
+	if d.snapshot != nil {
+		b = Restore(d.snapshot, GatewayInfo{Index: me, Count: set.GatewayCount, Plans: set.Plans}, time.Unix(0, 0).Add(f.now))
 		set.AssumeQuotaSpent = b.AssumeQuotaSpent
 	}
 	g, err := decision.New(set, f.rng.Uint64(), f.now)
@@ -47,80 +47,80 @@
 	}
 	g.Restore(f.now, b.Customers)
 	g.Handle(f.now, decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: []decision.Endpoint{{ID: 1}}}, nil)
-	d.g, d.spent, d.began = g, set.AssumeQuotaSpent, f.now
+	d.engine, d.assumedQuotaSpent, d.startedAt = g, set.AssumeQuotaSpent, f.now
 }
 
-func (f *restarts) keep(d *process, me int) {
-	debtors := NewQuotaDebts(f.set.Plans, MaxCustomers)
-	d.g.Handle(f.now, decision.Timer{Token: 1 << 40}, nil) // its clock
-	for c, owes := range d.g.Customers() {
+func (f *fleet) takeSnapshot(d *gatewayProcess, me int) {
+	debtors := NewQuotaDebts(f.settings.Plans, MaxCustomers)
+	d.engine.Handle(f.now, decision.Timer{Token: 1 << 40}, nil) // its clock
+	for c, owes := range d.engine.Customers() {
 		if owes {
 			debtors.Add(c)
 		}
 	}
-	s := &Snapshot{GatewayIndex: me, GatewayCount: f.set.GatewayCount, TakenAt: time.Unix(0, 0).Add(f.now)}
+	s := &Snapshot{GatewayIndex: me, GatewayCount: f.settings.GatewayCount, TakenAt: time.Unix(0, 0).Add(f.now)}
 	s.Customers, s.Complete = debtors.Largest()
-	s.Complete = s.Complete && (!d.spent || f.now-d.began >= RefillTime(f.set.Plans))
-	d.kept = s
+	s.Complete = s.Complete && (!d.assumedQuotaSpent || f.now-d.startedAt >= RefillTime(f.settings.Plans))
+	d.snapshot = s
 }
 
 // ask asks at a door and tells whether it was sent on; it is answered at once, with the meter's word.
-func (f *restarts) ask(d *process, c decision.CustomerID) bool {
+func (f *fleet) request(d *gatewayProcess, c decision.CustomerID) bool {
 	f.id++
 	sent := false
-	for _, a := range d.g.Handle(f.now, decision.Request{ID: f.id, Customer: c, Class: "look", Plan: "shop", Cost: 1, Timeout: time.Second, GatewaySpread: len(f.doors)}, nil) {
+	for _, a := range d.engine.Handle(f.now, decision.Request{ID: f.id, Customer: c, Class: "look", Plan: "shop", Cost: 1, Timeout: time.Second, GatewaySpread: len(f.gateways)}, nil) {
 		_, ok := a.(decision.StartAttempt)
 		sent = sent || ok
 	}
 	if !sent {
 		return false
 	}
-	m := f.meter[c]
+	m := f.usage[c]
 	if m == nil {
 		m = &[2]float64{}
-		f.meter[c] = m
+		f.usage[c] = m
 	}
 	m[0]++
-	d.g.Handle(f.now, decision.Outcome{Request: f.id, Backend: 1, Result: decision.Succeeded, Latency: time.Millisecond, Final: true, HasUsage: true,
-		Usage: 100 * m[1] / (f.set.Plans[0].Rate * period.Seconds())}, nil)
+	d.engine.Handle(f.now, decision.Outcome{Request: f.id, Backend: 1, Result: decision.Succeeded, Latency: time.Millisecond, Final: true, HasUsage: true,
+		Usage: 100 * m[1] / (f.settings.Plans[0].Rate * period.Seconds())}, nil)
 	return true
 }
 
 // Whatever is killed when, with what it kept or without, at once or one after another or in a loop: a customer at five times its plan gets
 // at most what the same fleet gives it without kills, or its plan if that is more, one burst however many kills there are (while doors are
 // away it earns what it may use later), and for each kill one unit and what it used at that door in the second before. Those at half of their plans are served nearly all from a second after the last kill on.
-func TestNoPatternOfRestartsHandsOutBursts(t *testing.T) {
+func TestRestartsGrantNoExtraBurst(t *testing.T) {
 	const length, step = 24 * time.Second, 10 * time.Millisecond
 	run := func(t *rapid.T, seed uint64, n int, rate, burst float64, kills map[time.Duration][]int, keeps []bool) (flood, lastSecond float64, honest, asked int, killed int) {
-		f := &restarts{t: t, rng: rand.New(rand.NewPCG(seed, 1)), meter: map[decision.CustomerID]*[2]float64{},
-			set: decision.Settings{GatewayCount: n, MaxAttempts: 1, CanCancel: true, MaxRetryAfter: time.Second, UsagePeriod: period, MaxCost: 1,
+		f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), usage: map[decision.CustomerID]*[2]float64{},
+			settings: decision.Settings{GatewayCount: n, MaxAttempts: 1, CanCancel: true, MaxRetryAfter: time.Second, UsagePeriod: period, MaxCost: 1,
 				Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
 				Plans:   []decision.Plan{{Name: "shop", Rate: rate, Burst: burst, Price: 1}}}}
 		load := rand.New(rand.NewPCG(seed, 2)) // the same with kills and without
 		for i := range n {
-			d := &process{}
-			f.doors = append(f.doors, d)
+			d := &gatewayProcess{}
+			f.gateways = append(f.gateways, d)
 			f.boot(d, i)
 		}
 		last := time.Duration(0)
 		recent := make([][]time.Duration, n) // of the flood's, by door
 		for f.now = 0; f.now < length; f.now += step {
 			if f.now%period == 0 {
-				for _, m := range f.meter {
+				for _, m := range f.usage {
 					m[1], m[0] = m[0], 0
 				}
 			}
-			for i, d := range f.doors {
-				if d.g == nil && f.now >= d.until {
+			for i, d := range f.gateways {
+				if d.engine == nil && f.now >= d.downUntil {
 					f.boot(d, i)
 				}
-				if d.g != nil && keeps[i] && (f.now+time.Duration(i)*step)%time.Second == 0 {
-					f.keep(d, i)
+				if d.engine != nil && keeps[i] && (f.now+time.Duration(i)*step)%time.Second == 0 {
+					f.takeSnapshot(d, i)
 				}
 			}
 			for _, i := range kills[f.now] {
-				if d := f.doors[i]; d.g != nil {
-					d.g, d.until, last = nil, f.now+time.Duration(f.rng.Int64N(int64(time.Second))), f.now
+				if d := f.gateways[i]; d.engine != nil {
+					d.engine, d.downUntil, last = nil, f.now+time.Duration(f.rng.Int64N(int64(time.Second))), f.now
 					killed++
 					for _, at := range recent[i] {
 						if f.now-at <= time.Second {
@@ -132,11 +132,11 @@
 			for c, much := range []float64{5, 0.5, 0.5, 0.5} {
 				for p := much * rate * step.Seconds(); load.Float64() < p; p-- {
 					i := load.IntN(n)
-					d := f.doors[i]
-					if d.g == nil {
+					d := f.gateways[i]
+					if d.engine == nil {
 						continue
 					}
-					ok := f.ask(d, decision.CustomerID(c))
+					ok := f.request(d, decision.CustomerID(c))
 					switch {
 					case c == 0 && ok:
 						flood++
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-func someCustomers(t *rapid.T) []decision.CustomerState {
+func drawCustomers(t *rapid.T) []decision.CustomerState {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) decision.CustomerState {
 		return decision.CustomerState{ID: decision.CustomerID(rapid.Uint64().Draw(t, "id")), Plan: rapid.SampledFrom([]string{"shop", "open", "gone"}).Draw(t, "plan"),
 			Gateways: rapid.IntRange(0, 5).Draw(t, "doors"), Member: rapid.Bool().Draw(t, "member"), MissingTokens: rapid.Float64Range(0, 500).Draw(t, "missing"),
@@ -38,10 +38,10 @@
 }
 
 // What is written is read, and nothing of what is cut or changed anywhere.
-func TestEncodeAndDecode(t *testing.T) {
+func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Snapshot{GatewayIndex: rapid.IntRange(0, 300).Draw(t, "door"), GatewayCount: 300, BootID: rapid.Uint64().Draw(t, "boot"), TakenAt: time.UnixMilli(rapid.Int64Range(0, 1<<40).Draw(t, "at")).UTC(),
-			SettingsDigest: rapid.Uint64().Draw(t, "settings"), Customers: someCustomers(t), Complete: rapid.Bool().Draw(t, "whole")}
+			SettingsDigest: rapid.Uint64().Draw(t, "settings"), Customers: drawCustomers(t), Complete: rapid.Bool().Draw(t, "whole")}
 		b, err := Encode(s)
 		if err != nil {
 			t.Fatal(err)
@@ -65,9 +65,9 @@
 }
 
 // Of more than there is room for, those that owe most are kept, in one order, and it is said that others owe too.
-func TestDebtors(t *testing.T) {
+func TestQuotaDebts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all, most := someCustomers(t), rapid.IntRange(1, 6).Draw(t, "most")
+		all, most := drawCustomers(t), rapid.IntRange(1, 6).Draw(t, "most")
 		d := NewQuotaDebts(plans, most)
 		known := 0
 		for _, c := range all {
@@ -95,7 +95,7 @@
 	})
 }
 
-func TestBegin(t *testing.T) {
+func TestRestore(t *testing.T) {
 	at := time.Unix(1_800_000_000, 0)
 	me := GatewayInfo{Index: 3, Count: 4, SettingsDigest: 7, Plans: plans}
 	young := Snapshot{GatewayIndex: 3, GatewayCount: 4, SettingsDigest: 7, TakenAt: at, Complete: true, Customers: []decision.CustomerState{
@@ -149,10 +149,10 @@
 
 // Whatever a snapshot says and however old it is, it takes from a customer more than a door that knows nothing would, or it is young and
 // whole; and time never makes anybody owe more.
-func TestAnOldSnapshotGivesNothing(t *testing.T) {
+func TestRestore_OldSnapshotGrantsNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := time.Unix(1_800_000_000, 0)
-		s := &Snapshot{GatewayIndex: 1, GatewayCount: 2, TakenAt: at, Customers: someCustomers(t), Complete: rapid.Bool().Draw(t, "whole")}
+		s := &Snapshot{GatewayIndex: 1, GatewayCount: 2, TakenAt: at, Customers: drawCustomers(t), Complete: rapid.Bool().Draw(t, "whole")}
 		age := time.Duration(rapid.Int64Range(-int64(48*time.Hour), int64(48*time.Hour)).Draw(t, "age"))
 		b := Restore(s, GatewayInfo{Index: 1, Count: 2, Plans: plans}, at.Add(age))
 		if !b.AssumeQuotaSpent && (age > MaxTrustedAge || age < -MaxClockSkew || !s.Complete) {
@@ -169,7 +169,7 @@
 	})
 }
 
-func TestRefilled(t *testing.T) {
+func TestRefillTime(t *testing.T) {
 	if d := RefillTime(plans); d != 5*time.Second {
 		t.Errorf("%v", d)
 	}
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestStandstill(t *testing.T) {
+func TestPauseDetector(t *testing.T) {
 	var s PauseDetector
 	if d := s.Observe(time.Hour, 0, false); d != 0 {
 		t.Errorf("the first moment of all stood still for %v", d)
@@ -205,7 +205,7 @@
 }
 
 // Whatever a door does not notice, and whatever it may do by what it knew before, leaves within the grace for drains, however short.
-func TestTimesFitTheGrace(t *testing.T) {
+func TestDeadlinesFitDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, minDrainGrace, 600 * time.Millisecond, time.Second, 2 * time.Second, time.Hour} {
 		x, within := DeadlinesFor(grace), grace
 		if grace == 0 || grace > defaultDrainGrace {
--- a/steps_test.go
+++ b/steps_test.go
@@ -11,7 +11,7 @@
 )
 
 // many are so many backends that are ready.
-func many(n int) membership.Update {
+func manyNodes(n int) membership.Update {
 	l := membership.Update{Full: true}
 	for i := range n {
 		l.Nodes = append(l.Nodes, membership.Node{Name: fmt.Sprintf("n-%04d", i), Addr: "h:1", Weight: 1})
@@ -20,7 +20,7 @@
 }
 
 // lists gives the lists that a decision module hears, as they come.
-func lists(on func(decision.EndpointUpdate)) *testkit.Scripted {
+func recordUpdates(on func(decision.EndpointUpdate)) *testkit.Scripted {
 	return &testkit.Scripted{Heard: make(chan decision.Event, 1000), On: func(ev decision.Event) []decision.Action {
 		if l, ok := ev.(decision.EndpointUpdate); ok {
 			on(l)
@@ -30,12 +30,12 @@
 }
 
 // However long a list is, what was saved one too, or what the table lets go at once, the decision module hears it in steps.
-func TestAListInSteps(t *testing.T) {
+func TestLongUpdateIsPublishedInSteps(t *testing.T) {
 	const n = 10*entriesPerStep + 7
 	steps, most, total := 0, 0, map[decision.BackendID]decision.BackendState{}
 	config := testConfig()
-	config.InitialEndpoints = many(n)
-	door, err := newGateway(config, lists(func(l decision.EndpointUpdate) {
+	config.InitialEndpoints = manyNodes(n)
+	door, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
 		if saved := l.Kind == decision.UpdateCached; saved != (steps == 0) {
 			t.Errorf("step %d is of kind %v", steps, l.Kind)
 		}
@@ -62,7 +62,7 @@
 		steps, most = 1, 0
 	}
 	want("saved", 11, n, decision.Ready)
-	l := many(n)
+	l := manyNodes(n)
 	for i := range l.Nodes {
 		l.Nodes[i].Addr = "h:2"
 	}
@@ -73,21 +73,21 @@
 }
 
 // Another source's drain is taken between two steps of a list; what one source says next waits until the list is in.
-func TestADrainBetweenTwoSteps(t *testing.T) {
+func TestDrainBetweenTwoSteps(t *testing.T) {
 	const n = 4 * entriesPerStep
 	var order []string
 	config := testConfig()
 	config.InitialEndpoints = membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", Weight: 1}}}
-	door, err := newGateway(config, lists(func(l decision.EndpointUpdate) {
+	door, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
 		for _, b := range l.Endpoints {
 			order = append(order, fmt.Sprint(b.ID, b.State))
 		}
-	}), []Option{WithNamedSource(membership.SourceInfo{Name: "other", Trusted: true}, mute{})})
+	}), []Option{WithNamedSource(membership.SourceInfo{Name: "other", Trusted: true}, silentSource{})})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer door.Close(t.Context())
-	list := many(n)
+	list := manyNodes(n)
 	list.Full = false
 	steps := door.membershipTable.BeginMerge(ownSource, list, door.executor.Clock().FromWallTime)
 	door.updateMu.Lock()
@@ -111,14 +111,14 @@
 }
 
 // mute is a source that says nothing.
-type mute struct{}
+type silentSource struct{}
 
-func (mute) Run(ctx context.Context, _ func(membership.Update)) { <-ctx.Done() }
+func (silentSource) Run(ctx context.Context, _ func(membership.Update)) { <-ctx.Done() }
 
 // A Door that ends in the middle of a list does not take the rest of it.
-func TestTheEndInTheMiddleOfAList(t *testing.T) {
+func TestCloseDuringUpdate(t *testing.T) {
 	heard, door := 0, (*Gateway)(nil)
-	door, err := newGateway(testConfig(), lists(func(l decision.EndpointUpdate) {
+	door, err := newGateway(testConfig(), recordUpdates(func(l decision.EndpointUpdate) {
 		if heard += len(l.Endpoints); heard > 0 {
 			door.cancel()
 		}
@@ -126,14 +126,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	door.Update(many(4 * entriesPerStep))
+	door.Update(manyNodes(4 * entriesPerStep))
 	if heard != entriesPerStep {
 		t.Errorf("%d nodes were taken", heard)
 	}
 	if err := door.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
-	door.Update(many(1))
+	door.Update(manyNodes(1))
 	if heard != entriesPerStep {
 		t.Errorf("%d nodes were taken after the end", heard)
 	}
