--- a/internal/lifecycle/pause.go
+++ b/internal/lifecycle/pause.go
@@ -105,7 +105,9 @@
 	}
 	if update.Kind != decision.UpdateDelta { // what a full update lacks is removed
 		for id := range m.openAttempts { // only sets fields: the order reaches no effect
-			ready[id] = ready[id]
+			if _, named := ready[id]; !named {
+				ready[id] = false
+			}
 		}
 	}
 	for id, isReady := range ready {
