--- /dev/null
+++ b/internal/executor/effects.go
@@ -0,0 +1,156 @@
+package executor
+
+import (
+	"context"
+	"time"
+
+	"pumicecroft/decision"
+	"pumicecroft/internal/lifecycle"
+)
+
+const (
+	probeTimeout = time.Second
+	maxProbes    = 64 // in flight; one more ends as not sent
+)
+
+// execute carries out effects in their order. The caller holds the lock.
+func (e *Executor) execute(effects []lifecycle.Effect) {
+	for i := range effects {
+		e.executeOne(&effects[i])
+	}
+	e.armTimer()
+	if e.idle != nil && e.machine.OpenRequests() == 0 {
+		close(e.idle)
+		e.idle = nil
+	}
+}
+
+func (e *Executor) executeOne(effect *lifecycle.Effect) {
+	switch effect.Kind {
+	case lifecycle.StartAttempt:
+		e.startAttempt(effect)
+	case lifecycle.CancelAttempt:
+		cause := ErrCancelled
+		if effect.TimedOut {
+			cause = ErrDeadlineExceeded
+		}
+		effect.Tag.(*openRequest).attempts[effect.Attempt].Cancel(cause)
+	case lifecycle.Respond:
+		e.respond(effect)
+	case lifecycle.ProbeBackend:
+		e.probesInFlight++
+		go e.probe(effect.Backend, e.probesInFlight <= maxProbes)
+	case lifecycle.AddToCounter:
+		e.addToCounter(effect.CounterAdd)
+	case lifecycle.SyncSources:
+		go e.runSync(effect.SyncID, effect.PausedFor)
+	case lifecycle.Subscribe: // sources update without being asked
+	}
+}
+
+// respond sets a request's result.
+func (e *Executor) respond(effect *lifecycle.Effect) {
+	request := effect.Tag.(*openRequest)
+	result := &request.result
+	request.done = true
+	result.Verdict, result.RetryAfter, result.Reason = effect.Verdict, effect.RetryAfter, effect.Reason
+	errorResponse := effect.Verdict == lifecycle.Failed && result.Response.Result == decision.ErrorResponse
+	if effect.Verdict != lifecycle.Served && !errorResponse {
+		result.Response = Response{}
+	}
+	request.wakeUp()
+}
+
+// startAttempt hands an attempt to the serving goroutine or, if that is not free, to one of its own.
+func (e *Executor) startAttempt(effect *lifecycle.Effect) {
+	request := effect.Tag.(*openRequest)
+	attempt := e.newAttempt(request, effect)
+	for len(request.attempts) < effect.Attempt { // numbers of attempts that the machine did not start
+		request.attempts = append(request.attempts, nil)
+	}
+	request.attempts = append(request.attempts, attempt)
+	request.result.Attempts++
+	if request.inline && !request.attempting && len(request.pending) == 0 {
+		request.pending = append(request.pending, attempt)
+		request.wakeUp()
+		return
+	}
+	go func() {
+		response := e.roundTrip(attempt)
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.attemptEnded(attempt, response)
+	}()
+}
+
+func (e *Executor) newAttempt(request *openRequest, effect *lifecycle.Effect) *Attempt {
+	attempt := &request.firstAttempt
+	if len(request.attempts) > 0 {
+		attempt = &Attempt{}
+	}
+	attempt.Backend = effect.Backend
+	attempt.Deadline = e.clock.ToWallTime(effect.Deadline)
+	attempt.Payload = request.payload
+	attempt.request = request
+	attempt.number = effect.Attempt
+	attempt.decidedAt = e.clock.ToWallTime(effect.DecidedAt)
+	if effect.NotAfter > 0 {
+		attempt.NotAfter = e.clock.ToWallTime(effect.NotAfter)
+	}
+	return attempt
+}
+
+// roundTrip makes an attempt, unless it was cancelled before it began.
+func (e *Executor) roundTrip(attempt *Attempt) Response {
+	if attempt.CancelCause() != nil {
+		return Response{Outcome: lifecycle.Outcome{Result: decision.NotSent}}
+	}
+	return e.transport.RoundTrip(attempt)
+}
+
+// attemptEnded tells the machine of an attempt's end. The caller holds the lock.
+func (e *Executor) attemptEnded(attempt *Attempt, response Response) {
+	request := attempt.request
+	if !request.done {
+		request.result.Response = response // respond keeps it if this attempt answers the request
+	}
+	e.execute(e.machine.AttemptEnded(e.clock.Now(), request.id, attempt.number, response.Outcome))
+}
+
+func (e *Executor) clientDisconnected(request *openRequest) {
+	e.step(func(now time.Duration) []lifecycle.Effect { return e.machine.Disconnect(now, request, request.id) })
+}
+
+// probe asks a backend for its load, if allowed, and tells the machine.
+func (e *Executor) probe(id decision.BackendID, allowed bool) {
+	result := decision.ProbeResult{Backend: id, Result: decision.NotSent}
+	if allowed {
+		result = e.transport.Probe(id, probeTimeout)
+	}
+	e.step(func(now time.Duration) []lifecycle.Effect {
+		e.probesInFlight--
+		return e.machine.ProbeAnswered(now, result)
+	})
+}
+
+func (e *Executor) addToCounter(call decision.CounterAdd) {
+	if e.counter == nil {
+		go e.counterAnswered(decision.CounterResult{Ref: call.Ref, Result: decision.NotSent})
+		return
+	}
+	e.counter.Add(call, e.counterAnswered)
+}
+
+func (e *Executor) counterAnswered(result decision.CounterResult) {
+	e.step(func(now time.Duration) []lifecycle.Effect { return e.machine.CounterAnswered(now, result) })
+}
+
+// runSync has the sources take in what has arrived, and tells the machine.
+func (e *Executor) runSync(syncID uint64, pausedFor time.Duration) {
+	if e.syncSources != nil {
+		ctx, cancel := context.WithTimeout(e.ctx, e.deadlines.SyncTimeout)
+		defer cancel()
+		e.syncSources(ctx, pausedFor)
+	}
+	e.step(func(now time.Duration) []lifecycle.Effect { return e.machine.SourcesSynced(now, syncID) })
+}
