--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -11,321 +11,254 @@
 	"pumicecroft/membership"
 )
 
-// backend has slots, a queue, a memory of keys that its group shares, and falls if it is sent too much while it is cold.
+// backend executes some requests at once and queues others. It shares a memory of idempotency keys with the backends of its
+// deduplication scope, and is overloaded for good if it is sent too much during its warm-up.
 type backend struct {
-	world          *world
-	check          *checker
-	runner         *runner
-	number         int
-	cell           int
-	zone           string
-	dedup          *dedupMemory
-	epoch          int // of its process
+	world  *world
+	check  *checker
+	runner *runner
+	number int
+	cell   int
+	zone   string
+	dedup  *dedupMemory
+	conns  map[*conn]bool
+
+	// Of the process.
+	epoch          int // counts processes and their ends
 	up             bool
-	startedAt      time.Duration // 0: long ago
-	moves          int           // how often its address has changed
-	drainFaults    int           // faults by which the lists say so
-	listed         bool          // the lists have it
-	listedAt       time.Duration // since when, if it was taken out and put in again
-	createIndex    uint64        // the catalogue's index at which it was registered
-	busy           int
+	startedAt      time.Duration // 0: long ago, it is warm
+	busy           int           // requests that it executes
 	queue          []*receivedRequest
-	conns          map[*conn]bool
-	recentArrivals []time.Duration // arrivals while it is cold
+	recentArrivals []time.Duration // during the warm-up, within overloadDuration
 	overloaded     bool
-	// Sent more than this multiple of what it can do while it is cold, for so long, it falls.
+
+	// Of the sources.
+	moves       int           // how often its address has changed
+	drainFaults int           // faults by which it drains now
+	listed      bool          // the sources name it
+	listedAt    time.Duration // since when, if it was removed before; 0: always
+	createIndex uint64        // the catalog's index at its registration
+
+	// During its warm-up it is overloaded by more than this multiple of its capacity, sent for this long.
 	overloadFactor   float64
 	overloadDuration time.Duration
-	faultShares      [faultKindCount]float64 // the share that each meets now
+
+	faultShares [faultKindCount]float64 // share of what passes that each fault meets now
 }
 
-// dedupMemory is what backends of one group remember together: a key, since it first came.
+// dedupMemory is what the backends of one deduplication scope remember: when each key was first seen.
 type dedupMemory struct{ firstSeen map[uint64]time.Duration }
 
-// receivedRequest is a request that a backend has.
+// receivedRequest is a request that a backend has received whole.
 type receivedRequest struct {
 	request   *clientRequest
 	conn      *conn
-	number    uint64 // among all that came
+	number    uint64 // among all that backends received
 	keyIsNew  bool   // its key was not known
-	abandoned bool   // its client's connection ended before it began
+	abandoned bool   // its connection ended before it was executed
 }
 
 const (
-	concurrency     = 4
-	meanServiceTime = 80 * time.Millisecond // mean
-	capacity        = concurrency / 0.080   // requests a second, warm
+	concurrency     = 4  // requests that a backend executes at once
+	maxQueue        = 40 // a backend rejects what comes beyond that
+	meanServiceTime = 80 * time.Millisecond
+	capacity        = concurrency / 0.080 // requests a second, once warm
+	slowFactor      = 8                   // SlowExecution takes that much longer
 )
 
 func (b *backend) name() string { return "b" + strconv.Itoa(b.number) }
 
 func (b *backend) addr() string { return fmt.Sprintf("b%d.%d", b.number, b.moves) }
 
-// node is what discovery says of a backend.
+// node is what discovery tells of a backend.
 func (b *backend) node() membership.Node {
-	n := membership.Node{Name: b.name(), Addr: b.addr(), Zone: b.zone, Cell: b.cell, Weight: 1, StartedAt: wallTime(b.startedAt)}
+	node := membership.Node{
+		Name: b.name(), Addr: b.addr(), Zone: b.zone, Cell: b.cell, Weight: 1, StartedAt: wallTime(b.startedAt),
+	}
 	switch {
 	case !b.listed:
-		n.State = decision.Removed
+		node.State = decision.Removed
 	case b.drainFaults > 0 || !b.up:
-		n.State = decision.Draining
+		node.State = decision.Draining
 	}
-	return n
+	return node
 }
 
-// warmupFraction is the share of its capacity that it has.
+// warmupFraction is the share of its capacity that a backend has, 0 to 1.
 func (b *backend) warmupFraction() float64 {
 	if b.startedAt == 0 {
 		return 1
 	}
-	return min(1, slowStartMinCapacity+(1-slowStartMinCapacity)*float64(b.world.now-b.startedAt)/float64(slowStartWindow))
+	age := float64(b.world.now - b.startedAt)
+	return min(1, slowStartMinCapacity+(1-slowStartMinCapacity)*age/float64(slowStartWindow))
 }
 
-// hitBy tells whether a fault meets something, by chance that hangs on that alone.
-func (b *backend) hitBy(k FaultKind, of ...uint64) bool {
-	share := b.faultShares[k]
-	return share > 0 && b.world.newRand(append(of, uint64(k), uint64(b.number))...).Float64() < share
+// hitBy tells whether a fault meets something. The draw depends on the purpose alone.
+func (b *backend) hitBy(kind FaultKind, purpose ...uint64) bool {
+	share := b.faultShares[kind]
+	return share > 0 && b.world.newRand(append(purpose, uint64(kind), uint64(b.number))...).Float64() < share
 }
 
-// onBytes looks for whole requests in what has come on a connection.
-func (b *backend) onBytes(l *conn) {
+// onBytes handles the requests that have arrived whole on a connection.
+func (b *backend) onBytes(c *conn) {
 	for {
-		end := bytes.Index(l.requestBytes, []byte("\r\n\r\n"))
-		if end < 0 {
+		headLength := bytes.Index(c.requestBytes, []byte("\r\n\r\n"))
+		if headLength < 0 {
 			return
 		}
-		head, size := string(l.requestBytes[:end]), 0
-		if v := headerValue(head, "Content-Length"); v != "" {
-			size, _ = strconv.Atoi(v)
+		head, bodySize := string(c.requestBytes[:headLength]), 0
+		if value := headerValue(head, "Content-Length"); value != "" {
+			bodySize, _ = strconv.Atoi(value)
 		}
-		if len(l.requestBytes) < end+4+size {
+		end := headLength + 4 + bodySize
+		if len(c.requestBytes) < end {
 			return
 		}
-		body := l.requestBytes[end+4 : end+4+size]
 		_, path, _ := strings.Cut(head, " ")
 		if strings.HasPrefix(path, "/health ") {
-			l.requestBytes = nil
-			l.sendToGateway([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), 0)
-			l.startIdleTimer()
+			c.requestBytes = nil
+			c.sendToGateway([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), 0)
+			c.startIdleTimer()
 			return
 		}
-		b.runner.receivedCount++
-		j := &receivedRequest{conn: l, number: b.runner.receivedCount}
-		n, _ := strconv.Atoi(path[strings.IndexByte(path, '=')+1 : strings.IndexByte(path, ' ')])
-		j.request = b.runner.requests[n]
-		if id := headerValue(head, "Request-Id"); id != fmt.Sprintf("%016x", j.request.id) || len(body) != j.request.bodySize || headerValue(head, "Idempotency-Key") != j.request.keyHeader() {
-			b.world.violatef("requests go on as they came", "ask %d came to backend %d with id %s, key %s and %d bytes", n, b.number, id,
-				headerValue(head, "Idempotency-Key"), len(body))
-		}
-		l.requestBytes = append([]byte(nil), l.requestBytes[end+4+size:]...)
-		l.requestCount++
-		l.idleSince = 0
-		b.onRequest(j)
+		received := b.receive(c, head, path, bodySize)
+		c.requestBytes = append([]byte(nil), c.requestBytes[end:]...)
+		c.requestCount++
+		c.idleSince = 0
+		b.onRequest(received)
 	}
 }
 
-// headerValue finds a field in a head that this project's own code has written.
+// receive finds the client's request of a head, and checks that it was passed on unchanged.
+func (b *backend) receive(c *conn, head, path string, bodySize int) *receivedRequest {
+	b.runner.receivedCount++
+	number, _ := strconv.Atoi(path[strings.IndexByte(path, '=')+1 : strings.IndexByte(path, ' ')])
+	request := b.runner.requests[number]
+	id, key := headerValue(head, "Request-Id"), headerValue(head, "Idempotency-Key")
+	if id != fmt.Sprintf("%016x", request.id) || bodySize != request.bodySize || key != request.keyHeader() {
+		b.world.violatef("requests go on as they came", "ask %d came to backend %d with id %s, key %s and %d bytes",
+			number, b.number, id, key, bodySize)
+	}
+	return &receivedRequest{request: request, conn: c, number: b.runner.receivedCount}
+}
+
+// headerValue finds a field in a head that platformhttp has written; empty: it has none.
 func headerValue(head, name string) string {
 	_, rest, ok := strings.Cut(head, "\r\n"+name+": ")
 	if !ok {
 		return ""
 	}
-	v, _, _ := strings.Cut(rest, "\r\n")
-	return v
+	value, _, _ := strings.Cut(rest, "\r\n")
+	return value
 }
 
-// onConnClosed is a connection that its door has closed: what waits for it does not begin, on some days.
-func (b *backend) onConnClosed(l *conn) {
+// onConnClosed is told that a gateway has closed a connection: in some runs its queued requests are dropped.
+func (b *backend) onConnClosed(c *conn) {
 	if !b.runner.config.dropsQueued {
 		return
 	}
-	for _, j := range b.queue {
-		if j.conn == l {
-			j.abandoned = true
+	for _, received := range b.queue {
+		if received.conn == c {
+			received.abandoned = true
 		}
 	}
 }
 
-// onRequest is a request that has come whole.
-func (b *backend) onRequest(j *receivedRequest) {
-	// A fleet that is frailer than the platform's is not held to what doors send that no list has told of its start, nor to what
-	// they send right after they stood still.
-	if w := b.warmupFraction(); w < 1 {
-		for len(b.recentArrivals) > 0 && b.world.now-b.recentArrivals[0] > b.overloadDuration {
-			b.recentArrivals = b.recentArrivals[1:]
-		}
-		if b.overloadFactor == platformOverloadFactor || !b.gatewayPausedRecently() && j.conn.gateway.endpoints.latestStart[b.name()] >= b.startedAt {
-			b.recentArrivals = append(b.recentArrivals, b.world.now)
-		}
-		if b.world.now-b.startedAt > b.overloadDuration && float64(len(b.recentArrivals)) > b.overloadFactor*w*capacity*b.overloadDuration.Seconds() && !b.overloaded {
-			b.overloaded = true
-			b.check.onOverload(b, len(b.recentArrivals))
-		}
-	}
-	if act := b.runner.scriptedAction(j); act != "" {
-		b.perform(j, act)
+// onRequest rejects, executes or queues a request.
+func (b *backend) onRequest(received *receivedRequest) {
+	b.recordArrival(received)
+	if action := b.runner.scriptedAction(received); action != "" {
+		b.perform(received, action)
 		return
 	}
-	if b.overloaded || b.hitBy(BackendRejects, j.number) || len(b.queue) >= 40 {
-		b.respond(j, "503 Service Unavailable", "Not-Started: 1\r\n", "")
+	if b.overloaded || b.hitBy(BackendRejects, received.number) || len(b.queue) >= maxQueue {
+		b.respond(received, "503 Service Unavailable", "Not-Started: 1\r\n", "")
 		return
 	}
-	if j.request.class == "pay" {
-		// What the network held for longer than the grace that the settings state for it is not the door's to answer for.
-		j.keyIsNew = b.dedup.remember(j.request.key, min(b.world.now, j.conn.sentAt+responseGrace), b.runner.config.dedupWindow)
+	if received.request.class == "pay" {
+		// A gateway does not answer for what the network holds beyond the grace that the settings state for it.
+		seen := min(b.world.now, received.conn.sentAt+responseGrace)
+		received.keyIsNew = b.dedup.remember(received.request.key, seen, b.runner.config.dedupWindow)
 	}
 	if b.busy < concurrency {
-		b.execute(j)
+		b.execute(received)
 	} else {
-		b.queue = append(b.queue, j)
+		b.queue = append(b.queue, received)
+	}
+}
+
+// recordArrival counts a request during the warm-up, and finds whether they are too many.
+func (b *backend) recordArrival(received *receivedRequest) {
+	fraction := b.warmupFraction()
+	if fraction >= 1 {
+		return
+	}
+	for len(b.recentArrivals) > 0 && b.world.now-b.recentArrivals[0] > b.overloadDuration {
+		b.recentArrivals = b.recentArrivals[1:]
 	}
+	if b.countsTowardsOverload(received.conn.gateway) {
+		b.recentArrivals = append(b.recentArrivals, b.world.now)
+	}
+	limit := b.overloadFactor * fraction * capacity * b.overloadDuration.Seconds()
+	if b.world.now-b.startedAt > b.overloadDuration && float64(len(b.recentArrivals)) > limit && !b.overloaded {
+		b.overloaded = true
+		b.check.onOverload(b, len(b.recentArrivals))
+	}
+}
+
+// countsTowardsOverload tells whether a gateway's request counts. Backends that are overloaded sooner than the platform's don't
+// count what comes from gateways that were not told of their start, nor what comes right after a gateway's pause: the
+// platform's figures, which the engine is held to, leave room for both.
+func (b *backend) countsTowardsOverload(g *gateway) bool {
+	if b.overloadFactor == platformOverloadFactor {
+		return true
+	}
+	return !b.gatewayPausedRecently() && g.endpoints.latestStart[b.name()] >= b.startedAt
 }
 
-// gatewayPausedRecently tells whether a door stood still within the time over which a cold backend falls: what it is then asked at once
-// is in no rule's figures, and a fleet that is frailer than the platform's is not held to it.
+// gatewayPausedRecently tells whether any gateway was paused within overloadDuration.
 func (b *backend) gatewayPausedRecently() bool {
-	for _, d := range b.runner.gateways {
-		if d.pausedDuring(b.world.now-b.overloadDuration, b.world.now) {
+	for _, g := range b.runner.gateways {
+		if g.pausedDuring(b.world.now-b.overloadDuration, b.world.now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *backend) execute(j *receivedRequest) {
+// execute executes a request, and the next one of the queue behind it.
+func (b *backend) execute(received *receivedRequest) {
 	b.busy++
 	epoch := b.epoch
-	took := time.Duration((0.5 + b.world.newRand(j.number, 77).Float64()) * float64(meanServiceTime) / b.warmupFraction())
+	factor := 0.5 + b.world.newRand(received.number, 77).Float64()
+	duration := time.Duration(factor * float64(meanServiceTime) / b.warmupFraction())
 	if b.faultShares[SlowExecution] > 0 {
-		took *= 8
+		duration *= slowFactor
 	}
-	b.world.scheduleAfter(took, func() {
+	b.world.scheduleAfter(duration, func() {
 		if epoch != b.epoch {
-			return // its process is gone
+			return // its process has ended
 		}
 		b.busy--
-		for len(b.queue) > 0 {
-			next := b.queue[0]
-			b.queue = b.queue[1:]
-			if !next.abandoned {
-				b.execute(next)
-				break
-			}
-		}
-		b.check.onExecuted(j, b)
-		b.finish(j)
+		b.executeNext()
+		b.check.onExecuted(received, b)
+		b.finish(received)
 	})
 }
 
-// finish answers a request that has run, as the faults have it.
-func (b *backend) finish(j *receivedRequest) {
-	rng := b.world.newRand(j.number, 5)
-	switch {
-	case b.hitBy(NoResponse, j.number):
-	case b.hitBy(ConnLostAfterExecution, j.number):
-		text := b.responseBytes(j, "200 OK", "", j.request.expectedBody())
-		if cut := rng.IntN(2 * len(text)); cut < len(text) {
-			j.conn.sendToGateway(text[:cut], 0)
-		}
-		j.conn.reset()
-	case b.hitBy(InvalidResponse, j.number):
-		j.conn.sendToGateway([]byte(invalidResponses[rng.IntN(len(invalidResponses))]), 0)
-		if rng.IntN(2) == 0 {
-			j.conn.reset()
-		}
-	case b.hitBy(ErrorResponses, j.number):
-		b.respond(j, errorStatuses[rng.IntN(len(errorStatuses))], "", "no")
-	default:
-		b.respond(j, "200 OK", "", j.request.expectedBody())
-	}
-}
-
-// invalidResponses is what is no answer, or none that can be used.
-var invalidResponses = []string{"\x00\xff\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nno", "HTTP/1.1 200 OK\r\n\r\nno", "HTTP/1.1 200 OK\r\nConte",
-	"HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\nno", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nno",
-	"HTTP/1.1 103 Early Hints\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno", "\r\n\r\n"}
-
-var errorStatuses = []string{"500 Internal Server Error", "503 Service Unavailable", "404 Not Found", "504 Gateway Timeout"}
-
-// responseBytes is an answer as it stands on the wire, in one of the forms that it may have.
-func (b *backend) responseBytes(j *receivedRequest, status, fields, body string) []byte {
-	rng := b.world.newRand(j.number, 6)
-	head := "HTTP/1.1 " + status + "\r\n" + fields
-	if use, has := b.runner.reportedUsage(j.request.customer); has && !j.conn.gateway.usageHidden {
-		head += fmt.Sprintf("X-RateLimit-Used: %.1f\r\n", use)
-	}
-	switch rng.IntN(6) {
-	case 0:
-		half := len(body) / 2
-		chunk := func(s string) string {
-			if s == "" {
-				return ""
-			}
-			return fmt.Sprintf("%x\r\n%s\r\n", len(s), s)
-		}
-		return []byte(head + "Transfer-Encoding: chunked\r\n\r\n" + chunk(body[:half]) + chunk(body[half:]) + "0\r\n\r\n")
-	case 1:
-		head = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + head
-	case 2:
-		head += "Connection: close\r\n"
-	}
-	return []byte(head + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body)
-}
-
-// respond answers.
-func (b *backend) respond(j *receivedRequest, status, fields, body string) {
-	l, rng := j.conn, b.world.newRand(j.number, 7)
-	if l.backendClosed {
-		return
-	}
-	text := b.responseBytes(j, status, fields, body)
-	late := time.Duration(0)
-	if b.hitBy(DelayedResponse, j.number) {
-		late = randDuration(rng, 0, 3*time.Second)
-	}
-	closes := bytes.Contains(text, []byte("Connection: close"))
-	sendInPieces(rng, text, b.hitBy(SlowBytes, j.number), func(part []byte, after time.Duration) { l.sendToGateway(part, late+after) })
-	if b.hitBy(TrailingBytes, j.number) {
-		// What comes right behind an answer; later than a connection rests, nobody could tell it from the next one's.
-		extra := text
-		if rng.IntN(2) == 0 {
-			extra = []byte(invalidResponses[rng.IntN(len(invalidResponses))])
-		}
-		l.sendTrailing(extra, late+randDuration(rng, 0, 2500*time.Microsecond))
-	}
-	if closes {
-		l.endToGateway(errConnClosed)
-		l.detachBackend()
-		return
-	}
-	l.startIdleTimer()
-}
-
-// sendInPieces cuts a text anywhere, into one piece mostly; if slowly, with pauses between them, some too long.
-func sendInPieces(rng interface {
-	IntN(int) int
-	Int64N(int64) int64
-}, text []byte, slowly bool, send func(part []byte, after time.Duration)) {
-	n, after := 1, time.Duration(0)
-	if slowly {
-		n = 2 + rng.IntN(6)
-	} else if rng.IntN(3) == 0 {
-		n = 2 + rng.IntN(2)
-	}
-	for ; n > 1 && len(text) > 1; n-- {
-		cut := 1 + rng.IntN(len(text)-1)
-		send(text[:cut], after)
-		text = text[cut:]
-		if slowly {
-			after += time.Duration(rng.Int64N(int64(250 * time.Millisecond)))
-		} else {
-			after += time.Duration(rng.Int64N(int64(300 * time.Microsecond)))
+// executeNext executes the first request of the queue whose client still waits.
+func (b *backend) executeNext() {
+	for len(b.queue) > 0 {
+		next := b.queue[0]
+		b.queue = b.queue[1:]
+		if !next.abandoned {
+			b.execute(next)
+			return
 		}
 	}
-	send(text, after)
 }
 
-// remember tells whether a key is new to the group, and keeps it from now on.
+// remember tells whether a key is new within a window, and remembers it from now on.
 func (m *dedupMemory) remember(key uint64, now, window time.Duration) bool {
 	if at, known := m.firstSeen[key]; known && now-at < window {
 		return false
@@ -334,19 +267,19 @@
 	return true
 }
 
-// start is a new process, which is cold.
+// start starts a new process, which warms up.
 func (b *backend) start() {
 	b.up, b.startedAt, b.overloaded, b.recentArrivals = true, b.world.now, false, nil
 	b.epoch++
 	b.busy, b.queue = 0, nil
 }
 
-// stop ends the process: what it had is lost, and whoever waits hears that the connection broke.
+// stop ends the process: what it had is lost, and its connections are reset.
 func (b *backend) stop() {
 	b.up = false
 	b.epoch++
 	b.busy, b.queue = 0, nil
-	for _, l := range sortedConns(b.conns) {
-		l.reset()
+	for _, c := range sortedConns(b.conns) {
+		c.reset()
 	}
 }
--- /dev/null
+++ b/internal/sim/backendresponses.go
@@ -0,0 +1,134 @@
+package sim
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"time"
+)
+
+// finish responds to a request that was executed, as the faults have it.
+func (b *backend) finish(received *receivedRequest) {
+	rng := b.world.newRand(received.number, 5)
+	switch {
+	case b.hitBy(NoResponse, received.number):
+	case b.hitBy(ConnLostAfterExecution, received.number):
+		text := b.responseBytes(received, "200 OK", "", received.request.expectedBody())
+		if cut := rng.IntN(2 * len(text)); cut < len(text) {
+			received.conn.sendToGateway(text[:cut], 0)
+		}
+		received.conn.reset()
+	case b.hitBy(InvalidResponse, received.number):
+		received.conn.sendToGateway([]byte(oneOf(rng, invalidResponses...)), 0)
+		if rng.IntN(2) == 0 {
+			received.conn.reset()
+		}
+	case b.hitBy(ErrorResponses, received.number):
+		b.respond(received, oneOf(rng, errorStatuses...), "", "no")
+	default:
+		b.respond(received, "200 OK", "", received.request.expectedBody())
+	}
+}
+
+// invalidResponses are no HTTP, or no response that can be used.
+var invalidResponses = []string{
+	"\x00\xff\r\n\r\n",
+	"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nno",
+	"HTTP/1.1 200 OK\r\n\r\nno",
+	"HTTP/1.1 200 OK\r\nConte",
+	"HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\nno",
+	"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
+	"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nno",
+	"HTTP/1.1 103 Early Hints\r\n\r\n",
+	"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno",
+	"\r\n\r\n",
+}
+
+// errorStatuses are what ErrorResponses has a backend respond with.
+var errorStatuses = []string{
+	"500 Internal Server Error", "503 Service Unavailable", "404 Not Found", "504 Gateway Timeout",
+}
+
+// responseBytes is a response on the wire, in one of several forms: chunked, behind an informational one, the connection's
+// last, or plain.
+func (b *backend) responseBytes(received *receivedRequest, status, fields, body string) []byte {
+	rng := b.world.newRand(received.number, 6)
+	head := "HTTP/1.1 " + status + "\r\n" + fields
+	usage, known := b.runner.reportedUsage(received.request.customer)
+	if known && !received.conn.gateway.usageHidden {
+		head += fmt.Sprintf("X-RateLimit-Used: %.1f\r\n", usage)
+	}
+	switch rng.IntN(6) {
+	case 0:
+		half := len(body) / 2
+		return []byte(head + "Transfer-Encoding: chunked\r\n\r\n" + chunk(body[:half]) + chunk(body[half:]) + "0\r\n\r\n")
+	case 1:
+		head = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + head
+	case 2:
+		head += "Connection: close\r\n"
+	}
+	return []byte(head + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body)
+}
+
+// chunk is a part of a body in the chunked coding; empty for an empty part, which would end the body.
+func chunk(part string) string {
+	if part == "" {
+		return ""
+	}
+	return fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
+}
+
+// respond sends a response, with the faults that meet it on its way.
+func (b *backend) respond(received *receivedRequest, status, fields, body string) {
+	c, rng := received.conn, b.world.newRand(received.number, 7)
+	if c.backendClosed {
+		return
+	}
+	text := b.responseBytes(received, status, fields, body)
+	delay := time.Duration(0)
+	if b.hitBy(DelayedResponse, received.number) {
+		delay = randDuration(rng, 0, 3*time.Second)
+	}
+	sendInPieces(rng, text, b.hitBy(SlowBytes, received.number), func(part []byte, after time.Duration) {
+		c.sendToGateway(part, delay+after)
+	})
+	if b.hitBy(TrailingBytes, received.number) {
+		extra := text
+		if rng.IntN(2) == 0 {
+			extra = []byte(oneOf(rng, invalidResponses...))
+		}
+		// No later than a connection rests in the pool: behind that, nobody could tell it from the next response.
+		c.sendTrailing(extra, delay+randDuration(rng, 0, 2500*time.Microsecond))
+	}
+	if bytes.Contains(text, []byte("Connection: close")) {
+		c.endToGateway(errConnClosed)
+		c.detachBackend()
+		return
+	}
+	c.startIdleTimer()
+}
+
+// Bounds on the time between two pieces of a text.
+const (
+	maxPieceDelay     = 300 * time.Microsecond
+	maxSlowPieceDelay = 250 * time.Millisecond
+)
+
+// sendInPieces cuts a text at random, mostly into one piece. With slow there are more pieces, and some come too slowly.
+func sendInPieces(rng *rand.Rand, text []byte, slow bool, send func(part []byte, delay time.Duration)) {
+	count, maxDelay := 1, maxPieceDelay
+	if slow {
+		count, maxDelay = 2+rng.IntN(6), maxSlowPieceDelay
+	} else if rng.IntN(3) == 0 {
+		count = 2 + rng.IntN(2)
+	}
+	delay := time.Duration(0)
+	for ; count > 1 && len(text) > 1; count-- {
+		cut := 1 + rng.IntN(len(text)-1)
+		send(text[:cut], delay)
+		text = text[cut:]
+		delay += time.Duration(rng.Int64N(int64(maxDelay)))
+	}
+	send(text, delay)
+}
--- a/internal/sim/corpus.go
+++ b/internal/sim/corpus.go
@@ -36,21 +36,21 @@
 
 // MarshalTOML writes an entry of a corpus.
 func (c Case) MarshalTOML() ([]byte, error) {
-	t := caseText{Seed: c.Seed, Cause: c.Cause, Rule: c.Rule}
-	for _, f := range c.Script {
-		t.Fault = append(t.Fault, faultText{f.At.String(), f.Duration.String(), f.Kind.String(), f.Target, f.Variant, f.Share})
+	text := caseText{Seed: c.Seed, Cause: c.Cause, Rule: c.Rule}
+	for _, fault := range c.Script {
+		text.Fault = append(text.Fault, faultText{fault.At.String(), fault.Duration.String(), fault.Kind.String(), fault.Target, fault.Variant, fault.Share})
 	}
 	return toml.Marshal(struct {
 		Case []caseText `toml:"case"`
-	}{[]caseText{t}})
+	}{[]caseText{text}})
 }
 
 // ReadCorpus reads cases. Its errors name the line, or the case.
 func ReadCorpus(text []byte) (cases []Case, err error) {
-	var all struct {
+	var file struct {
 		Case []caseText `toml:"case"`
 	}
-	if err := toml.Unmarshal(text, &all); err != nil {
+	if err := toml.Unmarshal(text, &file); err != nil {
 		var at *toml.DecodeError
 		if errors.As(err, &at) {
 			line, _ := at.Position()
@@ -58,18 +58,18 @@
 		}
 		return nil, err
 	}
-	for i, t := range all.Case {
-		c := Case{Seed: t.Seed, Cause: t.Cause, Rule: t.Rule}
-		for _, f := range t.Fault {
-			at, err := time.ParseDuration(f.At)
-			length, err2 := time.ParseDuration(f.For)
-			kind := slices.Index(faultKindNames[:], f.Kind)
+	for i, entry := range file.Case {
+		corpusCase := Case{Seed: entry.Seed, Cause: entry.Cause, Rule: entry.Rule}
+		for _, fault := range entry.Fault {
+			at, err := time.ParseDuration(fault.At)
+			length, err2 := time.ParseDuration(fault.For)
+			kind := slices.Index(faultKindNames[:], fault.Kind)
 			if err := errors.Join(err, err2); err != nil || kind < 0 {
-				return nil, fmt.Errorf("case %d: fault %q: %w", i+1, f.Kind, errors.Join(err, errInvalidFault))
+				return nil, fmt.Errorf("case %d: fault %q: %w", i+1, fault.Kind, errors.Join(err, errInvalidFault))
 			}
-			c.Script = append(c.Script, Fault{At: at, Duration: length, Kind: FaultKind(kind), Target: f.Target, Variant: f.Other, Share: f.Share})
+			corpusCase.Script = append(corpusCase.Script, Fault{At: at, Duration: length, Kind: FaultKind(kind), Target: fault.Target, Variant: fault.Other, Share: fault.Share})
 		}
-		cases = append(cases, c)
+		cases = append(cases, corpusCase)
 	}
 	return cases, nil
 }
--- /dev/null
+++ b/internal/sim/gatewayrequests.go
@@ -0,0 +1,273 @@
+package sim
+
+import (
+	"slices"
+
+	"pumicecroft/decision"
+	"pumicecroft/idempotency"
+	"pumicecroft/internal/lifecycle"
+	"pumicecroft/internal/platformhttp"
+	"pumicecroft/membership"
+)
+
+// onRequest takes a client's request.
+func (g *gateway) onRequest(request *clientRequest) {
+	request.gatewayEpoch, request.arrivedAt = g.epoch, g.world.now
+	g.check.unanswered = append(g.check.unanswered, request)
+	g.world.tracef("door %d takes %d, id %x, key %d: %s of customer %d, %v", g.number, request.number, request.id,
+		request.key, request.class, request.customer, request.timeout)
+	if !request.idempotent() && g.dedup != nil && !g.checkKey(request) {
+		return
+	}
+	if request.ticket != nil && g.journal.log != nil {
+		g.whenDurable(request, func() { g.admit(request) })
+		g.scheduleWakeups()
+		return
+	}
+	g.admit(request)
+}
+
+// admit submits a request to the lifecycle machine, with what is left of its time after waiting for the disk.
+func (g *gateway) admit(request *clientRequest) {
+	remaining := request.timeout - (g.world.now - request.arrivedAt)
+	if request.ticket != nil && remaining <= lifecycle.TimeoutMargin {
+		g.completeKey(request, idempotency.NotExecuted, "refused")
+		return
+	}
+	effects, err := g.machine.Submit(g.world.now, request, decision.Request{
+		ID: decision.RequestID(request.id), Customer: decision.CustomerID(request.customer),
+		Class: request.class, Plan: planOf(request.customer), Cost: request.cost,
+		Timeout: remaining - lifecycle.TimeoutMargin, GatewaySpread: g.runner.config.gateways,
+		Protocol: membership.ProtocolHTTP,
+	}, remaining-lifecycle.ResponseMargin)
+	g.execute(effects)
+	if err != nil {
+		request.notAdmitted = true
+		if !g.completeKey(request, idempotency.NotExecuted, "turned away") {
+			g.check.onFinal(request, "turned away", nil)
+		}
+	}
+}
+
+// execute carries out what the lifecycle machine asks for. What leaves the process leaves it by an event of its own, so that a
+// kill can come between.
+func (g *gateway) execute(effects []lifecycle.Effect) {
+	for _, effect := range effects {
+		switch effect.Kind {
+		case lifecycle.StartAttempt:
+			g.startRequestAttempt(effect)
+		case lifecycle.CancelAttempt:
+			g.cancelAttempt(effect)
+		case lifecycle.SyncSources:
+			g.syncSources(effect)
+		case lifecycle.Respond:
+			g.respond(effect)
+		case lifecycle.ProbeBackend:
+			g.startProbe(effect.Backend)
+		}
+	}
+	g.scheduleWakeups()
+}
+
+func (g *gateway) startRequestAttempt(effect lifecycle.Effect) {
+	request := effect.Tag.(*clientRequest)
+	started := &attempt{
+		request: request, number: effect.Attempt, backend: effect.Backend,
+		deadline: effect.Deadline, notAfter: effect.NotAfter, decidedAt: g.world.now, onEnd: g.attemptEnded,
+	}
+	request.attempts = append(request.attempts, started)
+	g.attempts[started] = true
+	g.check.onAttemptStarted(g, started)
+	g.triggerKillPoint(atAttemptStart)
+	epoch := g.epoch
+	g.world.scheduleAfter(0, func() { g.enqueue(epoch, nil, func() { g.startAttempt(started) }) })
+}
+
+func (g *gateway) cancelAttempt(effect lifecycle.Effect) {
+	cause := platformhttp.Cancelled
+	if effect.TimedOut {
+		cause = platformhttp.TimedOut
+	}
+	for _, attempt := range effect.Tag.(*clientRequest).attempts {
+		if attempt.number == effect.Attempt {
+			attempt.cancel(cause)
+		}
+	}
+}
+
+func (g *gateway) startProbe(backend decision.BackendID) {
+	probe := &attempt{backend: backend, deadline: g.world.now + probeTimeout, onEnd: g.probeEnded}
+	g.attempts[probe] = true
+	epoch := g.epoch
+	g.world.scheduleAfter(probeTimeout, func() { g.enqueue(epoch, nil, func() { probe.cancel(platformhttp.TimedOut) }) })
+	g.world.scheduleAfter(0, func() { g.enqueue(epoch, nil, func() { g.startAttempt(probe) }) })
+}
+
+// verdictNames are the ends of requests as the trace and the checker have them, by lifecycle.Verdict.
+var verdictNames = [...]string{"served", "refused", "failed", "late", "left", "aborted"}
+
+// keyOutcome is what a request's end says about its idempotency key.
+func keyOutcome(verdict lifecycle.Verdict) idempotency.Outcome {
+	switch verdict {
+	case lifecycle.Served:
+		return idempotency.Succeeded
+	case lifecycle.Rejected:
+		return idempotency.NotExecuted
+	default:
+		return idempotency.Unknown
+	}
+}
+
+// respond gives a request its final answer, or its key's waiters theirs.
+func (g *gateway) respond(effect lifecycle.Effect) {
+	request := effect.Tag.(*clientRequest)
+	verdict := verdictNames[effect.Verdict]
+	if g.completeKey(request, keyOutcome(effect.Verdict), verdict) {
+		return
+	}
+	g.world.tracef("door %d answers %d: %s", g.number, request.number, verdict)
+	g.check.onFinal(request, verdict, &effect)
+	g.runner.maybeRetry(request, verdict, effect.RetryAfter)
+}
+
+// onDisconnect is told that a request's client has gone. An attempt with a key goes on for as long as anybody waits for the key.
+func (g *gateway) onDisconnect(request *clientRequest) {
+	if request.ticket == nil {
+		g.execute(g.machine.Disconnect(g.world.now, request, decision.RequestID(request.id)))
+		return
+	}
+	if request.finalCount > 0 {
+		return
+	}
+	leader := g.requestByKey[request.ticket.Entry()]
+	abandoned, completions := g.dedup.Abandon(g.world.now, request.ticket)
+	g.answerWaiters(completions, "late")
+	if request.finalCount == 0 {
+		g.check.onFinal(request, "left", nil)
+	}
+	if abandoned && leader != nil {
+		g.execute(g.machine.Disconnect(g.world.now, leader, decision.RequestID(leader.id)))
+	}
+}
+
+// syncSources has the sources take in what has arrived: discovery once its reader has handled all of it, and the catalog by a
+// new query. It waits for them as long as the executor does.
+func (g *gateway) syncSources(effect lifecycle.Effect) {
+	g.world.tracef("door %d stood still for %v", g.number, effect.PausedFor)
+	epoch, pending := g.epoch, 1
+	synced := func() {
+		g.enqueue(epoch, nil, func() {
+			g.world.tracef("door %d has caught up", g.number)
+			g.execute(g.machine.SourcesSynced(g.world.now, effect.SyncID))
+		})
+	}
+	done := func() {
+		if pending--; pending == 0 {
+			synced()
+		}
+	}
+	if g.runner.config.usesDiscovery {
+		pending++
+		g.world.scheduleAfter(0, func() { g.enqueue(epoch, discoverySource, done) })
+	}
+	if g.runner.config.usesCatalog && g.endpoints.watch != nil {
+		pending++
+		g.world.scheduleAfter(0, func() {
+			g.enqueue(epoch, nil, func() { g.endpoints.watch.sync(g.world.now-effect.PausedFor, done) })
+		})
+	}
+	g.world.scheduleAfter(g.machine.Deadlines().SyncTimeout, func() {
+		g.enqueue(epoch, nil, func() {
+			pending = -1 // done never reaches 0 any more
+			synced()
+		})
+	})
+	done()
+}
+
+// checkKey asks the deduplication store about a request's key. It tells whether the request is to be executed; if not, it waits
+// for another one with its key, or has its answer.
+func (g *gateway) checkKey(request *clientRequest) bool {
+	deadline := g.world.now + request.timeout - lifecycle.ResponseMargin
+	result, completions := g.dedup.Begin(g.world.now, decision.CustomerID(request.customer), request.dedupKey(),
+		idempotency.Fingerprint{request.digest}, request, deadline)
+	g.answerWaiters(completions, "late")
+	request.ticket = result.Ticket
+	g.world.tracef("the key of %d: %v", request.number, result.Verdict.String())
+	g.checkReplay(request, &result)
+	switch result.Verdict {
+	case idempotency.Proceed:
+		g.requestByKey[result.Ticket.Entry()] = request
+		return true
+	case idempotency.Join:
+		g.scheduleWakeups()
+	case idempotency.Replay:
+		request.response = &platformhttp.Response{Body: result.Response.Body}
+		g.check.onFinal(request, "served", nil)
+	case idempotency.Busy:
+		g.check.onFinal(request, "refused", nil)
+		g.runner.maybeRetry(request, "refused", result.RetryAfter)
+	default:
+		g.check.onFinal(request, result.Verdict.String(), nil)
+	}
+	return false
+}
+
+// checkReplay checks that a key whose answer a client has, and that is on disk, is answered alike by every later process.
+func (g *gateway) checkReplay(request *clientRequest, result *idempotency.Decision) {
+	body, known := g.journal.mustReplay[request.dedupIdentity()]
+	if !known || !g.runner.config.recognisesAllKeys() || g.journal.log == nil {
+		return
+	}
+	if result.Verdict != idempotency.Replay || string(result.Response.Body) != body {
+		g.world.violatef("what was answered is answered alike", "door %d had answered the key of ask %d, and says %v",
+			g.number, request.number, result.Verdict)
+	}
+}
+
+// runsForKey tells whether a request is the one that is executed for all that wait with its key, whether or not its own client
+// has disconnected.
+func (g *gateway) runsForKey(request *clientRequest) bool {
+	return request.ticket != nil && g.requestByKey[request.ticket.Entry()] == request
+}
+
+// completeKey gives a request's end to all that wait with its key. It tells whether the request ran for a key; if not, nothing
+// is done.
+func (g *gateway) completeKey(request *clientRequest, outcome idempotency.Outcome, verdict string) bool {
+	if !g.runsForKey(request) {
+		return false
+	}
+	finish := func() {
+		delete(g.requestByKey, request.ticket.Entry())
+		var response idempotency.Response
+		if outcome == idempotency.Succeeded {
+			response.Body = request.response.Body
+		}
+		g.answerWaiters(g.dedup.Complete(g.world.now, request.ticket, outcome, response), verdict)
+	}
+	if outcome == idempotency.Succeeded && g.journal.log != nil {
+		g.whenWritten(request, finish)
+	} else {
+		finish()
+	}
+	return true
+}
+
+// answerWaiters answers requests that waited with a key. verdict is the end of the one they waited for, where that has no
+// response.
+func (g *gateway) answerWaiters(completions []idempotency.Completion, verdict string) {
+	for _, completion := range slices.Clone(completions) {
+		request := completion.Tag.(*clientRequest)
+		outcome := verdict
+		switch completion.Verdict {
+		case idempotency.Replay:
+			request.response, outcome = &platformhttp.Response{Body: completion.Response.Body}, "served"
+		case idempotency.DeadlineExceeded:
+			outcome = "late"
+		}
+		g.world.tracef("door %d answers %d, by its key: %s", g.number, request.number, outcome)
+		g.check.onFinal(request, outcome, nil)
+		g.runner.maybeRetry(request, outcome, completion.RetryAfter)
+	}
+	g.scheduleWakeups()
+}
--- /dev/null
+++ b/internal/sim/perturbedengine.go
@@ -0,0 +1,33 @@
+package sim
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"pumicecroft/decision"
+	"pumicecroft/internal/lifecycle"
+)
+
+// perturbedEngine changes a decision engine's actions within what its interface allows, so that runs meet what the engine itself
+// rarely asks for: attempts with a timeout of their own, and probes.
+type perturbedEngine struct {
+	lifecycle.DecisionEngine
+	rng      *rand.Rand
+	backends int
+	stopped  *bool // clients send nothing any more, and no probes are made
+}
+
+// Handle passes an event on and changes the engine's actions.
+func (e *perturbedEngine) Handle(now time.Duration, event decision.Event, actions []decision.Action) []decision.Action {
+	actions = e.DecisionEngine.Handle(now, event, actions)
+	for i, action := range actions {
+		if attempt, ok := action.(decision.StartAttempt); ok && e.rng.IntN(3) == 0 {
+			attempt.Timeout = randDuration(e.rng, 20*time.Millisecond, 900*time.Millisecond)
+			actions[i] = attempt
+		}
+	}
+	if timer, ok := event.(decision.Timer); ok && timer.Token == 0 && !*e.stopped {
+		actions = append(actions, decision.Probe{Backend: decision.BackendID(1 + e.rng.IntN(e.backends))})
+	}
+	return actions
+}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -149,47 +149,47 @@
 func TestConnections(t *testing.T) {
 	var trace []string
 	r := quietRunner(t, &trace)
-	d, b := r.gateways[0], r.backends[0]
-	var l *conn
-	d.dial(b.addr(), nil, func(up *conn, _ error) { l = up })
+	g, b := r.gateways[0], r.backends[0]
+	var c *conn
+	g.dial(b.addr(), nil, func(opened *conn, _ error) { c = opened })
 	r.run(start+time.Second, 1000)
-	if l == nil || l.latency <= 0 {
+	if c == nil || c.latency <= 0 {
 		t.Fatal("it does not come up")
 	}
 	sent := r.now
-	l.sendToGateway([]byte("ab"), time.Second)
-	l.sendToGateway([]byte("cd"), 0)
+	c.sendToGateway([]byte("ab"), time.Second)
+	c.sendToGateway([]byte("cd"), 0)
 	r.run(sent+time.Second, 1000)
-	if len(l.received) > 0 {
-		t.Errorf("%q came before its time", l.received)
+	if len(c.received) > 0 {
+		t.Errorf("%q came before its time", c.received)
 	}
 	r.run(sent+2*time.Second, 1000)
-	if string(l.received) != "abcd" {
-		t.Errorf("%q", l.received)
-	}
-	d.partitionedUntil[b] = r.now + 3*time.Second
-	l.sendToGateway([]byte("ef"), 0)
-	l.sendToGateway([]byte("gh"), 0)
-	r.run(d.partitionedUntil[b]-1, 10_000)
-	before := string(l.received)
-	r.run(d.partitionedUntil[b]+time.Second, 10_000)
-	if before != "abcd" || string(l.received) != "abcdefgh" {
-		t.Errorf("%q while nothing passes, %q then", before, l.received)
-	}
-	l.reset()
-	l.sendToGateway([]byte("ij"), 0)
+	if string(c.received) != "abcd" {
+		t.Errorf("%q", c.received)
+	}
+	g.partitionedUntil[b] = r.now + 3*time.Second
+	c.sendToGateway([]byte("ef"), 0)
+	c.sendToGateway([]byte("gh"), 0)
+	r.run(g.partitionedUntil[b]-1, 10_000)
+	before := string(c.received)
+	r.run(g.partitionedUntil[b]+time.Second, 10_000)
+	if before != "abcd" || string(c.received) != "abcdefgh" {
+		t.Errorf("%q while nothing passes, %q then", before, c.received)
+	}
+	c.reset()
+	c.sendToGateway([]byte("ij"), 0)
 	r.run(r.now+time.Second, 10_000)
-	if string(l.received) != "abcdefgh" || !errors.Is(l.readErr, errConnReset) {
-		t.Errorf("%q, ended by %v", l.received, l.readErr)
+	if string(c.received) != "abcdefgh" || !errors.Is(c.readErr, errConnReset) {
+		t.Errorf("%q, ended by %v", c.received, c.readErr)
 	}
 	for _, c := range []struct {
 		set  func()
 		want error
 	}{{func() { b.up = false }, errConnRefused}, {func() { b.up, b.faultShares[ConnRefused] = true, 1 }, errConnRefused},
-		{func() { b.faultShares[ConnRefused], b.faultShares[ConnHangs] = 0, 1 }, errConnTimeout}, {func() { b.faultShares[ConnHangs], d.maxDescriptors = 0, 0 }, platformhttp.ErrNoDescriptors}} {
+		{func() { b.faultShares[ConnRefused], b.faultShares[ConnHangs] = 0, 1 }, errConnTimeout}, {func() { b.faultShares[ConnHangs], g.maxDescriptors = 0, 0 }, platformhttp.ErrNoDescriptors}} {
 		c.set()
 		got := error(nil)
-		d.dial(b.addr(), nil, func(_ *conn, err error) { got = err })
+		g.dial(b.addr(), nil, func(_ *conn, err error) { got = err })
 		r.run(r.now+time.Second, 10_000)
 		if !errors.Is(got, c.want) {
 			t.Errorf("%v, want %v", got, c.want)
@@ -206,9 +206,9 @@
 		do     func(r *runner, past time.Duration, units float64)
 	}{
 		{"a drain's grace", "drains are honoured", func(r *runner, past time.Duration, _ float64) {
-			d := r.gateways[0]
-			d.endpoints.drainKnownSince["b0"], d.endpoints.nameByID[1] = r.now-r.config.drainGrace-past, "b0"
-			r.check.onAttemptStarted(d, &attempt{request: &clientRequest{class: "look", customer: 1}, backend: 1})
+			g := r.gateways[0]
+			g.endpoints.drainKnownSince["b0"], g.endpoints.nameByID[1] = r.now-r.config.drainGrace-past, "b0"
+			r.check.onAttemptStarted(g, &attempt{request: &clientRequest{class: "look", customer: 1}, backend: 1})
 		}},
 		{"a leaver's", "who has left is sent nothing", func(r *runner, past time.Duration, _ float64) {
 			r.now += time.Second
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -44,41 +44,41 @@
 
 // newRand is a source of chance that hangs on the seed and the numbers given alone: what is taken out of a script leaves the
 // chance of everything else as it was.
-func (w *world) newRand(of ...uint64) *rand.Rand { return eventqueue.NewRand(w.seed, of...) }
+func (w *world) newRand(purpose ...uint64) *rand.Rand { return eventqueue.NewRand(w.seed, purpose...) }
 
 // mix makes different numbers of different ones.
 func mix(z uint64) uint64 { return eventqueue.Mix(z) }
 
 // scheduleAfter lets something happen later, or at this instant once what happens now is over.
-func (w *world) scheduleAfter(d time.Duration, do func()) {
+func (w *world) scheduleAfter(delay time.Duration, event func()) {
 	w.seq++
-	w.queue.Push(w.now+max(0, d), mix(w.seed^w.seq), do) // among events of one instant by chance, so that seeds try every order
+	w.queue.Push(w.now+max(0, delay), mix(w.seed^w.seq), event) // among events of one instant by chance, so that seeds try every order
 }
 
 // scheduleAt lets something happen at a time that is not before now.
-func (w *world) scheduleAt(at time.Duration, do func()) { w.scheduleAfter(at-w.now, do) }
+func (w *world) scheduleAt(at time.Duration, event func()) { w.scheduleAfter(at-w.now, event) }
 
 // tracef adds a line to the trace. Its hash takes in the time, the format and the values: a line is made of them only for who
 // wants to read it.
 func (w *world) tracef(format string, args ...any) {
-	b := binary.AppendVarint(w.scratch[:0], int64(w.now))
-	b = append(b, format...)
-	for _, a := range args {
-		switch a := a.(type) {
+	line := binary.AppendVarint(w.scratch[:0], int64(w.now))
+	line = append(line, format...)
+	for _, arg := range args {
+		switch a := arg.(type) {
 		case int:
-			b = binary.AppendVarint(b, int64(a))
+			line = binary.AppendVarint(line, int64(a))
 		case uint64:
-			b = binary.AppendUvarint(b, a)
+			line = binary.AppendUvarint(line, a)
 		case time.Duration:
-			b = binary.AppendVarint(b, int64(a))
+			line = binary.AppendVarint(line, int64(a))
 		case string:
-			b = append(b, a...)
+			line = append(line, a...)
 		default:
-			b = fmt.Append(b, a)
+			line = fmt.Append(line, a)
 		}
 	}
-	w.scratch = b
-	_, _ = w.hash.Write(b)
+	w.scratch = line
+	_, _ = w.hash.Write(line)
 	if w.trace != nil {
 		w.trace(fmt.Sprintf("%10.4f ", (w.now-start).Seconds()) + fmt.Sprintf(format, args...))
 	}
@@ -90,10 +90,10 @@
 		if at, ok := w.queue.Next(); !ok || at > until {
 			return
 		}
-		var do func()
-		w.now, do = w.queue.Pop()
+		var event func()
+		w.now, event = w.queue.Pop()
 		w.steps++
-		do()
+		event()
 	}
 }
 
