--- a/internal/sim/attempt.go
+++ b/internal/sim/attempt.go
@@ -8,8 +8,8 @@
 	"pumicecroft/internal/platformhttp"
 )
 
-// attempt is one attempt of a request, or a probe, which has no request. Its state machine is platformhttp.Exchange; the gateway
-// carries out the operations that this asks for.
+// attempt is one attempt of a request, or a probe, which has no request. Its state machine is
+// platformhttp.Exchange; the gateway carries out the operations that this asks for.
 type attempt struct {
 	exchange  platformhttp.Exchange
 	request   *clientRequest // nil: it is a probe
@@ -92,8 +92,8 @@
 	}
 }
 
-// resumeFunc gives what is called when the operation that an attempt waits for has ended. The attempt then goes on by what next
-// says, once, if its process still runs.
+// resumeFunc gives what is called when the operation that an attempt waits for has ended. The
+// attempt then goes on by what next says, once, if its process still runs.
 func (g *gateway) resumeFunc(a *attempt, next func() platformhttp.Op) func() {
 	a.waitSerial++
 	serial, epoch := a.waitSerial, g.epoch
@@ -158,7 +158,8 @@
 	return exchange.Wrote(g.world.now, c.readBuffer, nil)
 }
 
-// confirmSend asks the lifecycle machine whether an attempt may leave whose decision has become old.
+// confirmSend asks the lifecycle machine whether an attempt may leave whose decision has become
+// old.
 func (g *gateway) confirmSend(a *attempt) bool {
 	if a.request == nil || g.world.now-a.decidedAt <= g.machine.Deadlines().MaxDecisionAge {
 		return true
@@ -181,7 +182,8 @@
 	}
 }
 
-// waitForResponse has an attempt wait until there is something to read, and tells whether it has to.
+// waitForResponse has an attempt wait until there is something to read, and tells whether it has
+// to.
 func (g *gateway) waitForResponse(a *attempt) bool {
 	c := a.exchange.Conn.Owner.(*conn)
 	if len(c.received) > 0 || c.readErr != nil || a.cancelCause != platformhttp.NotCancelled {
--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -11,8 +11,9 @@
 	"pumicecroft/membership"
 )
 
-// backend executes some requests at once and queues others. It shares a memory of idempotency keys with the backends of its
-// deduplication scope, and is overloaded for good if it is sent too much during its warm-up.
+// backend executes some requests at once and queues others. It shares a memory of idempotency keys
+// with the backends of its deduplication scope, and is overloaded for good if it is sent too much
+// during its warm-up.
 type backend struct {
 	world  *world
 	check  *checker
@@ -39,14 +40,16 @@
 	listedAt    time.Duration // since when, if it was removed before; 0: always
 	createIndex uint64        // the catalog's index at its registration
 
-	// During its warm-up it is overloaded by more than this multiple of its capacity, sent for this long.
+	// During its warm-up it is overloaded by more than this multiple of its capacity, sent for this
+	// long.
 	overloadFactor   float64
 	overloadDuration time.Duration
 
 	faultShares [faultKindCount]float64 // share of what passes that each fault meets now
 }
 
-// dedupMemory is what the backends of one deduplication scope remember: when each key was first seen.
+// dedupMemory is what the backends of one deduplication scope remember: when each key was first
+// seen.
 type dedupMemory struct{ firstSeen map[uint64]time.Duration }
 
 // receivedRequest is a request that a backend has received whole.
@@ -136,7 +139,7 @@
 	request := b.runner.requests[number]
 	id, key := headerValue(head, "Request-Id"), headerValue(head, "Idempotency-Key")
 	if id != fmt.Sprintf("%016x", request.id) || bodySize != request.bodySize || key != request.keyHeader() {
-		b.world.violatef("requests go on as they came", "ask %d came to backend %d with id %s, key %s and %d bytes",
+		b.world.violatef(ruleRequestUnchanged, "request %d came to backend %d with id %s, key %s and %d bytes",
 			number, b.number, id, key, bodySize)
 	}
 	return &receivedRequest{request: request, conn: c, number: b.runner.receivedCount}
@@ -152,7 +155,8 @@
 	return value
 }
 
-// onConnClosed is told that a gateway has closed a connection: in some runs its queued requests are dropped.
+// onConnClosed is told that a gateway has closed a connection: in some runs its queued requests are
+// dropped.
 func (b *backend) onConnClosed(c *conn) {
 	if !b.runner.config.dropsQueued {
 		return
@@ -176,7 +180,8 @@
 		return
 	}
 	if received.request.class == "pay" {
-		// A gateway does not answer for what the network holds beyond the grace that the settings state for it.
+		// A gateway does not answer for what the network holds beyond the grace that the settings
+		// state for it.
 		seen := min(b.world.now, received.conn.sentAt+responseGrace)
 		received.keyIsNew = b.dedup.remember(received.request.key, seen, b.runner.config.dedupWindow)
 	}
@@ -206,9 +211,10 @@
 	}
 }
 
-// countsTowardsOverload tells whether a gateway's request counts. Backends that are overloaded sooner than the platform's don't
-// count what comes from gateways that were not told of their start, nor what comes right after a gateway's pause: the
-// platform's figures, which the engine is held to, leave room for both.
+// countsTowardsOverload tells whether a gateway's request counts. Backends that are overloaded
+// sooner than the platform's don't count what comes from gateways that were not told of their
+// start, nor what comes right after a gateway's pause: the platform's figures, which the engine is
+// held to, leave room for both.
 func (b *backend) countsTowardsOverload(g *gateway) bool {
 	if b.overloadFactor == platformOverloadFactor {
 		return true
--- a/internal/sim/backendresponses.go
+++ b/internal/sim/backendresponses.go
@@ -50,8 +50,8 @@
 	"500 Internal Server Error", "503 Service Unavailable", "404 Not Found", "504 Gateway Timeout",
 }
 
-// responseBytes is a response on the wire, in one of several forms: chunked, behind an informational one, the connection's
-// last, or plain.
+// responseBytes is a response on the wire, in one of several forms: chunked, behind an
+// informational one, the connection's last, or plain.
 func (b *backend) responseBytes(received *receivedRequest, status, fields, body string) []byte {
 	rng := b.world.newRand(received.number, 6)
 	head := "HTTP/1.1 " + status + "\r\n" + fields
@@ -71,7 +71,8 @@
 	return []byte(head + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body)
 }
 
-// chunk is a part of a body in the chunked coding; empty for an empty part, which would end the body.
+// chunk is a part of a body in the chunked coding; empty for an empty part, which would end the
+// body.
 func chunk(part string) string {
 	if part == "" {
 		return ""
@@ -98,7 +99,8 @@
 		if rng.IntN(2) == 0 {
 			extra = []byte(oneOf(rng, invalidResponses...))
 		}
-		// No later than a connection rests in the pool: behind that, nobody could tell it from the next response.
+		// No later than a connection rests in the pool: behind that, nobody could tell it from the
+		// next response.
 		c.sendTrailing(extra, delay+randDuration(rng, 0, 2500*time.Microsecond))
 	}
 	if bytes.Contains(text, []byte("Connection: close")) {
@@ -115,7 +117,8 @@
 	maxSlowPieceDelay = 250 * time.Millisecond
 )
 
-// sendInPieces cuts a text at random, mostly into one piece. With slow there are more pieces, and some come too slowly.
+// sendInPieces cuts a text at random, mostly into one piece. With slow there are more pieces, and
+// some come too slowly.
 func sendInPieces(rng *rand.Rand, text []byte, slow bool, send func(part []byte, delay time.Duration)) {
 	count, maxDelay := 1, maxPieceDelay
 	if slow {
--- a/internal/sim/catalogwatch.go
+++ b/internal/sim/catalogwatch.go
@@ -46,7 +46,8 @@
 	return watch
 }
 
-// query sends a query when it is due, in place of one that is due already, and the next one when it has ended.
+// query sends a query when it is due, in place of one that is due already, and the next one when it
+// has ended.
 func (w *catalogWatch) query(kind queryKind) {
 	g, state := w.gateway, &w.queries[kind]
 	query := state.loop.Next()
@@ -99,7 +100,8 @@
 	}
 }
 
-// sync queries anew, and calls done when these queries have ended. Queries that have failed since before a time are not waited for.
+// sync queries anew, and calls done when these queries have ended. Queries that have failed since
+// before a time are not waited for.
 func (w *catalogWatch) sync(since time.Duration, done func()) {
 	pending := 1
 	end := func() {
@@ -138,7 +140,7 @@
 		g.recordCatalogEntries(entries, verdict.Full)
 		errs := w.catalog.UpdateHealth(wallTime(g.world.now), entries, verdict.Full, verdict.IndexReset)
 		if len(errs) > 0 {
-			g.world.violatef("lists make sense", "%v", errs)
+			g.world.violatef(ruleUpdatesValid, "%v", errs)
 		}
 	case !verdict.Full:
 		return // the health query says so too, and nothing has changed
@@ -164,7 +166,8 @@
 	}
 }
 
-// report gives the table what the catalog has: drains at once, and a full update once both queries had a response.
+// report gives the table what the catalog has: drains at once, and a full update once both queries
+// had a response.
 func (w *catalogWatch) report(reset bool) {
 	g := w.gateway
 	if update := w.catalog.UnlistedDrains(); len(update.Nodes) > 0 {
--- a/internal/sim/clients.go
+++ b/internal/sim/clients.go
@@ -12,7 +12,8 @@
 	"pumicecroft/internal/platformhttp"
 )
 
-// clientRequest is one request of a client, and what became of it. A client's retry is another one with the same key.
+// clientRequest is one request of a client, and what became of it. A client's retry is another one
+// with the same key.
 type clientRequest struct {
 	number   int
 	id       uint64
@@ -108,7 +109,8 @@
 	}
 }
 
-// expectedBody is the body of a response to this request, of a length of its own: mostly short, and sometimes long.
+// expectedBody is the body of a response to this request, of a length of its own: mostly short, and
+// sometimes long.
 func (q *clientRequest) expectedBody() string {
 	if q.responseBody != "" {
 		return q.responseBody
@@ -121,7 +123,8 @@
 	return q.responseBody
 }
 
-// generateRequests has a customer's clients send requests, at exponential intervals, until the run stops.
+// generateRequests has a customer's clients send requests, at exponential intervals, until the run
+// stops.
 func (r *runner) generateRequests(customer int, rng *rand.Rand) {
 	rate := r.config.requestRate
 	if r.flooding[customer] {
@@ -162,7 +165,8 @@
 	r.maybeDisconnect(request, epoch)
 }
 
-// maybeReuseID gives a request the id and key of an earlier one, while its customer's clients do that.
+// maybeReuseID gives a request the id and key of an earlier one, while its customer's clients do
+// that.
 func (r *runner) maybeReuseID(request *clientRequest, g *gateway) {
 	share := r.reuseShare[request.customer]
 	if share <= 0 {
@@ -178,23 +182,24 @@
 	}
 }
 
-// findEarlier finds one of the last 60 requests of the same class at the same gateway; with onlyFailed one that failed at the
-// process that runs now.
+// findEarlier finds one of the last 60 requests of the same class at the same gateway; with
+// onlyFailed one that failed at the process that runs now.
 func (r *runner) findEarlier(request *clientRequest, g *gateway, onlyFailed bool) *clientRequest {
 	for number := request.number - 1; number >= max(0, request.number-60); number-- {
 		earlier := r.requests[number]
 		if earlier.gateway != g || earlier.class != request.class {
 			continue
 		}
-		if !onlyFailed || earlier.verdict == "failed" && earlier.gatewayEpoch == g.epoch {
+		if !onlyFailed || earlier.verdict == verdictFailed && earlier.gatewayEpoch == g.epoch {
 			return earlier
 		}
 	}
 	return nil
 }
 
-// maybeDuplicate has the request sent once more to the same gateway, at once or later, while its customer's clients do that. The
-// second has a timeout of its own and is sometimes another request of the same key.
+// maybeDuplicate has the request sent once more to the same gateway, at once or later, while its
+// customer's clients do that. The second has a timeout of its own and is sometimes another request
+// of the same key.
 func (r *runner) maybeDuplicate(request *clientRequest, index int) {
 	share := r.duplicateShare[request.customer]
 	if share <= 0 || request.duplicate {
@@ -218,7 +223,8 @@
 	})
 }
 
-// maybeDisconnect has a request's client go before its timeout, while its customer's clients do that.
+// maybeDisconnect has a request's client go before its timeout, while its customer's clients do
+// that.
 func (r *runner) maybeDisconnect(request *clientRequest, epoch int) {
 	share := r.disconnectShare[request.customer]
 	if share <= 0 {
@@ -240,10 +246,10 @@
 	})
 }
 
-// maybeRetry has a client that was told of a rejection try once more, in every second case, through any gateway. The protocol
-// allows clients one retry (BRIEF 6).
+// maybeRetry has a client that was told of a rejection try once more, in every second case, through
+// any gateway. The protocol allows clients one retry (BRIEF 6).
 func (r *runner) maybeRetry(request *clientRequest, verdict string, retryAfter time.Duration) {
-	if verdict != "refused" || r.stopped || request.retry {
+	if verdict != verdictRejected || r.stopped || request.retry {
 		return
 	}
 	rng := r.newRand(5, uint64(request.number))
--- a/internal/sim/conn.go
+++ b/internal/sim/conn.go
@@ -19,8 +19,8 @@
 	errReadTimeout = errors.New("not whole in time")
 )
 
-// conn is one connection between a gateway and a backend. Bytes arrive in the order in which they were sent, after the
-// connection's latency; connections don't order each other.
+// conn is one connection between a gateway and a backend. Bytes arrive in the order in which they
+// were sent, after the connection's latency; connections don't order each other.
 type conn struct {
 	world   *world
 	number  uint64
@@ -59,7 +59,8 @@
 	return slices.SortedFunc(maps.Keys(conns), func(a, b *conn) int { return int(a.number) - int(b.number) })
 }
 
-// dial opens a connection. done is called once, later, with the connection or an error. cancel ends the wait with errCancelled.
+// dial opens a connection. done is called once, later, with the connection or an error. cancel ends
+// the wait with errCancelled.
 func (g *gateway) dial(addr string, purpose []uint64, done func(*conn, error)) (cancel func()) {
 	g.dialCount++
 	number, finished := g.dialCount, false
@@ -110,8 +111,8 @@
 	return cancel
 }
 
-// open ends a dial once the connection is up, unless its backend has restarted meanwhile. If the gateway has, done belongs to
-// the process before, and the system closes the connection.
+// open ends a dial once the connection is up, unless its backend has restarted meanwhile. If the
+// gateway has, done belongs to the process before, and the system closes the connection.
 func (c *conn) open(done func(*conn, error)) {
 	if c.gateway.epoch != c.epoch {
 		return
@@ -143,8 +144,8 @@
 	delete(c.backend.conns, c)
 }
 
-// deliver has an event happen at the other end after the latency and at least a delay, in the order of the calls. During a
-// partition it waits for the partition's end.
+// deliver has an event happen at the other end after the latency and at least a delay, in the order
+// of the calls. During a partition it waits for the partition's end.
 func (c *conn) deliver(direction *direction, delay time.Duration, event func()) {
 	direction.pending = append(direction.pending, event)
 	direction.lastArrival = max(direction.lastArrival, c.world.now+c.latency+max(0, delay))
@@ -184,8 +185,9 @@
 	})
 }
 
-// sendTrailing sends bytes that stand behind a response. If a partition separates them from it, the connection is reset in their
-// place: they would arrive when the connection is in use again, and in HTTP/1.1 a response does not name its request.
+// sendTrailing sends bytes that stand behind a response. If a partition separates them from it, the
+// connection is reset in their place: they would arrive when the connection is in use again, and in
+// HTTP/1.1 a response does not name its request.
 func (c *conn) sendTrailing(text []byte, delay time.Duration) {
 	var due time.Duration
 	c.deliver(&c.toGateway, delay, func() {
--- a/internal/sim/consulagent.go
+++ b/internal/sim/consulagent.go
@@ -137,7 +137,8 @@
 	return entries
 }
 
-// startFailure has the agent fail for a gateway. Its waiting queries break with that, or stay without a response.
+// startFailure has the agent fail for a gateway. Its waiting queries break with that, or stay
+// without a response.
 func (a *agent) startFailure(g *gateway, variant int) {
 	a.failures[g] = agentRefuses + agentFailure(variant%agentFailureCount)
 	a.respondTo(func(query *pendingQuery) bool { return query.gateway == g })
@@ -182,8 +183,8 @@
 	}
 }
 
-// loseMost has the catalog lose all entries but the first, in most variants the second one a little later. Of fewer than four
-// entries nothing is lost: so few may be taken to be removed at once.
+// loseMost has the catalog lose all entries but the first, in most variants the second one a little
+// later. Of fewer than four entries nothing is lost: so few may be taken to be removed at once.
 func (a *agent) loseMost(variant int) {
 	var listed []int
 	for _, b := range a.runner.backends {
--- a/internal/sim/corpus.go
+++ b/internal/sim/corpus.go
@@ -9,15 +9,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Case is a script that broke a rule once.
+// Case is a script that broke a rule once, with the seed of its run.
 type Case struct {
 	Seed   uint64
 	Cause  string // what was wrong, and what was done
-	Rule   string // that broke
+	Rule   string // that broke; the checker's name for it
 	Script Script
 }
 
-// caseText is a Case as it is written.
+// errInvalidFault is returned for a fault of no known kind, or with times that can't be read.
+var errInvalidFault = errors.New("its kind or its times make no sense")
+
+// caseText is the stored form of a Case.
 type caseText struct {
 	Seed  uint64      `toml:"seed"`
 	Cause string      `toml:"cause"`
@@ -25,6 +28,7 @@
 	Fault []faultText `toml:"fault,inline"`
 }
 
+// faultText is the stored form of a Fault.
 type faultText struct {
 	At     string  `toml:"at"`
 	For    string  `toml:"for"`
@@ -34,44 +38,53 @@
 	Share  float64 `toml:"share"`
 }
 
-// MarshalTOML writes an entry of a corpus.
+// MarshalTOML writes a case as an entry of a corpus.
 func (c Case) MarshalTOML() ([]byte, error) {
 	text := caseText{Seed: c.Seed, Cause: c.Cause, Rule: c.Rule}
 	for _, fault := range c.Script {
-		text.Fault = append(text.Fault, faultText{fault.At.String(), fault.Duration.String(), fault.Kind.String(), fault.Target, fault.Variant, fault.Share})
+		text.Fault = append(text.Fault, faultText{
+			At: fault.At.String(), For: fault.Duration.String(), Kind: fault.Kind.String(),
+			Target: fault.Target, Other: fault.Variant, Share: fault.Share,
+		})
 	}
 	return toml.Marshal(struct {
 		Case []caseText `toml:"case"`
 	}{[]caseText{text}})
 }
 
-// ReadCorpus reads cases. Its errors name the line, or the case.
+// ReadCorpus reads the cases of a corpus. Its errors name the line, or the case.
 func ReadCorpus(text []byte) (cases []Case, err error) {
 	var file struct {
 		Case []caseText `toml:"case"`
 	}
 	if err := toml.Unmarshal(text, &file); err != nil {
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			line, _ := at.Position()
+		if decodeErr, ok := errors.AsType[*toml.DecodeError](err); ok {
+			line, _ := decodeErr.Position()
 			return nil, fmt.Errorf("line %d: %w", line, err)
 		}
 		return nil, err
 	}
 	for i, entry := range file.Case {
-		corpusCase := Case{Seed: entry.Seed, Cause: entry.Cause, Rule: entry.Rule}
-		for _, fault := range entry.Fault {
-			at, err := time.ParseDuration(fault.At)
-			length, err2 := time.ParseDuration(fault.For)
-			kind := slices.Index(faultKindNames[:], fault.Kind)
-			if err := errors.Join(err, err2); err != nil || kind < 0 {
-				return nil, fmt.Errorf("case %d: fault %q: %w", i+1, fault.Kind, errors.Join(err, errInvalidFault))
+		read := Case{Seed: entry.Seed, Cause: entry.Cause, Rule: entry.Rule}
+		for _, text := range entry.Fault {
+			fault, err := text.fault()
+			if err != nil {
+				return nil, fmt.Errorf("case %d: fault %q: %w", i+1, text.Kind, err)
 			}
-			corpusCase.Script = append(corpusCase.Script, Fault{At: at, Duration: length, Kind: FaultKind(kind), Target: fault.Target, Variant: fault.Other, Share: fault.Share})
+			read.Script = append(read.Script, fault)
 		}
-		cases = append(cases, corpusCase)
+		cases = append(cases, read)
 	}
 	return cases, nil
 }
 
-var errInvalidFault = errors.New("its kind or its times make no sense")
+// fault reads a fault's stored form.
+func (t faultText) fault() (Fault, error) {
+	at, errAt := time.ParseDuration(t.At)
+	duration, errFor := time.ParseDuration(t.For)
+	kind := slices.Index(faultKindNames[:], t.Kind)
+	if err := errors.Join(errAt, errFor); err != nil || kind < 0 {
+		return Fault{}, errors.Join(err, errInvalidFault)
+	}
+	return Fault{At: at, Duration: duration, Kind: FaultKind(kind), Target: t.Target, Variant: t.Other, Share: t.Share}, nil
+}
--- a/internal/sim/endpointsources.go
+++ b/internal/sim/endpointsources.go
@@ -17,8 +17,8 @@
 	catalogRawSource = catalogSource + ", raw" // what the catalog's entries say before the catalog package reads them
 )
 
-// endpointSources are a gateway's sources of endpoints: what is cached between processes, the catalog's watch, and what the
-// checker needs to know of what a process was told.
+// endpointSources are a gateway's sources of endpoints: what is cached between processes, the
+// catalog's watch, and what the checker needs to know of what a process was told.
 type endpointSources struct {
 	lastDiscovery   membership.Update // all nodes as discovery told of them last
 	lastDiscoveryAt time.Duration     // when its last update arrives
@@ -106,7 +106,8 @@
 	}
 }
 
-// catalogCacheInterval is how often the catalog's nodes are written to the cache, if they have changed.
+// catalogCacheInterval is how often the catalog's nodes are written to the cache, if they have
+// changed.
 const catalogCacheInterval = time.Second
 
 // cacheCatalog keeps writing the catalog's nodes to the cache; version is what was written last.
@@ -122,7 +123,8 @@
 	})
 }
 
-// nextDiscoveryAt draws when discovery's next update arrives: late, and never before the one before it.
+// nextDiscoveryAt draws when discovery's next update arrives: late, and never before the one before
+// it.
 func (g *gateway) nextDiscoveryAt() time.Duration {
 	rng := g.world.newRand(6, uint64(g.number), uint64(g.world.now))
 	at := g.world.now + randDuration(rng, 5*time.Millisecond, 300*time.Millisecond) + g.discoveryLag
@@ -155,7 +157,8 @@
 	return membership.Update{Nodes: nodes}
 }
 
-// onUpdate passes an update to the table, and what it changes to the connection pool and the lifecycle machine.
+// onUpdate passes an update to the table, and what it changes to the connection pool and the
+// lifecycle machine.
 func (g *gateway) onUpdate(source string, update membership.Update) {
 	if source == catalogSource && g.endpoints.startTimes != nil {
 		g.endpoints.startTimes.FillIn(&update)
@@ -165,7 +168,7 @@
 		cmp.Or(errorText(update.Err), "well"))
 	changes, problems := g.table.Report(g.world.now, source, update, sinceEpoch)
 	if len(problems) > 0 {
-		g.world.violatef("lists make sense", "%v", problems)
+		g.world.violatef(ruleUpdatesValid, "%v", problems)
 	}
 	kind := decision.UpdateDelta
 	if update.Cached && source == discoverySource {
@@ -255,7 +258,8 @@
 	}
 }
 
-// noteDrainArrived notes for the checker that a node's drain has arrived at a process that is paused.
+// noteDrainArrived notes for the checker that a node's drain has arrived at a process that is
+// paused.
 func (g *gateway) noteDrainArrived(name string) {
 	if _, known := g.endpoints.drainArrivedAt[name]; !known && g.world.now < g.pausedUntil {
 		g.endpoints.drainArrivedAt[name] = g.world.now
@@ -271,8 +275,8 @@
 	}
 }
 
-// inCatalog tells whether the catalog's last full update named a node, or there was none yet. An entry of another node may be
-// older than the update that removed it.
+// inCatalog tells whether the catalog's last full update named a node, or there was none yet. An
+// entry of another node may be older than the update that removed it.
 func (g *gateway) inCatalog(name string) bool {
 	full := g.endpoints.lastFull[catalogSource]
 	return full == nil || full[name]
@@ -294,8 +298,9 @@
 	g.recordReport(catalogRawSource, update)
 }
 
-// reportedDraining tells whether a source that knows a node says that it drains. A source whose last full update left the node
-// out does not know it any more, unless the table doubts that update because it left out so much.
+// reportedDraining tells whether a source that knows a node says that it drains. A source whose
+// last full update left the node out does not know it any more, unless the table doubts that update
+// because it left out so much.
 func (g *gateway) reportedDraining(name string) bool {
 	sources := &g.endpoints
 	missing := slices.ContainsFunc(g.table.Statuses(), func(status membership.NodeStatus) bool {
@@ -309,7 +314,8 @@
 	return false
 }
 
-// publishBackend has the sources tell of a backend: discovery a little later, and the catalog in its next response.
+// publishBackend has the sources tell of a backend: discovery a little later, and the catalog in
+// its next response.
 func (r *runner) publishBackend(b *backend) {
 	node := b.node()
 	for _, g := range r.gateways {
--- a/internal/sim/faultinjection.go
+++ b/internal/sim/faultinjection.go
@@ -7,8 +7,8 @@
 	"pumicecroft/internal/simdisk"
 )
 
-// startFault begins a fault and schedules its end. A target is taken modulo what there is, as a script may be of a run of
-// another size.
+// startFault begins a fault and schedules its end. A target is taken modulo what there is, as a
+// script may be of a run of another size.
 func (r *runner) startFault(fault Fault) {
 	r.tracef("fault: %v", fault)
 	switch fault.Kind.target() {
@@ -31,7 +31,8 @@
 	})
 }
 
-// shutdownGraces are how long open requests have when a gateway is told to stop, by the fault's variant.
+// shutdownGraces are how long open requests have when a gateway is told to stop, by the fault's
+// variant.
 var shutdownGraces = [...]time.Duration{0, 300 * time.Millisecond, 3 * time.Second}
 
 // startGatewayFault begins a fault of a gateway's process, its machine, or its sources.
@@ -80,10 +81,12 @@
 	r.scheduleEnd(fault, func() { keyJournal.fault, keyJournal.disk.Capacity, keyJournal.maxLatency = nil, 0, 0 })
 }
 
-// maxCatalogLoss bounds the loss of a part of the catalog: nodes that are missing for longer are taken to be removed.
+// maxCatalogLoss bounds the loss of a part of the catalog: nodes that are missing for longer are
+// taken to be removed.
 const maxCatalogLoss = 1200 * time.Millisecond
 
-// startBackendFault begins a fault of a backend, of connections to it, or of what the sources say of backends.
+// startBackendFault begins a fault of a backend, of connections to it, or of what the sources say
+// of backends.
 func (r *runner) startBackendFault(fault Fault, b *backend) {
 	switch fault.Kind {
 	case DrainBackend:
@@ -136,7 +139,8 @@
 	}
 }
 
-// restartBackend stops a backend's process and starts another one after a while, at another address if it moves.
+// restartBackend stops a backend's process and starts another one after a while, at another address
+// if it moves.
 func (r *runner) restartBackend(fault Fault, b *backend) {
 	if !b.up || !b.listed {
 		return
@@ -154,8 +158,9 @@
 	})
 }
 
-// deregisterBackends takes a backend out of all sources while its process goes on, and puts it in again later as a new process.
-// One variant takes out all backends but one, which looks like a source's failure.
+// deregisterBackends takes a backend out of all sources while its process goes on, and puts it in
+// again later as a new process. One variant takes out all backends but one, which looks like a
+// source's failure.
 func (r *runner) deregisterBackends(fault Fault, b *backend) {
 	if !b.up || !b.listed {
 		return
@@ -179,12 +184,14 @@
 			b.createIndex = r.agent.index + 1
 			r.publishBackend(b)
 		}
-		// A loss right behind it would look like one with it to a gateway that has not learnt of their return.
+		// A loss right behind it would look like one with it to a gateway that has not learnt of
+		// their return.
 		r.agent.restoredAt = r.now
 	})
 }
 
-// killGateway kills a gateway's process, with its machine in every second variant. It is back after the fault's time.
+// killGateway kills a gateway's process, with its machine in every second variant. It is back after
+// the fault's time.
 func (r *runner) killGateway(fault Fault) {
 	g := r.gateways[fault.Target]
 	if !g.up {
@@ -209,8 +216,8 @@
 	})
 }
 
-// resendUnanswered has clients whose requests end with a gateway's process send them once more, with the same key, to the next
-// process: one that has the journal of the first may know of them.
+// resendUnanswered has clients whose requests end with a gateway's process send them once more,
+// with the same key, to the next process: one that has the journal of the first may know of them.
 func (r *runner) resendUnanswered(g *gateway, after time.Duration) {
 	if g.journal.log == nil {
 		return
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -11,7 +11,8 @@
 // FaultKind is what goes wrong.
 type FaultKind uint8
 
-// The kinds of faults. Those of connections and of backends' responses hold for a while and meet a share of what passes.
+// The kinds of faults. Those of connections and of backends' responses hold for a while and meet a
+// share of what passes.
 const (
 	ConnRefused            FaultKind = iota // connections to a backend are refused
 	ConnHangs                               // connections to a backend never come up
@@ -116,7 +117,8 @@
 // faultVariants bounds Fault.Variant: kinds have 2, 3, 4, 6 or 12 variants.
 const faultVariants = 12
 
-// drawScript draws a script: about half of the kinds are off, so that those left meet each other more often (swarm testing).
+// drawScript draws a script: about half of the kinds are off, so that those left meet each other
+// more often (swarm testing).
 func drawScript(rng *rand.Rand, config *runConfig) Script {
 	var enabled []FaultKind
 	for kind := range faultKindCount {
--- a/internal/sim/gateway.go
+++ b/internal/sim/gateway.go
@@ -10,8 +10,9 @@
 	"pumicecroft/membership"
 )
 
-// gateway is one gateway: its machine, which outlives processes, and the process that runs on it now. What it does is decided by
-// the shipped packages; here it is only carried out: bytes, timers, and one event after another.
+// gateway is one gateway: its machine, which outlives processes, and the process that runs on it
+// now. What it does is decided by the shipped packages; here it is only carried out: bytes, timers,
+// and one event after another.
 type gateway struct {
 	world  *world
 	check  *checker
@@ -77,7 +78,8 @@
 	keyRetention   = time.Hour        // of idempotency keys at a gateway
 )
 
-// resumeDelay bounds how long a process needs after a pause until it has handled what arrived meanwhile.
+// resumeDelay bounds how long a process needs after a pause until it has handled what arrived
+// meanwhile.
 const resumeDelay = 20 * time.Millisecond
 
 // boot starts a process with the endpoints that its machine knew last.
@@ -114,7 +116,8 @@
 	g.startSources()
 }
 
-// kill ends the process at once. Requests that it had are lost to their clients; what is on its way to backends arrives.
+// kill ends the process at once. Requests that it had are lost to their clients; what is on its way
+// to backends arrives.
 func (g *gateway) kill() {
 	g.up = false
 	g.epoch++
@@ -125,8 +128,8 @@
 	}
 }
 
-// shutdown has the process end by itself: it takes no new requests, open ones have a grace, and the rest is aborted. onStopped
-// is called when it has ended.
+// shutdown has the process end by itself: it takes no new requests, open ones have a grace, and the
+// rest is aborted. onStopped is called when it has ended.
 func (g *gateway) shutdown(grace time.Duration, onStopped func()) {
 	if !g.up || g.closing {
 		return
@@ -149,8 +152,9 @@
 	})
 }
 
-// pause has the process stand still. Afterwards it handles what arrived meanwhile in a random order that keeps only that of
-// single connections and sources, as a process reads its sockets; its timers are all due at once.
+// pause has the process stand still. Afterwards it handles what arrived meanwhile in a random order
+// that keeps only that of single connections and sources, as a process reads its sockets; its
+// timers are all due at once.
 func (g *gateway) pause(length time.Duration) {
 	if !g.up || g.world.now < g.pausedUntil {
 		return
@@ -180,7 +184,8 @@
 	}
 }
 
-// pausedDuring tells whether the process was paused, or not over a pause yet, at any time of an interval.
+// pausedDuring tells whether the process was paused, or not over a pause yet, at any time of an
+// interval.
 func (g *gateway) pausedDuring(from, to time.Duration) bool {
 	for _, interval := range g.pauses {
 		if interval[0] <= to && interval[1]+resumeDelay >= from {
@@ -190,8 +195,8 @@
 	return false
 }
 
-// enqueue has a process handle an event now, or after its pause; a later process never handles it. Events of one order key are
-// handled in the order of the calls.
+// enqueue has a process handle an event now, or after its pause; a later process never handles it.
+// Events of one order key are handled in the order of the calls.
 func (g *gateway) enqueue(epoch int, orderKey any, event func()) {
 	last := g.lastByOrder[orderKey]
 	if orderKey != nil && last >= g.world.now && g.up && g.world.now >= g.pausedUntil {
@@ -214,7 +219,8 @@
 	}
 }
 
-// triggerKillPoint has a kill that waits for this instant happen, in random order with the instant's other events.
+// triggerKillPoint has a kill that waits for this instant happen, in random order with the
+// instant's other events.
 func (g *gateway) triggerKillPoint(point int) {
 	if kill := g.killPoints[point]; kill != nil {
 		g.killPoints[point] = nil
@@ -235,12 +241,13 @@
 	})
 	if g.dedup != nil {
 		at, ok = g.dedup.Next()
-		g.scheduleWakeup(wakeupDedup, at, ok, func() { g.answerWaiters(g.dedup.Tick(g.world.now), "late") })
+		g.scheduleWakeup(wakeupDedup, at, ok, func() { g.answerWaiters(g.dedup.Tick(g.world.now), verdictLate) })
 	}
 	g.pumpJournal()
 }
 
-// scheduleWakeup schedules a part's call, unless an earlier one is scheduled. ok tells whether the part asks for one.
+// scheduleWakeup schedules a part's call, unless an earlier one is scheduled. ok tells whether the
+// part asks for one.
 func (g *gateway) scheduleWakeup(part int, at time.Duration, ok bool, wake func()) {
 	if !ok || g.wakeups[part] > g.world.now && g.wakeups[part] <= at {
 		return
--- a/internal/sim/gatewayjournal.go
+++ b/internal/sim/gatewayjournal.go
@@ -8,172 +8,200 @@
 	"pumicecroft/internal/simdisk"
 )
 
-// gatewayJournal is a door's journal of keys: the disk, which outlives processes, and what a process knows of it.
+// gatewayJournal is a gateway's journal of idempotency keys: the disk, which outlives processes,
+// and the process's state.
 type gatewayJournal struct {
-	disk            *simdisk.Disk
+	disk       *simdisk.Disk
+	maxLatency time.Duration     // of an operation, while the disk is slow
+	fault      error             // that operations end with at random; nil: the disk works
+	mustReplay map[string]string // by dedupIdentity: bodies that every later process must replay
+
 	log             *journal.Log[idempotency.Entry] // nil: the process has none
 	busy            bool                            // an operation is under way
-	awaitingDurable []recordWait                    // until they are durable
-	awaitingWritten []recordWait                    // until they are written
-	maxLatency      time.Duration                   // an operation takes so long at the most
-	fault           error                           // what operations end with, by chance
-	mustReplay      map[string]string               // answers that clients have, by key, and that every later process must give again
+	awaitingDurable []recordWait
+	awaitingWritten []recordWait
 }
 
-// recordWait is something that waits for a record.
+// recordWait is a wait for a record to be durable or written.
 type recordWait struct {
 	seq  uint64
-	done func(there bool)
+	done func(ok bool) // false: the record is lost
 }
 
-// diskTimeout is how long requests wait for the disk.
-const diskTimeout = 300 * time.Millisecond
+const (
+	diskTimeout     = 300 * time.Millisecond // bounds the wait of requests for the disk
+	minDiskLatency  = 20 * time.Microsecond
+	usualMaxLatency = 3 * time.Millisecond
+	// recordOverhead is room in a record beside the response's body. A larger response is recorded
+	// as given, and not replayed.
+	recordOverhead = 300
+)
 
-var journalPolicy = journal.Options{SegmentBytes: 8 << 10, MaxPending: 16 << 10, RetryDelay: 200 * time.Millisecond}
+var journalOptions = journal.Options{SegmentBytes: 8 << 10, MaxPending: 16 << 10, RetryDelay: 200 * time.Millisecond}
 
-// openJournal has a door's process read its journal.
+// openJournal has a process read its journal.
 func (g *gateway) openJournal() {
-	keyJournal := &g.journal
-	if keyJournal.disk == nil {
-		keyJournal.disk, keyJournal.mustReplay = simdisk.New(), map[string]string{}
+	j := &g.journal
+	if j.disk == nil {
+		j.disk, j.mustReplay = simdisk.New(), map[string]string{}
 	}
-	keyJournal.busy, keyJournal.awaitingDurable, keyJournal.awaitingWritten = false, nil, nil
+	j.busy, j.awaitingDurable, j.awaitingWritten = false, nil, nil
 	rng := g.world.newRand(21, uint64(g.number), uint64(g.epoch))
-	keyJournal.disk.PartialWrite = func(n int) int { return rng.IntN(n + 1) }
-	keyJournal.disk.Fault = func(journal.Op) error {
-		if keyJournal.fault != nil && rng.IntN(3) > 0 {
-			return keyJournal.fault
+	j.disk.PartialWrite = func(n int) int { return rng.IntN(n + 1) }
+	j.disk.Fault = func(journal.Op) error {
+		if j.fault != nil && rng.IntN(3) > 0 {
+			return j.fault
 		}
 		return nil
 	}
+	restore := func(record []byte) (*journal.Slot[idempotency.Entry], error) {
+		return g.dedup.Restore(g.world.now, 0, record)
+	}
 	var err error
-	keyJournal.log, err = journal.Recover(journalPolicy, mix(g.world.seed^uint64(g.number)), keyJournal.disk.List(), keyJournal.disk.Load, func(rec []byte) (*journal.Slot[idempotency.Entry], error) {
-		return g.dedup.Restore(g.world.now, 0, rec)
-	})
+	j.log, err = journal.Recover(journalOptions, mix(g.world.seed^uint64(g.number)), j.disk.List(), j.disk.Load, restore)
 	if err != nil {
-		g.world.violatef("the journal is read again", "door %d: %v", g.number, err)
-		keyJournal.log = nil
+		g.world.violatef(ruleJournalReadable, "gateway %d: %v", g.number, err)
+		j.log = nil
 		return
 	}
-	usage := keyJournal.log.Usage()
+	usage := j.log.Usage()
 	g.world.tracef("door %d reads %d keys of %d bytes in %d segments", g.number, g.dedup.Len(), usage.Bytes, usage.Segments)
-	g.dedup.AttachLog(keyJournal.log, 0)
+	g.dedup.AttachLog(j.log, 0)
 }
 
-// pumpJournal carries out the journal's next operation. What it does to the disk it does when it ends, or half-way: a process that is killed
-// meanwhile leaves it done or not.
+// pumpJournal begins the journal's next operation, if none is under way. The disk changes when the
+// operation ends: a process that is killed meanwhile leaves it done or not.
 func (g *gateway) pumpJournal() {
-	keyJournal := &g.journal
-	if keyJournal.log == nil || keyJournal.busy {
+	j := &g.journal
+	if j.log == nil || j.busy {
 		return
 	}
 	g.dedup.RewriteStale(g.world.now)
-	op := keyJournal.log.Next(g.world.now)
+	op := j.log.Next(g.world.now)
 	if op.Kind == journal.None {
-		at, ok := keyJournal.log.NextWake()
-		g.scheduleWakeup(4, at, ok, g.pumpJournal)
+		at, ok := j.log.NextWake()
+		g.scheduleWakeup(wakeupJournal, at, ok, g.pumpJournal)
 		return
 	}
-	keyJournal.busy = true
-	epoch, log := g.epoch, keyJournal.log
+	j.busy = true
+	epoch, log := g.epoch, j.log
 	rng := g.world.newRand(22, uint64(g.number), uint64(epoch), uint64(g.world.now), uint64(op.Kind))
-	g.world.scheduleAfter(randDuration(rng, 20*time.Microsecond, max(3*time.Millisecond, keyJournal.maxLatency)), func() {
-		if epoch != g.epoch && rng.IntN(2) == 0 {
-			return // the process was killed before the system took it
+	latency := randDuration(rng, minDiskLatency, max(usualMaxLatency, j.maxLatency))
+	g.world.scheduleAfter(latency, func() {
+		killed := epoch != g.epoch
+		if killed && rng.IntN(2) == 0 {
+			return // before the system took the operation
 		}
-		if epoch != g.epoch && g.up { // a later one has the disk: whatever the earlier had begun is done or not by then
-			return
+		if killed && g.up {
+			return // a later process has the disk: the operation was done or not before it read the journal
 		}
-		err := keyJournal.disk.Do(op)
-		g.enqueue(epoch, nil, func() {
-			keyJournal.busy = false
-			log.Done(g.world.now, err)
-			if usage := log.Usage(); usage.PendingBytes > journalPolicy.MaxPending {
-				g.world.violatef("everything has its bound", "door %d's journal has %d bytes pending", g.number, usage.PendingBytes)
-			}
-			keyJournal.awaitingDurable = notifyUpTo(keyJournal.awaitingDurable, log.Durable(), log.Lost())
-			keyJournal.awaitingWritten = notifyUpTo(keyJournal.awaitingWritten, log.Written(), log.Lost())
-			g.scheduleWakeups()
-		})
+		err := j.disk.Do(op)
+		g.enqueue(epoch, nil, func() { g.onDiskDone(log, err) })
 	})
 }
 
-// notifyUpTo tells those whose records are there or lost, and gives the rest.
-func notifyUpTo(waiting []recordWait, durable, lost uint64) []recordWait {
+// onDiskDone takes in the end of a journal's operation.
+func (g *gateway) onDiskDone(log *journal.Log[idempotency.Entry], err error) {
+	j := &g.journal
+	j.busy = false
+	log.Done(g.world.now, err)
+	if usage := log.Usage(); usage.PendingBytes > journalOptions.MaxPending {
+		g.world.violatef(ruleBounded, "gateway %d's journal has %d bytes pending", g.number, usage.PendingBytes)
+	}
+	j.awaitingDurable = notifyUpTo(j.awaitingDurable, log.Durable(), log.Lost())
+	j.awaitingWritten = notifyUpTo(j.awaitingWritten, log.Written(), log.Lost())
+	g.scheduleWakeups()
+}
+
+// notifyUpTo ends the waits for records up to reached, and as lost those up to lost. It gives the
+// rest.
+func notifyUpTo(waiting []recordWait, reached, lost uint64) []recordWait {
 	n := 0
-	for n < len(waiting) && waiting[n].seq <= max(durable, lost) {
+	for n < len(waiting) && waiting[n].seq <= max(reached, lost) {
 		n++
 	}
-	ready := waiting[:n:n]
-	for _, wait := range ready {
-		wait.done(wait.seq <= durable)
+	for _, wait := range waiting[:n:n] {
+		wait.done(wait.seq <= reached)
 	}
 	return waiting[n:]
 }
 
-// whenDurable has an ask go on when it is durable that its key passed, or when it has waited for long enough.
-func (g *gateway) whenDurable(request *clientRequest, next func()) {
-	seq, epoch, called := request.ticket.Seq(), g.epoch, false
-	done := func(there bool) {
-		if called {
-			return
+// once gives a function that calls f at its first call alone.
+func once(f func(ok bool)) func(ok bool) {
+	called := false
+	return func(ok bool) {
+		if !called {
+			called = true
+			f(ok)
 		}
-		if called = true; !there {
-			g.check.volatileKeys[request.key] = true // as is stated: it goes on with its key in memory alone
+	}
+}
+
+// whenDurable calls next once the record of a request's key is durable, or after a timeout: the
+// request is then executed with its key in memory alone, as is documented.
+func (g *gateway) whenDurable(request *clientRequest, next func()) {
+	done := once(func(ok bool) {
+		if !ok {
+			g.check.volatileKeys[request.key] = true
 		}
 		next()
-	}
+	})
+	seq := request.ticket.Seq()
 	if seq == 0 {
 		done(false)
 		return
 	}
+	epoch := g.epoch
 	g.journal.awaitingDurable = append(g.journal.awaitingDurable, recordWait{seq, done})
 	g.world.scheduleAfter(min(diskTimeout, request.timeout), func() { g.enqueue(epoch, nil, func() { done(false) }) })
 }
 
-// whenWritten has something happen when an ask's answer is written, or when its client would wait for too long.
+// whenWritten calls next once a request's response is written, or when its client would wait for
+// too long.
 func (g *gateway) whenWritten(request *clientRequest, next func()) {
-	seq, epoch, called := g.dedup.RecordResponse(g.world.now, request.ticket, idempotency.Response{Body: request.response.Body}), g.epoch, false
-	done := func(there bool) {
-		if called {
-			return
-		}
-		if called = true; there && len(request.response.Body) < g.journal.log.MaxRecord()-300 { // a larger one is told as answered, and not again
-			g.journal.mustReplay[request.dedupIdentity()] = string(request.response.Body)
+	seq := g.dedup.RecordResponse(g.world.now, request.ticket, idempotency.Response{Body: request.response.Body})
+	done := once(func(ok bool) {
+		body := request.response.Body
+		if ok && len(body) < g.journal.log.MaxRecord()-recordOverhead {
+			g.journal.mustReplay[request.dedupIdentity()] = string(body)
 		}
 		next()
-	}
+	})
 	if seq == 0 {
 		done(false)
 		return
 	}
+	epoch := g.epoch
 	g.journal.awaitingWritten = append(g.journal.awaitingWritten, recordWait{seq, done})
-	g.world.scheduleAfter(max(0, min(diskTimeout, request.arrivedAt+request.giveUpAfter()-g.world.now)), func() { g.enqueue(epoch, nil, func() { done(false) }) })
+	patience := max(0, min(diskTimeout, request.arrivedAt+request.giveUpAfter()-g.world.now))
+	g.world.scheduleAfter(patience, func() { g.enqueue(epoch, nil, func() { done(false) }) })
 	g.scheduleWakeups()
 }
 
-// closeJournal is a process that ends by itself: who waits for the disk is told, and what the log has is written.
+// closeJournal writes what the log still has, for a process that stops by itself. Waits for the
+// disk end.
 func (g *gateway) closeJournal() {
-	keyJournal := &g.journal
-	for _, wait := range append(keyJournal.awaitingDurable, keyJournal.awaitingWritten...) {
+	j := &g.journal
+	for _, wait := range append(j.awaitingDurable, j.awaitingWritten...) {
 		wait.done(false)
 	}
-	keyJournal.awaitingDurable, keyJournal.awaitingWritten = nil, nil
-	if keyJournal.log == nil {
+	j.awaitingDurable, j.awaitingWritten = nil, nil
+	if j.log == nil {
 		return
 	}
-	keyJournal.log.Close()
-	for op := keyJournal.log.Next(g.world.now); op.Kind != journal.None; op = keyJournal.log.Next(g.world.now) {
-		keyJournal.log.Done(g.world.now, keyJournal.disk.Do(op))
+	j.log.Close()
+	for op := j.log.Next(g.world.now); op.Kind != journal.None; op = j.log.Next(g.world.now) {
+		j.log.Done(g.world.now, j.disk.Do(op))
 	}
-	keyJournal.log = nil
+	j.log = nil
 }
 
-// crash is a machine that stops: what was not synced is there or not.
+// crash stops the machine: what was not synced is on its disk or not, so no replay is certain any
+// more.
 func (g *gateway) crash() {
-	keyJournal := &g.journal
-	if keyJournal.disk != nil {
-		keyJournal.disk.Crash(g.world.newRand(23, uint64(g.number), uint64(g.epoch)))
-		clear(keyJournal.mustReplay) // what was written and not synced may be undecided now
+	j := &g.journal
+	if j.disk != nil {
+		j.disk.Crash(g.world.newRand(23, uint64(g.number), uint64(g.epoch)))
+		clear(j.mustReplay)
 	}
 }
--- a/internal/sim/gatewayrequests.go
+++ b/internal/sim/gatewayrequests.go
@@ -27,11 +27,12 @@
 	g.admit(request)
 }
 
-// admit submits a request to the lifecycle machine, with what is left of its time after waiting for the disk.
+// admit submits a request to the lifecycle machine, with what is left of its time after waiting for
+// the disk.
 func (g *gateway) admit(request *clientRequest) {
 	remaining := request.timeout - (g.world.now - request.arrivedAt)
 	if request.ticket != nil && remaining <= lifecycle.TimeoutMargin {
-		g.completeKey(request, idempotency.NotExecuted, "refused")
+		g.completeKey(request, idempotency.NotExecuted, verdictRejected)
 		return
 	}
 	effects, err := g.machine.Submit(g.world.now, request, decision.Request{
@@ -43,14 +44,14 @@
 	g.execute(effects)
 	if err != nil {
 		request.notAdmitted = true
-		if !g.completeKey(request, idempotency.NotExecuted, "turned away") {
-			g.check.onFinal(request, "turned away", nil)
+		if !g.completeKey(request, idempotency.NotExecuted, verdictNotAdmitted) {
+			g.check.onFinal(request, verdictNotAdmitted, nil)
 		}
 	}
 }
 
-// execute carries out what the lifecycle machine asks for. What leaves the process leaves it by an event of its own, so that a
-// kill can come between.
+// execute carries out what the lifecycle machine asks for. What leaves the process leaves it by an
+// event of its own, so that a kill can come between.
 func (g *gateway) execute(effects []lifecycle.Effect) {
 	for _, effect := range effects {
 		switch effect.Kind {
@@ -103,8 +104,16 @@
 	g.world.scheduleAfter(0, func() { g.enqueue(epoch, nil, func() { g.startAttempt(probe) }) })
 }
 
-// verdictNames are the ends of requests as the trace and the checker have them, by lifecycle.Verdict.
-var verdictNames = [...]string{"served", "refused", "failed", "late", "left", "aborted"}
+// verdictNames are the ends of requests as the trace and the checker have them, by
+// lifecycle.Verdict.
+var verdictNames = [...]string{
+	lifecycle.Served:             verdictServed,
+	lifecycle.Rejected:           verdictRejected,
+	lifecycle.Failed:             verdictFailed,
+	lifecycle.DeadlineExceeded:   verdictLate,
+	lifecycle.ClientDisconnected: verdictDisconnected,
+	lifecycle.Aborted:            verdictAborted,
+}
 
 // keyOutcome is what a request's end says about its idempotency key.
 func keyOutcome(verdict lifecycle.Verdict) idempotency.Outcome {
@@ -130,7 +139,8 @@
 	g.runner.maybeRetry(request, verdict, effect.RetryAfter)
 }
 
-// onDisconnect is told that a request's client has gone. An attempt with a key goes on for as long as anybody waits for the key.
+// onDisconnect is told that a request's client has gone. An attempt with a key goes on for as long
+// as anybody waits for the key.
 func (g *gateway) onDisconnect(request *clientRequest) {
 	if request.ticket == nil {
 		g.execute(g.machine.Disconnect(g.world.now, request, decision.RequestID(request.id)))
@@ -141,17 +151,17 @@
 	}
 	leader := g.requestByKey[request.ticket.Entry()]
 	abandoned, completions := g.dedup.Abandon(g.world.now, request.ticket)
-	g.answerWaiters(completions, "late")
+	g.answerWaiters(completions, verdictLate)
 	if request.finalCount == 0 {
-		g.check.onFinal(request, "left", nil)
+		g.check.onFinal(request, verdictDisconnected, nil)
 	}
 	if abandoned && leader != nil {
 		g.execute(g.machine.Disconnect(g.world.now, leader, decision.RequestID(leader.id)))
 	}
 }
 
-// syncSources has the sources take in what has arrived: discovery once its reader has handled all of it, and the catalog by a
-// new query. It waits for them as long as the executor does.
+// syncSources has the sources take in what has arrived: discovery once its reader has handled all
+// of it, and the catalog by a new query. It waits for them as long as the executor does.
 func (g *gateway) syncSources(effect lifecycle.Effect) {
 	g.world.tracef("door %d stood still for %v", g.number, effect.PausedFor)
 	epoch, pending := g.epoch, 1
@@ -185,13 +195,13 @@
 	done()
 }
 
-// checkKey asks the deduplication store about a request's key. It tells whether the request is to be executed; if not, it waits
-// for another one with its key, or has its answer.
+// checkKey asks the deduplication store about a request's key. It tells whether the request is to
+// be executed; if not, it waits for another one with its key, or has its answer.
 func (g *gateway) checkKey(request *clientRequest) bool {
 	deadline := g.world.now + request.timeout - lifecycle.ResponseMargin
 	result, completions := g.dedup.Begin(g.world.now, decision.CustomerID(request.customer), request.dedupKey(),
 		idempotency.Fingerprint{request.digest}, request, deadline)
-	g.answerWaiters(completions, "late")
+	g.answerWaiters(completions, verdictLate)
 	request.ticket = result.Ticket
 	g.world.tracef("the key of %d: %v", request.number, result.Verdict.String())
 	g.checkReplay(request, &result)
@@ -203,36 +213,37 @@
 		g.scheduleWakeups()
 	case idempotency.Replay:
 		request.response = &platformhttp.Response{Body: result.Response.Body}
-		g.check.onFinal(request, "served", nil)
+		g.check.onFinal(request, verdictServed, nil)
 	case idempotency.Busy:
-		g.check.onFinal(request, "refused", nil)
-		g.runner.maybeRetry(request, "refused", result.RetryAfter)
+		g.check.onFinal(request, verdictRejected, nil)
+		g.runner.maybeRetry(request, verdictRejected, result.RetryAfter)
 	default:
 		g.check.onFinal(request, result.Verdict.String(), nil)
 	}
 	return false
 }
 
-// checkReplay checks that a key whose answer a client has, and that is on disk, is answered alike by every later process.
+// checkReplay checks that a key whose answer a client has, and that is on disk, is answered alike
+// by every later process.
 func (g *gateway) checkReplay(request *clientRequest, result *idempotency.Decision) {
 	body, known := g.journal.mustReplay[request.dedupIdentity()]
 	if !known || !g.runner.config.recognisesAllKeys() || g.journal.log == nil {
 		return
 	}
 	if result.Verdict != idempotency.Replay || string(result.Response.Body) != body {
-		g.world.violatef("what was answered is answered alike", "door %d had answered the key of ask %d, and says %v",
+		g.world.violatef(ruleSameAnswer, "gateway %d had answered the key of request %d, and says %v",
 			g.number, request.number, result.Verdict)
 	}
 }
 
-// runsForKey tells whether a request is the one that is executed for all that wait with its key, whether or not its own client
-// has disconnected.
+// runsForKey tells whether a request is the one that is executed for all that wait with its key,
+// whether or not its own client has disconnected.
 func (g *gateway) runsForKey(request *clientRequest) bool {
 	return request.ticket != nil && g.requestByKey[request.ticket.Entry()] == request
 }
 
-// completeKey gives a request's end to all that wait with its key. It tells whether the request ran for a key; if not, nothing
-// is done.
+// completeKey gives a request's end to all that wait with its key. It tells whether the request ran
+// for a key; if not, nothing is done.
 func (g *gateway) completeKey(request *clientRequest, outcome idempotency.Outcome, verdict string) bool {
 	if !g.runsForKey(request) {
 		return false
@@ -253,17 +264,17 @@
 	return true
 }
 
-// answerWaiters answers requests that waited with a key. verdict is the end of the one they waited for, where that has no
-// response.
+// answerWaiters answers requests that waited with a key. verdict is the end of the one they waited
+// for, where that has no response.
 func (g *gateway) answerWaiters(completions []idempotency.Completion, verdict string) {
 	for _, completion := range slices.Clone(completions) {
 		request := completion.Tag.(*clientRequest)
 		outcome := verdict
 		switch completion.Verdict {
 		case idempotency.Replay:
-			request.response, outcome = &platformhttp.Response{Body: completion.Response.Body}, "served"
+			request.response, outcome = &platformhttp.Response{Body: completion.Response.Body}, verdictServed
 		case idempotency.DeadlineExceeded:
-			outcome = "late"
+			outcome = verdictLate
 		}
 		g.world.tracef("door %d answers %d, by its key: %s", g.number, request.number, outcome)
 		g.check.onFinal(request, outcome, nil)
--- a/internal/sim/golden_test.go
+++ b/internal/sim/golden_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What seeds do is fixed: a change that keeps behaviour keeps these traces, event by event. One that means to change behaviour, or the wording
-// of a trace's lines, sets them anew and says why.
+// What seeds do is fixed: a change that keeps behaviour keeps these traces, event by event. One
+// that means to change behaviour, or the wording of a trace's lines, sets them anew and says why.
 func TestTracesOfSeeds(t *testing.T) {
 	for _, want := range []struct {
 		seed, hash                                     uint64
--- a/internal/sim/perturbedengine.go
+++ b/internal/sim/perturbedengine.go
@@ -8,8 +8,9 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// perturbedEngine changes a decision engine's actions within what its interface allows, so that runs meet what the engine itself
-// rarely asks for: attempts with a timeout of their own, and probes.
+// perturbedEngine changes a decision engine's actions within what its interface allows, so that
+// runs meet what the engine itself rarely asks for: attempts with a timeout of their own, and
+// probes.
 type perturbedEngine struct {
 	lifecycle.DecisionEngine
 	rng      *rand.Rand
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -53,8 +53,9 @@
 	backendAction string // what a backend does with the first request, for RunSingleRequest; empty: nothing special
 }
 
-// settleTime is long enough after the last request for everything to end by itself: faults, restarts, the longest deadline, and
-// blocking queries to an agent that doesn't answer, which are given up after 12.6 s, with the next ones.
+// settleTime is long enough after the last request for everything to end by itself: faults,
+// restarts, the longest deadline, and blocking queries to an agent that doesn't answer, which are
+// given up after 12.6 s, with the next ones.
 const settleTime = 25 * time.Second
 
 // checkInterval is how often rules are checked that no event checks.
@@ -119,7 +120,8 @@
 	}
 }
 
-// populate starts backends, each in a cell, and gateways. Backends in one deduplication scope share what they remember of keys.
+// populate starts backends, each in a cell, and gateways. Backends in one deduplication scope share
+// what they remember of keys.
 func (r *runner) populate(cellOf func(number int) int) {
 	dedupMemories := map[int]*dedupMemory{}
 	for number := range r.config.backends {
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Shrink takes faults out of a failing run's script, and shortens those left, as long as the same rule breaks. It gives the
-// smallest that it found.
+// Shrink takes faults out of a failing run's script, and shortens those left, as long as the same
+// rule breaks. It gives the run of the smallest script that it found; a run without a violation it
+// gives as it is.
 func Shrink(result Result, options Options) Result {
 	if len(result.Violations) == 0 {
 		return result
@@ -14,14 +15,15 @@
 	})
 }
 
+// shrink is Shrink with a function that runs a script.
 func shrink(result Result, run func(Script) Result) Result {
 	rule, best := result.Violations[0].Rule, result
 	reproduces := func(candidate Script) bool {
-		shrunk := run(candidate)
-		if len(shrunk.Violations) == 0 || shrunk.Violations[0].Rule != rule {
+		attempt := run(candidate)
+		if len(attempt.Violations) == 0 || attempt.Violations[0].Rule != rule {
 			return false
 		}
-		best = shrunk
+		best = attempt
 		return true
 	}
 	for i := range best.Script {
@@ -42,7 +44,7 @@
 				i += size
 			}
 		}
-		if size > 1 || !removed { // in the end no single one may be left out
+		if size > 1 || !removed { // at the end no single fault can be taken out
 			size /= 2
 		}
 	}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -16,8 +16,8 @@
 // ciSeeds are the seeds that CI runs, always the same.
 const ciSeeds = 400
 
-// runSeeds runs seeds side by side and gives what came of them, in their order. Two at once leave room for the tests of other
-// packages, which wait on sockets meanwhile.
+// runSeeds runs seeds side by side and gives what came of them, in their order. Two at once leave
+// room for the tests of other packages, which wait on sockets meanwhile.
 func runSeeds(n uint64, run func(seed uint64) Result) []Result {
 	out := make([]Result, n)
 	var running sync.WaitGroup
@@ -37,7 +37,8 @@
 	return out
 }
 
-// No seed of a fixed share breaks a rule, and between them they meet every kind of fault and every end of a request.
+// No seed of a fixed share breaks a rule, and between them they meet every kind of fault and every
+// end of a request.
 func TestSeeds(t *testing.T) {
 	var met [faultKindCount]int
 	served, refused, failed, lost := 0, 0, 0, 0
@@ -82,8 +83,8 @@
 	}
 }
 
-// A seed replays exactly: the same trace line by line, on any number of processors, whether or not the trace is taken, and
-// another seed's is another.
+// A seed replays exactly: the same trace line by line, on any number of processors, whether or not
+// the trace is taken, and another seed's is another.
 func TestReplay(t *testing.T) {
 	const n = 60
 	var lines [n][]string
@@ -144,8 +145,8 @@
 	return r
 }
 
-// What a connection carries comes in its order, cut or not, after the way there; over a partition when that ends; never after
-// the connection has ended.
+// What a connection carries comes in its order, cut or not, after the way there; over a partition
+// when that ends; never after the connection has ended.
 func TestConnections(t *testing.T) {
 	var trace []string
 	r := quietRunner(t, &trace)
@@ -243,7 +244,8 @@
 	return 0
 }
 
-// A key's window binds at its exact end, and a backend that is cold falls by one more than it can take.
+// A key's window binds at its exact end, and a backend that is cold falls by one more than it can
+// take.
 func TestEdgesOfBackends(t *testing.T) {
 	m := dedupMemory{map[uint64]time.Duration{1: time.Second}}
 	if m.remember(1, 6*time.Second-1, 5*time.Second) || !m.remember(1, 6*time.Second, 5*time.Second) {
@@ -265,8 +267,8 @@
 	}
 }
 
-// A door that stands still over deadlines answers what it holds when it goes on, all its timers at once, and what it is then
-// asked; nothing is lost, nothing is answered twice.
+// A door that stands still over deadlines answers what it holds when it goes on, all its timers at
+// once, and what it is then asked; nothing is lost, nothing is answered twice.
 func TestAPauseOverDeadlines(t *testing.T) {
 	var lines []string
 	r := quietRunner(t, &lines)
@@ -288,8 +290,8 @@
 	}
 }
 
-// A kill may land between an attempt that is counted and its leaving, and between an answer's coming and its accounting: over
-// seeds it does, and no rule breaks.
+// A kill may land between an attempt that is counted and its leaving, and between an answer's
+// coming and its accounting: over seeds it does, and no rule breaks.
 func TestKillsBetween(t *testing.T) {
 	between, after := 0, 0
 	for _, res := range runSeeds(150, func(seed uint64) Result {
@@ -310,7 +312,8 @@
 	}
 }
 
-// What a shrunk script keeps is needed: here a rule breaks by a drain and a kill together, whatever else goes wrong.
+// What a shrunk script keeps is needed: here a rule breaks by a drain and a kill together, whatever
+// else goes wrong.
 func TestShrink(t *testing.T) {
 	breaks := func(s Script) Result {
 		has := func(k FaultKind) bool {
@@ -340,7 +343,8 @@
 	}
 }
 
-// The three classes' cases of the suite on sockets, here as a table that can be read; conformance holds the two together.
+// The three classes' cases of the suite on sockets, here as a table that can be read; conformance
+// holds the two together.
 func TestOne(t *testing.T) {
 	for _, c := range []struct {
 		class, act string
--- a/internal/sim/singlerequest.go
+++ b/internal/sim/singlerequest.go
@@ -7,29 +7,51 @@
 	"pumicecroft/decision"
 )
 
-// BackendActions are the ways in which a first attempt can end in One.
-var BackendActions = []string{"served", "error", "turned away", "ran and broke", "broke unheard", "spoilt", "cut", "hung", "hung unrun"}
+// What a backend does with the first request in RunSingleRequest.
+const (
+	actionServe           = "served"
+	actionError           = "error"
+	actionReject          = "turned away"
+	actionExecuteAndReset = "ran and broke"
+	actionReset           = "broke unheard"
+	actionInvalid         = "spoilt"
+	actionTruncate        = "cut"
+	actionExecuteSilently = "hung"
+	actionIgnore          = "hung unrun"
+)
+
+// BackendActions are the actions that RunSingleRequest takes.
+var BackendActions = []string{
+	actionServe, actionError, actionReject, actionExecuteAndReset, actionReset, actionInvalid, actionTruncate,
+	actionExecuteSilently, actionIgnore,
+}
 
-// RunSingleRequest is a single ask of a class in a quiet world, at a fleet of backends by their cells, of which the first attempt ends in
-// one of Acts: what its client gets, how many attempts came whole to a backend, and how many effects there were. The suite's
-// cases on sockets are the same, so that the world can be held against the real one.
+// RunSingleRequest runs a single request of a class without faults, with one backend in each of
+// cells. The first attempt ends by one of BackendActions. It gives the request's final verdict, how
+// many attempts a backend has received whole, and how many effects there were. The conformance
+// suite has the same cases on sockets, so that the simulated world can be compared with it.
 func RunSingleRequest(class string, cells []int, action string) (verdict string, attempts, effects int) {
-	runner := newRunner(1, Options{})
-	runner.config = runConfig{gateways: 1, backends: len(cells), canCancel: true, overloadFactor: platformOverloadFactor, overloadDuration: time.Second, dedupScope: decision.DedupScopeCell,
-		dedupWindow: 5 * time.Second, usesDiscovery: true, maxConns: 64, maxDescriptors: 1000, idleTimeout: 15 * time.Second, maxOpenRequests: 100, maxAttempts: 3, maxRequestIDs: 100,
-		latencyObjective: 10 * time.Second, deadline: 15 * time.Second}
-	runner.backendAction = action
-	runner.populate(func(i int) int { return cells[i] })
-	request := &clientRequest{class: class, key: 1, customer: 1, cost: 1, timeout: runner.config.deadline}
-	if action == "hung" || action == "hung unrun" {
+	r := newRunner(1, Options{})
+	r.config = runConfig{
+		gateways: 1, backends: len(cells), canCancel: true, usesDiscovery: true,
+		overloadFactor: platformOverloadFactor, overloadDuration: time.Second,
+		dedupScope: decision.DedupScopeCell, dedupWindow: 5 * time.Second,
+		maxConns: 64, maxDescriptors: 1000, idleTimeout: 15 * time.Second,
+		maxOpenRequests: 100, maxAttempts: 3, maxRequestIDs: 100,
+		latencyObjective: 10 * time.Second, deadline: 15 * time.Second,
+	}
+	r.backendAction = action
+	r.populate(func(number int) int { return cells[number] })
+	request := &clientRequest{class: class, key: 1, customer: 1, cost: 1, timeout: r.config.deadline}
+	if action == actionExecuteSilently || action == actionIgnore {
 		request.timeout = 1200 * time.Millisecond
 	}
-	runner.scheduleAfter(time.Second, func() { runner.submit(request, 0, 1) })
-	runner.run(start+time.Minute, 1_000_000)
-	return request.verdict, int(runner.receivedCount), request.effectCount
+	r.scheduleAfter(time.Second, func() { r.submit(request, 0, 1) })
+	r.run(start+time.Minute, 1_000_000)
+	return request.verdict, int(r.receivedCount), request.effectCount
 }
 
-// scriptedAction is the act that One wants of the first request that comes, else nothing.
+// scriptedAction is what RunSingleRequest has a backend do with a request; empty: nothing special.
 func (r *runner) scriptedAction(received *receivedRequest) string {
 	if r.backendAction == "" || received.number > 1 || !slices.Contains(BackendActions, r.backendAction) {
 		return ""
@@ -37,32 +59,38 @@
 	return r.backendAction
 }
 
-// perform has a backend do an act of One's.
+// perform carries out one of BackendActions.
 func (b *backend) perform(received *receivedRequest, action string) {
-	switch c := received.conn; action {
-	case "turned away":
+	switch action {
+	case actionReject:
 		b.respond(received, "503 Service Unavailable", "Not-Started: 1\r\n", "")
-	case "hung unrun":
-	case "broke unheard":
-		c.reset()
+	case actionIgnore:
+	case actionReset:
+		received.conn.reset()
 	default:
 		received.keyIsNew = b.dedup.remember(received.request.key, b.world.now, b.runner.config.dedupWindow)
 		b.check.onExecuted(received, b)
-		switch action {
-		case "error":
-			b.respond(received, "500 Internal Server Error", "", "")
-		case "ran and broke":
-			c.reset()
-		case "spoilt":
-			c.sendToGateway([]byte("\x00\x01noise\r\n\r\n"), 0)
-			c.endToGateway(errConnClosed)
-			c.detachBackend()
-		case "cut":
-			c.sendToGateway([]byte("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"), 0)
-			c.endToGateway(errConnClosed)
-			c.detachBackend()
-		case "served":
-			b.respond(received, "200 OK", "", received.request.expectedBody())
-		}
+		b.performExecuted(received, action)
+	}
+}
+
+// performExecuted carries out an action that follows the execution.
+func (b *backend) performExecuted(received *receivedRequest, action string) {
+	endWith := func(text string) {
+		received.conn.sendToGateway([]byte(text), 0)
+		received.conn.endToGateway(errConnClosed)
+		received.conn.detachBackend()
+	}
+	switch action {
+	case actionError:
+		b.respond(received, "500 Internal Server Error", "", "")
+	case actionExecuteAndReset:
+		received.conn.reset()
+	case actionInvalid:
+		endWith("\x00\x01noise\r\n\r\n")
+	case actionTruncate:
+		endWith("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
+	case actionServe:
+		b.respond(received, "200 OK", "", received.request.expectedBody())
 	}
 }
--- a/internal/sim/usage.go
+++ b/internal/sim/usage.go
@@ -12,7 +12,8 @@
 	last    float64 // of the period before
 }
 
-// reportedUsage is what a response reports of a customer's usage: the last period's, in percent of its plan's rate.
+// reportedUsage is what a response reports of a customer's usage: the last period's, in percent of
+// its plan's rate.
 func (r *runner) reportedUsage(customer int) (percent float64, known bool) {
 	if !r.config.reportsUsage {
 		return 0, false
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,12 +1,3 @@
-// Package sim runs front doors in a world that a seed decides: a clock of its own, a network of connections that carry bytes,
-// backends, clients, discovery, a Consul agent and the meter, with scripted faults. What runs at each door is what ships: the
-// core, the decision module, attempts over HTTP/1.1 and the pool of their connections (httpwire, connpool), the table of
-// members, and for Consul its blocking queries and registry. The five rules are checked at each step. One seed makes the whole
-// run: the same seed and script give the same trace, whatever runs them.
-//
-// world.go is the clock, chance and the trace; script.go the faults; net.go the network; door.go, backend.go, sources.go and
-// client.go the actors; check.go the rules; run.go puts a run together and shrink.go shrinks a failing script. The package is
-// pure: it reads no clock, opens nothing and starts no goroutine; whoever wants many runs at once starts them.
 package sim
 
 import (
@@ -20,20 +11,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// world is the clock and all that happens by it.
+// world is the clock, the events to come, and the trace.
 type world struct {
 	seed       uint64
 	now        time.Duration
 	queue      eventqueue.Queue[func()]
-	seq        uint64
+	seq        uint64 // counts scheduled events
 	steps      int
 	hash       xxhash.Digest // of the trace
-	scratch    []byte        // room for what goes into it
-	trace      func(string)
+	scratch    []byte        // room for what goes into hash
+	trace      func(string)  // takes each line; nil: nobody reads it
 	violations []Violation
 }
 
-// start is where the clock begins: late enough for backends that have run for long.
+// start is where the clock begins: late enough for backends to have run for long.
 const start = time.Hour
 
 func newWorld(seed uint64, trace func(string)) *world {
@@ -42,39 +33,41 @@
 	return w
 }
 
-// newRand is a source of chance that hangs on the seed and the numbers given alone: what is taken out of a script leaves the
-// chance of everything else as it was.
+// newRand gives a generator that depends on the seed and the purpose alone: taking a fault out of a
+// script leaves all other draws as they were. Purposes begin with a number that is used in one
+// place.
 func (w *world) newRand(purpose ...uint64) *rand.Rand { return eventqueue.NewRand(w.seed, purpose...) }
 
-// mix makes different numbers of different ones.
+// mix hashes a number; it is a bijection.
 func mix(z uint64) uint64 { return eventqueue.Mix(z) }
 
-// scheduleAfter lets something happen later, or at this instant once what happens now is over.
+// scheduleAfter has an event happen after a delay; of 0 or less: at this instant, once the current
+// event is over. Events of one instant happen in random order, so that seeds try every order.
 func (w *world) scheduleAfter(delay time.Duration, event func()) {
 	w.seq++
-	w.queue.Push(w.now+max(0, delay), mix(w.seed^w.seq), event) // among events of one instant by chance, so that seeds try every order
+	w.queue.Push(w.now+max(0, delay), mix(w.seed^w.seq), event)
 }
 
-// scheduleAt lets something happen at a time that is not before now.
+// scheduleAt has an event happen at a time, or now if that has passed.
 func (w *world) scheduleAt(at time.Duration, event func()) { w.scheduleAfter(at-w.now, event) }
 
-// tracef adds a line to the trace. Its hash takes in the time, the format and the values: a line is made of them only for who
-// wants to read it.
+// tracef adds a line to the trace. The hash takes in the time, the format and the arguments; the
+// line is formatted only for who reads it.
 func (w *world) tracef(format string, args ...any) {
 	line := binary.AppendVarint(w.scratch[:0], int64(w.now))
 	line = append(line, format...)
 	for _, arg := range args {
-		switch a := arg.(type) {
+		switch arg := arg.(type) {
 		case int:
-			line = binary.AppendVarint(line, int64(a))
+			line = binary.AppendVarint(line, int64(arg))
 		case uint64:
-			line = binary.AppendUvarint(line, a)
+			line = binary.AppendUvarint(line, arg)
 		case time.Duration:
-			line = binary.AppendVarint(line, int64(a))
+			line = binary.AppendVarint(line, int64(arg))
 		case string:
-			line = append(line, a...)
+			line = append(line, arg...)
 		default:
-			line = fmt.Append(line, a)
+			line = fmt.Append(line, arg)
 		}
 	}
 	w.scratch = line
@@ -84,9 +77,9 @@
 	}
 }
 
-// run lets things happen until a time, a number of steps, or a violation.
-func (w *world) run(until time.Duration, steps int) {
-	for w.steps < steps && len(w.violations) == 0 {
+// run has events happen until a time, a number of steps, or a violation.
+func (w *world) run(until time.Duration, maxSteps int) {
+	for w.steps < maxSteps && len(w.violations) == 0 {
 		if at, ok := w.queue.Next(); !ok || at > until {
 			return
 		}
@@ -99,9 +92,9 @@
 
 // Violation is a broken rule.
 type Violation struct {
-	Rule   string // the invariant's name
-	Detail string // in terms of the trace
-	At     time.Duration
+	Rule   string        // its name
+	Detail string        // with the numbers that the trace has
+	At     time.Duration // from the run's start
 }
 
 // String is the violation in a line.
@@ -109,8 +102,9 @@
 	return fmt.Sprintf("%s at %.4f: %s", v.Rule, v.At.Seconds(), v.Detail)
 }
 
+// violatef records that a rule is broken. The run ends after the current step.
 func (w *world) violatef(rule, format string, args ...any) {
-	v := Violation{rule, fmt.Sprintf(format, args...), w.now - start}
-	w.violations = append(w.violations, v)
-	w.tracef("BROKEN %v", v)
+	violation := Violation{rule, fmt.Sprintf(format, args...), w.now - start}
+	w.violations = append(w.violations, violation)
+	w.tracef("BROKEN %v", violation)
 }
