--- a/internal/sim/attempt.go
+++ b/internal/sim/attempt.go
@@ -178,7 +178,8 @@
 	g.check.attemptsSent++
 	if a.request != nil {
 		g.check.onAttemptSent(g, a)
-		g.world.tracef("door %d sends %d/%d to backend %d", g.number, a.request.number, a.number, c.backend.number)
+		g.world.tracef("door %d sends %d/%d to backend %d", g.number, a.request.number, a.number,
+			c.backend.number)
 	}
 }
 
--- a/internal/sim/backendresponses.go
+++ b/internal/sim/backendresponses.go
@@ -62,7 +62,8 @@
 	switch rng.IntN(6) {
 	case 0:
 		half := len(body) / 2
-		return []byte(head + "Transfer-Encoding: chunked\r\n\r\n" + chunk(body[:half]) + chunk(body[half:]) + "0\r\n\r\n")
+		chunks := chunk(body[:half]) + chunk(body[half:]) + "0\r\n\r\n"
+		return []byte(head + "Transfer-Encoding: chunked\r\n\r\n" + chunks)
 	case 1:
 		head = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + head
 	case 2:
--- a/internal/sim/catalogwatch.go
+++ b/internal/sim/catalogwatch.go
@@ -116,7 +116,8 @@
 		}
 		pending++
 		state.waiters = append(state.waiters, end)
-		if state.arrivedSerial == state.serial { // a response has arrived and is handled whatever the next query brings
+		if state.arrivedSerial == state.serial {
+			// A response has arrived, and is handled whatever the next query brings.
 			state.requery = true
 			continue
 		}
@@ -127,7 +128,9 @@
 }
 
 // onResponse takes in a query's response, or its failure.
-func (w *catalogWatch) onResponse(kind queryKind, response blockingquery.Response, entries []consulcatalog.Entry, err error) {
+func (w *catalogWatch) onResponse(kind queryKind, response blockingquery.Response,
+	entries []consulcatalog.Entry, err error,
+) {
 	g, state := w.gateway, &w.queries[kind]
 	if err != nil {
 		w.onFailure(kind, err)
--- a/internal/sim/consulagent.go
+++ b/internal/sim/consulagent.go
@@ -196,7 +196,9 @@
 		return
 	}
 	spared := 1
-	isMissing := func(b *backend) bool { return b.number != listed[0] && (spared == 1 || b.number != listed[1]) }
+	isMissing := func(b *backend) bool {
+		return b.number != listed[0] && (spared == 1 || b.number != listed[1])
+	}
 	// Little by little, once all gateways know what there was.
 	if variant > 0 && len(listed) > 4 && a.runner.now > start+time.Second {
 		spared = 2
--- a/internal/sim/corpus.go
+++ b/internal/sim/corpus.go
@@ -86,5 +86,8 @@
 	if err := errors.Join(errAt, errFor); err != nil || kind < 0 {
 		return Fault{}, errors.Join(err, errInvalidFault)
 	}
-	return Fault{At: at, Duration: duration, Kind: FaultKind(kind), Target: t.Target, Variant: t.Other, Share: t.Share}, nil
+	return Fault{
+		At: at, Duration: duration, Kind: FaultKind(kind),
+		Target: t.Target, Variant: t.Other, Share: t.Share,
+	}, nil
 }
--- a/internal/sim/endpointsources.go
+++ b/internal/sim/endpointsources.go
@@ -253,7 +253,8 @@
 	if _, known := sources.drainKnownSince[name]; !known && node.State == decision.Draining {
 		sources.drainKnownSince[name] = arrived
 	}
-	if node.State == decision.Draining || !g.reportedDraining(name) { // it is handled, or what was told since is
+	if node.State == decision.Draining || !g.reportedDraining(name) {
+		// It is handled, or what was told since is.
 		delete(sources.drainArrivedAt, name)
 	}
 }
@@ -307,7 +308,8 @@
 		return status.Name == name && status.MissingFromUpdate
 	})
 	for source, state := range sources.reports[name] {
-		if state == decision.Draining && (missing || sources.lastFull[source] == nil || sources.lastFull[source][name]) {
+		full := sources.lastFull[source]
+		if state == decision.Draining && (missing || full == nil || full[name]) {
 			return true
 		}
 	}
--- a/internal/sim/faultinjection.go
+++ b/internal/sim/faultinjection.go
@@ -78,7 +78,9 @@
 	default:
 		keyJournal.maxLatency = 2 * fault.Duration
 	}
-	r.scheduleEnd(fault, func() { keyJournal.fault, keyJournal.disk.Capacity, keyJournal.maxLatency = nil, 0, 0 })
+	r.scheduleEnd(fault, func() {
+		keyJournal.fault, keyJournal.disk.Capacity, keyJournal.maxLatency = nil, 0, 0
+	})
 }
 
 // maxCatalogLoss bounds the loss of a part of the catalog: nodes that are missing for longer are
@@ -223,7 +225,8 @@
 		return
 	}
 	for _, request := range r.check.unanswered {
-		if request.gateway != g || request.gatewayEpoch != g.epoch || request.finalCount > 0 || request.idempotent() {
+		ofProcess := request.gateway == g && request.gatewayEpoch == g.epoch
+		if !ofProcess || request.finalCount > 0 || request.idempotent() {
 			continue
 		}
 		duplicate := request.duplicateOf()
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -37,22 +37,24 @@
 	return out
 }
 
-// No seed of a fixed share breaks a rule, and between them they meet every kind of fault and every
-// end of a request.
+// None of the seeds that CI runs breaks a rule, and between them they meet every kind of fault and
+// every end of a request.
 func TestSeeds(t *testing.T) {
 	var met [faultKindCount]int
-	served, refused, failed, lost := 0, 0, 0, 0
-	for _, res := range runSeeds(ciSeeds, func(seed uint64) Result { return Run(seed, Options{}) }) {
-		for _, v := range res.Violations {
-			t.Errorf("seed %d: %v\n%v", res.Seed, v, Shrink(res, Options{}).Script)
+	served, rejected, failed, lost := 0, 0, 0, 0
+	for _, result := range runSeeds(ciSeeds, func(seed uint64) Result { return Run(seed, Options{}) }) {
+		for _, violation := range result.Violations {
+			t.Errorf("seed %d: %v\n%v", result.Seed, violation, Shrink(result, Options{}).Script)
 		}
-		for _, f := range res.Script {
-			met[f.Kind]++
+		for _, fault := range result.Script {
+			met[fault.Kind]++
 		}
-		served, refused, failed, lost = served+res.Served, refused+res.Rejected, failed+res.Failed, lost+res.LostWithGateway
+		served, rejected = served+result.Served, rejected+result.Rejected
+		failed, lost = failed+result.Failed, lost+result.LostWithGateway
 	}
-	if slices.Contains(met[:], 0) || served == 0 || refused == 0 || failed == 0 || lost == 0 {
-		t.Errorf("faults met: %v; served %d, refused %d, failed %d, lost with their doors %d", met, served, refused, failed, lost)
+	if slices.Contains(met[:], 0) || served == 0 || rejected == 0 || failed == 0 || lost == 0 {
+		t.Errorf("faults met: %v; served %d, rejected %d, failed %d, lost with their gateways %d",
+			met, served, rejected, failed, lost)
 	}
 }
 
@@ -85,7 +87,7 @@
 
 // A seed replays exactly: the same trace line by line, on any number of processors, whether or not
 // the trace is taken, and another seed's is another.
-func TestReplay(t *testing.T) {
+func TestSeed_Replays(t *testing.T) {
 	const n = 60
 	var lines [n][]string
 	traced := func(seed uint64) Result {
@@ -112,7 +114,7 @@
 }
 
 // Events of one instant come in every order over seeds, each of which replays.
-func TestOrdersOfOneInstant(t *testing.T) {
+func TestEventsOfOneInstant_EveryOrder(t *testing.T) {
 	orders := map[string]int{}
 	for seed := range uint64(200) {
 		order := func() string {
@@ -147,7 +149,7 @@
 
 // What a connection carries comes in its order, cut or not, after the way there; over a partition
 // when that ends; never after the connection has ended.
-func TestConnections(t *testing.T) {
+func TestConn_OrderLatencyAndPartition(t *testing.T) {
 	var trace []string
 	r := quietRunner(t, &trace)
 	g, b := r.gateways[0], r.backends[0]
@@ -183,46 +185,53 @@
 	if string(c.received) != "abcdefgh" || !errors.Is(c.readErr, errConnReset) {
 		t.Errorf("%q, ended by %v", c.received, c.readErr)
 	}
-	for _, c := range []struct {
+	for _, dial := range []struct {
 		set  func()
 		want error
 	}{{func() { b.up = false }, errConnRefused}, {func() { b.up, b.faultShares[ConnRefused] = true, 1 }, errConnRefused},
 		{func() { b.faultShares[ConnRefused], b.faultShares[ConnHangs] = 0, 1 }, errConnTimeout}, {func() { b.faultShares[ConnHangs], g.maxDescriptors = 0, 0 }, platformhttp.ErrNoDescriptors}} {
-		c.set()
+		dial.set()
 		got := error(nil)
 		g.dial(b.addr(), nil, func(_ *conn, err error) { got = err })
 		r.run(r.now+time.Second, 10_000)
-		if !errors.Is(got, c.want) {
-			t.Errorf("%v, want %v", got, c.want)
+		if !errors.Is(got, dial.want) {
+			t.Errorf("%v, want %v", got, dial.want)
 		}
 	}
 }
 
-// The rules themselves, on both sides of their edges.
-func TestEdgesOfRules(t *testing.T) {
+// Each rule holds at its limit and breaks one step beyond.
+func TestRules_Boundaries(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name   string
 		breaks string
 		do     func(r *runner, past time.Duration, units float64)
 	}{
-		{"a drain's grace", "drains are honoured", func(r *runner, past time.Duration, _ float64) {
+		{"drain grace", ruleDrain, func(r *runner, past time.Duration, _ float64) {
 			g := r.gateways[0]
 			g.endpoints.drainKnownSince["b0"], g.endpoints.nameByID[1] = r.now-r.config.drainGrace-past, "b0"
 			r.check.onAttemptStarted(g, &attempt{request: &clientRequest{class: "look", customer: 1}, backend: 1})
 		}},
-		{"a leaver's", "who has left is sent nothing", func(r *runner, past time.Duration, _ float64) {
+		{"disconnect tolerance", ruleDisconnected, func(r *runner, past time.Duration, _ float64) {
 			r.now += time.Second
-			r.check.onAttemptSent(r.gateways[0], &attempt{request: &clientRequest{class: "look", disconnected: true, disconnectedAt: r.now - disconnectTolerance - past}})
+			request := &clientRequest{class: "look", disconnected: true, disconnectedAt: r.now - disconnectTolerance - past}
+			r.check.onAttemptSent(r.gateways[0], &attempt{request: request})
 		}},
-		{"an answer's time", "answers in time", func(r *runner, past time.Duration, _ float64) {
-			r.check.onFinal(&clientRequest{class: "look", gateway: r.gateways[0], arrivedAt: r.now - 500*ms - past, timeout: 500 * ms}, "failed", nil)
+		{"client timeout", ruleAnswerInTime, func(r *runner, past time.Duration, _ float64) {
+			request := &clientRequest{class: "look", gateway: r.gateways[0], arrivedAt: r.now - 500*ms - past, timeout: 500 * ms}
+			r.check.onFinal(request, verdictFailed, nil)
 		}},
-		{"the ceiling's slack", "ceilings hold", func(r *runner, _ time.Duration, units float64) {
-			r.check.onAttemptStarted(r.gateways[0], &attempt{request: &clientRequest{class: "look", customer: flagshipCustomer, cost: hardLimitBurst + hardLimitOverdraft + units}})
+		{"hard limit overdraft", ruleHardLimit, func(r *runner, _ time.Duration, units float64) {
+			cost := hardLimitBurst + hardLimitOverdraft + units
+			request := &clientRequest{class: "look", customer: flagshipCustomer, cost: cost}
+			r.check.onAttemptStarted(r.gateways[0], &attempt{request: request})
 		}},
-		{"what is owed", "one final answer", func(r *runner, past time.Duration, _ float64) {
-			r.check.unanswered = []*clientRequest{{class: "look", gateway: r.gateways[0], gatewayEpoch: r.gateways[0].epoch, arrivedAt: r.now - 500*ms - past, timeout: 500 * ms}}
+		{"missing answer", ruleOneFinalAnswer, func(r *runner, past time.Duration, _ float64) {
+			g := r.gateways[0]
+			r.check.unanswered = []*clientRequest{{
+				class: "look", gateway: g, gatewayEpoch: g.epoch, arrivedAt: r.now - 500*ms - past, timeout: 500 * ms,
+			}}
 			r.check.checkDeadlines()
 		}},
 	} {
@@ -244,9 +253,9 @@
 	return 0
 }
 
-// A key's window binds at its exact end, and a backend that is cold falls by one more than it can
-// take.
-func TestEdgesOfBackends(t *testing.T) {
+// A key is new again at the exact end of its window, and a backend that warms up is overloaded by
+// one request more than it can take.
+func TestBackend_DedupWindowAndOverloadBoundaries(t *testing.T) {
 	m := dedupMemory{map[uint64]time.Duration{1: time.Second}}
 	if m.remember(1, 6*time.Second-1, 5*time.Second) || !m.remember(1, 6*time.Second, 5*time.Second) {
 		t.Error("a key's window")
@@ -259,7 +268,8 @@
 		r.now += 3*time.Second + 1
 		most := int(b.overloadFactor * b.warmupFraction() * capacity * b.overloadDuration.Seconds())
 		for range most + more {
-			b.onRequest(&receivedRequest{request: &clientRequest{class: "look"}, conn: &conn{world: r.world, gateway: r.gateways[0], backend: b}})
+			c := &conn{world: r.world, gateway: r.gateways[0], backend: b}
+			b.onRequest(&receivedRequest{request: &clientRequest{class: "look"}, conn: c})
 		}
 		if len(r.violations) != more {
 			t.Errorf("%d of %d: %v", most+more, most, r.violations)
@@ -267,14 +277,15 @@
 	}
 }
 
-// A door that stands still over deadlines answers what it holds when it goes on, all its timers at
-// once, and what it is then asked; nothing is lost, nothing is answered twice.
-func TestAPauseOverDeadlines(t *testing.T) {
+// A gateway's process is paused for longer than its requests have time. When it goes on all its
+// timers are due at once, and requests have arrived meanwhile. Every request has one answer.
+func TestPauseOverDeadlines_EveryRequestAnsweredOnce(t *testing.T) {
 	var lines []string
 	r := quietRunner(t, &lines)
 	for i := range 20 {
 		r.scheduleAfter(time.Duration(i)*100*time.Millisecond, func() {
-			r.submit(&clientRequest{class: classes[i%5], key: uint64(i), customer: 1, cost: 1, timeout: 400 * time.Millisecond}, 0, 1)
+			request := &clientRequest{class: classes[i%5], key: uint64(i), customer: 1, cost: 1, timeout: 400 * time.Millisecond}
+			r.submit(request, 0, 1)
 		})
 	}
 	r.scheduleAfter(950*time.Millisecond, func() { r.gateways[0].pause(2 * time.Second) })
@@ -285,19 +296,25 @@
 			t.Errorf("while it stands still: %s", l)
 		}
 	}
-	if c := &r.check; len(r.violations) > 0 || len(c.unanswered) > 0 || c.lostWithGateway > 0 || c.served == 0 || len(r.requests) < 20 || c.served+c.rejected+c.failed != len(r.requests) {
-		t.Errorf("served %d, refused %d, failed %d, lost %d, owed %d, %v", c.served, c.rejected, c.failed, c.lostWithGateway, len(c.unanswered), r.violations)
+	c := &r.check
+	if len(r.violations) > 0 || len(c.unanswered) > 0 || c.lostWithGateway > 0 {
+		t.Errorf("%d unanswered, %d lost, %v", len(c.unanswered), c.lostWithGateway, r.violations)
+	}
+	if c.served == 0 || len(r.requests) < 20 || c.served+c.rejected+c.failed != len(r.requests) {
+		t.Errorf("of %d: served %d, rejected %d, failed %d", len(r.requests), c.served, c.rejected, c.failed)
 	}
 }
 
-// A kill may land between an attempt that is counted and its leaving, and between an answer's
-// coming and its accounting: over seeds it does, and no rule breaks.
-func TestKillsBetween(t *testing.T) {
+// A process is killed between counting an attempt and sending it, and between an attempt's end and
+// accounting for it. Over the seeds both happen, and no rule breaks.
+func TestKillsAtAttemptStartAndEnd(t *testing.T) {
 	between, after := 0, 0
 	for _, res := range runSeeds(150, func(seed uint64) Result {
 		var s Script
 		for at := 500 * time.Millisecond; at < 4*time.Second; at += 700 * time.Millisecond {
-			s = append(s, Fault{At: at, Duration: 300 * time.Millisecond, Kind: KillAtAttemptStart}, Fault{At: at, Duration: 300 * time.Millisecond, Kind: KillAtAttemptEnd})
+			const duration = 300 * time.Millisecond
+			s = append(s, Fault{At: at, Duration: duration, Kind: KillAtAttemptStart},
+				Fault{At: at, Duration: duration, Kind: KillAtAttemptEnd})
 		}
 		return Run(seed, Options{Script: &s})
 	}) {
@@ -308,13 +325,12 @@
 		after += res.LostWithGateway
 	}
 	if between == 0 || after == 0 {
-		t.Errorf("%d attempts were counted and never left, %d requests were lost with their door", between, after)
+		t.Errorf("%d attempts were counted and never sent, %d requests were lost with their gateway", between, after)
 	}
 }
 
-// What a shrunk script keeps is needed: here a rule breaks by a drain and a kill together, whatever
-// else goes wrong.
-func TestShrink(t *testing.T) {
+// A shrunk script keeps only the faults that the violation needs: here a drain and a kill together.
+func TestShrink_KeepsNeededFaults(t *testing.T) {
 	breaks := func(s Script) Result {
 		has := func(k FaultKind) bool {
 			return slices.ContainsFunc(s, func(f Fault) bool { return f.Kind == k && f.Duration > 100*time.Millisecond })
@@ -327,8 +343,9 @@
 	}
 	for seed := range uint64(200) {
 		r := newWorld(seed, nil)
-		shape := drawConfig(r.newRand(0))
-		script := append(drawScript(r.newRand(1), &shape), Fault{Kind: DrainBackend, Duration: time.Second}, Fault{Kind: KillGateway, Duration: time.Second})
+		config := drawConfig(r.newRand(0))
+		script := append(drawScript(r.newRand(1), &config),
+			Fault{Kind: DrainBackend, Duration: time.Second}, Fault{Kind: KillGateway, Duration: time.Second})
 		got := shrink(breaks(script), breaks)
 		if len(got.Script) != 2 || got.Script[0].Duration > 300*time.Millisecond || len(got.Violations) != 1 {
 			t.Fatalf("seed %d: of\n%vis left\n%v", seed, script, got.Script)
@@ -336,21 +353,21 @@
 	}
 }
 
-// A run has an end: a bound on its steps.
-func TestABoundOnSteps(t *testing.T) {
+// A run ends at its bound on steps.
+func TestRun_MaxSteps(t *testing.T) {
 	if res := Run(1, Options{MaxSteps: 500}); res.Steps != 500 || len(res.Violations) > 0 {
 		t.Errorf("%d steps, %v", res.Steps, res.Violations)
 	}
 }
 
-// The three classes' cases of the suite on sockets, here as a table that can be read; conformance
-// holds the two together.
-func TestOne(t *testing.T) {
+// Cases of the conformance suite, one for each kind of end. The suite runs all of them in the
+// simulated world and on sockets, and compares.
+func TestRunSingleRequest(t *testing.T) {
 	for _, c := range []struct {
-		class, act string
-		cells      []int
-		want       string
-		attempts   int
+		class, action string
+		cells         []int
+		want          string
+		attempts      int
 	}{
 		{"look", "ran and broke", []int{0, 1}, "served", 2},
 		{"pay", "ran and broke", []int{0, 0}, "served", 2},
@@ -360,8 +377,9 @@
 		{"once", "turned away", []int{0}, "refused", 1},
 		{"look", "hung", []int{0, 0}, "refused", 1},
 	} {
-		if told, attempts, _ := RunSingleRequest(c.class, c.cells, c.act); told != c.want || attempts != c.attempts {
-			t.Errorf("%+v: %s, %d attempts", c, told, attempts)
+		verdict, attempts, _ := RunSingleRequest(c.class, c.cells, c.action)
+		if verdict != c.want || attempts != c.attempts {
+			t.Errorf("%+v: %s, %d attempts", c, verdict, attempts)
 		}
 	}
 }
