--- a/httpproxy/proxy.go
+++ b/httpproxy/proxy.go
@@ -1,11 +1,15 @@
-// Package httpproxy is a front for ordinary HTTP: whatever a server behind a reverse proxy may be asked, it is asked through a Door, which
-// decides which backend, whether again, and what is refused. A Front is an http.Handler for HTTP/1.1 and HTTP/2, in any server.
+// Package httpproxy is the reverse proxy for ordinary HTTP. A Proxy is an http.Handler for HTTP/1.1
+// and HTTP/2 in any server: it passes each request to the backends of a service through a Gateway,
+// which selects the backend, retries, and rejects.
 //
-// Routes say which service a request is for and what it may cost; an identity.Resolver says who asks; the request's method says what a repeat
-// would do. What a client may not say for itself is removed. Path, fields, body and trailers go on as they came, and so does the answer.
+// Routes say which service a request is for and what it costs, an identity.Resolver says who sent
+// it, and the method says whether a retry is safe. Fields that a client may not set for itself are
+// removed. Path, other fields, body and trailers are forwarded unchanged, and so is the response.
 //
-// webfront.go is the configuration, serve.go a request's way, final.go the answers that are the door's own, sink.go an answer that is passed
-// on as it comes.
+// The files: proxy.go has the configuration, resolve.go decides what becomes of a request, request.go
+// makes the request to the backend, body.go reads the client's body, serve.go answers, response.go
+// writes a backend's response and problem.go the proxy's own. The package holds no state about
+// backends or customers: that is the Gateway's.
 package httpproxy
 
 import (
@@ -30,54 +34,83 @@
 	"pumicecroft/routes"
 )
 
-// Statuses say what the statuses of a route's backends mean: Answered, Refused (harmless to try elsewhere) or Failed (it may have run). The
-// zero value has the usual meaning, which the page for operators tells.
+// Statuses say what a route's backends mean by their statuses: Succeeded, Rejected (not processed,
+// so that any other backend may be tried) or Failed (it may have run). The zero value has the usual
+// meaning, which docs/operate/http.md lists.
 type Statuses = http1proxy.Statuses
 
-// ForwardedStyle is how backends are told where a request came from.
+// ForwardedStyle selects the header by which backends are told where a request came from.
 type ForwardedStyle = http1proxy.ForwardedStyle
 
-// The styles.
+// The styles. The default is XForwarded.
 const (
-	XForwarded    = http1proxy.XForwarded
-	Forwarded     = http1proxy.Forwarded
-	ForwardedNone = http1proxy.ForwardedNone
+	XForwarded    = http1proxy.XForwarded    // X-Forwarded-For, X-Forwarded-Proto and X-Forwarded-Host
+	Forwarded     = http1proxy.Forwarded     // Forwarded (RFC 7239)
+	ForwardedNone = http1proxy.ForwardedNone // no header; what the client sent of them is removed
 )
 
-// ServiceConfig says how a service's backends are reached. What is 0 takes the default.
+// ServiceConfig says how the backends of one service are reached. A zero field takes its default.
 type ServiceConfig struct {
-	Name                string
-	MaxConns            int           // connections to all of its backends together; 256
-	ConnectTimeout      time.Duration // a connection that is not up by then counts as failed; 250 ms, with TLS 1 s
-	IdleTimeout         time.Duration // a backend may close a connection that was idle for this long; 15 s
-	ResponseBufferBytes int           // an answer of known length up to this is held until it is whole, so that one that is cut can be made up for; 64 KiB; below 0: none is
-	TLS                 *tls.Config   // nil: plain
-	HTTP2               bool          // backends speak HTTP/2, without TLS by prior knowledge
-	MaxHTTP2Conns       int           // to one backend; 2
-	RewriteHost         func(addr string) string
-	Log                 *slog.Logger
-	Dial                func(ctx context.Context, network, addr string) (net.Conn, error)
+	// Name is the service's name, as routes and discovery have it. It is required.
+	Name string
+	// MaxConns limits the connections to all backends of the service together. Default 256.
+	MaxConns int
+	// ConnectTimeout limits connecting, TLS handshake included. Default 250 ms, with TLS 1 s.
+	ConnectTimeout time.Duration
+	// IdleTimeout is the time after which a backend may close an idle connection. A connection is
+	// not used any more when it has been idle for 60% of it. Default 15 s.
+	IdleTimeout time.Duration
+	// ResponseBufferBytes is the largest response of known length that is read completely before
+	// any of it is forwarded, so that the request can be retried if the response is cut off.
+	// Default 64 KiB; negative means that no response is buffered.
+	ResponseBufferBytes int
+	// TLS configures connections to backends. nil means plain text.
+	TLS *tls.Config
+	// HTTP2 says that backends speak HTTP/2: by ALPN over TLS, by prior knowledge without.
+	HTTP2 bool
+	// MaxHTTP2Conns limits the HTTP/2 connections to one backend. Default 2.
+	MaxHTTP2Conns int
+	// RewriteHost returns the Host for a backend's address. nil forwards the client's.
+	RewriteHost func(addr string) string
+	// Log receives failed connections and attempts at level debug. nil discards them.
+	Log *slog.Logger
+	// Dial opens connections. nil means a net.Dialer without keep-alive probes.
+	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Protocol is what a service's backends speak, as membership.Node has it: a name of the service's own.
+// Protocol returns the protocol name of a service's backends, as membership.Node.Protocol has it.
 func Protocol(service string) string { return httpproxytransport.Protocol(service) }
 
-// WithService lets a Door reach a service's backends: those whose Protocol is that of its name.
+// WithService lets a Gateway reach the backends of a service: those whose Protocol is that of its
+// name.
 func WithService(c ServiceConfig) pumicecroft.Option {
-	return pumicecroft.WithProtocol(Protocol(c.Name), httpproxytransport.New(httpproxytransport.Config{Service: c.Name, MaxConns: c.MaxConns, ConnectTimeout: c.ConnectTimeout, IdleTimeout: c.IdleTimeout,
-		ResponseBufferBytes: c.ResponseBufferBytes, TLS: c.TLS, HTTP2: c.HTTP2, MaxHTTP2Conns: c.MaxHTTP2Conns, RewriteHost: c.RewriteHost, Log: c.Log, Dial: c.Dial}))
+	transport := httpproxytransport.New(httpproxytransport.Config{
+		Service:             c.Name,
+		MaxConns:            c.MaxConns,
+		ConnectTimeout:      c.ConnectTimeout,
+		IdleTimeout:         c.IdleTimeout,
+		ResponseBufferBytes: c.ResponseBufferBytes,
+		TLS:                 c.TLS,
+		HTTP2:               c.HTTP2,
+		MaxHTTP2Conns:       c.MaxHTTP2Conns,
+		RewriteHost:         c.RewriteHost,
+		Log:                 c.Log,
+		Dial:                c.Dial,
+	})
+	return pumicecroft.WithProtocol(Protocol(c.Name), transport)
 }
 
-// Classes are a Door's classes for one kind of traffic, by what a repeat may do. An empty one: such requests go by the next of Keyed, Unsafe, Safe
-// that is there, in this order, so that nothing is repeated more freely than it may be.
+// Classes name the request classes of one kind of traffic by idempotency. A request whose class is
+// empty takes the next of IdempotentByKey, NonIdempotent and Idempotent that is not, in this order,
+// so that nothing is retried more freely than it may be.
 type Classes struct{ Idempotent, IdempotentByKey, NonIdempotent string }
 
-// forIdempotency gives the class for an effect.
-func (c *Classes) forIdempotency(e decision.Idempotency) string {
+// forIdempotency returns the class for requests of an idempotency. It is empty only if all are.
+func (c *Classes) forIdempotency(i decision.Idempotency) string {
 	switch {
-	case e == decision.Idempotent && c.Idempotent != "":
+	case i == decision.Idempotent && c.Idempotent != "":
 		return c.Idempotent
-	case e != decision.NonIdempotent && c.IdempotentByKey != "":
+	case i != decision.NonIdempotent && c.IdempotentByKey != "":
 		return c.IdempotentByKey
 	case c.NonIdempotent != "":
 		return c.NonIdempotent
@@ -87,140 +120,205 @@
 	return c.Idempotent
 }
 
-// Route is what becomes of the requests that take it.
+// Route says what becomes of the requests that match it.
 type Route struct {
+	// Service is the name of the service whose backends get the requests.
 	Service string
-	Class   Classes
-	// Idempotency, if it is not nil, is what repeats of its requests may do, whatever their methods.
-	Idempotency  *decision.Idempotency
-	Cost         float64       // what a request costs of its customer's quota; 0: 1
-	Timeout      time.Duration // at the most; 0: the class's deadline
-	MaxBodyBytes int64         // of a request, in bytes; 0: 1 MiB
-	Statuses     Statuses
-	RejectStatus int // a status by which its requests are refused; 0: they are not
+	// Class names the classes of the requests.
+	Class Classes
+	// Idempotency overrides what the methods of requests say. nil means by method.
+	Idempotency *decision.Idempotency
+	// Cost is what a request takes of its customer's quota. 0 means 1.
+	Cost float64
+	// Timeout bounds a request, in addition to its class's deadline. 0 means the deadline alone.
+	Timeout time.Duration
+	// MaxBodyBytes limits a request's body. 0 means 1 MiB.
+	MaxBodyBytes int64
+	// Statuses are the meanings of its backends' statuses.
+	Statuses Statuses
+	// RejectStatus is the status by which requests are rejected. 0 means that they are forwarded.
+	RejectStatus int
 }
 
-// Rules are what a Front goes by. They may be swapped as a whole; a request goes by the ones that were there when it came.
+// Rules are the routes and identities of a Proxy. They are replaced as a whole by SetRules; a
+// request goes by the ones that were in force when it arrived.
 type Rules struct {
 	Routes   *routes.Table[*Route]
 	Resolver *identity.Resolver
-	// RemoveHeaders are fields that never go on to backends, such as an API key's; canonical names.
+	// RemoveHeaders are canonical names of fields that are never forwarded, such as an API key's.
 	RemoveHeaders []string
 }
 
-// Config is what a Front is made of. What is 0 takes the default.
+// Config configures a Proxy. A zero field takes its default.
 type Config struct {
-	Rules           Rules
-	BodyReadTimeout time.Duration // for a request's body to come whole; 10 s
-	MaxBodyMemory   int64         // bytes of all requests' bodies that are held at once; 64 MiB. A request that finds no room is refused
-	ForwardedStyle  ForwardedStyle
-	Via             string // the name in Via; pumicecroft
-	// TimeoutHeader is a field in which clients may say how long they wait, in seconds or as "250ms"; empty: none is looked at. LeftIn is one in
-	// which backends are told how long that still is, in seconds.
-	TimeoutHeader, RemainingTimeoutHeader string
-	// RequestIDHeader is the field of a request's id, which is made where the client brings none; X-Request-Id.
+	// Rules are the first rules. They are required.
+	Rules Rules
+	// BodyReadTimeout limits reading a request's body. Default 10 s.
+	BodyReadTimeout time.Duration
+	// MaxBodyMemory limits the memory for the bodies of all open requests together, in bytes.
+	// A request that exceeds it is rejected. Default 64 MiB.
+	MaxBodyMemory int64
+	// ForwardedStyle selects the header that tells where a request came from. Default XForwarded.
+	ForwardedStyle ForwardedStyle
+	// Via is the proxy's name in the Via field. Default "pumicecroft".
+	Via string
+	// TimeoutHeader names the field in which clients may say how long they wait, in seconds or as
+	// "250ms". Empty means that none is read.
+	TimeoutHeader string
+	// RemainingTimeoutHeader names the field in which backends are told how many seconds their
+	// client still waits. Empty means that they are not told.
+	RemainingTimeoutHeader string
+	// RequestIDHeader names the field of the request's ID. An ID is generated if the client sends
+	// none. Default "X-Request-Id".
 	RequestIDHeader string
-	// Strict says that clients are the platform's: each request brings an id of 16 hex digits, new with each try, so that one that comes again
-	// is a replay; it brings its time, and a trusted peer its units; and Retry-After may have decimals.
-	Strict                     bool
-	IdempotencyKeyHeader       string // the field of the idempotency key; Idempotency-Key
-	MaxIdempotentResponseBytes int    // bytes of an answer to a request with a key, which is held whole; 1 MiB
-	Log                        *slog.Logger
+	// Strict requires what the platform's clients send: an ID of 16 hex digits in each request, new
+	// in each retry, so that one that was seen before is a replay; a timeout; and from a trusted
+	// peer the cost. Retry-After may have decimals then.
+	Strict bool
+	// IdempotencyKeyHeader names the field of the idempotency key. Default "Idempotency-Key".
+	IdempotencyKeyHeader string
+	// MaxIdempotentResponseBytes limits the response to a request with an idempotency key, which is
+	// read completely before it is forwarded. Default 1 MiB.
+	MaxIdempotentResponseBytes int
+	// Log receives requests that are not accepted. nil discards them.
+	Log *slog.Logger
 }
 
-// Proxy takes requests for a Door. It is safe for concurrent use.
+// Defaults of Config and Route.
+const (
+	defaultBodyReadTimeout            = 10 * time.Second
+	defaultMaxBodyMemory              = 64 << 20 // bytes
+	defaultMaxIdempotentResponseBytes = 1 << 20
+	defaultMaxBodyBytes               = 1 << 20
+	defaultVia                        = "pumicecroft"
+	defaultRequestIDHeader            = "X-Request-Id"
+	defaultIdempotencyKeyHeader       = "Idempotency-Key"
+)
+
+// maxViaEntries is how often a request may have passed proxies of this name before it is taken to
+// go in a loop.
+const maxViaEntries = 8
+
+// Proxy is an http.Handler that forwards requests through a Gateway. It is safe for concurrent use.
 type Proxy struct {
-	gateway        *pumicecroft.Gateway
-	config         Config
-	settings       decision.Settings
-	plans          map[string]*decision.Plan
-	classes        map[string]*decision.Class
-	rules          atomic.Pointer[compiledRules]
-	bodyMemoryUsed atomic.Int64 // bytes that are held
+	gateway  *pumicecroft.Gateway
+	config   Config
+	settings decision.Settings
+	plans    map[string]*decision.Plan
+	classes  map[string]*decision.Class
+	rules    atomic.Pointer[compiledRules]
+	// bodyMemoryUsed is the memory for the bodies of open requests, in bytes.
+	bodyMemoryUsed atomic.Int64
 	logger         *slog.Logger
 	rejectLogLimit rate.Sometimes
 }
 
-// compiledRules are Rules with what follows from them.
+var _ http.Handler = (*Proxy)(nil)
+
+// compiledRules are Rules with the header forwarding that follows from them.
 type compiledRules struct {
 	Rules
 	headers http1proxy.HeaderForwarder
 }
 
-// ErrInvalidRules says that rules can't be gone by: they name what the Door does not have.
-var ErrInvalidRules = errors.New("webfront: rules that don't fit")
+// ErrInvalidRules says that rules name a class, plan or service that the Gateway does not have.
+var ErrInvalidRules = errors.New("httpproxy: invalid rules")
 
-// New makes a Front of a Door that has the options of its services. The error is an ErrRules.
-func New(door *pumicecroft.Gateway, c Config) (*Proxy, error) {
+// New returns a Proxy for a Gateway that was made with WithService for each of its services. The
+// error is an ErrInvalidRules.
+func New(gateway *pumicecroft.Gateway, c Config) (*Proxy, error) {
+	setDefaults(&c)
+	p := &Proxy{
+		gateway:        gateway,
+		config:         c,
+		settings:       gateway.Settings(),
+		plans:          map[string]*decision.Plan{},
+		classes:        map[string]*decision.Class{},
+		logger:         c.Log,
+		rejectLogLimit: rate.Sometimes{First: 10, Interval: time.Second},
+	}
+	for i := range p.settings.Plans {
+		p.plans[p.settings.Plans[i].Name] = &p.settings.Plans[i]
+	}
+	for i := range p.settings.Classes {
+		p.classes[p.settings.Classes[i].Name] = &p.settings.Classes[i]
+	}
+	if err := p.SetRules(c.Rules); err != nil {
+		return nil, err
+	}
+	return p, nil
+}
+
+func setDefaults(c *Config) {
 	if c.BodyReadTimeout <= 0 {
-		c.BodyReadTimeout = 10 * time.Second
+		c.BodyReadTimeout = defaultBodyReadTimeout
 	}
 	if c.MaxBodyMemory <= 0 {
-		c.MaxBodyMemory = 64 << 20
+		c.MaxBodyMemory = defaultMaxBodyMemory
 	}
 	if c.MaxIdempotentResponseBytes <= 0 {
-		c.MaxIdempotentResponseBytes = 1 << 20
-	}
-	c.Via, c.RequestIDHeader, c.IdempotencyKeyHeader = cmp.Or(c.Via, "pumicecroft"), cmp.Or(c.RequestIDHeader, "X-Request-Id"), cmp.Or(c.IdempotencyKeyHeader, "Idempotency-Key")
-	for _, name := range []*string{&c.RequestIDHeader, &c.IdempotencyKeyHeader, &c.TimeoutHeader, &c.RemainingTimeoutHeader} {
-		*name = http1proxy.CanonicalHeaderName(*name)
+		c.MaxIdempotentResponseBytes = defaultMaxIdempotentResponseBytes
 	}
+	c.Via = cmp.Or(c.Via, defaultVia)
+	c.RequestIDHeader = http1proxy.CanonicalHeaderName(cmp.Or(c.RequestIDHeader, defaultRequestIDHeader))
+	c.IdempotencyKeyHeader = http1proxy.CanonicalHeaderName(cmp.Or(c.IdempotencyKeyHeader, defaultIdempotencyKeyHeader))
+	c.TimeoutHeader = http1proxy.CanonicalHeaderName(c.TimeoutHeader)
+	c.RemainingTimeoutHeader = http1proxy.CanonicalHeaderName(c.RemainingTimeoutHeader)
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
 	}
-	f := &Proxy{gateway: door, config: c, settings: door.Settings(), plans: map[string]*decision.Plan{}, classes: map[string]*decision.Class{}, logger: c.Log,
-		rejectLogLimit: rate.Sometimes{First: 10, Interval: time.Second}}
-	for i := range f.settings.Plans {
-		f.plans[f.settings.Plans[i].Name] = &f.settings.Plans[i]
-	}
-	for i := range f.settings.Classes {
-		f.classes[f.settings.Classes[i].Name] = &f.settings.Classes[i]
-	}
-	if err := f.SetRules(c.Rules); err != nil {
-		return nil, err
-	}
-	return f, nil
 }
 
-// maxViaEntries is how often a request may have come through doors of one name.
-const maxViaEntries = 8
-
-// SetRules puts other rules in force, whole, for requests that come from now on. On an error, an ErrRules, the ones before stay.
-func (f *Proxy) SetRules(r Rules) error {
+// SetRules puts rules in force for requests that arrive from now on. On an error, which joins an
+// ErrInvalidRules for each problem, the earlier ones stay in force.
+func (p *Proxy) SetRules(r Rules) error {
 	if r.Routes == nil || r.Resolver == nil {
-		return fmt.Errorf("%w: there are no routes, or nothing says who asks", ErrInvalidRules)
+		return fmt.Errorf("%w: no routes or no identities", ErrInvalidRules)
 	}
-	var bad error
+	var problems []error
 	for rule := range r.Routes.Rules() {
-		to := rule.Target
-		if to.RejectStatus != 0 {
-			continue
-		}
-		for _, class := range []string{to.Class.Idempotent, to.Class.IdempotentByKey, to.Class.NonIdempotent} {
-			if class != "" && f.classes[class] == nil {
-				bad = errors.Join(bad, fmt.Errorf("%w: route %q has class %q, which the door does not have", ErrInvalidRules, rule.Name, class))
-			}
-		}
-		if to.Class.forIdempotency(decision.NonIdempotent) == "" {
-			bad = errors.Join(bad, fmt.Errorf("%w: route %q has no class", ErrInvalidRules, rule.Name))
-		}
-		if !f.gateway.SupportsProtocol(Protocol(to.Service)) {
-			bad = errors.Join(bad, fmt.Errorf("%w: route %q has service %q, which the door does not reach", ErrInvalidRules, rule.Name, to.Service))
-		}
-		if err := to.Statuses.Validate(); err != nil {
-			bad = errors.Join(bad, fmt.Errorf("%w: route %q: %w", ErrInvalidRules, rule.Name, err))
-		}
+		problems = append(problems, p.checkRoute(rule)...)
 	}
 	for _, plan := range r.Resolver.Plans() {
-		if f.plans[plan] == nil {
-			bad = errors.Join(bad, fmt.Errorf("%w: identities have plan %q, which the door does not have", ErrInvalidRules, plan))
+		if p.plans[plan] == nil {
+			problems = append(problems, fmt.Errorf("%w: identities have unknown plan %q", ErrInvalidRules, plan))
 		}
 	}
-	if bad != nil {
-		return bad
+	if len(problems) > 0 {
+		return errors.Join(problems...)
 	}
-	f.rules.Store(&compiledRules{r, http1proxy.HeaderForwarder{ForwardedStyle: f.config.ForwardedStyle, ViaName: f.config.Via, MaxViaEntries: maxViaEntries, Remove: r.RemoveHeaders, TrustedOnly: r.Resolver.AssertedHeaders()}})
+	p.rules.Store(&compiledRules{
+		Rules: r,
+		headers: http1proxy.HeaderForwarder{
+			ForwardedStyle: p.config.ForwardedStyle,
+			ViaName:        p.config.Via,
+			MaxViaEntries:  maxViaEntries,
+			Remove:         r.RemoveHeaders,
+			TrustedOnly:    r.Resolver.AssertedHeaders(),
+		},
+	})
 	return nil
 }
 
-var _ http.Handler = (*Proxy)(nil)
+// checkRoute returns an ErrInvalidRules for each name in a route that the Gateway does not have.
+func (p *Proxy) checkRoute(rule *routes.Rule[*Route]) (problems []error) {
+	target := rule.Target
+	if target.RejectStatus != 0 {
+		return nil
+	}
+	for _, class := range []string{target.Class.Idempotent, target.Class.IdempotentByKey, target.Class.NonIdempotent} {
+		if class != "" && p.classes[class] == nil {
+			problems = append(problems, fmt.Errorf("%w: route %q has unknown class %q", ErrInvalidRules, rule.Name, class))
+		}
+	}
+	if target.Class.forIdempotency(decision.NonIdempotent) == "" {
+		problems = append(problems, fmt.Errorf("%w: route %q has no class", ErrInvalidRules, rule.Name))
+	}
+	if !p.gateway.SupportsProtocol(Protocol(target.Service)) {
+		problems = append(problems, fmt.Errorf("%w: route %q has unknown service %q", ErrInvalidRules, rule.Name, target.Service))
+	}
+	if err := target.Statuses.Validate(); err != nil {
+		problems = append(problems, fmt.Errorf("%w: route %q: %w", ErrInvalidRules, rule.Name, err))
+	}
+	return problems
+}
--- a/httpproxy/response.go
+++ b/httpproxy/response.go
@@ -11,64 +11,66 @@
 	"pumicecroft/internal/httpproxytransport"
 )
 
-// responseSink passes an answer on as it comes. An attempt may outlive its request by a little; nothing is written then.
+// responseSink streams a backend's response to the client. An attempt may outlive its request by a
+// little: after close nothing is written any more. It is safe for concurrent use.
 type responseSink struct {
-	w http.ResponseWriter
-
-	http10 bool // HTTP/1.0: there are no 1xx answers (RFC 9110, 15.2)
+	w      http.ResponseWriter
+	http10 bool // the client speaks HTTP/1.0, which has no 1xx responses (RFC 9110, 15.2)
 
 	mu       sync.Mutex
 	started  bool
-	complete bool // the answer is whole
+	complete bool
 	closed   bool
 }
 
-var errRequestEnded = errors.New("the request has ended")
+var _ httpproxytransport.Sink = (*responseSink)(nil)
+
+var errRequestEnded = errors.New("httpproxy: the request has ended")
 
-// writeGrace is how long past the attempt's end a client may take its answer.
+// writeGrace is how long after the attempt's deadline the client may still receive its response.
 const writeGrace = time.Second
 
-// WriteInformational passes on a 1xx answer.
+// WriteInformational forwards a 1xx response.
 func (s *responseSink) WriteInformational(status int, h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.started || s.http10 {
 		return
 	}
-	own := s.w.Header()
-	kept := own.Clone()
-	http1proxy.CopyResponseHeader(own, h)
+	header := s.w.Header()
+	saved := header.Clone()
+	http1proxy.CopyResponseHeader(header, h)
 	s.w.WriteHeader(status)
-	clear(own)
-	for name, v := range kept {
-		own[name] = v
+	clear(header)
+	for name, values := range saved {
+		header[name] = values
 	}
 }
 
-// WriteHeader begins the answer.
-func (s *responseSink) WriteHeader(a *httpproxytransport.Response, due time.Time) {
+// WriteHeader begins the response.
+func (s *responseSink) WriteHeader(response *httpproxytransport.Response, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return
 	}
 	s.started = true
-	// A client that does not read is not waited for beyond the attempt's end. A writer that the host has wrapped may not let the deadline be
-	// set; then the host's own must do.
-	_ = http.NewResponseController(s.w).SetWriteDeadline(due.Add(writeGrace))
-	setResponseHeader(s.w, a)
-	s.w.WriteHeader(a.Status)
+	// A client that does not read is given up a little after the attempt's end. A writer that the host
+	// has wrapped may not support deadlines: then the host's own limit holds.
+	_ = http.NewResponseController(s.w).SetWriteDeadline(deadline.Add(writeGrace))
+	setResponseHeader(s.w, response)
+	s.w.WriteHeader(response.Status)
 }
 
-// WriteBody passes on a part of the body.
-func (s *responseSink) WriteBody(p []byte, flush bool) error {
+// WriteBody forwards a part of the body.
+func (s *responseSink) WriteBody(data []byte, flush bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return errRequestEnded
 	}
-	if len(p) > 0 {
-		if _, err := s.w.Write(p); err != nil {
+	if len(data) > 0 {
+		if _, err := s.w.Write(data); err != nil {
 			return err
 		}
 	}
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// WriteTrailer ends the answer.
+// WriteTrailer ends the response.
 func (s *responseSink) WriteTrailer(h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,34 +103,34 @@
 	return s.complete
 }
 
-// close lets nothing more be written. What is being written is waited for, and ends by its deadline.
+// close lets nothing more be written. It waits for a write in progress, which ends by its deadline.
 func (s *responseSink) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 }
 
-// setResponseHeader puts an answer's fields into the client's.
-func setResponseHeader(w http.ResponseWriter, a *httpproxytransport.Response) {
+// setResponseHeader copies a response's fields to the client's.
+func setResponseHeader(w http.ResponseWriter, response *httpproxytransport.Response) {
 	h := w.Header()
-	closing := h["Connection"]
-	http1proxy.CopyResponseHeader(h, a.Header)
-	if closing != nil {
-		h["Connection"] = closing
+	connection := h["Connection"] // "close" if the proxy ends the connection
+	http1proxy.CopyResponseHeader(h, response.Header)
+	if connection != nil {
+		h["Connection"] = connection
 	}
-	if _, told := h["Content-Type"]; !told {
-		h["Content-Type"] = nil // none is guessed
+	if _, ok := h["Content-Type"]; !ok {
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
-	if len(a.Trailer) > 0 {
+	if len(response.Trailer) > 0 {
 		var names []string
-		for name := range a.Trailer {
+		for name := range response.Trailer {
 			names = append(names, name)
 		}
 		h["Trailer"] = []string{strings.Join(names, ", ")}
 	}
 }
 
-// setTrailers puts the fields behind the body.
+// setTrailers sets the trailer fields of a response whose body has been written.
 func setTrailers(w http.ResponseWriter, trailer http.Header) {
 	h := w.Header()
 	announced := strings.Join(h["Trailer"], ", ")
@@ -140,15 +142,16 @@
 	}
 }
 
-// writeResponse writes an answer that is whole.
-func writeResponse(w http.ResponseWriter, a *httpproxytransport.Response) {
-	setResponseHeader(w, a)
-	w.WriteHeader(a.Status)
-	if len(a.Body) > 0 {
-		_, _ = w.Write(a.Body) // if it fails, the connection is closed: the client sees a cut answer
+// writeResponse writes a complete response.
+func writeResponse(w http.ResponseWriter, response *httpproxytransport.Response) {
+	setResponseHeader(w, response)
+	w.WriteHeader(response.Status)
+	if len(response.Body) > 0 {
+		_, _ = w.Write(response.Body) // a failure closes the connection, by which the client sees it
 	}
-	if len(a.Trailer) > 0 {
-		_ = http.NewResponseController(w).Flush() // else the server tells a length, and no trailers go with one
-		setTrailers(w, a.Trailer)
+	if len(response.Trailer) > 0 {
+		// Without a flush the server would send Content-Length, beside which there are no trailers.
+		_ = http.NewResponseController(w).Flush()
+		setTrailers(w, response.Trailer)
 	}
 }
