--- a/internal/httpproxytransport/conn.go
+++ b/internal/httpproxytransport/conn.go
@@ -10,50 +10,50 @@
 	"pumicecroft/internal/socketpeek"
 )
 
-// readBufferBytes is a connection's room for what has come.
+// readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 4 << 10
 
-// errHeadTooLarge says that an answer's head is larger than heads may be.
-var errHeadTooLarge = errors.New("the answer's head is larger than heads may be")
+// errHeadTooLarge says that a response's head exceeds Config.MaxHeadBytes.
+var errHeadTooLarge = errors.New("httpproxytransport: response head too large")
 
-// conn is one connection. One attempt at a time uses it.
+// conn is one HTTP/1.1 connection. One attempt at a time uses it.
 type conn struct {
 	netConn   net.Conn
-	addr      string // its backend's address
+	addr      string // the backend's
 	peeker    *socketpeek.Peeker
 	pooled    *connpool.Conn
 	reader    *bufio.Reader
-	readLimit int // bytes that may still be read; below 0: no bound
+	readLimit int // bytes that may still be read from netConn; negative: no limit
 }
 
-// newConn takes a connection, and the one below it that the system knows.
-func newConn(nc, raw net.Conn) *conn {
-	c := &conn{netConn: nc, peeker: socketpeek.New(raw), readLimit: -1}
+// newConn returns a conn. raw is the connection below netConn that the system knows.
+func newConn(netConn, raw net.Conn) *conn {
+	c := &conn{netConn: netConn, peeker: socketpeek.New(raw), readLimit: -1}
 	c.reader = bufio.NewReaderSize((*limitedReader)(c), readBufferBytes)
 	return c
 }
 
-// limitedReader reads with the bound of the conn.
+// limitedReader reads from a conn up to its readLimit.
 type limitedReader conn
 
-func (l *limitedReader) Read(p []byte) (int, error) {
-	if l.readLimit == 0 {
+func (r *limitedReader) Read(p []byte) (int, error) {
+	if r.readLimit == 0 {
 		return 0, errHeadTooLarge
 	}
-	if l.readLimit > 0 && len(p) > l.readLimit {
-		p = p[:l.readLimit]
+	if r.readLimit > 0 && len(p) > r.readLimit {
+		p = p[:r.readLimit]
 	}
-	n, err := l.netConn.Read(p)
-	if l.readLimit > 0 {
-		l.readLimit -= n
+	n, err := r.netConn.Read(p)
+	if r.readLimit > 0 {
+		r.readLimit -= n
 	}
 	return n, err
 }
 
-// expiredDeadline is a deadline that ends what waits.
+// expiredDeadline is a deadline that ends every wait.
 var expiredDeadline = time.Unix(1, 0)
 
-// abort ends every wait on the connection, for good.
+// abort ends every read and write on the connection, for good.
 func (c *conn) abort() { c.netConn.SetDeadline(expiredDeadline) }
 
 func (c *conn) close() { c.netConn.Close() }
--- a/internal/httpproxytransport/http2.go
+++ b/internal/httpproxytransport/http2.go
@@ -22,102 +22,125 @@
 	"pumicecroft/internal/http1proxy"
 )
 
-// http2Transport makes the connections; it dials none. What is on one is x/net's business; which one a request takes, and what an end proves, is
-// decided here: its Transport would send some requests again by itself, a ClientConn sends each once.
-func (b *Transport) http2Transport() *http2.Transport {
-	return &http2.Transport{AllowHTTP: true, DisableCompression: true, MaxHeaderListSize: uint32(b.config.MaxHeadBytes), StrictMaxConcurrentStreams: true}
+// http2Transport returns the configuration of HTTP/2 connections. Its RoundTrip is not used, as that
+// would retry some requests by itself: a ClientConn sends each request once, and this package
+// decides which connection carries it and what its end proves.
+func (t *Transport) http2Transport() *http2.Transport {
+	return &http2.Transport{
+		AllowHTTP:                  true,
+		DisableCompression:         true,
+		MaxHeaderListSize:          uint32(t.config.MaxHeadBytes),
+		StrictMaxConcurrentStreams: true,
+	}
 }
 
-// shutdownConns lets the connections of a backend end when what is on them has; it wants the lock.
-func (b *Transport) shutdownConns(be *backend) {
+// shutdownConns closes the HTTP/2 connections of a backend when their streams have ended. The caller
+// holds Transport.mu.
+func shutdownConns(be *backend) {
 	for _, cc := range be.http2Conns {
 		go shutdownConn(cc)
 	}
 	be.http2Conns = nil
 }
 
-// shutdownConn takes nothing more and closes when all has ended.
+// shutdownConn lets no new stream onto a connection, and closes it when its streams have ended.
 func shutdownConn(cc *http2.ClientConn) { _ = cc.Shutdown(context.Background()) }
 
-// pickHTTP2 gives a connection with a stream that is reserved, or one that is coming up; mine: it is to be dialled.
-func (b *Transport) pickHTTP2(id decision.BackendID) (be *backend, cc *http2.ClientConn, coming chan struct{}, mine bool) {
-	b.mu.Lock()
-	defer b.unlock()
-	be = b.byID[id]
+// isExpired reports whether a connection has been idle for so long that the backend may be closing
+// it.
+func (t *Transport) isExpired(state *http2.ClientConnState) bool {
+	streams := state.StreamsActive + state.StreamsReserved + state.StreamsPending
+	return streams == 0 && !state.LastIdle.IsZero() && time.Since(state.LastIdle) > maxIdle(t.config.IdleTimeout)
+}
+
+// http2Pick is what pickHTTP2 has found for an attempt.
+type http2Pick struct {
+	backend *backend
+	conn    *http2.ClientConn // with a reserved stream; nil: there is none
+	dialing chan struct{}     // closed when the dial to wait for ends; nil: no connection may be dialed
+	dial    bool              // the caller is to make that dial
+}
+
+// pickHTTP2 finds a connection with a free stream, or the dial of one.
+func (t *Transport) pickHTTP2(id decision.BackendID) http2Pick {
+	t.mu.Lock()
+	defer t.unlock()
+	be := t.byID[id]
 	if be == nil || be.state != decision.Ready {
-		return nil, nil, nil, false
+		return http2Pick{}
 	}
 	be.http2Conns = slices.DeleteFunc(be.http2Conns, func(cc *http2.ClientConn) bool {
-		s := cc.State()
-		old := s.StreamsActive+s.StreamsReserved+s.StreamsPending == 0 && !s.LastIdle.IsZero() && time.Since(s.LastIdle) > b.config.IdleTimeout*6/10 // the backend may be closing it
-		if old {
+		state := cc.State()
+		expired := t.isExpired(&state)
+		if expired {
 			go shutdownConn(cc)
 		}
-		return old || s.Closed || s.Closing
+		return expired || state.Closed || state.Closing
 	})
 	for _, cc := range be.http2Conns {
 		if cc.ReserveNewRequest() {
-			return be, cc, nil, false
+			return http2Pick{backend: be, conn: cc}
 		}
 	}
 	if be.dialing != nil {
-		return be, nil, be.dialing, false
+		return http2Pick{backend: be, dialing: be.dialing}
 	}
-	if len(be.http2Conns) >= b.config.MaxHTTP2Conns {
-		return be, nil, nil, false
+	if len(be.http2Conns) >= t.config.MaxHTTP2Conns {
+		return http2Pick{backend: be}
 	}
 	be.dialing = make(chan struct{})
-	return be, nil, be.dialing, true
+	return http2Pick{backend: be, dialing: be.dialing, dial: true}
 }
 
-// dialHTTP2 brings a connection up for all that wait for it.
-func (b *Transport) dialHTTP2(id decision.BackendID, be *backend) {
-	ctx, cancel := context.WithTimeout(context.Background(), b.config.ConnectTimeout)
+// dialHTTP2 opens a connection for all attempts that wait for be.dialing.
+func (t *Transport) dialHTTP2(id decision.BackendID, be *backend) {
+	ctx, cancel := context.WithTimeout(context.Background(), t.config.ConnectTimeout)
 	defer cancel()
-	nc, _, err := b.connect(ctx, be.destination.Addr)
+	netConn, _, err := t.connect(ctx, be.destination.Addr)
 	var cc *http2.ClientConn
 	if err == nil {
-		if cc, err = b.http2Transport().NewClientConn(nc); err != nil {
-			nc.Close()
+		if cc, err = t.http2Transport().NewClientConn(netConn); err != nil {
+			netConn.Close()
 		}
 	}
-	b.mu.Lock()
-	known := b.byID[id] == be
-	if err == nil && known {
+	t.mu.Lock()
+	current := t.byID[id] == be
+	if err == nil && current {
 		be.http2Conns = append(be.http2Conns, cc)
 	}
-	b.dialEnded(be)
-	b.unlock()
-	if err == nil && !known {
+	be.dialEnded()
+	t.unlock()
+	if err == nil && !current {
 		_ = cc.Close()
 	}
 }
 
-// dialEnded ends the wait for the connection that was coming up; it wants the lock.
-func (b *Transport) dialEnded(be *backend) {
+// dialEnded ends the wait for a dial. The caller holds Transport.mu.
+func (be *backend) dialEnded() {
 	close(be.dialing)
 	be.dialing = nil
 }
 
-// acquireHTTP2 gives a connection with a stream that is reserved, or the result of an attempt that gets none.
-func (b *Transport) acquireHTTP2(ctx context.Context, a *executor.Attempt) (*http2.ClientConn, string, decision.Result) {
+// acquireHTTP2 returns a connection with a reserved stream and its address, or nil and the attempt's
+// result. It blocks while a connection is dialed, at most until ctx ends.
+func (t *Transport) acquireHTTP2(ctx context.Context, a *executor.Attempt) (*http2.ClientConn, string, decision.Result) {
 	for waited := false; ; waited = true {
-		be, cc, coming, mine := b.pickHTTP2(a.Backend)
+		pick := t.pickHTTP2(a.Backend)
 		switch {
-		case cc != nil:
-			return cc, be.destination.Addr, 0
-		case coming == nil: // all streams are taken, or it drains: the decision module may choose another backend
+		case pick.conn != nil:
+			return pick.conn, pick.backend.destination.Addr, 0
+		case pick.dialing == nil: // no free stream, or the backend drains: the attempt may go to another backend
 			return nil, "", decision.NotSent
-		case waited && mine: // the one that was waited for has failed
-			b.mu.Lock()
-			b.dialEnded(be)
-			b.unlock()
+		case waited && pick.dial: // the dial that this attempt has waited for failed
+			t.mu.Lock()
+			pick.backend.dialEnded()
+			t.unlock()
 			return nil, "", decision.ConnectFailed
-		case mine:
-			go b.dialHTTP2(a.Backend, be)
+		case pick.dial:
+			go t.dialHTTP2(a.Backend, pick.backend)
 		}
 		select {
-		case <-coming:
+		case <-pick.dialing:
 		case <-ctx.Done():
 			return nil, "", decision.NotSent
 		}
@@ -125,38 +148,33 @@
 }
 
 // roundTripHTTP2 makes an attempt over HTTP/2.
-func (b *Transport) roundTripHTTP2(a *executor.Attempt, req *Request) executor.Response {
+func (t *Transport) roundTripHTTP2(a *executor.Attempt, request *Request) executor.Response {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if a.OnCancel(cancel) != nil {
 		return responseWith(decision.NotSent)
 	}
 	defer func() { _ = a.OnCancel(nil) }()
-	cc, addr, result := b.acquireHTTP2(ctx, a)
+	cc, addr, result := t.acquireHTTP2(ctx, a)
 	if cc == nil {
 		return responseWith(result)
 	}
-	x := &exchange{transport: b, attempt: a, request: req, addr: addr, hasBuffered: func() bool { return false }, progress: http1proxy.Progress{HeadBytes: 1}}
-	hr, err := x.newHTTP2Request(ctx, addr)
+	x := &exchange{
+		transport:   t,
+		attempt:     a,
+		request:     request,
+		addr:        addr,
+		hasBuffered: func() bool { return false },
+		progress:    http1proxy.Progress{HeadBytes: 1}, // WrittenBytes is 1 when any of the head was written
+	}
+	httpRequest, err := x.newHTTP2Request(ctx)
 	if err != nil || a.SendForbidden() {
-		go shutdownConn(cc) // what was reserved on it is given back by nothing else
+		go shutdownConn(cc) // nothing else gives back the reserved stream
 		return responseWith(decision.NotSent)
 	}
 	var wrote atomic.Bool
-	infos := 0
-	hr = hr.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		WroteHeaderField: func(string, []string) { wrote.Store(true) },
-		WroteHeaders:     func() { wrote.Store(true) },
-		Got1xxResponse: func(status int, h textproto.MIMEHeader) error {
-			if infos++; infos > maxInformational {
-				return errTooManyInformational
-			}
-			if req.Sink != nil && status != http.StatusContinue {
-				req.Sink.WriteInformational(status, http.Header(h))
-			}
-			return nil
-		}}))
-	res, err := cc.RoundTrip(hr)
+	httpRequest = httpRequest.WithContext(httptrace.WithClientTrace(ctx, x.http2Trace(&wrote)))
+	res, err := cc.RoundTrip(httpRequest)
 	if wrote.Load() {
 		x.progress.WrittenBytes = 1
 	}
@@ -164,58 +182,98 @@
 		return x.failureHTTP2(err)
 	}
 	defer res.Body.Close()
-	if req.Method == http.MethodHead || res.StatusCode == http.StatusNoContent || res.StatusCode == http.StatusNotModified {
-		res.Body = http.NoBody // which x/net has a value of its own for
+	if hasNoBody(request.Method, res.StatusCode) {
+		res.Body = http.NoBody // x/net sets a value of its own
+	}
+	out, _ := x.handleResponse(res)
+	return out
+}
+
+// http2Trace returns hooks that note whether any of the request was written, and forward 1xx
+// responses.
+func (x *exchange) http2Trace(wrote *atomic.Bool) *httptrace.ClientTrace {
+	informational := 0
+	return &httptrace.ClientTrace{
+		WroteHeaderField: func(string, []string) { wrote.Store(true) },
+		WroteHeaders:     func() { wrote.Store(true) },
+		Got1xxResponse: func(status int, h textproto.MIMEHeader) error {
+			if informational++; informational > maxInformational {
+				return errTooManyInformational
+			}
+			if x.request.Sink != nil && status != http.StatusContinue {
+				x.request.Sink.WriteInformational(status, http.Header(h))
+			}
+			return nil
+		},
 	}
-	r, _ := x.handleResponse(res)
-	return r
 }
 
-// newHTTP2Request makes the request as x/net wants it.
-func (x *exchange) newHTTP2Request(ctx context.Context, addr string) (*http.Request, error) {
-	h, err := textproto.NewReader(bufio.NewReader(io.MultiReader(bytes.NewReader(x.request.HeaderBlock), strings.NewReader("\r\n")))).ReadMIMEHeader()
+// hasNoBody reports whether a response has no body by its request's method or its status.
+func hasNoBody(method string, status int) bool {
+	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
+}
+
+// newHTTP2Request returns the request as x/net takes it.
+func (x *exchange) newHTTP2Request(ctx context.Context) (*http.Request, error) {
+	request, config := x.request, &x.transport.config
+	h, err := parseHeaderBlock(request.HeaderBlock)
 	if err != nil {
 		return nil, err
 	}
 	h.Del("Connection")
-	if x.request.RemainingTimeoutHeader != "" {
-		h.Set(x.request.RemainingTimeoutHeader, http1proxy.FormatSeconds(time.Until(x.attempt.Deadline)))
+	if name := request.RemainingTimeoutHeader; name != "" {
+		h.Set(name, http1proxy.FormatSeconds(time.Until(x.attempt.Deadline)))
 	}
-	host, scheme := x.request.Host, "http"
-	if x.transport.config.RewriteHost != nil {
-		host = x.transport.config.RewriteHost(addr)
+	if _, ok := h["User-Agent"]; !ok {
+		h["User-Agent"] = []string{""} // keeps x/net from adding its own
 	}
-	if x.transport.config.TLS != nil {
+	host, scheme := request.Host, "http"
+	if config.RewriteHost != nil {
+		host = config.RewriteHost(x.addr)
+	}
+	if config.TLS != nil {
 		scheme = "https"
 	}
-	if _, told := h["User-Agent"]; !told {
-		h["User-Agent"] = []string{""} // else x/net says its own
+	r := &http.Request{
+		Method:     request.Method,
+		URL:        &url.URL{Scheme: scheme, Host: host, Opaque: "//" + host + request.Target},
+		Host:       host,
+		Header:     http.Header(h),
+		Proto:      "HTTP/2.0",
+		ProtoMajor: 2,
+		Trailer:    request.Trailer,
 	}
-	r := &http.Request{Method: x.request.Method, URL: &url.URL{Scheme: scheme, Host: host, Opaque: "//" + host + x.request.Target}, Host: host, Header: http.Header(h),
-		Proto: "HTTP/2.0", ProtoMajor: 2, Trailer: x.request.Trailer}
-	if len(x.request.Body) > 0 || len(x.request.Trailer) > 0 {
-		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(x.request.Body)), int64(len(x.request.Body))
-		if len(x.request.Trailer) > 0 {
+	switch {
+	case len(request.Body) > 0 || len(request.Trailer) > 0:
+		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(request.Body)), int64(len(request.Body))
+		if len(request.Trailer) > 0 {
 			r.ContentLength = -1
 		}
-	} else if r.Method == "POST" || r.Method == "PUT" || r.Method == "PATCH" {
+	case r.Method == "POST" || r.Method == "PUT" || r.Method == "PATCH":
 		r.Body = http.NoBody
 	}
 	return r.WithContext(ctx), nil
 }
 
-// failureHTTP2 says what an error of a stream proves. A stream that the backend refused, or that is beyond the last one it says it looked at, was
-// not acted on (RFC 9113, 8.7); what x/net has no value for counts as broken.
+// parseHeaderBlock parses the fields of a request as http1proxy writes them.
+func parseHeaderBlock(block []byte) (textproto.MIMEHeader, error) {
+	text := io.MultiReader(bytes.NewReader(block), strings.NewReader("\r\n"))
+	return textproto.NewReader(bufio.NewReader(text)).ReadMIMEHeader()
+}
+
+// failureHTTP2 returns the result of an attempt whose stream ended by an error. A stream that the
+// backend refused, or that is beyond the last one that its GOAWAY names, was not processed (RFC
+// 9113, 8.7). What x/net has no error value for counts as a lost connection.
 func (x *exchange) failureHTTP2(err error) executor.Response {
-	stream, is := errors.AsType[http2.StreamError](err)
+	if x.attempt.CancelCause() != nil {
+		return x.failure(err)
+	}
+	stream, isStream := errors.AsType[http2.StreamError](err)
 	switch {
-	case x.attempt.CancelCause() != nil:
-	case is && stream.Code == http2.ErrCodeRefusedStream, strings.Contains(err.Error(), "graceful shutdown GOAWAY"):
+	case isStream && stream.Code == http2.ErrCodeRefusedStream, strings.Contains(err.Error(), "graceful shutdown GOAWAY"):
 		return responseWith(decision.Rejected)
-	case is && stream.Code == http2.ErrCodeProtocol:
+	case isStream && stream.Code == http2.ErrCodeProtocol:
 		return responseWith(x.progress.Result(http1proxy.MalformedResponse))
-	default:
-		return responseWith(x.progress.Result(http1proxy.ConnectionLost))
 	}
-	return x.failure(err)
+	return responseWith(x.progress.Result(http1proxy.ConnectionLost))
 }
--- a/internal/httpproxytransport/stored.go
+++ b/internal/httpproxytransport/stored.go
@@ -6,11 +6,12 @@
 	"net/http"
 )
 
-// The stored form of an answer is gob, which names a struct and its fields by their Go identifiers and has no tags. The types in
-// this file hold these names, so that a rename elsewhere leaves journals that were written before readable.
+// The stored form of a response is gob, which names a struct and its fields by their Go identifiers
+// and has no tags. The types in this file hold these names: a rename elsewhere leaves journals of
+// idempotency keys that were written before readable.
 
-// encodeStored gives the stored form of an answer.
-func encodeStored(a *Response) ([]byte, error) {
+// encodeStored returns the stored form of a response.
+func encodeStored(response *Response) ([]byte, error) {
 	type Answer struct { // the name is stored too
 		Status   int
 		Header   http.Header
@@ -18,13 +19,20 @@
 		Body     []byte
 		Streamed bool
 	}
+	stored := Answer{
+		Status:   response.Status,
+		Header:   response.Header,
+		Trailer:  response.Trailer,
+		Body:     response.Body,
+		Streamed: response.Streamed,
+	}
 	var b bytes.Buffer
-	err := gob.NewEncoder(&b).Encode(Answer{Status: a.Status, Header: a.Header, Trailer: a.Trailer, Body: a.Body, Streamed: a.Streamed})
+	err := gob.NewEncoder(&b).Encode(stored)
 	return b.Bytes(), err
 }
 
-// decodeStored reads what encodeStored wrote.
-func decodeStored(text []byte) (*Response, error) {
+// decodeStored returns the response that encodeStored has stored.
+func decodeStored(data []byte) (*Response, error) {
 	var stored struct {
 		Status   int
 		Header   http.Header
@@ -32,8 +40,14 @@
 		Body     []byte
 		Streamed bool
 	}
-	if err := gob.NewDecoder(bytes.NewReader(text)).Decode(&stored); err != nil {
+	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&stored); err != nil {
 		return nil, err
 	}
-	return &Response{Status: stored.Status, Header: stored.Header, Trailer: stored.Trailer, Body: stored.Body, Streamed: stored.Streamed}, nil
+	return &Response{
+		Status:   stored.Status,
+		Header:   stored.Header,
+		Trailer:  stored.Trailer,
+		Body:     stored.Body,
+		Streamed: stored.Streamed,
+	}, nil
 }
--- a/internal/httpproxytransport/transport.go
+++ b/internal/httpproxytransport/transport.go
@@ -1,8 +1,14 @@
-// Package httpproxytransport makes attempts at the backends of one service over ordinary HTTP/1.1, with TLS or without: each once and never again by
-// itself, over a bounded number of connections, with an outcome that claims no more than what was seen proves (internal/webwire has the
-// table). An answer that is short, and whose length is told, is held until it is whole, so that one that is cut can be made up for; others
-// are passed on as they come, once the core lets them begin. It decides nothing. webback.go keeps who the backends are and their connections,
-// attempt.go is one attempt, conn.go one connection.
+// Package httpproxytransport makes attempts at the backends of one service over ordinary HTTP, with
+// or without TLS. It sends each attempt once and never retries by itself, over a limited number of
+// connections, and reports no more than what was seen proves (internal/http1proxy has the rules).
+//
+// A short response of known length is read completely before any of it is forwarded, so that the
+// request can be retried if the response is cut off; others are streamed, once the machine allows
+// the response to begin.
+//
+// The files: transport.go has the backends and the HTTP/1.1 connections to them, conn.go one of
+// these, http2.go the HTTP/2 connections, request.go the payload of an attempt, exchange.go one
+// attempt and body.go its response's body. The package decides nothing about requests.
 package httpproxytransport
 
 import (
@@ -25,34 +31,61 @@
 	"pumicecroft/membership"
 )
 
-// Config says how a service's backends are reached. What is 0 takes the default.
+// Config says how the backends of a service are reached. A zero field takes its default.
 type Config struct {
-	Service             string        // its name
-	MaxConns            int           // connections to all of its backends together; 256
-	ConnectTimeout      time.Duration // a connection that is not up by then, handshake and all, counts as failed; 250 ms, with TLS 1 s
-	IdleTimeout         time.Duration // a backend may close a connection that was idle for this long; 15 s
-	ResponseBufferBytes int           // bytes up to which an answer of known length is held until it is whole; 64 KiB. Below 0: none is
-	MaxHeadBytes        int           // bytes of an answer's head, 1xx answers ahead of it among it; 64 KiB
-	MaxErrorBodyBytes   int           // bytes of an error's body that are kept for the client in case it is the last word; 256 KiB. A longer one is passed on as it comes, and not made up for
-	// TLS is what the connections are made with; nil: they are plain. Its ServerName, where it is empty, is the host of the backend's address.
+	// Service is the service's name, for logs.
+	Service string
+	// MaxConns limits the connections to all backends together. Default 256.
+	MaxConns int
+	// ConnectTimeout limits connecting, TLS handshake included. Default 250 ms, with TLS 1 s.
+	ConnectTimeout time.Duration
+	// IdleTimeout is the time after which a backend may close an idle connection. Default 15 s.
+	IdleTimeout time.Duration
+	// ResponseBufferBytes is the largest response of known length that is read completely before it
+	// is forwarded. Default 64 KiB; negative means that none is.
+	ResponseBufferBytes int
+	// MaxHeadBytes limits the head of a response, 1xx responses before it included. Default 64 KiB.
+	MaxHeadBytes int
+	// MaxErrorBodyBytes is the largest body of an error response that is kept for the client in case
+	// no attempt does better. A longer one is streamed, and the request is not retried. Default
+	// 256 KiB.
+	MaxErrorBodyBytes int
+	// TLS configures connections. nil means plain text. An empty ServerName means the host of the
+	// backend's address.
 	TLS *tls.Config
-	// HTTP2 says that backends speak HTTP/2: over TLS as ALPN has it, else with prior knowledge (RFC 9113, 3.3). H2Conns are its connections to one
-	// backend; 2.
-	HTTP2         bool
+	// HTTP2 says that backends speak HTTP/2: by ALPN over TLS, by prior knowledge without (RFC 9113,
+	// 3.3).
+	HTTP2 bool
+	// MaxHTTP2Conns limits the HTTP/2 connections to one backend. Default 2.
 	MaxHTTP2Conns int
-	// RewriteHost rewrites Host for a backend at an address; nil: it goes on as in the request.
+	// RewriteHost returns the Host for a backend's address. nil forwards the request's.
 	RewriteHost func(addr string) string
-	Log         *slog.Logger
-	Dial        func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the system's
+	// Log receives failed connections and attempts at level debug. nil discards them.
+	Log *slog.Logger
+	// Dial opens connections. nil means a net.Dialer without keep-alive probes.
+	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// reuseDelay is how long a connection rests after an answer: what comes right behind it has mostly come by then.
+// Defaults of Config.
+const (
+	defaultMaxConns            = 256
+	defaultMaxHTTP2Conns       = 2
+	defaultMaxHeadBytes        = 64 << 10
+	defaultMaxErrorBodyBytes   = 256 << 10
+	defaultResponseBufferBytes = 64 << 10
+	defaultConnectTimeout      = 250 * time.Millisecond
+	defaultTLSConnectTimeout   = time.Second
+	defaultIdleTimeout         = 15 * time.Second
+)
+
+// reuseDelay is how long a connection is not reused after a response. Bytes that a faulty backend
+// sends after a response have mostly arrived by then, and are seen before the next request.
 const reuseDelay = 50 * time.Microsecond
 
-// Protocol is what a service's backends are said to speak in a membership.Node.
+// Protocol returns the protocol name of a service's backends, as membership.Node.Protocol has it.
 func Protocol(service string) string { return "web/" + service }
 
-// Transport makes attempts at the backends that it was told of. It is a drive.Carrier and safe for concurrent use.
+// Transport makes attempts at the backends that Apply has told it of. It is safe for concurrent use.
 type Transport struct {
 	config          Config
 	failureLogLimit rate.Sometimes
@@ -61,41 +94,51 @@
 	mu          sync.Mutex
 	byID        map[decision.BackendID]*backend
 	pool        *connpool.Pool
-	start       time.Time // of the pool's clock
+	start       time.Time // zero of the pool's clock
 	expiryTimer *time.Timer
 }
 
+var _ executor.BackendTransport = (*Transport)(nil)
+
+// backend is one backend. Its fields are guarded by Transport.mu.
 type backend struct {
 	state       decision.BackendState
 	destination *connpool.Destination
 	http2Conns  []*http2.ClientConn
-	dialing     chan struct{} // closed when the HTTP/2 connection that is coming up is there or has failed; nil: there is none
+	dialing     chan struct{} // closed when the HTTP/2 dial in progress ends; nil: there is none
 }
 
-var _ executor.BackendTransport = (*Transport)(nil)
-
-// New knows no backends yet.
+// New returns a Transport without backends.
 func New(c Config) *Transport {
-	positive := func(v *int, is int) {
-		if *v <= 0 {
-			*v = is
-		}
+	setDefaults(&c)
+	pool := connpool.New(connpool.Limits{
+		MaxConns:      c.MaxConns,
+		IdleTimeout:   maxIdle(c.IdleTimeout),
+		ReuseDelay:    reuseDelay,
+		MinReuseDelay: reuseDelay,
+	})
+	return &Transport{
+		config:          c,
+		failureLogLimit: rate.Sometimes{First: 10, Interval: time.Second},
+		byID:            map[decision.BackendID]*backend{},
+		pool:            pool,
+		start:           time.Now(),
 	}
-	positive(&c.MaxConns, 256)
-	positive(&c.MaxHTTP2Conns, 2)
-	positive(&c.MaxHeadBytes, 64<<10)
-	positive(&c.MaxErrorBodyBytes, 256<<10)
+}
+
+func setDefaults(c *Config) {
+	setDefault(&c.MaxConns, defaultMaxConns)
+	setDefault(&c.MaxHTTP2Conns, defaultMaxHTTP2Conns)
+	setDefault(&c.MaxHeadBytes, defaultMaxHeadBytes)
+	setDefault(&c.MaxErrorBodyBytes, defaultMaxErrorBodyBytes)
 	if c.ResponseBufferBytes == 0 {
-		c.ResponseBufferBytes = 64 << 10
+		c.ResponseBufferBytes = defaultResponseBufferBytes
 	}
-	if c.ConnectTimeout <= 0 {
-		c.ConnectTimeout = 250 * time.Millisecond
-		if c.TLS != nil {
-			c.ConnectTimeout = time.Second
-		}
-	}
-	if c.IdleTimeout <= 0 {
-		c.IdleTimeout = 15 * time.Second
+	setDefault(&c.IdleTimeout, defaultIdleTimeout)
+	if c.TLS != nil {
+		setDefault(&c.ConnectTimeout, defaultTLSConnectTimeout)
+	} else {
+		setDefault(&c.ConnectTimeout, defaultConnectTimeout)
 	}
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
@@ -103,183 +146,200 @@
 	if c.Dial == nil {
 		c.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	if c.TLS != nil {
-		c.TLS = c.TLS.Clone()
-		if c.TLS.NextProtos = []string{"http/1.1"}; c.HTTP2 {
-			c.TLS.NextProtos = []string{"h2"}
-		}
-		if c.TLS.ClientSessionCache == nil {
-			c.TLS.ClientSessionCache = tls.NewLRUClientSessionCache(4 * c.MaxConns)
-		}
+	if c.TLS == nil {
+		return
+	}
+	c.TLS = c.TLS.Clone()
+	c.TLS.NextProtos = []string{"http/1.1"}
+	if c.HTTP2 {
+		c.TLS.NextProtos = []string{"h2"}
+	}
+	if c.TLS.ClientSessionCache == nil {
+		c.TLS.ClientSessionCache = tls.NewLRUClientSessionCache(4 * c.MaxConns)
+	}
+}
+
+// setDefault sets a limit that is not positive.
+func setDefault[T int | time.Duration](limit *T, value T) {
+	if *limit <= 0 {
+		*limit = value
 	}
-	return &Transport{config: c, failureLogLimit: rate.Sometimes{First: 10, Interval: time.Second}, byID: map[decision.BackendID]*backend{},
-		pool: connpool.New(connpool.Limits{MaxConns: c.MaxConns, IdleTimeout: c.IdleTimeout * 6 / 10, ReuseDelay: reuseDelay, MinReuseDelay: reuseDelay}), start: time.Now()}
 }
 
-// Apply takes in what has changed about backends. It holds for every attempt that begins after it returns.
-func (b *Transport) Apply(changes []membership.Change) {
-	b.mu.Lock()
-	defer b.unlock()
-	for _, c := range changes {
-		be := b.byID[c.ID]
-		if be != nil && (c.State == decision.Removed || c.Replaced) {
-			b.pool.CloseDestination(be.destination)
-			b.shutdownConns(be)
-			delete(b.byID, c.ID)
+// maxIdle returns how long a connection may be idle and still be used. It is below the time after
+// which the backend may close it: a request on a connection that is being closed would be lost.
+func maxIdle(idleTimeout time.Duration) time.Duration { return idleTimeout * 6 / 10 }
+
+// Apply takes in changes of the backends. They hold for every attempt that begins after it returns.
+func (t *Transport) Apply(changes []membership.Change) {
+	t.mu.Lock()
+	defer t.unlock()
+	for _, change := range changes {
+		be := t.byID[change.ID]
+		if be != nil && (change.State == decision.Removed || change.Replaced) {
+			t.pool.CloseDestination(be.destination)
+			shutdownConns(be)
+			delete(t.byID, change.ID)
 			be = nil
 		}
-		if c.State == decision.Removed {
+		if change.State == decision.Removed {
 			continue
 		}
 		if be == nil {
-			be = &backend{destination: &connpool.Destination{Addr: c.Addr}}
-			b.byID[c.ID] = be
+			be = &backend{destination: &connpool.Destination{Addr: change.Addr}}
+			t.byID[change.ID] = be
 		}
-		be.state = c.State
+		be.state = change.State
 	}
 }
 
-// Close lets go of all connections. Attempts that are out end by themselves.
-func (b *Transport) Close() {
-	b.mu.Lock()
-	defer b.unlock()
-	b.pool.Close()
-	for _, be := range b.byID {
-		b.shutdownConns(be)
+// Close closes idle connections, and others when the attempts on them end.
+func (t *Transport) Close() {
+	t.mu.Lock()
+	defer t.unlock()
+	t.pool.Close()
+	for _, be := range t.byID {
+		shutdownConns(be)
 	}
-	clear(b.byID)
-	if b.expiryTimer != nil {
-		b.expiryTimer.Stop()
+	clear(t.byID)
+	if t.expiryTimer != nil {
+		t.expiryTimer.Stop()
 	}
 }
 
-// Conns is how many connections there are: idle, in use or coming up.
-func (b *Transport) Conns() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.pool.Count()
+// Conns returns the number of HTTP/1.1 connections: idle, in use or being dialed.
+func (t *Transport) Conns() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.pool.Count()
 }
 
-// Probe tells nothing: ordinary backends have no load reports.
-func (b *Transport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
+// Probe returns decision.NotSent: ordinary backends have no load reports to ask for.
+func (t *Transport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
 	return decision.ProbeResult{Backend: id, Result: decision.NotSent}
 }
 
-// unlock closes what the pool has let go of, arms the next sweep and unlocks.
-func (b *Transport) unlock() {
-	closes := b.pool.TakeDiscarded()
-	if at, ok := b.pool.NextExpiry(); ok && b.expiryTimer == nil {
-		b.expiryTimer = time.AfterFunc(at-time.Since(b.start), b.closeExpired)
+// unlock unlocks mu, after it has set the expiry timer, and closes the connections that the pool has
+// discarded.
+func (t *Transport) unlock() {
+	discarded := t.pool.TakeDiscarded()
+	if at, ok := t.pool.NextExpiry(); ok && t.expiryTimer == nil {
+		t.expiryTimer = time.AfterFunc(at-time.Since(t.start), t.closeExpired)
 	}
-	b.mu.Unlock()
-	for _, c := range closes {
+	t.mu.Unlock()
+	for _, c := range discarded {
 		c.Owner.(*conn).close()
 	}
 }
 
-func (b *Transport) closeExpired() {
-	b.mu.Lock()
-	defer b.unlock()
-	b.expiryTimer = nil
-	b.pool.CloseExpired(time.Since(b.start))
+// closeExpired closes connections that were idle for too long.
+func (t *Transport) closeExpired() {
+	t.mu.Lock()
+	defer t.unlock()
+	t.expiryTimer = nil
+	t.pool.CloseExpired(time.Since(t.start))
 }
 
-// acquire gives a connection to a backend for an attempt's use, or the result of an attempt that gets none. fresh: not a kept one.
-func (b *Transport) acquire(a *executor.Attempt, fresh bool) (*conn, decision.Result) {
+// acquire returns a connection for an attempt, or nil and the attempt's result. fresh asks for a new
+// connection. It blocks while one is dialed.
+func (t *Transport) acquire(a *executor.Attempt, fresh bool) (*conn, decision.Result) {
 	for {
-		b.mu.Lock()
-		be := b.byID[a.Backend]
+		t.mu.Lock()
+		be := t.byID[a.Backend]
 		if be == nil || be.state != decision.Ready {
-			b.mu.Unlock()
+			t.mu.Unlock()
 			return nil, decision.NotSent
 		}
-		place := be.destination
-		kept, err := b.pool.Acquire(time.Since(b.start), place, fresh)
-		b.unlock()
-		switch {
-		case err != nil:
+		destination := be.destination
+		pooled, err := t.pool.Acquire(time.Since(t.start), destination, fresh)
+		t.unlock()
+		if err != nil {
 			return nil, decision.NotSent
-		case kept == nil:
-			return b.dial(a, place)
 		}
-		c := kept.Owner.(*conn)
+		if pooled == nil {
+			return t.dial(a, destination)
+		}
+		c := pooled.Owner.(*conn)
 		if c.peeker.Peek() == socketpeek.Clean {
 			return c, 0
 		}
-		b.discard(c)
+		t.discard(c)
 	}
 }
 
-// dial brings a connection up.
-func (b *Transport) dial(a *executor.Attempt, place *connpool.Destination) (*conn, decision.Result) {
-	ctx, cancel := context.WithTimeout(context.Background(), b.config.ConnectTimeout)
+// dial opens a connection, for which the pool has reserved the place.
+func (t *Transport) dial(a *executor.Attempt, destination *connpool.Destination) (*conn, decision.Result) {
+	ctx, cancel := context.WithTimeout(context.Background(), t.config.ConnectTimeout)
 	defer cancel()
-	give := func(r decision.Result) (*conn, decision.Result) {
-		b.mu.Lock()
-		b.pool.OpenFailed()
-		b.unlock()
+	fail := func(r decision.Result) (*conn, decision.Result) {
+		t.mu.Lock()
+		t.pool.OpenFailed()
+		t.unlock()
 		return nil, r
 	}
 	if a.OnCancel(cancel) != nil {
-		return give(decision.NotSent)
+		return fail(decision.NotSent)
+	}
+	netConn, raw, err := t.connect(ctx, destination.Addr)
+	if err != nil && a.OnCancel(nil) != nil { // it ended with the attempt, and proves nothing about the backend
+		return fail(decision.NotSent)
 	}
-	nc, raw, err := b.connect(ctx, place.Addr)
 	if err != nil {
-		if off := a.OnCancel(nil); off != nil {
-			return give(decision.NotSent)
-		}
-		return give(decision.ConnectFailed)
+		return fail(decision.ConnectFailed)
 	}
-	c := newConn(nc, raw)
-	c.addr = place.Addr
-	b.mu.Lock()
-	c.pooled = b.pool.Opened(place, c)
-	b.unlock()
+	c := newConn(netConn, raw)
+	c.addr = destination.Addr
+	t.mu.Lock()
+	c.pooled = t.pool.Opened(destination, c)
+	t.unlock()
 	return c, 0
 }
 
-// connect opens a connection, with TLS if it is to be; raw is the one below.
-func (b *Transport) connect(ctx context.Context, addr string) (nc, raw net.Conn, err error) {
-	nc, err = b.config.Dial(ctx, "tcp", addr)
-	raw = nc
-	if err == nil && b.config.TLS != nil {
-		nc, err = b.handshake(ctx, nc, addr)
+// connect opens a connection, with TLS if it is configured. raw is the connection below TLS.
+func (t *Transport) connect(ctx context.Context, addr string) (netConn, raw net.Conn, err error) {
+	raw, err = t.config.Dial(ctx, "tcp", addr)
+	netConn = raw
+	if err == nil && t.config.TLS != nil {
+		netConn, err = t.handshake(ctx, raw, addr)
 	}
 	if err != nil {
-		b.failureLogLimit.Do(func() {
-			b.config.Log.Debug("a backend that can't be connected to", "service", b.config.Service, "addr", addr, "err", err)
+		t.failureLogLimit.Do(func() {
+			t.config.Log.Debug("connection to backend failed", "service", t.config.Service, "addr", addr, "err", err)
 		})
 	}
-	return nc, raw, err
+	return netConn, raw, err
 }
 
-// handshake makes a connection one of TLS. It closes it on an error.
-func (b *Transport) handshake(ctx context.Context, nc net.Conn, addr string) (net.Conn, error) {
-	config := b.config.TLS
+// handshake starts TLS on a connection. It closes the connection on an error.
+func (t *Transport) handshake(ctx context.Context, raw net.Conn, addr string) (net.Conn, error) {
+	config := t.config.TLS
 	if config.ServerName == "" {
 		config = config.Clone()
 		config.ServerName, _, _ = net.SplitHostPort(addr)
 	}
-	t := tls.Client(nc, config)
-	if err := t.HandshakeContext(ctx); err != nil {
-		nc.Close()
+	tlsConn := tls.Client(raw, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
+		raw.Close()
 		return nil, err
 	}
-	return t, nil
+	return tlsConn, nil
 }
 
-func (b *Transport) release(c *conn) {
-	b.mu.Lock()
-	defer b.unlock()
-	b.pool.Put(time.Since(b.start), c.pooled)
+// release returns a connection to the pool.
+func (t *Transport) release(c *conn) {
+	t.mu.Lock()
+	defer t.unlock()
+	t.pool.Put(time.Since(t.start), c.pooled)
 }
 
-func (b *Transport) discard(c *conn) {
-	b.mu.Lock()
-	defer b.unlock()
-	b.pool.Discard(c.pooled)
+// discard closes a connection.
+func (t *Transport) discard(c *conn) {
+	t.mu.Lock()
+	defer t.unlock()
+	t.pool.Discard(c.pooled)
 }
 
+// responseWith is the response of an attempt without a backend's response.
 func responseWith(r decision.Result) executor.Response {
 	return executor.Response{Outcome: lifecycle.Outcome{Result: r}}
 }
