--- a/grpcproxy/bench_test.go
+++ b/grpcproxy/bench_test.go
@@ -108,7 +108,7 @@
 // its time goes on): door/proxy is the ratio as it stands, own the ratio with
 // "direct" taken off both.
 //
-//	go test -run xxx -bench OwnPart -benchtime 60x ./grpcfront
+//	go test -run xxx -bench OwnPart -benchtime 60x ./grpcproxy
 func BenchmarkOverhead(b *testing.B) {
 	for _, streams := range []int{1, 64} {
 		b.Run(fmt.Sprint(streams, " streams"), func(b *testing.B) {
--- a/grpcproxy/host_test.go
+++ b/grpcproxy/host_test.go
@@ -142,9 +142,9 @@
 		"unknown class": {Config{Methods: map[string]Method{"/a.B/C": {Class: "nap"}}}, `"nap"`},
 		"no method":     {Config{Methods: map[string]Method{"a.B/C": {Class: "look"}}}, `"a.B/C" is no method`},
 		"wildcard":      {Config{Methods: map[string]Method{"/a.*/C": {Class: "look"}}}, `"/a.*/C" is no method`},
-		"a name twice":  {Config{Methods: deskMethods, Names: MetadataNames{Customer: "x", Plan: "x"}}, `"x" stands for two things`},
+		"a name twice":  {Config{Methods: deskMethods, Names: MetadataNames{Customer: "x", Plan: "x"}}, `"x" is used twice`},
 		"gRPC's name":   {Config{Methods: deskMethods, Names: MetadataNames{Customer: "grpc-status"}}, `"grpc-status"`},
-		"below 0":       {Config{Methods: deskMethods, MaxMessageBytes: -1}, "below 0"},
+		"below 0":       {Config{Methods: deskMethods, MaxMessageBytes: -1}, "negative"},
 	} {
 		if _, err := New(door, c.config); !errors.Is(err, pumicecroft.ErrConfig) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -179,7 +179,7 @@
 // BenchmarkMemory reports what each of 10,000 idle streams and each of 1,000 streams whose clients do not read costs a door,
 // in KiB of its process.
 //
-//	go test -run xxx -bench Memory -benchtime 1x ./grpcfront
+//	go test -run xxx -bench Memory -benchtime 1x ./grpcproxy
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		b.ReportMetric(memoryPerStream(b, fakes.GRPCStreamHang, 10_000), "KiB-idle")
--- a/grpcproxy/race_test.go
+++ b/grpcproxy/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package grpcfront
+package grpcproxy
 
-const raceOn = true
+const raceEnabled = true
--- a/httpproxy/hostile_test.go
+++ b/httpproxy/hostile_test.go
@@ -92,7 +92,7 @@
 
 // However a head is made, there is an answer or an end in bounded time, and no request is smuggled to a backend.
 //
-//	go test ./webfront -run HostileHeads -heads 1000000 -seed 7 -timeout 30m
+//	go test ./httpproxy -run HostileHeads -heads 1000000 -seed 7 -timeout 30m
 func TestHostileRequestHeads(t *testing.T) {
 	var smuggled, arrived atomic.Int64
 	backends := bufconn.Listen(64 << 10)
