--- a/internal/grpctransport/transport.go
+++ b/internal/grpctransport/transport.go
@@ -1,8 +1,13 @@
-// Package grpctransport makes attempts at backends over gRPC: each once and never again by itself, over a bounded number of
-// HTTP/2 connections and streams, with an outcome that claims no more than what was seen proves (internal/grpcwire has
-// the table). It is written on HTTP/2's frames, as what ends a stream must be told apart: gRPC's own client and
-// net/http's send a request again by themselves when a stream was refused, and tell neither. It decides nothing.
-// backends.go keeps who the backends are and picks connections, conn.go is one connection.
+// Package grpctransport makes attempts at backends over gRPC. It sends each attempt once and never
+// retries by itself, over a limited number of HTTP/2 connections and streams, and reports no more
+// than what was seen proves (internal/grpcproto has the rules).
+//
+// It is written on HTTP/2 frames, because the ends of a stream must be told apart: the clients of
+// grpc-go and net/http retry by themselves when a stream was refused, and do not say so.
+//
+// The files: transport.go has the backends and selects connections, conn.go is one connection,
+// frames.go its reading side, stream.go one attempt on it, messages.go the messages of a response,
+// request.go the payload of an attempt. The package decides nothing about requests.
 package grpctransport
 
 import (
@@ -17,7 +22,6 @@
 	"golang.org/x/time/rate"
 
 	"pumicecroft/decision"
-	"pumicecroft/idempotency"
 	"pumicecroft/internal/executor"
 	"pumicecroft/internal/grpcproto"
 	"pumicecroft/internal/lifecycle"
@@ -25,75 +29,38 @@
 	"pumicecroft/membership"
 )
 
-// Config says how backends are reached. What is 0 takes the default.
+// Config says how backends are reached. A zero field takes its default.
 type Config struct {
-	MaxConnsPerBackend int           // to one backend; 2. Up to as many again may be ending
-	MaxStreamsPerConn  int           // on one connection; 100
-	ConnectTimeout     time.Duration // a connection that is not up by then counts as failed; 250 ms
-	IdleTimeout        time.Duration // one that was idle for longer is not used; 15 s
-	MaxMessageBytes    int           // of an answer, in bytes; 4 MiB
-	// LoadReportFields are the settings' names of load figures; none: there are no load reports.
+	// MaxConnsPerBackend limits the connections to one backend. As many again may be draining.
+	// Default 2.
+	MaxConnsPerBackend int
+	// MaxStreamsPerConn limits the streams on one connection, in addition to the backend's own limit.
+	// Default 100.
+	MaxStreamsPerConn int
+	// ConnectTimeout limits connecting. Default 250 ms.
+	ConnectTimeout time.Duration
+	// IdleTimeout is the time after which a backend may close an idle connection. Default 15 s.
+	IdleTimeout time.Duration
+	// MaxMessageBytes limits a message of a response. Default 4 MiB.
+	MaxMessageBytes int
+	// LoadReportFields are the names of load figures. None means that there are no load reports.
 	LoadReportFields []string
-	Log              *slog.Logger
-	Dial             func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the system's
+	// Log receives failed attempts at level debug. nil discards them.
+	Log *slog.Logger
+	// Dial opens connections. nil means a net.Dialer without keep-alive probes.
+	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Request is a client's call as it goes on to a backend, with each attempt.
-type Request struct {
-	Method   string  // such as /package.Service/Method
-	Metadata []Field // that goes on with it, without the fields that gRPC itself uses
-	Body     []byte  // one message with its prefix
-	Sink     Sink    // of a server-streaming call; nil: it is a unary one
-}
-
-// Sink takes a streamed answer as it comes. It is called by one goroutine at a time, and only after the attempt's answer
-// was allowed to begin, so by one attempt of a request only.
-type Sink interface {
-	// WriteHeader comes once, before the first message.
-	WriteHeader(fields []Field)
-	// WriteMessage takes a message with its prefix, and keeps it. It waits while its client does not read, until ctx ends: what
-	// the backend may send meanwhile is bounded by the stream's window. An error ends the attempt.
-	WriteMessage(ctx context.Context, p []byte) error
-}
-
-// Protocol is what it goes over.
-func (r *Request) Protocol() string { return membership.ProtocolGRPC }
-
-// DigestParts tell a unary call apart from others of its key; nil of a streaming one. Metadata is not among them: a client's next try has others.
-func (r *Request) DigestParts() [][]byte {
-	if r.Sink != nil {
-		return nil
-	}
-	return [][]byte{[]byte(r.Method), r.Body}
-}
-
-// EncodeResponse makes what can be kept of a backend's answer.
-func (r *Request) EncodeResponse(reply any) (idempotency.Response, error) {
-	a := reply.(*Response)
-	body, err := encodeStored(a)
-	return idempotency.Response{Status: int(a.Code), ContentType: "application/grpc", Body: body}, err
-}
-
-// DecodeResponse makes the answer of what Keep made.
-func (r *Request) DecodeResponse(a idempotency.Response) (any, error) {
-	again, err := decodeStored(a.Body)
-	if err != nil {
-		return nil, err
-	}
-	return again, nil
-}
-
-// Response is a backend's answer.
-type Response struct {
-	Code              grpcproto.Code
-	Message           string // grpc-message as it came
-	Header, Trailer   []Field
-	Body              []byte // of a unary call: its message with its prefix
-	complete          bool   // the backend has ended the stream
-	usage, loadReport string // what the backend told of the customer and of itself, as it came
-}
+// Defaults of Config.
+const (
+	defaultMaxConnsPerBackend = 2
+	defaultMaxStreamsPerConn  = 100
+	defaultConnectTimeout     = 250 * time.Millisecond
+	defaultIdleTimeout        = 15 * time.Second
+	defaultMaxMessageBytes    = 4 << 20
+)
 
-// Transport makes attempts at the backends that it was told of. It is a drive.Carrier and safe for concurrent use.
+// Transport makes attempts at the backends that Apply has told it of. It is safe for concurrent use.
 type Transport struct {
 	config          Config
 	loadReader      loadreport.Reader
@@ -101,188 +68,197 @@
 
 	mu        sync.Mutex
 	byID      map[decision.BackendID]*backend
-	readLoops sync.WaitGroup // readers
+	readLoops sync.WaitGroup // dials and read loops of connections
 }
 
 var _ executor.BackendTransport = (*Transport)(nil)
 
-// backend is one that is known. Its fields are guarded by Backends.mu.
+// backend is one backend. Its fields are guarded by Transport.mu.
 type backend struct {
 	addr    string
 	state   decision.BackendState
 	conns   []*conn
 	dialing []*pendingDial
-	removed bool // what is dialled for it is closed
+	removed bool // connections that are being dialed are closed
 }
 
-// pendingDial is a connection that is coming up.
+// pendingDial is a connection that is being dialed.
 type pendingDial struct {
-	waiters int           // attempts, the one that dials among them; guarded by Backends.mu
-	done    chan struct{} // closed at its end
-	failed  bool          // guarded by done
+	waiters int           // attempts that wait for it; guarded by Transport.mu
+	done    chan struct{} // closed when the dial ends
+	failed  bool          // valid after done
 }
 
-// New knows no backends yet.
+// New returns a Transport without backends.
 func New(c Config) *Transport {
-	if c.MaxConnsPerBackend <= 0 {
-		c.MaxConnsPerBackend = 2
-	}
-	if c.MaxStreamsPerConn <= 0 {
-		c.MaxStreamsPerConn = 100
-	}
-	if c.ConnectTimeout <= 0 {
-		c.ConnectTimeout = 250 * time.Millisecond
-	}
-	if c.IdleTimeout <= 0 {
-		c.IdleTimeout = 15 * time.Second
-	}
-	if c.MaxMessageBytes <= 0 {
-		c.MaxMessageBytes = 4 << 20
-	}
+	setDefault(&c.MaxConnsPerBackend, defaultMaxConnsPerBackend)
+	setDefault(&c.MaxStreamsPerConn, defaultMaxStreamsPerConn)
+	setDefault(&c.ConnectTimeout, defaultConnectTimeout)
+	setDefault(&c.IdleTimeout, defaultIdleTimeout)
+	setDefault(&c.MaxMessageBytes, defaultMaxMessageBytes)
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	if c.Dial == nil {
 		c.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	return &Transport{config: c, loadReader: loadreport.New(c.LoadReportFields), failureLogLimit: rate.Sometimes{First: 10, Interval: time.Second}, byID: map[decision.BackendID]*backend{}}
+	return &Transport{
+		config:          c,
+		loadReader:      loadreport.New(c.LoadReportFields),
+		failureLogLimit: rate.Sometimes{First: 10, Interval: time.Second},
+		byID:            map[decision.BackendID]*backend{},
+	}
+}
+
+// setDefault sets a limit that is not positive.
+func setDefault[T int | time.Duration](limit *T, value T) {
+	if *limit <= 0 {
+		*limit = value
+	}
 }
 
-// Apply takes in what has changed about backends. It holds for every attempt that begins after it returns.
-func (b *Transport) Apply(changes []membership.Change) {
-	var drop []*conn
-	b.mu.Lock()
-	for _, c := range changes {
-		be := b.byID[c.ID]
-		if be != nil && (c.State == decision.Removed || c.Replaced) {
-			drop = append(drop, be.conns...)
-			be.removed, be.conns = true, nil
-			delete(b.byID, c.ID)
+// maxIdle returns how long a connection may be idle and still be used. It is below the time after
+// which the backend may close it.
+func maxIdle(idleTimeout time.Duration) time.Duration { return idleTimeout * 6 / 10 }
+
+// Apply takes in changes of the backends. They hold for every attempt that begins after it returns.
+func (t *Transport) Apply(changes []membership.Change) {
+	var discarded []*conn
+	t.mu.Lock()
+	for _, change := range changes {
+		be := t.byID[change.ID]
+		if be != nil && (change.State == decision.Removed || change.Replaced) {
+			discarded = append(discarded, be.remove()...)
+			delete(t.byID, change.ID)
 			be = nil
 		}
-		if c.State == decision.Removed {
+		if change.State == decision.Removed {
 			continue
 		}
 		if be == nil {
-			be = &backend{addr: c.Addr}
-			b.byID[c.ID] = be
+			be = &backend{addr: change.Addr}
+			t.byID[change.ID] = be
 		}
-		be.state = c.State
+		be.state = change.State
 	}
-	b.mu.Unlock()
-	for _, c := range drop {
+	t.mu.Unlock()
+	for _, c := range discarded {
 		c.drain()
 	}
 }
 
-// Close ends all connections and waits until nothing of them runs.
-func (b *Transport) Close() {
-	b.mu.Lock()
-	var drop []*conn
-	for _, be := range b.byID {
-		drop = append(drop, be.conns...)
-		be.removed, be.conns = true, nil
-	}
-	clear(b.byID)
-	b.mu.Unlock()
-	for _, c := range drop {
+// remove returns the connections of a backend that is removed. The caller holds Transport.mu.
+func (be *backend) remove() []*conn {
+	conns := be.conns
+	be.removed, be.conns = true, nil
+	return conns
+}
+
+// Close closes all connections and waits until nothing of them runs.
+func (t *Transport) Close() {
+	t.mu.Lock()
+	var conns []*conn
+	for _, be := range t.byID {
+		conns = append(conns, be.remove()...)
+	}
+	clear(t.byID)
+	t.mu.Unlock()
+	for _, c := range conns {
 		c.fail(net.ErrClosed)
 	}
-	b.readLoops.Wait()
+	t.readLoops.Wait()
 }
 
-// Probe tells nothing: there are no load reports over gRPC.
-func (b *Transport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
+// Probe returns decision.NotSent: there are no load reports to ask for over gRPC.
+func (t *Transport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
 	return decision.ProbeResult{Backend: id, Result: decision.NotSent}
 }
 
-// RoundTrip makes an attempt. One that is answered, with an error too, gives an *Answer.
-func (b *Transport) RoundTrip(a *executor.Attempt) executor.Response {
-	req := a.Payload.(*Request)
-	s := &stream{done: make(chan struct{})}
-	if req.Sink != nil {
-		s.call.Streaming, s.changed = true, make(chan struct{}, 1)
-	}
-	s.call.MaxMessageBytes = b.config.MaxMessageBytes
+// RoundTrip makes an attempt and blocks until it ends. The Body of its result is a *Response if the
+// backend responded, with an error status too.
+func (t *Transport) RoundTrip(a *executor.Attempt) executor.Response {
+	request := a.Payload.(*Request)
+	s := newStream(request.Sink != nil, t.config.MaxMessageBytes)
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	defer cancel()
 	if a.OnCancel(cancel) != nil {
 		return responseWith(decision.NotSent)
 	}
-	c, result := b.acquire(ctx, a.Backend)
+	c, result := t.acquire(ctx, a.Backend)
 	if c == nil {
 		return responseWith(result)
 	}
-	if a.SendForbidden() { // a connection may have taken long to come up, or this process stood still
+	if a.SendForbidden() { // connecting may have taken long, or this process was paused
 		return responseWith(decision.NotSent)
 	}
-	if err := c.openStream(s, req.headerFields(time.Until(a.Deadline))); err != nil && s.conn == nil {
-		return responseWith(decision.NotSent) // it has ended, or is leaving, since it was picked
+	err := c.openStream(s, request.headerFields(time.Until(a.Deadline)))
+	if err != nil && s.conn == nil { // the connection has ended or is draining since it was picked
+		return responseWith(decision.NotSent)
 	}
-	end := context.AfterFunc(ctx, func() {
-		how := (*grpcproto.Call).TimedOut
+	stop := context.AfterFunc(ctx, func() {
 		if errors.Is(a.CancelCause(), executor.ErrCancelled) {
-			how = (*grpcproto.Call).Cancelled
+			c.resetStream(s, (*grpcproto.Call).Cancelled)
+		} else {
+			c.resetStream(s, (*grpcproto.Call).TimedOut)
 		}
-		c.resetStream(s, how)
 	})
-	defer end()
-	c.sendBody(s, req.Body)
-	cut := decision.Succeeded // how passing it on has ended
-	if req.Sink != nil {
-		cut = s.forwardTo(ctx, a, req.Sink)
+	defer stop()
+	c.sendBody(s, request.Body)
+	forwarded := decision.Succeeded
+	if request.Sink != nil {
+		forwarded = s.forwardTo(ctx, a, request.Sink)
 	}
 	<-s.done
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	o, _ := s.call.Ended()
-	if o.Result == decision.Succeeded {
-		o.Result = cut
-	}
-	r := responseWith(o.Result)
-	switch o.Result {
-	case decision.Succeeded, decision.ErrorResponse:
-		s.response.Code, s.response.Body = o.Code, s.messages.next()
-		r.Body = &s.response
-	}
-	if v, ok := b.loadReader.Use(s.response.usage); ok {
-		r.HasUsage, r.Usage = true, v
-	}
-	r.LoadReport = b.loadReader.Load(s.response.loadReport)
-	if o.Result != decision.Succeeded {
-		b.failureLogLimit.Do(func() {
-			b.config.Log.Debug("an attempt over gRPC", "method", req.Method, "why", o.Reason, "proof", o.Proof)
+	return t.result(s, request, forwarded)
+}
+
+// result returns the result of an attempt whose stream has ended. forwarded is how the forwarding of
+// a streamed response ended.
+func (t *Transport) result(s *stream, request *Request, forwarded decision.Result) executor.Response {
+	s.conn.mu.Lock()
+	defer s.conn.mu.Unlock()
+	outcome, _ := s.call.Ended()
+	if outcome.Result == decision.Succeeded {
+		outcome.Result = forwarded
+	}
+	out := responseWith(outcome.Result)
+	if outcome.Result == decision.Succeeded || outcome.Result == decision.ErrorResponse {
+		s.response.Code, s.response.Body = outcome.Code, s.messages.next()
+		out.Body = &s.response
+	}
+	if usage, ok := t.loadReader.Use(s.response.usage); ok {
+		out.Usage, out.HasUsage = usage, true
+	}
+	out.LoadReport = t.loadReader.Load(s.response.loadReport)
+	if outcome.Result != decision.Succeeded {
+		t.failureLogLimit.Do(func() {
+			t.config.Log.Debug("attempt failed", "method", request.Method, "reason", outcome.Reason, "proof", outcome.Proof)
 		})
 	}
-	return r
+	return out
 }
 
+// responseWith is the result of an attempt without a backend's response.
 func responseWith(r decision.Result) executor.Response {
 	return executor.Response{Outcome: lifecycle.Outcome{Result: r}}
 }
 
-// headerFields are a request's head.
-func (r *Request) headerFields(left time.Duration) []Field {
-	return append([]Field{{":method", "POST"}, {":scheme", "http"}, {":path", r.Method}, {":authority", "backend"}, {"te", "trailers"},
-		{"content-type", "application/grpc"}, {"grpc-timeout", grpcproto.FormatTimeout(left)}}, r.Metadata...)
-}
-
-// acquire gives a connection with a stream that is reserved, or the result of an attempt that gets none. While one is coming
-// up, as many attempts as it has streams wait for it.
-func (b *Transport) acquire(ctx context.Context, id decision.BackendID) (*conn, decision.Result) {
+// acquire returns a connection with a reserved stream, or nil and the attempt's result. It blocks
+// while a connection is dialed, at most until ctx ends.
+func (t *Transport) acquire(ctx context.Context, id decision.BackendID) (*conn, decision.Result) {
 	for {
-		be, c, d, mine := b.pick(id)
+		p := t.pick(id)
 		switch {
-		case c != nil:
-			return c, 0
-		case d == nil: // all streams are taken, or it drains: the decision module may choose another backend
+		case p.conn != nil:
+			return p.conn, 0
+		case p.dialing == nil: // no free stream, or the backend drains: the attempt may go to another backend
 			return nil, decision.NotSent
-		case mine:
-			go b.dial(be, d)
+		case p.dial:
+			go t.dial(p.backend, p.dialing)
 		}
 		select {
-		case <-d.done:
-			if d.failed {
+		case <-p.dialing.done:
+			if p.dialing.failed {
 				return nil, decision.ConnectFailed
 			}
 		case <-ctx.Done():
@@ -291,91 +267,102 @@
 	}
 }
 
-// pick finds a stream that is free, or a connection that is coming up and will have one; mine: it has to be dialled.
-func (b *Transport) pick(id decision.BackendID) (be *backend, c *conn, d *pendingDial, mine bool) {
+// streamPick is what Transport.pick has found for an attempt.
+type streamPick struct {
+	backend *backend
+	conn    *conn        // with a reserved stream; nil: there is none
+	dialing *pendingDial // the dial to wait for; nil: no connection may be dialed
+	dial    bool         // the caller is to make that dial
+}
+
+// pick finds a free stream, or a connection that is being dialed and will have one.
+func (t *Transport) pick(id decision.BackendID) streamPick {
 	now := time.Now()
-	var drop []*conn
+	var expired []*conn
 	defer func() {
-		for _, c := range drop {
+		for _, c := range expired {
 			c.drain()
 		}
 	}()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	be = b.byID[id]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	be := t.byID[id]
 	if be == nil || be.state != decision.Ready {
-		return nil, nil, nil, false
+		return streamPick{}
 	}
 	be.conns = slices.DeleteFunc(be.conns, func(c *conn) bool {
-		old := c.idleFor(now) > b.config.IdleTimeout*6/10 // as over HTTP/1.1: the backend may be closing it
+		old := c.idleFor(now) > maxIdle(t.config.IdleTimeout)
 		if old {
-			drop = append(drop, c)
+			expired = append(expired, c)
 		}
 		return old
 	})
 	for _, c := range be.conns {
 		if c.reserve() == nil {
-			return be, c, nil, false
+			return streamPick{backend: be, conn: c}
 		}
 	}
 	for _, d := range be.dialing {
-		if d.waiters < b.config.MaxStreamsPerConn {
+		if d.waiters < t.config.MaxStreamsPerConn {
 			d.waiters++
-			return be, nil, d, false
+			return streamPick{backend: be, dialing: d}
 		}
 	}
-	fit := 0 // one that the backend is leaving does not count while its last streams end, up to a bound
+	if !t.mayDial(be) {
+		return streamPick{backend: be}
+	}
+	d := &pendingDial{waiters: 1, done: make(chan struct{})}
+	be.dialing = append(be.dialing, d)
+	t.readLoops.Add(1)
+	return streamPick{backend: be, dialing: d, dial: true}
+}
+
+// mayDial reports whether a backend may have another connection. A draining one does not count while
+// its last streams end, up to a limit. The caller holds Transport.mu.
+func (t *Transport) mayDial(be *backend) bool {
+	open := 0
 	for _, c := range be.conns {
 		if c.state() == stateOpen {
-			fit++
+			open++
 		}
 	}
-	if fit+len(be.dialing) >= b.config.MaxConnsPerBackend || len(be.conns)+len(be.dialing) >= 2*b.config.MaxConnsPerBackend {
-		return be, nil, nil, false
-	}
-	d = &pendingDial{waiters: 1, done: make(chan struct{})}
-	be.dialing = append(be.dialing, d)
-	b.readLoops.Add(1)
-	return be, nil, d, true
+	return open+len(be.dialing) < t.config.MaxConnsPerBackend &&
+		len(be.conns)+len(be.dialing) < 2*t.config.MaxConnsPerBackend
 }
 
-// dial brings a connection up. It goes on when the attempt that began it is called off, as others may wait for it.
-func (b *Transport) dial(be *backend, d *pendingDial) {
-	ctx, cancel := context.WithTimeout(context.Background(), b.config.ConnectTimeout)
+// dial opens a connection. It goes on when the attempt that began it is cancelled, as others may
+// wait for it.
+func (t *Transport) dial(be *backend, d *pendingDial) {
+	ctx, cancel := context.WithTimeout(context.Background(), t.config.ConnectTimeout)
 	defer cancel()
-	nc, err := b.config.Dial(ctx, "tcp", be.addr)
+	netConn, err := t.config.Dial(ctx, "tcp", be.addr)
 	var c *conn
 	if err == nil {
-		c, err = newConn(nc, b.config.MaxStreamsPerConn, func(c *conn) { b.removeConn(be, c); b.readLoops.Done() })
+		c, err = newConn(netConn, t.config.MaxStreamsPerConn, func(c *conn) {
+			t.removeConn(be, c)
+			t.readLoops.Done()
+		})
 	}
 	if err != nil {
-		b.readLoops.Done()
+		t.readLoops.Done()
 	}
-	b.mu.Lock()
+	t.mu.Lock()
 	be.dialing = slices.DeleteFunc(be.dialing, func(o *pendingDial) bool { return o == d })
-	gone := be.removed
-	if err == nil && !gone && c.state() != stateClosed {
+	removed := be.removed
+	if err == nil && !removed && c.state() != stateClosed {
 		be.conns = append(be.conns, c)
 	}
-	b.mu.Unlock()
-	if err == nil && gone {
+	t.mu.Unlock()
+	if err == nil && removed {
 		c.drain()
 	}
 	d.failed = err != nil
 	close(d.done)
 }
 
-// removeConn drops a connection that has ended.
-func (b *Transport) removeConn(be *backend, c *conn) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// removeConn removes a connection that has ended.
+func (t *Transport) removeConn(be *backend, c *conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	be.conns = slices.DeleteFunc(be.conns, func(o *conn) bool { return o == c })
 }
-
-// drain lets nothing new onto a connection and ends it when what is on it has ended.
-func (c *conn) drain() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.draining = true
-	c.noteIdle()
-}
