--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,9 @@
-// Package daemon is the front door as a program: one Door on one socket, configured as the platform does it. It is
-// thin on the library; signals and arguments are the command's.
+// Package daemon runs a gateway as a program: by the platform's configuration (Serve) or by an
+// operator's file (ServeFile). It connects the library to sockets, files and the log; command lines
+// are package main's.
+//
+// The files: daemon.go serves the platform, servefile.go an operator's file, sources.go makes the
+// file's sources of backends, http.go its HTTP proxy, status.go tells of its backends.
 package daemon
 
 import (
@@ -21,57 +25,80 @@
 	"pumicecroft/membership"
 )
 
-// Serve is one real front door of the platform: it reads the file at path and serves until ctx ends. A value from
-// hup makes it read the file again and follow the discovery that it names then.
+// counterTimeoutFactor is how many of the platform's time limits for the shared counter a call may
+// take. On sockets a late reply is still useful, and no worse for the client than a rejection.
+const counterTimeoutFactor = 4
+
+// Serve serves as one gateway of the platform, by the file at path, until ctx ends. A value from hup
+// makes it read the file again and follow the discovery and the counter that it names then.
 func Serve(ctx context.Context, path string, hup <-chan struct{}) error {
 	config, err := platform.LoadConfig(path)
 	if err != nil {
 		return err
 	}
 	slog.SetDefault(slog.With("door", config.Name))
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
-	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3) // the rest is for stacks, sockets and the program
-	moves := make(chan string)
-	options := []pumicecroft.Option{pumicecroft.WithLogger(slog.Default()),
-		pumicecroft.WithSource(&platform.Discovery{Addr: config.Discovery, FromVersion: config.Known.Seq, AddrChanges: moves,
-			PollWithin: config.Conns.SubscribeWithin, Seed: config.Seed, DrainGrace: config.Settings.DrainGrace, MaxEntries: config.Limits.MaxBackends()})}
-	moved := func(string) {}
+	setLimits(config.Limits)
+	discoveryAddrs := make(chan string)
+	options := []pumicecroft.Option{
+		pumicecroft.WithLogger(slog.Default()),
+		pumicecroft.WithSource(newDiscovery(config, discoveryAddrs)),
+	}
+	setCounterAddr := func(string) {}
 	if config.Settings.HasSharedCounter {
-		// on sockets a late answer is still good, and no worse for the client than a refusal
-		counter := counterclient.New(counterclient.Config{Addr: config.Counter, Timeout: 4 * config.Conns.CounterTimeout, ConnectTimeout: config.Conns.ConnectTimeout})
+		counter := counterclient.New(counterclient.Config{
+			Addr:           config.Counter,
+			Timeout:        counterTimeoutFactor * config.Conns.CounterTimeout,
+			ConnectTimeout: config.Conns.ConnectTimeout,
+		})
 		defer counter.Close()
-		moved = counter.SetAddr
+		setCounterAddr = counter.SetAddr
 		options = append(options, pumicecroft.WithCounter(counter))
 	}
-	door, err := pumicecroft.New(GatewayConfig(config), options...)
+	gateway, err := pumicecroft.New(GatewayConfig(config), options...)
 	if err != nil {
 		return err
 	}
-	reloading, stop := context.WithCancel(context.Background())
+	following, stop := context.WithCancel(context.Background())
 	defer stop()
-	go followConfig(reloading, path, hup, moves, moved)
-	front := httplistener.NewServer(door, config.Limits.ClientConns(), config.Settings.LongestDeadline(), slog.Default(), httplistener.Options{})
-	return serveAll(ctx, door, config.Name, config.Listen, front.Run)
+	go followConfig(following, path, hup, discoveryAddrs, setCounterAddr)
+	server := httplistener.NewServer(gateway, config.Limits.ClientConns(), config.Settings.LongestDeadline(), slog.Default(),
+		httplistener.Options{})
+	return serveAll(ctx, gateway, config.Name, config.Listen, server.Run)
+}
+
+// setLimits holds the process to its cores and memory. A quarter of the memory is left for stacks,
+// sockets and the program.
+func setLimits(limits platform.Limits) {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
+	debug.SetMemoryLimit(limits.MemoryMB << 20 / 4 * 3)
+}
+
+// newDiscovery returns the platform's source of backends. addrs tells it of new addresses.
+func newDiscovery(config platform.Config, addrs <-chan string) *platform.Discovery {
+	return &platform.Discovery{
+		Addr:        config.Discovery,
+		FromVersion: config.Known.Seq,
+		AddrChanges: addrs,
+		PollWithin:  config.Conns.SubscribeWithin,
+		Seed:        config.Seed,
+		DrainGrace:  config.Settings.DrainGrace,
+		MaxEntries:  config.Limits.MaxBackends(),
+	}
 }
 
-// serveFunc serves clients until ctx ends, and then until all that it took has its answer.
+// serveFunc serves clients until ctx ends, and then until all accepted requests have their response.
 type serveFunc func(ctx context.Context) error
 
-// serveAll serves a door on a socket, with servers beside it that listen already, until ctx ends or one of them fails, and all
-// that was taken has its answer.
-func serveAll(ctx context.Context, door *pumicecroft.Gateway, name, listen string, serveOn func(context.Context, net.Listener) error, beside ...serveFunc) error {
-	defer func() {
-		now, cancel := context.WithCancel(context.Background())
-		cancel()
-		if err := door.Close(now); err != nil { // the server has waited for all that it had taken
-			slog.Warn("ended with requests open", "err", err)
-		}
-	}()
+// serveAll serves a gateway on the address listen, beside servers that listen already, until ctx
+// ends or one of them fails, and all accepted requests have their response. It closes the gateway.
+func serveAll(ctx context.Context, gateway *pumicecroft.Gateway, name, listen string, serveOn func(context.Context, net.Listener) error,
+	beside ...serveFunc) error {
+	defer closeGateway(gateway)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		stop() // those beside it end at once
+		stop() // ends the others at once
 	} else {
 		slog.Info("serving", "name", name, "listen", listener.Addr().String())
 		beside = append(beside, func(ctx context.Context) error { return serveOn(ctx, listener) })
@@ -82,22 +109,38 @@
 	}
 	for range beside {
 		err = errors.Join(err, <-errs)
-		stop() // without one of them the others are not what was asked for
+		stop() // without one server the others are not what was configured
 	}
 	slog.Info("ended", "err", err)
 	return err
 }
 
-// GatewayConfig is the platform's configuration in the library's terms.
+// closeGateway closes a gateway whose servers have waited for all accepted requests.
+func closeGateway(gateway *pumicecroft.Gateway) {
+	now, cancel := context.WithCancel(context.Background())
+	cancel()
+	if err := gateway.Close(now); err != nil {
+		slog.Warn("ended with open requests", "err", err)
+	}
+}
+
+// GatewayConfig returns the platform's configuration as the library takes it.
 func GatewayConfig(c platform.Config) pumicecroft.Config {
-	return pumicecroft.Config{Settings: c.Settings, Seed: c.Seed, InitialEndpoints: c.Known.Membership(),
-		Membership:      membership.Policy{MaxNodes: c.Limits.MaxBackends()},
-		MaxBackendConns: c.Limits.BackendConns(), ConnectTimeout: c.Conns.ConnectTimeout, IdleTimeout: c.Conns.IdleTimeout}
+	return pumicecroft.Config{
+		Settings:         c.Settings,
+		Seed:             c.Seed,
+		InitialEndpoints: c.Known.Membership(),
+		Membership:       membership.Policy{MaxNodes: c.Limits.MaxBackends()},
+		MaxBackendConns:  c.Limits.BackendConns(),
+		ConnectTimeout:   c.Conns.ConnectTimeout,
+		IdleTimeout:      c.Conns.IdleTimeout,
+	}
 }
 
-// followConfig reads the file again at each value of hup and tells where discovery and the counter are now. A file that is no
-// good changes nothing. What else it holds is for the next start.
-func followConfig(ctx context.Context, path string, hup <-chan struct{}, moves chan<- string, counter func(addr string)) {
+// followConfig reads the platform's file again at each value of hup, and passes on where discovery
+// and the counter are now. An invalid file changes nothing; everything else in the file is for the
+// next start.
+func followConfig(ctx context.Context, path string, hup <-chan struct{}, discoveryAddrs chan<- string, setCounterAddr func(addr string)) {
 	for {
 		select {
 		case <-hup:
@@ -106,24 +149,25 @@
 		}
 		config, err := platform.LoadConfig(path)
 		if err != nil {
-			slog.Warn("the new configuration is no good, the old one stays", "err", err)
+			slog.Warn("invalid configuration ignored", "err", err)
 			continue
 		}
-		slog.Info("configured anew", "discovery", config.Discovery)
-		counter(config.Counter)
+		slog.Info("configuration reloaded", "discovery", config.Discovery)
+		setCounterAddr(config.Counter)
 		select {
-		case moves <- config.Discovery:
+		case discoveryAddrs <- config.Discovery:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// NotifyHangup tells of SIGHUP. One that waits stands for all that came since: the file is read after it.
+// NotifyHangup returns a channel that tells of SIGHUP until ctx ends. A value that waits stands for
+// all signals since, as the file is read after it is received.
 func NotifyHangup(ctx context.Context) <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	told := make(chan struct{})
+	hangups := make(chan struct{})
 	go func() {
 		for {
 			select {
@@ -132,11 +176,11 @@
 				return
 			}
 			select {
-			case told <- struct{}{}:
+			case hangups <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return told
+	return hangups
 }
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -7,6 +7,7 @@
 	"net"
 	"os"
 	"reflect"
+	"sync"
 	"time"
 
 	"pumicecroft"
@@ -17,83 +18,102 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// Of ordinary clients: a head may be as large as common servers take, and come over a slow network.
+// Limits of ordinary clients: a head may be as large as common servers take, and come over a slow
+// network.
 const (
 	httpHeaderTimeout  = 10 * time.Second
 	httpMaxHeaderBytes = 128 << 10
 )
 
-// httpServer is a file's ordinary HTTP.
+// httpServer serves the HTTP routes of an operator's file.
 type httpServer struct {
-	options      []pumicecroft.Option
+	options      []pumicecroft.Option // of the gateway
 	rules        httpproxy.Rules
-	tls          *tls.Config
-	certificates *certs.Store
-	proxy        *httpproxy.Proxy
+	tls          *tls.Config      // nil: plain text
+	certificates *certs.Store     // nil: plain text
+	proxy        *httpproxy.Proxy // nil until newServe
 }
 
-// newHTTPServer reads the files that a file names.
+// newHTTPServer reads the files that an operator's file names.
 func newHTTPServer(f operatorconfig.File) (*httpServer, error) {
-	w := &httpServer{}
-	for _, s := range f.HTTP.Services {
-		c, err := httpproxyconfig.Service(s, os.ReadFile, slog.Default())
+	s := &httpServer{}
+	for _, service := range f.HTTP.Services {
+		c, err := httpproxyconfig.Service(service, os.ReadFile, slog.Default())
 		if err != nil {
 			return nil, err
 		}
-		w.options = append(w.options, httpproxy.WithService(c))
+		s.options = append(s.options, httpproxy.WithService(c))
 	}
 	var err error
-	if w.rules, err = httpproxyconfig.Rules(&f, os.ReadFile); err != nil {
+	if s.rules, err = httpproxyconfig.Rules(&f, os.ReadFile); err != nil {
 		return nil, err
 	}
-	w.tls, w.certificates, err = httpproxyconfig.Listener(&f, os.ReadFile, time.Now, slog.Default())
-	return w, err
+	s.tls, s.certificates, err = httpproxyconfig.Listener(&f, os.ReadFile, time.Now, slog.Default())
+	return s, err
 }
 
-// CheckHTTP reads the files that a file names, and tells what an operator should know of them.
+// CheckHTTP reads the files that an operator's file names. It returns warnings about what is valid
+// and may not be meant.
 func CheckHTTP(f operatorconfig.File) (warnings []string, err error) {
-	w, err := newHTTPServer(f)
+	s, err := newHTTPServer(f)
 	if err != nil {
 		return nil, err
 	}
-	return httpproxyconfig.Warnings(&f, w.certificates, time.Now()), nil
+	return httpproxyconfig.Warnings(&f, s.certificates, time.Now()), nil
 }
 
-// NewOfflineProxy makes a file's front on a door that reaches no backends, for who asks what would become of a request.
+// NewOfflineProxy returns the proxy of an operator's file on a gateway that reaches no backends, to
+// ask what would become of a request. The second result closes it.
 func NewOfflineProxy(f operatorconfig.File) (*httpproxy.Proxy, func(), error) {
-	w, err := newHTTPServer(f)
+	s, err := newHTTPServer(f)
 	if err != nil {
 		return nil, nil, err
 	}
 	f.Gateway.IdempotencyJournal, f.Gateway.StateDir = nil, ""
-	door, err := pumicecroft.New(f.Gateway, w.options...)
+	gateway, err := pumicecroft.New(f.Gateway, s.options...)
 	if err != nil {
 		return nil, nil, err
 	}
-	end := func() { _ = door.Close(context.Background()) }
-	if _, err = w.newServe(door, f); err != nil {
-		end()
+	closeGateway := func() { _ = gateway.Close(context.Background()) } // it has no open requests
+	if _, err = s.newServe(gateway, f); err != nil {
+		closeGateway()
 		return nil, nil, err
 	}
-	return w.proxy, end, nil
+	return s.proxy, closeGateway, nil
 }
 
-// newServe makes the front, and what serves it on a listener.
-func (w *httpServer) newServe(door *pumicecroft.Gateway, f operatorconfig.File) (func(context.Context, net.Listener) error, error) {
+// newServe makes the proxy, and returns what serves it on a listener.
+func (s *httpServer) newServe(gateway *pumicecroft.Gateway, f operatorconfig.File) (func(context.Context, net.Listener) error, error) {
 	c := f.HTTP.Proxy
-	c.Rules, c.Log = w.rules, slog.Default()
+	c.Rules, c.Log = s.rules, slog.Default()
 	var err error
-	if w.proxy, err = httpproxy.New(door, c); err != nil {
+	if s.proxy, err = httpproxy.New(gateway, c); err != nil {
 		return nil, err
 	}
-	return httplistener.NewServer(w.proxy, f.MaxClientConns, f.Gateway.Settings.LongestDeadline(), slog.Default(),
-		httplistener.Options{TLS: w.tls, GeneralPurpose: true, HeaderTimeout: httpHeaderTimeout, MaxHeaderBytes: httpMaxHeaderBytes}).Run, nil
+	server := httplistener.NewServer(s.proxy, f.MaxClientConns, f.Gateway.Settings.LongestDeadline(), slog.Default(), httplistener.Options{
+		TLS:            s.tls,
+		GeneralPurpose: true,
+		HeaderTimeout:  httpHeaderTimeout,
+		MaxHeaderBytes: httpMaxHeaderBytes,
+	})
+	return server.Run, nil
 }
 
-// watch reads certificates again as they change, and the file at each value of hup.
-func (w *httpServer) watch(ctx context.Context, f operatorconfig.File, again func() (operatorconfig.File, error), hup <-chan struct{}) {
-	if w.certificates != nil {
-		go w.certificates.Watch(ctx, f.HTTP.TLS.ReloadInterval)
+// startWatching follows the file and its certificates until stop is called.
+func (s *httpServer) startWatching(f operatorconfig.File, reload func() (operatorconfig.File, error), hup <-chan struct{}) (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { s.watch(ctx, f, reload, hup) })
+	return func() {
+		cancel()
+		running.Wait()
+	}
+}
+
+// watch reads certificates again when they change, and the file at each value of hup.
+func (s *httpServer) watch(ctx context.Context, f operatorconfig.File, reload func() (operatorconfig.File, error), hup <-chan struct{}) {
+	if s.certificates != nil {
+		go s.certificates.Watch(ctx, f.HTTP.TLS.ReloadInterval)
 	}
 	for {
 		select {
@@ -101,17 +121,17 @@
 			return
 		case <-hup:
 		}
-		if err := w.reload(f, again); err != nil {
-			slog.Warn("the new file is no good, the old one stays", "err", err)
+		if err := s.reload(f, reload); err != nil {
+			slog.Warn("invalid configuration ignored", "err", err)
 			continue
 		}
-		slog.Info("configured anew")
+		slog.Info("configuration reloaded")
 	}
 }
 
-// reload goes by the routes, identities and certificates that the file names now.
-func (w *httpServer) reload(old operatorconfig.File, again func() (operatorconfig.File, error)) error {
-	f, err := again()
+// reload puts the routes, identities and certificates in force that the file names now.
+func (s *httpServer) reload(old operatorconfig.File, read func() (operatorconfig.File, error)) error {
+	f, err := read()
 	if err != nil {
 		return err
 	}
@@ -122,16 +142,17 @@
 	if err != nil {
 		return err
 	}
-	if err := w.proxy.SetRules(rules); err != nil {
+	if err := s.proxy.SetRules(rules); err != nil {
 		return err
 	}
-	if w.certificates != nil {
-		if err := w.certificates.Reload(); err != nil {
-			slog.Error("a certificate that can't be used: the one before stays in force", "err", err)
+	if s.certificates != nil {
+		if err := s.certificates.Reload(); err != nil {
+			slog.Error("invalid certificate ignored", "err", err)
 		}
 	}
-	if !reflect.DeepEqual(f.Gateway.Settings, old.Gateway.Settings) || !reflect.DeepEqual(f.Backends, old.Backends) || !reflect.DeepEqual(f.HTTP.Services, old.HTTP.Services) {
-		slog.Warn("what has changed beside routes, identities and certificates holds from the next start")
+	if !reflect.DeepEqual(f.Gateway.Settings, old.Gateway.Settings) || !reflect.DeepEqual(f.Backends, old.Backends) ||
+		!reflect.DeepEqual(f.HTTP.Services, old.HTTP.Services) {
+		slog.Warn("changes beside routes, identities and certificates take effect at the next start")
 	}
 	return nil
 }
