--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,6 +1,12 @@
-// Package operatorconfig reads the operator's own file, such as deploy/pumicecroft.toml: a front door that is not run
-// by the platform has its classes, plans and backends from there. Every problem of a file is found in one go and
-// names its key and line. The package reads text; files and sockets are the caller's.
+// Package operatorconfig reads the operator's own file, such as deploy/pumicecroft.toml, from which a
+// gateway that is not run by the platform has its classes, plans, routes and backends. All problems
+// of a file are found in one go, and name its keys and lines. The package reads text: files and
+// sockets are the caller's.
+//
+// The keys of the file are the operators' words; they are mapped to the field's terms here, and
+// nowhere behind it. The files: file.go has the gateway, classes and plans, sources.go the sources
+// of backends, http.go, services.go, routes.go and identities.go ordinary HTTP, grpc.go gRPC and
+// idempotency.go idempotency keys.
 package operatorconfig
 
 import (
@@ -17,30 +23,42 @@
 	"pumicecroft/membership"
 )
 
-// Problem is one thing that is wrong with a file.
-type Problem = settings.Problem
-
-// Problems are all things that are wrong with a file.
-type Problems = settings.Problems
+// Problem is one thing that is wrong with a file, and Problems all of them.
+type (
+	Problem  = settings.Problem
+	Problems = settings.Problems
+)
 
 // File is what an operator's file says.
 type File struct {
-	Listen         string // host:port for clients
-	MaxClientConns int    // connections that clients may hold
-	Gateway        pumicecroft.Config
-	StatusAddr     string            // host:port on loopback for who asks what the door believes of its backends; empty: nobody
-	Sources        []string          // of backends, by precedence: SourceConsul and so on
-	Backends       membership.Update // of SourceFile
-	DiscoveryAddr  string            // host:port of the platform's discovery
-	// DiscoveryProtocol is what the backends there speak; empty: what the door takes them to.
+	// Listen is the address for clients, host:port.
+	Listen string
+	// MaxClientConns limits the connections of clients.
+	MaxClientConns int
+	// Gateway is the configuration of the gateway.
+	Gateway pumicecroft.Config
+	// StatusAddr is the loopback address on which the gateway tells what it knows of its backends.
+	// Empty means that it does not.
+	StatusAddr string
+	// Sources are the sources of backends, by precedence: SourceConsul and so on.
+	Sources []string
+	// Backends are those of SourceFile.
+	Backends membership.Update
+	// DiscoveryAddr is the address of the platform's discovery, host:port, for SourceDiscovery.
+	DiscoveryAddr string
+	// DiscoveryProtocol is what the backends of SourceDiscovery speak. Empty means Gateway.Protocol.
 	DiscoveryProtocol string
-	Consul            *Consul
-	GRPC              *GRPC // nil: gRPC is off
-	HTTP              *HTTP // nil: clients on Listen speak the platform's dialect
+	// Consul is nil without SourceConsul.
+	Consul *Consul
+	// GRPC is nil if gRPC is not served.
+	GRPC *GRPC
+	// HTTP is nil if clients on Listen speak the platform's dialect.
+	HTTP *HTTP
 
-	classes []class // the file's, before their variants
+	classes []class // without their variants
 }
 
+// Bounds of values.
 const (
 	day       = 24 * time.Hour
 	maxCount  = 1 << 20
@@ -57,62 +75,78 @@
 	top := d.Top()
 	f.Listen = top.Text("listen", true)
 	if f.Listen != "" {
-		checkAddress(d, top, "listen", f.Listen)
+		checkAddress(top, "listen", f.Listen)
 	}
 	readGateway(top.Table("door"), &f)
-	readServices(d, top, &f)
+	readServices(top, &f)
 	readClasses(d, top, &f)
 	readPlans(d, top, &f)
 	readSources(d, top, &f)
 	readHTTP(d, top, &f)
 	if s := top.Table("grpc"); s.Keys != nil {
-		f.GRPC = readGRPC(d, s, &f)
+		f.GRPC = readGRPC(s, &f)
 	}
 	if s := top.Table("keys"); s.Keys != nil {
-		f.Gateway.Idempotency = readIdempotency(d, s, &f)
+		f.Gateway.Idempotency = readIdempotency(s, &f)
 	}
 	top.RejectUnknownKeys()
 	if err := d.Err(); err != nil {
 		return File{}, err
 	}
-	if err := f.Gateway.Settings.Validate(); err != nil { // what the keys by themselves do not show
+	if err := f.Gateway.Settings.Validate(); err != nil { // what no single key shows
 		return File{}, Problems{{Line: 1, Message: err.Error()}}
 	}
 	return f, nil
 }
 
-func checkAddress(d *settings.Document, s *settings.Section, key, addr string) {
+// checkAddress notes a problem unless addr is a host:port.
+func checkAddress(s *settings.Section, key, addr string) {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		d.Problemf(s.Path, key, "%q is no host:port", addr)
+		s.Problemf(key, "%q is no host:port", addr)
 		return
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
-		d.Problemf(s.Path, key, "%q has no port from 0 to 65535", addr)
+		s.Problemf(key, "%q has no port from 0 to 65535", addr)
+	}
+}
+
+// checkUniqueName notes a problem if a section's name has been seen before.
+func checkUniqueName(seen map[string]bool, s *settings.Section, name string) {
+	if name != "" && seen[name] {
+		s.Problemf("name", "%q is there twice", name)
 	}
+	seen[name] = true
 }
 
-// readProtocol gives what backends speak.
-func readProtocol(s *settings.Section, usual string) string {
-	if _, there := s.Get("protocol"); !there {
-		return usual
+// readProtocol reads what backends speak.
+func readProtocol(s *settings.Section, defaultProtocol string) string {
+	if _, ok := s.Get("protocol"); !ok {
+		return defaultProtocol
 	}
-	names := []string{membership.ProtocolHTTP, membership.ProtocolGRPC}
-	return names[s.OneOf("protocol", usual, names...)]
+	protocols := []string{membership.ProtocolHTTP, membership.ProtocolGRPC}
+	return protocols[s.OneOf("protocol", defaultProtocol, protocols...)]
 }
 
-// readServiceProtocol gives what backends speak that are a service's.
-func readServiceProtocol(s *settings.Section, key, usual string, f *File) string {
+// readServiceProtocol reads the service that backends belong to, and returns what they speak.
+func readServiceProtocol(s *settings.Section, f *File, defaultProtocol string) string {
+	const key = "service"
 	name := s.Text(key, false)
 	if name == "" {
-		return usual
+		return defaultProtocol
 	}
-	if f.HTTP == nil || !slices.ContainsFunc(f.HTTP.Services, func(v Service) bool { return v.Name == name }) {
+	if f.HTTP == nil || !slices.ContainsFunc(f.HTTP.Services, func(service Service) bool { return service.Name == name }) {
 		s.Problemf(key, "there is no service %q", name)
 	}
 	return httpproxy.Protocol(name)
 }
 
+// readIdempotencyOf reads the idempotency of a class or route.
+func readIdempotencyOf(s *settings.Section) decision.Idempotency {
+	return decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe")) // in the order of its values
+}
+
+// readGateway reads [door].
 func readGateway(s *settings.Section, f *File) {
 	set, c := &f.Gateway.Settings, &f.Gateway
 	set.GatewayCount = s.Int("of", 1, 1, 10_000)
@@ -143,44 +177,36 @@
 	s.RejectUnknownKeys()
 }
 
-// checkUniqueName notes a name that is there twice.
-func checkUniqueName(d *settings.Document, seen map[string]bool, s *settings.Section, name string) {
-	if name != "" && seen[name] {
-		d.Problemf(s.Path, "name", "%q is there twice", name)
-	}
-	seen[name] = true
-}
-
-// readClass reads what a class has beside its name and effect.
-func readClass(d *settings.Document, s *settings.Section, name string) decision.Class {
+// readClass reads what [[class]] and [[service]] say of a class alike.
+func readClass(s *settings.Section, name string) decision.Class {
 	c := decision.Class{Name: name}
-	c.DedupScope = decision.DedupScope(s.OneOf("group", "all", "all", "zone", "cell"))
+	c.DedupScope = decision.DedupScope(s.OneOf("group", "all", "all", "zone", "cell")) // in the order of its values
 	c.DedupWindow = s.Duration("key_window", 0, 0, day)
 	c.Deadline = s.Duration("deadline", 10*time.Second, time.Millisecond, time.Hour)
 	c.LatencyObjective = s.Duration("aim", c.Deadline/2, time.Millisecond, time.Hour)
 	c.PriorityWeight = s.Float("worth", 1, 0, unbounded)
 	c.LateWeightFactor = s.Float("late_worth", 0, 0, 1)
 	if c.LatencyObjective > c.Deadline {
-		d.Problemf(s.Path, "aim", "%v is over the deadline of %v", c.LatencyObjective, c.Deadline)
+		s.Problemf("aim", "%v is over the deadline of %v", c.LatencyObjective, c.Deadline)
 	}
 	return c
 }
 
-// readClasses reads classes; services have brought theirs, whose place one of the same name takes.
+// readClasses reads [[class]], after services: a class replaces the service's of the same name.
 func readClasses(d *settings.Document, top *settings.Section, f *File) {
 	set := &f.Gateway.Settings
 	seen := map[string]bool{}
 	for _, s := range top.List("class") {
-		c := class{Class: readClass(d, s, s.Text("name", true))}
-		checkUniqueName(d, seen, s, c.Name)
-		_, told := s.Get("effect")
-		c.byMethod = f.HTTP != nil && !told
-		c.Idempotency = decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe"))
+		c := class{Class: readClass(s, s.Text("name", true))}
+		checkUniqueName(seen, s, c.Name)
+		_, hasIdempotency := s.Get("effect")
+		c.byMethod = f.HTTP != nil && !hasIdempotency
+		c.Idempotency = readIdempotencyOf(s)
 		if c.Idempotency == decision.IdempotentByKey && c.DedupWindow == 0 {
-			d.Problemf(s.Path, "key_window", "a keyed class needs it: how long backends of a group drop a repeat")
+			s.Problemf("key_window", "a keyed class needs it: how long backends of a group drop a repeat")
 		}
 		s.RejectUnknownKeys()
-		if i := slices.IndexFunc(f.classes, func(k class) bool { return k.Name == c.Name }); i >= 0 {
+		if i := slices.IndexFunc(f.classes, func(o class) bool { return o.Name == c.Name }); i >= 0 {
 			f.classes[i] = c
 		} else {
 			f.classes = append(f.classes, c)
@@ -191,20 +217,21 @@
 			set.Classes = append(set.Classes, c.Class)
 			continue
 		}
-		all, _ := classVariants(c.Class)
-		set.Classes = append(set.Classes, all...)
+		variants, _ := classVariants(c.Class)
+		set.Classes = append(set.Classes, variants...)
 	}
 	if len(set.Classes) == 0 {
 		d.Problemf("", "class", "there is none: [[class]] with at least a name")
 	}
 }
 
+// readPlans reads [[plan]]. Without any, ordinary HTTP has one plan without a quota.
 func readPlans(d *settings.Document, top *settings.Section, f *File) {
 	set := &f.Gateway.Settings
 	seen := map[string]bool{}
 	for _, s := range top.List("plan") {
 		p := decision.Plan{Name: s.Text("name", true)}
-		checkUniqueName(d, seen, s, p.Name)
+		checkUniqueName(seen, s, p.Name)
 		p.Rate = s.Float("rate", 0, 0, unbounded)
 		p.Burst = s.Float("burst", 0, 0, unbounded)
 		p.MaxInFlight = s.Int("open", 0, 0, maxCount)
@@ -213,35 +240,18 @@
 		p.HardLimitBurst = s.Float("ceiling_burst", 0, 0, unbounded)
 		p.HardLimitOverdraft = s.Float("ceiling_slack", 0, 0, unbounded)
 		if (p.Rate > 0) != (p.Burst > 0) {
-			d.Problemf(s.Path, "burst", "rate and burst go together")
+			s.Problemf("burst", "rate and burst go together")
 		}
 		if (p.HardLimitRate > 0) != (p.HardLimitBurst > 0) {
-			d.Problemf(s.Path, "ceiling_burst", "ceiling_rate and ceiling_burst go together")
+			s.Problemf("ceiling_burst", "ceiling_rate and ceiling_burst go together")
 		}
 		s.RejectUnknownKeys()
 		set.Plans = append(set.Plans, p)
 	}
 	if len(set.Plans) == 0 && f.HTTP != nil {
-		set.Plans = []decision.Plan{{Name: "everyone", Price: 1}} // without a quota
+		set.Plans = []decision.Plan{{Name: "everyone", Price: 1}}
 	}
 	if len(set.Plans) == 0 {
 		d.Problemf("", "plan", "there is none: [[plan]] with at least a name")
 	}
 }
-
-func readBackends(d *settings.Document, top *settings.Section, f *File) {
-	seen := map[string]bool{}
-	f.Backends.Full = true
-	for _, s := range top.List("backend") {
-		n := membership.Node{Name: s.Text("name", true), Addr: s.Text("address", true), Zone: s.Text("zone", false),
-			InstanceType: s.Text("model", false), Cell: s.Int("cell", 0, 0, math.MaxInt32), Weight: s.Float("weight", 1, 0, unbounded),
-			Protocol: readProtocol(s, "")}
-		n.Protocol = readServiceProtocol(s, "service", n.Protocol, f)
-		checkUniqueName(d, seen, s, n.Name)
-		if n.Addr != "" {
-			checkAddress(d, s, "address", n.Addr)
-		}
-		s.RejectUnknownKeys()
-		f.Backends.Nodes = append(f.Backends.Nodes, n)
-	}
-}
--- a/internal/operatorconfig/grpc.go
+++ b/internal/operatorconfig/grpc.go
@@ -4,48 +4,26 @@
 	"slices"
 	"time"
 
+	"pumicecroft/decision"
 	"pumicecroft/grpcproxy"
 	"pumicecroft/internal/settings"
 )
 
 // GRPC is what a file says of gRPC.
 type GRPC struct {
-	Listen   string // host:port for clients
+	Listen   string // the address for clients, host:port
 	Proxy    grpcproxy.Config
 	Backends grpcproxy.BackendConfig
 }
 
-// readGRPC reads [grpc]; the classes have been read.
-func readGRPC(d *settings.Document, s *settings.Section, f *File) *GRPC {
-	g := &GRPC{}
-	c, b := &g.Proxy, &g.Backends
-	g.Listen = s.Text("listen", true)
+// readGRPC reads [grpc], after classes.
+func readGRPC(s *settings.Section, f *File) *GRPC {
+	g := &GRPC{Listen: s.Text("listen", true)}
 	if g.Listen != "" {
-		checkAddress(d, s, "listen", g.Listen)
-	}
-	usual := grpcproxy.PlatformNames
-	seen := map[string]bool{}
-	name := func(key, usual string) string {
-		v := usual
-		if _, there := s.Get(key); there {
-			v = s.Text(key, false)
-		}
-		if err := grpcproxy.ValidateMetadataName(v); err != nil {
-			d.Problemf(s.Path, key, "%v", err)
-		} else if v != "" && seen[v] {
-			d.Problemf(s.Path, key, "%q stands for something else already", v)
-		}
-		seen[v] = true
-		return v
-	}
-	c.Names = grpcproxy.MetadataNames{Customer: name("customer", usual.Customer), Plan: name("plan", usual.Plan), Cost: name("units", usual.Cost),
-		ID: name("id", usual.ID), IdempotencyKey: name("key", usual.IdempotencyKey), Terms: name("terms", usual.Terms)}
-	if c.Names.Customer == "" {
-		d.Problemf(s.Path, "customer", "it is empty: calls must say who asks")
-	}
-	if c.Names.Plan == "" {
-		d.Problemf(s.Path, "plan", "it is empty: calls must say by which plan")
+		checkAddress(s, "listen", g.Listen)
 	}
+	c, b := &g.Proxy, &g.Backends
+	c.Names = readMetadataNames(s)
 	c.Strict = s.Bool("strict", false)
 	c.CustomerText = s.Bool("customer_text", false)
 	c.ReadTimeout = s.Duration("read_timeout", time.Second, time.Millisecond, time.Hour)
@@ -56,32 +34,69 @@
 	b.MaxStreamsPerConn = s.Int("backend_streams", 100, 1, maxCount)
 	b.MaxMessageBytes = s.Int("max_answer", 4<<20, 1, 1<<30)
 	b.ConnectTimeout, b.IdleTimeout = f.Gateway.ConnectTimeout, f.Gateway.IdleTimeout
-	c.Methods = map[string]grpcproxy.Method{}
-	classes := map[string]bool{}
-	for _, k := range f.Gateway.Settings.Classes {
-		classes[k.Name] = true
+	c.Methods = readMethods(s, f)
+	s.RejectUnknownKeys()
+	return g
+}
+
+// readMetadataNames reads the names of metadata by which calls describe themselves.
+func readMetadataNames(s *settings.Section) grpcproxy.MetadataNames {
+	seen := map[string]bool{}
+	readName := func(key, defaultName string) string {
+		name := defaultName
+		if _, ok := s.Get(key); ok {
+			name = s.Text(key, false)
+		}
+		if err := grpcproxy.ValidateMetadataName(name); err != nil {
+			s.Problemf(key, "%v", err)
+		} else if name != "" && seen[name] {
+			s.Problemf(key, "%q stands for something else already", name)
+		}
+		seen[name] = true
+		return name
+	}
+	platform := grpcproxy.PlatformNames
+	names := grpcproxy.MetadataNames{
+		Customer:       readName("customer", platform.Customer),
+		Plan:           readName("plan", platform.Plan),
+		Cost:           readName("units", platform.Cost),
+		ID:             readName("id", platform.ID),
+		IdempotencyKey: readName("key", platform.IdempotencyKey),
+		Terms:          readName("terms", platform.Terms),
+	}
+	if names.Customer == "" {
+		s.Problemf("customer", "it is empty: calls must say who asks")
 	}
+	if names.Plan == "" {
+		s.Problemf("plan", "it is empty: calls must say by which plan")
+	}
+	return names
+}
+
+// readMethods reads [[grpc.method]].
+func readMethods(s *settings.Section, f *File) map[string]grpcproxy.Method {
+	methods := map[string]grpcproxy.Method{}
 	for _, e := range s.List("method") {
-		n := e.Text("name", true)
-		m := grpcproxy.Method{Class: e.Text("class", true), Streaming: e.Bool("streaming", false)}
-		if err := grpcproxy.ValidateMethod(n); n != "" && err != nil {
-			d.Problemf(e.Path, "name", "%v", err)
+		name := e.Text("name", true)
+		method := grpcproxy.Method{Class: e.Text("class", true), Streaming: e.Bool("streaming", false)}
+		if err := grpcproxy.ValidateMethod(name); name != "" && err != nil {
+			e.Problemf("name", "%v", err)
 		}
-		if _, twice := c.Methods[n]; twice {
-			d.Problemf(e.Path, "name", "%q is there twice", n)
+		if _, ok := methods[name]; ok {
+			e.Problemf("name", "%q is there twice", name)
 		}
-		if m.Class != "" && !classes[m.Class] {
-			d.Problemf(e.Path, "class", "there is no class %q", m.Class)
+		known := slices.ContainsFunc(f.Gateway.Settings.Classes, func(c decision.Class) bool { return c.Name == method.Class })
+		if method.Class != "" && !known {
+			e.Problemf("class", "there is no class %q", method.Class)
 		}
-		if slices.ContainsFunc(f.classes, func(c class) bool { return c.Name == m.Class && c.byMethod }) {
-			d.Problemf(e.Path, "class", "class %q has no effect, and over gRPC no method of HTTP's tells it", m.Class)
+		if slices.ContainsFunc(f.classes, func(c class) bool { return c.Name == method.Class && c.byMethod }) {
+			e.Problemf("class", "class %q has no effect, and over gRPC no method of HTTP's tells it", method.Class)
 		}
 		e.RejectUnknownKeys()
-		c.Methods[n] = m
+		methods[name] = method
 	}
-	if len(c.Methods) == 0 {
-		d.Problemf(s.Path, "method", "there is none: [[grpc.method]] with a name and a class")
+	if len(methods) == 0 {
+		s.Problemf("method", "there is none: [[grpc.method]] with a name and a class")
 	}
-	s.RejectUnknownKeys()
-	return g
+	return methods
 }
--- /dev/null
+++ b/internal/operatorconfig/identities.go
@@ -0,0 +1,205 @@
+package operatorconfig
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"pumicecroft/identity"
+	"pumicecroft/internal/http1proxy"
+	"pumicecroft/internal/settings"
+)
+
+// The kinds of an Identity, as the file names them.
+const (
+	KindKey         = "key"         // an API key
+	KindHeader      = "header"      // fields that a trusted peer sets
+	KindCertificate = "certificate" // a client's certificate
+	KindToken       = "token"       // a JSON Web Token
+	KindAddress     = "address"     // the client's address
+)
+
+var identityKinds = []string{KindKey, KindHeader, KindCertificate, KindToken, KindAddress}
+
+// Identity is one [[identity]]: a rule that says who sent a request. What its Kind does not use is
+// empty.
+type Identity struct {
+	Location       Location
+	Kind           string
+	Name           string // for people
+	Header         string // the field that has the credential
+	Scheme         string // before the credential, such as "Bearer"
+	File           string // of keys or of a secret
+	Plan           string // of requests whose credential names none
+	PlanSource     string // the field or claim that names the plan
+	CostHeader     string
+	HexCustomers   bool
+	CertName       identity.CertNameSource
+	PlanByCustomer map[string]string
+	Algorithms     []string
+	SharedSecret   bool // File is a shared secret
+	Issuer         string
+	Audience       string
+	CustomerClaim  string
+	Leeway         time.Duration
+	IPv6PrefixBits int
+}
+
+// defaultIPv6PrefixBits is how much of an IPv6 address identifies a customer.
+const defaultIPv6PrefixBits = 64
+
+// readIdentities reads [[identity]], after plans. Without any, the address identifies a customer of
+// the first plan.
+func readIdentities(top *settings.Section, h *HTTP, plans []string) {
+	list := top.List("identity")
+	for i, s := range list {
+		r := identityReader{section: s, http: h, plans: plans}
+		r.identity.Location = locationOf(s)
+		r.identity.Kind = identityKinds[s.OneOf("kind", "", identityKinds...)]
+		if _, ok := s.Get("kind"); !ok {
+			s.Problemf("kind", "it is missing: one of %s", strings.Join(identityKinds, ", "))
+		}
+		if r.identity.Name = s.Text("name", false); r.identity.Name == "" {
+			r.identity.Name = fmt.Sprintf("%s %d", r.identity.Kind, i)
+		}
+		switch r.identity.Kind {
+		case KindKey:
+			r.readKey()
+		case KindHeader:
+			r.readHeader()
+		case KindCertificate:
+			r.readCertificate()
+		case KindToken:
+			r.readToken()
+		case KindAddress:
+			r.readAddress(i == len(list)-1)
+		}
+		s.RejectUnknownKeys()
+		h.Identities = append(h.Identities, r.identity)
+	}
+	if len(list) == 0 {
+		h.Identities = []Identity{defaultIdentity(plans)}
+	}
+}
+
+func defaultIdentity(plans []string) Identity {
+	plan := ""
+	if len(plans) > 0 {
+		plan = plans[0]
+	}
+	return Identity{Location: Location{Line: 1}, Kind: KindAddress, Name: KindAddress, Plan: plan, IPv6PrefixBits: defaultIPv6PrefixBits}
+}
+
+// identityReader reads one identity.
+type identityReader struct {
+	section  *settings.Section
+	http     *HTTP
+	plans    []string
+	identity Identity
+}
+
+// readPlan reads the plan of requests whose credential names none.
+func (r *identityReader) readPlan(required bool) {
+	r.identity.Plan = r.section.Text("plan", required)
+	if r.identity.Plan != "" && !slices.Contains(r.plans, r.identity.Plan) {
+		r.section.Problemf("plan", "there is no plan %q", r.identity.Plan)
+	}
+}
+
+// readHeaderName reads the name of a field.
+func (r *identityReader) readHeaderName(key, defaultName string, required bool) string {
+	name := r.section.Text(key, required && defaultName == "")
+	if name == "" {
+		name = defaultName
+	}
+	return headerName(r.section, key, name)
+}
+
+// readRemove reads whether the field with the credential is removed from requests.
+func (r *identityReader) readRemove(remove bool) {
+	if r.section.Bool("remove", remove) {
+		r.http.RemoveHeaders = append(r.http.RemoveHeaders, r.identity.Header)
+	}
+}
+
+func (r *identityReader) readKey() {
+	r.identity.Header = r.readHeaderName("header", "X-Api-Key", true)
+	r.identity.Scheme = r.section.Text("scheme", false)
+	r.identity.File = r.section.Text("file", true)
+	r.readRemove(true)
+}
+
+func (r *identityReader) readHeader() {
+	r.identity.Header = r.readHeaderName("customer", "", true)
+	r.identity.PlanSource = r.readHeaderName("plan_header", "", false)
+	r.identity.CostHeader = r.readHeaderName("units_header", "", false)
+	r.identity.HexCustomers = r.section.Bool("hex", false)
+	r.readPlan(r.identity.PlanSource == "")
+	if len(r.http.Trusted) == 0 {
+		r.section.Problemf("kind", "nobody is trusted to set a header: [http] trusted is missing")
+	}
+}
+
+func (r *identityReader) readCertificate() {
+	r.identity.CertName = identity.CertNameSource(r.section.OneOf("customer", "cn", "cn", "dns", "uri", "key"))
+	r.identity.PlanByCustomer = map[string]string{}
+	r.readPlan(false)
+	for _, text := range r.section.Texts("plans") {
+		name, plan, ok := strings.Cut(text, "=")
+		if !ok || !slices.Contains(r.plans, plan) {
+			r.section.Problemf("plans", "%q is not NAME=PLAN with a plan that there is", text)
+		}
+		r.identity.PlanByCustomer[name] = plan
+	}
+	if r.identity.Plan == "" && len(r.identity.PlanByCustomer) == 0 {
+		r.section.Problemf("plan", "it is missing, and so is plans")
+	}
+}
+
+func (r *identityReader) readToken() {
+	s := r.section
+	r.identity.Header = r.readHeaderName("header", "Authorization", true)
+	r.identity.Scheme = s.Text("scheme", false)
+	if r.identity.Scheme == "" && r.identity.Header == "Authorization" {
+		r.identity.Scheme = "Bearer"
+	}
+	r.identity.Algorithms = s.Texts("algorithms")
+	if len(r.identity.Algorithms) == 0 {
+		s.Problemf("algorithms", "it is missing: the ones that tokens are signed by, such as [\"ES256\"]")
+	}
+	for _, algorithm := range r.identity.Algorithms {
+		if err := identity.CheckAlgorithm(algorithm); err != nil {
+			s.Problemf("algorithms", "%v", err)
+		}
+	}
+	keysFile, secretFile := s.Text("keys_file", false), s.Text("secret_file", false)
+	if (keysFile == "") == (secretFile == "") {
+		s.Problemf("keys_file", "either keys_file, with public keys in PEM, or secret_file")
+	}
+	r.identity.File, r.identity.SharedSecret = keysFile+secretFile, secretFile != ""
+	r.identity.Issuer = s.Text("issuer", false)
+	r.identity.Audience = s.Text("audience", true)
+	r.identity.CustomerClaim = s.Text("customer", false)
+	r.identity.PlanSource = s.Text("plan_claim", false)
+	r.identity.Leeway = s.Duration("leeway", 0, 0, time.Hour)
+	r.readPlan(r.identity.PlanSource == "")
+	r.readRemove(false)
+}
+
+func (r *identityReader) readAddress(last bool) {
+	r.readPlan(true)
+	r.identity.IPv6PrefixBits = r.section.Int("v6_bits", defaultIPv6PrefixBits, 16, 128)
+	if !last {
+		r.section.Problemf("kind", "everyone has an address: what follows is never looked at")
+	}
+}
+
+// headerName returns the canonical form of a field's name, which stands at key. An empty name is
+// valid.
+func headerName(s *settings.Section, key, name string) string {
+	if name != "" && !http1proxy.IsHeaderName(name) {
+		s.Problemf(key, "%q can't be a field's name", name)
+	}
+	return http1proxy.CanonicalHeaderName(name)
+}
--- /dev/null
+++ b/internal/operatorconfig/services.go
@@ -0,0 +1,129 @@
+package operatorconfig
+
+import (
+	"slices"
+	"time"
+
+	"pumicecroft/decision"
+	"pumicecroft/httpproxy"
+	"pumicecroft/internal/settings"
+	"pumicecroft/membership"
+)
+
+// Service is one [[service]].
+type Service struct {
+	httpproxy.ServiceConfig
+	// UseBackendHost sets Host to the backend's address. The default is the client's Host.
+	UseBackendHost bool
+	// TLS is how its backends are reached over TLS. nil means plain text.
+	TLS *ServiceTLS
+}
+
+// ServiceTLS is a service's [service.tls].
+type ServiceTLS struct {
+	Location          Location
+	CAFile            string
+	ServerName        string
+	Pins              []string // SHA-256 of public keys, in base64
+	CertFile, KeyFile string
+	AllowTLS12        bool
+	PinsOnly          bool // a pin proves the backend, and no authority needs to
+}
+
+// class is a class of the file.
+type class struct {
+	decision.Class
+	// byMethod means that the class has no idempotency of its own: its requests' methods have.
+	byMethod bool
+}
+
+// Suffixes of the names of a class's variants, for requests whose methods say whether a retry is
+// safe. They are in metrics and logs.
+const (
+	nonIdempotentSuffix   = " (once)"
+	idempotentByKeySuffix = " (keyed)"
+)
+
+// classVariants returns the variants of a class whose idempotency is by method, and their names.
+func classVariants(c decision.Class) ([]decision.Class, httpproxy.Classes) {
+	names := httpproxy.Classes{Idempotent: c.Name, NonIdempotent: c.Name + nonIdempotentSuffix}
+	idempotent := c
+	idempotent.Idempotency, idempotent.DedupWindow = decision.Idempotent, 0
+	once := c
+	once.Name, once.Idempotency, once.DedupWindow = names.NonIdempotent, decision.NonIdempotent, 0
+	variants := []decision.Class{idempotent, once}
+	if c.DedupWindow > 0 {
+		keyed := c
+		names.IdempotentByKey = c.Name + idempotentByKeySuffix
+		keyed.Name, keyed.Idempotency = names.IdempotentByKey, decision.IdempotentByKey
+		variants = append(variants, keyed)
+	}
+	return variants, names
+}
+
+// readServices reads [[service]], before classes: each service has a class of its own name, unless
+// the file has one.
+func readServices(top *settings.Section, f *File) {
+	list := top.List("service")
+	if list == nil {
+		return
+	}
+	f.HTTP = &HTTP{}
+	seen := map[string]bool{}
+	for _, s := range list {
+		service := Service{}
+		service.Name = s.Text("name", true)
+		checkUniqueName(seen, s, service.Name)
+		readServiceBackends(s, f, service.Name)
+		service.MaxConns = s.Int("backend_connections", 256, 1, maxCount)
+		service.ConnectTimeout = s.Duration("connect_timeout", 0, time.Millisecond, time.Minute)
+		service.IdleTimeout = s.Duration("idle_timeout", 15*time.Second, time.Millisecond, day)
+		if service.ResponseBufferBytes = s.Int("hold", 64<<10, 0, 1<<30); service.ResponseBufferBytes == 0 {
+			service.ResponseBufferBytes = -1 // none is buffered
+		}
+		service.HTTP2 = s.OneOf("speaks", "http/1.1", "http/1.1", "h2") == 1
+		service.MaxHTTP2Conns = s.Int("h2_connections", 2, 1, maxCount)
+		service.UseBackendHost = s.OneOf("host", "keep", "keep", "backend") == 1
+		if tls := s.Table("tls"); tls.Keys != nil {
+			service.TLS = readServiceTLS(tls)
+		}
+		c := readClass(s, service.Name)
+		s.RejectUnknownKeys()
+		f.HTTP.Services = append(f.HTTP.Services, service)
+		f.classes = append(f.classes, class{c, true})
+	}
+}
+
+// readServiceBackends reads the backends that a service lists by address.
+func readServiceBackends(s *settings.Section, f *File, service string) {
+	for _, addr := range s.Texts("backends") {
+		name := service + "/" + addr
+		checkAddress(s, "backends", addr)
+		if slices.ContainsFunc(f.Backends.Nodes, func(n membership.Node) bool { return n.Name == name }) {
+			s.Problemf("backends", "%q is there twice", addr)
+		}
+		node := membership.Node{Name: name, Addr: addr, Weight: 1, Protocol: httpproxy.Protocol(service)}
+		f.Backends.Nodes = append(f.Backends.Nodes, node)
+	}
+}
+
+func readServiceTLS(s *settings.Section) *ServiceTLS {
+	t := &ServiceTLS{
+		Location:   locationOf(s),
+		CAFile:     s.Text("ca_file", false),
+		ServerName: s.Text("name", false),
+		Pins:       s.Texts("pins"),
+		CertFile:   s.Text("cert_file", false),
+		KeyFile:    s.Text("key_file", false),
+		AllowTLS12: s.OneOf("min", "1.3", "1.3", "1.2") == 1,
+		PinsOnly:   s.OneOf("verify", "ca", "ca", "pins") == 1,
+	}
+	if t.PinsOnly && len(t.Pins) == 0 {
+		s.Problemf("verify", "there are no pins to go by")
+	}
+	if (t.CertFile == "") != (t.KeyFile == "") {
+		s.Problemf("key_file", "cert_file and key_file go together")
+	}
+	s.RejectUnknownKeys()
+	return t
+}
--- a/internal/operatorconfig/sources.go
+++ b/internal/operatorconfig/sources.go
@@ -1,6 +1,7 @@
 package operatorconfig
 
 import (
+	"math"
 	"net"
 	"slices"
 	"strings"
@@ -14,10 +15,12 @@
 
 // Consul is what a file says of Consul.
 type Consul struct {
-	Config       consul.Config
-	Services     []consul.Service
-	Registration *consul.Registration // nil: the door does not stand in the catalogue
-	DrainNotice  time.Duration        // for how long a registered door goes on serving once it is critical
+	Config   consul.Config
+	Services []consul.Service
+	// Registration is how the gateway registers itself. nil means that it does not.
+	Registration *consul.Registration
+	// DrainNotice is how long a registered gateway goes on serving once it is critical.
+	DrainNotice time.Duration
 }
 
 // The names of sources.
@@ -27,128 +30,206 @@
 	SourceFile      = "file"
 )
 
-// readSources reads where members come from.
+// sourceNames are the names of sources in their default precedence.
+var sourceNames = []string{SourceConsul, SourceDiscovery, SourceFile}
+
+// readSources reads where backends come from, after services and classes.
 func readSources(d *settings.Document, top *settings.Section, f *File) {
 	f.Gateway.StateDir = top.Text("state_dir", false)
 	f.StatusAddr = top.Text("members", false)
 	if f.StatusAddr != "" {
-		checkAddress(d, top, "members", f.StatusAddr)
-		host, _, _ := net.SplitHostPort(f.StatusAddr)
-		if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-			d.Problemf(top.Path, "members", "%q is not on this machine alone: it must be a loopback address", f.StatusAddr)
-		}
+		checkLoopback(top, "members", f.StatusAddr)
 	}
 	readMembership(top.Table("membership"), f)
-	there := map[string]bool{}
+	configured := map[string]bool{}
 	if s := top.Table("consul"); s.Keys != nil {
-		there[SourceConsul] = true
-		f.Consul = readConsul(d, s, f)
+		configured[SourceConsul] = true
+		f.Consul = readConsul(s, f)
 	}
 	if s := top.Table("discovery"); s.Keys != nil {
-		there[SourceDiscovery] = true
+		configured[SourceDiscovery] = true
 		f.DiscoveryAddr = s.Text("address", true)
 		if f.DiscoveryAddr != "" {
-			checkAddress(d, s, "address", f.DiscoveryAddr)
+			checkAddress(s, "address", f.DiscoveryAddr)
 		}
-		f.DiscoveryProtocol = readServiceProtocol(s, "service", "", f)
+		f.DiscoveryProtocol = readServiceProtocol(s, f, "")
 		s.RejectUnknownKeys()
 	}
-	readBackends(d, top, f)
-	there[SourceFile] = len(f.Backends.Nodes) > 0
-	if len(there) == 1 && !there[SourceFile] {
+	readBackends(top, f)
+	configured[SourceFile] = len(f.Backends.Nodes) > 0
+	if len(configured) == 1 && !configured[SourceFile] {
 		d.Problemf("", "backend", "there is none: [[backend]] with a name and an address, [consul] or [discovery]")
 	}
-	names := []string{SourceConsul, SourceDiscovery, SourceFile}
 	f.Sources = top.Texts("sources")
 	if f.Sources == nil {
-		f.Sources = slices.DeleteFunc(names, func(n string) bool { return !there[n] })
+		f.Sources = slices.DeleteFunc(slices.Clone(sourceNames), func(name string) bool { return !configured[name] })
 		return
 	}
-	for i, name := range f.Sources {
+	checkSources(d, f.Sources, configured)
+}
+
+// checkLoopback notes a problem unless addr is a host:port on this machine.
+func checkLoopback(s *settings.Section, key, addr string) {
+	checkAddress(s, key, addr)
+	host, _, _ := net.SplitHostPort(addr)
+	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
+		s.Problemf(key, "%q is not on this machine alone: it must be a loopback address", addr)
+	}
+}
+
+// checkSources notes a problem unless the file names each source that it configures, and no other.
+func checkSources(d *settings.Document, sources []string, configured map[string]bool) {
+	for i, name := range sources {
 		switch {
-		case !slices.Contains(names, name):
-			d.Problemf("", "sources", "%q is none of %s", name, strings.Join(names, ", "))
-		case !there[name]:
+		case !slices.Contains(sourceNames, name):
+			d.Problemf("", "sources", "%q is none of %s", name, strings.Join(sourceNames, ", "))
+		case !configured[name]:
 			d.Problemf("", "sources", "%q is named, and the file does not say what it is", name)
-		case slices.Contains(f.Sources[:i], name):
+		case slices.Contains(sources[:i], name):
 			d.Problemf("", "sources", "%q is there twice", name)
 		}
 	}
-	for _, name := range names {
-		if there[name] && !slices.Contains(f.Sources, name) {
+	for _, name := range sourceNames {
+		if configured[name] && !slices.Contains(sources, name) {
 			d.Problemf("", "sources", "%q is configured and not named", name)
 		}
 	}
 }
 
+// readMembership reads [membership].
 func readMembership(s *settings.Section, f *File) {
-	r := &f.Gateway.Membership
-	r.ProbationMin = s.Duration("hold_first", time.Second, time.Millisecond, time.Hour)
-	r.ProbationMax = s.Duration("hold_most", time.Minute, time.Millisecond, day)
-	r.ProbationReset = s.Duration("forget", time.Minute, time.Millisecond, day)
-	r.WarmupWindow = s.Duration("cold_for", 15*time.Second, time.Millisecond, day)
-	r.MassRemovalRatio = s.Float("loss_share", 0.5, 0.01, 1)
-	r.MassRemovalMin = s.Int("loss_least", 3, 1, maxCount)
-	r.MassRemovalDelay = s.Duration("loss_for", 1500*time.Millisecond, time.Millisecond, time.Hour)
-	r.FullRemovalDelay = s.Duration("loss_all", 5*time.Minute, time.Millisecond, day)
-	r.MaxNodes = s.Int("most", membership.DefaultMaxNodes, 1, maxCount)
+	p := &f.Gateway.Membership
+	p.ProbationMin = s.Duration("hold_first", time.Second, time.Millisecond, time.Hour)
+	p.ProbationMax = s.Duration("hold_most", time.Minute, time.Millisecond, day)
+	p.ProbationReset = s.Duration("forget", time.Minute, time.Millisecond, day)
+	p.WarmupWindow = s.Duration("cold_for", 15*time.Second, time.Millisecond, day)
+	p.MassRemovalRatio = s.Float("loss_share", 0.5, 0.01, 1)
+	p.MassRemovalMin = s.Int("loss_least", 3, 1, maxCount)
+	p.MassRemovalDelay = s.Duration("loss_for", 1500*time.Millisecond, time.Millisecond, time.Hour)
+	p.FullRemovalDelay = s.Duration("loss_all", 5*time.Minute, time.Millisecond, day)
+	p.MaxNodes = s.Int("most", membership.DefaultMaxNodes, 1, maxCount)
 	s.RejectUnknownKeys()
 }
 
-func readConsul(d *settings.Document, s *settings.Section, f *File) *Consul {
-	c := &Consul{}
-	o := &c.Config
-	o.Address = s.Text("address", true)
-	o.TokenFile = s.Text("token_file", false)
-	o.Datacenter, o.Namespace, o.Partition = s.Text("datacenter", false), s.Text("namespace", false), s.Text("partition", false)
-	o.CAFile, o.CertFile, o.KeyFile = s.Text("ca_file", false), s.Text("cert_file", false), s.Text("key_file", false)
-	o.ServerName = s.Text("server_name", false)
-	o.Consistency = consul.Consistency(s.OneOf("consistency", "default", "default", "stale", "consistent"))
-	o.Wait = s.Duration("wait", 10*time.Second, 100*time.Millisecond, 10*time.Minute)
-	o.MaxStale = s.Duration("max_stale", 10*time.Second, 0, day)
-	o.RetryMax = s.Duration("retry_most", 5*time.Second, 100*time.Millisecond, time.Hour)
-	if (o.CertFile == "") != (o.KeyFile == "") {
-		d.Problemf(s.Path, "key_file", "cert_file and key_file go together")
-	}
+// readConsul reads [consul].
+func readConsul(s *settings.Section, f *File) *Consul {
+	c := &Consul{Config: readConsulConfig(s)}
 	seen := map[string]bool{}
 	for _, e := range s.List("service") {
-		v := consul.Service{Name: e.Text("name", true), Tags: e.Texts("tags"), Near: e.Text("near", false), Filter: e.Text("filter", false)}
-		checkUniqueName(d, seen, e, v.Name)
-		v.HealthOnly = e.Bool("health_only", false)
-		m := &v.Mapping
-		m.Zone, m.Cell, m.InstanceType, m.Started = e.Text("zone", false), e.Text("cell", false), e.Text("model", false), e.Text("started", false)
-		m.Protocol = e.Text("protocol", false)
-		m.DefaultProtocol = readServiceProtocol(e, "service", "", f)
-		m.Name = e.Text("node_name", false)
-		m.ServeWarning = e.OneOf("warning", "drain", "drain", "serve") == 1
-		for _, class := range f.Gateway.Settings.Classes { // a repeat to a backend that does not drop it runs twice
-			if class.Idempotency == decision.IdempotentByKey && class.DedupScope == decision.DedupScopeZone && m.Zone == "" {
-				d.Problemf(e.Path, "zone", "it is missing, and class %q is repeated within a zone", class.Name)
-			}
-			if class.Idempotency == decision.IdempotentByKey && class.DedupScope == decision.DedupScopeCell && m.Cell == "" {
-				d.Problemf(e.Path, "cell", "it is missing, and class %q is repeated within a cell", class.Name)
-			}
-		}
+		service := readConsulService(e, seen, f)
 		e.RejectUnknownKeys()
-		c.Services = append(c.Services, v)
+		c.Services = append(c.Services, service)
 	}
 	if len(c.Services) == 0 {
-		d.Problemf(s.Path, "service", "there is none: [[consul.service]] with a name")
+		s.Problemf("service", "there is none: [[consul.service]] with a name")
 	}
 	if r := s.Table("register"); r.Keys != nil {
-		c.Registration = &consul.Registration{Name: r.Text("name", true), ID: r.Text("id", false), Address: r.Text("address", false),
-			Tags: r.Texts("tags"), TTL: r.Duration("ttl", 10*time.Second, time.Second, day), DeregisterAfter: r.Duration("forget", 10*time.Minute, time.Minute, day)}
-		c.DrainNotice = r.Duration("notice", time.Second, 0, time.Minute)
-		if c.Registration.Address == "" {
-			c.Registration.Address = f.Listen
-		}
-		checkAddress(d, r, "address", c.Registration.Address)
-		host, port, _ := net.SplitHostPort(c.Registration.Address)
-		if ip := net.ParseIP(host); host == "" || port == "0" || ip != nil && ip.IsUnspecified() {
-			d.Problemf(r.Path, "address", "%q is nothing that clients can connect to", c.Registration.Address)
-		}
+		c.Registration, c.DrainNotice = readRegistration(r, f.Listen)
 		r.RejectUnknownKeys()
 	}
 	s.RejectUnknownKeys()
 	return c
 }
+
+// readConsulConfig reads how the agent is reached.
+func readConsulConfig(s *settings.Section) consul.Config {
+	c := consul.Config{
+		Address:     s.Text("address", true),
+		TokenFile:   s.Text("token_file", false),
+		Datacenter:  s.Text("datacenter", false),
+		Namespace:   s.Text("namespace", false),
+		Partition:   s.Text("partition", false),
+		CAFile:      s.Text("ca_file", false),
+		CertFile:    s.Text("cert_file", false),
+		KeyFile:     s.Text("key_file", false),
+		ServerName:  s.Text("server_name", false),
+		Consistency: consul.Consistency(s.OneOf("consistency", "default", "default", "stale", "consistent")), // in the order of its values
+		Wait:        s.Duration("wait", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
+		MaxStale:    s.Duration("max_stale", 10*time.Second, 0, day),
+		RetryMax:    s.Duration("retry_most", 5*time.Second, 100*time.Millisecond, time.Hour),
+	}
+	if (c.CertFile == "") != (c.KeyFile == "") {
+		s.Problemf("key_file", "cert_file and key_file go together")
+	}
+	return c
+}
+
+// readConsulService reads one [[consul.service]]. seen has the names of those before it.
+func readConsulService(s *settings.Section, seen map[string]bool, f *File) consul.Service {
+	service := consul.Service{
+		Name:   s.Text("name", true),
+		Tags:   s.Texts("tags"),
+		Near:   s.Text("near", false),
+		Filter: s.Text("filter", false),
+	}
+	checkUniqueName(seen, s, service.Name)
+	service.HealthOnly = s.Bool("health_only", false)
+	service.Mapping = consul.Mapping{
+		Zone:            s.Text("zone", false),
+		Cell:            s.Text("cell", false),
+		InstanceType:    s.Text("model", false),
+		Started:         s.Text("started", false),
+		Protocol:        s.Text("protocol", false),
+		DefaultProtocol: readServiceProtocol(s, f, ""),
+		Name:            s.Text("node_name", false),
+		ServeWarning:    s.OneOf("warning", "drain", "drain", "serve") == 1,
+	}
+	// A backend outside of the scope in which repeats are dropped would run a retry twice.
+	for _, class := range f.Gateway.Settings.Classes {
+		if class.Idempotency != decision.IdempotentByKey {
+			continue
+		}
+		if class.DedupScope == decision.DedupScopeZone && service.Mapping.Zone == "" {
+			s.Problemf("zone", "it is missing, and class %q is repeated within a zone", class.Name)
+		}
+		if class.DedupScope == decision.DedupScopeCell && service.Mapping.Cell == "" {
+			s.Problemf("cell", "it is missing, and class %q is repeated within a cell", class.Name)
+		}
+	}
+	return service
+}
+
+// readRegistration reads [consul.register]. The address is the listener's, unless it says another.
+func readRegistration(s *settings.Section, listen string) (r *consul.Registration, drainNotice time.Duration) {
+	r = &consul.Registration{
+		Name:            s.Text("name", true),
+		ID:              s.Text("id", false),
+		Address:         s.Text("address", false),
+		Tags:            s.Texts("tags"),
+		TTL:             s.Duration("ttl", 10*time.Second, time.Second, day),
+		DeregisterAfter: s.Duration("forget", 10*time.Minute, time.Minute, day),
+	}
+	drainNotice = s.Duration("notice", time.Second, 0, time.Minute)
+	if r.Address == "" {
+		r.Address = listen
+	}
+	checkAddress(s, "address", r.Address)
+	host, port, _ := net.SplitHostPort(r.Address)
+	if ip := net.ParseIP(host); host == "" || port == "0" || ip != nil && ip.IsUnspecified() {
+		s.Problemf("address", "%q is nothing that clients can connect to", r.Address)
+	}
+	return r, drainNotice
+}
+
+// readBackends reads [[backend]].
+func readBackends(top *settings.Section, f *File) {
+	seen := map[string]bool{}
+	f.Backends.Full = true
+	for _, s := range top.List("backend") {
+		node := membership.Node{
+			Name:         s.Text("name", true),
+			Addr:         s.Text("address", true),
+			Zone:         s.Text("zone", false),
+			InstanceType: s.Text("model", false),
+			Cell:         s.Int("cell", 0, 0, math.MaxInt32),
+			Weight:       s.Float("weight", 1, 0, unbounded),
+		}
+		node.Protocol = readServiceProtocol(s, f, readProtocol(s, ""))
+		checkUniqueName(seen, s, node.Name)
+		if node.Addr != "" {
+			checkAddress(s, "address", node.Addr)
+		}
+		s.RejectUnknownKeys()
+		f.Backends.Nodes = append(f.Backends.Nodes, node)
+	}
+}
