--- a/cmd/pumicecroft/demo.go
+++ b/cmd/pumicecroft/demo.go
@@ -19,7 +19,7 @@
 	Seed     uint64        `name:"seed" default:"1" help:"Of the clients' chance."`
 }
 
-// Validate is kong's.
+// Validate is called by kong.
 func (c *demoCommand) Validate() error {
 	if c.Duration <= 0 {
 		return fmt.Errorf("--duration %v is not above 0", c.Duration)
@@ -27,9 +27,9 @@
 	return nil
 }
 
-// Run runs the demo, which fails if anything was lost or doubled.
+// Run runs the demo. It fails if a request was lost or executed twice.
 func (c *demoCommand) Run(ctx context.Context, out io.Writer) error {
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // the demo has its own lines
+	slog.SetDefault(slog.New(slog.DiscardHandler)) // the demo prints lines of its own
 	counts, err := demo.Run(ctx, demo.Options{Duration: c.Duration, Addr: c.Addr, Out: out, Seed: c.Seed})
 	if err != nil {
 		return err
--- a/cmd/pumicecroft/lab.go
+++ b/cmd/pumicecroft/lab.go
@@ -15,7 +15,7 @@
 	"pumicecroft/internal/paired"
 )
 
-// labCommand is the laboratory.
+// labCommand runs experiments in an emulated region.
 type labCommand struct {
 	Check    labCheck    `cmd:"" name:"check" help:"Check an experiment's file, and name key and line of each error."`
 	Run      labRun      `cmd:"" name:"run" help:"Make all runs of an experiment that its directory lacks."`
@@ -46,25 +46,27 @@
 	Jobs jobs   `name:"jobs" short:"j" default:"${jobs}" help:"Processors to use."`
 }
 
-// Run makes what runs are not there yet. Ended early, it keeps what it has, and goes on from there the next time.
+// Run makes the runs of an experiment that its directory lacks. Ended early, it keeps what it has, and
+// continues from there the next time.
 func (c *labRun) Run(ctx context.Context, out io.Writer) error {
 	if c.Dir == "" {
 		c.Dir = filepath.Join("results", strings.TrimSuffix(filepath.Base(c.File), filepath.Ext(c.File)))
 	}
 	begun := time.Now()
-	ran, err := lab.Run(ctx, c.File, c.Dir, lab.RunOptions{Jobs: int(c.Jobs), Told: func(done, all int, r *lab.Row) {
-		word := fmt.Sprintf("worth %.4f, %d events", r.Figures["worth"], r.Events)
+	printRow := func(done, all int, r *lab.Row) {
+		result := fmt.Sprintf("worth %.4f, %d events", r.Figures["worth"], r.Events)
 		if r.Failed != "" {
-			word = "FAILED: " + r.Failed
+			result = "FAILED: " + r.Failed
 		}
-		fmt.Fprintf(out, "%d of %d: %s, seed %d: %s\n", done, all, strings.Join(r.Cell, " / "), r.Repetition, word)
-	}})
+		fmt.Fprintf(out, "%d of %d: %s, seed %d: %s\n", done, all, strings.Join(r.Cell, " / "), r.Repetition, result)
+	}
+	ran, err := lab.Run(ctx, c.File, c.Dir, lab.RunOptions{Jobs: int(c.Jobs), Told: printRow})
 	for _, torn := range ran.Torn {
 		fmt.Fprintln(out, "made again:", torn)
 	}
 	if ran.All > 0 {
-		fmt.Fprintf(out, "%d of %d runs are in %s: %d were there, %d made in %.1f s, %d of them failed\n", ran.Before+ran.Now-ran.Failed, ran.All, c.Dir, ran.Before, ran.Now,
-			time.Since(begun).Seconds(), ran.Failed)
+		fmt.Fprintf(out, "%d of %d runs are in %s: %d were there, %d made in %.1f s, %d of them failed\n",
+			ran.Before+ran.Now-ran.Failed, ran.All, c.Dir, ran.Before, ran.Now, time.Since(begun).Seconds(), ran.Failed)
 	}
 	if errors.Is(err, context.Canceled) {
 		return fmt.Errorf("ended early; the same command goes on from there")
@@ -72,28 +74,30 @@
 	return err
 }
 
-// comparisonOptions is how verdicts are reached.
+// comparisonOptions are the flags of commands that compare results.
 type comparisonOptions struct {
 	Level  float64  `name:"level" default:"0.95" help:"Of the intervals."`
 	Figure []string `name:"figure" short:"f" help:"A figure to compare; those that the experiment names, if none is given. May be repeated."`
 }
 
-func (j *comparisonOptions) pairedOptions() paired.Options {
-	return paired.Options{Confidence: j.Level, Seed: 1}
+func (c *comparisonOptions) pairedOptions() paired.Options {
+	return paired.Options{Confidence: c.Level, Seed: 1}
 }
 
-func (j *comparisonOptions) selectedFigures(e *lab.Experiment) ([]string, error) {
-	for _, name := range j.Figure {
+// selectedFigures returns the figures to compare, those of the experiment by default.
+func (c *comparisonOptions) selectedFigures(e *lab.Experiment) ([]string, error) {
+	for _, name := range c.Figure {
 		if err := checkFigure(name); err != nil {
 			return nil, err
 		}
 	}
-	if len(j.Figure) == 0 {
+	if len(c.Figure) == 0 {
 		return e.Figures, nil
 	}
-	return j.Figure, nil
+	return c.Figure, nil
 }
 
+// checkFigure returns a usageError unless name is a figure's.
 func checkFigure(name string) error {
 	if lab.FigureOf(name) == nil {
 		return usageError{fmt.Errorf("%q is none of %s", name, strings.Join(lab.FigureNames(), ", "))}
@@ -120,13 +124,13 @@
 	if err != nil {
 		return err
 	}
-	var told []lab.Comparison
+	var comparisons []lab.Comparison
 	if c.Other != "" {
 		b, err := lab.Read(c.Other)
 		if err != nil {
 			return err
 		}
-		told, err = lab.Across(a, b, c.Dir, c.Other, figures, c.pairedOptions())
+		comparisons, err = lab.Across(a, b, c.Dir, c.Other, figures, c.pairedOptions())
 		if err != nil {
 			return err
 		}
@@ -134,20 +138,21 @@
 		if c.Factor == "" && len(a.Factors) > 0 {
 			c.Factor = a.Factors[0].Name
 		}
-		if told, err = lab.Within(a, c.Factor, c.Of, c.With, figures, c.pairedOptions()); err != nil {
+		if comparisons, err = lab.Within(a, c.Factor, c.Of, c.With, figures, c.pairedOptions()); err != nil {
 			return usageError{err}
 		}
 	}
-	return printComparisons(told, out)
+	return printComparisons(comparisons, out)
 }
 
 // printComparisons prints a table of verdicts.
-func printComparisons(told []lab.Comparison, out io.Writer) error {
+func printComparisons(comparisons []lab.Comparison, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WHERE\tA\tB\tFIGURE\tPAIRS\tA'S\tB'S\tDIFFERENCE\tINTERVAL\tB IS")
-	for _, t := range told {
-		d := t.Told
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4g\t%.4g\t%+.3g\t%+.3g to %+.3g\t%s\n", t.Where, t.A, t.B, t.Figure.Name, d.Pairs, d.MeanA, d.MeanB, d.Mean, d.Low, d.High, t.Verdict())
+	for _, c := range comparisons {
+		d := c.Told
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4g\t%.4g\t%+.3g\t%+.3g to %+.3g\t%s\n",
+			c.Where, c.A, c.B, c.Figure.Name, d.Pairs, d.MeanA, d.MeanB, d.Mean, d.Low, d.High, c.Verdict())
 	}
 	return w.Flush()
 }
--- a/cmd/pumicecroft/lab_variants.go
+++ b/cmd/pumicecroft/lab_variants.go
@@ -25,7 +25,8 @@
 
 var unsafePathChars = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
 
-// Run builds the program as it is and with each variant, runs the experiment with all of them, and compares. The tree stays as it is.
+// Run builds the program as it is and with each variant, runs the experiment with all of them, and
+// compares. It does not change the tree.
 func (c *labVariants) Run(ctx context.Context, out io.Writer) error {
 	list, err := readMutants(c.File)
 	if err != nil {
@@ -35,13 +36,13 @@
 	if err != nil {
 		return err
 	}
-	asItIs := mutant{Name: "as it is"}
-	for _, m := range append([]mutant{asItIs}, list...) {
+	unchanged := mutant{Name: "as it is"}
+	for _, m := range append([]mutant{unchanged}, list...) {
 		if err := c.run(ctx, m, root, out); err != nil {
 			return fmt.Errorf("%s: %w", m.Name, err)
 		}
 	}
-	a, err := lab.Read(c.dir(asItIs))
+	a, err := lab.Read(c.dir(unchanged))
 	if err != nil {
 		return err
 	}
@@ -49,26 +50,27 @@
 	if err != nil {
 		return err
 	}
-	var told []lab.Comparison
+	var comparisons []lab.Comparison
 	for _, m := range list {
 		b, err := lab.Read(c.dir(m))
 		if err != nil {
 			return err
 		}
-		more, err := lab.Across(a, b, asItIs.Name, m.Name, figures, c.pairedOptions())
+		more, err := lab.Across(a, b, unchanged.Name, m.Name, figures, c.pairedOptions())
 		if err != nil {
 			return err
 		}
-		told = append(told, more...)
+		comparisons = append(comparisons, more...)
 	}
-	return printComparisons(told, out)
+	return printComparisons(comparisons, out)
 }
 
+// dir returns where the results of a variant are kept.
 func (c *labVariants) dir(m mutant) string {
 	return filepath.Join(c.Dir, unsafePathChars.ReplaceAllString(m.Name, "-"))
 }
 
-// run builds one variant, and runs the experiment by it.
+// run builds one variant and runs the experiment with it.
 func (c *labVariants) run(ctx context.Context, m mutant, root string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "variant")
 	if err != nil {
@@ -80,8 +82,9 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s:\n", m.Name)
-	cmd := exec.CommandContext(ctx, program, "lab", "run", c.Experiment, "-d", c.dir(m), "-j", strconv.Itoa(max(1, c.Jobs)))
-	cmd.Cancel = func() error { return cmd.Process.Signal(os.Interrupt) } // it keeps what it has
+	jobs := strconv.Itoa(max(1, c.Jobs))
+	cmd := exec.CommandContext(ctx, program, "lab", "run", c.Experiment, "-d", c.dir(m), "-j", jobs)
+	cmd.Cancel = func() error { return cmd.Process.Signal(os.Interrupt) } // the runs so far are kept
 	cmd.Stdout, cmd.Stderr = io.Discard, out
 	if err := cmd.Run(); err != nil {
 		return errors.Join(err, ctx.Err())
--- a/cmd/pumicecroft/load.go
+++ b/cmd/pumicecroft/load.go
@@ -10,7 +10,7 @@
 	"pumicecroft/internal/load"
 )
 
-// errInvalidRun ends a run that says nothing of its target.
+// errInvalidRun ends a run whose figures say nothing about its target.
 var errInvalidRun = errors.New("the run is not valid")
 
 type loadCommand struct {
@@ -22,7 +22,8 @@
 	Anywhere bool    `name:"anywhere" help:"Ask also what is not on this machine. Only what is yours to load."`
 }
 
-// Run asks in open loop: latencies count from when a request should have been asked. Ended early, it gives what it has.
+// Run sends requests in open loop: latencies count from when a request should have been sent. Ended
+// early, it reports what it has.
 func (c *loadCommand) Run(ctx context.Context, out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -1,6 +1,7 @@
-// Command pumicecroft is the front door as a daemon, and what goes with it: "pumicecroft --help" tells of its sub-commands, each of
-// which is in a file of its own. Without an argument it serves as the file says that NODE_CONFIG names, until SIGTERM; SIGHUP makes it
-// read that file again and follow the discovery that it names then.
+// Command pumicecroft is the gateway as a daemon, and the commands that go with it, each in a file
+// of its own: "pumicecroft --help" lists them. Without an argument it serves by the file that
+// NODE_CONFIG names, until SIGTERM; SIGHUP makes it read that file again and follow the discovery
+// that it names then.
 package main
 
 import (
@@ -32,12 +33,12 @@
 	os.Exit(exitCode(err))
 }
 
-// usageError is a command line that can't be taken.
+// usageError is an invalid command line.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// exitCode is 2 for a command line that can't be taken, as shells' own commands have it, and 1 for what failed.
+// exitCode returns 2 for an invalid command line, as shells' own commands do, and 1 for a failure.
 func exitCode(err error) int {
 	var usage usageError
 	switch {
@@ -68,10 +69,10 @@
 	Completion kongcompletion.Completion `cmd:"" name:"completion" help:"Print how a shell is made to complete this program's commands."`
 }
 
-// jobs is how many processors a command uses.
+// jobs is the number of processors that a command uses.
 type jobs int
 
-// Validate is kong's.
+// Validate is called by kong.
 func (j jobs) Validate() error {
 	if j < 1 {
 		return fmt.Errorf("%d is below 1", j)
@@ -80,23 +81,38 @@
 }
 
 // errHelpPrinted ends a parser that has printed its help.
-var errHelpPrinted = errors.New("helped")
+var errHelpPrinted = errors.New("help printed")
+
+const description = "A front door that holds every customer of a shared set of backends to its plan. " +
+	"Without a command it serves as the file says that NODE_CONFIG names."
+
+// newParser returns the parser of the command line. Commands get ctx and out.
+func newParser(ctx context.Context, c *commandLine, out io.Writer) (*kong.Kong, error) {
+	return kong.New(c,
+		kong.Name("pumicecroft"),
+		kong.Description(description),
+		kong.Writers(out, out),
+		kong.Exit(func(int) { panic(errHelpPrinted) }), // kong would end the process
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
+		kong.BindTo(ctx, (*context.Context)(nil)),
+		kong.BindTo(out, (*io.Writer)(nil)),
+		kong.Vars{"corpus": corpusFile, "jobs": strconv.Itoa(runtime.GOMAXPROCS(0))})
+}
 
 // run parses and runs a command line.
 func run(ctx context.Context, args []string, out io.Writer) (err error) {
 	if path := os.Getenv("NODE_CONFIG"); len(args) == 0 && path != "" {
-		return daemon.Serve(ctx, path, daemon.NotifyHangup(context.WithoutCancel(ctx))) // also while it ends: what it holds is still sent on
+		// SIGHUP works until the end: open requests may still need another discovery.
+		return daemon.Serve(ctx, path, daemon.NotifyHangup(context.WithoutCancel(ctx)))
 	}
 	var c commandLine
-	parser, err := kong.New(&c, kong.Name("pumicecroft"), kong.Description("A front door that holds every customer of a shared set of backends to its plan. Without a command it serves as the file says that NODE_CONFIG names."),
-		kong.Writers(out, out), kong.Exit(func(int) { panic(errHelpPrinted) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.BindTo(ctx, (*context.Context)(nil)), kong.BindTo(out, (*io.Writer)(nil)),
-		kong.Vars{"corpus": corpusFile, "jobs": strconv.Itoa(runtime.GOMAXPROCS(0))})
+	parser, err := newParser(ctx, &c, out)
 	if err != nil {
 		return err
 	}
-	defer func() { // kong ends the process once it has printed its help; this ends the command alone
+	defer func() {
 		p := recover()
-		if helped, ok := p.(error); ok && errors.Is(helped, errHelpPrinted) {
+		if printed, ok := p.(error); ok && errors.Is(printed, errHelpPrinted) {
 			err = nil
 		} else if p != nil {
 			panic(p)
@@ -106,28 +122,29 @@
 	if len(args) == 0 {
 		return usageError{errors.New("NODE_CONFIG names no file; see pumicecroft --help, and pumicecroft demo for the program at work")}
 	}
-	k, err := parser.Parse(args)
+	command, err := parser.Parse(args)
 	if err != nil {
 		return usageError{err}
 	}
 	c.setUpLogging()
-	return k.Run()
+	return command.Run()
 }
 
-// setUpLogging sets the form of the program's own words, if another one is wanted than the usual.
+// setUpLogging sets the format and level of the log on standard error.
 func (c *commandLine) setUpLogging() {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(c.LogLevel)) // kong has looked
+	_ = level.UnmarshalText([]byte(c.LogLevel)) // kong has validated it
+	options := &slog.HandlerOptions{Level: level}
 	if c.LogFormat == "json" {
-		slog.SetDefault(slog.New(slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+		slog.SetDefault(slog.New(slog.NewJSONHandler(os.Stderr, options)))
 	} else {
-		slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+		slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, options)))
 	}
 }
 
 type versionCommand struct{}
 
-// Run prints what the build knows of itself.
+// Run prints the version and revision of the build.
 func (versionCommand) Run(out io.Writer) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -144,6 +161,7 @@
 			changed = ", with changes"
 		}
 	}
-	_, err := fmt.Fprintf(out, "pumicecroft %s, revision %s%s%s, %s\n", info.Main.Version, revision, at, changed, info.GoVersion)
+	_, err := fmt.Fprintf(out, "pumicecroft %s, revision %s%s%s, %s\n",
+		info.Main.Version, revision, at, changed, info.GoVersion)
 	return err
 }
--- a/cmd/pumicecroft/operatorfile.go
+++ b/cmd/pumicecroft/operatorfile.go
@@ -14,7 +14,7 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// fileArg is an operator's file.
+// fileArg is the argument that names an operator's file.
 type fileArg struct {
 	File string `arg:"" name:"file" help:"An operator's file, such as deploy/pumicecroft.toml."`
 }
@@ -48,15 +48,16 @@
 	for _, w := range warnings {
 		fmt.Fprintf(out, "%s: warning: %s\n", c.File, w)
 	}
-	fmt.Fprintf(out, "%s is good: door %d of %d, %d classes, %d plans, %d backends, sources %s, to listen on %s\n", c.File,
-		f.Gateway.Settings.GatewayIndex, f.Gateway.Settings.GatewayCount, len(f.Gateway.Settings.Classes), len(f.Gateway.Settings.Plans),
+	set := &f.Gateway.Settings
+	fmt.Fprintf(out, "%s is good: door %d of %d, %d classes, %d plans, %d backends, sources %s, to listen on %s\n",
+		c.File, set.GatewayIndex, set.GatewayCount, len(set.Classes), len(set.Plans),
 		len(f.Backends.Nodes), strings.Join(f.Sources, ", "), f.Listen)
 	return nil
 }
 
 type membersCommand struct{ fileArg }
 
-// Run prints what a running door believes of its backends.
+// Run prints what a running gateway knows of its backends.
 func (c *membersCommand) Run(ctx context.Context, out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
@@ -65,27 +66,28 @@
 	if f.StatusAddr == "" {
 		return fmt.Errorf(`%s: it names no address to ask at: members = "127.0.0.1:PORT"`, c.File)
 	}
-	all, err := daemon.FetchBackendStatus(ctx, f.StatusAddr)
+	backends, err := daemon.FetchBackendStatus(ctx, f.StatusAddr)
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tADDRESS\tSTATE\tSINCE\tSOURCE\tWHY")
-	for _, m := range all {
-		state := m.State
-		if m.Stale {
+	for _, b := range backends {
+		state := b.State
+		if b.Stale {
 			state += " (old)"
 		}
-		since := m.Since.Format(time.DateTime)
-		if !m.Until.IsZero() {
-			since += ", until " + m.Until.Format(time.TimeOnly)
+		since := b.Since.Format(time.DateTime)
+		if !b.Until.IsZero() {
+			since += ", until " + b.Until.Format(time.TimeOnly)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", printable(m.Name), printable(m.Addr), state, since, m.Source, printable(m.Explanation))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n",
+			printable(b.Name), printable(b.Addr), state, since, b.Source, printable(b.Explanation))
 	}
 	return w.Flush()
 }
 
-// printable keeps what a source says from doing anything to a terminal.
+// printable replaces what a terminal could take for a command, as texts of sources are printed.
 func printable(s string) string {
 	return strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
@@ -97,7 +99,7 @@
 
 type serveCommand struct{ fileArg }
 
-// Run serves by an operator's file until ctx ends.
+// Run serves by the file until ctx ends. SIGHUP works until open requests have their responses.
 func (c *serveCommand) Run(ctx context.Context) error {
 	f, err := c.read()
 	if err != nil {
--- a/cmd/pumicecroft/routes.go
+++ b/cmd/pumicecroft/routes.go
@@ -9,6 +9,7 @@
 	"strings"
 	"time"
 
+	"pumicecroft/decision"
 	"pumicecroft/httpproxy"
 	"pumicecroft/internal/daemon"
 	"pumicecroft/internal/operatorconfig"
@@ -23,50 +24,59 @@
 }
 
 // Run prints what would become of a request, and why.
-func (a *routesCommand) Run(out io.Writer) error {
-	f, err := a.read()
+func (c *routesCommand) Run(out io.Writer) error {
+	f, err := c.read()
 	if err != nil {
 		return err
 	}
 	if f.HTTP == nil {
-		return fmt.Errorf("%s: it has no [[service]], and so no routes", a.File)
+		return fmt.Errorf("%s: it has no [[service]], and so no routes", c.File)
 	}
-	r, err := newRequest(a)
+	r, err := newRequest(c)
 	if err != nil {
 		return err
 	}
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	front, end, err := daemon.NewOfflineProxy(f)
+	proxy, closeProxy, err := daemon.NewOfflineProxy(f)
 	if err != nil {
-		return fmt.Errorf("%s:\n%w", a.File, err)
+		return fmt.Errorf("%s:\n%w", c.File, err)
 	}
-	defer end()
-	printResolved(out, &f, front.Resolve(r, time.Now()), front)
+	defer closeProxy()
+	printResolved(out, &f, proxy.Resolve(r, time.Now()), proxy)
 	return nil
 }
 
-// newRequest is the one that the arguments tell of.
-func newRequest(a *routesCommand) (*http.Request, error) {
-	text := a.URL
+// newRequest returns the request that the arguments describe.
+func newRequest(c *routesCommand) (*http.Request, error) {
+	text := c.URL
 	if strings.HasPrefix(text, "/") {
 		text = "http://localhost" + text
 	}
 	u, err := url.Parse(text)
 	if err != nil || u.Host == "" {
-		return nil, fmt.Errorf("%q is neither a path nor a URL with a host", a.URL)
+		return nil, fmt.Errorf("%q is neither a path nor a URL with a host", c.URL)
 	}
 	_, rest, _ := strings.Cut(text, "://")
 	target := "/"
 	if i := strings.IndexByte(rest, '/'); i >= 0 {
 		target = rest[i:] // as it is written
 	}
-	r := &http.Request{Method: a.Method, Host: u.Host, RequestURI: target, Header: http.Header{}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, RemoteAddr: a.From + ":1"}
-	if strings.Contains(a.From, ":") {
-		r.RemoteAddr = "[" + a.From + "]:1"
-	}
 	path, query, _ := strings.Cut(target, "?")
-	r.URL = &url.URL{Path: path, RawQuery: query}
-	for _, h := range a.Header {
+	r := &http.Request{
+		Method:     c.Method,
+		URL:        &url.URL{Path: path, RawQuery: query},
+		Host:       u.Host,
+		RequestURI: target,
+		Header:     http.Header{},
+		Proto:      "HTTP/1.1",
+		ProtoMajor: 1,
+		ProtoMinor: 1,
+		RemoteAddr: c.From + ":1",
+	}
+	if strings.Contains(c.From, ":") { // an IPv6 address
+		r.RemoteAddr = "[" + c.From + "]:1"
+	}
+	for _, h := range c.Header {
 		name, value, ok := strings.Cut(h, ":")
 		if !ok {
 			return nil, fmt.Errorf("%q is no field: NAME: VALUE", h)
@@ -76,39 +86,46 @@
 	return r, nil
 }
 
-// printResolved prints a plan.
-func printResolved(out io.Writer, f *operatorconfig.File, p httpproxy.ResolvedRequest, front *httpproxy.Proxy) {
+// classDescriptions describe a request's idempotency.
+var classDescriptions = map[decision.Idempotency]string{
+	decision.Idempotent:      "safe to repeat",
+	decision.IdempotentByKey: "keyed: repeated where backends drop repeats",
+	decision.NonIdempotent:   "never repeated once it may have run",
+}
+
+// printResolved prints what would become of a request.
+func printResolved(out io.Writer, f *operatorconfig.File, r httpproxy.ResolvedRequest, proxy *httpproxy.Proxy) {
 	line := func(name, format string, args ...any) {
 		fmt.Fprintf(out, "%-9s %s\n", name, printable(fmt.Sprintf(format, args...)))
 	}
-	if p.Rule != nil {
-		line("route", "%s (line %d)", p.Rule.Name, p.Rule.Line)
-		for _, v := range p.Params {
+	if r.Rule != nil {
+		line("route", "%s (line %d)", r.Rule.Name, r.Rule.Line)
+		for _, v := range r.Params {
 			line("", "%s = %q", v.Name, v.Value)
 		}
 	}
-	if p.Caller.Rule != "" {
-		line("who", "%s, by %s, plan %s", p.Caller.Name, p.Caller.Rule, p.Caller.Plan)
+	if r.Caller.Rule != "" {
+		line("who", "%s, by %s, plan %s", r.Caller.Name, r.Caller.Rule, r.Caller.Plan)
 	}
-	if p.Err != nil {
-		status, why := front.RejectionStatus(p)
-		line("refused", "%d: %s", status, why)
+	if r.Err != nil {
+		status, reason := proxy.RejectionStatus(r)
+		line("refused", "%d: %s", status, reason)
 		return
 	}
-	line("service", "%s", p.Rule.Target.Service)
-	line("class", "%s: %s", p.Class, [...]string{"safe to repeat", "keyed: repeated where backends drop repeats", "never repeated once it may have run"}[p.Idempotency])
+	line("service", "%s", r.Rule.Target.Service)
+	line("class", "%s: %s", r.Class, classDescriptions[r.Idempotency])
 	for _, c := range f.Gateway.Settings.Classes {
-		if c.Name == p.Class {
+		if c.Name == r.Class {
 			deadline := c.Deadline
-			if t := p.Rule.Target.Timeout; t > 0 {
+			if t := r.Rule.Target.Timeout; t > 0 {
 				deadline = min(deadline, t)
 			}
 			line("deadline", "%v", deadline)
 		}
 	}
-	units := p.Rule.Target.Cost
-	if units == 0 {
-		units = 1
+	cost := r.Rule.Target.Cost
+	if cost == 0 {
+		cost = 1
 	}
-	line("units", "%v", units)
+	line("units", "%v", cost)
 }
--- a/cmd/pumicecroft/sim.go
+++ b/cmd/pumicecroft/sim.go
@@ -8,10 +8,10 @@
 	"pumicecroft/internal/sim"
 )
 
-// errRuleBroken ends a command that found a rule broken, or a planted bug that was not found.
+// errRuleBroken ends a command that found a rule broken, or missed a planted bug.
 var errRuleBroken = errors.New("a rule was broken")
 
-// simCommand is seeded runs.
+// simCommand runs gateways in simulated worlds.
 type simCommand struct {
 	Run     runCommand     `cmd:"" name:"run" help:"Run all seeds of a range: what broke, and how fast it went."`
 	Replay  replayCommand  `cmd:"" name:"replay" help:"Run one seed again, with its script and its trace."`
@@ -20,10 +20,10 @@
 	Mutants mutantsCommand `cmd:"" name:"mutants" help:"Build the simulation with one planted bug at a time and run seeds until each is caught."`
 }
 
-// printRun prints what came of one run.
+// printRun prints the result of one run. It returns errRuleBroken if a rule was broken.
 func printRun(r sim.Result, out io.Writer) error {
-	fmt.Fprintf(out, "seed %d: %d steps, %.1f s, trace %016x; served %d, refused %d, failed %d, lost with their doors %d\n%v", r.Seed, r.Steps,
-		r.Simulated.Seconds(), r.Hash, r.Served, r.Rejected, r.Failed, r.LostWithGateway, r.Script)
+	fmt.Fprintf(out, "seed %d: %d steps, %.1f s, trace %016x; served %d, refused %d, failed %d, lost with their doors %d\n%v",
+		r.Seed, r.Steps, r.Simulated.Seconds(), r.Hash, r.Served, r.Rejected, r.Failed, r.LostWithGateway, r.Script)
 	for _, v := range r.Violations {
 		fmt.Fprintln(out, "BROKEN", v)
 	}
--- a/cmd/pumicecroft/sim_corpus.go
+++ b/cmd/pumicecroft/sim_corpus.go
@@ -9,14 +9,14 @@
 	"pumicecroft/internal/sim"
 )
 
-// corpusFile is where the cases stand in the module.
+// corpusFile is the default file of cases, relative to the module's root.
 const corpusFile = "internal/sim/testdata/corpus.toml"
 
 type corpusCommand struct {
 	File string `name:"file" default:"${corpus}" help:"The cases."`
 }
 
-// Run runs all cases of a corpus.
+// Run runs all cases of the corpus.
 func (c *corpusCommand) Run(out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -27,9 +27,9 @@
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	var broken error
-	for _, k := range cases {
-		fmt.Fprintf(out, "%s (%s):\n", k.Cause, k.Rule)
-		broken = errors.Join(broken, printRun(sim.Run(k.Seed, sim.Options{Script: &k.Script}), out))
+	for _, c := range cases {
+		fmt.Fprintf(out, "%s (%s):\n", c.Cause, c.Rule)
+		broken = errors.Join(broken, printRun(sim.Run(c.Seed, sim.Options{Script: &c.Script}), out))
 	}
 	return broken
 }
--- a/cmd/pumicecroft/sim_mutants.go
+++ b/cmd/pumicecroft/sim_mutants.go
@@ -16,14 +16,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// mutant is a planted bug.
+// mutant is a planted bug, as a file of planted bugs has it.
 type mutant struct {
 	Name string `toml:"name"`
 	Rule string `toml:"rule"` // that must break
 	Edit []edit `toml:"edit"`
 }
 
-// edit replaces a text that stands once in a file.
+// edit replaces a text that must be in a file just once.
 type edit struct {
 	File string `toml:"file"`
 	Old  string `toml:"old"`
@@ -50,7 +50,7 @@
 	return list.Mutant, nil
 }
 
-// apply gives the files as they are with the bug, by their paths in the module.
+// apply returns the files that the bug changes, with it, by their paths in the module.
 func (m mutant) apply(root string) (map[string]string, error) {
 	texts := map[string]string{}
 	for _, e := range m.Edit {
@@ -69,7 +69,7 @@
 	return texts, nil
 }
 
-// build builds this program with the bug in it.
+// build builds this program with the bug.
 func (m mutant) build(root, dir string) (program string, err error) {
 	texts, err := m.apply(root)
 	if err != nil {
@@ -102,24 +102,26 @@
 	return program, nil
 }
 
-// verdict is what became of a bug.
+// verdict is what the simulation said of a planted bug.
 type verdict struct {
 	mutant
-	rule, seed string // that broke, at which; empty: none
+	rule, seed string // the rule that broke, and at which seed; empty: none
 	took       time.Duration
 	err        error
 }
 
-// foundPrefix begins the names of bugs that this world found: the corpus has a script of each.
+// foundPrefix begins the names of bugs that the simulation found itself: the corpus has their scripts.
 const foundPrefix = "found: "
 
-var corpusLine = regexp.MustCompile(`BROKEN (.+) at [0-9.]+:`)
-
-var brokeLine = regexp.MustCompile(`BROKEN (.+): \d+ seeds, \[(\d+)`)
+// The lines by which sim corpus and sim run name a rule that broke.
+var (
+	corpusLine = regexp.MustCompile(`BROKEN (.+) at [0-9.]+:`)
+	runLine    = regexp.MustCompile(`BROKEN (.+): \d+ seeds, \[(\d+)`)
+)
 
 // run builds the bug and runs seeds until a rule breaks.
-func (m mutant) run(root string, seeds string) (v verdict) {
-	v.mutant = m
+func (m mutant) run(root string, seeds string) verdict {
+	v := verdict{mutant: m}
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
 		v.err = err
@@ -132,7 +134,8 @@
 		return v
 	}
 	begun := time.Now()
-	if strings.HasPrefix(m.Name, foundPrefix) { // its script is known
+	if strings.HasPrefix(m.Name, foundPrefix) {
+		// A rule that breaks makes the command fail: its output says all there is.
 		out, _ := exec.Command(program, "sim", "corpus", "--file", filepath.Join(root, corpusFile)).CombinedOutput()
 		if broke := corpusLine.FindStringSubmatch(string(out)); broke != nil {
 			v.rule, v.seed, v.took = broke[1], "corpus", time.Since(begun)
@@ -141,9 +144,9 @@
 	}
 	out, err := exec.Command(program, "sim", "run", "--seeds", seeds, "--first", "--jobs", "1").CombinedOutput()
 	v.took = time.Since(begun)
-	if broke := brokeLine.FindStringSubmatch(string(out)); broke != nil {
+	if broke := runLine.FindStringSubmatch(string(out)); broke != nil {
 		v.rule, v.seed = broke[1], broke[2]
-	} else if err != nil { // it fell over, which no maintainer would overlook
+	} else if err != nil { // it crashed
 		v.err = fmt.Errorf("%w: %.300s", err, out)
 	}
 	return v
@@ -179,7 +182,12 @@
 			return nil
 		})
 	}
-	_ = running.Wait() // what failed is in the verdicts
+	_ = running.Wait() // failures are in the results
+	return printVerdicts(out, results)
+}
+
+// printVerdicts prints a table of verdicts. It returns errRuleBroken if a bug was not caught.
+func printVerdicts(out io.Writer, results []verdict) error {
 	tried, caught := 0, 0
 	fmt.Fprintln(out, "| planted bug | caught by | at seed | seconds |\n| --- | --- | --- | --- |")
 	for _, v := range results {
--- a/cmd/pumicecroft/sim_replay.go
+++ b/cmd/pumicecroft/sim_replay.go
@@ -25,7 +25,7 @@
 	Seed uint64 `name:"seed" required:"" help:"The seed."`
 }
 
-// Run shrinks a seed's script, and prints it as an entry for the corpus.
+// Run shrinks the script of a seed that breaks a rule, and prints it as an entry for the corpus.
 func (c *shrinkCommand) Run(out io.Writer) error {
 	res := sim.Shrink(sim.Run(c.Seed, sim.Options{}), sim.Options{})
 	err := printRun(res, out)
--- a/cmd/pumicecroft/sim_run.go
+++ b/cmd/pumicecroft/sim_run.go
@@ -36,42 +36,76 @@
 	First bool      `name:"first" help:"End at the first seed that breaks a rule."`
 }
 
-// Run runs all seeds of the range, and says what broke, by rule, with the first seeds.
+// Run runs all seeds of the range, and prints which rules broke, each with its first seeds.
 func (c *runCommand) Run(out io.Writer) error {
-	var next, broken atomic.Uint64 // broken: the lowest seed that broke a rule, and one
-	next.Store(c.Seeds.first)
-	broken.Store(c.Seeds.last + 2)
-	var mu sync.Mutex
-	rules := map[string][]uint64{}
-	ran, steps, simulated, hash := 0, 0, time.Duration(0), uint64(0)
-	defer debug.SetGCPercent(debug.SetGCPercent(400)) // runs are short and let go of all that they made
+	defer debug.SetGCPercent(debug.SetGCPercent(400)) // runs are short, and free all that they allocate
 	begun := time.Now()
+	totals := newRunTotals(c.Seeds)
 	var running sync.WaitGroup
 	for range c.Jobs {
-		running.Go(func() {
-			for seed := next.Add(1) - 1; seed <= c.Seeds.last && (!c.First || seed < broken.Load()); seed = next.Add(1) - 1 {
-				r := sim.Run(seed, sim.Options{})
-				mu.Lock()
-				ran, steps, simulated, hash = ran+1, steps+r.Steps, simulated+r.Simulated, hash^(r.Hash+seed)
-				for _, v := range r.Violations {
-					rules[v.Rule] = append(rules[v.Rule], seed)
-					broken.Store(min(broken.Load(), seed))
-				}
-				mu.Unlock()
-			}
-		})
+		running.Go(func() { totals.runSeeds(c.Seeds.last, c.First) })
 	}
 	running.Wait()
-	took := time.Since(begun).Seconds()
-	fmt.Fprintf(out, "%d seeds in %.1f s with %d jobs: %.0f a second for each; %d steps a seed, %.1f h simulated; all traces %016x\n", ran, took, c.Jobs,
-		float64(ran)/took/float64(c.Jobs), steps/max(1, ran), simulated.Hours(), hash)
-	for _, rule := range slices.Sorted(maps.Keys(rules)) {
-		broke := rules[rule]
-		slices.Sort(broke)
-		fmt.Fprintf(out, "BROKEN %s: %d seeds, %v the first\n", rule, len(broke), broke[:min(5, len(broke))])
-	}
-	if len(rules) > 0 {
+	totals.print(out, time.Since(begun).Seconds(), int(c.Jobs))
+	if len(totals.broken) > 0 {
 		return errRuleBroken
 	}
 	return nil
 }
+
+// runTotals are the results of many runs. It is safe for concurrent use until print.
+type runTotals struct {
+	next        atomic.Uint64 // the seed to run next
+	firstBroken atomic.Uint64 // the lowest seed that broke a rule
+
+	mu        sync.Mutex
+	runs      int
+	steps     int
+	simulated time.Duration
+	hash      uint64              // of all traces
+	broken    map[string][]uint64 // the seeds that broke a rule, by rule
+}
+
+func newRunTotals(seeds seedRange) *runTotals {
+	t := &runTotals{broken: map[string][]uint64{}}
+	t.next.Store(seeds.first)
+	t.firstBroken.Store(seeds.last + 2)
+	return t
+}
+
+// runSeeds runs seeds until all are taken; with stopAtFirst, up to the first that breaks a rule.
+func (t *runTotals) runSeeds(last uint64, stopAtFirst bool) {
+	for {
+		seed := t.next.Add(1) - 1
+		if seed > last || stopAtFirst && seed >= t.firstBroken.Load() {
+			return
+		}
+		t.add(seed, sim.Run(seed, sim.Options{}))
+	}
+}
+
+func (t *runTotals) add(seed uint64, r sim.Result) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.runs++
+	t.steps += r.Steps
+	t.simulated += r.Simulated
+	t.hash ^= r.Hash + seed
+	for _, v := range r.Violations {
+		t.broken[v.Rule] = append(t.broken[v.Rule], seed)
+		t.firstBroken.Store(min(t.firstBroken.Load(), seed))
+	}
+}
+
+// maxPrintedSeeds is how many seeds are printed of each rule that broke.
+const maxPrintedSeeds = 5
+
+func (t *runTotals) print(out io.Writer, seconds float64, jobs int) {
+	fmt.Fprintf(out, "%d seeds in %.1f s with %d jobs: %.0f a second for each; %d steps a seed, %.1f h simulated; all traces %016x\n",
+		t.runs, seconds, jobs, float64(t.runs)/seconds/float64(jobs), t.steps/max(1, t.runs), t.simulated.Hours(), t.hash)
+	for _, rule := range slices.Sorted(maps.Keys(t.broken)) {
+		seeds := t.broken[rule]
+		slices.Sort(seeds)
+		fmt.Fprintf(out, "BROKEN %s: %d seeds, %v the first\n", rule, len(seeds), seeds[:min(maxPrintedSeeds, len(seeds))])
+	}
+}
--- a/cmd/pumicecroft/state.go
+++ b/cmd/pumicecroft/state.go
@@ -23,84 +23,113 @@
 	File string `name:"file" placeholder:"FILE" help:"An operator's file: say what the door that serves by it would make of what is kept."`
 }
 
-// Run prints what a door would begin with.
+// membersSuffix ends the names of files with cached backends.
+const membersSuffix = ".members"
+
+// Run prints what a gateway would restore.
 func (c *stateCommand) Run(out io.Writer) error {
-	found, err := snapshotfile.List(c.Dir)
+	snapshots, err := snapshotfile.List(c.Dir)
 	if err != nil {
 		return err
 	}
-	lists, err := filepath.Glob(filepath.Join(c.Dir, "*.members"))
+	caches, err := filepath.Glob(filepath.Join(c.Dir, "*"+membersSuffix))
 	if err != nil {
 		return err
 	}
-	var door *recovery.GatewayInfo
+	var gateway *recovery.GatewayInfo
 	if c.File != "" {
-		f, err := fileArg{c.File}.read()
-		if err != nil {
+		if gateway, err = readGatewayInfo(c.File); err != nil {
 			return err
 		}
-		set := f.Gateway.Settings
-		door = &recovery.GatewayInfo{Index: set.GatewayIndex, Count: set.GatewayCount, SettingsDigest: recovery.SettingsDigest(set), Plans: set.Plans}
-		if found[door.Index] == "" {
-			found[door.Index] = snapshotfile.Path(c.Dir, door.Index)
+		if snapshots[gateway.Index] == "" {
+			snapshots[gateway.Index] = snapshotfile.Path(c.Dir, gateway.Index)
 		}
 	}
 	now := time.Now()
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KIND\tOF\tAGE\tHOLDS\tWHAT BECOMES OF IT")
-	for _, n := range slices.Sorted(maps.Keys(found)) {
-		if door == nil || n == door.Index {
-			printSnapshot(w, found[n], n, door, now)
+	for _, index := range slices.Sorted(maps.Keys(snapshots)) {
+		if gateway == nil || index == gateway.Index {
+			printSnapshot(w, snapshots[index], index, gateway, now)
 		}
 	}
-	for _, path := range lists {
-		source, err := url.PathUnescape(strings.TrimSuffix(filepath.Base(path), ".members"))
-		if err != nil {
-			source = filepath.Base(path)
-		}
-		nodes, at, err := endpointcache.Read(c.Dir, source)
-		if err != nil {
-			fmt.Fprintf(w, "members\t%s\t-\t-\tnot believed: %v\n", source, err)
-			continue
-		}
-		fmt.Fprintf(w, "members\t%s\t%v\t%d nodes\tbelieved until the source is heard; who has come since counts as cold\n", source, now.Sub(at).Round(time.Second), len(nodes))
+	for _, path := range caches {
+		printCache(w, c.Dir, path, now)
 	}
-	if len(found)+len(lists) == 0 {
+	if len(snapshots)+len(caches) == 0 {
 		fmt.Fprintf(w, "-\t-\t-\tnothing\t%s\n", recovery.RestoreNothing(nil).Explanation)
 	}
 	return w.Flush()
 }
 
-// printSnapshot tells of one snapshot, to the door that would begin with it if one is named.
-func printSnapshot(w io.Writer, path string, number int, door *recovery.GatewayInfo, now time.Time) {
-	tell := func(s *recovery.Snapshot, b recovery.Restored) {
-		age, holds, becomes := "-", "-", b.Explanation
-		if s != nil {
-			age, holds = now.Sub(s.TakenAt).Round(time.Millisecond).String(), fmt.Sprintf("%d customers that owe", len(s.Customers))
-		}
-		if b.Err != nil {
-			becomes = fmt.Sprintf("not believed: %v; %s", b.Err, b.Explanation)
-		} else if door != nil {
-			becomes = fmt.Sprintf("%d go on owing, %d owe nothing by now; %s", len(b.Customers), b.Repaid, b.Explanation)
-		}
-		fmt.Fprintf(w, "decisions\tdoor %d\t%s\t%s\t%s\n", number, age, holds, becomes)
+// readGatewayInfo returns what identifies the gateway of an operator's file to its snapshots.
+func readGatewayInfo(file string) (*recovery.GatewayInfo, error) {
+	f, err := fileArg{file}.read()
+	if err != nil {
+		return nil, err
 	}
-	text, err := snapshotfile.Read(path)
-	if errors.Is(err, fs.ErrNotExist) {
-		tell(nil, recovery.RestoreNothing(errors.New("nothing was kept")))
+	set := f.Gateway.Settings
+	return &recovery.GatewayInfo{
+		Index:          set.GatewayIndex,
+		Count:          set.GatewayCount,
+		SettingsDigest: recovery.SettingsDigest(set),
+		Plans:          set.Plans,
+	}, nil
+}
+
+// printCache prints what a cache of a source's backends holds.
+func printCache(w io.Writer, dir, path string, now time.Time) {
+	source, err := url.PathUnescape(strings.TrimSuffix(filepath.Base(path), membersSuffix))
+	if err != nil {
+		source = filepath.Base(path)
+	}
+	nodes, at, err := endpointcache.Read(dir, source)
+	if err != nil {
+		fmt.Fprintf(w, "members\t%s\t-\t-\tnot believed: %v\n", source, err)
 		return
 	}
+	fmt.Fprintf(w, "members\t%s\t%v\t%d nodes\tbelieved until the source is heard; who has come since counts as cold\n",
+		source, now.Sub(at).Round(time.Second), len(nodes))
+}
+
+// printSnapshot prints what a snapshot holds, and what becomes of it: for the given gateway, or for
+// the one that wrote it if gateway is nil.
+func printSnapshot(w io.Writer, path string, index int, gateway *recovery.GatewayInfo, now time.Time) {
+	snapshot, err := readSnapshot(path)
 	if err != nil {
-		tell(nil, recovery.RestoreNothing(err))
+		printRestored(w, index, nil, recovery.RestoreNothing(err), gateway, now)
 		return
 	}
-	s, err := recovery.Decode(text)
-	switch {
-	case err != nil:
-		tell(nil, recovery.RestoreNothing(err))
-	case door != nil:
-		tell(s, recovery.Restore(s, *door, now))
-	default:
-		tell(s, recovery.Restore(s, recovery.GatewayInfo{Index: s.GatewayIndex, Count: s.GatewayCount, SettingsDigest: s.SettingsDigest}, now))
+	info := recovery.GatewayInfo{Index: snapshot.GatewayIndex, Count: snapshot.GatewayCount, SettingsDigest: snapshot.SettingsDigest}
+	if gateway != nil {
+		info = *gateway
+	}
+	printRestored(w, index, snapshot, recovery.Restore(snapshot, info, now), gateway, now)
+}
+
+func readSnapshot(path string) (*recovery.Snapshot, error) {
+	data, err := snapshotfile.Read(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, errors.New("nothing was kept")
+	}
+	if err != nil {
+		return nil, err
+	}
+	return recovery.Decode(data)
+}
+
+// printRestored prints a line on a snapshot and what is restored of it. snapshot is nil if it can't be
+// read.
+func printRestored(w io.Writer, index int, snapshot *recovery.Snapshot, restored recovery.Restored, gateway *recovery.GatewayInfo, now time.Time) {
+	age, holds, becomes := "-", "-", restored.Explanation
+	if snapshot != nil {
+		age = now.Sub(snapshot.TakenAt).Round(time.Millisecond).String()
+		holds = fmt.Sprintf("%d customers that owe", len(snapshot.Customers))
+	}
+	if restored.Err != nil {
+		becomes = fmt.Sprintf("not believed: %v; %s", restored.Err, restored.Explanation)
+	} else if gateway != nil {
+		becomes = fmt.Sprintf("%d go on owing, %d owe nothing by now; %s", len(restored.Customers), restored.Repaid, restored.Explanation)
 	}
+	fmt.Fprintf(w, "decisions\tdoor %d\t%s\t%s\t%s\n", index, age, holds, becomes)
 }
--- a/internal/daemon/servefile.go
+++ b/internal/daemon/servefile.go
@@ -54,7 +54,7 @@
 // newFileGateway returns the gateway of an operator's file, and what serves its HTTP routes; nil
 // means that it has none. The backends that the file lists are known when it returns.
 func newFileGateway(f *operatorconfig.File, sources *sources) (*pumicecroft.Gateway, *httpServer, error) {
-	options := append(sources.options, pumicecroft.WithLogger(slog.Default()))
+	options := slices.Concat(sources.options, []pumicecroft.Option{pumicecroft.WithLogger(slog.Default())})
 	if f.GRPC != nil {
 		f.GRPC.Backends.Log = slog.Default()
 		options = append(options, grpcproxy.WithBackends(f.GRPC.Backends))
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -23,11 +23,11 @@
 	"pumicecroft/membership"
 )
 
-// Problem is one thing that is wrong with a file, and Problems all of them.
-type (
-	Problem  = settings.Problem
-	Problems = settings.Problems
-)
+// Problem is one thing that is wrong with a file.
+type Problem = settings.Problem
+
+// Problems are all things that are wrong with a file.
+type Problems = settings.Problems
 
 // File is what an operator's file says.
 type File struct {
--- a/internal/operatorconfig/http.go
+++ b/internal/operatorconfig/http.go
@@ -162,7 +162,8 @@
 // default.
 func HostHeader(addr string, tls bool) string {
 	host, port, err := net.SplitHostPort(addr)
-	if err != nil || !(tls && port == "443" || !tls && port == "80") {
+	isDefaultPort := tls && port == "443" || !tls && port == "80"
+	if err != nil || !isDefaultPort {
 		return addr
 	}
 	if strings.Contains(host, ":") { // an IPv6 address
