--- a/internal/http1proxy/header.go
+++ b/internal/http1proxy/header.go
@@ -8,8 +8,8 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// hopByHop tells whether a field is between two neighbours only (RFC 9110, 7.6.1, and what was widely sent before it). TE and
-// Trailer are among them: what they are for is made anew.
+// hopByHop reports whether a field is meant for the next neighbour alone (RFC 9110, 7.6.1, and what
+// was common before it). Te and Trailer are among them: the proxy writes its own.
 func hopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
@@ -19,59 +19,58 @@
 	return false
 }
 
-// ConnectionOptions are the fields that Connection names, canonical; they end here too.
-func ConnectionOptions(h Header) (out []string) {
-	for _, v := range h["Connection"] {
-		for name := range strings.SplitSeq(v, ",") {
+// ConnectionOptions returns the canonical names of the fields that Connection names: these are
+// hop-by-hop, too.
+func ConnectionOptions(h Header) (names []string) {
+	for _, value := range h["Connection"] {
+		for name := range strings.SplitSeq(value, ",") {
 			if name = strings.Trim(name, " \t"); name != "" {
-				out = append(out, CanonicalHeaderName(name))
+				names = append(names, CanonicalHeaderName(name))
 			}
 		}
 	}
-	return out
+	return names
 }
 
-// IsHeaderName tells whether a text can be a field's name.
+// IsHeaderName reports whether a text can be a field's name.
 func IsHeaderName(name string) bool { return httpguts.ValidHeaderFieldName(name) }
 
-// CanonicalHeaderName is a field's name as net/http writes it; what is no name stays as it is.
+// CanonicalHeaderName returns a field's name as net/http writes it. An invalid name is returned
+// unchanged.
 func CanonicalHeaderName(name string) string {
 	if !httpguts.ValidHeaderFieldName(name) {
 		return name
 	}
 	b := []byte(name)
-	up := true
+	upper := true
 	for i, c := range b {
-		if up && 'a' <= c && c <= 'z' {
+		if upper && 'a' <= c && c <= 'z' {
 			b[i] = c - 'a' + 'A'
-		} else if !up && 'A' <= c && c <= 'Z' {
+		} else if !upper && 'A' <= c && c <= 'Z' {
 			b[i] = c - 'A' + 'a'
 		}
-		up = c == '-'
+		upper = c == '-'
 	}
 	return string(b)
 }
 
-// CopyResponseHeader copies an answer's fields, as they go to the client, into another set. Those that are between the backend and the door stay behind.
+// CopyResponseHeader copies the fields of a backend's response to the client's, without hop-by-hop
+// ones.
 func CopyResponseHeader(to, from Header) {
-	nominated := ConnectionOptions(from)
+	options := ConnectionOptions(from)
 	for name, values := range from {
-		if !hopByHop(name) && !slices.Contains(nominated, name) {
+		if !hopByHop(name) && !slices.Contains(options, name) {
 			to[name] = values
 		}
 	}
 }
 
-// ForwardableTrailer are the fields of a trailer that may go on: none that frames, routes or changes what the message was (RFC 9110, 6.5.1).
+// ForwardableTrailer returns the fields of a trailer that may be forwarded: none that frames, routes
+// or changes the message (RFC 9110, 6.5.1). It is nil if there are none.
 func ForwardableTrailer(from Header) Header {
 	var out Header
 	for name, values := range from {
-		if hopByHop(name) {
-			continue
-		}
-		switch name {
-		case "Content-Length", "Host", "Content-Encoding", "Content-Type", "Content-Range", "Authorization", "Set-Cookie", "Cache-Control", "Expect",
-			"Max-Forwards", "Range":
+		if hopByHop(name) || forbiddenInTrailer(name) {
 			continue
 		}
 		if out == nil {
@@ -82,153 +81,170 @@
 	return out
 }
 
-// ForwardedStyle is how backends are told where a request came from.
+func forbiddenInTrailer(name string) bool {
+	switch name {
+	case "Content-Length", "Host", "Content-Encoding", "Content-Type", "Content-Range", "Authorization", "Set-Cookie",
+		"Cache-Control", "Expect", "Max-Forwards", "Range":
+		return true
+	}
+	return false
+}
+
+// ForwardedStyle selects the header by which backends are told where a request came from.
 type ForwardedStyle uint8
 
 // The styles.
 const (
-	XForwarded    ForwardedStyle = iota // X-Forwarded-For, -Proto and -Host
-	Forwarded                           // RFC 7239
-	ForwardedNone                       // neither; what came of them is removed all the same
+	XForwarded    ForwardedStyle = iota // X-Forwarded-For, X-Forwarded-Proto and X-Forwarded-Host
+	Forwarded                           // Forwarded (RFC 7239)
+	ForwardedNone                       // none; what the client sent of them is removed all the same
 )
 
 // Origin is where a request came from.
 type Origin struct {
-	Addr        string // the peer's, without a port
-	Host        string // that it asked for
+	Addr        string // the peer's address, without a port
+	Host        string // the request's
 	TLS         bool
-	TrustedPeer bool   // what it says of those before it is believed, and goes on
-	Proto       string // "1.1", "2.0"
+	TrustedPeer bool   // what the peer says of its clients is believed, and forwarded
+	Proto       string // the HTTP version, such as "1.1" or "2.0"
 }
 
-// HeaderForwarder says what becomes of fields on their way to backends.
+// HeaderForwarder makes the header of requests to backends.
 type HeaderForwarder struct {
 	ForwardedStyle ForwardedStyle
-	// ViaName is the name that this door has in Via; it may stand there MostVia times at most, before the request is taken to go in a circle.
-	ViaName       string
+	// ViaName is the proxy's name in Via. Empty means that Via is forwarded unchanged.
+	ViaName string
+	// MaxViaEntries is how often ViaName may be in Via before the request is taken to go in a loop.
+	// 0 means any number.
 	MaxViaEntries int
-	// Remove are canonical names that never go on, and Asserted those that only a trusted peer may bring.
-	Remove, TrustedOnly []string
+	// Remove are canonical names of fields that are never forwarded.
+	Remove []string
+	// TrustedOnly are canonical names of fields that are forwarded for a trusted peer alone.
+	TrustedOnly []string
 }
 
-// headerField is a field that the door itself adds.
+// headerField is a field that the proxy adds.
 type headerField struct{ name, value string }
 
-// Append appends a request's fields as they stand on the wire behind the request line, but for those that frame it. add are further fields, in
-// pairs of a name and a value, which take the place of what came under their names. The error is an ErrField or ErrLoop.
-func (o *HeaderForwarder) Append(b []byte, h Header, from Origin, add ...string) ([]byte, error) {
-	nominated := ConnectionOptions(h)
-	var own [4]headerField
-	mine := own[:0]
-	if o.ViaName != "" {
+// Append appends the fields of a request as they are on the wire after the request line, without
+// those that frame the message. added are further fields, as pairs of a name and a value, which
+// replace the client's. The error is an ErrInvalidField or ErrLoop.
+func (f *HeaderForwarder) Append(b []byte, h Header, origin Origin, added ...string) ([]byte, error) {
+	var room [4]headerField // keeps the proxy's fields off the heap
+	own := room[:0]
+	if f.ViaName != "" {
 		via := strings.Join(h["Via"], ", ")
-		if via != "" && o.MaxViaEntries > 0 && strings.Count(via, o.ViaName) >= o.MaxViaEntries {
+		if via != "" && f.MaxViaEntries > 0 && strings.Count(via, f.ViaName) >= f.MaxViaEntries {
 			return b, ErrLoop
 		}
-		if via != "" {
-			via += ", "
-		}
-		mine = append(mine, headerField{"Via", via + from.Proto + " " + o.ViaName})
+		own = append(own, headerField{"Via", chain(via, origin.Proto+" "+f.ViaName)})
+	}
+	own = f.appendForwarded(own, h, origin)
+	b, err := f.appendClientFields(b, h, origin.TrustedPeer, added)
+	for i := 0; i < len(own) && err == nil; i++ {
+		b, err = appendField(b, own[i].name, own[i].value)
 	}
-	mine = o.appendForwarded(mine, h, from)
+	for i := 0; i+1 < len(added) && err == nil; i += 2 {
+		b, err = appendField(b, added[i], added[i+1])
+	}
+	if err != nil {
+		return b, err
+	}
+	if te := h["Te"]; len(te) > 0 && httpguts.HeaderValuesContainsToken(te, "trailers") {
+		b = append(b, "Te: trailers\r\nConnection: te\r\n"...)
+	}
+	return b, nil
+}
+
+// appendClientFields appends the client's fields that are forwarded.
+func (f *HeaderForwarder) appendClientFields(b []byte, h Header, trustedPeer bool, added []string) ([]byte, error) {
+	options := ConnectionOptions(h)
 	for name, values := range h {
 		switch {
-		case hopByHop(name), len(nominated) > 0 && slices.Contains(nominated, name), slices.Contains(o.Remove, name),
-			!from.TrustedPeer && slices.Contains(o.TrustedOnly, name):
-			continue
-		}
-		switch name {
-		case "Host", "Content-Length", "Expect", "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "Forwarded":
-			continue
-		case "Via":
-			if o.ViaName != "" {
-				continue
-			}
-		}
-		if isReplaced(name, add) {
+		case hopByHop(name), slices.Contains(options, name), slices.Contains(f.Remove, name),
+			!trustedPeer && slices.Contains(f.TrustedOnly, name), f.isOwn(name), isReplaced(name, added):
 			continue
 		}
-		for _, v := range values {
+		for _, value := range values {
 			var err error
-			if b, err = appendField(b, name, v); err != nil {
+			if b, err = appendField(b, name, value); err != nil {
 				return b, err
 			}
 		}
 	}
-	for _, s := range mine {
-		var err error
-		if b, err = appendField(b, s.name, s.value); err != nil {
-			return b, err
-		}
-	}
-	for i := 0; i+1 < len(add); i += 2 {
-		var err error
-		if b, err = appendField(b, add[i], add[i+1]); err != nil {
-			return b, err
-		}
-	}
-	if te := h["Te"]; len(te) > 0 && httpguts.HeaderValuesContainsToken(te, "trailers") {
-		b = append(b, "Te: trailers\r\nConnection: te\r\n"...)
-	}
 	return b, nil
 }
 
-func isReplaced(name string, add []string) bool {
-	for i := 0; i+1 < len(add); i += 2 {
-		if add[i] == name {
+// isOwn reports whether the proxy writes a field itself, or leaves it to the framing of the message.
+func (f *HeaderForwarder) isOwn(name string) bool {
+	switch name {
+	case "Host", "Content-Length", "Expect", "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "Forwarded":
+		return true
+	case "Via":
+		return f.ViaName != ""
+	}
+	return false
+}
+
+// isReplaced reports whether a field's name is in added, pairs of a name and a value.
+func isReplaced(name string, added []string) bool {
+	for i := 0; i+1 < len(added); i += 2 {
+		if added[i] == name {
 			return true
 		}
 	}
 	return false
 }
 
-// appendForwarded are the fields that tell where a request came from.
-func (o *HeaderForwarder) appendForwarded(mine []headerField, h Header, from Origin) []headerField {
+// appendForwarded appends the fields that tell where a request came from.
+func (f *HeaderForwarder) appendForwarded(fields []headerField, h Header, origin Origin) []headerField {
 	proto := "http"
-	if from.TLS {
+	if origin.TLS {
 		proto = "https"
 	}
-	before := func(name string) string {
-		if !from.TrustedPeer {
+	earlier := func(name string) string { // what a trusted peer says
+		if !origin.TrustedPeer {
 			return ""
 		}
 		return strings.Join(h[name], ", ")
 	}
-	chain := func(earlier, now string) string {
-		if earlier == "" {
-			return now
-		}
-		return earlier + ", " + now
-	}
-	switch o.ForwardedStyle {
+	switch f.ForwardedStyle {
 	case XForwarded:
-		mine = append(mine, headerField{"X-Forwarded-For", chain(before("X-Forwarded-For"), from.Addr)})
-		host, was := before("X-Forwarded-Host"), before("X-Forwarded-Proto")
+		fields = append(fields, headerField{"X-Forwarded-For", chain(earlier("X-Forwarded-For"), origin.Addr)})
+		host, earlierProto := earlier("X-Forwarded-Host"), earlier("X-Forwarded-Proto")
 		if host == "" {
-			host = from.Host
+			host = origin.Host
 		}
-		if was == "" {
-			was = proto
+		if earlierProto != "" {
+			proto = earlierProto
 		}
-		mine = append(mine, headerField{"X-Forwarded-Proto", was})
+		fields = append(fields, headerField{"X-Forwarded-Proto", proto})
 		if host != "" {
-			mine = append(mine, headerField{"X-Forwarded-Host", host})
+			fields = append(fields, headerField{"X-Forwarded-Host", host})
 		}
 	case Forwarded:
-		node := from.Addr
-		if strings.Contains(node, ":") {
+		node := origin.Addr
+		if strings.Contains(node, ":") { // an IPv6 address
 			node = `"[` + node + `]"`
 		}
-		now := "for=" + node + ";proto=" + proto
-		if from.Host != "" {
-			now += ";host=" + quoteForwardedValue(from.Host)
+		element := "for=" + node + ";proto=" + proto
+		if origin.Host != "" {
+			element += ";host=" + quoteForwardedValue(origin.Host)
 		}
-		mine = append(mine, headerField{"Forwarded", chain(before("Forwarded"), now)})
+		fields = append(fields, headerField{"Forwarded", chain(earlier("Forwarded"), element)})
+	}
+	return fields
+}
+
+// chain adds an element to a list field's value.
+func chain(list, element string) string {
+	if list == "" {
+		return element
 	}
-	return mine
+	return list + ", " + element
 }
 
-// quoteForwardedValue is a value of a parameter in RFC 7239's grammar.
+// quoteForwardedValue returns a parameter's value as a token or quoted string (RFC 7239, 4).
 func quoteForwardedValue(s string) string {
 	if httpguts.ValidHeaderFieldName(s) { // a token
 		return s
@@ -236,7 +252,7 @@
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
 
-// appendField appends one field.
+// appendField appends one field. The error is an ErrInvalidField.
 func appendField(b []byte, name, value string) ([]byte, error) {
 	if !httpguts.ValidHeaderFieldName(name) {
 		return b, fmt.Errorf("%w: the name %.40q", ErrInvalidField, name)
--- a/internal/http1proxy/outcome.go
+++ b/internal/http1proxy/outcome.go
@@ -2,40 +2,41 @@
 
 import "pumicecroft/decision"
 
-// EndReason an attempt ended without an answer, as its driver saw it.
+// EndReason says why an attempt ended without a response, as the transport saw it.
 type EndReason uint8
 
 // The reasons.
 const (
 	ConnectionLost    EndReason = iota // the connection broke or was closed
-	MalformedResponse                  // what came is no answer that can be passed on
-	AttemptCancelled                   // by the decision module
-	DeadlineExceeded                   // by the core
-	ClientWriteFailed                  // the client does not take its answer
+	MalformedResponse                  // what arrived can't be forwarded
+	AttemptCancelled                   // the decision engine cancelled the attempt
+	DeadlineExceeded                   // the attempt's deadline passed
+	ClientWriteFailed                  // the client does not take its response
 )
 
 // Progress is how far an attempt has got.
 type Progress struct {
-	HeadBytes    int // bytes of the request's head
-	WrittenBytes int // bytes of the request that the connection took
+	HeadBytes    int // the length of the request's head
+	WrittenBytes int // how much of the request the connection has taken
 }
 
-// MayHaveRun tells whether the request may have run. It can't have before its whole head was on its way: there is no request then. From there on a
-// backend may begin before it has the body.
+// MayHaveRun reports whether the backend may have run the request. It can't have before the whole
+// head was written, as there is no request then. From there on it may begin before it has the body.
 func (p Progress) MayHaveRun() bool { return p.WrittenBytes >= p.HeadBytes }
 
-// Result is what the end of an attempt without an answer proves.
+// Result returns what the end of an attempt without a response proves.
 //
-//	             | not begun (never ran) | begun
-//	Ended        | NoConnection          | Broken
-//	Spoilt       | -                     | Unknown
-//	CalledOff    | Cancelled             | Cancelled
-//	TimeUp       | NotSent               | TimedOut
-//	ClientCut    | -                     | Cancelled
+//	                  | did not run   | may have run
+//	ConnectionLost    | ConnectFailed | ConnectionLost
+//	MalformedResponse | -             | Unknown
+//	AttemptCancelled  | Cancelled     | Cancelled
+//	DeadlineExceeded  | NotSent       | TimedOut
+//	ClientWriteFailed | -             | Cancelled
 //
-// An attempt whose time was up before its head was written has told nothing about its backend: the network or this process was slow.
-func (p Progress) Result(why EndReason) decision.Result {
-	switch why {
+// A deadline that passed before the head was written tells nothing about the backend: the network or
+// this process was slow.
+func (p Progress) Result(reason EndReason) decision.Result {
+	switch reason {
 	case AttemptCancelled, ClientWriteFailed:
 		return decision.Cancelled
 	case MalformedResponse:
--- a/internal/http1proxy/request.go
+++ b/internal/http1proxy/request.go
@@ -9,30 +9,35 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Request is a client's request as it goes on to a backend, with each attempt. It is not changed once it is made.
+// Request is a client's request as it is sent to a backend, in each attempt. It is not changed once
+// it is made.
 type Request struct {
 	Method      string
 	Target      string // path and query as they came
 	Host        string
-	HeaderBlock []byte // as Onward.Append made them
-	// RemainingTimeoutHeader is the field that tells a backend how long its client still waits, in seconds; empty: none does.
+	HeaderBlock []byte // as HeaderForwarder.Append made it
+	// RemainingTimeoutHeader names the field in which a backend is told how many seconds its client
+	// still waits. Empty means that it is not told.
 	RemainingTimeoutHeader string
 	Body                   []byte
-	Trailer                Header // goes behind the body, which is then sent in chunks
+	Trailer                Header // makes the body chunked, unless it is empty
 }
 
-// CheckTarget tells whether a target can stand in a request line as it is: the path of an origin, without a fragment.
+// CheckTarget returns an ErrInvalidTarget unless a target can be in a request line as it is: an
+// absolute path without a fragment.
 func CheckTarget(target string) error {
-	if !strings.HasPrefix(target, "/") || strings.ContainsFunc(target, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '#' }) {
+	invalid := func(r rune) bool { return r <= ' ' || r == 0x7f || r == '#' }
+	if !strings.HasPrefix(target, "/") || strings.ContainsFunc(target, invalid) {
 		return fmt.Errorf("%w: %.60q", ErrInvalidTarget, target)
 	}
 	return nil
 }
 
-// FormatSeconds writes a time as a request tells it.
+// FormatSeconds returns a duration as RemainingTimeoutHeader has it: in seconds with three decimals.
 func FormatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// Validate tells what of a request can't stand on the wire as it is. The error is an ErrTarget or ErrField.
+// Validate returns an error if a part of the request can't be on the wire as it is. The error is an
+// ErrInvalidTarget or ErrInvalidField.
 func (r *Request) Validate() error {
 	switch {
 	case r.Method == "" || !httpguts.ValidHeaderFieldName(r.Method):
@@ -41,8 +46,8 @@
 		return fmt.Errorf("%w: the host %.40q", ErrInvalidField, r.Host)
 	}
 	for name, values := range r.Trailer {
-		for _, v := range values {
-			if _, err := appendField(nil, name, v); err != nil {
+		for _, value := range values {
+			if _, err := appendField(nil, name, value); err != nil {
 				return err
 			}
 		}
@@ -50,8 +55,8 @@
 	return CheckTarget(r.Target)
 }
 
-// AppendHead appends the head of one attempt; left is the time that its client still waits.
-func (r *Request) AppendHead(b []byte, left time.Duration) []byte {
+// AppendHead appends the head of one attempt. remaining is the time that its client still waits.
+func (r *Request) AppendHead(b []byte, remaining time.Duration) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
 	b = append(b, r.Target...)
@@ -62,7 +67,7 @@
 	if r.RemainingTimeoutHeader != "" {
 		b = append(b, r.RemainingTimeoutHeader...)
 		b = append(b, ": "...)
-		b = append(b, FormatSeconds(left)...)
+		b = append(b, FormatSeconds(remaining)...)
 		b = append(b, "\r\n"...)
 	}
 	switch {
@@ -84,7 +89,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendBody appends what stands behind the head.
+// AppendBody appends what follows the head.
 func (r *Request) AppendBody(b []byte) []byte {
 	if len(r.Trailer) == 0 {
 		return append(b, r.Body...)
@@ -97,8 +102,8 @@
 	}
 	b = append(b, "0\r\n"...)
 	for name, values := range r.Trailer {
-		for _, v := range values {
-			b, _ = appendField(b, name, v) // Check has looked
+		for _, value := range values {
+			b, _ = appendField(b, name, value) // Validate has checked it
 		}
 	}
 	return append(b, "\r\n"...)
--- a/internal/http1proxy/response.go
+++ b/internal/http1proxy/response.go
@@ -7,9 +7,11 @@
 	"strings"
 )
 
-// ParseSimpleResponseHead reads the head of an answer that is as plain as nearly all are: here whole, HTTP/1.1, with one length, letters, digits and hyphens in names,
-// printable ASCII in values, and nothing about the connection or other framing. Of all others it says no, and net/http's reader, which knows all
-// of HTTP, has them: it costs some 2 us and six allocations more. FuzzPlainHead holds the two together. size is the head's in raw.
+// ParseSimpleResponseHead parses the head of a response that is as simple as nearly all are: it has
+// arrived completely, is HTTP/1.1 with one Content-Length, has only letters, digits and hyphens in
+// names and printable ASCII in values, and nothing about the connection or other framing. ok is
+// false of all others, which net/http has to parse: it knows all of HTTP, and allocates more.
+// FuzzParseSimpleResponseHead compares the two. size is the length of the head in raw.
 func ParseSimpleResponseHead(raw []byte) (status int, h Header, length int64, size int, ok bool) {
 	const proto = "HTTP/1.1 "
 	end := bytes.Index(raw, []byte("\r\n\r\n"))
@@ -43,8 +45,8 @@
 			}
 			length, _ = strconv.ParseInt(value, 10, 64)
 		}
-		if there := h[name]; there != nil {
-			h[name] = append(there, value)
+		if earlier := h[name]; earlier != nil {
+			h[name] = append(earlier, value)
 			continue
 		}
 		values[i] = value
--- a/internal/http1proxy/status.go
+++ b/internal/http1proxy/status.go
@@ -7,33 +7,35 @@
 	"pumicecroft/decision"
 )
 
-// Statuses say what the statuses of a route's backends mean. What a list names comes before the rules at Result; no status may be in two.
+// Statuses say what backends mean by their statuses. The lists take precedence over the rules at
+// Result. No status may be in two of them.
 type Statuses struct{ Succeeded, Rejected, Failed []int }
 
-// Validate tells what is wrong with lists.
+// Validate returns an error if a list has an invalid status, or one that another list has.
 func (s *Statuses) Validate() error {
 	seen := map[int]bool{}
 	for _, list := range [][]int{s.Succeeded, s.Rejected, s.Failed} {
-		for _, v := range list {
-			if v < 200 || v > 999 {
-				return fmt.Errorf("%d is no status of an answer", v)
+		for _, status := range list {
+			if status < 200 || status > 999 {
+				return fmt.Errorf("%d is no status of an answer", status)
 			}
-			if seen[v] {
-				return fmt.Errorf("status %d is there twice", v)
+			if seen[status] {
+				return fmt.Errorf("status %d is there twice", status)
 			}
-			seen[v] = true
+			seen[status] = true
 		}
 	}
 	return nil
 }
 
-// Result is what an answer with a status tells the decision module.
+// Result returns what a response with a status tells the decision engine.
 //
-//   - Refused, so that it has not run and may go elsewhere: 429, which says so by itself; 503 with Retry-After; 503 and 504 with the platform's
-//     proof (Not-Started: 1).
-//   - AnsweredErr, so that it may have run: 500, 502, 504, and a 503 that does not say when to come back, as servers send it also when they
-//     fail midway.
-//   - Answered: all else. A 4xx is the backend's word on the request, and so is a 501, which would be the same elsewhere.
+//   - Rejected, so that the request did not run and may go elsewhere: 429, which says so by itself;
+//     503 with Retry-After; 503 and 504 with the platform's proof (Not-Started: 1).
+//   - ErrorResponse, so that the request may have run: 500, 502, 504, and a 503 without Retry-After,
+//     which servers also send when they fail midway.
+//   - Succeeded: all others. A 4xx is the backend's answer to the request, and so is a 501, which
+//     would be the same elsewhere.
 func (s *Statuses) Result(status int, retryAfter, notStarted bool) decision.Result {
 	switch {
 	case slices.Contains(s.Succeeded, status):
@@ -62,8 +64,9 @@
 	return decision.Succeeded
 }
 
-// MethodIdempotency is what repeating a request may do, by its method (RFC 9110, 9.2): the ones that are safe or idempotent may be repeated. With a
-// key and a class whose backends drop repeats, others are keyed.
+// MethodIdempotency returns the idempotency of a request by its method (RFC 9110, 9.2). Requests whose
+// method is neither safe nor idempotent are idempotent by key, if they have a key and their backends
+// drop repeats by it.
 func MethodIdempotency(method string, key, dropsRepeats bool) decision.Idempotency {
 	switch method {
 	case "GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE":
