--- a/internal/grpcproto/call.go
+++ b/internal/grpcproto/call.go
@@ -1,7 +1,10 @@
-// Package grpcproto is gRPC over HTTP/2 as far as a front door must know it, after the protocol's own description
-// (grpc/grpc doc/PROTOCOL-HTTP2.md, gRFC A6) and RFC 9113: time-outs, the framing of messages, and what the end of an
-// attempt proves: that it never ran, that it may have, or that it did. It is pure: what was seen on a stream goes in,
-// the outcome comes out; frames are the driver's.
+// Package grpcproto has the rules of gRPC over HTTP/2 for a reverse proxy, after the protocol's own
+// description (grpc/grpc doc/PROTOCOL-HTTP2.md, gRFC A6) and RFC 9113: timeouts, the framing of
+// messages, and what the end of an attempt proves, namely that it never ran, that it may have, or
+// that it did.
+//
+// The package is pure: what was seen on a stream goes in, the outcome comes out. Frames are the
+// transport's.
 package grpcproto
 
 import (
@@ -11,7 +14,7 @@
 	"pumicecroft/decision"
 )
 
-// Code is a status, by its number in the protocol.
+// Code is a gRPC status code.
 type Code uint32
 
 // The codes.
@@ -33,10 +36,10 @@
 	Unavailable
 	DataLoss
 	Unauthenticated
-	codeCount // how many there are
+	codeCount // the number of codes
 )
 
-// Proof is what the end of an attempt proves.
+// Proof is what the end of an attempt proves about the call.
 type Proof uint8
 
 // The proofs.
@@ -46,62 +49,57 @@
 	Ran
 )
 
-// String is the proof's name.
+// String returns the proof's name, for logs.
 func (p Proof) String() string { return [...]string{"may have run", "never ran", "ran"}[p] }
 
-// HTTP/2's error codes that prove something.
-const (
-	noError       = 0x0
-	refusedStream = 0x7
-)
+// refusedStream is HTTP/2's error code that proves that a stream was not processed.
+const refusedStream = 0x7
 
-// Trailer is what a stream's last head says.
+// Trailer is what the last header of a stream says.
 type Trailer struct {
-	Status   string // grpc-status as it came; empty: it was not there
-	Pushback string // grpc-retry-pushback-ms as it came
+	Status   string // grpc-status as it came; empty: there was none
+	Pushback string // grpc-retry-pushback-ms as it came; empty: there was none
 }
 
 // Outcome is how an attempt ended.
 type Outcome struct {
 	Result decision.Result
 	Proof  Proof
-	Code   Code   // of an answer that is passed on
-	Reason string // in words
+	Code   Code   // of a response that is forwarded
+	Reason string // for people
 }
 
-// Call is what was seen of one attempt of a unary or server-streaming call. The zero value is one that has not begun;
-// it is told in the order of events, and what comes after the end changes nothing. It is not safe for concurrent use.
+// Call is what was seen of one attempt of a unary or server-streaming call. The zero value is a call
+// that has not begun. Events are reported in their order; after the end they change nothing. It is
+// not safe for concurrent use.
 type Call struct {
-	Streaming       bool // any number of messages may come
-	MaxMessageBytes int  // of a message, in bytes; 0: none
+	Streaming       bool // the response may have any number of messages
+	MaxMessageBytes int  // 0: no limit
 
-	opened          bool // the request's head may have been written
-	requestSent     bool // and so may be the last byte of its message
-	headersReceived bool // the answer's head has come
+	requestSent     bool // the last byte of the request may have been written
+	headersReceived bool // the response's header has arrived
 	messages        Messages
 	ended           bool
 	outcome         Outcome
 }
 
-// Opened tells that the request's head is about to be written.
-func (c *Call) Opened() { c.opened = true }
-
-// Sent tells that the last frame of the request is about to be written: before it the backend can't have the whole
-// message, and a unary or server-streaming method does not begin without.
+// Sent says that the last frame of the request is about to be written. Before it the backend can't
+// have the complete message, without which no unary or server-streaming method begins.
 func (c *Call) Sent() { c.requestSent = true }
 
-// RequestSent tells whether the request's last frame is on its way.
+// RequestSent reports whether the last frame of the request may have been written.
 func (c *Call) RequestSent() bool { return c.requestSent }
 
-// MalformedResponse tells that what came can't be read.
+// MalformedResponse says that what has arrived is invalid.
 func (c *Call) MalformedResponse(what string) { c.end(decision.Unknown, MayHaveRun, "%s", what) }
 
-// ResponseStarted tells whether the answer has begun.
+// ResponseStarted reports whether the response's header has arrived.
 func (c *Call) ResponseStarted() bool { return c.headersReceived }
 
-// Ended gives the outcome, once there is one.
+// Ended returns the outcome, and whether there is one.
 func (c *Call) Ended() (Outcome, bool) { return c.outcome, c.ended }
 
+// end sets the outcome, unless there is one.
 func (c *Call) end(r decision.Result, p Proof, format string, args ...any) {
 	if !c.ended {
 		c.ended = true
@@ -109,7 +107,7 @@
 	}
 }
 
-// endIfUnsent ends an attempt whose request has not left whole; it tells whether it did.
+// endIfUnsent ends an attempt whose request was not sent completely. It reports whether it did.
 func (c *Call) endIfUnsent(what string) bool {
 	if !c.requestSent {
 		c.end(decision.NotSent, NeverRan, "%s before the request was whole", what)
@@ -117,17 +115,17 @@
 	return !c.requestSent
 }
 
-// ConnectFailed tells that none came up.
+// ConnectFailed says that there was no connection.
 func (c *Call) ConnectFailed() { c.end(decision.ConnectFailed, NeverRan, "no connection") }
 
-// ConnectionLost tells that the connection broke.
+// ConnectionLost says that the connection broke.
 func (c *Call) ConnectionLost() {
 	if !c.endIfUnsent("the connection broke") {
 		c.end(decision.ConnectionLost, MayHaveRun, "the connection broke")
 	}
 }
 
-// TimedOut tells that the attempt's time was up; the stream is reset by this side.
+// TimedOut says that the attempt's deadline passed, and that this side resets the stream.
 func (c *Call) TimedOut() {
 	switch {
 	case c.endIfUnsent("the time was up"):
@@ -138,22 +136,23 @@
 	}
 }
 
-// Cancelled tells that this side gave the attempt up.
+// Cancelled says that this side cancelled the attempt.
 func (c *Call) Cancelled() {
 	if !c.endIfUnsent("called off") {
 		c.end(decision.Cancelled, MayHaveRun, "called off")
 	}
 }
 
-// GoAway tells of a GOAWAY whose last stream is below this one's: the backend has not looked at it, and will not (RFC
-// 9113, 6.8). One whose last stream is not below changes nothing: the answer may still come.
+// GoAway says that a GOAWAY has arrived that names last, on a connection where this stream is own. If
+// last is below own, the backend has not processed the stream and never will (RFC 9113, 6.8);
+// otherwise the response may still arrive.
 func (c *Call) GoAway(last, own uint32) {
 	if own > last && !c.headersReceived {
 		c.end(decision.Rejected, NeverRan, "GOAWAY with last stream %d, this is %d", last, own)
 	}
 }
 
-// Reset tells of a RST_STREAM from the backend.
+// Reset says that the backend has sent RST_STREAM.
 func (c *Call) Reset(code uint32) {
 	switch {
 	case code == refusedStream && !c.headersReceived: // RFC 9113, 8.7
@@ -166,7 +165,7 @@
 	}
 }
 
-// ResponseHeaders tells of the answer's first head: its HTTP status and content type.
+// ResponseHeaders says that a header has arrived that does not end the stream.
 func (c *Call) ResponseHeaders(status, contentType string) {
 	if c.headersReceived {
 		c.end(decision.Unknown, MayHaveRun, "a second head")
@@ -174,14 +173,15 @@
 	}
 	c.headersReceived = true
 	switch {
-	case status != "200": // a proxy in between, or no gRPC server: see the protocol's http-grpc-status-mapping
+	case status != "200": // from a proxy or a server without gRPC (see http-grpc-status-mapping.md)
 		c.end(decision.ErrorResponse, MayHaveRun, "HTTP status %.10q", status)
 	case !IsContentType(contentType):
 		c.end(decision.Unknown, MayHaveRun, "content type %.40q", contentType)
 	}
 }
 
-// Data tells of bytes of the answer's body; last, that the stream ends with them, without a status.
+// Data says that bytes of the response's body have arrived. last means that the stream ends with them,
+// without a status.
 func (c *Call) Data(p []byte, last bool) {
 	if c.ended {
 		return
@@ -200,7 +200,8 @@
 	}
 }
 
-// Trailers tells of the head that ends the stream; after Head, or in its place (a trailers-only answer).
+// Trailers says that the header has arrived that ends the stream, after ResponseHeaders or in its
+// place (a trailers-only response).
 func (c *Call) Trailers(t Trailer) {
 	if c.ended {
 		return
@@ -211,7 +212,7 @@
 		c.end(decision.Unknown, MayHaveRun, "grpc-status %.10q", t.Status)
 		return
 	case n >= uint64(codeCount):
-		n = uint64(Unknown) // so the protocol has it
+		n = uint64(Unknown) // as the protocol asks
 	}
 	code := Code(n)
 	alone := !c.headersReceived || c.messages.Complete == 0 && c.messages.PartialBytes() == 0
@@ -224,7 +225,7 @@
 		c.outcome.Code = code
 		c.end(decision.Succeeded, Ran, "status %d", code)
 	case (code == Unavailable || code == ResourceExhausted) && alone && allowsRetry(t.Pushback):
-		// gRFC A6: the backend itself asks for the same again after a while, which is harmless only if it did not run.
+		// gRFC A6: the backend itself asks for a retry, which is safe only if the call did not run.
 		c.end(decision.Rejected, NeverRan, "status %d with a pushback of %s ms", code, t.Pushback)
 	default:
 		c.outcome.Code = code
@@ -232,8 +233,8 @@
 	}
 }
 
-// isFinalStatus tells whether a status is the service's word on the request, which goes to the client as it is, and not one
-// that tells of a failure on the way.
+// isFinalStatus reports whether a status is the service's answer to the request, which is forwarded,
+// and not one of a failure on the way.
 func isFinalStatus(c Code) bool {
 	switch c {
 	case InvalidArgument, NotFound, AlreadyExists, PermissionDenied, FailedPrecondition, Aborted, OutOfRange, Unimplemented, Unauthenticated:
@@ -242,7 +243,7 @@
 	return false
 }
 
-// allowsRetry tells whether a pushback asks for the same again; one below 0 or that is no number says not to.
+// allowsRetry reports whether a pushback asks for a retry. A negative or invalid one forbids it.
 func allowsRetry(ms string) bool {
 	n, err := strconv.ParseInt(ms, 10, 32)
 	return err == nil && n >= 0
--- a/internal/grpcproto/call_test.go
+++ b/internal/grpcproto/call_test.go
@@ -22,13 +22,10 @@
 	for i, w := range strings.Fields(words) {
 		name, arg, _ := strings.Cut(w, "=")
 		if i == 0 && name != "connecting" && name != "opened" {
-			c.Opened()
 			c.Sent()
 		}
 		switch name {
-		case "connecting":
-		case "opened":
-			c.Opened()
+		case "connecting", "opened":
 		case "sent":
 			c.Sent()
 		case "noconn":
--- a/internal/grpcproto/frame.go
+++ b/internal/grpcproto/frame.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// Messages follows the framing of a body: before each message a byte that tells whether it is compressed, and its
-// length in four. A compressed one is an error, as no attempt offers an encoding. It keeps no message. The zero value is ready.
+// Messages follows the framing of a body: before each message there are a byte that says whether it
+// is compressed, and its length in four. A compressed message is an error, as no attempt offers an
+// encoding. It keeps no messages. The zero value is ready.
 type Messages struct {
-	MaxMessageBytes int // of a message, in bytes; 0: none
-	Complete        int // messages that have come whole
+	MaxMessageBytes int // 0: no limit
+	Complete        int // messages that have arrived completely
 
 	prefix      [5]byte
-	prefixBytes int   // bytes of head
-	remaining   int64 // bytes of the message that are still to come
+	prefixBytes int   // bytes of prefix that have arrived
+	remaining   int64 // bytes of the message that have not arrived
 	err         error
 }
 
-// Errors of Messages.
+// Errors of Messages. They are part of an Outcome's Reason.
 var (
-	ErrMessageTooLarge = errors.New("a message over the limit")
-	ErrCompressed      = errors.New("a message that is compressed, or has an unknown flag")
+	ErrMessageTooLarge = errors.New("message over the limit")
+	ErrCompressed      = errors.New("compressed message or unknown flag")
 )
 
-// Add takes in the next bytes. After an error nothing more is taken.
+// Add takes in the next bytes. After an error it takes no more, and returns the error again.
 func (m *Messages) Add(p []byte) error {
 	for len(p) > 0 && m.err == nil {
 		if m.prefixBytes < len(m.prefix) {
@@ -57,7 +58,8 @@
 	return m.err
 }
 
-// PartialBytes tells how many bytes of a message that is not whole have come, its prefix counted; 0: the last one is whole.
+// PartialBytes returns how many bytes of an incomplete message have arrived, prefix included; 0 means
+// that the last message is complete.
 func (m *Messages) PartialBytes() int64 {
 	if m.prefixBytes < len(m.prefix) {
 		return int64(m.prefixBytes)
@@ -65,24 +67,24 @@
 	return int64(len(m.prefix)) + int64(binary.BigEndian.Uint32(m.prefix[1:])) - m.remaining
 }
 
-// IsContentType tells whether a content type is gRPC's: application/grpc, alone or with a suffix.
+// IsContentType reports whether a content type is gRPC's: application/grpc, alone or with a suffix.
 func IsContentType(s string) bool {
 	rest, ok := strings.CutPrefix(strings.ToLower(s), "application/grpc")
 	return ok && (rest == "" || rest[0] == '+' || rest[0] == ';')
 }
 
-// ErrInvalidTimeout is a grpc-timeout that makes no sense.
+// ErrInvalidTimeout says that a grpc-timeout is invalid.
 var ErrInvalidTimeout = errors.New("grpc-timeout")
 
 var timeoutUnits = []struct {
 	name byte
-	is   time.Duration
+	unit time.Duration
 }{{'H', time.Hour}, {'M', time.Minute}, {'S', time.Second}, {'m', time.Millisecond}, {'u', time.Microsecond}, {'n', time.Nanosecond}}
 
-// maxTimeout stands for what is longer than a time.Duration can tell.
+// maxTimeout stands for timeouts that exceed a time.Duration.
 const maxTimeout = time.Duration(1<<63 - 1)
 
-// ParseTimeout reads a grpc-timeout: up to eight digits and a unit. 0 is a time that is up.
+// ParseTimeout parses a grpc-timeout: up to eight digits and a unit. 0 is a deadline that has passed.
 func ParseTimeout(s string) (time.Duration, error) {
 	if len(s) < 2 || len(s) > 9 {
 		return 0, fmt.Errorf("%w: %.20q", ErrInvalidTimeout, s)
@@ -96,20 +98,21 @@
 	}
 	for _, u := range timeoutUnits {
 		if u.name == s[len(s)-1] {
-			if n > int64(maxTimeout/u.is) {
+			if n > int64(maxTimeout/u.unit) {
 				return maxTimeout, nil
 			}
-			return time.Duration(n) * u.is, nil
+			return time.Duration(n) * u.unit, nil
 		}
 	}
 	return 0, fmt.Errorf("%w: %.20q", ErrInvalidTimeout, s)
 }
 
-// FormatTimeout writes a time as a grpc-timeout that is not longer, in the finest unit that holds it; what is up is 0.
+// FormatTimeout returns a grpc-timeout that is not longer than d, in the finest unit that holds it. A
+// negative d is 0.
 func FormatTimeout(d time.Duration) string {
 	d = max(0, d)
 	for i := len(timeoutUnits) - 1; ; i-- {
-		if n := int64(d / timeoutUnits[i].is); n <= 99_999_999 {
+		if n := int64(d / timeoutUnits[i].unit); n <= 99_999_999 {
 			return strconv.FormatInt(n, 10) + string(timeoutUnits[i].name)
 		}
 	}
--- a/internal/grpctransport/conn.go
+++ b/internal/grpctransport/conn.go
@@ -191,7 +191,6 @@
 	s.conn, s.id, s.sendWindow = c, c.nextStreamID, c.peerInitialWindow
 	c.nextStreamID += 2
 	c.streams[s.id] = s
-	s.call.Opened()
 	maxFrame := c.peerMaxFrame
 	c.mu.Unlock()
 	return c.checkWrite(c.writeHeader(s.id, fields, maxFrame))
