--- /dev/null
+++ b/identity/address.go
@@ -0,0 +1,38 @@
+package identity
+
+// defaultIPv6PrefixBits is how much of an IPv6 address identifies a customer.
+const defaultIPv6PrefixBits = 64
+
+// AddressRule identifies customers by their address. As everyone has one, it is the last rule.
+type AddressRule struct {
+	Plan string
+	// IPv6PrefixBits is how much of an IPv6 address identifies a customer, as one customer has a whole
+	// prefix. 0 means 64.
+	IPv6PrefixBits int
+}
+
+// Identify returns the customer of the client's address.
+func (a *AddressRule) Identify(r *Request) (Caller, bool, error) {
+	addr := r.ClientAddr.Unmap().WithZone("")
+	if !addr.IsValid() {
+		return Caller{}, false, nil
+	}
+	bits := addr.BitLen()
+	if addr.Is6() {
+		if bits = a.IPv6PrefixBits; bits == 0 {
+			bits = defaultIPv6PrefixBits
+		}
+	}
+	prefix, err := addr.Prefix(bits)
+	if err != nil {
+		return Caller{}, true, err
+	}
+	name := prefix.String()
+	return Caller{Customer: customerID("address", name), Name: name, Plan: a.Plan}, true, nil
+}
+
+// HeaderNames returns none.
+func (a *AddressRule) HeaderNames() []string { return nil }
+
+// Plans returns the rule's plan.
+func (a *AddressRule) Plans() []string { return []string{a.Plan} }
--- a/identity/apikey.go
+++ b/identity/apikey.go
@@ -9,125 +9,146 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 )
 
-// Key is an API key that is known by its hash alone.
+// Key is an API key. It is known by its hash alone.
 type Key struct {
-	Hash     [sha256.Size]byte // SHA-256 of the key. Keys are random, of 128 bits or more: a slow hash would protect weak ones, at a cost per request
+	// Hash is the SHA-256 of the key. Keys are random, of 128 bits or more: a slow hash, which would
+	// protect weaker ones, would only cost time in each request.
+	Hash     [sha256.Size]byte
 	Customer string
 	Plan     string
-	Line     int
+	Line     int // in the file of keys, from 1
 }
 
-// maxKeys bounds a file of keys.
+// maxKeys limits a file of keys.
 const maxKeys = 1 << 20
 
-// ParseKeys reads a file of keys: a line each, of the SHA-256 in hex, the customer's name and the plan, with spaces between them; "#" begins a
-// comment. A customer may have several keys, of one plan. Errors name the line, and nothing of a hash.
-func ParseKeys(text []byte, plans []string) (out []Key, err error) {
-	seen := map[[sha256.Size]byte]int{}
-	planOf := map[string]Key{}
+// ParseKeys reads a file of keys. Each line has the SHA-256 of a key in hex, the customer's name and
+// the plan, separated by spaces; "#" begins a comment. A customer may have several keys, of one plan.
+// Errors name the line, and nothing of a hash.
+func ParseKeys(text []byte, plans []string) ([]Key, error) {
+	p := keyParser{plans: plans, lineOf: map[[sha256.Size]byte]int{}, keyOf: map[string]Key{}}
 	lines := bufio.NewScanner(bytes.NewReader(text))
-	var problems []error
-	for n := 1; lines.Scan(); n++ {
+	for number := 1; lines.Scan(); number++ {
 		line, _, _ := strings.Cut(lines.Text(), "#")
-		f := strings.Fields(line)
-		if len(f) == 0 {
+		words := strings.Fields(line)
+		if len(words) == 0 {
 			continue
 		}
-		bad := func(format string, args ...any) {
-			problems = append(problems, fmt.Errorf("line %d: "+format, append([]any{n}, args...)...))
+		if !p.parseLine(number, words) {
+			return nil, errors.Join(p.problems...)
 		}
-		k := Key{Line: n}
-		sum, err := hex.DecodeString(f[0])
-		switch {
-		case len(f) != 3:
-			bad("a hash, a customer and a plan stand in a line, and there are %d words", len(f))
-			continue
-		case err != nil || len(sum) != sha256.Size:
-			bad("the first word is no SHA-256 of 64 hex digits")
-			continue
-		case !contains(plans, f[2]):
-			bad("there is no plan %q", f[2])
-			continue
-		case len(out) == maxKeys:
-			bad("there are more than %d keys", maxKeys)
-			return nil, errors.Join(problems...)
-		}
-		copy(k.Hash[:], sum)
-		k.Customer, k.Plan = f[1], f[2]
-		if other, twice := seen[k.Hash]; twice {
-			bad("the key is there twice (line %d)", other)
-		}
-		if o, known := planOf[k.Customer]; known && o.Plan != k.Plan {
-			bad("customer %q has plan %q in line %d", k.Customer, o.Plan, o.Line)
-		}
-		seen[k.Hash], planOf[k.Customer] = n, k
-		out = append(out, k)
 	}
 	if err := lines.Err(); err != nil {
-		problems = append(problems, err)
+		p.problems = append(p.problems, err)
 	}
-	if len(problems) > 0 {
-		return nil, errors.Join(problems...)
+	if len(p.problems) > 0 {
+		return nil, errors.Join(p.problems...)
 	}
-	return out, nil
+	return p.keys, nil
 }
 
-// APIKeyRule is a Rule for keys of a file.
+// keyParser is a file of keys that is being read.
+type keyParser struct {
+	plans    []string
+	keys     []Key
+	lineOf   map[[sha256.Size]byte]int // by hash
+	keyOf    map[string]Key            // the last one of a customer
+	problems []error
+}
+
+func (p *keyParser) problem(line int, format string, args ...any) {
+	p.problems = append(p.problems, fmt.Errorf("line %d: %s", line, fmt.Sprintf(format, args...)))
+}
+
+// parseLine takes in one line. It returns false if there are too many keys to go on.
+func (p *keyParser) parseLine(number int, words []string) bool {
+	if len(words) != 3 {
+		p.problem(number, "a hash, a customer and a plan stand in a line, and there are %d words", len(words))
+		return true
+	}
+	hash, err := hex.DecodeString(words[0])
+	if err != nil || len(hash) != sha256.Size {
+		p.problem(number, "the first word is no SHA-256 of 64 hex digits")
+		return true
+	}
+	key := Key{Hash: [sha256.Size]byte(hash), Customer: words[1], Plan: words[2], Line: number}
+	if !slices.Contains(p.plans, key.Plan) {
+		p.problem(number, "there is no plan %q", key.Plan)
+		return true
+	}
+	if len(p.keys) == maxKeys {
+		p.problem(number, "there are more than %d keys", maxKeys)
+		return false
+	}
+	if other, ok := p.lineOf[key.Hash]; ok {
+		p.problem(number, "the key is there twice (line %d)", other)
+	}
+	if other, ok := p.keyOf[key.Customer]; ok && other.Plan != key.Plan {
+		p.problem(number, "customer %q has plan %q in line %d", key.Customer, other.Plan, other.Line)
+	}
+	p.lineOf[key.Hash], p.keyOf[key.Customer] = number, key
+	p.keys = append(p.keys, key)
+	return true
+}
+
+// APIKeyRule identifies customers by API keys.
 type APIKeyRule struct {
-	Header       string // canonical
-	Scheme       string // such as "Bearer", before the key; empty: the field is the key
+	Header string // the canonical name of the field that has the key
+	Scheme string // before the key, such as "Bearer"; empty: the field is the key
+
 	byHashPrefix map[uint64][]Key
 	plans        []string
 }
 
-// NewAPIKeyRule makes one of keys.
-func NewAPIKeyRule(field, scheme string, keys []Key) *APIKeyRule {
-	r := &APIKeyRule{Header: field, Scheme: scheme, byHashPrefix: make(map[uint64][]Key, len(keys))}
-	for _, k := range keys {
-		at := binary.BigEndian.Uint64(k.Hash[:8])
-		r.byHashPrefix[at] = append(r.byHashPrefix[at], k)
-		if !contains(r.plans, k.Plan) {
-			r.plans = append(r.plans, k.Plan)
+// NewAPIKeyRule returns a rule for keys.
+func NewAPIKeyRule(header, scheme string, keys []Key) *APIKeyRule {
+	a := &APIKeyRule{Header: header, Scheme: scheme, byHashPrefix: make(map[uint64][]Key, len(keys))}
+	for _, key := range keys {
+		prefix := binary.BigEndian.Uint64(key.Hash[:8])
+		a.byHashPrefix[prefix] = append(a.byHashPrefix[prefix], key)
+		if !slices.Contains(a.plans, key.Plan) {
+			a.plans = append(a.plans, key.Plan)
 		}
 	}
-	return r
+	return a
 }
 
 var errUnknownKey = errors.New("the key is not known")
 
-// Identify looks a key up by its hash, which tells who asks nothing about the keys that there are; the whole of it is compared in constant time.
-func (r *APIKeyRule) Identify(f *Request) (Caller, bool, error) {
-	v, there, err := singleValue(f.Header, r.Header)
-	if !there || err != nil {
-		return Caller{}, there, err
+// Identify looks a key up by its hash. Neither its time nor its error tells anything of the keys that
+// there are: the whole hash is compared in constant time.
+func (a *APIKeyRule) Identify(r *Request) (Caller, bool, error) {
+	value, found, err := singleValue(r.Header, a.Header)
+	if !found || err != nil {
+		return Caller{}, found, err
 	}
-	key, mine := cutScheme(v, r.Scheme)
-	if !mine {
-		if r.Scheme != "" {
-			return Caller{}, false, nil
-		}
+	secret, ok := cutScheme(value, a.Scheme)
+	if !ok && a.Scheme != "" {
+		return Caller{}, false, nil
+	}
+	if !ok {
 		return Caller{}, true, errUnknownKey
 	}
-	sum := sha256.Sum256([]byte(key))
-	found := -1
-	list := r.byHashPrefix[binary.BigEndian.Uint64(sum[:8])]
-	for i := range list {
-		if subtle.ConstantTimeCompare(list[i].Hash[:], sum[:]) == 1 {
-			found = i
+	hash := sha256.Sum256([]byte(secret))
+	var key *Key
+	candidates := a.byHashPrefix[binary.BigEndian.Uint64(hash[:8])]
+	for i := range candidates {
+		if subtle.ConstantTimeCompare(candidates[i].Hash[:], hash[:]) == 1 {
+			key = &candidates[i]
 		}
 	}
-	if found < 0 {
+	if key == nil {
 		return Caller{}, true, errUnknownKey
 	}
-	k := &list[found]
-	return Caller{Customer: customerID("key", k.Customer), Name: k.Customer, Plan: k.Plan}, true, nil
+	return Caller{Customer: customerID("key", key.Customer), Name: key.Customer, Plan: key.Plan}, true, nil
 }
 
-// HeaderNames is the key's.
-func (r *APIKeyRule) HeaderNames() []string { return []string{r.Header} }
+// HeaderNames returns the field that has the key.
+func (a *APIKeyRule) HeaderNames() []string { return []string{a.Header} }
 
-// Plans are those of the keys.
-func (r *APIKeyRule) Plans() []string { return r.plans }
+// Plans returns the plans of the keys.
+func (a *APIKeyRule) Plans() []string { return a.plans }
--- /dev/null
+++ b/identity/certificate.go
@@ -0,0 +1,76 @@
+package identity
+
+import (
+	"crypto/sha256"
+	"crypto/x509"
+	"encoding/hex"
+	"errors"
+	"strings"
+)
+
+// CertNameSource says which part of a client's certificate names the customer.
+type CertNameSource uint8
+
+// The parts.
+const (
+	CommonName  CertNameSource = iota
+	DNSName                    // the first
+	URIName                    // the first, as SPIFFE has it
+	Fingerprint                // SHA-256 of the public key
+)
+
+// ClientCertRule identifies customers by client certificates, which the listener has verified.
+type ClientCertRule struct {
+	NameSource     CertNameSource
+	DefaultPlan    string            // of customers that PlanByCustomer does not have; empty: they are rejected
+	PlanByCustomer map[string]string // by the customer's name
+}
+
+// Identify returns the customer that a certificate names.
+func (c *ClientCertRule) Identify(r *Request) (Caller, bool, error) {
+	if r.ClientCert == nil {
+		return Caller{}, false, nil
+	}
+	name := c.NameSource.nameIn(r.ClientCert)
+	if name == "" {
+		return Caller{}, true, errors.New("the certificate has no such name")
+	}
+	plan, ok := c.PlanByCustomer[name]
+	if !ok {
+		plan = c.DefaultPlan
+	}
+	if plan == "" {
+		return Caller{}, true, errors.New("the certificate's name has no plan")
+	}
+	return Caller{Customer: customerID("certificate", name), Name: name, Plan: plan}, true, nil
+}
+
+// nameIn returns the name in a certificate; empty means that it has none.
+func (s CertNameSource) nameIn(cert *x509.Certificate) string {
+	switch {
+	case s == CommonName:
+		return cert.Subject.CommonName
+	case s == DNSName && len(cert.DNSNames) > 0:
+		return strings.ToLower(cert.DNSNames[0])
+	case s == URIName && len(cert.URIs) > 0:
+		return cert.URIs[0].String()
+	case s == Fingerprint:
+		sum := sha256.Sum256(cert.RawSubjectPublicKeyInfo)
+		return hex.EncodeToString(sum[:])
+	}
+	return ""
+}
+
+// HeaderNames returns none.
+func (c *ClientCertRule) HeaderNames() []string { return nil }
+
+// Plans returns all plans that the rule may give.
+func (c *ClientCertRule) Plans() (plans []string) {
+	if c.DefaultPlan != "" {
+		plans = append(plans, c.DefaultPlan)
+	}
+	for _, plan := range c.PlanByCustomer {
+		plans = append(plans, plan)
+	}
+	return plans
+}
--- a/identity/jwt.go
+++ b/identity/jwt.go
@@ -6,25 +6,35 @@
 	"crypto/rsa"
 	"crypto/sha256"
 	"crypto/x509"
-	"encoding/hex"
 	"encoding/pem"
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// JWTRule is a Rule for JSON Web Tokens (RFC 7519), by the rules of RFC 8725: the algorithms are pinned, and each key serves only the
-// algorithms of its own kind. What a token says counts for the whole of a request that came while it held: it is not looked at again.
+// JWTRule identifies customers by JSON Web Tokens (RFC 7519), as RFC 8725 advises: the algorithms are
+// pinned, and each key serves only the algorithms of its type. A token that was valid when its
+// request arrived is valid for the whole request.
 type JWTRule struct {
-	Header, Scheme         string // such as Authorization and Bearer
-	Issuer, Audience       string // must be so; an empty Issuer is not looked at
-	CustomerClaim          string // the claim that names the customer; empty: sub
-	PlanClaim, DefaultPlan string // the claim that names the plan, and the plan of tokens without it
-	AllowedPlans           []string
-	Leeway                 time.Duration // between this clock and the issuer's
+	// Header is the canonical name of the field that has the token, such as Authorization, and Scheme
+	// what is before it, such as Bearer.
+	Header, Scheme string
+	// Issuer and Audience are what a token must name. An empty Issuer is not checked.
+	Issuer, Audience string
+	// CustomerClaim is the claim that names the customer. Default "sub".
+	CustomerClaim string
+	// PlanClaim is the claim that names the plan. Empty means that all tokens have DefaultPlan.
+	PlanClaim string
+	// DefaultPlan is the plan of tokens without PlanClaim. If it is empty, too, these are rejected.
+	DefaultPlan string
+	// AllowedPlans are the plans that PlanClaim may name.
+	AllowedPlans []string
+	// Leeway is how far the issuer's clock may differ.
+	Leeway time.Duration
 
 	algorithms []string
 	keys       []TokenKey
@@ -33,31 +43,48 @@
 
 // TokenKey is a public key or a shared secret.
 type TokenKey struct {
-	ID  string // kid; empty: any token's
+	ID  string // kid; empty: of any token
 	Key any    // *rsa.PublicKey, *ecdsa.PublicKey, ed25519.PublicKey, or []byte
 }
 
-// maxTokenBytes bounds a token, in bytes.
+// maxTokenBytes limits the length of a token.
 const maxTokenBytes = 8 << 10
 
-// keyTypeChecks are the algorithms by the kind of key that they take. There is no "none".
-var keyTypeChecks = func() map[string]func(any) bool {
-	kinds := map[string]func(any) bool{}
-	is := func(ok func(any) bool, algorithms ...string) {
-		for _, a := range algorithms {
-			kinds[a] = ok
-		}
-	}
-	is(func(k any) bool { _, ok := k.(*rsa.PublicKey); return ok }, "RS256", "RS384", "RS512", "PS256", "PS384", "PS512")
-	is(func(k any) bool { _, ok := k.([]byte); return ok }, "HS256", "HS384", "HS512")
-	is(func(k any) bool { _, ok := k.(ed25519.PublicKey); return ok }, "EdDSA")
-	for a, bits := range map[string]int{"ES256": 256, "ES384": 384, "ES512": 521} {
-		is(func(k any) bool { e, ok := k.(*ecdsa.PublicKey); return ok && e.Curve.Params().BitSize == bits }, a)
+// minSecretBytes is the least length of a shared secret.
+const minSecretBytes = sha256.Size
+
+// keyTypeChecks has, by algorithm, what reports whether a key is of its type. There is no "none".
+var keyTypeChecks = map[string]func(key any) bool{
+	"RS256": isRSA, "RS384": isRSA, "RS512": isRSA,
+	"PS256": isRSA, "PS384": isRSA, "PS512": isRSA,
+	"HS256": isSecret, "HS384": isSecret, "HS512": isSecret,
+	"ES256": isECDSA(256), "ES384": isECDSA(384), "ES512": isECDSA(521),
+	"EdDSA": isEd25519,
+}
+
+func isRSA(key any) bool {
+	_, ok := key.(*rsa.PublicKey)
+	return ok
+}
+
+func isSecret(key any) bool {
+	_, ok := key.([]byte)
+	return ok
+}
+
+func isEd25519(key any) bool {
+	_, ok := key.(ed25519.PublicKey)
+	return ok
+}
+
+func isECDSA(bits int) func(any) bool {
+	return func(key any) bool {
+		k, ok := key.(*ecdsa.PublicKey)
+		return ok && k.Curve.Params().BitSize == bits
 	}
-	return kinds
-}()
+}
 
-// CheckAlgorithm tells whether an algorithm's name is one that tokens may be signed by.
+// CheckAlgorithm returns an error unless tokens may be signed by an algorithm.
 func CheckAlgorithm(name string) error {
 	if keyTypeChecks[name] == nil {
 		return fmt.Errorf("%q is no algorithm that signs tokens", name)
@@ -65,26 +92,22 @@
 	return nil
 }
 
-// NewJWTRule makes a rule of its settings, the algorithms that tokens may have, and keys. Each algorithm needs a key of its kind, and each key an
-// algorithm.
+// NewJWTRule returns a rule with the configuration of r, the algorithms that tokens may have, and
+// keys. Each key must be of the type of an algorithm.
 func NewJWTRule(r JWTRule, algorithms []string, keys []TokenKey) (*JWTRule, error) {
 	if len(algorithms) == 0 || len(keys) == 0 {
 		return nil, errors.New("tokens need algorithms and keys")
 	}
-	for _, a := range algorithms {
-		if err := CheckAlgorithm(a); err != nil {
+	for _, algorithm := range algorithms {
+		if err := CheckAlgorithm(algorithm); err != nil {
 			return nil, err
 		}
 	}
-	for i, k := range keys {
-		if s, ok := k.Key.([]byte); ok && len(s) < sha256.Size {
-			return nil, fmt.Errorf("a shared secret of %d bytes: it needs %d", len(s), sha256.Size)
-		}
-		fits := false
-		for _, a := range algorithms {
-			fits = fits || keyTypeChecks[a](k.Key)
+	for i, key := range keys {
+		if secret, ok := key.Key.([]byte); ok && len(secret) < minSecretBytes {
+			return nil, fmt.Errorf("a shared secret of %d bytes: it needs %d", len(secret), minSecretBytes)
 		}
-		if !fits {
+		if !slices.ContainsFunc(algorithms, func(a string) bool { return keyTypeChecks[a](key.Key) }) {
 			return nil, fmt.Errorf("key %d is for none of %s", i+1, strings.Join(algorithms, ", "))
 		}
 	}
@@ -96,99 +119,122 @@
 	return &r, nil
 }
 
-// ParseTokenKeys reads public keys, or certificates, in PEM. A block's header "kid" is its ID.
-func ParseTokenKeys(text []byte) (out []TokenKey, err error) {
-	for n := 1; ; n++ {
+// ParseTokenKeys reads public keys or certificates in PEM. A block's header "kid" is the key's ID.
+func ParseTokenKeys(text []byte) (keys []TokenKey, err error) {
+	for number := 1; ; number++ {
 		var block *pem.Block
 		if block, text = pem.Decode(text); block == nil {
 			break
 		}
-		var key any
-		switch block.Type {
-		case "PUBLIC KEY":
-			key, err = x509.ParsePKIXPublicKey(block.Bytes)
-		case "RSA PUBLIC KEY":
-			key, err = x509.ParsePKCS1PublicKey(block.Bytes)
-		case "CERTIFICATE":
-			var c *x509.Certificate
-			if c, err = x509.ParseCertificate(block.Bytes); err == nil {
-				key = c.PublicKey
-			}
-		default: // a private key has no business here, and nothing of it is said
-			return nil, fmt.Errorf("block %d is neither a public key nor a certificate", n)
+		key, err := parsePublicKey(block)
+		if errors.Is(err, errNoPublicKey) {
+			return nil, fmt.Errorf("block %d is neither a public key nor a certificate", number)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("block %d can't be read as what it says it is", n)
+			return nil, fmt.Errorf("block %d can't be read as what it says it is", number)
 		}
-		out = append(out, TokenKey{ID: block.Headers["kid"], Key: key})
+		keys = append(keys, TokenKey{ID: block.Headers["kid"], Key: key})
 	}
-	if len(out) == 0 {
+	if len(keys) == 0 {
 		return nil, errors.New("there is no key in PEM")
 	}
-	return out, nil
+	return keys, nil
 }
 
-// Identify reads a token.
-func (r *JWTRule) Identify(f *Request) (Caller, bool, error) {
-	v, there, err := singleValue(f.Header, r.Header)
-	if !there || err != nil {
-		return Caller{}, there, err
-	}
-	text, mine := cutScheme(v, r.Scheme)
-	if !mine {
-		if r.Scheme != "" {
-			return Caller{}, false, nil
+// errNoPublicKey says that a block is of another type, such as a private key.
+var errNoPublicKey = errors.New("no public key")
+
+func parsePublicKey(block *pem.Block) (any, error) {
+	switch block.Type {
+	case "PUBLIC KEY":
+		return x509.ParsePKIXPublicKey(block.Bytes)
+	case "RSA PUBLIC KEY":
+		return x509.ParsePKCS1PublicKey(block.Bytes)
+	case "CERTIFICATE":
+		cert, err := x509.ParseCertificate(block.Bytes)
+		if err != nil {
+			return nil, err
 		}
-		return Caller{}, true, errors.New("there is no token")
+		return cert.PublicKey, nil
+	}
+	return nil, errNoPublicKey
+}
+
+// Identify returns the customer that a token names.
+func (j *JWTRule) Identify(r *Request) (Caller, bool, error) {
+	value, found, err := singleValue(r.Header, j.Header)
+	if !found || err != nil {
+		return Caller{}, found, err
 	}
-	if len(text) > maxTokenBytes {
+	token, ok := cutScheme(value, j.Scheme)
+	switch {
+	case !ok && j.Scheme != "":
+		return Caller{}, false, nil
+	case !ok:
+		return Caller{}, true, errors.New("there is no token")
+	case len(token) > maxTokenBytes:
 		return Caller{}, true, errors.New("the token is too long")
 	}
 	claims := jwt.MapClaims{}
-	if _, err := r.parser.ParseWithClaims(text, claims, r.verificationKeys); err != nil {
+	if _, err := j.parser.ParseWithClaims(token, claims, j.verificationKeys); err != nil {
 		return Caller{}, true, redactTokenError(err)
 	}
-	now := f.Now
-	options := []jwt.ParserOption{jwt.WithTimeFunc(func() time.Time { return now }), jwt.WithLeeway(r.Leeway), jwt.WithExpirationRequired(), jwt.WithIssuedAt()}
-	if r.Issuer != "" {
-		options = append(options, jwt.WithIssuer(r.Issuer))
+	if err := j.validate(claims, r.Now); err != nil {
+		return Caller{}, true, redactTokenError(err)
 	}
-	if r.Audience != "" {
-		options = append(options, jwt.WithAudience(r.Audience))
+	caller, err := j.caller(claims)
+	return caller, true, err
+}
+
+// validate returns an error unless a token is valid at now.
+func (j *JWTRule) validate(claims jwt.MapClaims, now time.Time) error {
+	options := []jwt.ParserOption{
+		jwt.WithTimeFunc(func() time.Time { return now }),
+		jwt.WithLeeway(j.Leeway),
+		jwt.WithExpirationRequired(),
+		jwt.WithIssuedAt(),
 	}
-	if err := jwt.NewValidator(options...).Validate(claims); err != nil {
-		return Caller{}, true, redactTokenError(err)
+	if j.Issuer != "" {
+		options = append(options, jwt.WithIssuer(j.Issuer))
 	}
-	name, _ := claims[r.CustomerClaim].(string)
+	if j.Audience != "" {
+		options = append(options, jwt.WithAudience(j.Audience))
+	}
+	return jwt.NewValidator(options...).Validate(claims)
+}
+
+// caller returns whom the claims of a valid token name.
+func (j *JWTRule) caller(claims jwt.MapClaims) (Caller, error) {
+	name, _ := claims[j.CustomerClaim].(string)
 	if name == "" {
-		return Caller{}, true, fmt.Errorf("it has no claim %q that is a text", r.CustomerClaim)
+		return Caller{}, fmt.Errorf("it has no claim %q that is a text", j.CustomerClaim)
 	}
-	w := Caller{Customer: customerID("token", r.Issuer+"\x00"+name), Name: name, Plan: r.DefaultPlan}
-	if r.PlanClaim != "" {
-		if plan, there := claims[r.PlanClaim]; there {
-			if w.Plan, _ = plan.(string); !contains(r.AllowedPlans, w.Plan) {
-				return Caller{}, true, fmt.Errorf("its claim %q names no plan", r.PlanClaim)
-			}
+	caller := Caller{Customer: customerID("token", j.Issuer+"\x00"+name), Name: name, Plan: j.DefaultPlan}
+	if claim, ok := claims[j.PlanClaim]; ok && j.PlanClaim != "" {
+		caller.Plan, _ = claim.(string)
+		if !slices.Contains(j.AllowedPlans, caller.Plan) {
+			return Caller{}, fmt.Errorf("its claim %q names no plan", j.PlanClaim)
 		}
 	}
-	if w.Plan == "" {
-		return Caller{}, true, fmt.Errorf("it has no claim %q", r.PlanClaim)
+	if caller.Plan == "" {
+		return Caller{}, fmt.Errorf("it has no claim %q", j.PlanClaim)
 	}
-	return w, true, nil
+	return caller, nil
 }
 
-// verificationKeys gives the keys that may have signed a token: of its algorithm's kind, and by its kid where both have one.
-func (r *JWTRule) verificationKeys(t *jwt.Token) (any, error) {
-	fits, kid := keyTypeChecks[t.Method.Alg()], ""
-	if v, there := t.Header["kid"]; there {
-		if kid, _ = v.(string); kid == "" {
-			return nil, errors.New("kid")
+// verificationKeys returns the keys that may have signed a token: of its algorithm's type, and of its
+// kid where both have one.
+func (j *JWTRule) verificationKeys(t *jwt.Token) (any, error) {
+	isOfType, kid := keyTypeChecks[t.Method.Alg()], ""
+	if value, ok := t.Header["kid"]; ok {
+		if kid, _ = value.(string); kid == "" {
+			return nil, errors.New("invalid kid")
 		}
 	}
 	var set jwt.VerificationKeySet
-	for _, k := range r.keys {
-		if fits != nil && fits(k.Key) && (k.ID == "" || kid == "" || k.ID == kid) {
-			set.Keys = append(set.Keys, k.Key)
+	for _, key := range j.keys {
+		if isOfType != nil && isOfType(key.Key) && (key.ID == "" || kid == "" || key.ID == kid) {
+			set.Keys = append(set.Keys, key.Key)
 		}
 	}
 	if len(set.Keys) == 0 {
@@ -197,91 +243,30 @@
 	return set, nil
 }
 
-// redactTokenError says what is wrong with a token, and nothing of what is in it.
-func redactTokenError(err error) error {
-	for _, e := range []error{jwt.ErrTokenExpired, jwt.ErrTokenNotValidYet, jwt.ErrTokenUsedBeforeIssued, jwt.ErrTokenInvalidIssuer,
-		jwt.ErrTokenInvalidAudience, jwt.ErrTokenRequiredClaimMissing, jwt.ErrTokenSignatureInvalid, jwt.ErrTokenUnverifiable, jwt.ErrTokenMalformed} {
-		if errors.Is(err, e) {
-			return e
-		}
-	}
-	return jwt.ErrTokenMalformed
-}
-
-// HeaderNames is the token's.
-func (r *JWTRule) HeaderNames() []string { return []string{r.Header} }
-
-// Plans are all that it may give.
-func (r *JWTRule) Plans() []string {
-	if r.DefaultPlan == "" {
-		return r.AllowedPlans
-	}
-	return append([]string{r.DefaultPlan}, r.AllowedPlans...)
-}
-
-// CertNameSource is what of a client's certificate names the customer.
-type CertNameSource uint8
-
-// The names.
-const (
-	CommonName  CertNameSource = iota
-	DNSName                    // the first
-	URIName                    // the first, as SPIFFE has it
-	Fingerprint                // SHA-256 of the certificate's key
-)
-
-// ClientCertRule is a Rule for clients' certificates, which the listener has verified.
-type ClientCertRule struct {
-	NameSource     CertNameSource
-	DefaultPlan    string            // of those that PlanOf does not have; empty: they are refused
-	PlanByCustomer map[string]string // by the customer's name
+// tokenErrors are the errors that clients are told, in their order of precedence.
+var tokenErrors = []error{
+	jwt.ErrTokenExpired, jwt.ErrTokenNotValidYet, jwt.ErrTokenUsedBeforeIssued, jwt.ErrTokenInvalidIssuer,
+	jwt.ErrTokenInvalidAudience, jwt.ErrTokenRequiredClaimMissing, jwt.ErrTokenSignatureInvalid, jwt.ErrTokenUnverifiable,
+	jwt.ErrTokenMalformed,
 }
 
-// Identify reads a certificate.
-func (r *ClientCertRule) Identify(f *Request) (Caller, bool, error) {
-	c := f.ClientCert
-	if c == nil {
-		return Caller{}, false, nil
-	}
-	name := ""
-	switch r.NameSource {
-	case CommonName:
-		name = c.Subject.CommonName
-	case DNSName:
-		if len(c.DNSNames) > 0 {
-			name = strings.ToLower(c.DNSNames[0])
-		}
-	case URIName:
-		if len(c.URIs) > 0 {
-			name = c.URIs[0].String()
+// redactTokenError returns what is wrong with a token, without anything of what it holds.
+func redactTokenError(err error) error {
+	for _, known := range tokenErrors {
+		if errors.Is(err, known) {
+			return known
 		}
-	case Fingerprint:
-		sum := sha256.Sum256(c.RawSubjectPublicKeyInfo)
-		name = hex.EncodeToString(sum[:])
 	}
-	if name == "" {
-		return Caller{}, true, errors.New("the certificate has no such name")
-	}
-	w := Caller{Customer: customerID("certificate", name), Name: name, Plan: r.DefaultPlan}
-	if plan, ok := r.PlanByCustomer[name]; ok {
-		w.Plan = plan
-	}
-	if w.Plan == "" {
-		return Caller{}, true, errors.New("the certificate's name has no plan")
-	}
-	return w, true, nil
+	return jwt.ErrTokenMalformed
 }
 
-// HeaderNames are none.
-func (r *ClientCertRule) HeaderNames() []string { return nil }
+// HeaderNames returns the field that has the token.
+func (j *JWTRule) HeaderNames() []string { return []string{j.Header} }
 
-// Plans are all that it may give.
-func (r *ClientCertRule) Plans() (out []string) {
-	if r.DefaultPlan != "" {
-		out = append(out, r.DefaultPlan)
-	}
-	for _, p := range r.PlanByCustomer {
-		out = append(out, p)
+// Plans returns all plans that a token may name.
+func (j *JWTRule) Plans() []string {
+	if j.DefaultPlan == "" {
+		return j.AllowedPlans
 	}
-	return out
+	return append([]string{j.DefaultPlan}, j.AllowedPlans...)
 }
