--- a/routes/parse.go
+++ b/routes/parse.go
@@ -1,6 +1,7 @@
 package routes
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"net/url"
@@ -8,36 +9,50 @@
 	"strings"
 )
 
-// normalizeHost makes a host as it came the one that routes name: without a port and a last dot, in lower case.
+// maxHostBytes is the longest name that DNS has.
+const maxHostBytes = 253
+
+// normalizeHost returns a request's host as rules name it: without a port and a final dot, in lower
+// case. The error is an ErrInvalidHost.
 func normalizeHost(host string) (string, error) {
-	name := host
-	if rest, ok := strings.CutPrefix(host, "["); ok { // an address of IPv6
-		inside, port, closed := strings.Cut(rest, "]")
-		if _, err := netip.ParseAddr(inside); err != nil || !closed || !strings.Contains(inside, ":") || port != "" && !isPort(port) {
+	if rest, ok := strings.CutPrefix(host, "["); ok { // an IPv6 address
+		addr, port, closed := strings.Cut(rest, "]")
+		_, err := netip.ParseAddr(addr)
+		if err != nil || !closed || !strings.Contains(addr, ":") || port != "" && !isPort(port) {
 			return "", fmt.Errorf("%w: %.60q", ErrInvalidHost, host)
 		}
-		return strings.ToLower(inside), nil
+		return strings.ToLower(addr), nil
 	}
+	name := host
 	if i := strings.IndexByte(host, ':'); i >= 0 {
 		if name = host[:i]; !isPort(host[i:]) {
 			return "", fmt.Errorf("%w: %.60q", ErrInvalidHost, host)
 		}
 	}
 	name = strings.TrimSuffix(name, ".")
-	if name == "" && host != "" || len(name) > 253 || strings.ContainsFunc(name, func(c rune) bool {
-		return (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '-' && c != '.' && c != '_'
-	}) || strings.Contains(name, "..") || strings.HasPrefix(name, ".") {
+	if name == "" && host != "" || !isHostName(name) {
 		return "", fmt.Errorf("%w: %.60q", ErrInvalidHost, host)
 	}
 	return strings.ToLower(name), nil
 }
 
+// isHostName reports whether a text can be a host's name; the empty one can.
+func isHostName(name string) bool {
+	invalid := func(c rune) bool {
+		return (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '-' && c != '.' && c != '_'
+	}
+	return len(name) <= maxHostBytes && !strings.ContainsFunc(name, invalid) &&
+		!strings.Contains(name, "..") && !strings.HasPrefix(name, ".")
+}
+
+// isPort reports whether a text is a port with its colon.
 func isPort(text string) bool {
 	digits, ok := strings.CutPrefix(text, ":")
 	return ok && len(digits) <= 5 && strings.Trim(digits, "0123456789") == ""
 }
 
-// splitPath gives a path's segments, as they came and decoded. A slash that is encoded is no separator.
+// splitPath returns a path's segments, as they came and decoded. An encoded slash is no separator. The
+// error is an ErrInvalidPath.
 func splitPath(path string) (raw, decoded []string, err error) {
 	rest, ok := strings.CutPrefix(path, "/")
 	if !ok {
@@ -61,65 +76,111 @@
 	return raw, decoded, nil
 }
 
-// compile reads a rule.
-func compile[T any](r Rule[T]) (*compiledRule[T], error) {
-	c := &compiledRule[T]{Rule: r}
-	if r.Host != "" {
-		name, below := r.Host, ""
-		if rest, ok := strings.CutPrefix(r.Host, "*."); ok {
-			name, below = rest, "*."
-		}
-		host, err := normalizeHost(name)
-		if err != nil || strings.ContainsAny(name, "[:") {
-			return nil, fmt.Errorf("host %q is no name, nor *. and a name", r.Host)
-		}
-		c.host = below + host
+// compile parses a rule.
+func compile[T any](rule Rule[T]) (*compiledRule[T], error) {
+	c := &compiledRule[T]{Rule: rule}
+	var err error
+	if c.host, err = parseHost(rule.Host); err != nil {
+		return nil, err
 	}
-	raw, decoded, err := splitPath(r.Path)
+	if c.segments, err = parsePath(rule.Path); err != nil {
+		return nil, err
+	}
+	if err := checkMethods(rule.Methods); err != nil {
+		return nil, err
+	}
+	if err := checkConditions(rule.Headers); err != nil {
+		return nil, err
+	}
+	return c, checkConditions(rule.Query)
+}
+
+// parseHost returns a rule's host in lower case.
+func parseHost(host string) (string, error) {
+	if host == "" {
+		return "", nil
+	}
+	name, wildcard := host, ""
+	if domain, ok := strings.CutPrefix(host, "*."); ok {
+		name, wildcard = domain, "*."
+	}
+	normalized, err := normalizeHost(name)
+	if err != nil || strings.ContainsAny(name, "[:") {
+		return "", fmt.Errorf("host %q is no name, nor *. and a name", host)
+	}
+	return wildcard + normalized, nil
+}
+
+// parsePath returns the segments of a rule's path.
+func parsePath(path string) ([]segment, error) {
+	raw, decoded, err := splitPath(path)
 	if err != nil {
-		return nil, fmt.Errorf("path %q: %w", r.Path, err)
+		return nil, fmt.Errorf("path %q: %w", path, err)
 	}
+	segments := make([]segment, 0, len(raw))
 	names := map[string]bool{}
-	for i, s := range raw {
-		name, ok := strings.CutPrefix(s, "{")
-		if !ok {
-			if strings.ContainsAny(s, "{}?#") {
-				return nil, fmt.Errorf("path %q: segment %q is neither literal nor {name}", r.Path, s)
-			}
-			c.segments = append(c.segments, segment{literalSegment, decoded[i]})
-			continue
+	for i, text := range raw {
+		s, err := parseSegment(text, decoded[i], i == len(raw)-1)
+		if err != nil {
+			return nil, fmt.Errorf("path %q: %w", path, err)
 		}
-		name, closed := strings.CutSuffix(name, "}")
-		g := segment{paramSegment, name}
-		if all, ok := strings.CutSuffix(name, "..."); ok {
-			g = segment{restSegment, all}
-			if i != len(raw)-1 {
-				return nil, fmt.Errorf("path %q: %q may only be the last segment", r.Path, s)
-			}
+		if s.kind != literalSegment && names[s.text] {
+			return nil, fmt.Errorf("path %q: %w", path, unnamedSegment(text))
 		}
-		if !closed || g.text == "" || strings.ContainsAny(g.text, "{}.%") || names[g.text] {
-			return nil, fmt.Errorf("path %q: segment %q has no name of its own in braces", r.Path, s)
+		names[s.text] = names[s.text] || s.kind != literalSegment
+		segments = append(segments, s)
+	}
+	return segments, nil
+}
+
+func unnamedSegment(text string) error {
+	return fmt.Errorf("segment %q has no name of its own in braces", text)
+}
+
+// parseSegment parses a segment of a rule's path. last says that it is the last one.
+func parseSegment(text, decoded string, last bool) (segment, error) {
+	name, ok := strings.CutPrefix(text, "{")
+	if !ok {
+		if strings.ContainsAny(text, "{}?#") {
+			return segment{}, fmt.Errorf("segment %q is neither literal nor {name}", text)
 		}
-		names[g.text] = true
-		c.segments = append(c.segments, g)
+		return segment{literalSegment, decoded}, nil
 	}
-	for i, m := range r.Methods {
-		if m == "" || strings.ContainsFunc(m, func(c rune) bool { return c <= ' ' || c > '~' || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, c) }) {
-			return nil, fmt.Errorf("method %q is none", m)
+	name, closed := strings.CutSuffix(name, "}")
+	s := segment{paramSegment, name}
+	if rest, ok := strings.CutSuffix(name, "..."); ok {
+		s = segment{restSegment, rest}
+		if !last {
+			return segment{}, fmt.Errorf("%q may only be the last segment", text)
 		}
-		if slices.Contains(r.Methods[:i], m) {
-			return nil, fmt.Errorf("method %q is there twice", m)
+	}
+	if !closed || s.text == "" || strings.ContainsAny(s.text, "{}.%") {
+		return segment{}, unnamedSegment(text)
+	}
+	return s, nil
+}
+
+func checkMethods(methods []string) error {
+	invalid := func(c rune) bool { return c <= ' ' || c > '~' || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, c) }
+	for i, method := range methods {
+		if method == "" || strings.ContainsFunc(method, invalid) {
+			return fmt.Errorf("method %q is none", method)
+		}
+		if slices.Contains(methods[:i], method) {
+			return fmt.Errorf("method %q is there twice", method)
 		}
 	}
-	for _, list := range [][]Condition{r.Headers, r.Query} {
-		for i, cond := range list {
-			if cond.Name == "" {
-				return nil, fmt.Errorf("a condition has no name")
-			}
-			if slices.Contains(list[:i], cond) {
-				return nil, fmt.Errorf("the condition on %q is there twice", cond.Name)
-			}
+	return nil
+}
+
+func checkConditions(conditions []Condition) error {
+	for i, c := range conditions {
+		if c.Name == "" {
+			return errors.New("a condition has no name")
+		}
+		if slices.Contains(conditions[:i], c) {
+			return fmt.Errorf("the condition on %q is there twice", c.Name)
 		}
 	}
-	return c, nil
+	return nil
 }
--- /dev/null
+++ b/routes/table.go
@@ -0,0 +1,233 @@
+package routes
+
+import (
+	"cmp"
+	"fmt"
+	"iter"
+	"math"
+	"slices"
+	"strings"
+)
+
+// Table is a set of routes. The cost of a match depends on the request's segments and the routes that
+// share them, not on the number of routes.
+type Table[T any] struct {
+	byHost          map[string]*node[T] // of names
+	byDomain        map[string]*node[T] // of "*.example.org", by "example.org"
+	anyHost         *node[T]
+	maxDomainLabels int // of the longest name in byDomain
+}
+
+// node is a place in the tree of one host's paths.
+type node[T any] struct {
+	literal   map[string]*node[T]
+	param     *node[T]
+	rules     []*compiledRule[T] // that end here, by precedence
+	restRules []*compiledRule[T] // that match all that follows, by precedence
+}
+
+// compiledRule is a rule with its parsed host and path.
+type compiledRule[T any] struct {
+	Rule[T]
+	host     string
+	segments []segment
+}
+
+type segmentKind uint8
+
+const (
+	literalSegment segmentKind = iota
+	paramSegment               // {name}
+	restSegment                // {name...}
+)
+
+type segment struct {
+	kind segmentKind
+	text string // the literal, decoded, or the parameter's name
+}
+
+// New returns a table of rules. The error is a Problems.
+func New[T any](rules []Rule[T]) (*Table[T], error) {
+	t := &Table[T]{byHost: map[string]*node[T]{}, byDomain: map[string]*node[T]{}, anyHost: &node[T]{}}
+	var problems Problems
+	for _, rule := range rules {
+		c, err := compile(rule)
+		if err != nil {
+			problems = append(problems, Problem{Line: rule.Line, Message: err.Error()})
+			continue
+		}
+		t.add(c)
+	}
+	t.forEachNode(func(n *node[T]) {
+		for _, list := range [][]*compiledRule[T]{n.rules, n.restRules} {
+			slices.SortStableFunc(list, func(a, b *compiledRule[T]) int { return a.compare(b) })
+			problems = append(problems, conflicts(list)...)
+		}
+	})
+	if len(problems) > 0 {
+		slices.SortStableFunc(problems, func(a, b Problem) int {
+			return cmp.Or(a.Line-b.Line, a.OtherLine-b.OtherLine)
+		})
+		return nil, problems
+	}
+	return t, nil
+}
+
+// add puts a rule into the tree of its host.
+func (t *Table[T]) add(c *compiledRule[T]) {
+	n := t.hostTree(c.host)
+	for _, s := range c.segments {
+		if s.kind == restSegment {
+			n.restRules = append(n.restRules, c)
+			return
+		}
+		n = n.child(s)
+	}
+	n.rules = append(n.rules, c)
+}
+
+// hostTree returns the tree of a host's paths, which it makes if there is none.
+func (t *Table[T]) hostTree(host string) *node[T] {
+	if host == "" {
+		return t.anyHost
+	}
+	trees := t.byHost
+	if domain, ok := strings.CutPrefix(host, "*."); ok {
+		trees, host = t.byDomain, domain
+		t.maxDomainLabels = max(t.maxDomainLabels, strings.Count(host, ".")+1)
+	}
+	if trees[host] == nil {
+		trees[host] = &node[T]{}
+	}
+	return trees[host]
+}
+
+// child returns the node behind a segment, which it makes if there is none.
+func (n *node[T]) child(s segment) *node[T] {
+	if s.kind == paramSegment {
+		if n.param == nil {
+			n.param = &node[T]{}
+		}
+		return n.param
+	}
+	if n.literal == nil {
+		n.literal = map[string]*node[T]{}
+	}
+	if n.literal[s.text] == nil {
+		n.literal[s.text] = &node[T]{}
+	}
+	return n.literal[s.text]
+}
+
+// compare orders the rules of one host and path by precedence.
+func (c *compiledRule[T]) compare(o *compiledRule[T]) int {
+	return cmp.Or(cmp.Compare(c.methodCount(), o.methodCount()), cmp.Compare(o.conditionCount(), c.conditionCount()))
+}
+
+func (c *compiledRule[T]) methodCount() int {
+	if len(c.Methods) == 0 { // all
+		return math.MaxInt
+	}
+	return len(c.Methods)
+}
+
+func (c *compiledRule[T]) conditionCount() int { return len(c.Headers) + len(c.Query) }
+
+// conflicts returns the problems among rules of one host and path, which are in their order.
+func conflicts[T any](list []*compiledRule[T]) (problems Problems) {
+	for i, rule := range list {
+		for _, earlier := range list[:i] {
+			if earlier.compare(rule) == 0 && earlier.sharesMethod(rule) {
+				problems = append(problems, Problem{rule.Line, earlier.Line, fmt.Sprintf(
+					"route %q is ambiguous with %q: a request can be both's, and neither is more specific", rule.Name, earlier.Name)})
+			}
+		}
+		if line := rule.coveredBy(list[:i]); line > 0 {
+			problems = append(problems, Problem{rule.Line, line, fmt.Sprintf(
+				"route %q is never taken: more specific ones take all that it would", rule.Name)})
+		}
+	}
+	return problems
+}
+
+// coveredBy returns the line of an earlier rule if the earlier ones match all that a rule does; 0
+// means that they don't.
+func (c *compiledRule[T]) coveredBy(earlier []*compiledRule[T]) (line int) {
+	methods := c.Methods
+	if len(methods) == 0 {
+		methods = []string{""} // a method that no rule names
+	}
+	for _, method := range methods {
+		i := slices.IndexFunc(earlier, func(e *compiledRule[T]) bool {
+			return e.compare(c) != 0 && e.matchesMethod(method) && e.impliedBy(c)
+		})
+		if i < 0 {
+			return 0
+		}
+		line = earlier[i].Line
+	}
+	return line
+}
+
+// matchesMethod reports whether a rule matches a method.
+func (c *compiledRule[T]) matchesMethod(method string) bool {
+	return len(c.Methods) == 0 || slices.Contains(c.Methods, method)
+}
+
+// impliedBy reports whether a rule's conditions all hold wherever those of another do.
+func (c *compiledRule[T]) impliedBy(o *compiledRule[T]) bool {
+	return allImplied(c.Headers, o.Headers) && allImplied(c.Query, o.Query)
+}
+
+// allImplied reports whether all conditions hold wherever the given ones do.
+func allImplied(conditions, given []Condition) bool {
+	for _, c := range conditions {
+		implied := slices.ContainsFunc(given, func(g Condition) bool {
+			return g.Name == c.Name && (c.Value == "" || c.Value == g.Value)
+		})
+		if !implied {
+			return false
+		}
+	}
+	return true
+}
+
+// sharesMethod reports whether two rules have a method in common. Their conditions can always hold
+// together, as a field may be there twice.
+func (c *compiledRule[T]) sharesMethod(o *compiledRule[T]) bool {
+	return len(c.Methods) == 0 || len(o.Methods) == 0 || slices.ContainsFunc(c.Methods, o.matchesMethod)
+}
+
+// forEachNode calls visit with all nodes, in no order.
+func (t *Table[T]) forEachNode(visit func(*node[T])) {
+	t.anyHost.forEach(visit)
+	for _, trees := range []map[string]*node[T]{t.byHost, t.byDomain} {
+		for _, n := range trees {
+			n.forEach(visit)
+		}
+	}
+}
+
+func (n *node[T]) forEach(visit func(*node[T])) {
+	visit(n)
+	for _, child := range n.literal {
+		child.forEach(visit)
+	}
+	if n.param != nil {
+		n.param.forEach(visit)
+	}
+}
+
+// Rules returns all rules of the table, in no order.
+func (t *Table[T]) Rules() iter.Seq[*Rule[T]] {
+	return func(yield func(*Rule[T]) bool) {
+		more := true
+		t.forEachNode(func(n *node[T]) {
+			for _, list := range [][]*compiledRule[T]{n.rules, n.restRules} {
+				for _, c := range list {
+					more = more && yield(&c.Rule)
+				}
+			}
+		})
+	}
+}
