--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,6 +1,8 @@
-// Package certs serves a listener's certificates by the name that a client asks for, and reads them again when their files change: a pair that
-// can't be used leaves the one in force and is said, and connections that are up go on with what they have. set.go chooses and does no I/O.
-// Nothing of a key is ever in an error or a log.
+// Package certs serves a listener's certificates by the name that a client asks for, and reads them
+// again when their files change. An invalid pair is reported and leaves the one before in force;
+// connections keep the certificate that they began with. Nothing of a key is ever in an error or log.
+//
+// certs.go reads files, set.go selects certificates and does no I/O.
 package certs
 
 import (
@@ -16,7 +18,7 @@
 	"time"
 )
 
-// Pair names the files of a certificate and its key.
+// Pair names the files of a certificate and its key, in PEM.
 type Pair struct{ CertFile, KeyFile string }
 
 // ReadFile reads a file, as os.ReadFile does.
@@ -29,17 +31,17 @@
 	now      func() time.Time
 	current  atomic.Pointer[Set]
 
-	mu    sync.Mutex // readers of files
+	mu    sync.Mutex // held while files are read
 	pairs []trackedPair
 }
 
 type trackedPair struct {
 	Pair
-	digest [sha256.Size]byte // of what was read last, good or bad
+	digest [sha256.Size]byte // of what was read last, valid or not
 	cert   *tls.Certificate
 }
 
-// PairError is what is wrong with a pair.
+// PairError says what is wrong with a pair.
 type PairError struct {
 	Index int // from 0
 	Err   error
@@ -47,10 +49,10 @@
 
 func (e *PairError) Error() string { return fmt.Sprintf("certificate %d: %v", e.Index+1, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *PairError) Unwrap() error { return e.Err }
 
-// New reads pairs. All must be good to begin with; the errors are PairErrors.
+// New reads pairs. All must be valid; the error joins a PairError for each that is not.
 func New(pairs []Pair, read ReadFile, now func() time.Time, log *slog.Logger) (*Store, error) {
 	s := &Store{readFile: read, logger: log, now: now}
 	for _, p := range pairs {
@@ -62,19 +64,19 @@
 	return s, nil
 }
 
-// Reload reads the files again, and puts in force what has changed and is good. The error joins a PairError for each pair that is not, once for
-// each content that its files have.
+// Reload reads the files again, and puts in force what has changed and is valid. The error joins a
+// PairError for each pair that is not, once for each content that its files have.
 func (s *Store) Reload() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var bad []error
+	var errs []error
 	changed := false
 	for i := range s.pairs {
 		p := &s.pairs[i]
 		cert, err := s.readPair(p)
 		switch {
 		case err != nil:
-			bad = append(bad, &PairError{i, err})
+			errs = append(errs, &PairError{i, err})
 		case cert != nil:
 			p.cert, changed = cert, true
 		}
@@ -88,30 +90,30 @@
 	if changed {
 		s.current.Store(NewSet(all))
 	}
-	return errors.Join(bad...)
+	return errors.Join(errs...)
 }
 
-// readPair gives a pair's certificate if it is another than the last; nil, nil: nothing has changed.
+// readPair returns a pair's certificate, or nil if its files have not changed.
 func (s *Store) readPair(p *trackedPair) (*tls.Certificate, error) {
 	certText, err := s.readFile(p.CertFile)
 	var keyText []byte
 	if err == nil {
 		keyText, err = s.readFile(p.KeyFile)
 	}
-	seen := sha256.Sum256(bytes.Join([][]byte{certText, keyText, []byte(fmt.Sprint(err))}, []byte{0}))
-	if seen == p.digest {
+	digest := sha256.Sum256(bytes.Join([][]byte{certText, keyText, []byte(fmt.Sprint(err))}, []byte{0}))
+	if digest == p.digest {
 		return nil, nil
 	}
-	p.digest = seen
+	p.digest = digest
 	if err != nil {
 		return nil, err
 	}
 	return Parse(certText, keyText, s.now())
 }
 
-// Watch reads the files again every so often until ctx ends.
-func (s *Store) Watch(ctx context.Context, every time.Duration) {
-	t := time.NewTicker(every)
+// Watch reads the files again at each interval until ctx ends.
+func (s *Store) Watch(ctx context.Context, interval time.Duration) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
@@ -119,16 +121,16 @@
 			return
 		case <-t.C:
 			if err := s.Reload(); err != nil {
-				s.logger.Error("a certificate that can't be used: the one before stays in force", "err", err)
+				s.logger.Error("invalid certificate ignored", "err", err)
 			}
 		}
 	}
 }
 
-// Set is what is in force.
+// Set returns the certificates in force.
 func (s *Store) Set() *Set { return s.current.Load() }
 
-// GetCertificate is a tls.Config's GetCertificate.
+// GetCertificate is for a tls.Config.
 func (s *Store) GetCertificate(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	return s.current.Load().Select(hello)
 }
--- a/internal/certs/set.go
+++ b/internal/certs/set.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Set are certificates by the names that they are for. It does not change.
+// Set holds certificates by the names that they are for. It does not change.
 type Set struct {
 	all    []*tls.Certificate
-	byName map[string][]*tls.Certificate // by name, in lower case; "*.example.org" under that
+	byName map[string][]*tls.Certificate // in lower case; wildcards as "*.example.org"
 }
 
-// NewSet makes one; the first certificate is for clients that ask for no name, or one that none is for.
+// NewSet returns a set. The first certificate is for clients that ask for no name, or one that no
+// certificate is for.
 func NewSet(all []*tls.Certificate) *Set {
 	s := &Set{all: all, byName: map[string][]*tls.Certificate{}}
 	for _, c := range all {
@@ -26,7 +27,7 @@
 	return s
 }
 
-// Names are those that a certificate is for, in lower case.
+// Names returns the names that a certificate is for, in lower case.
 func Names(c *tls.Certificate) (out []string) {
 	for _, n := range c.Leaf.DNSNames {
 		out = append(out, strings.ToLower(n))
@@ -37,11 +38,11 @@
 	return out
 }
 
-// ErrNoCertificate says that there is none that a client could use.
-var ErrNoCertificate = errors.New("no certificate that the client supports")
+// ErrNoCertificate says that the client supports none of the certificates.
+var ErrNoCertificate = errors.New("certs: no certificate that the client supports")
 
-// Select gives the certificate for a client: one for the very name, else one for all names of its domain, else the first; of several, one
-// that the client supports.
+// Select returns the certificate for a client: one for its server name, else one for all names of the
+// domain, else the first. Of several, it is one that the client supports.
 func (s *Set) Select(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	name := strings.ToLower(strings.TrimSuffix(hello.ServerName, "."))
 	_, domain, _ := strings.Cut(name, ".")
@@ -55,24 +56,25 @@
 	return nil, ErrNoCertificate
 }
 
-// supportsIgnoringName tells whether a client supports a certificate but for its name: who asks for a name that no certificate is for gets the first
-// one that it can read, and says itself what it thinks of it.
+// supportsIgnoringName reports whether a client supports a certificate apart from its name. A client
+// that asks for a name that no certificate is for gets the first one that it can use, and decides
+// itself what to make of it.
 func supportsIgnoringName(hello *tls.ClientHelloInfo, c *tls.Certificate) bool {
 	h := *hello
 	h.ServerName = ""
 	return h.SupportsCertificate(c) == nil
 }
 
-// Covers tells whether some certificate is for a host, which may be "*.example.org".
+// Covers reports whether a certificate is for a host, which may be a wildcard such as "*.example.org".
 func (s *Set) Covers(host string) bool {
 	host = strings.ToLower(host)
 	_, domain, _ := strings.Cut(host, ".")
 	return len(s.byName[host]) > 0 || len(s.byName["*."+domain]) > 0
 }
 
-// Unused are names of certificates that none of the hosts needs, sorted.
+// Unused returns the names of certificates that none of the hosts needs, sorted.
 func (s *Set) Unused(hosts []string) (out []string) {
-	if slices.Contains(hosts, "") { // a route for any host
+	if slices.Contains(hosts, "") { // any host
 		return nil
 	}
 	for name := range s.byName {
@@ -90,12 +92,14 @@
 	return out
 }
 
-// SoonestExpiry is the certificate that ends first.
+// SoonestExpiry returns the certificate that expires first.
 func (s *Set) SoonestExpiry() *tls.Certificate {
-	return slices.MinFunc(s.all, func(a, b *tls.Certificate) int { return a.Leaf.NotAfter.Compare(b.Leaf.NotAfter) })
+	return slices.MinFunc(s.all, func(a, b *tls.Certificate) int {
+		return a.Leaf.NotAfter.Compare(b.Leaf.NotAfter)
+	})
 }
 
-// Parse makes a certificate of its texts in PEM, if it holds at a time. The error tells nothing of the key.
+// Parse returns the certificate in texts in PEM, if it is valid at now. Errors tell nothing of the key.
 func Parse(certText, keyText []byte, now time.Time) (*tls.Certificate, error) {
 	c, err := tls.X509KeyPair(certText, keyText)
 	if err != nil {
--- a/internal/httpproxyconfig/httpproxyconfig.go
+++ b/internal/httpproxyconfig/httpproxyconfig.go
@@ -1,5 +1,6 @@
-// Package httpproxyconfig makes of an operator's file, and the files that it names, what a front for ordinary HTTP goes by: who asks, the listener's
-// certificates, and how backends are reached over TLS. It reads files, and nothing else.
+// Package httpproxyconfig makes the parts of an HTTP proxy that an operator's file and the files that
+// it names describe: its rules, the listener's TLS and how backends are reached. It reads files, and
+// does no other I/O.
 package httpproxyconfig
 
 import (
@@ -20,17 +21,20 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// Rules reads what says who asks, and gives the rules of the file. The error is an operator.Problems.
+// expiryWarningPeriod is how long before a certificate expires Warnings tells of it.
+const expiryWarningPeriod = 14 * 24 * time.Hour
+
+// Rules returns the rules of a file, with the identities in the files that it names. The error is an
+// operatorconfig.Problems.
 func Rules(f *operatorconfig.File, read certs.ReadFile) (httpproxy.Rules, error) {
-	w := f.HTTP
 	var plans []string
-	for _, p := range f.Gateway.Settings.Plans {
-		plans = append(plans, p.Name)
+	for _, plan := range f.Gateway.Settings.Plans {
+		plans = append(plans, plan.Name)
 	}
 	var problems operatorconfig.Problems
 	var rules []identity.NamedRule
-	for _, id := range w.Identities {
-		rule, err := newIdentityRule(w, &id, plans, read)
+	for _, id := range f.HTTP.Identities {
+		rule, err := newIdentityRule(f.HTTP, &id, plans, read)
 		if err != nil {
 			problems = append(problems, id.Location.Problem("file", err))
 			continue
@@ -40,28 +44,52 @@
 	if len(problems) > 0 {
 		return httpproxy.Rules{}, problems
 	}
-	return httpproxy.Rules{Routes: w.Table, Resolver: identity.New(w.Trusted, rules...), RemoveHeaders: w.RemoveHeaders}, nil
+	return httpproxy.Rules{
+		Routes:        f.HTTP.Table,
+		Resolver:      identity.New(f.HTTP.Trusted, rules...),
+		RemoveHeaders: f.HTTP.RemoveHeaders,
+	}, nil
 }
 
-func newIdentityRule(w *operatorconfig.HTTP, id *operatorconfig.Identity, plans []string, read certs.ReadFile) (identity.Rule, error) {
+// newIdentityRule returns the rule of an identity. plans are the plans that it may name.
+func newIdentityRule(h *operatorconfig.HTTP, id *operatorconfig.Identity, plans []string, read certs.ReadFile) (identity.Rule, error) {
 	switch id.Kind {
-	case "address":
+	case operatorconfig.KindAddress:
 		return &identity.AddressRule{Plan: id.Plan, IPv6PrefixBits: id.IPv6PrefixBits}, nil
-	case "header":
-		return &identity.AssertedRule{CustomerHeader: id.Header, PlanHeader: id.PlanSource, DefaultPlan: id.Plan, AllowedPlans: plans, CostHeader: id.CostHeader, HexCustomers: id.HexCustomers, TrustedPeers: w.Trusted}, nil
-	case "certificate":
+	case operatorconfig.KindHeader:
+		return &identity.AssertedRule{
+			CustomerHeader: id.Header,
+			PlanHeader:     id.PlanSource,
+			DefaultPlan:    id.Plan,
+			AllowedPlans:   plans,
+			CostHeader:     id.CostHeader,
+			HexCustomers:   id.HexCustomers,
+			TrustedPeers:   h.Trusted,
+		}, nil
+	case operatorconfig.KindCertificate:
 		return &identity.ClientCertRule{NameSource: id.CertName, DefaultPlan: id.Plan, PlanByCustomer: id.PlanByCustomer}, nil
+	case operatorconfig.KindKey:
+		return newAPIKeyRule(id, plans, read)
 	}
+	return newJWTRule(id, plans, read)
+}
+
+func newAPIKeyRule(id *operatorconfig.Identity, plans []string, read certs.ReadFile) (identity.Rule, error) {
 	text, err := read(id.File)
 	if err != nil {
 		return nil, err
 	}
-	if id.Kind == "key" {
-		keys, err := identity.ParseKeys(text, plans)
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", id.File, err)
-		}
-		return identity.NewAPIKeyRule(id.Header, id.Scheme, keys), nil
+	keys, err := identity.ParseKeys(text, plans)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", id.File, err)
+	}
+	return identity.NewAPIKeyRule(id.Header, id.Scheme, keys), nil
+}
+
+func newJWTRule(id *operatorconfig.Identity, plans []string, read certs.ReadFile) (identity.Rule, error) {
+	text, err := read(id.File)
+	if err != nil {
+		return nil, err
 	}
 	keys := []identity.TokenKey{{Key: bytes.TrimRight(text, "\r\n")}}
 	if !id.SharedSecret {
@@ -69,12 +97,21 @@
 			return nil, fmt.Errorf("%s: %w", id.File, err)
 		}
 	}
-	return identity.NewJWTRule(identity.JWTRule{Header: id.Header, Scheme: id.Scheme, Issuer: id.Issuer, Audience: id.Audience, CustomerClaim: id.CustomerClaim,
-		PlanClaim: id.PlanSource, DefaultPlan: id.Plan, AllowedPlans: plans, Leeway: id.Leeway}, id.Algorithms, keys)
+	return identity.NewJWTRule(identity.JWTRule{
+		Header:        id.Header,
+		Scheme:        id.Scheme,
+		Issuer:        id.Issuer,
+		Audience:      id.Audience,
+		CustomerClaim: id.CustomerClaim,
+		PlanClaim:     id.PlanSource,
+		DefaultPlan:   id.Plan,
+		AllowedPlans:  plans,
+		Leeway:        id.Leeway,
+	}, id.Algorithms, keys)
 }
 
-// Listener makes the TLS of the listener, and the store that its certificates are in; nil, nil if it is plain. The error is an
-// operator.Problems.
+// Listener returns the TLS configuration of the listener, and the store of its certificates; nil, nil
+// if it is plain text. The error is an operatorconfig.Problems.
 func Listener(f *operatorconfig.File, read certs.ReadFile, now func() time.Time, log *slog.Logger) (*tls.Config, *certs.Store, error) {
 	t := f.HTTP.TLS
 	if t == nil {
@@ -88,133 +125,162 @@
 	if err != nil {
 		return nil, nil, certificateProblems(t, err)
 	}
-	config := &tls.Config{GetCertificate: store.GetCertificate, MinVersion: tls.VersionTLS13, NextProtos: []string{"h2", "http/1.1"}}
-	if t.AllowTLS12 {
-		config.MinVersion = tls.VersionTLS12
+	config := &tls.Config{
+		GetCertificate: store.GetCertificate,
+		MinVersion:     minVersion(t.AllowTLS12),
+		NextProtos:     []string{"h2", "http/1.1"},
 	}
 	if t.ClientCAFile != "" {
 		if config.ClientCAs, err = loadCertPool(t.ClientCAFile, read); err != nil {
 			return nil, nil, operatorconfig.Problems{t.Location.Problem("client_ca_file", err)}
 		}
 		config.ClientAuth = tls.RequireAndVerifyClientCert
-		if t.ClientAuth == "ask" {
+		if t.ClientAuth == operatorconfig.ClientAuthAsk {
 			config.ClientAuth = tls.VerifyClientCertIfGiven
 		}
 	}
 	return config, store, nil
 }
 
-// certificateProblems gives what is wrong with pairs their places.
-func certificateProblems(t *operatorconfig.TLS, err error) (out operatorconfig.Problems) {
+func minVersion(allowTLS12 bool) uint16 {
+	if allowTLS12 {
+		return tls.VersionTLS12
+	}
+	return tls.VersionTLS13
+}
+
+// certificateProblems returns the problems in an error of certs.New, with their places in the file.
+func certificateProblems(t *operatorconfig.TLS, err error) (problems operatorconfig.Problems) {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		for _, e := range joined.Unwrap() {
-			out = append(out, certificateProblems(t, e)...)
+			problems = append(problems, certificateProblems(t, e)...)
 		}
-		return out
+		return problems
 	}
-	if p, ok := errors.AsType[*certs.PairError](err); ok {
-		return operatorconfig.Problems{t.Certificates[p.Index].Location.Problem("cert_file", p.Err)}
+	if pairErr, ok := errors.AsType[*certs.PairError](err); ok {
+		return operatorconfig.Problems{t.Certificates[pairErr.Index].Location.Problem("cert_file", pairErr.Err)}
 	}
 	return operatorconfig.Problems{t.Location.Problem("certificate", err)}
 }
 
+// loadCertPool reads a file of authorities' certificates.
 func loadCertPool(file string, read certs.ReadFile) (*x509.CertPool, error) {
 	text, err := read(file)
 	if err != nil {
 		return nil, err
 	}
-	p := x509.NewCertPool()
-	if !p.AppendCertsFromPEM(text) {
+	pool := x509.NewCertPool()
+	if !pool.AppendCertsFromPEM(text) {
 		return nil, fmt.Errorf("%s: there is no certificate in PEM", file)
 	}
-	return p, nil
+	return pool, nil
 }
 
-// errPinMismatch says that a backend's key is none of those that are pinned.
-var errPinMismatch = errors.New("the backend's key is none of the pinned ones")
-
-// Service makes how a service's backends are reached. The error is an operator.Problems.
+// Service returns how a service's backends are reached. The error is an operatorconfig.Problems.
 func Service(s operatorconfig.Service, read certs.ReadFile, log *slog.Logger) (httpproxy.ServiceConfig, error) {
-	out := s.ServiceConfig
-	out.Log = log
+	c := s.ServiceConfig
+	c.Log = log
 	if s.UseBackendHost {
-		out.RewriteHost = func(addr string) string { return operatorconfig.HostHeader(addr, s.TLS != nil) }
+		c.RewriteHost = func(addr string) string { return operatorconfig.HostHeader(addr, s.TLS != nil) }
 	}
-	t := s.TLS
-	if t == nil {
-		return out, nil
-	}
-	bad := func(key string, err error) (httpproxy.ServiceConfig, error) {
-		return out, operatorconfig.Problems{t.Location.Problem(key, err)}
+	if s.TLS == nil {
+		return c, nil
 	}
-	config := &tls.Config{ServerName: t.ServerName, MinVersion: tls.VersionTLS13}
-	if t.AllowTLS12 {
-		config.MinVersion = tls.VersionTLS12
+	config, key, err := backendTLS(s.TLS, read)
+	if err != nil {
+		return c, operatorconfig.Problems{s.TLS.Location.Problem(key, err)}
 	}
-	var err error
+	c.TLS = config
+	return c, nil
+}
+
+// backendTLS returns the TLS configuration of connections to backends. An error has the key of the
+// section that it is about.
+func backendTLS(t *operatorconfig.ServiceTLS, read certs.ReadFile) (config *tls.Config, key string, err error) {
+	config = &tls.Config{ServerName: t.ServerName, MinVersion: minVersion(t.AllowTLS12)}
 	if t.CAFile != "" {
 		if config.RootCAs, err = loadCertPool(t.CAFile, read); err != nil {
-			return bad("ca_file", err)
+			return nil, "ca_file", err
 		}
 	}
 	if t.CertFile != "" {
-		certText, err := read(t.CertFile)
+		cert, key, err := loadCertificate(t.CertFile, t.KeyFile, read)
 		if err != nil {
-			return bad("cert_file", err)
+			return nil, key, err
 		}
-		keyText, err := read(t.KeyFile)
-		if err != nil {
-			return bad("key_file", err)
-		}
-		c, err := certs.Parse(certText, keyText, time.Now())
-		if err != nil {
-			return bad("cert_file", err)
-		}
-		config.Certificates = []tls.Certificate{*c}
+		config.Certificates = []tls.Certificate{*cert}
+	}
+	pins, err := parsePins(t.Pins)
+	if err != nil {
+		return nil, "pins", err
+	}
+	config.InsecureSkipVerify = t.PinsOnly // the pins verify the backend
+	if len(pins) > 0 {
+		config.VerifyConnection = verifyPins(pins)
+	}
+	return config, "", nil
+}
+
+// loadCertificate reads a certificate and its key. An error has the key of the section that it is
+// about.
+func loadCertificate(certFile, keyFile string, read certs.ReadFile) (cert *tls.Certificate, key string, err error) {
+	certText, err := read(certFile)
+	if err != nil {
+		return nil, "cert_file", err
 	}
-	var pins [][]byte
-	for _, text := range t.Pins {
+	keyText, err := read(keyFile)
+	if err != nil {
+		return nil, "key_file", err
+	}
+	cert, err = certs.Parse(certText, keyText, time.Now())
+	return cert, "cert_file", err
+}
+
+// parsePins parses SHA-256 hashes in base64.
+func parsePins(texts []string) (pins [][]byte, err error) {
+	for _, text := range texts {
 		pin, err := base64.StdEncoding.DecodeString(text)
 		if err != nil || len(pin) != sha256.Size {
-			return bad("pins", fmt.Errorf("%q is no SHA-256 in base64", text))
+			return nil, fmt.Errorf("%q is no SHA-256 in base64", text)
 		}
 		pins = append(pins, pin)
 	}
-	config.InsecureSkipVerify = t.PinsOnly // the pins decide
-	if len(pins) > 0 {
-		config.VerifyConnection = func(c tls.ConnectionState) error {
-			sum := sha256.Sum256(c.PeerCertificates[0].RawSubjectPublicKeyInfo)
-			if !slices.ContainsFunc(pins, func(p []byte) bool { return bytes.Equal(p, sum[:]) }) {
-				return errPinMismatch
-			}
-			return nil
+	return pins, nil
+}
+
+// errPinMismatch says that a backend's public key is none of those that are pinned.
+var errPinMismatch = errors.New("httpproxyconfig: the backend's key is not pinned")
+
+// verifyPins returns what verifies that a backend's public key is pinned.
+func verifyPins(pins [][]byte) func(tls.ConnectionState) error {
+	return func(state tls.ConnectionState) error {
+		sum := sha256.Sum256(state.PeerCertificates[0].RawSubjectPublicKeyInfo)
+		if !slices.ContainsFunc(pins, func(pin []byte) bool { return bytes.Equal(pin, sum[:]) }) {
+			return errPinMismatch
 		}
+		return nil
 	}
-	out.TLS = config
-	return out, nil
 }
 
-// Warnings are what an operator should know of a file that is good: certificates that end soon, names that no route uses, and hosts of
-// routes that no certificate is for.
-func Warnings(f *operatorconfig.File, store *certs.Store, now time.Time) (out []string) {
+// Warnings returns what an operator should know of a valid file: certificates that expire soon, names
+// of certificates that no route uses, and hosts of routes that no certificate is for.
+func Warnings(f *operatorconfig.File, store *certs.Store, now time.Time) (warnings []string) {
 	if store == nil {
 		return nil
 	}
 	set := store.Set()
 	if c := set.SoonestExpiry(); c.Leaf.NotAfter.Sub(now) < expiryWarningPeriod {
-		out = append(out, fmt.Sprintf("the certificate for %v ends on %s", certs.Names(c), c.Leaf.NotAfter.Format(time.DateOnly)))
+		warnings = append(warnings, fmt.Sprintf("the certificate for %v ends on %s", certs.Names(c), c.Leaf.NotAfter.Format(time.DateOnly)))
 	}
 	var hosts []string
-	for _, r := range f.HTTP.Routes {
-		hosts = append(hosts, r.Host)
-		if r.Host != "" && !set.Covers(r.Host) {
-			out = append(out, fmt.Sprintf("line %d: no certificate is for host %q", r.Line, r.Host))
+	for _, route := range f.HTTP.Routes {
+		hosts = append(hosts, route.Host)
+		if route.Host != "" && !set.Covers(route.Host) {
+			warnings = append(warnings, fmt.Sprintf("line %d: no certificate is for host %q", route.Line, route.Host))
 		}
 	}
 	for _, name := range set.Unused(hosts) {
-		out = append(out, fmt.Sprintf("a certificate is for %q, which no route uses", name))
+		warnings = append(warnings, fmt.Sprintf("a certificate is for %q, which no route uses", name))
 	}
-	return out
+	return warnings
 }
-
-const expiryWarningPeriod = 14 * 24 * time.Hour
--- a/internal/reqtarget/reqtarget.go
+++ b/internal/reqtarget/reqtarget.go
@@ -1,4 +1,4 @@
-// Package reqtarget tells what a request's target was, for fronts that pass it on. It is a function of the request alone.
+// Package reqtarget finds the target that a request came with, to forward it unchanged. It is pure.
 package reqtarget
 
 import (
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Of is the request's path and query as they came, unless the host has changed the path (http.StripPrefix
-// does).
+// Of returns a request's path and query as they came. If the host has changed the path, as
+// http.StripPrefix does, it returns the changed path, encoded anew.
 func Of(r *http.Request) string {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	if path == r.URL.Path {
--- a/internal/requestmeta/requestmeta.go
+++ b/internal/requestmeta/requestmeta.go
@@ -1,5 +1,5 @@
-// Package requestmeta reads the figures that the platform's clients bring with a request, in the forms that all fronts share:
-// numbers as 16 hex digits, and terms such as "units=2,spread=3,first=1". It is pure.
+// Package requestmeta parses what the platform's clients send with a request, in the forms that HTTP
+// and gRPC share: numbers as 16 hex digits, and terms such as "units=2,spread=3,first=1". It is pure.
 package requestmeta
 
 import (
@@ -10,43 +10,48 @@
 	"pumicecroft/decision"
 )
 
-// maxCustomerID is over any customer's number on the platform.
+// maxCustomerID is above all customers' numbers on the platform.
 const maxCustomerID = 1 << 33
 
-// Terms are what a request takes of its quota, and the doors that its customer uses: Spread in a row from First.
+// Terms are a request's cost, and the gateways that its customer uses.
 type Terms struct {
-	Units         float64
-	Spread, First int
+	Units         float64 // the cost
+	Spread, First int     // the customer uses Spread gateways in a row, from the index First
 }
 
-// Parse reads terms; each must be there once, and in range for the settings.
+// Parse parses terms. ok is false unless each is there once, and in the range of the settings.
+// Unknown terms are ignored.
 func Parse(text string, set *decision.Settings) (t Terms, ok bool) {
-	var units, spread, first bool
+	var hasUnits, hasSpread, hasFirst bool
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		var err error
-		var again bool
+		var repeated bool
 		switch name {
 		case "units":
-			again, units = units, true
+			repeated, hasUnits = hasUnits, true
 			t.Units, err = strconv.ParseFloat(value, 64)
 		case "spread":
-			again, spread = spread, true
+			repeated, hasSpread = hasSpread, true
 			t.Spread, err = strconv.Atoi(value)
 		case "first":
-			again, first = first, true
+			repeated, hasFirst = hasFirst, true
 			t.First, err = strconv.Atoi(value)
 		}
-		if err != nil || again {
+		if err != nil || repeated {
 			return Terms{}, false
 		}
 	}
-	return t, units && spread && first && t.Units > 0 && !math.IsInf(t.Units, 0) &&
-		(set.MaxCost <= 0 || t.Units <= set.MaxCost) &&
+	return t, hasUnits && hasSpread && hasFirst && t.inRange(set)
+}
+
+// inRange reports whether terms are in the range of the settings.
+func (t *Terms) inRange(set *decision.Settings) bool {
+	return t.Units > 0 && !math.IsInf(t.Units, 0) && (set.MaxCost <= 0 || t.Units <= set.MaxCost) &&
 		t.Spread >= 1 && t.Spread <= set.GatewayCount && t.First >= 0 && t.First < set.GatewayCount
 }
 
-// Hex reads a number of 16 hex digits.
+// Hex parses a number of 16 hex digits. The error is of package strconv.
 func Hex(s string) (uint64, error) {
 	if len(s) != 16 {
 		return 0, strconv.ErrSyntax
@@ -54,7 +59,7 @@
 	return strconv.ParseUint(s, 16, 64)
 }
 
-// Customer reads a customer's number.
+// Customer parses a customer's number of 16 hex digits. The error is of package strconv.
 func Customer(s string) (uint64, error) {
 	n, err := Hex(s)
 	if err == nil && n >= maxCustomerID {
--- a/internal/socketpeek/socketpeek.go
+++ b/internal/socketpeek/socketpeek.go
@@ -1,5 +1,5 @@
-// Package socketpeek tells what can be seen on a connection without taking anything from it. It asks the system,
-// and keeps nothing.
+// Package socketpeek tells whether something has arrived on a connection, without reading it. It asks
+// the operating system, and keeps no state.
 package socketpeek
 
 import (
@@ -9,58 +9,58 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sight is what can be seen on a connection.
+// Sight is what has arrived on a connection.
 type Sight uint8
 
-// The sights.
+// The states of a connection.
 const (
-	Clean   Sight = iota // nothing has come
-	Waiting              // something has come
-	Ended                // the other side has closed it, or it is broken
+	Clean   Sight = iota // nothing has arrived
+	Waiting              // bytes have arrived
+	Ended                // the peer has closed it, it is broken, or it can't be seen
 )
 
-// At looks whether something has come on a connection that nobody has read yet. It never waits.
+// At returns what has arrived on a connection and was not read. It never blocks.
 func At(c net.Conn) Sight { return New(c).Peek() }
 
-// Peeker looks at one connection again and again. It is not safe for concurrent use.
+// Peeker looks at one connection repeatedly without allocating. It is not safe for concurrent use.
 type Peeker struct {
-	raw  syscall.RawConn // nil: there is nothing that could be seen
+	raw  syscall.RawConn // nil: the connection has no descriptor
 	look func(fd uintptr)
 	seen Sight
 	b    [1]byte
 }
 
-// New makes a Looker.
+// New returns a Peeker.
 func New(c net.Conn) *Peeker {
-	l := &Peeker{}
+	p := &Peeker{}
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			l.raw, l.look = raw, l.peek
+			p.raw, p.look = raw, p.peek
 		}
 	}
-	return l
+	return p
 }
 
-// Peek tells what can be seen now. It never waits.
-func (l *Peeker) Peek() Sight {
-	l.seen = Ended
-	if l.raw == nil || l.raw.Control(l.look) != nil {
+// Peek returns what has arrived and was not read. It never blocks.
+func (p *Peeker) Peek() Sight {
+	p.seen = Ended
+	if p.raw == nil || p.raw.Control(p.look) != nil {
 		return Ended
 	}
-	return l.seen
+	return p.seen
 }
 
-func (l *Peeker) peek(fd uintptr) {
-	switch n, _, err := syscall.Recvfrom(int(fd), l.b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
+func (p *Peeker) peek(fd uintptr) {
+	switch n, _, err := syscall.Recvfrom(int(fd), p.b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 	case n > 0:
-		l.seen = Waiting
+		p.seen = Waiting
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		l.seen = Clean
+		p.seen = Clean
 	}
 }
 
-// Gone tells whether the other side of a descriptor has ended its sending or broken the connection, whatever of what it sent before is
-// still unread. It never waits.
+// Gone reports whether the peer of a descriptor has ended its sending or broken the connection,
+// whether or not bytes from before are unread. It never blocks.
 func Gone(fd uintptr) bool {
 	look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(look, 0)
--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -1,5 +1,5 @@
-// Package unread tells whether all that has arrived on a connection has been read by who reads it. It takes nothing from connections but
-// what they are read for, and keeps no goroutine.
+// Package unread has connections that know whether all that has arrived on them was read. After a
+// process pause this tells whether something that the peer sent meanwhile is still to be handled.
 package unread
 
 import (
@@ -12,20 +12,22 @@
 	"pumicecroft/internal/socketpeek"
 )
 
-// Conn is a connection that tells what of it is unread. One goroutine reads it at a time; the rest is safe for concurrent use.
+// Conn is a connection that knows whether all that has arrived was read. One goroutine at a time may
+// read it; its other methods are safe for concurrent use.
 type Conn struct {
 	net.Conn
-	raw  syscall.RawConn // nil: nothing can be told
+	raw  syscall.RawConn // nil: it can't be known
 	look *socketpeek.Peeker
-	tell func() // hears of each time at which a reader found nothing, and of the end
+	tell func() // called each time that the reader finds nothing, and at the end
 
-	mu    sync.Mutex // held while the system is asked, so that nothing is read and not yet told
-	empty bool       // its reader has found nothing, and waits
+	mu    sync.Mutex // held during a read, so that nothing is read and not yet counted
+	empty bool       // the reader has found nothing, and waits
 	ended bool
 	got   uint64 // bytes that were read
 }
 
-// New makes one of a connection. tell may be nil; it is called without a lock, by the reading goroutine.
+// New returns a Conn. tell, unless it is nil, is called by the reading goroutine each time that it
+// finds nothing to read, and by Close; no lock is held.
 func New(c net.Conn, tell func()) *Conn {
 	u := &Conn{Conn: c, tell: tell, look: socketpeek.New(c)}
 	if sc, ok := c.(syscall.Conn); ok {
@@ -80,8 +82,8 @@
 	return err
 }
 
-// Nothing tells whether all that has arrived has been read, and what was read has been dealt with: its reader waits for more, and
-// there is no more. Where that can't be seen it says no.
+// Nothing reports whether all that has arrived was read and handled: the reader waits for more, and
+// there is no more. It returns false where that can't be known.
 func (c *Conn) Nothing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,15 +93,17 @@
 	return c.look.Peek() == socketpeek.Clean
 }
 
-// Got is how many bytes have been read.
+// Got returns how many bytes were read.
 func (c *Conn) Got() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.got
 }
 
-// Alarm calls silent once nothing was heard for a time, unless longer says that there is more to wait for, and for how long: if this process
-// stood still, what was said meanwhile has come and waits. The timer may be stopped and reset as any other.
+// Alarm calls silent when nothing was heard for the duration after, unless longer returns that there is
+// more to wait for, and for how long. Guards against an alarm by this process's own pause: what the
+// peer said meanwhile has arrived and is unread, and longer sees that. The timer may be stopped and
+// reset as any other.
 func Alarm(after time.Duration, longer func() time.Duration, silent func()) *time.Timer {
 	var t *time.Timer
 	armed := make(chan struct{})
