--- a/examples/chi/main.go
+++ b/examples/chi/main.go
@@ -1,4 +1,4 @@
-// Command chi is a host on chi that knows who asks and lets the Door hold them to their plan.
+// Command chi is a host on chi that authenticates clients, and lets a Gateway hold them to their plans.
 package main
 
 import (
@@ -13,15 +13,15 @@
 	"pumicecroft"
 	"pumicecroft/decision"
 	"pumicecroft/membership"
-	doors "pumicecroft/middleware"
+	mw "pumicecroft/middleware"
 	"pumicecroft/middleware/nethttp"
 )
 
-// shops says who holds a token; a real host asks its own store.
+// shops has the identity of each token. A real host asks its own store.
 var shops = map[string]pumicecroft.Identity{"secret": {Customer: 7, Plan: "shop"}}
 
 func main() {
-	door, err := pumicecroft.New(pumicecroft.Config{
+	gateway, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true, MaxRetryAfter: time.Second,
 			Classes: []decision.Class{{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
 			Plans:   []decision.Plan{{Name: "shop", Rate: 10, Burst: 20, Price: 1}}},
@@ -33,8 +33,8 @@
 
 	r := chi.NewRouter()
 	r.Use(middleware.Recoverer, middleware.Timeout(10*time.Second), identify)
-	// The host's own way to say what a request is: no headers of the platform's.
-	r.Use(nethttp.New(door, doors.Routes("/api/stock"), doors.Mapper(func(r *http.Request) (pumicecroft.Request, error) {
+	// The Mapper says what a request is, in place of the platform's headers.
+	r.Use(nethttp.New(gateway, mw.Routes("/api/stock"), mw.Mapper(func(r *http.Request) (pumicecroft.Request, error) {
 		who, ok := pumicecroft.IdentityFrom(r.Context())
 		if !ok {
 			return pumicecroft.Request{}, fmt.Errorf("%w: no token", pumicecroft.ErrBadRequest)
@@ -46,7 +46,7 @@
 	log.Fatal(http.ListenAndServe("127.0.0.1:8080", r))
 }
 
-// identify is the host's own middleware.
+// identify is a middleware that authenticates clients.
 func identify(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if who, ok := shops[r.Header.Get("Authorization")]; ok {
--- a/examples/gin/main.go
+++ b/examples/gin/main.go
@@ -1,4 +1,4 @@
-// Command gin is a host on gin with a Door before its handlers.
+// Command gin is a host on gin with a Gateway before its handlers.
 package main
 
 import (
@@ -10,11 +10,11 @@
 	"pumicecroft"
 	"pumicecroft/decision"
 	"pumicecroft/membership"
-	doors "pumicecroft/middleware/gin"
+	mw "pumicecroft/middleware/gin"
 )
 
 func main() {
-	door, err := pumicecroft.New(pumicecroft.Config{
+	gateway, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true, MaxRetryAfter: time.Second,
 			Classes: []decision.Class{{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
 			Plans:   []decision.Plan{{Name: "shop", Rate: 10, Burst: 20, Price: 1}}},
@@ -30,7 +30,7 @@
 		if err := c.Errors.Last(); err != nil {
 			log.Print(c.Request.URL.Path, ": ", err)
 		}
-	}, doors.New(door)) // the classes' paths: /stock-lookup and all below it
+	}, mw.New(gateway)) // by default the classes' paths: /stock-lookup and all below it
 	e.GET("/", func(c *gin.Context) { c.String(200, "the host's own page\n") })
 	log.Fatal(e.Run("127.0.0.1:8080"))
 }
--- a/examples/grpc/main.go
+++ b/examples/grpc/main.go
@@ -1,5 +1,5 @@
-// Command grpc is a host's own gRPC server, with a service of its own, that sends the calls of two methods through a Door to
-// backends that speak gRPC.
+// Command grpc is a host's own gRPC server, with a service of its own, that sends the calls of two
+// methods through a Gateway to backends that speak gRPC.
 package main
 
 import (
@@ -21,7 +21,7 @@
 )
 
 func main() {
-	door, err := pumicecroft.New(pumicecroft.Config{
+	gateway, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{
 			CanCancel:     true,
 			MaxRetryAfter: time.Second,
@@ -41,7 +41,7 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	front, err := grpcproxy.New(door, grpcproxy.Config{
+	proxy, err := grpcproxy.New(gateway, grpcproxy.Config{
 		Methods: map[string]grpcproxy.Method{
 			"/shop.Desk/Activate": {Class: "activate"},
 			"/shop.Stock/List":    {Class: "stock-lookup", Streaming: true},
@@ -53,7 +53,7 @@
 		log.Fatal(err)
 	}
 
-	server := grpc.NewServer(grpc.ForceServerCodecV2(grpcproxy.Codec()), grpc.UnknownServiceHandler(front.Handle),
+	server := grpc.NewServer(grpc.ForceServerCodecV2(grpcproxy.Codec()), grpc.UnknownServiceHandler(proxy.Handle),
 		grpc.MaxConcurrentStreams(1000))
 	healthpb.RegisterHealthServer(server, health.NewServer()) // the host's own service
 	listener, err := net.Listen("tcp", "127.0.0.1:8090")
@@ -64,7 +64,7 @@
 	stop, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	go func() {
 		<-stop.Done()
-		// First the server, so that nothing new comes and what is in flight ends; then the door.
+		// First the server, so that nothing new comes and what is in flight ends; then the gateway.
 		server.GracefulStop()
 	}()
 	err = server.Serve(listener)
@@ -74,7 +74,7 @@
 	}
 	ending, done := context.WithTimeout(context.Background(), 5*time.Second)
 	defer done()
-	if err := door.Close(ending); err != nil {
+	if err := gateway.Close(ending); err != nil {
 		log.Print(err)
 	}
 }
--- a/examples/nethttp/main.go
+++ b/examples/nethttp/main.go
@@ -1,4 +1,4 @@
-// Command nethttp is a host of its own that sends two of its paths through a Door and answers the rest itself.
+// Command nethttp is a host that sends two of its paths through a Gateway and serves the rest itself.
 package main
 
 import (
@@ -19,7 +19,7 @@
 )
 
 func main() {
-	door, err := pumicecroft.New(pumicecroft.Config{
+	gateway, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{
 			CanCancel:     true,
 			MaxRetryAfter: time.Second,
@@ -42,12 +42,12 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "the host's own page") })
 	server := &http.Server{Addr: "127.0.0.1:8080",
-		Handler: nethttp.New(door, middleware.Routes("/stock-lookup", "/activate"))(mux)}
+		Handler: nethttp.New(gateway, middleware.Routes("/stock-lookup", "/activate"))(mux)}
 
 	stop, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	go func() {
 		<-stop.Done()
-		// First the server, so that nothing new comes; then the door.
+		// First the server, so that nothing new comes; then the gateway.
 		_ = server.Shutdown(context.Background())
 	}()
 	err = server.ListenAndServe()
@@ -57,7 +57,7 @@
 	}
 	ending, done := context.WithTimeout(context.Background(), 5*time.Second)
 	defer done()
-	if err := door.Close(ending); err != nil {
+	if err := gateway.Close(ending); err != nil {
 		log.Print(err)
 	}
 }
