--- a/cmd/pumicecroft/commands_test.go
+++ b/cmd/pumicecroft/commands_test.go
@@ -45,12 +45,14 @@
 
 func TestCheck(t *testing.T) {
 	var out bytes.Buffer
-	if err := run(t.Context(), []string{"check", "../../deploy/pumicecroft.toml"}, &out); err != nil || !strings.Contains(out.String(), "is good: door 0 of 1, 3 classes, 2 plans, 2 backends, sources file") {
+	if err := run(t.Context(), []string{"check", "../../deploy/pumicecroft.toml"}, &out); err != nil ||
+		!strings.Contains(out.String(), "is good: door 0 of 1, 3 classes, 2 plans, 2 backends, sources file") {
 		t.Errorf("%v %q", err, out.String())
 	}
 	bad := writeFile(t, strings.NewReplacer(`"look"`, `""`, `name = "shop"`, `nmae = "shop"`).Replace(operatorFile))
 	err := run(t.Context(), []string{"check", bad}, &out)
-	for _, want := range []string{"line 3: class[0].name: it is empty", "line 4: plan[0].name: it is missing", "line 5: plan[0].nmae: no such key"} {
+	for _, want := range []string{"line 3: class[0].name: it is empty", "line 4: plan[0].name: it is missing",
+		"line 5: plan[0].nmae: no such key"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
@@ -101,7 +103,8 @@
 			t.Errorf("%q: exits with %d, want %d; %q lacks %q", c.args, exitCode(err), c.code, got, c.want)
 		}
 	}
-	for _, args := range [][]string{{"members", writeFile(t, operatorFile)}, {"members", writeFile(t, "members = \"127.0.0.1:1\"\n"+operatorFile)}, {"serve", writeFile(t, "listen = 3")}} {
+	for _, args := range [][]string{{"members", writeFile(t, operatorFile)},
+		{"members", writeFile(t, "members = \"127.0.0.1:1\"\n"+operatorFile)}, {"serve", writeFile(t, "listen = 3")}} {
 		if err := run(t.Context(), args, io.Discard); exitCode(err) != 1 {
 			t.Errorf("%q: %v", args, err)
 		}
@@ -110,7 +113,8 @@
 
 func TestDemoCommand(t *testing.T) {
 	var out bytes.Buffer
-	if err := run(t.Context(), []string{"demo", "--duration", "1s"}, &out); err != nil || !strings.Contains(out.String(), "lost=0 duplicates=0") {
+	if err := run(t.Context(), []string{"demo", "--duration", "1s"}, &out); err != nil ||
+		!strings.Contains(out.String(), "lost=0 duplicates=0") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
@@ -175,15 +179,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(agent.Close)
-	backend, err := fakes.StartBackend(fakes.BackendConfig{Name: "b", Ledger: &fakes.Ledger{}, Keyed: func(string) bool { return false }})
+	backend, err := fakes.StartBackend(fakes.BackendConfig{Name: "b", Ledger: &fakes.Ledger{},
+		Keyed: func(string) bool { return false }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(backend.Kill)
 	host, port, _ := net.SplitHostPort(backend.Addr())
 	number, _ := strconv.Atoi(port)
-	agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: "b", Service: "web", Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
-		fakes.Instance{Node: "n", NodeAddr: host, ID: "c", Service: "web", Port: 1, Checks: []fakes.Check{{ID: "up", Status: "critical", Output: "no \x1b[31mroute"}}})
+	agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: "b", Service: "web", Port: number,
+		Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
+		fakes.Instance{Node: "n", NodeAddr: host, ID: "c", Service: "web", Port: 1,
+			Checks: []fakes.Check{{ID: "up", Status: "critical", Output: "no \x1b[31mroute"}}})
 	cmd, addr, at := startServing(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
 [[class]]
@@ -202,17 +209,20 @@
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	ask := fakes.Ask{ID: 1, Class: "look", Customer: 1, Plan: "shop", Timeout: 5 * time.Second}
-	for reply := ask.Do(t.Context(), transport, addr); reply.Status != 200; reply = ask.Do(t.Context(), transport, addr) {
+	for reply := ask.Do(t.Context(), transport, addr); reply.Status != 200; reply = ask.Do(t.Context(), transport,
+		addr) {
 		if ask.ID++; ask.ID > 1000 || reply.Status != 503 {
 			t.Fatalf("%+v", reply)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	var out bytes.Buffer
-	if err := run(t.Context(), []string{"members", writeFile(t, fmt.Sprintf("members = %q\n", at)+operatorFile)}, &out); err != nil {
+	if err := run(t.Context(), []string{"members", writeFile(t, fmt.Sprintf("members = %q\n", at)+operatorFile)},
+		&out); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"NODE +ADDRESS +STATE +SINCE +SOURCE +WHY\n", `n/b +` + backend.Addr() + ` +ready +20.* consul:web +consul:web says that it is ready\n`,
+	for _, want := range []string{"NODE +ADDRESS +STATE +SINCE +SOURCE +WHY\n", `n/b +` + backend.Addr() +
+		` +ready +20.* consul:web +consul:web says that it is ready\n`,
 		`n/c +127.0.0.1:1 +draining +20.*consul:web says that it takes nothing new; critical: up: no  \[31mroute\n`} {
 		if !regexp.MustCompile(want).MatchString(out.String()) {
 			t.Errorf("%s\nlacks %s", out.String(), want)
@@ -302,7 +312,8 @@
 	}
 }
 
-// What a door would begin with is told by kind, with its age and what becomes of it, and nothing is believed that another door kept.
+// What a door would begin with is told by kind, with its age and what becomes of it, and nothing is
+// believed that another door kept.
 func TestState(t *testing.T) {
 	dir := t.TempDir()
 	tell := func(args ...string) string {
@@ -323,13 +334,16 @@
 	if err := cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	if got := tell("--file", path); !strings.Contains(got, "door 1") || !strings.Contains(got, "it is young, and others may owe") {
+	if got := tell("--file", path); !strings.Contains(got, "door 1") ||
+		!strings.Contains(got, "it is young, and others may owe") {
 		t.Errorf("of the door that kept it: %s", got)
 	}
-	if got := tell("--file", writeFile(t, fmt.Sprintf(text, 3))); !strings.Contains(got, "another door's: door 1 of 2, this is door 1 of 3") {
+	if got := tell("--file", writeFile(t, fmt.Sprintf(text, 3))); !strings.Contains(got,
+		"another door's: door 1 of 2, this is door 1 of 3") {
 		t.Errorf("of another count of doors: %s", got)
 	}
-	if got := tell("--file", writeFile(t, strings.Replace(fmt.Sprintf(text, 2), "rate = 1", "rate = 2", 1))); !strings.Contains(got, "other settings") {
+	if got := tell("--file", writeFile(t, strings.Replace(fmt.Sprintf(text, 2), "rate = 1", "rate = 2",
+		1))); !strings.Contains(got, "other settings") {
 		t.Errorf("under other settings: %s", got)
 	}
 	if err := os.WriteFile(snapshotfile.Path(dir, 1), []byte("noise"), 0o600); err != nil {
--- a/cmd/pumicecroft/kills_test.go
+++ b/cmd/pumicecroft/kills_test.go
@@ -24,7 +24,8 @@
 	killsSync = flag.String("kills.sync", "0s", "journal_sync of TestKeysOutliveKills")
 )
 
-// The program is killed at points of chance, again and again, with its journal of keys on. Clients press until they have an end: no key has
+// The program is killed at points of chance, again and again, with its journal of keys on. Clients
+// press until they have an end: no key has
 // its effect twice, and one that was answered is answered alike ever after, by each later process.
 func TestIdempotencyKeysSurviveKills(t *testing.T) {
 	ledger := &fakes.Ledger{}
@@ -51,7 +52,8 @@
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	defer client.CloseIdleConnections()
 	press := func(ctx context.Context, addr string, worker uint64, key string) (*http.Response, string, error) {
-		ask := fakes.Ask{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second, Key: key, Body: "b " + key}
+		ask := fakes.Ask{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second,
+			Key: key, Body: "b " + key}
 		req, err := ask.Request(ctx, addr)
 		if err != nil {
 			return nil, "", err
@@ -175,5 +177,6 @@
 	if len(keys) < *killsFlag {
 		t.Errorf("only %d keys were answered", len(keys))
 	}
-	t.Logf("%d kills: %d keys answered, %d presses, %d told that nothing is known", *killsFlag, len(keys), pressed.Load(), undecided.Load())
+	t.Logf("%d kills: %d keys answered, %d presses, %d told that nothing is known", *killsFlag, len(keys),
+		pressed.Load(), undecided.Load())
 }
--- a/cmd/pumicecroft/lab_paper.go
+++ b/cmd/pumicecroft/lab_paper.go
@@ -52,7 +52,8 @@
 	}
 	for _, n := range []int{16, 32} {
 		if mean, ok := meanLoss[n]; ok {
-			fmt.Fprintf(out, "\nN = %d: Method I loses %.2f%% of the best payoff on average, Method II %.2f%%.\n", n, mean[0], mean[1])
+			fmt.Fprintf(out, "\nN = %d: Method I loses %.2f%% of the best payoff on average, Method II %.2f%%.\n", n,
+				mean[0], mean[1])
 		}
 	}
 	return nil
--- a/cmd/pumicecroft/lab_test.go
+++ b/cmd/pumicecroft/lab_test.go
@@ -48,7 +48,8 @@
 		}
 	}
 	var out bytes.Buffer
-	if err := run(t.Context(), []string{"lab", "variants", variants, experiment, "-d", dir, "--root", root}, &out); err != nil {
+	if err := run(t.Context(), []string{"lab", "variants", variants, experiment, "-d", dir, "--root", root},
+		&out); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, line := range strings.Split(out.String(), "\n") {
@@ -92,7 +93,8 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	for _, args := range [][]string{{"lab", "check", experiment}, {"lab", "run", experiment, "-d", dir}, {"lab", "report", dir}, {"lab", "report", dir, "--markdown"}, {"lab", "figures"}} {
+	for _, args := range [][]string{{"lab", "check", experiment}, {"lab", "run", experiment, "-d", dir},
+		{"lab", "report", dir}, {"lab", "report", dir, "--markdown"}, {"lab", "figures"}} {
 		if err := run(t.Context(), args, &out); err != nil {
 			t.Errorf("%q: %v", args, err)
 		}
@@ -102,7 +104,8 @@
 			t.Errorf("lacks %q: %s", want, out.String())
 		}
 	}
-	if text, err := os.ReadFile(filepath.Join(dir, "report.md")); err != nil || !strings.Contains(string(text), "| p50_ms |") {
+	if text, err := os.ReadFile(filepath.Join(dir, "report.md")); err != nil ||
+		!strings.Contains(string(text), "| p50_ms |") {
 		t.Errorf("%v: %s", err, text)
 	}
 }
--- a/cmd/pumicecroft/load_test.go
+++ b/cmd/pumicecroft/load_test.go
@@ -20,7 +20,8 @@
 	"pumicecroft/membership"
 )
 
-// Over gRPC a load goes through a door: what is within the quota is served, the rest is refused with a pushback, and who follows it comes back.
+// Over gRPC a load goes through a door: what is within the quota is served, the rest is refused
+// with a pushback, and who follows it comes back.
 func TestLoadOverGRPC(t *testing.T) {
 	b, err := fakes.StartGRPC(fakes.GRPCConfig{Ledger: &fakes.Ledger{}})
 	if err != nil {
@@ -28,15 +29,19 @@
 	}
 	t.Cleanup(b.Kill)
 	door, err := pumicecroft.New(pumicecroft.Config{Protocol: membership.ProtocolGRPC,
-		Settings: decision.Settings{CanCancel: true, MaxRetryAfter: time.Second, Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Settings: decision.Settings{CanCancel: true, MaxRetryAfter: time.Second,
+			Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 4 * time.Second,
+				PriorityWeight: 1}},
 			Plans: []decision.Plan{{Name: "shop", Rate: 20, Burst: 40, Price: 1}}},
-		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "one", Addr: b.Addr()}}}}, grpcproxy.WithBackends(grpcproxy.BackendConfig{}))
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "one", Addr: b.Addr()}}}},
+		grpcproxy.WithBackends(grpcproxy.BackendConfig{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = door.Close(context.Background()) })
-	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: map[string]grpcproxy.Method{"/shop.Stock/Get": {Class: "look"}}, CustomerText: true,
-		Names: grpcproxy.MetadataNames{Customer: "x-tenant", Plan: "x-plan"}})
+	front, err := grpcproxy.New(door,
+		grpcproxy.Config{Methods: map[string]grpcproxy.Method{"/shop.Stock/Get": {Class: "look"}}, CustomerText: true,
+			Names: grpcproxy.MetadataNames{Customer: "x-tenant", Plan: "x-plan"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,8 +79,10 @@
 	if err2 == nil {
 		err2 = json.Unmarshal(text2, &r)
 	}
-	// Of 199 the store of 40 and its refill of 20 a second let some 75 through, less in the end the margin that the quota leaves.
-	if err != nil || err2 != nil || r.Good < 50 || r.Good > 85 || r.By["Unavailable"]+r.By["ResourceExhausted"] != r.Asked-r.Good || r.Asked < 195 {
+	// Of 199 the store of 40 and its refill of 20 a second let some 75 through, less in the end the
+	// margin that the quota leaves.
+	if err != nil || err2 != nil || r.Good < 50 || r.Good > 85 ||
+		r.By["Unavailable"]+r.By["ResourceExhausted"] != r.Asked-r.Good || r.Asked < 195 {
 		t.Errorf("%v, %v: %+v\n%s", err, err2, r.By, out.String())
 	}
 }
--- a/cmd/pumicecroft/main_test.go
+++ b/cmd/pumicecroft/main_test.go
@@ -141,7 +141,8 @@
 	}
 }
 
-// A program that is ending still sends on what it holds, and goes by the discovery that a new configuration names: SIGHUP behind SIGTERM
+// A program that is ending still sends on what it holds, and goes by the discovery that a new
+// configuration names: SIGHUP behind SIGTERM
 // moves it too, and so does each of two that come one behind the other.
 func TestSIGHUPMovesDiscoveryDuringShutdown(t *testing.T) {
 	old, askedOld := startDiscoveryProbe(t)
@@ -173,7 +174,8 @@
 	}
 }
 
-// SIGHUP to a process that does not want it yet does no harm, as the deploy file starts it: the configuration is read later.
+// SIGHUP to a process that does not want it yet does no harm, as the deploy file starts it: the
+// configuration is read later.
 func TestSIGHUPBeforeServing(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/cmd/pumicecroft/pairs_test.go
+++ b/cmd/pumicecroft/pairs_test.go
@@ -28,7 +28,8 @@
 	pairsUnit = flag.Duration("pairs.unit", 50*time.Millisecond, "what a second is in TestTimedPairs; 1s is real time")
 )
 
-// Pairs of one key, the second around each edge: in the same instant, at the answer, when the racks forget, long after. Each has one effect at
+// Pairs of one key, the second around each edge: in the same instant, at the answer, when the racks
+// forget, long after. Each has one effect at
 // the stand-in nodes, and both clients are answered alike: at the program by its file, and at the library.
 func TestTimedPairs(t *testing.T) {
 	unit := *pairsUnit
@@ -38,22 +39,27 @@
 			var nodes strings.Builder
 			known := membership.Update{Full: true}
 			for i := range 4 { // two racks
-				b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: ledger, Cell: &fakes.Cell{Window: 5 * unit},
+				b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: ledger,
+					Cell: &fakes.Cell{Window: 5 * unit},
 					Work: func(string) time.Duration { return unit / 10 }, Keyed: func(string) bool { return true }})
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(b.Kill)
 				fmt.Fprintf(&nodes, "[[backend]]\nname = \"b%d\"\naddress = %q\ncell = %d\n", i, b.Addr(), i+1)
-				known.Nodes = append(known.Nodes, membership.Node{Name: fmt.Sprint("b", i), Addr: b.Addr(), Cell: i + 1, Weight: 1})
+				known.Nodes = append(known.Nodes, membership.Node{Name: fmt.Sprint("b", i), Addr: b.Addr(), Cell: i +
+					1, Weight: 1})
 			}
 			var press func(ctx context.Context, class, key string) (answer string, refused time.Duration, err error)
 			if front == "library" {
 				class := func(name string, e decision.Idempotency) decision.Class {
-					return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * unit, LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second, PriorityWeight: 1}
+					return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell,
+						DedupWindow: 5 * unit, LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second,
+						PriorityWeight: 1}
 				}
 				door, err := pumicecroft.New(pumicecroft.Config{Settings: decision.Settings{Classes: []decision.Class{class("pay", decision.IdempotentByKey), class("once", decision.NonIdempotent)},
-					Plans: []decision.Plan{{Name: "shop", Price: 1}}}, InitialEndpoints: known, MaxBackendConns: 1024, Idempotency: &idempotency.Limits{}})
+					Plans: []decision.Plan{{Name: "shop", Price: 1}}}, InitialEndpoints: known, MaxBackendConns: 1024,
+					Idempotency: &idempotency.Limits{}})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -63,7 +69,8 @@
 					}
 				}()
 				press = func(ctx context.Context, class, key string) (string, time.Duration, error) {
-					a, err := door.Do(ctx, pumicecroft.Request{Class: class, Plan: "shop", Customer: 7, IdempotencyKey: key, Body: []byte("b")})
+					a, err := door.Do(ctx, pumicecroft.Request{Class: class, Plan: "shop", Customer: 7,
+						IdempotencyKey: key, Body: []byte("b")})
 					var refused *pumicecroft.RejectedError
 					if errors.As(err, &refused) {
 						return "", max(refused.RetryAfter, time.Millisecond), nil
@@ -83,11 +90,13 @@
 						t.Error(err)
 					}
 				}()
-				client := &http.Client{Timeout: time.Minute, Transport: &http.Transport{MaxIdleConnsPerHost: 2000, MaxConnsPerHost: 2000}}
+				client := &http.Client{Timeout: time.Minute,
+					Transport: &http.Transport{MaxIdleConnsPerHost: 2000, MaxConnsPerHost: 2000}}
 				defer client.CloseIdleConnections()
 				var ids atomic.Uint64
 				press = func(ctx context.Context, class, key string) (string, time.Duration, error) {
-					req, err := fakes.Ask{ID: ids.Add(1), Class: class, Customer: 7, Plan: "shop", Timeout: 40 * time.Second, Key: key, Body: "b"}.Request(ctx, addr)
+					req, err := fakes.Ask{ID: ids.Add(1), Class: class, Customer: 7, Plan: "shop",
+						Timeout: 40 * time.Second, Key: key, Body: "b"}.Request(ctx, addr)
 					if err != nil {
 						return "", 0, err
 					}
--- a/cmd/pumicecroft/sim_test.go
+++ b/cmd/pumicecroft/sim_test.go
@@ -31,17 +31,21 @@
 	if out, err := runProgram("replay", "--seed", "3", "--trace"); err != nil || strings.Count(out, "\n") < 50 {
 		t.Errorf("%v: %s", err, out)
 	}
-	if out, err := runProgram("shrink", "--seed", "3"); err != nil || strings.Contains(out, "[[case]]") { // there is nothing to shrink
+	// there is nothing to shrink
+	if out, err := runProgram("shrink", "--seed", "3"); err != nil || strings.Contains(out, "[[case]]") {
 		t.Errorf("%v: %s", err, out)
 	}
-	if out, err := runProgram("corpus", "--file", "../../internal/sim/testdata/corpus.toml"); err != nil || !strings.Contains(out, "seed ") {
+	if out, err := runProgram("corpus", "--file", "../../internal/sim/testdata/corpus.toml"); err != nil ||
+		!strings.Contains(out, "seed ") {
 		t.Errorf("%v: %s", err, out)
 	}
 	if out, err := runProgram("--help"); err != nil || !strings.Contains(out, "mutants") {
 		t.Errorf("%v: %s", err, out)
 	}
-	for _, bad := range [][]string{nil, {"walk"}, {"run", "--seeds", "5"}, {"run", "--seeds", "9..3"}, {"run", "--jobs", "0"}, {"run", "more"}, {"replay"},
-		{"corpus", "--file", "none"}, {"mutants", "--file", "none"}, {"mutants", "--root", root, "--file", mutants, "--jobs", "0"}} {
+	for _, bad := range [][]string{nil, {"walk"}, {"run", "--seeds", "5"}, {"run", "--seeds", "9..3"},
+		{"run", "--jobs", "0"}, {"run", "more"}, {"replay"},
+		{"corpus", "--file", "none"}, {"mutants", "--file", "none"},
+		{"mutants", "--root", root, "--file", mutants, "--jobs", "0"}} {
 		if out, err := runProgram(bad...); err == nil || errors.Is(err, errRuleBroken) {
 			t.Errorf("%q: %v %s", bad, err, out)
 		}
@@ -64,20 +68,23 @@
 		}
 		names[m.Name] = true
 		for _, e := range m.Edit {
-			if strings.HasPrefix(e.File, "internal/sim") || strings.HasPrefix(e.File, "cmd/") || strings.HasSuffix(e.File, "_test.go") {
+			if strings.HasPrefix(e.File, "internal/sim") || strings.HasPrefix(e.File, "cmd/") ||
+				strings.HasSuffix(e.File, "_test.go") {
 				t.Errorf("%s is planted in %s, which does not ship", m.Name, e.File)
 			}
 		}
 	}
 }
 
-// A planted bug is built and caught, by the rule that its list names; one that does nothing is not, and one that does not
+// A planted bug is built and caught, by the rule that its list names; one that does nothing is not,
+// and one that does not
 // build is an error.
 func TestMutants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it builds programs")
 	}
-	out, err := runProgram("mutants", "--root", root, "--file", mutants, "--only", "a connection more than may be", "--seeds", "0..50")
+	out, err := runProgram("mutants", "--root", root, "--file", mutants, "--only", "a connection more than may be",
+		"--seeds", "0..50")
 	if err != nil || !strings.Contains(out, "| everything has its bound |") || !strings.Contains(out, "1 of 1 caught") {
 		t.Errorf("%v: %s", err, out)
 	}
@@ -101,7 +108,8 @@
 		t.Fatal(err)
 	}
 	out, err = runProgram("mutants", "--root", root, "--file", own, "--seeds", "0..3")
-	if !errors.Is(err, errRuleBroken) || !strings.Contains(out, "| nothing | NOT CAUGHT |") || !strings.Contains(out, "no program | FAILED") ||
+	if !errors.Is(err, errRuleBroken) || !strings.Contains(out, "| nothing | NOT CAUGHT |") ||
+		!strings.Contains(out, "no program | FAILED") ||
 		!strings.Contains(out, "0 of 2 caught") {
 		t.Errorf("%v: %s", err, out)
 	}
--- a/cmd/pumicecroft/sockets_test.go
+++ b/cmd/pumicecroft/sockets_test.go
@@ -17,9 +17,11 @@
 	"pumicecroft/membership"
 )
 
-var socketsFlag = flag.Bool("sockets", false, "hold the emulator against sockets, which wants some quiet processors for half a minute")
+var socketsFlag = flag.Bool("sockets", false,
+	"hold the emulator against sockets, which wants some quiet processors for half a minute")
 
-// The same scenario by the emulator, and by a door, backends and a load on sockets. How far they lie apart is printed; it is a measurement
+// The same scenario by the emulator, and by a door, backends and a load on sockets. How far they
+// lie apart is printed; it is a measurement
 // (docs/measurements/0007-laboratory.md), and fails only where they tell different stories.
 //
 //	go test ./cmd/pumicecroft -run TestEmulatorAgainstSockets -sockets -v
@@ -33,9 +35,13 @@
 		rate float64 // backends do 800 a second
 		work time.Duration
 		slow float64 // one of four
-	}{{"calm", 400, 20 * time.Millisecond, 1}, {"full", 700, 20 * time.Millisecond, 1}, {"overload", 1300, 20 * time.Millisecond, 1}, {"one backend ten times slower", 300, 20 * time.Millisecond, 10}} {
-		settings := decision.Settings{GatewayCount: 1, CanCancel: true, MaxAttempts: 3, MaxRetryAfter: time.Second, ResponseGrace: 50 * time.Millisecond,
-			Classes: []decision.Class{{Name: "look", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}}, Plans: []decision.Plan{{Name: "shop", Price: 1}}}
+	}{{"calm", 400, 20 * time.Millisecond, 1}, {"full", 700, 20 * time.Millisecond, 1},
+		{"overload", 1300, 20 * time.Millisecond, 1}, {"one backend ten times slower", 300, 20 * time.Millisecond,
+			10}} {
+		settings := decision.Settings{GatewayCount: 1, CanCancel: true, MaxAttempts: 3, MaxRetryAfter: time.Second,
+			ResponseGrace: 50 * time.Millisecond,
+			Classes: []decision.Class{{Name: "look", LatencyObjective: 300 * time.Millisecond,
+				Deadline: 2 * time.Second, PriorityWeight: 1}}, Plans: []decision.Plan{{Name: "shop", Price: 1}}}
 
 		// On sockets.
 		var nodes []membership.Node
@@ -44,19 +50,23 @@
 			if i == 0 {
 				work = time.Duration(float64(work) * c.slow)
 			}
-			b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: &fakes.Ledger{}, Slots: 4, Queue: 16, Work: func(string) time.Duration { return work }, Keyed: func(string) bool { return false }})
+			b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: &fakes.Ledger{},
+				Slots: 4, Queue: 16, Work: func(string) time.Duration { return work },
+				Keyed: func(string) bool { return false }})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer b.Kill()
 			nodes = append(nodes, membership.Node{Name: fmt.Sprint("b", i), Addr: b.Addr()})
 		}
-		door, err := pumicecroft.New(pumicecroft.Config{Settings: settings, InitialEndpoints: membership.Update{Nodes: nodes}, MaxBackendConns: 400, MaxOpenRequests: 4096})
+		door, err := pumicecroft.New(pumicecroft.Config{Settings: settings,
+			InitialEndpoints: membership.Update{Nodes: nodes}, MaxBackendConns: 400, MaxOpenRequests: 4096})
 		if err != nil {
 			t.Fatal(err)
 		}
 		front := httptest.NewServer(door)
-		p, err := load.Parse(fmt.Appendf(nil, "name = \"x\"\nrate = %v\nduration = \"%v\"\nconnections = 1000\n[[plan]]\nname = \"shop\"\n[[request]]\nname = \"look\"\npath = \"/\"\ndialect = \"platform\"\n", c.rate, length))
+		p, err := load.Parse(fmt.Appendf(nil,
+			"name = \"x\"\nrate = %v\nduration = \"%v\"\nconnections = 1000\n[[plan]]\nname = \"shop\"\n[[request]]\nname = \"look\"\npath = \"/\"\ndialect = \"platform\"\n", c.rate, length))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,9 +78,14 @@
 		_ = door.Close(t.Context())
 
 		// Emulated: a zone of its own for the slow one.
-		cfg := emulator.Config{Gateways: 1, Policy: emulator.PolicyEngine, Settings: settings, Duration: length, Network: emulator.Network{MinDelay: 100 * time.Microsecond, MeanExtraDelay: 50 * time.Microsecond},
-			Backends: emulator.Backends{Count: 4, Zones: 4, Cells: 1, Concurrency: 4, MaxQueue: 16, Service: emulator.Distribution{Shape: emulator.Constant, Mean: c.work}, ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second},
-			Clients:  emulator.Clients{Customers: 100, GatewaySpread: 1, Cost: 1, MaxTries: 1, Classes: []emulator.Share{{Name: "look", Weight: 1}}, Plans: []emulator.Share{{Name: "shop", Weight: 1}}},
+		cfg := emulator.Config{Gateways: 1, Policy: emulator.PolicyEngine, Settings: settings, Duration: length,
+			Network: emulator.Network{MinDelay: 100 * time.Microsecond, MeanExtraDelay: 50 * time.Microsecond},
+			Backends: emulator.Backends{Count: 4, Zones: 4, Cells: 1, Concurrency: 4, MaxQueue: 16,
+				Service:        emulator.Distribution{Shape: emulator.Constant, Mean: c.work},
+				ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second},
+			Clients: emulator.Clients{Customers: 100, GatewaySpread: 1, Cost: 1, MaxTries: 1,
+				Classes: []emulator.Share{{Name: "look", Weight: 1}},
+				Plans:   []emulator.Share{{Name: "shop", Weight: 1}}},
 			Arrivals: emulator.Arrivals{Rate: c.rate}, UpdateInterval: time.Second}
 		if c.slow > 1 {
 			cfg.Faults = []emulator.Fault{{Kind: emulator.ZoneSlow, Duration: length, Magnitude: c.slow}}
@@ -87,8 +102,11 @@
 		ms := func(us int64) float64 { return float64(us) / 1e3 }
 		q := func(of float64) float64 { return ms(emulated.Latency.ValueAtQuantile(of)) }
 		d := func(v time.Duration) float64 { return ms(v.Microseconds()) }
-		servedReal, servedEmulated := float64(measured.Good)/float64(measured.Asked), float64(emulated.Served)/float64(emulated.Offered)
-		t.Logf("| %s | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f | %s |", c.name, servedReal, servedEmulated, d(measured.Served.P50), q(50), d(measured.Served.P90), q(90), d(measured.Served.P99), q(99), measured.Invalid)
+		servedReal, servedEmulated := float64(measured.Good)/float64(measured.Asked),
+			float64(emulated.Served)/float64(emulated.Offered)
+		t.Logf("| %s | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f | %s |", c.name, servedReal,
+			servedEmulated, d(measured.Served.P50), q(50), d(measured.Served.P90), q(90), d(measured.Served.P99),
+			q(99), measured.Invalid)
 		if diff := servedReal - servedEmulated; diff < -0.08 || diff > 0.08 {
 			t.Errorf("%s: %.3f are served on sockets, %.3f emulated", c.name, servedReal, servedEmulated)
 		}
--- a/cmd/pumicecroft/state.go
+++ b/cmd/pumicecroft/state.go
@@ -100,7 +100,8 @@
 		printRestored(w, index, nil, recovery.RestoreNothing(err), gateway, now)
 		return
 	}
-	info := recovery.GatewayInfo{Index: snapshot.GatewayIndex, Count: snapshot.GatewayCount, SettingsDigest: snapshot.SettingsDigest}
+	info := recovery.GatewayInfo{Index: snapshot.GatewayIndex, Count: snapshot.GatewayCount,
+		SettingsDigest: snapshot.SettingsDigest}
 	if gateway != nil {
 		info = *gateway
 	}
@@ -120,7 +121,8 @@
 
 // printRestored prints a line on a snapshot and what is restored of it. snapshot is nil if it can't be
 // read.
-func printRestored(w io.Writer, index int, snapshot *recovery.Snapshot, restored recovery.Restored, gateway *recovery.GatewayInfo, now time.Time) {
+func printRestored(w io.Writer, index int, snapshot *recovery.Snapshot, restored recovery.Restored,
+	gateway *recovery.GatewayInfo, now time.Time) {
 	age, holds, becomes := "-", "-", restored.Explanation
 	if snapshot != nil {
 		age = now.Sub(snapshot.TakenAt).Round(time.Millisecond).String()
@@ -129,7 +131,8 @@
 	if restored.Err != nil {
 		becomes = fmt.Sprintf("not believed: %v; %s", restored.Err, restored.Explanation)
 	} else if gateway != nil {
-		becomes = fmt.Sprintf("%d go on owing, %d owe nothing by now; %s", len(restored.Customers), restored.Repaid, restored.Explanation)
+		becomes = fmt.Sprintf("%d go on owing, %d owe nothing by now; %s", len(restored.Customers), restored.Repaid,
+			restored.Explanation)
 	}
 	fmt.Fprintf(w, "decisions\tdoor %d\t%s\t%s\t%s\n", index, age, holds, becomes)
 }
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -86,11 +86,13 @@
 		args []string
 		want []string
 	}{
-		{[]string{"-si", "-H", "X-A: b", base + "/items/7%2F8?q=2"}, []string{"HTTP/1.1 201 ", "X-Saw: GET /items/7%2F8?q=2 b"}},
+		{[]string{"-si", "-H", "X-A: b", base + "/items/7%2F8?q=2"},
+			[]string{"HTTP/1.1 201 ", "X-Saw: GET /items/7%2F8?q=2 b"}},
 		{[]string{"-sI", base + "/x"}, []string{"HTTP/1.1 201 ", "X-Saw: HEAD /x"}},
 		{[]string{"-si", "-X", "DELETE", base + "/none"}, []string{"HTTP/1.1 204 "}},
 		{[]string{"-si", "-d", "a=1", base + "/x"}, []string{"201 ", "a=1"}},
-		{[]string{"-si", "-H", "Expect: 100-continue", "-T", large, base + "/x"}, []string{"HTTP/1.1 100 ", "201 ", "89abcdef"}},
+		{[]string{"-si", "-H", "Expect: 100-continue", "-T", large, base + "/x"},
+			[]string{"HTTP/1.1 100 ", "201 ", "89abcdef"}},
 		{[]string{"-si", "-H", "Transfer-Encoding: chunked", "-d", "a=1", base + "/x"}, []string{"201 ", "a=1"}},
 		{[]string{"-si", "--raw", base + "/chunks"}, []string{"chunked", "one ", "two", "X-End: yes"}},
 		{[]string{"-si", base + "/hints"}, []string{"HTTP/1.1 103 ", "201 "}},
@@ -178,17 +180,20 @@
 	cert, key := a.Pair(nil, "shop.example", "unused.example")
 	_, otherKey := a.Pair(nil, "else.example")
 	at := testcerts.Write(t, dir, map[string][]byte{"c": cert, "k": key, "other": otherKey, "keys": []byte("zz\n")})
-	base := fmt.Sprintf(tenLines, "127.0.0.1:9") + "[[route]]\nhost = \"shop.example\"\n[[route]]\nhost = \"bare.example\"\n[tls]\n"
+	base := fmt.Sprintf(tenLines,
+		"127.0.0.1:9") + "[[route]]\nhost = \"shop.example\"\n[[route]]\nhost = \"bare.example\"\n[tls]\n"
 	pair := func(c, k string) string {
 		return fmt.Sprintf("[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", at(c), at(k))
 	}
 	for name, c := range map[string]struct{ more, want string }{
-		"good":            {pair("c", "k"), `no certificate is for host "bare.example"`},
-		"unused":          {pair("c", "k"), `a certificate is for "unused.example", which no route uses`},
-		"another's key":   {pair("c", "other"), "line 17: tls.certificate[0].cert_file: the key is not the certificate's"},
-		"no file":         {pair("c", "none"), "line 17: tls.certificate[0].cert_file: open "},
-		"no certificate":  {pair("k", "k"), "line 17: tls.certificate[0].cert_file: it can't be read"},
-		"a file of keys":  {pair("c", "k") + fmt.Sprintf("[[identity]]\nkind = \"key\"\nfile = %q\n", at("keys")), "line 20: identity[0].file: " + at("keys") + ": line 1: "},
+		"good":   {pair("c", "k"), `no certificate is for host "bare.example"`},
+		"unused": {pair("c", "k"), `a certificate is for "unused.example", which no route uses`},
+		"another's key": {pair("c", "other"),
+			"line 17: tls.certificate[0].cert_file: the key is not the certificate's"},
+		"no file":        {pair("c", "none"), "line 17: tls.certificate[0].cert_file: open "},
+		"no certificate": {pair("k", "k"), "line 17: tls.certificate[0].cert_file: it can't be read"},
+		"a file of keys": {pair("c", "k") + fmt.Sprintf("[[identity]]\nkind = \"key\"\nfile = %q\n", at("keys")),
+			"line 20: identity[0].file: " + at("keys") + ": line 1: "},
 		"without a place": {"", "line 16: tls.certificate: there is none"},
 	} {
 		var out bytes.Buffer
@@ -215,15 +220,18 @@
 timeout = "2s"
 `)
 	for _, c := range []struct{ args, want string }{
-		{"GET|/items/a%2Fb|-H|X-Customer: c|--from|10.1.1.1", "route     items (line 18)\n          id = \"a/b\"\nwho       c, by header 0, plan everyone\nservice   shop\nclass     shop: safe to repeat\ndeadline  2s\nunits     3\n"},
-		{"POST|http://x/items/7|-H|X-Customer: c|--from|10.1.1.1", "class     shop (once): never repeated once it may have run"},
+		{"GET|/items/a%2Fb|-H|X-Customer: c|--from|10.1.1.1",
+			"route     items (line 18)\n          id = \"a/b\"\nwho       c, by header 0, plan everyone\nservice   shop\nclass     shop: safe to repeat\ndeadline  2s\nunits     3\n"},
+		{"POST|http://x/items/7|-H|X-Customer: c|--from|10.1.1.1",
+			"class     shop (once): never repeated once it may have run"},
 		{"GET|/items/7|-H|X-Customer: c", "refused   401: Nothing says who asks"},
 		{"PUT|/items/7", "refused   405: no route takes this method, but GET, POST"},
 		{"GET|/else", "refused   404: No route takes such a request"},
 		{"GET|/items/..", "refused   400: "},
 	} {
 		var out bytes.Buffer
-		if err := run(t.Context(), append([]string{"routes", path}, strings.Split(c.args, "|")...), &out); err != nil || !strings.Contains(out.String(), c.want) {
+		if err := run(t.Context(), append([]string{"routes", path}, strings.Split(c.args, "|")...),
+			&out); err != nil || !strings.Contains(out.String(), c.want) {
 			t.Errorf("%s: %v\n%s", c.args, err, out.String())
 		}
 	}
@@ -232,7 +240,8 @@
 	}
 }
 
-// Services whose backends stand in Consul: each has its own, what a node's meta says of its protocol comes first, and neither gets the other's requests.
+// Services whose backends stand in Consul: each has its own, what a node's meta says of its
+// protocol comes first, and neither gets the other's requests.
 func TestServicesFromConsul(t *testing.T) {
 	agent, err := fakes.StartConsul(nil)
 	if err != nil {
@@ -240,12 +249,17 @@
 	}
 	t.Cleanup(agent.Close)
 	for _, name := range []string{"a", "b"} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "by "+name) }))
+		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter,
+			_ *http.Request) {
+			io.WriteString(w, "by "+name)
+		}))
 		t.Cleanup(s.Close)
 		host, port, _ := net.SplitHostPort(strings.TrimPrefix(s.URL, "http://"))
 		number, _ := strconv.Atoi(port)
-		agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
-			fakes.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1, Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.Check{{ID: "up", Status: "passing"}}})
+		agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number,
+			Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
+			fakes.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1,
+				Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.Check{{ID: "up", Status: "passing"}}})
 	}
 	_, addr, _ := startServing(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
--- a/conformance/clients.go
+++ b/conformance/clients.go
@@ -159,7 +159,8 @@
 		a.Body = body
 		reply := r.send(a)
 		seen := r.ledger.Of(a.RequestID())
-		if reply.String() != "served" || len(seen) != 1 || seen[0].Body != body || seen[0].Key != a.Key || seen[0].Timeout == "" {
+		if reply.String() != "served" || len(seen) != 1 || seen[0].Body != body || seen[0].Key != a.Key ||
+			seen[0].Timeout == "" {
 			t.Errorf("%s: %v, %d attempts", name, reply, len(seen))
 		}
 	}
--- a/conformance/consul_test.go
+++ b/conformance/consul_test.go
@@ -22,7 +22,8 @@
 
 const consulService = "nodes"
 
-// startMirror keeps a stand-in Consul agent as the stand-in discovery is: what is ready there passes here, what terminates
+// startMirror keeps a stand-in Consul agent as the stand-in discovery is: what is ready there
+// passes here, what terminates
 // is critical, what is gone is deregistered. It returns when the agent holds what discovery holds now.
 func startMirror(t testing.TB, addr string) *fakes.Consul {
 	t.Helper()
@@ -35,27 +36,29 @@
 	go func() {
 		defer close(ended)
 		told := false
-		(&platform.Discovery{Addr: addr, FromVersion: platform.FromFullUpdate}).Follow(ctx, func(l platform.EndpointUpdate) {
-			for _, e := range l.Endpoints {
-				if e.Health == "Gone" {
-					agent.Remove("rack", e.Name)
-					continue
+		(&platform.Discovery{Addr: addr, FromVersion: platform.FromFullUpdate}).Follow(ctx,
+			func(l platform.EndpointUpdate) {
+				for _, e := range l.Endpoints {
+					if e.Health == "Gone" {
+						agent.Remove("rack", e.Name)
+						continue
+					}
+					host, port, _ := net.SplitHostPort(e.Addr)
+					n, _ := strconv.Atoi(port)
+					status := map[string]string{"Ready": "passing", "Terminating": "critical"}[e.Health]
+					meta := map[string]string{"cell": strconv.Itoa(e.Cell), "zone": e.Zone, "model": e.InstanceType}
+					if e.StartedAtMS != 0 {
+						meta["started"] = strconv.FormatInt(e.StartedAtMS, 10)
+					}
+					agent.Put(fakes.Instance{Node: "rack", NodeAddr: host, ID: e.Name, Service: consulService, Port: n,
+						Meta:    meta,
+						Passing: int(e.Weight), Checks: []fakes.Check{{ID: "process", Status: status}}})
 				}
-				host, port, _ := net.SplitHostPort(e.Addr)
-				n, _ := strconv.Atoi(port)
-				status := map[string]string{"Ready": "passing", "Terminating": "critical"}[e.Health]
-				meta := map[string]string{"cell": strconv.Itoa(e.Cell), "zone": e.Zone, "model": e.InstanceType}
-				if e.StartedAtMS != 0 {
-					meta["started"] = strconv.FormatInt(e.StartedAtMS, 10)
+				if !told {
+					told = true
+					close(first)
 				}
-				agent.Put(fakes.Instance{Node: "rack", NodeAddr: host, ID: e.Name, Service: consulService, Port: n, Meta: meta,
-					Passing: int(e.Weight), Checks: []fakes.Check{{ID: "process", Status: status}}})
-			}
-			if !told {
-				told = true
-				close(first)
-			}
-		})
+			})
 	}()
 	t.Cleanup(func() { stop(); <-ended; agent.Close() })
 	select {
@@ -128,7 +131,10 @@
 		t.Fatal(err)
 	}
 	p := startAs(t, "PUMICECROFT_BY_FILE="+path)
-	waitForBackends(t, agent, func() ([]pumicecroft.BackendStatus, error) { return daemon.FetchBackendStatus(t.Context(), p.members) })
+	waitForBackends(t, agent, func() ([]pumicecroft.BackendStatus,
+		error) {
+		return daemon.FetchBackendStatus(t.Context(), p.members)
+	})
 	return p
 }
 
@@ -137,7 +143,8 @@
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	line("[consul]\naddress = %q\n[[consul.service]]\nname = %q", agent, consulService)
-	line("cell = %q\nzone = %q\nmodel = %q\nstarted = %q", mapping.Cell, mapping.Zone, mapping.InstanceType, mapping.Started)
+	line("cell = %q\nzone = %q\nmodel = %q\nstarted = %q", mapping.Cell, mapping.Zone, mapping.InstanceType,
+		mapping.Started)
 	return fileWith(c, "") + b.String()
 }
 
@@ -147,19 +154,26 @@
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	s := c.Settings
 	line("listen = \"127.0.0.1:0\"\nmembers = \"127.0.0.1:0\"\n[door]\n%s", more)
-	line("number = %d\nof = %d\nmax_attempts = %d\ncancel = %v", s.GatewayIndex, s.GatewayCount, s.MaxAttempts, s.CanCancel)
-	line("max_retry_after = %q\nmeter_period = %q\nlargest_units = %v\nzone = %q", s.MaxRetryAfter, s.UsagePeriod, s.MaxCost, s.Zone)
-	line("cold_from = %v\nwarm_within = %q\nfall_multiple = %v\nfall_for = %q", s.SlowStartMinCapacity, s.SlowStartWindow, s.OverloadFactor, s.OverloadDuration)
+	line("number = %d\nof = %d\nmax_attempts = %d\ncancel = %v", s.GatewayIndex, s.GatewayCount, s.MaxAttempts,
+		s.CanCancel)
+	line("max_retry_after = %q\nmeter_period = %q\nlargest_units = %v\nzone = %q", s.MaxRetryAfter, s.UsagePeriod,
+		s.MaxCost, s.Zone)
+	line("cold_from = %v\nwarm_within = %q\nfall_multiple = %v\nfall_for = %q", s.SlowStartMinCapacity,
+		s.SlowStartWindow, s.OverloadFactor, s.OverloadDuration)
 	line("answer_grace = %q\ndrain_grace = %q", s.ResponseGrace, s.DrainGrace)
 	line("client_connections = %d\nbackend_connections = %d", c.Limits.ClientConns(), c.Limits.BackendConns())
 	line("connect_timeout = %q\nidle_timeout = %q", c.Conns.ConnectTimeout, c.Conns.IdleTimeout)
 	for _, k := range s.Classes {
-		line("[[class]]\nname = %q\neffect = %q\ngroup = %q", k.Name, []string{"safe", "keyed", "unsafe"}[k.Idempotency], []string{"all", "zone", "cell"}[k.DedupScope])
-		line("key_window = %q\ndeadline = %q\naim = %q\nworth = %v\nlate_worth = %v", k.DedupWindow, k.Deadline, k.LatencyObjective, k.PriorityWeight, k.LateWeightFactor)
+		line("[[class]]\nname = %q\neffect = %q\ngroup = %q", k.Name,
+			[]string{"safe", "keyed", "unsafe"}[k.Idempotency], []string{"all", "zone", "cell"}[k.DedupScope])
+		line("key_window = %q\ndeadline = %q\naim = %q\nworth = %v\nlate_worth = %v", k.DedupWindow, k.Deadline,
+			k.LatencyObjective, k.PriorityWeight, k.LateWeightFactor)
 	}
 	for _, p := range s.Plans {
-		line("[[plan]]\nname = %q\nrate = %v\nburst = %v\nopen = %d\nprice = %v", p.Name, p.Rate, p.Burst, p.MaxInFlight, p.Price)
-		line("ceiling_rate = %v\nceiling_burst = %v\nceiling_slack = %v", p.HardLimitRate, p.HardLimitBurst, p.HardLimitOverdraft)
+		line("[[plan]]\nname = %q\nrate = %v\nburst = %v\nopen = %d\nprice = %v", p.Name, p.Rate, p.Burst,
+			p.MaxInFlight, p.Price)
+		line("ceiling_rate = %v\nceiling_burst = %v\nceiling_slack = %v", p.HardLimitRate, p.HardLimitBurst,
+			p.HardLimitOverdraft)
 	}
 	return b.String()
 }
@@ -167,7 +181,8 @@
 // What the file says must be what the configuration says.
 func TestOperatorFileMatchesPlatformConfig(t *testing.T) {
 	r := newTestCase(t, Starter{})
-	c, err := platform.ParseConfig([]byte(r.configText(caseConfig{gatewayCount: 3, gatewayIndex: 1, usageReports: true})))
+	c, err := platform.ParseConfig([]byte(r.configText(caseConfig{gatewayCount: 3, gatewayIndex: 1,
+		usageReports: true})))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/conformance/gateways_test.go
+++ b/conformance/gateways_test.go
@@ -162,7 +162,8 @@
 	return s
 }
 
-func startInHostWith(handler func(*pumicecroft.Gateway) http.Handler, change func(testing.TB, *pumicecroft.Config)) Starter {
+func startInHostWith(handler func(*pumicecroft.Gateway) http.Handler,
+	change func(testing.TB, *pumicecroft.Config)) Starter {
 	return Starter{Start: func(t testing.TB, config string) Gateway {
 		t.Helper()
 		c, err := platform.ParseConfig([]byte(config))
@@ -271,13 +272,15 @@
 	}
 	for name, got := range told {
 		want := want
-		if starters[name].IdempotencyKeys { // ids that come again have answers of their own there, which the case looks at
+		// ids that come again have answers of their own there, which the case looks at
+		if starters[name].IdempotencyKeys {
 			want = withoutCase(want, "replays")
 		}
 		if starters[name].PassesBackendErrors {
 			want, got = withoutCase(want, "malformed"), withoutCase(got, "malformed")
 			name := ""
-			for line := range strings.Lines(got) { // a backend's own error is its own: the daemon says 502, or 503 of what may be repeated
+			// a backend's own error is its own: the daemon says 502, or 503 of what may be repeated
+			for line := range strings.Lines(got) {
 				if !strings.HasPrefix(line, " ") {
 					name = strings.TrimSpace(line)
 				} else if strings.Contains(line, "failed 500") {
--- a/conformance/grpc_test.go
+++ b/conformance/grpc_test.go
@@ -33,7 +33,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: deskMethods(door), Strict: true, MaxMessageBytes: pumicecroft.MaxBody})
+	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: deskMethods(door), Strict: true,
+		MaxMessageBytes: pumicecroft.MaxBody})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,14 +59,16 @@
 	text := fileWith(c, `protocol = "grpc"`) + fmt.Sprintf("[discovery]\naddress = %q\n", c.Discovery)
 	text += fmt.Sprintf("[grpc]\nlisten = \"127.0.0.1:0\"\nstrict = true\nmax_message = %d\n", pumicecroft.MaxBody)
 	for _, class := range c.Settings.Classes {
-		text += fmt.Sprintf("[[grpc.method]]\nname = \"/%s/%s\"\nclass = %q\n", fakes.GRPCService, class.Name, class.Name)
+		text += fmt.Sprintf("[[grpc.method]]\nname = \"/%s/%s\"\nclass = %q\n", fakes.GRPCService, class.Name,
+			class.Name)
 	}
 	p := startByFile(t, text, c)
 	p.addr = p.grpc
 	return p
 }
 
-// startByFile starts the daemon by an operator's file, and waits until it knows all that the configuration lists, and more.
+// startByFile starts the daemon by an operator's file, and waits until it knows all that the
+// configuration lists, and more.
 func startByFile(t testing.TB, text string, c platform.Config, more ...string) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "pumicecroft.toml")
@@ -78,7 +81,10 @@
 		names = append(names, n.Name)
 	}
 	slices.Sort(names)
-	waitForNames(t, names, func() ([]pumicecroft.BackendStatus, error) { return daemon.FetchBackendStatus(t.Context(), p.members) })
+	waitForNames(t, names, func() ([]pumicecroft.BackendStatus,
+		error) {
+		return daemon.FetchBackendStatus(t.Context(), p.members)
+	})
 	return p
 }
 
--- a/conformance/http_test.go
+++ b/conformance/http_test.go
@@ -118,7 +118,8 @@
 			t.Cleanup(b.Kill)
 			beside[name] = b
 		}
-		c, err := platform.ParseConfig([]byte(r.configText(caseConfig{plans: defaultPlans + `,{"name":"tiny","units_per_s":0.001,"burst":16,"value_factor":1}`})))
+		c, err := platform.ParseConfig([]byte(r.configText(caseConfig{plans: defaultPlans +
+			`,{"name":"tiny","units_per_s":0.001,"burst":16,"value_factor":1}`})))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/conformance/interop_test.go
+++ b/conformance/interop_test.go
@@ -47,14 +47,16 @@
 func payload(n int32) *testpb.Payload { return &testpb.Payload{Body: make([]byte, n)} }
 
 func (testService) UnaryCall(ctx context.Context, in *testpb.SimpleRequest) (*testpb.SimpleResponse, error) {
-	err := echo(ctx, func(md metadata.MD) error { return grpc.SetHeader(ctx, md) }, func(md metadata.MD) error { return grpc.SetTrailer(ctx, md) })
+	err := echo(ctx, func(md metadata.MD) error { return grpc.SetHeader(ctx, md) },
+		func(md metadata.MD) error { return grpc.SetTrailer(ctx, md) })
 	if s := in.GetResponseStatus(); err == nil && s.GetCode() != 0 {
 		err = status.Error(codes.Code(s.GetCode()), s.GetMessage())
 	}
 	return &testpb.SimpleResponse{Payload: payload(in.GetResponseSize())}, err
 }
 
-func (testService) StreamingOutputCall(in *testpb.StreamingOutputCallRequest, s grpc.ServerStreamingServer[testpb.StreamingOutputCallResponse]) error {
+func (testService) StreamingOutputCall(in *testpb.StreamingOutputCallRequest,
+	s grpc.ServerStreamingServer[testpb.StreamingOutputCallResponse]) error {
 	for _, p := range in.GetResponseParameters() {
 		if err := s.Send(&testpb.StreamingOutputCallResponse{Payload: payload(p.GetSize())}); err != nil {
 			return err
@@ -63,7 +65,8 @@
 	return nil
 }
 
-func (testService) FullDuplexCall(s grpc.BidiStreamingServer[testpb.StreamingOutputCallRequest, testpb.StreamingOutputCallResponse]) error {
+func (testService) FullDuplexCall(s grpc.BidiStreamingServer[testpb.StreamingOutputCallRequest,
+	testpb.StreamingOutputCallResponse]) error {
 	err := echo(s.Context(), s.SetHeader, func(md metadata.MD) error { s.SetTrailer(md); return nil })
 	for err == nil {
 		var in *testpb.StreamingOutputCallRequest
@@ -85,7 +88,8 @@
 	return err
 }
 
-// The public interop client's cases of unary and server-streaming calls work through the door. A case that does not ends
+// The public interop client's cases of unary and server-streaming calls work through the door. A
+// case that does not ends
 // the test's process by itself, and says which.
 func TestInterop(t *testing.T) {
 	serve := func(s *grpc.Server) string {
@@ -99,17 +103,23 @@
 	}
 	service := grpc.NewServer()
 	testpb.RegisterTestServiceServer(service, testService{})
-	set := decision.Settings{CanCancel: true, MaxRetryAfter: time.Second, Plans: []decision.Plan{{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1}},
-		Classes: []decision.Class{{Name: "safe", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
-			{Name: "unsafe", Idempotency: decision.NonIdempotent, LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}}}
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, InitialEndpoints: membership.Update{Nodes: []membership.Node{
-		{Name: "service", Addr: serve(service), Protocol: membership.ProtocolGRPC}}}}, grpcproxy.WithBackends(grpcproxy.BackendConfig{}))
+	set := decision.Settings{CanCancel: true, MaxRetryAfter: time.Second,
+		Plans: []decision.Plan{{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1}},
+		Classes: []decision.Class{{Name: "safe", LatencyObjective: time.Second, Deadline: 20 * time.Second,
+			PriorityWeight: 1},
+			{Name: "unsafe", Idempotency: decision.NonIdempotent, LatencyObjective: time.Second,
+				Deadline: 20 * time.Second, PriorityWeight: 1}}}
+	door, err := pumicecroft.New(pumicecroft.Config{Settings: set,
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{
+			{Name: "service", Addr: serve(service), Protocol: membership.ProtocolGRPC}}}},
+		grpcproxy.WithBackends(grpcproxy.BackendConfig{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = door.Close(t.Context()) }()
 	const name = "/grpc.testing.TestService/"
-	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: map[string]grpcproxy.Method{name + "EmptyCall": {Class: "safe"},
+	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: map[string]grpcproxy.Method{name +
+		"EmptyCall": {Class: "safe"},
 		name + "UnaryCall": {Class: "unsafe"}, name + "StreamingOutputCall": {Class: "safe", Streaming: true},
 		name + "FullDuplexCall": {Class: "unsafe", Streaming: true}, name + "StreamingInputCall": {Class: "safe"}}})
 	if err != nil {
@@ -118,11 +128,14 @@
 	who := func(ctx context.Context) context.Context {
 		return metadata.AppendToOutgoingContext(ctx, "x-api-key", "0000000000000007", "x-tier", "shop")
 	}
-	conn, err := grpc.NewClient("passthrough:///"+serve(grpc.NewServer(front.ServerOptions()...)), grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithUnaryInterceptor(func(ctx context.Context, m string, in, out any, cc *grpc.ClientConn, next grpc.UnaryInvoker, o ...grpc.CallOption) error {
+	conn, err := grpc.NewClient("passthrough:///"+serve(grpc.NewServer(front.ServerOptions()...)),
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithUnaryInterceptor(func(ctx context.Context, m string, in, out any, cc *grpc.ClientConn,
+			next grpc.UnaryInvoker, o ...grpc.CallOption) error {
 			return next(who(ctx), m, in, out, cc, o...)
 		}),
-		grpc.WithStreamInterceptor(func(ctx context.Context, d *grpc.StreamDesc, cc *grpc.ClientConn, m string, next grpc.Streamer, o ...grpc.CallOption) (grpc.ClientStream, error) {
+		grpc.WithStreamInterceptor(func(ctx context.Context, d *grpc.StreamDesc, cc *grpc.ClientConn, m string,
+			next grpc.Streamer, o ...grpc.CallOption) (grpc.ClientStream, error) {
 			return next(who(ctx), d, cc, m, o...)
 		}))
 	if err != nil {
@@ -131,10 +144,12 @@
 	defer func() { _ = conn.Close() }()
 	client := testpb.NewTestServiceClient(conn)
 	for name, do := range map[string]func(context.Context, testpb.TestServiceClient, ...grpc.CallOption){
-		"empty_unary": interop.DoEmptyUnaryCall, "large_unary": interop.DoLargeUnaryCall, "server_streaming": interop.DoServerStreaming,
+		"empty_unary": interop.DoEmptyUnaryCall, "large_unary": interop.DoLargeUnaryCall,
+		"server_streaming":           interop.DoServerStreaming,
 		"cancel_after_begin":         interop.DoCancelAfterBegin,
-		"timeout_on_sleeping_server": interop.DoTimeoutOnSleepingServer, "status_code_and_message": interop.DoStatusCodeAndMessage,
-		"special_status_message": interop.DoSpecialStatusMessage, "custom_metadata": interop.DoCustomMetadata,
+		"timeout_on_sleeping_server": interop.DoTimeoutOnSleepingServer,
+		"status_code_and_message":    interop.DoStatusCodeAndMessage,
+		"special_status_message":     interop.DoSpecialStatusMessage, "custom_metadata": interop.DoCustomMetadata,
 	} {
 		t.Run(name, func(t *testing.T) { do(t.Context(), client) })
 	}
--- a/conformance/outcomes.go
+++ b/conformance/outcomes.go
@@ -148,7 +148,8 @@
 func testManyRequests(t *testing.T, starter Starter, tr *Transcript) {
 	r := newTestCase(t, starter)
 	acts := []fakes.Act{fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work,
-		fakes.RunAndError, fakes.TurnAway, fakes.RunAndBreak, fakes.BreakUnheard, fakes.RunAndSpoil, fakes.RunAndCut, fakes.Hang}
+		fakes.RunAndError, fakes.TurnAway, fakes.RunAndBreak, fakes.BreakUnheard, fakes.RunAndSpoil, fakes.RunAndCut,
+		fakes.Hang}
 	memories := []*fakes.Cell{newCell(0), newCell(1)}
 	for i := range 4 {
 		var mu sync.Mutex
@@ -171,8 +172,7 @@
 		clients.Go(func() {
 			for n := range 20 {
 				a := r.newRequest([]string{"look", "pay", "once"}[(i+n)%3])
-				// The client waits for its answer for longer than it says: it must come, and on a busy machine it is late by how late
-				// this goroutine is run.
+				// The client waits for longer than it says: on a busy machine it sees the response late.
 				a.Timeout, a.Patience = 1500*time.Millisecond, waitLimit
 				reply := r.send(a)
 				if reply.Status == 0 {
--- a/conformance/quota.go
+++ b/conformance/quota.go
@@ -104,7 +104,8 @@
 	plans := fmt.Sprintf(`{"name":"shop","units_per_s":%v,"burst":%v,"value_factor":1}`, rate, burst)
 	var gateways []Gateway
 	for index := range 2 {
-		gateways = append(gateways, r.startAnother(caseConfig{gatewayCount: 2, gatewayIndex: index, plans: plans, usageReports: true}))
+		gateways = append(gateways, r.startAnother(caseConfig{gatewayCount: 2, gatewayIndex: index, plans: plans,
+			usageReports: true}))
 	}
 	begun := time.Now()
 	var clients sync.WaitGroup
--- a/conformance/testcase.go
+++ b/conformance/testcase.go
@@ -111,7 +111,8 @@
    "conn_idle_us":15000000,"connect_timeout_us":250000},
   "obligations":{"grace_to_answer_us":50000,"stop_sending_within_us":2000000,"cold_from":0.2,"warm_within_us":6000000,
    "fall_multiple":4,"fall_us":1000000}}}`, f.gatewayIndex, r.discovery.Addr(), known, max(f.gatewayCount, 1), f.gatewayIndex,
-		class("look", "retryable", 1)+","+class("pay", "dedup", 5)+","+class("once", "fragile", 3), f.plans, meter, !f.noCancel)
+		class("look", "retryable", 1)+","+class("pay", "dedup", 5)+","+class("once", "fragile", 3), f.plans, meter,
+		!f.noCancel)
 }
 
 // startGateway starts the case's gateway.
--- a/conformance/world_test.go
+++ b/conformance/world_test.go
@@ -8,7 +8,8 @@
 	"pumicecroft/internal/sim"
 )
 
-// compareWithWorld holds the world that a seed decides against the real one: each of the suite's outcomes, as all fronts told it on
+// compareWithWorld holds the world that a seed decides against the real one: each of the suite's
+// outcomes, as all fronts told it on
 // sockets, must be the world's too, in verdict, attempts and effects.
 func compareWithWorld(t *testing.T, transcript string) {
 	t.Helper()
--- a/grpcproxy/bench_test.go
+++ b/grpcproxy/bench_test.go
@@ -43,7 +43,8 @@
 }
 
 func dialTo(b *testing.B, addr string) *grpc.ClientConn {
-	c, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
+	c, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDisableRetry(),
 		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(Codec())))
 	if err != nil {
 		b.Fatal(err)
@@ -58,7 +59,8 @@
 	conn *grpc.ClientConn
 }
 
-// benchmarkPaths are a backend's, which answers with what it is asked: straight, through a plain proxy that receives a call, makes it
+// benchmarkPaths are a backend's, which answers with what it is asked: straight, through a plain
+// proxy that receives a call, makes it
 // again with grpc-go's client and sends the answer, and through the door. All of it runs in this process, so what a way
 // costs by itself is its figure less that of "direct". All servers have the same options, but for their handlers.
 func benchmarkPaths(b *testing.B) []benchmarkPath {
@@ -69,7 +71,8 @@
 		}
 		return ss.SendMsg(m)
 	}
-	backend := listenServe(b, grpc.NewServer(grpc.ForceServerCodecV2(Codec()), grpc.UnknownServiceHandler(echo), grpc.MaxConcurrentStreams(1000)))
+	backend := listenServe(b, grpc.NewServer(grpc.ForceServerCodecV2(Codec()), grpc.UnknownServiceHandler(echo),
+		grpc.MaxConcurrentStreams(1000)))
 	onward := dialTo(b, backend)
 	proxy := func(_ any, ss grpc.ServerStream) error {
 		method, _ := grpc.MethodFromServerStream(ss)
@@ -79,7 +82,8 @@
 			return err
 		}
 		var head, trail metadata.MD
-		err := onward.Invoke(metadata.NewOutgoingContext(ss.Context(), md), method, in, &out, grpc.Header(&head), grpc.Trailer(&trail))
+		err := onward.Invoke(metadata.NewOutgoingContext(ss.Context(), md), method, in, &out, grpc.Header(&head),
+			grpc.Trailer(&trail))
 		ss.SetTrailer(trail)
 		if err != nil {
 			return err
@@ -88,8 +92,10 @@
 		return ss.SendMsg(out)
 	}
 	set := deskSettings()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, InitialEndpoints: membership.Update{Nodes: []membership.Node{
-		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{MaxConnsPerBackend: 1}))
+	door, err := pumicecroft.New(pumicecroft.Config{Settings: set,
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{
+			{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}},
+		WithBackends(BackendConfig{MaxConnsPerBackend: 1}))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -103,8 +109,10 @@
 		{"door", dialTo(b, listenServe(b, grpc.NewServer(front.ServerOptions()...)))}}
 }
 
-// BenchmarkOverhead asks by all ways in turn, a round each, with 1 and with 64 calls out at once, and reports for each the
-// median over the rounds of its CPU, allocations, p50 and p99 (a call that the door refuses comes back when it is told to, and
+// BenchmarkOverhead asks by all ways in turn, a round each, with 1 and with 64 calls out at once,
+// and reports for each the
+// median over the rounds of its CPU, allocations, p50 and p99 (a call that the door refuses comes
+// back when it is told to, and
 // its time goes on): door/proxy is the ratio as it stands, own the ratio with
 // "direct" taken off both.
 //
@@ -130,8 +138,9 @@
 					for k := range streams {
 						asking.Go(func() {
 							for n := k; n < round; n += streams {
-								c := call{method: "/shop.Desk/Look", text: "amount=3", timeout: 20 * time.Second, md: metadata.Pairs("x-api-key", "0000000000000007",
-									"x-tier", "shop", "request-id", fmt.Sprintf("%016x", base+uint64(n)))}
+								c := call{method: "/shop.Desk/Look", text: "amount=3", timeout: 20 * time.Second,
+									md: metadata.Pairs("x-api-key", "0000000000000007",
+										"x-tier", "shop", "request-id", fmt.Sprintf("%016x", base+uint64(n)))}
 								begun := time.Now()
 								res := c.on(context.Background(), w.conn)
 								for res.st.Code() == codes.ResourceExhausted { // it comes back when it is told to
@@ -151,7 +160,8 @@
 					used := cpuTime() - start
 					runtime.ReadMemStats(&m1)
 					slices.Sort(took)
-					for f, v := range []float64{float64(used.Nanoseconds()) / 1e3 / round, float64(m1.Mallocs-m0.Mallocs) / round, took[round/2], took[round*99/100]} {
+					for f, v := range []float64{float64(used.Nanoseconds()) / 1e3 / round,
+						float64(m1.Mallocs-m0.Mallocs) / round, took[round/2], took[round*99/100]} {
 						figures[i][f] = append(figures[i][f], v)
 					}
 				}
--- a/grpcproxy/disconnect_test.go
+++ b/grpcproxy/disconnect_test.go
@@ -13,7 +13,8 @@
 	"pumicecroft/internal/testkit"
 )
 
-// A call that its client cancels while it waits for a connection to a backend, for a first attempt or a further one, is sent to nobody when that
+// A call that its client cancels while it waits for a connection to a backend, for a first attempt
+// or a further one, is sent to nobody when that
 // connection is up, which goes on to serve others.
 func TestCallCancelledWhileDialing(t *testing.T) {
 	for _, further := range []bool{false, true} {
--- a/grpcproxy/fixture_test.go
+++ b/grpcproxy/fixture_test.go
@@ -26,17 +26,23 @@
 	"pumicecroft/membership"
 )
 
-// The test's service: Look is safe, Pay keyed within a cell, Once unsafe, Watch safe and streaming, Buy keyed and streaming.
-var deskMethods = map[string]Method{"/shop.Desk/Look": {Class: "look"}, "/shop.Desk/Pay": {Class: "pay"}, "/shop.Desk/Once": {Class: "once"},
-	"/shop.Desk/Watch": {Class: "look", Streaming: true}, "/shop.Desk/Buy": {Class: "pay", Streaming: true}, "/shop.More/*": {Class: "look"}}
+// The test's service: Look is safe, Pay keyed within a cell, Once unsafe, Watch safe and streaming,
+// Buy keyed and streaming.
+var deskMethods = map[string]Method{"/shop.Desk/Look": {Class: "look"}, "/shop.Desk/Pay": {Class: "pay"},
+	"/shop.Desk/Once":  {Class: "once"},
+	"/shop.Desk/Watch": {Class: "look", Streaming: true}, "/shop.Desk/Buy": {Class: "pay", Streaming: true},
+	"/shop.More/*": {Class: "look"}}
 
 func deskSettings(plans ...decision.Plan) decision.Settings {
 	class := func(name string, e decision.Idempotency) decision.Class {
-		return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second, LatencyObjective: 10 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 1}
+		return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell,
+			DedupWindow: 5 * time.Second, LatencyObjective: 10 * time.Second, Deadline: 15 * time.Second,
+			PriorityWeight: 1}
 	}
 	return decision.Settings{CanCancel: true, MaxRetryAfter: 900 * time.Millisecond,
-		Classes: []decision.Class{class("look", decision.Idempotent), class("pay", decision.IdempotentByKey), class("once", decision.NonIdempotent)},
-		Plans:   append(plans, decision.Plan{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1})}
+		Classes: []decision.Class{class("look", decision.Idempotent), class("pay", decision.IdempotentByKey),
+			class("once", decision.NonIdempotent)},
+		Plans: append(plans, decision.Plan{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1})}
 }
 
 // fixture is a Door behind a gRPC server, with stand-in backends and a client.
@@ -71,7 +77,8 @@
 func newRig(t testing.TB, change func(*options)) *fixture {
 	t.Helper()
 	before := runtime.NumGoroutine()
-	o := options{cells: []int{0, 0}, settings: deskSettings(), config: Config{Methods: deskMethods}, back: BackendConfig{ConnectTimeout: testkit.Patient}}
+	o := options{cells: []int{0, 0}, settings: deskSettings(), config: Config{Methods: deskMethods},
+		back: BackendConfig{ConnectTimeout: testkit.Patient}}
 	if change != nil {
 		change(&o)
 	}
@@ -82,13 +89,15 @@
 		if memories[cell] == nil {
 			memories[cell] = &fakes.Cell{Number: cell, Window: 5 * time.Second}
 		}
-		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell], Ledger: r.ledger, Act: o.act, Work: o.work, Between: o.between,
+		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell],
+			Ledger: r.ledger, Act: o.act, Work: o.work, Between: o.between,
 			Keyed: func(m string) bool { return m != "/shop.Desk/Look" && m != "/shop.Desk/Watch" }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.backends = append(r.backends, b)
-		known.Nodes = append(known.Nodes, membership.Node{Name: fmt.Sprintf("g%d", i), Addr: b.Addr(), Cell: cell, Protocol: membership.ProtocolGRPC})
+		known.Nodes = append(known.Nodes, membership.Node{Name: fmt.Sprintf("g%d", i), Addr: b.Addr(), Cell: cell,
+			Protocol: membership.ProtocolGRPC})
 	}
 	var err error
 	door := pumicecroft.Config{Settings: o.settings, InitialEndpoints: known, MaxOpenRequests: 1 << 15}
@@ -130,7 +139,8 @@
 		for end := time.Now().Add(testkit.Patient); runtime.NumGoroutine() > before; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				buf := make([]byte, 1<<20)
-				t.Errorf("%d goroutines, %d before:\n%s", runtime.NumGoroutine(), before, buf[:runtime.Stack(buf, true)])
+				t.Errorf("%d goroutines, %d before:\n%s", runtime.NumGoroutine(), before,
+					buf[:runtime.Stack(buf, true)])
 				return
 			}
 		}
@@ -140,8 +150,10 @@
 
 // connect makes a client with a connection of its own.
 func (r *fixture) connect() *grpc.ClientConn {
-	c, err := grpc.NewClient("passthrough:///"+r.addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
-		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(Codec()), grpc.MaxCallRecvMsgSize(64<<20), grpc.MaxCallSendMsgSize(64<<20)))
+	c, err := grpc.NewClient("passthrough:///"+r.addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDisableRetry(),
+		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(Codec()), grpc.MaxCallRecvMsgSize(64<<20),
+			grpc.MaxCallSendMsgSize(64<<20)))
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/grpcproxy/frames_test.go
+++ b/grpcproxy/frames_test.go
@@ -54,7 +54,8 @@
 func (w *rawClient) open(c call, more ...string) (id uint32, err error) {
 	id = w.next
 	w.next += 2
-	fields := []string{":method", "POST", ":scheme", "http", ":path", c.method, ":authority", "desk", "content-type", "application/grpc", "te", "trailers"}
+	fields := []string{":method", "POST", ":scheme", "http", ":path", c.method, ":authority", "desk", "content-type",
+		"application/grpc", "te", "trailers"}
 	for name, vs := range c.md {
 		for _, v := range vs {
 			fields = append(fields, name, v)
@@ -135,8 +136,10 @@
 func TestUnusualTimeouts(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
-	for timeout, want := range map[string]string{"0S": "status 4", "0n": "status 4", "-1S": "status 13", "soon": "status 13", "": "status 13",
-		"123456789S": "status 13", "5x": "status 13", "99999999H": "status 0", "99999999M": "status 0", "5S": "status 0"} {
+	for timeout, want := range map[string]string{"0S": "status 4", "0n": "status 4", "-1S": "status 13",
+		"soon": "status 13", "": "status 13",
+		"123456789S": "status 13", "5x": "status 13", "99999999H": "status 0", "99999999M": "status 0",
+		"5S": "status 0"} {
 		if got := w.ask(r.call("Look"), "grpc-timeout", timeout); got != want {
 			t.Errorf("grpc-timeout %q: %s, want %s", timeout, got, want)
 		}
@@ -145,7 +148,9 @@
 		t.Errorf("without a deadline: %s", got)
 	}
 	for _, a := range r.ledger.Attempts() { // the class's is 15 s
-		if d, err := time.ParseDuration(a.Timeout[:len(a.Timeout)-1] + map[byte]string{'u': "us", 'n': "ns", 'm': "ms", 'S': "s"}[a.Timeout[len(a.Timeout)-1]]); err != nil || d > 15*time.Second {
+		if d, err := time.ParseDuration(a.Timeout[:len(a.Timeout)-1] +
+			map[byte]string{'u': "us", 'n': "ns", 'm': "ms", 'S': "s"}[a.Timeout[len(a.Timeout)-1]]); err != nil ||
+			d > 15*time.Second {
 			t.Errorf("a backend was given %q, %v", a.Timeout, err)
 		}
 	}
@@ -162,7 +167,8 @@
 		t.Fatal(got)
 	}
 	got := r.ledger.Attempts()[0].Timeout
-	if d, err := time.ParseDuration(strings.TrimSuffix(got, "u") + "us"); err != nil || d >= 2*time.Second || d < time.Second {
+	if d, err := time.ParseDuration(strings.TrimSuffix(got, "u") + "us"); err != nil || d >= 2*time.Second ||
+		d < time.Second {
 		t.Errorf("%q, %v", got, err)
 	}
 }
@@ -207,7 +213,8 @@
 	}
 }
 
-// A client that opens calls and cancels them in a loop makes bounded work: no more of them are out at backends than it may
+// A client that opens calls and cancels them in a loop makes bounded work: no more of them are out
+// at backends than it may
 // have streams, none has its effect twice, and another client is served.
 func TestRapidReset(t *testing.T) {
 	r := newRig(t, func(o *options) {
@@ -234,7 +241,10 @@
 		}
 		w.mu.Unlock()
 		if err == nil && i%10 == 0 { // it has become an attempt; the others are mostly gone before they are looked at
-			await(t, "an attempt, or a refusal", func() bool { return len(r.ledger.Of(c.id)) > 0 || w.over.Load() == id })
+			await(t, "an attempt, or a refusal", func() bool {
+				return len(r.ledger.Of(c.id)) > 0 ||
+					w.over.Load() == id
+			})
 			most = max(most, r.gateway.OpenRequests())
 		}
 		if err == nil {
--- a/grpcproxy/host_test.go
+++ b/grpcproxy/host_test.go
@@ -52,7 +52,8 @@
 		"interceptor": {func(f *Proxy) *grpc.Server {
 			return own(grpc.ChainStreamInterceptor(known, f.Interceptor()), grpc.UnknownServiceHandler(nothing))
 		}, codes.DataLoss, codes.OK},
-		"handler": {func(f *Proxy) *grpc.Server { return own(grpc.UnknownServiceHandler(f.Handle)) }, codes.Unimplemented, codes.InvalidArgument},
+		"handler": {func(f *Proxy) *grpc.Server { return own(grpc.UnknownServiceHandler(f.Handle)) },
+			codes.Unimplemented, codes.InvalidArgument},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, func(o *options) { o.server = c.server })
@@ -72,7 +73,8 @@
 			if res := r.do(k); res.st.Code() != c.nobody {
 				t.Errorf("without a customer: %v", res.st)
 			}
-			mine, err := healthpb.NewHealthClient(r.client).Check(t.Context(), &healthpb.HealthCheckRequest{Service: "mine"}, grpc.ForceCodecV2(Codec()))
+			mine, err := healthpb.NewHealthClient(r.client).Check(t.Context(),
+				&healthpb.HealthCheckRequest{Service: "mine"}, grpc.ForceCodecV2(Codec()))
 			if err != nil || mine.Status != healthpb.HealthCheckResponse_SERVING {
 				t.Errorf("the host's own service: %v, %v", mine, err)
 			}
@@ -83,8 +85,9 @@
 // What a client is told, for each word of the Door.
 func TestStatusFor(t *testing.T) {
 	answer := func(code grpcproto.Code, message string) *grpctransport.Response {
-		return &grpctransport.Response{Code: code, Message: message, Trailer: []grpctransport.Field{{Name: "x-more", Value: "1"},
-			{Name: "grpc-encoding", Value: "gzip"}, {Name: "grpc-status-details-bin", Value: "CA0="}}}
+		return &grpctransport.Response{Code: code, Message: message,
+			Trailer: []grpctransport.Field{{Name: "x-more", Value: "1"},
+				{Name: "grpc-encoding", Value: "gzip"}, {Name: "grpc-status-details-bin", Value: "CA0="}}}
 	}
 	for name, c := range map[string]struct {
 		err      error
@@ -94,32 +97,50 @@
 		pushback string
 		message  string // part of it
 	}{
-		"refused":                     {&pumicecroft.RejectedError{RetryAfter: 1500 * time.Microsecond}, nil, decision.IdempotentByKey, codes.ResourceExhausted, "2", "refused"},
-		"refused without advice":      {&pumicecroft.RejectedError{}, nil, decision.IdempotentByKey, codes.ResourceExhausted, "", "refused"},
-		"refused after an error":      {&pumicecroft.RejectedError{RetryAfter: time.Second}, answer(13, "disk%20full"), decision.Idempotent, codes.ResourceExhausted, "1000", "status 13: disk full"},
-		"closed":                      {pumicecroft.ErrClosed, nil, decision.IdempotentByKey, codes.Unavailable, "", "closed"},
-		"full":                        {pumicecroft.ErrTooManyRequests, nil, decision.IdempotentByKey, codes.Unavailable, "", "open"},
-		"too long":                    {pumicecroft.ErrBodyTooLarge, nil, decision.IdempotentByKey, codes.ResourceExhausted, "-1", ""},
-		"makes no sense":              {pumicecroft.ErrDuplicateID, nil, decision.IdempotentByKey, codes.InvalidArgument, "-1", "open"},
-		"replayed":                    {pumicecroft.ErrReplayed, nil, decision.IdempotentByKey, codes.AlreadyExists, "-1", "run already"},
-		"late":                        {pumicecroft.ErrDeadlineExceeded, nil, decision.Idempotent, codes.DeadlineExceeded, "-1", "time was up"},
-		"left":                        {fmt.Errorf("left: %w", context.Canceled), nil, decision.Idempotent, codes.Canceled, "-1", "left"},
-		"failed":                      {pumicecroft.ErrFailed, nil, decision.NonIdempotent, codes.Unknown, "-1", "failed"},
-		"aborted":                     {pumicecroft.ErrAborted, nil, decision.NonIdempotent, codes.Unknown, "-1", "closed"},
-		"anything else":               {errors.New("odd"), nil, decision.NonIdempotent, codes.Unknown, "-1", "odd"},
-		"failed by an error":          {pumicecroft.ErrFailed, answer(2, "50%25 done, %zz"), decision.NonIdempotent, codes.Unknown, "-1", "50% done, %zz"},
-		"failed by one that is tried": {pumicecroft.ErrFailed, answer(14, "away"), decision.IdempotentByKey, codes.Unknown, "-1", "away"},
-		"the same of a safe one":      {pumicecroft.ErrFailed, answer(14, "away"), decision.Idempotent, codes.Unavailable, "-1", "away"},
+		"refused": {&pumicecroft.RejectedError{RetryAfter: 1500 * time.Microsecond}, nil,
+			decision.IdempotentByKey, codes.ResourceExhausted, "2", "refused"},
+		"refused without advice": {&pumicecroft.RejectedError{}, nil, decision.IdempotentByKey,
+			codes.ResourceExhausted, "", "refused"},
+		"refused after an error": {&pumicecroft.RejectedError{RetryAfter: time.Second},
+			answer(13, "disk%20full"), decision.Idempotent, codes.ResourceExhausted, "1000", "status 13: disk full"},
+		"closed": {pumicecroft.ErrClosed, nil, decision.IdempotentByKey, codes.Unavailable, "",
+			"closed"},
+		"full": {pumicecroft.ErrTooManyRequests, nil, decision.IdempotentByKey,
+			codes.Unavailable, "", "open"},
+		"too long": {pumicecroft.ErrBodyTooLarge, nil, decision.IdempotentByKey,
+			codes.ResourceExhausted, "-1", ""},
+		"makes no sense": {pumicecroft.ErrDuplicateID, nil, decision.IdempotentByKey,
+			codes.InvalidArgument, "-1", "open"},
+		"replayed": {pumicecroft.ErrReplayed, nil, decision.IdempotentByKey, codes.AlreadyExists,
+			"-1", "run already"},
+		"late": {pumicecroft.ErrDeadlineExceeded, nil, decision.Idempotent,
+			codes.DeadlineExceeded, "-1", "time was up"},
+		"left": {fmt.Errorf("left: %w", context.Canceled), nil, decision.Idempotent,
+			codes.Canceled, "-1", "left"},
+		"failed": {pumicecroft.ErrFailed, nil, decision.NonIdempotent, codes.Unknown, "-1",
+			"failed"},
+		"aborted": {pumicecroft.ErrAborted, nil, decision.NonIdempotent, codes.Unknown, "-1",
+			"closed"},
+		"anything else": {errors.New("odd"), nil, decision.NonIdempotent, codes.Unknown, "-1", "odd"},
+		"failed by an error": {pumicecroft.ErrFailed, answer(2, "50%25 done, %zz"), decision.NonIdempotent,
+			codes.Unknown, "-1", "50% done, %zz"},
+		"failed by one that is tried": {pumicecroft.ErrFailed, answer(14, "away"), decision.IdempotentByKey,
+			codes.Unknown, "-1", "away"},
+		"the same of a safe one": {pumicecroft.ErrFailed, answer(14, "away"), decision.Idempotent,
+			codes.Unavailable, "-1", "away"},
 	} {
 		st, md := statusFor(c.err, c.reply, c.effect)
-		if st.Code() != c.code || strings.Join(md[PushbackTrailer], ",") != c.pushback || !strings.Contains(st.Message(), c.message) {
+		if st.Code() != c.code || strings.Join(md[PushbackTrailer], ",") != c.pushback ||
+			!strings.Contains(st.Message(), c.message) {
 			t.Errorf("%s: %v, pushback %q", name, st, md[PushbackTrailer])
 		}
-		if c.effect != decision.Idempotent && c.pushback == "-1" && clientsRetry(st.Code()) && !errors.Is(c.err, pumicecroft.ErrBodyTooLarge) && !errors.Is(c.err, pumicecroft.ErrDeadlineExceeded) {
+		if c.effect != decision.Idempotent && c.pushback == "-1" && clientsRetry(st.Code()) &&
+			!errors.Is(c.err, pumicecroft.ErrBodyTooLarge) && !errors.Is(c.err, pumicecroft.ErrDeadlineExceeded) {
 			t.Errorf("%s: clients make it again by %v", name, st.Code())
 		}
 		if c.reply != nil && !errors.Is(c.err, pumicecroft.ErrRejected) {
-			if md["grpc-encoding"] != nil || len(md["x-more"]) != 1 || (md["grpc-status-details-bin"] == nil) != (uint32(st.Code()) != uint32(c.reply.Code)) {
+			if md["grpc-encoding"] != nil || len(md["x-more"]) != 1 ||
+				(md["grpc-status-details-bin"] == nil) != (uint32(st.Code()) != uint32(c.reply.Code)) {
 				t.Errorf("%s: trailers %q", name, md)
 			}
 		}
@@ -142,15 +163,18 @@
 		"unknown class": {Config{Methods: map[string]Method{"/a.B/C": {Class: "nap"}}}, `"nap"`},
 		"no method":     {Config{Methods: map[string]Method{"a.B/C": {Class: "look"}}}, `"a.B/C" is no method`},
 		"wildcard":      {Config{Methods: map[string]Method{"/a.*/C": {Class: "look"}}}, `"/a.*/C" is no method`},
-		"a name twice":  {Config{Methods: deskMethods, Names: MetadataNames{Customer: "x", Plan: "x"}}, `"x" is used twice`},
-		"gRPC's name":   {Config{Methods: deskMethods, Names: MetadataNames{Customer: "grpc-status"}}, `"grpc-status"`},
-		"below 0":       {Config{Methods: deskMethods, MaxMessageBytes: -1}, "negative"},
+		"a name twice": {Config{Methods: deskMethods, Names: MetadataNames{Customer: "x", Plan: "x"}},
+			`"x" is used twice`},
+		"gRPC's name": {Config{Methods: deskMethods, Names: MetadataNames{Customer: "grpc-status"}}, `"grpc-status"`},
+		"below 0":     {Config{Methods: deskMethods, MaxMessageBytes: -1}, "negative"},
 	} {
-		if _, err := New(door, c.config); !errors.Is(err, pumicecroft.ErrConfig) || !strings.Contains(err.Error(), c.want) {
+		if _, err := New(door, c.config); !errors.Is(err, pumicecroft.ErrConfig) ||
+			!strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := pumicecroft.New(pumicecroft.Config{Settings: set, Protocol: "grpc"}); !errors.Is(err, pumicecroft.ErrConfig) {
+	if _, err := pumicecroft.New(pumicecroft.Config{Settings: set, Protocol: "grpc"}); !errors.Is(err,
+		pumicecroft.ErrConfig) {
 		t.Errorf("a protocol that nothing speaks: %v", err)
 	}
 }
--- a/grpcproxy/idempotency_test.go
+++ b/grpcproxy/idempotency_test.go
@@ -24,7 +24,8 @@
 	return c
 }
 
-// Repeats over gRPC, with the first one's end, what comes then, and how many calls were sent on: a repeat gets the same message, status, header and
+// Repeats over gRPC, with the first one's end, what comes then, and how many calls were sent on: a
+// repeat gets the same message, status, header and
 // trailers; also by another door that reads its journal.
 func TestRepeatedIdempotencyKeys(t *testing.T) {
 	for _, c := range []struct {
@@ -37,9 +38,15 @@
 	}{
 		{"served", "Pay", fakes.GRPCServe, nil, codes.OK, codes.OK, 1},
 		{"the service's own word", "Once", fakes.GRPCNotFound, nil, codes.NotFound, codes.NotFound, 1},
-		{"another message", "Pay", fakes.GRPCServe, func(c *call) { c.text = "amount=4" }, codes.OK, codes.InvalidArgument, 1},
-		{"another method", "Pay", fakes.GRPCServe, func(c *call) { c.method = "/shop.Desk/Once" }, codes.OK, codes.InvalidArgument, 1},
-		{"another customer", "Pay", fakes.GRPCServe, func(c *call) { c.md = metadata.Join(c.md); c.md.Set("x-api-key", "0000000000000008") }, codes.OK, codes.OK, 2},
+		{"another message", "Pay", fakes.GRPCServe, func(c *call) { c.text = "amount=4" }, codes.OK,
+			codes.InvalidArgument, 1},
+		{"another method", "Pay", fakes.GRPCServe, func(c *call) { c.method = "/shop.Desk/Once" }, codes.OK,
+			codes.InvalidArgument, 1},
+		{"another customer", "Pay", fakes.GRPCServe, func(c *call) {
+			c.md = metadata.Join(c.md)
+			c.md.Set("x-api-key",
+				"0000000000000008")
+		}, codes.OK, codes.OK, 2},
 		{"it may have run", "Once", fakes.GRPCResetLate, nil, codes.Unknown, codes.Unknown, 1},
 		{"safe", "Look", fakes.GRPCServe, nil, codes.OK, codes.OK, 2},
 	} {
@@ -49,7 +56,8 @@
 				o.cells = []int{1, 2} // only the edge drops a repeat
 				o.act = func(fakes.Attempt) fakes.GRPCAct { return c.act }
 				o.door = func(d *pumicecroft.Config) {
-					d.Idempotency, d.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: dir}
+					d.Idempotency, d.IdempotencyJournal = &idempotency.Limits{},
+						&pumicecroft.IdempotencyJournal{Dir: dir}
 				}
 			})
 			one := r.call(c.method)
@@ -68,7 +76,9 @@
 				for _, md := range []metadata.MD{first.header, second.header} {
 					md.Delete("date")
 				}
-				if first.text != second.text || first.st.Message() != second.st.Message() || !reflect.DeepEqual(first.trailer, second.trailer) || !reflect.DeepEqual(first.header, second.header) {
+				if first.text != second.text || first.st.Message() != second.st.Message() ||
+					!reflect.DeepEqual(first.trailer, second.trailer) ||
+					!reflect.DeepEqual(first.header, second.header) {
 					t.Errorf("%+v, then %+v", first, second)
 				}
 			}
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -24,7 +24,8 @@
 	"pumicecroft/membership"
 )
 
-// runAsGateway names the variable that makes the test's binary a door of its own, for the backend at the address that it holds.
+// runAsGateway names the variable that makes the test's binary a door of its own, for the backend
+// at the address that it holds.
 const runAsGateway = "PUMICECROFT_GRPC_DOOR"
 
 func TestMain(m *testing.M) {
@@ -52,8 +53,11 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	set := longSettings()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15, InitialEndpoints: membership.Update{Nodes: []membership.Node{
-		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000, ConnectTimeout: testkit.Patient}))
+	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15,
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{
+			{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}},
+		WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000,
+			ConnectTimeout: testkit.Patient}))
 	if err != nil {
 		return err
 	}
@@ -96,11 +100,13 @@
 	return 0
 }
 
-// memoryPerStream opens n streams at a door in a process of its own over ten connections, reads one message of each, and gives what
+// memoryPerStream opens n streams at a door in a process of its own over ten connections, reads one
+// message of each, and gives what
 // the door's memory grew by, in KiB for each, once it no longer grows.
 func memoryPerStream(t testing.TB, act fakes.GRPCAct, n int) float64 {
 	t.Helper()
-	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Act: always(act), MaxStreams: 1000})
+	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Act: always(act),
+		MaxStreams: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +165,8 @@
 		}
 	}
 	last := 0
-	for now := residentBytes(t, door.Process.Pid); now > last+last/100; now = residentBytes(t, door.Process.Pid) { // by more than 1% in a second
+	// by more than 1% in a second
+	for now := residentBytes(t, door.Process.Pid); now > last+last/100; now = residentBytes(t, door.Process.Pid) {
 		last = now
 		time.Sleep(time.Second)
 	}
@@ -176,7 +183,8 @@
 	}
 }
 
-// BenchmarkMemory reports what each of 10,000 idle streams and each of 1,000 streams whose clients do not read costs a door,
+// BenchmarkMemory reports what each of 10,000 idle streams and each of 1,000 streams whose clients
+// do not read costs a door,
 // in KiB of its process.
 //
 //	go test -run xxx -bench Memory -benchtime 1x ./grpcproxy
--- a/grpcproxy/message.go
+++ b/grpcproxy/message.go
@@ -19,7 +19,8 @@
 type framedMessage []byte
 
 // errClientStreaming rejects calls whose clients stream.
-var errClientStreaming = fmt.Errorf("%w: a second message: only unary and server-streaming calls are carried", pumicecroft.ErrBadRequest)
+var errClientStreaming = fmt.Errorf("%w: a second message: only unary and server-streaming calls are carried",
+	pumicecroft.ErrBadRequest)
 
 // receivedMessage is what receiveMessages has received.
 type receivedMessage struct {
@@ -31,7 +32,8 @@
 // another, or does not half-close, is rejected; but of a streaming method the first message is
 // enough, as clients of a bidirectional method wait for the response before they half-close. A
 // second message ends the call by cancel then.
-func (p *Proxy) receiveMessage(stream grpc.ServerStream, streaming bool, cancel context.CancelCauseFunc) (framedMessage, error) {
+func (p *Proxy) receiveMessage(stream grpc.ServerStream, streaming bool,
+	cancel context.CancelCauseFunc) (framedMessage, error) {
 	received := make(chan receivedMessage, 1)
 	go receiveMessages(stream, streaming, received, cancel) // it ends with the call at the latest
 	timeout := time.NewTimer(p.config.ReadTimeout)
@@ -40,12 +42,14 @@
 	case r := <-received:
 		return r.message, receiveError(stream, r.err)
 	case <-timeout.C:
-		return nil, fmt.Errorf("%w: no complete message and half-close within %v", pumicecroft.ErrBadRequest, p.config.ReadTimeout)
+		return nil, fmt.Errorf("%w: no complete message and half-close within %v", pumicecroft.ErrBadRequest,
+			p.config.ReadTimeout)
 	}
 }
 
 // receiveMessages receives until the client half-closes, or a second message.
-func receiveMessages(stream grpc.ServerStream, streaming bool, received chan<- receivedMessage, cancel context.CancelCauseFunc) {
+func receiveMessages(stream grpc.ServerStream, streaming bool, received chan<- receivedMessage,
+	cancel context.CancelCauseFunc) {
 	var first, second framedMessage
 	err := stream.RecvMsg(&first)
 	switch {
--- a/grpcproxy/proxy_test.go
+++ b/grpcproxy/proxy_test.go
@@ -21,7 +21,8 @@
 	"pumicecroft/membership"
 )
 
-// How each way of a backend to end an attempt reaches the client, for each class, with another backend of the cell there
+// How each way of a backend to end an attempt reaches the client, for each class, with another
+// backend of the cell there
 // and without one.
 func TestCallOutcomes(t *testing.T) {
 	type end struct {
@@ -147,7 +148,8 @@
 // One customer that floods over both at once stays under its ceiling.
 func TestHardLimitSharedByHTTPAndGRPC(t *testing.T) {
 	const rate, burst, slack = 40.0, 16.0, 1.0
-	r, overHTTP := startMixedProtocols(t, decision.Plan{Name: "capped", Rate: 1e5, Burst: 1e5, Price: 1, HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: slack})
+	r, overHTTP := startMixedProtocols(t, decision.Plan{Name: "capped", Rate: 1e5, Burst: 1e5, Price: 1,
+		HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: slack})
 	var asking sync.WaitGroup
 	var ids atomic.Int64
 	end := time.Now().Add(1200 * time.Millisecond)
@@ -175,7 +177,8 @@
 		kinds[a.Backend == "h"]++
 	}
 	if least < -slack || kinds[true] == 0 || kinds[false] == 0 {
-		t.Errorf("%d sent on over HTTP, %d over gRPC, the ceiling's store went to %.1f", kinds[true], kinds[false], least)
+		t.Errorf("%d sent on over HTTP, %d over gRPC, the ceiling's store went to %.1f", kinds[true], kinds[false],
+			least)
 	}
 }
 
@@ -212,7 +215,10 @@
 				var m framedMessage
 				gone <- errors.Join(err, s.RecvMsg(&m))
 			}()
-			if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End != "" }) {
+			if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool {
+				return len(as) == 1 &&
+					as[0].End != ""
+			}) {
 				t.Fatal("it never came")
 			}
 			testkit.Await(t, begun, "the call's beginning")
@@ -232,13 +238,15 @@
 			if n := len(r.ledger.Of(c.id)); n != 1 || r.ledger.Effects(c.key) != 1 {
 				t.Errorf("%d attempts, %d effects", n, r.ledger.Effects(c.key))
 			}
-			await(t, "the backend to hear of it", func() bool { return r.backends[0].Resets()+r.backends[1].Resets() == 1 })
+			await(t, "the backend to hear of it",
+				func() bool { return r.backends[0].Resets()+r.backends[1].Resets() == 1 })
 			await(t, "the end of all that was open", func() bool { return r.gateway.OpenRequests() == 0 })
 		})
 	}
 }
 
-// A backend that sends headers and then nothing: a safe call is answered by another backend or refused, a keyed one fails
+// A backend that sends headers and then nothing: a safe call is answered by another backend or
+// refused, a keyed one fails
 // in time where no other backend drops its repeat, and no client is told to make it again.
 func TestHeadThenNothing(t *testing.T) {
 	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCHeadThenHang), []int{0, 1} })
@@ -256,7 +264,8 @@
 			}
 			// A safe one may be made again.
 			harmless := method == "Look" || method == "Watch"
-			if took := time.Since(begun); took >= c.timeout || res.pushback == "" || harmless == (res.pushback == "-1") || res.st.Code() == codes.OK {
+			if took := time.Since(begun); took >= c.timeout || res.pushback == "" ||
+				harmless == (res.pushback == "-1") || res.st.Code() == codes.OK {
 				t.Errorf("%s: %v after %v, pushback %q", method, res.st, took, res.pushback)
 			}
 			if n := len(r.ledger.Of(c.id)); !harmless && n != 1 {
@@ -369,7 +378,8 @@
 	}
 }
 
-// A long answer comes whole and in order to a client that reads it, slowly at times: far more of it than any window holds.
+// A long answer comes whole and in order to a client that reads it, slowly at times: far more of it
+// than any window holds.
 func TestLongStream(t *testing.T) {
 	r := newRig(t, func(o *options) { o.act = always(fakes.GRPCEndless) })
 	ctx, leave := context.WithCancel(t.Context())
@@ -408,8 +418,10 @@
 		c.timeout = 600 * time.Millisecond
 		begun := time.Now()
 		res := r.watch(c, nil)
-		if took := time.Since(begun); res.st.Code() != codes.DeadlineExceeded || res.pushback != "-1" || took > c.timeout || len(res.texts) == 0 {
-			t.Errorf("act %d: %v after %v with %d messages, pushback %q", act, res.st, took, len(res.texts), res.pushback)
+		if took := time.Since(begun); res.st.Code() != codes.DeadlineExceeded || res.pushback != "-1" ||
+			took > c.timeout || len(res.texts) == 0 {
+			t.Errorf("act %d: %v after %v with %d messages, pushback %q", act, res.st, took, len(res.texts),
+				res.pushback)
 		}
 	}
 }
@@ -451,7 +463,8 @@
 	}
 }
 
-// What the service says goes through as it is: status, message, details, metadata with binary values, both ways; what is
+// What the service says goes through as it is: status, message, details, metadata with binary
+// values, both ways; what is
 // between two neighbours does not.
 func TestMetadataIsForwardedUnchanged(t *testing.T) {
 	r := newRig(t, func(o *options) { o.cells = []int{0} })
@@ -499,9 +512,10 @@
 		change func(*call)
 		want   codes.Code
 	}{
-		"unknown method":   {"Nap", nil, codes.Unimplemented},
-		"no customer":      {"Look", func(c *call) { c.md.Delete("x-api-key") }, codes.InvalidArgument},
-		"customer twice":   {"Look", func(c *call) { c.md.Append("x-api-key", "0000000000000008") }, codes.InvalidArgument},
+		"unknown method": {"Nap", nil, codes.Unimplemented},
+		"no customer":    {"Look", func(c *call) { c.md.Delete("x-api-key") }, codes.InvalidArgument},
+		"customer twice": {"Look", func(c *call) { c.md.Append("x-api-key", "0000000000000008") },
+			codes.InvalidArgument},
 		"customer in text": {"Look", func(c *call) { c.md.Set("x-api-key", "shop-7") }, codes.InvalidArgument},
 		"no plan":          {"Look", func(c *call) { c.md.Delete("x-tier") }, codes.InvalidArgument},
 		"units of noise":   {"Look", func(c *call) { c.md.Set("x-units", "lots") }, codes.InvalidArgument},
@@ -519,7 +533,8 @@
 			c.change(&k)
 		}
 		begun := time.Now()
-		if res := r.do(k); res.st.Code() != c.want || time.Since(begun) > 5*time.Second || name != "too long" && res.pushback != "-1" {
+		if res := r.do(k); res.st.Code() != c.want || time.Since(begun) > 5*time.Second || name != "too long" &&
+			res.pushback != "-1" {
 			t.Errorf("%s: %v, pushback %q, want %v", name, res.st, res.pushback, c.want)
 		}
 	}
@@ -536,7 +551,8 @@
 	}
 }
 
-// Client streaming is refused by a clear status, at once where a second message comes, and after the time for reading where
+// Client streaming is refused by a clear status, at once where a second message comes, and after
+// the time for reading where
 // the client does not end its sending.
 func TestClientStreaming(t *testing.T) {
 	r := newRig(t, func(o *options) { o.config.ReadTimeout = 200 * time.Millisecond })
@@ -563,7 +579,8 @@
 	}
 }
 
-// A client of a bidirectional method that sends one message and waits for the answer before it ends its sending gets it;
+// A client of a bidirectional method that sends one message and waits for the answer before it ends
+// its sending gets it;
 // a second message ends the call, by a clear status.
 func TestBidirectional(t *testing.T) {
 	r := newRig(t, func(o *options) { o.act = once(fakes.GRPCStream, fakes.GRPCStreamHang) })
@@ -586,7 +603,8 @@
 			if codeOf(err) != codes.InvalidArgument || len(s.Trailer()[PushbackTrailer]) != 1 {
 				t.Errorf("a second message: %v", err)
 			}
-		} else if err := errors.Join(s.RecvMsg(&out), s.RecvMsg(&out), s.CloseSend()); err != nil || !errors.Is(s.RecvMsg(&out), io.EOF) {
+		} else if err := errors.Join(s.RecvMsg(&out), s.RecvMsg(&out), s.CloseSend()); err != nil ||
+			!errors.Is(s.RecvMsg(&out), io.EOF) {
 			t.Errorf("one message: %v", err)
 		}
 		if n := len(r.ledger.Of(c.id)); n != 1 || r.ledger.Effects(c.key) != 1 {
--- a/grpcproxy/serve.go
+++ b/grpcproxy/serve.go
@@ -64,7 +64,8 @@
 	}
 	if name := p.config.Names.ID; name != "" && len(md[name]) == 0 {
 		request = request.WithID(rand.Uint64())
-		payload.Metadata = append(payload.Metadata, grpctransport.Field{Name: name, Value: fmt.Sprintf("%016x", request.ID)})
+		payload.Metadata = append(payload.Metadata, grpctransport.Field{Name: name,
+			Value: fmt.Sprintf("%016x", request.ID)})
 	}
 	return p.forward(ctx, stream, method, payload, request)
 }
--- a/grpcproxy/status.go
+++ b/grpcproxy/status.go
@@ -59,7 +59,8 @@
 }
 
 // rejectionStatus returns the status of a call that the decision engine rejected.
-func rejectionStatus(rejected *pumicecroft.RejectedError, err error, reply *grpctransport.Response) (*status.Status, metadata.MD) {
+func rejectionStatus(rejected *pumicecroft.RejectedError, err error,
+	reply *grpctransport.Response) (*status.Status, metadata.MD) {
 	text := err.Error()
 	if reply != nil {
 		text = fmt.Sprintf("%s; last response: status %d: %s", text, reply.Code, decodeMessage(reply.Message))
--- a/httpproxy/disconnect_test.go
+++ b/httpproxy/disconnect_test.go
@@ -11,7 +11,8 @@
 	"pumicecroft/internal/testkit"
 )
 
-// A client that leaves while its request waits for a connection to a backend, for a first attempt or a further one, is sent to nobody when that
+// A client that leaves while its request waits for a connection to a backend, for a first attempt
+// or a further one, is sent to nobody when that
 // connection is up: whether it closes its connection or cancels its stream, and whatever backends speak.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for _, h2 := range []bool{false, true} { // the client's
@@ -29,13 +30,14 @@
 					}
 					first, second := backend(), backend()
 					dials, waiting, goOn := atomic.Int32{}, make(chan bool, 10), make(chan bool)
-					r := startProxyWithDialer(t, serviceSection("shop", first, second)+backs, func(_ context.Context, network, addr string) (net.Conn, error) {
-						if n := dials.Add(1); n == 1 && !further || n == 2 && further {
-							waiting <- true
-							<-goOn // it comes up all the same
-						}
-						return net.Dial(network, addr)
-					})
+					r := startProxyWithDialer(t, serviceSection("shop", first, second)+backs,
+						func(_ context.Context, network, addr string) (net.Conn, error) {
+							if n := dials.Add(1); n == 1 && !further || n == 2 && further {
+								waiting <- true
+								<-goOn // it comes up all the same
+							}
+							return net.Dial(network, addr)
+						})
 					left := make(chan bool, 1)
 					addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 						context.AfterFunc(req.Context(), func() { left <- true })
--- a/httpproxy/example_test.go
+++ b/httpproxy/example_test.go
@@ -19,27 +19,35 @@
 
 // An ordinary server behind a Door in a program of one's own, beside handlers of its own.
 func Example() {
-	shop := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "item ", r.URL.Path) }))
+	shop := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter,
+		r *http.Request) {
+		fmt.Fprint(w, "item ", r.URL.Path)
+	}))
 	defer shop.Close()
 
 	door, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true,
-			Classes: []decision.Class{{Name: "read", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1},
-				{Name: "write", Idempotency: decision.NonIdempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2}},
+			Classes: []decision.Class{{Name: "read", LatencyObjective: time.Second, Deadline: 5 * time.Second,
+				PriorityWeight: 1},
+				{Name: "write", Idempotency: decision.NonIdempotent, LatencyObjective: time.Second,
+					Deadline: 5 * time.Second, PriorityWeight: 2}},
 			Plans: []decision.Plan{{Name: "everyone", Rate: 100, Burst: 200, Price: 1}}},
-		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "shop-1", Addr: strings.TrimPrefix(shop.URL, "http://"), Protocol: httpproxy.Protocol("shop")}}},
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "shop-1",
+			Addr: strings.TrimPrefix(shop.URL, "http://"), Protocol: httpproxy.Protocol("shop")}}},
 	}, httpproxy.WithService(httpproxy.ServiceConfig{Name: "shop"}))
 	if err != nil {
 		panic(err)
 	}
 	defer func() { _ = door.Close(context.Background()) }()
 	table, err := routes.New([]routes.Rule[*httpproxy.Route]{
-		{Name: "items", Path: "/items/{id}", Target: &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Idempotent: "read", NonIdempotent: "write"}}}})
+		{Name: "items", Path: "/items/{id}", Target: &httpproxy.Route{Service: "shop",
+			Class: httpproxy.Classes{Idempotent: "read", NonIdempotent: "write"}}}})
 	if err != nil {
 		panic(err)
 	}
 	front, err := httpproxy.New(door, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
-		Resolver: identity.New(nil, identity.NamedRule{Name: "address", Rule: &identity.AddressRule{Plan: "everyone"}})}})
+		Resolver: identity.New(nil, identity.NamedRule{Name: "address",
+			Rule: &identity.AddressRule{Plan: "everyone"}})}})
 	if err != nil {
 		panic(err)
 	}
--- a/httpproxy/fixture_test.go
+++ b/httpproxy/fixture_test.go
@@ -47,7 +47,8 @@
 }
 
 // startProxyWithDialer is start with a way to open connections to backends.
-func startProxyWithDialer(t testing.TB, text string, dial func(context.Context, string, string) (net.Conn, error), options ...pumicecroft.Option) *fixture {
+func startProxyWithDialer(t testing.TB, text string, dial func(context.Context, string, string) (net.Conn, error),
+	options ...pumicecroft.Option) *fixture {
 	t.Helper()
 	r := &fixture{t: t, file: parseFile(t, text)}
 	for _, s := range r.file.HTTP.Services {
--- a/httpproxy/hostile_test.go
+++ b/httpproxy/hostile_test.go
@@ -28,8 +28,10 @@
 	seed  = flag.Uint64("seed", 1, "that they are made of")
 )
 
-// hostileRequest makes a head whose framing can be read in two ways, or that is bad in a place or two, with a second request behind it that belongs to
-// its body by one reading at least: no backend may see that one. Where only one reading is left, the request is part of the body by it.
+// hostileRequest makes a head whose framing can be read in two ways, or that is bad in a place or
+// two, with a second request behind it that belongs to
+// its body by one reading at least: no backend may see that one. Where only one reading is left,
+// the request is part of the body by it.
 func hostileRequest(rng *rand.Rand) string {
 	oneOf := func(from ...string) string { return from[rng.IntN(len(from))] }
 	pick := func(usual string, from ...string) string { // mostly the usual, so that most heads are bad in few places
@@ -39,13 +41,18 @@
 		return oneOf(from...)
 	}
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: x\r\nX-A: b\r\n\r\n"
-	body := oneOf("0\r\n\r\n"+smuggled, "5\r\nhello\r\n0\r\n\r\n"+smuggled, fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(smuggled), smuggled), "0\r\nX: y\r\n\r\n"+smuggled,
-		"0;ext=\"\r\n\r\n"+smuggled, "00000000000000000000\r\n\r\n"+smuggled, "0\n\n"+smuggled, "-1\r\n"+smuggled, "0x0\r\n\r\n"+smuggled)
+	body := oneOf("0\r\n\r\n"+smuggled, "5\r\nhello\r\n0\r\n\r\n"+smuggled,
+		fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(smuggled), smuggled), "0\r\nX: y\r\n\r\n"+smuggled,
+		"0;ext=\"\r\n\r\n"+smuggled, "00000000000000000000\r\n\r\n"+smuggled, "0\n\n"+smuggled, "-1\r\n"+smuggled,
+		"0x0\r\n\r\n"+smuggled)
 	mutate := rng.IntN(5) == 0
 	whole := fmt.Sprint("Content-Length: ", len(body))
-	chunked := pick("Transfer-Encoding: chunked", "transfer-encoding:chunked", "Transfer-Encoding:\tchunked", "Transfer-Encoding : chunked", "Transfer-Encoding: xchunked", "Transfer-Encoding: chunked, identity",
-		"Transfer-Encoding: identity, chunked", "Transfer-Encoding: \"chunked\"", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity",
-		"X: y\rTransfer-Encoding: chunked", "X: y\nTransfer-Encoding: chunked", "Transfer-Encoding: chunked\x00", "Transfer\x00-Encoding: chunked", "Transfer-Encoding: CHUNKED", "Transfer-Encoding:\x0bchunked")
+	chunked := pick("Transfer-Encoding: chunked", "transfer-encoding:chunked", "Transfer-Encoding:\tchunked",
+		"Transfer-Encoding : chunked", "Transfer-Encoding: xchunked", "Transfer-Encoding: chunked, identity",
+		"Transfer-Encoding: identity, chunked", "Transfer-Encoding: \"chunked\"",
+		"Transfer-Encoding: chunked\r\nTransfer-Encoding: identity",
+		"X: y\rTransfer-Encoding: chunked", "X: y\nTransfer-Encoding: chunked", "Transfer-Encoding: chunked\x00",
+		"Transfer\x00-Encoding: chunked", "Transfer-Encoding: CHUNKED", "Transfer-Encoding:\x0bchunked")
 	var fields []string
 	switch rng.IntN(4) {
 	case 0:
@@ -53,7 +60,8 @@
 	case 1:
 		fields = []string{chunked}
 	default:
-		length := oneOf("0", "1", "5", fmt.Sprint(len(body)-len(smuggled)), "+3", "-1", "0x5", "5, 5", "5,6", "", " ", "99999999999999999999", "1e1", "٣", fmt.Sprint(len(body)))
+		length := oneOf("0", "1", "5", fmt.Sprint(len(body)-len(smuggled)), "+3", "-1", "0x5", "5, 5", "5,6", "", " ",
+			"99999999999999999999", "1e1", "٣", fmt.Sprint(len(body)))
 		if mutate { // the coding's field may be another by it, and the length alone be right
 			length = fmt.Sprint(len(body))
 		}
@@ -63,16 +71,23 @@
 		}
 	}
 	if rng.IntN(2) == 0 {
-		fields = append(fields, oneOf("Host: y", "Connection: close", "Connection: Content-Length, Transfer-Encoding", "Expect: 100-continue", "Upgrade: h2c", "X-"+strings.Repeat("n", rng.IntN(300))+": v",
-			": novalue", "novalue", "\tfold: x", "X-Forwarded-For: ::", "Via: x", "Te: trailers, chunked", "Trailer: Content-Length", "Content-Encoding: gzip", "X: \xff\xfe", "Idempotency-Key: "+strings.Repeat("k", rng.IntN(3000))))
+		fields = append(fields, oneOf("Host: y", "Connection: close", "Connection: Content-Length, Transfer-Encoding",
+			"Expect: 100-continue", "Upgrade: h2c", "X-"+strings.Repeat("n", rng.IntN(300))+": v",
+			": novalue", "novalue", "\tfold: x", "X-Forwarded-For: ::", "Via: x", "Te: trailers, chunked",
+			"Trailer: Content-Length", "Content-Encoding: gzip", "X: \xff\xfe",
+			"Idempotency-Key: "+strings.Repeat("k", rng.IntN(3000))))
 	}
 	rng.Shuffle(len(fields), func(i, j int) { fields[i], fields[j] = fields[j], fields[i] })
-	line := pick("POST", "GET", "PUT", "P\x00ST", "post", "", "POST ", "PRI") + pick(" ", "  ", "\t") + pick("/", "/a%00b", "*", "/\x7f", "//", "http://x/", "/a b", "/..;/x", "/%", "\\", "/"+strings.Repeat("a", rng.IntN(2000))) +
-		pick(" HTTP/1.1", " HTTP/1.0", " HTTP/2.0", " HTTP/0.9", "", " HTTP/1.1 ", " http/1.1") + pick("\r\n", "\n", "\r")
+	line := pick("POST", "GET", "PUT", "P\x00ST", "post", "", "POST ", "PRI") + pick(" ", "  ", "\t") + pick("/",
+		"/a%00b", "*", "/\x7f", "//", "http://x/", "/a b", "/..;/x", "/%", "\\",
+		"/"+strings.Repeat("a", rng.IntN(2000))) +
+		pick(" HTTP/1.1", " HTTP/1.0", " HTTP/2.0", " HTTP/0.9", "", " HTTP/1.1 ", " http/1.1") + pick("\r\n", "\n",
+		"\r")
 	head := line + "Host: x\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
 	if mutate && slices.Contains(fields, chunked) { // a length alone would be another, by every reader
 		b := []byte(head)
-		b[rng.IntN(len(b)-2)] = "\x00\r\t :;,aZ0\x7f\xff"[rng.IntN(12)] // not a line's end: the head would end there, by every reading
+		// not a line's end: the head would end there, by every reading
+		b[rng.IntN(len(b)-2)] = "\x00\r\t :;,aZ0\x7f\xff"[rng.IntN(12)]
 		head = string(b)
 	}
 	return head + body
@@ -98,16 +113,17 @@
 	backends := bufconn.Listen(64 << 10)
 	var mu sync.Mutex
 	var from string
-	bs := &http.Server{ErrorLog: log.New(io.Discard, "", 0), Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		arrived.Add(1)
-		if strings.Contains(r.RequestURI, "smuggled") {
-			smuggled.Add(1)
-			mu.Lock()
-			from = fmt.Sprint(r.Header)
-			mu.Unlock()
-		}
-		io.Copy(io.Discard, r.Body)
-	})}
+	bs := &http.Server{ErrorLog: log.New(io.Discard, "", 0),
+		Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+			arrived.Add(1)
+			if strings.Contains(r.RequestURI, "smuggled") {
+				smuggled.Add(1)
+				mu.Lock()
+				from = fmt.Sprint(r.Header)
+				mu.Unlock()
+			}
+			io.Copy(io.Discard, r.Body)
+		})}
 	go bs.Serve(backends)
 	defer bs.Close()
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) { return backends.DialContext(ctx) }
@@ -118,12 +134,14 @@
 	}
 	defer func() { _ = door.Close(context.Background()) }()
 	door.Update(f.Backends)
-	front, err := httpproxy.New(door, httpproxy.Config{Rules: (&fixture{t: t}).rules(f), BodyReadTimeout: 100 * time.Millisecond})
+	front, err := httpproxy.New(door, httpproxy.Config{Rules: (&fixture{t: t}).rules(f),
+		BodyReadTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	clients := bufconn.Listen(64 << 10)
-	fs := &http.Server{Handler: front, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 100 * time.Millisecond, IdleTimeout: 100 * time.Millisecond}
+	fs := &http.Server{Handler: front, ErrorLog: log.New(io.Discard, "", 0),
+		ReadHeaderTimeout: 100 * time.Millisecond, IdleTimeout: 100 * time.Millisecond}
 	go fs.Serve(addressedListener{clients})
 	defer fs.Close()
 	t.Logf("seed %d", *seed)
@@ -170,7 +188,8 @@
 		})
 	}
 	ran.Wait()
-	t.Logf("%d heads: %d answered, %d ended without, %d requests at the backend, slowest %v", *heads, answered.Load(), closed.Load(), arrived.Load(), time.Duration(slowest.Load()))
+	t.Logf("%d heads: %d answered, %d ended without, %d requests at the backend, slowest %v", *heads, answered.Load(),
+		closed.Load(), arrived.Load(), time.Duration(slowest.Load()))
 	if arrived.Load() < int64(*heads)/20 || smuggled.Load() > 0 || door.OpenRequests() > 0 {
 		t.Errorf("%d arrived, %d of them smuggled, %d are open", arrived.Load(), smuggled.Load(), door.OpenRequests())
 	}
--- a/httpproxy/http2_test.go
+++ b/httpproxy/http2_test.go
@@ -15,8 +15,10 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// startFrameBackend is a backend on HTTP/2's frames: each stream that comes is ended by act, which answers if it is nil.
-func startFrameBackend(t testing.TB, act func(n int64, f *http2.Framer, stream uint32) (answered bool)) (addr string, came *atomic.Int64) {
+// startFrameBackend is a backend on HTTP/2's frames: each stream that comes is ended by act, which
+// answers if it is nil.
+func startFrameBackend(t testing.TB, act func(n int64, f *http2.Framer, stream uint32) (answered bool)) (addr string,
+	came *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +53,8 @@
 					}
 					var b bytes.Buffer
 					_ = hpack.NewEncoder(&b).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
-					_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: h.StreamID, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true})
+					_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: h.StreamID, BlockFragment: b.Bytes(),
+						EndHeaders: true, EndStream: true})
 				}
 			}()
 		}
@@ -59,7 +62,8 @@
 	return ln.Addr().String(), came
 }
 
-// What an HTTP/2 backend does with a stream proves whether it ran: refused or beyond a GOAWAY it has not, and goes elsewhere whatever its method;
+// What an HTTP/2 backend does with a stream proves whether it ran: refused or beyond a GOAWAY it
+// has not, and goes elsewhere whatever its method;
 // else one that must not be repeated is not.
 func TestHTTP2BackendBehaviours(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -67,9 +71,11 @@
 		post, get int // statuses
 		again     bool
 	}{
-		"refused":  {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream) }, 200, 200, true},
-		"leaving":  {func(f *http2.Framer, s uint32) { _ = f.WriteGoAway(s-1, http2.ErrCodeNo, nil) }, 200, 200, true},
-		"an error": {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeInternal) }, 502, 200, false},
+		"refused": {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream) }, 200,
+			200, true},
+		"leaving": {func(f *http2.Framer, s uint32) { _ = f.WriteGoAway(s-1, http2.ErrCodeNo, nil) }, 200, 200, true},
+		"an error": {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeInternal) }, 502, 200,
+			false},
 		"leaving badly": {func(f *http2.Framer, s uint32) {
 			_ = f.WriteGoAway(s, http2.ErrCodeInternal, nil)
 			_ = f.WriteRSTStream(s, http2.ErrCodeCancel)
@@ -87,7 +93,8 @@
 					}
 					return n == 1
 				})
-				r := startProxy(t, serviceSection("shop", addr, strings.Replace(addr, "127.0.0.1", "localhost", 1))+"speaks = \"h2\"\n")
+				r := startProxy(t, serviceSection("shop", addr,
+					strings.Replace(addr, "127.0.0.1", "localhost", 1))+"speaks = \"h2\"\n")
 				req, _ := http.NewRequest(method, "http://"+r.addr+"/", nil)
 				res, err := http.DefaultClient.Do(req)
 				if err != nil {
@@ -108,7 +115,8 @@
 	}
 }
 
-// Many at once share few connections, over TLS as without; streams beyond what the backend allows are not queued behind others.
+// Many at once share few connections, over TLS as without; streams beyond what the backend allows
+// are not queued behind others.
 func TestManyRequestsOverHTTP2(t *testing.T) {
 	var mu sync.Mutex
 	conns := map[string]bool{}
--- a/httpproxy/problem.go
+++ b/httpproxy/problem.go
@@ -72,13 +72,15 @@
 		return detailed(http.StatusMethodNotAllowed, "method", "No route takes this method", err), true
 	case errors.Is(err, routes.ErrNoRoute):
 		return problemResponse{status: http.StatusNotFound, name: "no-route", title: "No route takes such a request"}, true
-	case errors.Is(err, routes.ErrInvalidPath), errors.Is(err, routes.ErrInvalidHost), errors.Is(err, http1proxy.ErrInvalidTarget),
+	case errors.Is(err, routes.ErrInvalidPath), errors.Is(err, routes.ErrInvalidHost),
+		errors.Is(err, http1proxy.ErrInvalidTarget),
 		errors.Is(err, http1proxy.ErrInvalidField), errors.Is(err, errMalformedRequest):
 		return closing(http.StatusBadRequest, "bad-request", "The request makes no sense", err), true
 	case errors.Is(err, http1proxy.ErrLoop):
 		return detailed(http.StatusLoopDetected, "loop", "The request goes in a circle", err), true
 	case errors.Is(err, errRouteRejects):
-		return problemResponse{status: resolved.Rule.Target.RejectStatus, name: "route-refuses", title: "The route refuses"}, true
+		return problemResponse{status: resolved.Rule.Target.RejectStatus, name: "route-refuses",
+			title: "The route refuses"}, true
 	case errors.Is(err, errUpgradeUnsupported):
 		return detailed(http.StatusNotImplemented, "upgrade", "Connections are not upgraded here", err), true
 	case errors.Is(err, identity.ErrNoCredential):
@@ -96,11 +98,13 @@
 func bodyProblem(err error) (problemResponse, bool) {
 	switch {
 	case errors.Is(err, errBodyTooLarge):
-		return closing(http.StatusRequestEntityTooLarge, "body-too-large", "The body is larger than the route takes", err), true
+		return closing(http.StatusRequestEntityTooLarge, "body-too-large", "The body is larger than the route takes",
+			err), true
 	case errors.Is(err, errBodyReadTimeout):
 		return closing(http.StatusRequestTimeout, "body-too-slow", "The body did not come in its time", err), true
 	case errors.Is(err, errNoBodyMemory):
-		return problemResponse{status: http.StatusServiceUnavailable, name: "no-memory", title: "There is no room for the body now",
+		return problemResponse{status: http.StatusServiceUnavailable, name: "no-memory",
+			title:      "There is no room for the body now",
 			retryAfter: noBodyMemoryRetryAfter, closeConn: true}, true
 	}
 	return problemResponse{}, false
@@ -127,10 +131,12 @@
 	case errors.Is(err, pumicecroft.ErrReplayed), errors.Is(err, pumicecroft.ErrResponseNotRetained):
 		return detailed(http.StatusConflict, "replayed", "The request was here before", err)
 	case errors.Is(err, pumicecroft.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
-		return problemResponse{status: http.StatusGatewayTimeout, name: "late", title: "There was no answer in time; it may have run"}
+		return problemResponse{status: http.StatusGatewayTimeout, name: "late",
+			title: "There was no answer in time; it may have run"}
 	}
 	// ErrFailed, or the client has disconnected. One that has ended its sending alone still reads this.
-	return problemResponse{status: http.StatusBadGateway, name: "failed", title: "There is no answer to pass on; it may have run"}
+	return problemResponse{status: http.StatusBadGateway, name: "failed",
+		title: "There is no answer to pass on; it may have run"}
 }
 
 // rejectionProblem returns the response to a request that the decision engine has rejected: nothing
--- a/httpproxy/proxy.go
+++ b/httpproxy/proxy.go
@@ -315,7 +315,8 @@
 		problems = append(problems, fmt.Errorf("%w: route %q has no class", ErrInvalidRules, rule.Name))
 	}
 	if !p.gateway.SupportsProtocol(Protocol(target.Service)) {
-		problems = append(problems, fmt.Errorf("%w: route %q has unknown service %q", ErrInvalidRules, rule.Name, target.Service))
+		problems = append(problems, fmt.Errorf("%w: route %q has unknown service %q", ErrInvalidRules, rule.Name,
+			target.Service))
 	}
 	if err := target.Statuses.Validate(); err != nil {
 		problems = append(problems, fmt.Errorf("%w: route %q: %w", ErrInvalidRules, rule.Name, err))
--- a/httpproxy/proxy_test.go
+++ b/httpproxy/proxy_test.go
@@ -26,7 +26,8 @@
 
 const testTimeout = 20 * time.Second
 
-// scriptedBackend is a backend below HTTP: each connection's requests are answered by the texts in turn, and "close" resets it.
+// scriptedBackend is a backend below HTTP: each connection's requests are answered by the texts in
+// turn, and "close" resets it.
 type scriptedBackend struct {
 	ln   net.Listener
 	mu   sync.Mutex
@@ -124,7 +125,8 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// What a backend does is what its client gets, or what the door makes of it: for each way of a backend, requests that may be repeated and ones
+// What a backend does is what its client gets, or what the door makes of it: for each way of a
+// backend, requests that may be repeated and ones
 // that may not.
 func TestBackendBehaviours(t *testing.T) {
 	const get, post, put = "GET", "POST", "PUT"
@@ -137,39 +139,65 @@
 	}{
 		{"broken, of an idempotent method", put, "x", []string{"close", okResponse}, 200, 2, "ok", false},
 		{"broken, of one that is not", post, "x", []string{"close", okResponse}, 502, 1, "problem:failed", false},
-		{"503 that says when", post, "x", []string{"HTTP/1.1 503 X\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2, "ok", false},
-		{"503 that does not", post, "x", []string{"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy", okResponse}, 503, 1, "busy", false},
-		{"503 that does not, to be repeated at will", get, "", []string{"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2, "ok", false},
+		{"503 that says when", post, "x", []string{"HTTP/1.1 503 X\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n",
+			okResponse}, 200, 2, "ok", false},
+		{"503 that does not", post, "x", []string{"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy", okResponse}, 503,
+			1, "busy", false},
+		{"503 that does not, to be repeated at will", get, "",
+			[]string{"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2, "ok", false},
 		{"429", post, "x", []string{"HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2, "ok", false},
 		{"500", post, "x", []string{"HTTP/1.1 500 X\r\nContent-Length: 3\r\n\r\nbad"}, 500, 1, "bad", false},
-		{"500 in chunks", post, "x", []string{"HTTP/1.1 500 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbad\r\n0\r\n\r\n"}, 500, 1, "bad", false},
-		{"a large 500, to be repeated at will", get, "", []string{"HTTP/1.1 500 X\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("e", 70000), okResponse}, 200, 2, "ok", false},
-		{"500 too large to be held", post, "x", []string{"HTTP/1.1 500 X\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("e", 300000)}, 500, 1, strings.Repeat("e", 300000), false},
-		{"a refusal too large to be held", post, "x", []string{"HTTP/1.1 503 X\r\nRetry-After: 1\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("e", 300000), okResponse}, 200, 2, "ok", false},
-		{"a refusal too large to be held, in chunks", post, "x", []string{"HTTP/1.1 429 X\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n" + strings.Repeat("e", 300000) + "\r\n0\r\n\r\n", okResponse}, 200, 2, "ok", false},
+		{"500 in chunks", post, "x",
+			[]string{"HTTP/1.1 500 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbad\r\n0\r\n\r\n"}, 500, 1, "bad",
+			false},
+		{"a large 500, to be repeated at will", get, "",
+			[]string{"HTTP/1.1 500 X\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("e", 70000), okResponse}, 200,
+			2, "ok", false},
+		{"500 too large to be held", post, "x", []string{"HTTP/1.1 500 X\r\nContent-Length: 300000\r\n\r\n" +
+			strings.Repeat("e", 300000)}, 500, 1, strings.Repeat("e", 300000), false},
+		{"a refusal too large to be held", post, "x",
+			[]string{"HTTP/1.1 503 X\r\nRetry-After: 1\r\nContent-Length: 300000\r\n\r\n" +
+				strings.Repeat("e", 300000), okResponse}, 200, 2, "ok", false},
+		{"a refusal too large to be held, in chunks", post, "x",
+			[]string{"HTTP/1.1 429 X\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n" + strings.Repeat("e", 300000) +
+				"\r\n0\r\n\r\n", okResponse}, 200, 2, "ok", false},
 		{"501", get, "", []string{"HTTP/1.1 501 X\r\nContent-Length: 0\r\n\r\n"}, 501, 1, "", false},
-		{"a status line of its own making", get, "", []string{"HTTP/1.1 299 All Quite Fine\r\nContent-Length: 2\r\n\r\nok"}, 299, 1, "ok", false},
-		{"a status that is none", post, "", []string{"HTTP/1.1 042 X\r\nContent-Length: 0\r\n\r\n"}, 502, 1, "problem:failed", false},
+		{"a status line of its own making", get, "",
+			[]string{"HTTP/1.1 299 All Quite Fine\r\nContent-Length: 2\r\n\r\nok"}, 299, 1, "ok", false},
+		{"a status that is none", post, "", []string{"HTTP/1.1 042 X\r\nContent-Length: 0\r\n\r\n"}, 502, 1,
+			"problem:failed", false},
 		{"noise", post, "", []string{"\x00\x01noise\r\n\r\n"}, 502, 1, "problem:failed", false},
 		{"HTTP/1.0 to the end", get, "", []string{"HTTP/1.0 200 OK\r\n\r\nold cut"}, 200, 1, "old cut", false},
-		{"a short answer cut, then whole", get, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut", okResponse}, 200, 2, "ok", false},
-		{"a short answer cut, not to be repeated", post, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut"}, 502, 1, "problem:failed", false},
-		{"chunks cut", get, "", []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\ncut", okResponse}, 200, 1, "hello", true},
+		{"a short answer cut, then whole", get, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut",
+			okResponse}, 200, 2, "ok", false},
+		{"a short answer cut, not to be repeated", post, "",
+			[]string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut"}, 502, 1, "problem:failed", false},
+		{"chunks cut", get, "", []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\ncut",
+			okResponse}, 200, 1, "hello", true},
 		{"a body to HEAD", "HEAD", "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"}, 200, 1, "", false},
-		{"a switch that nobody asked for", post, "", []string{"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"}, 502, 1, "problem:failed", false},
-		{"two lengths", post, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"}, 502, 1, "problem:failed", false},
-		{"a head without an end", post, "", []string{"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: "+strings.Repeat("a", 1000)+"\r\n", 100)}, 502, 1, "problem:failed", false},
-		{"before it has the request", post, strings.Repeat("b", 900_000), []string{"early:HTTP/1.1 413 X\r\nContent-Length: 3\r\n\r\nbig"}, 413, 1, "big", false},
+		{"a switch that nobody asked for", post, "",
+			[]string{"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"}, 502, 1,
+			"problem:failed", false},
+		{"two lengths", post, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"},
+			502, 1, "problem:failed", false},
+		{"a head without an end", post, "", []string{"HTTP/1.1 200 OK\r\n" +
+			strings.Repeat("X-A: "+strings.Repeat("a", 1000)+"\r\n", 100)}, 502, 1, "problem:failed", false},
+		{"before it has the request", post, strings.Repeat("b", 900_000),
+			[]string{"early:HTTP/1.1 413 X\r\nContent-Length: 3\r\n\r\nbig"}, 413, 1, "big", false},
 		{"204", "DELETE", "", []string{"HTTP/1.1 204 X\r\n\r\n"}, 204, 1, "", false},
-		{"hints", get, "", []string{"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + okResponse}, 200, 1, "ok", false},
-		{"hints without an end", post, "", []string{strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) + okResponse}, 502, 1, "problem:failed", false},
+		{"hints", get, "", []string{"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + okResponse}, 200, 1, "ok",
+			false},
+		{"hints without an end", post, "", []string{strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) +
+			okResponse}, 502, 1, "problem:failed", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			b := startScriptedBackend(t, c.answers...)
 			// Two names of one backend: a repeat may go to the other.
-			r := startProxy(t, serviceSection("shop", b.addr(), strings.Replace(b.addr(), "127.0.0.1", "localhost", 1))+"hold = 65536\n")
-			text := fmt.Sprintf("%s /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", c.method, len(c.body), c.body)
+			r := startProxy(t, serviceSection("shop", b.addr(),
+				strings.Replace(b.addr(), "127.0.0.1", "localhost", 1))+"hold = 65536\n")
+			text := fmt.Sprintf("%s /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s",
+				c.method, len(c.body), c.body)
 			got := sendRaw(t, r.addr, text, testTimeout)
 			infos, res, body, err := exchangeRaw(t, c.method, got)
 			if res == nil {
@@ -237,7 +265,8 @@
 	for _, c := range []struct {
 		name, text, want string // a status, and a part of the answer or "METHOD target" as it arrived
 	}{
-		{"a host with port, case and dot", "GET /items/7?q=2 HTTP/1.1\r\nHost: SHOP.example.:8080\r\n", "200 GET /items/7?q=2"},
+		{"a host with port, case and dot", "GET /items/7?q=2 HTTP/1.1\r\nHost: SHOP.example.:8080\r\n",
+			"200 GET /items/7?q=2"},
 		{"an encoded slash", "GET /items/a%2Fb HTTP/1.1\r\nHost: shop.example\r\n", "200 GET /items/a%2Fb"},
 		{"an empty segment", "GET //items/7 HTTP/1.1\r\nHost: shop.example\r\n", "404 no-route"},
 		{"a parameter that is empty", "GET /items/ HTTP/1.1\r\nHost: shop.example\r\n", "404 no-route"},
@@ -252,7 +281,8 @@
 		{"another method", "GET /only HTTP/1.1\r\nHost: z\r\n", "405 POST, PUT"},
 		{"a target of a proxy", "GET http://shop.example/items/7 HTTP/1.1\r\nHost: shop.example\r\n", "400 "},
 		{"CONNECT", "CONNECT shop.example:80 HTTP/1.1\r\nHost: shop.example:80\r\n", "400 "},
-		{"an upgrade", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n", "501 upgrade"},
+		{"an upgrade", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n",
+			"501 upgrade"},
 		{"a fragment", "GET /items/7#x HTTP/1.1\r\nHost: shop.example\r\n", "400 "},
 		{"two keys", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nIdempotency-Key: a\r\nIdempotency-Key: b\r\nContent-Length: 0\r\n", "400 twice"},
 		{"10,000 fields", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\n" + many, "200 GET /items/7"},
@@ -260,12 +290,17 @@
 		{"NUL in a field", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-A: a\x00b\r\n", "400 "},
 		{"a bare CR", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-A: a\rTransfer-Encoding: chunked\r\n", "400 "},
 		{"a fold", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-A: a\r\n b\r\n", "200 X-A: a b"},
-		{"two lengths", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 0\r\nContent-Length: 1\r\n", "400 "},
-		{"a length beside chunks", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /items/smuggled HTTP/1.1\r\nHost: shop.example\r\n", "200 POST /items/7"},
-		{"a body over the limit", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 1048577\r\n", "413 body-too-large"},
-		{"a customer that it says itself", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-Customer: boss\r\nX-Forwarded-For: 10.1.1.1\r\nForwarded: for=10.1.1.1\r\n", "200 X-Forwarded-For: 127.0.0.1"},
+		{"two lengths", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 0\r\nContent-Length: 1\r\n",
+			"400 "},
+		{"a length beside chunks",
+			"POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /items/smuggled HTTP/1.1\r\nHost: shop.example\r\n", "200 POST /items/7"},
+		{"a body over the limit", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 1048577\r\n",
+			"413 body-too-large"},
+		{"a customer that it says itself",
+			"GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-Customer: boss\r\nX-Forwarded-For: 10.1.1.1\r\nForwarded: for=10.1.1.1\r\n", "200 X-Forwarded-For: 127.0.0.1"},
 		{"nominated", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-Customer: boss\r\nConnection: X-Forwarded-For, X-Customer, Via, X-Request-Id\r\n", "200 X-Forwarded-For: 127.0.0.1"},
-		{"a circle", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nVia: " + strings.Repeat("1.1 pumicecroft, ", 8) + "\r\n", "508 loop"},
+		{"a circle", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nVia: " + strings.Repeat("1.1 pumicecroft, ", 8) +
+			"\r\n", "508 loop"},
 		{"HTTP/1.0", "GET /x HTTP/1.0\r\n", "404 no-route"},
 		{"HTTP/1.0 with a host", "GET /items/7 HTTP/1.0\r\nHost: shop.example\r\n", "200 GET /items/7"},
 	} {
@@ -295,15 +330,19 @@
 						what += name + ": " + v + "\n"
 					}
 				}
-				if got.Header["X-Customer"] != nil || got.Header["Forwarded"] != nil || len(got.Header["X-Request-Id"]) != 1 || len(got.Header["Via"]) != 1 || strings.Contains(got.RequestURI, "smuggled") {
+				if got.Header["X-Customer"] != nil || got.Header["Forwarded"] != nil ||
+					len(got.Header["X-Request-Id"]) != 1 || len(got.Header["Via"]) != 1 ||
+					strings.Contains(got.RequestURI, "smuggled") {
 					t.Errorf("what it said for itself arrived: %v", got.Header)
 				}
 			}
 			status, part, _ := strings.Cut(c.want, " ")
-			if !strings.HasPrefix(what, status+" ") || !strings.Contains(what, part) || (got != nil) != (status == "200") {
+			if !strings.HasPrefix(what, status+" ") || !strings.Contains(what, part) ||
+				(got != nil) != (status == "200") {
 				t.Errorf("%.400s", what)
 			}
-			if ct := res.Header.Get("Content-Type"); got == nil && res.StatusCode != 431 && ct != "application/problem+json" && !strings.Contains(body, "Bad Request") {
+			if ct := res.Header.Get("Content-Type"); got == nil && res.StatusCode != 431 &&
+				ct != "application/problem+json" && !strings.Contains(body, "Bad Request") {
 				t.Errorf("no problem document, but %q: %.200q", ct, body)
 			}
 		})
@@ -346,7 +385,8 @@
 	}
 }
 
-// A client that does not read its answer ends when its time is up, and one that leaves is called off; neither holds anything then.
+// A client that does not read its answer ends when its time is up, and one that leaves is called
+// off; neither holds anything then.
 func TestClientThatDoesNotReadIsBounded(t *testing.T) {
 	gone := make(chan bool, 10)
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -401,11 +441,13 @@
 	r := startProxy(t, serviceSection("shop", backend))
 	old := make(chan string)
 	go func() {
-		_, res, body, _ := exchangeRaw(t, "GET", sendRaw(t, r.addr, "GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
+		_, res, body, _ := exchangeRaw(t, "GET", sendRaw(t, r.addr,
+			"GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
 		old <- fmt.Sprint(res.StatusCode, body)
 	}()
 	<-came
-	if err := r.proxy.SetRules(r.rules(parseFile(t, serviceSection("shop", backend)+"[[route]]\nrefuse = 403\n"))); err != nil {
+	if err := r.proxy.SetRules(r.rules(parseFile(t, serviceSection("shop",
+		backend)+"[[route]]\nrefuse = 403\n"))); err != nil {
 		t.Fatal(err)
 	}
 	res, err := http.Get("http://" + r.addr + "/a")
@@ -457,8 +499,10 @@
 		var p httpproxy.Problem
 		if res.StatusCode == 200 {
 			served += 1 + i%2
-		} else if err := json.NewDecoder(res.Body).Decode(&p); err != nil || res.StatusCode != 429 || p.Status != 429 || p.Type != "urn:pumicecroft:problem:over-quota" ||
-			res.Header.Get("Retry-After") == "" || res.Header.Get("RateLimit-Policy") != `"small";q=10;w=1000` || res.Header.Get("RateLimit") != `"small";r=0;t=1` {
+		} else if err := json.NewDecoder(res.Body).Decode(&p); err != nil || res.StatusCode != 429 ||
+			p.Status != 429 || p.Type != "urn:pumicecroft:problem:over-quota" ||
+			res.Header.Get("Retry-After") == "" || res.Header.Get("RateLimit-Policy") != `"small";q=10;w=1000` ||
+			res.Header.Get("RateLimit") != `"small";r=0;t=1` {
 			t.Errorf("%d %+v %v %v", res.StatusCode, p, res.Header, err)
 		}
 		res.Body.Close()
@@ -468,7 +512,8 @@
 	}
 }
 
-// A repeat with a key is given the first one's answer, whole, by whichever connection; another request with the key is refused.
+// A repeat with a key is given the first one's answer, whole, by whichever connection; another
+// request with the key is refused.
 func TestIdempotencyKeys(t *testing.T) {
 	var n atomic.Int64
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -494,7 +539,8 @@
 		}
 		text, _ := io.ReadAll(res.Body)
 		res.Body.Close()
-		if got := fmt.Sprint(res.StatusCode, " ", string(text), " ", res.Header.Get("X-Order")); !strings.HasPrefix(got, want) {
+		if got := fmt.Sprint(res.StatusCode, " ", string(text), " ",
+			res.Header.Get("X-Order")); !strings.HasPrefix(got, want) {
 			t.Errorf("%d: %s", i, got)
 		}
 	}
@@ -503,7 +549,11 @@
 // The room for bodies is bounded over all requests, and given back.
 func TestRequestBodyLimits(t *testing.T) {
 	goOn := make(chan bool)
-	backend := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body); <-goOn }), nil)
+	backend := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter,
+		r *http.Request) {
+		io.Copy(io.Discard, r.Body)
+		<-goOn
+	}), nil)
 	r := startProxy(t, serviceSection("shop", backend)+"[http]\nbody_memory = 100000\nbody_timeout = \"300ms\"\n")
 	post := func(size int) int {
 		res, err := http.Post("http://"+r.addr+"/", "text/plain", io.LimitReader(zeroReader{}, int64(size)))
@@ -516,7 +566,8 @@
 	}
 	first := make(chan int)
 	go func() { first <- post(60_000) }()
-	for end := time.Now().Add(testTimeout); r.gateway.OpenRequests() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.gateway.OpenRequests() == 0 &&
+		time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	if got := post(60_000); got != 503 {
 		t.Errorf("without room: %d", got)
@@ -528,7 +579,8 @@
 	if got := post(60_000); got != 200 {
 		t.Errorf("with room again: %d", got)
 	}
-	_, res, _, _ := exchangeRaw(t, "POST", sendRaw(t, r.addr, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf", testTimeout))
+	_, res, _, _ := exchangeRaw(t, "POST", sendRaw(t, r.addr,
+		"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf", testTimeout))
 	if res == nil || res.StatusCode != 408 {
 		t.Errorf("a body that does not come: %v", res)
 	}
@@ -550,12 +602,14 @@
 			<-r.Context().Done()
 		}
 	}), nil)
-	r := startProxy(t, serviceSection("shop", backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n")
+	r := startProxy(t, serviceSection("shop",
+		backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n")
 	host := http.StripPrefix("/api", http.TimeoutHandler(r.proxy, time.Second, "host's"))
 	ask := func(target string, who bool) *httptest.ResponseRecorder {
 		req := httptest.NewRequest("GET", target, nil)
 		if who {
-			req = req.WithContext(pumicecroft.WithIdentity(context.Background(), pumicecroft.Identity{Customer: 7, Plan: "p"}))
+			req = req.WithContext(pumicecroft.WithIdentity(context.Background(),
+				pumicecroft.Identity{Customer: 7, Plan: "p"}))
 		}
 		w := httptest.NewRecorder()
 		host.ServeHTTP(w, req)
@@ -568,13 +622,18 @@
 		t.Errorf("nobody: %d", w.Code)
 	}
 	for target, want := range map[string]int{"/a": 200, "/own": 418} {
-		swap := r.rules(parseFile(t, serviceSection("shop", backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n[[route]]\npath = \"/a\"\n[[route]]\npath = \"/own\"\nmethods = [\"PUT\"]\n"))
+		swap := r.rules(parseFile(t, serviceSection("shop",
+			backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n[[route]]\npath = \"/a\"\n[[route]]\npath = \"/own\"\nmethods = [\"PUT\"]\n"))
 		if err := r.proxy.SetRules(swap); err != nil {
 			t.Fatal(err)
 		}
 		w := httptest.NewRecorder()
-		req := httptest.NewRequest("GET", target, nil).WithContext(pumicecroft.WithIdentity(context.Background(), pumicecroft.Identity{Customer: 7, Plan: "p"}))
-		r.proxy.WithFallback(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(418) })).ServeHTTP(w, req)
+		req := httptest.NewRequest("GET", target, nil).WithContext(pumicecroft.WithIdentity(context.Background(),
+			pumicecroft.Identity{Customer: 7, Plan: "p"}))
+		r.proxy.WithFallback(http.HandlerFunc(func(w http.ResponseWriter,
+			_ *http.Request) {
+			w.WriteHeader(418)
+		})).ServeHTTP(w, req)
 		if w.Code != want {
 			t.Errorf("%s beside a host's own: %d", target, w.Code)
 		}
@@ -610,7 +669,8 @@
 [[plan]]
 name = "p"
 `, path("secret")))
-	text, err := jwt.NewWithClaims(jwt.SigningMethodHS256, jwt.MapClaims{"sub": "u", "aud": "shop", "exp": ends.Unix()}).SignedString([]byte(secret))
+	text, err := jwt.NewWithClaims(jwt.SigningMethodHS256,
+		jwt.MapClaims{"sub": "u", "aud": "shop", "exp": ends.Unix()}).SignedString([]byte(secret))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -637,7 +697,8 @@
 		if i == 4 {
 			time.Sleep(100 * time.Millisecond) // what comes late has come
 		}
-		_, res, body, err := exchangeRaw(t, "GET", sendRaw(t, r.addr, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
+		_, res, body, err := exchangeRaw(t, "GET", sendRaw(t, r.addr,
+			"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
 		if err != nil || res.StatusCode != 200 || body != "ok" {
 			t.Errorf("answer %d: %v %q %v", i, res, body, err)
 		}
--- a/httpproxy/reverseproxy_test.go
+++ b/httpproxy/reverseproxy_test.go
@@ -54,10 +54,12 @@
 }
 
 func (s observedMessage) String() string {
-	return fmt.Sprintf("%s\n%v\n%d bytes %.60q\ntrailer %v\ninfos %v", s.line, s.header, len(s.body), s.body, s.trailer, s.infos)
+	return fmt.Sprintf("%s\n%v\n%d bytes %.60q\ntrailer %v\ninfos %v", s.line, s.header, len(s.body), s.body,
+		s.trailer, s.infos)
 }
 
-var headerNames = []string{"X-A", "X-B", "Accept", "Cookie", "X-Empty", "Authorization", "Forwarded", "X-Forwarded-For", "Keep-Alive", "Proxy-Authorization", "Upgrade"}
+var headerNames = []string{"X-A", "X-B", "Accept", "Cookie", "X-Empty", "Authorization", "Forwarded",
+	"X-Forwarded-For", "Keep-Alive", "Proxy-Authorization", "Upgrade"}
 
 func drawHeader(t *rapid.T, label string, from []string) http.Header {
 	h := http.Header{}
@@ -69,13 +71,17 @@
 }
 
 func drawExchange(t *rapid.T) *proxiedExchange {
-	x := &proxiedExchange{header: drawHeader(t, "fields", headerNames), responseHeader: drawHeader(t, "answer", []string{"X-C", "Set-Cookie", "Content-Type", "Etag", "Retry-After", "Keep-Alive", "Warning"})}
+	x := &proxiedExchange{header: drawHeader(t, "fields", headerNames),
+		responseHeader: drawHeader(t, "answer", []string{"X-C", "Set-Cookie", "Content-Type", "Etag", "Retry-After",
+			"Keep-Alive", "Warning"})}
 	if x.responseHeader["Content-Type"] == nil { // behind ReverseProxy the server guesses one
 		x.responseHeader["Content-Type"] = []string{"text/x"}
 	}
-	x.method = rapid.SampledFrom([]string{"GET", "GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "PURGE"}).Draw(t, "method")
+	x.method = rapid.SampledFrom([]string{"GET", "GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH",
+		"PURGE"}).Draw(t, "method")
 	for range rapid.IntRange(1, 4).Draw(t, "segments") {
-		x.target += "/" + rapid.StringMatching(`([a-zA-Z0-9~!$&'()*+,;=:@_-]|%2F|%20|%C3%A9|%7e){0,6}`).Draw(t, "segment")
+		x.target += "/" + rapid.StringMatching(`([a-zA-Z0-9~!$&'()*+,;=:@_-]|%2F|%20|%C3%A9|%7e){0,6}`).Draw(t,
+			"segment")
 	}
 	x.target += rapid.StringMatching(`(\?[a-z0-9=&;%+/?]{0,12})?`).Draw(t, "query")
 	if x.target == "/" || strings.HasPrefix(x.target, "//") {
@@ -87,7 +93,8 @@
 			x.target, _, _ = strings.Cut(x.target, "?")
 		}
 	}
-	if nominate := rapid.SampledFrom([]string{"", "", "X-A", "x-b, close-not", "X-A,Accept"}).Draw(t, "nominated"); nominate != "" {
+	if nominate := rapid.SampledFrom([]string{"", "", "X-A", "x-b, close-not", "X-A,Accept"}).Draw(t,
+		"nominated"); nominate != "" {
 		x.header["Connection"] = []string{nominate}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "te") == 0 {
@@ -101,12 +108,14 @@
 			x.trailer = http.Header{"X-Sum": {"7"}, "X-More": {"a, b"}}
 		}
 	}
-	x.status = rapid.SampledFrom([]int{200, 200, 201, 204, 206, 301, 304, 400, 404, 409, 418, 429, 500, 501, 502, 503, 599, 799}).Draw(t, "status")
+	x.status = rapid.SampledFrom([]int{200, 200, 201, 204, 206, 301, 304, 400, 404, 409, 418, 429, 500, 501, 502, 503,
+		599, 799}).Draw(t, "status")
 	if rapid.IntRange(0, 5).Draw(t, "info") == 0 {
 		x.infos = []int{103}
 	}
 	if x.status != 204 && x.status != 304 {
-		x.responseBody = bytes.Repeat([]byte("a"), rapid.SampledFrom([]int{0, 1, 300, 5000, 100_000}).Draw(t, "answer body"))
+		x.responseBody = bytes.Repeat([]byte("a"), rapid.SampledFrom([]int{0, 1, 300, 5000, 100_000}).Draw(t,
+			"answer body"))
 		x.responseChunked = rapid.Bool().Draw(t, "answer chunked")
 		if x.responseChunked && x.method != "HEAD" && rapid.Bool().Draw(t, "answer trailer") {
 			x.responseTrailer = http.Header{"X-Check": {"9"}}
@@ -126,7 +135,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	body, _ := io.ReadAll(r.Body)
-	e.received = append(e.received, observedMessage{line: r.Method + " " + r.RequestURI + " " + r.Host, header: r.Header, body: string(body), trailer: r.Trailer})
+	e.received = append(e.received, observedMessage{line: r.Method + " " + r.RequestURI + " " + r.Host,
+		header: r.Header, body: string(body), trailer: r.Trailer})
 	x := e.exchange
 	for _, status := range x.infos {
 		w.Header()["Link"] = []string{"</s.css>"}
@@ -159,11 +169,13 @@
 // roundTrip makes an exchange by way of an address.
 func roundTrip(x *proxiedExchange, rt http.RoundTripper, addr string) (observedMessage, error) {
 	var s observedMessage
-	ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
-		s.infos = append(s.infos, fmt.Sprint(code, http.Header(h)))
-		return nil
-	}})
-	req := (&http.Request{Method: x.method, URL: &url.URL{Scheme: "http", Host: addr, Opaque: x.target}, Host: "shop.example", Header: x.header.Clone(), Trailer: x.trailer.Clone()}).WithContext(ctx)
+	ctx := httptrace.WithClientTrace(context.Background(),
+		&httptrace.ClientTrace{Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
+			s.infos = append(s.infos, fmt.Sprint(code, http.Header(h)))
+			return nil
+		}})
+	req := (&http.Request{Method: x.method, URL: &url.URL{Scheme: "http", Host: addr, Opaque: x.target},
+		Host: "shop.example", Header: x.header.Clone(), Trailer: x.trailer.Clone()}).WithContext(ctx)
 	if _, told := req.Header["User-Agent"]; !told {
 		req.Header["User-Agent"] = []string{"test"}
 	}
@@ -180,7 +192,8 @@
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
-	s.line, s.header, s.body, s.trailer = fmt.Sprint(res.StatusCode, " ", res.ContentLength), res.Header, string(body), res.Trailer
+	s.line, s.header, s.body, s.trailer = fmt.Sprint(res.StatusCode, " ", res.ContentLength), res.Header,
+		string(body), res.Trailer
 	return s, err
 }
 
@@ -194,8 +207,11 @@
 func compareWithReverseProxy(t *testing.T, speaks string) {
 	e := &echoBackend{}
 	backend := startServer(t, e, nil)
-	r := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("aim = \"4ms\"\nspeaks = %q\n", speaks)+"[http]\ntrusted = [\"127.0.0.1\"]\n") // it is believed what came before it, as ReverseProxy is told to
-	proxy := &httputil.ReverseProxy{ErrorLog: log.New(io.Discard, "", 0), Transport: &http.Transport{DisableCompression: true},
+	// it is believed what came before it, as ReverseProxy is told to
+	r := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("aim = \"4ms\"\nspeaks = %q\n",
+		speaks)+"[http]\ntrusted = [\"127.0.0.1\"]\n")
+	proxy := &httputil.ReverseProxy{ErrorLog: log.New(io.Discard, "", 0),
+		Transport: &http.Transport{DisableCompression: true},
 		Rewrite: func(p *httputil.ProxyRequest) {
 			p.Out.URL.Scheme, p.Out.URL.Host = "http", backend
 			p.Out.Header["X-Forwarded-For"] = p.In.Header["X-Forwarded-For"]
@@ -212,7 +228,9 @@
 			e.exchange, e.received = x, nil
 			e.mu.Unlock()
 			back, err := roundTrip(x, client, addr)
-			for end := time.Now().Add(3 * time.Second); err == nil && e.receivedCount() == 0 && time.Now().Before(end); { // the one backend has refused just before, and is spared for a little
+			// the one backend has refused just before, and is spared for a little
+			for end := time.Now().Add(3 * time.Second); err == nil && e.receivedCount() == 0 &&
+				time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 				back, err = roundTrip(x, client, addr)
 			}
@@ -261,7 +279,8 @@
 		if len(want.infos) > 0 { // a request that is tried again has its 1xx answers again
 			got.infos = got.infos[:min(1, len(got.infos))]
 		}
-		if len(got.header["Connection"]) > 0 || x.chunked { // what came in chunks may have had another length: its connection ends
+		// what came in chunks may have had another length: its connection ends
+		if len(got.header["Connection"]) > 0 || x.chunked {
 			delete(got.header, "Connection")
 		}
 		if x.status == 429 || x.status == 503 {
--- a/httpproxy/serve.go
+++ b/httpproxy/serve.go
@@ -75,13 +75,15 @@
 
 // forward sends a request to the Gateway and writes its response. The response to a request with an
 // idempotency key that is retained for its repeats is read completely first; others are streamed.
-func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, resolved *ResolvedRequest, payload *httpproxytransport.Request,
+func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, resolved *ResolvedRequest,
+	payload *httpproxytransport.Request,
 	request pumicecroft.Request) {
 	var sink *responseSink
 	if request.IdempotencyKey != "" && p.gateway.IdempotencyEnabled() && resolved.Idempotency != decision.Idempotent {
 		payload.MaxResponseBytes = p.config.MaxIdempotentResponseBytes
 		contentType := strings.Join(r.Header["Content-Type"], ",")
-		payload.Digest = [][]byte{[]byte(payload.Method), []byte(payload.Host), []byte(payload.Target), []byte(contentType), payload.Body}
+		payload.Digest = [][]byte{[]byte(payload.Method), []byte(payload.Host), []byte(payload.Target),
+			[]byte(contentType), payload.Body}
 	} else {
 		sink = &responseSink{w: w, http10: !r.ProtoAtLeast(1, 1)}
 		payload.Sink = sink
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -38,7 +38,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- httplistener.NewServer(r.proxy, 2000, 5*time.Second, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
+		ended <- httplistener.NewServer(r.proxy, 2000, 5*time.Second, slog.New(slog.DiscardHandler),
+			httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -50,10 +51,12 @@
 }
 
 func newTLSClient(a *testcerts.Authority, name string, h2 bool, own ...tls.Certificate) *http.Client {
-	return &http.Client{Transport: &http.Transport{ForceAttemptHTTP2: h2, MaxIdleConnsPerHost: 2000, TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: name, Certificates: own}}}
+	return &http.Client{Transport: &http.Transport{ForceAttemptHTTP2: h2, MaxIdleConnsPerHost: 2000,
+		TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: name, Certificates: own}}}
 }
 
-// A certificate is put in place of another 100 times, some of them bad, while 1,000 requests at a time are in flight: none fails, and the new one is
+// A certificate is put in place of another 100 times, some of them bad, while 1,000 requests at a
+// time are in flight: none fails, and the new one is
 // what new connections see.
 func TestCertificateReloadUnderLoad(t *testing.T) {
 	a := testcerts.New(t)
@@ -68,7 +71,8 @@
 		}
 		io.WriteString(w, r.Proto)
 	}), nil)
-	r := startProxy(t, serviceSection("shop", backend)+"backend_connections = 2000\nconnect_timeout = \"20s\"\ndeadline = \"1h\"\naim = \"1h\"\n"+fmt.Sprintf("[tls]\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("c"), path("k")))
+	r := startProxy(t, serviceSection("shop",
+		backend)+"backend_connections = 2000\nconnect_timeout = \"20s\"\ndeadline = \"1h\"\naim = \"1h\"\n"+fmt.Sprintf("[tls]\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("c"), path("k")))
 	addr, store := startTLSListener(t, r)
 	get := func(c *http.Client, path string) error {
 		res, err := c.Get("https://" + addr + path)
@@ -157,7 +161,8 @@
 	}
 }
 
-// Towards backends: the authority, the name, the pins and the door's own certificate count, and no request goes where one of them is wrong.
+// Towards backends: the authority, the name, the pins and the door's own certificate count, and no
+// request goes where one of them is wrong.
 func TestTLSToBackends(t *testing.T) {
 	a, other := testcerts.New(t), testcerts.New(t)
 	cert, key := a.Pair(nil, "backend.example", "127.0.0.1")
@@ -175,7 +180,8 @@
 		}
 		w.Header().Set("Connection", "close")
 		io.WriteString(w, r.TLS.PeerCertificates[0].Subject.CommonName)
-	}), &tls.Config{Certificates: []tls.Certificate{pair}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: a.Pool()})
+	}), &tls.Config{Certificates: []tls.Certificate{pair}, ClientAuth: tls.RequireAndVerifyClientCert,
+		ClientCAs: a.Pool()})
 	sum := sha256.Sum256(pair.Leaf.RawSubjectPublicKeyInfo)
 	pin := base64.StdEncoding.EncodeToString(sum[:])
 	mine := fmt.Sprintf("cert_file = %q\nkey_file = %q\n", path("c"), path("k"))
@@ -183,13 +189,14 @@
 		text string
 		good bool
 	}{
-		"by the address":        {fmt.Sprintf("ca_file = %q\n", path("ca")) + mine, true},
-		"by a name":             {fmt.Sprintf("ca_file = %q\nname = \"backend.example\"\n", path("ca")) + mine, true},
-		"another name":          {fmt.Sprintf("ca_file = %q\nname = \"else.example\"\n", path("ca")) + mine, false},
-		"another authority":     {fmt.Sprintf("ca_file = %q\n", path("other")) + mine, false},
-		"pinned":                {fmt.Sprintf("ca_file = %q\npins = [%q]\n", path("ca"), pin) + mine, true},
-		"pinned alone":          {fmt.Sprintf("verify = \"pins\"\npins = [%q]\n", pin) + mine, true},
-		"another pin":           {"verify = \"pins\"\npins = [\"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\"]\n" + mine, false},
+		"by the address":    {fmt.Sprintf("ca_file = %q\n", path("ca")) + mine, true},
+		"by a name":         {fmt.Sprintf("ca_file = %q\nname = \"backend.example\"\n", path("ca")) + mine, true},
+		"another name":      {fmt.Sprintf("ca_file = %q\nname = \"else.example\"\n", path("ca")) + mine, false},
+		"another authority": {fmt.Sprintf("ca_file = %q\n", path("other")) + mine, false},
+		"pinned":            {fmt.Sprintf("ca_file = %q\npins = [%q]\n", path("ca"), pin) + mine, true},
+		"pinned alone":      {fmt.Sprintf("verify = \"pins\"\npins = [%q]\n", pin) + mine, true},
+		"another pin": {"verify = \"pins\"\npins = [\"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\"]\n" +
+			mine, false},
 		"without a certificate": {fmt.Sprintf("ca_file = %q\n", path("ca")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -13,7 +13,8 @@
 	"pumicecroft/internal/testcerts"
 )
 
-// Each pair stands by itself: a bad one, and one that has not changed, leave what is in force of it. A bad content is said once.
+// Each pair stands by itself: a bad one, and one that has not changed, leave what is in force of
+// it. A bad content is said once.
 func TestPairErrorsAreIndependent(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
@@ -31,7 +32,9 @@
 		t.Fatal(err)
 	}
 	hello := func(name string) *tls.ClientHelloInfo {
-		return &tls.ClientHelloInfo{ServerName: name, SupportedVersions: []uint16{tls.VersionTLS13}, SignatureSchemes: []tls.SignatureScheme{tls.ECDSAWithP256AndSHA256}, SupportedCurves: []tls.CurveID{tls.CurveP256}}
+		return &tls.ClientHelloInfo{ServerName: name, SupportedVersions: []uint16{tls.VersionTLS13},
+			SignatureSchemes: []tls.SignatureScheme{tls.ECDSAWithP256AndSHA256},
+			SupportedCurves:  []tls.CurveID{tls.CurveP256}}
 	}
 	serial := func(name string) string {
 		c, err := s.GetCertificate(hello(name))
@@ -48,7 +51,8 @@
 		return c.Leaf.SerialNumber.String()
 	}
 	one, two := of(c1), of(c2)
-	for name, want := range map[string]string{"a.example": one, "A.Example.": one, "x.b.example": two, "b.example": two, "x.y.b.example": one, "": one, "else": one} {
+	for name, want := range map[string]string{"a.example": one, "A.Example.": one, "x.b.example": two,
+		"b.example": two, "x.y.b.example": one, "": one, "else": one} {
 		if got := serial(name); got != want {
 			t.Errorf("%q: %s, want %s", name, got, want)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -61,7 +61,8 @@
 	following, stop := context.WithCancel(context.Background())
 	defer stop()
 	go followConfig(following, path, hup, discoveryAddrs, setCounterAddr)
-	server := httplistener.NewServer(gateway, config.Limits.ClientConns(), config.Settings.LongestDeadline(), slog.Default(),
+	server := httplistener.NewServer(gateway, config.Limits.ClientConns(), config.Settings.LongestDeadline(),
+		slog.Default(),
 		httplistener.Options{})
 	return serveAll(ctx, gateway, config.Name, config.Listen, server.Run)
 }
@@ -91,7 +92,8 @@
 
 // serveAll serves a gateway on the address listen, beside servers that listen already, until ctx
 // ends or one of them fails, and all accepted requests have their response. It closes the gateway.
-func serveAll(ctx context.Context, gateway *pumicecroft.Gateway, name, listen string, serveOn func(context.Context, net.Listener) error,
+func serveAll(ctx context.Context, gateway *pumicecroft.Gateway, name, listen string,
+	serveOn func(context.Context, net.Listener) error,
 	beside ...serveFunc) error {
 	defer closeGateway(gateway)
 	ctx, stop := context.WithCancel(ctx)
@@ -140,7 +142,8 @@
 // followConfig reads the platform's file again at each value of hup, and passes on where discovery
 // and the counter are now. An invalid file changes nothing; everything else in the file is for the
 // next start.
-func followConfig(ctx context.Context, path string, hup <-chan struct{}, discoveryAddrs chan<- string, setCounterAddr func(addr string)) {
+func followConfig(ctx context.Context, path string, hup <-chan struct{}, discoveryAddrs chan<- string,
+	setCounterAddr func(addr string)) {
 	for {
 		select {
 		case <-hup:
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -83,24 +83,27 @@
 }
 
 // newServe makes the proxy, and returns what serves it on a listener.
-func (s *httpServer) newServe(gateway *pumicecroft.Gateway, f operatorconfig.File) (func(context.Context, net.Listener) error, error) {
+func (s *httpServer) newServe(gateway *pumicecroft.Gateway,
+	f operatorconfig.File) (func(context.Context, net.Listener) error, error) {
 	c := f.HTTP.Proxy
 	c.Rules, c.Log = s.rules, slog.Default()
 	var err error
 	if s.proxy, err = httpproxy.New(gateway, c); err != nil {
 		return nil, err
 	}
-	server := httplistener.NewServer(s.proxy, f.MaxClientConns, f.Gateway.Settings.LongestDeadline(), slog.Default(), httplistener.Options{
-		TLS:            s.tls,
-		GeneralPurpose: true,
-		HeaderTimeout:  httpHeaderTimeout,
-		MaxHeaderBytes: httpMaxHeaderBytes,
-	})
+	server := httplistener.NewServer(s.proxy, f.MaxClientConns, f.Gateway.Settings.LongestDeadline(), slog.Default(),
+		httplistener.Options{
+			TLS:            s.tls,
+			GeneralPurpose: true,
+			HeaderTimeout:  httpHeaderTimeout,
+			MaxHeaderBytes: httpMaxHeaderBytes,
+		})
 	return server.Run, nil
 }
 
 // startWatching follows the file and its certificates until stop is called.
-func (s *httpServer) startWatching(f operatorconfig.File, reload func() (operatorconfig.File, error), hup <-chan struct{}) (stop func()) {
+func (s *httpServer) startWatching(f operatorconfig.File, reload func() (operatorconfig.File, error),
+	hup <-chan struct{}) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { s.watch(ctx, f, reload, hup) })
@@ -111,7 +114,8 @@
 }
 
 // watch reads certificates again when they change, and the file at each value of hup.
-func (s *httpServer) watch(ctx context.Context, f operatorconfig.File, reload func() (operatorconfig.File, error), hup <-chan struct{}) {
+func (s *httpServer) watch(ctx context.Context, f operatorconfig.File, reload func() (operatorconfig.File, error),
+	hup <-chan struct{}) {
 	if s.certificates != nil {
 		go s.certificates.Watch(ctx, f.HTTP.TLS.ReloadInterval)
 	}
--- a/internal/daemon/servefile.go
+++ b/internal/daemon/servefile.go
@@ -18,7 +18,8 @@
 // ServeFile serves by an operator's file until ctx ends. At each value of hup it reads the file
 // again by reload, and puts its routes, identities and certificates in force; everything else in the
 // file is for the next start. A nil hup means never.
-func ServeFile(ctx context.Context, f operatorconfig.File, reload func() (operatorconfig.File, error), hup <-chan struct{}) error {
+func ServeFile(ctx context.Context, f operatorconfig.File, reload func() (operatorconfig.File, error),
+	hup <-chan struct{}) error {
 	slog.SetDefault(slog.With("door", f.Gateway.Settings.GatewayIndex))
 	sources, err := newSources(&f)
 	if err != nil {
@@ -79,7 +80,8 @@
 
 // listenBeside opens the file's other listeners: that of backends' status, which stopStatus closes,
 // and that of gRPC, which servers serve. stopStatus is to be called after an error, too.
-func listenBeside(gateway *pumicecroft.Gateway, f *operatorconfig.File) (servers []serveFunc, stopStatus func(), err error) {
+func listenBeside(gateway *pumicecroft.Gateway,
+	f *operatorconfig.File) (servers []serveFunc, stopStatus func(), err error) {
 	stopStatus = func() {}
 	if f.StatusAddr != "" {
 		stop, err := serveBackendStatus(gateway, f.StatusAddr)
@@ -116,7 +118,8 @@
 
 // registered registers a gateway in Consul's catalog. The context that it returns ends DrainNotice
 // after ctx: a gateway in the catalog goes on serving until those who look there know that it drains.
-func registered(ctx context.Context, client *consul.Client, c *operatorconfig.Consul) (serving context.Context, deregister func()) {
+func registered(ctx context.Context, client *consul.Client,
+	c *operatorconfig.Consul) (serving context.Context, deregister func()) {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	end := register(client, *c.Registration, ctx.Done())
 	go func() {
--- a/internal/grpcproto/call.go
+++ b/internal/grpcproto/call.go
@@ -237,7 +237,8 @@
 // and not one of a failure on the way.
 func isFinalStatus(c Code) bool {
 	switch c {
-	case InvalidArgument, NotFound, AlreadyExists, PermissionDenied, FailedPrecondition, Aborted, OutOfRange, Unimplemented, Unauthenticated:
+	case InvalidArgument, NotFound, AlreadyExists, PermissionDenied, FailedPrecondition, Aborted, OutOfRange,
+		Unimplemented, Unauthenticated:
 		return true
 	}
 	return false
--- a/internal/grpcproto/call_test.go
+++ b/internal/grpcproto/call_test.go
@@ -16,7 +16,8 @@
 	return append(p, make([]byte, n)...)
 }
 
-// playEvents tells a call what short words say, after its request has gone out whole unless the first is "opened", "connecting"
+// playEvents tells a call what short words say, after its request has gone out whole unless the
+// first is "opened", "connecting"
 // or "unsent".
 func playEvents(c *Call, words string) Outcome {
 	for i, w := range strings.Fields(words) {
@@ -41,7 +42,8 @@
 		case "rst":
 			c.Reset(map[string]uint32{"no": 0, "internal": 2, "refused": 7, "cancel": 8, "calm": 11}[arg])
 		case "head":
-			c.ResponseHeaders(map[string]string{"": "200", "502": "502", "html": "200"}[arg], map[string]string{"": "application/grpc+proto", "html": "text/html"}[arg])
+			c.ResponseHeaders(map[string]string{"": "200", "502": "502", "html": "200"}[arg],
+				map[string]string{"": "application/grpc+proto", "html": "text/html"}[arg])
 		case "msg":
 			c.Data(message(10), false)
 		case "long":
@@ -145,8 +147,10 @@
 			t.Errorf("%s: %v, %v (%s); want %v, %v", words, got.Result, got.Proof, got.Reason, want.result, want.proof)
 		}
 	}
-	for words, want := range map[string]decision.Result{"head end=0": decision.Succeeded, "head msg msg msg end=0": decision.Succeeded,
-		"head msg half end=0": decision.Unknown, "head msg end=13": decision.ErrorResponse, "head msg long": decision.Unknown} {
+	for words, want := range map[string]decision.Result{"head end=0": decision.Succeeded,
+		"head msg msg msg end=0": decision.Succeeded,
+		"head msg half end=0":    decision.Unknown, "head msg end=13": decision.ErrorResponse,
+		"head msg long": decision.Unknown} {
 		if got := playEvents(&Call{Streaming: true, MaxMessageBytes: 100}, words); got.Result != want {
 			t.Errorf("streaming, %s: %v (%s), want %v", words, got.Result, got.Reason, want)
 		}
@@ -173,7 +177,8 @@
 				t.Fatalf("seed %d: %s: %+v, then %+v", seed, course, before, o)
 			}
 			if _, ended := c.Ended(); ended && !was && o.Proof == NeverRan && sent &&
-				(headed && w != "end=14/5" || answered || w != "goaway=below" && w != "rst=refused" && w != "end=14/5") {
+				(headed && w != "end=14/5" || answered || w != "goaway=below" && w != "rst=refused" &&
+					w != "end=14/5") {
 				t.Fatalf("seed %d: %s: %+v", seed, course, o)
 			}
 			sent, headed = sent || w == "sent", headed || w == "head"
@@ -215,8 +220,10 @@
 }
 
 func TestTimeouts(t *testing.T) {
-	for s, want := range map[string]time.Duration{"0n": 0, "1H": time.Hour, "2M": 2 * time.Minute, "3S": 3 * time.Second, "4m": 4 * time.Millisecond,
-		"5u": 5 * time.Microsecond, "6n": 6, "99999999S": 99999999 * time.Second, "99999999H": maxTimeout, "00000007m": 7 * time.Millisecond} {
+	for s, want := range map[string]time.Duration{"0n": 0, "1H": time.Hour, "2M": 2 * time.Minute,
+		"3S": 3 * time.Second, "4m": 4 * time.Millisecond,
+		"5u": 5 * time.Microsecond, "6n": 6, "99999999S": 99999999 * time.Second, "99999999H": maxTimeout,
+		"00000007m": 7 * time.Millisecond} {
 		if got, err := ParseTimeout(s); err != nil || got != want {
 			t.Errorf("%s: %v, %v", s, got, err)
 		}
@@ -231,7 +238,8 @@
 		d := time.Duration(rng.Uint64() >> (1 + rng.IntN(63)))
 		s := FormatTimeout(d)
 		back, err := ParseTimeout(s)
-		if err != nil || back > d || d < 99*time.Millisecond && back != d || float64(back) < 0.999*float64(d) && d < 1000*time.Hour {
+		if err != nil || back > d || d < 99*time.Millisecond && back != d || float64(back) < 0.999*float64(d) &&
+			d < 1000*time.Hour {
 			t.Errorf("%v: %s, which is %v, %v", d, s, back, err)
 		}
 	}
@@ -241,7 +249,8 @@
 }
 
 func TestContentTypes(t *testing.T) {
-	for s, want := range map[string]bool{"application/grpc": true, "application/grpc+proto": true, "Application/gRPC;x=y": true, "application/grpcx": false,
+	for s, want := range map[string]bool{"application/grpc": true, "application/grpc+proto": true,
+		"Application/gRPC;x=y": true, "application/grpcx": false,
 		"application/json": false, "": false} {
 		if IsContentType(s) != want {
 			t.Errorf("%q: %v", s, !want)
--- a/internal/grpcproto/frame.go
+++ b/internal/grpcproto/frame.go
@@ -79,7 +79,8 @@
 var timeoutUnits = []struct {
 	name byte
 	unit time.Duration
-}{{'H', time.Hour}, {'M', time.Minute}, {'S', time.Second}, {'m', time.Millisecond}, {'u', time.Microsecond}, {'n', time.Nanosecond}}
+}{{'H', time.Hour}, {'M', time.Minute}, {'S', time.Second}, {'m', time.Millisecond}, {'u', time.Microsecond},
+	{'n', time.Nanosecond}}
 
 // maxTimeout stands for timeouts that exceed a time.Duration.
 const maxTimeout = time.Duration(1<<63 - 1)
--- a/internal/grpctransport/conn.go
+++ b/internal/grpctransport/conn.go
@@ -205,7 +205,8 @@
 	block := c.headerBlock.Bytes()
 	first := block[:min(len(block), maxFrame)]
 	block = block[len(first):]
-	err := c.frameWriter.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: first, EndHeaders: len(block) == 0})
+	err := c.frameWriter.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: first,
+		EndHeaders: len(block) == 0})
 	for err == nil && len(block) > 0 {
 		next := block[:min(len(block), maxFrame)]
 		block = block[len(next):]
@@ -290,7 +291,8 @@
 func (c *conn) sendReset(id uint32) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	_ = c.checkWrite(errors.Join(c.frameWriter.WriteRSTStream(id, http2.ErrCodeCancel), c.writeBuffer.Flush())) // the connection knows
+	// the connection knows
+	_ = c.checkWrite(errors.Join(c.frameWriter.WriteRSTStream(id, http2.ErrCodeCancel), c.writeBuffer.Flush()))
 }
 
 // finishStream removes a stream that has ended. The caller holds mu.
--- a/internal/grpctransport/stored_test.go
+++ b/internal/grpctransport/stored_test.go
@@ -14,12 +14,15 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write testdata/answer.gob anew: only for a new stored form")
 
-// An answer that an earlier release kept for an idempotency key is given again with all its fields, and what is kept now has the names by which
-// that release finds them. (The bytes are alike but for the description of the type of Header and Trailer, in which gob writes the package's
+// An answer that an earlier release kept for an idempotency key is given again with all its fields,
+// and what is kept now has the names by which
+// that release finds them. (The bytes are alike but for the description of the type of Header and
+// Trailer, in which gob writes the package's
 // name and which nothing reads.)
 func TestStoredResponseKeepsItsForm(t *testing.T) {
 	const file = "testdata/answer.gob"
-	want := &Response{Code: grpcproto.Code(9), Message: "no such%20item", Header: []Field{{Name: "a", Value: "1"}, {Name: "b-bin", Value: "\x00"}},
+	want := &Response{Code: grpcproto.Code(9), Message: "no such%20item",
+		Header:  []Field{{Name: "a", Value: "1"}, {Name: "b-bin", Value: "\x00"}},
 		Trailer: []Field{{Name: "t", Value: "2"}}, Body: []byte("\x00\x00\x00\x00\x01m"), complete: true}
 	kept, err := (&Request{}).EncodeResponse(want)
 	if err != nil || kept.Status != 9 || kept.ContentType != "application/grpc" {
@@ -34,7 +37,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := (&Request{}).DecodeResponse(idempotency.Response{Status: 9, ContentType: "application/grpc", Body: golden})
+	again, err := (&Request{}).DecodeResponse(idempotency.Response{Status: 9, ContentType: "application/grpc",
+		Body: golden})
 	if err != nil || !reflect.DeepEqual(again, want) {
 		t.Errorf("%+v, %v; want %+v", again, err, want)
 	}
@@ -49,7 +53,8 @@
 	if err := gob.NewDecoder(bytes.NewReader(kept.Body)).Decode(&got); err != nil {
 		t.Fatal(err)
 	}
-	if wanted := (earlier{9, "no such%20item", []name{{"a", "1"}, {"b-bin", "\x00"}}, []name{{"t", "2"}}, []byte("\x00\x00\x00\x00\x01m")}); !reflect.DeepEqual(got, wanted) {
+	if wanted := (earlier{9, "no such%20item", []name{{"a", "1"}, {"b-bin", "\x00"}}, []name{{"t", "2"}},
+		[]byte("\x00\x00\x00\x00\x01m")}); !reflect.DeepEqual(got, wanted) {
 		t.Errorf("the earlier release reads %+v, want %+v", got, wanted)
 	}
 }
--- a/internal/grpctransport/stream.go
+++ b/internal/grpctransport/stream.go
@@ -152,7 +152,8 @@
 	}
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	_ = c.checkWrite(errors.Join(c.frameWriter.WriteWindowUpdate(s.id, credit), c.writeBuffer.Flush())) // the connection knows
+	// the connection knows
+	_ = c.checkWrite(errors.Join(c.frameWriter.WriteWindowUpdate(s.id, credit), c.writeBuffer.Flush()))
 }
 
 // forwardTo forwards a streamed response. It returns decision.Succeeded, or why the client did not
--- a/internal/grpctransport/transport_test.go
+++ b/internal/grpctransport/transport_test.go
@@ -35,7 +35,8 @@
 func newRig(t *testing.T, act func(fakes.Attempt) fakes.GRPCAct, change func(*fakes.GRPCConfig, *Config)) *fixture {
 	t.Helper()
 	r := &fixture{t: t, ledger: &fakes.Ledger{}}
-	sc := fakes.GRPCConfig{Name: "g", Ledger: r.ledger, Act: act, Cell: &fakes.Cell{Window: 5 * time.Second}, Keyed: func(m string) bool { return m == "/shop.Desk/Pay" }}
+	sc := fakes.GRPCConfig{Name: "g", Ledger: r.ledger, Act: act, Cell: &fakes.Cell{Window: 5 * time.Second},
+		Keyed: func(m string) bool { return m == "/shop.Desk/Pay" }}
 	c := Config{ConnectTimeout: testkit.Patient, MaxMessageBytes: 1 << 20}
 	if change != nil {
 		change(&sc, &c)
@@ -56,7 +57,8 @@
 
 func (r *fixture) request(size int) *Request {
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
-	return &Request{Method: "/shop.Desk/Pay", Body: framed(size), Metadata: []Field{{"request-id", id}, {"idempotency-key", "key-" + id}}}
+	return &Request{Method: "/shop.Desk/Pay", Body: framed(size),
+		Metadata: []Field{{"request-id", id}, {"idempotency-key", "key-" + id}}}
 }
 
 // attempt makes one attempt; patience 0 is a long one.
@@ -73,11 +75,14 @@
 	for act, want := range map[fakes.GRPCAct]decision.Result{
 		fakes.GRPCServe: decision.Succeeded, fakes.GRPCNotFound: decision.Succeeded,
 		fakes.GRPCStream:       decision.Unknown, // three messages for a unary call
-		fakes.GRPCRefuseStream: decision.Rejected, fakes.GRPCGoAwayBelow: decision.Rejected, fakes.GRPCPushBack: decision.Rejected,
-		fakes.GRPCHang: decision.TimedOut, fakes.GRPCHeadThenHang: decision.TimedOut,
-		fakes.GRPCResetCancel: decision.ConnectionLost, fakes.GRPCResetLate: decision.ConnectionLost, fakes.GRPCBreak: decision.ConnectionLost, fakes.GRPCBreakLate: decision.ConnectionLost,
+		fakes.GRPCRefuseStream: decision.Rejected, fakes.GRPCGoAwayBelow: decision.Rejected,
+		fakes.GRPCPushBack: decision.Rejected,
+		fakes.GRPCHang:     decision.TimedOut, fakes.GRPCHeadThenHang: decision.TimedOut,
+		fakes.GRPCResetCancel: decision.ConnectionLost, fakes.GRPCResetLate: decision.ConnectionLost,
+		fakes.GRPCBreak: decision.ConnectionLost, fakes.GRPCBreakLate: decision.ConnectionLost,
 		fakes.GRPCInternal:  decision.ErrorResponse,
-		fakes.GRPCNoMessage: decision.Unknown, fakes.GRPCTwoMessages: decision.Unknown, fakes.GRPCTrailersCut: decision.Unknown, fakes.GRPCTooLong: decision.Unknown,
+		fakes.GRPCNoMessage: decision.Unknown, fakes.GRPCTwoMessages: decision.Unknown,
+		fakes.GRPCTrailersCut: decision.Unknown, fakes.GRPCTooLong: decision.Unknown,
 	} {
 		t.Run(fmt.Sprint(act), func(t *testing.T) {
 			t.Parallel()
@@ -100,9 +105,11 @@
 				if as := r.ledger.Of(req.Metadata[0].Value); len(as) != 1 { // never again by itself
 					t.Errorf("it reached the backend %d times", len(as))
 				}
-				if a, ok := reply.Body.(*Response); act == fakes.GRPCServe && (!ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value) {
+				if a, ok := reply.Body.(*Response); act == fakes.GRPCServe &&
+					(!ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value) {
 					t.Errorf("answered %+v", reply.Body)
-				} else if act == fakes.GRPCNotFound && (!ok || a.Code != grpcproto.NotFound || a.Message != "as scripted") {
+				} else if act == fakes.GRPCNotFound && (!ok || a.Code != grpcproto.NotFound ||
+					a.Message != "as scripted") {
 					t.Errorf("answered %+v", reply.Body)
 				}
 			}
@@ -165,7 +172,8 @@
 // and over so many at once only.
 func TestGoAwayAfterEachCall(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend = 1 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang },
+		func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend = 1 })
 	var ran sync.WaitGroup
 	defer ran.Wait()
 	for i := range 2 {
@@ -198,7 +206,8 @@
 // Calls that are given up reset their streams at once, and their slots are free again.
 func TestCancelledAttempt(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxStreamsPerConn = 1, 4 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang },
+		func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxStreamsPerConn = 1, 4 })
 	for range 20 {
 		a := executor.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
 		before := len(r.ledger.Attempts())
@@ -227,7 +236,8 @@
 		func(s *fakes.GRPCConfig, c *Config) {
 			c.MaxConnsPerBackend, c.MaxStreamsPerConn, s.MaxStreams = 2, 8, 5
 		})
-	warm := executor.NewAttempt(1, time.Now().Add(100*time.Millisecond), r.request(10)) // so that the settings have come
+	// so that the settings have come
+	warm := executor.NewAttempt(1, time.Now().Add(100*time.Millisecond), r.request(10))
 	r.back.RoundTrip(warm)
 	var open sync.WaitGroup
 	sent := atomic.Int64{}
@@ -247,7 +257,8 @@
 	}
 }
 
-// A backend that stops reading with a request half written: it can't have run, and neighbours on other connections go on.
+// A backend that stops reading with a request half written: it can't have run, and neighbours on
+// other connections go on.
 func TestClosedSendWindow(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, nil, func(s *fakes.GRPCConfig, c *Config) { s.Window, c.MaxConnsPerBackend = 1000, 1 })
@@ -307,7 +318,8 @@
 	if reply := r.attempt(r.request(1), 0); reply.Result != decision.ConnectFailed {
 		t.Errorf("%v", reply.Result)
 	}
-	if reply := b.RoundTrip(executor.NewAttempt(9, time.Now().Add(time.Second), r.request(1))); reply.Result != decision.NotSent {
+	if reply := b.RoundTrip(executor.NewAttempt(9, time.Now().Add(time.Second),
+		r.request(1))); reply.Result != decision.NotSent {
 		t.Errorf("to a backend that is not known: %v", reply.Result)
 	}
 }
@@ -430,7 +442,8 @@
 // An answer that is longer than the windows comes whole, as they are opened while it is read.
 func TestLargeResponse(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCTooLong }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxMessageBytes = 1, 16<<20 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCTooLong },
+		func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxMessageBytes = 1, 16<<20 })
 	for range 2 {
 		reply := r.attempt(r.request(10), 0)
 		if a, ok := reply.Body.(*Response); !ok || len(a.Body) != fakes.GRPCTooLongBytes+5 {
@@ -463,10 +476,12 @@
 				continue
 			}
 			head.Reset()
-			for _, h := range [][2]string{{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-status", "5"}} {
+			for _, h := range [][2]string{{":status", "200"}, {"content-type", "application/grpc"},
+				{"grpc-status", "5"}} {
 				_ = encoder.WriteField(hpack.HeaderField{Name: h[0], Value: h[1]})
 			}
-			_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: d.StreamID, BlockFragment: head.Bytes(), EndHeaders: true, EndStream: true})
+			_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: d.StreamID, BlockFragment: head.Bytes(),
+				EndHeaders: true, EndStream: true})
 		}
 	})
 	for _, size := range []int{1, 100} { // with the first answer the first settings have come
--- a/internal/httpproxyconfig/httpproxyconfig.go
+++ b/internal/httpproxyconfig/httpproxyconfig.go
@@ -52,7 +52,8 @@
 }
 
 // newIdentityRule returns the rule of an identity. plans are the plans that it may name.
-func newIdentityRule(h *operatorconfig.HTTP, id *operatorconfig.Identity, plans []string, read certs.ReadFile) (identity.Rule, error) {
+func newIdentityRule(h *operatorconfig.HTTP, id *operatorconfig.Identity, plans []string,
+	read certs.ReadFile) (identity.Rule, error) {
 	switch id.Kind {
 	case operatorconfig.KindAddress:
 		return &identity.AddressRule{Plan: id.Plan, IPv6PrefixBits: id.IPv6PrefixBits}, nil
@@ -67,7 +68,8 @@
 			TrustedPeers:   h.Trusted,
 		}, nil
 	case operatorconfig.KindCertificate:
-		return &identity.ClientCertRule{NameSource: id.CertName, DefaultPlan: id.Plan, PlanByCustomer: id.PlanByCustomer}, nil
+		return &identity.ClientCertRule{NameSource: id.CertName, DefaultPlan: id.Plan,
+			PlanByCustomer: id.PlanByCustomer}, nil
 	case operatorconfig.KindKey:
 		return newAPIKeyRule(id, plans, read)
 	}
@@ -112,7 +114,8 @@
 
 // Listener returns the TLS configuration of the listener, and the store of its certificates; nil, nil
 // if it is plain text. The error is an operatorconfig.Problems.
-func Listener(f *operatorconfig.File, read certs.ReadFile, now func() time.Time, log *slog.Logger) (*tls.Config, *certs.Store, error) {
+func Listener(f *operatorconfig.File, read certs.ReadFile, now func() time.Time,
+	log *slog.Logger) (*tls.Config, *certs.Store, error) {
 	t := f.HTTP.TLS
 	if t == nil {
 		return nil, nil, nil
@@ -270,7 +273,8 @@
 	}
 	set := store.Set()
 	if c := set.SoonestExpiry(); c.Leaf.NotAfter.Sub(now) < expiryWarningPeriod {
-		warnings = append(warnings, fmt.Sprintf("the certificate for %v ends on %s", certs.Names(c), c.Leaf.NotAfter.Format(time.DateOnly)))
+		warnings = append(warnings, fmt.Sprintf("the certificate for %v ends on %s", certs.Names(c),
+			c.Leaf.NotAfter.Format(time.DateOnly)))
 	}
 	var hosts []string
 	for _, route := range f.HTTP.Routes {
--- a/internal/httpproxytransport/golden_test.go
+++ b/internal/httpproxytransport/golden_test.go
@@ -9,7 +9,8 @@
 	"pumicecroft/idempotency"
 )
 
-// storedResponse is what an earlier build's Keep made of the answer below: it stands in journals of idempotency keys, which outlive the program.
+// storedResponse is what an earlier build's Keep made of the answer below: it stands in journals of
+// idempotency keys, which outlive the program.
 const storedResponse = "4d7f03010106416e7377657201ff800001050106537461747573010400010648656164657201ff84000107547261696c6572" +
 	"01ff84000104426f6479010a00010853747265616d6564010200000017ff830401010648656164657201ff8400010c01ff82" +
 	"00000cff81020102ff8200010c000040ff8001fe019201020c436f6e74656e742d54797065010a746578742f706c61696e05" +
@@ -17,7 +18,8 @@
 
 // An answer that an earlier build kept in a journal is given again in all its parts.
 func TestResponseStoredByEarlierBuild(t *testing.T) {
-	want := &Response{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}, "X-Two": {"a", "b"}}, Trailer: http.Header{"X-End": {"c"}}, Body: []byte("once"), Streamed: true}
+	want := &Response{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}, "X-Two": {"a", "b"}},
+		Trailer: http.Header{"X-End": {"c"}}, Body: []byte("once"), Streamed: true}
 	body, err := hex.DecodeString(storedResponse)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/httpproxytransport/stored_test.go
+++ b/internal/httpproxytransport/stored_test.go
@@ -13,11 +13,13 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write testdata/answer.gob anew: only for a new stored form")
 
-// An answer that an earlier release kept for an idempotency key is given again with all its fields, and is kept in the same bytes now.
+// An answer that an earlier release kept for an idempotency key is given again with all its fields,
+// and is kept in the same bytes now.
 func TestStoredResponseKeepsItsForm(t *testing.T) {
 	const file = "testdata/answer.gob"
-	want := &Response{Status: http.StatusCreated, Header: http.Header{"Location": {"/items/7", "/items/8"}}, Trailer: http.Header{"Checksum": {"c0ffee"}},
-		Body: []byte("made\x00"), Streamed: true}
+	want := &Response{Status: http.StatusCreated, Header: http.Header{"Location": {"/items/7", "/items/8"}},
+		Trailer: http.Header{"Checksum": {"c0ffee"}},
+		Body:    []byte("made\x00"), Streamed: true}
 	kept, err := (&Request{}).EncodeResponse(want)
 	if err != nil || kept.Status != http.StatusCreated || kept.ContentType != "application/http" {
 		t.Fatalf("%+v, %v", kept, err)
@@ -31,7 +33,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := (&Request{}).DecodeResponse(idempotency.Response{Status: http.StatusCreated, ContentType: "application/http", Body: golden})
+	again, err := (&Request{}).DecodeResponse(idempotency.Response{Status: http.StatusCreated,
+		ContentType: "application/http", Body: golden})
 	if err != nil || !reflect.DeepEqual(again, want) {
 		t.Errorf("%+v, %v; want %+v", again, err, want)
 	}
--- a/internal/httpproxytransport/transport_test.go
+++ b/internal/httpproxytransport/transport_test.go
@@ -56,7 +56,8 @@
 	return c.Conn.Close()
 }
 
-// Connections are bounded over all backends, kept ones make room, idle ones go by themselves, and a backend that is gone keeps none.
+// Connections are bounded over all backends, kept ones make room, idle ones go by themselves, and a
+// backend that is gone keeps none.
 func TestConnectionsAreBounded(t *testing.T) {
 	for name, h2 := range map[string]bool{"HTTP/1.1": false, "HTTP/2": true} {
 		t.Run(name, func(t *testing.T) {
@@ -81,9 +82,11 @@
 				}
 				s.Start()
 				t.Cleanup(s.Close)
-				changes = append(changes, membership.Change{Endpoint: decision.Endpoint{ID: decision.BackendID(i)}, Addr: strings.TrimPrefix(s.URL, "http://")})
+				changes = append(changes, membership.Change{Endpoint: decision.Endpoint{ID: decision.BackendID(i)},
+					Addr: strings.TrimPrefix(s.URL, "http://")})
 			}
-			b := New(Config{Service: "shop", MaxConns: 4, HTTP2: h2, MaxHTTP2Conns: 1, IdleTimeout: 100 * time.Millisecond, Dial: dials.dial})
+			b := New(Config{Service: "shop", MaxConns: 4, HTTP2: h2, MaxHTTP2Conns: 1,
+				IdleTimeout: 100 * time.Millisecond, Dial: dials.dial})
 			defer b.Close()
 			b.Apply(changes)
 			var ran sync.WaitGroup
@@ -91,8 +94,10 @@
 			for i := range 40 {
 				ran.Go(func() {
 					for range 20 {
-						req := &Request{Request: http1proxy.Request{Method: "GET", Target: "/", Host: "x"}, Service: "shop", Statuses: &http1proxy.Statuses{}, MaxResponseBytes: 100}
-						switch b.RoundTrip(executor.NewAttempt(decision.BackendID(i%3), time.Now().Add(20*time.Second), req)).Result {
+						req := &Request{Request: http1proxy.Request{Method: "GET", Target: "/", Host: "x"},
+							Service: "shop", Statuses: &http1proxy.Statuses{}, MaxResponseBytes: 100}
+						switch b.RoundTrip(executor.NewAttempt(decision.BackendID(i%3),
+							time.Now().Add(20*time.Second), req)).Result {
 						case decision.Succeeded:
 							answered.Add(1)
 						case decision.NotSent: // there was no room: it has not run
@@ -104,8 +109,10 @@
 				})
 			}
 			ran.Wait()
-			if most := dials.maxOpen(); answered.Load() == 0 || other.Load() > 0 || b.Conns() > 4 || h2 && (notSent.Load() > 0 || most > 3) || !h2 && (notSent.Load() == 0 || most > 4) {
-				t.Errorf("%d answered, %d not sent, %d other; %d connections, %d at most", answered.Load(), notSent.Load(), other.Load(), b.Conns(), most)
+			if most := dials.maxOpen(); answered.Load() == 0 || other.Load() > 0 || b.Conns() > 4 || h2 &&
+				(notSent.Load() > 0 || most > 3) || !h2 && (notSent.Load() == 0 || most > 4) {
+				t.Errorf("%d answered, %d not sent, %d other; %d connections, %d at most", answered.Load(),
+					notSent.Load(), other.Load(), b.Conns(), most)
 			}
 			if h2 {
 				for i := range changes {
@@ -113,7 +120,8 @@
 				}
 				b.Apply(changes)
 			}
-			for end := time.Now().Add(20 * time.Second); b.Conns() > 0 || open.Load() > 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(20 * time.Second); b.Conns() > 0 ||
+				open.Load() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("%d connections are kept, %d open", b.Conns(), open.Load())
 				}
--- a/internal/operatorconfig/grpc.go
+++ b/internal/operatorconfig/grpc.go
@@ -85,7 +85,8 @@
 		if _, ok := methods[name]; ok {
 			e.Problemf("name", "%q is there twice", name)
 		}
-		known := slices.ContainsFunc(f.Gateway.Settings.Classes, func(c decision.Class) bool { return c.Name == method.Class })
+		known := slices.ContainsFunc(f.Gateway.Settings.Classes,
+			func(c decision.Class) bool { return c.Name == method.Class })
 		if method.Class != "" && !known {
 			e.Problemf("class", "there is no class %q", method.Class)
 		}
--- a/internal/operatorconfig/grpc_test.go
+++ b/internal/operatorconfig/grpc_test.go
@@ -32,14 +32,17 @@
 		t.Fatal(err)
 	}
 	c := f.GRPC.Proxy
-	if f.GRPC.Listen != "127.0.0.1:8090" || c.Names != (grpcproxy.MetadataNames{Customer: "x-tenant", Plan: "x-tier", ID: "request-id", IdempotencyKey: "idempotency-key"}) ||
-		!c.CustomerText || c.Strict || c.ReadTimeout != 300*time.Millisecond || c.MaxMessageBytes != 4<<20 || c.MaxStreamsPerConn != 1000 {
+	if f.GRPC.Listen != "127.0.0.1:8090" || c.Names != (grpcproxy.MetadataNames{Customer: "x-tenant", Plan: "x-tier",
+		ID: "request-id", IdempotencyKey: "idempotency-key"}) ||
+		!c.CustomerText || c.Strict || c.ReadTimeout != 300*time.Millisecond || c.MaxMessageBytes != 4<<20 ||
+		c.MaxStreamsPerConn != 1000 {
 		t.Errorf("%+v", f.GRPC)
 	}
 	if len(c.Methods) != 2 || c.Methods["/shop.List/*"] != (grpcproxy.Method{Class: "look", Streaming: true}) {
 		t.Errorf("%+v", c.Methods)
 	}
-	if f.Backends.Nodes[0].Protocol != "grpc" || f.Gateway.Protocol != "http" || f.GRPC.Backends.ConnectTimeout != f.Gateway.ConnectTimeout {
+	if f.Backends.Nodes[0].Protocol != "grpc" || f.Gateway.Protocol != "http" ||
+		f.GRPC.Backends.ConnectTimeout != f.Gateway.ConnectTimeout {
 		t.Errorf("%+v, %+v", f.Backends.Nodes, f.Gateway)
 	}
 	if f, err = Parse([]byte(good)); err != nil || f.GRPC != nil {
@@ -49,18 +52,26 @@
 
 func TestInvalidGRPC(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
-		"no listen":        {`listen = "127.0.0.1:8090"`, "", "line 30: grpc.listen: it is missing"},
-		"a name of gRPC":   {`"x-tenant"`, `"grpc-timeout"`, `line 32: grpc.customer: "grpc-timeout" can't name metadata here`},
-		"a binary name":    {`"x-tenant"`, `"x-tenant-bin"`, `line 32: grpc.customer: "x-tenant-bin" can't name metadata here`},
-		"upper case":       {`"x-tenant"`, `"X-Tenant"`, `line 32: grpc.customer: "X-Tenant" can't`},
-		"no customer":      {`"x-tenant"`, `""`, "line 32: grpc.customer: it is empty"},
-		"a name twice":     {`"x-tenant"`, `"x-tier"`, `line 30: grpc.plan: "x-tier" stands for something else already`},
-		"no method":        {"[[grpc.method]]", "[[grpc.methode]]", "line 30: grpc.methode: no such key; there are "},
-		"not a method":     {`"/shop.Desk/Pay"`, `"shop.Desk.Pay"`, `line 38: grpc.method[0].name: "shop.Desk.Pay" is no method`},
-		"half a wildcard":  {`"/shop.List/*"`, `"/shop.List/Get*"`, `line 42: grpc.method[1].name: "/shop.List/Get*" is no method`},
-		"a method twice":   {`"/shop.List/*"`, `"/shop.Desk/Pay"`, `line 42: grpc.method[1].name: "/shop.Desk/Pay" is there twice`},
-		"unknown class":    {`class = "pay"`, `class = "buy"`, `line 39: grpc.method[0].class: there is no class "buy"`},
-		"unknown protocol": {"cell = 3", "cell = 3\nprotocol = \"http2\"", `line 29: backend[0].protocol: "http2" is none of`},
+		"no listen": {`listen = "127.0.0.1:8090"`, "", "line 30: grpc.listen: it is missing"},
+		"a name of gRPC": {`"x-tenant"`, `"grpc-timeout"`,
+			`line 32: grpc.customer: "grpc-timeout" can't name metadata here`},
+		"a binary name": {`"x-tenant"`, `"x-tenant-bin"`,
+			`line 32: grpc.customer: "x-tenant-bin" can't name metadata here`},
+		"upper case":  {`"x-tenant"`, `"X-Tenant"`, `line 32: grpc.customer: "X-Tenant" can't`},
+		"no customer": {`"x-tenant"`, `""`, "line 32: grpc.customer: it is empty"},
+		"a name twice": {`"x-tenant"`, `"x-tier"`,
+			`line 30: grpc.plan: "x-tier" stands for something else already`},
+		"no method": {"[[grpc.method]]", "[[grpc.methode]]", "line 30: grpc.methode: no such key; there are "},
+		"not a method": {`"/shop.Desk/Pay"`, `"shop.Desk.Pay"`,
+			`line 38: grpc.method[0].name: "shop.Desk.Pay" is no method`},
+		"half a wildcard": {`"/shop.List/*"`, `"/shop.List/Get*"`,
+			`line 42: grpc.method[1].name: "/shop.List/Get*" is no method`},
+		"a method twice": {`"/shop.List/*"`, `"/shop.Desk/Pay"`,
+			`line 42: grpc.method[1].name: "/shop.Desk/Pay" is there twice`},
+		"unknown class": {`class = "pay"`, `class = "buy"`,
+			`line 39: grpc.method[0].class: there is no class "buy"`},
+		"unknown protocol": {"cell = 3", "cell = 3\nprotocol = \"http2\"",
+			`line 29: backend[0].protocol: "http2" is none of`},
 	} {
 		_, err := Parse([]byte(strings.Replace(goodGRPC, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/operatorconfig/http.go
+++ b/internal/operatorconfig/http.go
@@ -84,7 +84,8 @@
 	noClientCerts := f.HTTP.TLS == nil || f.HTTP.TLS.ClientAuth == ClientAuthNone
 	for i, id := range f.HTTP.Identities {
 		if id.Kind == KindCertificate && noClientCerts {
-			d.Problemf(fmt.Sprintf("identity[%d]", i), "kind", "no client brings a certificate: [tls] with client_auth is missing")
+			d.Problemf(fmt.Sprintf("identity[%d]", i), "kind",
+				"no client brings a certificate: [tls] with client_auth is missing")
 		}
 	}
 }
@@ -148,7 +149,8 @@
 		s.Problemf("client_auth", "client_ca_file and a client_auth of ask or require go together")
 	}
 	for _, e := range s.List("certificate") {
-		t.Certificates = append(t.Certificates, Certificate{locationOf(e), e.Text("cert_file", true), e.Text("key_file", true)})
+		t.Certificates = append(t.Certificates, Certificate{locationOf(e), e.Text("cert_file", true),
+			e.Text("key_file", true)})
 		e.RejectUnknownKeys()
 	}
 	if len(t.Certificates) == 0 {
--- a/internal/operatorconfig/http_test.go
+++ b/internal/operatorconfig/http_test.go
@@ -18,7 +18,8 @@
 		}
 		var b strings.Builder
 		for _, c := range f.Gateway.Settings.Classes {
-			b.WriteString("class " + c.Name + " " + []string{"safe", "keyed", "unsafe"}[c.Idempotency] + " " + c.Deadline.String() + "\n")
+			b.WriteString("class " + c.Name + " " + []string{"safe", "keyed", "unsafe"}[c.Idempotency] + " " +
+				c.Deadline.String() + "\n")
 		}
 		for _, p := range f.Gateway.Settings.Plans {
 			b.WriteString("plan " + p.Name + "\n")
@@ -28,7 +29,9 @@
 		}
 		for _, r := range f.HTTP.Routes {
 			to := r.Target
-			b.WriteString("route " + r.Name + " " + r.Host + r.Path + " -> " + strings.Join([]string{to.Service, to.Class.Idempotent, to.Class.IdempotentByKey, to.Class.NonIdempotent}, "|"))
+			b.WriteString("route " + r.Name + " " + r.Host + r.Path + " -> " +
+				strings.Join([]string{to.Service, to.Class.Idempotent, to.Class.IdempotentByKey,
+					to.Class.NonIdempotent}, "|"))
 			if to.Idempotency != nil && *to.Idempotency == decision.Idempotent {
 				b.WriteString(" safe")
 			}
--- a/internal/operatorconfig/idempotency.go
+++ b/internal/operatorconfig/idempotency.go
@@ -22,7 +22,8 @@
 	for _, c := range f.Gateway.Settings.Classes {
 		least := c.Deadline + c.DedupWindow
 		if c.Idempotency != decision.Idempotent && limits.UnknownTTL < least {
-			s.Problemf("keep_doubt", "%v is below the deadline and key window of class %q, %v: a repeat of what may have run would go on",
+			s.Problemf("keep_doubt",
+				"%v is below the deadline and key window of class %q, %v: a repeat of what may have run would go on",
 				limits.UnknownTTL, c.Name, least)
 		}
 	}
--- a/internal/operatorconfig/identities.go
+++ b/internal/operatorconfig/identities.go
@@ -88,7 +88,8 @@
 	if len(plans) > 0 {
 		plan = plans[0]
 	}
-	return Identity{Location: Location{Line: 1}, Kind: KindAddress, Name: KindAddress, Plan: plan, IPv6PrefixBits: defaultIPv6PrefixBits}
+	return Identity{Location: Location{Line: 1}, Kind: KindAddress, Name: KindAddress, Plan: plan,
+		IPv6PrefixBits: defaultIPv6PrefixBits}
 }
 
 // identityReader reads one identity.
--- a/internal/operatorconfig/routes.go
+++ b/internal/operatorconfig/routes.go
@@ -104,7 +104,8 @@
 	target.Cost = s.Float("units", 0, 0, unbounded)
 	target.Timeout = s.Duration("timeout", 0, time.Millisecond, time.Hour)
 	target.MaxBodyBytes = int64(s.Int("max_body", 1<<20, 0, 1<<40))
-	target.Statuses = httpproxy.Statuses{Succeeded: s.Ints("answered"), Rejected: s.Ints("refused"), Failed: s.Ints("failed")}
+	target.Statuses = httpproxy.Statuses{Succeeded: s.Ints("answered"), Rejected: s.Ints("refused"),
+		Failed: s.Ints("failed")}
 	if err := target.Statuses.Validate(); err != nil {
 		s.Problemf("failed", "%v", err)
 	}
@@ -118,7 +119,8 @@
 			Target: &httpproxy.Route{Service: service, Class: classes[service]}})
 	}
 	if len(h.Services) > 1 {
-		d.Problemf("", "route", "there is none, and there are several services: [[route]] with a service and a host or path")
+		d.Problemf("", "route",
+			"there is none, and there are several services: [[route]] with a service and a host or path")
 	}
 }
 
--- a/internal/operatorconfig/sources.go
+++ b/internal/operatorconfig/sources.go
@@ -134,16 +134,17 @@
 // readConsulConfig reads how the agent is reached.
 func readConsulConfig(s *settings.Section) consul.Config {
 	c := consul.Config{
-		Address:     s.Text("address", true),
-		TokenFile:   s.Text("token_file", false),
-		Datacenter:  s.Text("datacenter", false),
-		Namespace:   s.Text("namespace", false),
-		Partition:   s.Text("partition", false),
-		CAFile:      s.Text("ca_file", false),
-		CertFile:    s.Text("cert_file", false),
-		KeyFile:     s.Text("key_file", false),
-		ServerName:  s.Text("server_name", false),
-		Consistency: consul.Consistency(s.OneOf("consistency", "default", "default", "stale", "consistent")), // in the order of its values
+		Address:    s.Text("address", true),
+		TokenFile:  s.Text("token_file", false),
+		Datacenter: s.Text("datacenter", false),
+		Namespace:  s.Text("namespace", false),
+		Partition:  s.Text("partition", false),
+		CAFile:     s.Text("ca_file", false),
+		CertFile:   s.Text("cert_file", false),
+		KeyFile:    s.Text("key_file", false),
+		ServerName: s.Text("server_name", false),
+		// in the order of its values
+		Consistency: consul.Consistency(s.OneOf("consistency", "default", "default", "stale", "consistent")),
 		Wait:        s.Duration("wait", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
 		MaxStale:    s.Duration("max_stale", 10*time.Second, 0, day),
 		RetryMax:    s.Duration("retry_most", 5*time.Second, 100*time.Millisecond, time.Hour),
--- a/internal/unread/unread_test.go
+++ b/internal/unread/unread_test.go
@@ -9,7 +9,8 @@
 	"pumicecroft/internal/testkit"
 )
 
-// Nothing is unread while the reader waits, something is from when it has come until the reader waits again, and the end is no nothing.
+// Nothing is unread while the reader waits, something is from when it has come until the reader
+// waits again, and the end is no nothing.
 func TestNothing(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
