--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -92,7 +92,8 @@
 			wrongMethod = true
 			continue
 		}
-		if best == nil || cmp.Or(hostRank(rule)-hostRank(best), slices.Compare(kinds(rule), kinds(best)), methods(rule)-methods(best),
+		if best == nil || cmp.Or(hostRank(rule)-hostRank(best), slices.Compare(kinds(rule), kinds(best)),
+			methods(rule)-methods(best),
 			len(best.Headers)+len(best.Query)-len(rule.Headers)-len(rule.Query)) < 0 {
 			best = rule
 		}
@@ -120,7 +121,8 @@
 
 // randomRule draws from so few words that rules overlap.
 func randomRule(rng *rand.Rand, line int) Rule[int] {
-	r := Rule[int]{Name: fmt.Sprint("r", line), Line: line, Target: line, Host: pick(rng, "", "", "a.org", "*.a.org", "*.b.a.org", "b.a.org")}
+	r := Rule[int]{Name: fmt.Sprint("r", line), Line: line, Target: line,
+		Host: pick(rng, "", "", "a.org", "*.a.org", "*.b.a.org", "b.a.org")}
 	for i := range 1 + rng.IntN(3)/2 + rng.IntN(2) {
 		r.Path += "/" + pick(rng, "x", "x", "%2F", "", fmt.Sprintf("{p%d}", i))
 	}
@@ -158,11 +160,14 @@
 	if rng.IntN(20) == 0 {
 		path = pick(rng, "", "x", "/%zz", "/x/%2e%2E", "/./x", "*")
 	}
-	return &Request{Method: pick(rng, "GET", "PUT", "POST", "PURGE"), Host: pick(rng, "", "a.org", "A.ORG:80", "b.a.org.", "c.b.a.org", "ba.org", "[::1]:80", "a..org", "a.org:x"), Path: path,
+	return &Request{Method: pick(rng, "GET", "PUT", "POST", "PURGE"),
+		Host:   pick(rng, "", "a.org", "A.ORG:80", "b.a.org.", "c.b.a.org", "ba.org", "[::1]:80", "a..org", "a.org:x"),
+		Path:   path,
 		Header: header.Values, Query: func(name string) []string { return query[name] }}
 }
 
-// The tree takes what the plain rule takes, for any table that is not refused; and a table is refused only for two rules that some request
+// The tree takes what the plain rule takes, for any table that is not refused; and a table is
+// refused only for two rules that some request
 // would be both's, or one that none would be.
 func TestMatchAgreesWithReference(t *testing.T) {
 	refused, matched := 0, 0
@@ -187,8 +192,10 @@
 			r := randomRequest(rng)
 			want, wantErr := referenceMatch(rules, r)
 			got, err := table.Match(r)
-			if (err == nil) != (wantErr == nil) || !errors.Is(errorKind(err), errorKind(wantErr)) || err == nil && got.Rule.Line != want.Line {
-				t.Fatalf("%s %q %q: %+v, %v, and by the rule %+v, %v, of\n%+v", r.Method, r.Host, r.Path, got.Rule, err, want, wantErr, rules)
+			if (err == nil) != (wantErr == nil) || !errors.Is(errorKind(err), errorKind(wantErr)) || err == nil &&
+				got.Rule.Line != want.Line {
+				t.Fatalf("%s %q %q: %+v, %v, and by the rule %+v, %v, of\n%+v", r.Method, r.Host, r.Path, got.Rule,
+					err, want, wantErr, rules)
 			}
 			if err == nil {
 				matched++
@@ -211,15 +218,21 @@
 		want  string
 		rules []Rule[int]
 	}{
-		{`line 2: route "b" is ambiguous with "a": a request can be both's, and neither is more specific (line 1)`, []Rule[int]{{Name: "a", Line: 1, Path: "/x/{id}"}, {Name: "b", Line: 2, Path: "/x/{name}"}}},
-		{`line 2: route "b" is ambiguous with "a": a request can be both's, and neither is more specific (line 1)`, []Rule[int]{
-			{Name: "a", Line: 1, Path: "/x", Headers: []Condition{{"H", "1"}}}, {Name: "b", Line: 2, Path: "/x", Query: []Condition{{"q", ""}}}}},
-		{`line 3: route "c" is never taken: more specific ones take all that it would (line 2)`, []Rule[int]{{Name: "a", Line: 1, Path: "/x", Methods: []string{"GET"}},
-			{Name: "b", Line: 2, Path: "/x", Methods: []string{"PUT"}}, {Name: "c", Line: 3, Path: "/x", Methods: []string{"GET", "PUT"}}}},
+		{`line 2: route "b" is ambiguous with "a": a request can be both's, and neither is more specific (line 1)`,
+			[]Rule[int]{{Name: "a", Line: 1, Path: "/x/{id}"}, {Name: "b", Line: 2, Path: "/x/{name}"}}},
+		{`line 2: route "b" is ambiguous with "a": a request can be both's, and neither is more specific (line 1)`,
+			[]Rule[int]{
+				{Name: "a", Line: 1, Path: "/x", Headers: []Condition{{"H", "1"}}},
+				{Name: "b", Line: 2, Path: "/x", Query: []Condition{{"q", ""}}}}},
+		{`line 3: route "c" is never taken: more specific ones take all that it would (line 2)`,
+			[]Rule[int]{{Name: "a", Line: 1, Path: "/x", Methods: []string{"GET"}},
+				{Name: "b", Line: 2, Path: "/x", Methods: []string{"PUT"}},
+				{Name: "c", Line: 3, Path: "/x", Methods: []string{"GET", "PUT"}}}},
 		{`line 1: path "x": invalid path: "x" does not begin with a slash`, []Rule[int]{{Line: 1, Path: "x"}}},
 		{`line 1: path "/a/../b": invalid path: a segment ".."`, []Rule[int]{{Line: 1, Path: "/a/../b"}}},
 		{`line 1: path "/{a...}/b": "{a...}" may only be the last segment`, []Rule[int]{{Line: 1, Path: "/{a...}/b"}}},
-		{`line 1: path "/{a}/{a}": segment "{a}" has no name of its own in braces`, []Rule[int]{{Line: 1, Path: "/{a}/{a}"}}},
+		{`line 1: path "/{a}/{a}": segment "{a}" has no name of its own in braces`,
+			[]Rule[int]{{Line: 1, Path: "/{a}/{a}"}}},
 		{`line 1: path "/x{a}": segment "x{a}" is neither literal nor {name}`, []Rule[int]{{Line: 1, Path: "/x{a}"}}},
 		{`line 1: host "a.org:80" is no name, nor *. and a name`, []Rule[int]{{Line: 1, Host: "a.org:80", Path: "/"}}},
 		{`line 1: host "*" is no name, nor *. and a name`, []Rule[int]{{Line: 1, Host: "*", Path: "/"}}},
@@ -230,8 +243,10 @@
 			t.Errorf("%v\nwant %s", err, c.want)
 		}
 	}
-	good := []Rule[int]{{Line: 1, Path: "/x"}, {Line: 2, Path: "/x/"}, {Line: 3, Path: "/x", Methods: []string{"GET"}}, {Line: 4, Path: "/x", Methods: []string{"PUT"}},
-		{Line: 5, Path: "/x", Headers: []Condition{{"H", ""}}}, {Line: 6, Host: "a.org", Path: "/x"}, {Line: 7, Path: "/{all...}"}, {Line: 8, Path: "/{one}"}}
+	good := []Rule[int]{{Line: 1, Path: "/x"}, {Line: 2, Path: "/x/"},
+		{Line: 3, Path: "/x", Methods: []string{"GET"}}, {Line: 4, Path: "/x", Methods: []string{"PUT"}},
+		{Line: 5, Path: "/x", Headers: []Condition{{"H", ""}}}, {Line: 6, Host: "a.org", Path: "/x"},
+		{Line: 7, Path: "/{all...}"}, {Line: 8, Path: "/{one}"}}
 	if _, err := New(good); err != nil {
 		t.Error(err)
 	}
@@ -239,8 +254,12 @@
 
 // Odd paths and hosts, one by one.
 func TestUnusualRequests(t *testing.T) {
-	table, err := New([]Rule[int]{{Target: 1, Path: "/items/{id}"}, {Target: 2, Path: "/items/{id}/{rest...}"}, {Target: 3, Path: "/a%2Fb"}, {Target: 4, Path: "/"}, {Target: 5, Path: "/items/new", Methods: []string{"POST", "PUT"}},
-		{Target: 6, Host: "*.shop.example.org", Path: "/items/{id}"}, {Target: 7, Host: "Shop.Example.org", Path: "/items/{id}"}, {Target: 8, Path: "/only", Methods: []string{"GET", "HEAD"}}})
+	table, err := New([]Rule[int]{{Target: 1, Path: "/items/{id}"}, {Target: 2, Path: "/items/{id}/{rest...}"},
+		{Target: 3, Path: "/a%2Fb"}, {Target: 4, Path: "/"},
+		{Target: 5, Path: "/items/new", Methods: []string{"POST", "PUT"}},
+		{Target: 6, Host: "*.shop.example.org", Path: "/items/{id}"},
+		{Target: 7, Host: "Shop.Example.org", Path: "/items/{id}"},
+		{Target: 8, Path: "/only", Methods: []string{"GET", "HEAD"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -288,14 +307,16 @@
 		}
 	}
 	var method *MethodError
-	if _, err := table.Match(&Request{Method: "PUT", Path: "/only"}); !errors.As(err, &method) || !slices.Equal(method.Allowed, []string{"GET", "HEAD"}) {
+	if _, err := table.Match(&Request{Method: "PUT", Path: "/only"}); !errors.As(err, &method) ||
+		!slices.Equal(method.Allowed, []string{"GET", "HEAD"}) {
 		t.Errorf("%v", err)
 	}
 }
 
 // Whatever path and host come, the tree and the plain rule agree, and nothing falls over.
 func FuzzMatch(f *testing.F) {
-	rules := []Rule[int]{{Line: 1, Path: "/x/{a}"}, {Line: 2, Path: "/x/y"}, {Line: 3, Path: "/{all...}"}, {Line: 4, Host: "*.a.org", Path: "/x/{a}/{b...}"}, {Line: 5, Host: "a.org", Path: "/%2F"}}
+	rules := []Rule[int]{{Line: 1, Path: "/x/{a}"}, {Line: 2, Path: "/x/y"}, {Line: 3, Path: "/{all...}"},
+		{Line: 4, Host: "*.a.org", Path: "/x/{a}/{b...}"}, {Line: 5, Host: "a.org", Path: "/%2F"}}
 	table, err := New(rules)
 	if err != nil {
 		f.Fatal(err)
@@ -306,13 +327,15 @@
 		r := &Request{Method: "GET", Host: host, Path: path}
 		want, wantErr := referenceMatch(rules, r)
 		got, err := table.Match(r)
-		if (err == nil) != (wantErr == nil) || !errors.Is(errorKind(err), errorKind(wantErr)) || err == nil && got.Rule.Line != want.Line {
+		if (err == nil) != (wantErr == nil) || !errors.Is(errorKind(err), errorKind(wantErr)) || err == nil &&
+			got.Rule.Line != want.Line {
 			t.Fatalf("%q %q: %+v, %v, and by the rule %+v, %v", host, path, got.Rule, err, want, wantErr)
 		}
 	})
 }
 
-// BenchmarkMatch is a match in tables of n routes, against looking at all of them, and against net/http's ServeMux, which knows no
+// BenchmarkMatch is a match in tables of n routes, against looking at all of them, and against
+// net/http's ServeMux, which knows no
 // conditions.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{1, 100, 10_000} {
--- a/routes/table.go
+++ b/routes/table.go
@@ -139,7 +139,8 @@
 		for _, earlier := range list[:i] {
 			if earlier.compare(rule) == 0 && earlier.sharesMethod(rule) {
 				problems = append(problems, Problem{rule.Line, earlier.Line, fmt.Sprintf(
-					"route %q is ambiguous with %q: a request can be both's, and neither is more specific", rule.Name, earlier.Name)})
+					"route %q is ambiguous with %q: a request can be both's, and neither is more specific", rule.Name,
+					earlier.Name)})
 			}
 		}
 		if line := rule.coveredBy(list[:i]); line > 0 {
