--- a/cmd/pumicecroft/commands_test.go
+++ b/cmd/pumicecroft/commands_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// A command line that can't be taken ends with 2 and a word on what was meant; what fails ends with 1.
+// An invalid command line ends with 2 and says what was meant; a failure ends with 1.
 func TestExitCodes(t *testing.T) {
 	t.Setenv("NODE_CONFIG", "")
 	for _, c := range []struct {
@@ -119,7 +119,8 @@
 	}
 }
 
-// startServing starts the program by an operator's file and gives where it listens for clients and for members.
+// startServing starts the program by an operator's file, and returns the addresses for clients and
+// for status.
 func startServing(t *testing.T, path string) (cmd *exec.Cmd, addr, members string) {
 	t.Helper()
 	cmd = exec.Command(os.Args[0], "serve", path)
@@ -148,7 +149,7 @@
 	return cmd, addr, members
 }
 
-// The daemon serves by an operator's file, and ends well.
+// The daemon serves by an operator's file, and ends without an error.
 func TestServeFile(t *testing.T) {
 	cmd, addr, _ := startServing(t, writeFile(t, operatorFile))
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+addr+"/look", nil)
@@ -171,8 +172,8 @@
 	}
 }
 
-// With Consul as its source a door serves what stands there, tells what it believes and why, stands there itself, and
-// is gone from there at its end.
+// With Consul as its source a gateway serves the backends in the catalog, tells what it knows of
+// them, registers itself, and is deregistered at its end.
 func TestServeWithConsul(t *testing.T) {
 	agent, err := fakes.StartConsul(nil)
 	if err != nil {
@@ -242,7 +243,7 @@
 	}
 }
 
-// A file's own backends and the platform's discovery, side by side.
+// A file's own backends and the platform's discovery are sources side by side.
 func TestServeWithDiscovery(t *testing.T) {
 	discovery, err := fakes.StartDiscovery()
 	if err != nil {
@@ -273,7 +274,7 @@
 	}
 }
 
-// The program's own words are text or JSON, each with its door, and those below the level are not said.
+// The log is text or JSON, each line names the gateway, and lines below the level are not written.
 func TestLogFormats(t *testing.T) {
 	path := writeFile(t, operatorFile)
 	for _, c := range []struct {
@@ -312,8 +313,8 @@
 	}
 }
 
-// What a door would begin with is told by kind, with its age and what becomes of it, and nothing is
-// believed that another door kept.
+// The state command prints what a gateway would restore, with its age and what becomes of it. A
+// snapshot of another gateway is not believed.
 func TestState(t *testing.T) {
 	dir := t.TempDir()
 	tell := func(args ...string) string {
--- a/cmd/pumicecroft/kills_test.go
+++ b/cmd/pumicecroft/kills_test.go
@@ -20,13 +20,13 @@
 )
 
 var (
-	killsFlag = flag.Int("kills", 12, "how often TestKeysOutliveKills kills the program")
-	killsSync = flag.String("kills.sync", "0s", "journal_sync of TestKeysOutliveKills")
+	killsFlag = flag.Int("kills", 12, "how often TestIdempotencyKeysSurviveKills kills the program")
+	killsSync = flag.String("kills.sync", "0s", "journal_sync of TestIdempotencyKeysSurviveKills")
 )
 
-// The program is killed at points of chance, again and again, with its journal of keys on. Clients
-// press until they have an end: no key has
-// its effect twice, and one that was answered is answered alike ever after, by each later process.
+// The program is killed at random times, with its journal of idempotency keys. Clients retry until
+// they have a response: no key may have its effect twice, and a key that has a response must get
+// the same one from each later process.
 func TestIdempotencyKeysSurviveKills(t *testing.T) {
 	ledger := &fakes.Ledger{}
 	var nodes strings.Builder
--- a/cmd/pumicecroft/lab_test.go
+++ b/cmd/pumicecroft/lab_test.go
@@ -29,7 +29,7 @@
 burst = 10
 `
 
-// From an experiment's file to its verdicts: the program as it is, and with an edit of a file that ships.
+// An experiment is run by the program as it is, and by one with an edit of its files, and compared.
 func TestLabVariants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it builds programs")
@@ -62,7 +62,7 @@
 	}
 }
 
-// The experiments that ship are good, and their reports are written.
+// The experiments in the repository are valid, and their reports are written.
 func TestLabFiles(t *testing.T) {
 	files, err := filepath.Glob("../../lab/*.toml")
 	if err != nil || len(files) < 5 {
--- a/cmd/pumicecroft/load_test.go
+++ b/cmd/pumicecroft/load_test.go
@@ -20,8 +20,8 @@
 	"pumicecroft/membership"
 )
 
-// Over gRPC a load goes through a door: what is within the quota is served, the rest is refused
-// with a pushback, and who follows it comes back.
+// A load over gRPC goes through a gateway: what is within the quota is served, the rest is rejected
+// with a pushback, and clients that follow it come back.
 func TestLoadOverGRPC(t *testing.T) {
 	b, err := fakes.StartGRPC(fakes.GRPCConfig{Ledger: &fakes.Ledger{}})
 	if err != nil {
--- a/cmd/pumicecroft/main_test.go
+++ b/cmd/pumicecroft/main_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestMain lets the test's own binary stand in for the program, where a test needs it as a process of its own.
+// TestMain lets the test's binary be the program, where a test needs it as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv("PUMICECROFT_AS_PROGRAM") != "" {
 		main()
@@ -70,13 +70,14 @@
 	os.Exit(m.Run())
 }
 
-// process is the program as a process of its own, and what it says.
+// process is the program as a process, and what it logs.
 type process struct {
 	*exec.Cmd
 	lines chan string
 }
 
-// startProgram starts it by a configuration's path, as a shell that has been told shell before does.
+// startProgram starts the program by a configuration's path, in a shell that runs the given
+// commands before.
 func startProgram(t *testing.T, path, shell string) *process {
 	t.Helper()
 	cmd := exec.Command("/bin/sh", "-c", shell+` exec "$0"`, os.Args[0])
@@ -99,7 +100,7 @@
 	return p
 }
 
-// waitForLine waits for a line.
+// waitForLine waits for a line that contains a text.
 func (p *process) waitForLine(t *testing.T, what string) string {
 	t.Helper()
 	timeout := time.After(20 * time.Second)
@@ -118,7 +119,7 @@
 	}
 }
 
-// startDiscoveryProbe tells what a discovery is asked for.
+// startDiscoveryProbe returns a discovery that tells what it is asked for.
 func startDiscoveryProbe(t *testing.T) (addr string, asked chan string) {
 	t.Helper()
 	asked = make(chan string, 100)
@@ -141,9 +142,8 @@
 	}
 }
 
-// A program that is ending still sends on what it holds, and goes by the discovery that a new
-// configuration names: SIGHUP behind SIGTERM
-// moves it too, and so does each of two that come one behind the other.
+// SIGHUP arrives after SIGTERM, once and twice: open requests may still need backends, so the
+// discovery that the new configuration names must be followed.
 func TestSIGHUPMovesDiscoveryDuringShutdown(t *testing.T) {
 	old, askedOld := startDiscoveryProbe(t)
 	now, askedNow := startDiscoveryProbe(t)
@@ -174,8 +174,8 @@
 	}
 }
 
-// SIGHUP to a process that does not want it yet does no harm, as the deploy file starts it: the
-// configuration is read later.
+// SIGHUP arrives before the process handles it, as the deploy file starts it: it must do no harm,
+// as the configuration is read later.
 func TestSIGHUPBeforeServing(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -200,8 +200,8 @@
 	}
 }
 
-// Unhandled, SIGHUP ends a program. It must move discovery instead, and a file that is no good must change
-// nothing: the program serves on, and the next good file counts.
+// SIGHUP, which ends a program that does not handle it, moves discovery. An invalid file must
+// change nothing, and the next valid one counts.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	await := func(asked chan string, want string) {
 		t.Helper()
--- a/cmd/pumicecroft/names_test.go
+++ b/cmd/pumicecroft/names_test.go
@@ -8,8 +8,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// The command line's words are settled by the operators' page: a field that is renamed in Go must
-// not rename a command, an argument or a flag.
+// Commands, arguments and flags have the names of the operators' page: renaming a field in Go must
+// not change them.
 func TestCommandLineKeepsItsNames(t *testing.T) {
 	const want = `--help -h, --log-format [text,json], --log-level [debug,info,warn,error]
 serve <file>
--- a/cmd/pumicecroft/pairs_test.go
+++ b/cmd/pumicecroft/pairs_test.go
@@ -28,9 +28,9 @@
 	pairsUnit = flag.Duration("pairs.unit", 50*time.Millisecond, "what a second is in TestTimedPairs; 1s is real time")
 )
 
-// Pairs of one key, the second around each edge: in the same instant, at the answer, when the racks
-// forget, long after. Each has one effect at
-// the stand-in nodes, and both clients are answered alike: at the program by its file, and at the library.
+// Two requests have one key, the second around each edge: at the same instant, at the response,
+// when the backends forget the key, and long after. Each pair must have one effect and equal
+// responses, at the program and at the library.
 func TestTimedPairs(t *testing.T) {
 	unit := *pairsUnit
 	for _, front := range []string{"program", "library"} {
--- a/cmd/pumicecroft/sim_test.go
+++ b/cmd/pumicecroft/sim_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Every planted bug still stands where its list says, in a file that ships, and each is another one.
+// The text that each planted bug replaces is in its file just once, and all bugs differ.
 func TestPlantedBugsFit(t *testing.T) {
 	list, err := readMutants(mutants)
 	if err != nil || len(list) < 20 {
@@ -76,9 +76,8 @@
 	}
 }
 
-// A planted bug is built and caught, by the rule that its list names; one that does nothing is not,
-// and one that does not
-// build is an error.
+// A planted bug is built and caught, by the rule that its list names. An edit without effect is not
+// caught, and one that does not build is an error.
 func TestMutants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it builds programs")
--- a/cmd/pumicecroft/sockets_test.go
+++ b/cmd/pumicecroft/sockets_test.go
@@ -20,9 +20,9 @@
 var socketsFlag = flag.Bool("sockets", false,
 	"hold the emulator against sockets, which wants some quiet processors for half a minute")
 
-// The same scenario by the emulator, and by a door, backends and a load on sockets. How far they
-// lie apart is printed; it is a measurement
-// (docs/measurements/0007-laboratory.md), and fails only where they tell different stories.
+// The same scenario runs in the emulator, and on sockets with a gateway, backends and a load. It
+// prints how far they lie apart (docs/measurements/0007-laboratory.md), and fails only if they rank
+// differently.
 //
 //	go test ./cmd/pumicecroft -run TestEmulatorAgainstSockets -sockets -v
 func TestEmulatorAgainstSockets(t *testing.T) {
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -33,7 +33,7 @@
 burst = 100000
 `
 
-// curl and Node's client and server, which nobody here wrote, through the daemon by a file of ten lines.
+// curl, and Node's client and server, work through the daemon by a file of ten lines.
 func TestPeerClientsAndBackends(t *testing.T) {
 	node, err := exec.LookPath("node")
 	if err != nil {
@@ -122,7 +122,8 @@
 	}
 }
 
-// A SIGHUP puts other routes in force, a bad file none, and what waits goes on by the routes that it came by.
+// SIGHUP puts other routes in force, an invalid file none, and open requests go on by the routes
+// that they arrived by.
 func TestSIGHUPReloadsRoutes(t *testing.T) {
 	came, goOn := make(chan bool, 1), make(chan bool)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -173,7 +174,7 @@
 	}
 }
 
-// check reads what a file names, and says what is wrong with it and where.
+// The check command reads the files that a file names, and says what is wrong with them and where.
 func TestCheckReadsFiles(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
@@ -204,7 +205,7 @@
 	}
 }
 
-// routes says what would become of a request.
+// The routes command prints what would become of a request.
 func TestShowRoute(t *testing.T) {
 	path := writeFile(t, fmt.Sprintf(tenLines, "127.0.0.1:9")+`[http]
 trusted = ["10.0.0.0/8"]
@@ -240,8 +241,8 @@
 	}
 }
 
-// Services whose backends stand in Consul: each has its own, what a node's meta says of its
-// protocol comes first, and neither gets the other's requests.
+// Backends of two services come from Consul: each has its own, a node's metadata on its protocol
+// takes precedence, and neither gets the other's requests.
 func TestServicesFromConsul(t *testing.T) {
 	agent, err := fakes.StartConsul(nil)
 	if err != nil {
--- a/conformance/consul_test.go
+++ b/conformance/consul_test.go
@@ -22,9 +22,9 @@
 
 const consulService = "nodes"
 
-// startMirror keeps a stand-in Consul agent as the stand-in discovery is: what is ready there
-// passes here, what terminates
-// is critical, what is gone is deregistered. It returns when the agent holds what discovery holds now.
+// startMirror keeps a fake Consul agent equal to the fake discovery: a ready backend passes, a
+// terminating one is critical, a removed one is deregistered. It returns when the agent has what
+// discovery has now.
 func startMirror(t testing.TB, addr string) *fakes.Consul {
 	t.Helper()
 	agent, err := fakes.StartConsul(nil)
@@ -69,13 +69,13 @@
 	return agent
 }
 
-// waitForBackends waits until a door knows all that the agent holds.
+// waitForBackends waits until a gateway knows all that the agent has.
 func waitForBackends(t testing.TB, agent *fakes.Consul, ask func() ([]pumicecroft.BackendStatus, error)) {
 	t.Helper()
 	waitForNames(t, slices.Sorted(maps.Keys(agent.Instances(consulService))), ask)
 }
 
-// waitForNames waits until a door knows the members of these names, which are sorted.
+// waitForNames waits until a gateway knows the backends of these names, which are sorted.
 func waitForNames(t testing.TB, want []string, ask func() ([]pumicecroft.BackendStatus, error)) {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); ; time.Sleep(2 * time.Millisecond) {
@@ -95,7 +95,7 @@
 
 var mapping = consul.Mapping{Cell: "cell", Zone: "zone", InstanceType: "model", Started: "started"}
 
-// libraryWithConsul is the library's handler with Consul as its source.
+// libraryWithConsul starts the library's handler with Consul as its source.
 func libraryWithConsul(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
@@ -118,7 +118,7 @@
 	return startHost(t, door, door)
 }
 
-// daemonWithConsul is the daemon by an operator's file, with Consul as its source.
+// daemonWithConsul starts the daemon by an operator's file, with Consul as its source.
 func daemonWithConsul(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
@@ -138,7 +138,8 @@
 	return p
 }
 
-// operatorFile says in an operator's file what the platform's configuration says, with Consul as the source.
+// operatorFile returns an operator's file that says what the platform's configuration says, with
+// Consul as the source.
 func operatorFile(c platform.Config, agent string) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
@@ -148,7 +149,7 @@
 	return fileWith(c, "") + b.String()
 }
 
-// fileWith is such a file but for where backends come from; more goes into its [door].
+// fileWith returns an operator's file without sources of backends; more goes into its [door].
 func fileWith(c platform.Config, more string) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
@@ -178,7 +179,7 @@
 	return b.String()
 }
 
-// What the file says must be what the configuration says.
+// The operator's file must mean what the platform's configuration means.
 func TestOperatorFileMatchesPlatformConfig(t *testing.T) {
 	r := newTestCase(t, Starter{})
 	c, err := platform.ParseConfig([]byte(r.configText(caseConfig{gatewayCount: 3, gatewayIndex: 1,
--- a/conformance/gateways_test.go
+++ b/conformance/gateways_test.go
@@ -33,7 +33,7 @@
 	"pumicecroft/middleware/nethttp"
 )
 
-// TestMain lets the test's own binary stand in for the daemon, as a process of its own.
+// TestMain lets the test's binary be the daemon, as a process.
 func TestMain(m *testing.M) {
 	path, file := os.Getenv("PUMICECROFT_AS_DAEMON"), os.Getenv("PUMICECROFT_BY_FILE")
 	if path != "" || file != "" {
@@ -54,7 +54,7 @@
 	os.Exit(m.Run())
 }
 
-// serve is the daemon, by the platform's configuration or an operator's file.
+// serve runs the daemon, by the platform's configuration or an operator's file.
 func serve(ctx context.Context, path, file string) error {
 	if path != "" {
 		return daemon.Serve(ctx, path, nil)
@@ -72,7 +72,7 @@
 
 func parseFile(text string) (operatorconfig.File, error) { return operatorconfig.Parse([]byte(text)) }
 
-// process is the daemon.
+// process is the daemon as a process.
 type process struct {
 	cmd     *exec.Cmd
 	addr    string
@@ -139,7 +139,7 @@
 	return p.err
 }
 
-// hostedGateway is a Door in a host's server in this process.
+// hostedGateway is a Gateway in a host's server in this process.
 type hostedGateway struct {
 	door   *pumicecroft.Gateway
 	server *http.Server
@@ -148,12 +148,12 @@
 	err    error
 }
 
-// startInHost starts fronts whose Door is behind a handler of a host.
+// startInHost returns a Starter of gateways behind a host's handler.
 func startInHost(handler func(*pumicecroft.Gateway) http.Handler) Starter {
 	return startInHostWith(handler, nil)
 }
 
-// startWithKeys is inHost with keys recognised, and kept on disk.
+// startWithKeys is startInHost with idempotency keys, retained on disk.
 func startWithKeys(handler func(*pumicecroft.Gateway) http.Handler) Starter {
 	s := startInHostWith(handler, func(t testing.TB, c *pumicecroft.Config) {
 		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: t.TempDir()}
@@ -183,7 +183,7 @@
 	}}
 }
 
-// startHost serves a door behind a handler.
+// startHost serves a gateway behind a handler.
 func startHost(t testing.TB, door *pumicecroft.Gateway, handler http.Handler) *hostedGateway {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -209,7 +209,7 @@
 
 func notFound(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }
 
-// starters are all that the suite runs against.
+// starters are all kinds of gateways that the suite runs against.
 var starters = map[string]Starter{
 	"daemon":              {Start: startProcess},
 	"daemon with Consul":  {Start: daemonWithConsul},
@@ -238,7 +238,7 @@
 	}),
 }
 
-// withoutCase is a transcript less one case.
+// withoutCase returns a transcript without one case.
 func withoutCase(transcript, name string) string {
 	from := strings.Index(transcript, name+"\n")
 	to := from + len(name) + 1
@@ -248,7 +248,8 @@
 	return transcript[:from] + transcript[to:]
 }
 
-// Every front obeys the rules, and all of them give the same answers and leave the same counts.
+// Every kind of gateway obeys the rules, and all of them give the same responses and the same
+// counts.
 func TestConformance(t *testing.T) {
 	var mu sync.Mutex
 	told := map[string]string{}
@@ -296,7 +297,7 @@
 	t.Logf("all fronts:\n%s", want)
 }
 
-// diff gives the lines that differ.
+// diff returns the lines that differ.
 func diff(want, got string) string {
 	a, b := strings.Split(want, "\n"), strings.Split(got, "\n")
 	var out strings.Builder
--- a/conformance/grpc_test.go
+++ b/conformance/grpc_test.go
@@ -19,7 +19,7 @@
 	"pumicecroft/membership"
 )
 
-// overGRPC is a Door in this process behind a gRPC server, with backends that speak gRPC.
+// overGRPC starts a Gateway in this process behind a gRPC server, with backends that speak gRPC.
 func overGRPC(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
@@ -49,7 +49,7 @@
 	return g
 }
 
-// daemonWithGRPC is the daemon by an operator's file, asked over gRPC, with backends that speak it.
+// daemonWithGRPC starts the daemon by an operator's file, for clients and backends that speak gRPC.
 func daemonWithGRPC(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
@@ -67,8 +67,8 @@
 	return p
 }
 
-// startByFile starts the daemon by an operator's file, and waits until it knows all that the
-// configuration lists, and more.
+// startByFile starts the daemon by an operator's file, and waits until it knows all backends that
+// the configuration lists, and more.
 func startByFile(t testing.TB, text string, c platform.Config, more ...string) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "pumicecroft.toml")
@@ -88,7 +88,7 @@
 	return p
 }
 
-// deskMethods are the methods of the stand-ins' service: each class is one.
+// deskMethods are the methods of the fakes' service: one for each class.
 func deskMethods(door *pumicecroft.Gateway) map[string]grpcproxy.Method {
 	methods := map[string]grpcproxy.Method{}
 	for _, class := range door.ClassNames() {
--- a/conformance/http_test.go
+++ b/conformance/http_test.go
@@ -16,7 +16,7 @@
 	"pumicecroft/membership"
 )
 
-// webFile is an operator's file by which ordinary HTTP is what the platform's dialect is.
+// webFile returns an operator's file by which ordinary HTTP does what the platform's dialect does.
 func webFile(c platform.Config) string {
 	var b strings.Builder
 	b.WriteString(fileWith(c, ""))
@@ -47,7 +47,7 @@
 	return b.String()
 }
 
-// daemonWithHTTP is the daemon by an operator's file, for ordinary HTTP.
+// daemonWithHTTP starts the daemon by an operator's file, for ordinary HTTP.
 func daemonWithHTTP(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
@@ -57,7 +57,7 @@
 	return startByFile(t, webFile(c), c)
 }
 
-// libraryWithHTTP is a webfront.Front in a host's server in this process.
+// libraryWithHTTP starts an httpproxy.Proxy in a host's server in this process.
 func libraryWithHTTP(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
@@ -93,7 +93,8 @@
 	return startHost(t, door, front)
 }
 
-// followDiscovery has a door's list follow discovery, with what its backends speak.
+// followDiscovery keeps a gateway's backends equal to discovery's, with the protocol that they
+// speak.
 func followDiscovery(t testing.TB, door *pumicecroft.Gateway, c platform.Config, protocol string) {
 	d := &platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}
 	go d.Run(t.Context(), func(l membership.Update) {
@@ -104,7 +105,8 @@
 	})
 }
 
-// One customer that asks two services over HTTP and a third over gRPC has what it has of one of them.
+// One customer asks two services over HTTP and a third over gRPC: it must get no more than of one
+// of them.
 func TestOneQuotaOverServicesAndProtocols(t *testing.T) {
 	count := func(t *testing.T, ways ...string) (served int) {
 		r := newTestCase(t, Starter{})
--- a/conformance/interop_test.go
+++ b/conformance/interop_test.go
@@ -22,7 +22,7 @@
 	"pumicecroft/membership"
 )
 
-// testService is a stand-in for the service of gRPC's interop tests, after their descriptions.
+// testService is the service of gRPC's interop tests, after their description.
 type testService struct {
 	testpb.UnimplementedTestServiceServer
 }
@@ -31,7 +31,7 @@
 	return &testpb.Empty{}, nil
 }
 
-// echo sends back the metadata that the tests want to see again.
+// echo sends back the metadata that the tests expect.
 func echo(ctx context.Context, head, trail func(metadata.MD) error) error {
 	md, _ := metadata.FromIncomingContext(ctx)
 	var err error
@@ -88,9 +88,8 @@
 	return err
 }
 
-// The public interop client's cases of unary and server-streaming calls work through the door. A
-// case that does not ends
-// the test's process by itself, and says which.
+// The cases of the public interop client for unary and server-streaming calls work through the
+// gateway. A case that fails ends the test's process itself, and says which.
 func TestInterop(t *testing.T) {
 	serve := func(s *grpc.Server) string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/conformance/world_test.go
+++ b/conformance/world_test.go
@@ -8,9 +8,8 @@
 	"pumicecroft/internal/sim"
 )
 
-// compareWithWorld holds the world that a seed decides against the real one: each of the suite's
-// outcomes, as all fronts told it on
-// sockets, must be the world's too, in verdict, attempts and effects.
+// compareWithWorld compares the simulated world with the real one: each of the suite's outcomes, as
+// all gateways had it on sockets, must be the world's too, in verdict, attempts and effects.
 func compareWithWorld(t *testing.T, transcript string) {
 	t.Helper()
 	fleets := map[string][]int{"one backend": {0}, "two of one cell": {0, 0}, "two of two cells": {0, 1}}
--- a/grpcproxy/bench_test.go
+++ b/grpcproxy/bench_test.go
@@ -22,7 +22,7 @@
 	"pumicecroft/membership"
 )
 
-// cpuTime is what this process has used of the processors, in user and system time.
+// cpuTime returns the user and system time of this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -53,16 +53,16 @@
 	return c
 }
 
-// benchmarkPath is one way to a backend.
+// benchmarkPath is one path from a client to a backend.
 type benchmarkPath struct {
 	name string
 	conn *grpc.ClientConn
 }
 
-// benchmarkPaths are a backend's, which answers with what it is asked: straight, through a plain
-// proxy that receives a call, makes it
-// again with grpc-go's client and sends the answer, and through the door. All of it runs in this process, so what a way
-// costs by itself is its figure less that of "direct". All servers have the same options, but for their handlers.
+// benchmarkPaths returns paths to a backend that echoes: direct, through a plain proxy that
+// receives a call and makes it again with grpc-go's client, and through the gateway. All of them
+// run in this process, so that the cost of a path is its figure less that of "direct". All servers
+// have the same options, but for their handlers.
 func benchmarkPaths(b *testing.B) []benchmarkPath {
 	echo := func(_ any, ss grpc.ServerStream) error {
 		var m framedMessage
@@ -109,14 +109,12 @@
 		{"door", dialTo(b, listenServe(b, grpc.NewServer(front.ServerOptions()...)))}}
 }
 
-// BenchmarkOverhead asks by all ways in turn, a round each, with 1 and with 64 calls out at once,
-// and reports for each the
-// median over the rounds of its CPU, allocations, p50 and p99 (a call that the door refuses comes
-// back when it is told to, and
-// its time goes on): door/proxy is the ratio as it stands, own the ratio with
-// "direct" taken off both.
+// BenchmarkOverhead sends calls by all paths in turn, a round each, with 1 and with 64 concurrent
+// calls, and reports for each the median over the rounds of CPU, allocations, p50 and p99. A
+// rejected call is retried when it is told to, and its time goes on. door/proxy is the ratio of the
+// figures, own the ratio with "direct" taken off both.
 //
-//	go test -run xxx -bench OwnPart -benchtime 60x ./grpcproxy
+//	go test -run xxx -bench Overhead -benchtime 60x ./grpcproxy
 func BenchmarkOverhead(b *testing.B) {
 	for _, streams := range []int{1, 64} {
 		b.Run(fmt.Sprint(streams, " streams"), func(b *testing.B) {
--- a/grpcproxy/disconnect_test.go
+++ b/grpcproxy/disconnect_test.go
@@ -13,9 +13,8 @@
 	"pumicecroft/internal/testkit"
 )
 
-// A call that its client cancels while it waits for a connection to a backend, for a first attempt
-// or a further one, is sent to nobody when that
-// connection is up, which goes on to serve others.
+// A client cancels a call that waits for a connection to a backend, in the first attempt or a later
+// one. When the connection is up, the call must not be sent on it; the connection serves others.
 func TestCallCancelledWhileDialing(t *testing.T) {
 	for _, further := range []bool{false, true} {
 		t.Run(fmt.Sprintf("further %t", further), func(t *testing.T) {
--- a/grpcproxy/fixture_test.go
+++ b/grpcproxy/fixture_test.go
@@ -26,8 +26,9 @@
 	"pumicecroft/membership"
 )
 
-// The test's service: Look is safe, Pay keyed within a cell, Once unsafe, Watch safe and streaming,
-// Buy keyed and streaming.
+// deskMethods are the methods of the test's service: Look is idempotent, Pay idempotent by key
+// within a cell, Once not idempotent, Watch idempotent and streaming, Buy idempotent by key and
+// streaming.
 var deskMethods = map[string]Method{"/shop.Desk/Look": {Class: "look"}, "/shop.Desk/Pay": {Class: "pay"},
 	"/shop.Desk/Once":  {Class: "once"},
 	"/shop.Desk/Watch": {Class: "look", Streaming: true}, "/shop.Desk/Buy": {Class: "pay", Streaming: true},
@@ -45,7 +46,7 @@
 		Plans: append(plans, decision.Plan{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1})}
 }
 
-// fixture is a Door behind a gRPC server, with stand-in backends and a client.
+// fixture is a gateway behind a gRPC server, with fake backends and a client.
 type fixture struct {
 	t        testing.TB
 	ledger   *fakes.Ledger
@@ -148,7 +149,7 @@
 	return r
 }
 
-// connect makes a client with a connection of its own.
+// connect returns a client with a connection of its own.
 func (r *fixture) connect() *grpc.ClientConn {
 	c, err := grpc.NewClient("passthrough:///"+r.addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDisableRetry(),
@@ -223,7 +224,8 @@
 
 func codeOf(err error) codes.Code { return status.Code(err) }
 
-// watch makes a server-streaming call and reads it to its end; seen, if it is there, is called after each message.
+// watch makes a server-streaming call and reads it to its end. seen, if it is not nil, is called
+// after each message.
 func (r *fixture) watch(c call, seen func(n int)) result {
 	ctx, cancel := c.context(r.t.Context())
 	defer cancel()
@@ -254,7 +256,7 @@
 	return res
 }
 
-// once gives an act for the first attempt of all, and another for the rest.
+// once returns an act for the first of all attempts, and another for the rest.
 func once(first, rest fakes.GRPCAct) func(fakes.Attempt) fakes.GRPCAct {
 	var done sync.Once
 	return func(fakes.Attempt) fakes.GRPCAct {
@@ -268,7 +270,7 @@
 	return func(fakes.Attempt) fakes.GRPCAct { return act }
 }
 
-// await waits until ok.
+// await waits until ok returns true.
 func await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testkit.Patient); !ok(); time.Sleep(time.Millisecond) {
--- a/grpcproxy/frames_test.go
+++ b/grpcproxy/frames_test.go
@@ -20,7 +20,7 @@
 	"pumicecroft/internal/testkit"
 )
 
-// rawClient is a client on bare frames.
+// rawClient is a client that handles HTTP/2 frames itself.
 type rawClient struct {
 	t    *testing.T
 	conn net.Conn
@@ -50,7 +50,7 @@
 	return w
 }
 
-// open opens a stream for a call, with more fields; an error is one of the connection.
+// open opens a stream for a call, with more fields. The error is the connection's.
 func (w *rawClient) open(c call, more ...string) (id uint32, err error) {
 	id = w.next
 	w.next += 2
@@ -77,7 +77,7 @@
 	return id, err
 }
 
-// ask makes a whole call and gives what came back: the last head's status, or how the stream ended.
+// ask makes a call and returns the last header's status, or how the stream ended.
 func (w *rawClient) ask(c call, more ...string) string {
 	w.t.Helper()
 	id, err := w.open(c, more...)
@@ -132,7 +132,7 @@
 	}
 }
 
-// Deadlines of 0, below it, of noise, and of longer than a time can be.
+// Clients send timeouts of 0, negative, malformed and beyond any duration.
 func TestUnusualTimeouts(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
@@ -159,7 +159,7 @@
 	}
 }
 
-// A call's time as a backend sees it is less than what the client gave.
+// The timeout that a backend sees must be less than what the client gave.
 func TestRemainingTimeoutIsForwarded(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
@@ -173,7 +173,7 @@
 	}
 }
 
-// Metadata over the limit: the call is turned away, its neighbours on the connection go on.
+// A call has metadata over the limit: it is rejected, and other calls on the connection go on.
 func TestHeaderListOverLimit(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
@@ -188,7 +188,7 @@
 	}
 }
 
-// A client that floods with pings is sent away; others do not notice.
+// A client floods the server with pings: its connection is closed, and others do not notice.
 func TestPingFlood(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
@@ -213,9 +213,9 @@
 	}
 }
 
-// A client that opens calls and cancels them in a loop makes bounded work: no more of them are out
-// at backends than it may
-// have streams, none has its effect twice, and another client is served.
+// A client opens calls and cancels them in a loop (CVE-2023-44487). The work must stay bounded: no
+// more attempts are open than the client may have streams, no effect happens twice, and another
+// client is served.
 func TestRapidReset(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.act = func(a fakes.Attempt) fakes.GRPCAct {
@@ -274,7 +274,7 @@
 	t.Logf("%d calls, %d attempts, at most %d open", n, len(r.ledger.Attempts()), most)
 }
 
-// A connection that says no HTTP/2 is closed.
+// A connection without HTTP/2 is closed.
 func TestClientWithoutHTTP2(t *testing.T) {
 	r := newRig(t, nil)
 	conn, err := net.Dial("tcp", r.addr)
--- a/grpcproxy/host_test.go
+++ b/grpcproxy/host_test.go
@@ -20,7 +20,7 @@
 	"pumicecroft/internal/grpctransport"
 )
 
-// known is an earlier interceptor of a host's that knows who asks.
+// known is an earlier interceptor of the host, which authenticates the client.
 func known(_ any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) error {
 	ctx := pumicecroft.WithIdentity(ss.Context(), pumicecroft.Identity{Customer: 9, Plan: "shop"})
 	return next(nil, identified{ss, ctx})
@@ -33,8 +33,8 @@
 
 func (i identified) Context() context.Context { return i.ctx }
 
-// In a host's own server the Front takes its methods, by its interceptor or as the handler of unknown services, and the
-// host's own services go on beside it, with messages of their own.
+// In a host's own server the proxy takes its methods, by its interceptor or as the handler of
+// unknown services, and the host's services work beside it, with messages of their own.
 func TestProxyInHostServer(t *testing.T) {
 	own := func(o ...grpc.ServerOption) *grpc.Server {
 		s := grpc.NewServer(append(o, grpc.ForceServerCodecV2(Codec()))...)
@@ -82,7 +82,8 @@
 	}
 }
 
-// What a client is told, for each word of the Door.
+// Each error of the Gateway has a status and a pushback that do not make clients retry what may
+// have run.
 func TestStatusFor(t *testing.T) {
 	answer := func(code grpcproto.Code, message string) *grpctransport.Response {
 		return &grpctransport.Response{Code: code, Message: message,
@@ -147,7 +148,7 @@
 	}
 }
 
-// A Front that could not work is not made, and the error says why.
+// An invalid configuration is an error that says why.
 func TestInvalidConfig(t *testing.T) {
 	set := deskSettings()
 	door, err := pumicecroft.New(pumicecroft.Config{Settings: set}, WithBackends(BackendConfig{}))
--- a/grpcproxy/idempotency_test.go
+++ b/grpcproxy/idempotency_test.go
@@ -15,7 +15,8 @@
 	"pumicecroft/internal/fakes"
 )
 
-// again is a call once more, by a client that pressed twice: the same key, an id of its own.
+// again returns a call once more, as a client does that was pressed twice: with the same key and
+// another ID.
 func (r *fixture) again(c call) call {
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
 	c.md = c.md.Copy()
@@ -24,9 +25,9 @@
 	return c
 }
 
-// Repeats over gRPC, with the first one's end, what comes then, and how many calls were sent on: a
-// repeat gets the same message, status, header and
-// trailers; also by another door that reads its journal.
+// Calls are repeated with their idempotency keys, after each end of the first one. A repeat must
+// get the same message, status, header and trailers, also from another gateway that reads the
+// journal.
 func TestRepeatedIdempotencyKeys(t *testing.T) {
 	for _, c := range []struct {
 		name, method string
@@ -86,7 +87,8 @@
 	}
 }
 
-// Two at once: one goes on, and both have its answer; the quota and the node see one.
+// Two calls with one key arrive at once: one is sent to a backend, both get its response, and quota
+// and backend see one.
 func TestPairsOverGRPC(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.cells, o.work = []int{1, 2}, 2*time.Millisecond
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -24,8 +24,8 @@
 	"pumicecroft/membership"
 )
 
-// runAsGateway names the variable that makes the test's binary a door of its own, for the backend
-// at the address that it holds.
+// runAsGateway names the variable that makes the test's binary a gateway, for the backend at the
+// address that it holds.
 const runAsGateway = "PUMICECROFT_GRPC_DOOR"
 
 func TestMain(m *testing.M) {
@@ -39,7 +39,7 @@
 	os.Exit(m.Run())
 }
 
-// longSettings are of calls that may be open for an hour.
+// longSettings are settings by which calls may be open for an hour.
 func longSettings() decision.Settings {
 	s := deskSettings()
 	for i := range s.Classes {
@@ -48,7 +48,7 @@
 	return s
 }
 
-// serveGateway is a door over gRPC until SIGTERM.
+// serveGateway serves gRPC until SIGTERM.
 func serveGateway(backend string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -80,7 +80,7 @@
 	}
 }
 
-// residentBytes is a process's memory, in KiB.
+// residentBytes returns a process's resident memory, in KiB.
 func residentBytes(t testing.TB, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -100,9 +100,9 @@
 	return 0
 }
 
-// memoryPerStream opens n streams at a door in a process of its own over ten connections, reads one
-// message of each, and gives what
-// the door's memory grew by, in KiB for each, once it no longer grows.
+// memoryPerStream opens n streams over ten connections at a gateway in a process of its own, reads
+// one message of each, and returns how much its memory grew, in KiB for each, once it no longer
+// grows.
 func memoryPerStream(t testing.TB, act fakes.GRPCAct, n int) float64 {
 	t.Helper()
 	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Act: always(act),
@@ -173,7 +173,7 @@
 	return float64(residentBytes(t, door.Process.Pid)-before) / float64(n)
 }
 
-// A stream that is slow or idle costs a door bounded memory.
+// Clients hold many streams open that are slow or idle: each must cost the gateway bounded memory.
 func TestMemoryOfSlowStreams(t *testing.T) {
 	if raceEnabled {
 		t.Skip("the race detector's own memory counts too")
@@ -183,9 +183,8 @@
 	}
 }
 
-// BenchmarkMemory reports what each of 10,000 idle streams and each of 1,000 streams whose clients
-// do not read costs a door,
-// in KiB of its process.
+// BenchmarkMemory reports what each of 10,000 idle streams, and each of 1,000 streams whose clients
+// do not read, costs a gateway, in KiB of its process.
 //
 //	go test -run xxx -bench Memory -benchtime 1x ./grpcproxy
 func BenchmarkMemory(b *testing.B) {
--- a/grpcproxy/proxy_test.go
+++ b/grpcproxy/proxy_test.go
@@ -21,9 +21,8 @@
 	"pumicecroft/membership"
 )
 
-// How each way of a backend to end an attempt reaches the client, for each class, with another
-// backend of the cell there
-// and without one.
+// Backends end attempts in all ways, with each class, with and without another backend in the cell.
+// The client must get the status that the class allows, and no call may run twice that must not.
 func TestCallOutcomes(t *testing.T) {
 	type end struct {
 		code     codes.Code
@@ -70,7 +69,8 @@
 	}
 }
 
-// A refusal says when to come back, in the trailer that clients' retries follow and in the status's details.
+// A rejection says when to retry, in the trailer that clients' retry policies follow and in the
+// status's details.
 func TestRejections(t *testing.T) {
 	r := newRig(t, func(o *options) { o.cells = nil })
 	for _, method := range []string{"Look", "Pay", "Once"} {
@@ -89,7 +89,7 @@
 	}
 }
 
-// A door that is closed turns calls away as one that another door may take.
+// A closed gateway rejects calls with a status by which clients go to another gateway.
 func TestClosedGateway(t *testing.T) {
 	r := newRig(t, nil)
 	_ = r.gateway.Close(t.Context())
@@ -98,7 +98,8 @@
 	}
 }
 
-// startMixedProtocols is a rig with a backend over HTTP/1.1 beside those over gRPC, and the door's address over HTTP.
+// startMixedProtocols returns a fixture with a backend over HTTP/1.1 beside those over gRPC, and
+// what sends a request over HTTP.
 func startMixedProtocols(t *testing.T, plan decision.Plan) (r *fixture, overHTTP func(id int) fakes.Reply) {
 	t.Helper()
 	ledger := &fakes.Ledger{}
@@ -120,7 +121,7 @@
 	}
 }
 
-// One customer that asks over HTTP and gRPC has what it has over one of them.
+// One customer asks over HTTP and gRPC at once: it must get no more than over one of them.
 func TestQuotaSharedByHTTPAndGRPC(t *testing.T) {
 	count := func(asks ...bool) (served int) { // over HTTP or not, in turn
 		r, overHTTP := startMixedProtocols(t, decision.Plan{Name: "tiny", Rate: 0.001, Burst: 16, Price: 1})
@@ -145,7 +146,7 @@
 	}
 }
 
-// One customer that floods over both at once stays under its ceiling.
+// One customer floods the gateway over HTTP and gRPC at once: it must stay within its hard limit.
 func TestHardLimitSharedByHTTPAndGRPC(t *testing.T) {
 	const rate, burst, slack = 40.0, 16.0, 1.0
 	r, overHTTP := startMixedProtocols(t, decision.Plan{Name: "capped", Rate: 1e5, Burst: 1e5, Price: 1,
@@ -182,7 +183,8 @@
 	}
 }
 
-// A client that cancels halfway through an activation: the attempt ends, the effect is not repeated, the place is free.
+// A client cancels a call that is running at a backend: the attempt ends, the effect is not
+// repeated, and the place is free.
 func TestCancelDuringCall(t *testing.T) {
 	for _, method := range []string{"Pay", "Buy"} {
 		t.Run(method, func(t *testing.T) {
@@ -245,9 +247,9 @@
 	}
 }
 
-// A backend that sends headers and then nothing: a safe call is answered by another backend or
-// refused, a keyed one fails
-// in time where no other backend drops its repeat, and no client is told to make it again.
+// A backend sends headers and then nothing. An idempotent call is served by another backend or
+// rejected; one that is idempotent by key fails by its deadline if no other backend drops its
+// repeat; and no client is told to retry.
 func TestHeadThenNothing(t *testing.T) {
 	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCHeadThenHang), []int{0, 1} })
 	var calls sync.WaitGroup
@@ -276,8 +278,8 @@
 	calls.Wait()
 }
 
-// GOAWAY while 100 calls are open, half of them above the last stream: those have never run and are made elsewhere, the
-// others end well; each has its effect once.
+// A backend sends GOAWAY while 100 calls are open, half of them above the last stream: those did
+// not run and go to another backend, the others succeed, and each effect happens once.
 func TestGoAwayDuringCalls(t *testing.T) {
 	hold := make(chan bool)
 	var held sync.Map
@@ -330,7 +332,7 @@
 	return 0
 }
 
-// Streams: what comes before the first message may be made again, what comes after is the client's.
+// An attempt may be retried until the first message; what comes after it is the client's.
 func TestServerStreaming(t *testing.T) {
 	for name, c := range map[string]struct {
 		first    fakes.GRPCAct
@@ -378,8 +380,8 @@
 	}
 }
 
-// A long answer comes whole and in order to a client that reads it, slowly at times: far more of it
-// than any window holds.
+// A long response, far more than any window, arrives completely and in order at a client that reads
+// slowly at times.
 func TestLongStream(t *testing.T) {
 	r := newRig(t, func(o *options) { o.act = always(fakes.GRPCEndless) })
 	ctx, leave := context.WithCancel(t.Context())
@@ -410,7 +412,8 @@
 	await(t, "the end of it", func() bool { return r.gateway.OpenRequests() == 0 })
 }
 
-// A streamed answer ends with its time, whatever the backend does, and the client hears so before its own.
+// A backend goes on streaming past the deadline: the call must end by it, and the client must be
+// told before its own deadline.
 func TestStreamPastDeadline(t *testing.T) {
 	for _, act := range []fakes.GRPCAct{fakes.GRPCStreamHang, fakes.GRPCEndless} {
 		r := newRig(t, func(o *options) { o.act = always(act) })
@@ -426,8 +429,8 @@
 	}
 }
 
-// A client that does not read holds up its backend by flow control: what is on its way stays bounded, and the call ends
-// with its time.
+// A client does not read its stream: flow control must hold up the backend, so that what is on its
+// way stays bounded, and the call ends by its deadline.
 func TestSlowStreamReader(t *testing.T) {
 	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCEndless), []int{0} })
 	c := r.call("Watch")
@@ -463,9 +466,8 @@
 	}
 }
 
-// What the service says goes through as it is: status, message, details, metadata with binary
-// values, both ways; what is
-// between two neighbours does not.
+// Status, message, details and metadata, with binary values, are forwarded unchanged both ways;
+// hop-by-hop metadata is not.
 func TestMetadataIsForwardedUnchanged(t *testing.T) {
 	r := newRig(t, func(o *options) { o.cells = []int{0} })
 	c := r.call("Look")
@@ -487,7 +489,7 @@
 	}
 }
 
-// A call without an id gets one, which the backend sees.
+// A call without an ID gets one, which the backend sees.
 func TestMissingRequestIDIsGenerated(t *testing.T) {
 	r := newRig(t, nil)
 	c := r.call("Look")
@@ -500,7 +502,7 @@
 	}
 }
 
-// Calls that make no sense are turned away at once, and no backend hears of them.
+// Invalid calls are rejected at once, and no backend gets them.
 func TestInvalidCalls(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.config.Names = PlatformNames
@@ -551,9 +553,8 @@
 	}
 }
 
-// Client streaming is refused by a clear status, at once where a second message comes, and after
-// the time for reading where
-// the client does not end its sending.
+// Client streaming is rejected by a clear status: at once when a second message arrives, and after
+// the read timeout if the client does not half-close.
 func TestClientStreaming(t *testing.T) {
 	r := newRig(t, func(o *options) { o.config.ReadTimeout = 200 * time.Millisecond })
 	for name, send := range map[string]int{"a second message": 2, "no end": 1, "nothing": 0} {
@@ -579,9 +580,8 @@
 	}
 }
 
-// A client of a bidirectional method that sends one message and waits for the answer before it ends
-// its sending gets it;
-// a second message ends the call, by a clear status.
+// A client of a bidirectional method sends one message and waits for the response before it
+// half-closes: it gets the response. A second message ends the call by a clear status.
 func TestBidirectional(t *testing.T) {
 	r := newRig(t, func(o *options) { o.act = once(fakes.GRPCStream, fakes.GRPCStreamHang) })
 	for _, more := range []bool{false, true} {
@@ -613,7 +613,7 @@
 	}
 }
 
-// 1,000 calls on one connection of a client, one of them stuck: the others are served.
+// One of 1,000 calls on a client's connection is stuck: the others must be served.
 func TestManyCallsOnOneConnection(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.act = func(a fakes.Attempt) fakes.GRPCAct {
@@ -658,7 +658,7 @@
 	}
 }
 
-// SIGTERM: what is in flight ends well, a stream too, and what comes later is not taken.
+// SIGTERM arrives: open calls must succeed, a stream too, and later ones are not accepted.
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
 	r := newRig(t, func(o *options) {
@@ -695,7 +695,7 @@
 	r.served <- nil
 }
 
-// A door's numbers for customers by text are the same for the same text, and texts that are empty are none.
+// The number of a customer by text is the same for the same text; an empty text is none.
 func TestCustomerText(t *testing.T) {
 	r := newRig(t, func(o *options) { o.config.CustomerText = true })
 	a, err := r.proxy.customerID("shop-7")
--- a/httpproxy/disconnect_test.go
+++ b/httpproxy/disconnect_test.go
@@ -11,9 +11,9 @@
 	"pumicecroft/internal/testkit"
 )
 
-// A client that leaves while its request waits for a connection to a backend, for a first attempt
-// or a further one, is sent to nobody when that
-// connection is up: whether it closes its connection or cancels its stream, and whatever backends speak.
+// A client disconnects while its request waits for a connection to a backend, in the first attempt
+// or a later one: it closes its connection or cancels its stream. When the connection is up, the
+// request must not be sent on it, over HTTP/1.1 or HTTP/2.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for _, h2 := range []bool{false, true} { // the client's
 		for _, backs := range []string{"", "speaks = \"h2\"\n"} {
--- a/httpproxy/example_test.go
+++ b/httpproxy/example_test.go
@@ -17,7 +17,7 @@
 	"pumicecroft/routes"
 )
 
-// An ordinary server behind a Door in a program of one's own, beside handlers of its own.
+// An ordinary server behind a Gateway in a program, beside handlers of its own.
 func Example() {
 	shop := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter,
 		r *http.Request) {
--- a/httpproxy/fixture_test.go
+++ b/httpproxy/fixture_test.go
@@ -21,7 +21,7 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// fixture is a front by an operator's file, in a server, before backends.
+// fixture is a proxy by an operator's file, in a server, with backends.
 type fixture struct {
 	t       testing.TB
 	file    operatorconfig.File
@@ -30,7 +30,7 @@
 	addr    string
 }
 
-// parseFile reads a file's text, less "listen".
+// parseFile parses a file's text without its "listen".
 func parseFile(t testing.TB, text string) operatorconfig.File {
 	t.Helper()
 	f, err := operatorconfig.Parse([]byte("listen = \"127.0.0.1:0\"\n" + text))
@@ -46,7 +46,7 @@
 	return startProxyWithDialer(t, text, nil)
 }
 
-// startProxyWithDialer is start with a way to open connections to backends.
+// startProxyWithDialer is startProxy with a way to open connections to backends.
 func startProxyWithDialer(t testing.TB, text string, dial func(context.Context, string, string) (net.Conn, error),
 	options ...pumicecroft.Option) *fixture {
 	t.Helper()
@@ -89,7 +89,7 @@
 	return rules
 }
 
-// startServer serves a handler on a port of the system's.
+// startServer serves a handler on a free port. It returns the address.
 func startServer(t testing.TB, h http.Handler, config *tls.Config) string {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
@@ -110,7 +110,8 @@
 	return strings.TrimPrefix(strings.TrimPrefix(s.URL, "http://"), "https://")
 }
 
-// sendRaw sends bytes and gives all that comes back until the connection ends or nothing comes for a while.
+// sendRaw sends bytes and returns all that arrives until the connection ends or nothing arrives for
+// a while.
 func sendRaw(t testing.TB, addr, text string, patience time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
--- a/httpproxy/hostile_test.go
+++ b/httpproxy/hostile_test.go
@@ -24,14 +24,13 @@
 )
 
 var (
-	heads = flag.Int("heads", 3000, "hostile heads that TestHostileHeads sends")
+	heads = flag.Int("heads", 3000, "hostile heads that TestHostileRequestHeads sends")
 	seed  = flag.Uint64("seed", 1, "that they are made of")
 )
 
-// hostileRequest makes a head whose framing can be read in two ways, or that is bad in a place or
-// two, with a second request behind it that belongs to
-// its body by one reading at least: no backend may see that one. Where only one reading is left,
-// the request is part of the body by it.
+// hostileRequest returns a request whose framing is ambiguous, or that is invalid in a place or
+// two, with a second request behind it that is part of the first one's body by at least one
+// reading: no backend may see that one as a request.
 func hostileRequest(rng *rand.Rand) string {
 	oneOf := func(from ...string) string { return from[rng.IntN(len(from))] }
 	pick := func(usual string, from ...string) string { // mostly the usual, so that most heads are bad in few places
@@ -93,7 +92,7 @@
 	return head + body
 }
 
-// addressedListener gives connections in memory an address, as who asks is told by it.
+// addressedListener gives in-memory connections an address, by which the caller is identified.
 type addressedListener struct{ net.Listener }
 
 type addressedConn struct{ net.Conn }
@@ -105,9 +104,11 @@
 
 func (addressedConn) RemoteAddr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
 
-// However a head is made, there is an answer or an end in bounded time, and no request is smuggled to a backend.
+// A client sends malformed and ambiguous heads to smuggle a request past the proxy. Whatever it
+// sends, there must be a response or an end in bounded time, and no backend may see the smuggled
+// request.
 //
-//	go test ./httpproxy -run HostileHeads -heads 1000000 -seed 7 -timeout 30m
+//	go test ./httpproxy -run HostileRequestHeads -heads 1000000 -seed 7 -timeout 30m
 func TestHostileRequestHeads(t *testing.T) {
 	var smuggled, arrived atomic.Int64
 	backends := bufconn.Listen(64 << 10)
--- a/httpproxy/http2_test.go
+++ b/httpproxy/http2_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// startFrameBackend is a backend on HTTP/2's frames: each stream that comes is ended by act, which
-// answers if it is nil.
+// startFrameBackend starts a backend that handles HTTP/2 frames itself: act ends each stream, and
+// the backend answers if it is nil.
 func startFrameBackend(t testing.TB, act func(n int64, f *http2.Framer, stream uint32) (answered bool)) (addr string,
 	came *atomic.Int64) {
 	t.Helper()
@@ -62,9 +62,9 @@
 	return ln.Addr().String(), came
 }
 
-// What an HTTP/2 backend does with a stream proves whether it ran: refused or beyond a GOAWAY it
-// has not, and goes elsewhere whatever its method;
-// else one that must not be repeated is not.
+// An HTTP/2 backend ends streams in various ways. A stream that was refused or is beyond a GOAWAY
+// did not run: its request goes to another backend whatever its method. Otherwise a request that is
+// not idempotent must not be retried.
 func TestHTTP2BackendBehaviours(t *testing.T) {
 	for name, c := range map[string]struct {
 		act       func(f *http2.Framer, stream uint32)
@@ -115,8 +115,8 @@
 	}
 }
 
-// Many at once share few connections, over TLS as without; streams beyond what the backend allows
-// are not queued behind others.
+// Many concurrent requests share few connections, with and without TLS. Streams beyond the
+// backend's limit are not queued behind others.
 func TestManyRequestsOverHTTP2(t *testing.T) {
 	var mu sync.Mutex
 	conns := map[string]bool{}
--- a/httpproxy/proxy_test.go
+++ b/httpproxy/proxy_test.go
@@ -26,8 +26,8 @@
 
 const testTimeout = 20 * time.Second
 
-// scriptedBackend is a backend below HTTP: each connection's requests are answered by the texts in
-// turn, and "close" resets it.
+// scriptedBackend is a backend without an HTTP server: it answers the requests of each connection
+// with the given texts in turn; "close" resets the connection.
 type scriptedBackend struct {
 	ln   net.Listener
 	mu   sync.Mutex
@@ -106,7 +106,7 @@
 	return append([]string{}, s.got...)
 }
 
-// exchangeRaw reads one answer, 1xx ones in a line each ahead of it.
+// exchangeRaw reads one response, and the 1xx responses before it.
 func exchangeRaw(t testing.TB, method, text string) (infos []int, res *http.Response, body string, err error) {
 	t.Helper()
 	in := bufio.NewReader(strings.NewReader(text))
@@ -125,9 +125,9 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// What a backend does is what its client gets, or what the door makes of it: for each way of a
-// backend, requests that may be repeated and ones
-// that may not.
+// Backends respond, fail and break in all ways, to requests that may be retried and to others. The
+// client must get the response, or the proxy's own error, after no more attempts than the method
+// allows.
 func TestBackendBehaviours(t *testing.T) {
 	const get, post, put = "GET", "POST", "PUT"
 	for _, c := range []struct {
@@ -219,7 +219,8 @@
 	}
 }
 
-// What clients send is taken or refused by a stated rule, and what they may not say for themselves does not arrive.
+// Clients send valid and invalid requests. Each is accepted or rejected by a stated rule, and
+// fields that clients may not set for themselves do not reach backends.
 func TestClientRequests(t *testing.T) {
 	var mu sync.Mutex
 	var got *http.Request
@@ -349,7 +350,8 @@
 	}
 }
 
-// An answer is passed on as it comes: what was sent is there before the rest is.
+// A backend sends a response slowly: what it has sent must arrive at the client before the rest is
+// there.
 func TestResponseIsStreamedAsItArrives(t *testing.T) {
 	for name, length := range map[string]string{"chunks": "", "a long one of known length": "100000"} {
 		t.Run(name, func(t *testing.T) {
@@ -385,8 +387,8 @@
 	}
 }
 
-// A client that does not read its answer ends when its time is up, and one that leaves is called
-// off; neither holds anything then.
+// A client does not read its response, or disconnects during it. The request must end by its
+// deadline or at once, and hold nothing afterwards.
 func TestClientThatDoesNotReadIsBounded(t *testing.T) {
 	gone := make(chan bool, 10)
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -430,7 +432,8 @@
 	}
 }
 
-// Rules that are swapped hold for what comes from then on; a request that waits goes on by its own.
+// Rules are replaced while a request is open: it goes on by its own rules, and later requests by
+// the new ones.
 func TestSetRulesDuringOpenRequest(t *testing.T) {
 	came, goOn := make(chan bool), make(chan bool)
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -473,7 +476,8 @@
 	}
 }
 
-// A quota spans services, and refusals tell reason, time and what is left.
+// A customer's quota spans services, and rejections say the reason, the time to retry and what is
+// left.
 func TestOneQuotaOverServices(t *testing.T) {
 	var n atomic.Int64
 	count := http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { n.Add(1) })
@@ -512,8 +516,8 @@
 	}
 }
 
-// A repeat with a key is given the first one's answer, whole, by whichever connection; another
-// request with the key is refused.
+// A request is repeated with its idempotency key, on any connection: it must get the first one's
+// complete response. Another request with the key is rejected.
 func TestIdempotencyKeys(t *testing.T) {
 	var n atomic.Int64
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -546,7 +550,8 @@
 	}
 }
 
-// The room for bodies is bounded over all requests, and given back.
+// Bodies of many requests exceed the memory for bodies: it must stay limited over all requests, and
+// be given back.
 func TestRequestBodyLimits(t *testing.T) {
 	goOn := make(chan bool)
 	backend := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter,
@@ -593,7 +598,7 @@
 
 func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// A host's own word on who asks goes before all rules; its time-out is its own answer.
+// In a host's server the host's identity precedes all rules, and its timeout has its own response.
 func TestProxyInHostServer(t *testing.T) {
 	var seen atomic.Value
 	backend := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -646,7 +651,8 @@
 	}
 }
 
-// A token counts for a whole request that came while it held, with its repeats; the next request is refused.
+// A token expires during a request: it is valid for the whole request with its retries, and the
+// next request is rejected.
 func TestTokenExpiresDuringRequest(t *testing.T) {
 	t.Parallel()
 	secret := strings.Repeat("s", 32)
@@ -688,7 +694,8 @@
 	}
 }
 
-// What stands behind an answer is not taken for the next one's.
+// A faulty backend sends bytes behind a response: they must not be taken for the next request's
+// response.
 func TestBytesBehindResponseCloseConnection(t *testing.T) {
 	evil := strings.Replace(okResponse, "ok", "no", 1)
 	b := startScriptedBackend(t, okResponse+evil, okResponse, okResponse+"\r\n", "late:"+okResponse, okResponse)
@@ -705,7 +712,8 @@
 	}
 }
 
-// A client's time begins with its request, not with its body's end.
+// A client sends its body slowly: its timeout counts from the start of the request, not from the
+// end of the body.
 func TestBodyReadTimeCountsAgainstTimeout(t *testing.T) {
 	t.Parallel()
 	r := startProxy(t, serviceSection("shop", startScriptedBackend(t, "hang").addr())+"deadline = \"2s\"\n")
--- a/httpproxy/reverseproxy_test.go
+++ b/httpproxy/reverseproxy_test.go
@@ -21,14 +21,15 @@
 	"pgregory.net/rapid"
 )
 
-// What differs from httputil.ReverseProxy by intent, as it arrives at a backend.
+// intendedDifferences are the fields that differ from httputil.ReverseProxy by intent, with the
+// reason.
 var intendedDifferences = map[string]string{
 	"Via":          "a gateway must say that it was there (RFC 9110, 7.6.3)",
 	"X-Request-Id": "made where the client brings none",
 	"Connection":   "TE goes on with the Connection that it needs (RFC 9110, 10.1.4)",
 }
 
-// proxiedExchange is what is asked and answered.
+// proxiedExchange is a request and the response to it.
 type proxiedExchange struct {
 	method, target string
 	header         http.Header
@@ -44,7 +45,7 @@
 	responseTrailer http.Header
 }
 
-// observedMessage is what arrived, or what came back.
+// observedMessage is a message as it arrived.
 type observedMessage struct {
 	line    string
 	header  http.Header
@@ -124,7 +125,7 @@
 	return x
 }
 
-// echoBackend is a backend that answers as it is told, and notes what arrived.
+// echoBackend is a backend that responds with the given exchange, and keeps what it received.
 type echoBackend struct {
 	mu       sync.Mutex
 	exchange *proxiedExchange
@@ -166,7 +167,7 @@
 	return len(e.received)
 }
 
-// roundTrip makes an exchange by way of an address.
+// roundTrip sends an exchange's request to an address.
 func roundTrip(x *proxiedExchange, rt http.RoundTripper, addr string) (observedMessage, error) {
 	var s observedMessage
 	ctx := httptrace.WithClientTrace(context.Background(),
@@ -197,7 +198,8 @@
 	return s, err
 }
 
-// Exchanges through the front arrive and come back as through httputil.ReverseProxy, but for what differs by intent.
+// Random requests and responses pass the proxy and httputil.ReverseProxy: they must arrive equal,
+// but for intended differences.
 func TestBehavesAsReverseProxy(t *testing.T) {
 	for _, speaks := range []string{"http/1.1", "h2"} {
 		t.Run(speaks, func(t *testing.T) { compareWithReverseProxy(t, speaks) })
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -24,7 +24,7 @@
 	"pumicecroft/internal/testcerts"
 )
 
-// startTLSListener serves a rig's front as the daemon does, by the [tls] of its file.
+// startTLSListener serves a fixture's proxy as the daemon does, by the [tls] of its file.
 func startTLSListener(t testing.TB, r *fixture) (addr string, store *certs.Store) {
 	t.Helper()
 	config, store, err := httpproxyconfig.Listener(&r.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
@@ -55,9 +55,8 @@
 		TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: name, Certificates: own}}}
 }
 
-// A certificate is put in place of another 100 times, some of them bad, while 1,000 requests at a
-// time are in flight: none fails, and the new one is
-// what new connections see.
+// A certificate is replaced 100 times, sometimes by an invalid one, while 1,000 requests at a time
+// are open: none may fail, and new connections must see the new certificate.
 func TestCertificateReloadUnderLoad(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
@@ -161,8 +160,8 @@
 	}
 }
 
-// Towards backends: the authority, the name, the pins and the door's own certificate count, and no
-// request goes where one of them is wrong.
+// Backends are verified by authority, name and pins, and verify the proxy's certificate: no request
+// is sent where one of them is wrong.
 func TestTLSToBackends(t *testing.T) {
 	a, other := testcerts.New(t), testcerts.New(t)
 	cert, key := a.Pair(nil, "backend.example", "127.0.0.1")
@@ -223,7 +222,7 @@
 	}
 }
 
-// A client's certificate says who asks, where it is one of the authority's.
+// A client's certificate identifies the caller, if the authority has issued it.
 func TestClientCertificates(t *testing.T) {
 	a, other := testcerts.New(t), testcerts.New(t)
 	cert, key := a.Pair(nil, "shop.example")
--- a/identity/identity_test.go
+++ b/identity/identity_test.go
@@ -32,7 +32,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// newTestKeys makes signing keys of each kind, and the rules' side of them.
+// newTestKeys returns signing keys of each type, and their public keys in PEM.
 func newTestKeys(t *testing.T) (ec *ecdsa.PrivateKey, rs *rsa.PrivateKey, public []byte) {
 	t.Helper()
 	ec, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -242,7 +242,7 @@
 	}
 }
 
-// FuzzResolve: whatever stands in the fields of an untrusted client, it is nobody but itself.
+// FuzzResolve sends any fields from an untrusted peer: it must not become another customer.
 func FuzzResolve(f *testing.F) {
 	list, err := ParseKeys([]byte(hashKey("k1")+" desk gold\n"), plans)
 	if err != nil {
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -13,8 +13,8 @@
 	"pumicecroft/internal/testcerts"
 )
 
-// Each pair stands by itself: a bad one, and one that has not changed, leave what is in force of
-// it. A bad content is said once.
+// Each pair is independent of the others: an invalid pair, and one that has not changed, leave its
+// certificate in force. Each invalid content is reported once.
 func TestPairErrorsAreIndependent(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
--- a/internal/grpcproto/call_test.go
+++ b/internal/grpcproto/call_test.go
@@ -16,9 +16,8 @@
 	return append(p, make([]byte, n)...)
 }
 
-// playEvents tells a call what short words say, after its request has gone out whole unless the
-// first is "opened", "connecting"
-// or "unsent".
+// playEvents reports events, given as short words, to a call. Its request was sent completely
+// before the first one, unless that is "opened" or "connecting".
 func playEvents(c *Call, words string) Outcome {
 	for i, w := range strings.Fields(words) {
 		name, arg, _ := strings.Cut(w, "=")
@@ -70,7 +69,8 @@
 	return o
 }
 
-// The table of what an end proves. What is not proof of "never ran" must never be taken for it.
+// Each sequence of events has its result and proof. What does not prove "never ran" must not be
+// taken for it.
 func TestCallOutcomes(t *testing.T) {
 	for words, want := range map[string]struct {
 		result decision.Result
@@ -160,7 +160,8 @@
 	}
 }
 
-// Whatever is told in whatever order: an attempt ends once, and only what the table names proves that it never ran.
+// Whatever events are reported in whatever order, a call ends once, and only what TestCallOutcomes
+// names proves that it never ran.
 func TestRandomEventSequences(t *testing.T) {
 	words := strings.Fields("sent lost timeup off goaway=below goaway=at rst=refused rst=cancel head msg half last end=0 end=14 end=14/5 end=5")
 	for seed := range uint64(3000) {
@@ -187,7 +188,7 @@
 	}
 }
 
-// Bytes may come in any pieces.
+// The framing of messages is followed however the bytes are split.
 func TestMessagesSplitAnywhere(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/grpctransport/stored_test.go
+++ b/internal/grpctransport/stored_test.go
@@ -14,11 +14,10 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write testdata/answer.gob anew: only for a new stored form")
 
-// An answer that an earlier release kept for an idempotency key is given again with all its fields,
-// and what is kept now has the names by which
-// that release finds them. (The bytes are alike but for the description of the type of Header and
-// Trailer, in which gob writes the package's
-// name and which nothing reads.)
+// A response that an earlier release stored for an idempotency key must be read back with all its
+// fields, and what is stored now must have the names by which that release finds them. The bytes
+// are equal, but for the description of the type of Header and Trailer, in which gob writes the
+// package's name, which nothing reads.
 func TestStoredResponseKeepsItsForm(t *testing.T) {
 	const file = "testdata/answer.gob"
 	want := &Response{Code: grpcproto.Code(9), Message: "no such%20item",
--- a/internal/grpctransport/transport_test.go
+++ b/internal/grpctransport/transport_test.go
@@ -23,7 +23,7 @@
 	"pumicecroft/membership"
 )
 
-// fixture is a backend and what makes attempts at it.
+// fixture is a backend and a transport to it.
 type fixture struct {
 	t       *testing.T
 	backend *fakes.GRPCBackend
@@ -61,7 +61,7 @@
 		Metadata: []Field{{"request-id", id}, {"idempotency-key", "key-" + id}}}
 }
 
-// attempt makes one attempt; patience 0 is a long one.
+// attempt makes one attempt; patience 0 means a long one.
 func (r *fixture) attempt(req *Request, patience time.Duration) executor.Response {
 	if patience == 0 {
 		patience = testkit.Patient
@@ -69,8 +69,8 @@
 	return r.back.RoundTrip(executor.NewAttempt(1, time.Now().Add(patience), req))
 }
 
-// Each way in which a backend can end an attempt gives the result that the table has for it, and what the result calls
-// unrun has not run.
+// Each way in which a backend can end an attempt has the result that grpcproto states, and a call
+// whose result says that it did not run did not.
 func TestResults(t *testing.T) {
 	for act, want := range map[fakes.GRPCAct]decision.Result{
 		fakes.GRPCServe: decision.Succeeded, fakes.GRPCNotFound: decision.Succeeded,
@@ -117,8 +117,8 @@
 	}
 }
 
-// A GOAWAY while streams are open: those above its last stream have not run and are told so, the others end well, and
-// what comes next goes to another connection.
+// A backend sends GOAWAY while streams are open: those above its last stream did not run and end
+// so, the others succeed, and later calls use another connection.
 func TestGoAwayDuringCalls(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
@@ -168,8 +168,8 @@
 	}
 }
 
-// A backend that says GOAWAY again and again, with a stream that does not end each time, is asked over new connections,
-// and over so many at once only.
+// A backend sends GOAWAY repeatedly, each time with a stream that does not end: calls use new
+// connections, of which there are a limited number.
 func TestGoAwayAfterEachCall(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang },
@@ -203,7 +203,7 @@
 	}
 }
 
-// Calls that are given up reset their streams at once, and their slots are free again.
+// Cancelled calls reset their streams at once, and free them.
 func TestCancelledAttempt(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang },
@@ -229,7 +229,7 @@
 	}
 }
 
-// Streams and connections are bounded by both sides; what finds none free has not been sent.
+// Streams and connections are limited by both sides. A call that finds no free stream was not sent.
 func TestConnectionAndStreamLimits(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang },
@@ -257,8 +257,8 @@
 	}
 }
 
-// A backend that stops reading with a request half written: it can't have run, and neighbours on
-// other connections go on.
+// A backend stops reading when a request is half written: the call did not run, and calls on other
+// connections go on.
 func TestClosedSendWindow(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, nil, func(s *fakes.GRPCConfig, c *Config) { s.Window, c.MaxConnsPerBackend = 1000, 1 })
@@ -274,7 +274,7 @@
 	}
 }
 
-// A drain or an end of a backend lets nothing new onto old connections, and what is on them ends well.
+// A backend drains or is removed: no new call uses its connections, and the calls on them succeed.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
@@ -324,7 +324,8 @@
 	}
 }
 
-// startRawBackend serves connections by hand, after the preface and the settings.
+// startRawBackend starts a backend that handles HTTP/2 frames itself, after the preface and the
+// settings.
 func startRawBackend(t *testing.T, serve func(c net.Conn, f *http2.Framer)) *fixture {
 	t.Helper()
 	addr := testkit.Accept(t, func(conn net.Conn) {
@@ -342,8 +343,8 @@
 	return r
 }
 
-// A backend that floods with frames that carry nothing, or sends what is no HTTP/2, loses its connection, and memory
-// stays what it was.
+// A backend floods the connection with frames without content, or does not speak HTTP/2: it loses
+// its connection, and memory does not grow.
 func TestFrameFloods(t *testing.T) {
 	for name, serve := range map[string]func(c net.Conn, f *http2.Framer){
 		"pings": func(_ net.Conn, f *http2.Framer) {
@@ -397,7 +398,7 @@
 	}
 }
 
-// Many at once over few connections, each with its own answer, one of them stuck.
+// Many concurrent calls on few connections get their own responses while one is stuck.
 func TestManyStreams(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, func(a fakes.Attempt) fakes.GRPCAct {
@@ -439,7 +440,7 @@
 	cancel()
 }
 
-// An answer that is longer than the windows comes whole, as they are opened while it is read.
+// A response larger than the windows arrives completely, as they are returned while it is read.
 func TestLargeResponse(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCTooLong },
@@ -452,7 +453,8 @@
 	}
 }
 
-// A backend that opens the window of streams by a setting, halfway through a request, gets the rest of it.
+// A backend opens the windows of streams by a setting while a request is half written: it gets the
+// rest.
 func TestSettingsChangeDuringCall(t *testing.T) {
 	t.Parallel()
 	r := startRawBackend(t, func(_ net.Conn, f *http2.Framer) {
--- a/internal/http1proxy/http1proxy_test.go
+++ b/internal/http1proxy/http1proxy_test.go
@@ -16,8 +16,8 @@
 	"pgregory.net/rapid"
 )
 
-// What the end of an attempt proves never claims more than was seen: what may have run is not
-// called unrun, whatever the end.
+// A result must not claim more than was seen: whatever the end, a request that may have run is not
+// said not to have.
 func TestEndOfAttemptResults(t *testing.T) {
 	unrun := map[decision.Result]bool{decision.NotSent: true, decision.ConnectFailed: true, decision.Rejected: true}
 	for _, why := range []EndReason{ConnectionLost, MalformedResponse, AttemptCancelled, DeadlineExceeded,
@@ -71,8 +71,8 @@
 	}
 }
 
-// Whatever fields a request has, what goes on is one request that net/http reads as it was meant,
-// and nothing that must end here goes on.
+// Whatever fields a request has, what is forwarded must be one request that net/http reads as it
+// was meant, without the fields that must not be forwarded.
 func TestHeaderForwarding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]string{"Connection", "Keep-Alive", "Te", "Transfer-Encoding", "Upgrade", "Host",
@@ -157,7 +157,7 @@
 	}
 }
 
-// FuzzHeads: of any text that net/http takes for a request, what goes on is one request again, with
+// FuzzHeads forwards any text that net/http takes for a request: it must be one request again, with
 // the same target and body.
 func FuzzHeads(f *testing.F) {
 	f.Add([]byte("POST /a?b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nConnection: X-A\r\nX-A: b\r\n\r\nok"))
@@ -192,7 +192,7 @@
 	})
 }
 
-// FuzzParseSimpleResponseHead: what is read here is what net/http reads.
+// FuzzParseSimpleResponseHead compares the parser with net/http's.
 func FuzzParseSimpleResponseHead(f *testing.F) {
 	for _, s := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 		"HTTP/1.1 404 Not  Found\r\ncontent-length:0\r\nX-A: b\r\nx-a:  c \t\r\n\r\n",
--- a/internal/httpproxytransport/golden_test.go
+++ b/internal/httpproxytransport/golden_test.go
@@ -9,14 +9,14 @@
 	"pumicecroft/idempotency"
 )
 
-// storedResponse is what an earlier build's Keep made of the answer below: it stands in journals of
-// idempotency keys, which outlive the program.
+// storedResponse is the stored form of the response below, as an earlier build wrote it. It is in
+// journals of idempotency keys, which outlive the program.
 const storedResponse = "4d7f03010106416e7377657201ff800001050106537461747573010400010648656164657201ff84000107547261696c6572" +
 	"01ff84000104426f6479010a00010853747265616d6564010200000017ff830401010648656164657201ff8400010c01ff82" +
 	"00000cff81020102ff8200010c000040ff8001fe019201020c436f6e74656e742d54797065010a746578742f706c61696e05" +
 	"582d54776f0201610162010105582d456e6401016301046f6e6365010100"
 
-// An answer that an earlier build kept in a journal is given again in all its parts.
+// A response that an earlier build stored in a journal is read back completely.
 func TestResponseStoredByEarlierBuild(t *testing.T) {
 	want := &Response{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}, "X-Two": {"a", "b"}},
 		Trailer: http.Header{"X-End": {"c"}}, Body: []byte("once"), Streamed: true}
--- a/internal/httpproxytransport/stored_test.go
+++ b/internal/httpproxytransport/stored_test.go
@@ -13,8 +13,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write testdata/answer.gob anew: only for a new stored form")
 
-// An answer that an earlier release kept for an idempotency key is given again with all its fields,
-// and is kept in the same bytes now.
+// A response that an earlier release stored for an idempotency key must be read back with all its
+// fields, and is stored in the same bytes now.
 func TestStoredResponseKeepsItsForm(t *testing.T) {
 	const file = "testdata/answer.gob"
 	want := &Response{Status: http.StatusCreated, Header: http.Header{"Location": {"/items/7", "/items/8"}},
--- a/internal/httpproxytransport/transport_test.go
+++ b/internal/httpproxytransport/transport_test.go
@@ -56,8 +56,8 @@
 	return c.Conn.Close()
 }
 
-// Connections are bounded over all backends, kept ones make room, idle ones go by themselves, and a
-// backend that is gone keeps none.
+// Connections are limited over all backends. Kept ones make room for others, idle ones are closed,
+// and a backend that was removed has none.
 func TestConnectionsAreBounded(t *testing.T) {
 	for name, h2 := range map[string]bool{"HTTP/1.1": false, "HTTP/2": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// All problems come in one go, by line.
+// All problems are reported at once, by line.
 func TestAllProblemsAreReported(t *testing.T) {
 	text := strings.NewReplacer("of = 2", "of = 0", `"keyed"`, `"x"`, `"127.0.0.1:9000"`, `"nowhere"`).Replace(good)
 	_, err := Parse([]byte(text))
--- a/internal/operatorconfig/http_test.go
+++ b/internal/operatorconfig/http_test.go
@@ -9,7 +9,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Files of ordinary HTTP: what they come to, or each problem with line and key. The file's line 1 is "listen".
+// Files of ordinary HTTP give their classes, routes and identities, or each problem with line and
+// key. Line 1 of the file is "listen".
 func TestHTTP(t *testing.T) {
 	datadriven.RunTest(t, "testdata/web", func(_ *testing.T, d *datadriven.TestData) string {
 		f, err := Parse([]byte("listen = \"127.0.0.1:0\"\n" + d.Input))
--- a/internal/socketpeek/socketpeek_test.go
+++ b/internal/socketpeek/socketpeek_test.go
@@ -10,7 +10,7 @@
 	"pumicecroft/internal/testkit"
 )
 
-// What is on a connection shows without being taken from it.
+// Peeking shows what has arrived on a connection and does not read it.
 func TestPending(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/unread/unread_test.go
+++ b/internal/unread/unread_test.go
@@ -9,8 +9,8 @@
 	"pumicecroft/internal/testkit"
 )
 
-// Nothing is unread while the reader waits, something is from when it has come until the reader
-// waits again, and the end is no nothing.
+// Nothing returns true while the reader waits, false from the arrival of bytes until it waits
+// again, and false after the end.
 func TestNothing(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -15,7 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// referenceMatch is what Rule's comment says, told plainly: of all rules that match, the first in the stated order.
+// referenceMatch is the order that Rule states, without a tree: of all rules that match, it returns
+// the first.
 func referenceMatch(rules []Rule[int], r *Request) (best *Rule[int], err error) {
 	host, err := normalizeHost(r.Host)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return nil, ErrNoRoute
 }
 
-// errorKind is which of the package's errors an error is.
+// errorKind returns the error of this package that an error is.
 func errorKind(err error) error {
 	for _, kind := range []error{ErrNoRoute, ErrMethodNotAllowed, ErrInvalidPath, ErrInvalidHost} {
 		if errors.Is(err, kind) {
@@ -166,9 +167,8 @@
 		Header: header.Values, Query: func(name string) []string { return query[name] }}
 }
 
-// The tree takes what the plain rule takes, for any table that is not refused; and a table is
-// refused only for two rules that some request
-// would be both's, or one that none would be.
+// The tree must find what the reference finds, for any table that is accepted; and a table must be
+// rejected only for two rules that some request matches both of, or for one that none would take.
 func TestMatchAgreesWithReference(t *testing.T) {
 	refused, matched := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// What is refused, and what it says: both lines are named.
+// Invalid tables are rejected, and the problem names both lines.
 func TestInvalidTables(t *testing.T) {
 	for _, c := range []struct {
 		want  string
@@ -252,7 +252,7 @@
 	}
 }
 
-// Odd paths and hosts, one by one.
+// Unusual paths and hosts match or are rejected as stated.
 func TestUnusualRequests(t *testing.T) {
 	table, err := New([]Rule[int]{{Target: 1, Path: "/items/{id}"}, {Target: 2, Path: "/items/{id}/{rest...}"},
 		{Target: 3, Path: "/a%2Fb"}, {Target: 4, Path: "/"},
@@ -313,7 +313,7 @@
 	}
 }
 
-// Whatever path and host come, the tree and the plain rule agree, and nothing falls over.
+// FuzzMatch compares the tree with the reference for any path and host.
 func FuzzMatch(f *testing.F) {
 	rules := []Rule[int]{{Line: 1, Path: "/x/{a}"}, {Line: 2, Path: "/x/y"}, {Line: 3, Path: "/{all...}"},
 		{Line: 4, Host: "*.a.org", Path: "/x/{a}/{b...}"}, {Line: 5, Host: "a.org", Path: "/%2F"}}
@@ -334,9 +334,8 @@
 	})
 }
 
-// BenchmarkMatch is a match in tables of n routes, against looking at all of them, and against
-// net/http's ServeMux, which knows no
-// conditions.
+// BenchmarkMatch measures a match in tables of n routes, against searching all of them, and against
+// net/http's ServeMux, which has no conditions.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{1, 100, 10_000} {
 		var rules []Rule[int]
