--- a/cmd/pumicecroft/load_test.go
+++ b/cmd/pumicecroft/load_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Kill)
-	door, err := pumicecroft.New(pumicecroft.Config{Protocol: membership.ProtocolGRPC,
+	gateway, err := pumicecroft.New(pumicecroft.Config{Protocol: membership.ProtocolGRPC,
 		Settings: decision.Settings{CanCancel: true, MaxRetryAfter: time.Second,
 			Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 4 * time.Second,
 				PriorityWeight: 1}},
@@ -38,8 +38,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = door.Close(context.Background()) })
-	front, err := grpcproxy.New(door,
+	t.Cleanup(func() { _ = gateway.Close(context.Background()) })
+	front, err := grpcproxy.New(gateway,
 		grpcproxy.Config{Methods: map[string]grpcproxy.Method{"/shop.Stock/Get": {Class: "look"}}, CustomerText: true,
 			Names: grpcproxy.MetadataNames{Customer: "x-tenant", Plan: "x-plan"}})
 	if err != nil {
--- a/cmd/pumicecroft/pairs_test.go
+++ b/cmd/pumicecroft/pairs_test.go
@@ -57,19 +57,19 @@
 						DedupWindow: 5 * unit, LatencyObjective: 20 * time.Second, Deadline: 40 * time.Second,
 						PriorityWeight: 1}
 				}
-				door, err := pumicecroft.New(pumicecroft.Config{Settings: decision.Settings{Classes: []decision.Class{class("pay", decision.IdempotentByKey), class("once", decision.NonIdempotent)},
+				gateway, err := pumicecroft.New(pumicecroft.Config{Settings: decision.Settings{Classes: []decision.Class{class("pay", decision.IdempotentByKey), class("once", decision.NonIdempotent)},
 					Plans: []decision.Plan{{Name: "shop", Price: 1}}}, InitialEndpoints: known, MaxBackendConns: 1024,
 					Idempotency: &idempotency.Limits{}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer func() {
-					if err := door.Close(t.Context()); err != nil {
+					if err := gateway.Close(t.Context()); err != nil {
 						t.Error(err)
 					}
 				}()
 				press = func(ctx context.Context, class, key string) (string, time.Duration, error) {
-					a, err := door.Do(ctx, pumicecroft.Request{Class: class, Plan: "shop", Customer: 7,
+					a, err := gateway.Do(ctx, pumicecroft.Request{Class: class, Plan: "shop", Customer: 7,
 						IdempotencyKey: key, Body: []byte("b")})
 					var refused *pumicecroft.RejectedError
 					if errors.As(err, &refused) {
--- a/cmd/pumicecroft/sockets_test.go
+++ b/cmd/pumicecroft/sockets_test.go
@@ -59,12 +59,12 @@
 			defer b.Kill()
 			nodes = append(nodes, membership.Node{Name: fmt.Sprint("b", i), Addr: b.Addr()})
 		}
-		door, err := pumicecroft.New(pumicecroft.Config{Settings: settings,
+		gateway, err := pumicecroft.New(pumicecroft.Config{Settings: settings,
 			InitialEndpoints: membership.Update{Nodes: nodes}, MaxBackendConns: 400, MaxOpenRequests: 4096})
 		if err != nil {
 			t.Fatal(err)
 		}
-		front := httptest.NewServer(door)
+		front := httptest.NewServer(gateway)
 		p, err := load.Parse(fmt.Appendf(nil,
 			"name = \"x\"\nrate = %v\nduration = \"%v\"\nconnections = 1000\n[[plan]]\nname = \"shop\"\n[[request]]\nname = \"look\"\npath = \"/\"\ndialect = \"platform\"\n", c.rate, length))
 		if err != nil {
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 		front.Close()
-		_ = door.Close(t.Context())
+		_ = gateway.Close(t.Context())
 
 		// Emulated: a zone of its own for the slow one.
 		cfg := emulator.Config{Gateways: 1, Policy: emulator.PolicyEngine, Settings: settings, Duration: length,
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -125,11 +125,11 @@
 // SIGHUP puts other routes in force, an invalid file none, and open requests go on by the routes
 // that they arrived by.
 func TestSIGHUPReloadsRoutes(t *testing.T) {
-	came, goOn := make(chan bool, 1), make(chan bool)
+	came, release := make(chan bool, 1), make(chan bool)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/held" {
 			came <- true
-			<-goOn
+			<-release
 		}
 		io.WriteString(w, "ok")
 	}))
@@ -168,7 +168,7 @@
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
 	change("[[route]]\nrefuse = 410\n", 410) // the bad one in between has changed nothing, and ended nothing
-	goOn <- true
+	release <- true
 	if got := <-held; got != 200 {
 		t.Errorf("what waited got %d", got)
 	}
--- a/conformance/consul_test.go
+++ b/conformance/consul_test.go
@@ -110,12 +110,12 @@
 	w := client.Service(consul.Service{Name: consulService, Mapping: mapping})
 	dc := daemon.GatewayConfig(c)
 	dc.InitialEndpoints.Nodes = nil
-	door, err := pumicecroft.New(dc, pumicecroft.WithNamedSource(w.SourceInfo(), w))
+	gateway, err := pumicecroft.New(dc, pumicecroft.WithNamedSource(w.SourceInfo(), w))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitForBackends(t, agent, func() ([]pumicecroft.BackendStatus, error) { return door.Backends(), nil })
-	return startHost(t, door, door)
+	waitForBackends(t, agent, func() ([]pumicecroft.BackendStatus, error) { return gateway.Backends(), nil })
+	return startHost(t, gateway, gateway)
 }
 
 // daemonWithConsul starts the daemon by an operator's file, with Consul as its source.
--- a/conformance/gateways_test.go
+++ b/conformance/gateways_test.go
@@ -141,11 +141,11 @@
 
 // hostedGateway is a Gateway in a host's server in this process.
 type hostedGateway struct {
-	door   *pumicecroft.Gateway
-	server *http.Server
-	addr   string
-	once   sync.Once
-	err    error
+	gateway *pumicecroft.Gateway
+	server  *http.Server
+	addr    string
+	once    sync.Once
+	err     error
 }
 
 // startInHost returns a Starter of gateways behind a host's handler.
@@ -174,23 +174,23 @@
 		if change != nil {
 			change(t, &dc)
 		}
-		door, err := pumicecroft.New(dc,
+		gateway, err := pumicecroft.New(dc,
 			pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return startHost(t, door, handler(door))
+		return startHost(t, gateway, handler(gateway))
 	}}
 }
 
 // startHost serves a gateway behind a handler.
-func startHost(t testing.TB, door *pumicecroft.Gateway, handler http.Handler) *hostedGateway {
+func startHost(t testing.TB, gateway *pumicecroft.Gateway, handler http.Handler) *hostedGateway {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hostedGateway{door: door, server: &http.Server{Handler: handler}, addr: ln.Addr().String()}
+	h := &hostedGateway{gateway: gateway, server: &http.Server{Handler: handler}, addr: ln.Addr().String()}
 	go h.server.Serve(ln)
 	t.Cleanup(func() { _ = h.Stop() })
 	return h
@@ -202,7 +202,7 @@
 	h.once.Do(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		defer cancel()
-		h.err = errors.Join(h.server.Shutdown(ctx), h.door.Close(ctx))
+		h.err = errors.Join(h.server.Shutdown(ctx), h.gateway.Close(ctx))
 	})
 	return h.err
 }
--- a/conformance/grpc_test.go
+++ b/conformance/grpc_test.go
@@ -28,12 +28,12 @@
 	}
 	dc := daemon.GatewayConfig(c)
 	dc.Protocol = membership.ProtocolGRPC
-	door, err := pumicecroft.New(dc, grpcproxy.WithBackends(grpcproxy.BackendConfig{}),
+	gateway, err := pumicecroft.New(dc, grpcproxy.WithBackends(grpcproxy.BackendConfig{}),
 		pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: deskMethods(door), Strict: true,
+	front, err := grpcproxy.New(gateway, grpcproxy.Config{Methods: deskMethods(gateway), Strict: true,
 		MaxMessageBytes: pumicecroft.MaxBody})
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	g := &hostedGRPC{door: door, addr: ln.Addr().String(), stop: stop, served: make(chan error, 1)}
+	g := &hostedGRPC{gateway: gateway, addr: ln.Addr().String(), stop: stop, served: make(chan error, 1)}
 	go func() { g.served <- front.Serve(ctx, ln) }()
 	t.Cleanup(func() { _ = g.Stop() })
 	return g
@@ -89,21 +89,21 @@
 }
 
 // deskMethods are the methods of the fakes' service: one for each class.
-func deskMethods(door *pumicecroft.Gateway) map[string]grpcproxy.Method {
+func deskMethods(gateway *pumicecroft.Gateway) map[string]grpcproxy.Method {
 	methods := map[string]grpcproxy.Method{}
-	for _, class := range door.ClassNames() {
+	for _, class := range gateway.ClassNames() {
 		methods["/"+fakes.GRPCService+"/"+class] = grpcproxy.Method{Class: class}
 	}
 	return methods
 }
 
 type hostedGRPC struct {
-	door   *pumicecroft.Gateway
-	addr   string
-	stop   func()
-	served chan error
-	once   sync.Once
-	err    error
+	gateway *pumicecroft.Gateway
+	addr    string
+	stop    func()
+	served  chan error
+	once    sync.Once
+	err     error
 }
 
 func (g *hostedGRPC) Addr() string { return g.addr }
@@ -113,7 +113,7 @@
 		g.stop()
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		defer cancel()
-		g.err = errors.Join(<-g.served, g.door.Close(ctx))
+		g.err = errors.Join(<-g.served, g.gateway.Close(ctx))
 	})
 	return g.err
 }
--- a/conformance/http_test.go
+++ b/conformance/http_test.go
@@ -77,31 +77,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	door, err := pumicecroft.New(dc, httpproxy.WithService(s))
+	gateway, err := pumicecroft.New(dc, httpproxy.WithService(s))
 	if err != nil {
 		t.Fatal(err)
 	}
-	followDiscovery(t, door, c, httpproxy.Protocol("desk"))
+	followDiscovery(t, gateway, c, httpproxy.Protocol("desk"))
 	fc := f.HTTP.Proxy
 	if fc.Rules, err = httpproxyconfig.Rules(&f, os.ReadFile); err != nil {
 		t.Fatal(err)
 	}
-	front, err := httpproxy.New(door, fc)
+	front, err := httpproxy.New(gateway, fc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startHost(t, door, front)
+	return startHost(t, gateway, front)
 }
 
 // followDiscovery keeps a gateway's backends equal to discovery's, with the protocol that they
 // speak.
-func followDiscovery(t testing.TB, door *pumicecroft.Gateway, c platform.Config, protocol string) {
+func followDiscovery(t testing.TB, gateway *pumicecroft.Gateway, c platform.Config, protocol string) {
 	d := &platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}
 	go d.Run(t.Context(), func(l membership.Update) {
 		for i := range l.Nodes {
 			l.Nodes[i].Protocol = protocol
 		}
-		door.Update(l)
+		gateway.Update(l)
 	})
 }
 
--- a/conformance/interop_test.go
+++ b/conformance/interop_test.go
@@ -108,16 +108,16 @@
 			PriorityWeight: 1},
 			{Name: "unsafe", Idempotency: decision.NonIdempotent, LatencyObjective: time.Second,
 				Deadline: 20 * time.Second, PriorityWeight: 1}}}
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set,
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: set,
 		InitialEndpoints: membership.Update{Nodes: []membership.Node{
 			{Name: "service", Addr: serve(service), Protocol: membership.ProtocolGRPC}}}},
 		grpcproxy.WithBackends(grpcproxy.BackendConfig{}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = door.Close(t.Context()) }()
+	defer func() { _ = gateway.Close(t.Context()) }()
 	const name = "/grpc.testing.TestService/"
-	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: map[string]grpcproxy.Method{name +
+	front, err := grpcproxy.New(gateway, grpcproxy.Config{Methods: map[string]grpcproxy.Method{name +
 		"EmptyCall": {Class: "safe"},
 		name + "UnaryCall": {Class: "unsafe"}, name + "StreamingOutputCall": {Class: "safe", Streaming: true},
 		name + "FullDuplexCall": {Class: "unsafe", Streaming: true}, name + "StreamingInputCall": {Class: "safe"}}})
--- a/grpcproxy/bench_test.go
+++ b/grpcproxy/bench_test.go
@@ -92,15 +92,15 @@
 		return ss.SendMsg(out)
 	}
 	set := deskSettings()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set,
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: set,
 		InitialEndpoints: membership.Update{Nodes: []membership.Node{
 			{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}},
 		WithBackends(BackendConfig{MaxConnsPerBackend: 1}))
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { _ = door.Close(context.Background()) })
-	front, err := New(door, Config{Methods: deskMethods})
+	b.Cleanup(func() { _ = gateway.Close(context.Background()) })
+	front, err := New(gateway, Config{Methods: deskMethods})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -130,11 +130,11 @@
 					var m0, m1 runtime.MemStats
 					runtime.ReadMemStats(&m0)
 					start := cpuTime()
-					var asking sync.WaitGroup
+					var clients sync.WaitGroup
 					base := id
 					id += round
 					for k := range streams {
-						asking.Go(func() {
+						clients.Go(func() {
 							for n := k; n < round; n += streams {
 								c := call{method: "/shop.Desk/Look", text: "amount=3", timeout: 20 * time.Second,
 									md: metadata.Pairs("x-api-key", "0000000000000007",
@@ -154,7 +154,7 @@
 							}
 						})
 					}
-					asking.Wait()
+					clients.Wait()
 					used := cpuTime() - start
 					runtime.ReadMemStats(&m1)
 					slices.Sort(took)
--- a/grpcproxy/disconnect_test.go
+++ b/grpcproxy/disconnect_test.go
@@ -18,7 +18,7 @@
 func TestCallCancelledWhileDialing(t *testing.T) {
 	for _, further := range []bool{false, true} {
 		t.Run(fmt.Sprintf("further %t", further), func(t *testing.T) {
-			dials, waiting, goOn := atomic.Int32{}, make(chan bool, 10), make(chan bool)
+			dials, waiting, release := atomic.Int32{}, make(chan bool, 10), make(chan bool)
 			r := newRig(t, func(o *options) {
 				if further {
 					o.act = once(fakes.GRPCPushBack, fakes.GRPCServe)
@@ -26,7 +26,7 @@
 				o.back.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if n := dials.Add(1); n == 1 && !further || n == 2 && further {
 						waiting <- true
-						<-goOn
+						<-release
 					}
 					return (&net.Dialer{}).DialContext(ctx, network, addr)
 				}
@@ -40,7 +40,7 @@
 				t.Errorf("it ended with %v", res.st)
 			}
 			await(t, "the end of all that was open", func() bool { return r.gateway.OpenRequests() == 0 })
-			close(goOn)
+			close(release)
 			for range 4 { // at both backends
 				if res := r.do(r.call("Look")); res.st.Code() != codes.OK {
 					t.Errorf("another call: %v", res.st)
--- a/grpcproxy/fixture_test.go
+++ b/grpcproxy/fixture_test.go
@@ -72,7 +72,7 @@
 	more     []membership.Node // of other protocols
 	ledger   *fakes.Ledger
 	server   func(*Proxy) *grpc.Server
-	door     func(*pumicecroft.Config)
+	gateway  func(*pumicecroft.Config)
 }
 
 func newRig(t testing.TB, change func(*options)) *fixture {
@@ -101,11 +101,11 @@
 			Protocol: membership.ProtocolGRPC})
 	}
 	var err error
-	door := pumicecroft.Config{Settings: o.settings, InitialEndpoints: known, MaxOpenRequests: 1 << 15}
-	if o.door != nil {
-		o.door(&door)
+	gateway := pumicecroft.Config{Settings: o.settings, InitialEndpoints: known, MaxOpenRequests: 1 << 15}
+	if o.gateway != nil {
+		o.gateway(&gateway)
 	}
-	r.gateway, err = pumicecroft.New(door, WithBackends(o.back))
+	r.gateway, err = pumicecroft.New(gateway, WithBackends(o.back))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/grpcproxy/host_test.go
+++ b/grpcproxy/host_test.go
@@ -151,11 +151,11 @@
 // An invalid configuration is an error that says why.
 func TestInvalidConfig(t *testing.T) {
 	set := deskSettings()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set}, WithBackends(BackendConfig{}))
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: set}, WithBackends(BackendConfig{}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = door.Close(t.Context()) }()
+	defer func() { _ = gateway.Close(t.Context()) }()
 	for name, c := range map[string]struct {
 		config Config
 		want   string
@@ -169,7 +169,7 @@
 		"gRPC's name": {Config{Methods: deskMethods, Names: MetadataNames{Customer: "grpc-status"}}, `"grpc-status"`},
 		"below 0":     {Config{Methods: deskMethods, MaxMessageBytes: -1}, "negative"},
 	} {
-		if _, err := New(door, c.config); !errors.Is(err, pumicecroft.ErrConfig) ||
+		if _, err := New(gateway, c.config); !errors.Is(err, pumicecroft.ErrConfig) ||
 			!strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/grpcproxy/idempotency_test.go
+++ b/grpcproxy/idempotency_test.go
@@ -56,7 +56,7 @@
 			r := newRig(t, func(o *options) {
 				o.cells = []int{1, 2} // only the edge drops a repeat
 				o.act = func(fakes.Attempt) fakes.GRPCAct { return c.act }
-				o.door = func(d *pumicecroft.Config) {
+				o.gateway = func(d *pumicecroft.Config) {
 					d.Idempotency, d.IdempotencyJournal = &idempotency.Limits{},
 						&pumicecroft.IdempotencyJournal{Dir: dir}
 				}
@@ -92,7 +92,7 @@
 func TestPairsOverGRPC(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.cells, o.work = []int{1, 2}, 2*time.Millisecond
-		o.door = func(d *pumicecroft.Config) { d.Idempotency = &idempotency.Limits{} }
+		o.gateway = func(d *pumicecroft.Config) { d.Idempotency = &idempotency.Limits{} }
 	})
 	const pairs = 200
 	var pressing sync.WaitGroup
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -53,7 +53,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	set := longSettings()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15,
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15,
 		InitialEndpoints: membership.Update{Nodes: []membership.Node{
 			{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}},
 		WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000,
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	front, err := New(door, Config{Methods: deskMethods})
+	front, err := New(gateway, Config{Methods: deskMethods})
 	if err != nil {
 		return err
 	}
@@ -111,15 +111,15 @@
 		t.Fatal(err)
 	}
 	defer backend.Kill()
-	door := exec.Command(os.Args[0])
-	door.Env = append(os.Environ(), runAsGateway+"="+backend.Addr())
-	out, err := door.StdoutPipe()
-	if err = errors.Join(err, door.Start()); err != nil {
+	gateway := exec.Command(os.Args[0])
+	gateway.Env = append(os.Environ(), runAsGateway+"="+backend.Addr())
+	out, err := gateway.StdoutPipe()
+	if err = errors.Join(err, gateway.Start()); err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		door.Process.Signal(syscall.SIGTERM)
-		_ = door.Wait()
+		gateway.Process.Signal(syscall.SIGTERM)
+		_ = gateway.Wait()
 	}()
 	addr, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
@@ -135,7 +135,7 @@
 		k.timeout = 50 * time.Millisecond
 		k.on(context.Background(), c) // so that it is connected
 	}
-	before := residentBytes(t, door.Process.Pid)
+	before := residentBytes(t, gateway.Process.Pid)
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
 	first := make(chan error, n)
@@ -166,11 +166,11 @@
 	}
 	last := 0
 	// by more than 1% in a second
-	for now := residentBytes(t, door.Process.Pid); now > last+last/100; now = residentBytes(t, door.Process.Pid) {
+	for now := residentBytes(t, gateway.Process.Pid); now > last+last/100; now = residentBytes(t, gateway.Process.Pid) {
 		last = now
 		time.Sleep(time.Second)
 	}
-	return float64(residentBytes(t, door.Process.Pid)-before) / float64(n)
+	return float64(residentBytes(t, gateway.Process.Pid)-before) / float64(n)
 }
 
 // Clients hold many streams open that are slow or idle: each must cost the gateway bounded memory.
--- a/grpcproxy/proxy_test.go
+++ b/grpcproxy/proxy_test.go
@@ -151,11 +151,11 @@
 	const rate, burst, slack = 40.0, 16.0, 1.0
 	r, overHTTP := startMixedProtocols(t, decision.Plan{Name: "capped", Rate: 1e5, Burst: 1e5, Price: 1,
 		HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: slack})
-	var asking sync.WaitGroup
+	var clients sync.WaitGroup
 	var ids atomic.Int64
 	end := time.Now().Add(1200 * time.Millisecond)
 	for i := range 8 {
-		asking.Go(func() {
+		clients.Go(func() {
 			for time.Now().Before(end) {
 				if i%2 == 0 {
 					overHTTP(int(ids.Add(1)))
@@ -167,7 +167,7 @@
 			}
 		})
 	}
-	asking.Wait()
+	clients.Wait()
 	store, least, last, kinds := burst, burst, time.Time{}, map[bool]int{}
 	for _, a := range r.ledger.Attempts() {
 		if !last.IsZero() {
--- a/httpproxy/disconnect_test.go
+++ b/httpproxy/disconnect_test.go
@@ -29,12 +29,12 @@
 						}), nil)
 					}
 					first, second := backend(), backend()
-					dials, waiting, goOn := atomic.Int32{}, make(chan bool, 10), make(chan bool)
+					dials, waiting, release := atomic.Int32{}, make(chan bool, 10), make(chan bool)
 					r := startProxyWithDialer(t, serviceSection("shop", first, second)+backs,
 						func(_ context.Context, network, addr string) (net.Conn, error) {
 							if n := dials.Add(1); n == 1 && !further || n == 2 && further {
 								waiting <- true
-								<-goOn // it comes up all the same
+								<-release // it comes up all the same
 							}
 							return net.Dial(network, addr)
 						})
@@ -66,7 +66,7 @@
 						t.Error("it was answered")
 					}
 					testkit.Await(t, left, "it to be seen that its client has left")
-					close(goOn)
+					close(release)
 					patient, stop := context.WithTimeout(t.Context(), testkit.Patient)
 					defer stop()
 					if err := r.gateway.Close(patient); err != nil { // what was to leave has left
--- a/httpproxy/example_test.go
+++ b/httpproxy/example_test.go
@@ -25,7 +25,7 @@
 	}))
 	defer shop.Close()
 
-	door, err := pumicecroft.New(pumicecroft.Config{
+	gateway, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true,
 			Classes: []decision.Class{{Name: "read", LatencyObjective: time.Second, Deadline: 5 * time.Second,
 				PriorityWeight: 1},
@@ -38,14 +38,14 @@
 	if err != nil {
 		panic(err)
 	}
-	defer func() { _ = door.Close(context.Background()) }()
+	defer func() { _ = gateway.Close(context.Background()) }()
 	table, err := routes.New([]routes.Rule[*httpproxy.Route]{
 		{Name: "items", Path: "/items/{id}", Target: &httpproxy.Route{Service: "shop",
 			Class: httpproxy.Classes{Idempotent: "read", NonIdempotent: "write"}}}})
 	if err != nil {
 		panic(err)
 	}
-	front, err := httpproxy.New(door, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
+	front, err := httpproxy.New(gateway, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
 		Resolver: identity.New(nil, identity.NamedRule{Name: "address",
 			Rule: &identity.AddressRule{Plan: "everyone"}})}})
 	if err != nil {
--- a/httpproxy/hostile_test.go
+++ b/httpproxy/hostile_test.go
@@ -129,13 +129,13 @@
 	defer bs.Close()
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) { return backends.DialContext(ctx) }
 	f := parseFile(t, serviceSection("shop", "127.0.0.1:1")+"deadline = \"2s\"\n")
-	door, err := pumicecroft.New(f.Gateway, httpproxy.WithService(httpproxy.ServiceConfig{Name: "shop", Dial: dial}))
+	gateway, err := pumicecroft.New(f.Gateway, httpproxy.WithService(httpproxy.ServiceConfig{Name: "shop", Dial: dial}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = door.Close(context.Background()) }()
-	door.Update(f.Backends)
-	front, err := httpproxy.New(door, httpproxy.Config{Rules: (&fixture{t: t}).rules(f),
+	defer func() { _ = gateway.Close(context.Background()) }()
+	gateway.Update(f.Backends)
+	front, err := httpproxy.New(gateway, httpproxy.Config{Rules: (&fixture{t: t}).rules(f),
 		BodyReadTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -191,7 +191,7 @@
 	ran.Wait()
 	t.Logf("%d heads: %d answered, %d ended without, %d requests at the backend, slowest %v", *heads, answered.Load(),
 		closed.Load(), arrived.Load(), time.Duration(slowest.Load()))
-	if arrived.Load() < int64(*heads)/20 || smuggled.Load() > 0 || door.OpenRequests() > 0 {
-		t.Errorf("%d arrived, %d of them smuggled, %d are open", arrived.Load(), smuggled.Load(), door.OpenRequests())
+	if arrived.Load() < int64(*heads)/20 || smuggled.Load() > 0 || gateway.OpenRequests() > 0 {
+		t.Errorf("%d arrived, %d of them smuggled, %d are open", arrived.Load(), smuggled.Load(), gateway.OpenRequests())
 	}
 }
--- a/httpproxy/proxy_test.go
+++ b/httpproxy/proxy_test.go
@@ -435,10 +435,10 @@
 // Rules are replaced while a request is open: it goes on by its own rules, and later requests by
 // the new ones.
 func TestSetRulesDuringOpenRequest(t *testing.T) {
-	came, goOn := make(chan bool), make(chan bool)
+	came, release := make(chan bool), make(chan bool)
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		came <- true
-		<-goOn
+		<-release
 		io.WriteString(w, "done")
 	}), nil)
 	r := startProxy(t, serviceSection("shop", backend))
@@ -458,7 +458,7 @@
 		t.Errorf("%v %v", res, err)
 	}
 	res.Body.Close()
-	goOn <- true
+	release <- true
 	if got := <-old; got != "200done" {
 		t.Error(got)
 	}
@@ -553,11 +553,11 @@
 // Bodies of many requests exceed the memory for bodies: it must stay limited over all requests, and
 // be given back.
 func TestRequestBodyLimits(t *testing.T) {
-	goOn := make(chan bool)
+	release := make(chan bool)
 	backend := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter,
 		r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		<-goOn
+		<-release
 	}), nil)
 	r := startProxy(t, serviceSection("shop", backend)+"[http]\nbody_memory = 100000\nbody_timeout = \"300ms\"\n")
 	post := func(size int) int {
@@ -577,7 +577,7 @@
 	if got := post(60_000); got != 503 {
 		t.Errorf("without room: %d", got)
 	}
-	close(goOn)
+	close(release)
 	if got := <-first; got != 200 {
 		t.Errorf("the first: %d", got)
 	}
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -62,11 +62,11 @@
 	dir := t.TempDir()
 	cert, key := a.Pair(nil, "shop.example", "*.wild.example")
 	path := testcerts.Write(t, dir, map[string][]byte{"c": cert, "k": key})
-	held, goOn := make(chan bool, 1000), make(chan bool)
+	held, release := make(chan bool, 1000), make(chan bool)
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/held" {
 			held <- true
-			<-goOn
+			<-release
 		}
 		io.WriteString(w, r.Proto)
 	}), nil)
@@ -102,7 +102,7 @@
 		select {
 		case <-held:
 		case <-time.After(3 * testTimeout):
-			close(goOn)
+			close(release)
 			ran.Wait()
 			t.Fatalf("not all came: %d failed, first: %v", failed.Load(), first.Load())
 		}
@@ -152,7 +152,7 @@
 		}
 	}
 	stop()
-	close(goOn)
+	close(release)
 	ran.Wait()
 	t.Logf("100 swaps and %d that were bad, over 1,000 held and %d other requests", bad, asked.Load())
 	if failed.Load() > 0 || asked.Load() == 0 {
