--- a/conformance/backends.go
+++ b/conformance/backends.go
@@ -68,11 +68,11 @@
 	r := newTestCase(t, starter)
 	release := make(chan bool)
 	r.startBackend(newCell(0), func(c *fakes.BackendConfig) {
-		c.Act = func(a fakes.Attempt) fakes.Act {
+		c.Behavior = func(a fakes.Attempt) fakes.Behavior {
 			if a.Body == "hold" {
 				<-release
 			}
-			return fakes.Work
+			return fakes.ServeNormally
 		}
 	})
 	r.startGateway(caseConfig{})
@@ -101,14 +101,14 @@
 func testColdBackend(t *testing.T, starter Starter, tr *Transcript) {
 	r := newTestCase(t, starter)
 	limits := func(c *fakes.BackendConfig) {
-		c.Capacity, c.Work = 400, func(string) time.Duration { return 10 * time.Millisecond }
-		c.ColdFrom, c.WarmWithin, c.FallMultiple, c.FallFor = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
+		c.Capacity, c.WorkTime = 400, func(string) time.Duration { return 10 * time.Millisecond }
+		c.SlowStartMinCapacity, c.SlowStartWindow, c.OverloadFactor, c.OverloadDuration = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
 	}
 	for range 3 {
 		r.startBackend(newCell(0), limits)
 	}
 	r.startGateway(caseConfig{})
-	cold := r.startBackend(newCell(0), func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
+	cold := r.startBackend(newCell(0), func(c *fakes.BackendConfig) { limits(c); c.StartCold = true })
 	// The load is light, some 75 a second for each backend that can do 400, and the cold one falls at 0.15 times what
 	// it can do: its share of what a warm one gets stays well under that, and as much as a warm one gets does not.
 	var clients sync.WaitGroup
@@ -132,9 +132,9 @@
 			got++
 		}
 	}
-	if cold.Fallen() || got == 0 || got*4 > len(all) {
-		t.Errorf("the cold backend got %d of %d attempts, fallen: %v", got, len(all), cold.Fallen())
+	if cold.Overloaded() || got == 0 || got*4 > len(all) {
+		t.Errorf("the cold backend got %d of %d attempts, fallen: %v", got, len(all), cold.Overloaded())
 	}
 	t.Logf("cold got %d of %d", got, len(all))
-	tr.add("cold", "fallen: %v", cold.Fallen())
+	tr.add("cold", "fallen: %v", cold.Overloaded())
 }
--- a/conformance/clients.go
+++ b/conformance/clients.go
@@ -14,13 +14,13 @@
 // at once, so that with a plan of one request in flight the next one is served.
 func testClientDisconnect(t *testing.T, starter Starter, tr *Transcript) {
 	r := newTestCase(t, starter)
-	r.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Act = fakes.Once(fakes.Hang) })
+	r.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Behavior = fakes.OnFirstAttempt(fakes.ExecuteThenHang) })
 	r.startGateway(caseConfig{plans: `{"name":"shop","parallel":1,"value_factor":1}`})
 	ctx, leave := context.WithCancel(t.Context())
 	a := r.newRequest("pay")
 	gone := make(chan fakes.Reply, 1)
 	go func() { gone <- r.sendTo(ctx, a, r.gateway) }()
-	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End == "hung" }) {
+	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].Outcome == "hung" }) {
 		t.Fatal("the request never came")
 	}
 	if reply := r.send(r.newRequest("look")); reply.String() != "refused" {
@@ -37,7 +37,7 @@
 	if reply.String() != "served" {
 		t.Errorf("after the client left: %v", reply)
 	}
-	if n := len(r.ledger.Of(a.RequestID())); n != 1 {
+	if n := len(r.ledger.ForRequest(a.RequestID())); n != 1 {
 		t.Errorf("%d attempts of the request whose client left", n)
 	}
 	tr.add("leaving", "place taken: refused; after: %v; attempts 1", reply)
@@ -49,7 +49,7 @@
 	r := newTestCase(t, starter)
 	release := make(chan bool)
 	r.startBackend(newCell(0), func(c *fakes.BackendConfig) {
-		c.Act = func(fakes.Attempt) fakes.Act { <-release; return fakes.Work }
+		c.Behavior = func(fakes.Attempt) fakes.Behavior { <-release; return fakes.ServeNormally }
 	})
 	r.startGateway(caseConfig{})
 	const n = 10
@@ -94,12 +94,12 @@
 	r := newTestCase(t, starter)
 	r.startBackend(newCell(0), nil)
 	r.startGateway(caseConfig{})
-	header := func(name string, v ...string) func(*fakes.Ask) {
-		return func(a *fakes.Ask) { a.Header = http.Header{name: v} }
+	header := func(name string, v ...string) func(*fakes.Request) {
+		return func(a *fakes.Request) { a.Header = http.Header{name: v} }
 	}
 	for _, c := range []struct {
 		name, class string
-		change      func(*fakes.Ask)
+		change      func(*fakes.Request)
 	}{
 		{"no id", "look", header("Request-Id")},
 		{"a short id", "look", header("Request-Id", "12")},
@@ -120,17 +120,17 @@
 		{"a set too wide", "look", header("X-Call-Terms", "units=1,spread=2,first=0")},
 		{"terms twice", "look", header("X-Call-Terms", "units=1,units=1,spread=1,first=0")},
 		{"a keyed class without a key", "pay", header("Idempotency-Key")},
-		{"a body over the limit", "pay", func(a *fakes.Ask) { a.Body = strings.Repeat("x", 64<<10+1) }},
-		{"a GET of a keyed class", "pay", func(a *fakes.Ask) { a.Key = "" }},
-		{"a POST of a safe class", "look", func(a *fakes.Ask) { a.Key = "k" }},
+		{"a body over the limit", "pay", func(a *fakes.Request) { a.Body = strings.Repeat("x", 64<<10+1) }},
+		{"a GET of a keyed class", "pay", func(a *fakes.Request) { a.Key = "" }},
+		{"a POST of a safe class", "look", func(a *fakes.Request) { a.Key = "k" }},
 	} {
 		a := r.newRequest(c.class)
 		if c.change != nil {
 			c.change(&a)
 		}
 		reply := r.send(a)
-		if reply.Took > clientTimeout/20 {
-			t.Errorf("%s: answered after %v", c.name, reply.Took)
+		if reply.Latency > clientTimeout/20 {
+			t.Errorf("%s: answered after %v", c.name, reply.Latency)
 		}
 		if reply.Status < 400 || reply.Status > 499 {
 			t.Errorf("%s: %v %v", c.name, reply, reply.Err)
@@ -158,7 +158,7 @@
 		a := r.newRequest("pay")
 		a.Body = body
 		reply := r.send(a)
-		seen := r.ledger.Of(a.RequestID())
+		seen := r.ledger.ForRequest(a.RequestID())
 		if reply.String() != "served" || len(seen) != 1 || seen[0].Body != body || seen[0].Key != a.Key ||
 			seen[0].Timeout == "" {
 			t.Errorf("%s: %v, %d attempts", name, reply, len(seen))
--- a/conformance/consul_test.go
+++ b/conformance/consul_test.go
@@ -50,7 +50,7 @@
 					if e.StartedAtMS != 0 {
 						meta["started"] = strconv.FormatInt(e.StartedAtMS, 10)
 					}
-					agent.Put(fakes.Instance{Node: "rack", NodeAddr: host, ID: e.Name, Service: consulService, Port: n,
+					agent.Register(fakes.Instance{Node: "rack", NodeAddr: host, ID: e.Name, Service: consulService, Port: n,
 						Meta:    meta,
 						Passing: int(e.Weight), Checks: []fakes.Check{{ID: "process", Status: status}}})
 				}
--- a/conformance/outcomes.go
+++ b/conformance/outcomes.go
@@ -13,9 +13,9 @@
 // which a first attempt can end, with each class, on sets of backends where a retry may or may not go
 // elsewhere.
 func testOutcomes(t *testing.T, starter Starter, tr *Transcript) {
-	acts := map[string]fakes.Act{"served": fakes.Work, "error": fakes.RunAndError, "turned away": fakes.TurnAway,
-		"ran and broke": fakes.RunAndBreak, "broke unheard": fakes.BreakUnheard, "spoilt": fakes.RunAndSpoil,
-		"cut": fakes.RunAndCut, "hung": fakes.Hang, "hung unrun": fakes.HangUnrun}
+	acts := map[string]fakes.Behavior{"served": fakes.ServeNormally, "error": fakes.ExecuteThenError, "turned away": fakes.RejectNotStarted,
+		"ran and broke": fakes.ExecuteThenReset, "broke unheard": fakes.ResetWithoutExecution, "spoilt": fakes.ExecuteThenGarble,
+		"cut": fakes.ExecuteThenTruncate, "hung": fakes.ExecuteThenHang, "hung unrun": fakes.HangWithoutExecution}
 	fleets := map[string][]int{"one backend": {0}, "two of one cell": {0, 0}, "two of two cells": {0, 1}}
 	for what, act := range acts {
 		for fleet, cells := range fleets {
@@ -30,27 +30,27 @@
 	}
 }
 
-func testOutcome(t *testing.T, starter Starter, tr *Transcript, name string, act fakes.Act, cells []int, class string) {
+func testOutcome(t *testing.T, starter Starter, tr *Transcript, name string, act fakes.Behavior, cells []int, class string) {
 	r := newTestCase(t, starter)
 	memories := []*fakes.Cell{newCell(0), newCell(1)}
-	once := fakes.Once(act)
+	once := fakes.OnFirstAttempt(act)
 	for _, n := range cells {
-		r.startBackend(memories[n], func(c *fakes.BackendConfig) { c.Act = once })
+		r.startBackend(memories[n], func(c *fakes.BackendConfig) { c.Behavior = once })
 	}
 	r.startGateway(caseConfig{})
 	a := r.newRequest(class)
-	if act == fakes.Hang || act == fakes.HangUnrun {
-		a.Timeout, a.Patience = shortTimeout, waitLimit
+	if act == fakes.ExecuteThenHang || act == fakes.HangWithoutExecution {
+		a.Timeout, a.ClientTimeout = shortTimeout, waitLimit
 	}
 	reply := r.send(a)
 	// On a busy machine the answer is seen later than it was given, by how late this goroutine is run.
-	if reply.Status == 0 || reply.Took > a.Timeout+schedulingSlack {
-		t.Fatalf("no answer in %v, but after %v: %v", a.Timeout, reply.Took, reply.Err)
+	if reply.Status == 0 || reply.Latency > a.Timeout+schedulingSlack {
+		t.Fatalf("no answer in %v, but after %v: %v", a.Timeout, reply.Latency, reply.Err)
 	}
-	seen := r.ledger.Of(a.RequestID())
+	seen := r.ledger.ForRequest(a.RequestID())
 	effects := r.ledger.Effects(a.Key)
-	hung := act == fakes.Hang || act == fakes.HangUnrun
-	mayHaveRun := act != fakes.Work && act != fakes.TurnAway
+	hung := act == fakes.ExecuteThenHang || act == fakes.HangWithoutExecution
+	mayHaveRun := act != fakes.ServeNormally && act != fakes.RejectNotStarted
 	sameCell := len(cells) == 1 || cells[0] == cells[1] // where a repeat can go
 	mayRepeat := class == "look" || class == "pay" && sameCell
 	if effects > 1 {
@@ -65,7 +65,7 @@
 	if reply.String() == "refused" && reply.RetryAfter == "" {
 		t.Error("refused without a word on when to come back")
 	}
-	wantServed := act == fakes.Work || act == fakes.TurnAway && len(cells) > 1 || mayHaveRun && !hung && mayRepeat
+	wantServed := act == fakes.ServeNormally || act == fakes.RejectNotStarted && len(cells) > 1 || mayHaveRun && !hung && mayRepeat
 	if got := reply.String() == "served"; got != wantServed {
 		t.Errorf("answered %v, served: want %v", reply, wantServed)
 	}
@@ -78,11 +78,11 @@
 	r := newTestCase(t, starter)
 	release := make(chan bool)
 	r.startBackend(nil, func(c *fakes.BackendConfig) { // it drops no repeats
-		c.Act = func(a fakes.Attempt) fakes.Act {
+		c.Behavior = func(a fakes.Attempt) fakes.Behavior {
 			if a.Body == "hold" {
 				<-release
 			}
-			return fakes.Work
+			return fakes.ServeNormally
 		}
 	})
 	r.startGateway(caseConfig{})
@@ -121,12 +121,12 @@
 	for _, class := range []string{"look", "once"} {
 		a := r.newRequest(class)
 		tr.add("replays", "%s: %v, again: %v", class, r.send(a), r.send(a))
-		if class == "once" && len(r.ledger.Of(a.RequestID())) != 1 {
-			t.Errorf("%s: %d attempts", class, len(r.ledger.Of(a.RequestID())))
+		if class == "once" && len(r.ledger.ForRequest(a.RequestID())) != 1 {
+			t.Errorf("%s: %d attempts", class, len(r.ledger.ForRequest(a.RequestID())))
 		}
 	}
-	if n := r.ledger.Effects(held.Key); n != 1 || len(r.ledger.Of(held.RequestID())) != 1 {
-		t.Errorf("its effect happened %d times in %d attempts", n, len(r.ledger.Of(held.RequestID())))
+	if n := r.ledger.Effects(held.Key); n != 1 || len(r.ledger.ForRequest(held.RequestID())) != 1 {
+		t.Errorf("its effect happened %d times in %d attempts", n, len(r.ledger.ForRequest(held.RequestID())))
 	}
 }
 
@@ -136,8 +136,8 @@
 	r.startGateway(caseConfig{})
 	for _, class := range []string{"look", "pay", "once"} {
 		reply := r.send(r.newRequest(class))
-		if reply.String() != "refused" || reply.RetryAfter == "" || reply.Took > clientTimeout/2 {
-			t.Errorf("%s: %v after %v, Retry-After %q", class, reply, reply.Took, reply.RetryAfter)
+		if reply.String() != "refused" || reply.RetryAfter == "" || reply.Latency > clientTimeout/2 {
+			t.Errorf("%s: %v after %v, Retry-After %q", class, reply, reply.Latency, reply.RetryAfter)
 		}
 		tr.add("nobody", "%s: %v", class, reply)
 	}
@@ -147,16 +147,16 @@
 // one response in time, and no effect happens twice.
 func testManyRequests(t *testing.T, starter Starter, tr *Transcript) {
 	r := newTestCase(t, starter)
-	acts := []fakes.Act{fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work,
-		fakes.RunAndError, fakes.TurnAway, fakes.RunAndBreak, fakes.BreakUnheard, fakes.RunAndSpoil, fakes.RunAndCut,
-		fakes.Hang}
+	acts := []fakes.Behavior{fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally,
+		fakes.ExecuteThenError, fakes.RejectNotStarted, fakes.ExecuteThenReset, fakes.ResetWithoutExecution, fakes.ExecuteThenGarble, fakes.ExecuteThenTruncate,
+		fakes.ExecuteThenHang}
 	memories := []*fakes.Cell{newCell(0), newCell(1)}
 	for i := range 4 {
 		var mu sync.Mutex
 		n := i
 		r.startBackend(memories[i%2], func(c *fakes.BackendConfig) {
-			c.Slots, c.Work = 8, func(string) time.Duration { return 2 * time.Millisecond }
-			c.Act = func(fakes.Attempt) fakes.Act {
+			c.Slots, c.WorkTime = 8, func(string) time.Duration { return 2 * time.Millisecond }
+			c.Behavior = func(fakes.Attempt) fakes.Behavior {
 				mu.Lock()
 				defer mu.Unlock()
 				n++
@@ -173,10 +173,10 @@
 			for n := range 20 {
 				a := r.newRequest([]string{"look", "pay", "once"}[(i+n)%3])
 				// The client waits for longer than it says: on a busy machine it sees the response late.
-				a.Timeout, a.Patience = 1500*time.Millisecond, waitLimit
+				a.Timeout, a.ClientTimeout = 1500*time.Millisecond, waitLimit
 				reply := r.send(a)
 				if reply.Status == 0 {
-					t.Errorf("lost after %v: %v", reply.Took, reply.Err)
+					t.Errorf("lost after %v: %v", reply.Latency, reply.Err)
 				}
 				mu.Lock()
 				kinds[reply.String()]++
@@ -185,11 +185,11 @@
 		})
 	}
 	clients.Wait()
-	if doubled := r.ledger.Doubled(); len(doubled) > 0 {
+	if doubled := r.ledger.RepeatedEffects(); len(doubled) > 0 {
 		t.Errorf("effects that happened twice: %v", doubled)
 	}
 	if kinds["served"] == 0 {
 		t.Errorf("%v", kinds)
 	}
-	tr.add("many", "lost %d, doubled %d", kinds["lost"], len(r.ledger.Doubled()))
+	tr.add("many", "lost %d, doubled %d", kinds["lost"], len(r.ledger.RepeatedEffects()))
 }
--- a/conformance/quota.go
+++ b/conformance/quota.go
@@ -22,10 +22,10 @@
 		a.Plan = "tiny"
 		reply := r.send(a)
 		kinds += reply.String()[:1]
-		if reply.String() == "refused" && (reply.RetryAfter != "0.900" || reply.Took > clientTimeout/2) {
-			t.Errorf("refused after %v with Retry-After %q", reply.Took, reply.RetryAfter)
+		if reply.String() == "refused" && (reply.RetryAfter != "0.900" || reply.Latency > clientTimeout/2) {
+			t.Errorf("refused after %v with Retry-After %q", reply.Latency, reply.RetryAfter)
 		}
-		if n := len(r.ledger.Of(a.RequestID())); n != boolToInt(reply.String() == "served") {
+		if n := len(r.ledger.ForRequest(a.RequestID())); n != boolToInt(reply.String() == "served") {
 			t.Errorf("%v, and %d attempts", reply, n)
 		}
 	}
@@ -65,7 +65,7 @@
 		clients.Go(func() {
 			for time.Now().Before(end) {
 				a := r.newRequest("look")
-				a.Spread, a.Timeout = 2, 5*time.Second
+				a.GatewaySpread, a.Timeout = 2, 5*time.Second
 				if reply := r.sendTo(t.Context(), a, gateways[i%2]); reply.Status == 0 {
 					t.Errorf("lost: %v", reply.Err)
 				} else if reply.String() == "refused" {
@@ -113,8 +113,8 @@
 		clients.Go(func() {
 			for time.Since(begun) < 4*time.Second {
 				a := r.newRequest("look")
-				a.Spread = 2
-				meter.Enter(a.RequestID(), a.Customer, 1, rate)
+				a.GatewaySpread = 2
+				meter.Register(a.RequestID(), a.Customer, 1, rate)
 				if reply := r.sendTo(t.Context(), a, gateways[i%2]); reply.Status == 0 {
 					t.Errorf("lost: %v", reply.Err)
 				}
--- a/conformance/testcase.go
+++ b/conformance/testcase.go
@@ -62,8 +62,8 @@
 // startBackend starts a backend in a cell and adds it to discovery's list.
 func (r *testCase) startBackend(cell *fakes.Cell, change func(*fakes.BackendConfig)) *fakes.Backend {
 	r.t.Helper()
-	c := fakes.BackendConfig{Name: fmt.Sprintf("b%d", len(r.backends)), Zone: "z", Kind: "k", Cell: cell,
-		Ledger: r.ledger, Keyed: func(class string) bool { return class != "look" }, GRPC: r.starter.GRPC}
+	c := fakes.BackendConfig{Name: fmt.Sprintf("b%d", len(r.backends)), Zone: "z", InstanceType: "k", Cell: cell,
+		Ledger: r.ledger, IdempotentByKey: func(class string) bool { return class != "look" }, GRPC: r.starter.GRPC}
 	if change != nil {
 		change(&c)
 	}
@@ -128,11 +128,11 @@
 }
 
 // newRequest returns a request of a class with an ID of its own. It has a key unless the class is "look".
-func (r *testCase) newRequest(class string) fakes.Ask {
+func (r *testCase) newRequest(class string) fakes.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastID++
-	a := fakes.Ask{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: clientTimeout}
+	a := fakes.Request{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: clientTimeout}
 	if class != "look" {
 		a.Key, a.Body = fmt.Sprintf("key-%x", r.lastID), "amount=3"
 	}
@@ -140,10 +140,10 @@
 }
 
 // send sends a request to the case's gateway.
-func (r *testCase) send(a fakes.Ask) fakes.Reply { return r.sendTo(r.t.Context(), a, r.gateway) }
+func (r *testCase) send(a fakes.Request) fakes.Reply { return r.sendTo(r.t.Context(), a, r.gateway) }
 
 // sendTo sends a request to one of several gateways.
-func (r *testCase) sendTo(ctx context.Context, a fakes.Ask, f Gateway) fakes.Reply {
+func (r *testCase) sendTo(ctx context.Context, a fakes.Request, f Gateway) fakes.Reply {
 	if r.starter.GRPC {
 		return a.DoGRPC(ctx, r.transport, f.Addr())
 	}
--- a/consul/agent_test.go
+++ b/consul/agent_test.go
@@ -103,13 +103,13 @@
 		t.Errorf("in maintenance it is %s", found[0].Checks.AggregatedStatus())
 	}
 	// Nobody renews its check: it turns critical, and is deregistered.
-	for end := time.Now().Add(hosttest.Patience); len(found) > 0; found, _ = health(nil) {
+	for end := time.Now().Add(hosttest.WaitTimeout); len(found) > 0; found, _ = health(nil) {
 		if time.Now().After(end) {
 			t.Fatal("it was never deregistered")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "x", Service: "web", Port: 81, Tags: []string{"blue", "new"}, Meta: map[string]string{"v": "3"}},
+	agent.Register(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "x", Service: "web", Port: 81, Tags: []string{"blue", "new"}, Meta: map[string]string{"v": "3"}},
 		fakes.Instance{Node: "m", NodeAddr: "10.0.0.2", ID: "x", Service: "web", Port: 81, Tags: []string{"blue"}, Meta: map[string]string{"v": "2"}})
 	for what, o := range map[string]*api.QueryOptions{"filter": {Filter: `Service.Meta.v == "3"`}, "near": {Near: "n"}} {
 		if f, _ := health(o); f[0].Node.Node != "n" || what == "filter" && len(f) != 1 {
@@ -141,7 +141,7 @@
 	if err := os.WriteFile(token, []byte("one\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81, Tags: []string{"blue"}, Meta: map[string]string{"v": "2"},
+	agent.Register(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81, Tags: []string{"blue"}, Meta: map[string]string{"v": "2"},
 		Namespace: "team", Partition: "part"})
 	c, err := New(Config{Address: "http://" + agent.Addr(), TokenFile: token, Datacenter: "dc1", Namespace: "team", Partition: "part",
 		Consistency: Consistent, Wait: 7 * time.Second, RetryMax: 50 * time.Millisecond})
@@ -166,9 +166,9 @@
 			break
 		}
 	}
-	asked := func(path string) (int, []fakes.Question) {
-		all := agent.Questions()
-		return slices.IndexFunc(all, func(q fakes.Question) bool { return q.Path == path && q.Token == "two" }), all
+	asked := func(path string) (int, []fakes.ConsulQuery) {
+		all := agent.Queries()
+		return slices.IndexFunc(all, func(q fakes.ConsulQuery) bool { return q.Path == path && q.Token == "two" }), all
 	}
 	for i, _ := asked("/v1/catalog/service/web"); i < 0; i, _ = asked("/v1/catalog/service/web") {
 		time.Sleep(time.Millisecond) // it may still wait after the failure
@@ -236,7 +236,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(agent.Close)
-	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81})
+	agent.Register(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81})
 	first := func(c Config) membership.Update {
 		t.Helper()
 		c.Address = "https://" + agent.Addr()
@@ -298,7 +298,7 @@
 	}
 	status := func(want string) {
 		t.Helper()
-		for end := time.Now().Add(hosttest.Patience); ; time.Sleep(2 * time.Millisecond) {
+		for end := time.Now().Add(hosttest.WaitTimeout); ; time.Sleep(2 * time.Millisecond) {
 			got := agent.Instances("doors")["agent/door-1"]
 			if got == want {
 				return
@@ -323,14 +323,14 @@
 	agent.Remove("agent", "door-1") // the agent began anew
 	status("")
 	status("passing")
-	if err := agent.Fail(fakes.Refusing); err != nil {
+	if err := agent.SetFault(fakes.ConsulRefusesConnections); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-told; err == nil {
 		t.Error("it was told of no failure")
 	}
 	status("critical") // by its TTL, as nobody could renew it
-	if err := agent.Fail(fakes.Well); err != nil {
+	if err := agent.SetFault(fakes.ConsulHealthy); err != nil {
 		t.Fatal(err)
 	}
 	status("passing")
@@ -351,7 +351,7 @@
 		ended <- c.Register(ctx, Registration{Name: "doors", ID: "door-1", Address: "127.0.0.1:8080", TTL: time.Second}, nil)
 	}()
 	status("passing")
-	if err := agent.Fail(fakes.Silent); err != nil {
+	if err := agent.SetFault(fakes.ConsulSilent); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
--- a/consul/rig_test.go
+++ b/consul/rig_test.go
@@ -92,7 +92,7 @@
 	r.t.Helper()
 	id := fmt.Sprintf("b%d", r.last)
 	r.last++
-	c := fakes.BackendConfig{Name: id, Ledger: r.ledger, Cell: r.cell, Keyed: func(class string) bool { return class != "look" }}
+	c := fakes.BackendConfig{Name: id, Ledger: r.ledger, Cell: r.cell, IdempotentByKey: func(class string) bool { return class != "look" }}
 	if change != nil {
 		change(&c)
 	}
@@ -101,7 +101,7 @@
 		r.t.Fatal(err)
 	}
 	r.backends[id] = b
-	r.agent.Put(r.instance(id))
+	r.agent.Register(r.instance(id))
 	return id
 }
 
@@ -120,7 +120,7 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), hosttest.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), hosttest.WaitTimeout)
 		defer cancel()
 		if err := d.Close(ctx); err != nil {
 			r.t.Errorf("the door's end: %v", err)
@@ -142,7 +142,7 @@
 // await waits until a door believes something.
 func (r *fixture) await(d *pumicecroft.Gateway, what string, ok func(map[string]pumicecroft.BackendStatus) bool) {
 	r.t.Helper()
-	for end := time.Now().Add(hosttest.Patience); !ok(members(d)); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(hosttest.WaitTimeout); !ok(members(d)); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("waited in vain for %s; the door believes %+v", what, members(d))
 		}
@@ -237,7 +237,7 @@
 	if asked, refused := l.asked.Load(), l.refused.Load(); asked == 0 || l.bad.Load() > 0 || refused*20 > asked || l.served.Load()+refused != asked {
 		r.t.Errorf("requests were lost: %v", l)
 	}
-	if d := r.ledger.Doubled(); len(d) > 0 {
+	if d := r.ledger.RepeatedEffects(); len(d) > 0 {
 		r.t.Errorf("effects that happened twice: %q", d)
 	}
 }
--- a/consul/source_test.go
+++ b/consul/source_test.go
@@ -22,18 +22,18 @@
 // changed is applied.
 func TestAnAgentThatFails(t *testing.T) {
 	for name, c := range map[string]struct {
-		fault fakes.Fault
+		fault fakes.ConsulFault
 		mode  Consistency
 	}{
-		"refuses":              {fault: fakes.Refusing},
-		"is silent":            {fault: fakes.Silent},
-		"answers 500":          {fault: fakes.Erring},
-		"cuts its answers":     {fault: fakes.Cutting},
-		"has no leader":        {fault: fakes.Leaderless},
-		"no leader, stale":     {fault: fakes.Leaderless, mode: Stale},
-		"empty, and no leader": {fault: fakes.EmptyNoLeader},
-		"emptied by ACLs":      {fault: fakes.Filtering},
-		"answers no JSON":      {fault: fakes.Garbling},
+		"refuses":              {fault: fakes.ConsulRefusesConnections},
+		"is silent":            {fault: fakes.ConsulSilent},
+		"answers 500":          {fault: fakes.ConsulServerError},
+		"cuts its answers":     {fault: fakes.ConsulTruncates},
+		"has no leader":        {fault: fakes.ConsulNoLeader},
+		"no leader, stale":     {fault: fakes.ConsulNoLeader, mode: Stale},
+		"empty, and no leader": {fault: fakes.ConsulEmptyNoLeader},
+		"emptied by ACLs":      {fault: fakes.ConsulACLFiltered},
+		"answers no JSON":      {fault: fakes.ConsulGarbled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -44,7 +44,7 @@
 			d := r.door(4, nil)
 			before := members(d)
 			l := r.load(4, "pay", time.Millisecond, d)
-			if err := r.agent.Fail(c.fault); err != nil {
+			if err := r.agent.SetFault(c.fault); err != nil {
 				t.Fatal(err)
 			}
 			r.await(d, "the agent to be missed", func(ms map[string]pumicecroft.BackendStatus) bool { return ms["b1"].Stale })
@@ -54,10 +54,10 @@
 			for l.served.Load() < served+200 {
 				time.Sleep(time.Millisecond)
 			}
-			if got := slices.Sorted(maps.Keys(members(d))); c.fault != fakes.Leaderless && !slices.Equal(got, []string{"b0", "b1", "b2", "b3"}) {
+			if got := slices.Sorted(maps.Keys(members(d))); c.fault != fakes.ConsulNoLeader && !slices.Equal(got, []string{"b0", "b1", "b2", "b3"}) {
 				t.Errorf("while it fails the door knows %q", got)
 			}
-			if err := r.agent.Fail(fakes.Well); err != nil {
+			if err := r.agent.SetFault(fakes.ConsulHealthy); err != nil {
 				t.Fatal(err)
 			}
 			r.state(d, "b0", "gone")
@@ -89,7 +89,7 @@
 		return strings.Contains(ms["b1"].Explanation, "lacks it")
 	})
 	for _, id := range []string{"b0", "b1", "b2", "b3"} { // as agents' anti-entropy brings them back, one after another
-		r.agent.Put(r.instance(id))
+		r.agent.Register(r.instance(id))
 		r.await(d, id+" to be listed", func(ms map[string]pumicecroft.BackendStatus) bool {
 			return !strings.Contains(ms[id].Explanation, "lacks it")
 		})
@@ -116,12 +116,12 @@
 	}
 	d := r.door(6, func(c *pumicecroft.Config) { c.Membership.MassRemovalDelay = 0 }) // the default
 	l := r.load(4, "look", time.Millisecond, d)
-	asked := len(r.agent.Questions())
+	asked := len(r.agent.Queries())
 	for _, id := range []string{"b0", "b1", "b2", "b3", "b4"} {
 		r.agent.Remove("n1", id)
 	}
 	r.await(d, "five to go", func(ms map[string]pumicecroft.BackendStatus) bool { return len(ms) == 1 })
-	if n := len(r.agent.Questions()) - asked; n < 2 { // when, is membership's business: TestMassRemoval has it to the millisecond
+	if n := len(r.agent.Queries()) - asked; n < 2 { // when, is membership's business: TestMassRemoval has it to the millisecond
 		t.Errorf("they were let go after %d questions", n)
 	}
 	r.whole(l)
@@ -129,19 +129,19 @@
 
 // An answer that is always at once, or always of index 0, is not asked for in a loop, and changes are seen all the same.
 func TestAnAgentThatHoldsNothingBack(t *testing.T) {
-	for name, fault := range map[string]fakes.Fault{"index 0": fakes.ZeroIndex, "whatever the index": fakes.Instant} {
+	for name, fault := range map[string]fakes.ConsulFault{"index 0": fakes.ConsulZeroIndex, "whatever the index": fakes.ConsulImmediate} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newFixture(t, func(c *Config) { c.Wait = 10 * time.Second })
 			r.start(nil)
 			r.start(nil)
-			if err := r.agent.Fail(fault); err != nil {
+			if err := r.agent.SetFault(fault); err != nil {
 				t.Fatal(err)
 			}
 			d := r.door(2, nil)
-			start, before := time.Now(), len(r.agent.Questions())
+			start, before := time.Now(), len(r.agent.Queries())
 			time.Sleep(2 * time.Second) // the rate is what is looked at
-			if n := len(r.agent.Questions()) - before; float64(n) > 2*(2*time.Since(start).Seconds()+2) {
+			if n := len(r.agent.Queries()) - before; float64(n) > 2*(2*time.Since(start).Seconds()+2) {
 				t.Errorf("%d questions in %v", n, time.Since(start))
 			}
 			r.agent.SetCheck("n1", "b0", fakes.Check{ID: "web", Status: "critical"})
@@ -208,16 +208,16 @@
 	r.state(d, late, "cold")
 	r.agent.Remove("n1", "b0")
 	r.state(d, "b0", "gone")
-	r.agent.Put(r.instance("b0"))
+	r.agent.Register(r.instance("b0"))
 	r.state(d, "b0", "cold")
 	other := r.instance("b1")
 	r.agent.Remove("n1", "b1")
 	other.ID = "x1"
-	r.agent.Put(other)
+	r.agent.Register(other)
 	r.state(d, "x1", "cold")
 	again := r.instance("b2")
 	again.Meta = map[string]string{"boot": "2"}
-	r.agent.Put(again)
+	r.agent.Register(again)
 	r.state(d, "b2", "cold")
 	r.agent.SetCheck("n1", "b3", fakes.Check{ID: "web", Status: "critical"})
 	r.state(d, "b3", "draining")
@@ -229,8 +229,8 @@
 func TestANewNodeIsSpared(t *testing.T) {
 	t.Parallel()
 	limits := func(c *fakes.BackendConfig) {
-		c.Capacity, c.Work = 400, func(string) time.Duration { return 25 * time.Millisecond }
-		c.ColdFrom, c.WarmWithin, c.FallMultiple, c.FallFor = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
+		c.Capacity, c.WorkTime = 400, func(string) time.Duration { return 25 * time.Millisecond }
+		c.SlowStartMinCapacity, c.SlowStartWindow, c.OverloadFactor, c.OverloadDuration = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
 	}
 	r := newFixture(t, nil)
 	for range 3 {
@@ -247,17 +247,17 @@
 	for l.served.Load() < 100 {
 		time.Sleep(time.Millisecond)
 	}
-	cold := r.start(func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
+	cold := r.start(func(c *fakes.BackendConfig) { limits(c); c.StartCold = true })
 	r.state(a, cold, "cold")
 	r.state(b, cold, "cold")
 	served := l.served.Load()
-	for l.served.Load() < served+600 || r.ledger.Reached(cold).Count == 0 { // it is not left out either
+	for l.served.Load() < served+600 || r.ledger.Arrivals(cold).Count == 0 { // it is not left out either
 		time.Sleep(10 * time.Millisecond)
 	}
 	r.whole(l)
 	all := int(l.served.Load() - served)
-	if n := r.ledger.Reached(cold).Count; r.backends[cold].Fallen() || n*4 > all {
-		t.Errorf("the new backend got %d attempts of %d, fallen: %v", n, all, r.backends[cold].Fallen())
+	if n := r.ledger.Arrivals(cold).Count; r.backends[cold].Overloaded() || n*4 > all {
+		t.Errorf("the new backend got %d attempts of %d, fallen: %v", n, all, r.backends[cold].Overloaded())
 	}
 }
 
@@ -265,10 +265,12 @@
 func TestACriticalNodeDrains(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
-	slow := r.start(func(c *fakes.BackendConfig) { c.Work = func(string) time.Duration { return 700 * time.Millisecond } })
+	slow := r.start(func(c *fakes.BackendConfig) {
+		c.WorkTime = func(string) time.Duration { return 700 * time.Millisecond }
+	})
 	d := r.door(1, nil)
 	l := r.load(10, "pay", time.Hour, d) // one each
-	r.ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 10 })
+	r.ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 10 })
 	r.agent.SetCheck("n1", slow, fakes.Check{ID: "web", Status: "critical", Output: "503"})
 	r.state(d, slow, "draining")
 	if m := members(d)[slow]; m.Explanation != "consul:identity says that it takes nothing new; critical: web: 503" || m.Source != "consul:identity" {
@@ -280,8 +282,8 @@
 	for l.asked.Load() < 10 {
 		time.Sleep(time.Millisecond)
 	}
-	if l.served.Load() != 10 || len(r.attempts(slow)) != 10 || len(r.ledger.Doubled()) > 0 {
-		t.Errorf("%v, %d attempts, doubled %q", l, len(r.attempts(slow)), r.ledger.Doubled())
+	if l.served.Load() != 10 || len(r.attempts(slow)) != 10 || len(r.ledger.RepeatedEffects()) > 0 {
+		t.Errorf("%v, %d attempts, doubled %q", l, len(r.attempts(slow)), r.ledger.RepeatedEffects())
 	}
 }
 
@@ -326,7 +328,7 @@
 		t.Fatal(err)
 	}
 	r.agent.Remove("n1", "b0") // while no door is there
-	if err := r.agent.Fail(fakes.Refusing); err != nil {
+	if err := r.agent.SetFault(fakes.ConsulRefusesConnections); err != nil {
 		t.Fatal(err)
 	}
 	second := r.door(4, with)
@@ -337,7 +339,7 @@
 	for l.served.Load() < 100 {
 		time.Sleep(time.Millisecond)
 	}
-	if err := r.agent.Fail(fakes.Well); err != nil {
+	if err := r.agent.SetFault(fakes.ConsulHealthy); err != nil {
 		t.Fatal(err)
 	}
 	r.state(second, "b0", "gone")
@@ -364,7 +366,7 @@
 		if _, err := second.Do(t.Context(), pumicecroft.Request{Class: "look", Plan: "shop"}); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		for end := time.Now().Add(hosttest.Patience); ; time.Sleep(10 * time.Millisecond) { // and the file is good again
+		for end := time.Now().Add(hosttest.WaitTimeout); ; time.Sleep(10 * time.Millisecond) { // and the file is good again
 			if nodes, _, err := endpointcache.Read(dir, "consul:identity"); err == nil && len(nodes) == 3 {
 				break
 			}
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -57,7 +57,7 @@
 		InitialEndpoints: membership.Update{Nodes: []membership.Node{
 			{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}},
 		WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000,
-			ConnectTimeout: testkit.Patient}))
+			ConnectTimeout: testkit.WaitTimeout}))
 	if err != nil {
 		return err
 	}
@@ -103,9 +103,9 @@
 // memoryPerStream opens n streams over ten connections at a gateway in a process of its own, reads
 // one message of each, and returns how much its memory grew, in KiB for each, once it no longer
 // grows.
-func memoryPerStream(t testing.TB, act fakes.GRPCAct, n int) float64 {
+func memoryPerStream(t testing.TB, act fakes.GRPCBehavior, n int) float64 {
 	t.Helper()
-	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Act: always(act),
+	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Behavior: always(act),
 		MaxStreams: 1000})
 	if err != nil {
 		t.Fatal(err)
