--- a/quota/newcomers_test.go
+++ b/quota/newcomers_test.go
@@ -88,7 +88,7 @@
 			for _, cost := range []float64{0, 1e-9, 1, 1e9} {
 				for _, loss := range []float64{0, 1, 1001} {
 					if v := n.NetGain(weight, cost, loss); math.IsNaN(v) || v > 1 {
-						t.Errorf("weight %v, loss %v, loss %v: %v", weight, cost, loss, v)
+						t.Errorf("weight %v, cost %v, loss %v: %v", weight, cost, loss, v)
 					}
 				}
 			}
