--- a/decision/concurrencylimit.go
+++ b/decision/concurrencylimit.go
@@ -19,14 +19,13 @@
 	lateObjectiveMinRatio = 1.0 / 64
 
 	// minOutcomeSamples is how many outcomes badOutcomeRatio is counted over at least, and how many
-	// responses make the sustainable concurrency known. A gateway that sends so many attempts a
-	// second weighs each second fully.
+	// responses make the sustainable concurrency known. The weight of one second in the running
+	// means is the attempts a second over this, between minSampleWeight and maxSampleWeight.
 	minOutcomeSamples = 20
 	// chanceDeviations is how many standard deviations over badOutcomeRatio the bad outcomes of a
 	// second must be.
 	chanceDeviations = 3.0
-	// minSampleWeight and maxSampleWeight bound the weight of one second in the running means. The
-	// least evens out the noise of one of hundreds of gateways.
+	// The least weight evens out the noise of one of hundreds of gateways.
 	minSampleWeight = 1.0 / 4
 	maxSampleWeight = 0.5
 	// sustainableKnownWeight is from which weight on the sustainable concurrency bounds the limit
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -15,7 +15,9 @@
 //	actions.go           what it asks for
 //	engine.go            its state, the dispatch of events, and what runs once a second
 //	admission.go         the way of a request through the rules below, and its priority tier
+//	customers.go         what is known of each customer, and for how long
 //	quota.go             a plan's rate and burst
+//	usagereports.go      what a customer used over all gateways
 //	hardlimit.go         this gateway's share of a plan's hard limit
 //	counter.go           what gateways lend each other of a hard limit, over the shared counter
 //	retryafter.go        when a rejected client is told to come back
--- a/decision/endpointupdates.go
+++ b/decision/endpointupdates.go
@@ -85,7 +85,7 @@
 	}
 	pool := e.pools[backend.Protocol]
 	if pool == nil {
-		pool = &protocolPool{Group: e.index.NewGroup(), sendRate: minOutcomeSamples}
+		pool = &protocolPool{Group: e.index.NewGroup(), sendRate: initialSendRate}
 		e.pools[backend.Protocol] = pool
 	}
 	warming := e.warmupFraction(backend) < 1
--- a/decision/engine.go
+++ b/decision/engine.go
@@ -18,6 +18,8 @@
 	// response: its latency objective over this.
 	initialLatencyDivisor = 4
 
+	// initialSendRate is how many attempts a second are assumed before the first tick.
+	initialSendRate = 20
 	// sendRateWeight is the weight of one second in the running means of attempts a second.
 	sendRateWeight = 0.5
 	// meanSendRateWeight is the same for a pool's slower mean, whose peak slow start goes by.
@@ -126,7 +128,7 @@
 		customers:        map[CustomerID]*customer{},
 		concurrencyLimit: math.Inf(1),
 		repartitionedAt:  now,
-		sendRate:         minOutcomeSamples,
+		sendRate:         initialSendRate,
 		counterLink:      quota.NewCounterLink(),
 		counterCalls:     map[uint64]counterCall{},
 	}
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -4,8 +4,6 @@
 	"math"
 	"slices"
 	"time"
-
-	"pumicecroft/quota"
 )
 
 // A plan's quota is a token bucket over all gateways: Plan.Rate fills it, up to Plan.Burst. Tokens
@@ -20,7 +18,8 @@
 // probability, that follows the reports.
 
 const (
-	fullRate = 100.0 // percent of a plan's rate
+	// fullRate is a use of exactly the plan's rate, in percent.
+	fullRate = 100.0
 
 	// usageDelayPeriods is how old a usage report is taken to be, in periods from the end of the
 	// one it tells of.
@@ -29,8 +28,8 @@
 	// gateways is unseen.
 	quotaMarginRatio = 1.0 / 8
 	// usageRetention is what one usage report leaves of the weight of those before it, where the
-	// customer uses fewGateways or fewer. Of more each sees that much less of its requests, and
-	// forgets more slowly.
+	// customer uses fewGateways or fewer. Where it uses more, each gateway sees that much less of
+	// its requests, and forgets more slowly.
 	usageRetention = 0.9
 	fewGateways    = 4
 	// priorUsagePercent is the use that a customer is taken to have before any report, in percent
@@ -57,102 +56,16 @@
 	// margin.
 	maxReserveFactor = 3
 
-	// customerIdleTTL is how long a customer without requests is remembered.
-	customerIdleTTL = time.Minute
-	// minCost stands in for a cost of zero where the last request's cost divides, in units.
-	minCost = 1e-6
-	// minUsagePeriod does so for a usage period of zero, in seconds.
+	// minUsagePeriod stands in for a usage period of zero where it divides, in seconds.
 	minUsagePeriod = 1e-3
 )
 
-// customer is what this gateway knows of a customer.
-type customer struct {
-	plan       *Plan
-	newcomers  *quota.NewcomerStats // of its plan
-	gateways   float64              // how many it uses
-	isMember   bool                 // this is one of them
-	lastSeenAt time.Duration
-	inFlight   int     // attempts
-	lastCost   float64 // of its last request, units
-
-	tokens           float64 // of the quota, percent-seconds, as of tokensAt
-	tokensAt         time.Duration
-	debits           []debit // this gateway's requests since tokensAt, in order of time
-	admitProbability float64 // while there are no tokens
-
-	usagePeriod float64       // seconds
-	usageAt     time.Duration // when the last report was counted
-	lastUsage   float64       // what it said, percent
-	// What reports told, fading by retention with each: of all gateways, of the part that this one
-	// forwarded itself (both percent-seconds), and of how many seconds.
-	meteredUsage, ownUsage, meteredSeconds float64
-	retention                              float64
-
-	hardLimitTokens   float64 // this gateway's share, units, as of hardLimitTokensAt
-	hardLimitTokensAt time.Duration
-	sharedBucket      quota.SharedBucket // what gateways lend each other of the hard limit
-}
-
 // debit is what one request took out of the quota.
 type debit struct {
 	at     time.Duration
 	amount float64 // percent-seconds
 }
 
-// customerFor returns the customer of a request, which is new if it was not met within
-// customerIdleTTL or under another plan.
-func (e *Engine) customerFor(event Request, plan *Plan) *customer {
-	customer := e.customers[event.Customer]
-	if customer == nil || customer.plan != plan {
-		customer = e.newCustomer(event, plan)
-		e.customers[event.Customer] = customer
-	}
-	customer.lastSeenAt, customer.lastCost = e.now, max(event.Cost, minCost)
-	return customer
-}
-
-// newCustomer begins with a full bucket, or with what it filled by since the Engine was created
-// (AssumeQuotaSpent). A newcomer at one of many gateways has room for this request alone: else each
-// of them would hand out a whole burst.
-func (e *Engine) newCustomer(event Request, plan *Plan) *customer {
-	count := e.settings.GatewayCount
-	gateways := min(max(event.GatewaySpread, 1), count)
-	offset := ((e.settings.GatewayIndex-event.FirstGateway)%count + count) % count
-	c := &customer{
-		plan:              plan,
-		newcomers:         e.newcomersByPlan[plan.Name],
-		gateways:          float64(gateways),
-		isMember:          offset < gateways,
-		admitProbability:  1,
-		tokensAt:          e.now,
-		hardLimitTokensAt: e.createdAt,
-		usagePeriod:       e.settings.UsagePeriod.Seconds(),
-		retention:         1 - (1-usageRetention)*min(1, fewGateways/float64(gateways)),
-	}
-	c.tokens = c.burstTokens()
-	if e.settings.AssumeQuotaSpent {
-		c.tokens = min(c.tokens, quotaMarginRatio*c.tokens+fullRate*(e.now-e.createdAt).Seconds())
-	}
-	if c.isNewcomer() {
-		c.tokens = min(c.tokens, 1+c.percentSeconds(event.Cost)+quotaMarginRatio*c.tokens)
-	}
-	if e.settings.HasSharedCounter && plan.HardLimitRate > 0 && c.isMember && gateways > 1 {
-		c.sharedBucket = quota.NewSharedBucket(uint64(event.Customer), plan.Name,
-			plan.HardLimitBurst, gateways, e.settings.MaxCost)
-	}
-	return c
-}
-
-// forgetIdleCustomers forgets those without attempts in flight that asked for nothing for
-// customerIdleTTL.
-func (e *Engine) forgetIdleCustomers() {
-	for id, customer := range e.customers { // deletes only: the map's order reaches no action
-		if customer.inFlight == 0 && e.now-customer.lastSeenAt > customerIdleTTL {
-			delete(e.customers, id)
-		}
-	}
-}
-
 // percentSeconds converts a cost in units. It must not be called for a plan without a rate.
 func (c *customer) percentSeconds(cost float64) float64 { return fullRate * cost / c.plan.Rate }
 
@@ -290,68 +203,3 @@
 	c.tokens, c.tokensAt = c.available(at), at
 	c.debits = slices.Delete(c.debits, 0, n)
 }
-
-// onUsage counts a usage report, in percent of the plan's rate.
-func (e *Engine) onUsage(customer *customer, usage float64) {
-	period := e.settings.UsagePeriod
-	if period <= 0 || !customer.isNewReport(e.now, period, usage) {
-		return
-	}
-	first := customer.isNewcomer()
-	customer.usageAt, customer.lastUsage = e.now, usage
-	customer.settlePeriod(e.now, period, usage)
-	if first {
-		customer.onFirstUsage(usage)
-	}
-	if customer.tokens > 0 || usage <= 0 {
-		customer.admitProbability = 1
-	} else {
-		customer.admitProbability = min(1, customer.admitProbability*fullRate/usage)
-	}
-}
-
-// isNewReport reports whether a usage report tells of a period that has not been counted. Many
-// responses repeat one report, and they come with jitter and out of order: a repeat is told by its
-// value and by the time. A report counts for no period that has not ended; else tokensAt would run
-// ahead of the clock, and the bucket would not fill any more.
-func (c *customer) isNewReport(now, period time.Duration, usage float64) bool {
-	if c.meteredSeconds <= 0 {
-		return true
-	}
-	sinceLast := now - c.usageAt
-	repeated := usage == c.lastUsage && sinceLast < period
-	return sinceLast >= period/2 && !repeated && c.tokensAt+period <= now
-}
-
-// settlePeriod moves the bucket on to the end of the period that a report tells of, which is taken
-// to have ended usageDelayPeriods ago. Of a gap before it only this gateway's own requests are
-// known.
-func (c *customer) settlePeriod(now, period time.Duration, usage float64) {
-	from := max(c.tokensAt, now-(1+usageDelayPeriods)*period)
-	if c.plan.Rate > 0 {
-		c.tokens = c.available(from)
-	}
-	c.tokensAt = from + period
-	own := 0.0
-	c.debits = slices.DeleteFunc(c.debits, func(d debit) bool {
-		if d.at > from && d.at <= c.tokensAt {
-			own += d.amount
-		}
-		return d.at <= c.tokensAt
-	})
-	c.meteredUsage = c.retention*c.meteredUsage + usage*period.Seconds()
-	c.meteredSeconds = c.retention*c.meteredSeconds + period.Seconds()
-	c.ownUsage = c.retention*c.ownUsage + own
-	c.tokens = max(0, min(c.burstTokens(), c.tokens+(fullRate-usage)*period.Seconds()))
-}
-
-// onFirstUsage takes a newcomer's first report as what it has done at the other gateways until now:
-// one of many gateways meets most customers once or twice, and a customer over its rate has mostly
-// been so for long, so its bucket is empty. What one request makes of a period's use tells nothing.
-func (c *customer) onFirstUsage(usage float64) {
-	c.newcomers.RecordFirstUsage(usage)
-	c.tokens = max(c.tokens, 2*quotaMarginRatio*c.burstTokens())
-	if c.plan.Rate > 0 && usage > fullRate+fullRate*c.lastCost/(c.plan.Rate*c.usagePeriod) {
-		c.tokens = 0
-	}
-}
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -17,9 +17,9 @@
 	selectionJitter = 0.05
 )
 
-// subsetSize is how many of a pool's backends this gateway keeps to, in warm ones' worth. Each
-// gateway has its own random order of them, so all are used alike. After a quiet time a burst goes
-// to as many as there are requests.
+// subsetSize is how many of a pool's backends this gateway keeps to, as the sum of their warm-up
+// fractions. Each gateway has its own random order of them, so all are used alike. After a quiet
+// time a burst goes to as many as there are requests.
 func (p *protocolPool) subsetSize(requests int) float64 {
 	return max(minSubsetSize, p.sendRate*subsetWindow.Seconds(), float64(requests))
 }
@@ -59,6 +59,8 @@
 
 // selectionCost is lowest for the backend that should respond first: its attempts in flight with
 // this one, times its slowness, times a factor for the responses that are overdue. It has no unit.
+// A further rule on which of the eligible backends is best belongs here; one that forbids a backend
+// to a request belongs in eligible.
 func (e *Engine) selectionCost(backend *backend, overdue float64) float64 {
 	silence := 1 + max(0, overdue-overdueTolerance)
 	jitter := 1 + selectionJitter*e.rng.Float64()
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -52,12 +52,12 @@
 // hasWarmupToken refills a backend's tokens, and reports whether there is one for an attempt now;
 // startAttempt takes it. A backend that is not warming up always has one.
 //
-// The rate is the backend's warm-up fraction of what this gateway sends a warm one, where nothing
-// is sent one a second from all gateways. If every gateway does so they stay within the backend's
-// present capacity together, with the overload factor as the margin; where many are warming up a
-// warm one is sent more, and half of that margin is used. What counts is the most that was sent
-// lately: by a second that a jam holds down, backends that are warming up would stand idle for as
-// long as the warm ones are overloaded.
+// Tokens come at the backend's warm-up fraction of the rate at which this gateway sends to a warm
+// one, or at which all gateways together send one attempt a second, if that is more. If every
+// gateway does so, they stay within the backend's present capacity together, with the overload
+// factor as the margin; where many backends are warming up a warm one is sent more, and half of
+// that margin is used. The rate is the highest of late: by a second that a jam holds down, backends
+// that are warming up would stand idle for as long as the warm ones are overloaded.
 //
 // At most one token is saved up. At a gateway that has one every few seconds or less it expires if
 // it is not used soon: what many gateways have saved up would come at once.
