--- a/decision/admission.go
+++ b/decision/admission.go
@@ -9,6 +9,12 @@
 // of.
 const weightSamples = 256
 
+// priorityState is what the boundary between the tiers is found by.
+type priorityState struct {
+	recentWeights []float64 // of the last weightSamples arrivals
+	medianWeight  float64   // of these, as of the last tick
+}
+
 // request is a request that has no final answer yet, or whose attempts are not all over.
 type request struct {
 	id       RequestID
--- a/decision/concurrencylimit.go
+++ b/decision/concurrencylimit.go
@@ -33,6 +33,17 @@
 	sustainableKnownWeight = 2.0 / 3
 )
 
+// limitState is the concurrency limit, N, and what it is found by.
+type limitState struct {
+	concurrencyLimit       float64 // attempts that may be in flight; +Inf: not limited yet
+	endedAttempts          float64 // attempts ended or late, fading
+	badOutcomes            float64 // those of them that ended badly or are late, fading
+	sustainableSum         float64 // of this second: its responses' lateAfter, seconds
+	sustainableConcurrency float64 // running mean of sustainableSum a second, in attempts
+	sustainableWeight      float64 // the weight of the seconds that the mean is of, 0 to 1
+	responseCount          int     // responses so far
+}
+
 // lateAfter is the age, in seconds, from which an attempt of the class counts as late for the
 // concurrency limit.
 func (c *class) lateAfter() float64 {
--- a/decision/counter.go
+++ b/decision/counter.go
@@ -20,6 +20,13 @@
 	depositsPerTickMax   = 8
 )
 
+// counterState is the calls of this gateway, and what they tell of the counter.
+type counterState struct {
+	counterLink    quota.CounterLink
+	counterCalls   map[uint64]counterCall // not ended, by Ref
+	lastCounterRef uint64
+}
+
 // counterCall is a CounterAdd whose result has not come.
 type counterCall struct {
 	customer *customer
--- a/decision/engine.go
+++ b/decision/engine.go
@@ -28,8 +28,14 @@
 	peakSendRateRetention = 0.98
 )
 
-// Engine makes the decisions of one gateway. It owns all that they depend on.
+// Engine makes the decisions of one gateway. It owns all that they depend on. State that one rule
+// alone keeps is declared beside the rule and embedded here.
 type Engine struct {
+	priorityState
+	limitState
+	partitionState
+	counterState
+
 	settings        Settings
 	classes         map[string]*class
 	orderedClasses  []*class // in the order of the settings
@@ -51,38 +57,11 @@
 	seq       uint64
 	customers map[CustomerID]*customer
 
-	// Priority tiers: see admission.go.
-	recentWeights []float64 // of the last weightSamples arrivals
-	medianWeight  float64   // of these, as of the last tick
-
-	// The concurrency limit, N: see concurrencylimit.go.
-	concurrencyLimit       float64 // attempts that may be in flight; +Inf: not limited yet
-	endedAttempts          float64 // attempts ended or late, fading
-	badOutcomes            float64 // those of them that ended badly or are late, fading
-	sustainableSum         float64 // of this second: its responses' lateAfter, seconds
-	sustainableConcurrency float64 // running mean of sustainableSum a second, in attempts
-	sustainableWeight      float64 // the weight of the seconds that the mean is of, 0 to 1
-	responseCount          int     // responses so far
-
-	// Its partitions: see partitions.go.
-	partitionSize   [3]float64
-	partitionInUse  [3]int
-	partitionLoad   [3]float64 // slots in use, on average where small, as of partitionLoadAt
-	partitionLoadAt time.Duration
-	subratedSlots   int
-	subratable      []*slot // shared ones of low priority, not subrated, oldest first
-	tiers           [2]tier // low, high
-	repartitionedAt time.Duration
-
 	meanLatency     float64 // running mean latency of responses, seconds
 	bestLatency     float64 // a low mark of it that rises slowly, seconds
 	sendsThisSecond float64
 	sendRate        float64 // attempts a second, running mean
 	cancelBudget    float64 // slow attempts that may be cancelled
-
-	counterLink    quota.CounterLink
-	counterCalls   map[uint64]counterCall // not ended, by Ref
-	lastCounterRef uint64
 }
 
 // class is a class with what is known of its responses.
@@ -113,24 +92,26 @@
 	}
 	failureTTL := durationOf(maxSampleWeight / minSampleWeight)
 	e := &Engine{
-		settings:         settings,
-		classes:          map[string]*class{},
-		plans:            map[string]*Plan{},
-		newcomersByPlan:  map[string]*quota.NewcomerStats{},
-		rng:              rand.New(rand.NewPCG(seed, 0)),
-		now:              now,
-		createdAt:        now,
-		backends:         map[BackendID]*backend{},
-		index:            endpointindex.New[*backend](settings.SlowStartWindow, failureTTL),
-		pools:            map[string]*protocolPool{},
-		requests:         map[RequestID]*request{},
-		bySeq:            map[uint64]*request{},
-		customers:        map[CustomerID]*customer{},
-		concurrencyLimit: math.Inf(1),
-		repartitionedAt:  now,
-		sendRate:         initialSendRate,
-		counterLink:      quota.NewCounterLink(),
-		counterCalls:     map[uint64]counterCall{},
+		settings:        settings,
+		classes:         map[string]*class{},
+		plans:           map[string]*Plan{},
+		newcomersByPlan: map[string]*quota.NewcomerStats{},
+		rng:             rand.New(rand.NewPCG(seed, 0)),
+		now:             now,
+		createdAt:       now,
+		backends:        map[BackendID]*backend{},
+		index:           endpointindex.New[*backend](settings.SlowStartWindow, failureTTL),
+		pools:           map[string]*protocolPool{},
+		requests:        map[RequestID]*request{},
+		bySeq:           map[uint64]*request{},
+		customers:       map[CustomerID]*customer{},
+		sendRate:        initialSendRate,
+		limitState:      limitState{concurrencyLimit: math.Inf(1)},
+		partitionState:  partitionState{repartitionedAt: now},
+		counterState: counterState{
+			counterLink:  quota.NewCounterLink(),
+			counterCalls: map[uint64]counterCall{},
+		},
 	}
 	for _, c := range settings.Classes {
 		initial := c.LatencyObjective.Seconds() / initialLatencyDivisor
--- a/decision/partitions.go
+++ b/decision/partitions.go
@@ -37,8 +37,21 @@
 	partitionHigh   = 0
 	partitionLow    = 1
 	partitionShared = 2
+	partitionCount  = 3
 )
 
+// partitionState is the division of the concurrency limit, and the slots in use.
+type partitionState struct {
+	partitionSize   [partitionCount]float64 // slots
+	partitionInUse  [partitionCount]int
+	partitionLoad   [partitionCount]float64 // in use, on average where small, as of partitionLoadAt
+	partitionLoadAt time.Duration
+	subratedSlots   int
+	subratable      []*slot // shared ones of low priority, not subrated, oldest first
+	tiers           [2]tier // low, high
+	repartitionedAt time.Duration
+}
+
 // slot is held by a request from its admission until its last attempt has ended.
 type slot struct {
 	partition int
@@ -90,7 +103,7 @@
 	elapsed := (e.now - e.partitionLoadAt).Seconds()
 	e.partitionLoadAt = e.now
 	shared := float64(e.partitionInUse[partitionShared]) - float64(e.subratedSlots)/subratedPerSlot
-	inUse := [3]float64{
+	inUse := [partitionCount]float64{
 		partitionHigh:   float64(e.partitionInUse[partitionHigh]),
 		partitionLow:    float64(e.partitionInUse[partitionLow]),
 		partitionShared: shared,
@@ -156,7 +169,7 @@
 		valueHigh:    max(high.meanWeight, low.meanWeight),
 		valueLow:     low.meanWeight,
 	})
-	e.partitionSize = [3]float64{
+	e.partitionSize = [partitionCount]float64{
 		partitionHigh:   highSlots,
 		partitionLow:    lowSlots,
 		partitionShared: e.concurrencyLimit - highSlots - lowSlots,
