--- a/decision/warmupscenarios_test.go
+++ b/decision/warmupscenarios_test.go
@@ -34,168 +34,224 @@
 	gatewayKnew bool
 }
 
+// endpointNews is an update that one gateway will get.
+type endpointNews struct {
+	at       time.Duration
+	gateway  int
+	endpoint Endpoint
+}
+
+// warmupRun is a scenario that is being played.
+type warmupRun struct {
+	warmupScenario
+	t         *testing.T
+	settings  Settings
+	rng       *rand.Rand
+	fleet     *gatewayFleet
+	endpoints []Endpoint
+	capacity  float64 // of a warm backend, attempts a second
+
+	startedAt map[BackendID]time.Duration   // of the backends that have started anew
+	known     []map[BackendID]time.Duration // the same, as each gateway knows it
+	news      []endpointNews
+	sent      map[BackendID][]warmupSend // those within OverloadDuration
+	queue     map[BackendID]float64      // attempts waiting, as of queueAt
+	queueAt   map[BackendID]time.Duration
+	weights   []float64 // cumulative: a gateway's and those before it
+
+	// What befalls while backends warm up.
+	warmupBegan time.Duration
+	nextGateway int // the next to restart
+	dealt       int // times that weights were dealt anew
+	startedOnce bool
+
+	worst  float64
+	sends  int
+	report string
+}
+
 // run plays the scenario. It returns how near any backend came to failing: a backend that warms up
 // bears N + 2 * sqrt(N) + 2 attempts in OverloadDuration from all gateways together, N being what
 // the settings allow it then. It counts if over two thirds of the attempts came from gateways that
 // had been told of the start.
 func (r warmupScenario) run(t *testing.T, s Settings, seed uint64) (worst float64, sends int, report string) {
-	rng := rand.New(rand.NewPCG(seed, 9))
-	all := testEndpoints(r.backends)
 	s.GatewayCount = r.gateways
-	capacity := r.perBackend / r.utilization // of a warm one, a second
-	c := newGatewayFleet(t, s, r.gateways, all)
-	for d := range c.gateways { // seeds of their own
-		c.start(t, s, d, rng.Uint64(), all)
-	}
-	born, known := map[BackendID]time.Duration{}, make([]map[BackendID]time.Duration, r.gateways)
-	for d := range known {
-		known[d] = map[BackendID]time.Duration{}
-	}
-	warmth := func(b BackendID) float64 {
-		at, ok := born[b]
-		if !ok {
-			return 1
-		}
-		return min(1, s.SlowStartMinCapacity+(1-s.SlowStartMinCapacity)*float64(c.now-at)/float64(s.SlowStartWindow))
-	}
-	sent := map[BackendID][]warmupSend{}
-	queue, queueAt := map[BackendID]float64{}, map[BackendID]time.Duration{}
-	c.latency = func(b BackendID, now time.Duration) time.Duration {
-		w := warmth(b)
-		if !r.slowWhileWarming && w < 1 {
-			return durationOf(0.05 + 0.1*rng.ExpFloat64())
-		}
-		can := capacity * w
-		queue[b] = max(0, queue[b]-can*(now-queueAt[b]).Seconds()) + 1
-		queueAt[b] = now
-		if r.hangingBackends && born[b] == 0 && len(born) > 0 && b%8 == 0 {
-			return 3 * second
-		}
-		return durationOf(0.1*rng.ExpFloat64()+0.05/w) + durationOf(queue[b]/can)
+	w := &warmupRun{
+		warmupScenario: r, t: t, settings: s,
+		rng:       rand.New(rand.NewPCG(seed, 9)),
+		endpoints: testEndpoints(r.backends),
+		capacity:  r.perBackend / r.utilization,
+		startedAt: map[BackendID]time.Duration{},
+		known:     make([]map[BackendID]time.Duration, r.gateways),
+		sent:      map[BackendID][]warmupSend{},
+		queue:     map[BackendID]float64{},
+		queueAt:   map[BackendID]time.Duration{},
+		weights:   make([]float64, r.gateways),
 	}
-	c.onAttempt = func(gateway int, b BackendID) {
-		w := warmth(b)
-		if w >= 1 {
-			return
-		}
-		sends++
-		sent[b] = append(sent[b], warmupSend{c.now, known[gateway][b] == born[b]})
-		in := sent[b]
-		for c.now-in[0].at > s.OverloadDuration {
-			in = in[1:]
-		}
-		sent[b] = in
-		told := 0
-		for _, x := range in {
-			told += boolToInt(x.gatewayKnew)
-		}
-		n := s.OverloadFactor * w * capacity * s.OverloadDuration.Seconds()
-		bound := n + 2*math.Sqrt(n) + 2
-		if 3*told <= 2*len(in) {
-			return
-		}
-		if near := float64(len(in)) / bound; near > worst {
-			worst, report = near,
-				fmt.Sprintf("backend %d, %.1f s old, had %d in %v, %d of them from gateways that knew; it bears %.1f", b,
-					(c.now-born[b]).Seconds(), len(in), s.OverloadDuration, told, bound)
-		}
+	w.fleet = newGatewayFleet(t, s, r.gateways, w.endpoints)
+	for gateway := range w.known { // seeds of their own
+		w.known[gateway] = map[BackendID]time.Duration{}
+		w.fleet.start(t, s, gateway, w.rng.Uint64(), w.endpoints)
 	}
-	weights, sum := make([]float64, r.gateways), 0.0 // a gateway's and those before it
-	deal := func() {
-		sum = 0
-		for d := range weights {
-			w := 1.0
-			if r.uneven {
-				w = []float64{0.02, 0.2, 0.5, 0.5, 1, 1, 1, 1, 3, 6}[rng.IntN(10)]
-			}
-			sum += w
-			weights[d] = sum
-		}
+	w.fleet.latency, w.fleet.onAttempt = w.latency, w.onAttempt
+	w.dealWeights()
+
+	w.play(12*second, 1, nil)
+	for b := range r.starting {
+		w.startBackend(BackendID(b + 1))
 	}
-	deal()
-	type telling struct {
-		at      time.Duration
-		gateway int
-		b       Endpoint
-	}
-	var news []telling
-	begin := func(b BackendID) {
-		born[b], sent[b], queue[b] = c.now, nil, 0
-		info := all[b-1]
-		info.StartedAt = c.now
-		all[b-1] = info
-		for d := range c.gateways {
-			news = append(news, telling{c.now + time.Duration(rng.Int64N(int64(r.updateSpread)+1)), d, info})
-		}
+	w.warmupBegan = w.fleet.now
+	w.play(second, 1, w.befall)
+	w.play(4*second, max(1, r.burst), w.befall)
+	w.play(s.SlowStartWindow, 1, w.befall)
+	return w.worst, w.sends, w.report
+}
+
+// fraction is the share of its capacity that a backend has.
+func (w *warmupRun) fraction(b BackendID) float64 {
+	at, ok := w.startedAt[b]
+	if !ok {
+		return 1
 	}
-	tell := func() {
-		news = slices.DeleteFunc(news, func(n telling) bool {
-			if n.at > c.now {
-				return false
-			}
-			if known[n.gateway][n.b.ID] < n.b.StartedAt {
-				known[n.gateway][n.b.ID] = n.b.StartedAt
-				c.handle(n.gateway, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{n.b}})
-			}
-			return true
-		})
+	least := w.settings.SlowStartMinCapacity
+	return min(1, least+(1-least)*float64(w.fleet.now-at)/float64(w.settings.SlowStartWindow))
+}
+
+// latency is how long a backend takes for an attempt that comes now.
+func (w *warmupRun) latency(b BackendID, now time.Duration) time.Duration {
+	fraction := w.fraction(b)
+	if !w.slowWhileWarming && fraction < 1 {
+		return durationOf(0.05 + 0.1*w.rng.ExpFloat64())
 	}
-	play := func(d time.Duration, times float64, each func()) {
-		next := c.now
-		for end := c.now + d; c.now < end; {
-			if each != nil && c.now >= next {
-				next += 100 * ms
-				each()
-			}
-			c.advance(durationOf(rng.ExpFloat64() / (r.perBackend * float64(r.backends) * times)))
-			tell()
-			c.lastRequest++
-			gateway, _ := slices.BinarySearch(weights, rng.Float64()*sum)
-			c.handle(min(gateway, r.gateways-1), Request{ID: c.lastRequest,
-				Customer: CustomerID(c.lastRequest), Class: "safe", Plan: "wide", Cost: 1, Timeout: 3 * second,
-				GatewaySpread: r.gateways})
+	capacity := w.capacity * fraction
+	w.queue[b] = max(0, w.queue[b]-capacity*(now-w.queueAt[b]).Seconds()) + 1
+	w.queueAt[b] = now
+	if w.hangingBackends && w.startedAt[b] == 0 && len(w.startedAt) > 0 && b%8 == 0 {
+		return 3 * second
+	}
+	return durationOf(0.1*w.rng.ExpFloat64()+0.05/fraction) + durationOf(w.queue[b]/capacity)
+}
+
+// onAttempt counts an attempt at a backend that warms up against what it bears.
+func (w *warmupRun) onAttempt(gateway int, b BackendID) {
+	fraction := w.fraction(b)
+	if fraction >= 1 {
+		return
+	}
+	w.sends++
+	now := w.fleet.now
+	w.sent[b] = append(w.sent[b], warmupSend{now, w.known[gateway][b] == w.startedAt[b]})
+	recent := w.sent[b]
+	for now-recent[0].at > w.settings.OverloadDuration {
+		recent = recent[1:]
+	}
+	w.sent[b] = recent
+	knew := 0
+	for _, send := range recent {
+		knew += boolToInt(send.gatewayKnew)
+	}
+	n := w.settings.OverloadFactor * fraction * w.capacity * w.settings.OverloadDuration.Seconds()
+	bound := n + 2*math.Sqrt(n) + 2
+	if 3*knew <= 2*len(recent) {
+		return
+	}
+	if near := float64(len(recent)) / bound; near > w.worst {
+		w.worst = near
+		w.report = fmt.Sprintf("backend %d, %.1f s old, had %d in %v, %d of them from gateways that knew; "+
+			"it bears %.1f", b, (now - w.startedAt[b]).Seconds(), len(recent), w.settings.OverloadDuration, knew, bound)
+	}
+}
+
+// dealWeights gives each gateway its part of the requests.
+func (w *warmupRun) dealWeights() {
+	sum := 0.0
+	for gateway := range w.weights {
+		weight := 1.0
+		if w.uneven {
+			weight = []float64{0.02, 0.2, 0.5, 0.5, 1, 1, 1, 1, 3, 6}[w.rng.IntN(10)]
 		}
+		sum += weight
+		w.weights[gateway] = sum
 	}
-	play(12*second, 1, nil)
-	for b := range r.starting {
-		begin(BackendID(b + 1))
-	}
-	started := c.now
-	nextGateway, redone, dealt := 0, !r.startTwice, 0
-	anew := func(gateway int) {
-		maps.Copy(known[gateway], born) // its endpoints are up to date
-		c.start(t, s, gateway, rng.Uint64(), all)
-	}
-	during := func() {
-		age := c.now - started
-		for ; r.gatewaysRestart && nextGateway < r.gateways &&
-			age.Seconds() > 0.5+10*float64(nextGateway)/float64(r.gateways); nextGateway++ {
-			anew(nextGateway)
+}
+
+// startBackend has a backend's process start anew, of which each gateway is told at a time of its own.
+func (w *warmupRun) startBackend(b BackendID) {
+	now := w.fleet.now
+	w.startedAt[b], w.sent[b], w.queue[b] = now, nil, 0
+	w.endpoints[b-1].StartedAt = now
+	for gateway := range w.known {
+		at := now + time.Duration(w.rng.Int64N(int64(w.updateSpread)+1))
+		w.news = append(w.news, endpointNews{at, gateway, w.endpoints[b-1]})
+	}
+}
+
+// deliverNews gives gateways the updates that are due.
+func (w *warmupRun) deliverNews() {
+	w.news = slices.DeleteFunc(w.news, func(n endpointNews) bool {
+		if n.at > w.fleet.now {
+			return false
 		}
-		if r.gatewaysKilled && age > second {
-			r.gatewaysKilled = false
-			for d := range c.gateways {
-				if rng.IntN(10) < 7 {
-					anew(d)
-				}
-			}
+		known := w.known[n.gateway]
+		if known[n.endpoint.ID] < n.endpoint.StartedAt {
+			known[n.endpoint.ID] = n.endpoint.StartedAt
+			w.fleet.handle(n.gateway, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{n.endpoint}})
 		}
-		if r.shifts && age > time.Duration(dealt)*2*second {
-			dealt++
-			deal()
+		return true
+	})
+}
+
+// play has requests come for a while, at a multiple of the load, and calls each every 100 ms.
+func (w *warmupRun) play(d time.Duration, times float64, each func()) {
+	next := w.fleet.now
+	for end := w.fleet.now + d; w.fleet.now < end; {
+		if each != nil && w.fleet.now >= next {
+			next += 100 * ms
+			each()
 		}
-		if !redone && age > 4*second {
-			redone = true
-			for b := range (r.starting + 1) / 2 {
-				begin(BackendID(b + 1))
+		w.fleet.advance(durationOf(w.rng.ExpFloat64() / (w.perBackend * float64(w.backends) * times)))
+		w.deliverNews()
+		w.fleet.lastRequest++
+		sum := w.weights[len(w.weights)-1]
+		gateway, _ := slices.BinarySearch(w.weights, w.rng.Float64()*sum)
+		w.fleet.handle(min(gateway, w.gateways-1), Request{
+			ID: w.fleet.lastRequest, Customer: CustomerID(w.fleet.lastRequest),
+			Class: "safe", Plan: "wide", Cost: 1, Timeout: 3 * second, GatewaySpread: w.gateways,
+		})
+	}
+}
+
+// restartGateway starts a gateway anew, with endpoints that are up to date.
+func (w *warmupRun) restartGateway(gateway int) {
+	maps.Copy(w.known[gateway], w.startedAt)
+	w.fleet.start(w.t, w.settings, gateway, w.rng.Uint64(), w.endpoints)
+}
+
+// befall has happen what is due by the time since the backends started.
+func (w *warmupRun) befall() {
+	age := w.fleet.now - w.warmupBegan
+	for ; w.gatewaysRestart && w.nextGateway < w.gateways &&
+		age.Seconds() > 0.5+10*float64(w.nextGateway)/float64(w.gateways); w.nextGateway++ {
+		w.restartGateway(w.nextGateway)
+	}
+	if w.gatewaysKilled && age > second {
+		w.gatewaysKilled = false
+		for gateway := range w.known {
+			if w.rng.IntN(10) < 7 {
+				w.restartGateway(gateway)
 			}
 		}
 	}
-	times := max(1, r.burst)
-	play(second, 1, during)
-	play(4*second, times, during)
-	play(s.SlowStartWindow, 1, during)
-	return worst, sends, report
+	if w.shifts && age > time.Duration(w.dealt)*2*second {
+		w.dealt++
+		w.dealWeights()
+	}
+	if w.startTwice && !w.startedOnce && age > 4*second {
+		w.startedOnce = true
+		for b := range (w.starting + 1) / 2 {
+			w.startBackend(BackendID(b + 1))
+		}
+	}
 }
 
 // drawWarmupScenario draws a scenario and settings within the range of deployments. Each of the
