--- a/decision/counter_test.go
+++ b/decision/counter_test.go
@@ -15,6 +15,22 @@
 	return s
 }
 
+// flakyCounter is a shared counter that is "sound", is "losing" three calls in ten, or is "gone". A
+// call that is lost is rejected, or is counted without a result.
+func flakyCounter(rng *rand.Rand, state string) func(CounterAdd) (CounterResult, time.Duration) {
+	totals := map[uint64]float64{}
+	return func(a CounterAdd) (CounterResult, time.Duration) {
+		lose := state == "gone" || state == "losing" && rng.Float64() < 0.3
+		if lose && rng.Float64() < 0.5 {
+			return CounterResult{Ref: a.Ref, Result: Rejected}, 10 * ms
+		}
+		if totals[a.Key] += a.Amount; lose {
+			return CounterResult{Ref: a.Ref, Result: TimedOut}, 120 * ms
+		}
+		return CounterResult{Ref: a.Ref, Total: totals[a.Key]}, 15 * ms
+	}
+}
+
 // A customer's requests come unevenly: one gateway of 17 has most of them. Without a counter it
 // rejects what is beyond an even share; with one the others lend it theirs. The hard limit holds
 // all the same, also while the counter loses calls.
@@ -26,17 +42,7 @@
 		s.HasSharedCounter = with != "none"
 		c := newGatewayFleet(t, s, 17, testEndpoints(60))
 		rng := rand.New(rand.NewPCG(3, 4))
-		totals := map[uint64]float64{}
-		c.counter = func(a CounterAdd) (CounterResult, time.Duration) {
-			lose := with == "gone" || with == "losing" && rng.Float64() < 0.3
-			if lose && rng.Float64() < 0.5 {
-				return CounterResult{Ref: a.Ref, Result: Rejected}, 10 * ms
-			}
-			if totals[a.Key] += a.Amount; lose {
-				return CounterResult{Ref: a.Ref, Result: TimedOut}, 120 * ms
-			}
-			return CounterResult{Ref: a.Ref, Total: totals[a.Key]}, 15 * ms
-		}
+		c.counter = flakyCounter(rng, with)
 		left, at, least := burst, c.now, burst
 		c.onForwarded = func() {
 			left, at = min(burst, left+rate*(c.now-at).Seconds())-2, c.now
