--- a/deployment.go
+++ b/deployment.go
@@ -5,35 +5,35 @@
 	"sync"
 )
 
-// Deployment is a set of front doors in one process that share backends and quotas. Each of its Doors has a
-// number of its own (Settings.Me), as its part of every quota hangs on it: two Doors of one number would each
-// take the same part. The zero value is ready, and a Deployment is safe for concurrent use. Doors in different
-// processes cannot see each other; there the operator hands out the numbers.
+// Deployment is a set of gateways in one process that share backends and quotas. Each has an index of its own
+// (Settings.GatewayIndex), which its share of every quota depends on: two gateways of one index would each take the
+// same share. The zero value is ready, and a Deployment is safe for concurrent use. Gateways in different processes
+// do not know of each other; there the operator assigns the indexes.
 type Deployment struct {
 	mu           sync.Mutex
-	gatewayCount int // of all settings, once there is one
+	gatewayCount int // of all settings, once an index is claimed
 	claimed      map[int]bool
 }
 
-// claim takes a number for a Door until release.
-func (p *Deployment) claim(me, doors int) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.claimed) > 0 && p.gatewayCount != doors {
-		return fmt.Errorf("%w: %d front doors, others of the deployment count %d", ErrConfig, doors, p.gatewayCount)
+// claim takes an index for a Gateway until release. The error is an ErrConfig or an ErrGatewayIndexTaken.
+func (d *Deployment) claim(index, count int) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.claimed) > 0 && d.gatewayCount != count {
+		return fmt.Errorf("%w: GatewayCount is %d, and %d in others of the deployment", ErrConfig, count, d.gatewayCount)
 	}
-	if p.claimed[me] {
-		return fmt.Errorf("%w: %d", ErrGatewayIndexTaken, me)
+	if d.claimed[index] {
+		return fmt.Errorf("%w: %d", ErrGatewayIndexTaken, index)
 	}
-	if p.claimed == nil {
-		p.claimed = map[int]bool{}
+	if d.claimed == nil {
+		d.claimed = map[int]bool{}
 	}
-	p.claimed[me], p.gatewayCount = true, doors
+	d.claimed[index], d.gatewayCount = true, count
 	return nil
 }
 
-func (p *Deployment) release(me int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.claimed, me)
+func (d *Deployment) release(index int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.claimed, index)
 }
--- a/errors.go
+++ b/errors.go
@@ -1,6 +1,7 @@
 package pumicecroft
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"time"
@@ -9,78 +10,107 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// How a request ends without an answer to pass on. Test with errors.Is.
+// How a request ends without a response. Compare with errors.Is. Each is also one of ErrRejected, ErrFailed and
+// ErrBadRequest.
 var (
-	// ErrRejected: no attempt has run, or running again is harmless; the caller may try again. The error is a
-	// *RefusedError.
-	ErrRejected = errors.New("pumicecroft: refused")
-	// ErrFailed: it may have run, and promises nothing.
+	// ErrRejected: the request has not executed, or may execute again: the caller may retry it. The error is a
+	// *RejectedError, an ErrClosed or an ErrTooManyRequests.
+	ErrRejected = errors.New("pumicecroft: rejected")
+	// ErrFailed: the request may have executed.
 	ErrFailed = errors.New("pumicecroft: failed")
-	// ErrDeadlineExceeded is an ErrFailed too: the time was up before there was any other answer.
-	ErrDeadlineExceeded = fmt.Errorf("%w: its time was up", ErrFailed)
-	// ErrAborted is an ErrFailed too: Close was not given the time to let the request end.
-	ErrAborted = fmt.Errorf("%w: the door was closed", ErrFailed)
-	// ErrClosed is an ErrRefused too: the Door takes nothing any more.
-	ErrClosed = fmt.Errorf("%w: the door is closed", ErrRejected)
-	// ErrTooManyRequests is an ErrRefused too: MaxOpen requests are open.
-	ErrTooManyRequests = fmt.Errorf("%w: as many requests as may be are open", ErrRejected)
-
-	// ErrBadRequest: the request makes no sense to this Door; nothing was decided and nothing sent.
+	// ErrBadRequest: the request is invalid for this Gateway; nothing was decided and nothing sent.
 	ErrBadRequest = errors.New("pumicecroft: bad request")
-	// ErrBodyTooLarge is an ErrBadRequest too: the body is over the limit.
+
+	// ErrClosed is an ErrRejected: the Gateway is closed.
+	ErrClosed = fmt.Errorf("%w: gateway closed", ErrRejected)
+	// ErrTooManyRequests is an ErrRejected: Config.MaxOpenRequests requests are open.
+	ErrTooManyRequests = fmt.Errorf("%w: too many open requests", ErrRejected)
+
+	// ErrDeadlineExceeded is an ErrFailed: the timeout was over before there was another answer.
+	ErrDeadlineExceeded = fmt.Errorf("%w: deadline exceeded", ErrFailed)
+	// ErrAborted is an ErrFailed: Close was not given the time to let the request end.
+	ErrAborted = fmt.Errorf("%w: gateway closed", ErrFailed)
+	// ErrReplayed is an ErrFailed: a request with this ID, of a class that is not idempotent, was here a short while
+	// ago and may have executed. A host that runs its handlers again gets it in place of a second execution.
+	ErrReplayed = fmt.Errorf("%w: a request with this id may have executed already", ErrFailed)
+	// ErrOutcomeUnknown is an ErrFailed: a request with this idempotency key may have executed, with unknown
+	// outcome. The error is an *OutcomeUnknownError.
+	ErrOutcomeUnknown = fmt.Errorf("%w: a request with this key may have executed", ErrFailed)
+	// ErrResponseNotRetained is an ErrFailed: a request with this idempotency key succeeded, and its response was too
+	// large to be retained.
+	ErrResponseNotRetained = fmt.Errorf(
+		"%w: a request with this key succeeded, and its response was not retained", ErrFailed)
+
+	// ErrBodyTooLarge is an ErrBadRequest: the body is larger than MaxBody.
 	ErrBodyTooLarge = fmt.Errorf("%w: the body is over %d KiB", ErrBadRequest, MaxBody>>10)
-	// ErrDuplicateID is an ErrBadRequest too: a request with this id is open.
+	// ErrDuplicateID is an ErrBadRequest: a request with this ID is open.
 	ErrDuplicateID = fmt.Errorf("%w: a request with this id is open", ErrBadRequest)
-	// ErrReplayed is an ErrFailed too: a request with this id, of a class that must not be repeated at will, was
-	// here a short while ago and may have run. A host that runs its handlers again sees it, in place of a second
-	// effect.
-	ErrReplayed = fmt.Errorf("%w: a request with this id may have run already", ErrFailed)
-
-	// ErrKeyConflict is an ErrBadRequest too: its idempotency key belongs to another request of its customer.
+	// ErrKeyConflict is an ErrBadRequest: the idempotency key belongs to another request of the customer.
 	ErrKeyConflict = fmt.Errorf("%w: the key belongs to another request", ErrBadRequest)
-	// ErrOutcomeUnknown is an ErrFailed too: a request with this key may have run, and what came of it is not known. The error is
-	// an *UndecidedError.
-	ErrOutcomeUnknown = fmt.Errorf("%w: a request with this key may have run", ErrFailed)
-	// ErrResponseNotRetained is an ErrFailed too: a request with this key was answered well, and its answer was too large to be kept.
-	ErrResponseNotRetained = fmt.Errorf("%w: a request with this key was answered well, and the answer is not kept", ErrFailed)
-
-	// ErrConfig: New was given what it cannot work with.
-	ErrConfig = errors.New("pumicecroft: bad configuration")
-	// ErrJournal: the journal of keys can't be used: its directory can't be read or is another process's, or what is in it is damaged, which the
-	// error tells with file and offset. Nothing in it was changed.
-	ErrJournal = errors.New("pumicecroft: the journal of keys")
-	// ErrGatewayIndexTaken: another Door of the deployment has this number.
-	ErrGatewayIndexTaken = errors.New("pumicecroft: the number belongs to another door of this deployment")
 )
 
-// RejectedError is an ErrRefused that may say when to come back.
+// Errors of New. Compare with errors.Is.
+var (
+	// ErrConfig: the Config or an Option is invalid.
+	ErrConfig = errors.New("pumicecroft: invalid configuration")
+	// ErrJournal: the idempotency journal cannot be used: its directory cannot be read or is in use by another
+	// process, or it is damaged, which the error tells with file and offset. Nothing in it was changed.
+	ErrJournal = errors.New("pumicecroft: idempotency journal")
+	// ErrGatewayIndexTaken: another Gateway of the deployment has this index.
+	ErrGatewayIndexTaken = errors.New("pumicecroft: gateway index taken in this deployment")
+)
+
+// RejectedError is an ErrRejected that may say when to retry.
 type RejectedError struct {
-	RetryAfter time.Duration   // 0: no advice
-	Reason     decision.Reason // as the decision module has it; Unfit where something else refused
+	// RetryAfter is when to retry. Zero: no advice.
+	RetryAfter time.Duration
+	// Reason is the decision engine's; Invalid where something else rejected the request.
+	Reason decision.Reason
 }
 
-// Error tells the advice too.
+// Error includes RetryAfter.
 func (e *RejectedError) Error() string {
 	if e.RetryAfter > 0 {
-		return fmt.Sprintf("%v, come back in %v", ErrRejected, e.RetryAfter)
+		return fmt.Sprintf("%v: retry after %v", ErrRejected, e.RetryAfter)
 	}
 	return ErrRejected.Error()
 }
 
-// Is makes it an ErrRefused.
+// Is makes it an ErrRejected.
 func (e *RejectedError) Is(target error) bool { return target == ErrRejected }
 
-// OutcomeUnknownError is an ErrUndecided that says for how long the key is.
+// OutcomeUnknownError is an ErrOutcomeUnknown. A retry with the key before RetryAfter has the same error.
 type OutcomeUnknownError struct{ RetryAfter time.Duration }
 
-// Error tells how long too.
+// Error includes RetryAfter.
 func (e *OutcomeUnknownError) Error() string {
-	return fmt.Sprintf("%v, for %v", ErrOutcomeUnknown, e.RetryAfter)
+	return fmt.Sprintf("%v: retry after %v", ErrOutcomeUnknown, e.RetryAfter)
 }
 
-// Unwrap makes it an ErrUndecided, and an ErrFailed.
+// Unwrap makes it an ErrOutcomeUnknown, and an ErrFailed.
 func (e *OutcomeUnknownError) Unwrap() error { return ErrOutcomeUnknown }
 
-// submitErrors are the errors for requests that the core did not let in.
-var submitErrors = map[error]error{lifecycle.ErrDuplicateID: ErrDuplicateID, lifecycle.ErrReplayed: ErrReplayed, lifecycle.ErrTooManyRequests: ErrTooManyRequests,
-	lifecycle.ErrClosed: ErrClosed}
+// submitError is the error of a request that was not submitted.
+func submitError(err error) error {
+	switch {
+	case errors.Is(err, lifecycle.ErrDuplicateID):
+		return ErrDuplicateID
+	case errors.Is(err, lifecycle.ErrReplayed):
+		return ErrReplayed
+	case errors.Is(err, lifecycle.ErrTooManyRequests):
+		return ErrTooManyRequests
+	case errors.Is(err, lifecycle.ErrClosed):
+		return ErrClosed
+	}
+	return err
+}
+
+// disconnectedError is the error of a request whose context has ended.
+func disconnectedError(ctx context.Context) error {
+	return fmt.Errorf("pumicecroft: caller disconnected: %w", context.Cause(ctx))
+}
+
+// badRequest is an ErrBadRequest that names what is invalid, with the start of its value.
+func badRequest(what string, value any) error {
+	return fmt.Errorf("%w: %s: %.40q", ErrBadRequest, what, fmt.Sprint(value))
+}
--- /dev/null
+++ b/gateway.go
@@ -0,0 +1,347 @@
+// Package pumicecroft is a gateway that holds every customer of a shared set of backends to its plan, as a library.
+// A Gateway takes requests (Do in the same process, ServeHTTP over HTTP), has its decision engine say which backend
+// each goes to, whether it is retried and which are rejected, and gives each one final answer before its timeout.
+//
+// Five rules hold whatever happens: one final answer in time; what may have executed is repeated only where its
+// class permits that; a draining backend is sent nothing new; a backend that has just started is sent little; hard
+// limits hold over all gateways together.
+//
+// Packages middleware/nethttp and middleware/gin put a Gateway into a host's own server. Package decision is the
+// decision engine, package membership the form in which backends are reported.
+package pumicecroft
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"pumicecroft/decision"
+	"pumicecroft/internal/deduplicator"
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/lifecycle"
+	"pumicecroft/internal/platformtransport"
+	"pumicecroft/membership"
+
+	"golang.org/x/time/rate"
+)
+
+// Gateway is one gateway. It is safe for concurrent use. A process may hold several; they share nothing, unless
+// they are given the same Deployment.
+type Gateway struct {
+	config       Config
+	classes      map[string]decision.Class // by name
+	plans        map[string]bool           // by name
+	executor     *executor.Executor
+	transports   map[string]executor.BackendTransport // by protocol
+	transport    executor.BackendTransport            // all of them
+	mapper       Mapper
+	log          *slog.Logger
+	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
+	sources      []namedSource
+	deployment   *Deployment                // nil: none
+	counter      executor.Counter           // nil: none
+	deduplicator *deduplicator.Deduplicator // nil: idempotency keys are not recognised
+
+	// Each bounds one kind of log line, so that a flood of one does not hide another.
+	badRequestLog, deadlineLog, endpointLog, pauseLog rate.Sometimes
+
+	// reportLocks lets in one update of a source at a time, by its name. One is locked before updateMu.
+	reportLocks map[string]*sync.Mutex
+	// updateMu has changes reach the executor in the order in which they reached the transports. It guards
+	// membershipTable, membershipTimer, endpointCaches' fields and closed.
+	updateMu        sync.Mutex
+	membershipTable *membership.Table
+	membershipTimer *time.Timer // calls onMembershipTimer
+	endpointCaches  map[string]*endpointCache
+	closed          bool
+
+	ctx        context.Context // ends when Close has waited for the open requests
+	cancel     context.CancelFunc
+	background sync.WaitGroup // of sources, caches and snapshots
+	closing    atomic.Bool
+}
+
+// New returns a Gateway that serves at once; until it is told of backends it rejects everything. The error is an
+// ErrConfig, an ErrJournal or an ErrGatewayIndexTaken.
+func New(config Config, options ...Option) (*Gateway, error) { return newGateway(config, nil, options) }
+
+// newGateway is New with a decision engine of the caller's; nil: the one in use.
+func newGateway(config Config, engine lifecycle.DecisionEngine, options []Option) (_ *Gateway, err error) {
+	if config, err = config.withDefaults(); err != nil {
+		return nil, err
+	}
+	if config.Seed == 0 {
+		config.Seed = rand.Uint64()
+	}
+	g := allocateGateway(config, options)
+	sources, err := g.sourceInfos()
+	if err != nil {
+		return nil, err
+	}
+	clock := executor.NewClock()
+	settings := config.Settings
+	settings.HasSharedCounter = settings.HasSharedCounter && g.counter != nil
+	var snapshots *snapshotter
+	if engine == nil {
+		if engine, snapshots, err = g.openEngine(settings, clock); err != nil {
+			return nil, err
+		}
+		defer func() {
+			if err != nil {
+				snapshots.close()
+			}
+		}()
+	}
+	if err := g.openTransports(settings); err != nil {
+		return nil, err
+	}
+	g.openExecutor(settings, engine, clock)
+	if err := g.claimIndex(); err != nil {
+		g.executor.Stop()
+		return nil, err
+	}
+	if err := g.openDeduplicator(); err != nil {
+		g.executor.Stop()
+		g.releaseIndex()
+		return nil, err
+	}
+	g.openMembership(sources, clock)
+	g.startBackground(sources, snapshots)
+	return g, nil
+}
+
+// allocateGateway returns a Gateway with its options applied, and with nothing opened.
+func allocateGateway(config Config, options []Option) *Gateway {
+	g := &Gateway{
+		config:         config,
+		classes:        map[string]decision.Class{},
+		plans:          map[string]bool{},
+		transports:     map[string]executor.BackendTransport{},
+		endpointCaches: map[string]*endpointCache{},
+		reportLocks:    map[string]*sync.Mutex{},
+		log:            slog.New(slog.DiscardHandler),
+		badRequestLog:  newLogLimit(),
+		deadlineLog:    newLogLimit(),
+		endpointLog:    newLogLimit(),
+		pauseLog:       newLogLimit(),
+	}
+	g.mapper = g.PlatformRequest
+	for _, option := range options {
+		option(g)
+	}
+	for _, class := range config.Settings.Classes {
+		g.classes[class.Name] = class
+	}
+	for _, plan := range config.Settings.Plans {
+		g.plans[plan.Name] = true
+	}
+	return g
+}
+
+// newLogLimit lets through the first ten lines, then one a second.
+func newLogLimit() rate.Sometimes { return rate.Sometimes{First: 10, Interval: time.Second} }
+
+// openEngine returns the decision engine with what an earlier process left it, and what keeps it for a later one;
+// nil where Config.StateDir is empty.
+func (g *Gateway) openEngine(settings decision.Settings, clock executor.Clock) (*decision.Engine, *snapshotter, error) {
+	var snapshots *snapshotter
+	var customers []decision.CustomerState
+	if g.config.StateDir != "" {
+		opened, restored := g.restoreSnapshot(rand.Uint64())
+		snapshots, customers = opened, restored.Customers
+		settings.AssumeQuotaSpent = restored.AssumeQuotaSpent
+	}
+	engine, err := decision.New(settings, g.config.Seed, clock.Now())
+	if err != nil {
+		snapshots.close()
+		return nil, nil, fmt.Errorf("%w: %w", ErrConfig, err)
+	}
+	if snapshots != nil {
+		snapshots.engine = engine
+		engine.Restore(clock.Now(), customers)
+	}
+	return engine, snapshots, nil
+}
+
+// openTransports adds the transport of HTTP/1.1 to those of the options.
+func (g *Gateway) openTransports(settings decision.Settings) error {
+	g.transports[membership.ProtocolHTTP] = platformtransport.New(platformtransport.Config{
+		MaxConns:         g.config.MaxBackendConns,
+		IdleTimeout:      g.config.IdleTimeout,
+		ConnectTimeout:   g.config.ConnectTimeout,
+		LoadReportFields: settings.LoadReportFields,
+		Log:              g.log,
+		Dial:             g.dial,
+	})
+	if g.transports[g.config.Protocol] == nil {
+		return fmt.Errorf("%w: Protocol is %q, which no option names", ErrConfig, g.config.Protocol)
+	}
+	g.transport = executor.NewTransportMux(g.transports)
+	return nil
+}
+
+// openExecutor starts the executor with a state machine of the requests.
+func (g *Gateway) openExecutor(settings decision.Settings, engine lifecycle.DecisionEngine, clock executor.Clock) {
+	machine := lifecycle.New(engine, settings.Classes, lifecycle.Limits{
+		MaxOpenRequests: g.config.MaxOpenRequests,
+		MaxAttempts:     settings.MaxAttempts,
+		IDRetention:     idRetention(settings.Classes),
+		DetectPauses:    true,
+		DrainGrace:      settings.DrainGrace,
+	}, clock.Now())
+	g.executor = executor.New(clock, machine, g.transport, settings.CanCancel)
+	g.executor.SetSyncSources(g.syncSources)
+	if g.counter != nil {
+		g.executor.SetCounter(g.counter)
+	}
+}
+
+// idRetention is how long a repeat of a request may come, and backends would still drop it.
+func idRetention(classes []decision.Class) time.Duration {
+	longest := time.Duration(0)
+	for i := range classes {
+		longest = max(longest, classes[i].Deadline+classes[i].DedupWindow)
+	}
+	return longest
+}
+
+// claimIndex claims the Gateway's index in its deployment, if it has one.
+func (g *Gateway) claimIndex() error {
+	if g.deployment == nil {
+		return nil
+	}
+	return g.deployment.claim(g.config.Settings.GatewayIndex, g.config.Settings.GatewayCount)
+}
+
+func (g *Gateway) releaseIndex() {
+	if g.deployment != nil {
+		g.deployment.release(g.config.Settings.GatewayIndex)
+	}
+}
+
+// openMembership begins with the endpoints of the configuration.
+func (g *Gateway) openMembership(sources []membership.SourceInfo, clock executor.Clock) {
+	for _, source := range sources {
+		g.reportLocks[source.Name] = &sync.Mutex{}
+	}
+	g.membershipTable = membership.NewTable(g.config.Membership, sources...)
+	initial := g.config.InitialEndpoints
+	initial.Full, initial.Cached = true, true
+	g.updateMu.Lock()
+	defer g.updateMu.Unlock()
+	changes, invalid := g.membershipTable.Report(clock.Now(), ownSource, initial, clock.FromWallTime)
+	g.publishChanges(decision.UpdateCached, changes, invalid)
+}
+
+// startBackground starts what runs until Close: snapshots, the endpoint caches of sources that need one, and the
+// sources themselves, which are heard after their caches are read.
+func (g *Gateway) startBackground(sources []membership.SourceInfo, snapshots *snapshotter) {
+	ctx, cancel := context.WithCancel(context.Background())
+	g.ctx, g.cancel = ctx, cancel
+	if snapshots != nil && snapshots.file != nil {
+		g.background.Go(func() { snapshots.run(ctx) })
+	}
+	if g.config.StateDir != "" {
+		for _, source := range sources {
+			if !source.Trusted {
+				g.startEndpointCache(source.Name)
+			}
+		}
+	}
+	for _, source := range g.sources {
+		g.background.Go(func() {
+			source.source.Run(ctx, func(update membership.Update) { g.applyUpdate(source.Name, update) })
+		})
+	}
+}
+
+func (g *Gateway) startEndpointCache(source string) {
+	cache := newEndpointCache(g, source)
+	g.endpointCaches[source] = cache
+	g.background.Go(func() { cache.run(g.ctx) })
+}
+
+// namedSource is a Source and what the membership table calls it.
+type namedSource struct {
+	membership.SourceInfo
+	source Source
+}
+
+// ownSource names the source of Config.InitialEndpoints, Update and WithSource.
+const ownSource = "own"
+
+// sourceInfos returns the sources by precedence. Those of one name are one source.
+func (g *Gateway) sourceInfos() ([]membership.SourceInfo, error) {
+	var infos []membership.SourceInfo
+	own := namedSource{SourceInfo: membership.SourceInfo{Name: ownSource, Trusted: true}}
+	for _, source := range append(g.sources, own) {
+		i := slices.IndexFunc(infos, func(info membership.SourceInfo) bool { return info.Name == source.Name })
+		switch {
+		case source.Name == "" || i >= 0 && infos[i] != source.SourceInfo:
+			return nil, fmt.Errorf("%w: source %q has no name, or is both trusted and not", ErrConfig, source.Name)
+		case i < 0:
+			infos = append(infos, source.SourceInfo)
+		}
+	}
+	return infos, nil
+}
+
+// Settings are those of the Config, with their defaults.
+func (g *Gateway) Settings() decision.Settings { return g.config.Settings }
+
+// ClassNames are the names of the Settings' classes, in their order.
+func (g *Gateway) ClassNames() []string {
+	var names []string
+	for i := range g.config.Settings.Classes {
+		names = append(names, g.config.Settings.Classes[i].Name)
+	}
+	return names
+}
+
+// SupportsProtocol tells whether the Gateway reaches backends over a protocol.
+func (g *Gateway) SupportsProtocol(protocol string) bool { return g.transports[protocol] != nil }
+
+// OpenRequests is how many requests are not answered, or have an attempt that is being cancelled.
+func (g *Gateway) OpenRequests() int { return g.executor.OpenRequests() }
+
+// Close has new requests end as ErrClosed, waits until all open ones are answered, and releases what the Gateway
+// holds. When ctx ends first, the rest is answered as ErrAborted at once, and the error is an ErrAborted that tells
+// how many these were. Further calls do nothing.
+func (g *Gateway) Close(ctx context.Context) error {
+	if g.closing.Swap(true) {
+		return nil
+	}
+	unanswered := g.executor.Drain(ctx)
+	g.cancel()
+	g.executor.Stop()
+	if g.deduplicator != nil {
+		if err := g.deduplicator.Close(ctx); err != nil {
+			g.log.Error("idempotency journal not written completely", "err", err)
+		}
+	}
+	g.background.Wait()
+	g.closeMembership()
+	if unanswered > 0 {
+		return errors.Join(fmt.Errorf("%w: %d requests", ErrAborted, unanswered), context.Cause(ctx))
+	}
+	return nil
+}
+
+// closeMembership ends updates, and releases what they reach.
+func (g *Gateway) closeMembership() {
+	g.updateMu.Lock()
+	defer g.updateMu.Unlock()
+	g.closed = true
+	if g.membershipTimer != nil {
+		g.membershipTimer.Stop()
+	}
+	g.transport.Close()
+	g.releaseIndex()
+}
--- /dev/null
+++ b/platformrequest.go
@@ -0,0 +1,145 @@
+package pumicecroft
+
+import (
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"pumicecroft/decision"
+	"pumicecroft/internal/reqtarget"
+	"pumicecroft/internal/requestmeta"
+)
+
+// PlatformRequest reads the headers of the platform's protocol; it is the default Mapper. It reads all of a request
+// but its body. The customer and the plan come from WithIdentity, if the host has set it. Errors are ErrBadRequests.
+func (g *Gateway) PlatformRequest(r *http.Request) (Request, error) {
+	if ambiguousFraming(r) {
+		return Request{}, badRequest("framing", r.Proto+" "+strings.Join(r.TransferEncoding, ", "))
+	}
+	header, repeated := readPlatformHeader(r.Header)
+	if repeated != "" {
+		return Request{}, badRequest(repeated, strings.Join(r.Header[repeated], ", "))
+	}
+	id, err := requestmeta.Hex(header.id)
+	if err != nil {
+		return Request{}, badRequest("Request-Id", header.id)
+	}
+	class, ok := g.classes[header.class]
+	if !ok {
+		return Request{}, badRequest("Request-Class", header.class)
+	}
+	if err := checkClass(r, class, header.key); err != nil {
+		return Request{}, err
+	}
+	identity, err := g.platformIdentity(r, &header)
+	if err != nil {
+		return Request{}, err
+	}
+	timeout, ok := parseTimeout(header.timeout, class.Deadline)
+	if !ok {
+		return Request{}, badRequest("Request-Timeout", header.timeout)
+	}
+	terms, ok := requestmeta.Parse(header.terms, &g.config.Settings)
+	if !ok {
+		return Request{}, badRequest("X-Call-Terms", header.terms)
+	}
+	request := Request{
+		ID:             id,
+		hasID:          true,
+		Class:          class.Name,
+		Plan:           identity.Plan,
+		Customer:       identity.Customer,
+		IdempotencyKey: header.key,
+		Timeout:        timeout,
+		Method:         r.Method,
+		Target:         reqtarget.Of(r),
+		Host:           r.Host,
+		Cost:           terms.Units,
+		GatewaySpread:  terms.Spread,
+		FirstGateway:   terms.First,
+	}
+	if values := r.Header["Content-Type"]; len(values) > 0 {
+		request.ContentType = values[0]
+	}
+	return request, nil
+}
+
+// ambiguousFraming tells whether a request may end elsewhere than Content-Length says. The server drops a
+// Content-Length beside a Transfer-Encoding (in HTTP/1.0 the latter), and a proxy that goes by the other one finds a
+// second request in the body. The platform's clients send a Content-Length and HTTP/1.1; HTTP/2 has frames.
+func ambiguousFraming(r *http.Request) bool {
+	if r.ProtoMajor == 2 {
+		return false
+	}
+	return len(r.TransferEncoding) > 0 || r.ContentLength < 0 || r.ProtoMajor != 1 || r.ProtoMinor != 1
+}
+
+// checkClass returns what of a request does not fit its class.
+func checkClass(r *http.Request, class decision.Class, key string) error {
+	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	switch {
+	case first != class.Name || !strings.HasPrefix(r.RequestURI, "/"):
+		return badRequest("path of another class", r.RequestURI)
+	case r.Method != platformMethod(class):
+		return badRequest("method", r.Method)
+	case r.Method == http.MethodGet && r.ContentLength > 0:
+		return badRequest("a GET with a body", r.RequestURI)
+	case class.Idempotency == decision.IdempotentByKey && key == "":
+		return badRequest("Idempotency-Key", "")
+	}
+	return nil
+}
+
+// platformIdentity is who makes a request: as WithIdentity says, else as the headers do.
+func (g *Gateway) platformIdentity(r *http.Request, header *platformHeader) (Identity, error) {
+	identity, known := IdentityFrom(r.Context())
+	if !known {
+		customer, err := requestmeta.Customer(header.customer)
+		if err != nil {
+			return Identity{}, badRequest("X-Api-Key", header.customer)
+		}
+		identity = Identity{Customer: customer, Plan: header.plan}
+	}
+	if !g.plans[identity.Plan] {
+		return Identity{}, badRequest("X-Tier", identity.Plan)
+	}
+	return identity, nil
+}
+
+// parseTimeout reads a timeout in seconds, which is cut to the class's deadline.
+func parseTimeout(value string, deadline time.Duration) (timeout time.Duration, ok bool) {
+	seconds, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) { // also NaN
+		return 0, false
+	}
+	return max(1, time.Duration(min(seconds, deadline.Seconds())*float64(time.Second))), true
+}
+
+// platformHeader holds the values of the platform's headers.
+type platformHeader struct{ id, class, plan, customer, timeout, terms, key string }
+
+// readPlatformHeader reads the platform's headers. It names one that is there twice, as backends may read the other.
+func readPlatformHeader(header http.Header) (values platformHeader, repeated string) {
+	single := func(name string) string {
+		all := header[name]
+		if len(all) > 1 && repeated == "" {
+			repeated = name
+		}
+		if len(all) == 0 {
+			return ""
+		}
+		return all[0]
+	}
+	values = platformHeader{
+		id:       single("Request-Id"),
+		class:    single("Request-Class"),
+		plan:     single("X-Tier"),
+		customer: single("X-Api-Key"),
+		timeout:  single("Request-Timeout"),
+		terms:    single("X-Call-Terms"),
+		key:      single("Idempotency-Key"),
+	}
+	return values, repeated
+}
--- a/decisions_test.go
+++ b/snapshots_test.go
@@ -52,7 +52,7 @@
 		}
 	}
 	d := begin(dir)
-	if n := served(d, 1, 5); n != 0 || !strings.Contains(said.String(), "no decisions kept") {
+	if n := served(d, 1, 5); n != 0 || !strings.Contains(said.String(), "no snapshot found") {
 		t.Errorf("%d served of a burst that nobody knows of: %s", n, &said)
 	}
 	end(d)
