--- a/consul/register.go
+++ b/consul/register.go
@@ -14,106 +14,169 @@
 	"github.com/hashicorp/consul/api"
 )
 
-// Registration is how a front door stands in the catalogue.
+// Registration describes a gateway in the catalog.
 type Registration struct {
 	Name    string // of the service
-	ID      string // unique at the agent; empty: the name
-	Address string // host:port that clients reach it at
+	ID      string // unique at the agent; default Name
+	Address string // host:port at which clients reach the gateway
 	Tags    []string
 	Meta    map[string]string
-	// TTL is after how long without a renewal the check turns critical; it is renewed three times as often. 0: 10 s.
+	// TTL is how long without a renewal the health check turns critical. It is renewed every third of it.
+	// Default 10 s.
 	TTL time.Duration
-	// DeregisterAfter is for how long it may be critical before the agent deregisters it, for one that dies without a word.
-	// 0: 10 min; Consul takes no less than 1 min.
+	// DeregisterAfter is how long the check may be critical before the agent removes the registration, so
+	// that a gateway that crashed is removed too. Consul takes no less than 1 min. Default 10 min.
 	DeregisterAfter time.Duration
-	// OnResult hears of what went wrong, and of nil when all is well again; may be nil. It must not wait.
+	// OnResult is called with each error, and with nil when a call succeeds after one. It must not block.
+	// Nil means that nobody is told.
 	OnResult func(error)
 }
 
-// deregisterTimeout is how long the agent may take to hear of the end.
-const deregisterTimeout = 2 * time.Second
+const (
+	defaultTTL             = 10 * time.Second
+	defaultDeregisterAfter = 10 * time.Minute
+	// deregisterTimeout limits the call to the agent at the end.
+	deregisterTimeout = 2 * time.Second
+	// maxRegisterRetry is the longest delay before a failed call to the agent is made again.
+	maxRegisterRetry = time.Second
+	// minRegisterTimeout is the least time that a call to the agent gets; otherwise it gets a third of TTL.
+	minRegisterTimeout = 100 * time.Millisecond
+)
 
-// Register keeps a registration at the agent until ctx ends: it registers, renews the check, registers again when the
-// agent has lost it, turns critical when draining is closed, and deregisters at the end. It returns the end's error.
-// An agent that can't be reached is asked again and again; the front door serves meanwhile.
-func (c *Client) Register(ctx context.Context, r Registration, draining <-chan struct{}) error {
-	host, port, err := net.SplitHostPort(r.Address)
-	number, err2 := strconv.Atoi(port)
-	if err = errors.Join(err, err2); err != nil || r.Name == "" {
-		return fmt.Errorf("%w: a registration of %q at %q: %w", ErrConfig, r.Name, r.Address, cmp.Or(err, errors.New("no name")))
-	}
-	if r.TTL <= 0 {
-		r.TTL = 10 * time.Second
-	}
-	if r.DeregisterAfter <= 0 {
-		r.DeregisterAfter = 10 * time.Minute
-	}
-	r.ID = cmp.Or(r.ID, r.Name)
-	check := "service:" + r.ID
-	status, output := api.HealthPassing, "serving"
-	there, tried := false, false // a registration that was cut off may be there all the same
-	step := func(ctx context.Context) error {
-		o, err := c.options(ctx)
-		if err != nil {
-			return err
-		}
-		if there {
-			err := c.api.Agent().UpdateTTLOpts(check, output, status, o)
-			if !isUnknownCheck(err) {
-				return err
-			}
-			there = false // the agent began anew
-		}
-		tried = true
-		err = c.api.Agent().ServiceRegisterOpts(&api.AgentServiceRegistration{ID: r.ID, Name: r.Name, Address: host, Port: number,
-			Tags: r.Tags, Meta: r.Meta, Check: &api.AgentServiceCheck{CheckID: check, TTL: r.TTL.String(), Status: status, Notes: output,
-				DeregisterCriticalServiceAfter: r.DeregisterAfter.String()}},
-			api.ServiceRegisterOpts{ReplaceExistingChecks: true, Token: o.Token}.WithContext(ctx))
-		there = there || err == nil
+// Register keeps a gateway registered at the agent until ctx ends. It registers the service, renews its
+// check, registers again if the agent has lost it, turns the check critical when draining is closed, and
+// deregisters the service at the end. It blocks until then, and returns the error of the last call. While
+// the agent can't be reached it goes on trying; the gateway is not affected.
+func (c *Client) Register(ctx context.Context, registration Registration, draining <-chan struct{}) error {
+	r, err := newRegistrar(c, registration)
+	if err != nil {
 		return err
 	}
-	tick := time.NewTimer(0)
-	defer tick.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	failing := false
 	for {
 		select {
-		case <-tick.C:
+		case <-timer.C:
 		case <-draining:
 			draining = nil
-			status, output = api.HealthCritical, "draining"
+			r.status, r.output = api.HealthCritical, "draining"
 		case <-ctx.Done():
-			if !tried {
-				return nil
-			}
-			ending, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
-			defer cancel()
-			o, err := c.options(ending)
-			if err == nil {
-				err = c.api.Agent().ServiceDeregisterOpts(r.ID, o)
-			}
-			if isUnknownCheck(err) {
-				return nil
-			}
-			return err
+			return r.deregister(ctx)
 		}
-		asking, cancel := context.WithTimeout(ctx, max(r.TTL/3, 100*time.Millisecond))
-		err := step(asking)
-		cancel()
+		err := r.renewWithin(ctx, max(r.TTL/3, minRegisterTimeout))
 		if r.OnResult != nil && (err != nil || failing) && ctx.Err() == nil {
 			r.OnResult(err)
 		}
 		failing = err != nil
-		wait := r.TTL / 3
+		delay := r.TTL / 3
 		if failing {
-			wait = min(wait, time.Second)
+			delay = min(delay, maxRegisterRetry)
 		}
-		tick.Reset(wait)
+		timer.Reset(delay)
+	}
+}
+
+// registrar is a registration with its state.
+type registrar struct {
+	Registration
+	client         *Client
+	host           string
+	port           int
+	checkID        string
+	status, output string // of the check
+
+	registered bool
+	attempted  bool // the agent may hold a registration, even if the call failed
+}
+
+func newRegistrar(client *Client, registration Registration) (*registrar, error) {
+	host, portText, err := net.SplitHostPort(registration.Address)
+	port, portErr := strconv.Atoi(portText)
+	if err = errors.Join(err, portErr); err != nil || registration.Name == "" {
+		return nil, fmt.Errorf("%w: registration of %q at %q: %w", ErrConfig, registration.Name, registration.Address,
+			cmp.Or(err, errors.New("no name")))
+	}
+	if registration.TTL <= 0 {
+		registration.TTL = defaultTTL
+	}
+	if registration.DeregisterAfter <= 0 {
+		registration.DeregisterAfter = defaultDeregisterAfter
+	}
+	registration.ID = cmp.Or(registration.ID, registration.Name)
+	return &registrar{
+		Registration: registration,
+		client:       client,
+		host:         host,
+		port:         port,
+		checkID:      "service:" + registration.ID,
+		status:       api.HealthPassing,
+		output:       "serving",
+	}, nil
+}
+
+func (r *registrar) renewWithin(ctx context.Context, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	return r.renew(ctx)
+}
+
+// renew updates the check, or registers the service if the agent does not know it.
+func (r *registrar) renew(ctx context.Context) error {
+	options, err := r.client.options(ctx)
+	if err != nil {
+		return err
+	}
+	if r.registered {
+		err := r.client.api.Agent().UpdateTTLOpts(r.checkID, r.output, r.status, options)
+		if !isUnknownCheck(err) {
+			return err
+		}
+		r.registered = false // the agent was reset
+	}
+	r.attempted = true
+	service := &api.AgentServiceRegistration{
+		ID:      r.ID,
+		Name:    r.Name,
+		Address: r.host,
+		Port:    r.port,
+		Tags:    r.Tags,
+		Meta:    r.Meta,
+		Check: &api.AgentServiceCheck{
+			CheckID:                        r.checkID,
+			TTL:                            r.TTL.String(),
+			Status:                         r.status,
+			Notes:                          r.output,
+			DeregisterCriticalServiceAfter: r.DeregisterAfter.String(),
+		},
+	}
+	registerOptions := api.ServiceRegisterOpts{ReplaceExistingChecks: true, Token: options.Token}
+	err = r.client.api.Agent().ServiceRegisterOpts(service, registerOptions.WithContext(ctx))
+	r.registered = err == nil
+	return err
+}
+
+// deregister removes the service at the end of ctx. A service that the agent does not know is no error.
+func (r *registrar) deregister(ctx context.Context) error {
+	if !r.attempted {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
+	defer cancel()
+	options, err := r.client.options(ctx)
+	if err == nil {
+		err = r.client.api.Agent().ServiceDeregisterOpts(r.ID, options)
+	}
+	if isUnknownCheck(err) {
+		return nil
 	}
+	return err
 }
 
-// isUnknownCheck tells that the agent does not know what it was asked about.
+// isUnknownCheck reports whether an error says that the agent does not know the check or service. Agents
+// before 1.11 say so with status 500.
 func isUnknownCheck(err error) bool {
 	var status api.StatusError
-	return errors.As(err, &status) && (status.Code == http.StatusNotFound ||
-		strings.Contains(status.Body, "does not have associated TTL")) // as agents before 1.11 say it, with a 500
+	return errors.As(err, &status) &&
+		(status.Code == http.StatusNotFound || strings.Contains(status.Body, "does not have associated TTL"))
 }
--- /dev/null
+++ b/consul/watch.go
@@ -0,0 +1,194 @@
+package consul
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/consul/api"
+
+	"pumicecroft/internal/blockingquery"
+	"pumicecroft/internal/consulcatalog"
+	"pumicecroft/membership"
+)
+
+// Watch follows one service. It is a pumicecroft.Source with Sync, under the name that SourceInfo gives.
+type Watch struct {
+	client  *Client
+	service Service
+
+	mu      sync.Mutex
+	queries []*queryState // those that run
+}
+
+// Service returns a source of a service's instances.
+func (c *Client) Service(s Service) *Watch { return &Watch{client: c, service: s} }
+
+// SourceInfo returns the name of the source. Two watches of one service are the same source.
+func (w *Watch) SourceInfo() membership.SourceInfo {
+	return membership.SourceInfo{Name: "consul:" + w.service.Name}
+}
+
+// Numbers of a watch's queries: their delays are random by seeds of their own.
+const (
+	healthQuery   = 1
+	servicesQuery = 2
+)
+
+// Run follows the service until ctx ends. It implements pumicecroft.Source.
+func (w *Watch) Run(ctx context.Context, update func(membership.Update)) {
+	r := &reporter{
+		service: w.service,
+		client:  w.client.api,
+		update:  update,
+		catalog: consulcatalog.NewCatalog(w.service.Mapping, !w.service.HealthOnly),
+	}
+	var running sync.WaitGroup
+	defer running.Wait()
+	if !w.service.HealthOnly {
+		running.Go(func() { w.follow(ctx, servicesQuery, r.queryServices, r.servicesFailed) })
+	}
+	w.follow(ctx, healthQuery, r.queryHealth, r.healthFailed)
+}
+
+// reporter turns the responses to a watch's queries into updates.
+type reporter struct {
+	service Service
+	client  *api.Client
+	update  func(membership.Update)
+
+	mu      sync.Mutex // guards catalog, and keeps updates in the order in which they were made
+	catalog *consulcatalog.Catalog
+}
+
+// report changes the catalog and reports what it comes to. An error of the change is reported last.
+func (r *reporter) report(indexReset bool, change func(now time.Time) error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	err := change(now)
+	if drains := r.catalog.UnlistedDrains(); len(drains.Nodes) > 0 {
+		r.update(drains)
+	}
+	if update, ok := r.catalog.Update(now); ok {
+		update.SourceReset = indexReset
+		r.update(update)
+	}
+	if err != nil {
+		r.update(membership.Update{Err: err})
+	}
+}
+
+// queryServices queries the catalog for the instances that exist. It is a queryFunc.
+func (r *reporter) queryServices(options *api.QueryOptions) (head blockingquery.Response,
+	apply func(blockingquery.Verdict), err error) {
+	instances, meta, err := r.client.Catalog().ServiceMultipleTags(r.service.Name, r.service.Tags, options)
+	if err != nil {
+		return blockingquery.Response{}, nil, err
+	}
+	apply = func(verdict blockingquery.Verdict) {
+		if !verdict.Full {
+			return // the health query reports the same, and the catalog as it was is no update
+		}
+		r.report(verdict.IndexReset, func(time.Time) error {
+			names := make([]string, 0, len(instances))
+			for _, instance := range instances {
+				names = append(names, consulcatalog.Name(instance.Node, instance.ServiceID))
+			}
+			r.catalog.UpdateServices(names)
+			return nil
+		})
+	}
+	return responseHead(meta, len(instances)), apply, nil
+}
+
+// servicesFailed notes that the catalog can't be queried. The health query goes on alone, and reports an
+// error itself if it fails too.
+func (r *reporter) servicesFailed(error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.catalog.ServicesFailed() {
+		return
+	}
+	if update, ok := r.catalog.Update(time.Now()); ok {
+		r.update(update)
+	}
+}
+
+// queryHealth queries the health of the service's instances. It is a queryFunc.
+func (r *reporter) queryHealth(options *api.QueryOptions) (head blockingquery.Response,
+	apply func(blockingquery.Verdict), err error) {
+	options.Near, options.Filter = r.service.Near, r.service.Filter
+	found, meta, err := r.client.Health().ServiceMultipleTags(r.service.Name, r.service.Tags, false, options)
+	if err != nil {
+		return blockingquery.Response{}, nil, err
+	}
+	apply = func(verdict blockingquery.Verdict) {
+		r.report(verdict.IndexReset, func(now time.Time) error {
+			invalid := r.catalog.UpdateHealth(now, entries(found), verdict.Full, verdict.IndexReset)
+			if !verdict.Full {
+				return fmt.Errorf("%w: %s", ErrPartial, verdict.Reason)
+			}
+			return errors.Join(invalid...)
+		})
+	}
+	return responseHead(meta, len(found)), apply, nil
+}
+
+func (r *reporter) healthFailed(err error) { r.update(membership.Update{Err: err}) }
+
+func responseHead(meta *api.QueryMeta, entries int) blockingquery.Response {
+	return blockingquery.Response{
+		Index:       meta.LastIndex,
+		KnownLeader: meta.KnownLeader,
+		LastContact: meta.LastContact,
+		Filtered:    meta.ResultsFilteredByACLs,
+		Entries:     entries,
+	}
+}
+
+// entries returns the entries of a response of the health API. Entries without a node or a service are left
+// out.
+func entries(found []*api.ServiceEntry) []consulcatalog.Entry {
+	var out []consulcatalog.Entry
+	for _, f := range found {
+		if f != nil && f.Service != nil && f.Node != nil {
+			out = append(out, entry(f))
+		}
+	}
+	return out
+}
+
+func entry(found *api.ServiceEntry) consulcatalog.Entry {
+	service, node := found.Service, found.Node
+	host := cmp.Or(service.Address, node.Address)
+	e := consulcatalog.Entry{
+		Node:          node.Node,
+		ID:            service.ID,
+		Host:          host,
+		Port:          service.Port,
+		Addr:          net.JoinHostPort(host, strconv.Itoa(service.Port)),
+		Datacenter:    node.Datacenter,
+		Meta:          service.Meta,
+		NodeMeta:      node.Meta,
+		PassingWeight: float64(service.Weights.Passing),
+		WarningWeight: float64(service.Weights.Warning),
+		CreateIndex:   service.CreateIndex,
+	}
+	for _, check := range found.Checks {
+		if check == nil {
+			continue
+		}
+		e.Checks = append(e.Checks, consulcatalog.Check{ID: check.CheckID, Status: check.Status, Output: check.Output})
+		if check.CheckID == api.NodeMaint || strings.HasPrefix(check.CheckID, api.ServiceMaintPrefix) {
+			e.Maintenance = true
+		}
+	}
+	return e
+}
