--- a/membership/policy.go
+++ b/membership/policy.go
@@ -53,23 +53,14 @@
 
 func (p Policy) withDefaults() Policy {
 	return Policy{
-		ProbationMin:     positiveOr(p.ProbationMin, defaultMinProbation),
-		ProbationMax:     positiveOr(p.ProbationMax, defaultMaxProbation),
-		ProbationReset:   positiveOr(p.ProbationReset, defaultProbationReset),
-		WarmupWindow:     positiveOr(p.WarmupWindow, defaultWarmupWindow),
-		MaxNodes:         positiveOr(p.MaxNodes, DefaultMaxNodes),
-		MassRemovalRatio: positiveOr(p.MassRemovalRatio, defaultMassRemovalRatio),
-		MassRemovalMin:   positiveOr(p.MassRemovalMin, defaultMassRemovalMin),
-		MassRemovalDelay: positiveOr(p.MassRemovalDelay, defaultMassRemovalDelay),
-		FullRemovalDelay: positiveOr(p.FullRemovalDelay, defaultFullRemovalDelay),
+		ProbationMin:     cmp.Or(max(0, p.ProbationMin), defaultMinProbation),
+		ProbationMax:     cmp.Or(max(0, p.ProbationMax), defaultMaxProbation),
+		ProbationReset:   cmp.Or(max(0, p.ProbationReset), defaultProbationReset),
+		WarmupWindow:     cmp.Or(max(0, p.WarmupWindow), defaultWarmupWindow),
+		MaxNodes:         cmp.Or(max(0, p.MaxNodes), DefaultMaxNodes),
+		MassRemovalRatio: cmp.Or(max(0, p.MassRemovalRatio), defaultMassRemovalRatio),
+		MassRemovalMin:   cmp.Or(max(0, p.MassRemovalMin), defaultMassRemovalMin),
+		MassRemovalDelay: cmp.Or(max(0, p.MassRemovalDelay), defaultMassRemovalDelay),
+		FullRemovalDelay: cmp.Or(max(0, p.FullRemovalDelay), defaultFullRemovalDelay),
 	}
 }
-
-// positiveOr returns value if it is above zero, and fallback otherwise.
-func positiveOr[T cmp.Ordered](value, fallback T) T {
-	var zero T
-	if value <= zero {
-		return fallback
-	}
-	return value
-}
