--- a/consul/agent_test.go
+++ b/consul/agent_test.go
@@ -31,7 +31,7 @@
 
 // The stand-in is what Consul's own client expects: blocking queries, health, the catalogue, registration, TTL checks,
 // maintenance and tokens.
-func TestTheStandInAgainstTheClient(t *testing.T) {
+func TestFakeConsulAgainstClient(t *testing.T) {
 	t.Parallel()
 	agent := startAgent(t)
 	c, err := api.NewClient(&api.Config{Address: agent.Addr()})
@@ -133,7 +133,7 @@
 }
 
 // What is configured reaches the agent, and the token is read again when its file has changed.
-func TestWhatIsAsked(t *testing.T) {
+func TestQueryParameters(t *testing.T) {
 	t.Parallel()
 	agent := startAgent(t)
 	agent.RequireToken("two")
@@ -220,7 +220,7 @@
 }
 
 // Over TLS both sides show certificates; an agent that the CA did not sign is not listened to.
-func TestOverTLS(t *testing.T) {
+func TestTLS(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	server, ca, _ := certificate(t, dir, "agent")
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestBadConfig(t *testing.T) {
+func TestInvalidConfig(t *testing.T) {
 	empty := filepath.Join(t.TempDir(), "empty")
 	if err := os.WriteFile(empty, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -365,7 +365,7 @@
 }
 
 // An answer that never ends is cut, and is no answer.
-func TestAnAnswerThatIsTooLong(t *testing.T) {
+func TestResponseOverLimit(t *testing.T) {
 	t.Parallel()
 	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Consul-Index", "7")
--- a/consul/source_test.go
+++ b/consul/source_test.go
@@ -20,7 +20,7 @@
 
 // However the agent fails, the last list stays, not one request is lost for it, and when it is back only what has
 // changed is applied.
-func TestAnAgentThatFails(t *testing.T) {
+func TestFailingAgentLosesNoRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault fakes.Fault
 		mode  Consistency
@@ -75,7 +75,7 @@
 
 // An agent whose servers lost their data tells an empty list under a lower index: nothing is emptied. Those that come
 // back under new registrations are the same as before; one that does not is let go in the end.
-func TestAnAgentThatLostItsData(t *testing.T) {
+func TestAgentLostItsData(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 5 {
@@ -108,7 +108,7 @@
 }
 
 // Most nodes deregistered at once are believed to be gone when the list was heard again.
-func TestMostAreDeregistered(t *testing.T) {
+func TestMassDeregistration(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 6 {
@@ -128,7 +128,7 @@
 }
 
 // An answer that is always at once, or always of index 0, is not asked for in a loop, and changes are seen all the same.
-func TestAnAgentThatHoldsNothingBack(t *testing.T) {
+func TestAgentThatDoesNotHoldQueries(t *testing.T) {
 	for name, fault := range map[string]fakes.Fault{"index 0": fakes.ZeroIndex, "whatever the index": fakes.Instant} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -151,7 +151,7 @@
 }
 
 // A node that flaps gets nothing while it fails, is not taken back at each turn, and the others serve everything.
-func TestANodeThatFlaps(t *testing.T) {
+func TestFlappingNode(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 3 {
@@ -192,7 +192,7 @@
 
 // What is new is cold: a registration that comes later, one made anew under the same id and address, another id at the
 // same address, and a new process; a check that failed and passes again is not.
-func TestWhatIsNewIsCold(t *testing.T) {
+func TestNewNodesWarmUp(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 4 {
@@ -226,7 +226,7 @@
 }
 
 // A backend that has just been registered falls if it is sent too much: two doors together spare it.
-func TestANewNodeIsSpared(t *testing.T) {
+func TestNewNodeIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	limits := func(c *fakes.BackendConfig) {
 		c.Capacity, c.Work = 400, func(string) time.Duration { return 25 * time.Millisecond }
@@ -262,7 +262,7 @@
 }
 
 // Requests in flight at a node that turns critical end well, and it gets nothing new.
-func TestACriticalNodeDrains(t *testing.T) {
+func TestCriticalNodeDrains(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	slow := r.start(func(c *fakes.BackendConfig) { c.Work = func(string) time.Duration { return 700 * time.Millisecond } })
@@ -286,7 +286,7 @@
 }
 
 // Two sources: a node that only one knows, and one on which they disagree, is what the table's rules say.
-func TestBesideAnotherSource(t *testing.T) {
+func TestTwoSources(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	r.start(nil)
@@ -311,7 +311,7 @@
 }
 
 // A door that starts while its agent can't be reached serves from the list that was kept, and says that it is old.
-func TestAListThatWasKept(t *testing.T) {
+func TestCachedEndpoints(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 3 {
--- a/consul/sync_test.go
+++ b/consul/sync_test.go
@@ -14,7 +14,7 @@
 
 // What the agent knew when CatchUp was asked for has been reported when it returns, whatever the questions were at; an agent that can't be
 // heard is waited for as long as the caller says, and not at all if it could not be heard before.
-func TestCatchUp(t *testing.T) {
+func TestSync(t *testing.T) {
 	r := newFixture(t, func(c *Config) { c.Wait = 10 * time.Second })
 	r.start(nil)
 	w := r.client.Service(Service{Name: service})
--- a/consul/trials_test.go
+++ b/consul/trials_test.go
@@ -14,7 +14,7 @@
 	trials = flag.Int("trials", 6, "how often a node is taken away while it is under load")
 	delay  = flag.Duration("agent-delay", 0, "after how long the stand-in agent tells of a change")
 	calm   = flag.Duration("calm", 0, "between two trials; without it the agent has some 20 changes a second, and the questions wait for each other")
-	well   = flag.Bool("agent-well", false, "leave the agent alive in TestTheAgentIsDead, to compare with")
+	well   = flag.Bool("agent-well", false, "leave the agent alive in TestAgentIsDead, to compare with")
 	dead   = flag.Duration("dead", 2*time.Second, "for how long the agent is dead under load")
 )
 
@@ -69,8 +69,8 @@
 }
 
 // With the agent dead for a while under load, not one request is lost for it.
-// What is recorded is made by: go test ./consul -run TestTheAgentIsDead -v -dead 60s
-func TestTheAgentIsDead(t *testing.T) {
+// What is recorded is made by: go test ./consul -run TestAgentIsDead -v -dead 60s
+func TestAgentIsDead(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 4 {
--- a/internal/consulcatalog/catalog_test.go
+++ b/internal/consulcatalog/catalog_test.go
@@ -11,30 +11,40 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-// entry is "id" with options: a check's state, and changes.
-func entry(id string, change ...func(*Entry)) Entry {
-	e := Entry{Node: "n", ID: id, Host: "10.0.0.1", Port: 80, Addr: "10.0.0.1:80", PassingWeight: 1, WarningWeight: 1, CreateIndex: 5, Checks: []Check{{ID: "web", Status: "passing"}}}
-	for _, c := range change {
-		c(&e)
+// entry returns a passing instance with changes.
+func entry(id string, changes ...func(*Entry)) Entry {
+	e := Entry{
+		Node:          "n",
+		ID:            id,
+		Host:          "10.0.0.1",
+		Port:          80,
+		Addr:          "10.0.0.1:80",
+		PassingWeight: 1,
+		WarningWeight: 1,
+		CreateIndex:   5,
+		Checks:        []Check{{ID: "web", Status: "passing"}},
+	}
+	for _, change := range changes {
+		change(&e)
 	}
 	return e
 }
 
 func status(s string) func(*Entry) { return func(e *Entry) { e.Checks[0].Status = s } }
 func create(n uint64) func(*Entry) { return func(e *Entry) { e.CreateIndex = n } }
-func addr(a string) func(*Entry)   { return func(e *Entry) { e.Addr = a } }
+func moved(e *Entry)               { e.Addr = "10.0.0.2:80" }
 func meta(k, v string) func(*Entry) {
 	return func(e *Entry) { e.Meta = map[string]string{k: v} }
 }
 
-// told is what a book believes, as "n/a:ready^3" with the start in seconds after t0.
-func told(b *Catalog, now time.Time) string {
-	l, ok := b.Update(now)
+// describe returns a catalog's update as "n/a:ready^3", with the start in seconds after t0.
+func describe(catalog *Catalog, now time.Time) string {
+	update, ok := catalog.Update(now)
 	if !ok {
 		return "nothing yet"
 	}
 	var out []string
-	for _, n := range l.Nodes {
+	for _, n := range update.Nodes {
 		s := n.Name + ":" + []string{"ready", "draining", "gone"}[n.State]
 		if !n.StartedAt.IsZero() {
 			s += fmt.Sprintf("^%v", n.StartedAt.Sub(t0).Seconds())
@@ -44,120 +54,134 @@
 	return strings.Join(out, " ")
 }
 
-func want(t *testing.T, b *Catalog, at float64, want string) {
+func want(t *testing.T, catalog *Catalog, at float64, want string) {
 	t.Helper()
-	if got := told(b, t0.Add(time.Duration(at*1e9))); got != want {
+	if got := describe(catalog, t0.Add(time.Duration(at*1e9))); got != want {
 		t.Errorf("at %v: %q, want %q", at, got, want)
 	}
 }
 
-func health(t *testing.T, b *Catalog, at float64, es ...Entry) {
+func health(t *testing.T, catalog *Catalog, at float64, entries ...Entry) {
 	t.Helper()
-	if bad := b.UpdateHealth(t0.Add(time.Duration(at*1e9)), es, true, false); len(bad) > 0 {
-		t.Error(bad)
+	if invalid := catalog.UpdateHealth(t0.Add(time.Duration(at*1e9)), entries, true, false); len(invalid) > 0 {
+		t.Error(invalid)
 	}
 }
 
-func TestChecks(t *testing.T) {
-	for name, c := range map[string]struct {
-		entry Entry
-		serve bool
-		state decision.BackendState
-		note  string
-		w     float64
+func TestEvaluateChecks(t *testing.T) {
+	passing := func(weight float64) func(*Entry) { return func(e *Entry) { e.PassingWeight = weight } }
+	warning := func(weight float64) func(*Entry) {
+		return func(e *Entry) { e.Checks[0].Status, e.WarningWeight = "warning", weight }
+	}
+	output := func(text string) func(*Entry) { return func(e *Entry) { e.Checks[0].Output = text } }
+	secondCheck := func(e *Entry) { e.Checks = append(e.Checks, Check{"disk", "critical", ""}) }
+	noChecks := func(e *Entry) { e.Checks = nil }
+	maintenance := func(e *Entry) { e.Maintenance = true }
+	for _, c := range []struct {
+		name         string
+		entry        Entry
+		serveWarning bool
+		state        decision.BackendState
+		note         string
+		weight       float64
 	}{
-		"passing":           {entry("a", func(e *Entry) { e.PassingWeight = 3 }), false, decision.Ready, "", 3},
-		"no checks":         {entry("a", func(e *Entry) { e.Checks = nil }), false, decision.Ready, "", 1},
-		"critical":          {entry("a", status("critical"), func(e *Entry) { e.Checks[0].Output = "refused" }), true, decision.Draining, "critical: web: refused", 1},
-		"unknown":           {entry("a", status("perhaps")), true, decision.Draining, "perhaps: web", 1},
-		"warning drains":    {entry("a", status("warning"), func(e *Entry) { e.WarningWeight = 2 }), false, decision.Draining, "warning: web", 2},
-		"warning by choice": {entry("a", status("warning"), func(e *Entry) { e.WarningWeight = 2 }), true, decision.Ready, "warning: web", 2},
-		"maintenance":       {entry("a", func(e *Entry) { e.Maintenance = true }), true, decision.Draining, "maintenance", 1},
-		"the worst of two": {entry("a", status("warning"), func(e *Entry) { e.Checks = append(e.Checks, Check{"disk", "critical", ""}) }),
-			true, decision.Draining, "critical: disk", 1},
-		"weight 0":  {entry("a", func(e *Entry) { e.PassingWeight = 0 }), false, decision.Ready, "", 1},
-		"long note": {entry("a", status("critical"), func(e *Entry) { e.Checks[0].Output = strings.Repeat("é", 500) }), false, decision.Draining, "", 1},
+		{"passing", entry("a", passing(3)), false, decision.Ready, "", 3},
+		{"no checks", entry("a", noChecks), false, decision.Ready, "", 1},
+		{"critical", entry("a", status("critical"), output("refused")), true, decision.Draining, "critical: web: refused", 1},
+		{"unknown", entry("a", status("perhaps")), true, decision.Draining, "perhaps: web", 1},
+		{"warning drains", entry("a", warning(2)), false, decision.Draining, "warning: web", 2},
+		{"warning by choice", entry("a", warning(2)), true, decision.Ready, "warning: web", 2},
+		{"maintenance", entry("a", maintenance), true, decision.Draining, "maintenance", 1},
+		{"the worst of two", entry("a", status("warning"), secondCheck), true, decision.Draining, "critical: disk", 1},
+		{"weight 0", entry("a", passing(0)), false, decision.Ready, "", 1},
+		{"long note", entry("a", status("critical"), output(strings.Repeat("é", 500))), false, decision.Draining, "", 1},
 	} {
-		b := NewCatalog(Mapping{ServeWarning: c.serve}, false)
-		health(t, b, 0, c.entry)
-		l, _ := b.Update(t0)
-		n := l.Nodes[0]
-		if n.State != c.state || n.Weight != c.w || c.note != "" && n.Note != c.note || len(n.Note) > maxNoteBytes {
-			t.Errorf("%s: %+v", name, n)
+		catalog := NewCatalog(Mapping{ServeWarning: c.serveWarning}, false)
+		health(t, catalog, 0, c.entry)
+		update, _ := catalog.Update(t0)
+		n := update.Nodes[0]
+		if n.State != c.state || n.Weight != c.weight || c.note != "" && n.Note != c.note || len(n.Note) > maxNoteBytes {
+			t.Errorf("%s: %+v", c.name, n)
 		}
 	}
 }
 
-// What the first list holds was here before; what comes later is new, and so is one whose registration, process or
-// address has changed. A check that fails and passes again makes nothing new.
-func TestWhatIsNew(t *testing.T) {
-	b := NewCatalog(Mapping{Started: "boot"}, false)
-	health(t, b, 0, entry("a"), entry("b", meta("boot", "x1")), entry("c", meta("boot", fmt.Sprint(t0.Unix()-3))))
-	want(t, b, 0, "n/a:ready n/b:ready n/c:ready^-3")
-	health(t, b, 10, entry("a", status("critical")), entry("b", meta("boot", "x1")), entry("c", meta("boot", fmt.Sprint(t0.Unix()-3))), entry("d"))
-	want(t, b, 10, "n/a:draining n/b:ready n/c:ready^-3 n/d:ready^10")
-	health(t, b, 20, entry("a"), entry("b", meta("boot", "x2")), entry("c", meta("boot", fmt.Sprint(t0.Unix()+19))), entry("d", create(6)))
-	want(t, b, 20, "n/a:ready n/b:ready^20 n/c:ready^20 n/d:ready^20")
-	health(t, b, 30, entry("a", addr("10.0.0.2:80")), entry("b", meta("boot", "x2")))
-	want(t, b, 30, "n/a:ready^30 n/b:ready^20")
-	// An answer that lacked one for a while, under its old registration: it was never gone. A new one is new.
-	health(t, b, 31, entry("a", addr("10.0.0.2:80")), entry("b", meta("boot", "x2")), entry("d", create(7)),
-		entry("c", meta("boot", fmt.Sprint(t0.Unix()+19))))
-	want(t, b, 31, "n/a:ready^30 n/b:ready^20 n/c:ready^20 n/d:ready^31")
-	// At an old one's address, under another id.
-	health(t, b, 32, entry("z", addr("10.0.0.2:80")))
-	want(t, b, 32, "n/z:ready^32")
-	health(t, b, 33, entry("z", addr("10.0.0.2:80")), entry("y", meta("boot", "2099-01-02T15:04:05Z"))) // a clock that is ahead
-	want(t, b, 33, "n/y:ready^33 n/z:ready^32")
+// Instances of the first response have existed before. Those that come later are new, and so are those whose
+// registration, process or address changed. A check that fails and passes again makes nothing new.
+func TestNewProcessStartsAnew(t *testing.T) {
+	catalog := NewCatalog(Mapping{Started: "boot"}, false)
+	boot := func(offset int64) func(*Entry) { return meta("boot", fmt.Sprint(t0.Unix()+offset)) }
+	health(t, catalog, 0, entry("a"), entry("b", meta("boot", "x1")), entry("c", boot(-3)))
+	want(t, catalog, 0, "n/a:ready n/b:ready n/c:ready^-3")
+	health(t, catalog, 10, entry("a", status("critical")), entry("b", meta("boot", "x1")), entry("c", boot(-3)),
+		entry("d"))
+	want(t, catalog, 10, "n/a:draining n/b:ready n/c:ready^-3 n/d:ready^10")
+	health(t, catalog, 20, entry("a"), entry("b", meta("boot", "x2")), entry("c", boot(19)), entry("d", create(6)))
+	want(t, catalog, 20, "n/a:ready n/b:ready^20 n/c:ready^20 n/d:ready^20")
+	health(t, catalog, 30, entry("a", moved), entry("b", meta("boot", "x2")))
+	want(t, catalog, 30, "n/a:ready^30 n/b:ready^20")
+	// Missing for a while, and back under its old registration: it was never gone. A new registration is new.
+	health(t, catalog, 31, entry("a", moved), entry("b", meta("boot", "x2")), entry("d", create(7)), entry("c", boot(19)))
+	want(t, catalog, 31, "n/a:ready^30 n/b:ready^20 n/c:ready^20 n/d:ready^31")
+	// At the address of another, under another ID.
+	health(t, catalog, 32, entry("z", moved))
+	want(t, catalog, 32, "n/z:ready^32")
+	// Its clock is ahead.
+	health(t, catalog, 33, entry("z", moved), entry("y", meta("boot", "2099-01-02T15:04:05Z")))
+	want(t, catalog, 33, "n/y:ready^33 n/z:ready^32")
 }
 
-// In a catalogue that lost its data every registration is new, and that makes no node cold; a process that is new does.
-func TestACatalogueThatBeganAnew(t *testing.T) {
-	b := NewCatalog(Mapping{Started: "boot"}, false)
-	health(t, b, 0, entry("a"), entry("b"), entry("c", meta("boot", "1")))
-	b.UpdateHealth(t0.Add(10*time.Second), nil, true, true)
-	want(t, b, 10, "")
-	health(t, b, 20, entry("a", create(2)), entry("c", create(2), meta("boot", "2")))
-	want(t, b, 20, "n/a:ready n/c:ready^20")
-	health(t, b, 30, entry("a", create(3)), entry("b", create(3)), entry("c", create(2), meta("boot", "2"))) // a anew, once it was known again
-	want(t, b, 30, "n/a:ready^30 n/b:ready n/c:ready^20")
+// After a reset of the catalog all registrations are new, which restarts no node's slow start. A new process
+// does.
+func TestCatalogReset(t *testing.T) {
+	catalog := NewCatalog(Mapping{Started: "boot"}, false)
+	health(t, catalog, 0, entry("a"), entry("b"), entry("c", meta("boot", "1")))
+	catalog.UpdateHealth(t0.Add(10*time.Second), nil, true, true)
+	want(t, catalog, 10, "")
+	health(t, catalog, 20, entry("a", create(2)), entry("c", create(2), meta("boot", "2")))
+	want(t, catalog, 20, "n/a:ready n/c:ready^20")
+	// a is registered anew, once it was known again.
+	health(t, catalog, 30, entry("a", create(3)), entry("b", create(3)), entry("c", create(2), meta("boot", "2")))
+	want(t, catalog, 30, "n/a:ready^30 n/b:ready n/c:ready^20")
 }
 
-func TestTheCatalogueSaysWhatExists(t *testing.T) {
-	b := NewCatalog(Mapping{}, true)
-	health(t, b, 0, entry("a"), entry("b"))
-	want(t, b, 0, "nothing yet")
-	b.UpdateServices([]string{"n/a", "n/b", "n/other"})
-	want(t, b, 1, "n/a:ready n/b:ready")
-	b.UpdateServices([]string{"n/b"}) // deregistered; health tells later
-	want(t, b, 2, "n/b:ready")
-	health(t, b, 3, entry("b"), entry("c"))
-	want(t, b, 3, "n/b:ready") // c is not in the catalogue yet
-	b.UpdateServices([]string{"n/b", "n/c"})
-	want(t, b, 4, "n/b:ready n/c:ready^3")
-	health(t, b, 5, entry("c")) // health lists b no longer, and it exists
-	want(t, b, 5, "n/b:draining n/c:ready^3")
-	health(t, b, 5, entry("b"), entry("c"))
-	want(t, b, 5, "n/b:ready n/c:ready^3")
-	b.UpdateServices([]string{"n/c"}) // b is gone
-	want(t, b, 5, "n/c:ready^3")
-	health(t, b, 5, entry("c"))
-	b.UpdateServices([]string{"n/b", "n/c"}) // and registered again, of which health has not heard yet
-	want(t, b, 5, "n/c:ready^3")
-	if b.ServicesFailed() {
+// Instances exist if the catalog lists them, whatever the health API lists.
+func TestServicesSayWhatExists(t *testing.T) {
+	catalog := NewCatalog(Mapping{}, true)
+	health(t, catalog, 0, entry("a"), entry("b"))
+	want(t, catalog, 0, "nothing yet")
+	catalog.UpdateServices([]string{"n/a", "n/b", "n/other"})
+	want(t, catalog, 1, "n/a:ready n/b:ready")
+	catalog.UpdateServices([]string{"n/b"}) // deregistered; the health API follows later
+	want(t, catalog, 2, "n/b:ready")
+	health(t, catalog, 3, entry("b"), entry("c"))
+	want(t, catalog, 3, "n/b:ready") // c is not in the catalog yet
+	catalog.UpdateServices([]string{"n/b", "n/c"})
+	want(t, catalog, 4, "n/b:ready n/c:ready^3")
+	health(t, catalog, 5, entry("c")) // health lacks b, and it exists
+	want(t, catalog, 5, "n/b:draining n/c:ready^3")
+	health(t, catalog, 5, entry("b"), entry("c"))
+	want(t, catalog, 5, "n/b:ready n/c:ready^3")
+	catalog.UpdateServices([]string{"n/c"}) // b is gone
+	want(t, catalog, 5, "n/c:ready^3")
+	health(t, catalog, 5, entry("c"))
+	catalog.UpdateServices([]string{"n/b", "n/c"}) // registered again, which health does not have yet
+	want(t, catalog, 5, "n/c:ready^3")
+	if catalog.ServicesFailed() {
 		t.Error("it was not waited for")
 	}
-	want(t, b, 6, "n/c:ready^3")
-	b = NewCatalog(Mapping{}, true)
-	health(t, b, 0, entry("a"))
-	if !b.ServicesFailed() {
+	want(t, catalog, 6, "n/c:ready^3")
+	catalog = NewCatalog(Mapping{}, true)
+	health(t, catalog, 0, entry("a"))
+	if !catalog.ServicesFailed() {
 		t.Error("it was waited for")
 	}
-	want(t, b, 0, "n/a:ready")
+	want(t, catalog, 0, "n/a:ready")
 }
 
-// Health that lists nothing, or lacks most, of what the catalogue lists drains nothing by that.
-func TestHealthThatLacksMost(t *testing.T) {
+// The health API lists none, or few, of the instances in the catalog. It has more likely failed itself: none
+// of them drains by that.
+func TestFailingHealthDrainsNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		listed []Entry
 		want   string
@@ -166,61 +190,70 @@
 		"most": {[]Entry{entry("a")}, "n/a:ready"},
 		"half": {[]Entry{entry("a"), entry("b")}, "n/a:ready n/b:ready n/c:draining n/d:draining"},
 	} {
-		b := NewCatalog(Mapping{}, true)
-		health(t, b, 0, entry("a"), entry("b"), entry("c"), entry("d"))
-		b.UpdateServices([]string{"n/a", "n/b", "n/c", "n/d"})
-		health(t, b, 1, c.listed...)
-		if got := told(b, t0); got != c.want {
+		catalog := NewCatalog(Mapping{}, true)
+		health(t, catalog, 0, entry("a"), entry("b"), entry("c"), entry("d"))
+		catalog.UpdateServices([]string{"n/a", "n/b", "n/c", "n/d"})
+		health(t, catalog, 1, c.listed...)
+		if got := describe(catalog, t0); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
-		health(t, b, 2, entry("a"), entry("b"), entry("c"), entry("d"))
-		want(t, b, 2, "n/a:ready n/b:ready n/c:ready n/d:ready")
+		health(t, catalog, 2, entry("a"), entry("b"), entry("c"), entry("d"))
+		want(t, catalog, 2, "n/a:ready n/b:ready n/c:ready n/d:ready")
 	}
 }
 
-// An answer that is not whole may be older than what is known: only what is bad news counts.
-func TestAnAnswerInPart(t *testing.T) {
-	b := NewCatalog(Mapping{}, false)
-	// Before a whole one, bad news is all that is told: a door that was just started may have an older list.
-	b.UpdateHealth(t0, []Entry{entry("a", status("critical")), entry("b")}, false, false)
-	if l, ok := b.Update(t0); !ok || l.Full || len(l.Nodes) != 1 || l.Nodes[0].Name != "n/a" || l.Nodes[0].State != decision.Draining || l.Nodes[0].Addr == "" {
-		t.Errorf("of a first answer that is not whole it tells %+v", l)
+// A response that is not full may be older than what is known: of it, only drains count.
+func TestPartialResponseDrainsOnly(t *testing.T) {
+	catalog := NewCatalog(Mapping{}, false)
+	// Before a full response, drains are all that is reported: a gateway that just started may have a cached list.
+	catalog.UpdateHealth(t0, []Entry{entry("a", status("critical")), entry("b")}, false, false)
+	update, ok := catalog.Update(t0)
+	if !ok || update.Full || len(update.Nodes) != 1 {
+		t.Fatalf("first response that is not full: %+v", update)
+	}
+	if n := update.Nodes[0]; n.Name != "n/a" || n.State != decision.Draining || n.Addr == "" {
+		t.Errorf("first response that is not full: %+v", n)
 	}
-	if b.UpdateHealth(t0, []Entry{entry("b")}, false, false); told(b, t0) != "nothing yet" {
-		t.Error("it tells of an answer that is not whole and has no bad news")
+	catalog.UpdateHealth(t0, []Entry{entry("b")}, false, false)
+	if got := describe(catalog, t0); got != "nothing yet" {
+		t.Errorf("a response without drains that is not full: %q", got)
 	}
-	health(t, b, 0, entry("a"), entry("b", status("critical")), entry("c"))
-	b.UpdateHealth(t0, []Entry{entry("a", status("critical")), entry("b"), entry("new")}, false, false)
-	want(t, b, 1, "n/a:draining n/b:draining n/c:ready")
+	health(t, catalog, 0, entry("a"), entry("b", status("critical")), entry("c"))
+	catalog.UpdateHealth(t0, []Entry{entry("a", status("critical")), entry("b"), entry("new")}, false, false)
+	want(t, catalog, 1, "n/a:draining n/b:draining n/c:ready")
 }
 
-// Where health lists what the catalogue lacked when it was last heard, the catalogue is the older of the two: that is no list of
-// all nodes, until the catalogue says it again.
-func TestAnOlderCatalogue(t *testing.T) {
-	b := NewCatalog(Mapping{}, true)
-	b.UpdateServices([]string{"n/a"})
-	health(t, b, 0, entry("a"), entry("b"))
-	if l, ok := b.Update(t0); !ok || l.Full || len(l.Nodes) != 1 {
+// The health API lists an instance that the catalog lacked in its last response, so the catalog's is the
+// older of the two: the update is not full until the catalog responds again.
+func TestOlderResponseRemovesNothing(t *testing.T) {
+	catalog := NewCatalog(Mapping{}, true)
+	catalog.UpdateServices([]string{"n/a"})
+	health(t, catalog, 0, entry("a"), entry("b"))
+	if l, ok := catalog.Update(t0); !ok || l.Full || len(l.Nodes) != 1 {
 		t.Errorf("%+v", l)
 	}
-	b.UpdateServices([]string{"n/a"})
-	if l, ok := b.Update(t0); !ok || !l.Full || len(l.Nodes) != 1 {
-		t.Errorf("said again: %+v", l)
+	catalog.UpdateServices([]string{"n/a"})
+	if l, ok := catalog.Update(t0); !ok || !l.Full || len(l.Nodes) != 1 {
+		t.Errorf("repeated: %+v", l)
 	}
-	// And the other way round: while health can't be heard, the catalogue's answers do not say again what it lacked.
-	b.UpdateServices([]string{"n/a", "n/b", "n/c"})
-	if l, ok := b.Update(t0); !ok || l.Full {
+	// The other way round: while the health API fails, responses of the catalog do not confirm what it lacked.
+	catalog.UpdateServices([]string{"n/a", "n/b", "n/c"})
+	if l, ok := catalog.Update(t0); !ok || l.Full {
 		t.Errorf("health is the older: %+v", l)
 	}
 }
 
+// Attributes come from where the mapping says. Cells are numbers or hashes; a node without one is alone.
 func TestMapping(t *testing.T) {
-	b := NewCatalog(Mapping{Zone: "datacenter", Cell: "node:rack", InstanceType: "model"}, false)
+	catalog := NewCatalog(Mapping{Zone: "datacenter", Cell: "node:rack", InstanceType: "model"}, false)
 	e := func(id, rack string) Entry {
-		return entry(id, meta("model", "m2"), func(e *Entry) { e.Datacenter, e.NodeMeta = "dc1", map[string]string{"rack": rack} })
+		return entry(id, meta("model", "m2"), func(e *Entry) {
+			e.Datacenter, e.NodeMeta = "dc1", map[string]string{"rack": rack}
+		})
 	}
-	health(t, b, 0, e("a", "12"), e("b", "north"), e("c", "north"), e("d", ""), e("e", ""), e("f", "-3"), e("g", "99999999999999999999"))
-	l, _ := b.Update(t0)
+	health(t, catalog, 0, e("a", "12"), e("b", "north"), e("c", "north"), e("d", ""), e("e", ""), e("f", "-3"),
+		e("g", "99999999999999999999"))
+	l, _ := catalog.Update(t0)
 	cells := map[int]int{}
 	for _, n := range l.Nodes {
 		cells[n.Cell]++
@@ -229,75 +262,83 @@
 		}
 	}
 	if l.Nodes[0].Cell != 12 || l.Nodes[1].Cell != l.Nodes[2].Cell || len(cells) != 6 {
-		t.Errorf("cells %v", cells) // those without one are alone
+		t.Errorf("cells %v", cells)
 	}
 }
 
-func TestNames(t *testing.T) {
-	b := NewCatalog(Mapping{Name: "node:host"}, false)
-	called := func(id, host string) Entry {
+// A node has its mapped name, unless that is empty or taken.
+func TestMappedNames(t *testing.T) {
+	catalog := NewCatalog(Mapping{Name: "node:host"}, false)
+	hosted := func(id, host string) Entry {
 		return entry(id, func(e *Entry) { e.NodeMeta = map[string]string{"host": host} })
 	}
-	health(t, b, 0, called("a", "s-1"), called("b", ""), called("c", "s-1"))
-	want(t, b, 0, "s-1:ready n/b:ready n/c:ready")
+	health(t, catalog, 0, hosted("a", "s-1"), hosted("b", ""), hosted("c", "s-1"))
+	want(t, catalog, 0, "s-1:ready n/b:ready n/c:ready")
 }
 
-func TestBadEntries(t *testing.T) {
-	b := NewCatalog(Mapping{}, false)
-	health(t, b, 0, entry("a"))
-	bad := b.UpdateHealth(t0, []Entry{entry("a", func(e *Entry) { e.Host = "" }), entry("b", func(e *Entry) { e.Port = 0 }),
-		entry("c", func(e *Entry) { e.Port = 65536 }), entry(""), entry("d")}, true, false)
-	if len(bad) != 4 {
-		t.Errorf("%v", bad)
+// An invalid entry is an error, and an instance that was known stays as it was.
+func TestInvalidEntries(t *testing.T) {
+	catalog := NewCatalog(Mapping{}, false)
+	health(t, catalog, 0, entry("a"))
+	invalid := catalog.UpdateHealth(t0, []Entry{
+		entry("a", func(e *Entry) { e.Host = "" }),
+		entry("b", func(e *Entry) { e.Port = 0 }),
+		entry("c", func(e *Entry) { e.Port = 65536 }),
+		entry(""),
+		entry("d"),
+	}, true, false)
+	if len(invalid) != 4 {
+		t.Errorf("%v", invalid)
 	}
-	want(t, b, 0, "n/a:ready n/d:ready^0") // one that was there stays as it was
+	want(t, catalog, 0, "n/a:ready n/d:ready^0")
 }
 
-// What is gone is forgotten in the end, and ever new names fill nothing.
-func TestTheBookIsBounded(t *testing.T) {
-	b := NewCatalog(Mapping{}, false)
+// Absent instances are forgotten in the end: new names all the time do not fill the memory.
+func TestCatalogIsBounded(t *testing.T) {
+	catalog := NewCatalog(Mapping{}, false)
 	for i := range 3000 {
 		now := t0.Add(time.Duration(i) * time.Second)
-		b.UpdateHealth(now, []Entry{entry(fmt.Sprint("id", i))}, true, false)
-		b.Update(now)
+		catalog.UpdateHealth(now, []Entry{entry(fmt.Sprint("id", i))}, true, false)
+		catalog.Update(now)
 	}
-	if len(b.records) > 302 || len(b.inHealth) != 1 {
-		t.Errorf("%d nodes, %d listed", len(b.records), len(b.inHealth))
+	if len(catalog.records) > 302 || len(catalog.inHealth) != 1 {
+		t.Errorf("%d records, %d in health", len(catalog.records), len(catalog.inHealth))
 	}
 }
 
-// What health says must not be sent to, and a catalogue that lacks it takes out of the list, is told once more before it is gone.
-func TestADrainThatTheCatalogueHides(t *testing.T) {
-	b := NewCatalog(Mapping{}, true)
-	names := func(es ...Entry) (out []string) {
-		for _, e := range es {
+// The catalog loses its data while a node turns critical. The empty list is doubted as a whole, so the drain
+// must be reported beside it, once.
+func TestUnlistedDrains(t *testing.T) {
+	catalog := NewCatalog(Mapping{}, true)
+	names := func(entries ...Entry) (out []string) {
+		for _, e := range entries {
 			out = append(out, Name(e.Node, e.ID))
 		}
 		return out
 	}
-	drains := func(at float64, list, hidden string) {
+	drains := func(at float64, listed, unlisted string) {
 		t.Helper()
 		var got []string
-		for _, n := range b.UnlistedDrains().Nodes {
+		for _, n := range catalog.UnlistedDrains().Nodes {
 			got = append(got, n.Name+":"+[]string{"ready", "draining", "gone"}[n.State])
 		}
-		if s := strings.Join(got, " "); s != hidden {
-			t.Errorf("at %v: hidden %q, want %q", at, s, hidden)
+		if s := strings.Join(got, " "); s != unlisted {
+			t.Errorf("at %v: unlisted %q, want %q", at, s, unlisted)
 		}
-		want(t, b, at, list)
+		want(t, catalog, at, listed)
 	}
-	health(t, b, 0, entry("a"), entry("b"))
-	b.UpdateServices(names(entry("a"), entry("b")))
+	health(t, catalog, 0, entry("a"), entry("b"))
+	catalog.UpdateServices(names(entry("a"), entry("b")))
 	drains(0, "n/a:ready n/b:ready", "")
-	b.UpdateServices(nil)
-	health(t, b, 1, entry("a", status("critical")), entry("b"))
+	catalog.UpdateServices(nil)
+	health(t, catalog, 1, entry("a", status("critical")), entry("b"))
 	drains(1, "", "n/a:draining")
 	drains(2, "", "") // once
-	health(t, b, 2, entry("a", status("critical")), entry("b", status("critical")))
+	health(t, catalog, 2, entry("a", status("critical")), entry("b", status("critical")))
 	drains(2, "", "n/b:draining") // which was out of the list already
-	health(t, b, 3, entry("a"), entry("b"))
-	b.UpdateServices(names(entry("a"), entry("b")))
+	health(t, catalog, 3, entry("a"), entry("b"))
+	catalog.UpdateServices(names(entry("a"), entry("b")))
 	drains(3, "n/a:ready n/b:ready", "")
-	health(t, b, 4, entry("a", status("critical")), entry("b"))
+	health(t, catalog, 4, entry("a", status("critical")), entry("b"))
 	drains(4, "n/a:draining n/b:ready", "")
 }
