--- a/consul/agent_test.go
+++ b/consul/client_test.go
@@ -29,8 +29,8 @@
 	"pumicecroft/membership"
 )
 
-// The stand-in is what Consul's own client expects: blocking queries, health, the catalogue, registration, TTL checks,
-// maintenance and tokens.
+// The fake agent is what Consul's API client expects: blocking queries, health, the catalog, registration,
+// TTL checks, maintenance and tokens.
 func TestFakeConsulAgainstClient(t *testing.T) {
 	t.Parallel()
 	agent := startAgent(t)
@@ -39,8 +39,19 @@
 		t.Fatal(err)
 	}
 	register := func(id string) error {
-		return c.Agent().ServiceRegister(&api.AgentServiceRegistration{ID: id, Name: "web", Address: "127.0.0.1", Port: 80, Tags: []string{"blue"},
-			Meta: map[string]string{"v": "2"}, Check: &api.AgentServiceCheck{CheckID: "ttl-" + id, TTL: "300ms", DeregisterCriticalServiceAfter: "200ms"}})
+		return c.Agent().ServiceRegister(&api.AgentServiceRegistration{
+			ID:      id,
+			Name:    "web",
+			Address: "127.0.0.1",
+			Port:    80,
+			Tags:    []string{"blue"},
+			Meta:    map[string]string{"v": "2"},
+			Check: &api.AgentServiceCheck{
+				CheckID:                        "ttl-" + id,
+				TTL:                            "300ms",
+				DeregisterCriticalServiceAfter: "200ms",
+			},
+		})
 	}
 	if err := register("w1"); err != nil {
 		t.Fatal(err)
@@ -54,8 +65,8 @@
 		return found, meta
 	}
 	found, meta := health(nil)
-	if len(found) != 1 || found[0].Service.ID != "w1" || found[0].Service.Port != 80 || found[0].Checks.AggregatedStatus() != "critical" ||
-		!meta.KnownLeader || meta.LastIndex == 0 {
+	if len(found) != 1 || found[0].Service.ID != "w1" || found[0].Service.Port != 80 ||
+		found[0].Checks.AggregatedStatus() != "critical" || !meta.KnownLeader || meta.LastIndex == 0 {
 		t.Fatalf("%+v %+v", found, meta)
 	}
 	created := found[0].Service.CreateIndex
@@ -80,8 +91,9 @@
 	}
 	_, meta = health(nil)
 	start := time.Now()
-	if _, m := health(&api.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: 50 * time.Millisecond}); m.LastIndex != meta.LastIndex || time.Since(start) < 50*time.Millisecond {
-		t.Errorf("without a change: index %d after %v", m.LastIndex, time.Since(start))
+	_, unchanged := health(&api.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: 50 * time.Millisecond})
+	if unchanged.LastIndex != meta.LastIndex || time.Since(start) < 50*time.Millisecond {
+		t.Errorf("without a change: index %d after %v", unchanged.LastIndex, time.Since(start))
 	}
 	// Registered again it is the same registration; deregistered meanwhile it is another.
 	if err := register("w1"); err != nil {
@@ -109,15 +121,20 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "x", Service: "web", Port: 81, Tags: []string{"blue", "new"}, Meta: map[string]string{"v": "3"}},
-		fakes.Instance{Node: "m", NodeAddr: "10.0.0.2", ID: "x", Service: "web", Port: 81, Tags: []string{"blue"}, Meta: map[string]string{"v": "2"}})
+	agent.Put(
+		fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "x", Service: "web", Port: 81,
+			Tags: []string{"blue", "new"}, Meta: map[string]string{"v": "3"}},
+		fakes.Instance{Node: "m", NodeAddr: "10.0.0.2", ID: "x", Service: "web", Port: 81,
+			Tags: []string{"blue"}, Meta: map[string]string{"v": "2"}},
+	)
 	for what, o := range map[string]*api.QueryOptions{"filter": {Filter: `Service.Meta.v == "3"`}, "near": {Near: "n"}} {
 		if f, _ := health(o); f[0].Node.Node != "n" || what == "filter" && len(f) != 1 {
 			t.Errorf("%s: %+v", what, f)
 		}
 	}
-	if all, _, err := c.Catalog().Service("web", "new", nil); err != nil || len(all) != 1 || all[0].ServicePort != 81 || all[0].Address != "10.0.0.1" {
-		t.Errorf("the catalogue by tag: %+v %v", all, err)
+	all, _, err := c.Catalog().Service("web", "new", nil)
+	if err != nil || len(all) != 1 || all[0].ServicePort != 81 || all[0].Address != "10.0.0.1" {
+		t.Errorf("the catalog by tag: %+v %v", all, err)
 	}
 	if _, _, err := c.Health().Service("web", "", false, &api.QueryOptions{Filter: "nonsense"}); err == nil {
 		t.Error("a filter that makes no sense: no error")
@@ -132,7 +149,7 @@
 	}
 }
 
-// What is configured reaches the agent, and the token is read again when its file has changed.
+// All settings reach the agent as parameters, and the token is read again when its file has changed.
 func TestQueryParameters(t *testing.T) {
 	t.Parallel()
 	agent := startAgent(t)
@@ -141,10 +158,18 @@
 	if err := os.WriteFile(token, []byte("one\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81, Tags: []string{"blue"}, Meta: map[string]string{"v": "2"},
-		Namespace: "team", Partition: "part"})
-	c, err := New(Config{Address: "http://" + agent.Addr(), TokenFile: token, Datacenter: "dc1", Namespace: "team", Partition: "part",
-		Consistency: Consistent, Wait: 7 * time.Second, RetryMax: 50 * time.Millisecond})
+	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81,
+		Tags: []string{"blue"}, Meta: map[string]string{"v": "2"}, Namespace: "team", Partition: "part"})
+	c, err := New(Config{
+		Address:     "http://" + agent.Addr(),
+		TokenFile:   token,
+		Datacenter:  "dc1",
+		Namespace:   "team",
+		Partition:   "part",
+		Consistency: Consistent,
+		Wait:        7 * time.Second,
+		RetryMax:    50 * time.Millisecond,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +178,8 @@
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
-		c.Service(Service{Name: "web", Tags: []string{"blue"}, Near: "_agent", Filter: `Service.Meta.v == "2"`}).Run(ctx, func(l membership.Update) { lists <- l })
+		service := Service{Name: "web", Tags: []string{"blue"}, Near: "_agent", Filter: `Service.Meta.v == "2"`}
+		c.Service(service).Run(ctx, func(u membership.Update) { lists <- u })
 	}()
 	if l := <-lists; l.Err == nil || !strings.Contains(l.Err.Error(), "consul: web: Unexpected response code: 403") {
 		t.Errorf("with an old token: %+v", l)
@@ -178,26 +204,34 @@
 	for _, path := range []string{"/v1/health/service/web", "/v1/catalog/service/web"} {
 		i, all := asked(path)
 		p := all[i].Params
-		if p.Get("dc") != "dc1" || p.Get("ns") != "team" || p.Get("partition") != "part" || !p.Has("consistent") || p.Get("tag") != "blue" ||
-			p.Get("wait") != "7000ms" {
+		if p.Get("dc") != "dc1" || p.Get("ns") != "team" || p.Get("partition") != "part" || !p.Has("consistent") ||
+			p.Get("tag") != "blue" || p.Get("wait") != "7000ms" {
 			t.Errorf("%s with %v", path, p)
 		}
-		if strings.HasPrefix(path, "/v1/health") && (p.Get("near") != "_agent" || p.Get("filter") != `Service.Meta.v == "2"`) {
+		if strings.HasPrefix(path, "/v1/health") &&
+			(p.Get("near") != "_agent" || p.Get("filter") != `Service.Meta.v == "2"`) {
 			t.Errorf("%s with %v", path, p)
 		}
 	}
 }
 
-// certificate makes one for loopback, signed by itself, and writes it to files.
+// certificate returns a self-signed certificate for loopback, and the files that hold it and its key.
 func certificate(t *testing.T, dir, name string) (tls.Certificate, string, string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, IsCA: true, BasicConstraintsValid: true,
-		KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign}
+	template := &x509.Certificate{
+		SerialNumber:          big.NewInt(1),
+		Subject:               pkix.Name{CommonName: name},
+		NotBefore:             time.Now().Add(-time.Hour),
+		NotAfter:              time.Now().Add(time.Hour),
+		IPAddresses:           []net.IP{net.IPv4(127, 0, 0, 1)},
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
+	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
@@ -219,19 +253,23 @@
 	return pair, certFile, keyFile
 }
 
-// Over TLS both sides show certificates; an agent that the CA did not sign is not listened to.
+// Over TLS both sides present certificates. An agent whose certificate the CA did not sign is rejected.
 func TestTLS(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	server, ca, _ := certificate(t, dir, "agent")
-	_, clientCert, clientKey := certificate(t, dir, "door")
+	_, clientCert, clientKey := certificate(t, dir, "gateway")
 	_, otherCA, _ := certificate(t, dir, "other")
 	pool := x509.NewCertPool()
 	text, err := os.ReadFile(clientCert)
 	if err != nil || !pool.AppendCertsFromPEM(text) {
 		t.Fatal(err)
 	}
-	agent, err := fakes.StartConsul(&tls.Config{Certificates: []tls.Certificate{server}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert})
+	agent, err := fakes.StartConsul(&tls.Config{
+		Certificates: []tls.Certificate{server},
+		ClientCAs:    pool,
+		ClientAuth:   tls.RequireAndVerifyClientCert,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,10 +297,10 @@
 		t.Errorf("%+v", l)
 	}
 	if l := first(Config{CAFile: otherCA, CertFile: clientCert, KeyFile: clientKey}); l.Err == nil {
-		t.Error("an agent that another CA signed was listened to")
+		t.Error("an agent whose certificate another CA signed was accepted")
 	}
 	if l := first(Config{CAFile: ca}); l.Err == nil {
-		t.Error("without a certificate of its own it was let in")
+		t.Error("accepted without a client certificate")
 	}
 }
 
@@ -287,84 +325,7 @@
 	}
 }
 
-// A door stands in the catalogue while it serves: passing, renewed, there again when the agent lost it, critical while
-// it drains, and gone at the end.
-func TestRegistration(t *testing.T) {
-	t.Parallel()
-	agent := startAgent(t)
-	c, err := New(Config{Address: agent.Addr()})
-	if err != nil {
-		t.Fatal(err)
-	}
-	status := func(want string) {
-		t.Helper()
-		for end := time.Now().Add(hosttest.Patience); ; time.Sleep(2 * time.Millisecond) {
-			got := agent.Instances("doors")["agent/door-1"]
-			if got == want {
-				return
-			}
-			if time.Now().After(end) {
-				t.Fatalf("it is %q, want %q", got, want)
-			}
-		}
-	}
-	ctx, cancel := context.WithCancel(t.Context())
-	draining, ended, told := make(chan struct{}), make(chan error), make(chan error, 100)
-	go func() {
-		ended <- c.Register(ctx, Registration{Name: "doors", ID: "door-1", Address: "127.0.0.1:8080", TTL: 600 * time.Millisecond,
-			OnResult: func(err error) { told <- err }}, draining)
-	}()
-	status("passing")
-	for until := time.Now().Add(2 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) { // several TTLs
-		if got := agent.Instances("doors")["agent/door-1"]; got != "passing" {
-			t.Fatalf("it is %q", got)
-		}
-	}
-	agent.Remove("agent", "door-1") // the agent began anew
-	status("")
-	status("passing")
-	if err := agent.Fail(fakes.Refusing); err != nil {
-		t.Fatal(err)
-	}
-	if err := <-told; err == nil {
-		t.Error("it was told of no failure")
-	}
-	status("critical") // by its TTL, as nobody could renew it
-	if err := agent.Fail(fakes.Well); err != nil {
-		t.Fatal(err)
-	}
-	status("passing")
-	for err := errors.New("not yet"); err != nil; {
-		err = <-told // until it is told that all is well
-	}
-	close(draining)
-	status("critical")
-	cancel()
-	if err := <-ended; err != nil {
-		t.Errorf("the end: %v", err)
-	}
-	status("")
-
-	// An agent that can't be reached at the end holds nothing up for long.
-	ctx, cancel = context.WithCancel(t.Context())
-	go func() {
-		ended <- c.Register(ctx, Registration{Name: "doors", ID: "door-1", Address: "127.0.0.1:8080", TTL: time.Second}, nil)
-	}()
-	status("passing")
-	if err := agent.Fail(fakes.Silent); err != nil {
-		t.Fatal(err)
-	}
-	start := time.Now()
-	cancel()
-	if err := <-ended; err == nil || time.Since(start) > 2*deregisterTimeout {
-		t.Errorf("the end: %v after %v", err, time.Since(start))
-	}
-	if err := c.Register(t.Context(), Registration{Name: "doors", Address: "nowhere"}, nil); !errors.Is(err, ErrConfig) {
-		t.Errorf("a bad address: %v", err)
-	}
-}
-
-// An answer that never ends is cut, and is no answer.
+// A response that does not end is cut off, and is an error.
 func TestResponseOverLimit(t *testing.T) {
 	t.Parallel()
 	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/consul/rig_test.go
+++ b/consul/fixture_test.go
@@ -21,16 +21,18 @@
 
 func TestMain(m *testing.M) {
 	for _, name := range []string{"CONSUL_HTTP_TOKEN", "CONSUL_NAMESPACE", "CONSUL_PARTITION", "CONSUL_HTTP_ADDR"} {
-		os.Unsetenv(name) // the client looks there
+		if err := os.Unsetenv(name); err != nil { // the API client reads them
+			panic(err)
+		}
 	}
 	flag.Parse()
-	if err := flag.Set("test.parallel", "16"); err != nil { // the cases mostly wait
+	if err := flag.Set("test.parallel", "16"); err != nil { // the tests mostly wait
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// fixture is an agent, backends that are registered at it, and doors that follow it.
+// fixture is an agent, backends that are registered at it, and gateways that follow it.
 type fixture struct {
 	t        *testing.T
 	agent    *fakes.Consul
@@ -56,7 +58,13 @@
 
 func newFixture(t *testing.T, change func(*Config)) *fixture {
 	t.Helper()
-	r := &fixture{t: t, agent: startAgent(t), ledger: &fakes.Ledger{}, cell: &fakes.Cell{Window: 5 * time.Second}, backends: map[string]*fakes.Backend{}}
+	r := &fixture{
+		t:        t,
+		agent:    startAgent(t),
+		ledger:   &fakes.Ledger{},
+		cell:     &fakes.Cell{Window: 5 * time.Second},
+		backends: map[string]*fakes.Backend{},
+	}
 	c := Config{Address: r.agent.Addr(), Wait: 300 * time.Millisecond, RetryMax: 200 * time.Millisecond, Seed: 1}
 	if change != nil {
 		change(&c)
@@ -73,7 +81,7 @@
 	return r
 }
 
-// instance is a backend's registration.
+// instance returns a backend's registration.
 func (r *fixture) instance(id string) fakes.Instance {
 	host, port, err := net.SplitHostPort(r.backends[id].Addr())
 	if err != nil {
@@ -83,8 +91,15 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	return fakes.Instance{Node: "n1", NodeAddr: host, ID: id, Service: service, Port: n, Meta: map[string]string{"cell": "0"},
-		Checks: []fakes.Check{{ID: "web", Status: "passing"}}}
+	return fakes.Instance{
+		Node:     "n1",
+		NodeAddr: host,
+		ID:       id,
+		Service:  service,
+		Port:     n,
+		Meta:     map[string]string{"cell": "0"},
+		Checks:   []fakes.Check{{ID: "web", Status: "passing"}},
+	}
 }
 
 // start starts a backend and registers it.
@@ -92,7 +107,12 @@
 	r.t.Helper()
 	id := fmt.Sprintf("b%d", r.last)
 	r.last++
-	c := fakes.BackendConfig{Name: id, Ledger: r.ledger, Cell: r.cell, Keyed: func(class string) bool { return class != "look" }}
+	c := fakes.BackendConfig{
+		Name:   id,
+		Ledger: r.ledger,
+		Cell:   r.cell,
+		Keyed:  func(class string) bool { return class != "look" },
+	}
 	if change != nil {
 		change(&c)
 	}
@@ -105,17 +125,23 @@
 	return id
 }
 
-// door starts a door that follows the agent, and waits until it knows n nodes.
-func (r *fixture) door(n int, change func(*pumicecroft.Config), options ...pumicecroft.Option) *pumicecroft.Gateway {
+// gateway starts a gateway that follows the agent, and waits until it knows n nodes.
+func (r *fixture) gateway(n int, change func(*pumicecroft.Config)) *pumicecroft.Gateway {
 	r.t.Helper()
 	c := hosttest.Config()
-	c.Settings.SlowStartMinCapacity, c.Settings.SlowStartWindow, c.Settings.DrainGrace = 0.2, 200*time.Millisecond, 2*time.Second
-	c.Membership = membership.Policy{ProbationMin: 100 * time.Millisecond, MassRemovalDelay: 600 * time.Millisecond, WarmupWindow: 200 * time.Millisecond}
+	c.Settings.SlowStartMinCapacity = 0.2
+	c.Settings.SlowStartWindow = 200 * time.Millisecond
+	c.Settings.DrainGrace = 2 * time.Second
+	c.Membership = membership.Policy{
+		ProbationMin:     100 * time.Millisecond,
+		MassRemovalDelay: 600 * time.Millisecond,
+		WarmupWindow:     200 * time.Millisecond,
+	}
 	if change != nil {
 		change(&c)
 	}
 	w := r.client.Service(Service{Name: service, Mapping: Mapping{Cell: "cell", Zone: "zone", Started: "boot"}})
-	d, err := pumicecroft.New(c, append(options, pumicecroft.WithNamedSource(w.SourceInfo(), w))...)
+	d, err := pumicecroft.New(c, pumicecroft.WithNamedSource(w.SourceInfo(), w))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -123,56 +149,59 @@
 		ctx, cancel := context.WithTimeout(context.Background(), hosttest.Patience)
 		defer cancel()
 		if err := d.Close(ctx); err != nil {
-			r.t.Errorf("the door's end: %v", err)
+			r.t.Errorf("closing the gateway: %v", err)
 		}
 	})
-	r.await(d, fmt.Sprintf("%d nodes", n), func(ms map[string]pumicecroft.BackendStatus) bool { return len(ms) == n })
+	r.await(d, fmt.Sprintf("%d nodes", n), func(ms statuses) bool { return len(ms) == n })
 	return d
 }
 
-// members are what a door believes, by id.
-func members(d *pumicecroft.Gateway) map[string]pumicecroft.BackendStatus {
-	out := map[string]pumicecroft.BackendStatus{}
+// statuses are the statuses of a gateway's backends by ID.
+type statuses map[string]pumicecroft.BackendStatus
+
+func statusesOf(d *pumicecroft.Gateway) statuses {
+	out := statuses{}
 	for _, m := range d.Backends() {
 		out[m.Name[len("n1/"):]] = m
 	}
 	return out
 }
 
-// await waits until a door believes something.
-func (r *fixture) await(d *pumicecroft.Gateway, what string, ok func(map[string]pumicecroft.BackendStatus) bool) {
+// await waits until the status of a gateway's backends is as wanted.
+func (r *fixture) await(d *pumicecroft.Gateway, what string, ok func(statuses) bool) {
 	r.t.Helper()
-	for end := time.Now().Add(hosttest.Patience); !ok(members(d)); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(hosttest.Patience); !ok(statusesOf(d)); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("waited in vain for %s; the door believes %+v", what, members(d))
+			r.t.Fatalf("waited in vain for %s; the gateway has %+v", what, statusesOf(d))
 		}
 	}
 }
 
-// state waits until a door believes a node to be in a state; "gone" is one that it does not know.
-func (r *fixture) state(d *pumicecroft.Gateway, id, state string) {
+// wantState waits until a gateway has a node in a state; "gone" means that it does not know it.
+func (r *fixture) wantState(d *pumicecroft.Gateway, id, state string) {
 	r.t.Helper()
-	r.await(d, id+" to be "+state, func(ms map[string]pumicecroft.BackendStatus) bool {
+	r.await(d, id+" to be "+state, func(ms statuses) bool {
 		m, ok := ms[id]
 		return ok && m.State == state || !ok && state == "gone"
 	})
 }
 
-// load asks doors from many clients at once until stop is called, which tells what became of it.
+// load sends requests to gateways from many clients at once, until stop is called.
 type load struct {
-	rounds                      []atomic.Int64 // requests that have ended, by client
-	asked, served, refused, bad atomic.Int64
-	firstBad                    atomic.Value
-	stop                        func()
+	rounds                         []atomic.Int64 // requests that have ended, by client
+	sent, served, rejected, failed atomic.Int64
+	firstErr                       atomic.Value
+	stop                           func()
 }
 
-// String is the load's counts.
+// String returns the counts.
 func (l *load) String() string {
-	return fmt.Sprintf("asked=%d served=%d refused=%d bad=%d (%v)", l.asked.Load(), l.served.Load(), l.refused.Load(), l.bad.Load(), l.firstBad.Load())
+	return fmt.Sprintf("sent=%d served=%d rejected=%d failed=%d (%v)",
+		l.sent.Load(), l.served.Load(), l.rejected.Load(), l.failed.Load(), l.firstErr.Load())
 }
 
-// turn waits until each client has had the answer to what it had asked when this was called.
-func (l *load) turn() {
+// awaitResponses waits until each client has the response to the request that is out when it is called.
+func (l *load) awaitResponses() {
 	for i := range l.rounds {
 		for n := l.rounds[i].Load(); l.rounds[i].Load() == n; {
 			time.Sleep(time.Millisecond)
@@ -180,7 +209,7 @@
 	}
 }
 
-func (r *fixture) load(clients int, class string, pause time.Duration, doors ...*pumicecroft.Gateway) *load {
+func (r *fixture) load(clients int, class string, pause time.Duration, gateways ...*pumicecroft.Gateway) *load {
 	l := &load{rounds: make([]atomic.Int64, clients)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var ran sync.WaitGroup
@@ -192,17 +221,17 @@
 				if class != "look" {
 					req.IdempotencyKey = fmt.Sprintf("key-%d", n)
 				}
-				_, err := doors[i%len(doors)].Do(context.Background(), req)
-				l.asked.Add(1)
+				_, err := gateways[i%len(gateways)].Do(context.Background(), req)
+				l.sent.Add(1)
 				l.rounds[i].Add(1)
 				switch {
 				case err == nil:
 					l.served.Add(1)
 				case errors.Is(err, pumicecroft.ErrRejected):
-					l.refused.Add(1)
+					l.rejected.Add(1)
 				default:
-					l.bad.Add(1)
-					l.firstBad.CompareAndSwap(nil, err.Error())
+					l.failed.Add(1)
+					l.firstErr.CompareAndSwap(nil, err.Error())
 				}
 				select {
 				case <-time.After(pause):
@@ -217,7 +246,7 @@
 	return l
 }
 
-// attempts are those that reached a backend.
+// attempts returns the attempts that reached a backend.
 func (r *fixture) attempts(id string) []fakes.Attempt {
 	var out []fakes.Attempt
 	for _, a := range r.ledger.Attempts() {
@@ -228,16 +257,16 @@
 	return out
 }
 
-// whole checks that no request of a load was lost or failed, and every effect single. A few may be refused: clients that
-// ask again at once meet the decision module's reserves now and then, whatever the agent does (2 in 100 over half a
-// minute on a calm machine).
-func (r *fixture) whole(l *load) {
+// wantNoLoss ends a load and checks that no request was lost or failed and none executed twice. A few may be
+// rejected: clients that send again at once meet the engine's reserves now and then, whatever the agent does.
+func (r *fixture) wantNoLoss(l *load) {
 	r.t.Helper()
 	l.stop()
-	if asked, refused := l.asked.Load(), l.refused.Load(); asked == 0 || l.bad.Load() > 0 || refused*20 > asked || l.served.Load()+refused != asked {
+	sent, rejected := l.sent.Load(), l.rejected.Load()
+	if sent == 0 || l.failed.Load() > 0 || rejected*20 > sent || l.served.Load()+rejected != sent {
 		r.t.Errorf("requests were lost: %v", l)
 	}
 	if d := r.ledger.Doubled(); len(d) > 0 {
-		r.t.Errorf("effects that happened twice: %q", d)
+		r.t.Errorf("executed twice: %q", d)
 	}
 }
--- a/consul/sync_test.go
+++ b/consul/sync_test.go
@@ -12,8 +12,8 @@
 	"pumicecroft/membership"
 )
 
-// What the agent knew when CatchUp was asked for has been reported when it returns, whatever the questions were at; an agent that can't be
-// heard is waited for as long as the caller says, and not at all if it could not be heard before.
+// After a pause of the process, Sync must return only when all that the agent knew has been reported, whatever
+// the state of the queries. An agent that fails is waited for, but not if it has been failing before.
 func TestSync(t *testing.T) {
 	r := newFixture(t, func(c *Config) { c.Wait = 10 * time.Second })
 	r.start(nil)
@@ -55,7 +55,7 @@
 		}
 		mu.Lock()
 		if !known["n1/"+name] && !known[name] {
-			t.Errorf("%s was registered before the question, and is not among %v", name, known)
+			t.Errorf("%s was registered before Sync, and is not among %v", name, known)
 		}
 		mu.Unlock()
 	}
@@ -64,11 +64,11 @@
 		t.Fatal(err)
 	}
 	if err := w.Sync(t.Context(), since); err == nil {
-		t.Error("an agent that refuses has answered")
+		t.Error("synced with an agent that refuses connections")
 	}
 	await(failed, "the failure to be reported")
 	if err := w.Sync(t.Context(), time.Now()); !errors.Is(err, errSilent) {
-		t.Errorf("an agent that was away before is waited for: %v", err)
+		t.Errorf("waited for an agent that was failing before: %v", err)
 	}
 	stop()
 	await(ran, "the end")
--- a/consul/trials_test.go
+++ b/consul/trials_test.go
@@ -13,12 +13,13 @@
 var (
 	trials = flag.Int("trials", 6, "how often a node is taken away while it is under load")
 	delay  = flag.Duration("agent-delay", 0, "after how long the stand-in agent tells of a change")
-	calm   = flag.Duration("calm", 0, "between two trials; without it the agent has some 20 changes a second, and the questions wait for each other")
-	well   = flag.Bool("agent-well", false, "leave the agent alive in TestAgentIsDead, to compare with")
+	calm   = flag.Duration("calm", 0, "pause between trials; without it some 20 changes a second wait for each other")
+	well   = flag.Bool("agent-well", false, "leave the agent alive in TestTheAgentIsDead, to compare with")
 	dead   = flag.Duration("dead", 2*time.Second, "for how long the agent is dead under load")
 )
 
-// From the moment at which a node is deregistered, or turns critical, to the last request that reaches it, under load.
+// Measures the time from a node's deregistration, or its turning critical, to the last request that reaches
+// it, under load.
 // What is recorded is made by: go test ./consul -run TestLastRequest -v -trials 200 -calm 300ms
 func TestLastRequest(t *testing.T) {
 	for name, take := range map[string]func(r *fixture, id string){
@@ -31,7 +32,7 @@
 			r := newFixture(t, nil)
 			r.agent.SetDelay(*delay)
 			ids := []string{r.start(nil), r.start(nil), r.start(nil)}
-			d := r.door(3, func(c *pumicecroft.Config) { c.Settings.SlowStartWindow = 20 * time.Millisecond })
+			d := r.gateway(3, func(c *pumicecroft.Config) { c.Settings.SlowStartWindow = 20 * time.Millisecond })
 			l := r.load(8, "pay", 500*time.Microsecond, d)
 			var took []time.Duration
 			for range *trials {
@@ -41,7 +42,7 @@
 				}
 				at := time.Now()
 				take(r, id)
-				r.await(d, id+" to be out", func(ms map[string]pumicecroft.BackendStatus) bool {
+				r.await(d, id+" to be out", func(ms statuses) bool {
 					m, ok := ms[id]
 					return !ok || m.State == "draining"
 				})
@@ -49,13 +50,14 @@
 				took = append(took, max(0, r.ledger.Reached(id).Last.Sub(at)))
 				r.agent.Remove("n1", id)
 				ids = append(ids[1:], r.start(nil))
-				r.state(d, id, "gone")
-				l.turn() // what was under way there has ended: a keyed request that is cut off fails rightly, where no other backend drops its repeat
+				r.wantState(d, id, "gone")
+				// A keyed request that is cut off may fail, as no other backend shares its deduplication.
+				l.awaitResponses()
 				r.backends[id].Kill()
 				time.Sleep(*calm)
 			}
 			l.stop()
-			if doubled := r.ledger.Doubled(); l.bad.Load() > 0 || len(doubled) > 0 {
+			if doubled := r.ledger.Doubled(); l.failed.Load() > 0 || len(doubled) > 0 {
 				t.Errorf("%v, doubled %q", l, doubled)
 			}
 			slices.Sort(took)
@@ -68,15 +70,15 @@
 	}
 }
 
-// With the agent dead for a while under load, not one request is lost for it.
-// What is recorded is made by: go test ./consul -run TestAgentIsDead -v -dead 60s
-func TestAgentIsDead(t *testing.T) {
+// The agent is dead for a while under load. No request is lost for it.
+// What is recorded is made by: go test ./consul -run TestTheAgentIsDead -v -dead 60s
+func TestTheAgentIsDead(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 4 {
 		r.start(nil)
 	}
-	d := r.door(4, nil)
+	d := r.gateway(4, nil)
 	l := r.load(8, "pay", 2*time.Millisecond, d)
 	fault := fakes.Refusing
 	if *well {
@@ -86,13 +88,13 @@
 		t.Fatal(err)
 	}
 	time.Sleep(*dead)
-	if n := len(members(d)); n != 4 {
+	if n := len(statusesOf(d)); n != 4 {
 		t.Errorf("%d nodes are known", n)
 	}
 	if err := r.agent.Fail(fakes.Well); err != nil {
 		t.Fatal(err)
 	}
-	r.await(d, "the agent to be back", func(ms map[string]pumicecroft.BackendStatus) bool { return !ms["b1"].Stale })
-	r.whole(l)
+	r.await(d, "the agent to be back", func(ms statuses) bool { return !ms["b1"].Stale })
+	r.wantNoLoss(l)
 	t.Logf("dead for %v: %v", *dead, l)
 }
--- a/consul/source_test.go
+++ b/consul/watch_test.go
@@ -18,8 +18,8 @@
 	"pumicecroft/membership"
 )
 
-// However the agent fails, the last list stays, not one request is lost for it, and when it is back only what has
-// changed is applied.
+// The agent fails under load, in one way or another. Its last list stays in force, no request is lost, and
+// when the agent is back only the changes are applied.
 func TestFailingAgentLosesNoRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault fakes.Fault
@@ -41,29 +41,30 @@
 			for range 4 {
 				r.start(nil)
 			}
-			d := r.door(4, nil)
-			before := members(d)
+			d := r.gateway(4, nil)
+			before := statusesOf(d)
 			l := r.load(4, "pay", time.Millisecond, d)
 			if err := r.agent.Fail(c.fault); err != nil {
 				t.Fatal(err)
 			}
-			r.await(d, "the agent to be missed", func(ms map[string]pumicecroft.BackendStatus) bool { return ms["b1"].Stale })
+			r.await(d, "stale statuses", func(ms statuses) bool { return ms["b1"].Stale })
 			served := l.served.Load()
-			r.agent.Remove("n1", "b0") // nobody hears of it yet; its process goes on, as one that drains
+			r.agent.Remove("n1", "b0") // nobody knows yet; its process goes on, as one that drains
 			b4 := r.start(nil)
 			for l.served.Load() < served+200 {
 				time.Sleep(time.Millisecond)
 			}
-			if got := slices.Sorted(maps.Keys(members(d))); c.fault != fakes.Leaderless && !slices.Equal(got, []string{"b0", "b1", "b2", "b3"}) {
-				t.Errorf("while it fails the door knows %q", got)
+			known := slices.Sorted(maps.Keys(statusesOf(d)))
+			if c.fault != fakes.Leaderless && !slices.Equal(known, []string{"b0", "b1", "b2", "b3"}) {
+				t.Errorf("while the agent fails the gateway knows %q", known)
 			}
 			if err := r.agent.Fail(fakes.Well); err != nil {
 				t.Fatal(err)
 			}
-			r.state(d, "b0", "gone")
-			r.await(d, "b4", func(ms map[string]pumicecroft.BackendStatus) bool { return ms[b4].State == "ready" && !ms["b1"].Stale })
-			r.whole(l)
-			after := members(d)
+			r.wantState(d, "b0", "gone")
+			r.await(d, "b4", func(ms statuses) bool { return ms[b4].State == "ready" && !ms["b1"].Stale })
+			r.wantNoLoss(l)
+			after := statusesOf(d)
 			for _, id := range []string{"b1", "b2", "b3"} {
 				if b, a := before[id], after[id]; !a.Since.Equal(b.Since) || a.State != "ready" {
 					t.Errorf("%s was touched: %+v, then %+v", id, b, a)
@@ -73,61 +74,63 @@
 	}
 }
 
-// An agent whose servers lost their data tells an empty list under a lower index: nothing is emptied. Those that come
-// back under new registrations are the same as before; one that does not is let go in the end.
+// The agent's servers lose their data: the list is empty and its index lower. No node is removed by that.
+// Those that register again are the same as before; one that does not is removed in the end.
 func TestAgentLostItsData(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 5 {
 		r.start(nil)
 	}
-	d := r.door(5, func(c *pumicecroft.Config) { c.Membership.FullRemovalDelay = 3 * time.Second })
-	before := members(d)
+	d := r.gateway(5, func(c *pumicecroft.Config) { c.Membership.FullRemovalDelay = 3 * time.Second })
+	before := statusesOf(d)
 	l := r.load(4, "pay", time.Millisecond, d)
 	r.agent.Reset()
-	r.await(d, "the empty list", func(ms map[string]pumicecroft.BackendStatus) bool {
+	r.await(d, "the empty list", func(ms statuses) bool {
 		return strings.Contains(ms["b1"].Explanation, "lacks it")
 	})
 	for _, id := range []string{"b0", "b1", "b2", "b3"} { // as agents' anti-entropy brings them back, one after another
 		r.agent.Put(r.instance(id))
-		r.await(d, id+" to be listed", func(ms map[string]pumicecroft.BackendStatus) bool {
+		r.await(d, id+" to be listed", func(ms statuses) bool {
 			return !strings.Contains(ms[id].Explanation, "lacks it")
 		})
-		if n := len(members(d)); n != 5 {
+		if n := len(statusesOf(d)); n != 5 {
 			t.Errorf("%d nodes are known", n)
 		}
 	}
-	r.state(d, "b4", "gone")
-	after := members(d)
+	r.wantState(d, "b4", "gone")
+	after := statusesOf(d)
 	for _, id := range []string{"b0", "b1", "b2", "b3"} {
 		if b, a := before[id], after[id]; !a.Since.Equal(b.Since) || a.State != "ready" {
 			t.Errorf("%s was touched: %+v, then %+v", id, b, a)
 		}
 	}
-	r.whole(l)
+	r.wantNoLoss(l)
 }
 
-// Most nodes deregistered at once are believed to be gone when the list was heard again.
+// Most nodes are deregistered at once. They are removed once a further response has confirmed it.
 func TestMassDeregistration(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 6 {
 		r.start(nil)
 	}
-	d := r.door(6, func(c *pumicecroft.Config) { c.Membership.MassRemovalDelay = 0 }) // the default
+	d := r.gateway(6, func(c *pumicecroft.Config) { c.Membership.MassRemovalDelay = 0 }) // the default
 	l := r.load(4, "look", time.Millisecond, d)
 	asked := len(r.agent.Questions())
 	for _, id := range []string{"b0", "b1", "b2", "b3", "b4"} {
 		r.agent.Remove("n1", id)
 	}
-	r.await(d, "five to go", func(ms map[string]pumicecroft.BackendStatus) bool { return len(ms) == 1 })
-	if n := len(r.agent.Questions()) - asked; n < 2 { // when, is membership's business: TestMassRemoval has it to the millisecond
-		t.Errorf("they were let go after %d questions", n)
+	r.await(d, "five to go", func(ms statuses) bool { return len(ms) == 1 })
+	// The time is membership's: its TestMassRemoval holds it to the millisecond.
+	if n := len(r.agent.Questions()) - asked; n < 2 {
+		t.Errorf("removed after %d queries", n)
 	}
-	r.whole(l)
+	r.wantNoLoss(l)
 }
 
-// An answer that is always at once, or always of index 0, is not asked for in a loop, and changes are seen all the same.
+// The agent responds to each query at once, or always with index 0. It is not queried in a loop, and changes
+// are seen all the same.
 func TestAgentThatDoesNotHoldQueries(t *testing.T) {
 	for name, fault := range map[string]fakes.Fault{"index 0": fakes.ZeroIndex, "whatever the index": fakes.Instant} {
 		t.Run(name, func(t *testing.T) {
@@ -138,26 +141,27 @@
 			if err := r.agent.Fail(fault); err != nil {
 				t.Fatal(err)
 			}
-			d := r.door(2, nil)
+			d := r.gateway(2, nil)
 			start, before := time.Now(), len(r.agent.Questions())
-			time.Sleep(2 * time.Second) // the rate is what is looked at
+			time.Sleep(2 * time.Second) // the rate over this time is checked
 			if n := len(r.agent.Questions()) - before; float64(n) > 2*(2*time.Since(start).Seconds()+2) {
-				t.Errorf("%d questions in %v", n, time.Since(start))
+				t.Errorf("%d queries in %v", n, time.Since(start))
 			}
 			r.agent.SetCheck("n1", "b0", fakes.Check{ID: "web", Status: "critical"})
-			r.state(d, "b0", "draining")
+			r.wantState(d, "b0", "draining")
 		})
 	}
 }
 
-// A node that flaps gets nothing while it fails, is not taken back at each turn, and the others serve everything.
+// A node's check flaps. The node gets nothing while it fails, is not taken back each time, and the others
+// serve all requests.
 func TestFlappingNode(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 3 {
 		r.start(nil)
 	}
-	d := r.door(3, func(c *pumicecroft.Config) {
+	d := r.gateway(3, func(c *pumicecroft.Config) {
 		c.Membership.ProbationMin, c.Membership.ProbationMax = 300*time.Millisecond, 5*time.Second
 	})
 	l := r.load(4, "pay", time.Millisecond, d)
@@ -166,66 +170,66 @@
 	taken := 0
 	for range 20 {
 		r.agent.SetCheck("n1", "b0", fakes.Check{ID: "web", Status: "critical", Output: "refused"})
-		r.state(d, "b0", "draining")
+		r.wantState(d, "b0", "draining")
 		from := time.Now()
 		time.Sleep(50 * time.Millisecond) // a flap's turn
 		failing = append(failing, span{from, time.Now()})
 		r.agent.SetCheck("n1", "b0", fakes.Check{ID: "web", Status: "passing"})
-		r.await(d, "b0 to be suspect", func(ms map[string]pumicecroft.BackendStatus) bool { return ms["b0"].State != "draining" })
+		r.await(d, "b0 to be on probation", func(ms statuses) bool { return ms["b0"].State != "draining" })
 		time.Sleep(50 * time.Millisecond)
-		if members(d)["b0"].State == "ready" {
+		if statusesOf(d)["b0"].State == "ready" {
 			taken++
 		}
 	}
-	r.whole(l)
-	if m := members(d)["b0"]; taken > 0 || m.State != "suspect" || time.Until(m.Until) < time.Second {
+	r.wantNoLoss(l)
+	if m := statusesOf(d)["b0"]; taken > 0 || m.State != "suspect" || time.Until(m.Until) < time.Second {
 		t.Errorf("taken back %d times, and now %+v", taken, m)
 	}
 	for _, a := range r.attempts("b0") {
 		for _, s := range failing {
-			if a.At.After(s.from.Add(20*time.Millisecond)) && a.At.Before(s.to) { // what was on its way then had begun before
-				t.Errorf("an attempt %v into a turn in which it failed", a.At.Sub(s.from))
+			if a.At.After(s.from.Add(20*time.Millisecond)) && a.At.Before(s.to) { // what was in flight then had begun before
+				t.Errorf("an attempt %v after it had failed", a.At.Sub(s.from))
 			}
 		}
 	}
 }
 
-// What is new is cold: a registration that comes later, one made anew under the same id and address, another id at the
-// same address, and a new process; a check that failed and passes again is not.
+// A node warms up if its registration is new, or made anew under the same ID and address, or under another ID
+// at the same address, or if its process is new; not if its check failed and passes again.
 func TestNewNodesWarmUp(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 4 {
 		r.start(nil)
 	}
-	d := r.door(4, func(c *pumicecroft.Config) { c.Membership.WarmupWindow = time.Hour })
-	for id, m := range members(d) {
+	d := r.gateway(4, func(c *pumicecroft.Config) { c.Membership.WarmupWindow = time.Hour })
+	for id, m := range statusesOf(d) {
 		if m.State != "ready" {
-			t.Errorf("%s was there before and is %s", id, m.State)
+			t.Errorf("%s was registered before and is %s", id, m.State)
 		}
 	}
 	late := r.start(nil)
-	r.state(d, late, "cold")
+	r.wantState(d, late, "cold")
 	r.agent.Remove("n1", "b0")
-	r.state(d, "b0", "gone")
+	r.wantState(d, "b0", "gone")
 	r.agent.Put(r.instance("b0"))
-	r.state(d, "b0", "cold")
+	r.wantState(d, "b0", "cold")
 	other := r.instance("b1")
 	r.agent.Remove("n1", "b1")
 	other.ID = "x1"
 	r.agent.Put(other)
-	r.state(d, "x1", "cold")
+	r.wantState(d, "x1", "cold")
 	again := r.instance("b2")
 	again.Meta = map[string]string{"boot": "2"}
 	r.agent.Put(again)
-	r.state(d, "b2", "cold")
+	r.wantState(d, "b2", "cold")
 	r.agent.SetCheck("n1", "b3", fakes.Check{ID: "web", Status: "critical"})
-	r.state(d, "b3", "draining")
+	r.wantState(d, "b3", "draining")
 	r.agent.SetCheck("n1", "b3", fakes.Check{ID: "web", Status: "passing"})
-	r.state(d, "b3", "ready")
+	r.wantState(d, "b3", "ready")
 }
 
-// A backend that has just been registered falls if it is sent too much: two doors together spare it.
+// A backend that was just registered fails if it gets too much. Two gateways together must not overload it.
 func TestNewNodeIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	limits := func(c *fakes.BackendConfig) {
@@ -236,48 +240,54 @@
 	for range 3 {
 		r.start(limits)
 	}
-	door := func(me int) *pumicecroft.Gateway {
-		return r.door(3, func(c *pumicecroft.Config) {
+	gateway := func(index int) *pumicecroft.Gateway {
+		return r.gateway(3, func(c *pumicecroft.Config) {
 			s := &c.Settings
-			s.GatewayCount, s.GatewayIndex, s.SlowStartMinCapacity, s.SlowStartWindow, s.OverloadFactor, s.OverloadDuration = 2, me, 0.2, 6*time.Second, 0.15, 500*time.Millisecond
+			s.GatewayCount, s.GatewayIndex = 2, index
+			s.SlowStartMinCapacity, s.SlowStartWindow = 0.2, 6*time.Second
+			s.OverloadFactor, s.OverloadDuration = 0.15, 500*time.Millisecond
 		})
 	}
-	a, b := door(0), door(1)
+	a, b := gateway(0), gateway(1)
 	l := r.load(16, "look", 28*time.Millisecond, a, b) // some 75 a second for each that can do 400
 	for l.served.Load() < 100 {
 		time.Sleep(time.Millisecond)
 	}
 	cold := r.start(func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
-	r.state(a, cold, "cold")
-	r.state(b, cold, "cold")
+	r.wantState(a, cold, "cold")
+	r.wantState(b, cold, "cold")
 	served := l.served.Load()
 	for l.served.Load() < served+600 || r.ledger.Reached(cold).Count == 0 { // it is not left out either
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.whole(l)
+	r.wantNoLoss(l)
 	all := int(l.served.Load() - served)
 	if n := r.ledger.Reached(cold).Count; r.backends[cold].Fallen() || n*4 > all {
 		t.Errorf("the new backend got %d attempts of %d, fallen: %v", n, all, r.backends[cold].Fallen())
 	}
 }
 
-// Requests in flight at a node that turns critical end well, and it gets nothing new.
+// A node turns critical with requests in flight. They complete, and it gets no new ones.
 func TestCriticalNodeDrains(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
-	slow := r.start(func(c *fakes.BackendConfig) { c.Work = func(string) time.Duration { return 700 * time.Millisecond } })
-	d := r.door(1, nil)
+	slow := r.start(func(c *fakes.BackendConfig) {
+		c.Work = func(string) time.Duration { return 700 * time.Millisecond }
+	})
+	d := r.gateway(1, nil)
 	l := r.load(10, "pay", time.Hour, d) // one each
 	r.ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 10 })
 	r.agent.SetCheck("n1", slow, fakes.Check{ID: "web", Status: "critical", Output: "503"})
-	r.state(d, slow, "draining")
-	if m := members(d)[slow]; m.Explanation != "consul:identity says that it takes nothing new; critical: web: 503" || m.Source != "consul:identity" {
+	r.wantState(d, slow, "draining")
+	const explanation = "consul:identity says that it takes nothing new; critical: web: 503"
+	if m := statusesOf(d)[slow]; m.Explanation != explanation || m.Source != "consul:identity" {
 		t.Errorf("%+v", m)
 	}
-	if _, err := d.Do(t.Context(), pumicecroft.Request{Class: "pay", Plan: "shop", Customer: 99, IdempotencyKey: "new"}); !errors.Is(err, pumicecroft.ErrRejected) {
+	request := pumicecroft.Request{Class: "pay", Plan: "shop", Customer: 99, IdempotencyKey: "new"}
+	if _, err := d.Do(t.Context(), request); !errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("a new request: %v", err)
 	}
-	for l.asked.Load() < 10 {
+	for l.sent.Load() < 10 {
 		time.Sleep(time.Millisecond)
 	}
 	if l.served.Load() != 10 || len(r.attempts(slow)) != 10 || len(r.ledger.Doubled()) > 0 {
@@ -285,32 +295,38 @@
 	}
 }
 
-// Two sources: a node that only one knows, and one on which they disagree, is what the table's rules say.
+// Consul is merged with another source: a node that only one knows, and one on which they disagree, are as
+// membership.Table has it.
 func TestTwoSources(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	r.start(nil)
 	r.start(nil)
-	own := membership.Update{Full: true, Nodes: []membership.Node{{Name: "n1/b1", Addr: r.backends["b1"].Addr()}, {Name: "n1/own", Addr: "127.0.0.1:9"}}}
-	d := r.door(3, func(c *pumicecroft.Config) { c.InitialEndpoints = own })
-	if m := members(d); m["own"].Source != "own" || m["b0"].Source != "consul:identity" || m["b1"].Source != "consul:identity" {
+	own := membership.Update{Full: true, Nodes: []membership.Node{
+		{Name: "n1/b1", Addr: r.backends["b1"].Addr()},
+		{Name: "n1/own", Addr: "127.0.0.1:9"},
+	}}
+	d := r.gateway(3, func(c *pumicecroft.Config) { c.InitialEndpoints = own })
+	m := statusesOf(d)
+	if m["own"].Source != "own" || m["b0"].Source != "consul:identity" || m["b1"].Source != "consul:identity" {
 		t.Errorf("%+v", m)
 	}
 	own.Nodes[0].State = 1 // draining, by the other source
 	d.Update(own)
-	r.state(d, "b1", "draining")
-	if m := members(d)["b1"]; m.Source != "own" {
+	r.wantState(d, "b1", "draining")
+	if m := statusesOf(d)["b1"]; m.Source != "own" {
 		t.Errorf("%+v", m)
 	}
 	r.agent.Remove("n1", "b1")
 	own.Nodes[0].State = 0
 	d.Update(own)
-	r.await(d, "b1 by the other source alone", func(ms map[string]pumicecroft.BackendStatus) bool {
+	r.await(d, "b1 by the other source alone", func(ms statuses) bool {
 		return ms["b1"].State == "ready" && ms["b1"].Source == "own"
 	})
 }
 
-// A door that starts while its agent can't be reached serves from the list that was kept, and says that it is old.
+// A gateway starts while its agent can't be reached. It serves by the cached list, marked as stale, and
+// applies the changes when the agent is back.
 func TestCachedEndpoints(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
@@ -319,18 +335,18 @@
 	}
 	dir := t.TempDir()
 	with := func(c *pumicecroft.Config) { c.StateDir, c.Membership.WarmupWindow = dir, time.Hour }
-	first := r.door(3, with)
-	new := r.start(nil) // cold, and still so for the next door
-	r.state(first, new, "cold")
+	first := r.gateway(3, with)
+	added := r.start(nil) // warming up, and still so for the next gateway
+	r.wantState(first, added, "cold")
 	if err := first.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	r.agent.Remove("n1", "b0") // while no door is there
+	r.agent.Remove("n1", "b0") // while no gateway runs
 	if err := r.agent.Fail(fakes.Refusing); err != nil {
 		t.Fatal(err)
 	}
-	second := r.door(4, with)
-	if m := members(second); !m["b1"].Stale || m["b1"].State != "ready" || m[new].State != "cold" {
+	second := r.gateway(4, with)
+	if m := statusesOf(second); !m["b1"].Stale || m["b1"].State != "ready" || m[added].State != "cold" {
 		t.Errorf("%+v", m)
 	}
 	l := r.load(4, "pay", time.Millisecond, second)
@@ -340,16 +356,18 @@
 	if err := r.agent.Fail(fakes.Well); err != nil {
 		t.Fatal(err)
 	}
-	r.state(second, "b0", "gone")
-	if m := members(second); m["b1"].Stale || m["b1"].State != "ready" || m[new].State != "cold" {
+	r.wantState(second, "b0", "gone")
+	if m := statusesOf(second); m["b1"].Stale || m["b1"].State != "ready" || m[added].State != "cold" {
 		t.Errorf("when the agent is back: %+v", m)
 	}
-	r.whole(l)
+	r.wantNoLoss(l)
 
-	// A file that is torn, or another's, is refused, and the door serves on what it hears.
+	// A file that is truncated, or not such a file, is rejected, and the gateway serves by what the agent has.
 	path := endpointcache.Path(dir, "consul:identity")
-	for name, spoil := range map[string]func([]byte) []byte{"torn": func(b []byte) []byte { return b[:len(b)/2] },
-		"another's": func([]byte) []byte { return []byte("[1,2,3]\n") }} {
+	for name, spoil := range map[string]func([]byte) []byte{
+		"truncated":    func(b []byte) []byte { return b[:len(b)/2] },
+		"another form": func([]byte) []byte { return []byte("[1,2,3]\n") },
+	} {
 		if err := second.Close(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -360,7 +378,7 @@
 		if err := os.WriteFile(path, spoil(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		second = r.door(3, with)
+		second = r.gateway(3, with)
 		if _, err := second.Do(t.Context(), pumicecroft.Request{Class: "look", Plan: "shop"}); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -373,7 +391,7 @@
 			}
 		}
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, "*")); len(left) != 3 { // and the door's decisions, with their lock
+	if left, _ := filepath.Glob(filepath.Join(dir, "*")); len(left) != 3 { // and the gateway's snapshot, with its lock
 		t.Errorf("kept: %q", left)
 	}
 }
