--- a/consul/watch.go
+++ b/consul/watch.go
@@ -131,7 +131,7 @@
 	}
 	apply = func(verdict blockingquery.Verdict) {
 		r.report(verdict.IndexReset, func(now time.Time) error {
-			invalid := r.catalog.UpdateHealth(now, entries(found), verdict.Full, verdict.IndexReset)
+			invalid := r.catalog.UpdateHealth(now, toEntries(found), verdict.Full, verdict.IndexReset)
 			if !verdict.Full {
 				return fmt.Errorf("%w: %s", ErrPartial, verdict.Reason)
 			}
@@ -153,19 +153,19 @@
 	}
 }
 
-// entries returns the entries of a response of the health API. Entries without a node or a service are left
+// toEntries returns the entries of a response of the health API. Entries without a node or a service are left
 // out.
-func entries(found []*api.ServiceEntry) []consulcatalog.Entry {
-	var out []consulcatalog.Entry
+func toEntries(found []*api.ServiceEntry) []consulcatalog.Entry {
+	var entries []consulcatalog.Entry
 	for _, f := range found {
 		if f != nil && f.Service != nil && f.Node != nil {
-			out = append(out, entry(f))
+			entries = append(entries, toEntry(f))
 		}
 	}
-	return out
+	return entries
 }
 
-func entry(found *api.ServiceEntry) consulcatalog.Entry {
+func toEntry(found *api.ServiceEntry) consulcatalog.Entry {
 	service, node := found.Service, found.Node
 	host := cmp.Or(service.Address, node.Address)
 	e := consulcatalog.Entry{
--- a/consul/watch_test.go
+++ b/consul/watch_test.go
@@ -196,7 +196,7 @@
 
 // A node warms up if its registration is new, or made anew under the same ID and address, or under another ID
 // at the same address, or if its process is new; not if its check failed and passes again.
-func TestNewNodesWarmUp(t *testing.T) {
+func TestNewNodesStartSlowly(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t, nil)
 	for range 4 {
@@ -253,17 +253,17 @@
 	for l.served.Load() < 100 {
 		time.Sleep(time.Millisecond)
 	}
-	cold := r.start(func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
-	r.wantState(a, cold, "cold")
-	r.wantState(b, cold, "cold")
+	added := r.start(func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
+	r.wantState(a, added, "cold")
+	r.wantState(b, added, "cold")
 	served := l.served.Load()
-	for l.served.Load() < served+600 || r.ledger.Reached(cold).Count == 0 { // it is not left out either
+	for l.served.Load() < served+600 || r.ledger.Reached(added).Count == 0 { // it is not left out either
 		time.Sleep(10 * time.Millisecond)
 	}
 	r.wantNoLoss(l)
 	all := int(l.served.Load() - served)
-	if n := r.ledger.Reached(cold).Count; r.backends[cold].Fallen() || n*4 > all {
-		t.Errorf("the new backend got %d attempts of %d, fallen: %v", n, all, r.backends[cold].Fallen())
+	if n := r.ledger.Reached(added).Count; r.backends[added].Fallen() || n*4 > all {
+		t.Errorf("the new backend got %d attempts of %d, fallen: %v", n, all, r.backends[added].Fallen())
 	}
 }
 
--- a/internal/consulcatalog/catalog_test.go
+++ b/internal/consulcatalog/catalog_test.go
@@ -43,15 +43,15 @@
 	if !ok {
 		return "nothing yet"
 	}
-	var out []string
+	var nodes []string
 	for _, n := range update.Nodes {
 		s := n.Name + ":" + []string{"ready", "draining", "gone"}[n.State]
 		if !n.StartedAt.IsZero() {
 			s += fmt.Sprintf("^%v", n.StartedAt.Sub(t0).Seconds())
 		}
-		out = append(out, s)
+		nodes = append(nodes, s)
 	}
-	return strings.Join(out, " ")
+	return strings.Join(nodes, " ")
 }
 
 func want(t *testing.T, catalog *Catalog, at float64, want string) {
@@ -310,11 +310,11 @@
 // must be reported beside it, once.
 func TestUnlistedDrains(t *testing.T) {
 	catalog := NewCatalog(Mapping{}, true)
-	names := func(entries ...Entry) (out []string) {
+	names := func(entries ...Entry) (names []string) {
 		for _, e := range entries {
-			out = append(out, Name(e.Node, e.ID))
+			names = append(names, Name(e.Node, e.ID))
 		}
-		return out
+		return names
 	}
 	drains := func(at float64, listed, unlisted string) {
 		t.Helper()
--- a/internal/consulcatalog/update.go
+++ b/internal/consulcatalog/update.go
@@ -10,9 +10,9 @@
 	"pumicecroft/membership"
 )
 
-// minLostInHealth is how many instances the health API must lack, beside most of those in the catalog, to be
+// minMissingInHealth is how many instances the health API must lack, beside most of those in the catalog, to be
 // taken for failing itself.
-const minLostInHealth = 3
+const minMissingInHealth = 3
 
 // Update returns the service's nodes as they are known now. It returns false if too little is known yet.
 // Before both queries have sent a full response, the update is not full and has only nodes that must not be
@@ -68,17 +68,17 @@
 // lists. It has more likely failed itself, so these instances are left out as if they were missing: the
 // membership table then weighs the update as a mass removal.
 func (c *Catalog) isHealthFailing() bool {
-	present, lost := 0, 0
+	present, missing := 0, 0
 	for name, r := range c.records {
 		if (c.registered != nil && !c.registered[name]) || !r.absentSince.IsZero() {
 			continue
 		}
 		present++
 		if !c.inHealth[name] {
-			lost++
+			missing++
 		}
 	}
-	return lost > 0 && (len(c.inHealth) == 0 || lost >= minLostInHealth && 2*lost > present)
+	return missing > 0 && (len(c.inHealth) == 0 || missing >= minMissingInHealth && 2*missing > present)
 }
 
 // isPresent reports whether an update names an instance. One that was absent is present again when all that
@@ -104,7 +104,7 @@
 
 // UnlistedDrains returns the nodes that drain by the health API but that Update leaves out, as the catalog
 // lacks them: each once, until it is ready or listed again. A catalog that lacks everything may be doubted
-// as a whole, and a drain must not be lost with it, so this is reported before Update. It is not full.
+// as a whole, and a drain must not be missing with it, so this is reported before Update. It is not full.
 func (c *Catalog) UnlistedDrains() (update membership.Update) {
 	if c.awaitingServices || !c.healthSeen || c.registered == nil {
 		return update
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -40,7 +40,7 @@
 }
 
 // Discovery is polled where asking costs it work, and subscribed to at once where it pushes.
-func TestDiscoveryIsAskedWhereItDoesNotTell(t *testing.T) {
+func TestPollWithinWhereDiscoveryDoesNotPush(t *testing.T) {
 	for how, want := range map[string]time.Duration{"on_request": 10 * time.Second, "pushed": 0} {
 		text := strings.Replace(testConfig, `"settings":{`, `"settings":{"discovery":"`+how+`",`, 1)
 		text = strings.Replace(text, `"obligations":{`, `"obligations":{"must_ask_in_us":10000000,`, 1)
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -111,10 +111,10 @@
 	change string) (delay time.Duration, call int64) {
 	t.Helper()
 	var calls atomic.Int64
-	begun := make(chan time.Time, 1)
+	calledAt := make(chan time.Time, 1)
 	addr := testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 1 {
-			begun <- time.Now()
+			calledAt <- time.Now()
 			fails(w, r)
 			return
 		}
@@ -127,7 +127,7 @@
 	defer stop()
 	(&Discovery{PollWithin: within}).followAddr(ctx, addr, from, 0, retry, func(u EndpointUpdate) {
 		if u.Seq == 43 && call == 0 {
-			delay, call = time.Since(<-begun), calls.Load()
+			delay, call = time.Since(<-calledAt), calls.Load()
 			stop()
 		}
 	})
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -108,13 +108,13 @@
 		case <-time.After(wait):
 		case <-wakeups:
 		}
-		begun := time.Now()
+		startedAt := time.Now()
 		err := d.followOnce(ctx, transport, addr, &from, update)
-		synced, unsure := d.state.watchEnded(begun)
+		synced, unsure := d.state.watchEnded(startedAt)
 		if ctx.Err() != nil {
 			return
 		}
-		wait = retryDelay(retry, err, time.Since(begun), synced, unsure)
+		wait = retryDelay(retry, err, time.Since(startedAt), synced, unsure)
 		logLimit.Do(func() {
 			slog.Warn("discovery watch ended", "addr", addr, "from_version", from, "err", err, "retry_in", wait)
 		})
--- a/internal/platform/sync_test.go
+++ b/internal/platform/sync_test.go
@@ -47,11 +47,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	for seq := int64(3); seq < 30; seq++ {
-		d.tell(t, seq)
+		d.publish(t, seq)
 		sync(time.Now(), seq)
 	}
 	gate <- true // from now on nothing can be reported
-	d.tell(t, 30)
+	d.publish(t, 30)
 	done := make(chan bool)
 	go func() { sync(time.Now(), 30); close(done) }()
 	select {
@@ -61,7 +61,7 @@
 	}
 	<-gate
 	testkit.Await(t, done, "Sync")
-	d.tell(t, 31)
+	d.publish(t, 31)
 	d.cut() // the update is unread, or lost with its watch: the next one has it
 	sync(begin, 31)
 	d.down()
@@ -85,21 +85,21 @@
 
 // scriptedDiscovery is a discovery whose watches send the versions that the test sets.
 type scriptedDiscovery struct {
-	addr  string
-	mu    sync.Mutex
-	seq   int64
-	dead  bool
-	news  chan bool  // closed at each change
-	end   chan bool  // closed to cut the watches
-	wrote chan int64 // receives each version that was written
+	addr    string
+	mu      sync.Mutex
+	seq     int64
+	dead    bool
+	changed chan bool  // closed at each change
+	end     chan bool  // closed to cut the watches
+	wrote   chan int64 // receives each version that was written
 }
 
 func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
-	d := &scriptedDiscovery{seq: 2, news: make(chan bool), end: make(chan bool), wrote: make(chan int64, 100)}
+	d := &scriptedDiscovery{seq: 2, changed: make(chan bool), end: make(chan bool), wrote: make(chan int64, 100)}
 	d.addr = testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		for {
 			d.mu.Lock()
-			seq, dead, news, end := d.seq, d.dead, d.news, d.end
+			seq, dead, changed, end := d.seq, d.dead, d.changed, d.end
 			d.mu.Unlock()
 			if dead {
 				panic(http.ErrAbortHandler)
@@ -108,7 +108,7 @@
 			w.(http.Flusher).Flush()
 			d.wrote <- seq
 			select {
-			case <-news:
+			case <-changed:
 			case <-end:
 				panic(http.ErrAbortHandler)
 			case <-r.Context().Done():
@@ -119,13 +119,13 @@
 	return d
 }
 
-// tell sends a version to all watches and returns when it has been written.
-func (d *scriptedDiscovery) tell(t *testing.T, seq int64) {
+// publish sends a version to all watches and returns when it has been written.
+func (d *scriptedDiscovery) publish(t *testing.T, seq int64) {
 	t.Helper()
 	d.mu.Lock()
 	d.seq = seq
-	close(d.news)
-	d.news = make(chan bool)
+	close(d.changed)
+	d.changed = make(chan bool)
 	d.mu.Unlock()
 	wrote := testkit.Await(t, d.wrote, "a version to be written")
 	for wrote != seq {
--- a/internal/platform/updatereader.go
+++ b/internal/platform/updatereader.go
@@ -262,8 +262,8 @@
 
 // intern returns a name that many entries share, kept once.
 func (u *updateReader) intern(name string) string {
-	if kept, ok := u.interned[name]; ok {
-		return kept
+	if known, ok := u.interned[name]; ok {
+		return known
 	}
 	if len(u.interned) < maxInternedNames && len(name) <= maxInternedBytes {
 		u.interned[name] = name
--- a/internal/platform/updates_test.go
+++ b/internal/platform/updates_test.go
@@ -166,8 +166,8 @@
 			a := s.waitRequest("?watch=1&from=3")
 			s.send(a, encodeNamed(4, true, "a b c")+"\n")
 			s.wantState("a b c")
-			whole := encodeNamed(9, true, "d a:out x:out b e")
-			s.send(a, whole[:len(whole)-cut])
+			text := encodeNamed(9, true, "d a:out x:out b e")
+			s.send(a, text[:len(text)-cut])
 			s.wantState("a:out b c")
 			a.end()
 			a = s.waitRequest("?watch=1&from=4")
@@ -330,9 +330,9 @@
 func TestSlowUpdateKeepsWatchAlive(t *testing.T) {
 	const silence, every = time.Second, 100 * time.Millisecond
 	for _, c := range []struct {
-		entries int // every time
-		err     error
-		heard   int
+		entries  int // every time
+		err      error
+		reported int
 	}{{progressEntries / 2, nil, 1}, {1, errSilent, 0}} {
 		t.Run(fmt.Sprint(c.entries), func(t *testing.T) {
 			t.Parallel()
@@ -350,11 +350,11 @@
 				}
 				flushed(w, "]}")
 			})
-			from, heard := int64(1), 0
+			from, reported := int64(1), 0
 			err := (&Discovery{}).watch(t.Context(), &http.Transport{DisableKeepAlives: true}, addr,
-				watchTimeouts{silence: silence}, &from, func(EndpointUpdate) { heard++ })
-			if heard != c.heard || c.err != nil && !errors.Is(err, c.err) {
-				t.Errorf("ended with %v after %d lists", err, heard)
+				watchTimeouts{silence: silence}, &from, func(EndpointUpdate) { reported++ })
+			if reported != c.reported || c.err != nil && !errors.Is(err, c.err) {
+				t.Errorf("ended with %v after %d lists", err, reported)
 			}
 		})
 	}
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -67,14 +67,14 @@
 		_ = res.Body.Close() // it was read only
 	}
 	stream.updateReader = newUpdateReader(res.Body, d.MaxEntries)
-	begun := timeouts.first == 0 && timeouts.turn == 0
+	started := timeouts.first == 0 && timeouts.turn == 0
 	stream.onProgress = func(begins bool) {
-		begun = begun || begins
-		if begun {
+		started = started || begins
+		if started {
 			alarm.Reset(timeouts.silence)
-			d.state.update(func() { d.state.heardAt = time.Now() })
-		} else if left := time.Until(asked.Add(timeouts.turn)); left > 0 {
-			alarm.Reset(min(left, timeouts.silence))
+			d.state.update(func() { d.state.progressAt = time.Now() })
+		} else if remaining := time.Until(asked.Add(timeouts.turn)); remaining > 0 {
+			alarm.Reset(min(remaining, timeouts.silence))
 		}
 	}
 	return stream, nil
--- a/internal/platform/watchstate.go
+++ b/internal/platform/watchstate.go
@@ -13,13 +13,13 @@
 // watchState is what Sync knows of the watch: whether it is alive, and whether all that arrived on its
 // connection has been reported. It is safe for concurrent use.
 type watchState struct {
-	mu      sync.Mutex
-	conn    *unread.Conn  // of the watch, or of the one that is being opened; nil if there is none
-	synced  bool          // the watch has reported what had changed before it was opened
-	lostAt  time.Time     // when the last synced watch ended; zero if there was none yet
-	heardAt time.Time     // when the watch made progress last
-	changed chan struct{} // closed at the next change; nil if nobody waits for it
-	wake    chan struct{} // see wakeups
+	mu         sync.Mutex
+	conn       *unread.Conn  // of the watch, or of the one that is being opened; nil if there is none
+	synced     bool          // the watch has reported what had changed before it was opened
+	endedAt    time.Time     // when the last synced watch ended; zero if there was none yet
+	progressAt time.Time     // when the watch made progress last
+	changed    chan struct{} // closed at the next change; nil if nobody waits for it
+	wake       chan struct{} // see wakeups
 }
 
 // update changes the state and wakes those who wait for a change.
@@ -47,15 +47,16 @@
 // watchEnded notes the end of a watch whose call began at a time. It returns whether the watch was
 // synced, and for how long changes may have been missed: since the watch's last progress, or since the
 // call if it was not synced. Progress of a call that waits for its turn proves nothing.
-func (s *watchState) watchEnded(begun time.Time) (synced bool, unsure time.Duration) {
+func (s *watchState) watchEnded(calledAt time.Time) (synced bool, unsure time.Duration) {
+	unsureSince := calledAt
 	s.update(func() {
 		synced = s.synced
 		if synced {
-			begun, s.lostAt = s.heardAt, time.Now()
+			unsureSince, s.endedAt = s.progressAt, time.Now()
 		}
 		s.conn, s.synced = nil, false
 	})
-	return synced, time.Since(begun)
+	return synced, time.Since(unsureSince)
 }
 
 // idle reports whether everything that has arrived on the connection has been read and dealt with.
@@ -97,11 +98,11 @@
 			s.changed = make(chan struct{})
 		}
 		changed, conn := s.changed, s.conn
-		alive := s.synced && time.Since(s.heardAt) < watchTimeout
-		lostBefore := !s.synced && s.lostAt.Before(since)
+		alive := s.synced && time.Since(s.progressAt) < watchTimeout
+		endedBefore := !s.synced && s.endedAt.Before(since)
 		s.mu.Unlock()
 		switch {
-		case lostBefore:
+		case endedBefore:
 			return fmt.Errorf("platform: discovery: %w", errSilent)
 		case alive && conn.Nothing():
 			return nil
--- a/membership/helpers_test.go
+++ b/membership/helpers_test.go
@@ -27,12 +27,12 @@
 
 // sourceInfos returns sources by name; one with a "!" behind it is trusted.
 func sourceInfos(names ...string) []SourceInfo {
-	var out []SourceInfo
+	var sources []SourceInfo
 	for _, name := range names {
 		name, trusted := strings.CutSuffix(name, "!")
-		out = append(out, SourceInfo{Name: name, Trusted: trusted})
+		sources = append(sources, SourceInfo{Name: name, Trusted: trusted})
 	}
-	return out
+	return sources
 }
 
 func startOffset(at time.Time) time.Duration {
@@ -43,7 +43,7 @@
 }
 
 func parseNodes(text string) []Node {
-	var out []Node
+	var nodes []Node
 	for field := range strings.FieldsSeq(text) {
 		field, start, _ := strings.Cut(field, "^")
 		field, addr, _ := strings.Cut(field, "@")
@@ -57,13 +57,13 @@
 			}
 			n.StartedAt = time.Unix(seconds, 0)
 		}
-		out = append(out, n)
+		nodes = append(nodes, n)
 	}
-	return out
+	return nodes
 }
 
 func formatChanges(changes []Change) string {
-	var out []string
+	var lines []string
 	for _, c := range changes {
 		line := fmt.Sprintf("%s#%d:%s", c.Name, c.ID, []string{"ready", "draining", "gone"}[c.State])
 		if c.StartedAt > 0 {
@@ -72,9 +72,9 @@
 		if c.Replaced {
 			line += " moved to " + c.Addr
 		}
-		out = append(out, line)
+		lines = append(lines, line)
 	}
-	return strings.Join(out, "; ")
+	return strings.Join(lines, "; ")
 }
 
 func (tt *tableTest) changes(at time.Duration, source, text, want string) {
--- a/membership/probation.go
+++ b/membership/probation.go
@@ -26,16 +26,16 @@
 // nextState returns the state that a member's reports and probation come to, and the index of the source
 // that decided. It counts an outage where one begins, and starts probation where one ends.
 func (t *Table) nextState(m *member) (state State, decidedBy int) {
-	if out := m.firstNotReady(); out != noSource {
+	if index := m.firstNotReady(); index != noSource {
 		if m.state != Draining && m.state != Unknown {
 			m.outages++
 		}
-		m.outByTrusted = t.sources[out].Trusted
-		return Draining, out
+		m.drainedByTrusted = t.sources[index].Trusted
+		return Draining, index
 	}
 	first := m.reports[0].sourceIndex
 	switch {
-	case m.state == Draining && !m.outByTrusted:
+	case m.state == Draining && !m.drainedByTrusted:
 		m.healthySince = t.now
 		m.probationUntil = t.now + t.probation(m)
 		return Probation, first
--- a/membership/table.go
+++ b/membership/table.go
@@ -20,19 +20,19 @@
 
 // member is one node with its state.
 type member struct {
-	name           string
-	id             decision.BackendID
-	reports        []report // one of each source that knows the node, by precedence
-	emitted        Change   // the last one
-	state          State
-	since          time.Duration // of state
-	decidedBy      int           // index of the source whose report decided
-	outByTrusted   bool          // that source was trusted when it put the node out: it is taken back at once
-	probationUntil time.Duration
-	outages        int           // those that are not forgotten
-	healthySince   time.Duration // moved on by Policy.ProbationReset for each outage that is forgotten
-	queueIndex     int           // in Table.queue, from 1; 0 if it is not there
-	evaluateAt     time.Duration // when the queue wants it evaluated
+	name             string
+	id               decision.BackendID
+	reports          []report // one of each source that knows the node, by precedence
+	emitted          Change   // the last one
+	state            State
+	since            time.Duration // of state
+	decidedBy        int           // index of the source whose report decided
+	drainedByTrusted bool          // a trusted source drained the node: it is taken back at once
+	probationUntil   time.Duration
+	outages          int           // those that are not forgotten
+	healthySince     time.Duration // moved on by Policy.ProbationReset for each outage that is forgotten
+	queueIndex       int           // in Table.queue, from 1; 0 if it is not there
+	evaluateAt       time.Duration // when the queue wants it evaluated
 }
 
 // Table merges what several sources report of the nodes. It is not safe for concurrent use. The sources
