--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -8,70 +8,84 @@
 	"pumicecroft/internal/eventqueue"
 )
 
-// backend works at some requests at once and has others wait; when it is cold it is slower, and falls if it is sent far more than it
-// can do.
+// backend executes some requests at once and queues others. During its warm-up it is slower, and
+// restarts if it is overloaded.
 type backend struct {
-	region         *Region
-	number         int32
-	shard          *shard
-	zone, cell     int32
-	epoch          int32 // of its process
+	region     *Region
+	number     int32
+	shard      *shard
+	zone, cell int32
+	capacity   float64 // requests a second, once warm
+
+	epoch          int32 // counts the ends of processes
 	up             bool
 	draining       bool
 	drainedAt      time.Duration
-	startedAt      time.Duration // of its process; before the region's start if it is warm from the first
-	running        []message     // it works at
+	warm           bool          // it runs since before the region's start
+	startedAt      time.Duration // of a process that is not warm
+	running        []message     // attempts that it executes
 	queue          []message
-	recentArrivals []time.Duration // arrivals while it is cold
-	warm           bool            // for good
-	capacity       float64
+	recentArrivals []time.Duration // during the warm-up, within OverloadDuration
 }
 
-func newBackend(r *Region, i int) *backend {
-	b := &backend{region: r, number: int32(i), shard: r.shards[i%len(r.shards)], zone: int32(i % r.config.Backends.Zones), cell: int32(i % r.config.Backends.Cells), up: true, warm: true}
-	b.capacity = float64(r.config.Backends.Concurrency) / r.config.Backends.Service.Mean.Seconds()
-	return b
+func newBackend(r *Region, number int) *backend {
+	c := &r.config.Backends
+	return &backend{
+		region: r, number: int32(number), shard: r.shards[number%len(r.shards)],
+		zone: int32(number % c.Zones), cell: int32(number % c.Cells),
+		capacity: float64(c.Concurrency) / c.Service.Mean.Seconds(), up: true, warm: true,
+	}
 }
 
-// endpoint is what discovery says of it.
+// endpoint is what discovery tells of the backend.
 func (b *backend) endpoint() decision.Endpoint {
-	v := decision.Endpoint{ID: decision.BackendID(b.number), Zone: zoneName(b.zone), Cell: int(b.cell), Weight: 1}
+	endpoint := decision.Endpoint{
+		ID: decision.BackendID(b.number), Zone: zoneName(b.zone), Cell: int(b.cell), Weight: 1,
+	}
 	if !b.warm {
-		v.StartedAt = clockStart + b.startedAt
+		endpoint.StartedAt = clockStart + b.startedAt
 	}
 	if b.draining || !b.up {
-		v.State = decision.Draining
+		endpoint.State = decision.Draining
 	}
-	return v
+	return endpoint
 }
 
+// zoneName names a zone by two letters.
 func zoneName(z int32) string { return string('a'+z%26) + string('a'+z/26%26) }
 
-// publish tells discovery.
+// publish tells discovery of the backend.
 func (b *backend) publish() {
-	info := []decision.Endpoint{b.endpoint()}
-	to := b.region.discovery.shard
-	b.shard.send(to, b.shard.now+b.region.config.Network.MinDelay, message{kind: msgBackendChanged, backend: b.number, endpoints: &info})
+	changed := []decision.Endpoint{b.endpoint()}
+	arrival := b.shard.now + b.region.config.Network.MinDelay
+	b.shard.send(b.region.discovery.shard, arrival,
+		message{kind: msgBackendChanged, backend: b.number, endpoints: &changed})
 }
 
-// warmupFraction is the share of its capacity that it has.
+// minWarmupFraction bounds the time that an execution takes, where a backend starts with no
+// capacity.
+const minWarmupFraction = 1e-3
+
+// warmupFraction is the share of its capacity that the backend has.
 func (b *backend) warmupFraction() float64 {
-	set := &b.region.config.Settings
-	if b.warm || set.SlowStartWindow <= 0 {
+	settings := &b.region.config.Settings
+	if b.warm || settings.SlowStartWindow <= 0 {
 		return 1
 	}
 	age := b.shard.now - b.startedAt
-	if age >= set.SlowStartWindow {
+	if age >= settings.SlowStartWindow {
 		return 1
 	}
-	return max(1e-3, set.SlowStartMinCapacity+(1-set.SlowStartMinCapacity)*age.Seconds()/set.SlowStartWindow.Seconds())
+	least := settings.SlowStartMinCapacity
+	return max(minWarmupFraction, least+(1-least)*age.Seconds()/settings.SlowStartWindow.Seconds())
 }
 
-// onAttempt is an attempt that has come.
+// onAttempt executes, queues or rejects an attempt. In a lost zone nothing answers; connections
+// that were up are given up after a while, and new ones don't come up.
 func (b *backend) onAttempt(m *message) {
 	s := b.shard
 	if lost, since := b.region.zoneLost(b.zone, s.now); lost {
-		if s.now-since > staleConnectionsFor { // no connection is left, and none comes up
+		if s.now-since > staleConnectionsFor {
 			b.respond(m, decision.ConnectFailed, s.now+b.region.config.Backends.ConnectTimeout)
 		}
 		return
@@ -80,9 +94,10 @@
 		b.respond(m, decision.ConnectFailed, s.now)
 		return
 	}
-	w := b.warmupFraction()
-	s.counts.recordArrival(b.region, m, w < 1, b.draining && s.now-b.drainedAt > b.region.config.Settings.DrainGrace)
-	if w < 1 && b.overloaded(w) {
+	fraction := b.warmupFraction()
+	pastGrace := b.draining && s.now-b.drainedAt > b.region.config.Settings.DrainGrace
+	s.counts.recordArrival(b.region, m, fraction < 1, pastGrace)
+	if fraction < 1 && b.overloaded(fraction) {
 		s.counts.Overloads++
 		b.stop()
 		s.schedule(s.now+b.region.config.Backends.RestartTime, message{kind: msgFunc, run: b.start})
@@ -91,7 +106,7 @@
 	}
 	switch {
 	case len(b.running) < b.region.config.Backends.Concurrency:
-		b.execute(m, w)
+		b.execute(m, fraction)
 	case len(b.queue) < b.region.config.Backends.MaxQueue:
 		b.queue = append(b.queue, *m)
 	default:
@@ -99,41 +114,54 @@
 	}
 }
 
-// overloaded notes an arrival at a cold backend, and tells whether it was sent too much for too long.
-func (b *backend) overloaded(w float64) bool {
-	set := &b.region.config.Settings
-	if set.OverloadFactor <= 0 || set.OverloadDuration <= 0 {
+// overloaded records an arrival during the warm-up, and tells whether there were too many for too
+// long.
+func (b *backend) overloaded(fraction float64) bool {
+	settings := &b.region.config.Settings
+	if settings.OverloadFactor <= 0 || settings.OverloadDuration <= 0 {
 		return false
 	}
 	now := b.shard.now
-	for len(b.recentArrivals) > 0 && now-b.recentArrivals[0] > set.OverloadDuration {
+	for len(b.recentArrivals) > 0 && now-b.recentArrivals[0] > settings.OverloadDuration {
 		b.recentArrivals = b.recentArrivals[1:]
 	}
 	b.recentArrivals = append(b.recentArrivals, now)
-	return now-b.startedAt > set.OverloadDuration && float64(len(b.recentArrivals)) > set.OverloadFactor*w*b.capacity*set.OverloadDuration.Seconds()
+	limit := settings.OverloadFactor * fraction * b.capacity * settings.OverloadDuration.Seconds()
+	return now-b.startedAt > settings.OverloadDuration && float64(len(b.recentArrivals)) > limit
 }
 
-// execute begins a request. It takes as long as its call's chance has it, whoever sent it when.
-func (b *backend) execute(m *message, warmth float64) {
+// execute executes an attempt. How long that takes depends on its call and try, not on who sent it
+// when.
+func (b *backend) execute(m *message, fraction float64) {
 	s, r := b.shard, b.region
-	u := eventqueue.RandFloat64(r.seed, purposeService, m.call.number, m.requestID&127, uint64(m.attempt))
-	took := time.Duration(float64(r.service.sample(u)) * r.slowdown(b.zone, s.now) / warmth)
+	draw := eventqueue.RandFloat64(r.seed, purposeService, m.call.number, m.requestID&maxTryNumber, uint64(m.attempt))
+	duration := time.Duration(float64(r.service.sample(draw)) * r.slowdown(b.zone, s.now) / fraction)
 	b.running = append(b.running, *m)
-	s.schedule(s.now+took, message{kind: msgDone, backend: b.number, epoch: b.epoch, requestID: m.requestID, attempt: m.attempt})
+	s.schedule(s.now+duration, message{
+		kind: msgDone, backend: b.number, epoch: b.epoch, requestID: m.requestID, attempt: m.attempt,
+	})
 	if r.config.Settings.Classes[m.call.class].Idempotency != decision.Idempotent {
-		d := r.gateways[m.gateway]
-		s.send(d.shard, s.now+r.delay(m.requestID, uint64(m.attempt), 4), message{kind: msgExecution, gateway: m.gateway, backend: b.number, requestID: m.requestID, attempt: m.attempt, at: s.now, call: m.call})
+		arrival := s.now + r.delay(m.requestID, uint64(m.attempt), delayExecution)
+		s.send(r.gateways[m.gateway].shard, arrival, message{
+			kind: msgExecution, gateway: m.gateway, backend: b.number,
+			requestID: m.requestID, attempt: m.attempt, at: s.now, call: m.call,
+		})
 	}
 }
 
-// onDone ends a request, and begins the next.
+// isAttempt tells whether a message is of the same attempt.
+func (m *message) isAttempt(other *message) bool {
+	return m.requestID == other.requestID && m.attempt == other.attempt
+}
+
+// onDone ends an execution, and begins that of the next attempt in the queue.
 func (b *backend) onDone(m *message) {
 	if m.epoch != b.epoch {
 		return
 	}
-	i := slices.IndexFunc(b.running, func(j message) bool { return j.requestID == m.requestID && j.attempt == m.attempt })
-	b.respond(&b.running[i], decision.Succeeded, b.shard.now)
-	b.running[i] = b.running[len(b.running)-1]
+	index := slices.IndexFunc(b.running, func(running message) bool { return running.isAttempt(m) })
+	b.respond(&b.running[index], decision.Succeeded, b.shard.now)
+	b.running[index] = b.running[len(b.running)-1]
 	b.running = b.running[:len(b.running)-1]
 	if len(b.queue) > 0 {
 		next := b.queue[0]
@@ -142,40 +170,43 @@
 	}
 }
 
-// onCancel takes a request that nobody waits for out of the queue. One that has begun goes on.
+// onCancel takes an attempt out of the queue. One that is executed goes on.
 func (b *backend) onCancel(m *message) {
-	b.queue = slices.DeleteFunc(b.queue, func(j message) bool { return j.requestID == m.requestID && j.attempt == m.attempt })
+	b.queue = slices.DeleteFunc(b.queue, func(queued message) bool { return queued.isAttempt(m) })
 }
 
-// respond sends an outcome back, unless the network is gone.
+// respond sends an attempt's outcome to its gateway, unless the zone is lost.
 func (b *backend) respond(m *message, result decision.Result, at time.Duration) {
-	s := b.shard
-	if lost, _ := b.region.zoneLost(b.zone, s.now); lost && result != decision.ConnectFailed {
+	s, r := b.shard, b.region
+	if lost, _ := r.zoneLost(b.zone, s.now); lost && result != decision.ConnectFailed {
 		return
 	}
-	s.send(b.region.gateways[m.gateway].shard, at+b.region.delay(m.requestID, uint64(m.attempt), 5), message{kind: msgOutcome, result: result, gateway: m.gateway, requestID: m.requestID, attempt: m.attempt})
+	arrival := at + r.delay(m.requestID, uint64(m.attempt), delayOutcome)
+	s.send(r.gateways[m.gateway].shard, arrival, message{
+		kind: msgOutcome, result: result, gateway: m.gateway, requestID: m.requestID, attempt: m.attempt,
+	})
 }
 
-// drain has the lists say that it takes nothing new.
+// drain announces that the backend is to be sent nothing new.
 func (b *backend) drain() {
 	b.draining, b.drainedAt = true, b.shard.now
 	b.publish()
 }
 
-// stop ends its process, and with it all that it had.
+// stop ends the process, and with it all attempts that it has.
 func (b *backend) stop() {
 	if !b.up {
 		return
 	}
-	for _, j := range slices.Concat(b.running, b.queue) {
-		b.respond(&j, decision.ConnectionLost, b.shard.now)
+	for _, m := range slices.Concat(b.running, b.queue) {
+		b.respond(&m, decision.ConnectionLost, b.shard.now)
 	}
 	b.up, b.running, b.queue, b.recentArrivals = false, nil, nil, nil
 	b.epoch++
 	b.publish()
 }
 
-// start is a new process, which is cold.
+// start starts a new process, which warms up.
 func (b *backend) start() {
 	b.up, b.draining, b.warm, b.startedAt = true, false, false, b.shard.now
 	b.publish()
--- a/internal/emulator/counter.go
+++ b/internal/emulator/counter.go
@@ -7,24 +7,24 @@
 	"pumicecroft/internal/eventqueue"
 )
 
-// Counter is the counter that doors share: numbers by name, one call after another.
+// Counter is the counter that gateways share: sums by key, with one call after another.
 type Counter struct {
-	Rate    float64       // calls that it takes a second; 0: there is none
-	MaxWait time.Duration // a call that would wait for longer is turned away
-	Timeout time.Duration // after which a door counts a call as lost
+	Rate    float64       // calls that it takes a second; 0: there is no counter
+	MaxWait time.Duration // a call that would wait for longer is rejected
+	Timeout time.Duration // after which a gateway counts a call as lost
 }
 
 // counterCall is one call of the counter, on its way there and back.
 type counterCall struct {
-	count  decision.CounterAdd
+	add    decision.CounterAdd
 	result decision.CounterResult
-	sentAt time.Duration // when it left its door
+	sentAt time.Duration
 }
 
-// counter is the actor. It stands at the first shard.
+// counter is the shared counter. It is an actor of the first shard.
 type counter struct {
 	shard     *shard
-	busyUntil time.Duration // until then
+	busyUntil time.Duration
 	values    map[uint64]*counterValue
 }
 
@@ -33,64 +33,71 @@
 	expiresAt time.Duration
 }
 
-// callCounter sends a door's call.
-func (d *gateway) callCounter(c decision.CounterAdd) {
-	s := d.shard
+func (c *Counter) valid() bool {
+	return c.Rate == 0 || c.Rate > 0 && c.Rate <= 1e9 && c.MaxWait >= 0 && c.Timeout > 0
+}
+
+// callCounter sends a gateway's call.
+func (g *gateway) callCounter(add decision.CounterAdd) {
+	s, r := g.shard, g.region
 	s.counts.CounterCalls++
-	s.send(s.region.counter.shard, s.now+s.region.delay(uint64(d.number), c.Ref, 8),
-		message{kind: msgCounterCall, gateway: d.number, epoch: int32(d.epoch), counterCall: &counterCall{count: c, sentAt: s.now}})
+	arrival := s.now + r.delay(uint64(g.number), add.Ref, delayCounterCall)
+	s.send(r.counter.shard, arrival, message{
+		kind: msgCounterCall, gateway: g.number, epoch: int32(g.epoch),
+		counterCall: &counterCall{add: add, sentAt: s.now},
+	})
 }
 
-// onCall adds what a call says when its turn comes. A call that is lost was lost on its way there or on its way back.
-func (y *counter) onCall(m *message) {
-	s, c := y.shard, m.counterCall
+// onCall takes a call. One half of the calls that are lost are lost on their way there, the other
+// half on their way back.
+func (c *counter) onCall(m *message) {
+	s, call := c.shard, m.counterCall
 	r := s.region
-	set := &r.config.Counter
-	patient := max(c.sentAt+set.Timeout, s.now+r.config.Network.MinDelay)
-	c.result = decision.CounterResult{Ref: c.count.Ref, Result: decision.Succeeded}
+	policy := &r.config.Counter
+	call.result = decision.CounterResult{Ref: call.add.Ref, Result: decision.Succeeded}
 	at := s.now
-	u := eventqueue.RandFloat64(r.seed, purposeCounter, uint64(m.gateway), c.count.Ref)
-	lost := r.counterLoss(s.now)
+	draw := eventqueue.RandFloat64(r.seed, purposeCounter, uint64(m.gateway), call.add.Ref)
+	lossShare := r.counterLoss(s.now)
 	switch {
-	case u < lost/2:
-		c.result.Result = decision.TimedOut
-	case y.busyUntil-s.now > set.MaxWait:
-		c.result.Result = decision.Rejected
+	case draw < lossShare/2:
+		call.result.Result = decision.TimedOut
+	case c.busyUntil-s.now > policy.MaxWait:
+		call.result.Result = decision.Rejected
 	default:
-		y.busyUntil = max(y.busyUntil, s.now) + time.Duration(float64(time.Second)/set.Rate)
-		at = y.busyUntil
-		c.result.Total = y.add(c.count, at)
-		if u < lost {
-			c.result.Result = decision.TimedOut
+		c.busyUntil = max(c.busyUntil, s.now) + time.Duration(float64(time.Second)/policy.Rate)
+		at = c.busyUntil
+		call.result.Total = c.add(call.add, at)
+		if draw < lossShare {
+			call.result.Result = decision.TimedOut
 		}
 	}
-	if at += r.delay(uint64(m.gateway), c.count.Ref, 9); c.result.Result == decision.TimedOut || at > patient {
-		at, c.result = patient, decision.CounterResult{Ref: c.count.Ref, Result: decision.TimedOut}
+	at += r.delay(uint64(m.gateway), call.add.Ref, delayCounterResult)
+	deadline := max(call.sentAt+policy.Timeout, s.now+r.config.Network.MinDelay)
+	if call.result.Result == decision.TimedOut || at > deadline {
+		at, call.result = deadline, decision.CounterResult{Ref: call.add.Ref, Result: decision.TimedOut}
 	}
-	s.send(r.gateways[m.gateway].shard, at, message{kind: msgCounterResult, gateway: m.gateway, epoch: m.epoch, counterCall: c})
+	s.send(r.gateways[m.gateway].shard, at,
+		message{kind: msgCounterResult, gateway: m.gateway, epoch: m.epoch, counterCall: call})
 }
 
-func (y *counter) add(c decision.CounterAdd, now time.Duration) float64 {
-	n := y.values[c.Key]
-	if n == nil || now >= n.expiresAt {
-		n = &counterValue{expiresAt: now + c.TTL}
-		y.values[c.Key] = n
+// add adds to a key's sum, which begins anew after its TTL, and gives the sum.
+func (c *counter) add(add decision.CounterAdd, now time.Duration) float64 {
+	value := c.values[add.Key]
+	if value == nil || now >= value.expiresAt {
+		value = &counterValue{expiresAt: now + add.TTL}
+		c.values[add.Key] = value
 	}
-	n.total += c.Amount
-	return n.total
+	value.total += add.Amount
+	return value.total
 }
 
-// onCounterResult is what became of a call, at the door that made it.
-func (d *gateway) onCounterResult(m *message) {
-	if !d.up || int32(d.epoch) != m.epoch {
+// onCounterResult takes the result of a call, unless its process has ended.
+func (g *gateway) onCounterResult(m *message) {
+	if !g.up || int32(g.epoch) != m.epoch {
 		return
 	}
 	if m.counterCall.result.Result != decision.Succeeded {
-		d.shard.counts.CounterCallsLost++
+		g.shard.counts.CounterCallsLost++
 	}
-	d.execute(d.machine.CounterAnswered(d.now(), m.counterCall.result))
-}
-
-func (c *Counter) valid() bool {
-	return c.Rate == 0 || c.Rate > 0 && c.Rate <= 1e9 && c.MaxWait >= 0 && c.Timeout > 0
+	g.execute(g.machine.CounterAnswered(g.now(), m.counterCall.result))
 }
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -7,7 +7,8 @@
 	"pumicecroft/decision"
 )
 
-// largeConfig is 300 doors over 200 backends, with a counter that bears a call for some of the tries only.
+// largeConfig is 300 doors over 200 backends, with a counter that bears a call for some of the
+// tries only.
 func largeConfig() Config {
 	c := smallConfig()
 	c.Gateways, c.Duration, c.Warmup, c.Shards = 300, 14*time.Second, time.Second, 4
@@ -21,8 +22,9 @@
 	return c
 }
 
-// The standing test's days, as far as a region has them: whatever befalls 300 doors, each call has one end, effects are single, no drain
-// is passed over, no cold backend falls and no ceiling is passed, over the fleet; and some of the load is served.
+// The standing test's days, as far as a region has them: whatever befalls 300 doors, each call has
+// one end, effects are single, no drain is passed over, no cold backend falls and no ceiling is
+// passed, over the fleet; and some of the load is served.
 func TestTheFleetsDaysBreakNoRule(t *testing.T) {
 	const at, first = 4 * time.Second, time.Second
 	for name, day := range map[string]struct {
@@ -59,11 +61,13 @@
 			if r.Offered != r.Served+r.Rejected+r.Failed {
 				t.Errorf("%d calls, %d ends", r.Offered, r.Served+r.Rejected+r.Failed)
 			}
-			// a cold backend of 0.7 requests a second that it can bear has four times as many in 3 s by chance, now and then
+			// a cold backend of 0.7 requests a second that it can bear has four times as many in 3
+			// s by chance, now and then
 			if r.RepeatedEffects > 0 || r.ToDraining > 0 || r.Overloads > c.Backends.Count/13 || c.Settings.SlowStartMinCapacity > 0.1 && r.Overloads > 0 || r.PeriodsOverHardLimit > 0 {
 				t.Errorf("doubled %d, sent to draining ones %d, fallen %d, past ceilings %d times by %.1f", r.RepeatedEffects, r.ToDraining, r.Overloads, r.PeriodsOverHardLimit, r.MaxOvershoot)
 			}
-			// on a calm day what is beyond quotas is no service: of what is offered so much goes inside them, and little of what goes is beyond
+			// on a calm day what is beyond quotas is no service: of what is offered so much goes
+			// inside them, and little of what goes is beyond
 			if inside, over := (r.Cost-r.CostOverQuota)/float64(r.Offered), r.CostOverQuota/r.Cost; day.least == 0 && (inside < 0.51 || over > 0.145) {
 				t.Errorf("%.3f of %d units sent on inside quotas, want 0.51; of those sent on %.3f beyond, 0.145 at most", inside, r.Offered, over)
 			}
--- /dev/null
+++ b/internal/emulator/gateway.go
@@ -0,0 +1,318 @@
+package emulator
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"pumicecroft/decision"
+	"pumicecroft/internal/eventqueue"
+	"pumicecroft/internal/lifecycle"
+)
+
+// clockStart is where gateways' clocks stand at the region's start: late enough for backends to
+// have run for long.
+const clockStart = time.Hour
+
+// maxOpenRequests bounds a gateway's open requests, which is never reached.
+const maxOpenRequests = 1 << 20
+
+// gateway is one gateway: the shipped lifecycle machine on a policy.
+type gateway struct {
+	region *Region
+	number int32
+	shard  *shard
+
+	// Of the process.
+	epoch         int // counts the ends of processes
+	up            bool
+	machine       *lifecycle.Machine
+	wakeAt        time.Duration // when its next timer is scheduled; 0: none is
+	requests      map[decision.RequestID]*request
+	cancellations []cancellation // that execute has still to handle
+
+	endpoints      []decision.Endpoint    // all, as told last; nil: gateways don't restart
+	executions     map[uint64][]execution // of requests that are not idempotent, by request id
+	executionOrder []uint64               // their ids, by their first execution
+}
+
+// request is a client's try at a gateway.
+type request struct {
+	call     call
+	try      uint8
+	counted  bool    // as its customer's usage
+	backends []int32 // of its attempts by number; -1: there is no attempt of that number
+}
+
+// execution is where and when a request was executed.
+type execution struct {
+	at         time.Duration
+	cell, zone int32
+}
+
+// cancellation is an attempt that the lifecycle machine gives up.
+type cancellation struct {
+	request  *request
+	id       decision.RequestID
+	attempt  int
+	timedOut bool
+}
+
+// now is the gateway's clock.
+func (g *gateway) now() time.Duration { return clockStart + g.shard.now }
+
+// boot starts a process that knows endpoints and nothing else.
+func (g *gateway) boot(endpoints []decision.Endpoint) error {
+	settings := g.region.config.Settings
+	settings.GatewayIndex = int(g.number)
+	seed := eventqueue.Mix(g.region.seed ^ uint64(g.number)<<20 ^ uint64(g.epoch))
+	engine, err := newPolicy(&g.region.config, settings, seed, g.now())
+	if err != nil {
+		return err
+	}
+	limits := lifecycle.Limits{MaxOpenRequests: maxOpenRequests, IDRetention: settings.LongestDeadline()}
+	g.machine = lifecycle.New(engine, settings.Classes, limits, g.now())
+	g.up, g.wakeAt = true, 0
+	g.requests = map[decision.RequestID]*request{}
+	if g.executions == nil {
+		g.executions = map[uint64][]execution{}
+	}
+	if g.endpoints == nil && g.region.gatewaysRestart() {
+		g.endpoints = slices.Clone(endpoints)
+	}
+	update := decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: endpoints}
+	g.execute(g.machine.UpdateEndpoints(g.now(), update))
+	return nil
+}
+
+// stop ends the process. Clients see their connections break.
+func (g *gateway) stop() {
+	if !g.up {
+		return
+	}
+	g.up = false
+	g.epoch++
+	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
+		request := g.requests[id]
+		for attempt, backend := range request.backends {
+			g.cancelAttempt(id, attempt, backend)
+		}
+		g.finishTry(request, lifecycle.Aborted, 0)
+	}
+	clear(g.requests)
+}
+
+// restart starts a process, if none runs.
+func (g *gateway) restart() {
+	if !g.up {
+		_ = g.boot(g.endpoints) // the settings were valid at the first boot
+	}
+}
+
+// handle handles a message to the gateway.
+func (g *gateway) handle(m *message) {
+	switch m.kind {
+	case msgRequest:
+		g.onRequest(m)
+	case msgOutcome:
+		g.onOutcome(m)
+	case msgExecution:
+		g.onExecution(m)
+	case msgTimer:
+		g.onTimer(m)
+	case msgUpdate:
+		g.onUpdate(m)
+	case msgCounterResult:
+		g.onCounterResult(m)
+	}
+}
+
+// onRequest takes a client's try.
+func (g *gateway) onRequest(m *message) {
+	request := &request{call: m.call, try: m.tryNumber}
+	if !g.up {
+		g.finishTry(request, lifecycle.Aborted, 0)
+		return
+	}
+	class := &g.region.config.Settings.Classes[m.call.class]
+	remaining := class.Deadline - (g.shard.now - m.call.startedAt)
+	if remaining <= lifecycle.TimeoutMargin {
+		g.finishTry(request, lifecycle.DeadlineExceeded, 0)
+		return
+	}
+	id := requestID(&m.call, m.tryNumber)
+	first, spread := g.region.gatewaysOf(m.call.customer)
+	g.requests[id] = request
+	effects, err := g.machine.Submit(g.now(), request, decision.Request{
+		ID: id, Customer: decision.CustomerID(m.call.customer), Class: class.Name,
+		Plan: g.region.customerPlan(m.call.customer).Name, Cost: float64(m.call.cost),
+		Timeout: remaining - lifecycle.TimeoutMargin, FirstGateway: first, GatewaySpread: spread,
+	}, remaining-lifecycle.ResponseMargin)
+	if err != nil {
+		delete(g.requests, id)
+		g.finishTry(request, lifecycle.Rejected, 0)
+		return
+	}
+	g.execute(effects)
+}
+
+// onTimer calls the lifecycle machine, unless another call was scheduled since.
+func (g *gateway) onTimer(m *message) {
+	if !g.up || m.at != g.wakeAt {
+		return
+	}
+	g.wakeAt = 0
+	g.execute(g.machine.Tick(g.now()))
+}
+
+// onUpdate takes changed endpoints.
+func (g *gateway) onUpdate(m *message) {
+	if g.endpoints != nil {
+		for _, endpoint := range *m.endpoints {
+			g.endpoints[endpoint.ID] = endpoint
+		}
+	}
+	if g.up {
+		update := decision.EndpointUpdate{Kind: decision.UpdateDelta, Endpoints: *m.endpoints}
+		g.execute(g.machine.UpdateEndpoints(g.now(), update))
+	}
+}
+
+// onOutcome takes the end of an attempt.
+func (g *gateway) onOutcome(m *message) {
+	if !g.up {
+		return
+	}
+	id := decision.RequestID(m.requestID)
+	outcome := lifecycle.Outcome{Result: m.result}
+	if request := g.requests[id]; request != nil && m.result == decision.Succeeded {
+		outcome.Usage, outcome.HasUsage = g.region.reportedUsage(request.call.customer)
+	}
+	g.execute(g.machine.AttemptEnded(g.now(), id, int(m.attempt), outcome))
+}
+
+// execute carries out what the lifecycle machine asks for. The end of a cancelled attempt, of which
+// the machine hears at once, may ask for more.
+func (g *gateway) execute(effects []lifecycle.Effect) {
+	g.executeEach(effects)
+	for len(g.cancellations) > 0 {
+		cancelled := g.cancellations[0]
+		g.cancellations = g.cancellations[1:]
+		outcome := lifecycle.Outcome{Result: decision.Cancelled}
+		if cancelled.timedOut {
+			outcome.Result = decision.TimedOut
+		}
+		g.cancelAttempt(cancelled.id, cancelled.attempt, cancelled.request.backends[cancelled.attempt])
+		g.executeEach(g.machine.AttemptEnded(g.now(), cancelled.id, cancelled.attempt, outcome))
+	}
+	g.scheduleTimer()
+}
+
+func (g *gateway) executeEach(effects []lifecycle.Effect) {
+	for i := range effects {
+		effect := &effects[i]
+		request, _ := effect.Tag.(*request)
+		switch effect.Kind {
+		case lifecycle.StartAttempt:
+			g.startAttempt(request, effect)
+		case lifecycle.CancelAttempt:
+			cancelled := cancellation{request, effect.Request, effect.Attempt, effect.TimedOut}
+			g.cancellations = append(g.cancellations, cancelled)
+		case lifecycle.AddToCounter:
+			g.callCounter(effect.CounterAdd)
+		case lifecycle.Respond:
+			if g.requests[effect.Request] == request {
+				delete(g.requests, effect.Request)
+				g.finishTry(request, effect.Verdict, effect.RetryAfter)
+			}
+		}
+	}
+}
+
+// scheduleTimer schedules the lifecycle machine's next call, unless an earlier one is scheduled.
+func (g *gateway) scheduleTimer() {
+	at, ok := g.machine.Next()
+	at -= clockStart
+	if !ok || g.wakeAt != 0 && at >= g.wakeAt {
+		return
+	}
+	g.wakeAt = max(at, g.shard.now+1)
+	if g.wakeAt <= g.region.config.Duration+g.region.settleTime() {
+		g.shard.schedule(g.wakeAt, message{kind: msgTimer, gateway: g.number, at: g.wakeAt})
+	}
+}
+
+// startAttempt sends an attempt. The first of a request counts as its customer's usage.
+func (g *gateway) startAttempt(request *request, effect *lifecycle.Effect) {
+	s, r := g.shard, g.region
+	for len(request.backends) < effect.Attempt {
+		request.backends = append(request.backends, -1)
+	}
+	request.backends = append(request.backends, int32(effect.Backend))
+	if !request.counted {
+		request.counted = true
+		s.recordUsage(&request.call)
+	}
+	s.counts.recordAttempt(r, &request.call)
+	arrival := s.now + r.delay(uint64(effect.Request), uint64(effect.Attempt), delayAttempt)
+	s.send(r.backends[effect.Backend].shard, arrival, message{
+		kind: msgAttempt, backend: int32(effect.Backend), gateway: g.number,
+		requestID: uint64(effect.Request), attempt: int32(effect.Attempt), call: request.call,
+	})
+}
+
+// cancelAttempt tells an attempt's backend that nobody waits for it any more.
+func (g *gateway) cancelAttempt(id decision.RequestID, attempt int, backend int32) {
+	if backend < 0 {
+		return
+	}
+	s, r := g.shard, g.region
+	arrival := s.now + r.delay(uint64(id), uint64(attempt), delayCancel)
+	s.send(r.backends[backend].shard, arrival, message{
+		kind: msgCancel, backend: backend, requestID: uint64(id), attempt: int32(attempt),
+	})
+}
+
+// onExecution is told that an attempt of a request that is not idempotent is executed. A second
+// execution repeats the effect, unless its backend shares a memory of keys with the first one's.
+func (g *gateway) onExecution(m *message) {
+	backend := g.region.backends[m.backend]
+	class := &g.region.config.Settings.Classes[m.call.class]
+	now := execution{m.at, backend.cell, backend.zone}
+	repeated := slices.ContainsFunc(g.executions[m.requestID], func(earlier execution) bool {
+		return !deduplicated(class, earlier, now)
+	})
+	if repeated && g.region.isCounted(&m.call) {
+		g.shard.counts.RepeatedEffects++
+	}
+	if g.executions[m.requestID] == nil {
+		g.executionOrder = append(g.executionOrder, m.requestID)
+	}
+	g.executions[m.requestID] = append(g.executions[m.requestID], now)
+	g.forgetExecutions()
+}
+
+// deduplicated tells whether an execution has no effect, as its backend knows the key of an earlier
+// one.
+func deduplicated(class *decision.Class, earlier, now execution) bool {
+	if class.Idempotency != decision.IdempotentByKey || now.at-earlier.at >= class.DedupWindow {
+		return false
+	}
+	switch class.DedupScope {
+	case decision.DedupScopeZone:
+		return earlier.zone == now.zone
+	case decision.DedupScopeCell:
+		return earlier.cell == now.cell
+	default:
+		return true
+	}
+}
+
+// forgetExecutions forgets requests that can't be executed any more.
+func (g *gateway) forgetExecutions() {
+	retention := 2 * g.region.config.Settings.LongestDeadline()
+	for len(g.executionOrder) > 0 && g.shard.now-g.executions[g.executionOrder[0]][0].at > retention {
+		delete(g.executions, g.executionOrder[0])
+		g.executionOrder = g.executionOrder[1:]
+	}
+}
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What a seed's region comes to is fixed under each policy: a change that keeps behaviour keeps these counts to the last digit. One that means to
-// change behaviour sets them anew and says why.
+// What a seed's region comes to is fixed under each policy: a change that keeps behaviour keeps
+// these counts to the last digit. One that means to change behaviour sets them anew and says why.
 func TestCountsOfSeeds(t *testing.T) {
 	want := map[string]string{
 		"module":      `{"Offered":6848,"Served":3399,"InAim":3245,"Refused":3038,"Failed":411,"WorthOffered":17489,"WorthServed":8500,"Tries":3686,"Attempts":3806,"Cold":513,"Draining":0,"Doubled":0,"Falls":0,"Calls":784,"CallsLost":74,"Units":3686,"UnitsOver":10,"WorthOver":20,"Overshoot":0,"PastCeiling":0,"Last":{"Offered":762,"Served":351,"Refused":411,"Failed":0,"WorthOffered":1905,"WorthServed":970},"P50":67775,"P99":1190911,"Events":47309,"Latency":3399}`,
--- a/internal/emulator/region_test.go
+++ b/internal/emulator/region_test.go
@@ -48,7 +48,8 @@
 	return r.Result()
 }
 
-// Whatever the policy and size, each call has one end, and what comes of a run does not hang on the order of the shards' turns.
+// Whatever the policy and size, each call has one end, and what comes of a run does not hang on the
+// order of the shards' turns.
 func TestSeedDecides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := smallConfig()
@@ -83,9 +84,9 @@
 					}
 				}
 			}
-			for _, d := range r.gateways { // all that it kept is given back
-				if len(d.requests) > 0 || d.up && d.machine.OpenRequests() > 0 {
-					t.Fatalf("door %d keeps %d open, its core %d", d.number, len(d.requests), d.machine.OpenRequests())
+			for _, g := range r.gateways { // all that it kept is given back
+				if len(g.requests) > 0 || g.up && g.machine.OpenRequests() > 0 {
+					t.Fatalf("door %d keeps %d open, its core %d", g.number, len(g.requests), g.machine.OpenRequests())
 				}
 			}
 			return r.Result()
@@ -100,7 +101,8 @@
 	})
 }
 
-// What clients ask, and how long it takes a backend, is the same under any policy: runs of one seed are paired.
+// What clients ask, and how long it takes a backend, is the same under any policy: runs of one seed
+// are paired.
 func TestChanceIsCommon(t *testing.T) {
 	offered := map[float64]bool{}
 	var calm []*hdrhistogram.Histogram
@@ -143,7 +145,8 @@
 	}
 }
 
-// Arrivals come at the rate that was asked for, in bursts and over a day too, and customers by their popularity.
+// Arrivals come at the rate that was asked for, in bursts and over a day too, and customers by
+// their popularity.
 func TestArrivals(t *testing.T) {
 	for name, c := range map[string]struct {
 		a    Arrivals
@@ -160,8 +163,8 @@
 		sw := newRateProfile(&cfg, 3)
 		n, first := 0, 0
 		for i := range 2 {
-			st := newArrivalStream(&cfg, &sw, 3, i, 2, -1)
-			for k, ok := st.next(); ok; k, ok = st.next() {
+			stream := newArrivalStream(&cfg, &sw, 3, i, 2, -1)
+			for k, ok := stream.next(); ok; k, ok = stream.next() {
 				n++
 				if k.customer == 0 {
 					first++
@@ -335,8 +338,9 @@
 	}
 }
 
-// Doors lend each other parts of ceilings over the counter: more of what customers ask for within them is served, and no ceiling is
-// passed, also while the counter loses half of its calls, is too small for them, or doors restart with parts in hand.
+// Doors lend each other parts of ceilings over the counter: more of what customers ask for within
+// them is served, and no ceiling is passed, also while the counter loses half of its calls, is too
+// small for them, or doors restart with parts in hand.
 func TestTheCounterLendsPartsOfCeilings(t *testing.T) {
 	base := smallConfig()
 	base.Gateways, base.Clients.GatewaySpread = 30, 30 // a door's part is 2 units, and a request's 3
