--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -196,7 +196,7 @@
 	calls, served := make([]int, customers), make([]int, customers)
 	for _, s := range r.shards {
 		counts := &s.counts
-		result.Counts.add(&counts.Counts)
+		result.add(&counts.Counts)
 		result.Latency.Merge(counts.latency)
 		result.OutOfRange += counts.outOfRange
 		result.Events += s.events
