--- a/cmd/pumicecroft/lab_test.go
+++ b/cmd/pumicecroft/lab_test.go
@@ -39,9 +39,9 @@
 	for path, text := range map[string]string{experiment: experimentFile, variants: `[[mutant]]
 name = "a margin of a half"
 [[mutant.edit]]
-file = "decision/gateway.go"
-old = "margin     = 1.0 / 8 "
-new = "margin     = 1.0 / 2 "
+file = "decision/quota.go"
+old = "\tquotaMarginRatio = 1.0 / 8\n"
+new = "\tquotaMarginRatio = 1.0 / 2\n"
 `} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
