--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -9,7 +9,7 @@
 	"pumicecroft/decision"
 )
 
-func TestDecodeEvents(t *testing.T) {
+func TestDecode_Events(t *testing.T) {
 	for text, want := range map[string]Message{
 		`{"m":"clock","at_time_us":8412250}`: {Clock: true, At: 8412250 * time.Microsecond},
 		`{"m":"eob"}`:                        {End: true},
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestDecodeOutcome(t *testing.T) {
+func TestDecode_Outcome(t *testing.T) {
 	m, err := Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","duration_us":18500,"try":1,` +
 		`"seen_use":87,"backend":51530247,"rc":"delivered","last":true,"settled":3,"health_info":[0.62,140]}`))
 	o, ok := m.Event.(decision.Outcome)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestDecodeList(t *testing.T) {
+func TestDecode_EndpointUpdate(t *testing.T) {
 	m, err := Decode([]byte(`{"m":"targets","door":3,"mode":"SAVED","elements":[{"health":"healthy","az":"a",` +
 		`"cell":4,"backend":5,"boot_time_us":6},{"health":"deregistered","backend":6}]}`))
 	l, ok := m.Event.(decision.EndpointUpdate)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestMalformedLinesAreErrors(t *testing.T) {
+func TestDecode_MalformedLines(t *testing.T) {
 	for _, text := range []string{
 		`{`, `[]`, `{}`, `{"m":""}`, `{"m":"clock"}`, `{"m":"reminder","door":1}`, `{"m":"call","txn":"1"}`,
 		`{"m":"call","door":1,"txn":"12"}`, `{"m":"call","door":1,"txn":"D4B7B4C55D3A91C4"}`,
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestAppendAction(t *testing.T) {
 	var b bytes.Buffer
 	for _, a := range []decision.Action{
 		decision.StartAttempt{Request: 255, Backend: 9, Timeout: time.Millisecond}, decision.Reject{Request: 1, RetryAfter: time.Second},
