--- a/internal/eventqueue/virtual_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -23,8 +23,9 @@
 	return e
 }
 
-// Whatever is put in and taken out in whatever order, it comes by time, then by order.
-func TestQueue(t *testing.T) {
+// Whatever is pushed and popped in whatever order, events come by their times, then by their
+// orders.
+func TestQueue_OrderOfTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[uint64]
 		var model []entry[uint64]
@@ -58,8 +59,8 @@
 	}
 }
 
-// Chance hangs on its purpose alone, and is even.
-func TestChance(t *testing.T) {
+// Draws depend on seed and purpose alone, and are evenly spread.
+func TestRandom_DependsOnPurposeAndIsEven(t *testing.T) {
 	if NewRand(1, 2, 3).Uint64() != NewRand(1, 2, 3).Uint64() || NewRand(1, 2, 3).Uint64() == NewRand(1, 3, 2).Uint64() || NewRand(1, 2).Uint64() == NewRand(2, 2).Uint64() {
 		t.Error("chance does not hang on seed and purpose alone")
 	}
--- a/internal/paired/paired_test.go
+++ b/internal/paired/paired_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Of two ways that are the same, 94 in 100 comparisons or more must say that they can't tell, whatever the chance looks like. A true
-// difference of one standard deviation is told by 20 pairs nearly always, the right way round.
-func TestVerdicts(t *testing.T) {
+// Of two ways that are the same, 94 in 100 comparisons or more must say that they can't tell,
+// whatever the chance looks like. A true difference of one standard deviation is told by 20 pairs
+// nearly always, the right way round.
+func TestCompare_Verdicts(t *testing.T) {
 	shapes := map[string]func(r *rand.Rand) float64{
 		"normal":      (*rand.Rand).NormFloat64,
 		"uniform":     func(r *rand.Rand) float64 { return r.Float64() },
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestEdges(t *testing.T) {
+func TestCompare_Edges(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	for _, c := range []struct {
 		name string
@@ -86,7 +87,7 @@
 }
 
 // Turned round, a comparison says the opposite of the same size; and scaled, the same.
-func TestSymmetry(t *testing.T) {
+func TestCompare_Symmetry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "n")
 		a := rapid.SliceOfN(rapid.Float64Range(-10, 10), n, n).Draw(t, "a")
--- a/internal/reservemodel/payoff_test.go
+++ b/internal/reservemodel/model_test.go
@@ -7,9 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// All of the paper's figures for 16 slots (its Fig. 5) come out of the chain to the last digit, but for the loads D to F with sub-rating: there it
-// names splits and payoffs that its own model does not have (docs/measurements/0007-laboratory.md).
-func TestPaper(t *testing.T) {
+// All of the paper's figures for 16 slots (its Fig. 5) come out of the chain to the last digit, but
+// for the loads D to F with sub-rating: there it names splits and payoffs that its own model does
+// not have (docs/measurements/0007-laboratory.md).
+func TestSearch_PaperFigures(t *testing.T) {
 	near := func(a, b float64) bool { return math.Abs(a-b) < 0.006 }
 	for _, c := range Cases() {
 		if c.N != 16 {
@@ -40,8 +41,9 @@
 	}
 }
 
-// In any split what comes is served or rejected; without a pool both parts are Erlang's, and sub-rating changes nothing.
-func TestConservation(t *testing.T) {
+// In any split what comes is served or rejected; without a pool both parts are Erlang's, and
+// sub-rating changes nothing.
+func TestExact_Conservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Load{rapid.Float64Range(0.5, 12).Draw(t, "lh"), rapid.Float64Range(0.5, 12).Draw(t, "ll"), 1, 3, 1, 2, 1}
 		s := Split{rapid.IntRange(0, 4).Draw(t, "nh"), rapid.IntRange(0, 5).Draw(t, "nm"), rapid.IntRange(0, 4).Draw(t, "nl")}
--- a/internal/simdisk/simdisk.go
+++ b/internal/simdisk/simdisk.go
@@ -1,6 +1,7 @@
-// Package simdisk is a disk in memory that loses what disks lose: what was not synced is there or not after a crash, sector by sector,
-// in any order; an operation may fail, and a sync that failed leaves what it was about unsynced for good, whatever later ones
-// say. It carries out package journal's operations. It is pure: chance is the caller's, and there is one caller at a time.
+// Package simdisk is a disk in memory that loses what disks lose: after a crash, what was not
+// synced is there or not, sector by sector; an operation may fail, and a sync that failed leaves
+// its data unsynced for good, whatever later ones report. It carries out package journal's
+// operations. It is pure: randomness is the caller's, and there is one caller at a time.
 package simdisk
 
 import (
@@ -12,20 +13,22 @@
 	"pumicecroft/internal/journal"
 )
 
-// Sector is what a disk writes whole or not at all, in bytes.
+// Sector is how many bytes a disk writes as a whole or not at all.
 const Sector = 512
 
-// Errors that operations end with.
+// How operations end.
 var (
 	ErrFull             = errors.New("no space left on the disk")
 	ErrIO               = errors.New("input/output error")
 	errInvalidOperation = errors.New("simdisk: the operation does not fit what is there")
 )
 
+// file is one segment's file.
 type file struct {
-	content, synced []byte
-	syncFailed      bool // a sync of it failed
-	nameSynced      bool // its name survives a crash
+	content    []byte
+	synced     []byte // what of content survives a crash for sure
+	syncFailed bool   // no later sync makes more of it durable
+	nameSynced bool   // its directory entry survives a crash
 }
 
 func (f *file) clone() *file {
@@ -34,20 +37,24 @@
 	return &c
 }
 
-// Disk is one directory of files.
+// Disk is one directory of segments' files.
 type Disk struct {
-	files    map[uint64]*file
-	removed  map[uint64]*file // removed, and it is not synced that they are
-	Capacity int              // bytes that it has; 0: enough
-	// Fault is asked before each operation, and what it gives is how that ends. A write that fails leaves a part of its data.
-	Fault        func(journal.Op) error
-	PartialWrite func(n int) int // how much of n bytes a failed write leaves; nil: all
+	// Capacity is in bytes; 0: without a bound.
+	Capacity int
+	// Fault is called before each operation, and may give the error that it ends with; nil: none
+	// fails.
+	Fault func(journal.Op) error
+	// PartialWrite tells how many of n bytes a failed write leaves in its file; nil: all.
+	PartialWrite func(n int) int
+
+	files   map[uint64]*file
+	removed map[uint64]*file // may be back after a crash, as their removal is not synced
 }
 
-// New makes an empty one.
+// New makes an empty disk.
 func New() *Disk { return &Disk{files: map[uint64]*file{}, removed: map[uint64]*file{}} }
 
-// List names the segments that are there, in no order.
+// List gives the numbers of the segments that are there, in no order.
 func (d *Disk) List() (numbers []uint64) {
 	for n := range d.files {
 		numbers = append(numbers, n)
@@ -55,7 +62,7 @@
 	return numbers
 }
 
-// Load reads the first bytes of a segment.
+// Load reads the first bytes of a segment, most of them at most.
 func (d *Disk) Load(number uint64, most int64) ([]byte, error) {
 	f := d.files[number]
 	if f == nil {
@@ -64,7 +71,7 @@
 	return append([]byte(nil), f.content[:min(int64(len(f.content)), most)]...), nil
 }
 
-// Bytes is what all files take.
+// Bytes is the size of all files.
 func (d *Disk) Bytes() (n int) {
 	for _, f := range d.files {
 		n += len(f.content)
@@ -72,7 +79,7 @@
 	return n
 }
 
-// Do carries out an operation.
+// Do carries out an operation. A write that fails may leave a part of its data.
 func (d *Disk) Do(op journal.Op) error {
 	var err error
 	if d.Fault != nil {
@@ -121,7 +128,7 @@
 	return err
 }
 
-// write appends, as far as there is room.
+// write appends to a file, as far as there is room. err is the fault that it ends with.
 func (d *Disk) write(f *file, at int64, data []byte, err error) error {
 	if room := d.Capacity - d.Bytes(); err == nil && d.Capacity > 0 && len(data) > room {
 		data, err = data[:max(0, room)], ErrFull
@@ -132,7 +139,8 @@
 	return err
 }
 
-// Crash stops the machine: what was not synced is there or not. What it leaves is synced. Chance hangs on rng alone.
+// Crash stops the machine: what was not synced is there or not, as rng has it. What is left is
+// synced.
 func (d *Disk) Crash(rng *rand.Rand) {
 	for _, n := range sortedNumbers(d.removed) {
 		if f := d.removed[n]; rng.IntN(2) == 0 {
@@ -163,7 +171,7 @@
 	}
 }
 
-// Clone is another disk that holds the same.
+// Clone makes another disk with the same files, without faults.
 func (d *Disk) Clone() *Disk {
 	c := New()
 	for n, f := range d.files {
@@ -175,7 +183,7 @@
 	return c
 }
 
-// Corrupt changes a byte of a segment, which was synced, and tells whether there is one.
+// Corrupt changes a byte of a segment, and tells whether there is one to change.
 func (d *Disk) Corrupt(number uint64, at int64, by byte) bool {
 	f := d.files[number]
 	if f == nil || at >= int64(len(f.content)) || by == 0 {
@@ -185,7 +193,7 @@
 	return true
 }
 
-// Segment is what a segment's file holds, not to be changed.
+// Segment gives the content of a segment's file, which must not be changed; nil: there is none.
 func (d *Disk) Segment(number uint64) []byte {
 	if f := d.files[number]; f != nil {
 		return f.content
