--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -97,8 +97,14 @@
 	switch {
 	case verdict != lifecycle.Rejected && class.Idempotency == decision.NonIdempotent:
 		return 0, wait // it may have been executed
-	case retryAfter > 0 && eventqueue.RandFloat64(r.seed, purposeClient, uint64(call.customer)) < clients.FollowRetryAfter:
+	case retryAfter > 0 && r.followsRetryAfter(call.customer):
 		return maxTries, retryAfter
 	}
 	return maxTries, wait
 }
+
+// followsRetryAfter tells whether a customer's clients wait as Retry-After says.
+func (r *Region) followsRetryAfter(customer int32) bool {
+	draw := eventqueue.RandFloat64(r.seed, purposeClient, uint64(customer))
+	return draw < r.config.Clients.FollowRetryAfter
+}
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -7,7 +7,7 @@
 	"pumicecroft/decision"
 )
 
-// largeConfig is 300 doors over 200 backends, with a counter that bears a call for some of the
+// largeConfig is 300 gateways over 200 backends, with a counter that has capacity for a call for some
 // tries only.
 func largeConfig() Config {
 	c := smallConfig()
@@ -22,10 +22,10 @@
 	return c
 }
 
-// The standing test's days, as far as a region has them: whatever befalls 300 doors, each call has
-// one end, effects are single, no drain is passed over, no cold backend falls and no ceiling is
-// passed, over the fleet; and some of the load is served.
-func TestTheFleetsDaysBreakNoRule(t *testing.T) {
+// The bench's days, as far as a region has them: whatever fails at 300 gateways, each call has one
+// end, no effect is repeated, no draining backend is sent to past its grace, no backend is overloaded
+// during its warm-up and no hard limit is exceeded, over all gateways; and some of the load is served.
+func TestManyGateways_DaysOfFaults(t *testing.T) {
 	const at, first = 4 * time.Second, time.Second
 	for name, day := range map[string]struct {
 		least  float64 // of what is offered that is served; 0: counted by inside and over
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -40,7 +40,9 @@
 func knownPolicy(policy string) bool { return slices.Contains(Policies, policy) }
 
 // newPolicy makes what decides at one gateway.
-func newPolicy(config *Config, settings decision.Settings, seed uint64, now time.Duration) (lifecycle.DecisionEngine, error) {
+func newPolicy(config *Config, settings decision.Settings, seed uint64,
+	now time.Duration,
+) (lifecycle.DecisionEngine, error) {
 	policy := newBaseline(settings, eventqueue.NewRand(seed, purposePolicy))
 	switch config.Policy {
 	case PolicyEngine:
@@ -170,7 +172,9 @@
 	return append(actions, decision.Fail{Request: event.Request})
 }
 
-func (p *baseline) startAttempt(id decision.RequestID, request *openRequest, actions []decision.Action) []decision.Action {
+func (p *baseline) startAttempt(id decision.RequestID, request *openRequest,
+	actions []decision.Action,
+) []decision.Action {
 	request.attempts++
 	backend := p.ready[p.pick()]
 	p.addInFlight(backend, 1)
--- a/internal/emulator/region_test.go
+++ b/internal/emulator/region_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// smallConfig is a region that runs in a blink.
+// smallConfig is a region that runs within a second.
 func smallConfig() Config {
 	return Config{Gateways: 4, Policy: PolicyEngine, Duration: 20 * time.Second, Warmup: 2 * time.Second, UpdateInterval: 500 * time.Millisecond,
 		Settings: decision.Settings{MaxAttempts: 3, CanCancel: true, MaxRetryAfter: time.Second, UsagePeriod: 500 * time.Millisecond, DrainGrace: 2 * time.Second,
@@ -48,9 +48,9 @@
 	return r.Result()
 }
 
-// Whatever the policy and size, each call has one end, and what comes of a run does not hang on the
-// order of the shards' turns.
-func TestSeedDecides(t *testing.T) {
+// With any policy and size, each call has one end, and the result does not depend on the order in
+// which shards run.
+func TestRegion_SeedDecides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := smallConfig()
 		c.Policy = rapid.SampledFrom(Policies).Draw(t, "policy")
@@ -101,9 +101,9 @@
 	})
 }
 
-// What clients ask, and how long it takes a backend, is the same under any policy: runs of one seed
+// What clients send, and how long it takes a backend, is the same under any policy: runs of one seed
 // are paired.
-func TestChanceIsCommon(t *testing.T) {
+func TestRegion_RandomnessIsCommonToPolicies(t *testing.T) {
 	offered := map[float64]bool{}
 	var calm []*hdrhistogram.Histogram
 	for _, p := range []string{PolicyEngine, PolicyRoundRobin, PolicyTwoChoices} {
@@ -125,8 +125,8 @@
 	}
 }
 
-// Draws have the mean that was asked for, whatever their shape, and are within the cut.
-func TestDists(t *testing.T) {
+// Draws have the mean that was asked for, for each shape, and are within the cutoff.
+func TestSampler_MeanAndCutoff(t *testing.T) {
 	const n = 200_000
 	for _, d := range []Distribution{{Constant, time.Second, 0, 0}, {Exponential, time.Second, 0, 0}, {LogNormal, time.Second, 0.5, 0}, {LogNormal, time.Second, 1.5, 0},
 		{Pareto, time.Second, 1.5, 0}, {Pareto, time.Second, 1.1, 50}, {Pareto, time.Second, 3, 10}} {
@@ -145,9 +145,9 @@
 	}
 }
 
-// Arrivals come at the rate that was asked for, in bursts and over a day too, and customers by
-// their popularity.
-func TestArrivals(t *testing.T) {
+// Arrivals come at the rate that was asked for, with bursts and swings too, and customers by their
+// popularity.
+func TestArrivalStream_RateAndPopularity(t *testing.T) {
 	for name, c := range map[string]struct {
 		a    Arrivals
 		want float64
@@ -180,8 +180,8 @@
 	}
 }
 
-// Each fault does its harm, and not without it; the policies differ as they should.
-func TestFaults(t *testing.T) {
+// Each fault does its harm, which is not there without it; the policies differ as they should.
+func TestFaults_HarmByPolicy(t *testing.T) {
 	base := smallConfig()
 	base.Arrivals.Rate = 1200
 	at := func(f Fault) []Fault {
@@ -247,8 +247,8 @@
 	}
 }
 
-// A trace's arrivals are all there is, and come when they say.
-func TestTrace(t *testing.T) {
+// With a trace, its arrivals are the only calls, and come at their times.
+func TestArrivalStream_Trace(t *testing.T) {
 	c := smallConfig()
 	c.Warmup = 0
 	c.Arrivals.Trace = []Arrival{{0, 1, "look", 1}, {time.Second, 2, "pay", 2}, {time.Second, 2, "once", 1}, {time.Hour, 3, "look", 1}}
@@ -258,44 +258,48 @@
 	}
 }
 
-// The judge of quotas against a plain sum: a store that is full, used, and left alone.
-func TestJudge(t *testing.T) {
+// The account of quotas against a plain sum: tokens that are full, used, and left alone.
+func TestAccountQuota(t *testing.T) {
 	c := smallConfig()
-	c.Clients.Plans = []Share{{"flagship", 1}} // 40 a second, 60 at once; a ceiling of 50 and 60, and 5 of slack
+	c.Clients.Plans = []Share{{"flagship", 1}} // 40 a second, a burst of 60; a hard limit of 50 and 60, and an overdraft of 5
 	r, err := New(c, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	use := func(units float32) (over, past float64) {
+	use := func(cost float32) (over, overshoot float64) {
 		var t shardCounts
 		r.period++
-		r.usage[7] = units
+		r.usage[7] = cost
 		r.accountQuota(&t, 7, true)
-		if worth := t.CostOverQuota * r.meanWeight * 2; math.Abs(t.WeightOverQuota-worth) > 1e-6 || math.Abs(r.meanWeight-(2*1+1*3+1*3)/4.0) > 1e-9 { // the plan's price is 2
-			panic(worth)
+		const price = 2
+		if math.Abs(r.meanWeight-(2*1+1*3+1*3)/4.0) > 1e-9 {
+			panic(r.meanWeight)
+		}
+		if weight := t.CostOverQuota * r.meanWeight * price; math.Abs(t.WeightOverQuota-weight) > 1e-6 {
+			panic(weight)
 		}
 		return t.CostOverQuota, t.MaxOvershoot
 	}
-	for i, step := range []struct{ units, over, past float64 }{
-		{80, 0, 0},   // 60 and 20 of the refill
-		{20, 0, 0},   // the refill
-		{21, 1, 0},   // one more
-		{0, 0, 0},    // 20 are there again
-		{45, 5, 0},   // 20 and 20, and 5 over; for the ceiling see below
-		{100, 80, 0}, // far over
+	for i, step := range []struct{ cost, over float64 }{
+		{80, 0},   // 60 and 20 of the refill
+		{20, 0},   // the refill
+		{21, 1},   // one more
+		{0, 0},    // 20 are there again
+		{45, 5},   // 20 and 20, and 5 over
+		{100, 80}, // far over
 	} {
-		over, past := use(float32(step.units))
+		over, overshoot := use(float32(step.cost))
 		if math.Abs(over-step.over) > 1e-3 {
 			t.Errorf("step %d: %v over, want %v", i, over, step.over)
 		}
-		if want := ceilingLeft(i); math.Abs(past-max(0, -want-5)) > 1e-3 {
-			t.Errorf("step %d: %v past the ceiling, want %v", i, past, max(0, -want-5))
+		if want := max(0, -hardLimitLeft(i)-5); math.Abs(overshoot-want) > 1e-3 {
+			t.Errorf("step %d: %v beyond the hard limit, want %v", i, overshoot, want)
 		}
 	}
 }
 
-// ceilingLeft is what is left of the ceiling's store after so many of TestJudge's steps.
-func ceilingLeft(step int) float64 {
+// hardLimitLeft is what is left of the hard limit's tokens after so many of TestAccountQuota's steps.
+func hardLimitLeft(step int) float64 {
 	left := 60.0
 	for i, used := range []float64{80, 20, 21, 0, 45, 100}[:step+1] {
 		left += 25 - used
@@ -306,7 +310,8 @@
 	return left
 }
 
-func TestWhatMakesNoSense(t *testing.T) {
+// Each configuration that can't be emulated is an error.
+func TestNew_InvalidConfig(t *testing.T) {
 	for name, change := range map[string]func(c *Config){
 		"no doors":            func(c *Config) { c.Gateways = 0 },
 		"an unknown policy":   func(c *Config) { c.Policy = "luck" },
@@ -338,10 +343,10 @@
 	}
 }
 
-// Doors lend each other parts of ceilings over the counter: more of what customers ask for within
-// them is served, and no ceiling is passed, also while the counter loses half of its calls, is too
-// small for them, or doors restart with parts in hand.
-func TestTheCounterLendsPartsOfCeilings(t *testing.T) {
+// A request costs more than a gateway's share of a hard limit. Gateways pass shares on by the shared
+// counter, so more is served within the limit, and the limit is not exceeded: also while the counter
+// loses half of its calls, is too small for them, or gateways restart with shares that they withdrew.
+func TestSharedCounter_PassesHardLimitSharesOn(t *testing.T) {
 	base := smallConfig()
 	base.Gateways, base.Clients.GatewaySpread = 30, 30 // a door's part is 2 units, and a request's 3
 	base.Clients.Customers, base.Clients.ZipfExponent, base.Clients.UniformShare = 12, 1.2, 0
--- a/internal/emulator/validation.go
+++ b/internal/emulator/validation.go
@@ -48,7 +48,8 @@
 	case c.Network.MinDelay < minDelay || c.Network.MeanExtraDelay < 0:
 		return fmt.Errorf("the network takes %v at least: %v or more", c.Network.MinDelay, minDelay)
 	case !c.Counter.valid():
-		return fmt.Errorf("counter: rate %v, queue %v, patience %v", c.Counter.Rate, c.Counter.MaxWait, c.Counter.Timeout)
+		return fmt.Errorf("counter: rate %v, queue %v, patience %v",
+			c.Counter.Rate, c.Counter.MaxWait, c.Counter.Timeout)
 	case c.Shards < 0 || c.Shards > maxOwnShards:
 		return fmt.Errorf("%d shards", c.Shards)
 	case c.UpdateInterval <= 0:
@@ -82,7 +83,8 @@
 }
 
 func (c *Config) validateShares() error {
-	for _, share := range []float64{c.Clients.UniformShare, c.Clients.FollowRetryAfter, c.CounterLoss, c.Arrivals.Amplitude} {
+	shares := []float64{c.Clients.UniformShare, c.Clients.FollowRetryAfter, c.CounterLoss, c.Arrivals.Amplitude}
+	for _, share := range shares {
 		if outside(share, 0, 1) {
 			return errors.New("a share that is not from 0 to 1")
 		}
--- a/internal/reservemodel/model.go
+++ b/internal/reservemodel/model.go
@@ -153,13 +153,16 @@
 		to(partHigh, partLow-1, state, float64(partLow)*c.load.Mu)
 	}
 	if state.high > 0 {
-		to(partHigh, partLow, c.resume(poolState{state.high - 1, state.low, state.degraded}), float64(state.high)*c.load.Mu)
+		next := c.resume(poolState{state.high - 1, state.low, state.degraded})
+		to(partHigh, partLow, next, float64(state.high)*c.load.Mu)
 	}
 	if state.low > 0 {
-		to(partHigh, partLow, c.resume(poolState{state.high, state.low - 1, state.degraded}), float64(state.low)*c.load.Mu)
+		next := c.resume(poolState{state.high, state.low - 1, state.degraded})
+		to(partHigh, partLow, next, float64(state.low)*c.load.Mu)
 	}
 	if state.degraded > 0 {
-		to(partHigh, partLow, c.resume(poolState{state.high, state.low, state.degraded - 1}), float64(state.degraded)*c.load.Mu)
+		next := c.resume(poolState{state.high, state.low, state.degraded - 1})
+		to(partHigh, partLow, next, float64(state.degraded)*c.load.Mu)
 	}
 }
 
@@ -195,7 +198,8 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("split {High:%d Pool:%d Low:%d} did not settle in %d rounds", c.split.High, c.split.Pool, c.split.Low, maxRounds)
+	return fmt.Errorf("split {High:%d Pool:%d Low:%d} did not settle in %d rounds",
+		c.split.High, c.split.Pool, c.split.Low, maxRounds)
 }
 
 // update computes a state's probability from those of the states before it.
--- a/internal/sim/endpointsources.go
+++ b/internal/sim/endpointsources.go
@@ -29,8 +29,8 @@
 
 	reports         map[string]map[string]decision.BackendState // by node, then source: the last that was told
 	lastFull        map[string]map[string]bool                  // by source: the nodes that its last full update named
-	drainKnownSince map[string]time.Duration                    // by node: since when the process knows that it drains or is removed
-	drainArrivedAt  map[string]time.Duration                    // the same of what arrived during a pause and is not handled yet
+	drainKnownSince map[string]time.Duration                    // by node: since when its drain or removal is known
+	drainArrivedAt  map[string]time.Duration                    // the same of what arrived during a pause
 	latestStart     map[string]time.Duration                    // by node: the latest start that was told
 	nameByID        map[decision.BackendID]string
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -26,7 +26,7 @@
 	ErrorResponses                          // the backend responds with an error
 	BackendRejects                          // the backend rejects requests unexecuted
 	SlowExecution                           // execution takes many times as long
-	Partition                               // nothing passes between a backend and a gateway; what was sent arrives later
+	Partition                               // nothing passes between a backend and a gateway until it ends
 	NoDescriptors                           // a gateway has no descriptors for further connections
 	DrainBackend                            // the sources say that a backend drains, and later that it is ready
 	RestartBackend                          // a backend's process ends, and a new one warms up
@@ -34,8 +34,8 @@
 	DeregisterBackend                       // a backend is removed from the sources, and added later as a new process
 	PauseGateway                            // a gateway's process is paused
 	KillGateway                             // a gateway's process is killed, and starts with its cached endpoints
-	KillAtAttemptStart                      // the same when its next attempt is counted, before or after that leaves
-	KillAtAttemptEnd                        // the same when its next attempt has ended, before or after that is accounted for
+	KillAtAttemptStart                      // the same when its next attempt is counted
+	KillAtAttemptEnd                        // the same when its next attempt has ended
 	ShutdownGateway                         // a gateway is told to stop, and starts again
 	DiscoveryLag                            // discovery's updates come late to a gateway
 	CatalogUnreachable                      // the agent refuses a gateway, is silent, has no leader, or is stale
--- a/internal/sim/gateway.go
+++ b/internal/sim/gateway.go
@@ -99,8 +99,9 @@
 		engine = &perturbedEngine{engine, rng, len(g.runner.backends), &g.runner.stopped}
 	}
 	g.machine = lifecycle.New(engine, settings.Classes, lifecycle.Limits{
-		MaxOpenRequests: config.maxOpenRequests, MaxAttempts: config.maxAttempts, MaxRememberedIDs: config.maxRequestIDs,
-		IDRetention: idRetention, DetectPauses: true, DrainGrace: config.drainGrace,
+		MaxOpenRequests: config.maxOpenRequests, MaxAttempts: config.maxAttempts,
+		MaxRememberedIDs: config.maxRequestIDs,
+		IDRetention:      idRetention, DetectPauses: true, DrainGrace: config.drainGrace,
 	}, g.world.now)
 	g.httpPool = platformhttp.NewBackendSet(config.maxConns, config.idleTimeout, nil)
 	g.attempts, g.conns, g.openConns = map[*attempt]bool{}, map[*conn]bool{}, 0
--- a/internal/sim/gatewayjournal.go
+++ b/internal/sim/gatewayjournal.go
@@ -58,14 +58,16 @@
 		return g.dedup.Restore(g.world.now, 0, record)
 	}
 	var err error
-	j.log, err = journal.Recover(journalOptions, mix(g.world.seed^uint64(g.number)), j.disk.List(), j.disk.Load, restore)
+	id := mix(g.world.seed ^ uint64(g.number))
+	j.log, err = journal.Recover(journalOptions, id, j.disk.List(), j.disk.Load, restore)
 	if err != nil {
 		g.world.violatef(ruleJournalReadable, "gateway %d: %v", g.number, err)
 		j.log = nil
 		return
 	}
 	usage := j.log.Usage()
-	g.world.tracef("door %d reads %d keys of %d bytes in %d segments", g.number, g.dedup.Len(), usage.Bytes, usage.Segments)
+	g.world.tracef("door %d reads %d keys of %d bytes in %d segments", g.number, g.dedup.Len(),
+		usage.Bytes, usage.Segments)
 	g.dedup.AttachLog(j.log, 0)
 }
 
--- a/internal/sim/gatewayrequests.go
+++ b/internal/sim/gatewayrequests.go
@@ -100,7 +100,9 @@
 	probe := &attempt{backend: backend, deadline: g.world.now + probeTimeout, onEnd: g.probeEnded}
 	g.attempts[probe] = true
 	epoch := g.epoch
-	g.world.scheduleAfter(probeTimeout, func() { g.enqueue(epoch, nil, func() { probe.cancel(platformhttp.TimedOut) }) })
+	g.world.scheduleAfter(probeTimeout, func() {
+		g.enqueue(epoch, nil, func() { probe.cancel(platformhttp.TimedOut) })
+	})
 	g.world.scheduleAfter(0, func() { g.enqueue(epoch, nil, func() { g.startAttempt(probe) }) })
 }
 
--- a/internal/sim/requestrules.go
+++ b/internal/sim/requestrules.go
@@ -49,7 +49,8 @@
 		c.world.violatef(ruleHarmlessRejection, "request %d of class %s was rejected and has been executed %d times",
 			request.number, request.class, request.executions)
 	case request.streamedAttempt > 0:
-		c.world.violatef(ruleHarmlessRejection, "request %d was rejected with a part of its response at its client", request.number)
+		c.world.violatef(ruleHarmlessRejection, "request %d was rejected with a part of its response at its client",
+			request.number)
 	}
 }
 
@@ -109,13 +110,15 @@
 			request.number, name, request.verdict)
 	}
 	if request.notAdmitted {
-		c.world.violatef(ruleNothingAfterFinal, "request %d is sent to %s and was not admitted", request.number, name)
+		c.world.violatef(ruleNothingAfterFinal, "request %d is sent to %s and was not admitted",
+			request.number, name)
 	}
 	c.checkDrain(g, attempt, 0)
 	if request.customer == flagshipCustomer && first {
 		c.hardLimit.take(c.world.now, request.cost)
 		if c.hardLimit.tokens < -hardLimitOverdraft {
-			c.world.violatef(ruleHardLimit, "request %d takes the flagship's tokens to %.2f", request.number, c.hardLimit.tokens)
+			c.world.violatef(ruleHardLimit, "request %d takes the flagship's tokens to %.2f",
+				request.number, c.hardLimit.tokens)
 		}
 	}
 }
@@ -172,7 +175,8 @@
 	id := effectID{request.id, request.gateway, request.gatewayEpoch}
 	c.effectsByID[id]++
 	if n := c.effectsByID[id]; request.idReused && n > 1 && !c.runner.config.forgetsIDs {
-		c.world.violatef(ruleSingleEffect, "id %x has had its effect %d times, the last as request %d", request.id, n, request.number)
+		c.world.violatef(ruleSingleEffect, "id %x has had its effect %d times, the last as request %d",
+			request.id, n, request.number)
 	}
 }
 
@@ -181,7 +185,8 @@
 func (c *checker) countEffectOfRetries(request *clientRequest) {
 	c.effectsByKey[request.key]++
 	if c.effectsByKey[request.key] > 1 && request.effectCount == 1 {
-		c.world.violatef(ruleHarmlessRejection, "request %d, a retry of a rejected one, has its effect once more", request.number)
+		c.world.violatef(ruleHarmlessRejection, "request %d, a retry of a rejected one, has its effect once more",
+			request.number)
 	}
 }
 
@@ -195,7 +200,8 @@
 	}
 	c.effectsPerProcess[id]++
 	if n := c.effectsPerProcess[id]; n > 1 {
-		c.world.violatef(ruleSingleEffect, "the key of request %d has had its effect %d times", request.number, n)
+		c.world.violatef(ruleSingleEffect, "the key of request %d has had its effect %d times",
+			request.number, n)
 	}
 }
 
@@ -204,11 +210,12 @@
 func (c *checker) checkDeadlines() {
 	open := c.unanswered[:0]
 	for _, request := range c.unanswered {
+		g := request.gateway
 		switch {
 		case request.finalCount > 0:
-		case request.gatewayEpoch != request.gateway.epoch:
+		case request.gatewayEpoch != g.epoch:
 			c.lostWithGateway++
-		case c.world.now > request.arrivedAt+request.timeout && !request.gateway.pausedDuring(request.arrivedAt, c.world.now):
+		case c.world.now > request.arrivedAt+request.timeout && !g.pausedDuring(request.arrivedAt, c.world.now):
 			c.world.violatef(ruleOneFinalAnswer, "request %d has none %v after its arrival",
 				request.number, c.world.now-request.arrivedAt)
 		default:
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -120,7 +120,7 @@
 		knownSince, draining = at, true
 	}
 	if draining && c.world.now > knownSince+c.runner.config.drainGrace+tolerance {
-		c.world.violatef(ruleDrain, "gateway %d sends request %d to %s, which it has known to drain or be removed for %v",
+		c.world.violatef(ruleDrain, "gateway %d sends request %d to %s, known to drain or be removed for %v",
 			g.number, attempt.request.number, name, c.world.now-knownSince)
 	}
 }
@@ -139,7 +139,8 @@
 		return
 	}
 	if b.listedAt == 0 || c.world.now-b.listedAt > listedTolerance && !g.pausedDuring(b.listedAt, c.world.now) {
-		c.world.violatef(ruleLastEndpointsKept, "gateway %d removes %s, which no source has lost for good", g.number, name)
+		c.world.violatef(ruleLastEndpointsKept, "gateway %d removes %s, which no source has lost for good",
+			g.number, name)
 	}
 }
 
@@ -196,10 +197,12 @@
 
 func (c *checker) checkRequestsAtRest(g *gateway) {
 	if n := g.machine.OpenRequests(); n > 0 || len(g.attempts) > 0 {
-		c.world.violatef(ruleReleased, "gateway %d keeps %d requests and %d attempts at rest", g.number, n, len(g.attempts))
+		c.world.violatef(ruleReleased, "gateway %d keeps %d requests and %d attempts at rest",
+			g.number, n, len(g.attempts))
 	}
 	if n := g.machine.UnmatchedOutcomes(); n > 0 {
-		c.world.violatef(ruleActionsMatchRequest, "%d actions of gateway %d's engine match no request", n, g.number)
+		c.world.violatef(ruleActionsMatchRequest, "%d actions of gateway %d's engine match no request",
+			n, g.number)
 	}
 	if n := g.machine.PendingTimers(); n != 1 { // the engine's own
 		c.world.violatef(ruleReleased, "gateway %d keeps %d timers at rest", g.number, n)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -149,7 +149,8 @@
 		idempotency, knownIdempotency := idempotencies[c.Idempotency]
 		scope, knownScope := dedupScopes[c.DedupScope]
 		if !knownIdempotency || !knownScope {
-			return nil, fmt.Errorf("lanes: class %q has the effect %q and the group %q", c.Name, c.Idempotency, c.DedupScope)
+			return nil, fmt.Errorf("lanes: class %q has the effect %q and the group %q",
+				c.Name, c.Idempotency, c.DedupScope)
 		}
 		classes = append(classes, decision.Class{
 			Name: c.Name, Idempotency: idempotency, DedupScope: scope, DedupWindow: microseconds(c.DedupWindow),
