--- a/grpcproxy/request.go
+++ b/grpcproxy/request.go
@@ -113,7 +113,7 @@
 		}
 		r.Cost = cost
 	}
-	if values.Terms == "" && !(p.config.Strict && p.config.Names.Terms != "") {
+	if values.Terms == "" && (!p.config.Strict || p.config.Names.Terms == "") {
 		return nil
 	}
 	terms, ok := requestmeta.Parse(values.Terms, &p.settings)
--- a/grpcproxy/server.go
+++ b/grpcproxy/server.go
@@ -82,7 +82,6 @@
 		grpc.InitialWindowSize(streamWindow),
 		grpc.InitialConnWindowSize(connWindow),
 		grpc.ConnectionTimeout(handshakeTimeout),
-		grpc.SharedWriteBuffer(true),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
 	}
