--- a/purity_test.go
+++ b/purity_test.go
@@ -104,7 +104,7 @@
 		"pipe":       `import "io"; var f = io.Pipe`,
 		"renamed io": `import x "io"`,
 		"lock":       `import "sync"`,
-		"own driver": `import "pumicecroft/internal/drive"`,
+		"own driver": `import "pumicecroft/internal/executor"`,
 		"the root":   `import "pumicecroft"`,
 		"clock":      `import "time"; func f() time.Time { return time.Now() }`,
 		"timer":      `import "time"; var f = time.AfterFunc`,
