--- a/cmd/pumicecroft/commands_test.go
+++ b/cmd/pumicecroft/commands_test.go
@@ -323,10 +323,10 @@
 	if err := cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	if got := tell("--file", path); !strings.Contains(got, "door 1") || !strings.Contains(got, "it is young, and others may owe") {
+	if got := tell("--file", path); !strings.Contains(got, "door 1") || !strings.Contains(got, "recent but incomplete") {
 		t.Errorf("of the door that kept it: %s", got)
 	}
-	if got := tell("--file", file(t, fmt.Sprintf(text, 3))); !strings.Contains(got, "another door's: door 1 of 2, this is door 1 of 3") {
+	if got := tell("--file", file(t, fmt.Sprintf(text, 3))); !strings.Contains(got, "another gateway: gateway 1 of 2, this is gateway 1 of 3") {
 		t.Errorf("of another count of doors: %s", got)
 	}
 	if got := tell("--file", file(t, strings.Replace(fmt.Sprintf(text, 2), "rate = 1", "rate = 2", 1))); !strings.Contains(got, "other settings") {
@@ -335,7 +335,7 @@
 	if err := os.WriteFile(snapshotfile.Path(dir, 1), []byte("noise"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := tell(); !strings.Contains(got, "not believed: it is torn") {
+	if got := tell(); !strings.Contains(got, "not believed: recovery: snapshot is torn") {
 		t.Errorf("of noise: %s", got)
 	}
 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -59,7 +59,7 @@
 			t.Fatalf("byte %d is another, and it is believed", n)
 		}
 	})
-	if _, err := Decode([]byte("pumicecroft decisions 2\n............................")); !errors.Is(err, ErrFormatVersion) || !strings.Contains(err.Error(), "form 2") {
+	if _, err := Decode([]byte("pumicecroft decisions 2\n............................")); !errors.Is(err, ErrFormatVersion) || !strings.Contains(err.Error(), "version 2") {
 		t.Errorf("a later form: %v", err)
 	}
 }
@@ -113,14 +113,14 @@
 		missing []float64 // of customers 1, 2 and 3; below 0: it is not there
 		why     string
 	}{
-		"at once":              {nil, 0, nil, false, []float64{400, 100, 500}, "young and whole"},
-		"a second later":       {nil, time.Second, nil, false, []float64{375, -1, 475}, "young and whole"},
-		"a little ahead":       {nil, -time.Second, nil, false, []float64{400, 100, 500}, "young and whole"},
-		"as old as may be":     {nil, MaxTrustedAge, nil, false, []float64{150, -1, 250}, "young and whole"},
-		"older":                {nil, MaxTrustedAge + ms, nil, true, []float64{400, 100, 500}, "nothing is paid off"},
+		"at once":              {nil, 0, nil, false, []float64{400, 100, 500}, "recent and complete"},
+		"a second later":       {nil, time.Second, nil, false, []float64{375, -1, 475}, "recent and complete"},
+		"a little ahead":       {nil, -time.Second, nil, false, []float64{400, 100, 500}, "recent and complete"},
+		"as old as may be":     {nil, MaxTrustedAge, nil, false, []float64{150, -1, 250}, "recent and complete"},
+		"older":                {nil, MaxTrustedAge + ms, nil, true, []float64{400, 100, 500}, "none is paid off"},
 		"yesterday's":          {nil, 24 * time.Hour, nil, true, []float64{400, 100, 500}, "24h0m0s old"},
 		"the clock went back":  {nil, -time.Hour, nil, true, []float64{400, 100, 500}, "from the future by 1h0m0s"},
-		"others may owe":       {func(s *Snapshot) { s.Complete = false }, time.Second, nil, true, []float64{375, -1, 475}, "others may owe"},
+		"others may owe":       {func(s *Snapshot) { s.Complete = false }, time.Second, nil, true, []float64{375, -1, 475}, "recent but incomplete"},
 		"another number":       {func(s *Snapshot) { s.GatewayIndex = 2 }, 0, ErrOtherGateway, true, nil, "nothing is known"},
 		"another count":        {func(s *Snapshot) { s.GatewayCount = 5 }, 0, ErrOtherGateway, true, nil, "nothing is known"},
 		"under other settings": {func(s *Snapshot) { s.SettingsDigest++ }, 0, ErrOtherSettings, true, nil, "nothing is known"},
--- a/recovery/fleet_test.go
+++ b/recovery/restarts_test.go
@@ -20,7 +20,6 @@
 	now      time.Duration
 	id       decision.RequestID
 	usage    map[decision.CustomerID]*[2]float64 // of this period and the last one
-	most     float64                             // of the plan's rate, that anybody used in a period
 }
 
 type gatewayProcess struct {
