--- /dev/null
+++ b/grpcproxy/status.go
@@ -0,0 +1,117 @@
+package grpcproxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"google.golang.org/genproto/googleapis/rpc/errdetails"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/types/known/durationpb"
+
+	"pumicecroft"
+	"pumicecroft/decision"
+	"pumicecroft/internal/grpctransport"
+)
+
+// PushbackTrailer is the trailer by which a server says when to retry a call, in whole milliseconds.
+// A negative number says not to (gRFC A6).
+const PushbackTrailer = "grpc-retry-pushback-ms"
+
+// noRetry is the value of PushbackTrailer that says not to retry.
+const noRetry = "-1"
+
+// statusFor returns the status and trailers of a call that the Gateway ended by err. reply is the
+// backend's response in the attempt that the call failed by, or nil.
+//
+// RESOURCE_EXHAUSTED with a pushback of 0 or more: the decision engine rejected the call; retrying
+// it then is safe. UNAVAILABLE: this gateway takes no calls now, another may; retrying at once is
+// safe. Everything else has a pushback of -1: the call may have run, or can never succeed. A call
+// that failed by a backend's error has that error's status, unless clients' usual retry policies
+// would repeat a call by it that is not idempotent.
+func statusFor(err error, reply *grpctransport.Response, idempotency decision.Idempotency) (*status.Status, metadata.MD) {
+	var rejected *pumicecroft.RejectedError
+	never := metadata.Pairs(PushbackTrailer, noRetry)
+	switch {
+	case errors.As(err, &rejected):
+		return rejectionStatus(rejected, err, reply)
+	case errors.Is(err, pumicecroft.ErrRejected): // the gateway is closed, or has too many open requests
+		return status.New(codes.Unavailable, err.Error()), nil
+	case errors.Is(err, pumicecroft.ErrBodyTooLarge):
+		return status.New(codes.ResourceExhausted, err.Error()), never
+	case errors.Is(err, pumicecroft.ErrBadRequest):
+		return status.New(codes.InvalidArgument, err.Error()), never
+	case errors.Is(err, pumicecroft.ErrReplayed):
+		return status.New(codes.AlreadyExists, err.Error()), never
+	case errors.Is(err, pumicecroft.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
+		return status.New(codes.DeadlineExceeded, err.Error()), never
+	case errors.Is(err, context.Canceled):
+		return status.New(codes.Canceled, err.Error()), never
+	case reply != nil:
+		return backendErrorStatus(reply, idempotency)
+	}
+	return status.New(codes.Unknown, err.Error()), never
+}
+
+// rejectionStatus returns the status of a call that the decision engine rejected.
+func rejectionStatus(rejected *pumicecroft.RejectedError, err error, reply *grpctransport.Response) (*status.Status, metadata.MD) {
+	text := err.Error()
+	if reply != nil {
+		text = fmt.Sprintf("%s; last response: status %d: %s", text, reply.Code, decodeMessage(reply.Message))
+	}
+	st := status.New(codes.ResourceExhausted, text)
+	if rejected.RetryAfter <= 0 {
+		return st, nil
+	}
+	info := &errdetails.RetryInfo{RetryDelay: durationpb.New(rejected.RetryAfter)}
+	if detailed, err := st.WithDetails(info); err == nil {
+		st = detailed
+	}
+	ms := (rejected.RetryAfter + time.Millisecond - 1).Milliseconds() // rounded up
+	return st, metadata.Pairs(PushbackTrailer, strconv.FormatInt(ms, 10))
+}
+
+// backendErrorStatus returns the status of a call that failed by a backend's error.
+func backendErrorStatus(reply *grpctransport.Response, idempotency decision.Idempotency) (*status.Status, metadata.MD) {
+	code, md := codes.Code(reply.Code), toMetadata(reply.Trailer)
+	if idempotency != decision.Idempotent && clientsRetry(code) {
+		code = codes.Unknown
+		delete(md, "grpc-status-details-bin") // it has the code, too
+	}
+	md.Set(PushbackTrailer, noRetry)
+	return status.New(code, decodeMessage(reply.Message)), md
+}
+
+// clientsRetry reports whether clients' usual retry policies repeat a call that ended with a code.
+func clientsRetry(c codes.Code) bool {
+	switch c {
+	case codes.Unavailable, codes.ResourceExhausted, codes.Aborted, codes.Internal, codes.DeadlineExceeded:
+		return true
+	}
+	return false
+}
+
+// decodeMessage decodes a grpc-message, which is percent-encoded. What can't be decoded stays as it
+// is, as the protocol asks.
+func decodeMessage(text string) string {
+	if !strings.Contains(text, "%") {
+		return strings.ToValidUTF8(text, "\ufffd")
+	}
+	var b strings.Builder
+	for i := 0; i < len(text); i++ {
+		if text[i] == '%' && i+2 < len(text) {
+			if c, err := strconv.ParseUint(text[i+1:i+3], 16, 8); err == nil {
+				b.WriteByte(byte(c))
+				i += 2
+				continue
+			}
+		}
+		b.WriteByte(text[i])
+	}
+	return strings.ToValidUTF8(b.String(), "\ufffd")
+}
--- /dev/null
+++ b/httpproxy/response.go
@@ -0,0 +1,157 @@
+package httpproxy
+
+import (
+	"errors"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"pumicecroft/internal/http1proxy"
+	"pumicecroft/internal/httpproxytransport"
+)
+
+// responseSink streams a backend's response to the client. An attempt may outlive its request by a
+// little: after close nothing is written any more. It is safe for concurrent use.
+type responseSink struct {
+	w      http.ResponseWriter
+	http10 bool // the client speaks HTTP/1.0, which has no 1xx responses (RFC 9110, 15.2)
+
+	mu       sync.Mutex
+	started  bool
+	complete bool
+	closed   bool
+}
+
+var _ httpproxytransport.Sink = (*responseSink)(nil)
+
+var errRequestEnded = errors.New("httpproxy: the request has ended")
+
+// writeGrace is how long after the attempt's deadline the client may still receive its response.
+const writeGrace = time.Second
+
+// WriteInformational forwards a 1xx response.
+func (s *responseSink) WriteInformational(status int, h http.Header) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed || s.started || s.http10 {
+		return
+	}
+	header := s.w.Header()
+	saved := header.Clone()
+	http1proxy.CopyResponseHeader(header, h)
+	s.w.WriteHeader(status)
+	clear(header)
+	for name, values := range saved {
+		header[name] = values
+	}
+}
+
+// WriteHeader begins the response.
+func (s *responseSink) WriteHeader(response *httpproxytransport.Response, deadline time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return
+	}
+	s.started = true
+	// A client that does not read is given up a little after the attempt's end. A writer that the host
+	// has wrapped may not support deadlines: then the host's own limit holds.
+	_ = http.NewResponseController(s.w).SetWriteDeadline(deadline.Add(writeGrace))
+	setResponseHeader(s.w, response)
+	s.w.WriteHeader(response.Status)
+}
+
+// WriteBody forwards a part of the body.
+func (s *responseSink) WriteBody(data []byte, flush bool) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return errRequestEnded
+	}
+	if len(data) > 0 {
+		if _, err := s.w.Write(data); err != nil {
+			return err
+		}
+	}
+	if flush {
+		return http.NewResponseController(s.w).Flush()
+	}
+	return nil
+}
+
+// WriteTrailer ends the response.
+func (s *responseSink) WriteTrailer(h http.Header) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.closed {
+		s.complete = true
+		setTrailers(s.w, h)
+		_ = http.NewResponseController(s.w).SetWriteDeadline(time.Time{})
+	}
+}
+
+func (s *responseSink) hasStarted() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.started
+}
+
+func (s *responseSink) isComplete() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.complete
+}
+
+// close lets nothing more be written. It waits for a write in progress, which ends by its deadline.
+func (s *responseSink) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+}
+
+// setResponseHeader copies a response's fields to the client's.
+func setResponseHeader(w http.ResponseWriter, response *httpproxytransport.Response) {
+	h := w.Header()
+	connection := h["Connection"] // "close" if the proxy ends the connection
+	http1proxy.CopyResponseHeader(h, response.Header)
+	if connection != nil {
+		h["Connection"] = connection
+	}
+	if _, ok := h["Content-Type"]; !ok {
+		h["Content-Type"] = nil // keeps net/http from guessing one
+	}
+	if len(response.Trailer) > 0 {
+		var names []string
+		for name := range response.Trailer {
+			names = append(names, name)
+		}
+		h["Trailer"] = []string{strings.Join(names, ", ")}
+	}
+}
+
+// setTrailers sets the trailer fields of a response whose body has been written.
+func setTrailers(w http.ResponseWriter, trailer http.Header) {
+	h := w.Header()
+	announced := strings.Join(h["Trailer"], ", ")
+	for name, values := range trailer {
+		if !strings.Contains(", "+announced+", ", ", "+name+", ") {
+			name = http.TrailerPrefix + name
+		}
+		h[name] = values
+	}
+}
+
+// writeResponse writes a complete response.
+func writeResponse(w http.ResponseWriter, response *httpproxytransport.Response) {
+	setResponseHeader(w, response)
+	w.WriteHeader(response.Status)
+	if len(response.Body) > 0 {
+		_, _ = w.Write(response.Body) // a failure closes the connection, by which the client sees it
+	}
+	if len(response.Trailer) > 0 {
+		// Without a flush the server would send Content-Length, beside which there are no trailers.
+		_ = http.NewResponseController(w).Flush()
+		setTrailers(w, response.Trailer)
+	}
+}
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// fill gives a field a value other than its zero one.
+// setNonZero sets a field to a value other than its zero value.
 func setNonZero(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -15,7 +15,7 @@
 
 var classes = []decision.Class{{Name: "safe"}, {Name: "keyed", Idempotency: decision.IdempotentByKey}, {Name: "unsafe", Idempotency: decision.NonIdempotent}}
 
-// harness is a core over a decision module that does as the test says, and keeps what it heard.
+// harness is a Machine over a scripted engine, which is the harness itself. It records the events that it handles.
 type harness struct {
 	t       *testing.T
 	machine *Machine
@@ -26,7 +26,7 @@
 
 func (r *harness) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
 	if now != r.now {
-		r.t.Errorf("the decision module is told that it is %v, it is %v", now, r.now)
+		r.t.Errorf("the engine is told that it is %v, it is %v", now, r.now)
 	}
 	r.events = append(r.events, encodeEvent(ev))
 	if r.react != nil {
@@ -41,7 +41,7 @@
 	return r
 }
 
-// tell gives effects as short lines, such as "start 1/0 at 7 by 2s" and "final 1 served".
+// describeEffects returns effects as short lines, such as "start 1/0 at 7 by 2s" and "final 1 served".
 func describeEffects(es []Effect) string {
 	var lines []string
 	for _, e := range es {
@@ -103,7 +103,7 @@
 	}
 }
 
-// sendOn sends each request to backend 7, and does nothing else but what more says.
+// startOnBackend7 starts each request on backend 7, and reacts to other events as more does.
 func startOnBackend7(more func(decision.Event) []decision.Action) func(decision.Event) []decision.Action {
 	return func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
@@ -153,7 +153,8 @@
 	r.wantNothingLeft()
 }
 
-// The last moment comes whatever the decision module does or does not do.
+// An engine that never answers a request must not leave its client waiting: the Machine answers it at the response
+// deadline.
 func TestUnansweredRequestEndsAtResponseDeadline(t *testing.T) {
 	r := newHarness(t, Limits{}, startOnBackend7(nil))
 	r.submit(1, "safe")
@@ -169,8 +170,8 @@
 	r.wantNothingLeft()
 }
 
-// A driver that was paused finds all timers due at once: they come in the order of their times, before whatever
-// event woke it, and an answer that came too late serves nobody.
+// An executor that was paused finds all timers overdue at once. They fire in the order of their times, before the
+// event that woke it, so a response that came too late is not served.
 func TestOverdueTimersFireBeforeLateEvent(t *testing.T) {
 	r := newHarness(t, Limits{}, startOnBackend7(nil))
 	r.submit(1, "safe")
@@ -224,7 +225,8 @@
 	r.wantNothingLeft()
 }
 
-// A decision module that gives an answer and calls nothing off leaves an attempt out. It still has an end.
+// An engine that answers a request and cancels nothing leaves an attempt in flight. The Machine cancels it at its
+// deadline, and its end is still reported as an outcome.
 func TestAttemptOutlivesItsRequest(t *testing.T) {
 	r := newHarness(t, Limits{}, func(ev decision.Event) []decision.Action {
 		if q, ok := ev.(decision.Request); ok {
@@ -272,7 +274,8 @@
 	r.wantNothingLeft()
 }
 
-// A host that runs its handlers again must not make an effect happen twice. What provably never ran may come again.
+// A host that runs its handlers again submits an id again. A request that may have executed must not execute twice;
+// one that provably never did may be submitted again.
 func TestSubmit_ReplayedID(t *testing.T) {
 	r := newHarness(t, Limits{MaxRememberedIDs: 2, IDRetention: time.Second}, startOnBackend7(nil))
 	try := func(id decision.RequestID, class string, end decision.Result) error {
@@ -345,7 +348,7 @@
 	}
 }
 
-// twice sends each request to backend 7 and, at the module's timer, beside that to 8.
+// hedgeAfter100ms starts each request on backend 7 and, at the engine's timer, beside that on backend 8.
 func hedgeAfter100ms(ev decision.Event) []decision.Action {
 	switch ev := ev.(type) {
 	case decision.Request:
@@ -356,8 +359,8 @@
 	return nil
 }
 
-// An answer that has begun binds its request to the attempt: others are called off and may not begin theirs, their good
-// end changes nothing, and none is made any more.
+// Once part of a response is with the client, no other attempt can answer the request: others are cancelled, their
+// responses may not start, their success changes nothing, and none is started any more.
 func TestStartedResponseBindsRequest(t *testing.T) {
 	r := newHarness(t, Limits{}, hedgeAfter100ms)
 	r.submit(1, "safe")
@@ -371,7 +374,8 @@
 	r.wantNothingLeft()
 }
 
-// The end of an attempt whose answer has begun is the request's: it is made no more, whatever its class, and never refused.
+// A response that breaks halfway cannot be taken back. The request fails with it: it is never retried or rejected,
+// whatever its class.
 func TestStartedResponseThatBreaksIsNotRetried(t *testing.T) {
 	for result, want := range map[decision.Result]string{decision.ConnectionLost: "final 1 failed", decision.Rejected: "final 1 failed",
 		decision.ErrorResponse: "final 1 failed", decision.TimedOut: "final 1 late"} {
@@ -397,7 +401,7 @@
 	r.wantResponseStarted("a module that refuses what it is told has begun", 1, 0, false, "final 1 failed")
 }
 
-// An answer may not begin once its attempt is called off or its request has ended.
+// A response may not start once its attempt is cancelled or its request is answered.
 func TestResponseStarted_TooLate(t *testing.T) {
 	r := newHarness(t, Limits{}, startOnBackend7(nil))
 	r.submit(1, "safe")
@@ -407,7 +411,7 @@
 	r.wantResponseStarted("after the end", 1, 0, false, "")
 }
 
-// A stream in flight ends with its time, and when its client leaves.
+// A response that has started still ends at its request's deadline.
 func TestStartedResponseEndsAtDeadline(t *testing.T) {
 	r := newHarness(t, Limits{}, startOnBackend7(nil))
 	r.submit(1, "safe")
--- a/internal/lifecycle/pause_test.go
+++ b/internal/lifecycle/pause_test.go
@@ -8,14 +8,14 @@
 	"pumicecroft/decision"
 )
 
-// still is a rig whose core notices pauses, and has seen something happen at 0.
+// newPausableHarness returns a harness whose Machine detects pauses, and has seen an event at 0.
 func newPausableHarness(t *testing.T, on func(decision.Event) []decision.Action) *harness {
 	r := newHarness(t, Limits{DetectPauses: true}, on)
 	r.machine.Tick(r.now)
 	return r
 }
 
-// catchUp is the serial of the only CatchUp among effects; 0: there is none.
+// syncRequested is the SyncID of the only SyncSources among effects; 0: there is none.
 func (r *harness) syncRequested(es []Effect) (serial uint64) {
 	r.t.Helper()
 	for _, e := range es {
@@ -33,7 +33,8 @@
 	return decision.EndpointUpdate{Kind: decision.UpdateDelta, Endpoints: []decision.Endpoint{{ID: id, State: decision.Draining}}}
 }
 
-// What is decided first after a standstill waits for what the sources were told meanwhile, and is decided again if that speaks against it.
+// A backend is told to drain while the process is paused, and a request arrives before that update is read. Its attempt
+// must wait until the sources have synced, and go elsewhere if its backend drains by then.
 func TestStartAfterPauseWaitsForSync(t *testing.T) {
 	elsewhere := func(ev decision.Event) []decision.Action {
 		if o, ok := ev.(decision.Outcome); ok && o.Result == decision.NotSent && o.Attempt == 0 {
@@ -72,7 +73,8 @@
 	}
 }
 
-// What waits ends like what is out: by its client, by its time, at the end; and its backend never hears of it.
+// An attempt that is held back after a pause ends like one in flight: by its client, its deadline or an abort. It was
+// never sent, so its id does not count as executed.
 func TestHeldStartEndsWithoutSend(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(r *harness) []Effect
@@ -106,7 +108,8 @@
 	}
 }
 
-// A second standstill before the first one's answer makes that answer worthless.
+// A second pause before the sources have synced after the first makes that sync worthless: what arrived during the
+// second one is unread.
 func TestPauseDuringSyncNeedsAnotherSync(t *testing.T) {
 	r := newPausableHarness(t, startOnBackend7(nil))
 	r.setTime(6 * time.Second)
@@ -124,7 +127,8 @@
 	}
 }
 
-// What was decided before and has not left is asked for: it may not leave before the news is in, and not to a backend that drains by it.
+// An attempt is decided, and the process is paused before it is sent. It may not be sent before the sources have synced,
+// nor to a backend that drains by then.
 func TestConfirmSend(t *testing.T) {
 	r := newPausableHarness(t, startOnBackend7(nil))
 	r.wantEffects("an arrival", r.submit(1, "safe"), "start 1/0 at 7 by 960ms")
@@ -147,7 +151,8 @@
 	}
 }
 
-// An attempt that was out while the process stood still proves nothing of its backend: not its time, not its reading.
+// An attempt that is in flight during a pause must not count against its backend: the pause is taken off its latency,
+// and its usage reading is dropped, as it is as old as the pause.
 func TestPauseIsDiscountedFromOutcome(t *testing.T) {
 	r := newPausableHarness(t, startOnBackend7(nil))
 	es, err := r.machine.Submit(r.now, decision.RequestID(1), decision.Request{ID: 1, Class: "safe", Timeout: 20 * time.Second}, 20*time.Second)
@@ -162,7 +167,7 @@
 	r.wantLastEvent("result=0 latency=110ms final=true has_usage=false")
 }
 
-// A process that does something often enough, or nothing because nothing is due, does not stand still.
+// A process that is busy, or idle because no timer is due, must not be taken for a paused one.
 func TestFrequentTicksAreNoPause(t *testing.T) {
 	r := newPausableHarness(t, startOnBackend7(nil))
 	for i := range 100 {
--- a/internal/operatorconfig/grpc.go
+++ b/internal/operatorconfig/grpc.go
@@ -4,84 +4,99 @@
 	"slices"
 	"time"
 
+	"pumicecroft/decision"
 	"pumicecroft/grpcproxy"
 	"pumicecroft/internal/settings"
 )
 
 // GRPC is what a file says of gRPC.
 type GRPC struct {
-	Listen   string // host:port for clients
-	Front    grpcproxy.Config
+	Listen   string // the address for clients, host:port
+	Proxy    grpcproxy.Config
 	Backends grpcproxy.BackendConfig
 }
 
-// readGRPC reads [grpc]; the classes have been read.
-func readGRPC(d *settings.Document, s *settings.Section, f *File) *GRPC {
-	g := &GRPC{}
-	c, b := &g.Front, &g.Backends
-	g.Listen = s.Text("listen", true)
+// readGRPC reads [grpc], after classes.
+func readGRPC(s *settings.Section, f *File) *GRPC {
+	g := &GRPC{Listen: s.Text("listen", true)}
 	if g.Listen != "" {
-		checkAddress(d, s, "listen", g.Listen)
+		checkAddress(s, "listen", g.Listen)
 	}
-	usual := grpcproxy.PlatformNames
+	c, b := &g.Proxy, &g.Backends
+	c.Names = readMetadataNames(s)
+	c.Strict = s.Bool("strict", false)
+	c.CustomerText = s.Bool("customer_text", false)
+	c.ReadTimeout = s.Duration("read_timeout", time.Second, time.Millisecond, time.Hour)
+	c.MaxMessageBytes = s.Int("max_message", 4<<20, 1, 1<<30)
+	c.MaxClientConns = s.Int("client_connections", 400, 1, maxCount)
+	c.MaxStreamsPerConn = s.Int("client_streams", 1000, 1, maxCount)
+	b.MaxConnsPerBackend = s.Int("backend_connections", 2, 1, maxCount)
+	b.MaxStreamsPerConn = s.Int("backend_streams", 100, 1, maxCount)
+	b.MaxMessageBytes = s.Int("max_answer", 4<<20, 1, 1<<30)
+	b.ConnectTimeout, b.IdleTimeout = f.Gateway.ConnectTimeout, f.Gateway.IdleTimeout
+	c.Methods = readMethods(s, f)
+	s.RejectUnknownKeys()
+	return g
+}
+
+// readMetadataNames reads the names of metadata by which calls describe themselves.
+func readMetadataNames(s *settings.Section) grpcproxy.MetadataNames {
 	seen := map[string]bool{}
-	name := func(key, usual string) string {
-		v := usual
-		if _, there := s.Get(key); there {
-			v = s.Text(key, false)
+	readName := func(key, defaultName string) string {
+		name := defaultName
+		if _, ok := s.Get(key); ok {
+			name = s.Text(key, false)
 		}
-		if err := grpcproxy.CheckName(v); err != nil {
-			d.Bad(s.Path, key, "%v", err)
-		} else if v != "" && seen[v] {
-			d.Bad(s.Path, key, "%q stands for something else already", v)
+		if err := grpcproxy.ValidateMetadataName(name); err != nil {
+			s.Problemf(key, "%v", err)
+		} else if name != "" && seen[name] {
+			s.Problemf(key, "%q stands for something else already", name)
 		}
-		seen[v] = true
-		return v
+		seen[name] = true
+		return name
 	}
-	c.Names = grpcproxy.Names{Customer: name("customer", usual.Customer), Plan: name("plan", usual.Plan), Units: name("units", usual.Units),
-		ID: name("id", usual.ID), Key: name("key", usual.Key), Terms: name("terms", usual.Terms)}
-	if c.Names.Customer == "" {
-		d.Bad(s.Path, "customer", "it is empty: calls must say who asks")
+	platform := grpcproxy.PlatformNames
+	names := grpcproxy.MetadataNames{
+		Customer:       readName("customer", platform.Customer),
+		Plan:           readName("plan", platform.Plan),
+		Cost:           readName("units", platform.Cost),
+		ID:             readName("id", platform.ID),
+		IdempotencyKey: readName("key", platform.IdempotencyKey),
+		Terms:          readName("terms", platform.Terms),
 	}
-	if c.Names.Plan == "" {
-		d.Bad(s.Path, "plan", "it is empty: calls must say by which plan")
+	if names.Customer == "" {
+		s.Problemf("customer", "it is empty: calls must say who asks")
 	}
-	c.Strict = s.Yes("strict", false)
-	c.CustomerText = s.Yes("customer_text", false)
-	c.ReadTimeout = s.Duration("read_timeout", time.Second, time.Millisecond, time.Hour)
-	c.MaxMessage = s.Whole("max_message", 4<<20, 1, 1<<30)
-	c.Conns = s.Whole("client_connections", 400, 1, many)
-	c.Streams = s.Whole("client_streams", 1000, 1, many)
-	b.Conns = s.Whole("backend_connections", 2, 1, many)
-	b.Streams = s.Whole("backend_streams", 100, 1, many)
-	b.MaxMessage = s.Whole("max_answer", 4<<20, 1, 1<<30)
-	b.Connect, b.Idle = f.Door.ConnectTimeout, f.Door.IdleTimeout
-	c.Methods = map[string]grpcproxy.Method{}
-	classes := map[string]bool{}
-	for _, k := range f.Door.Settings.Classes {
-		classes[k.Name] = true
+	if names.Plan == "" {
+		s.Problemf("plan", "it is empty: calls must say by which plan")
 	}
+	return names
+}
+
+// readMethods reads [[grpc.method]].
+func readMethods(s *settings.Section, f *File) map[string]grpcproxy.Method {
+	methods := map[string]grpcproxy.Method{}
 	for _, e := range s.List("method") {
-		n := e.Text("name", true)
-		m := grpcproxy.Method{Class: e.Text("class", true), Streaming: e.Yes("streaming", false)}
-		if err := grpcproxy.CheckMethod(n); n != "" && err != nil {
-			d.Bad(e.Path, "name", "%v", err)
+		name := e.Text("name", true)
+		method := grpcproxy.Method{Class: e.Text("class", true), Streaming: e.Bool("streaming", false)}
+		if err := grpcproxy.ValidateMethod(name); name != "" && err != nil {
+			e.Problemf("name", "%v", err)
 		}
-		if _, twice := c.Methods[n]; twice {
-			d.Bad(e.Path, "name", "%q is there twice", n)
+		if _, ok := methods[name]; ok {
+			e.Problemf("name", "%q is there twice", name)
 		}
-		if m.Class != "" && !classes[m.Class] {
-			d.Bad(e.Path, "class", "there is no class %q", m.Class)
+		known := slices.ContainsFunc(f.Gateway.Settings.Classes, func(c decision.Class) bool { return c.Name == method.Class })
+		if method.Class != "" && !known {
+			e.Problemf("class", "there is no class %q", method.Class)
 		}
-		if slices.ContainsFunc(f.classes, func(c class) bool { return c.Name == m.Class && c.byMethod }) {
-			d.Bad(e.Path, "class", "class %q has no effect, and over gRPC no method of HTTP's tells it", m.Class)
+		if slices.ContainsFunc(f.classes, func(c class) bool { return c.Name == method.Class && c.byMethod }) {
+			e.Problemf("class", "class %q has no effect, and over gRPC no method of HTTP's tells it", method.Class)
 		}
-		e.Done()
-		c.Methods[n] = m
+		e.RejectUnknownKeys()
+		methods[name] = method
 	}
-	if len(c.Methods) == 0 {
-		d.Bad(s.Path, "method", "there is none: [[grpc.method]] with a name and a class")
+	if len(methods) == 0 {
+		s.Problemf("method", "there is none: [[grpc.method]] with a name and a class")
 	}
-	s.Done()
-	return g
+	return methods
 }
--- /dev/null
+++ b/internal/sim/rules.go
@@ -0,0 +1,247 @@
+package sim
+
+import (
+	"time"
+
+	"pumicecroft/decision"
+	"pumicecroft/membership"
+)
+
+// Figures of the platform (BRIEF 8, PROTOCOL).
+const (
+	defaultDrainGrace      = 2 * time.Second
+	slowStartMinCapacity   = 0.2 // share of a backend's capacity at its start
+	slowStartWindow        = 14 * time.Second
+	platformOverloadFactor = 4.0 // multiple of its capacity by which a backend is overloaded during its warm-up
+	hardLimitRate          = 20.0
+	hardLimitBurst         = 30.0
+	hardLimitOverdraft     = 3.0
+	flagshipCustomer       = 0 // the customer whose plan has a hard limit
+)
+
+// The rules. The corpus and the planted bugs name them by these texts.
+const (
+	ruleOneFinalAnswer      = "one final answer"
+	ruleAnswerInTime        = "answers in time"
+	ruleOwnAnswer           = "answers are their own"
+	ruleSameAnswer          = "what was answered is answered alike"
+	ruleRequestUnchanged    = "requests go on as they came"
+	ruleUpdatesValid        = "lists make sense"
+	ruleJournalReadable     = "the journal is read again"
+	ruleNothingAfterFinal   = "nothing follows the final answer"
+	ruleHarmlessRejection   = "a refusal is harmless"
+	ruleSingleEffect        = "effects stay single"
+	ruleHardLimit           = "ceilings hold"
+	ruleDrain               = "drains are honoured"
+	ruleDisconnected        = "who has left is sent nothing"
+	ruleSlowStart           = "cold backends are spared"
+	ruleLastEndpointsKept   = "the last list is kept"
+	ruleEndpointsConverge   = "lists come true"
+	ruleBounded             = "everything has its bound"
+	ruleReleased            = "everything is given back"
+	ruleAccounted           = "everything is accounted for"
+	ruleActionsMatchRequest = "every action fits"
+)
+
+// Ends of requests, as traces have them. verdictNames has those of the lifecycle machine.
+const (
+	verdictServed       = "served"
+	verdictRejected     = "refused"
+	verdictFailed       = "failed"
+	verdictLate         = "late"
+	verdictDisconnected = "left"
+	verdictAborted      = "aborted"
+	verdictNotAdmitted  = "turned away"
+)
+
+const (
+	// disconnectTolerance is how long after its client's disconnect a request may still leave.
+	disconnectTolerance = 300 * time.Millisecond
+	// sendTolerance is what sockets add to the limit on sends to a draining backend.
+	sendTolerance = 50 * time.Millisecond
+	// listedTolerance is how long after a backend's return to the sources a gateway may still
+	// remove it.
+	listedTolerance = 5 * time.Second
+)
+
+// checker checks the rules at each step: the platform's five, and that nothing is lost or kept for
+// good.
+type checker struct {
+	world      *world
+	runner     *runner
+	unanswered []*clientRequest // taken by a gateway, without a final answer
+	hardLimit  tokenBucket      // of the flagship customer, over all gateways
+
+	effectsByID       map[effectID]int
+	effectsByKey      map[uint64]int   // by clients who retry what was rejected and nothing else
+	effectsPerProcess map[effectID]int // of each key at a process, or at a gateway with a journal
+	volatileKeys      map[uint64]bool  // keys that were executed without being on disk, which is allowed
+
+	served, rejected, failed, lostWithGateway int // requests by their ends
+	attemptsStarted, attemptsSent             int
+}
+
+// tokenBucket is a hard limit's.
+type tokenBucket struct {
+	tokens  float64
+	at      time.Duration
+	started bool
+}
+
+// take refills the bucket and takes a cost out of it, below zero if need be.
+func (b *tokenBucket) take(now time.Duration, cost float64) {
+	if !b.started {
+		b.started, b.tokens, b.at = true, hardLimitBurst, now
+	}
+	b.tokens = min(hardLimitBurst, b.tokens+hardLimitRate*(now-b.at).Seconds()) - cost
+	b.at = now
+}
+
+// effectID names what must have its effect once: a request id, or a key, at a process that
+// remembers it.
+type effectID struct {
+	id      uint64
+	gateway *gateway
+	epoch   int
+}
+
+// harmfulIfExecuted tells whether a rejection of this request promises that it was not executed:
+// clients retry it, and a retry may reach a backend that does not know its key.
+func (c *checker) harmfulIfExecuted(request *clientRequest) bool {
+	return request.class == "once" || request.class == "pay" && c.runner.config.dedupScope != decision.DedupScopeAll
+}
+
+// checkDrain checks that nothing is sent to a backend that the process has known to drain for
+// longer than the grace. What has arrived during a pause counts as known.
+func (c *checker) checkDrain(g *gateway, attempt *attempt, tolerance time.Duration) {
+	name := g.endpoints.nameByID[attempt.backend]
+	knownSince, draining := g.endpoints.drainKnownSince[name]
+	if at, arrived := g.endpoints.drainArrivedAt[name]; arrived && (!draining || at < knownSince) {
+		knownSince, draining = at, true
+	}
+	if draining && c.world.now > knownSince+c.runner.config.drainGrace+tolerance {
+		c.world.violatef(ruleDrain, "gateway %d sends request %d to %s, known to drain or be removed for %v",
+			g.number, attempt.request.number, name, c.world.now-knownSince)
+	}
+}
+
+// onOverload is told of a backend that was sent too much during its warm-up.
+func (c *checker) onOverload(b *backend, requests int) {
+	c.world.violatef(ruleSlowStart, "backend %d, started %v ago, was sent %d requests in %v",
+		b.number, c.world.now-b.startedAt, requests, b.overloadDuration)
+}
+
+// onBackendRemoved is told of a backend that a gateway's table removes. It must have been out of
+// the sources for good.
+func (c *checker) onBackendRemoved(g *gateway, name string) {
+	b := c.runner.byName[name]
+	if !b.listed {
+		return
+	}
+	if b.listedAt == 0 || c.world.now-b.listedAt > listedTolerance && !g.pausedDuring(b.listedAt, c.world.now) {
+		c.world.violatef(ruleLastEndpointsKept, "gateway %d removes %s, which no source has lost for good",
+			g.number, name)
+	}
+}
+
+// checkBounds checks the bounds on what a gateway keeps.
+func (c *checker) checkBounds(g *gateway) {
+	config := &c.runner.config
+	c.checkBound(g, "connections", g.httpPool.Pool.Count(), config.maxConns)
+	if g.dedup != nil {
+		c.checkBound(g, "bytes of keys", g.dedup.Bytes(), config.dedupBytes)
+	}
+	c.checkBound(g, "remembered ids", g.machine.RememberedIDs(), config.maxRequestIDs)
+	c.checkBound(g, "open requests", g.machine.OpenRequests(), config.maxOpenRequests)
+}
+
+func (c *checker) checkBound(g *gateway, what string, n, limit int) {
+	if n < 0 || n > limit {
+		c.world.violatef(ruleBounded, "gateway %d has %d %s, the limit is %d", g.number, n, what, limit)
+	}
+}
+
+// checkTimers checks that a lifecycle machine keeps no timers of requests that have ended.
+func (c *checker) checkTimers(g *gateway) {
+	open := g.machine.OpenRequests()
+	perRequest := 2 * (1 + c.runner.config.maxAttempts)
+	c.checkBound(g, "timers", g.machine.PendingTimers(), 1+open*perRequest)
+}
+
+// onGatewayStopped is told of a gateway that has stopped by itself: every request has its answer,
+// and nothing is left open.
+func (c *checker) onGatewayStopped(g *gateway) {
+	for _, request := range c.unanswered {
+		if request.gateway == g && request.gatewayEpoch == g.epoch && request.finalCount == 0 {
+			c.world.violatef(ruleOneFinalAnswer, "request %d has none, and its gateway stops", request.number)
+		}
+	}
+	if n := g.httpPool.Pool.Idle(); n > 0 {
+		c.world.violatef(ruleReleased, "gateway %d stops with %d idle connections", g.number, n)
+	}
+}
+
+// checkAtRest checks what is left once clients have stopped and everything has ended.
+func (c *checker) checkAtRest(gateways []*gateway) {
+	for _, g := range gateways {
+		if g.up {
+			c.checkRequestsAtRest(g)
+			c.checkStoresAtRest(g)
+			c.checkEndpointsAtRest(g)
+		}
+	}
+	if len(c.unanswered) > 0 {
+		c.world.violatef(ruleAccounted, "%d requests have no end", len(c.unanswered))
+	}
+}
+
+func (c *checker) checkRequestsAtRest(g *gateway) {
+	if n := g.machine.OpenRequests(); n > 0 || len(g.attempts) > 0 {
+		c.world.violatef(ruleReleased, "gateway %d keeps %d requests and %d attempts at rest",
+			g.number, n, len(g.attempts))
+	}
+	if n := g.machine.UnmatchedOutcomes(); n > 0 {
+		c.world.violatef(ruleActionsMatchRequest, "%d actions of gateway %d's engine match no request",
+			n, g.number)
+	}
+	if n := g.machine.PendingTimers(); n != 1 { // the engine's own
+		c.world.violatef(ruleReleased, "gateway %d keeps %d timers at rest", g.number, n)
+	}
+	if n, idle := g.httpPool.Pool.Count(), g.httpPool.Pool.Idle(); n != idle || n != g.openConns {
+		c.world.violatef(ruleReleased, "gateway %d has %d connections open, counts %d and has %d idle at rest",
+			g.number, g.openConns, n, idle)
+	}
+}
+
+func (c *checker) checkStoresAtRest(g *gateway) {
+	if g.dedup != nil && (g.dedup.Waiting() > 0 || len(g.requestByKey) > 0) {
+		c.world.violatef(ruleReleased, "at gateway %d %d requests wait with a key and %d run for one",
+			g.number, g.dedup.Waiting(), len(g.requestByKey))
+	}
+	log := g.journal.log
+	if log == nil {
+		return
+	}
+	usage := log.Usage()
+	large := usage.Bytes > 2*usage.LiveBytes+4*journalOptions.SegmentBytes
+	if log.Err() != nil || usage.UnwrittenBytes > 0 || usage.PendingBytes > 0 || large {
+		c.world.violatef(ruleReleased, "gateway %d's journal ends as %+v, %v", g.number, usage, log.Err())
+	}
+}
+
+func (c *checker) checkEndpointsAtRest(g *gateway) {
+	known := map[string]bool{}
+	for _, status := range g.table.Statuses() {
+		known[status.Name] = true
+		addr := c.runner.byName[status.Name].addr()
+		if status.EffectiveState == membership.Draining || status.Addr != addr {
+			c.world.violatef(ruleEndpointsConverge, "gateway %d takes %s to be %v at %s (%s), and it is ready at %s",
+				g.number, status.Name, status.EffectiveState, status.Addr, status.Reason, addr)
+		}
+	}
+	for _, b := range c.runner.backends {
+		if !known[b.name()] {
+			c.world.violatef(ruleEndpointsConverge, "gateway %d does not know %s", g.number, b.name())
+		}
+	}
+}
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -19,7 +19,7 @@
 
 var plans = []decision.Plan{{Name: "shop", Rate: 2, Burst: 10}, {Name: "open", MaxInFlight: 3}}
 
-// TestMain has the property tests draw the same every time, unless -rapid.seed says otherwise.
+// TestMain has the property tests draw the same values every time, unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20", "rapid.checks": "400", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -37,7 +37,7 @@
 	}), 0, 20).Draw(t, "customers")
 }
 
-// What is written is read, and nothing of what is cut or changed anywhere.
+// A snapshot is read as it was written; one that is cut or changed anywhere is rejected.
 func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Snapshot{GatewayIndex: rapid.IntRange(0, 300).Draw(t, "door"), GatewayCount: 300, BootID: rapid.Uint64().Draw(t, "boot"), TakenAt: time.UnixMilli(rapid.Int64Range(0, 1<<40).Draw(t, "at")).UTC(),
@@ -64,7 +64,8 @@
 	}
 }
 
-// Of more than there is room for, those that owe most are kept, in one order, and it is said that others owe too.
+// Of more customers than there is room for, those with the largest debts are kept, in one order, and the result says
+// that others have debts too.
 func TestQuotaDebts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all, most := drawCustomers(t), rapid.IntRange(1, 6).Draw(t, "most")
@@ -147,8 +148,8 @@
 	}
 }
 
-// Whatever a snapshot says and however old it is, it takes from a customer more than a door that knows nothing would, or it is young and
-// whole; and time never makes anybody owe more.
+// A copy of a snapshot from days ago is put back, or the clock is set. Unless it is recent and complete, it must grant no
+// customer more than a gateway that knows nothing would; and no debt grows with time.
 func TestRestore_OldSnapshotGrantsNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := time.Unix(1_800_000_000, 0)
@@ -204,7 +205,7 @@
 	}
 }
 
-// Whatever a door does not notice, and whatever it may do by what it knew before, leaves within the grace for drains, however short.
+// A pause that is not noticed, and what is sent by decisions from before it, must fit into the drain grace, however short.
 func TestDeadlinesFitDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, minDrainGrace, 600 * time.Millisecond, time.Second, 2 * time.Second, time.Hour} {
 		x, within := DeadlinesFor(grace), grace
