--- a/bench_keys_test.go
+++ b/bench_keys_test.go
@@ -15,8 +15,8 @@
 	"pumicecroft/membership"
 )
 
-// A request with a key by Do, 64 at once, with keys not recognised, recognised, and kept on disk, in one run: the figure to look at is a way's
-// over that of "off".
+// BenchmarkKeyedRequest makes requests with a key by Do, 64 at once, with keys not recognised, recognised, and kept on
+// disk. The figure to look at is that of a way over that of "off".
 func BenchmarkKeyedRequest(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }))
 	b.Cleanup(backend.Close)
--- a/bench_test.go
+++ b/bench_test.go
@@ -25,7 +25,7 @@
 	"pumicecroft/middleware/nethttp"
 )
 
-// cpu is what this process has used of the processors, in user and system time.
+// processCPU is the user and system time of this process.
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -34,13 +34,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// way is one way to a backend.
+// accessPath is one way to a backend.
 type accessPath struct {
 	name    string
 	request func() error
 }
 
-// askOnce asks once, and reads the answer.
+// requestOnce makes one request, and reads the response.
 func requestOnce(client http.RoundTripper, req *http.Request) error {
 	res, err := client.RoundTrip(req)
 	if err != nil {
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// ways are a backend's: straight, through net/http/httputil.ReverseProxy, through the daemon's server, through the
-// middleware, and by Do. All of it, clients and the backend too, runs in this process, so what a way costs by itself
-// is its figure less that of "direct".
+// accessPaths are direct, through net/http/httputil.ReverseProxy, through the daemon's server, through the middleware, and
+// by Do. All of it, clients and the backend too, runs in this process, so the cost of a path is its figure less that of
+// "direct".
 func accessPaths(b *testing.B) []accessPath {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(backend.Close)
--- a/bench_web_test.go
+++ b/bench_web_test.go
@@ -26,7 +26,7 @@
 	"pumicecroft/routes"
 )
 
-// webWays are an ordinary client's: straight to a backend, through httputil.ReverseProxy, and through the front with one route and with 10,000.
+// webAccessPaths are direct, through httputil.ReverseProxy, and through the HTTP proxy with one route and with 10,000.
 func webAccessPaths(b *testing.B, secure bool) []accessPath {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(backend.Close)
@@ -104,8 +104,8 @@
 	return []accessPath{direct, over("ReverseProxy", proxy, ""), over("front", front(1), ""), over("front-10000", front(10_000), "")}
 }
 
-// BenchmarkWebOwnPart is BenchmarkOwnPart for ordinary HTTP: the front's own part with 1 route and with 10,000 as a share of ReverseProxy's, over plain
-// connections and over TLS 1.3 (what is direct then is a server with TLS). All clients' connections are kept.
+// BenchmarkWebOwnPart is BenchmarkOwnPart for ordinary HTTP: the proxy's own part with 1 route and with 10,000 as a share
+// of ReverseProxy's, over plain connections and over TLS 1.3 (where the direct path is a server with TLS).
 //
 //	go test -run xxx -bench WebOwnPart -benchtime 100x -cpu 1 .
 func BenchmarkWebOwnPart(b *testing.B) {
--- a/disconnect_test.go
+++ b/disconnect_test.go
@@ -13,7 +13,7 @@
 	"pumicecroft/internal/testkit"
 )
 
-// noticing is a decision module that tells when it hears that a client has gone.
+// disconnectObserver is a decision engine that tells when it hears that a client has disconnected.
 type disconnectObserver struct {
 	lifecycle.DecisionEngine
 	disconnected chan bool
@@ -27,7 +27,8 @@
 	return as
 }
 
-// startNoticing starts a Door behind the daemon's server whose decision module, the one that ships if none is given, tells of clients that go.
+// startObservedGateway starts a Gateway behind the daemon's server whose engine tells of clients that disconnect; nil: the
+// one in use.
 func startObservedGateway(t *testing.T, config Config, decider lifecycle.DecisionEngine, options ...Option) (*servedGateway, chan bool) {
 	t.Helper()
 	if decider == nil {
@@ -41,7 +42,7 @@
 	return startServedGateway(t, config, disconnectObserver{decider, left}, options...), left
 }
 
-// holding is a counter that answers when the test says so.
+// heldCounter is a counter that answers when the test says so.
 type heldCounter struct {
 	calls chan func(decision.CounterResult)
 }
@@ -50,8 +51,8 @@
 	h.calls <- func(a decision.CounterResult) { a.Ref = c.Ref; done(a) }
 }
 
-// A request that waits for something, and whose client leaves meanwhile, is sent to nobody when what it waited for is there: whatever it
-// waits for, and whatever its client had sent behind it.
+// A request waits for a connection, the counter or an earlier attempt, and its client disconnects meanwhile. When what it
+// waited for is there, it must not be sent, whatever the client had sent behind it.
 func TestDisconnectWhileWaitingSendsNothing(t *testing.T) {
 	const late, further, beside = "a connection that comes up late", "a further attempt's connection", "a connection of an attempt beside another"
 	for _, wait := range []string{late, further, beside, "the counter", "the end of its first attempt"} {
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -10,7 +10,7 @@
 	"pumicecroft/membership"
 )
 
-// many are so many backends that are ready.
+// manyNodes is an update with n ready backends.
 func manyNodes(n int) membership.Update {
 	l := membership.Update{Full: true}
 	for i := range n {
@@ -19,7 +19,7 @@
 	return l
 }
 
-// lists gives the lists that a decision module hears, as they come.
+// recordUpdates is an engine that passes on the endpoint updates that it handles.
 func recordUpdates(on func(decision.EndpointUpdate)) *testkit.Scripted {
 	return &testkit.Scripted{Heard: make(chan decision.Event, 1000), On: func(ev decision.Event) []decision.Action {
 		if l, ok := ev.(decision.EndpointUpdate); ok {
@@ -29,7 +29,7 @@
 	}}
 }
 
-// However long a list is, what was saved one too, or what the table lets go at once, the decision module hears it in steps.
+// However long an update is, a cached one and what the table removes at once too, the engine gets it in steps.
 func TestLongUpdateIsPublishedInSteps(t *testing.T) {
 	const n = 10*entriesPerStep + 7
 	steps, most, total := 0, 0, map[decision.BackendID]decision.BackendState{}
@@ -72,7 +72,7 @@
 	want("gone", 12, n, decision.Removed)
 }
 
-// Another source's drain is taken between two steps of a list; what one source says next waits until the list is in.
+// A drain by another source must not wait for a long update: it is taken in between two of its steps.
 func TestDrainBetweenTwoSteps(t *testing.T) {
 	const n = 4 * entriesPerStep
 	var order []string
@@ -110,12 +110,12 @@
 	}
 }
 
-// mute is a source that says nothing.
+// silentSource is a source that reports nothing.
 type silentSource struct{}
 
 func (silentSource) Run(ctx context.Context, _ func(membership.Update)) { <-ctx.Done() }
 
-// A Door that ends in the middle of a list does not take the rest of it.
+// A Gateway that is closed in the middle of an update does not take in the rest of it.
 func TestCloseDuringUpdate(t *testing.T) {
 	heard, door := 0, (*Gateway)(nil)
 	door, err := newGateway(testConfig(), recordUpdates(func(l decision.EndpointUpdate) {
--- a/example_test.go
+++ b/example_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// A caller in the same process asks with Do.
+// A caller in the same process makes requests with Do.
 func ExampleGateway_Do() {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "looked up %s", r.URL.RequestURI())
@@ -56,7 +56,7 @@
 	// over the quota: come back in 1s
 }
 
-// A Door is an http.Handler that reads the platform's headers.
+// A Gateway is an http.Handler that reads the platform's headers.
 func ExampleGateway_ServeHTTP() {
 	door, err := pumicecroft.New(pumicecroft.Config{Settings: exampleSettings()})
 	if err != nil {
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Each end of a request is an error of its own kind, and of the kinds above it.
+// Each end of a request is an error of its own, and one of the general ones.
 func TestErrors(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
 	bad := func(change func(*pumicecroft.Request)) error {
@@ -151,8 +151,8 @@
 	r.Settled()
 }
 
-// Close loses nothing: what was taken has its answer before it returns, what comes then is refused, and when its
-// own time is up the rest is told so at once.
+// Close loses no request: open ones are answered before it returns, new ones are rejected, and when its own context ends
+// the rest ends as ErrAborted at once.
 func TestClose(t *testing.T) {
 	goOn := make(chan bool)
 	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Act {
@@ -210,7 +210,7 @@
 	}
 }
 
-// source is a list that the test pushes.
+// pushedSource is a source whose updates the test pushes.
 type pushedSource struct {
 	lists chan membership.Update
 	ended chan bool
@@ -273,7 +273,7 @@
 	}
 }
 
-// A Door leaves nothing running, and several of them share nothing.
+// Gateways come and go in one process: Close leaves no goroutine, and several Gateways share nothing.
 func TestCloseLeavesNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for range 20 {
@@ -311,7 +311,7 @@
 
 func (idleSource) Run(context.Context, func(membership.Update)) {}
 
-// A source without a name, or of a name that is plain here and not there, is an error of the configuration.
+// A source without a name, or of a name that is trusted here and not there, is an ErrConfig.
 func TestInvalidSources(t *testing.T) {
 	for _, os := range [][]membership.SourceInfo{{{}}, {{Name: "x"}, {Name: "x", Trusted: true}}, {{Name: "own"}}} {
 		var options []pumicecroft.Option
--- a/http_test.go
+++ b/http_test.go
@@ -21,7 +21,7 @@
 	"pumicecroft/membership"
 )
 
-// testConfig is a deployment of two front doors, with one class that is safe to repeat and one that is keyed.
+// testConfig is one of two gateways, with one class that is idempotent and one that is idempotent by key.
 func testConfig() Config {
 	return Config{Seed: 0x8c1f30d27a5be964, Settings: decision.Settings{GatewayCount: 2, MaxAttempts: 3, CanCancel: true,
 		Classes: []decision.Class{{Name: "look", LatencyObjective: 20 * time.Second, Deadline: time.Minute, PriorityWeight: 1},
@@ -41,7 +41,7 @@
 	return list
 }
 
-// served is a Door behind the daemon's server, on a port of the system's choosing.
+// servedGateway is a Gateway behind the daemon's server, on a port of the system's choosing.
 type servedGateway struct {
 	addr    string
 	gateway *Gateway
@@ -49,7 +49,7 @@
 	done    chan error
 }
 
-// startDoor starts one with a decision module of the test's; nil: the one that ships.
+// startGateway starts one with a decision engine of the test's; nil: the one in use.
 func startGateway(t testing.TB, decider lifecycle.DecisionEngine, addrs ...string) *servedGateway {
 	t.Helper()
 	config := testConfig()
@@ -57,7 +57,7 @@
 	return startServedGateway(t, config, decider)
 }
 
-// startServed is startDoor for a configuration and options of the test's.
+// startServedGateway is startGateway for a configuration and options of the test's.
 func startServedGateway(t testing.TB, config Config, decider lifecycle.DecisionEngine, options ...Option) *servedGateway {
 	t.Helper()
 	door, err := newGateway(config, decider, options)
@@ -81,7 +81,7 @@
 	return d
 }
 
-// ask builds a good request; change alters it.
+// newRequest returns a valid request, altered by change.
 func (d *servedGateway) newRequest(t testing.TB, class string, change func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodGet, io.Reader(nil)
@@ -105,7 +105,7 @@
 	return req
 }
 
-// sendTo sends every request to a backend and does nothing else.
+// startOn starts every request on one backend and ignores all other events.
 func startOn(id decision.BackendID) func(decision.Event) []decision.Action {
 	return func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
@@ -137,7 +137,7 @@
 	}
 }
 
-// What cannot be read is a failure at once: the gateway and the backends hear nothing of it.
+// An invalid request is answered at once: neither the engine nor a backend hears of it.
 func TestBadRequests(t *testing.T) {
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -204,7 +204,7 @@
 	}
 }
 
-// Whatever the gateway does or does not do, a request has an answer before its client's time is up.
+// An engine that never answers a request must not leave its client waiting: it gets a 504 before its timeout.
 func TestUnansweredRequestGets504(t *testing.T) {
 	g := testkit.Script(nil)
 	d := startGateway(t, g)
@@ -218,7 +218,7 @@
 	testkit.Next[decision.ClientDisconnected](t, g)
 }
 
-// A client that closes its connection is gone: the gateway hears of it, and the attempt it calls off is closed.
+// A client closes its connection: the engine is told, and the connection of the attempt that it cancels is closed.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	read, closed := make(chan bool, 1), make(chan bool, 1)
 	addr := testkit.Serve(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -255,8 +255,8 @@
 	testkit.Await(t, closed, "the backend's connection to be closed")
 }
 
-// A client that ends only its sending counts as gone too, but it may still read: what it reads must not look
-// like a served answer.
+// A client that closes only its sending side counts as disconnected, but it may still read: what it reads must not look
+// like a served response.
 func TestHalfClosedClientGetsNoEmpty200(t *testing.T) {
 	g := testkit.Script(nil)
 	d := startGateway(t, g)
@@ -278,7 +278,7 @@
 	}
 }
 
-// An id that is open already would leave the second request without an answer: the gateway passes over it.
+// The engine ignores a request with an id that is open, which would leave it without an answer: it must get a 400.
 func TestDuplicateIDIsRejected(t *testing.T) {
 	g := testkit.Script(nil)
 	d := startGateway(t, g)
@@ -302,7 +302,7 @@
 	}
 }
 
-// A body that is cut midway is no answer: the attempt has failed, and the client is told so.
+// A backend closes its connection halfway through the body: that is no response, and the client gets a 502.
 func TestTruncatedResponseIsNotServed(t *testing.T) {
 	d := startGateway(t, nil, testkit.Raw(t, func(_ int, conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
@@ -313,7 +313,7 @@
 	}
 }
 
-// After SIGTERM clients still come for a while, and what was taken must be answered before the end.
+// After SIGTERM clients still connect for a while, and all that was accepted must be answered before the end.
 func TestGracefulShutdownAnswersAll(t *testing.T) {
 	goOn, read := make(chan bool), make(chan bool, 2)
 	d := startGateway(t, nil, testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -370,7 +370,7 @@
 	return c
 }
 
-// Whoever sends no whole request must not hold a connection for long: it is owed an end within 3 s.
+// A client that sends no complete request must not hold a connection for long: it is closed within 3 s.
 func TestIncompleteRequestsAreClosed(t *testing.T) {
 	head := "POST /pay HTTP/1.1\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n" +
 		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: units=1,spread=2,first=1\r\n"
@@ -404,7 +404,7 @@
 }
 
 // A request that can be framed in two ways may hide another in its body. The server drops one of the two headers
-// before a handler sees them, so the one left must be enough to turn it away.
+// before a handler sees them, so the one left must be enough to reject it.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
 	g := testkit.Script(nil)
 	d := startGateway(t, g)
@@ -479,8 +479,8 @@
 	}
 }
 
-// A backend that left one attempt unanswered for long, and that may well be the connection's fault, must be tried again
-// within seconds: it would else be shunned for as long as the silence was long against an ordinary answer.
+// A backend that left one attempt unanswered for long, which may be the connection's fault, must be used again within
+// seconds: by its latency alone it would be avoided for as long as that was above an ordinary one.
 func TestBackendIsUsedAgainAfterSilence(t *testing.T) {
 	t.Parallel()
 	var hung atomic.Int64 // which backend keeps silent, from 1
@@ -531,8 +531,8 @@
 	}
 }
 
-// Answers that tell a customer's use out of order tell one period more than once. A customer that stays within its
-// quota, by its own count and by every reading, must not be refused for that.
+// Responses that arrive out of order report a customer's usage of one period more than once. A customer that stays
+// within its quota, by its own count and by every reading, must not be rejected for that.
 func TestUsageOutOfOrderRejectsNobody(t *testing.T) {
 	t.Parallel()
 	var asked atomic.Int64
--- a/idempotency_test.go
+++ b/idempotency_test.go
@@ -21,13 +21,14 @@
 	"pumicecroft/membership"
 )
 
-// withKeys is a door that recognises keys, before n backends of one cell each, so that only the edge can drop a repeat.
+// newDeduplicatingRig is a gateway that recognises keys, with n backends of one cell each, so that only the gateway can
+// drop a repeat.
 func newDeduplicatingRig(t *testing.T, n int, act func(fakes.Attempt) fakes.Act, limits idempotency.Limits) *hosttest.Rig {
 	t.Helper()
 	return hosttest.New(t, n, act, func(c *pumicecroft.Config) { c.Idempotency = &limits })
 }
 
-// until waits until something holds.
+// waitUntil waits until something holds.
 func waitUntil(t *testing.T, holds func() bool, what string) {
 	t.Helper()
 	for end := time.Now().Add(hosttest.Patience); !holds(); time.Sleep(time.Millisecond) {
@@ -37,15 +38,15 @@
 	}
 }
 
-// keyed is a request by key; with another body than the rest if it is to conflict.
+// keyedRequest is a request with a key; two with one key and different bodies conflict.
 func keyedRequest(class, key, body string) pumicecroft.Request {
 	r := newRequest(class)
 	r.IdempotencyKey, r.Body = key, []byte(body)
 	return r
 }
 
-// A repeat while the first one runs waits for it, one that comes later is given its answer; each pair has one effect, and is
-// counted and sent on once.
+// A repeat while the first request is executed waits for it; a later one is given its response. Each pair is counted,
+// sent and executed once.
 func TestRepeatedKeyIsExecutedOnce(t *testing.T) {
 	const pairs = 200
 	r := newDeduplicatingRig(t, 2, nil, idempotency.Limits{})
@@ -80,7 +81,7 @@
 	}
 }
 
-// The table of what becomes of a repeat, over HTTP: the first one's end, what comes then, and the status.
+// How a repeat ends over HTTP, by how the first request ended and what the repeat changes.
 func TestRepeatedKeyOverHTTP(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -131,7 +132,7 @@
 	}
 }
 
-// The first client's leaving does not end what a second one waits for; when both have left, it is called off.
+// The first client disconnects while a second one waits for the same key: the request goes on for the second one.
 func TestDisconnectWhileRepeatWaits(t *testing.T) {
 	hold := make(chan bool)
 	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Act {
@@ -171,7 +172,7 @@
 	}
 }
 
-// Keys that make no sense are bad requests, and an answer that is too large is remembered as given.
+// Invalid keys are bad requests, and a response that is too large is remembered as given.
 func TestInvalidKeys(t *testing.T) {
 	r := newDeduplicatingRig(t, 1, nil, idempotency.Limits{MaxResponseBytes: 3})
 	for _, key := range []string{strings.Repeat("k", 64<<10), "a\tb", "ü"} {
@@ -193,7 +194,7 @@
 	}
 }
 
-// A customer that has as much in flight as it may is refused at once, with when to come back; another's request goes on.
+// A customer that has as much in flight as it may is rejected at once, with Retry-After; another's request goes on.
 func TestTooManyKeysInFlight(t *testing.T) {
 	hold := make(chan bool)
 	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Act {
@@ -239,7 +240,7 @@
 	}
 }
 
-// A disk that hangs takes no client beyond its time: what waited for it goes on with what is left.
+// The disk hangs: no client waits beyond its timeout, and a request that waited for the disk has what is left of it.
 func TestSlowJournalKeepsDeadlines(t *testing.T) {
 	dir := t.TempDir()
 	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Act {
@@ -265,8 +266,9 @@
 	}
 }
 
-// A door that ends while pairs come and go: each client has one end, both of a pair the same answer if they have one, and the next door, with the
-// journal of the first, gives it again; what was refused is a new request there. Nothing has its effect twice.
+// A gateway is closed while pairs of requests come and go. Each client has one answer, both of a pair the same response
+// if they have one, and the next gateway, with the journal of the first, gives it again; a rejected request is a new one
+// there. Nothing is executed twice.
 func TestRepeatedKeysAcrossRestart(t *testing.T) {
 	dir := t.TempDir()
 	withJournal := func(c *pumicecroft.Config) {
@@ -337,7 +339,7 @@
 	}
 }
 
-// A body that comes in other pieces is the same body; one of 60 MB is turned away, with its key as without, and its key stays free.
+// A body that arrives in other pieces is the same body. One of 60 MB is rejected, and its key stays free.
 func TestBodyInPiecesHasSameDigest(t *testing.T) {
 	r := newDeduplicatingRig(t, 1, nil, idempotency.Limits{})
 	addr := hosttest.Serve(t, r.Door, nil)
@@ -375,7 +377,7 @@
 
 func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// A client that waits for less than the disk may take has its answer in its own time: refused, as nothing was sent.
+// A client's timeout is shorter than the disk takes: it is rejected within its timeout, as nothing was sent.
 func TestShortTimeoutOnSlowJournalIsRejected(t *testing.T) {
 	r := hosttest.New(t, 1, nil, func(c *pumicecroft.Config) {
 		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: t.TempDir(), GroupCommitDelay: 5 * time.Second, WriteTimeout: 4 * time.Second}
--- a/snapshots_test.go
+++ b/snapshots_test.go
@@ -18,8 +18,9 @@
 	"pumicecroft/recovery"
 )
 
-// A Door that has used up a customer's burst leaves that to its next process. One that finds nothing, or what another process keeps, begins
-// with customers that have used theirs up; without a directory nothing is kept, and all begin with their bursts.
+// A customer uses up its burst and the gateway restarts: the snapshot must keep it from a fresh burst. A gateway that
+// finds no snapshot, or one that another process has open, begins with customers that have used theirs up; without a
+// directory nothing is kept, and all begin with their bursts.
 func TestSnapshotOutlivesProcess(t *testing.T) {
 	addr := testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "done") })
 	dir := t.TempDir()
