--- a/bench_keys_test.go
+++ b/bench_keys_test.go
@@ -35,11 +35,11 @@
 			case "journal, synced each second":
 				c.IdempotencyJournal = &pumicecroft.IdempotencyJournal{Dir: b.TempDir(), SyncInterval: time.Second}
 			}
-			door, err := pumicecroft.New(c)
+			gateway, err := pumicecroft.New(c)
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer door.Close(b.Context())
+			defer func() { _ = gateway.Close(b.Context()) }()
 			var n, failed atomic.Int64
 			b.SetParallelism(8)
 			before := processCPU()
@@ -47,7 +47,7 @@
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					i := n.Add(1)
-					if _, err := door.Do(b.Context(), pumicecroft.Request{Class: "pay", Plan: "basic", Customer: uint64(i % 100), IdempotencyKey: fmt.Sprint("k", i), Body: []byte("b")}); err != nil {
+					if _, err := gateway.Do(b.Context(), pumicecroft.Request{Class: "pay", Plan: "basic", Customer: uint64(i % 100), IdempotencyKey: fmt.Sprint("k", i), Body: []byte("b")}); err != nil {
 						failed.Add(1)
 					}
 				}
--- a/bench_test.go
+++ b/bench_test.go
@@ -60,7 +60,7 @@
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(backend.Close)
 	addr := strings.TrimPrefix(backend.URL, "http://")
-	door, err := pumicecroft.New(pumicecroft.Config{
+	gateway, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true,
 			Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
 			Plans:   []decision.Plan{{Name: "basic", Rate: 1e6, Burst: 1e6, Price: 1}}},
@@ -68,7 +68,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { door.Close(context.Background()) })
+	b.Cleanup(func() { _ = gateway.Close(context.Background()) })
 	target, _ := url.Parse(backend.URL)
 	proxy := httputil.NewSingleHostReverseProxy(target)
 	proxy.Transport = &http.Transport{MaxIdleConnsPerHost: 100, DisableCompression: true}
@@ -85,7 +85,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	b.Cleanup(stop)
-	go httplistener.NewServer(door, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln)
+	go func() { _ = httplistener.NewServer(gateway, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln) }()
 
 	next := uint64(0)
 	overHTTP := func(name, addr string) accessPath {
@@ -103,10 +103,10 @@
 		}}
 	}
 	return []accessPath{overHTTP("direct", addr), overHTTP("ReverseProxy", serve(proxy)), overHTTP("daemon", ln.Addr().String()),
-		overHTTP("middleware", serve(nethttp.New(door)(http.NotFoundHandler()))),
+		overHTTP("middleware", serve(nethttp.New(gateway)(http.NotFoundHandler()))),
 		{"Do", func() error {
 			next++
-			_, err := door.Do(context.Background(), pumicecroft.Request{ID: next, Class: "look", Plan: "basic", Customer: 7})
+			_, err := gateway.Do(context.Background(), pumicecroft.Request{ID: next, Class: "look", Plan: "basic", Customer: 7})
 			return err
 		}}}
 }
--- a/bench_web_test.go
+++ b/bench_web_test.go
@@ -31,7 +31,7 @@
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(backend.Close)
 	addr := strings.TrimPrefix(backend.URL, "http://")
-	door, err := pumicecroft.New(pumicecroft.Config{
+	gateway, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true,
 			Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
 			Plans:   []decision.Plan{{Name: "basic", Rate: 1e6, Burst: 1e6, Price: 1}}},
@@ -40,7 +40,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { door.Close(context.Background()) })
+	b.Cleanup(func() { _ = gateway.Close(context.Background()) })
 	front := func(n int) http.Handler {
 		to := &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Idempotent: "look"}}
 		rules := []routes.Rule[*httpproxy.Route]{{Name: "all", Path: "/{rest...}", Target: to}}
@@ -51,7 +51,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		f, err := httpproxy.New(door, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
+		f, err := httpproxy.New(gateway, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
 			Resolver: identity.New(nil, identity.NamedRule{Name: "address", Rule: &identity.AddressRule{Plan: "basic"}})}})
 		if err != nil {
 			b.Fatal(err)
@@ -81,7 +81,7 @@
 				b.Fatal(err)
 			}
 			to = ln.Addr().String()
-			go httplistener.NewServer(h, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
+			go func() { _ = httplistener.NewServer(h, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln) }()
 			if secure {
 				scheme = "https"
 			}
--- a/disconnect_test.go
+++ b/disconnect_test.go
@@ -104,7 +104,7 @@
 					h := heldCounter{make(chan func(decision.CounterResult), 10)}
 					config.Settings.HasSharedCounter = true
 					p := &config.Settings.Plans[0]
-					p.HardLimitRate, p.HardLimitBurst = 1, 60 // of which this door has nothing right after its start
+					p.HardLimitRate, p.HardLimitBurst = 1, 60 // of which this gateway has nothing right after its start
 					options = append(options, WithCounter(h))
 					go func() {
 						select {
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -35,7 +35,7 @@
 	steps, most, total := 0, 0, map[decision.BackendID]decision.BackendState{}
 	config := testConfig()
 	config.InitialEndpoints = manyNodes(n)
-	door, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
+	gateway, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
 		if saved := l.Kind == decision.UpdateCached; saved != (steps == 0) {
 			t.Errorf("step %d is of kind %v", steps, l.Kind)
 		}
@@ -47,7 +47,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close(t.Context())
+	defer func() {
+		if err := gateway.Close(t.Context()); err != nil {
+			t.Error(err)
+		}
+	}()
 	want := func(what string, leastSteps, known int, state decision.BackendState) {
 		t.Helper()
 		in := 0
@@ -66,9 +70,9 @@
 	for i := range l.Nodes {
 		l.Nodes[i].Addr = "h:2"
 	}
-	door.Update(l)
+	gateway.Update(l)
 	want("moved", 12, n, decision.Ready)
-	door.Update(membership.Update{Full: true})
+	gateway.Update(membership.Update{Full: true})
 	want("gone", 12, n, decision.Removed)
 }
 
@@ -78,7 +82,7 @@
 	var order []string
 	config := testConfig()
 	config.InitialEndpoints = membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", Weight: 1}}}
-	door, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
+	gateway, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
 		for _, b := range l.Endpoints {
 			order = append(order, fmt.Sprint(b.ID, b.State))
 		}
@@ -86,24 +90,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close(t.Context())
+	defer func() {
+		if err := gateway.Close(t.Context()); err != nil {
+			t.Error(err)
+		}
+	}()
 	list := manyNodes(n)
 	list.Full = false
-	steps := door.membershipTable.BeginMerge(ownSource, list, door.executor.Clock().FromWallTime)
-	door.updateMu.Lock()
-	more := door.applyStep(steps, ownSource)
-	door.updateMu.Unlock()
+	steps := gateway.membershipTable.BeginMerge(ownSource, list, gateway.executor.Clock().FromWallTime)
+	gateway.updateMu.Lock()
+	more := gateway.applyStep(steps, ownSource)
+	gateway.updateMu.Unlock()
 	if !more || len(order) != 1+entriesPerStep {
 		t.Fatalf("%d of %d nodes after one step", len(order), n)
 	}
-	door.applyUpdate("other", membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", State: decision.Draining}}})
+	gateway.applyUpdate("other", membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", State: decision.Draining}}})
 	if last := order[len(order)-1]; len(order) != 2+entriesPerStep || last != fmt.Sprint(1, decision.Draining) {
 		t.Errorf("%d nodes, the last of them %s", len(order), last)
 	}
 	for more {
-		door.updateMu.Lock()
-		more = door.applyStep(steps, ownSource)
-		door.updateMu.Unlock()
+		gateway.updateMu.Lock()
+		more = gateway.applyStep(steps, ownSource)
+		gateway.updateMu.Unlock()
 	}
 	if len(order) != 2+n {
 		t.Errorf("%d nodes in the end", len(order))
@@ -117,23 +125,23 @@
 
 // A Gateway that is closed in the middle of an update does not take in the rest of it.
 func TestCloseDuringUpdate(t *testing.T) {
-	heard, door := 0, (*Gateway)(nil)
-	door, err := newGateway(testConfig(), recordUpdates(func(l decision.EndpointUpdate) {
+	heard, gateway := 0, (*Gateway)(nil)
+	gateway, err := newGateway(testConfig(), recordUpdates(func(l decision.EndpointUpdate) {
 		if heard += len(l.Endpoints); heard > 0 {
-			door.cancel()
+			gateway.cancel()
 		}
 	}), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	door.Update(manyNodes(4 * entriesPerStep))
+	gateway.Update(manyNodes(4 * entriesPerStep))
 	if heard != entriesPerStep {
 		t.Errorf("%d nodes were taken", heard)
 	}
-	if err := door.Close(t.Context()); err != nil {
+	if err := gateway.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
-	door.Update(manyNodes(1))
+	gateway.Update(manyNodes(1))
 	if heard != entriesPerStep {
 		t.Errorf("%d nodes were taken after the end", heard)
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -30,15 +30,15 @@
 		fmt.Fprintf(w, "looked up %s", r.URL.RequestURI())
 	}))
 	defer backend.Close()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: exampleSettings(), InitialEndpoints: membership.Update{
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: exampleSettings(), InitialEndpoints: membership.Update{
 		Nodes: []membership.Node{{Name: "one", Addr: strings.TrimPrefix(backend.URL, "http://")}}}})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	defer door.Close(context.Background())
+	defer func() { _ = gateway.Close(context.Background()) }()
 	for range 3 {
-		answer, err := door.Do(context.Background(), pumicecroft.Request{Class: "lookup", Plan: "shop", Customer: 7,
+		answer, err := gateway.Do(context.Background(), pumicecroft.Request{Class: "lookup", Plan: "shop", Customer: 7,
 			Target: "/lookup?serial=3"})
 		var refused *pumicecroft.RejectedError
 		switch {
@@ -58,13 +58,13 @@
 
 // A Gateway is an http.Handler that reads the platform's headers.
 func ExampleGateway_ServeHTTP() {
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: exampleSettings()})
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: exampleSettings()})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	defer door.Close(context.Background())
-	front := httptest.NewServer(door)
+	defer func() { _ = gateway.Close(context.Background()) }()
+	front := httptest.NewServer(gateway)
 	defer front.Close()
 	req, _ := http.NewRequest("GET", front.URL+"/lookup", nil)
 	req.Header = http.Header{"Request-Id": {"9b1f03aa5c7e2d41"}, "Request-Class": {"lookup"}, "X-Tier": {"shop"},
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -140,7 +140,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	var asking sync.WaitGroup
 	for range 3 {
-		asking.Go(func() { r.Door.Do(ctx, newRequest("look")) })
+		asking.Go(func() { _, _ = r.Door.Do(ctx, newRequest("look")) })
 	}
 	r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 3 })
 	if _, err := r.Door.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrTooManyRequests) || !errors.Is(err, pumicecroft.ErrRejected) {
@@ -245,11 +245,13 @@
 	if _, err := r.Door.Do(t.Context(), newRequest("look")); err != nil {
 		t.Errorf("a new one: %v", err)
 	}
-	r.Door.Close(t.Context())
+	if err := r.Door.Close(t.Context()); err != nil {
+		t.Error(err)
+	}
 	select {
 	case <-s.ended:
 	case <-time.After(hosttest.Patience):
-		t.Error("the source outlives the door")
+		t.Error("the source outlives the gateway")
 	}
 }
 
@@ -277,7 +279,7 @@
 func TestCloseLeavesNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for range 20 {
-		var doors []*pumicecroft.Gateway
+		var gateways []*pumicecroft.Gateway
 		for i := range 3 {
 			c := hosttest.Config()
 			c.InitialEndpoints.Nodes = []membership.Node{{Name: "one", Addr: "127.0.0.1:1"}}
@@ -290,11 +292,11 @@
 			req := newRequest("once")
 			req.ID = 77 // the same at each: they do not know of one another
 			if _, err := d.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrRejected) {
-				t.Errorf("door %d: %v", i, err)
+				t.Errorf("gateway %d: %v", i, err)
 			}
-			doors = append(doors, d)
+			gateways = append(gateways, d)
 		}
-		for _, d := range doors {
+		for _, d := range gateways {
 			if err := d.Close(t.Context()); err != nil {
 				t.Error(err)
 			}
--- a/http_test.go
+++ b/http_test.go
@@ -60,7 +60,7 @@
 // startServedGateway is startGateway for a configuration and options of the test's.
 func startServedGateway(t testing.TB, config Config, decider lifecycle.DecisionEngine, options ...Option) *servedGateway {
 	t.Helper()
-	door, err := newGateway(config, decider, options)
+	gateway, err := newGateway(config, decider, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,14 +69,14 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	d := &servedGateway{addr: ln.Addr().String(), gateway: door, stop: stop, done: make(chan error, 1)}
-	server := httplistener.NewServer(door, 426, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{})
+	d := &servedGateway{addr: ln.Addr().String(), gateway: gateway, stop: stop, done: make(chan error, 1)}
+	server := httplistener.NewServer(gateway, 426, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{})
 	go func() { d.done <- server.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
 		now, cancel := context.WithCancel(context.Background())
 		cancel()
-		door.Close(now)
+		_ = gateway.Close(now) // ErrAborted where a test leaves requests open
 	})
 	return d
 }
@@ -536,7 +536,7 @@
 func TestUsageOutOfOrderRejectsNobody(t *testing.T) {
 	t.Parallel()
 	var asked atomic.Int64
-	d := startGateway(t, nil, testkit.Serve(t, func(w http.ResponseWriter, r *http.Request) {
+	d := startGateway(t, nil, testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-RateLimit-Used", fmt.Sprint(40+asked.Add(1)%2))
 		io.WriteString(w, "ok")
 	}))
--- a/idempotency_test.go
+++ b/idempotency_test.go
@@ -321,13 +321,13 @@
 	for i, pair := range answers {
 		a, err := second.Door.Do(t.Context(), keyedRequest("once", fmt.Sprint("k", i), "b"))
 		if err != nil {
-			t.Fatalf("k%d at the next door: %v", i, err)
+			t.Fatalf("k%d at the next gateway: %v", i, err)
 		}
 		for _, had := range pair {
 			if had == "" {
 				refused++
 			} else if answered++; had != string(a.Body) {
-				t.Errorf("k%d: %q, and %q at the next door", i, had, a.Body)
+				t.Errorf("k%d: %q, and %q at the next gateway", i, had, a.Body)
 			}
 		}
 		if n := first.Ledger.Effects(fmt.Sprint("k", i)); n != 1 {
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -409,7 +409,7 @@
 	if got := c.FromWallTime(now.Add(-48 * time.Hour)); got != 0 {
 		t.Errorf("before the origin is %v", got)
 	}
-	if at := c.ToWallTime(c.Now()); at.Sub(time.Now()).Abs() > time.Second {
+	if at := c.ToWallTime(c.Now()); time.Until(at).Abs() > time.Second {
 		t.Errorf("now is %v", at)
 	}
 }
--- a/snapshots.go
+++ b/snapshots.go
@@ -76,16 +76,16 @@
 	return recovery.Restore(snapshot, gateway, time.Now())
 }
 
-// close releases the file of a snapshotter that does not run. It may be nil.
+// close releases the snapshot file. s may be nil.
 func (s *snapshotter) close() {
 	if s != nil && s.file != nil {
-		s.file.Close()
+		_ = s.file.Close() // it only releases the lock, which ends with the process at the latest
 	}
 }
 
 // run writes snapshots until ctx ends, and a last one then.
 func (s *snapshotter) run(ctx context.Context) {
-	defer s.file.Close()
+	defer s.close()
 	runPeriodically(ctx, snapshotInterval, func() {
 		if err := s.write(); err != nil {
 			g := s.gateway
--- a/snapshots_test.go
+++ b/snapshots_test.go
@@ -76,7 +76,7 @@
 	}
 	second := begin(dir) // by mistake
 	if n := served(second, 2, 5); n != 0 || !strings.Contains(said.String(), "in use by another process") {
-		t.Errorf("%d served by a second door of the same number: %s", n, &said)
+		t.Errorf("%d served by a second gateway of the same number: %s", n, &said)
 	}
 	end(second)
 	end(d)
