--- a/bench_test.go
+++ b/bench_test.go
@@ -85,7 +85,9 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	b.Cleanup(stop)
-	go func() { _ = httplistener.NewServer(gateway, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln) }()
+	go func() {
+		_ = httplistener.NewServer(gateway, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln)
+	}()
 
 	next := uint64(0)
 	overHTTP := func(name, addr string) accessPath {
--- a/bench_web_test.go
+++ b/bench_web_test.go
@@ -81,7 +81,9 @@
 				b.Fatal(err)
 			}
 			to = ln.Addr().String()
-			go func() { _ = httplistener.NewServer(h, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln) }()
+			go func() {
+				_ = httplistener.NewServer(h, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
+			}()
 			if secure {
 				scheme = "https"
 			}
