--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -10,7 +10,7 @@
 	"pumicecroft/membership"
 )
 
-// many are so many backends that are ready.
+// manyNodes is an update with n ready backends.
 func manyNodes(n int) membership.Update {
 	l := membership.Update{Full: true}
 	for i := range n {
@@ -19,7 +19,7 @@
 	return l
 }
 
-// lists gives the lists that a decision module hears, as they come.
+// recordUpdates is an engine that passes on the endpoint updates that it handles.
 func recordUpdates(on func(decision.EndpointUpdate)) *testkit.Scripted {
 	return &testkit.Scripted{Heard: make(chan decision.Event, 1000), On: func(ev decision.Event) []decision.Action {
 		if l, ok := ev.(decision.EndpointUpdate); ok {
@@ -29,13 +29,13 @@
 	}}
 }
 
-// However long a list is, what was saved one too, or what the table lets go at once, the decision module hears it in steps.
+// However long an update is, a cached one and what the table removes at once too, the engine gets it in steps.
 func TestLongUpdateIsPublishedInSteps(t *testing.T) {
 	const n = 10*entriesPerStep + 7
 	steps, most, total := 0, 0, map[decision.BackendID]decision.BackendState{}
 	config := testConfig()
 	config.InitialEndpoints = manyNodes(n)
-	door, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
+	gateway, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
 		if saved := l.Kind == decision.UpdateCached; saved != (steps == 0) {
 			t.Errorf("step %d is of kind %v", steps, l.Kind)
 		}
@@ -47,7 +47,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close(t.Context())
+	defer func() {
+		if err := gateway.Close(t.Context()); err != nil {
+			t.Error(err)
+		}
+	}()
 	want := func(what string, leastSteps, known int, state decision.BackendState) {
 		t.Helper()
 		in := 0
@@ -66,19 +70,19 @@
 	for i := range l.Nodes {
 		l.Nodes[i].Addr = "h:2"
 	}
-	door.Update(l)
+	gateway.Update(l)
 	want("moved", 12, n, decision.Ready)
-	door.Update(membership.Update{Full: true})
+	gateway.Update(membership.Update{Full: true})
 	want("gone", 12, n, decision.Removed)
 }
 
-// Another source's drain is taken between two steps of a list; what one source says next waits until the list is in.
+// A drain by another source must not wait for a long update: it is taken in between two of its steps.
 func TestDrainBetweenTwoSteps(t *testing.T) {
 	const n = 4 * entriesPerStep
 	var order []string
 	config := testConfig()
 	config.InitialEndpoints = membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", Weight: 1}}}
-	door, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
+	gateway, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
 		for _, b := range l.Endpoints {
 			order = append(order, fmt.Sprint(b.ID, b.State))
 		}
@@ -86,54 +90,58 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close(t.Context())
+	defer func() {
+		if err := gateway.Close(t.Context()); err != nil {
+			t.Error(err)
+		}
+	}()
 	list := manyNodes(n)
 	list.Full = false
-	steps := door.membershipTable.BeginMerge(ownSource, list, door.executor.Clock().FromWallTime)
-	door.updateMu.Lock()
-	more := door.applyStep(steps, ownSource)
-	door.updateMu.Unlock()
+	steps := gateway.membershipTable.BeginMerge(ownSource, list, gateway.executor.Clock().FromWallTime)
+	gateway.updateMu.Lock()
+	more := gateway.applyStep(steps, ownSource)
+	gateway.updateMu.Unlock()
 	if !more || len(order) != 1+entriesPerStep {
 		t.Fatalf("%d of %d nodes after one step", len(order), n)
 	}
-	door.applyUpdate("other", membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", State: decision.Draining}}})
+	gateway.applyUpdate("other", membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", State: decision.Draining}}})
 	if last := order[len(order)-1]; len(order) != 2+entriesPerStep || last != fmt.Sprint(1, decision.Draining) {
 		t.Errorf("%d nodes, the last of them %s", len(order), last)
 	}
 	for more {
-		door.updateMu.Lock()
-		more = door.applyStep(steps, ownSource)
-		door.updateMu.Unlock()
+		gateway.updateMu.Lock()
+		more = gateway.applyStep(steps, ownSource)
+		gateway.updateMu.Unlock()
 	}
 	if len(order) != 2+n {
 		t.Errorf("%d nodes in the end", len(order))
 	}
 }
 
-// mute is a source that says nothing.
+// silentSource is a source that reports nothing.
 type silentSource struct{}
 
 func (silentSource) Run(ctx context.Context, _ func(membership.Update)) { <-ctx.Done() }
 
-// A Door that ends in the middle of a list does not take the rest of it.
+// A Gateway that is closed in the middle of an update does not take in the rest of it.
 func TestCloseDuringUpdate(t *testing.T) {
-	heard, door := 0, (*Gateway)(nil)
-	door, err := newGateway(testConfig(), recordUpdates(func(l decision.EndpointUpdate) {
+	heard, gateway := 0, (*Gateway)(nil)
+	gateway, err := newGateway(testConfig(), recordUpdates(func(l decision.EndpointUpdate) {
 		if heard += len(l.Endpoints); heard > 0 {
-			door.cancel()
+			gateway.cancel()
 		}
 	}), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	door.Update(manyNodes(4 * entriesPerStep))
+	gateway.Update(manyNodes(4 * entriesPerStep))
 	if heard != entriesPerStep {
 		t.Errorf("%d nodes were taken", heard)
 	}
-	if err := door.Close(t.Context()); err != nil {
+	if err := gateway.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
-	door.Update(manyNodes(1))
+	gateway.Update(manyNodes(1))
 	if heard != entriesPerStep {
 		t.Errorf("%d nodes were taken after the end", heard)
 	}
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -17,7 +17,7 @@
 
 var classes = []decision.Class{{Name: "c"}, {Name: "pay", Idempotency: decision.IdempotentByKey}}
 
-// carrier makes attempts as the test says.
+// fakeTransport makes attempts as the test says.
 type fakeTransport struct {
 	roundTrip func(a *Attempt) Response
 	probe     func() decision.ProbeResult
@@ -34,7 +34,7 @@
 
 func responseWith(r decision.Result) Response { return Response{Outcome: lifecycle.Outcome{Result: r}} }
 
-// hang waits until the attempt is called off.
+// waitForCancel waits until the attempt is cancelled.
 func waitForCancel(a *Attempt) Response {
 	off := make(chan bool)
 	if a.OnCancel(func() { close(off) }) == nil {
@@ -46,7 +46,7 @@
 	return responseWith(decision.Cancelled)
 }
 
-// decider does as the test says, under the driver's lock.
+// scriptedEngine acts as the test says, under the Executor's lock.
 type scriptedEngine func(ev decision.Event) []decision.Action
 
 func (d scriptedEngine) Handle(_ time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
@@ -97,8 +97,8 @@
 	})
 }
 
-// An attempt does not leave once its client has gone, though nobody has heard of that yet: a request's end is looked at when it is some
-// milliseconds old, and one that waited, for the sources after a standstill say, may be sent on as soon as it is there.
+// A client disconnects, and its context is not watched yet: that begins when a request is some milliseconds old, and an
+// attempt that was held back may be sent right then. It must not be sent all the same.
 func TestDisconnectedClientIsSentNothing(t *testing.T) {
 	for _, which := range []string{"a first attempt", "a further one", "one beside another"} {
 		t.Run(which, func(t *testing.T) {
@@ -150,7 +150,7 @@
 	}
 }
 
-// The answer is given when it is due, whatever the carrier is at, be the attempt the serving goroutine's or not.
+// A transport that does not return must not delay an answer, whether the serving goroutine makes the attempt or another.
 func TestResponseDoesNotWaitForTransport(t *testing.T) {
 	for _, canCancel := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -192,7 +192,7 @@
 	})
 }
 
-// A caller that leaves has its attempt called off at once, and what it left is given back.
+// The attempt of a caller that leaves is cancelled at once, and nothing of its request is left.
 func TestClientDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
@@ -211,7 +211,7 @@
 	})
 }
 
-// A context that ends between the decision and the send has nothing sent.
+// A context ends between the decision and the send: nothing is sent.
 func TestClientDisconnect_BetweenDecisionAndSend(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	sent := 0
@@ -232,7 +232,7 @@
 	}
 }
 
-// A second attempt beside the first has a goroutine of its own; the first answer is served, once.
+// A second attempt beside the first has a goroutine of its own; the first success is served, once.
 func TestHedgedAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
@@ -335,7 +335,7 @@
 	})
 }
 
-// Many callers at once, with everything that can happen to a request: each gets one answer, and all is given back.
+// Many callers at once, with everything that can happen to a request: each gets one answer, and nothing is left.
 func TestConcurrentCallers(t *testing.T) {
 	clock := NewClock()
 	set := decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: true, Plans: []decision.Plan{{Name: "p"}},
@@ -409,7 +409,7 @@
 	if got := c.FromWallTime(now.Add(-48 * time.Hour)); got != 0 {
 		t.Errorf("before the origin is %v", got)
 	}
-	if at := c.ToWallTime(c.Now()); at.Sub(time.Now()).Abs() > time.Second {
+	if at := c.ToWallTime(c.Now()); time.Until(at).Abs() > time.Second {
 		t.Errorf("now is %v", at)
 	}
 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -19,7 +19,7 @@
 
 var plans = []decision.Plan{{Name: "shop", Rate: 2, Burst: 10}, {Name: "open", MaxInFlight: 3}}
 
-// TestMain has the property tests draw the same every time, unless -rapid.seed says otherwise.
+// TestMain has the property tests draw the same values every time, unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20", "rapid.checks": "400", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -37,7 +37,7 @@
 	}), 0, 20).Draw(t, "customers")
 }
 
-// What is written is read, and nothing of what is cut or changed anywhere.
+// A snapshot is read as it was written; one that is cut or changed anywhere is rejected.
 func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Snapshot{GatewayIndex: rapid.IntRange(0, 300).Draw(t, "door"), GatewayCount: 300, BootID: rapid.Uint64().Draw(t, "boot"), TakenAt: time.UnixMilli(rapid.Int64Range(0, 1<<40).Draw(t, "at")).UTC(),
@@ -59,12 +59,13 @@
 			t.Fatalf("byte %d is another, and it is believed", n)
 		}
 	})
-	if _, err := Decode([]byte("pumicecroft decisions 2\n............................")); !errors.Is(err, ErrFormatVersion) || !strings.Contains(err.Error(), "form 2") {
+	if _, err := Decode([]byte("pumicecroft decisions 2\n............................")); !errors.Is(err, ErrFormatVersion) || !strings.Contains(err.Error(), "version 2") {
 		t.Errorf("a later form: %v", err)
 	}
 }
 
-// Of more than there is room for, those that owe most are kept, in one order, and it is said that others owe too.
+// Of more customers than there is room for, those with the largest debts are kept, in one order, and the result says
+// that others have debts too.
 func TestQuotaDebts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all, most := drawCustomers(t), rapid.IntRange(1, 6).Draw(t, "most")
@@ -113,14 +114,14 @@
 		missing []float64 // of customers 1, 2 and 3; below 0: it is not there
 		why     string
 	}{
-		"at once":              {nil, 0, nil, false, []float64{400, 100, 500}, "young and whole"},
-		"a second later":       {nil, time.Second, nil, false, []float64{375, -1, 475}, "young and whole"},
-		"a little ahead":       {nil, -time.Second, nil, false, []float64{400, 100, 500}, "young and whole"},
-		"as old as may be":     {nil, MaxTrustedAge, nil, false, []float64{150, -1, 250}, "young and whole"},
-		"older":                {nil, MaxTrustedAge + ms, nil, true, []float64{400, 100, 500}, "nothing is paid off"},
+		"at once":              {nil, 0, nil, false, []float64{400, 100, 500}, "recent and complete"},
+		"a second later":       {nil, time.Second, nil, false, []float64{375, -1, 475}, "recent and complete"},
+		"a little ahead":       {nil, -time.Second, nil, false, []float64{400, 100, 500}, "recent and complete"},
+		"as old as may be":     {nil, MaxTrustedAge, nil, false, []float64{150, -1, 250}, "recent and complete"},
+		"older":                {nil, MaxTrustedAge + ms, nil, true, []float64{400, 100, 500}, "none is paid off"},
 		"yesterday's":          {nil, 24 * time.Hour, nil, true, []float64{400, 100, 500}, "24h0m0s old"},
 		"the clock went back":  {nil, -time.Hour, nil, true, []float64{400, 100, 500}, "from the future by 1h0m0s"},
-		"others may owe":       {func(s *Snapshot) { s.Complete = false }, time.Second, nil, true, []float64{375, -1, 475}, "others may owe"},
+		"others may owe":       {func(s *Snapshot) { s.Complete = false }, time.Second, nil, true, []float64{375, -1, 475}, "recent but incomplete"},
 		"another number":       {func(s *Snapshot) { s.GatewayIndex = 2 }, 0, ErrOtherGateway, true, nil, "nothing is known"},
 		"another count":        {func(s *Snapshot) { s.GatewayCount = 5 }, 0, ErrOtherGateway, true, nil, "nothing is known"},
 		"under other settings": {func(s *Snapshot) { s.SettingsDigest++ }, 0, ErrOtherSettings, true, nil, "nothing is known"},
@@ -147,8 +148,8 @@
 	}
 }
 
-// Whatever a snapshot says and however old it is, it takes from a customer more than a door that knows nothing would, or it is young and
-// whole; and time never makes anybody owe more.
+// A copy of a snapshot from days ago is put back, or the clock is set. Unless it is recent and complete, it must grant no
+// customer more than a gateway that knows nothing would; and no debt grows with time.
 func TestRestore_OldSnapshotGrantsNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := time.Unix(1_800_000_000, 0)
@@ -204,7 +205,7 @@
 	}
 }
 
-// Whatever a door does not notice, and whatever it may do by what it knew before, leaves within the grace for drains, however short.
+// A pause that is not noticed, and what is sent by decisions from before it, must fit into the drain grace, however short.
 func TestDeadlinesFitDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, minDrainGrace, 600 * time.Millisecond, time.Second, 2 * time.Second, time.Hour} {
 		x, within := DeadlinesFor(grace), grace
