--- a/cmd/pumicecroft/lab.go
+++ b/cmd/pumicecroft/lab.go
@@ -60,13 +60,13 @@
 		}
 		fmt.Fprintf(out, "%d of %d: %s, seed %d: %s\n", done, all, strings.Join(r.Cell, " / "), r.Repetition, result)
 	}
-	ran, err := lab.Run(ctx, c.File, c.Dir, lab.RunOptions{Jobs: int(c.Jobs), Told: printRow})
-	for _, torn := range ran.Torn {
+	ran, err := lab.Run(ctx, c.File, c.Dir, lab.RunOptions{Jobs: int(c.Jobs), OnRun: printRow})
+	for _, torn := range ran.Damaged {
 		fmt.Fprintln(out, "made again:", torn)
 	}
-	if ran.All > 0 {
+	if ran.Total > 0 {
 		fmt.Fprintf(out, "%d of %d runs are in %s: %d were there, %d made in %.1f s, %d of them failed\n",
-			ran.Before+ran.Now-ran.Failed, ran.All, c.Dir, ran.Before, ran.Now, time.Since(begun).Seconds(), ran.Failed)
+			ran.Existing+ran.Completed-ran.Failed, ran.Total, c.Dir, ran.Existing, ran.Completed, time.Since(begun).Seconds(), ran.Failed)
 	}
 	if errors.Is(err, context.Canceled) {
 		return fmt.Errorf("ended early; the same command goes on from there")
@@ -99,7 +99,7 @@
 
 // checkFigure returns a usageError unless name is a figure's.
 func checkFigure(name string) error {
-	if lab.FigureOf(name) == nil {
+	if lab.FigureByName(name) == nil {
 		return usageError{fmt.Errorf("%q is none of %s", name, strings.Join(lab.FigureNames(), ", "))}
 	}
 	return nil
@@ -130,7 +130,7 @@
 		if err != nil {
 			return err
 		}
-		comparisons, err = lab.Across(a, b, c.Dir, c.Other, figures, c.pairedOptions())
+		comparisons, err = lab.CompareResults(a, b, c.Dir, c.Other, figures, c.pairedOptions())
 		if err != nil {
 			return err
 		}
@@ -138,7 +138,7 @@
 		if c.Factor == "" && len(a.Factors) > 0 {
 			c.Factor = a.Factors[0].Name
 		}
-		if comparisons, err = lab.Within(a, c.Factor, c.Of, c.With, figures, c.pairedOptions()); err != nil {
+		if comparisons, err = lab.CompareLevels(a, c.Factor, c.Of, c.With, figures, c.pairedOptions()); err != nil {
 			return usageError{err}
 		}
 	}
@@ -150,7 +150,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WHERE\tA\tB\tFIGURE\tPAIRS\tA'S\tB'S\tDIFFERENCE\tINTERVAL\tB IS")
 	for _, c := range comparisons {
-		d := c.Told
+		d := c.Result
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4g\t%.4g\t%+.3g\t%+.3g to %+.3g\t%s\n",
 			c.Where, c.A, c.B, c.Figure.Name, d.Pairs, d.MeanA, d.MeanB, d.Mean, d.Low, d.High, c.Verdict())
 	}
@@ -209,10 +209,10 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, f := range lab.Figures {
 		better := "less is better"
-		if f.Higher {
+		if f.HigherIsBetter {
 			better = "more is better"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", f.Name, better, f.What)
+		fmt.Fprintf(w, "%s\t%s\t%s\n", f.Name, better, f.Description)
 	}
 	return w.Flush()
 }
