--- a/internal/counterclient/tally_test.go
+++ b/internal/counterclient/tally_test.go
@@ -15,7 +15,7 @@
 )
 
 func client(t *testing.T, addr string, patience time.Duration) *Client {
-	c := New(Config{Addr: addr, Timeout: patience, ConnectTimeout: testkit.Patient})
+	c := New(Config{Addr: addr, Timeout: patience, ConnectTimeout: testkit.WaitTimeout})
 	t.Cleanup(c.Close)
 	return c
 }
@@ -31,7 +31,7 @@
 			t.Errorf("Ref %d", a.Ref)
 		}
 		return a
-	case <-time.After(2 * testkit.Patient):
+	case <-time.After(2 * testkit.WaitTimeout):
 		t.Fatal("a call without an end")
 		return decision.CounterResult{}
 	}
@@ -43,18 +43,18 @@
 		t.Fatal(err)
 	}
 	defer counter.Close()
-	c := client(t, counter.Addr(), testkit.Patient)
+	c := client(t, counter.Addr(), testkit.WaitTimeout)
 	for i, amount := range []float64{3, -1.25, 0, 1e-3} {
 		want := []float64{3, 1.75, 1.75, 1.751}[i]
 		if a := add(t, c, 1<<62, amount); a.Result != decision.Succeeded || a.Total != want {
 			t.Errorf("%v: %+v, want %v", amount, a, want)
 		}
 	}
-	counter.TurnAway(true)
+	counter.SetUnavailable(true)
 	if a := add(t, c, 1, 1); a.Result != decision.Rejected {
 		t.Errorf("turned away: %+v", a)
 	}
-	counter.TurnAway(false)
+	counter.SetUnavailable(false)
 	// a hundred at once, one behind another, each with its own answer
 	got := make(chan decision.CounterResult, 100)
 	for i := range 100 {
@@ -88,7 +88,7 @@
 					conn.Write([]byte(c.answer))
 				}
 			})
-			if a := add(t, client(t, addr, testkit.Patient), 1, 1); a.Result != c.want {
+			if a := add(t, client(t, addr, testkit.WaitTimeout), 1, 1); a.Result != c.want {
 				t.Errorf("%+v, want result %v", a, c.want)
 			}
 		})
@@ -115,7 +115,7 @@
 		t.Errorf("silence: %+v", a)
 	}
 	c.mu.Lock()
-	c.config.Timeout = testkit.Patient
+	c.config.Timeout = testkit.WaitTimeout
 	c.mu.Unlock()
 	got := make(chan decision.CounterResult, 1)
 	c.Add(decision.CounterAdd{Key: 2, TTL: time.Minute}, func(a decision.CounterResult) { got <- a })
@@ -138,7 +138,7 @@
 	}
 	addr := dead.Addr().String()
 	dead.Close()
-	c := client(t, addr, testkit.Patient)
+	c := client(t, addr, testkit.WaitTimeout)
 	if a := add(t, c, 1, 1); a.Result != decision.ConnectFailed {
 		t.Errorf("refused: %+v", a)
 	}
@@ -150,7 +150,7 @@
 	if a := add(t, c, 1, 1); a.Result != decision.NotSent {
 		t.Errorf("closed: %+v", a)
 	}
-	hung := New(Config{Addr: "x", Timeout: 20 * time.Millisecond, ConnectTimeout: testkit.Patient,
+	hung := New(Config{Addr: "x", Timeout: 20 * time.Millisecond, ConnectTimeout: testkit.WaitTimeout,
 		Dial: func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }})
 	if a := add(t, hung, 1, 1); a.Result != decision.ConnectFailed {
 		t.Errorf("a connection that does not come up: %+v", a)
--- a/internal/httplistener/conns_test.go
+++ b/internal/httplistener/conns_test.go
@@ -99,14 +99,14 @@
 				if piece {
 					io.WriteString(conn, asked[:40])
 				}
-				for end := time.Now().Add(testkit.Patient); !quiet(piece); time.Sleep(time.Millisecond) {
+				for end := time.Now().Add(testkit.WaitTimeout); !quiet(piece); time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
 						t.Fatal("the piece was never read")
 					}
 				}
 			}
 			for _, c := range dialAll(t, addr, 6)[:2] {
-				testkit.UntilEnd(t, c) // others make room
+				testkit.ReadUntilClosed(t, c) // others make room
 			}
 			io.WriteString(conn, asked[40:])
 			answered()
@@ -131,7 +131,7 @@
 	bad := dialAll(t, addr, 5)
 	for i, c := range bad {
 		io.WriteString(c, "G")
-		for end := time.Now().Add(testkit.Patient); begun() < i+1; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testkit.WaitTimeout); begun() < i+1; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("a first byte was never read")
 			}
@@ -139,19 +139,19 @@
 	}
 	for i := range 2 {
 		c := dialAll(t, addr, 1)[0]
-		testkit.UntilEnd(t, bad[i])
+		testkit.ReadUntilClosed(t, bad[i])
 		io.WriteString(c, asked)
 		if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("who came behind them is answered %v, %v", res, err)
 		}
 		bad = append(bad, c)
-		for end := time.Now().Add(testkit.Patient); begun() > 4; time.Sleep(time.Millisecond) { // the answered one is idle
+		for end := time.Now().Add(testkit.WaitTimeout); begun() > 4; time.Sleep(time.Millisecond) { // the answered one is idle
 			if time.Now().After(end) {
 				t.Fatal("the one that was answered is not idle")
 			}
 		}
 		io.WriteString(c, "G") // and now it is one of them
-		for end := time.Now().Add(testkit.Patient); begun() < 5; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testkit.WaitTimeout); begun() < 5; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("its byte was never read")
 			}
@@ -182,12 +182,12 @@
 	table.onStateChange(near[1], http.StateNew)
 	table.onStateChange(near[2], http.StateNew)
 	io.WriteString(far[1], "G")
-	for deadline := time.Now().Add(testkit.Patient); socketpeek.At(near[1]) != socketpeek.Waiting && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testkit.WaitTimeout); socketpeek.At(near[1]) != socketpeek.Waiting && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	table.onStateChange(near[3], http.StateNew)
-	testkit.UntilEnd(t, far[2])
+	testkit.ReadUntilClosed(t, far[2])
 	table.onStateChange(near[0], http.StateIdle) // the shortest silent now
 	table.onStateChange(near[4], http.StateNew)
-	testkit.UntilEnd(t, far[3])
+	testkit.ReadUntilClosed(t, far[3])
 }
--- a/internal/httplistener/crossings_test.go
+++ b/internal/httplistener/crossings_test.go
@@ -253,7 +253,7 @@
 	for name, before := range map[string]int{"half a head on a kept connection": 1, "half a head on a new connection": 0} {
 		t.Run(name, func(t *testing.T) {
 			began, goOn := make(chan bool, 2), make(chan bool)
-			s := start(t, Options{HeaderTimeout: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
+			s := start(t, Options{HeaderTimeout: testkit.WaitTimeout}, func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get("A") == "" {
 					return
 				}
@@ -320,7 +320,7 @@
 	table.onStateChange(near[2], http.StateActive)
 	ended := make(chan bool)
 	go func() { table.closeIdle(t.Context()); close(ended) }()
-	testkit.UntilEnd(t, far[0])
+	testkit.ReadUntilClosed(t, far[0])
 	table.mu.Lock()
 	if len(table.open) != 2 || table.open[near[1]] == nil || table.open[near[2]] == nil {
 		t.Errorf("%d connections are left", len(table.open))
--- a/internal/platformtransport/backends_test.go
+++ b/internal/platformtransport/backends_test.go
@@ -61,7 +61,7 @@
 func send(b *listed, ctx context.Context, id decision.BackendID, m *Request) executor.Response {
 	due, ok := ctx.Deadline()
 	if !ok {
-		due = time.Now().Add(testkit.Patient)
+		due = time.Now().Add(testkit.WaitTimeout)
 	}
 	a := executor.NewAttempt(id, due, m)
 	stop := context.AfterFunc(ctx, func() {
@@ -94,7 +94,7 @@
 func TestNothingIsSentAgainOnADeadConnection(t *testing.T) {
 	for name, m := range map[string]*Request{"GET": lookMessage, "keyed POST": payMessage} {
 		var seen atomic.Int64
-		addr := testkit.Raw(t, func(n int, conn net.Conn) {
+		addr := testkit.ServeRaw(t, func(n int, conn net.Conn) {
 			seen.Add(1)
 			if n == 1 {
 				io.WriteString(conn, okReply)
@@ -103,7 +103,7 @@
 			}
 		})
 		b, id := attempts(t, addr)
-		ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
+		ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 		defer cancel()
 		if r := send(b, ctx, id, m); r.Result != decision.Succeeded {
 			t.Fatalf("%s: first attempt ended as %v", name, r.Result)
@@ -180,8 +180,8 @@
 		"use below 0":             {reply(200, "X-RateLimit-Used", "-3", "Server-Load", "queue=NaN,qps=1"), decision.Succeeded},
 		"unreadable use and load": {reply(200, "X-RateLimit-Used", "lots", "Server-Load", "queue=x,qps="), decision.Succeeded},
 	} {
-		b, id := attempts(t, testkit.Raw(t, c.answer))
-		ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
+		b, id := attempts(t, testkit.ServeRaw(t, c.answer))
+		ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 		if r := send(b, ctx, id, payMessage); r.Result != c.want || r.HasUsage || r.LoadReport != nil {
 			t.Errorf("%s: %v, want %v; use %v, load %v", name, r.Result, c.want, r.HasUsage, r.LoadReport)
 		}
@@ -200,14 +200,14 @@
 		t.Errorf("refused connection: %v", r.Result)
 	}
 	silent := func(_ int, _ net.Conn) { <-t.Context().Done() }
-	b, id = attempts(t, testkit.Raw(t, silent))
+	b, id = attempts(t, testkit.ServeRaw(t, silent))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	if r := send(b, ctx, id, payMessage); r.Result != decision.TimedOut {
 		t.Errorf("no answer in time: %v", r.Result)
 	}
 	read := make(chan bool, 1)
-	b, id = attempts(t, testkit.Raw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() }))
+	b, id = attempts(t, testkit.ServeRaw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() }))
 	ctx, cancel = context.WithCancel(t.Context())
 	go func() { <-read; cancel() }()
 	if r := send(b, ctx, id, payMessage); r.Result != decision.Cancelled {
@@ -232,7 +232,7 @@
 func TestStaleAttemptsAreNotWritten(t *testing.T) {
 	for name, warm := range map[string]bool{"new connection": false, "second attempt": true} {
 		got := make(chan int, 10)
-		addr := testkit.Raw(t, func(n int, conn net.Conn) {
+		addr := testkit.ServeRaw(t, func(n int, conn net.Conn) {
 			got <- n
 			io.WriteString(conn, okReply)
 		})
@@ -274,7 +274,7 @@
 // What must not leave any more does not, on a new connection or a kept one.
 func TestTooLate(t *testing.T) {
 	seen := 0
-	b, id := attempts(t, testkit.Raw(t, func(_ int, conn net.Conn) {
+	b, id := attempts(t, testkit.ServeRaw(t, func(_ int, conn net.Conn) {
 		seen++
 		io.WriteString(conn, okReply)
 	}))
@@ -282,7 +282,7 @@
 		left time.Duration
 		want decision.Result
 	}{{-time.Second, decision.NotSent}, {time.Hour, decision.Succeeded}, {-time.Second, decision.NotSent}, {0, decision.Succeeded}} {
-		a := executor.NewAttempt(id, time.Now().Add(testkit.Patient), payMessage)
+		a := executor.NewAttempt(id, time.Now().Add(testkit.WaitTimeout), payMessage)
 		if c.left != 0 {
 			a.NotAfter = time.Now().Add(c.left)
 		}
@@ -344,7 +344,7 @@
 // The attempts that are out hold sockets, of which a front door may have only so many.
 func TestAttemptsAreBounded(t *testing.T) {
 	read := make(chan bool, 1)
-	addr := testkit.Raw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() })
+	addr := testkit.ServeRaw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() })
 	c := config()
 	c.MaxConns = 1
 	b := newListed(c)
@@ -386,7 +386,7 @@
 		}
 		io.WriteString(w, "queue=3,qps=9\n")
 	}))
-	if p := b.Probe(id, testkit.Patient); p.Result != decision.Succeeded || !slices.Equal(p.LoadReport, []float64{3, 9}) {
+	if p := b.Probe(id, testkit.WaitTimeout); p.Result != decision.Succeeded || !slices.Equal(p.LoadReport, []float64{3, 9}) {
 		t.Errorf("%+v", p)
 	}
 }
@@ -398,7 +398,7 @@
 		for _, late := range []bool{false, true} {
 			for tries := 0; ; tries++ {
 				conns, wrote := map[net.Conn]bool{}, make(chan time.Duration, 10)
-				addr := testkit.Raw(t, func(n int, conn net.Conn) {
+				addr := testkit.ServeRaw(t, func(n int, conn net.Conn) {
 					conns[conn] = true
 					begun := time.Now()
 					if late {
@@ -438,7 +438,7 @@
 // One spoilt answer closes its own connection only: the others are as good as before.
 func TestASpoiltAnswerLeavesTheOthers(t *testing.T) {
 	goOn, both := make(chan bool), make(chan bool, 2)
-	addr := testkit.Raw(t, func(n int, conn net.Conn) {
+	addr := testkit.ServeRaw(t, func(n int, conn net.Conn) {
 		if n <= 2 {
 			both <- true
 			<-goOn
@@ -473,7 +473,7 @@
 // be sent anything on its connections, nor bear its id.
 func TestGoneBackendsAreForgotten(t *testing.T) {
 	conns := map[net.Conn]bool{}
-	addr := testkit.Raw(t, func(_ int, conn net.Conn) { conns[conn] = true; io.WriteString(conn, okReply) })
+	addr := testkit.ServeRaw(t, func(_ int, conn net.Conn) { conns[conn] = true; io.WriteString(conn, okReply) })
 	b := newListed(config())
 	ids := map[decision.BackendID]bool{}
 	for i := range 20 {
--- a/internal/platformtransport/size_test.go
+++ b/internal/platformtransport/size_test.go
@@ -29,7 +29,7 @@
 // Of many backends that go at once only some are taken in under one hold of the lock, their connections' closing with them.
 func TestBackendsGoSomeAtATime(t *testing.T) {
 	const n = 100
-	addr := testkit.Raw(t, func(_ int, conn net.Conn) { fmt.Fprint(conn, okReply) })
+	addr := testkit.ServeRaw(t, func(_ int, conn net.Conn) { fmt.Fprint(conn, okReply) })
 	var b *Transport
 	var known []int // at each closing, under the lock
 	c := config()
@@ -47,7 +47,7 @@
 	}
 	b.Apply(changes)
 	for i := range n {
-		if r := b.RoundTrip(executor.NewAttempt(decision.BackendID(i+1), time.Now().Add(testkit.Patient), lookMessage)); r.Result != decision.Succeeded {
+		if r := b.RoundTrip(executor.NewAttempt(decision.BackendID(i+1), time.Now().Add(testkit.WaitTimeout), lookMessage)); r.Result != decision.Succeeded {
 			t.Fatal(r.Result)
 		}
 		changes[i].State = decision.Removed
