--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -14,67 +14,79 @@
 	"pumicecroft/internal/platform"
 )
 
-// Act is what a backend does with one attempt in place of its work.
+// Behavior is what a backend does with one attempt.
 type Behavior int
 
-// The acts.
+// The behaviors. ServeNormally is the default.
 const (
-	ServeNormally         Behavior = iota // as a backend does: wait for a slot, work, answer
-	ExecuteThenHang                       // run, and never answer; ends when the connection does
-	HangWithoutExecution                  // never run and never answer
-	ExecuteThenReset                      // run, and reset the connection in place of an answer
-	ExecuteThenError                      // run, and answer 500
-	RejectNotStarted                      // 503 with the proof that it has not run
-	ExecuteThenGarble                     // run, and answer with noise
-	ExecuteThenTruncate                   // run, and end the connection midway through the answer
-	ResetWithoutExecution                 // reset the connection; it has not run, which the other side cannot know
+	ServeNormally         Behavior = iota // wait for a slot, work, respond
+	ExecuteThenHang                       // execute and never respond, until the connection ends
+	HangWithoutExecution                  // neither execute nor respond, until the connection ends
+	ExecuteThenReset                      // execute and reset the connection instead of a response
+	ExecuteThenError                      // execute and respond 500
+	RejectNotStarted                      // 503 with Not-Started, which proves that it was not executed
+	ExecuteThenGarble                     // execute and respond with bytes that are no HTTP
+	ExecuteThenTruncate                   // execute and close the connection within the response
+	ResetWithoutExecution                 // reset the connection; the gateway can't know that it was not executed
 )
 
-// Once gives an act for the first attempt of all and Work for the rest. It may be shared by backends.
-func OnFirstAttempt(act Behavior) func(Attempt) Behavior {
+// outcomes are the values of Attempt.Outcome, by behavior.
+var outcomes = map[Behavior]string{
+	ServeNormally: "served", ExecuteThenError: "error", ExecuteThenHang: "hung", HangWithoutExecution: "hung",
+	ExecuteThenReset: "broken", ResetWithoutExecution: "broken", ExecuteThenGarble: "spoilt", ExecuteThenTruncate: "cut",
+}
+
+// executes reports whether an attempt is executed under a behavior.
+func (b Behavior) executes() bool { return b != HangWithoutExecution && b != ResetWithoutExecution }
+
+// OnFirstAttempt returns a function that returns behavior for the first attempt and ServeNormally for later ones.
+// Several backends may share it.
+func OnFirstAttempt(behavior Behavior) func(Attempt) Behavior {
 	var once sync.Once
 	return func(Attempt) Behavior {
-		now := ServeNormally
-		once.Do(func() { now = act })
-		return now
+		current := ServeNormally
+		once.Do(func() { current = behavior })
+		return current
 	}
 }
 
-// BackendConfig says what a backend is like.
+// BackendConfig configures a Backend.
 type BackendConfig struct {
 	Name         string
 	Zone         string
 	InstanceType string
-	Cell         *Cell
-	// Slots work at once, Queue wait; what is beyond is turned away. 0: no bound on either.
+	Cell         *Cell // nil means that no repeat is dropped
+	// Slots is the number of attempts that are executed at once, Queue that of attempts that wait. Attempts beyond
+	// that are rejected. 0 means no limit for either.
 	Slots, Queue int
-	// Work is how long a request of a class works, on a warm backend.
+	// WorkTime returns the service time of a class on a warm backend; nil means none.
 	WorkTime func(class string) time.Duration
-	// Act overrides what happens with an attempt; nil: Work.
-	Behavior func(a Attempt) Behavior
-	// Keyed tells which classes have effects that must stay single.
+	// Behavior selects what happens with an attempt; nil means ServeNormally.
+	Behavior func(attempt Attempt) Behavior
+	// IdempotentByKey reports whether repeats of a class are dropped by key; nil means those of all classes.
 	IdempotentByKey func(class string) bool
-	// A backend that has just started has ColdFrom of its capacity, and all of it after WarmWithin. Sent more than
-	// FallMultiple times what it can do for FallFor, it falls over and stays down. FallMultiple 0: it does not.
+	// A backend that has just started has the share SlowStartMinCapacity of its capacity, growing to all of it within
+	// SlowStartWindow. Sent more than OverloadFactor times what it can do for OverloadDuration, it is overloaded and
+	// rejects everything from then on. OverloadFactor 0 means that it can't be overloaded.
 	SlowStartMinCapacity float64
 	SlowStartWindow      time.Duration
 	OverloadFactor       float64
 	OverloadDuration     time.Duration
-	// Capacity is what it can do warm, in requests a second; 0: what its slots and work come to. Where it is given,
-	// work takes as long on a cold backend, which then shows that it is cold by falling alone.
+	// Capacity of the warm backend, in requests a second; 0 means Slots divided by the work time. If it is set, work
+	// takes as long on a cold backend as on a warm one, so that only an overload shows that the backend is cold.
 	Capacity float64
-	// Cold starts it cold; else it has run for long.
+	// StartCold begins slow start now; otherwise the backend is warm.
 	StartCold bool
 	Ledger    *Ledger
-	Meter     *Meter // nil: answers tell no use
-	GRPC      bool   // it speaks gRPC; its methods' names end with its classes
+	Meter     *Meter // nil means that responses don't report usage
+	GRPC      bool   // the backend speaks gRPC; classes are the last part of its methods' names
 }
 
-// Backend is a stand-in for one backend.
+// Backend is a fake backend over HTTP/1.1 or gRPC. It is safe for concurrent use.
 type Backend struct {
 	config    BackendConfig
 	addr      string
-	startedAt time.Time // zero: long ago
+	startedAt time.Time // zero means warm
 	server    *http.Server
 	grpc      *GRPCBackend
 	slots     chan struct{}
@@ -86,17 +98,17 @@
 	recentArrivals []time.Time // arrivals within FallFor, while cold
 }
 
-// StartBackend starts a backend on a loopback port of the system's choosing.
-func StartBackend(c BackendConfig) (*Backend, error) {
-	b := &Backend{config: c}
-	if c.Slots > 0 {
-		b.slots = make(chan struct{}, c.Slots)
+// StartBackend starts a backend on a free loopback port.
+func StartBackend(config BackendConfig) (*Backend, error) {
+	b := &Backend{config: config}
+	if config.Slots > 0 {
+		b.slots = make(chan struct{}, config.Slots)
 	}
-	if c.StartCold {
+	if config.StartCold {
 		b.startedAt = time.Now()
 	}
 	var err error
-	if c.GRPC {
+	if config.GRPC {
 		if b.grpc, err = StartGRPC(GRPCConfig{execute: b.execute}); err == nil {
 			b.addr = b.grpc.Addr()
 		}
@@ -106,23 +118,26 @@
 	return b, err
 }
 
-// listen serves a handler on a loopback port of the system's choosing.
+// listen serves a handler on a free loopback port.
 func listen(h http.Handler) (*http.Server, string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
 	}
-	s := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
-	go func() { _ = s.Serve(ln) }()
-	return s, ln.Addr().String(), nil
+	server := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
+	go func() { _ = server.Serve(ln) }()
+	return server, ln.Addr().String(), nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the backend listens on.
 func (b *Backend) Addr() string { return b.addr }
 
-// Endpoint is its entry in discovery's list.
+// Endpoint returns the backend's entry in discovery's list.
 func (b *Backend) Endpoint() platform.Endpoint {
-	e := platform.Endpoint{Name: b.config.Name, Addr: b.addr, Zone: b.config.Zone, InstanceType: b.config.InstanceType, Health: "Ready", Weight: 1}
+	e := platform.Endpoint{
+		Name: b.config.Name, Addr: b.addr, Zone: b.config.Zone, InstanceType: b.config.InstanceType,
+		Health: "Ready", Weight: 1,
+	}
 	if b.config.Cell != nil {
 		e.Cell = b.config.Cell.Number
 	}
@@ -132,14 +147,14 @@
 	return e
 }
 
-// Drain has it turn new work away and end what it has.
+// Drain makes the backend reject new attempts and finish those that it has.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = true
 }
 
-// Kill ends it at once: its connections are reset, new ones refused.
+// Kill stops the backend at once: its connections are closed, new ones refused.
 func (b *Backend) Kill() {
 	if b.grpc != nil {
 		b.grpc.Kill()
@@ -148,14 +163,14 @@
 	b.server.Close()
 }
 
-// Fallen tells whether it was sent too much while it was cold.
+// Overloaded reports whether the backend was sent too much while it was cold.
 func (b *Backend) Overloaded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.overloaded
 }
 
-// warmth is the share of its capacity that it has.
+// capacityShare is the share of its capacity that the backend has.
 func (b *Backend) capacityShare(now time.Time) float64 {
 	if b.startedAt.IsZero() || b.config.SlowStartWindow <= 0 {
 		return 1
@@ -164,60 +179,74 @@
 	return min(1, b.config.SlowStartMinCapacity+(1-b.config.SlowStartMinCapacity)*age)
 }
 
-// arrive counts an arrival and tells whether the attempt is taken.
-func (b *Backend) admit(now time.Time, work time.Duration) (taken bool) {
+// admit counts an arrival and reports whether the attempt is admitted.
+func (b *Backend) admit(now time.Time, workTime time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	capacity := b.config.Capacity
-	if capacity == 0 && work > 0 {
-		capacity = float64(b.config.Slots) / work.Seconds()
-	}
-	if w := b.capacityShare(now); w < 1 && b.config.OverloadFactor > 0 && capacity > 0 {
-		for len(b.recentArrivals) > 0 && now.Sub(b.recentArrivals[0]) > b.config.OverloadDuration {
-			b.recentArrivals = b.recentArrivals[1:]
-		}
-		b.recentArrivals = append(b.recentArrivals, now)
-		can := w * capacity * b.config.OverloadDuration.Seconds()
-		if now.Sub(b.startedAt) > b.config.OverloadDuration && float64(len(b.recentArrivals)) > b.config.OverloadFactor*can {
-			b.overloaded = true
-		}
-	}
-	if b.overloaded || b.draining || b.config.Queue > 0 && b.admitted >= b.config.Queue+b.config.Slots {
+	b.checkOverload(now, workTime)
+	full := b.config.Queue > 0 && b.admitted >= b.config.Queue+b.config.Slots
+	if b.overloaded || b.draining || full {
 		return false
 	}
 	b.admitted++
 	return true
 }
 
+// checkOverload records an arrival at a cold backend, which may overload it. b.mu must be held.
+func (b *Backend) checkOverload(now time.Time, workTime time.Duration) {
+	capacity := b.config.Capacity
+	if capacity == 0 && workTime > 0 {
+		capacity = float64(b.config.Slots) / workTime.Seconds()
+	}
+	share := b.capacityShare(now)
+	if share >= 1 || b.config.OverloadFactor <= 0 || capacity <= 0 {
+		return
+	}
+	for len(b.recentArrivals) > 0 && now.Sub(b.recentArrivals[0]) > b.config.OverloadDuration {
+		b.recentArrivals = b.recentArrivals[1:]
+	}
+	b.recentArrivals = append(b.recentArrivals, now)
+	limit := b.config.OverloadFactor * (share * capacity * b.config.OverloadDuration.Seconds())
+	if now.Sub(b.startedAt) > b.config.OverloadDuration && float64(len(b.recentArrivals)) > limit {
+		b.overloaded = true
+	}
+}
+
+// release ends an admitted attempt.
 func (b *Backend) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.admitted--
 }
 
-// ServeHTTP is one attempt.
+// maxBodyBytes is the length of a request body up to which a backend reads it.
+const maxBodyBytes = 1 << 20
+
+// ServeHTTP handles one attempt over HTTP.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if r.Header.Get("Request-Id") == "" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		return // it has not come whole
+		return // the attempt has not arrived completely
+	}
+	attempt := &Attempt{
+		Class: class, ID: r.Header.Get("Request-Id"), Key: r.Header.Get("Idempotency-Key"),
+		RemoteAddr: r.RemoteAddr, Body: string(body), Timeout: r.Header.Get("Request-Timeout"),
 	}
-	a := &Attempt{Class: class, ID: r.Header.Get("Request-Id"), Key: r.Header.Get("Idempotency-Key"),
-		RemoteAddr: r.RemoteAddr, Body: string(body), Timeout: r.Header.Get("Request-Timeout")}
-	act, use, ok := b.execute(r.Context(), a)
+	behavior, usage, ok := b.execute(r.Context(), attempt)
 	if !ok {
 		return
 	}
-	if use != "" {
-		w.Header().Set("X-RateLimit-Used", use)
+	if usage != "" {
+		w.Header().Set("X-RateLimit-Used", usage)
 	}
-	switch act {
+	switch behavior {
 	case ServeNormally:
-		io.WriteString(w, responseBody(a.ID))
+		io.WriteString(w, responseBody(attempt.ID))
 	case RejectNotStarted:
 		w.Header().Set("Not-Started", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -226,57 +255,57 @@
 	case ExecuteThenHang, HangWithoutExecution:
 		<-r.Context().Done()
 	default:
-		b.breakResponse(w, act)
+		b.breakResponse(w, behavior)
 	}
 }
 
-// deal is what becomes of an attempt that has come whole, short of its answer: how it is to be answered, with the use that
-// the meter tells, if it does; !ok: the client has left. ctx ends when the client leaves.
-func (b *Backend) execute(ctx context.Context, a *Attempt) (act Behavior, use string, ok bool) {
-	c := &b.config
+// execute handles an attempt that has arrived completely, up to its response. It returns how to respond and the usage
+// to report, empty for none. ok is false if the client has left, which ends ctx.
+func (b *Backend) execute(ctx context.Context, attempt *Attempt) (behavior Behavior, usage string, ok bool) {
+	config := &b.config
 	now := time.Now()
-	a.Backend, a.At = c.Name, now
-	if c.Cell != nil {
-		a.Cell = c.Cell.Number
+	attempt.Backend, attempt.At = config.Name, now
+	if config.Cell != nil {
+		attempt.Cell = config.Cell.Number
 	}
-	c.Ledger.add(a)
-	if c.Behavior != nil {
-		act = c.Behavior(*a)
+	config.Ledger.add(attempt)
+	if config.Behavior != nil {
+		behavior = config.Behavior(*attempt)
 	}
-	work := time.Duration(0)
-	if c.WorkTime != nil {
-		work = c.WorkTime(a.Class)
+	workTime := time.Duration(0)
+	if config.WorkTime != nil {
+		workTime = config.WorkTime(attempt.Class)
 	}
-	if act == RejectNotStarted || act == ServeNormally && !b.admit(now, work) {
-		c.Ledger.finish(a, "turned away", false)
+	if behavior == RejectNotStarted || behavior == ServeNormally && !b.admit(now, workTime) {
+		config.Ledger.finish(attempt, "turned away", false)
 		return RejectNotStarted, "", true
 	}
-	if act == ServeNormally {
+	if behavior == ServeNormally {
 		defer b.release()
-		if c.Capacity == 0 {
-			work = time.Duration(float64(work) / b.capacityShare(now))
+		if config.Capacity == 0 {
+			workTime = time.Duration(float64(workTime) / b.capacityShare(now))
 		}
-		if !b.process(ctx, work) {
-			c.Ledger.finish(a, "given up", false) // the client left while it waited or worked
-			return act, "", false
+		if !b.process(ctx, workTime) {
+			config.Ledger.finish(attempt, "given up", false)
+			return behavior, "", false
 		}
 	}
-	effect := act != HangWithoutExecution && act != ResetWithoutExecution && (c.IdempotentByKey == nil || c.IdempotentByKey(a.Class)) && c.Cell.firstUse(a.Key, now)
-	if c.Meter != nil {
-		if v, ok := c.Meter.recordAttempt(a.ID, now); ok {
-			use = strconv.FormatFloat(v, 'f', 1, 64)
+	effect := behavior.executes() && (config.IdempotentByKey == nil || config.IdempotentByKey(attempt.Class)) &&
+		config.Cell.firstUse(attempt.Key, now)
+	if config.Meter != nil {
+		if percent, ok := config.Meter.recordAttempt(attempt.ID, now); ok {
+			usage = strconv.FormatFloat(percent, 'f', 1, 64)
 		}
 	}
-	c.Ledger.finish(a, map[Behavior]string{ServeNormally: "served", ExecuteThenError: "error", ExecuteThenHang: "hung", HangWithoutExecution: "hung", ExecuteThenReset: "broken",
-		ResetWithoutExecution: "broken", ExecuteThenGarble: "spoilt", ExecuteThenTruncate: "cut"}[act], effect)
-	return act, use, true
+	config.Ledger.finish(attempt, outcomes[behavior], effect)
+	return behavior, usage, true
 }
 
-// answerTo is the body that only this request's answer has.
+// responseBody is the body of the response to a request, which no other response has.
 func responseBody(id string) string { return "done " + id + "\n" }
 
-// work waits for a slot and works; false if the client left meanwhile.
-func (b *Backend) process(ctx context.Context, d time.Duration) bool {
+// process waits for a slot and works. It returns false if the client left meanwhile.
+func (b *Backend) process(ctx context.Context, workTime time.Duration) bool {
 	if b.slots != nil {
 		select {
 		case b.slots <- struct{}{}:
@@ -285,27 +314,27 @@
 			return false
 		}
 	}
-	if d <= 0 {
+	if workTime <= 0 {
 		return true
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(workTime)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// spoil ends an attempt below HTTP.
-func (b *Backend) breakResponse(w http.ResponseWriter, act Behavior) {
+// breakResponse ends an attempt on the bare connection.
+func (b *Backend) breakResponse(w http.ResponseWriter, behavior Behavior) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	switch act {
+	switch behavior {
 	case ExecuteThenGarble:
 		_, _ = io.WriteString(conn, "\x00\x01noise\r\n\r\n")
 	case ExecuteThenTruncate:
--- a/internal/fakes/counter.go
+++ b/internal/fakes/counter.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// Counter is a stand-in for the platform's quota counter: it adds an amount to a named number and tells the total.
+// Counter is a fake of the platform's shared counter: it adds amounts to named numbers and returns the totals.
 type Counter struct {
 	addr   string
 	server *http.Server
 
 	mu          sync.Mutex
 	totals      map[string]total
-	unavailable bool // it turns all calls away
+	unavailable bool // all calls get 503
 	calls       int
 }
 
+// total is one number, until it expires.
 type total struct {
 	sum     float64
 	expires time.Time
 }
 
-// StartCounter starts one on a loopback port of the system's choosing.
+// StartCounter starts a counter on a free loopback port.
 func StartCounter() (*Counter, error) {
 	c := &Counter{totals: map[string]total{}}
 	mux := http.NewServeMux()
@@ -35,45 +36,48 @@
 	return c, err
 }
 
-// Addr is where it listens.
+// Addr returns the address that the counter listens on.
 func (c *Counter) Addr() string { return c.addr }
 
-// Close ends it.
+// Close stops the counter.
 func (c *Counter) Close() { c.server.Close() }
 
-// Lose has it forget every number, as a restart does.
+// Reset removes all numbers, as a restart does.
 func (c *Counter) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.totals)
 }
 
-// TurnAway has it answer 503, or not any more.
-func (c *Counter) SetUnavailable(yes bool) {
+// SetUnavailable makes the counter answer 503, or answer normally again.
+func (c *Counter) SetUnavailable(unavailable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unavailable = yes
+	c.unavailable = unavailable
 }
 
-// Calls is how many calls it has answered with a total.
+// Calls returns the number of calls that were answered with a total.
 func (c *Counter) Calls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// most is the largest amount of a call, and the longest that a name is kept without one.
+// Limits of a call, as the platform has them.
 const (
 	maxAmount     = 1e9
 	maxTTLMillis  = 60_000
 	maxNameLength = 64
 )
 
+// handleAdd adds an amount and answers with the total.
 func (c *Counter) handleAdd(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
-	n, err := strconv.ParseFloat(r.URL.Query().Get("n"), 64)
-	keep, err2 := strconv.Atoi(r.URL.Query().Get("keep_ms"))
-	if err != nil || err2 != nil || name == "" || len(name) > maxNameLength || math.IsNaN(n) || math.Abs(n) > maxAmount || keep < 1 {
+	amount, err := strconv.ParseFloat(r.URL.Query().Get("n"), 64)
+	ttlMillis, err2 := strconv.Atoi(r.URL.Query().Get("keep_ms"))
+	validName := name != "" && len(name) <= maxNameLength
+	validAmount := err == nil && !math.IsNaN(amount) && math.Abs(amount) <= maxAmount
+	if !validName || !validAmount || err2 != nil || ttlMillis < 1 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -86,9 +90,9 @@
 	now := time.Now()
 	t, ok := c.totals[name]
 	if !ok || !now.Before(t.expires) {
-		t = total{expires: now.Add(time.Duration(min(keep, maxTTLMillis)) * time.Millisecond)}
+		t = total{expires: now.Add(time.Duration(min(ttlMillis, maxTTLMillis)) * time.Millisecond)}
 	}
-	t.sum += n
+	t.sum += amount
 	c.totals[name] = t
 	c.calls++
 	io.WriteString(w, strconv.FormatFloat(t.sum, 'g', 7, 64))
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -12,7 +12,7 @@
 	"pumicecroft/internal/platform"
 )
 
-// Discovery is a stand-in for the platform's discovery.
+// Discovery is a fake of the platform's discovery. It is safe for concurrent use.
 type Discovery struct {
 	addr   string
 	server *http.Server
@@ -20,16 +20,17 @@
 	mu        sync.Mutex
 	seq       int64
 	endpoints map[string]entry
-	changed   chan struct{} // closed at the next change
+	changed   chan struct{} // closed and replaced at each change
 	down      bool
 }
 
+// entry is an endpoint with the version of its last change.
 type entry struct {
 	platform.Endpoint
 	seq int64
 }
 
-// StartDiscovery starts one on a loopback port of the system's choosing.
+// StartDiscovery starts a discovery with an empty endpoint list on a free loopback port.
 func StartDiscovery() (*Discovery, error) {
 	d := &Discovery{endpoints: map[string]entry{}, changed: make(chan struct{}), seq: 1}
 	mux := http.NewServeMux()
@@ -39,34 +40,34 @@
 	return d, err
 }
 
-// Addr is where it listens.
+// Addr returns the address that discovery listens on.
 func (d *Discovery) Addr() string { return d.addr }
 
-// Close ends it.
+// Close stops discovery.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Set puts entries into the list, or changes them, in one version.
-func (d *Discovery) Set(es ...platform.Endpoint) {
+// Set adds endpoints to the list, or changes them, in one version.
+func (d *Discovery) Set(endpoints ...platform.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seq++
-	for _, e := range es {
+	for _, e := range endpoints {
 		d.endpoints[e.Name] = entry{e, d.seq}
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// SetHealth changes the health of one entry: Ready, Terminating or Gone.
-func (d *Discovery) SetHealth(host, health string) {
+// SetHealth changes the health of one endpoint: Ready, Terminating or Gone.
+func (d *Discovery) SetHealth(name, health string) {
 	d.mu.Lock()
-	e := d.endpoints[host].Endpoint
+	e := d.endpoints[name].Endpoint
 	d.mu.Unlock()
 	e.Health = health
 	d.Set(e)
 }
 
-// SetDown has it keep silent: it answers nothing until it is up again.
+// SetDown makes discovery send nothing, also on open watches, until it is up again.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,31 +76,35 @@
 	d.changed = make(chan struct{})
 }
 
-// List is the whole list, as a front door would be told it.
+// List returns the full endpoint list, as a gateway would get it.
 func (d *Discovery) List() platform.EndpointUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.changesSince(-1)
 }
 
-// since gives what changed after a version; -1: all that is not gone.
+// changesSince returns the changes after a version. For -1 it returns a full update of all endpoints that aren't Gone.
+// d.mu must be held.
 func (d *Discovery) changesSince(from int64) platform.EndpointUpdate {
-	l := platform.EndpointUpdate{Seq: d.seq, Full: from < 0, Endpoints: []platform.Endpoint{}}
+	update := platform.EndpointUpdate{Seq: d.seq, Full: from < 0, Endpoints: []platform.Endpoint{}}
 	for _, e := range d.endpoints {
 		if e.seq > from && (from >= 0 || e.Health != "Gone") {
-			l.Endpoints = append(l.Endpoints, e.Endpoint)
+			update.Endpoints = append(update.Endpoints, e.Endpoint)
 		}
 	}
-	slices.SortFunc(l.Endpoints, func(a, b platform.Endpoint) int {
+	slices.SortFunc(update.Endpoints, func(a, b platform.Endpoint) int {
 		if a.Name < b.Name {
 			return -1
 		}
 		return 1
 	})
-	return l
+	return update
 }
 
-// endpoints answers with the whole list, or with a watch.
+// watchHeartbeat is the time between two empty lines of a watch.
+const watchHeartbeat = 2 * time.Second
+
+// handleEndpoints answers with the full list, or with a watch from a version on.
 func (d *Discovery) handleEndpoints(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") != "1" {
 		_ = json.NewEncoder(w).Encode(d.List()) // the client has gone
@@ -110,27 +115,27 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	control := http.NewResponseController(w)
-	quiet := time.NewTicker(2 * time.Second)
-	defer quiet.Stop()
+	controller := http.NewResponseController(w)
+	heartbeat := time.NewTicker(watchHeartbeat)
+	defer heartbeat.Stop()
 	first := true
 	for {
 		d.mu.Lock()
 		down, changed := d.down, d.changed
-		l := d.changesSince(from)
+		update := d.changesSince(from)
 		d.mu.Unlock()
-		if !down && (first || len(l.Endpoints) > 0) {
-			if json.NewEncoder(w).Encode(l) != nil || control.Flush() != nil {
+		if !down && (first || len(update.Endpoints) > 0) {
+			if json.NewEncoder(w).Encode(update) != nil || controller.Flush() != nil {
 				return
 			}
-			first, from = false, l.Seq
+			first, from = false, update.Seq
 		}
 		select {
 		case <-changed:
-		case <-quiet.C:
+		case <-heartbeat.C:
 			if !down {
 				io.WriteString(w, "\n")
-				_ = control.Flush()
+				_ = controller.Flush()
 			}
 		case <-r.Context().Done():
 			return
--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -16,6 +16,7 @@
 
 const waitTimeout = 20 * time.Second
 
+// startBackend starts a backend that is killed when the test ends.
 func startBackend(t *testing.T, c BackendConfig) *Backend {
 	t.Helper()
 	if c.Ledger == nil {
@@ -31,17 +32,22 @@
 
 var lastID uint64
 
+// sendRequest sends a request with an ID of its own.
 func sendRequest(t *testing.T, addr, key string, timeout time.Duration) Reply {
+	t.Helper()
 	lastID++
 	a := Request{ID: lastID, Class: "pay", Plan: "p", Key: key, Timeout: timeout}
 	return a.Do(t.Context(), &http.Transport{DisableKeepAlives: true}, addr)
 }
 
+// A client repeats an idempotency key at several backends. Those of one cell drop the repeat, those of another one
+// don't, and after the window the key counts as new.
 func TestCell_DropsRepeatedKeys(t *testing.T) {
 	l := &Ledger{}
 	one, two := &Cell{Number: 1, Window: 200 * time.Millisecond}, &Cell{Number: 2, Window: time.Hour}
 	keyed := func(string) bool { return true }
-	a, b := startBackend(t, BackendConfig{Cell: one, Ledger: l, IdempotentByKey: keyed}), startBackend(t, BackendConfig{Cell: one, Ledger: l, IdempotentByKey: keyed})
+	a := startBackend(t, BackendConfig{Cell: one, Ledger: l, IdempotentByKey: keyed})
+	b := startBackend(t, BackendConfig{Cell: one, Ledger: l, IdempotentByKey: keyed})
 	c := startBackend(t, BackendConfig{Cell: two, Ledger: l, IdempotentByKey: keyed})
 	for i, step := range []struct {
 		b    *Backend
@@ -60,8 +66,10 @@
 
 func TestBackend_SlotsQueueAndDrain(t *testing.T) {
 	l := &Ledger{}
-	b := startBackend(t, BackendConfig{Ledger: l, Slots: 1, Queue: 1, WorkTime: func(string) time.Duration { return 50 * time.Millisecond },
-		Behavior: func(Attempt) Behavior { return ServeNormally }})
+	b := startBackend(t, BackendConfig{
+		Ledger: l, Slots: 1, Queue: 1, WorkTime: func(string) time.Duration { return 50 * time.Millisecond },
+		Behavior: func(Attempt) Behavior { return ServeNormally },
+	})
 	replies := make(chan Reply, 3)
 	for i := range 3 {
 		go func() {
@@ -91,8 +99,15 @@
 		reply  string
 		effect int
 	}{
-		ServeNormally: {"served", 1}, ExecuteThenError: {"failed 500", 1}, RejectNotStarted: {"refused", 0}, ExecuteThenReset: {"lost", 1},
-		ResetWithoutExecution: {"lost", 0}, ExecuteThenGarble: {"lost", 1}, ExecuteThenTruncate: {"lost", 1}, ExecuteThenHang: {"lost", 1}, HangWithoutExecution: {"lost", 0},
+		ServeNormally:         {"served", 1},
+		ExecuteThenError:      {"failed 500", 1},
+		RejectNotStarted:      {"refused", 0},
+		ExecuteThenReset:      {"lost", 1},
+		ResetWithoutExecution: {"lost", 0},
+		ExecuteThenGarble:     {"lost", 1},
+		ExecuteThenTruncate:   {"lost", 1},
+		ExecuteThenHang:       {"lost", 1},
+		HangWithoutExecution:  {"lost", 0},
 	} {
 		l := &Ledger{}
 		b := startBackend(t, BackendConfig{Ledger: l, Behavior: func(Attempt) Behavior { return act }})
@@ -109,7 +124,10 @@
 }
 
 func TestBackend_OverloadedWhileCold(t *testing.T) {
-	cold := BackendConfig{Capacity: 1000, SlowStartMinCapacity: 0.01, SlowStartWindow: time.Hour, OverloadFactor: 2, OverloadDuration: 100 * time.Millisecond, StartCold: true}
+	cold := BackendConfig{
+		Capacity: 1000, SlowStartMinCapacity: 0.01, SlowStartWindow: time.Hour,
+		OverloadFactor: 2, OverloadDuration: 100 * time.Millisecond, StartCold: true,
+	}
 	b := startBackend(t, cold)
 	for end := time.Now().Add(waitTimeout); !b.Overloaded(); {
 		sendRequest(t, b.Addr(), "", waitTimeout)
@@ -156,7 +174,8 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	d.Set(platform.Endpoint{Name: "a", Addr: "x:1", Health: "Ready"}, platform.Endpoint{Name: "b", Addr: "x:2", Health: "Ready"})
+	d.Set(platform.Endpoint{Name: "a", Addr: "x:1", Health: "Ready"},
+		platform.Endpoint{Name: "b", Addr: "x:2", Health: "Ready"})
 	list := d.List()
 	if !list.Full || len(list.Endpoints) != 2 || list.Endpoints[0].Name != "a" {
 		t.Fatalf("%+v", list)
@@ -187,7 +206,8 @@
 		t.Errorf("nothing has changed: %+v", l)
 	}
 	d.SetHealth("b", "Terminating")
-	if l := next(); len(l.Endpoints) != 1 || l.Endpoints[0].Name != "b" || l.Endpoints[0].Health != "Terminating" || l.Seq <= list.Seq {
+	if l := next(); len(l.Endpoints) != 1 || l.Endpoints[0].Name != "b" ||
+		l.Endpoints[0].Health != "Terminating" || l.Seq <= list.Seq {
 		t.Errorf("%+v", l)
 	}
 	d.SetDown(true)
@@ -243,11 +263,14 @@
 	}
 }
 
-// An answer that was made for another request is none.
+// A gateway mixes up two responses. The client must notice that the response belongs to another request.
 func TestRequest_WrongResponseCountsAsLost(t *testing.T) {
 	l := &Ledger{}
 	b := startBackend(t, BackendConfig{Ledger: l})
-	a := Request{ID: 5, Class: "c", Plan: "p", Timeout: waitTimeout, Header: http.Header{"Request-Id": {"0000000000000006"}}}
+	a := Request{
+		ID: 5, Class: "c", Plan: "p", Timeout: waitTimeout,
+		Header: http.Header{"Request-Id": {"0000000000000006"}},
+	}
 	if r := a.Do(context.Background(), &http.Transport{DisableKeepAlives: true}, b.Addr()); r.String() != "lost" {
 		t.Errorf("%v", r)
 	}
--- a/internal/fakes/grpc_test.go
+++ b/internal/fakes/grpc_test.go
@@ -24,14 +24,15 @@
 }
 func (bytesCodec) Name() string { return "proto" }
 
-// The stand-in is what gRPC's own client expects; and that client sends a call again by itself when its stream was
-// refused, also with retries switched off, which is why front doors don't use it.
+// The fake backend must fail in the ways that gRPC's own client expects. That client retries a call whose stream was
+// refused by itself, also with retries disabled, which is why gateways don't use it.
 func TestGRPCBackend_AgainstGRPCClient(t *testing.T) {
 	t.Parallel()
 	ledger := &Ledger{}
 	var act atomic.Int64
 	var times atomic.Int64
-	b, err := StartGRPC(GRPCConfig{Name: "g", Ledger: ledger, Cell: &Cell{Window: 5 * time.Second}, IdempotentByKey: func(string) bool { return true },
+	b, err := StartGRPC(GRPCConfig{Name: "g", Ledger: ledger, Cell: &Cell{Window: 5 * time.Second},
+		IdempotentByKey: func(string) bool { return true },
 		Behavior: func(Attempt) GRPCBehavior {
 			if GRPCBehavior(act.Load()) == GRPCRefuseStream && times.Add(1) > 1 {
 				return GRPCServe
@@ -42,7 +43,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Kill)
-	client, err := grpc.NewClient("passthrough:///"+b.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry())
+	client, err := grpc.NewClient("passthrough:///"+b.Addr(),
+		grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,12 +52,24 @@
 	for i, c := range []struct {
 		act  GRPCBehavior
 		code codes.Code
-	}{{GRPCServe, codes.OK}, {GRPCNotFound, codes.NotFound}, {GRPCInternal, codes.Internal}, {GRPCRetryPushback, codes.Unavailable}, {GRPCResetCancel, codes.Canceled},
-		{GRPCResetAfterMessage, codes.Internal}, {GRPCNoMessage, codes.Internal}, {GRPCTwoMessages, codes.Internal}, {GRPCMessageTooLarge, codes.ResourceExhausted},
-		{GRPCHang, codes.DeadlineExceeded}, {GRPCRefuseStream, codes.OK}, {GRPCServe, codes.OK}} {
+	}{
+		{GRPCServe, codes.OK},
+		{GRPCNotFound, codes.NotFound},
+		{GRPCInternal, codes.Internal},
+		{GRPCRetryPushback, codes.Unavailable},
+		{GRPCResetCancel, codes.Canceled},
+		{GRPCResetAfterMessage, codes.Internal},
+		{GRPCNoMessage, codes.Internal},
+		{GRPCTwoMessages, codes.Internal},
+		{GRPCMessageTooLarge, codes.ResourceExhausted},
+		{GRPCHang, codes.DeadlineExceeded},
+		{GRPCRefuseStream, codes.OK},
+		{GRPCServe, codes.OK},
+	} {
 		act.Store(int64(c.act))
 		id := fmt.Sprintf("id-%d", i)
-		ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(t.Context(), "request-id", id, "idempotency-key", "key-"+id), 20*time.Second)
+		ctx := metadata.AppendToOutgoingContext(t.Context(), "request-id", id, "idempotency-key", "key-"+id)
+		ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 		if c.act == GRPCHang {
 			ctx, cancel = context.WithTimeout(ctx, 100*time.Millisecond)
 		}
@@ -74,7 +88,8 @@
 			t.Errorf("act %d: it reached the backend as %+v", c.act, as)
 		}
 	}
-	stream, err := client.NewStream(t.Context(), &grpc.StreamDesc{ServerStreams: true}, "/shop.Desk/List", grpc.ForceCodec(bytesCodec{}))
+	stream, err := client.NewStream(t.Context(), &grpc.StreamDesc{ServerStreams: true}, "/shop.Desk/List",
+		grpc.ForceCodec(bytesCodec{}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fakes/grpcrequest.go
+++ b/internal/fakes/grpcrequest.go
@@ -15,64 +15,64 @@
 	"time"
 )
 
-// GRPCService is the service whose methods are the classes, for DoGRPC.
+// GRPCService is the service that DoGRPC calls. Its methods are the classes.
 const GRPCService = "standin.Desk"
 
-// GRPCTransport is for DoGRPC.
+// GRPCTransport returns a transport for DoGRPC: HTTP/2 without TLS.
 func GRPCTransport() *http.Transport {
 	t := &http.Transport{DisableCompression: true, Protocols: &http.Protocols{}}
 	t.Protocols.SetUnencryptedHTTP2(true)
 	return t
 }
 
-// DoGRPC asks as Do does, over gRPC: the class is the method, the headers are metadata, and the time-out is grpc-timeout.
-// What cannot be said so (a class that is not there, a time that is no number) is sent as it stands. The reply's status is
-// the one that HTTP's front has for the same end; see grpcStatus.
-func (a Request) DoGRPC(ctx context.Context, rt http.RoundTripper, addr string) Reply {
-	ctx, cancel := context.WithTimeout(ctx, cmp.Or(a.ClientTimeout, a.Timeout))
+// DoGRPC is Do over gRPC: the class is the method, the headers are metadata, and the timeout is grpc-timeout. Invalid
+// values are sent unchanged. The reply has the status that the HTTP listener has for the same result; see grpcStatus.
+func (q Request) DoGRPC(ctx context.Context, rt http.RoundTripper, addr string) Reply {
+	ctx, cancel := context.WithTimeout(ctx, cmp.Or(q.ClientTimeout, q.Timeout))
 	defer cancel()
 	start := time.Now()
-	out := func(r Reply) Reply { r.Latency = time.Since(start); return r }
-	plain, err := a.HTTPRequest(ctx, addr)
+	timed := func(r Reply) Reply { r.Latency = time.Since(start); return r }
+	httpRequest, err := q.HTTPRequest(ctx, addr)
 	if err != nil {
-		return out(Reply{Err: err})
+		return timed(Reply{Err: err})
 	}
-	class := strings.Join(plain.Header["Request-Class"], "")
+	class := strings.Join(httpRequest.Header["Request-Class"], "")
 	body := ""
-	if a.Key != "" {
-		body = a.Body
+	if q.Key != "" {
+		body = q.Body
 	}
-	framed := append(binary.BigEndian.AppendUint32([]byte{0}, uint32(len(body))), body...)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+GRPCService+"/"+class, bytes.NewReader(framed))
+	message := append(binary.BigEndian.AppendUint32([]byte{0}, uint32(len(body))), body...)
+	url := "http://" + addr + "/" + GRPCService + "/" + class
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(message))
 	if err != nil {
-		return out(Reply{Err: err})
+		return timed(Reply{Err: err})
 	}
-	req.GetBody = nil // nothing is sent again by itself
-	for name, v := range plain.Header {
+	req.GetBody = nil // the transport must not retry
+	for name, values := range httpRequest.Header {
 		switch name {
 		case "Request-Class":
 		case "Request-Timeout":
-			if len(v) > 0 {
-				req.Header["Grpc-Timeout"] = []string{grpcTimeout(v[0])}
+			if len(values) > 0 {
+				req.Header["Grpc-Timeout"] = []string{grpcTimeout(values[0])}
 			}
 		default:
-			req.Header[name] = v
+			req.Header[name] = values
 		}
 	}
 	req.Header["Content-Type"], req.Header["Te"] = []string{"application/grpc"}, []string{"trailers"}
 	res, err := rt.RoundTrip(req)
 	if err != nil {
-		return out(Reply{Err: err})
+		return timed(Reply{Err: err})
 	}
 	defer res.Body.Close()
-	answer, err := io.ReadAll(res.Body)
+	responseMessage, err := io.ReadAll(res.Body)
 	if err != nil {
-		return out(Reply{Err: err})
+		return timed(Reply{Err: err})
 	}
-	return out(a.readGRPCReply(res, answer))
+	return timed(q.readGRPCReply(res, responseMessage))
 }
 
-// grpcTimeout is a time in seconds as a grpc-timeout.
+// grpcTimeout converts a time in seconds into a grpc-timeout. Text that is no number stays as it is.
 func grpcTimeout(seconds string) string {
 	v, err := strconv.ParseFloat(seconds, 64)
 	if err != nil || math.IsNaN(v) {
@@ -81,14 +81,16 @@
 	return strconv.FormatInt(int64(v*1000), 10) + "m"
 }
 
+// errInvalidGRPCResponse is a response that doesn't follow gRPC's protocol.
 var errInvalidGRPCResponse = errors.New("no answer as gRPC has it")
 
-func (a Request) readGRPCReply(res *http.Response, body []byte) Reply {
+// readGRPCReply reads the reply from a response and its body.
+func (q Request) readGRPCReply(res *http.Response, body []byte) Reply {
 	field := func(name string) string {
 		if v := res.Trailer.Get(name); v != "" {
 			return v
 		}
-		return res.Header.Get(name) // an answer of trailers alone
+		return res.Header.Get(name) // a response of trailers alone
 	}
 	if res.StatusCode != http.StatusOK {
 		return Reply{Status: res.StatusCode}
@@ -101,10 +103,10 @@
 	r := Reply{Status: grpcStatus(code, err == nil, ms)}
 	switch r.Status {
 	case http.StatusOK:
-		if len(body) < 5 || body[0] != 0 || int(binary.BigEndian.Uint32(body[1:])) != len(body)-5 {
+		if !isOneMessage(body) {
 			return Reply{Err: fmt.Errorf("%w: a good status and %d bytes", errInvalidGRPCResponse, len(body))}
 		}
-		if r.Body = string(body[5:]); r.Body != responseBody(a.RequestID()) {
+		if r.Body = string(body[grpcPrefixBytes:]); r.Body != responseBody(q.RequestID()) {
 			return Reply{Err: errWrongResponse}
 		}
 	case http.StatusServiceUnavailable:
@@ -115,13 +117,19 @@
 	return r
 }
 
-// grpcStatus is the HTTP status of the front's answer that means what a gRPC status and its pushback mean. A front's own
-// end of a call carries a pushback, and grpc's refusal of a time-out that is up carries none.
+// isOneMessage reports whether a response body is one uncompressed gRPC message.
+func isOneMessage(body []byte) bool {
+	return len(body) >= grpcPrefixBytes && body[0] == 0 &&
+		int(binary.BigEndian.Uint32(body[1:])) == len(body)-grpcPrefixBytes
+}
+
+// grpcStatus returns the HTTP status that means the same as a gRPC status with its pushback in ms. A gateway that ends
+// a call sends a pushback; grpc's rejection of an expired timeout has none.
 func grpcStatus(code int, pushed bool, ms int) int {
 	switch {
 	case code == 0:
 		return http.StatusOK
-	case code == 8 && (!pushed || ms < 0): // without one it is grpc's server that has found a message too long
+	case code == 8 && (!pushed || ms < 0): // without a pushback, grpc's server rejected a long message
 		return http.StatusRequestEntityTooLarge
 	case code == 8, code == 14:
 		return http.StatusServiceUnavailable
--- a/internal/fakes/ledger.go
+++ b/internal/fakes/ledger.go
@@ -1,7 +1,7 @@
-// Package fakes holds stand-ins for what a front door meets: backends with work, queues, drains, cold starts and
-// memories of keys; discovery with its watch; the counter; and the requests of clients. They are written from the
-// platform's pages, listen on loopback only, and count what reached them, so that tests and the demo can tell what
-// a front door really did. ledger.go is where they count.
+// Package fakes holds fake servers and clients around a gateway, for tests and the demo: backends with concurrency
+// limits, queues, draining, slow start and deduplication; discovery with its watch; a Consul agent; the shared counter;
+// and the requests of clients. The servers listen on loopback only. A Ledger records what reached them, so that a test
+// can compare what a gateway did with what it reported. Each fake owns its state and is safe for concurrent use.
 package fakes
 
 import (
@@ -11,33 +11,34 @@
 	"time"
 )
 
-// Attempt is one attempt that has come whole to a backend.
+// Attempt is one attempt that a backend has received completely.
 type Attempt struct {
 	Backend    string
 	Cell       int
 	Class      string
-	ID         string // Request-Id as it came
+	ID         string // Request-Id as received
 	Key        string
 	At         time.Time
-	RemoteAddr string // the address that it came from
+	RemoteAddr string
 	Body       string
 	Timeout    string
-	Outcome    string // how the backend dealt with it: served, error, turned away, hung, broken, spoilt; "" until then
-	// Metadata is all that came with a call over gRPC, by name, as it stood on the wire.
+	Outcome    string // "served", "error", "turned away", "hung", "broken", "spoilt", ...; empty until then
+	// Metadata is all metadata of a call over gRPC, by name, as received.
 	Metadata map[string][]string
-	Effect   bool // it had an effect: it ran and no repeat of it was dropped
+	Effect   bool // it was executed, and not dropped as a repeat
 }
 
-// Ledger keeps what reached the backends that share it. It is safe for concurrent use, and its zero value is
-// ready.
+// Ledger records the attempts that reached the backends that share it. It is safe for concurrent use, and its zero
+// value is ready to use.
 type Ledger struct {
 	mu       sync.Mutex
 	attempts []*Attempt
 	arrivals map[string]BackendArrivals
-	effects  map[string]int // by key, or by id where there is none
-	changed  chan struct{}  // closed at the next change
+	effects  map[string]int // by effectKey
+	changed  chan struct{}  // closed at the next change; nil while nobody waits
 }
 
+// add records an attempt that has arrived.
 func (l *Ledger) add(a *Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,19 +50,20 @@
 	l.notifyChanged()
 }
 
-// Reached is what has come to one backend.
+// BackendArrivals are the attempts that reached one backend.
 type BackendArrivals struct {
 	Count int
 	Last  time.Time
 }
 
-// Reached tells what has come to a backend so far. It costs the same however much that is.
+// Arrivals returns what has reached a backend so far, in constant time.
 func (l *Ledger) Arrivals(backend string) BackendArrivals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.arrivals[backend]
 }
 
+// notifyChanged wakes those who wait for a change. l.mu must be held.
 func (l *Ledger) notifyChanged() {
 	if l.changed != nil {
 		close(l.changed)
@@ -69,11 +71,11 @@
 	}
 }
 
-// end notes how an attempt ended; effect tells that it ran and counts.
-func (l *Ledger) finish(a *Attempt, how string, effect bool) {
+// finish records the outcome of an attempt, and whether it had an effect.
+func (l *Ledger) finish(a *Attempt, outcome string, effect bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a.Outcome = how
+	a.Outcome = outcome
 	if effect {
 		if l.effects == nil {
 			l.effects = map[string]int{}
@@ -84,6 +86,7 @@
 	l.notifyChanged()
 }
 
+// effectKey identifies the effect of an attempt: by its idempotency key, or by its request ID without one.
 func (a *Attempt) effectKey() string {
 	if a.Key != "" {
 		return "key " + a.Key
@@ -91,7 +94,7 @@
 	return "id " + a.ID
 }
 
-// Attempts gives a copy of all attempts, in the order in which they came.
+// Attempts returns a copy of all attempts, in order of arrival.
 func (l *Ledger) Attempts() []Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,65 +105,65 @@
 	return out
 }
 
-// Of gives the attempts of one request id.
+// ForRequest returns the attempts with a request ID, in order of arrival.
 func (l *Ledger) ForRequest(id string) []Attempt {
 	return slices.DeleteFunc(l.Attempts(), func(a Attempt) bool { return a.ID != id })
 }
 
-// Doubled gives the keys (and, without keys, ids) whose effect happened more than once.
+// RepeatedEffects returns the keys (request IDs without one) whose effect happened more than once, sorted.
 func (l *Ledger) RepeatedEffects() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
-	for _, k := range slices.Sorted(maps.Keys(l.effects)) {
-		if l.effects[k] > 1 {
-			out = append(out, k)
+	for _, key := range slices.Sorted(maps.Keys(l.effects)) {
+		if l.effects[key] > 1 {
+			out = append(out, key)
 		}
 	}
 	return out
 }
 
-// Effects tells how often the effect of a key happened.
+// Effects returns how often the effect of an idempotency key happened.
 func (l *Ledger) Effects(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.effects["key "+key]
 }
 
-// Await waits until ok says yes of all attempts, and tells whether it did before the time was up.
-func (l *Ledger) Await(patience time.Duration, ok func([]Attempt) bool) bool {
-	end := time.NewTimer(patience)
+// Await waits until condition holds for the attempts, and reports whether it did before the timeout.
+func (l *Ledger) Await(timeout time.Duration, condition func([]Attempt) bool) bool {
+	end := time.NewTimer(timeout)
 	defer end.Stop()
 	for {
 		l.mu.Lock()
 		if l.changed == nil {
 			l.changed = make(chan struct{})
 		}
-		heard := l.changed
+		changed := l.changed
 		l.mu.Unlock()
-		if ok(l.Attempts()) {
+		if condition(l.Attempts()) {
 			return true
 		}
 		select {
-		case <-heard:
+		case <-changed:
 		case <-end.C:
-			return ok(l.Attempts())
+			return condition(l.Attempts())
 		}
 	}
 }
 
-// Cell is the memory that the backends of one cell share: a repeat of a key within the window is dropped, which
-// is to say answered as the first was, without a second effect.
+// Cell is the deduplication state that the backends of one cell share: a repeat of an idempotency key within the
+// window is dropped, that is, answered as the first one was, without a second effect. It is safe for concurrent use.
 type Cell struct {
 	Number int
 	Window time.Duration
 
 	mu    sync.Mutex
-	keys  map[string]time.Time
-	order []string
+	keys  map[string]time.Time // time of first use
+	order []string             // keys by time of first use
 }
 
-// first tells whether a key is new to the cell, and keeps it.
+// firstUse reports whether a key is new to the cell, and records it. Without a cell or key, each use is the first.
 func (c *Cell) firstUse(key string, now time.Time) bool {
 	if c == nil || key == "" {
 		return true
--- a/internal/fakes/meter.go
+++ b/internal/fakes/meter.go
@@ -5,77 +5,88 @@
 	"time"
 )
 
-// Meter counts what customers use over all backends, each request once, and tells of the last period that has
-// ended. Backends are not told who asks, so the clients enter their requests.
+// Meter measures the usage of customers over all backends, each request once, and reports that of the last complete
+// period. Backends don't learn a request's customer, so clients register their requests. It is safe for concurrent use.
 type Meter struct {
-	Period time.Duration // 500 ms if 0
+	Period time.Duration // 0 means 500 ms
 
 	mu       sync.Mutex
-	requests map[string]meteredRequest // requests that no backend has seen yet, and those of this and the last period
-	usage    map[uint64]*customerUsage
+	requests map[string]meteredRequest // by request ID, until Forget
+	usage    map[uint64]*customerUsage // by customer
 }
 
+// meteredRequest is a registered request.
 type meteredRequest struct {
 	customer uint64
 	cost     float64
 	rate     float64
-	counted  bool
+	counted  bool // a backend has received it
 }
 
+// customerUsage is the usage of one customer, in units of cost.
 type customerUsage struct {
-	period            int64
-	current, previous float64 // units
+	period            int64 // number of the period that current belongs to
+	current, previous float64
 }
 
-// Enter tells whose a request is, what it takes and the rate of its customer's plan.
-func (m *Meter) Register(id string, customer uint64, units, rate float64) {
+// Register tells the meter a request's customer, its cost, and the rate of the customer's plan in units a second.
+func (m *Meter) Register(id string, customer uint64, cost, rate float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.requests == nil {
 		m.requests, m.usage = map[string]meteredRequest{}, map[uint64]*customerUsage{}
 	}
-	m.requests[id] = meteredRequest{customer: customer, cost: units, rate: rate}
+	m.requests[id] = meteredRequest{customer: customer, cost: cost, rate: rate}
 }
 
-// Forget drops a request that has its answer.
+// Forget removes a request that has been answered.
 func (m *Meter) Forget(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.requests, id)
 }
 
+// defaultPeriod is the Meter's period where none is set.
+const defaultPeriod = 500 * time.Millisecond
+
 func (m *Meter) period() time.Duration {
 	if m.Period <= 0 {
-		return 500 * time.Millisecond
+		return defaultPeriod
 	}
 	return m.Period
 }
 
-// count counts an attempt and gives its customer's use in the last finished period, in percent of its rate.
+// recordAttempt counts an attempt and returns its customer's usage in the last complete period, in percent of the
+// plan's rate. ok is false for a request that isn't registered, or whose plan has no rate.
 func (m *Meter) recordAttempt(id string, now time.Time) (percent float64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	a, ok := m.requests[id]
-	if !ok || a.rate <= 0 {
+	request, ok := m.requests[id]
+	if !ok || request.rate <= 0 {
 		return 0, false
 	}
-	u := m.usage[a.customer]
-	if u == nil {
-		u = &customerUsage{}
-		m.usage[a.customer] = u
+	usage := m.usage[request.customer]
+	if usage == nil {
+		usage = &customerUsage{}
+		m.usage[request.customer] = usage
+	}
+	usage.advance(now.UnixNano() / int64(m.period()))
+	if !request.counted {
+		request.counted = true
+		m.requests[id] = request
+		usage.current += request.cost
 	}
-	p := now.UnixNano() / int64(m.period())
-	if p != u.period {
-		u.previous = 0
-		if p == u.period+1 {
-			u.previous = u.current
-		}
-		u.period, u.current = p, 0
+	return 100 * usage.previous / (request.rate * m.period().Seconds()), true
+}
+
+// advance begins a period, unless it is the current one.
+func (u *customerUsage) advance(period int64) {
+	if period == u.period {
+		return
 	}
-	if !a.counted {
-		a.counted = true
-		m.requests[id] = a
-		u.current += a.cost
+	u.previous = 0
+	if period == u.period+1 {
+		u.previous = u.current
 	}
-	return 100 * u.previous / (a.rate * m.period().Seconds()), true
+	u.period, u.current = period, 0
 }
--- a/internal/fakes/request.go
+++ b/internal/fakes/request.go
@@ -12,62 +12,64 @@
 	"time"
 )
 
-// Ask is a request of a client, as the platform's protocol has it.
+// Request is a client's request in the platform's protocol.
 type Request struct {
 	ID            uint64
 	Class         string
 	Customer      uint64
 	Plan          string
-	Cost          float64 // 0: 1
-	GatewaySpread int     // 0: 1
+	Cost          float64 // 0 means 1
+	GatewaySpread int     // 0 means 1
 	FirstGateway  int
 	Timeout       time.Duration
-	ClientTimeout time.Duration // how long its client waits in truth; 0: Timeout
-	Key           string        // not empty: it is a POST with this key
+	ClientTimeout time.Duration // how long the client really waits; 0 means Timeout
+	Key           string        // idempotency key; a request with one is a POST
 	Body          string
-	Header        http.Header // put on top
+	Header        http.Header // overrides other headers
 }
 
-// RequestID is the id as it stands in headers.
-func (a Request) RequestID() string { return fmt.Sprintf("%016x", a.ID) }
+// RequestID returns the ID as it is in headers.
+func (q Request) RequestID() string { return fmt.Sprintf("%016x", q.ID) }
 
-// Request makes the HTTP request to a front door.
-func (a Request) HTTPRequest(ctx context.Context, addr string) (*http.Request, error) {
+// HTTPRequest returns the HTTP request to a gateway.
+func (q Request) HTTPRequest(ctx context.Context, addr string) (*http.Request, error) {
 	method, body := http.MethodGet, io.Reader(nil)
-	if a.Key != "" {
-		method, body = http.MethodPost, strings.NewReader(a.Body)
+	if q.Key != "" {
+		method, body = http.MethodPost, strings.NewReader(q.Body)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/"+a.Class, body)
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/"+q.Class, body)
 	if err != nil {
 		return nil, err
 	}
-	r.Header = http.Header{"Request-Id": {a.RequestID()}, "Request-Class": {a.Class}, "X-Tier": {a.Plan},
-		"X-Api-Key":       {fmt.Sprintf("%016x", a.Customer)},
-		"Request-Timeout": {strconv.FormatFloat(a.Timeout.Seconds(), 'f', 3, 64)},
-		"X-Call-Terms": {fmt.Sprintf("units=%s,spread=%d,first=%d", strconv.FormatFloat(max(a.Cost, 0), 'g', -1, 64),
-			max(a.GatewaySpread, 1), a.FirstGateway)}}
-	if a.Cost == 0 {
-		r.Header["X-Call-Terms"] = []string{fmt.Sprintf("units=1,spread=%d,first=%d", max(a.GatewaySpread, 1), a.FirstGateway)}
+	cost := "1"
+	if q.Cost != 0 {
+		cost = strconv.FormatFloat(max(q.Cost, 0), 'g', -1, 64)
 	}
-	if a.Key != "" {
-		r.Header["Idempotency-Key"] = []string{a.Key}
+	r.Header = http.Header{
+		"Request-Id": {q.RequestID()}, "Request-Class": {q.Class}, "X-Tier": {q.Plan},
+		"X-Api-Key":       {fmt.Sprintf("%016x", q.Customer)},
+		"Request-Timeout": {strconv.FormatFloat(q.Timeout.Seconds(), 'f', 3, 64)},
+		"X-Call-Terms":    {fmt.Sprintf("units=%s,spread=%d,first=%d", cost, max(q.GatewaySpread, 1), q.FirstGateway)},
 	}
-	for name, v := range a.Header {
-		r.Header[name] = v
+	if q.Key != "" {
+		r.Header["Idempotency-Key"] = []string{q.Key}
+	}
+	for name, values := range q.Header {
+		r.Header[name] = values
 	}
 	return r, nil
 }
 
-// Reply is what a client got.
+// Reply is the response to a Request, or its failure.
 type Reply struct {
-	Status     int // 0: no whole answer
+	Status     int // 0 means no complete response
 	Body       string
 	RetryAfter string
 	Latency    time.Duration
 	Err        error
 }
 
-// String is the kind of the reply: served, refused, failed with its status, or lost.
+// String returns the kind of the reply: "served", "refused", "failed" with its status, or "lost".
 func (r Reply) String() string {
 	switch r.Status {
 	case 0:
@@ -80,32 +82,32 @@
 	return "failed " + strconv.Itoa(r.Status)
 }
 
-// errWrong is an answer that was not made for this request.
+// errWrongResponse is a response to another request.
 var errWrongResponse = errors.New("served with what no backend made for it")
 
-// Do asks a front door, waits for as long as the client does, and reads the whole answer. An answer that belongs
+// Do sends the request to a gateway, waits as long as the client does, and reads the complete response. The response
 // to another request counts as lost.
-func (a Request) Do(ctx context.Context, rt http.RoundTripper, addr string) Reply {
-	ctx, cancel := context.WithTimeout(ctx, cmp.Or(a.ClientTimeout, a.Timeout))
+func (q Request) Do(ctx context.Context, rt http.RoundTripper, addr string) Reply {
+	ctx, cancel := context.WithTimeout(ctx, cmp.Or(q.ClientTimeout, q.Timeout))
 	defer cancel()
 	start := time.Now()
-	out := func(r Reply) Reply { r.Latency = time.Since(start); return r }
-	req, err := a.HTTPRequest(ctx, addr)
+	timed := func(r Reply) Reply { r.Latency = time.Since(start); return r }
+	req, err := q.HTTPRequest(ctx, addr)
 	if err != nil {
-		return out(Reply{Err: err})
+		return timed(Reply{Err: err})
 	}
 	res, err := rt.RoundTrip(req)
 	if err != nil {
-		return out(Reply{Err: err})
+		return timed(Reply{Err: err})
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return out(Reply{Err: err})
+		return timed(Reply{Err: err})
 	}
 	r := Reply{Status: res.StatusCode, Body: string(body), RetryAfter: res.Header.Get("Retry-After")}
-	if r.Status == http.StatusOK && r.Body != responseBody(a.RequestID()) {
+	if r.Status == http.StatusOK && r.Body != responseBody(q.RequestID()) {
 		r.Status, r.Err = 0, errWrongResponse
 	}
-	return out(r)
+	return timed(r)
 }
