--- /dev/null
+++ b/idempotency/model_test.go
@@ -0,0 +1,258 @@
+package idempotency
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"pumicecroft/decision"
+)
+
+// modelKey is what the model knows of one key.
+type modelKey struct {
+	fingerprint Fingerprint
+	state       state
+	response    Response
+	expiresAt   time.Duration
+	leader      *Ticket
+	deadlines   map[int]time.Duration // of those that wait, by tag; 0: the leader's, which has none
+}
+
+// model is the simplest store that has no memory limit, beside the store under test.
+type model struct {
+	limits Limits
+	store  *Store
+	now    time.Duration
+
+	keys     map[entryID]*modelKey
+	lastTag  int
+	tickets  map[int]*Ticket
+	waiting  map[int]bool // tags whose completion is still to come
+	verdicts map[Verdict]int
+}
+
+// expire lets the model's time pass, and returns the completions that this must give.
+func (m *model) expire() map[int]Verdict {
+	due := map[int]Verdict{}
+	for id, k := range m.keys {
+		for tag, deadline := range k.deadlines {
+			if deadline > 0 && deadline <= m.now {
+				due[tag] = DeadlineExceeded
+				delete(k.deadlines, tag)
+			}
+		}
+		if k.state != stateInFlight && k.expiresAt <= m.now {
+			delete(m.keys, id)
+		}
+	}
+	return due
+}
+
+// checkCompletions compares the completions of a call with those that it must give.
+func (m *model) checkCompletions(t *rapid.T, completions []Completion, want map[int]Verdict) {
+	t.Helper()
+	got := map[int]Verdict{}
+	for _, c := range completions {
+		tag := c.Tag.(int)
+		if !m.waiting[tag] {
+			t.Fatalf("completion of %d, %v, which does not wait", tag, c.Verdict)
+		}
+		delete(m.waiting, tag)
+		got[tag] = c.Verdict
+		m.verdicts[c.Verdict]++
+	}
+	if !maps.Equal(got, want) {
+		t.Fatalf("completions %v, want %v", got, want)
+	}
+}
+
+// verdict is the verdict about a request with a key, of which the model knows k; nil: nothing.
+func (m *model) verdict(key string, k *modelKey, fingerprint Fingerprint) Verdict {
+	switch {
+	case !isValidKey(key):
+		return InvalidKey
+	case k == nil:
+		return Proceed
+	case k.fingerprint != fingerprint:
+		return Conflict
+	case k.state == stateInFlight:
+		return Join
+	case k.state == stateUnknown:
+		return OutcomeUnknown
+	case len(k.response.Body) > m.limits.MaxResponseBytes:
+		return ResponseNotStored
+	}
+	return Replay
+}
+
+func (m *model) begin(t *rapid.T) {
+	id := entryID{
+		customer: decision.CustomerID(rapid.IntRange(1, 2).Draw(t, "customer")),
+		key:      rapid.SampledFrom([]string{"a", "b", "", "\x01", strings.Repeat("k", 256)}).Draw(t, "key"),
+	}
+	fingerprint := Fingerprint{byte(rapid.IntRange(0, 9).Draw(t, "fingerprint") / 9)}
+	deadline := m.now + time.Duration(rapid.IntRange(1, 40).Draw(t, "timeout"))*time.Millisecond
+	due := m.expire()
+	m.lastTag++
+	d, completions := m.store.Begin(m.now, id.customer, id.key, fingerprint, m.lastTag, deadline)
+	m.checkCompletions(t, completions, due)
+	m.verdicts[d.Verdict]++
+	k := m.keys[id]
+	want := m.verdict(id.key, k, fingerprint)
+	switch {
+	case d.Verdict != want,
+		want == Replay && string(d.Response.Body) != string(k.response.Body),
+		want == OutcomeUnknown && d.RetryAfter != k.expiresAt-m.now,
+		(d.Ticket != nil) != (want == Proceed || want == Join):
+		t.Fatalf("%+v, want %v", d, want)
+	}
+	switch want {
+	case Proceed:
+		m.keys[id] = &modelKey{fingerprint: fingerprint, leader: d.Ticket,
+			deadlines: map[int]time.Duration{m.lastTag: 0}}
+	case Join:
+		k.deadlines[m.lastTag] = deadline
+	default:
+		return
+	}
+	m.tickets[m.lastTag], m.waiting[m.lastTag] = d.Ticket, true
+}
+
+func (m *model) abandon(t *rapid.T) {
+	if len(m.waiting) == 0 {
+		t.Skip("nobody waits")
+	}
+	tag := rapid.SampledFrom(slices.Sorted(maps.Keys(m.waiting))).Draw(t, "tag")
+	due := m.expire()
+	unwanted, completions := m.store.Abandon(m.now, m.tickets[tag])
+	m.checkCompletions(t, completions, due)
+	if !m.waiting[tag] {
+		return // its deadline had passed
+	}
+	delete(m.waiting, tag)
+	want := false
+	for _, k := range m.keys {
+		if _, waits := k.deadlines[tag]; waits {
+			delete(k.deadlines, tag)
+			want = len(k.deadlines) == 0
+		}
+	}
+	if unwanted != want {
+		t.Fatalf("unwanted: %v, want %v", unwanted, want)
+	}
+	if again, _ := m.store.Abandon(m.now, m.tickets[tag]); again {
+		t.Fatal("a ticket is abandoned twice")
+	}
+}
+
+// inFlight are the keys in flight, in order.
+func (m *model) inFlight() []entryID {
+	var ids []entryID
+	for id, k := range m.keys {
+		if k.state == stateInFlight {
+			ids = append(ids, id)
+		}
+	}
+	slices.SortFunc(ids, func(a, b entryID) int {
+		return cmp.Or(cmp.Compare(a.customer, b.customer), strings.Compare(a.key, b.key))
+	})
+	return ids
+}
+
+func (m *model) complete(t *rapid.T) {
+	inFlight := m.inFlight()
+	if len(inFlight) == 0 {
+		t.Skip("none is in flight")
+	}
+	id := rapid.SampledFrom(inFlight).Draw(t, "key")
+	k, outcome := m.keys[id], Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
+	want := m.expire()
+	size := rapid.SampledFrom([]int{0, 10, 11}).Draw(t, "size")
+	response := Response{Status: 200, Body: make([]byte, size)}
+	verdict := map[Outcome]Verdict{Succeeded: Replay, NotExecuted: Rejected, Unknown: OutcomeUnknown}[outcome]
+	for tag := range k.deadlines {
+		want[tag] = verdict
+	}
+	m.checkCompletions(t, m.store.Complete(m.now, k.leader, outcome, response), want)
+	m.checkCompletions(t, m.store.Complete(m.now, k.leader, Unknown, response), nil)
+	k.deadlines, k.response = nil, response
+	switch outcome {
+	case Succeeded:
+		k.state, k.expiresAt = stateCompleted, m.now+m.limits.TTL
+	case NotExecuted:
+		delete(m.keys, id)
+	case Unknown:
+		k.state, k.expiresAt = stateUnknown, m.now+m.limits.UnknownTTL
+	}
+}
+
+func (m *model) wait(t *rapid.T) {
+	m.now += time.Duration(rapid.IntRange(0, 30).Draw(t, "duration")) * time.Millisecond
+	m.checkCompletions(t, m.store.Tick(m.now), m.expire())
+}
+
+// checkSums compares the store's keys and sums of bytes with its entries.
+func (m *model) checkSums(t *rapid.T) {
+	bytes, inFlightBytes := 0, 0
+	for id, e := range m.store.entries {
+		if m.keys[id] == nil {
+			t.Fatalf("%v is held", id)
+		}
+		bytes += e.cost
+		if e.state == stateInFlight {
+			inFlightBytes += e.cost
+		}
+	}
+	s := m.store
+	if s.Len() != len(m.keys) || s.Bytes() != bytes || s.inFlightBytes != inFlightBytes ||
+		len(s.evictionOrder) != s.Customers() {
+		t.Fatalf("%d keys of %d, %d bytes of %d, %d in flight of %d", s.Len(), len(m.keys), s.Bytes(), bytes,
+			s.inFlightBytes, inFlightBytes)
+	}
+}
+
+// checkEmptyAtTheEnd completes all requests, lets all keys expire, and checks that nothing is left.
+func (m *model) checkEmptyAtTheEnd(t *rapid.T) {
+	for id, k := range m.keys {
+		if k.state == stateInFlight {
+			m.store.Complete(m.now, k.leader, NotExecuted, Response{})
+			delete(m.keys, id)
+		}
+	}
+	s := m.store
+	s.Tick(m.now + time.Hour)
+	if s.Len() != 0 || s.Bytes() != 0 || s.Customers() != 0 || s.timers.Len() != 0 || s.inFlightBytes != 0 {
+		t.Fatalf("left: %d keys, %d bytes, %d customers, %d timers", s.Len(), s.Bytes(), s.Customers(), s.timers.Len())
+	}
+}
+
+// Requests begin, end and are abandoned in any order and at any time, while there is room. The store must
+// decide as the model does, each request that waits must end once, and when all keys have expired nothing
+// may be left.
+func TestStore_AgainstModel(t *testing.T) {
+	verdicts := map[Verdict]int{}
+	rapid.Check(t, func(t *rapid.T) {
+		limits := Limits{TTL: 50 * time.Millisecond, UnknownTTL: 20 * time.Millisecond, MaxResponseBytes: 10,
+			RetryAfter: time.Second}
+		m := &model{limits: limits, store: New(limits, time.Second), now: time.Second, keys: map[entryID]*modelKey{},
+			tickets: map[int]*Ticket{}, waiting: map[int]bool{}, verdicts: verdicts}
+		t.Repeat(map[string]func(*rapid.T){
+			"begin":    m.begin,
+			"abandon":  m.abandon,
+			"complete": m.complete,
+			"wait":     m.wait,
+			"":         m.checkSums,
+		})
+		m.checkEmptyAtTheEnd(t)
+	})
+	for v := range DeadlineExceeded + 1 {
+		if v != Busy && verdicts[v] == 0 {
+			t.Errorf("verdict %v never came up", v)
+		}
+	}
+}
--- /dev/null
+++ b/idempotency/request.go
@@ -0,0 +1,141 @@
+package idempotency
+
+import (
+	"time"
+
+	"pumicecroft/decision"
+)
+
+// Begin decides about a request. tag identifies it in the Completions of later calls. A request that
+// joins ends at deadline at the latest.
+func (s *Store) Begin(now time.Duration, who decision.CustomerID, key string, fingerprint Fingerprint,
+	tag any, deadline time.Duration) (Decision, []Completion) {
+	s.advance(now)
+	if !isValidKey(key) {
+		return Decision{Verdict: InvalidKey}, s.completions
+	}
+	e := s.entries[entryID{who, key}]
+	switch {
+	case e == nil:
+		return s.admit(who, key, fingerprint, tag), s.completions
+	case e.fingerprint != fingerprint:
+		return Decision{Verdict: Conflict}, s.completions
+	case e.state == stateCompleted && e.responseStored:
+		return Decision{Verdict: Replay, Response: e.response}, s.completions
+	case e.state == stateCompleted:
+		return Decision{Verdict: ResponseNotStored}, s.completions
+	case e.state == stateUnknown:
+		return Decision{Verdict: OutcomeUnknown, RetryAfter: e.expiresAt - s.now}, s.completions
+	}
+	return s.join(e, tag, deadline), s.completions
+}
+
+// join has a request wait for the one in flight.
+func (s *Store) join(e *entry, tag any, deadline time.Duration) Decision {
+	if !s.withinShare(e.customer, ticketOverhead) || !s.makeRoom(e.customer, ticketOverhead) {
+		return Decision{Verdict: Busy, RetryAfter: s.limits.RetryAfter}
+	}
+	t := &Ticket{tag: tag, entry: e}
+	s.addWaiter(t)
+	s.addCost(e, ticketOverhead)
+	t.target.ticket = t
+	t.timer.Value = &t.target
+	s.timers.Add(&t.timer, deadline)
+	return Decision{Verdict: Join, Ticket: t}
+}
+
+// admit begins the first request of a key.
+func (s *Store) admit(who decision.CustomerID, key string, fingerprint Fingerprint, tag any) Decision {
+	c := s.customerFor(who)
+	cost := entryOverhead + ticketOverhead + len(key)
+	c.pinned = true
+	hasRoom := s.withinShare(c, cost) && s.makeRoom(c, cost)
+	c.pinned = false
+	if !hasRoom {
+		s.releaseCustomer(c)
+		return Decision{Verdict: Busy, RetryAfter: s.limits.RetryAfter}
+	}
+	e := s.addEntry(c, key, fingerprint)
+	s.addCost(e, cost)
+	t := &Ticket{tag: tag, entry: e, leader: true}
+	s.addWaiter(t)
+	t.seq = s.appendRecord(e)
+	return Decision{Verdict: Proceed, Ticket: t}
+}
+
+// Abandon says that the client of a ticket has disconnected. unwanted reports that no other request
+// waits for the execution any more, so it may be cancelled; its Complete is still owed, for the
+// ticket that proceeded.
+func (s *Store) Abandon(now time.Duration, t *Ticket) (unwanted bool, completions []Completion) {
+	s.advance(now)
+	if t.next == nil { // it has ended
+		return false, s.completions
+	}
+	s.removeWaiter(t)
+	return t.entry.state == stateInFlight && t.entry.waiters == nil, s.completions
+}
+
+// Complete says how the request of a ticket that proceeded ended. It returns the completions of all
+// requests that waited for it, including its own if its client is still connected. A second call for
+// the same request does nothing.
+func (s *Store) Complete(now time.Duration, t *Ticket, outcome Outcome, r Response) []Completion {
+	s.advance(now)
+	e := t.entry
+	if !s.executing(t) {
+		return s.completions
+	}
+	d := s.decisionFor(outcome, r)
+	for e.waiters != nil {
+		waiter := e.waiters
+		s.removeWaiter(waiter)
+		s.complete(waiter, d)
+	}
+	s.addCost(e, -ticketOverhead) // the leader's, also if its client has disconnected
+	if outcome == NotExecuted {
+		s.appendRemoval(e)
+		s.removeEntry(e)
+		return s.completions
+	}
+	recorded := e.responseRecorded && outcome == Succeeded
+	s.settle(e, outcome, r)
+	if !recorded {
+		s.appendRecord(e)
+	}
+	return s.completions
+}
+
+// executing reports whether t proceeded and its request is still in flight.
+func (s *Store) executing(t *Ticket) bool {
+	e := t.entry
+	return t.leader && e.state == stateInFlight && s.entries[e.id] == e
+}
+
+// decisionFor is the decision given to all requests that waited for an execution with this outcome.
+func (s *Store) decisionFor(outcome Outcome, r Response) Decision {
+	switch outcome {
+	case Succeeded:
+		return Decision{Verdict: Replay, Response: r}
+	case NotExecuted:
+		return Decision{Verdict: Rejected, RetryAfter: s.limits.RetryAfter}
+	}
+	return Decision{Verdict: OutcomeUnknown, RetryAfter: s.limits.UnknownTTL}
+}
+
+// settle moves an entry out of flight and stores its response if there is room.
+func (s *Store) settle(e *entry, outcome Outcome, r Response) {
+	cost, size := e.cost, r.size()
+	s.addCost(e, -cost)
+	e.state, e.expiresAt = stateUnknown, s.now+s.limits.UnknownTTL
+	if outcome == Succeeded {
+		e.state, e.expiresAt = stateCompleted, s.now+s.limits.TTL
+	}
+	s.addCost(e, cost)
+	e.responseRecorded, e.responseStored, e.response = false, false, Response{}
+	// The entry becomes evictable only below, so makeRoom can't evict it for its own response.
+	if outcome == Succeeded && s.storable(r) && s.makeRoom(e.customer, size) {
+		e.responseStored, e.response = true, r
+		s.addCost(e, size)
+	}
+	e.customer.addEvictable(e)
+	s.timers.Add(&e.timer, e.expiresAt)
+}
--- /dev/null
+++ b/idempotency/ticket.go
@@ -0,0 +1,53 @@
+package idempotency
+
+import "pumicecroft/internal/timerwheel"
+
+// Ticket is one request that has not ended: it proceeded, or waits for one that did.
+type Ticket struct {
+	tag        any
+	entry      *entry
+	leader     bool // it proceeded
+	timer      timerwheel.Timer[*timerTarget]
+	target     timerTarget
+	next, prev *Ticket // ring of its entry's waiters; nil: it has ended
+	seq        uint64  // of the log record that its request is in flight
+}
+
+// Entry returns the entry that the ticket's request belongs to.
+func (t *Ticket) Entry() Entry { return Entry{t.entry} }
+
+// Seq returns the number of the log record which says that the ticket's request proceeded. The
+// request must not be executed before that record is durable. 0: the log accepts nothing at the
+// moment, or there is none.
+func (t *Ticket) Seq() uint64 { return t.seq }
+
+// addWaiter adds a ticket to the waiters of its entry.
+func (s *Store) addWaiter(t *Ticket) {
+	s.waiting++
+	if first := t.entry.waiters; first != nil {
+		t.next, t.prev = first, first.prev
+		first.prev.next, first.prev = t, t
+		return
+	}
+	t.next, t.prev = t, t
+	t.entry.waiters = t
+}
+
+// removeWaiter removes a ticket from the waiters of its entry. It must be called once.
+func (s *Store) removeWaiter(t *Ticket) {
+	s.waiting--
+	e := t.entry
+	if t.next == t {
+		e.waiters = nil
+	} else {
+		t.prev.next, t.next.prev = t.next, t.prev
+		if e.waiters == t {
+			e.waiters = t.next
+		}
+	}
+	t.next, t.prev = nil, nil
+	s.timers.Remove(&t.timer)
+	if !t.leader {
+		s.addCost(e, -ticketOverhead)
+	}
+}
--- /dev/null
+++ b/internal/deduplicator/fingerprint.go
@@ -0,0 +1,58 @@
+package deduplicator
+
+import (
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+
+	"pumicecroft/idempotency"
+)
+
+// fingerprintKeyFile is the name of the key's file in the journal's directory.
+const fingerprintKeyFile = "secret"
+
+// fingerprintKeyLen is the length of the key in bytes.
+const fingerprintKeyLen = 32
+
+// Fingerprint returns a keyed hash of a request's parts: no client can make two different requests
+// with one fingerprint. Each part is hashed with its length, so that bytes can't move between parts.
+func (d *Deduplicator) Fingerprint(parts ...[]byte) (f idempotency.Fingerprint) {
+	h := hmac.New(sha256.New, d.fingerprintKey[:])
+	var size [8]byte
+	for _, p := range parts {
+		binary.BigEndian.PutUint64(size[:], uint64(len(p)))
+		h.Write(size[:])
+		h.Write(p)
+	}
+	copy(f[:], h.Sum(nil))
+	return f
+}
+
+// loadFingerprintKey reads the key from the journal's directory, or writes it there with a new
+// journal. With another key, no repeat of a request in the journal would be recognized.
+func (d *Deduplicator) loadFingerprintKey(newJournal bool) error {
+	path := filepath.Join(d.journal.Dir, fingerprintKeyFile)
+	b, err := os.ReadFile(path)
+	switch {
+	case err == nil && len(b) == len(d.fingerprintKey):
+		copy(d.fingerprintKey[:], b)
+		return nil
+	case err == nil && !newJournal:
+		return fmt.Errorf("%s has %d bytes, not %d", path, len(b), len(d.fingerprintKey))
+	case err != nil && !errors.Is(err, fs.ErrNotExist):
+		return err
+	case !newJournal:
+		return fmt.Errorf("%s is missing, and the journal's fingerprints were made with it", path)
+	}
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	if err != nil {
+		return err
+	}
+	_, err = f.Write(d.fingerprintKey[:])
+	return errors.Join(err, f.Sync(), f.Close()) // the directory is synced with the first segment
+}
--- a/internal/deduplicator/golden_test.go
+++ b/internal/deduplicator/golden_test.go
@@ -21,34 +21,35 @@
 	"pumicecroft/internal/logfile"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/journal anew; only a change of the stored form needs it")
+// writeGolden is needed only when the stored form changes.
+var writeGolden = flag.Bool("write-golden", false, "write testdata/journal again")
 
 const (
-	goldenDir     = "testdata/journal" // segments, the key of the digests, and records.txt
+	goldenDir     = "testdata/journal" // segments, the key of the fingerprints, and records.txt
 	goldenRecords = "records.txt"
 	goldenLogID   = 0x0123456789abcdef
 	goldenEpoch   = 4_102_444_800 * time.Second // 2100-01-01: no record of it has expired when a test reads it
-	goldenLimit   = 200                         // bytes of an answer that is kept
+	goldenLimit   = 200                         // bytes of a response that is stored
 )
 
-// goldenSecret is the key of the digests, which lies beside the segments.
-func goldenSecret() []byte {
-	secret := make([]byte, 32)
-	for i := range secret {
-		secret[i] = byte(i)
+// goldenFingerprintKey is the key of the fingerprints, which is stored beside the segments.
+func goldenFingerprintKey() []byte {
+	key := make([]byte, fingerprintKeyLen)
+	for i := range key {
+		key[i] = byte(i)
 	}
-	return secret
+	return key
 }
 
-// goldenDigest is the digest of a request's parts.
-func goldenDigest(parts ...string) idempotency.Fingerprint {
-	k := &Deduplicator{}
-	copy(k.fingerprintKey[:], goldenSecret())
+// goldenFingerprint is the fingerprint of a request with these parts.
+func goldenFingerprint(parts ...string) idempotency.Fingerprint {
+	d := &Deduplicator{}
+	copy(d.fingerprintKey[:], goldenFingerprintKey())
 	var all [][]byte
 	for _, p := range parts {
 		all = append(all, []byte(p))
 	}
-	return k.Fingerprint(all...)
+	return d.Fingerprint(all...)
 }
 
 // goldenProcess is one process that writes the journal, with times of its own.
@@ -62,20 +63,21 @@
 
 func startGolden(t *testing.T, files logfile.SegmentStore, now time.Duration) *goldenProcess {
 	t.Helper()
-	p := &goldenProcess{t: t, files: files, store: idempotency.New(idempotency.Limits{MaxResponseBytes: goldenLimit}, now), now: now}
-	numbers, err := files.List()
+	store := idempotency.New(idempotency.Limits{MaxResponseBytes: goldenLimit}, now)
+	p := &goldenProcess{t: t, files: files, store: store, now: now}
+	segments, err := files.List()
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules := journal.Options{SegmentBytes: 1 << 10, MaxPending: 4 << 10}
-	p.log, err = journal.Recover(rules, goldenLogID, numbers, files.Load,
-		func(rec []byte) (*journal.Slot[idempotency.Entry], error) {
-			return p.store.Restore(now, goldenEpoch, rec)
-		})
+	options := journal.Options{SegmentBytes: 1 << 10, MaxPending: 4 << 10}
+	restore := func(record []byte) (*journal.Slot[idempotency.Entry], error) {
+		return store.Restore(now, goldenEpoch, record)
+	}
+	p.log, err = journal.Recover(options, goldenLogID, segments, files.Load, restore)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.store.AttachLog(p.log, goldenEpoch)
+	store.AttachLog(p.log, goldenEpoch)
 	return p
 }
 
@@ -96,7 +98,7 @@
 func (p *goldenProcess) begin(who decision.CustomerID, key string) *idempotency.Ticket {
 	p.t.Helper()
 	p.now += time.Second
-	d, _ := p.store.Begin(p.now, who, key, goldenDigest("POST", "/pay", key), nil, p.now+time.Minute)
+	d, _ := p.store.Begin(p.now, who, key, goldenFingerprint("POST", "/pay", key), nil, p.now+time.Minute)
 	if d.Verdict != idempotency.Proceed {
 		p.t.Fatalf("key %q: %v", key, d.Verdict)
 	}
@@ -104,14 +106,15 @@
 	return d.Ticket
 }
 
-// end ends it.
-func (p *goldenProcess) end(ticket *idempotency.Ticket, end idempotency.Outcome, answer idempotency.Response) {
+// complete ends it.
+func (p *goldenProcess) complete(ticket *idempotency.Ticket, outcome idempotency.Outcome,
+	response idempotency.Response) {
 	p.t.Helper()
-	if end == idempotency.Succeeded {
-		p.store.RecordResponse(p.now, ticket, answer)
+	if outcome == idempotency.Succeeded {
+		p.store.RecordResponse(p.now, ticket, response)
 		p.flush()
 	}
-	p.store.Complete(p.now, ticket, end, answer)
+	p.store.Complete(p.now, ticket, outcome, response)
 	p.flush()
 }
 
@@ -119,14 +122,22 @@
 type goldenCase struct {
 	customer decision.CustomerID
 	key      string
-	end      idempotency.Outcome
-	answer   idempotency.Response
+	outcome  idempotency.Outcome
+	response idempotency.Response
 	verdict  idempotency.Verdict
 }
 
 func goldenCases() []goldenCase {
-	page := idempotency.Response{Status: 201, ContentType: "text/plain; charset=utf-8", Body: []byte("paid\r\n\x00\xff")}
-	large := idempotency.Response{Status: 200, ContentType: "text/plain", Body: bytes.Repeat([]byte("x"), goldenLimit)}
+	page := idempotency.Response{
+		Status:      201,
+		ContentType: "text/plain; charset=utf-8",
+		Body:        []byte("paid\r\n\x00\xff"),
+	}
+	large := idempotency.Response{
+		Status:      200,
+		ContentType: "text/plain",
+		Body:        bytes.Repeat([]byte("x"), goldenLimit),
+	}
 	cases := []goldenCase{
 		{1, "answered", idempotency.Succeeded, page, idempotency.Replay},
 		{1, "answered with nothing", idempotency.Succeeded, idempotency.Response{Status: 204}, idempotency.Replay},
@@ -137,8 +148,13 @@
 	}
 	for i := range 12 {
 		body := fmt.Sprintf("answer %d of %s", i, strings.Repeat(".", 100))
-		cases = append(cases, goldenCase{decision.CustomerID(10 + i%3), fmt.Sprint("filler ", i), idempotency.Succeeded,
-			idempotency.Response{Status: 200, ContentType: "text/html", Body: []byte(body)}, idempotency.Replay})
+		cases = append(cases, goldenCase{
+			customer: decision.CustomerID(10 + i%3),
+			key:      fmt.Sprint("filler ", i),
+			outcome:  idempotency.Succeeded,
+			response: idempotency.Response{Status: 200, ContentType: "text/html", Body: []byte(body)},
+			verdict:  idempotency.Replay,
+		})
 	}
 	return cases
 }
@@ -153,22 +169,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer files.Close()
+	defer func() { _ = files.Close() }()
 	cases := goldenCases()
 	half := len(cases) / 2
 	first := startGolden(t, files, 0)
 	first.begin(3, goldenClosed)
 	for _, c := range cases[:half] {
-		first.end(first.begin(c.customer, c.key), c.end, c.answer)
+		first.complete(first.begin(c.customer, c.key), c.outcome, c.response)
 	}
 	first.log.Close()
 	first.flush()
 	second := startGolden(t, files, first.now+time.Minute)
 	for _, c := range cases[half:] {
-		second.end(second.begin(c.customer, c.key), c.end, c.answer)
+		second.complete(second.begin(c.customer, c.key), c.outcome, c.response)
 	}
 	second.begin(3, goldenKilled)
-	if err := os.WriteFile(filepath.Join(dir, "secret"), goldenSecret(), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, fingerprintKeyFile), goldenFingerprintKey(), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -186,41 +202,55 @@
 	return paths
 }
 
-// describeRecords reads all records of a journal, in their order, a line each with all fields, and without package keys.
+// describeRecords describes all records of a journal, in order, a line with all fields for each. It decodes
+// them without package idempotency.
 func describeRecords(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := logfile.OpenDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer files.Close()
-	numbers, err := files.List()
+	defer func() { _ = files.Close() }()
+	segments, err := files.List()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	each := func(rec []byte) (*journal.Slot[idempotency.Entry], error) {
-		in := cryptobyte.String(rec)
-		var form, kind uint8
-		var customer, expires uint64
-		var status uint16
-		var key, contentType, body cryptobyte.String
-		digest := make([]byte, 16)
-		if !in.ReadUint8(&form) || !in.ReadUint8(&kind) || !in.ReadUint64(&customer) || !in.ReadUint8LengthPrefixed(&key) ||
-			!in.CopyBytes(digest) || !in.ReadUint64(&expires) || !in.ReadUint16(&status) ||
-			!in.ReadUint16LengthPrefixed(&contentType) || !in.ReadUint24LengthPrefixed(&body) || !in.Empty() {
-			t.Errorf("a record of %d bytes can't be read: %x", len(rec), rec)
-		}
-		fmt.Fprintf(&out, "form=%d kind=%d customer=%d key=%q digest=%x expires=%d status=%d type=%q body=%q\n",
-			form, kind, customer, key, digest, expires, status, contentType, body)
+	describe := func(record []byte) (*journal.Slot[idempotency.Entry], error) {
+		out.WriteString(describeRecord(t, record))
 		return nil, nil
 	}
-	if _, err := journal.Recover(journal.Options{}, 0, numbers, files.Load, each); err != nil {
+	if _, err := journal.Recover(journal.Options{}, 0, segments, files.Load, describe); err != nil {
 		t.Fatal(err)
 	}
 	return out.String()
 }
 
+func describeRecord(t *testing.T, record []byte) string {
+	t.Helper()
+	in := cryptobyte.String(record)
+	var version, kind uint8
+	var customer, expires uint64
+	var status uint16
+	var key, contentType, body cryptobyte.String
+	fingerprint := make([]byte, 16)
+	ok := in.ReadUint8(&version) &&
+		in.ReadUint8(&kind) &&
+		in.ReadUint64(&customer) &&
+		in.ReadUint8LengthPrefixed(&key) &&
+		in.CopyBytes(fingerprint) &&
+		in.ReadUint64(&expires) &&
+		in.ReadUint16(&status) &&
+		in.ReadUint16LengthPrefixed(&contentType) &&
+		in.ReadUint24LengthPrefixed(&body) &&
+		in.Empty()
+	if !ok {
+		t.Errorf("a record of %d bytes can't be decoded: %x", len(record), record)
+	}
+	return fmt.Sprintf("form=%d kind=%d customer=%d key=%q digest=%x expires=%d status=%d type=%q body=%q\n",
+		version, kind, customer, key, fingerprint, expires, status, contentType, body)
+}
+
 // copyGolden copies the golden journal to a directory that a process may change.
 func copyGolden(t *testing.T) string {
 	t.Helper()
@@ -234,30 +264,37 @@
 	return dir
 }
 
-// The journal is written to the same bytes as by an earlier program, file by file.
-func TestGoldenJournalIsWritten(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "keys")
-	writeGoldenJournal(t, dir)
-	if *writeGolden {
-		if err := os.RemoveAll(goldenDir); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.MkdirAll(goldenDir, 0o755); err != nil {
+// replaceGolden makes the journal in a directory the golden one.
+func replaceGolden(t *testing.T, dir string) {
+	t.Helper()
+	if err := os.RemoveAll(goldenDir); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(goldenDir, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range append(segmentNames(t, dir), fingerprintKeyFile) {
+		text, err := os.ReadFile(filepath.Join(dir, name))
+		if err != nil {
 			t.Fatal(err)
 		}
-		for _, name := range append(segmentNames(t, dir), "secret") {
-			text, err := os.ReadFile(filepath.Join(dir, name))
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(filepath.Join(goldenDir, name), text, 0o644); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if err := os.WriteFile(filepath.Join(goldenDir, goldenRecords), []byte(describeRecords(t, dir)), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(goldenDir, name), text, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
+	records := []byte(describeRecords(t, dir))
+	if err := os.WriteFile(filepath.Join(goldenDir, goldenRecords), records, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Two processes write a journal. It must have the same bytes as the one that an earlier program wrote.
+func TestGoldenJournal_Written(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "keys")
+	writeGoldenJournal(t, dir)
+	if *writeGolden {
+		replaceGolden(t, dir)
+	}
 	names := segmentNames(t, goldenDir)
 	if len(names) < 4 {
 		t.Errorf("only %d segments", len(names))
@@ -265,7 +302,7 @@
 	if got := segmentNames(t, dir); !slices.Equal(got, names) {
 		t.Fatalf("wrote %v, want %v", got, names)
 	}
-	for _, name := range append(names, "secret") {
+	for _, name := range append(names, fingerprintKeyFile) {
 		want, err := os.ReadFile(filepath.Join(goldenDir, name))
 		if err != nil {
 			t.Fatal(err)
@@ -276,8 +313,8 @@
 	}
 }
 
-// The journal of an earlier program is read record by record, with all fields, and each kind of record is in it.
-func TestGoldenJournalRecords(t *testing.T) {
+// An earlier program's journal is read. It must have the same records, field by field, with all kinds of them.
+func TestGoldenJournal_Records(t *testing.T) {
 	want, err := os.ReadFile(filepath.Join(goldenDir, goldenRecords))
 	if err != nil {
 		t.Fatal(err)
@@ -293,58 +330,62 @@
 	}
 }
 
-// The journal of an earlier program is opened, and requests with its keys come to what they came to there: the same request is
-// given its answer, another one with its key is a conflict.
-func TestGoldenJournalIsRead(t *testing.T) {
+// An earlier program's journal is opened. A request with one of its keys must get what it would have got there,
+// and another request with the key a conflict.
+func TestGoldenJournal_Opened(t *testing.T) {
 	dir := copyGolden(t)
-	k, err := Open(idempotency.Limits{}, JournalConfig{Dir: dir, WriteTimeout: 10 * time.Second})
+	d, err := Open(idempotency.Limits{}, JournalConfig{Dir: dir, WriteTimeout: 10 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close(context.Background())
-	ask := func(customer decision.CustomerID, key, part string) idempotency.Decision {
-		t.Helper()
-		digest := k.Fingerprint([]byte("POST"), []byte("/pay"), []byte(part))
-		if part == key && digest != goldenDigest("POST", "/pay", key) {
-			t.Errorf("key %q: the digest is %x", key, digest)
-		}
-		ran := false
-		d, err := k.Do(context.Background(), customer, key, digest, 10*time.Second, func(context.Context) Result {
-			ran = true
-			return Result{Response: idempotency.Response{Status: 299}}
-		})
-		if err != nil {
-			t.Fatalf("key %q: %v", key, err)
-		}
-		if ran {
-			return idempotency.Decision{Verdict: idempotency.Proceed}
-		}
-		return d
-	}
-	cases := append(goldenCases(), goldenCase{customer: 3, key: goldenClosed, verdict: idempotency.OutcomeUnknown},
+	closeAtEnd(t, d)
+	cases := append(goldenCases(),
+		goldenCase{customer: 3, key: goldenClosed, verdict: idempotency.OutcomeUnknown},
 		goldenCase{customer: 3, key: goldenKilled, verdict: idempotency.OutcomeUnknown})
-	if _, held, _ := k.Stats(); held != len(cases)-1 { // but the one that never ran
-		t.Errorf("%d keys are held, want %d", held, len(cases)-1)
+	if _, keys, _ := d.Stats(); keys != len(cases)-1 { // all but the one that was not executed
+		t.Errorf("%d keys are held, want %d", keys, len(cases)-1)
 	}
 	for _, c := range cases {
 		if c.verdict != idempotency.Proceed {
-			if d := ask(c.customer, c.key, "another body"); d.Verdict != idempotency.Conflict {
-				t.Errorf("key %q with another body: %v", c.key, d.Verdict)
+			if got := repeatGolden(t, d, c, "another body"); got.Verdict != idempotency.Conflict {
+				t.Errorf("key %q with another body: %v", c.key, got.Verdict)
 			}
 		}
-		d := ask(c.customer, c.key, c.key)
-		if d.Verdict != c.verdict {
-			t.Errorf("key %q: %v, want %v", c.key, d.Verdict, c.verdict)
+		got := repeatGolden(t, d, c, c.key)
+		if got.Verdict != c.verdict {
+			t.Errorf("key %q: %v, want %v", c.key, got.Verdict, c.verdict)
 		}
-		if c.verdict == idempotency.Replay && (d.Response.Status != c.answer.Status || d.Response.ContentType != c.answer.ContentType ||
-			!bytes.Equal(d.Response.Body, c.answer.Body)) {
-			t.Errorf("key %q: answer %+v, want %+v", c.key, d.Response, c.answer)
+		if c.verdict == idempotency.Replay && (got.Response.Status != c.response.Status ||
+			got.Response.ContentType != c.response.ContentType || !bytes.Equal(got.Response.Body, c.response.Body)) {
+			t.Errorf("key %q: response %+v, want %+v", c.key, got.Response, c.response)
 		}
 	}
 }
 
-// The head of the first segment, field by field: its numbers are little-endian whatever the fields are called.
-func TestGoldenSegmentHead(t *testing.T) {
+// repeatGolden makes a request with a key of the golden journal, the same one if body is the key.
+func repeatGolden(t *testing.T, d *Deduplicator, c goldenCase, body string) idempotency.Decision {
+	t.Helper()
+	fingerprint := d.Fingerprint([]byte("POST"), []byte("/pay"), []byte(body))
+	if body == c.key && fingerprint != goldenFingerprint("POST", "/pay", c.key) {
+		t.Errorf("key %q: the fingerprint is %x", c.key, fingerprint)
+	}
+	executed := false
+	run := func(context.Context) Result {
+		executed = true
+		return Result{Response: idempotency.Response{Status: 299}}
+	}
+	got, err := d.Do(context.Background(), c.customer, c.key, fingerprint, 10*time.Second, run)
+	if err != nil {
+		t.Fatalf("key %q: %v", c.key, err)
+	}
+	if executed {
+		return idempotency.Decision{Verdict: idempotency.Proceed}
+	}
+	return got
+}
+
+// The header of an earlier program's second segment is compared field by field, as little-endian numbers.
+func TestGoldenJournal_SegmentHeader(t *testing.T) {
 	names := segmentNames(t, goldenDir)
 	text, err := os.ReadFile(filepath.Join(goldenDir, names[1]))
 	if err != nil {
@@ -355,6 +396,6 @@
 		fields = append(fields, binary.LittleEndian.Uint64(text[at:]))
 	}
 	if string(text[:8]) != "pjH1\x01\x00\x00\x00" || !slices.Equal(fields, []uint64{2, goldenLogID, 1}) {
-		t.Errorf("the second segment begins %q with number, log and segment before it %x", text[:8], fields)
+		t.Errorf("the second segment begins %q with number, log ID and previous segment %x", text[:8], fields)
 	}
 }
--- /dev/null
+++ b/internal/deduplicator/journal.go
@@ -0,0 +1,169 @@
+package deduplicator
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"pumicecroft/idempotency"
+	"pumicecroft/internal/journal"
+	"pumicecroft/internal/logfile"
+)
+
+// JournalConfig says how keys are kept on disk.
+type JournalConfig struct {
+	// Dir is the journal's directory, used by this process alone.
+	Dir string
+	// GroupCommitDelay is how long a record waits for others to be written with it. 0: not at all.
+	GroupCommitDelay time.Duration
+	// SyncInterval is the time between syncs; a request is executed once its record is written.
+	// 0: each group of records is synced, and a request is executed only then.
+	SyncInterval time.Duration
+	// WriteTimeout is how long a request waits for the disk.
+	WriteTimeout time.Duration
+	// RejectOnFailure rejects a request whose record is not on disk within WriteTimeout. Otherwise
+	// the request is executed with its key in memory only.
+	RejectOnFailure bool
+	// Log is told when the journal fails and when it works again. nil: nobody is.
+	Log *slog.Logger
+
+	files logfile.SegmentStore // replaces Dir in tests
+}
+
+// recordWaiter waits until a record of the journal is durable or written.
+type recordWaiter struct {
+	seq  uint64
+	done chan bool // has room for one: whether the record is there
+}
+
+// Open returns a Deduplicator with the keys that are in its journal. An error leaves the journal
+// unchanged.
+func Open(l idempotency.Limits, j JournalConfig) (*Deduplicator, error) {
+	d := New(l)
+	d.journal = &j
+	files := j.files
+	if files == nil {
+		dir, err := logfile.OpenDir(j.Dir)
+		if err != nil {
+			return nil, err
+		}
+		files = dir
+	}
+	if err := d.recoverJournal(files); err != nil {
+		return nil, errors.Join(fmt.Errorf("deduplicator: journal %s: %w", j.Dir, err), files.Close())
+	}
+	return d, nil
+}
+
+func (d *Deduplicator) recoverJournal(files logfile.SegmentStore) error {
+	segments, err := files.List()
+	if err != nil {
+		return err
+	}
+	if d.journal.Dir != "" {
+		if err := d.loadFingerprintKey(len(segments) == 0); err != nil {
+			return err
+		}
+	}
+	epoch := time.Duration(d.start.UnixNano())
+	options := journal.Options{
+		GroupCommitDelay: d.journal.GroupCommitDelay,
+		SyncInterval:     d.journal.SyncInterval,
+	}
+	restore := func(record []byte) (*journal.Slot[idempotency.Entry], error) {
+		return d.store.Restore(d.now(), epoch, record)
+	}
+	d.log, err = journal.Recover(options, logfile.NewLogID(), segments, files.Load, restore)
+	if err != nil {
+		return err
+	}
+	d.store.AttachLog(d.log, epoch)
+	d.runner = logfile.Run(&d.mu, d.log, files, d.now, d.onJournalProgress)
+	return nil
+}
+
+// onJournalProgress is called by the runner after each operation on the journal's files. The lock is
+// held.
+func (d *Deduplicator) onJournalProgress() {
+	d.awaitingDurable = notifyRecordWaiters(d.awaitingDurable, d.log.Durable(), d.log.Lost())
+	d.awaitingWritten = notifyRecordWaiters(d.awaitingWritten, d.log.Written(), d.log.Lost())
+	d.store.RewriteStale(d.now())
+	if err := d.log.Err(); (err != nil) != d.journalFailed {
+		d.journalFailed = err != nil
+		go d.logJournalState(err) // a log handler may block, and the lock is held here
+	}
+}
+
+// logJournalState logs that the journal fails, or with nil that it works again.
+func (d *Deduplicator) logJournalState(err error) {
+	switch log := d.journal.Log; {
+	case log == nil:
+	case err == nil:
+		log.Info("idempotency journal recovered")
+	case d.journal.RejectOnFailure:
+		log.Error("idempotency journal failed", "requests_with_keys", "rejected", "err", err)
+	default:
+		log.Error("idempotency journal failed", "requests_with_keys", "kept in memory only", "err", err)
+	}
+}
+
+// watchRecord returns a channel that is told whether a record is there, and puts it into a list of
+// waiters. A record without a number was not accepted by the log. The caller holds the lock.
+func (d *Deduplicator) watchRecord(waiters *[]recordWaiter, seq uint64) chan bool {
+	done := make(chan bool, 1)
+	if seq == 0 {
+		done <- false
+		return done
+	}
+	*waiters = append(*waiters, recordWaiter{seq, done})
+	d.runner.Wake()
+	return done
+}
+
+// notifyRecordWaiters tells the waiters of all records up to there that they are there, and those up
+// to lost that they never will be. It returns the rest.
+func notifyRecordWaiters(waiters []recordWaiter, there, lost uint64) []recordWaiter {
+	n := 0
+	for ; n < len(waiters) && waiters[n].seq <= max(there, lost); n++ {
+		waiters[n].done <- waiters[n].seq <= there
+	}
+	return waiters[n:]
+}
+
+// recordResponse writes a response to the journal before any client gets it. Otherwise a process
+// that is killed right after its response could not replay it, and the repeat would be answered with
+// OutcomeUnknown. Requests that joined keep their own deadlines meanwhile.
+func (d *Deduplicator) recordResponse(ctx context.Context, t *idempotency.Ticket,
+	r idempotency.Response, deadline time.Duration) {
+	d.mu.Lock()
+	written := d.watchRecord(&d.awaitingWritten, d.store.RecordResponse(d.now(), t, r))
+	d.mu.Unlock()
+	d.awaitRecord(ctx, written, deadline)
+}
+
+// awaitRecord waits until a record is there and reports whether it is: for at most WriteTimeout, and
+// not beyond the client's deadline.
+func (d *Deduplicator) awaitRecord(ctx context.Context, done chan bool, deadline time.Duration) bool {
+	timeout := time.NewTimer(min(d.journal.WriteTimeout, deadline-d.now()))
+	defer timeout.Stop()
+	select {
+	case there := <-done:
+		return there
+	case <-timeout.C:
+	case <-ctx.Done():
+	}
+	return false
+}
+
+// JournalUsage returns what the journal takes on disk, and the error for which it accepts nothing at
+// the moment. Both are zero without a journal.
+func (d *Deduplicator) JournalUsage() (journal.Usage, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.log == nil {
+		return journal.Usage{}, nil
+	}
+	return d.log.Usage(), d.log.Err()
+}
