--- a/internal/journal/compare/own_test.go
+++ b/internal/journal/compare/own_test.go
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	o := &own{slots: map[string]*journal.Slot[[]byte]{}}
-	o.log, err = journal.Recover(journal.Rules{}, logfile.NewID(), numbers, d.Load, func(rec []byte) (*journal.Slot[[]byte], error) {
+	o.log, err = journal.Recover(journal.Options{}, logfile.NewLogID(), numbers, d.Load, func(rec []byte) (*journal.Slot[[]byte], error) {
 		name := string(rec[:16])
 		if o.slots[name] == nil {
 			o.slots[name] = &journal.Slot[[]byte]{}
@@ -73,7 +73,7 @@
 	w.seq = o.put(key, value)
 	o.waits = append(o.waits, w)
 	o.mu.Unlock()
-	o.run.Kick()
+	o.run.Wake()
 	<-w.done
 	return nil
 }
@@ -82,7 +82,7 @@
 	o.mu.Lock()
 	o.put(key, value)
 	o.mu.Unlock()
-	o.run.Kick()
+	o.run.Wake()
 	return nil
 }
 
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -8,57 +8,68 @@
 	"math"
 )
 
-// A segment is a file: a head, and frames. A frame is what was written at once: some records. Numbers are little-endian.
+// A segment is a file: a header, then frames. A frame is what was written at once: a group of records.
+// Integers are little-endian.
 //
-//	head:  marker[4] form[4] number[8] log[8] before[8] good[8] sum[4]
-//	frame: marker[4] length[4] synced[4] sum[4] payload[length]
+//	header: magic[4] version[4] number[8] logID[8] previous[8] previousSynced[8] checksum[4]
+//	frame:  magic[4] length[4] synced[4] checksum[4] payload[length]
 //	payload: records, each a uvarint of its length and its bytes
 //
-// sum is CRC-32C over what stands before it, then of a frame over its log, segment and offset and its payload: a frame is one only
-// in the place for which it was written. synced is how much of the segment had been synced when the frame was written: what damage
-// there is below that was not done by a crash.
+// checksum is CRC-32C over what stands before it. That of a frame goes on over the log's ID, the
+// segment's number, the frame's offset, and the payload: a frame is valid only where it was written.
+// synced is how much of the segment had been synced when the frame was written; damage below that was
+// not done by a crash.
 const (
 	headerLen       = 44
 	frameHeaderLen  = 16
 	headerMagic     = 0x31486a70 // "pjH1"
 	frameMagic      = 0x31466a70 // "pjF1"
 	formatVersion   = 1
-	maxSegmentBytes = math.MaxUint32 // a frame's offset and synced have 32 bits
+	maxSegmentBytes = math.MaxUint32 // offset and synced of a frame have 32 bits
 )
 
 // Errors of Recover, wrapped with the segment and the offset.
 var (
-	// ErrCorrupt: what had been synced is not there as it was written.
-	ErrCorrupt = errors.New("damaged")
-	// ErrForeign: a segment is another log's, or of another form.
+	// ErrCorrupt: synced data is not there as it was written.
+	ErrCorrupt = errors.New("corrupt")
+	// ErrForeign: a segment belongs to another log, or has another format version.
 	ErrForeign = errors.New("not of this log")
 )
 
-// CorruptError says where a log is damaged. It is an ErrDamaged.
+// errIncomplete is a header or record that is cut short.
+var errIncomplete = errors.New("incomplete")
+
+// CorruptError says where a log is corrupt. It wraps ErrCorrupt.
 type CorruptError struct {
 	Segment uint64
 	Offset  int64
 	Reason  string
 }
 
+// Error implements error.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("segment %d is damaged at offset %d: %s", e.Segment, e.Offset, e.Reason)
+	return fmt.Sprintf("journal: segment %d is corrupt at offset %d: %s", e.Segment, e.Offset, e.Reason)
 }
 
-// Unwrap makes it an ErrDamaged.
+// Unwrap returns ErrCorrupt.
 func (e *CorruptError) Unwrap() error { return ErrCorrupt }
 
+// foreignError wraps ErrForeign.
+func foreignError(segment uint64, format string, args ...any) error {
+	return fmt.Errorf("journal: segment %d: %w: %s", segment, ErrForeign, fmt.Sprintf(format, args...))
+}
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // segmentHeader is what a segment begins with.
 type segmentHeader struct {
 	number         uint64
-	logID          uint64 // the same in all segments of one log, drawn when it was made
-	previous       uint64 // the segment before it; 0: it is the first
-	previousSynced int64  // so much of that had been synced
+	logID          uint64 // the same in all segments of one log, drawn when the log was created
+	previous       uint64 // number of the segment before it; 0: it is the first
+	previousSynced int64  // how much of that had been synced
 }
 
-// encode is the head as it stands in the file.
+// encode returns the header as it stands in the file.
 func (h segmentHeader) encode() []byte {
 	b := make([]byte, 0, headerLen)
 	b = binary.LittleEndian.AppendUint32(b, headerMagic)
@@ -69,46 +80,52 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader reads a segment's head. What is not whole is errTorn, which only a segment may have that was never used.
+// decodeHeader decodes the header of the segment with a number. It returns errIncomplete for a header
+// that was not written to its end, which is normal only for a segment that was never used; other
+// errors wrap ErrForeign.
 func decodeHeader(number uint64, b []byte) (h segmentHeader, err error) {
 	if len(b) < headerLen || binary.LittleEndian.Uint32(b) != headerMagic ||
 		binary.LittleEndian.Uint32(b[headerLen-4:]) != crc32.Checksum(b[:headerLen-4], castagnoli) {
 		return h, errIncomplete
 	}
 	if v := binary.LittleEndian.Uint32(b[4:]); v != formatVersion {
-		return h, fmt.Errorf("segment %d: %w: it has form %d, and this program reads %d", number, ErrForeign, v, formatVersion)
+		return h, foreignError(number, "format version is %d, this program reads %d", v, formatVersion)
+	}
+	h = segmentHeader{
+		number:         binary.LittleEndian.Uint64(b[8:]),
+		logID:          binary.LittleEndian.Uint64(b[16:]),
+		previous:       binary.LittleEndian.Uint64(b[24:]),
+		previousSynced: int64(binary.LittleEndian.Uint64(b[32:])),
 	}
-	h = segmentHeader{binary.LittleEndian.Uint64(b[8:]), binary.LittleEndian.Uint64(b[16:]), binary.LittleEndian.Uint64(b[24:]),
-		int64(binary.LittleEndian.Uint64(b[32:]))}
 	if h.number != number {
-		return h, fmt.Errorf("segment %d: %w: it was written as segment %d", number, ErrForeign, h.number)
+		return h, foreignError(number, "it was written as segment %d", h.number)
 	}
 	return h, nil
 }
 
-var errIncomplete = errors.New("torn")
-
-// frameChecksum is the sum of a frame: of its own head, of where it stands, and of its payload.
-func frameChecksum(log, segment uint64, offset int64, first12, payload []byte) uint32 {
-	var place [24]byte
-	binary.LittleEndian.PutUint64(place[:], log)
-	binary.LittleEndian.PutUint64(place[8:], segment)
-	binary.LittleEndian.PutUint64(place[16:], uint64(offset))
-	sum := crc32.Checksum(first12, castagnoli)
-	sum = crc32.Update(sum, castagnoli, place[:])
+// frameChecksum is the checksum of a frame: of the first 12 bytes of its header, its place, and its
+// payload.
+func frameChecksum(logID, segment uint64, offset int64, header12, payload []byte) uint32 {
+	var position [24]byte
+	binary.LittleEndian.PutUint64(position[:], logID)
+	binary.LittleEndian.PutUint64(position[8:], segment)
+	binary.LittleEndian.PutUint64(position[16:], uint64(offset))
+	sum := crc32.Checksum(header12, castagnoli)
+	sum = crc32.Update(sum, castagnoli, position[:])
 	return crc32.Update(sum, castagnoli, payload)
 }
 
-// finishFrame makes a frame of room for its head and a payload behind it.
-func finishFrame(b []byte, log, segment uint64, offset, synced int64) {
+// finishFrame fills in the header of a frame: b is room for it, and the payload.
+func finishFrame(b []byte, logID, segment uint64, offset, synced int64) {
 	binary.LittleEndian.PutUint32(b, frameMagic)
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(b)-frameHeaderLen))
 	binary.LittleEndian.PutUint32(b[8:], uint32(synced))
-	binary.LittleEndian.PutUint32(b[12:], frameChecksum(log, segment, offset, b[:12], b[frameHeaderLen:]))
+	binary.LittleEndian.PutUint32(b[12:], frameChecksum(logID, segment, offset, b[:12], b[frameHeaderLen:]))
 }
 
-// decodeFrame reads the frame at an offset of a segment; ok: it is whole and was written there.
-func decodeFrame(b []byte, log, segment uint64, offset int64) (payload []byte, synced int64, ok bool) {
+// decodeFrame decodes the frame at an offset of a segment. ok is false if it is incomplete, damaged,
+// or was written elsewhere.
+func decodeFrame(b []byte, logID, segment uint64, offset int64) (payload []byte, synced int64, ok bool) {
 	b = b[offset:]
 	if len(b) < frameHeaderLen || binary.LittleEndian.Uint32(b) != frameMagic {
 		return nil, 0, false
@@ -118,59 +135,72 @@
 		return nil, 0, false
 	}
 	payload = b[frameHeaderLen : frameHeaderLen+n]
-	return payload, int64(binary.LittleEndian.Uint32(b[8:])), binary.LittleEndian.Uint32(b[12:]) == frameChecksum(log, segment, offset, b[:12], payload)
+	synced = int64(binary.LittleEndian.Uint32(b[8:]))
+	checksum := binary.LittleEndian.Uint32(b[12:])
+	return payload, synced, checksum == frameChecksum(logID, segment, offset, b[:12], payload)
 }
 
-// eachRecord gives each record of a payload. A payload whose sum is right was written by appendRecord, so that it reads wrongly is
-// as good as impossible; it is damage all the same.
-func eachRecord(payload []byte, each func(rec []byte) error) error {
+// eachRecord calls f with each record of a payload. It returns errIncomplete if the payload does not
+// decode, which is damage: a payload with the right checksum was written by appendRecord.
+func eachRecord(payload []byte, f func(record []byte) error) error {
 	for len(payload) > 0 {
-		n, w := binary.Uvarint(payload)
-		if w <= 0 || n > uint64(len(payload)-w) {
+		n, width := binary.Uvarint(payload)
+		if width <= 0 || n > uint64(len(payload)-width) {
 			return errIncomplete
 		}
-		if err := each(payload[w : w+int(n)]); err != nil {
+		if err := f(payload[width : width+int(n)]); err != nil {
 			return err
 		}
-		payload = payload[w+int(n):]
+		payload = payload[width+int(n):]
 	}
 	return nil
 }
 
-func appendRecord(b, rec []byte) []byte {
-	return append(binary.AppendUvarint(b, uint64(len(rec))), rec...)
+func appendRecord(b, record []byte) []byte {
+	return append(binary.AppendUvarint(b, uint64(len(record))), record...)
 }
 
-// scanFrames gives each payload of a segment and where its frame begins, as far as it is whole, and tells how far that is and how much of it is known to have
-// been synced: at least must, which a later segment says.
+// scanFrames calls f with the offset and payload of each frame of a segment, up to the first that is
+// not valid. It returns the end of the valid frames, and how much of the segment is known to have been
+// synced: at least mustHave, which a later segment says.
 //
-// A crash may cut a segment off anywhere behind what was synced, and of what was not synced any part may be there. So what is not a
-// frame there is its end, unless a later frame says that it had been synced: then it is damaged.
-func scanFrames(b []byte, h segmentHeader, must int64, each func(at int64, payload []byte) error) (end, synced int64, err error) {
-	damaged := func(at int64, what string) (int64, int64, error) { return 0, 0, &CorruptError{h.number, at, what} }
-	at := int64(headerLen)
-	synced = max(must, headerLen)
-	for at < int64(len(b)) {
-		payload, claim, ok := decodeFrame(b, h.logID, h.number, at)
+// A crash may cut a segment off anywhere beyond what was synced, and may leave any part of the rest.
+// So an invalid frame ends the segment, unless a later frame or segment says that it had been synced:
+// then the segment is corrupt.
+func scanFrames(b []byte, h segmentHeader, mustHave int64,
+	f func(offset int64, payload []byte) error) (end, synced int64, err error) {
+	end, synced = headerLen, max(mustHave, headerLen)
+	for end < int64(len(b)) {
+		payload, frameSynced, ok := decodeFrame(b, h.logID, h.number, end)
 		if !ok {
 			break
 		}
-		if err := each(at, payload); err != nil {
-			if errors.Is(err, errIncomplete) {
-				return damaged(at, "a record there makes no sense")
-			}
+		if err := f(end, payload); errors.Is(err, errIncomplete) {
+			return 0, 0, &CorruptError{h.number, end, "a record is invalid"}
+		} else if err != nil {
 			return 0, 0, err
 		}
-		synced = max(synced, claim)
-		at += frameHeaderLen + int64(len(payload))
+		synced = max(synced, frameSynced)
+		end += frameHeaderLen + int64(len(payload))
+	}
+	if end < mustHave {
+		reason := fmt.Sprintf("no valid frame, and %d bytes had been synced", mustHave)
+		return 0, 0, &CorruptError{h.number, end, reason}
 	}
-	if at < must {
-		return damaged(at, fmt.Sprintf("no whole frame is there, and %d bytes had been synced", must))
+	if later, found := laterSyncedFrame(b, h, end); found {
+		reason := fmt.Sprintf("no valid frame, and the one at %d says that it had been synced", later)
+		return 0, 0, &CorruptError{h.number, end, reason}
 	}
-	for later := at + 1; later+frameHeaderLen <= int64(len(b)); later++ {
-		if _, claim, ok := decodeFrame(b, h.logID, h.number, later); ok && claim > at {
-			return damaged(at, fmt.Sprintf("no whole frame is there, and the one at %d says that it had been synced", later))
+	return end, synced, nil
+}
+
+// laterSyncedFrame looks for a valid frame behind an offset which says that what stands at the offset
+// had been synced. It returns that frame's offset, and whether there is one.
+func laterSyncedFrame(b []byte, h segmentHeader, offset int64) (int64, bool) {
+	for later := offset + 1; later+frameHeaderLen <= int64(len(b)); later++ {
+		if _, synced, ok := decodeFrame(b, h.logID, h.number, later); ok && synced > offset {
+			return later, true
 		}
 	}
-	return at, synced, nil
+	return 0, false
 }
