--- /dev/null
+++ b/internal/counterclient/client_test.go
@@ -0,0 +1,171 @@
+package counterclient
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"pumicecroft/decision"
+	"pumicecroft/internal/fakes"
+	"pumicecroft/internal/testkit"
+)
+
+// newClient returns a Client that is closed at the end of the test.
+func newClient(t *testing.T, addr string, timeout time.Duration) *Client {
+	t.Helper()
+	c := New(Config{Addr: addr, Timeout: timeout, ConnectTimeout: testkit.Patient})
+	t.Cleanup(c.Close)
+	return c
+}
+
+// newCounter starts a counter that is closed at the end of the test.
+func newCounter(t *testing.T) *fakes.Counter {
+	t.Helper()
+	counter, err := fakes.StartCounter()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(counter.Close)
+	return counter
+}
+
+// add makes a call and waits for its end.
+func add(t *testing.T, c *Client, key uint64, amount float64) decision.CounterResult {
+	t.Helper()
+	results := make(chan decision.CounterResult, 2)
+	c.Add(decision.CounterAdd{Ref: 7, Key: key, Amount: amount, TTL: time.Minute},
+		func(r decision.CounterResult) { results <- r })
+	select {
+	case r := <-results:
+		if r.Ref != 7 {
+			t.Errorf("Ref %d", r.Ref)
+		}
+		return r
+	case <-time.After(2 * testkit.Patient):
+		t.Fatal("the call does not end")
+		return decision.CounterResult{}
+	}
+}
+
+// Amounts are added one after another, then a hundred at once. Each call must get its own total.
+func TestAdd_Totals(t *testing.T) {
+	counter := newCounter(t)
+	c := newClient(t, counter.Addr(), testkit.Patient)
+	for _, call := range []struct{ amount, total float64 }{{3, 3}, {-1.25, 1.75}, {0, 1.75}, {1e-3, 1.751}} {
+		if r := add(t, c, 1<<62, call.amount); r.Result != decision.Succeeded || r.Total != call.total {
+			t.Errorf("%v: %+v, want %v", call.amount, r, call.total)
+		}
+	}
+	counter.TurnAway(true)
+	if r := add(t, c, 1, 1); r.Result != decision.Rejected {
+		t.Errorf("while the counter rejects calls: %+v", r)
+	}
+	counter.TurnAway(false)
+	results := make(chan decision.CounterResult, 100)
+	for i := range 100 {
+		c.Add(decision.CounterAdd{Ref: uint64(i), Key: uint64(1000 + i), Amount: float64(i), TTL: time.Minute},
+			func(r decision.CounterResult) { results <- r })
+	}
+	for range 100 {
+		if r := <-results; r.Result != decision.Succeeded || r.Total != float64(r.Ref) {
+			t.Errorf("%+v", r)
+		}
+	}
+}
+
+// The counter answers with something that is no total. The result must claim no more than this proves: only a
+// rejection proves that nothing was added.
+func TestAdd_InvalidResponses(t *testing.T) {
+	for _, c := range []struct {
+		name, response string
+		want           decision.Result
+	}{
+		{"not a number", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", decision.ConnectionLost},
+		{"not finite", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nInf", decision.ConnectionLost},
+		{"another status", "HTTP/1.1 302 Found\r\nContent-Length: 0\r\n\r\n", decision.ConnectionLost},
+		{"not HTTP", "hello\r\n\r\n", decision.ConnectionLost},
+		{"too long", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n" + fmt.Sprintf("%0100d", 1), decision.ConnectionLost},
+		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1", decision.ConnectionLost},
+		{"bad request", "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", decision.Rejected},
+		{"no response", "", decision.ConnectionLost},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			addr := testkit.Accept(t, func(conn net.Conn) {
+				if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+					_, _ = conn.Write([]byte(c.response))
+				}
+			})
+			if r := add(t, newClient(t, addr, testkit.Patient), 1, 1); r.Result != c.want {
+				t.Errorf("%+v, want result %v", r, c.want)
+			}
+		})
+	}
+}
+
+// The response to a call comes after its timeout. It must not be taken for the response to the next call.
+func TestAdd_LateResponseKeepsItsPlace(t *testing.T) {
+	late := make(chan bool)
+	addr := testkit.Accept(t, func(conn net.Conn) {
+		in := bufio.NewReader(conn)
+		for i := 1; ; i++ {
+			if _, err := http.ReadRequest(in); err != nil {
+				return
+			}
+			if i == 1 {
+				<-late
+			}
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", i)
+		}
+	})
+	c := newClient(t, addr, 50*time.Millisecond)
+	if r := add(t, c, 1, 1); r.Result != decision.TimedOut {
+		t.Errorf("without a response: %+v", r)
+	}
+	c.mu.Lock()
+	c.config.Timeout = testkit.Patient
+	c.mu.Unlock()
+	results := make(chan decision.CounterResult, 1)
+	c.Add(decision.CounterAdd{Key: 2, TTL: time.Minute}, func(r decision.CounterResult) { results <- r })
+	close(late)
+	if r := <-results; r.Result != decision.Succeeded || r.Total != 2 {
+		t.Errorf("the second call: %+v", r)
+	}
+}
+
+// The counter is unreachable, then moves to another address. Calls must end as not added while it can't be
+// reached, follow it, and end at once when the client is closed.
+func TestAdd_UnreachableCounter(t *testing.T) {
+	counter := newCounter(t)
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := unused.Addr().String()
+	_ = unused.Close()
+	c := newClient(t, addr, testkit.Patient)
+	if r := add(t, c, 1, 1); r.Result != decision.ConnectFailed {
+		t.Errorf("connection refused: %+v", r)
+	}
+	c.SetAddr(counter.Addr())
+	if r := add(t, c, 1, 1); r.Result != decision.Succeeded || r.Total != 1 {
+		t.Errorf("after it moved: %+v", r)
+	}
+	c.Close()
+	if r := add(t, c, 1, 1); r.Result != decision.NotSent {
+		t.Errorf("closed: %+v", r)
+	}
+}
+
+// A connection does not come up. The call must end at its timeout, as one that was not sent.
+func TestAdd_ConnectionDoesNotComeUp(t *testing.T) {
+	dial := func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
+	c := New(Config{Addr: "x", Timeout: 20 * time.Millisecond, ConnectTimeout: testkit.Patient, Dial: dial})
+	defer c.Close()
+	if r := add(t, c, 1, 1); r.Result != decision.ConnectFailed {
+		t.Errorf("%+v", r)
+	}
+}
