--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,6 +1,8 @@
-// Package connpool decides what becomes of connections to backends: which kept one a request takes, whether another is
-// opened, how long one rests and stays, and what is closed for room. It is pure: it holds no sockets and reads no clock. Its
-// driver names each connection by an Owner of its own, opens and closes what it is told to, and lets one caller in at a time.
+// Package connpool decides about connections to backends: which idle one a request uses, whether another
+// is opened, how long a connection rests before it is reused, and which one is closed to make room.
+//
+// The package is pure: it holds no sockets and reads no clock. Its driver identifies each connection by
+// an Owner of its own, opens and closes connections as told, and serializes all calls.
 package connpool
 
 import (
@@ -10,96 +12,110 @@
 	"time"
 )
 
-// ErrPoolFull says that as many connections as may be are in use or coming up.
-var ErrPoolFull = errors.New("as many connections as may be are in use")
+// ErrPoolFull is returned by Acquire when Limits.MaxConns connections are in use or being opened.
+var ErrPoolFull = errors.New("connpool: all connections are in use")
 
-// Limits bound a Pool. All count.
+// Limits bounds a Pool. There are no defaults.
 type Limits struct {
-	MaxConns    int           // connections to all places together: idle, in use, or coming up
-	IdleTimeout time.Duration // one that was idle for so long is closed
-	// ReuseDelay is how long a connection rests after an answer before the next request may use it: what comes right behind an
-	// answer has mostly come by then, and marks the connection as unclean.
+	MaxConns    int           // to all destinations together: idle, in use, or being opened
+	IdleTimeout time.Duration // a connection that was idle for so long is closed
+	// ReuseDelay is how long a connection rests after a response. Surplus bytes behind a response have
+	// mostly arrived by then, and show that the connection must not be used again.
 	ReuseDelay time.Duration
-	// MinReuseDelay is how long it rests where as many connections as may be are there: then the longest idle one of a place, rather than none.
+	// MinReuseDelay takes the place of ReuseDelay when MaxConns connections exist: then the connection
+	// of the destination that was idle for longest is used.
 	MinReuseDelay time.Duration
 }
 
-// Destination is where connections of one backend's process at one address are kept. What belongs to another process or another
-// backend, if only at the same address, has a Place of its own.
+// Destination is one process of a backend at one address, with the idle connections to it. Another
+// process or backend has a Destination of its own, even at the same address.
 type Destination struct {
 	Addr   string
-	idle   []*Conn // the longest idle first
+	idle   []*Conn // the one that was idle for longest first
 	closed bool
 }
 
 // Conn is one connection, as the pool knows it.
 type Conn struct {
-	Owner       any // its driver's
+	Owner       any // the driver's connection
 	destination *Destination
-	idleSince   time.Duration // when it became idle
-	idleElem    *list.Element // in Pool.idle; nil: it is in use
+	idleSince   time.Duration
+	idleElem    *list.Element // in Pool.idle; nil: in use
 	used        bool
 }
 
-// Used tells whether it has carried an answer: its other side may have closed it since.
+// Used reports whether the connection has carried a response: the other side may have closed it since.
 func (c *Conn) Used() bool { return c.used }
 
-// Pool bounds the connections to all places together and keeps idle ones for the next request.
+// Pool bounds the connections to all destinations together and keeps idle ones for further requests.
 type Pool struct {
 	limits  Limits
-	count   int        // idle, in use or coming up
-	idle    *list.List // of *Conn, over all places, the longest idle first
+	count   int        // idle, in use or being opened
+	idle    *list.List // of *Conn, the one that was idle for longest first
 	closed  bool
 	toClose []*Conn
 }
 
-// New makes an empty one.
+// New returns an empty Pool.
 func New(l Limits) *Pool { return &Pool{limits: l, idle: list.New()} }
 
-// Count is how many connections there are: idle, in use or coming up.
+// Count returns the number of connections: idle, in use or being opened.
 func (p *Pool) Count() int { return p.count }
 
-// Idle is how many are idle.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int { return p.idle.Len() }
 
-// Acquire gives a kept connection, which the driver must look at before it is used: one on which something has come is
-// dropped, as that would be read as the next request's answer. Or else, with nil, it counts one that is to be opened; it is
-// owed one call of Opened or Release. fresh asks for that. The newest kept one comes first: it is the least likely to have
-// been closed meanwhile.
-func (p *Pool) Acquire(now time.Duration, at *Destination, fresh bool) (*Conn, error) {
-	for i := len(at.idle) - 1; i >= 0 && !fresh; i-- {
-		c := at.idle[i]
-		if now-c.idleSince < p.limits.ReuseDelay {
-			continue
-		}
-		p.removeIdle(c)
-		if now-c.idleSince < p.limits.IdleTimeout {
+// Acquire returns an idle connection to a destination, the most recently used that has rested: it is the
+// least likely to have been closed by the other side. Before use the driver must check that no byte has
+// arrived on it, and discard it otherwise: that byte would be read as the response to the next request.
+//
+// If Acquire returns neither a connection nor an error, the driver is to open one, and owes one call of
+// Opened or OpenFailed. fresh asks for a new connection. The error is ErrPoolFull.
+func (p *Pool) Acquire(now time.Duration, to *Destination, fresh bool) (*Conn, error) {
+	if !fresh {
+		if c := p.acquireRested(now, to); c != nil {
 			return c, nil
 		}
-		p.Discard(c)
 	}
 	if p.count >= p.limits.MaxConns {
-		if !fresh && len(at.idle) > 0 && now-at.idle[0].idleSince >= p.limits.MinReuseDelay {
-			c := at.idle[0]
+		if !fresh && len(to.idle) > 0 && now-to.idle[0].idleSince >= p.limits.MinReuseDelay {
+			c := to.idle[0]
 			p.removeIdle(c)
 			return c, nil
 		}
 		if p.idle.Len() == 0 {
 			return nil, ErrPoolFull
 		}
-		p.evict(p.idle.Front().Value.(*Conn))
+		p.evict(p.longestIdle())
 	}
 	p.count++
 	return nil, nil
 }
 
-// Opened is the connection that Take counted, which is up and in use now.
-func (p *Pool) Opened(at *Destination, owner any) *Conn { return &Conn{Owner: owner, destination: at} }
+// acquireRested takes the most recently used connection that has rested for ReuseDelay, and discards
+// those that it finds past IdleTimeout. It returns nil if there is none.
+func (p *Pool) acquireRested(now time.Duration, to *Destination) *Conn {
+	for i := len(to.idle) - 1; i >= 0; i-- {
+		c := to.idle[i]
+		if now-c.idleSince < p.limits.ReuseDelay {
+			continue
+		}
+		p.removeIdle(c)
+		if now-c.idleSince < p.limits.IdleTimeout {
+			return c
+		}
+		p.Discard(c)
+	}
+	return nil
+}
 
-// OpenFailed gives back the room of one that Take counted and that never came up.
+// Opened returns the connection that Acquire asked for. It is in use.
+func (p *Pool) Opened(to *Destination, owner any) *Conn { return &Conn{Owner: owner, destination: to} }
+
+// OpenFailed says that the connection that Acquire asked for could not be opened.
 func (p *Pool) OpenFailed() { p.count-- }
 
-// Put keeps a connection whose answer has been read whole, with nothing behind it so far.
+// Put makes a connection idle. Its response must have been read to the end, with nothing behind it.
 func (p *Pool) Put(now time.Duration, c *Conn) {
 	if p.closed || c.destination.closed {
 		p.Discard(c)
@@ -110,53 +126,57 @@
 	c.idleElem = p.idle.PushBack(c)
 }
 
-// Discard closes a connection that was in use.
+// Discard removes a connection that was in use.
 func (p *Pool) Discard(c *Conn) {
 	p.toClose = append(p.toClose, c)
 	p.count--
 }
 
-// CloseDestination ends a place: its idle connections now, those in use when they come back.
-func (p *Pool) CloseDestination(at *Destination) {
-	at.closed = true
-	for _, c := range slices.Backward(at.idle) {
+// CloseDestination closes the idle connections of a destination now, and those in use when they are put
+// back.
+func (p *Pool) CloseDestination(to *Destination) {
+	to.closed = true
+	for _, c := range slices.Backward(to.idle) {
 		p.idle.Remove(c.idleElem)
 		c.idleElem = nil
 		p.Discard(c)
 	}
-	at.idle = nil
+	to.idle = nil
 }
 
-// Close keeps nothing from now on.
+// Close closes all idle connections now, and those in use when they are put back.
 func (p *Pool) Close() {
 	p.closed = true
 	for p.idle.Len() > 0 {
-		p.evict(p.idle.Front().Value.(*Conn))
+		p.evict(p.longestIdle())
 	}
 }
 
-// CloseExpired closes what has been idle for too long.
+// CloseExpired closes the connections that have been idle for IdleTimeout.
 func (p *Pool) CloseExpired(now time.Duration) {
 	for at, ok := p.NextExpiry(); ok && at <= now; at, ok = p.NextExpiry() {
-		p.evict(p.idle.Front().Value.(*Conn))
+		p.evict(p.longestIdle())
 	}
 }
 
-// NextExpiry is when Sweep wants to be called, if anything is idle.
+// NextExpiry returns when CloseExpired is to be called. ok is false if no connection is idle.
 func (p *Pool) NextExpiry() (at time.Duration, ok bool) {
 	if p.idle.Len() == 0 {
 		return 0, false
 	}
-	return p.idle.Front().Value.(*Conn).idleSince + p.limits.IdleTimeout, true
+	return p.longestIdle().idleSince + p.limits.IdleTimeout, true
 }
 
-// TakeDiscarded gives the connections that are to be closed since the last call, each once.
+// TakeDiscarded returns the connections that the driver must close, each once.
 func (p *Pool) TakeDiscarded() []*Conn {
-	out := p.toClose
+	discarded := p.toClose
 	p.toClose = nil
-	return out
+	return discarded
 }
 
+// longestIdle returns the connection that was idle for longest. There must be an idle one.
+func (p *Pool) longestIdle() *Conn { return p.idle.Front().Value.(*Conn) }
+
 func (p *Pool) removeIdle(c *Conn) {
 	p.idle.Remove(c.idleElem)
 	c.idleElem = nil
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -8,185 +8,237 @@
 	"pgregory.net/rapid"
 )
 
-// model is a pool as plainly as it can be said.
+// model is the simplest pool, beside the pool under test.
 type model struct {
+	pool   *Pool
 	limits Limits
-	opens  int // coming up
-	inUse  map[*Conn]*Destination
-	idle   []kept // the longest idle first
-	closed map[*Destination]bool
-	ended  bool
+	now    time.Duration
+
+	destinations []*Destination
+	opening      []*Destination // of the connections being opened
+	inUse        map[*Conn]*Destination
+	idle         []idleConn // the one that was idle for longest first
+	closedDests  map[*Destination]bool
+	ended        bool
+	closedConns  map[*Conn]bool
+	lastOwner    int
 }
 
-type kept struct {
-	c  *Conn
-	at *Destination
-	t  time.Duration
+type idleConn struct {
+	conn  *Conn
+	to    *Destination
+	since time.Duration
 }
 
-func (m *model) count() int { return m.opens + len(m.inUse) + len(m.idle) }
+func newModel(t *rapid.T) *model {
+	limits := Limits{
+		MaxConns:      rapid.IntRange(1, 4).Draw(t, "max"),
+		IdleTimeout:   10,
+		ReuseDelay:    3,
+		MinReuseDelay: time.Duration(rapid.IntRange(1, 3).Draw(t, "min delay")),
+	}
+	return &model{
+		pool:         New(limits),
+		limits:       limits,
+		destinations: []*Destination{{Addr: "a"}, {Addr: "b"}, {Addr: "a"}},
+		inUse:        map[*Conn]*Destination{},
+		closedDests:  map[*Destination]bool{},
+		closedConns:  map[*Conn]bool{},
+	}
+}
 
-// Whatever is asked of a pool, it does what the model does: what it gives is of the place, rested and not too old, the newest
-// first; each connection is closed once and never given again; the bound holds; and at the end nothing is left.
-func TestAgainstAModel(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{MaxConns: rapid.IntRange(1, 4).Draw(t, "most"), IdleTimeout: 10, ReuseDelay: 3, MinReuseDelay: time.Duration(rapid.IntRange(1, 3).Draw(t, "least"))}
-		p := New(limits)
-		m := &model{limits: limits, inUse: map[*Conn]*Destination{}, closed: map[*Destination]bool{}}
-		places := []*Destination{{Addr: "a"}, {Addr: "b"}, {Addr: "a"}}
-		now, opening, shut := time.Duration(0), []*Destination(nil), map[*Conn]bool{}
-		drop := func(want ...*Conn) { // what the model has let go of is what the pool closes
-			got := p.TakeDiscarded()
-			slices.SortFunc(got, func(a, b *Conn) int { return a.Owner.(int) - b.Owner.(int) })
-			slices.SortFunc(want, func(a, b *Conn) int { return a.Owner.(int) - b.Owner.(int) })
-			if !slices.Equal(got, want) {
-				t.Fatalf("closes %d, want %d", len(got), len(want))
-			}
-			for _, c := range got {
-				if shut[c] {
-					t.Fatal("a connection is closed twice")
-				}
-				shut[c] = true
-			}
+func (m *model) count() int { return len(m.opening) + len(m.inUse) + len(m.idle) }
+
+func sortByOwner(conns []*Conn) {
+	slices.SortFunc(conns, func(a, b *Conn) int { return a.Owner.(int) - b.Owner.(int) })
+}
+
+// checkDiscarded compares the connections that the pool wants closed with those that it must.
+func (m *model) checkDiscarded(t *rapid.T, want ...*Conn) {
+	t.Helper()
+	got := m.pool.TakeDiscarded()
+	sortByOwner(got)
+	sortByOwner(want)
+	if !slices.Equal(got, want) {
+		t.Fatalf("closes %d, want %d", len(got), len(want))
+	}
+	for _, c := range got {
+		if m.closedConns[c] {
+			t.Fatal("a connection is closed twice")
 		}
-		number := 0
-		any := func(of map[*Conn]*Destination) *Conn {
-			var all []*Conn
-			for c := range of {
-				all = append(all, c)
-			}
-			slices.SortFunc(all, func(a, b *Conn) int { return a.Owner.(int) - b.Owner.(int) })
-			if len(all) == 0 {
-				t.Skip("none in use")
-			}
-			return rapid.SampledFrom(all).Draw(t, "connection")
+		m.closedConns[c] = true
+	}
+}
+
+// drawInUse draws one of the connections in use.
+func (m *model) drawInUse(t *rapid.T) *Conn {
+	var conns []*Conn
+	for c := range m.inUse {
+		conns = append(conns, c)
+	}
+	sortByOwner(conns)
+	if len(conns) == 0 {
+		t.Skip("none in use")
+	}
+	return rapid.SampledFrom(conns).Draw(t, "connection")
+}
+
+// takeIdle removes idle connections as Acquire must: it returns the one to use, nil if there is none, and those
+// to close.
+func (m *model) takeIdle(to *Destination) (conn *Conn, expired []*Conn) {
+	for i := len(m.idle) - 1; i >= 0; i-- {
+		idle := m.idle[i]
+		if idle.to != to || m.now-idle.since < m.limits.ReuseDelay {
+			continue
+		}
+		m.idle = slices.Delete(m.idle, i, i+1)
+		if m.now-idle.since < m.limits.IdleTimeout {
+			return idle.conn, expired
+		}
+		expired = append(expired, idle.conn)
+	}
+	first := slices.IndexFunc(m.idle, func(idle idleConn) bool { return idle.to == to })
+	if m.count() >= m.limits.MaxConns && first >= 0 && m.now-m.idle[first].since >= m.limits.MinReuseDelay {
+		conn = m.idle[first].conn
+		m.idle = slices.Delete(m.idle, first, first+1)
+	}
+	return conn, expired
+}
+
+func (m *model) acquire(t *rapid.T) {
+	to := rapid.SampledFrom(m.destinations).Draw(t, "destination")
+	fresh := rapid.Bool().Draw(t, "fresh")
+	var want *Conn
+	var closed []*Conn
+	if !fresh {
+		want, closed = m.takeIdle(to)
+	}
+	c, err := m.pool.Acquire(m.now, to, fresh)
+	if c != want {
+		t.Fatalf("returns %v, want %v", c, want)
+	}
+	switch full := m.count() >= m.limits.MaxConns; {
+	case want != nil:
+		m.inUse[c] = to
+	case full && len(m.idle) == 0:
+		if err == nil {
+			t.Fatal("over the limit")
+		}
+	default:
+		if full {
+			closed = append(closed, m.idle[0].conn)
+			m.idle = m.idle[1:]
 		}
-		old := func() (out []*Conn) { // idle for too long
-			for len(m.idle) > 0 && now-m.idle[0].t >= limits.IdleTimeout {
-				out = append(out, m.idle[0].c)
-				m.idle = m.idle[1:]
-			}
-			return out
+		if err != nil {
+			t.Fatal(err)
+		}
+		m.opening = append(m.opening, to)
+	}
+	m.checkDiscarded(t, closed...)
+}
+
+func (m *model) open(t *rapid.T) {
+	if len(m.opening) == 0 {
+		t.Skip("none is being opened")
+	}
+	to := m.opening[0]
+	m.opening = m.opening[1:]
+	if rapid.Bool().Draw(t, "succeeds") {
+		m.lastOwner++
+		m.inUse[m.pool.Opened(to, m.lastOwner)] = to
+	} else {
+		m.pool.OpenFailed()
+	}
+}
+
+func (m *model) put(t *rapid.T) {
+	c := m.drawInUse(t)
+	to := m.inUse[c]
+	delete(m.inUse, c)
+	m.pool.Put(m.now, c)
+	if m.ended || m.closedDests[to] {
+		m.checkDiscarded(t, c)
+		return
+	}
+	m.idle = append(m.idle, idleConn{c, to, m.now})
+	if !c.Used() {
+		t.Fatal("a connection that carried a response is not used")
+	}
+}
+
+func (m *model) discard(t *rapid.T) {
+	c := m.drawInUse(t)
+	delete(m.inUse, c)
+	m.pool.Discard(c)
+	m.checkDiscarded(t, c)
+}
+
+func (m *model) closeDestination(t *rapid.T) {
+	i := rapid.IntRange(0, len(m.destinations)-1).Draw(t, "destination")
+	to := m.destinations[i]
+	m.pool.CloseDestination(to)
+	m.closedDests[to] = true
+	var closed []*Conn
+	m.idle = slices.DeleteFunc(m.idle, func(idle idleConn) bool {
+		if idle.to == to {
+			closed = append(closed, idle.conn)
 		}
+		return idle.to == to
+	})
+	m.checkDiscarded(t, closed...)
+	m.destinations[i] = &Destination{Addr: to.Addr}
+}
+
+func (m *model) closeExpired(t *rapid.T) {
+	m.pool.CloseExpired(m.now)
+	var expired []*Conn
+	for len(m.idle) > 0 && m.now-m.idle[0].since >= m.limits.IdleTimeout {
+		expired = append(expired, m.idle[0].conn)
+		m.idle = m.idle[1:]
+	}
+	m.checkDiscarded(t, expired...)
+}
+
+func (m *model) close(t *rapid.T) {
+	if rapid.IntRange(0, 9).Draw(t, "really") > 0 {
+		t.Skip("not yet")
+	}
+	m.pool.Close()
+	m.ended = true
+	var closed []*Conn
+	for _, idle := range m.idle {
+		closed = append(closed, idle.conn)
+	}
+	m.idle = nil
+	m.checkDiscarded(t, closed...)
+}
+
+func (m *model) checkCounts(t *rapid.T) {
+	if m.pool.Count() != m.count() || m.pool.Idle() != len(m.idle) || m.pool.Count() > m.limits.MaxConns {
+		t.Fatalf("%d connections, %d idle, want %d and %d", m.pool.Count(), m.pool.Idle(), m.count(), len(m.idle))
+	}
+	at, ok := m.pool.NextExpiry()
+	if ok != (len(m.idle) > 0) || ok && at != m.idle[0].since+m.limits.IdleTimeout {
+		t.Fatalf("next expiry at %v, %v", at, ok)
+	}
+}
+
+// The pool is used in any order. It must do as the model does: a connection that it returns is of the
+// destination, rested, not expired, and the most recently used; each is closed once and never returned again;
+// the limit holds.
+func TestPool_AgainstModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"wait": func(t *rapid.T) { now += time.Duration(rapid.IntRange(0, 6).Draw(t, "for")) },
-			"take": func(t *rapid.T) {
-				at, fresh := rapid.SampledFrom(places).Draw(t, "place"), rapid.Bool().Draw(t, "fresh")
-				var want *Conn
-				var gone []*Conn
-				for i := len(m.idle) - 1; i >= 0 && !fresh && want == nil; i-- {
-					if k := m.idle[i]; k.at == at && now-k.t >= limits.ReuseDelay {
-						m.idle = slices.Delete(m.idle, i, i+1)
-						if now-k.t < limits.IdleTimeout {
-							want = k.c
-						} else {
-							gone = append(gone, k.c)
-						}
-					}
-				}
-				first := slices.IndexFunc(m.idle, func(k kept) bool { return k.at == at })
-				if !fresh && want == nil && m.count() >= limits.MaxConns && first >= 0 && now-m.idle[first].t >= limits.MinReuseDelay {
-					want = m.idle[first].c
-					m.idle = slices.Delete(m.idle, first, first+1)
-				}
-				c, err := p.Acquire(now, at, fresh)
-				if c != want {
-					t.Fatalf("gives %v, want %v", c, want)
-				}
-				switch full := m.count() >= limits.MaxConns; {
-				case want != nil:
-					m.inUse[c] = at
-				case full && len(m.idle) == 0:
-					if err == nil {
-						t.Fatal("over the bound")
-					}
-				default:
-					if full {
-						gone = append(gone, m.idle[0].c)
-						m.idle = m.idle[1:]
-					}
-					if err != nil {
-						t.Fatal(err)
-					}
-					m.opens++
-					opening = append(opening, at)
-				}
-				drop(gone...)
-			},
-			"opened": func(t *rapid.T) {
-				if len(opening) == 0 {
-					t.Skip("none comes up")
-				}
-				at := opening[0]
-				opening = opening[1:]
-				m.opens--
-				if rapid.Bool().Draw(t, "well") {
-					number++
-					m.inUse[p.Opened(at, number)] = at
-				} else {
-					p.OpenFailed()
-				}
-			},
-			"put": func(t *rapid.T) {
-				c := any(m.inUse)
-				at := m.inUse[c]
-				delete(m.inUse, c)
-				p.Put(now, c)
-				if m.ended || m.closed[at] {
-					drop(c)
-					return
-				}
-				m.idle = append(m.idle, kept{c, at, now})
-				if !c.Used() {
-					t.Fatal("a connection that carried an answer is not used")
-				}
-			},
-			"drop": func(t *rapid.T) {
-				c := any(m.inUse)
-				delete(m.inUse, c)
-				p.Discard(c)
-				drop(c)
-			},
-			"clear": func(t *rapid.T) {
-				i := rapid.IntRange(0, len(places)-1).Draw(t, "place")
-				at := places[i]
-				p.CloseDestination(at)
-				m.closed[at] = true
-				var gone []*Conn
-				m.idle = slices.DeleteFunc(m.idle, func(k kept) bool {
-					if k.at == at {
-						gone = append(gone, k.c)
-					}
-					return k.at == at
-				})
-				drop(gone...)
-				places[i] = &Destination{Addr: at.Addr}
-			},
-			"sweep": func(t *rapid.T) {
-				p.CloseExpired(now)
-				drop(old()...)
-			},
-			"end": func(t *rapid.T) {
-				if rapid.IntRange(0, 9).Draw(t, "really") > 0 {
-					t.Skip("not yet")
-				}
-				p.Close()
-				m.ended = true
-				var gone []*Conn
-				for _, k := range m.idle {
-					gone = append(gone, k.c)
-				}
-				m.idle = nil
-				drop(gone...)
-			},
-			"": func(t *rapid.T) {
-				if p.Count() != m.count() || p.Idle() != len(m.idle) || p.Count() > limits.MaxConns {
-					t.Fatalf("%d connections, %d idle, want %d and %d", p.Count(), p.Idle(), m.count(), len(m.idle))
-				}
-				if at, ok := p.NextExpiry(); ok != (len(m.idle) > 0) || ok && at != m.idle[0].t+limits.IdleTimeout {
-					t.Fatalf("next at %v, %v", at, ok)
-				}
-			},
+			"wait":              func(t *rapid.T) { m.now += time.Duration(rapid.IntRange(0, 6).Draw(t, "duration")) },
+			"acquire":           m.acquire,
+			"open":              m.open,
+			"put":               m.put,
+			"discard":           m.discard,
+			"close destination": m.closeDestination,
+			"close expired":     m.closeExpired,
+			"close":             m.close,
+			"":                  m.checkCounts,
 		})
 	})
 }
--- a/internal/platformhttp/exchange.go
+++ b/internal/platformhttp/exchange.go
@@ -10,86 +10,99 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// ResponseReadTimeout bounds an answer that has begun and did not come whole at once: one that does not end within it is a spoilt one,
-// as backends write theirs at once.
+// ResponseReadTimeout bounds a response that has begun and did not arrive in one piece. Backends write
+// theirs at once, so one that does not end within it is broken.
 const ResponseReadTimeout = 500 * time.Millisecond
 
+// Status codes of the platform's protocol.
+const (
+	statusOK                 = 200
+	statusServiceUnavailable = 503
+	statusGatewayTimeout     = 504
+)
+
 // Op is what an Exchange wants done next.
 type Op uint8
 
-// The operations. Each is answered by the method of its name, once.
+// The operations, with the method that takes the result. Each is to be called once.
 const (
-	CheckConn Op = iota // whether anything has come on the kept connection Conn: Looked
-	Dial                // a connection to Addr: Dialed
-	Write               // what Text gives, on Conn: Wrote
-	Read                // what comes next on Conn, into Room; from when it is set, by Until: Came
-	Finish              // nothing: call Finish, which gives End
-	End                 // nothing any more: Result, Answer and Err are there
+	CheckConn Op = iota // whether any byte has come on the idle connection Conn: ConnChecked
+	Dial                // open a connection to Addr: Dialed
+	Write               // write what AppendRequest gives on Conn: Wrote
+	Read                // read from Conn into ReadBuffer, until ReadDeadline if that is set: Received
+	Finish              // nothing to do: call Finish, which returns End
+	End                 // the exchange has ended: Result, Response and Err are set
 )
 
-// CancelReason says why an attempt was called off.
+// CancelReason says why an attempt was cancelled.
 type CancelReason uint8
 
 // The reasons.
 const (
-	NotCancelled CancelReason = iota // it was not
-	Cancelled                        // its request wants it no more
-	TimedOut                         // its time is up
+	NotCancelled CancelReason = iota
+	Cancelled                 // the request does not need it any more
+	TimedOut                  // its deadline has passed
 )
 
-// Why an attempt was not made or came to nothing, beside what its I/O says.
+// Why an attempt was not made or failed, beside the errors of its I/O.
 var (
-	// ErrNoDescriptors is what a dial ends with that could not be tried for want of descriptors: it says nothing of the backend.
-	ErrNoDescriptors = errors.New("too few descriptors")
-	// ErrSendForbidden is what Wrote is told of a request that must not leave any more.
-	ErrSendForbidden = errors.New("the backend may be sent nothing new")
-	errConnClosed    = errors.New("the connection ended before an answer")
+	// ErrNoDescriptors is a dial that failed because this process has no file descriptors left. It says
+	// nothing about the backend.
+	ErrNoDescriptors = errors.New("platformhttp: out of file descriptors")
+	// ErrSendForbidden is a request that must not leave any more.
+	ErrSendForbidden = errors.New("platformhttp: sending is not allowed any more")
+
+	errConnClosed = errors.New("platformhttp: connection ended before a response")
 )
 
-// Exchange is one attempt: it takes a connection, sends its request once and reads the answer. It never sends a request
-// whose last byte may have left again, and its outcome claims no more than what was seen proves. Its driver carries out one
-// operation at a time and says how it ended. The methods that say so touch the Fleet; the others may be called beside them.
-// Times are the Fleet's; the zero time is never.
+// Exchange is one attempt: it acquires a connection, sends its request once and reads the response. It
+// never sends a request again whose last byte may have left, and its outcome claims no more than what was
+// observed proves. Its driver carries out one operation at a time and reports the result. Methods that
+// say that they use the BackendSet are serialized with those of the set; the others need not be. Times are
+// on the set's clock.
 type Exchange struct {
 	Result       lifecycle.Outcome
-	Response     *Response             // of one that was answered well
-	Err          error                 // what went wrong, for people
-	Conn         *connpool.Conn        // in use, from Look or Opened until Finish
-	Destination  *connpool.Destination // where it leads; nil: the backend may be sent nothing
-	ReadDeadline time.Duration         // what has begun must have come whole by then; 0: nothing has, or all has
+	Response     *Response             // of an attempt that succeeded
+	Err          error                 // why it failed, for logs
+	Conn         *connpool.Conn        // in use, from CheckConn or Dialed until Finish
+	Destination  *connpool.Destination // nil: the backend may not be sent requests
+	ReadDeadline time.Duration         // for the rest of a response that has begun; 0: none
+
 	backends     *BackendSet
 	id           decision.BackendID
 	request      *Request
 	deadline     time.Duration
-	notAfter     time.Duration // it must not leave after that; 0: none
+	notAfter     time.Duration // the request must not leave later; 0: no limit
 	cancelReason CancelReason
 	reader       responseReader
-	failed       bool // there is no answer that can be used
+	failed       bool // there is no usable response
 }
 
-// Start begins an attempt at a backend, that ends by due, and whose request must not leave after latest, if that is not 0. It
-// touches the Fleet.
-func (x *Exchange) Start(f *BackendSet, id decision.BackendID, m *Request, due, latest, now time.Duration) Op {
-	*x = Exchange{backends: f, id: id, request: m, deadline: due, notAfter: latest, reader: responseReader{raw: x.reader.raw}}
+// Start begins an attempt at a backend. It ends by deadline, and its request must not leave after notAfter;
+// 0: no limit. It uses the BackendSet.
+func (x *Exchange) Start(s *BackendSet, id decision.BackendID, m *Request,
+	deadline, notAfter, now time.Duration) Op {
+	*x = Exchange{backends: s, id: id, request: m, deadline: deadline, notAfter: notAfter,
+		reader: responseReader{raw: x.reader.raw}}
 	x.Result.Result = decision.NotSent
-	if x.Destination = f.readyDestination(id); x.Destination == nil {
+	if x.Destination = s.readyDestination(id); x.Destination == nil {
 		return End
 	}
 	return x.connect(now, false)
 }
 
-// Cancel says that nobody waits for the attempt any more; the operation that it is in is cut short by its driver and still
-// answered. Only the first reason counts.
-func (x *Exchange) Cancel(why CancelReason) {
+// Cancel says that nobody waits for the attempt any more. The driver cuts short the operation in progress
+// and still reports its result. Only the first reason counts.
+func (x *Exchange) Cancel(reason CancelReason) {
 	if x.cancelReason == NotCancelled {
-		x.cancelReason = why
+		x.cancelReason = reason
 	}
 }
 
-// Addr is where Dial leads.
+// Addr returns the address to dial.
 func (x *Exchange) Addr() string { return x.Destination.Addr }
 
-// connect takes a connection, kept or new.
+// connect acquires an idle connection, or asks for a new one.
 func (x *Exchange) connect(now time.Duration, fresh bool) Op {
 	if x.cancelReason != NotCancelled {
 		return x.endUnsent(ErrSendForbidden)
@@ -105,7 +118,8 @@
 	return Dial
 }
 
-// ConnChecked says whether nothing has come on the connection and its other side holds it. It touches the Fleet.
+// ConnChecked reports whether the idle connection is clean: no byte has come on it, and the other side has
+// not closed it. It uses the BackendSet.
 func (x *Exchange) ConnChecked(now time.Duration, clean bool) Op {
 	if clean {
 		return x.connected(now)
@@ -114,7 +128,8 @@
 	return x.connect(now, false)
 }
 
-// Dialed says whether the connection is up; owner is what its driver knows it by. It touches the Fleet.
+// Dialed reports whether the connection is open; owner is what the driver knows it by. It uses the
+// BackendSet.
 func (x *Exchange) Dialed(now time.Duration, owner any, err error) Op {
 	if err != nil {
 		x.backends.Pool.OpenFailed()
@@ -124,20 +139,22 @@
 	return x.connected(now)
 }
 
-// connected looks once more whether the backend may be sent anything: a connection may have taken long to come up.
+// connected checks again whether the backend may be sent requests, as opening a connection may have taken
+// long.
 func (x *Exchange) connected(now time.Duration) Op {
-	if x.cancelReason != NotCancelled || x.tooLate(now) || x.backends.readyDestination(x.id) != x.Destination {
+	if x.cancelReason != NotCancelled || x.tooLate(now) ||
+		x.backends.readyDestination(x.id) != x.Destination {
 		x.discardConn()
 		return x.endUnsent(ErrSendForbidden)
 	}
 	return Write
 }
 
-// tooLate tells whether the request must not leave any more.
+// tooLate reports whether the request must not leave any more.
 func (x *Exchange) tooLate(now time.Duration) bool { return x.notAfter > 0 && now > x.notAfter }
 
-// AppendRequest appends what is to be written. An error says that it is too late for that, as this process may have stood still since
-// Write was wanted; Wrote takes it.
+// AppendRequest appends what is to be written. It returns ErrSendForbidden, for Wrote, if it is too late:
+// the process may have been paused since it was told to write.
 func (x *Exchange) AppendRequest(b []byte, now time.Duration) ([]byte, error) {
 	if x.tooLate(now) {
 		return b, ErrSendForbidden
@@ -145,42 +162,43 @@
 	return x.request.Append(b, x.deadline-now), nil
 }
 
-// Wrote says whether all has been written. If not, its last byte was not, so it has never run. A kept connection that turns
-// out to be dead before then is made up for by a new one. room is what the answer is read into. It touches the Fleet.
-func (x *Exchange) Wrote(now time.Duration, room []byte, err error) Op {
+// Wrote reports whether all was written. If not, the last byte was not, so the request can't have been
+// executed; if the connection was idle before, a new one takes its place. buffer is where the response
+// is read into. It uses the BackendSet if err is not nil.
+func (x *Exchange) Wrote(now time.Duration, buffer []byte, err error) Op {
 	if err == nil {
-		x.reader.reset(x.request.Method, room)
+		x.reader.reset(x.request.Method, buffer)
 		return Read
 	}
-	kept := x.Conn.Used()
+	reused := x.Conn.Used()
 	x.discardConn()
-	if !kept || x.cancelReason != NotCancelled {
+	if !reused || x.cancelReason != NotCancelled {
 		return x.endUnsent(err)
 	}
 	return x.connect(now, true)
 }
 
-// ReadBuffer is where Read puts what comes.
+// ReadBuffer returns where the next bytes are to be read into.
 func (x *Exchange) ReadBuffer() []byte { return x.reader.buffer() }
 
-// ReusableBuffer is what the room for the next answer on this connection may be.
+// ReusableBuffer returns the buffer for the next response on this connection.
 func (x *Exchange) ReusableBuffer() []byte { return x.reader.raw[:0] }
 
-// Received says that n bytes have come into Room, and how reading ended if it did.
+// Received reports that n bytes were read into ReadBuffer, and the error with which reading ended.
 func (x *Exchange) Received(now time.Duration, n int, err error) Op {
-	whole, bad := x.reader.advance(n)
+	complete, invalid := x.reader.advance(n)
 	switch {
-	case whole:
+	case complete:
 		x.onResponse()
 		return Finish
-	case bad != nil:
-		x.Err = bad
+	case invalid != nil:
+		x.Err = invalid
 	case err != nil && !x.reader.started():
 		x.Err = fmt.Errorf("%w: %w", errConnClosed, err)
 	case err != nil:
 		x.Err = err
 	default:
-		if x.ReadDeadline == 0 && x.reader.started() { // most answers come in one piece, and then there is nothing to time
+		if x.ReadDeadline == 0 && x.reader.started() { // most responses come in one piece, without a deadline
 			x.ReadDeadline = now + ResponseReadTimeout
 		}
 		return Read
@@ -189,24 +207,25 @@
 	return Finish
 }
 
-// onResponse is an answer that is whole.
+// onResponse sets the outcome from a complete response.
 func (x *Exchange) onResponse() {
 	h := &x.reader.header
 	switch {
-	case h.status == 200:
-		x.Result.Result, x.Response = decision.Succeeded, &Response{ContentType: h.contentType, Body: x.reader.body}
-	case (h.status == 503 || h.status == 504) && h.notStarted:
+	case h.status == statusOK:
+		x.Result.Result = decision.Succeeded
+		x.Response = &Response{ContentType: h.contentType, Body: x.reader.body}
+	case (h.status == statusServiceUnavailable || h.status == statusGatewayTimeout) && h.notStarted:
 		x.Result.Result = decision.Rejected
 	default:
-		x.Result.Result = decision.ErrorResponse // it may have run
+		x.Result.Result = decision.ErrorResponse // it may have been executed
 	}
-	if v, ok := x.backends.loadReader.Use(h.usage); ok {
-		x.Result.HasUsage, x.Result.Usage = true, v
+	if usage, ok := x.backends.loadReader.Use(h.usage); ok {
+		x.Result.HasUsage, x.Result.Usage = true, usage
 	}
 	x.Result.LoadReport = x.backends.loadReader.Load(h.load)
 }
 
-// Finish gives the connection back and says what the end proves. It touches the Fleet.
+// Finish gives the connection back and sets the result that the end proves. It uses the BackendSet.
 func (x *Exchange) Finish(now time.Duration) Op {
 	if !x.failed && x.cancelReason == NotCancelled && !x.reader.header.close && !x.reader.trailing {
 		x.backends.Pool.Put(now, x.Conn)
@@ -222,19 +241,20 @@
 		x.Result.Result = decision.TimedOut
 	case errors.Is(x.Err, errConnClosed):
 		x.Result.Result = decision.ConnectionLost
-	default: // spoilt: the backend is as well as before, and the request may have run
+	default: // an invalid response: the backend is no worse than before, and the request may have been executed
 		x.Result.Result = decision.Unknown
 	}
 	return End
 }
 
-// endUnsent ends an attempt that has provably never run.
+// endUnsent ends an attempt that was provably not executed.
 func (x *Exchange) endUnsent(err error) Op {
 	x.Err = err
 	switch {
 	case x.cancelReason == Cancelled:
 		x.Result.Result = decision.Cancelled
-	case x.cancelReason == NotCancelled && !errors.Is(err, ErrSendForbidden) && !errors.Is(err, connpool.ErrPoolFull) && !errors.Is(err, ErrNoDescriptors):
+	case x.cancelReason == NotCancelled && !errors.Is(err, ErrSendForbidden) &&
+		!errors.Is(err, connpool.ErrPoolFull) && !errors.Is(err, ErrNoDescriptors):
 		x.Result.Result = decision.ConnectFailed
 	}
 	return End
--- a/internal/platformhttp/exchange_test.go
+++ b/internal/platformhttp/exchange_test.go
@@ -14,95 +14,137 @@
 	"pumicecroft/membership"
 )
 
-var opNames = map[Op]string{CheckConn: "look", Dial: "dial", Write: "write", Read: "read", Finish: "finish", End: "end"}
+var opNames = map[Op]string{CheckConn: "check", Dial: "dial", Write: "write", Read: "read", Finish: "finish", End: "end"}
 
-var resultNames = map[decision.Result]string{decision.Succeeded: "answered", decision.ErrorResponse: "answered with an error", decision.Rejected: "refused",
-	decision.TimedOut: "timed out", decision.ConnectFailed: "no connection", decision.ConnectionLost: "broken", decision.Cancelled: "cancelled", decision.NotSent: "not sent",
-	decision.Unknown: "unknown"}
+var resultNames = map[decision.Result]string{
+	decision.Succeeded:      "succeeded",
+	decision.ErrorResponse:  "error response",
+	decision.Rejected:       "rejected",
+	decision.TimedOut:       "timed out",
+	decision.ConnectFailed:  "connect failed",
+	decision.ConnectionLost: "connection lost",
+	decision.Cancelled:      "cancelled",
+	decision.NotSent:        "not sent",
+	decision.Unknown:        "unknown",
+}
+
+// scriptTest runs the lines of a script on one exchange after another with one backend.
+type scriptTest struct {
+	t        *testing.T
+	backends *BackendSet
+	exchange Exchange
+	now      time.Duration
+	notAfter time.Duration
+	dials    int
+}
 
-// story runs one script: each line is an event, and what the exchange then wants is told.
-func story(t *testing.T, script string) string {
-	f := NewBackendSet(2, 10*time.Second, []string{"depth"})
-	list := func(state decision.BackendState, moved bool) {
-		f.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: 1, State: state}, Name: "b", Addr: "here", Replaced: moved}})
+// update reports the backend's state, and whether another process has taken its place.
+func (s *scriptTest) update(state decision.BackendState, replaced bool) {
+	s.backends.Apply([]membership.Change{{
+		Endpoint: decision.Endpoint{ID: 1, State: state},
+		Name:     "b",
+		Addr:     "here",
+		Replaced: replaced,
+	}})
+}
+
+func (s *scriptTest) duration(text string) time.Duration {
+	s.t.Helper()
+	d, err := time.ParseDuration(text)
+	if err != nil {
+		s.t.Fatal(err)
 	}
-	list(decision.Ready, false)
-	var x Exchange
-	var op Op
-	var out strings.Builder
-	now, latest, dials := time.Hour, time.Duration(0), 0
-	for line := range strings.Lines(script) {
-		line = strings.TrimSpace(line)
-		verb, rest, _ := strings.Cut(line, " ")
-		err := error(nil)
-		if rest == "fails" {
-			err = errors.New("it failed")
-		}
-		switch verb {
-		case "begin":
-			op = x.Start(f, 1, &Request{Method: "POST", Target: "/pay", Host: "h", Body: []byte("b")}, now+time.Second, latest, now)
-		case "looked":
-			op = x.ConnChecked(now, rest == "clean")
-		case "dialed":
-			dials++
-			if rest == "short" {
-				err = fmt.Errorf("%w: 7 of 7", ErrNoDescriptors)
-			}
-			op = x.Dialed(now, dials, err)
-		case "latest":
-			d, err := time.ParseDuration(rest)
-			if err != nil {
-				t.Fatal(err)
-			}
-			latest = now + d
-			continue
-		case "wrote":
-			if _, late := x.AppendRequest(nil, now); late != nil {
-				err = late
-			}
-			op = x.Wrote(now, nil, err)
-		case "came":
-			text, _ := strconv.Unquote(rest)
-			if rest == "eof" || rest == "late" {
-				op = x.Received(now, 0, errors.New(rest))
-				break
-			}
-			op = x.Received(now, copy(x.ReadBuffer(), text), nil)
-		case "finish":
-			op = x.Finish(now)
-		case "calloff":
-			x.Cancel(map[string]CancelReason{"wanted no more": Cancelled, "time up": TimedOut}[rest])
-			continue
-		case "later":
-			d, err := time.ParseDuration(rest)
-			if err != nil {
-				t.Fatal(err)
-			}
-			now += d
-			continue
-		case "list":
-			list(map[string]decision.BackendState{"ready": decision.Ready, "drains": decision.Draining, "gone": decision.Removed, "moved": decision.Ready}[rest], rest == "moved")
-			continue
-		default:
-			t.Fatalf("no event %q", line)
+	return d
+}
+
+// prepare carries out a line that the exchange does not answer. It returns false for any other.
+func (s *scriptTest) prepare(verb, rest string) bool {
+	s.t.Helper()
+	switch verb {
+	case "notafter":
+		s.notAfter = s.now + s.duration(rest)
+	case "later":
+		s.now += s.duration(rest)
+	case "cancel":
+		s.exchange.Cancel(map[string]CancelReason{"not needed": Cancelled, "timed out": TimedOut}[rest])
+	case "backend":
+		states := map[string]decision.BackendState{"ready": decision.Ready, "drains": decision.Draining,
+			"removed": decision.Removed, "replaced": decision.Ready}
+		s.update(states[rest], rest == "replaced")
+	default:
+		return false
+	}
+	return true
+}
+
+// step carries out a line that is an operation's result, and returns what the exchange wants next.
+func (s *scriptTest) step(verb, rest string) Op {
+	s.t.Helper()
+	x := &s.exchange
+	var err error
+	if rest == "fails" {
+		err = errors.New("it failed")
+	}
+	switch verb {
+	case "start":
+		m := &Request{Method: "POST", Target: "/pay", Host: "h", Body: []byte("b")}
+		return x.Start(s.backends, 1, m, s.now+time.Second, s.notAfter, s.now)
+	case "checked":
+		return x.ConnChecked(s.now, rest == "clean")
+	case "dialed":
+		s.dials++
+		if rest == "no descriptors" {
+			err = fmt.Errorf("%w: 7 of 7", ErrNoDescriptors)
 		}
-		fmt.Fprintf(&out, "%s: %s", line, opNames[op])
-		if op == Read && x.ReadDeadline > 0 {
-			fmt.Fprintf(&out, " until %v on", x.ReadDeadline-now)
+		return x.Dialed(s.now, s.dials, err)
+	case "wrote":
+		if _, forbidden := x.AppendRequest(nil, s.now); forbidden != nil {
+			err = forbidden
 		}
-		if op == End {
-			fmt.Fprintf(&out, ", %s", resultNames[x.Result.Result])
-			if x.Response != nil {
-				fmt.Fprintf(&out, " %q", x.Response.Body)
-			}
-			fmt.Fprintf(&out, "; %d connections, %d idle, %d closed", f.Pool.Count(), f.Pool.Idle(), len(f.Pool.TakeDiscarded()))
+		return x.Wrote(s.now, nil, err)
+	case "received":
+		if rest == "eof" || rest == "timeout" {
+			return x.Received(s.now, 0, errors.New(rest))
 		}
-		out.WriteString("\n")
+		text, _ := strconv.Unquote(rest)
+		return x.Received(s.now, copy(x.ReadBuffer(), text), nil)
+	case "finish":
+		return x.Finish(s.now)
 	}
-	return out.String()
+	s.t.Fatalf("unknown line %q", verb)
+	return End
 }
 
-// Stories of one attempt, or of several at one backend: what happens, and what is wanted next.
-func TestStories(t *testing.T) {
-	datadriven.RunTest(t, "testdata/exchange", func(t *testing.T, d *datadriven.TestData) string { return story(t, d.Input) })
+// describe describes the operation that the exchange wants, and the result at its end.
+func (s *scriptTest) describe(op Op) string {
+	x := &s.exchange
+	switch {
+	case op == Read && x.ReadDeadline > 0:
+		return fmt.Sprintf("read until %v on", x.ReadDeadline-s.now)
+	case op != End:
+		return opNames[op]
+	}
+	end := "end, " + resultNames[x.Result.Result]
+	if x.Response != nil {
+		end += fmt.Sprintf(" %q", x.Response.Body)
+	}
+	pool := s.backends.Pool
+	return end + fmt.Sprintf("; %d connections, %d idle, %d closed", pool.Count(), pool.Idle(), len(pool.TakeDiscarded()))
+}
+
+// Scripts of one attempt, or of several at one backend: what happens, and what the exchange must want next.
+func TestExchange_Scripts(t *testing.T) {
+	datadriven.RunTest(t, "testdata/exchange", func(t *testing.T, d *datadriven.TestData) string {
+		s := &scriptTest{t: t, backends: NewBackendSet(2, 10*time.Second, []string{"depth"}), now: time.Hour}
+		s.update(decision.Ready, false)
+		var out strings.Builder
+		for line := range strings.Lines(d.Input) {
+			line = strings.TrimSpace(line)
+			verb, rest, _ := strings.Cut(line, " ")
+			if !s.prepare(verb, rest) {
+				fmt.Fprintf(&out, "%s: %s\n", line, s.describe(s.step(verb, rest)))
+			}
+		}
+		return out.String()
+	})
 }
--- a/internal/platformhttp/plain.go
+++ b/internal/platformhttp/plain.go
@@ -5,65 +5,78 @@
 	"strconv"
 )
 
-// parsePlainResponse reads the head of an answer that is as plain as nearly all are: 200, its head here whole, a length,
-// nothing about the connection or the framing. It gives room for the body and what has come behind the head. Of all others
-// it says no, and http.ReadResponse, which knows all of HTTP, has them. That one costs some 3 us and nine allocations more;
-// TestPlainAnswers holds the two together.
+// maxLengthDigits bounds the digits of a Content-Length that is read here: MaxBody has five.
+const maxLengthDigits = 6
+
+// parsePlainResponse reads the header of a plain response, as nearly all are: status 200, its header
+// complete, with a length, and nothing about the connection or the framing. It returns a buffer for the
+// body, and what has come behind the header. For any other response ok is false, and it is left to
+// http.ReadResponse, which takes some 3 us and nine allocations more. TestPlainResponses checks that both
+// read the same.
 func parsePlainResponse(raw []byte, h *responseHeader) (rest, body []byte, ok bool) {
-	const status = "HTTP/1.1 200 OK\r\n"
-	if len(raw) < len(status) || string(raw[:len(status)]) != status {
+	const statusLine = "HTTP/1.1 200 OK\r\n"
+	if len(raw) < len(statusLine) || string(raw[:len(statusLine)]) != statusLine {
 		return nil, nil, false
 	}
 	end := bytes.Index(raw, []byte("\r\n\r\n"))
 	if end < 0 {
 		return nil, nil, false
 	}
-	found := responseHeader{status: 200}
+	header := responseHeader{status: statusOK}
 	length := -1
-	for lines := raw[min(len(status), end+2) : end+2]; len(lines) > 0; {
-		var line []byte
+	for lines := raw[min(len(statusLine), end+2) : end+2]; len(lines) > 0; {
 		n := bytes.Index(lines, []byte("\r\n"))
-		line, lines = lines[:n], lines[n+2:]
-		name, value, colon := bytes.Cut(line, []byte(":"))
-		value = bytes.Trim(value, " \t")
-		if !colon || !isPlainName(name) || !isPlainValue(value) {
-			return nil, nil, false
-		}
-		switch {
-		case equalName(name, "Content-Length"):
-			if length >= 0 || len(value) == 0 || len(value) > 6 || bytes.Trim(value, "0123456789") != nil {
-				return nil, nil, false
-			}
-			length, _ = strconv.Atoi(string(value))
-		case equalName(name, "Transfer-Encoding"), equalName(name, "Connection"), equalName(name, "Trailer"):
+		if !header.parsePlainField(lines[:n], &length) {
 			return nil, nil, false
-		case equalName(name, "Content-Type"):
-			setIfEmpty(&found.contentType, value)
-		case equalName(name, "X-RateLimit-Used"):
-			setIfEmpty(&found.usage, value)
-		case equalName(name, "Server-Load"):
-			setIfEmpty(&found.load, value)
 		}
+		lines = lines[n+2:]
 	}
 	if length < 0 || length > MaxBody {
 		return nil, nil, false
 	}
-	*h = found
+	*h = header
 	return raw[end+4:], make([]byte, length), true
 }
 
-// equalName compares a name with one of the names above, as names are compared.
+// parsePlainField takes in one line of a header. It returns false if a plain response has no such line.
+// length is the Content-Length; below 0: none yet.
+func (h *responseHeader) parsePlainField(line []byte, length *int) bool {
+	name, value, colon := bytes.Cut(line, []byte(":"))
+	value = bytes.Trim(value, " \t")
+	if !colon || !isPlainName(name) || !isPlainValue(value) {
+		return false
+	}
+	switch {
+	case equalName(name, "Content-Length"):
+		if *length >= 0 || len(value) == 0 || len(value) > maxLengthDigits || bytes.Trim(value, "0123456789") != nil {
+			return false
+		}
+		*length, _ = strconv.Atoi(string(value))
+	case equalName(name, "Transfer-Encoding"), equalName(name, "Connection"), equalName(name, "Trailer"):
+		return false
+	case equalName(name, "Content-Type"):
+		setIfEmpty(&h.contentType, value)
+	case equalName(name, "X-RateLimit-Used"):
+		setIfEmpty(&h.usage, value)
+	case equalName(name, "Server-Load"):
+		setIfEmpty(&h.load, value)
+	}
+	return true
+}
+
+// equalName compares a field's name with a known one, ignoring case.
 func equalName(name []byte, want string) bool {
 	return len(name) == len(want) && bytes.EqualFold(name, []byte(want))
 }
 
-func setIfEmpty(to *string, value []byte) {
-	if *to == "" {
-		*to = string(value)
+// setIfEmpty keeps the first value of a field, as http.Header.Get does.
+func setIfEmpty(field *string, value []byte) {
+	if *field == "" {
+		*field = string(value)
 	}
 }
 
-// isPlainName tells whether a name has letters, digits and hyphens only.
+// isPlainName reports whether a name consists of letters, digits and hyphens.
 func isPlainName(name []byte) bool {
 	for _, c := range name {
 		if c != '-' && (c < '0' || c > '9') && (c|0x20 < 'a' || c|0x20 > 'z') {
@@ -73,7 +86,7 @@
 	return len(name) > 0
 }
 
-// isPlainValue tells whether a value has printable ASCII only.
+// isPlainValue reports whether a value consists of printable ASCII.
 func isPlainValue(value []byte) bool {
 	for _, c := range value {
 		if c < ' ' || c > '~' {
--- a/internal/platformhttp/request.go
+++ b/internal/platformhttp/request.go
@@ -1,11 +1,11 @@
-// Package platformhttp is an attempt over HTTP/1.1 without its I/O, as PROTOCOL has it: what stands on the wire, which
-// connection carries it, when it may be sent again, and what its end proves. request.go writes requests, answer.go and
-// plain.go read answers from bytes as they come, fleet.go keeps who the backends are and their connections, exchange.go is
-// one attempt as a state machine.
+// Package platformhttp is one attempt over the platform's HTTP/1.1 without its I/O: what stands on the
+// wire, which connection carries it, when it may be sent again, and what its end proves. request.go
+// writes requests, response.go and plain.go read responses from bytes as they come, backends.go keeps
+// the backends and the connections to them, exchange.go is an attempt's state machine.
 //
-// The package is pure: bytes, ends of I/O and times go in, operations and one outcome come out. Package httpback drives it
-// over sockets, package sim over a network that a seed decides. It uses net/http's reader of answers on bytes that are
-// there, and nothing else of that package.
+// The package is pure: bytes, results of I/O and times go in, operations and one outcome come out.
+// Package platformtransport drives it over sockets, package sim over a simulated network. Of net/http
+// it uses the reader of responses, on bytes that are there.
 package platformhttp
 
 import (
@@ -20,14 +20,13 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// MaxBody is the protocol's most for a body, of a request or an answer, in bytes.
+// MaxBody is the largest body of a request or response that the protocol allows, in bytes.
 const MaxBody = 64 << 10
 
-// Request is a client's request as it goes on to a backend, with each attempt. What it holds must be fit for the
-// wire: see Check.
+// Request is a client's request as it is forwarded with each attempt. It must pass Validate.
 type Request struct {
 	Method      string
-	Target      string // path and query as they came
+	Target      string // path and query as received
 	Host        string
 	ID          uint64 // Request-Id
 	HasID       bool
@@ -36,52 +35,50 @@
 	Body        []byte
 }
 
-// Protocol is what it goes over.
+// Protocol returns the protocol that carries the request.
 func (m *Request) Protocol() string { return membership.ProtocolHTTP }
 
-// Validate tells what of a request cannot stand on the wire as it is.
+// Validate returns an error if a field of the request can't be written as it is.
 func (m *Request) Validate() error {
 	switch {
 	case m.Method == "" || !httpguts.ValidHeaderFieldName(m.Method):
-		return fmt.Errorf("the method %.20q", m.Method)
-	case !strings.HasPrefix(m.Target, "/") || strings.ContainsFunc(m.Target, func(r rune) bool { return r <= ' ' || r == 0x7f }):
-		return fmt.Errorf("the target %.40q", m.Target)
+		return fmt.Errorf("platformhttp: invalid method %.20q", m.Method)
+	case !strings.HasPrefix(m.Target, "/") || strings.ContainsFunc(m.Target, isSpaceOrControl):
+		return fmt.Errorf("platformhttp: invalid target %.40q", m.Target)
 	case !httpguts.ValidHostHeader(m.Host):
-		return fmt.Errorf("the host %.40q", m.Host)
+		return fmt.Errorf("platformhttp: invalid host %.40q", m.Host)
 	case !httpguts.ValidHeaderFieldValue(m.Key):
-		return fmt.Errorf("the key %.40q", m.Key)
+		return fmt.Errorf("platformhttp: invalid key %.40q", m.Key)
 	case !httpguts.ValidHeaderFieldValue(m.ContentType):
-		return fmt.Errorf("the content type %.40q", m.ContentType)
+		return fmt.Errorf("platformhttp: invalid content type %.40q", m.ContentType)
 	case len(m.Body) > MaxBody:
-		return fmt.Errorf("a body of %d bytes", len(m.Body))
+		return fmt.Errorf("platformhttp: body of %d bytes is too large", len(m.Body))
 	}
 	return nil
 }
 
-// Append appends one attempt's request as it stands on the wire; left is the time that its client still waits.
-func (m *Request) Append(b []byte, left time.Duration) []byte {
-	field := func(name, value string) {
-		b = append(b, name...)
-		b = append(b, value...)
-		b = append(b, "\r\n"...)
-	}
+func isSpaceOrControl(r rune) bool { return r <= ' ' || r == 0x7f }
+
+// Append appends an attempt's request as it stands on the wire. timeLeft is how long its client still
+// waits.
+func (m *Request) Append(b []byte, timeLeft time.Duration) []byte {
 	b = append(b, m.Method...)
 	b = append(b, ' ')
 	b = append(b, m.Target...)
-	field(" HTTP/1.1\r\nHost: ", m.Host)
+	b = appendField(b, " HTTP/1.1\r\nHost: ", m.Host)
 	if m.HasID {
 		b = append(b, "Request-Id: "...)
 		b = appendHex(b, m.ID)
 		b = append(b, "\r\n"...)
 	}
 	if m.Key != "" {
-		field("Idempotency-Key: ", m.Key)
+		b = appendField(b, "Idempotency-Key: ", m.Key)
 	}
 	if m.ContentType != "" {
-		field("Content-Type: ", m.ContentType)
+		b = appendField(b, "Content-Type: ", m.ContentType)
 	}
 	b = append(b, "Request-Timeout: "...)
-	b = strconv.AppendFloat(b, left.Seconds(), 'f', 3, 64)
+	b = strconv.AppendFloat(b, timeLeft.Seconds(), 'f', 3, 64)
 	b = append(b, "\r\n"...)
 	if len(m.Body) > 0 || m.Method != http.MethodGet {
 		b = append(b, "Content-Length: "...)
@@ -92,7 +89,14 @@
 	return append(b, m.Body...)
 }
 
-// appendHex appends 16 hex digits, as ids are written.
+// appendField appends what stands before a field's value, the value, and a line end.
+func appendField(b []byte, name, value string) []byte {
+	b = append(b, name...)
+	b = append(b, value...)
+	return append(b, "\r\n"...)
+}
+
+// appendHex appends a request's ID: 16 hexadecimal digits.
 func appendHex(b []byte, v uint64) []byte {
 	const digits = "0123456789abcdef"
 	for shift := 60; shift >= 0; shift -= 4 {
