--- a/internal/httplistener/server.go
+++ b/internal/httplistener/server.go
@@ -1,6 +1,7 @@
-// Package httplistener is the daemon's listener for clients: HTTP/1.1 on a socket, with bounds on the connections
-// that clients hold and on how long they may take to ask, and an end that loses nothing. What it serves is a
-// handler; it decides nothing about requests. conns.go bounds the connections.
+// Package httplistener is the daemon's listener for clients: HTTP/1.1 on a socket, with bounds on the
+// connections of clients and on the time they may take to send a request, and a graceful shutdown that
+// loses no request. It serves a handler and decides nothing about requests. conntable.go bounds the
+// connections.
 package httplistener
 
 import (
@@ -16,56 +17,91 @@
 )
 
 const (
-	// A client that sends no whole head within headTime of its beginning is not one of ours. A new connection's
-	// head counts from its accept.
-	defaultHeaderTimeout = 1500 * time.Millisecond
-	idleTimeout          = 15 * time.Second // that a client may keep a connection without a request
+	// defaultHeaderTimeout is how long a client may take to send a request's header; on a new connection
+	// it counts from the accept.
+	defaultHeaderTimeout  = 1500 * time.Millisecond
+	defaultMaxHeaderBytes = 16 << 10
+	// idleTimeout is how long a client may keep a connection without a request.
+	idleTimeout = 15 * time.Second
+	// writeGrace is the time to write a response after the longest request.
+	writeGrace = 10 * time.Second
+)
 
-	// After SIGTERM new connections are taken for at least drainLeast, then until none has come for
-	// drainQuiet, and for no longer than drainMost. The platform kills us no sooner than drainMost after the
-	// longest deadline.
-	minDrain   = 500 * time.Millisecond
-	drainQuiet = 150 * time.Millisecond
-	maxDrain   = 700 * time.Millisecond
+// When the server is told to end it goes on accepting connections for at least minDrain, then until none
+// has come for drainQuiet, but for no longer than maxDrain. The platform kills the process no sooner than
+// maxDrain after the longest deadline.
+const (
+	minDrain          = 500 * time.Millisecond
+	drainQuiet        = 150 * time.Millisecond
+	maxDrain          = 700 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond
 )
 
-// Server is the side of the front door that clients see.
+// Server serves the gateway's clients.
 type Server struct {
 	handler           http.Handler
-	maxRequestTimeout time.Duration // of all deadlines
+	maxRequestTimeout time.Duration
 	options           Options
 	log               *slog.Logger
 	conns             *connTable
-	draining          atomic.Bool  // it is to end
-	stopped           atomic.Bool  // nothing new is taken any more
-	lastAccept        atomic.Int64 // when the last connection was accepted, Unix time in nanoseconds
+	draining          atomic.Bool  // it was told to end
+	stopped           atomic.Bool  // it takes no new requests
+	lastAccept        atomic.Int64 // Unix time in nanoseconds
 }
 
-// Options are for clients that nobody here knows. The zero value is for the platform's.
+// Options configures a Server for clients other than the platform's, for which the zero value is.
 type Options struct {
-	TLS            *tls.Config   // nil: connections are plain
-	GeneralPurpose bool          // HTTP/2 too, and no path is the server's own
-	HeaderTimeout  time.Duration // for a head to come whole; 0: headTime
-	MaxHeaderBytes int           // bytes; 0: 16 KiB
+	TLS            *tls.Config   // nil: plain connections
+	GeneralPurpose bool          // serves HTTP/2 too, and all paths go to the handler
+	HeaderTimeout  time.Duration // for a complete request header; default 1.5 s
+	MaxHeaderBytes int           // default 16 KiB
 }
 
-// NewServer serves clients with a handler. conns is how many connections they may hold, longest the longest
-// deadline of a request.
-func NewServer(handler http.Handler, conns int, longest time.Duration, log *slog.Logger, o Options) *Server {
-	return &Server{handler: handler, maxRequestTimeout: longest, log: log, conns: newConnTable(conns), options: o}
+// NewServer returns a Server for a handler. maxConns bounds the connections of clients, maxRequestTimeout
+// is the longest deadline of a request.
+func NewServer(handler http.Handler, maxConns int, maxRequestTimeout time.Duration, log *slog.Logger,
+	o Options) *Server {
+	return &Server{handler: handler, maxRequestTimeout: maxRequestTimeout, log: log,
+		conns: newConnTable(maxConns), options: o}
 }
 
-// Run serves clients on a listener until ctx ends, and then for as long as it takes to lose nothing: it goes
-// on accepting while clients still come, stops listening, and returns when it holds no request.
+// Run serves clients on a listener until ctx ends, and then until no request is lost: it goes on
+// accepting while clients still connect, stops listening, and returns when no request is open.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
-	srv := &http.Server{
+	server := s.httpServer()
+	served := make(chan error, 1)
+	go func() { served <- s.serve(server, listener) }()
+	select {
+	case err := <-served:
+		return err
+	case <-ctx.Done():
+	}
+	s.draining.Store(true)
+	s.log.Info("told to end")
+	s.drain()
+	// What is accepted from here on might not be answered before the platform kills the process.
+	s.stopped.Store(true)
+	stop, cancel := context.WithTimeout(context.Background(), s.maxRequestTimeout)
+	defer cancel()
+	_ = listener.Close()
+	// Serve must have let go of the listener: Shutdown would close it again and return that error.
+	if err := <-served; !errors.Is(err, net.ErrClosed) {
+		s.log.Warn("listener failed", "err", err)
+	}
+	s.conns.closeIdle(stop)
+	return server.Shutdown(stop)
+}
+
+// httpServer returns the http.Server with the bounds of this one.
+func (s *Server) httpServer() *http.Server {
+	server := &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: cmp.Or(s.options.HeaderTimeout, defaultHeaderTimeout),
-		// There is no ReadTimeout: it would also run while a request waits for its answer, and a read that times
-		// out then would look as if the client had gone. Bodies have a limit of their own.
-		WriteTimeout:   s.maxRequestTimeout + 10*time.Second,
+		// There is no ReadTimeout: it would run while a request waits for its response, and a read that
+		// times out then looks as if the client had disconnected. Bodies have a limit of their own.
+		WriteTimeout:   s.maxRequestTimeout + writeGrace,
 		IdleTimeout:    idleTimeout,
-		MaxHeaderBytes: cmp.Or(s.options.MaxHeaderBytes, 16<<10),
+		MaxHeaderBytes: cmp.Or(s.options.MaxHeaderBytes, defaultMaxHeaderBytes),
 		TLSConfig:      s.options.TLS,
 		ErrorLog:       slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -78,108 +114,56 @@
 			s.conns.onStateChange(conn, state)
 		},
 	}
-	ended := make(chan error, 1)
 	if s.options.GeneralPurpose {
-		srv.Protocols = new(http.Protocols)
-		srv.Protocols.SetHTTP1(true)
-		srv.Protocols.SetHTTP2(s.options.TLS != nil)
-		srv.Protocols.SetUnencryptedHTTP2(s.options.TLS == nil)
+		server.Protocols = new(http.Protocols)
+		server.Protocols.SetHTTP1(true)
+		server.Protocols.SetHTTP2(s.options.TLS != nil)
+		server.Protocols.SetUnencryptedHTTP2(s.options.TLS == nil)
 	}
-	go func() {
-		if s.options.TLS != nil {
-			ended <- srv.ServeTLS(clientListener{listener}, "", "")
-			return
-		}
-		ended <- srv.Serve(clientListener{listener})
-	}()
-	select {
-	case err := <-ended:
-		return err
-	case <-ctx.Done():
+	return server
+}
+
+func (s *Server) serve(server *http.Server, listener net.Listener) error {
+	if s.options.TLS != nil {
+		return server.ServeTLS(clientListener{listener}, "", "")
 	}
-	s.draining.Store(true)
-	s.log.Info("told to end")
+	return server.Serve(clientListener{listener})
+}
+
+// drain waits while clients still connect.
+func (s *Server) drain() {
 	start := time.Now()
 	for time.Since(start) < minDrain ||
 		time.Since(start) < maxDrain && time.Since(time.Unix(0, s.lastAccept.Load())) < drainQuiet {
-		time.Sleep(10 * time.Millisecond)
-	}
-	// What is taken from here on might not be answered before the platform's patience ends.
-	s.stopped.Store(true)
-	stop, cancel := context.WithTimeout(context.Background(), s.maxRequestTimeout)
-	defer cancel()
-	_ = listener.Close()
-	if err := <-ended; !errors.Is(err, net.ErrClosed) { // Serve has let go of the listener: Shutdown would close it once more, and say that it can't
-		s.log.Warn("the listener ended", "err", err)
+		time.Sleep(drainPollInterval)
 	}
-	s.conns.closeIdle(stop)
-	return srv.Shutdown(stop)
 }
 
-// ServeHTTP answers /ready itself and passes on the rest. Once the server is to end, each answer says that its connection ends with it,
-// whenever its request came; what comes when nothing new may be taken is refused.
-func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a := &responseWriter{ResponseWriter: w, server: s}
+// ServeHTTP answers /ready itself and passes all else to the handler. Once the server drains, each
+// response says that its connection ends with it; once it has stopped, requests are rejected.
+func (s *Server) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	w := &responseWriter{ResponseWriter: rw, server: s}
 	if c, ok := r.Context().Value(connContextKey{}).(net.Conn); ok && clientDisconnected(c) {
-		// What it sent was read late, and the server hears of its end only beside the handler: it must not be sent on meanwhile.
-		ctx, leave := context.WithCancel(r.Context())
-		leave()
+		// The request was read late. net/http notices the disconnect only while the handler runs, which
+		// must not forward the request meanwhile.
+		ctx, cancel := context.WithCancel(r.Context())
+		cancel()
 		r = r.WithContext(ctx)
 	}
 	switch {
 	case r.URL.Path == "/ready" && !s.options.GeneralPurpose:
 		if s.draining.Load() {
-			a.WriteHeader(http.StatusServiceUnavailable)
+			w.WriteHeader(http.StatusServiceUnavailable)
 		} else {
-			a.WriteHeader(http.StatusOK)
+			w.WriteHeader(http.StatusOK)
 		}
 	case s.stopped.Load():
-		a.WriteHeader(http.StatusServiceUnavailable)
+		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
-		s.handler.ServeHTTP(a, r)
-		a.start() // of a handler that said nothing the server makes an answer
+		s.handler.ServeHTTP(w, r)
+		w.start() // if the handler wrote nothing, net/http makes a response
 	}
 }
 
-// connContextKey is a request's connection, in its context.
+// connContextKey is the context key of a request's connection.
 type connContextKey struct{}
-
-// responseWriter is the writer of one answer. Its handler may have begun long before the server was to end, so it is the beginning of the answer
-// that counts.
-type responseWriter struct {
-	http.ResponseWriter
-	server  *Server
-	started bool
-}
-
-// WriteHeader begins the answer, or says what goes ahead of it.
-func (a *responseWriter) WriteHeader(status int) {
-	if status >= http.StatusOK || status == http.StatusSwitchingProtocols {
-		a.start()
-	}
-	a.ResponseWriter.WriteHeader(status)
-}
-
-// Write begins the answer if nothing has, as http.ResponseWriter's does.
-func (a *responseWriter) Write(b []byte) (int, error) {
-	a.start()
-	return a.ResponseWriter.Write(b)
-}
-
-// FlushError is http.ResponseController's Flush: it begins the answer.
-func (a *responseWriter) FlushError() error {
-	a.start()
-	return http.NewResponseController(a.ResponseWriter).Flush()
-}
-
-// Unwrap is for http.ResponseController.
-func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
-
-func (a *responseWriter) start() {
-	if !a.started {
-		a.started = true
-		if a.server.draining.Load() {
-			a.Header().Set("Connection", "close")
-		}
-	}
-}
--- /dev/null
+++ b/internal/platformtransport/operations.go
@@ -0,0 +1,137 @@
+package platformtransport
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"syscall"
+	"time"
+
+	"pumicecroft/internal/executor"
+	"pumicecroft/internal/platformhttp"
+	"pumicecroft/internal/socketpeek"
+)
+
+// aLongTimeAgo is a deadline that ends reads and writes at once.
+var aLongTimeAgo = time.Unix(1, 0)
+
+// execute carries out one operation of an exchange and returns the next.
+func (t *Transport) execute(a *executor.Attempt, x *platformhttp.Exchange, op platformhttp.Op) platformhttp.Op {
+	switch op {
+	case platformhttp.Dial:
+		return t.executeDial(a, x)
+	case platformhttp.Write:
+		return t.executeWrite(a, x)
+	case platformhttp.Read:
+		return t.executeRead(a, x)
+	case platformhttp.Finish:
+		return t.executeFinish(a, x)
+	}
+	panic(fmt.Sprintf("platformtransport: unexpected operation %d", op))
+}
+
+// checkConns carries out checks of idle connections for as long as they follow each other, and closes
+// what the pool has discarded. Neither waits. The caller holds the lock.
+func (t *Transport) checkConns(x *platformhttp.Exchange, op platformhttp.Op) platformhttp.Op {
+	for op == platformhttp.CheckConn {
+		clean := x.Conn.Owner.(*conn).peeker.Peek() == socketpeek.Clean
+		op = x.ConnChecked(t.now(), clean)
+	}
+	t.closeDiscarded()
+	return op
+}
+
+func (t *Transport) executeDial(a *executor.Attempt, x *platformhttp.Exchange) platformhttp.Op {
+	c, err := t.connect(a, x)
+	propagateCancel(a, x)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.checkConns(x, x.Dialed(t.now(), c, err))
+}
+
+// connect opens a connection. It ends early if the attempt is cancelled.
+func (t *Transport) connect(a *executor.Attempt, x *platformhttp.Exchange) (*conn, error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	if err := a.OnCancel(cancel); err != nil {
+		return nil, err
+	}
+	defer func() { _ = a.OnCancel(nil) }()
+	c, err := t.dial(ctx, "tcp", x.Addr())
+	if errors.Is(err, syscall.EMFILE) {
+		return nil, fmt.Errorf("%w: %w", platformhttp.ErrNoDescriptors, err)
+	} else if err != nil {
+		return nil, err
+	}
+	return &conn{Conn: c, peeker: socketpeek.New(c)}, nil
+}
+
+func (t *Transport) executeWrite(a *executor.Attempt, x *platformhttp.Exchange) platformhttp.Op {
+	c := x.Conn.Owner.(*conn)
+	err := a.OnCancel(func() { _ = c.SetDeadline(aLongTimeAgo) })
+	if err == nil {
+		err = t.write(a, x, c)
+	}
+	if err == nil {
+		return x.Wrote(t.now(), c.readBuf, nil) // without an error it does not use the BackendSet
+	}
+	propagateCancel(a, x)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.checkConns(x, x.Wrote(t.now(), nil, err))
+}
+
+// write writes the request, if it may still leave.
+func (t *Transport) write(a *executor.Attempt, x *platformhttp.Exchange, c *conn) error {
+	now := time.Now()
+	if a.SendForbiddenAt(now) {
+		return platformhttp.ErrSendForbidden
+	}
+	var err error
+	if c.writeBuf, err = x.AppendRequest(c.writeBuf[:0], now.Sub(t.start)); err != nil {
+		return err
+	}
+	_, err = c.Write(c.writeBuf)
+	if cap(c.writeBuf) > maxKeptBuffer {
+		c.writeBuf = nil
+	}
+	return err
+}
+
+func (t *Transport) executeRead(a *executor.Attempt, x *platformhttp.Exchange) platformhttp.Op {
+	c := x.Conn.Owner.(*conn)
+	n, err := c.Read(x.ReadBuffer())
+	previous := x.ReadDeadline
+	op := x.Received(t.now(), n, err)
+	if op == platformhttp.Read && x.ReadDeadline != previous {
+		// A cancellation may have set a deadline that ends the next read at once; IfActive keeps this from
+		// undoing it.
+		_ = a.IfActive(func() { _ = c.SetReadDeadline(t.start.Add(x.ReadDeadline)) })
+	}
+	return op
+}
+
+func (t *Transport) executeFinish(a *executor.Attempt, x *platformhttp.Exchange) platformhttp.Op {
+	c := x.Conn.Owner.(*conn)
+	if x.ReadDeadline > 0 { // for the next request; a connection whose attempt was cancelled is not reused
+		_ = a.IfActive(func() { _ = c.SetReadDeadline(time.Time{}) })
+	}
+	if c.readBuf = x.ReusableBuffer(); cap(c.readBuf) > maxKeptBuffer {
+		c.readBuf = nil
+	}
+	_ = a.OnCancel(nil)
+	propagateCancel(a, x)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.checkConns(x, x.Finish(t.now()))
+}
+
+// propagateCancel tells the exchange that its attempt was cancelled, if it was.
+func propagateCancel(a *executor.Attempt, x *platformhttp.Exchange) {
+	switch cause := a.CancelCause(); {
+	case errors.Is(cause, executor.ErrCancelled):
+		x.Cancel(platformhttp.Cancelled)
+	case cause != nil:
+		x.Cancel(platformhttp.TimedOut)
+	}
+}
