--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What a seed's region comes to is fixed under each policy: a change that keeps behaviour keeps these counts to the last digit. One that means to
-// change behaviour sets them anew and says why.
+// What a seed's region comes to is fixed under each policy: a change that keeps behaviour keeps
+// these counts to the last digit. One that means to change behaviour sets them anew and says why.
 func TestCountsOfSeeds(t *testing.T) {
 	want := map[string]string{
 		"module":      `{"Offered":6848,"Served":3399,"InAim":3245,"Refused":3038,"Failed":411,"WorthOffered":17489,"WorthServed":8500,"Tries":3686,"Attempts":3806,"Cold":513,"Draining":0,"Doubled":0,"Falls":0,"Calls":784,"CallsLost":74,"Units":3686,"UnitsOver":10,"WorthOver":20,"Overshoot":0,"PastCeiling":0,"Last":{"Offered":762,"Served":351,"Refused":411,"Failed":0,"WorthOffered":1905,"WorthServed":970},"P50":67775,"P99":1190911,"Events":47309,"Latency":3399}`,
@@ -23,7 +23,7 @@
 		c.Faults = []Fault{{Kind: Deploy, At: 2 * time.Second, Duration: time.Second, Magnitude: 6}, {Kind: GatewayRestart, At: 3 * time.Second, Duration: 500 * time.Millisecond, Magnitude: 2},
 			{Kind: ZoneLoss, At: 5 * time.Second, Duration: time.Second, Zone: 1}, {Kind: ZoneSlow, At: 6 * time.Second, Duration: 2 * time.Second, Magnitude: 6},
 			{Kind: Flood, At: 4 * time.Second, Duration: 3 * time.Second, Magnitude: 3, Share: 0.5}, {Kind: RetryStorm, At: 7 * time.Second, Duration: time.Second, Magnitude: 2}}
-		r := play(t, c, 3, false)
+		r := play(t, c, 3)
 		got, err := json.Marshal(struct {
 			Counts
 			Last                      Second
--- /dev/null
+++ b/internal/operatorconfig/http.go
@@ -0,0 +1,172 @@
+package operatorconfig
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"strings"
+	"time"
+
+	"pumicecroft/httpproxy"
+	"pumicecroft/internal/http1proxy"
+	"pumicecroft/internal/settings"
+	"pumicecroft/routes"
+)
+
+// HTTP is what a file says of ordinary HTTP. The files that it names are not read here.
+type HTTP struct {
+	Proxy         httpproxy.Config // without its Rules
+	Services      []Service
+	Routes        []routes.Rule[*httpproxy.Route]
+	Table         *routes.Table[*httpproxy.Route] // of Routes
+	Identities    []Identity
+	Trusted       []netip.Prefix // peers that may speak for their clients
+	RemoveHeaders []string       // fields that are not forwarded
+	TLS           *TLS           // of the listener; nil: plain text
+}
+
+// Location is where a section of the file stands, for problems of files that it names.
+type Location struct {
+	Line int
+	Path string
+}
+
+// Problem returns a problem with a key of the section.
+func (l Location) Problem(key string, err error) Problem {
+	return Problem{Line: l.Line, Key: settings.Join(l.Path, key), Message: err.Error()}
+}
+
+func locationOf(s *settings.Section) Location { return Location{max(1, s.Line()), s.Path} }
+
+// The values of TLS.ClientAuth, as the file names them.
+const (
+	ClientAuthNone    = "none"    // clients are not asked for a certificate
+	ClientAuthAsk     = "ask"     // a certificate is verified if a client has one
+	ClientAuthRequire = "require" // a client without a valid certificate is rejected
+)
+
+// TLS is the listener's [tls].
+type TLS struct {
+	Location       Location
+	Certificates   []Certificate
+	AllowTLS12     bool
+	ClientCAFile   string
+	ClientAuth     string
+	ReloadInterval time.Duration // how often the files of certificates are read again
+}
+
+// Certificate is the files of a certificate and its key.
+type Certificate struct {
+	Location          Location
+	CertFile, KeyFile string
+}
+
+// readHTTP reads what a file says of ordinary HTTP, after services, classes and plans.
+func readHTTP(d *settings.Document, top *settings.Section, f *File) {
+	if f.HTTP == nil {
+		for _, key := range []string{"route", "identity", "http", "tls"} {
+			if _, ok := top.Get(key); ok {
+				d.Problemf("", key, "it is of no use without a [[service]]")
+			}
+		}
+		return
+	}
+	readProxy(top.Table("http"), f.HTTP)
+	var plans []string
+	for _, plan := range f.Gateway.Settings.Plans {
+		plans = append(plans, plan.Name)
+	}
+	readRoutes(d, top, f)
+	readIdentities(top, f.HTTP, plans)
+	if s := top.Table("tls"); s.Keys != nil {
+		f.HTTP.TLS = readTLS(s)
+	}
+	noClientCerts := f.HTTP.TLS == nil || f.HTTP.TLS.ClientAuth == ClientAuthNone
+	for i, id := range f.HTTP.Identities {
+		if id.Kind == KindCertificate && noClientCerts {
+			d.Problemf(fmt.Sprintf("identity[%d]", i), "kind", "no client brings a certificate: [tls] with client_auth is missing")
+		}
+	}
+}
+
+// readProxy reads [http].
+func readProxy(s *settings.Section, h *HTTP) {
+	c := &h.Proxy
+	h.Trusted = readTrusted(s)
+	styles := []httpproxy.ForwardedStyle{httpproxy.XForwarded, httpproxy.Forwarded, httpproxy.ForwardedNone}
+	c.ForwardedStyle = styles[s.OneOf("forwarded", "x-forwarded", "x-forwarded", "rfc7239", "none")]
+	if c.Via = s.Text("via", false); c.Via != "" && !http1proxy.IsHeaderName(c.Via) {
+		s.Problemf("via", "%q is no pseudonym that Via can hold", c.Via)
+	}
+	c.TimeoutHeader = readHeaderName(s, "timeout_header", "")
+	c.RemainingTimeoutHeader = readHeaderName(s, "left_header", "")
+	c.RequestIDHeader = readHeaderName(s, "id_header", "X-Request-Id")
+	c.IdempotencyKeyHeader = readHeaderName(s, "key_header", "Idempotency-Key")
+	c.Strict = s.Bool("strict", false)
+	c.BodyReadTimeout = s.Duration("body_timeout", 10*time.Second, time.Millisecond, time.Hour)
+	c.MaxBodyMemory = int64(s.Int("body_memory", 64<<20, 1, 1<<40))
+	c.MaxIdempotentResponseBytes = s.Int("most_keyed_answer", 1<<20, 1, 1<<30)
+	s.RejectUnknownKeys()
+}
+
+// readTrusted reads the peers that may speak for their clients: prefixes and addresses.
+func readTrusted(s *settings.Section) (trusted []netip.Prefix) {
+	for _, text := range s.Texts("trusted") {
+		prefix, err := netip.ParsePrefix(text)
+		if addr, addrErr := netip.ParseAddr(text); addrErr == nil {
+			prefix, err = netip.PrefixFrom(addr, addr.BitLen()), nil
+		}
+		if err != nil {
+			s.Problemf("trusted", "%q is no address nor a prefix such as 10.0.0.0/8", text)
+			continue
+		}
+		trusted = append(trusted, prefix.Masked())
+	}
+	return trusted
+}
+
+// readHeaderName reads the name of a field; an empty one switches it off.
+func readHeaderName(s *settings.Section, key, defaultName string) string {
+	name := defaultName
+	if _, ok := s.Get(key); ok {
+		name = s.Text(key, false)
+	}
+	return headerName(s, key, name)
+}
+
+// readTLS reads [tls].
+func readTLS(s *settings.Section) *TLS {
+	clientAuths := []string{ClientAuthNone, ClientAuthAsk, ClientAuthRequire}
+	t := &TLS{
+		Location:       locationOf(s),
+		ClientCAFile:   s.Text("client_ca_file", false),
+		AllowTLS12:     s.OneOf("min", "1.3", "1.3", "1.2") == 1,
+		ClientAuth:     clientAuths[s.OneOf("client_auth", ClientAuthNone, clientAuths...)],
+		ReloadInterval: s.Duration("reload_every", 10*time.Second, 10*time.Millisecond, day),
+	}
+	if (t.ClientCAFile == "") != (t.ClientAuth == ClientAuthNone) {
+		s.Problemf("client_auth", "client_ca_file and a client_auth of ask or require go together")
+	}
+	for _, e := range s.List("certificate") {
+		t.Certificates = append(t.Certificates, Certificate{locationOf(e), e.Text("cert_file", true), e.Text("key_file", true)})
+		e.RejectUnknownKeys()
+	}
+	if len(t.Certificates) == 0 {
+		s.Problemf("certificate", "there is none: [[tls.certificate]] with cert_file and key_file")
+	}
+	s.RejectUnknownKeys()
+	return t
+}
+
+// HostHeader returns the Host for a backend's address: with its port, unless that is the scheme's
+// default.
+func HostHeader(addr string, tls bool) string {
+	host, port, err := net.SplitHostPort(addr)
+	if err != nil || !(tls && port == "443" || !tls && port == "80") {
+		return addr
+	}
+	if strings.Contains(host, ":") { // an IPv6 address
+		return "[" + host + "]"
+	}
+	return host
+}
--- /dev/null
+++ b/internal/operatorconfig/sources.go
@@ -0,0 +1,235 @@
+package operatorconfig
+
+import (
+	"math"
+	"net"
+	"slices"
+	"strings"
+	"time"
+
+	"pumicecroft/consul"
+	"pumicecroft/decision"
+	"pumicecroft/internal/settings"
+	"pumicecroft/membership"
+)
+
+// Consul is what a file says of Consul.
+type Consul struct {
+	Config   consul.Config
+	Services []consul.Service
+	// Registration is how the gateway registers itself. nil means that it does not.
+	Registration *consul.Registration
+	// DrainNotice is how long a registered gateway goes on serving once it is critical.
+	DrainNotice time.Duration
+}
+
+// The names of sources.
+const (
+	SourceConsul    = "consul"
+	SourceDiscovery = "discovery"
+	SourceFile      = "file"
+)
+
+// sourceNames are the names of sources in their default precedence.
+var sourceNames = []string{SourceConsul, SourceDiscovery, SourceFile}
+
+// readSources reads where backends come from, after services and classes.
+func readSources(d *settings.Document, top *settings.Section, f *File) {
+	f.Gateway.StateDir = top.Text("state_dir", false)
+	f.StatusAddr = top.Text("members", false)
+	if f.StatusAddr != "" {
+		checkLoopback(top, "members", f.StatusAddr)
+	}
+	readMembership(top.Table("membership"), f)
+	configured := map[string]bool{}
+	if s := top.Table("consul"); s.Keys != nil {
+		configured[SourceConsul] = true
+		f.Consul = readConsul(s, f)
+	}
+	if s := top.Table("discovery"); s.Keys != nil {
+		configured[SourceDiscovery] = true
+		f.DiscoveryAddr = s.Text("address", true)
+		if f.DiscoveryAddr != "" {
+			checkAddress(s, "address", f.DiscoveryAddr)
+		}
+		f.DiscoveryProtocol = readServiceProtocol(s, f, "")
+		s.RejectUnknownKeys()
+	}
+	readBackends(top, f)
+	configured[SourceFile] = len(f.Backends.Nodes) > 0
+	if len(configured) == 1 && !configured[SourceFile] {
+		d.Problemf("", "backend", "there is none: [[backend]] with a name and an address, [consul] or [discovery]")
+	}
+	f.Sources = top.Texts("sources")
+	if f.Sources == nil {
+		f.Sources = slices.DeleteFunc(slices.Clone(sourceNames), func(name string) bool { return !configured[name] })
+		return
+	}
+	checkSources(d, f.Sources, configured)
+}
+
+// checkLoopback notes a problem unless addr is a host:port on this machine.
+func checkLoopback(s *settings.Section, key, addr string) {
+	checkAddress(s, key, addr)
+	host, _, _ := net.SplitHostPort(addr)
+	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
+		s.Problemf(key, "%q is not on this machine alone: it must be a loopback address", addr)
+	}
+}
+
+// checkSources notes a problem unless the file names each source that it configures, and no other.
+func checkSources(d *settings.Document, sources []string, configured map[string]bool) {
+	for i, name := range sources {
+		switch {
+		case !slices.Contains(sourceNames, name):
+			d.Problemf("", "sources", "%q is none of %s", name, strings.Join(sourceNames, ", "))
+		case !configured[name]:
+			d.Problemf("", "sources", "%q is named, and the file does not say what it is", name)
+		case slices.Contains(sources[:i], name):
+			d.Problemf("", "sources", "%q is there twice", name)
+		}
+	}
+	for _, name := range sourceNames {
+		if configured[name] && !slices.Contains(sources, name) {
+			d.Problemf("", "sources", "%q is configured and not named", name)
+		}
+	}
+}
+
+// readMembership reads [membership].
+func readMembership(s *settings.Section, f *File) {
+	p := &f.Gateway.Membership
+	p.ProbationMin = s.Duration("hold_first", time.Second, time.Millisecond, time.Hour)
+	p.ProbationMax = s.Duration("hold_most", time.Minute, time.Millisecond, day)
+	p.ProbationReset = s.Duration("forget", time.Minute, time.Millisecond, day)
+	p.WarmupWindow = s.Duration("cold_for", 15*time.Second, time.Millisecond, day)
+	p.MassRemovalRatio = s.Float("loss_share", 0.5, 0.01, 1)
+	p.MassRemovalMin = s.Int("loss_least", 3, 1, maxCount)
+	p.MassRemovalDelay = s.Duration("loss_for", 1500*time.Millisecond, time.Millisecond, time.Hour)
+	p.FullRemovalDelay = s.Duration("loss_all", 5*time.Minute, time.Millisecond, day)
+	p.MaxNodes = s.Int("most", membership.DefaultMaxNodes, 1, maxCount)
+	s.RejectUnknownKeys()
+}
+
+// readConsul reads [consul].
+func readConsul(s *settings.Section, f *File) *Consul {
+	c := &Consul{Config: readConsulConfig(s)}
+	seen := map[string]bool{}
+	for _, e := range s.List("service") {
+		service := readConsulService(e, seen, f)
+		e.RejectUnknownKeys()
+		c.Services = append(c.Services, service)
+	}
+	if len(c.Services) == 0 {
+		s.Problemf("service", "there is none: [[consul.service]] with a name")
+	}
+	if r := s.Table("register"); r.Keys != nil {
+		c.Registration, c.DrainNotice = readRegistration(r, f.Listen)
+		r.RejectUnknownKeys()
+	}
+	s.RejectUnknownKeys()
+	return c
+}
+
+// readConsulConfig reads how the agent is reached.
+func readConsulConfig(s *settings.Section) consul.Config {
+	c := consul.Config{
+		Address:     s.Text("address", true),
+		TokenFile:   s.Text("token_file", false),
+		Datacenter:  s.Text("datacenter", false),
+		Namespace:   s.Text("namespace", false),
+		Partition:   s.Text("partition", false),
+		CAFile:      s.Text("ca_file", false),
+		CertFile:    s.Text("cert_file", false),
+		KeyFile:     s.Text("key_file", false),
+		ServerName:  s.Text("server_name", false),
+		Consistency: consul.Consistency(s.OneOf("consistency", "default", "default", "stale", "consistent")), // in the order of its values
+		Wait:        s.Duration("wait", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
+		MaxStale:    s.Duration("max_stale", 10*time.Second, 0, day),
+		RetryMax:    s.Duration("retry_most", 5*time.Second, 100*time.Millisecond, time.Hour),
+	}
+	if (c.CertFile == "") != (c.KeyFile == "") {
+		s.Problemf("key_file", "cert_file and key_file go together")
+	}
+	return c
+}
+
+// readConsulService reads one [[consul.service]]. seen has the names of those before it.
+func readConsulService(s *settings.Section, seen map[string]bool, f *File) consul.Service {
+	service := consul.Service{
+		Name:   s.Text("name", true),
+		Tags:   s.Texts("tags"),
+		Near:   s.Text("near", false),
+		Filter: s.Text("filter", false),
+	}
+	checkUniqueName(seen, s, service.Name)
+	service.HealthOnly = s.Bool("health_only", false)
+	service.Mapping = consul.Mapping{
+		Zone:            s.Text("zone", false),
+		Cell:            s.Text("cell", false),
+		InstanceType:    s.Text("model", false),
+		Started:         s.Text("started", false),
+		Protocol:        s.Text("protocol", false),
+		DefaultProtocol: readServiceProtocol(s, f, ""),
+		Name:            s.Text("node_name", false),
+		ServeWarning:    s.OneOf("warning", "drain", "drain", "serve") == 1,
+	}
+	// A backend outside of the scope in which repeats are dropped would run a retry twice.
+	for _, class := range f.Gateway.Settings.Classes {
+		if class.Idempotency != decision.IdempotentByKey {
+			continue
+		}
+		if class.DedupScope == decision.DedupScopeZone && service.Mapping.Zone == "" {
+			s.Problemf("zone", "it is missing, and class %q is repeated within a zone", class.Name)
+		}
+		if class.DedupScope == decision.DedupScopeCell && service.Mapping.Cell == "" {
+			s.Problemf("cell", "it is missing, and class %q is repeated within a cell", class.Name)
+		}
+	}
+	return service
+}
+
+// readRegistration reads [consul.register]. The address is the listener's, unless it says another.
+func readRegistration(s *settings.Section, listen string) (r *consul.Registration, drainNotice time.Duration) {
+	r = &consul.Registration{
+		Name:            s.Text("name", true),
+		ID:              s.Text("id", false),
+		Address:         s.Text("address", false),
+		Tags:            s.Texts("tags"),
+		TTL:             s.Duration("ttl", 10*time.Second, time.Second, day),
+		DeregisterAfter: s.Duration("forget", 10*time.Minute, time.Minute, day),
+	}
+	drainNotice = s.Duration("notice", time.Second, 0, time.Minute)
+	if r.Address == "" {
+		r.Address = listen
+	}
+	checkAddress(s, "address", r.Address)
+	host, port, _ := net.SplitHostPort(r.Address)
+	if ip := net.ParseIP(host); host == "" || port == "0" || ip != nil && ip.IsUnspecified() {
+		s.Problemf("address", "%q is nothing that clients can connect to", r.Address)
+	}
+	return r, drainNotice
+}
+
+// readBackends reads [[backend]].
+func readBackends(top *settings.Section, f *File) {
+	seen := map[string]bool{}
+	f.Backends.Full = true
+	for _, s := range top.List("backend") {
+		node := membership.Node{
+			Name:         s.Text("name", true),
+			Addr:         s.Text("address", true),
+			Zone:         s.Text("zone", false),
+			InstanceType: s.Text("model", false),
+			Cell:         s.Int("cell", 0, 0, math.MaxInt32),
+			Weight:       s.Float("weight", 1, 0, unbounded),
+		}
+		node.Protocol = readServiceProtocol(s, f, readProtocol(s, ""))
+		checkUniqueName(seen, s, node.Name)
+		if node.Addr != "" {
+			checkAddress(s, "address", node.Addr)
+		}
+		s.RejectUnknownKeys()
+		f.Backends.Nodes = append(f.Backends.Nodes, node)
+	}
+}
