--- a/idempotency/eviction.go
+++ b/idempotency/eviction.go
@@ -137,8 +137,10 @@
 // one with the lower id.
 type customerHeap []*customer
 
+// Len implements heap.Interface.
 func (h customerHeap) Len() int { return len(h) }
 
+// Less implements heap.Interface.
 func (h customerHeap) Less(i, j int) bool {
 	if h[i].storedBytes != h[j].storedBytes {
 		return h[i].storedBytes > h[j].storedBytes
@@ -146,6 +148,7 @@
 	return h[i].id < h[j].id
 }
 
+// Swap implements heap.Interface.
 func (h customerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i, j
--- a/internal/httplistener/clientconn.go
+++ b/internal/httplistener/clientconn.go
@@ -18,6 +18,7 @@
 // clientListener accepts clientConns.
 type clientListener struct{ net.Listener }
 
+// Accept implements net.Listener.
 func (l clientListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
