--- a/bench_web_test.go
+++ b/bench_web_test.go
@@ -65,7 +65,7 @@
 	a := testcerts.New(b)
 	var config *tls.Config
 	if secure {
-		pair, err := tls.X509KeyPair(a.Pair(nil, "shop.example"))
+		pair, err := tls.X509KeyPair(a.Issue(nil, "shop.example"))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/cmd/pumicecroft/commands_test.go
+++ b/cmd/pumicecroft/commands_test.go
@@ -175,14 +175,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(agent.Close)
-	backend, err := fakes.StartBackend(fakes.BackendConfig{Name: "b", Ledger: &fakes.Ledger{}, Keyed: func(string) bool { return false }})
+	backend, err := fakes.StartBackend(fakes.BackendConfig{Name: "b", Ledger: &fakes.Ledger{}, IdempotentByKey: func(string) bool { return false }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(backend.Kill)
 	host, port, _ := net.SplitHostPort(backend.Addr())
 	number, _ := strconv.Atoi(port)
-	agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: "b", Service: "web", Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
+	agent.Register(fakes.Instance{Node: "n", NodeAddr: host, ID: "b", Service: "web", Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
 		fakes.Instance{Node: "n", NodeAddr: host, ID: "c", Service: "web", Port: 1, Checks: []fakes.Check{{ID: "up", Status: "critical", Output: "no \x1b[31mroute"}}})
 	cmd, addr, at := startServing(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
@@ -201,7 +201,7 @@
 `, agent.Addr())))
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	ask := fakes.Ask{ID: 1, Class: "look", Customer: 1, Plan: "shop", Timeout: 5 * time.Second}
+	ask := fakes.Request{ID: 1, Class: "look", Customer: 1, Plan: "shop", Timeout: 5 * time.Second}
 	for reply := ask.Do(t.Context(), transport, addr); reply.Status != 200; reply = ask.Do(t.Context(), transport, addr) {
 		if ask.ID++; ask.ID > 1000 || reply.Status != 503 {
 			t.Fatalf("%+v", reply)
--- a/cmd/pumicecroft/kills_test.go
+++ b/cmd/pumicecroft/kills_test.go
@@ -31,7 +31,7 @@
 	var nodes strings.Builder
 	for i := range 2 { // of one cell each that forgets at once, so that only the edge drops repeats
 		b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: ledger, Cell: &fakes.Cell{},
-			Work: func(string) time.Duration { return 2 * time.Millisecond }, Keyed: func(string) bool { return true }})
+			WorkTime: func(string) time.Duration { return 2 * time.Millisecond }, IdempotentByKey: func(string) bool { return true }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,8 +51,8 @@
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	defer client.CloseIdleConnections()
 	press := func(ctx context.Context, addr string, worker uint64, key string) (*http.Response, string, error) {
-		ask := fakes.Ask{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second, Key: key, Body: "b " + key}
-		req, err := ask.Request(ctx, addr)
+		ask := fakes.Request{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second, Key: key, Body: "b " + key}
+		req, err := ask.HTTPRequest(ctx, addr)
 		if err != nil {
 			return nil, "", err
 		}
@@ -164,7 +164,7 @@
 		stop() // who has no key to press yet would wait for one
 		pressing.Wait()
 	}
-	if doubled := ledger.Doubled(); len(doubled) > 0 {
+	if doubled := ledger.RepeatedEffects(); len(doubled) > 0 {
 		t.Errorf("%d keys had their effect more than once: %v", len(doubled), doubled)
 	}
 	for _, key := range keys {
--- a/cmd/pumicecroft/lab.go
+++ b/cmd/pumicecroft/lab.go
@@ -52,18 +52,18 @@
 		c.Dir = filepath.Join("results", strings.TrimSuffix(filepath.Base(c.File), filepath.Ext(c.File)))
 	}
 	begun := time.Now()
-	ran, err := lab.Run(ctx, c.File, c.Dir, lab.RunOptions{Jobs: int(c.Jobs), Told: func(done, all int, r *lab.Row) {
+	ran, err := lab.Run(ctx, c.File, c.Dir, lab.RunOptions{Jobs: int(c.Jobs), OnRun: func(done, all int, r *lab.Row) {
 		word := fmt.Sprintf("worth %.4f, %d events", r.Figures["worth"], r.Events)
 		if r.Failed != "" {
 			word = "FAILED: " + r.Failed
 		}
 		fmt.Fprintf(out, "%d of %d: %s, seed %d: %s\n", done, all, strings.Join(r.Cell, " / "), r.Repetition, word)
 	}})
-	for _, torn := range ran.Torn {
+	for _, torn := range ran.Damaged {
 		fmt.Fprintln(out, "made again:", torn)
 	}
-	if ran.All > 0 {
-		fmt.Fprintf(out, "%d of %d runs are in %s: %d were there, %d made in %.1f s, %d of them failed\n", ran.Before+ran.Now-ran.Failed, ran.All, c.Dir, ran.Before, ran.Now,
+	if ran.Total > 0 {
+		fmt.Fprintf(out, "%d of %d runs are in %s: %d were there, %d made in %.1f s, %d of them failed\n", ran.Existing+ran.Completed-ran.Failed, ran.Total, c.Dir, ran.Existing, ran.Completed,
 			time.Since(begun).Seconds(), ran.Failed)
 	}
 	if errors.Is(err, context.Canceled) {
@@ -95,7 +95,7 @@
 }
 
 func checkFigure(name string) error {
-	if lab.FigureOf(name) == nil {
+	if lab.FigureByName(name) == nil {
 		return usageError{fmt.Errorf("%q is none of %s", name, strings.Join(lab.FigureNames(), ", "))}
 	}
 	return nil
@@ -126,7 +126,7 @@
 		if err != nil {
 			return err
 		}
-		told, err = lab.Across(a, b, c.Dir, c.Other, figures, c.pairedOptions())
+		told, err = lab.CompareResults(a, b, c.Dir, c.Other, figures, c.pairedOptions())
 		if err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 		if c.Factor == "" && len(a.Factors) > 0 {
 			c.Factor = a.Factors[0].Name
 		}
-		if told, err = lab.Within(a, c.Factor, c.Of, c.With, figures, c.pairedOptions()); err != nil {
+		if told, err = lab.CompareLevels(a, c.Factor, c.Of, c.With, figures, c.pairedOptions()); err != nil {
 			return usageError{err}
 		}
 	}
@@ -146,7 +146,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WHERE\tA\tB\tFIGURE\tPAIRS\tA'S\tB'S\tDIFFERENCE\tINTERVAL\tB IS")
 	for _, t := range told {
-		d := t.Told
+		d := t.Result
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4g\t%.4g\t%+.3g\t%+.3g to %+.3g\t%s\n", t.Where, t.A, t.B, t.Figure.Name, d.Pairs, d.MeanA, d.MeanB, d.Mean, d.Low, d.High, t.Verdict())
 	}
 	return w.Flush()
@@ -204,10 +204,10 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, f := range lab.Figures {
 		better := "less is better"
-		if f.Higher {
+		if f.HigherIsBetter {
 			better = "more is better"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", f.Name, better, f.What)
+		fmt.Fprintf(w, "%s\t%s\t%s\n", f.Name, better, f.Description)
 	}
 	return w.Flush()
 }
--- a/cmd/pumicecroft/lab_variants.go
+++ b/cmd/pumicecroft/lab_variants.go
@@ -55,7 +55,7 @@
 		if err != nil {
 			return err
 		}
-		more, err := lab.Across(a, b, asItIs.Name, m.Name, figures, c.pairedOptions())
+		more, err := lab.CompareResults(a, b, asItIs.Name, m.Name, figures, c.pairedOptions())
 		if err != nil {
 			return err
 		}
--- a/cmd/pumicecroft/load.go
+++ b/cmd/pumicecroft/load.go
@@ -32,10 +32,10 @@
 	if err != nil {
 		return fmt.Errorf("%s:\n%w", c.File, err)
 	}
-	if err := p.Change(c.Rate, c.Duration); err != nil {
+	if err := p.Override(c.Rate, c.Duration); err != nil {
 		return usageError{err}
 	}
-	r, err := load.Run(ctx, p, load.Options{Target: c.Target, Anywhere: c.Anywhere, Out: out})
+	r, err := load.Run(ctx, p, load.Options{Target: c.Target, AllowRemote: c.Anywhere, Progress: out})
 	if err != nil {
 		if errors.Is(err, load.ErrNotLoopback) {
 			err = usageError{fmt.Errorf("%w; --anywhere asks it all the same", err)}
--- a/cmd/pumicecroft/load_test.go
+++ b/cmd/pumicecroft/load_test.go
@@ -75,7 +75,7 @@
 		err2 = json.Unmarshal(text2, &r)
 	}
 	// Of 199 the store of 40 and its refill of 20 a second let some 75 through, less in the end the margin that the quota leaves.
-	if err != nil || err2 != nil || r.Good < 50 || r.Good > 85 || r.By["Unavailable"]+r.By["ResourceExhausted"] != r.Asked-r.Good || r.Asked < 195 {
-		t.Errorf("%v, %v: %+v\n%s", err, err2, r.By, out.String())
+	if err != nil || err2 != nil || r.Good < 50 || r.Good > 85 || r.Outcomes["Unavailable"]+r.Outcomes["ResourceExhausted"] != r.Sent-r.Good || r.Sent < 195 {
+		t.Errorf("%v, %v: %+v\n%s", err, err2, r.Outcomes, out.String())
 	}
 }
--- a/cmd/pumicecroft/pairs_test.go
+++ b/cmd/pumicecroft/pairs_test.go
@@ -39,7 +39,7 @@
 			known := membership.Update{Full: true}
 			for i := range 4 { // two racks
 				b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: ledger, Cell: &fakes.Cell{Window: 5 * unit},
-					Work: func(string) time.Duration { return unit / 10 }, Keyed: func(string) bool { return true }})
+					WorkTime: func(string) time.Duration { return unit / 10 }, IdempotentByKey: func(string) bool { return true }})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -87,7 +87,7 @@
 				defer client.CloseIdleConnections()
 				var ids atomic.Uint64
 				press = func(ctx context.Context, class, key string) (string, time.Duration, error) {
-					req, err := fakes.Ask{ID: ids.Add(1), Class: class, Customer: 7, Plan: "shop", Timeout: 40 * time.Second, Key: key, Body: "b"}.Request(ctx, addr)
+					req, err := fakes.Request{ID: ids.Add(1), Class: class, Customer: 7, Plan: "shop", Timeout: 40 * time.Second, Key: key, Body: "b"}.HTTPRequest(ctx, addr)
 					if err != nil {
 						return "", 0, err
 					}
--- a/cmd/pumicecroft/sockets_test.go
+++ b/cmd/pumicecroft/sockets_test.go
@@ -44,7 +44,7 @@
 			if i == 0 {
 				work = time.Duration(float64(work) * c.slow)
 			}
-			b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: &fakes.Ledger{}, Slots: 4, Queue: 16, Work: func(string) time.Duration { return work }, Keyed: func(string) bool { return false }})
+			b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: &fakes.Ledger{}, Slots: 4, Queue: 16, WorkTime: func(string) time.Duration { return work }, IdempotentByKey: func(string) bool { return false }})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -87,7 +87,7 @@
 		ms := func(us int64) float64 { return float64(us) / 1e3 }
 		q := func(of float64) float64 { return ms(emulated.Latency.ValueAtQuantile(of)) }
 		d := func(v time.Duration) float64 { return ms(v.Microseconds()) }
-		servedReal, servedEmulated := float64(measured.Good)/float64(measured.Asked), float64(emulated.Served)/float64(emulated.Offered)
+		servedReal, servedEmulated := float64(measured.Good)/float64(measured.Sent), float64(emulated.Served)/float64(emulated.Offered)
 		t.Logf("| %s | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f | %s |", c.name, servedReal, servedEmulated, d(measured.Served.P50), q(50), d(measured.Served.P90), q(90), d(measured.Served.P99), q(99), measured.Invalid)
 		if diff := servedReal - servedEmulated; diff < -0.08 || diff > 0.08 {
 			t.Errorf("%s: %.3f are served on sockets, %.3f emulated", c.name, servedReal, servedEmulated)
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -175,9 +175,9 @@
 func TestCheckReadsFiles(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
-	cert, key := a.Pair(nil, "shop.example", "unused.example")
-	_, otherKey := a.Pair(nil, "else.example")
-	at := testcerts.Write(t, dir, map[string][]byte{"c": cert, "k": key, "other": otherKey, "keys": []byte("zz\n")})
+	cert, key := a.Issue(nil, "shop.example", "unused.example")
+	_, otherKey := a.Issue(nil, "else.example")
+	at := testcerts.WriteFiles(t, dir, map[string][]byte{"c": cert, "k": key, "other": otherKey, "keys": []byte("zz\n")})
 	base := fmt.Sprintf(tenLines, "127.0.0.1:9") + "[[route]]\nhost = \"shop.example\"\n[[route]]\nhost = \"bare.example\"\n[tls]\n"
 	pair := func(c, k string) string {
 		return fmt.Sprintf("[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", at(c), at(k))
@@ -244,7 +244,7 @@
 		t.Cleanup(s.Close)
 		host, port, _ := net.SplitHostPort(strings.TrimPrefix(s.URL, "http://"))
 		number, _ := strconv.Atoi(port)
-		agent.Put(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
+		agent.Register(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
 			fakes.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1, Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.Check{{ID: "up", Status: "passing"}}})
 	}
 	_, addr, _ := startServing(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
--- a/conformance/conformance.go
+++ b/conformance/conformance.go
@@ -131,8 +131,8 @@
 // startBackend starts one in a cell and puts it into the list.
 func (r *testCase) startBackend(cell *fakes.Cell, change func(*fakes.BackendConfig)) *fakes.Backend {
 	r.t.Helper()
-	c := fakes.BackendConfig{Name: fmt.Sprintf("b%d", len(r.backends)), Zone: "z", Kind: "k", Cell: cell,
-		Ledger: r.ledger, Keyed: func(class string) bool { return class != "look" }, GRPC: r.starter.GRPC}
+	c := fakes.BackendConfig{Name: fmt.Sprintf("b%d", len(r.backends)), Zone: "z", InstanceType: "k", Cell: cell,
+		Ledger: r.ledger, IdempotentByKey: func(class string) bool { return class != "look" }, GRPC: r.starter.GRPC}
 	if change != nil {
 		change(&c)
 	}
@@ -194,21 +194,21 @@
 }
 
 // newRequest is a request of a class with an id of its own.
-func (r *testCase) newRequest(class string) fakes.Ask {
+func (r *testCase) newRequest(class string) fakes.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastID++
-	a := fakes.Ask{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: clientTimeout}
+	a := fakes.Request{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: clientTimeout}
 	if class != "look" {
 		a.Key, a.Body = fmt.Sprintf("key-%x", r.lastID), "amount=3"
 	}
 	return a
 }
 
-func (r *testCase) send(a fakes.Ask) fakes.Reply { return r.sendTo(r.t.Context(), a, r.gateway) }
+func (r *testCase) send(a fakes.Request) fakes.Reply { return r.sendTo(r.t.Context(), a, r.gateway) }
 
 // sendTo asks one of several fronts.
-func (r *testCase) sendTo(ctx context.Context, a fakes.Ask, f Gateway) fakes.Reply {
+func (r *testCase) sendTo(ctx context.Context, a fakes.Request, f Gateway) fakes.Reply {
 	if r.starter.GRPC {
 		return a.DoGRPC(ctx, r.transport, f.Addr())
 	}
@@ -246,9 +246,9 @@
 // testOutcomes is rules 1 and 2: for each way in which a first attempt can end, each class, and fleets in which a
 // repeat may or may not go elsewhere.
 func testOutcomes(t *testing.T, start Starter, tr *Transcript) {
-	acts := map[string]fakes.Act{"served": fakes.Work, "error": fakes.RunAndError, "turned away": fakes.TurnAway,
-		"ran and broke": fakes.RunAndBreak, "broke unheard": fakes.BreakUnheard, "spoilt": fakes.RunAndSpoil,
-		"cut": fakes.RunAndCut, "hung": fakes.Hang, "hung unrun": fakes.HangUnrun}
+	acts := map[string]fakes.Behavior{"served": fakes.ServeNormally, "error": fakes.ExecuteThenError, "turned away": fakes.RejectNotStarted,
+		"ran and broke": fakes.ExecuteThenReset, "broke unheard": fakes.ResetWithoutExecution, "spoilt": fakes.ExecuteThenGarble,
+		"cut": fakes.ExecuteThenTruncate, "hung": fakes.ExecuteThenHang, "hung unrun": fakes.HangWithoutExecution}
 	fleets := map[string][]int{"one backend": {0}, "two of one cell": {0, 0}, "two of two cells": {0, 1}}
 	for what, act := range acts {
 		for fleet, cells := range fleets {
@@ -263,27 +263,27 @@
 	}
 }
 
-func testOutcome(t *testing.T, start Starter, tr *Transcript, name string, act fakes.Act, cells []int, class string) {
+func testOutcome(t *testing.T, start Starter, tr *Transcript, name string, act fakes.Behavior, cells []int, class string) {
 	r := newTestCase(t, start)
 	memories := []*fakes.Cell{newCell(0), newCell(1)}
-	once := fakes.Once(act)
+	once := fakes.OnFirstAttempt(act)
 	for _, n := range cells {
-		r.startBackend(memories[n], func(c *fakes.BackendConfig) { c.Act = once })
+		r.startBackend(memories[n], func(c *fakes.BackendConfig) { c.Behavior = once })
 	}
 	r.startGateway(caseConfig{})
 	a := r.newRequest(class)
-	if act == fakes.Hang || act == fakes.HangUnrun {
-		a.Timeout, a.Patience = shortTimeout, waitLimit
+	if act == fakes.ExecuteThenHang || act == fakes.HangWithoutExecution {
+		a.Timeout, a.ClientTimeout = shortTimeout, waitLimit
 	}
 	reply := r.send(a)
 	// On a busy machine the answer is seen later than it was given, by how late this goroutine is run.
-	if reply.Status == 0 || reply.Took > a.Timeout+schedulingSlack {
-		t.Fatalf("no answer in %v, but after %v: %v", a.Timeout, reply.Took, reply.Err)
+	if reply.Status == 0 || reply.Latency > a.Timeout+schedulingSlack {
+		t.Fatalf("no answer in %v, but after %v: %v", a.Timeout, reply.Latency, reply.Err)
 	}
-	seen := r.ledger.Of(a.RequestID())
+	seen := r.ledger.ForRequest(a.RequestID())
 	effects := r.ledger.Effects(a.Key)
-	hung := act == fakes.Hang || act == fakes.HangUnrun
-	mayHaveRun := act != fakes.Work && act != fakes.TurnAway
+	hung := act == fakes.ExecuteThenHang || act == fakes.HangWithoutExecution
+	mayHaveRun := act != fakes.ServeNormally && act != fakes.RejectNotStarted
 	sameCell := len(cells) == 1 || cells[0] == cells[1] // where a repeat can go
 	mayRepeat := class == "look" || class == "pay" && sameCell
 	if effects > 1 {
@@ -298,7 +298,7 @@
 	if reply.String() == "refused" && reply.RetryAfter == "" {
 		t.Error("refused without a word on when to come back")
 	}
-	wantServed := act == fakes.Work || act == fakes.TurnAway && len(cells) > 1 || mayHaveRun && !hung && mayRepeat
+	wantServed := act == fakes.ServeNormally || act == fakes.RejectNotStarted && len(cells) > 1 || mayHaveRun && !hung && mayRepeat
 	if got := reply.String() == "served"; got != wantServed {
 		t.Errorf("answered %v, served: want %v", reply, wantServed)
 	}
@@ -355,11 +355,11 @@
 		r := newTestCase(t, start)
 		goOn := make(chan bool)
 		r.startBackend(newCell(0), func(c *fakes.BackendConfig) {
-			c.Act = func(a fakes.Attempt) fakes.Act {
+			c.Behavior = func(a fakes.Attempt) fakes.Behavior {
 				if a.Body == "hold" {
 					<-goOn
 				}
-				return fakes.Work
+				return fakes.ServeNormally
 			}
 		})
 		r.startGateway(caseConfig{})
@@ -389,14 +389,14 @@
 func testColdBackend(t *testing.T, start Starter, tr *Transcript) {
 	r := newTestCase(t, start)
 	limits := func(c *fakes.BackendConfig) {
-		c.Capacity, c.Work = 400, func(string) time.Duration { return 10 * time.Millisecond }
-		c.ColdFrom, c.WarmWithin, c.FallMultiple, c.FallFor = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
+		c.Capacity, c.WorkTime = 400, func(string) time.Duration { return 10 * time.Millisecond }
+		c.SlowStartMinCapacity, c.SlowStartWindow, c.OverloadFactor, c.OverloadDuration = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
 	}
 	for range 3 {
 		r.startBackend(newCell(0), limits)
 	}
 	r.startGateway(caseConfig{})
-	cold := r.startBackend(newCell(0), func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
+	cold := r.startBackend(newCell(0), func(c *fakes.BackendConfig) { limits(c); c.StartCold = true })
 	// The load is light, some 75 a second for each backend that can do 400, and the cold one falls at 0.15 times what
 	// it can do: its share of what a warm one gets stays well under that, and as much as a warm one gets does not.
 	var asking sync.WaitGroup
@@ -420,11 +420,11 @@
 			got++
 		}
 	}
-	if cold.Fallen() || got == 0 || got*4 > len(all) {
-		t.Errorf("the cold backend got %d of %d attempts, fallen: %v", got, len(all), cold.Fallen())
+	if cold.Overloaded() || got == 0 || got*4 > len(all) {
+		t.Errorf("the cold backend got %d of %d attempts, fallen: %v", got, len(all), cold.Overloaded())
 	}
 	t.Logf("cold got %d of %d", got, len(all))
-	tr.add("cold", "fallen: %v", cold.Fallen())
+	tr.add("cold", "fallen: %v", cold.Overloaded())
 }
 
 // testQuota: what a customer asks beyond its plan is refused at once, with a word on when to come back, and costs no
@@ -439,10 +439,10 @@
 		a.Plan = "tiny"
 		reply := r.send(a)
 		kinds += reply.String()[:1]
-		if reply.String() == "refused" && (reply.RetryAfter != "0.900" || reply.Took > clientTimeout/2) {
-			t.Errorf("refused after %v with Retry-After %q", reply.Took, reply.RetryAfter)
+		if reply.String() == "refused" && (reply.RetryAfter != "0.900" || reply.Latency > clientTimeout/2) {
+			t.Errorf("refused after %v with Retry-After %q", reply.Latency, reply.RetryAfter)
 		}
-		if n := len(r.ledger.Of(a.RequestID())); n != boolToInt(reply.String() == "served") {
+		if n := len(r.ledger.ForRequest(a.RequestID())); n != boolToInt(reply.String() == "served") {
 			t.Errorf("%v, and %d attempts", reply, n)
 		}
 	}
@@ -482,7 +482,7 @@
 		asking.Go(func() {
 			for time.Now().Before(end) {
 				a := r.newRequest("look")
-				a.Spread, a.Timeout = 2, 5*time.Second
+				a.GatewaySpread, a.Timeout = 2, 5*time.Second
 				if reply := r.sendTo(t.Context(), a, fronts[i%2]); reply.Status == 0 {
 					t.Errorf("lost: %v", reply.Err)
 				} else if reply.String() == "refused" {
@@ -529,8 +529,8 @@
 		asking.Go(func() {
 			for time.Since(begun) < 4*time.Second {
 				a := r.newRequest("look")
-				a.Spread = 2
-				meter.Enter(a.RequestID(), a.Customer, 1, rate)
+				a.GatewaySpread = 2
+				meter.Register(a.RequestID(), a.Customer, 1, rate)
 				if reply := r.sendTo(t.Context(), a, fronts[i%2]); reply.Status == 0 {
 					t.Errorf("lost: %v", reply.Err)
 				}
@@ -553,13 +553,13 @@
 // free at once: of a plan that may have one attempt out, the next one is served.
 func testClientDisconnect(t *testing.T, start Starter, tr *Transcript) {
 	r := newTestCase(t, start)
-	r.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Act = fakes.Once(fakes.Hang) })
+	r.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Behavior = fakes.OnFirstAttempt(fakes.ExecuteThenHang) })
 	r.startGateway(caseConfig{plans: `{"name":"shop","parallel":1,"value_factor":1}`})
 	ctx, leave := context.WithCancel(t.Context())
 	a := r.newRequest("pay")
 	gone := make(chan fakes.Reply, 1)
 	go func() { gone <- r.sendTo(ctx, a, r.gateway) }()
-	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End == "hung" }) {
+	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].Outcome == "hung" }) {
 		t.Fatal("the request never came")
 	}
 	if reply := r.send(r.newRequest("look")); reply.String() != "refused" {
@@ -576,7 +576,7 @@
 	if reply.String() != "served" {
 		t.Errorf("after the client left: %v", reply)
 	}
-	if n := len(r.ledger.Of(a.RequestID())); n != 1 {
+	if n := len(r.ledger.ForRequest(a.RequestID())); n != 1 {
 		t.Errorf("%d attempts of the request whose client left", n)
 	}
 	tr.add("leaving", "place taken: refused; after: %v; attempts 1", reply)
@@ -587,7 +587,7 @@
 	r := newTestCase(t, start)
 	goOn := make(chan bool)
 	r.startBackend(newCell(0), func(c *fakes.BackendConfig) {
-		c.Act = func(fakes.Attempt) fakes.Act { <-goOn; return fakes.Work }
+		c.Behavior = func(fakes.Attempt) fakes.Behavior { <-goOn; return fakes.ServeNormally }
 	})
 	r.startGateway(caseConfig{})
 	const n = 10
@@ -631,12 +631,12 @@
 	r := newTestCase(t, start)
 	r.startBackend(newCell(0), nil)
 	r.startGateway(caseConfig{})
-	header := func(name string, v ...string) func(*fakes.Ask) {
-		return func(a *fakes.Ask) { a.Header = http.Header{name: v} }
+	header := func(name string, v ...string) func(*fakes.Request) {
+		return func(a *fakes.Request) { a.Header = http.Header{name: v} }
 	}
 	for _, c := range []struct {
 		name, class string
-		change      func(*fakes.Ask)
+		change      func(*fakes.Request)
 	}{
 		{"no id", "look", header("Request-Id")},
 		{"a short id", "look", header("Request-Id", "12")},
@@ -657,17 +657,17 @@
 		{"a set too wide", "look", header("X-Call-Terms", "units=1,spread=2,first=0")},
 		{"terms twice", "look", header("X-Call-Terms", "units=1,units=1,spread=1,first=0")},
 		{"a keyed class without a key", "pay", header("Idempotency-Key")},
-		{"a body over the limit", "pay", func(a *fakes.Ask) { a.Body = strings.Repeat("x", 64<<10+1) }},
-		{"a GET of a keyed class", "pay", func(a *fakes.Ask) { a.Key = "" }},
-		{"a POST of a safe class", "look", func(a *fakes.Ask) { a.Key = "k" }},
+		{"a body over the limit", "pay", func(a *fakes.Request) { a.Body = strings.Repeat("x", 64<<10+1) }},
+		{"a GET of a keyed class", "pay", func(a *fakes.Request) { a.Key = "" }},
+		{"a POST of a safe class", "look", func(a *fakes.Request) { a.Key = "k" }},
 	} {
 		a := r.newRequest(c.class)
 		if c.change != nil {
 			c.change(&a)
 		}
 		reply := r.send(a)
-		if reply.Took > clientTimeout/20 {
-			t.Errorf("%s: answered after %v", c.name, reply.Took)
+		if reply.Latency > clientTimeout/20 {
+			t.Errorf("%s: answered after %v", c.name, reply.Latency)
 		}
 		if reply.Status < 400 || reply.Status > 499 {
 			t.Errorf("%s: %v %v", c.name, reply, reply.Err)
@@ -691,7 +691,7 @@
 		a := r.newRequest("pay")
 		a.Body = body
 		reply := r.send(a)
-		seen := r.ledger.Of(a.RequestID())
+		seen := r.ledger.ForRequest(a.RequestID())
 		if reply.String() != "served" || len(seen) != 1 || seen[0].Body != body || seen[0].Key != a.Key || seen[0].Timeout == "" {
 			t.Errorf("%s: %v, %d attempts", name, reply, len(seen))
 		}
@@ -705,11 +705,11 @@
 	r := newTestCase(t, start)
 	goOn := make(chan bool)
 	r.startBackend(nil, func(c *fakes.BackendConfig) { // it drops no repeats
-		c.Act = func(a fakes.Attempt) fakes.Act {
+		c.Behavior = func(a fakes.Attempt) fakes.Behavior {
 			if a.Body == "hold" {
 				<-goOn
 			}
-			return fakes.Work
+			return fakes.ServeNormally
 		}
 	})
 	r.startGateway(caseConfig{})
@@ -741,12 +741,12 @@
 	for _, class := range []string{"look", "once"} {
 		a := r.newRequest(class)
 		tr.add("replays", "%s: %v, again: %v", class, r.send(a), r.send(a))
-		if class == "once" && len(r.ledger.Of(a.RequestID())) != 1 {
-			t.Errorf("%s: %d attempts", class, len(r.ledger.Of(a.RequestID())))
+		if class == "once" && len(r.ledger.ForRequest(a.RequestID())) != 1 {
+			t.Errorf("%s: %d attempts", class, len(r.ledger.ForRequest(a.RequestID())))
 		}
 	}
-	if n := r.ledger.Effects(held.Key); n != 1 || len(r.ledger.Of(held.RequestID())) != 1 {
-		t.Errorf("its effect happened %d times in %d attempts", n, len(r.ledger.Of(held.RequestID())))
+	if n := r.ledger.Effects(held.Key); n != 1 || len(r.ledger.ForRequest(held.RequestID())) != 1 {
+		t.Errorf("its effect happened %d times in %d attempts", n, len(r.ledger.ForRequest(held.RequestID())))
 	}
 }
 
@@ -756,8 +756,8 @@
 	r.startGateway(caseConfig{})
 	for _, class := range []string{"look", "pay", "once"} {
 		reply := r.send(r.newRequest(class))
-		if reply.String() != "refused" || reply.RetryAfter == "" || reply.Took > clientTimeout/2 {
-			t.Errorf("%s: %v after %v, Retry-After %q", class, reply, reply.Took, reply.RetryAfter)
+		if reply.String() != "refused" || reply.RetryAfter == "" || reply.Latency > clientTimeout/2 {
+			t.Errorf("%s: %v after %v, Retry-After %q", class, reply, reply.Latency, reply.RetryAfter)
 		}
 		tr.add("nobody", "%s: %v", class, reply)
 	}
@@ -766,15 +766,15 @@
 // testManyRequests: whatever backends do, each of many requests at once has one answer in time, and no effect is doubled.
 func testManyRequests(t *testing.T, start Starter, tr *Transcript) {
 	r := newTestCase(t, start)
-	acts := []fakes.Act{fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work, fakes.Work,
-		fakes.RunAndError, fakes.TurnAway, fakes.RunAndBreak, fakes.BreakUnheard, fakes.RunAndSpoil, fakes.RunAndCut, fakes.Hang}
+	acts := []fakes.Behavior{fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally,
+		fakes.ExecuteThenError, fakes.RejectNotStarted, fakes.ExecuteThenReset, fakes.ResetWithoutExecution, fakes.ExecuteThenGarble, fakes.ExecuteThenTruncate, fakes.ExecuteThenHang}
 	memories := []*fakes.Cell{newCell(0), newCell(1)}
 	for i := range 4 {
 		var mu sync.Mutex
 		n := i
 		r.startBackend(memories[i%2], func(c *fakes.BackendConfig) {
-			c.Slots, c.Work = 8, func(string) time.Duration { return 2 * time.Millisecond }
-			c.Act = func(fakes.Attempt) fakes.Act {
+			c.Slots, c.WorkTime = 8, func(string) time.Duration { return 2 * time.Millisecond }
+			c.Behavior = func(fakes.Attempt) fakes.Behavior {
 				mu.Lock()
 				defer mu.Unlock()
 				n++
@@ -792,10 +792,10 @@
 				a := r.newRequest([]string{"look", "pay", "once"}[(i+n)%3])
 				// The client waits for its answer for longer than it says: it must come, and on a busy machine it is late by how late
 				// this goroutine is run.
-				a.Timeout, a.Patience = 1500*time.Millisecond, waitLimit
+				a.Timeout, a.ClientTimeout = 1500*time.Millisecond, waitLimit
 				reply := r.send(a)
 				if reply.Status == 0 {
-					t.Errorf("lost after %v: %v", reply.Took, reply.Err)
+					t.Errorf("lost after %v: %v", reply.Latency, reply.Err)
 				}
 				mu.Lock()
 				kinds[reply.String()]++
@@ -804,11 +804,11 @@
 		})
 	}
 	asking.Wait()
-	if doubled := r.ledger.Doubled(); len(doubled) > 0 {
+	if doubled := r.ledger.RepeatedEffects(); len(doubled) > 0 {
 		t.Errorf("effects that happened twice: %v", doubled)
 	}
 	if kinds["served"] == 0 {
 		t.Errorf("%v", kinds)
 	}
-	tr.add("many", "lost %d, doubled %d", kinds["lost"], len(r.ledger.Doubled()))
+	tr.add("many", "lost %d, doubled %d", kinds["lost"], len(r.ledger.RepeatedEffects()))
 }
--- a/conformance/consul_test.go
+++ b/conformance/consul_test.go
@@ -48,7 +48,7 @@
 				if e.StartedAtMS != 0 {
 					meta["started"] = strconv.FormatInt(e.StartedAtMS, 10)
 				}
-				agent.Put(fakes.Instance{Node: "rack", NodeAddr: host, ID: e.Name, Service: consulService, Port: n, Meta: meta,
+				agent.Register(fakes.Instance{Node: "rack", NodeAddr: host, ID: e.Name, Service: consulService, Port: n, Meta: meta,
 					Passing: int(e.Weight), Checks: []fakes.Check{{ID: "process", Status: status}}})
 			}
 			if !told {
--- a/consul/client_test.go
+++ b/consul/client_test.go
@@ -115,13 +115,13 @@
 		t.Errorf("in maintenance it is %s", found[0].Checks.AggregatedStatus())
 	}
 	// Nobody renews its check: it turns critical, and is deregistered.
-	for end := time.Now().Add(hosttest.Patience); len(found) > 0; found, _ = health(nil) {
+	for end := time.Now().Add(hosttest.WaitTimeout); len(found) > 0; found, _ = health(nil) {
 		if time.Now().After(end) {
 			t.Fatal("it was never deregistered")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	agent.Put(
+	agent.Register(
 		fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "x", Service: "web", Port: 81,
 			Tags: []string{"blue", "new"}, Meta: map[string]string{"v": "3"}},
 		fakes.Instance{Node: "m", NodeAddr: "10.0.0.2", ID: "x", Service: "web", Port: 81,
@@ -158,7 +158,7 @@
 	if err := os.WriteFile(token, []byte("one\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81,
+	agent.Register(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81,
 		Tags: []string{"blue"}, Meta: map[string]string{"v": "2"}, Namespace: "team", Partition: "part"})
 	c, err := New(Config{
 		Address:     "http://" + agent.Addr(),
@@ -192,9 +192,9 @@
 			break
 		}
 	}
-	asked := func(path string) (int, []fakes.Question) {
-		all := agent.Questions()
-		return slices.IndexFunc(all, func(q fakes.Question) bool { return q.Path == path && q.Token == "two" }), all
+	asked := func(path string) (int, []fakes.ConsulQuery) {
+		all := agent.Queries()
+		return slices.IndexFunc(all, func(q fakes.ConsulQuery) bool { return q.Path == path && q.Token == "two" }), all
 	}
 	for i, _ := asked("/v1/catalog/service/web"); i < 0; i, _ = asked("/v1/catalog/service/web") {
 		time.Sleep(time.Millisecond) // it may still wait after the failure
@@ -274,7 +274,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(agent.Close)
-	agent.Put(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81})
+	agent.Register(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81})
 	first := func(c Config) membership.Update {
 		t.Helper()
 		c.Address = "https://" + agent.Addr()
--- a/consul/fixture_test.go
+++ b/consul/fixture_test.go
@@ -108,10 +108,10 @@
 	id := fmt.Sprintf("b%d", r.last)
 	r.last++
 	c := fakes.BackendConfig{
-		Name:   id,
-		Ledger: r.ledger,
-		Cell:   r.cell,
-		Keyed:  func(class string) bool { return class != "look" },
+		Name:            id,
+		Ledger:          r.ledger,
+		Cell:            r.cell,
+		IdempotentByKey: func(class string) bool { return class != "look" },
 	}
 	if change != nil {
 		change(&c)
@@ -121,7 +121,7 @@
 		r.t.Fatal(err)
 	}
 	r.backends[id] = b
-	r.agent.Put(r.instance(id))
+	r.agent.Register(r.instance(id))
 	return id
 }
 
@@ -146,7 +146,7 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), hosttest.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), hosttest.WaitTimeout)
 		defer cancel()
 		if err := d.Close(ctx); err != nil {
 			r.t.Errorf("closing the gateway: %v", err)
@@ -170,7 +170,7 @@
 // await waits until the status of a gateway's backends is as wanted.
 func (r *fixture) await(d *pumicecroft.Gateway, what string, ok func(statuses) bool) {
 	r.t.Helper()
-	for end := time.Now().Add(hosttest.Patience); !ok(statusesOf(d)); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(hosttest.WaitTimeout); !ok(statusesOf(d)); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("waited in vain for %s; the gateway has %+v", what, statusesOf(d))
 		}
@@ -266,7 +266,7 @@
 	if sent == 0 || l.failed.Load() > 0 || rejected*20 > sent || l.served.Load()+rejected != sent {
 		r.t.Errorf("requests were lost: %v", l)
 	}
-	if d := r.ledger.Doubled(); len(d) > 0 {
+	if d := r.ledger.RepeatedEffects(); len(d) > 0 {
 		r.t.Errorf("executed twice: %q", d)
 	}
 }
--- a/consul/register_test.go
+++ b/consul/register_test.go
@@ -21,7 +21,7 @@
 	}
 	status := func(want string) {
 		t.Helper()
-		for end := time.Now().Add(hosttest.Patience); ; time.Sleep(2 * time.Millisecond) {
+		for end := time.Now().Add(hosttest.WaitTimeout); ; time.Sleep(2 * time.Millisecond) {
 			got := agent.Instances("gateways")["agent/gateway-1"]
 			if got == want {
 				return
@@ -52,14 +52,14 @@
 	agent.Remove("agent", "gateway-1") // the agent was reset
 	status("")
 	status("passing")
-	if err := agent.Fail(fakes.Refusing); err != nil {
+	if err := agent.SetFault(fakes.ConsulRefusesConnections); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-results; err == nil {
 		t.Error("the failure was not reported")
 	}
 	status("critical") // by its TTL, as nobody could renew it
-	if err := agent.Fail(fakes.Well); err != nil {
+	if err := agent.SetFault(fakes.ConsulHealthy); err != nil {
 		t.Fatal(err)
 	}
 	status("passing")
@@ -81,7 +81,7 @@
 		ended <- c.Register(ctx, registration, nil)
 	}()
 	status("passing")
-	if err := agent.Fail(fakes.Silent); err != nil {
+	if err := agent.SetFault(fakes.ConsulSilent); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
--- a/consul/sync_test.go
+++ b/consul/sync_test.go
@@ -43,7 +43,7 @@
 		t.Helper()
 		select {
 		case <-c:
-		case <-time.After(hosttest.Patience):
+		case <-time.After(hosttest.WaitTimeout):
 			t.Fatalf("waited in vain for %s", what)
 		}
 	}
@@ -60,7 +60,7 @@
 		mu.Unlock()
 	}
 	since := time.Now()
-	if err := r.agent.Fail(fakes.Refusing); err != nil {
+	if err := r.agent.SetFault(fakes.ConsulRefusesConnections); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Sync(t.Context(), since); err == nil {
--- a/consul/trials_test.go
+++ b/consul/trials_test.go
@@ -37,7 +37,7 @@
 			var took []time.Duration
 			for range *trials {
 				id := ids[0]
-				for n := r.ledger.Reached(id).Count; r.ledger.Reached(id).Count < n+20; { // it is in use
+				for n := r.ledger.Arrivals(id).Count; r.ledger.Arrivals(id).Count < n+20; { // it is in use
 					time.Sleep(time.Millisecond)
 				}
 				at := time.Now()
@@ -47,7 +47,7 @@
 					return !ok || m.State == "draining"
 				})
 				time.Sleep(100 * time.Millisecond) // for what may come late
-				took = append(took, max(0, r.ledger.Reached(id).Last.Sub(at)))
+				took = append(took, max(0, r.ledger.Arrivals(id).Last.Sub(at)))
 				r.agent.Remove("n1", id)
 				ids = append(ids[1:], r.start(nil))
 				r.wantState(d, id, "gone")
@@ -57,7 +57,7 @@
 				time.Sleep(*calm)
 			}
 			l.stop()
-			if doubled := r.ledger.Doubled(); l.failed.Load() > 0 || len(doubled) > 0 {
+			if doubled := r.ledger.RepeatedEffects(); l.failed.Load() > 0 || len(doubled) > 0 {
 				t.Errorf("%v, doubled %q", l, doubled)
 			}
 			slices.Sort(took)
@@ -80,18 +80,18 @@
 	}
 	d := r.gateway(4, nil)
 	l := r.load(8, "pay", 2*time.Millisecond, d)
-	fault := fakes.Refusing
+	fault := fakes.ConsulRefusesConnections
 	if *well {
-		fault = fakes.Well
+		fault = fakes.ConsulHealthy
 	}
-	if err := r.agent.Fail(fault); err != nil {
+	if err := r.agent.SetFault(fault); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(*dead)
 	if n := len(statusesOf(d)); n != 4 {
 		t.Errorf("%d nodes are known", n)
 	}
-	if err := r.agent.Fail(fakes.Well); err != nil {
+	if err := r.agent.SetFault(fakes.ConsulHealthy); err != nil {
 		t.Fatal(err)
 	}
 	r.await(d, "the agent to be back", func(ms statuses) bool { return !ms["b1"].Stale })
--- a/consul/watch_test.go
+++ b/consul/watch_test.go
@@ -22,18 +22,18 @@
 // when the agent is back only the changes are applied.
 func TestFailingAgentLosesNoRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		fault fakes.Fault
+		fault fakes.ConsulFault
 		mode  Consistency
 	}{
-		"refuses":              {fault: fakes.Refusing},
-		"is silent":            {fault: fakes.Silent},
-		"answers 500":          {fault: fakes.Erring},
-		"cuts its answers":     {fault: fakes.Cutting},
-		"has no leader":        {fault: fakes.Leaderless},
-		"no leader, stale":     {fault: fakes.Leaderless, mode: Stale},
-		"empty, and no leader": {fault: fakes.EmptyNoLeader},
-		"emptied by ACLs":      {fault: fakes.Filtering},
-		"answers no JSON":      {fault: fakes.Garbling},
+		"refuses":              {fault: fakes.ConsulRefusesConnections},
+		"is silent":            {fault: fakes.ConsulSilent},
+		"answers 500":          {fault: fakes.ConsulServerError},
+		"cuts its answers":     {fault: fakes.ConsulTruncates},
+		"has no leader":        {fault: fakes.ConsulNoLeader},
+		"no leader, stale":     {fault: fakes.ConsulNoLeader, mode: Stale},
+		"empty, and no leader": {fault: fakes.ConsulEmptyNoLeader},
+		"emptied by ACLs":      {fault: fakes.ConsulACLFiltered},
+		"answers no JSON":      {fault: fakes.ConsulGarbled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -44,7 +44,7 @@
 			d := r.gateway(4, nil)
 			before := statusesOf(d)
 			l := r.load(4, "pay", time.Millisecond, d)
-			if err := r.agent.Fail(c.fault); err != nil {
+			if err := r.agent.SetFault(c.fault); err != nil {
 				t.Fatal(err)
 			}
 			r.await(d, "stale statuses", func(ms statuses) bool { return ms["b1"].Stale })
@@ -55,10 +55,10 @@
 				time.Sleep(time.Millisecond)
 			}
 			known := slices.Sorted(maps.Keys(statusesOf(d)))
-			if c.fault != fakes.Leaderless && !slices.Equal(known, []string{"b0", "b1", "b2", "b3"}) {
+			if c.fault != fakes.ConsulNoLeader && !slices.Equal(known, []string{"b0", "b1", "b2", "b3"}) {
 				t.Errorf("while the agent fails the gateway knows %q", known)
 			}
-			if err := r.agent.Fail(fakes.Well); err != nil {
+			if err := r.agent.SetFault(fakes.ConsulHealthy); err != nil {
 				t.Fatal(err)
 			}
 			r.wantState(d, "b0", "gone")
@@ -90,7 +90,7 @@
 		return strings.Contains(ms["b1"].Explanation, "lacks it")
 	})
 	for _, id := range []string{"b0", "b1", "b2", "b3"} { // as agents' anti-entropy brings them back, one after another
-		r.agent.Put(r.instance(id))
+		r.agent.Register(r.instance(id))
 		r.await(d, id+" to be listed", func(ms statuses) bool {
 			return !strings.Contains(ms[id].Explanation, "lacks it")
 		})
@@ -117,13 +117,13 @@
 	}
 	d := r.gateway(6, func(c *pumicecroft.Config) { c.Membership.MassRemovalDelay = 0 }) // the default
 	l := r.load(4, "look", time.Millisecond, d)
-	asked := len(r.agent.Questions())
+	asked := len(r.agent.Queries())
 	for _, id := range []string{"b0", "b1", "b2", "b3", "b4"} {
 		r.agent.Remove("n1", id)
 	}
 	r.await(d, "five to go", func(ms statuses) bool { return len(ms) == 1 })
 	// The time is membership's: its TestMassRemoval holds it to the millisecond.
-	if n := len(r.agent.Questions()) - asked; n < 2 {
+	if n := len(r.agent.Queries()) - asked; n < 2 {
 		t.Errorf("removed after %d queries", n)
 	}
 	r.wantNoLoss(l)
@@ -132,19 +132,19 @@
 // The agent responds to each query at once, or always with index 0. It is not queried in a loop, and changes
 // are seen all the same.
 func TestAgentThatDoesNotHoldQueries(t *testing.T) {
-	for name, fault := range map[string]fakes.Fault{"index 0": fakes.ZeroIndex, "whatever the index": fakes.Instant} {
+	for name, fault := range map[string]fakes.ConsulFault{"index 0": fakes.ConsulZeroIndex, "whatever the index": fakes.ConsulImmediate} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newFixture(t, func(c *Config) { c.Wait = 10 * time.Second })
 			r.start(nil)
 			r.start(nil)
-			if err := r.agent.Fail(fault); err != nil {
+			if err := r.agent.SetFault(fault); err != nil {
 				t.Fatal(err)
 			}
 			d := r.gateway(2, nil)
-			start, before := time.Now(), len(r.agent.Questions())
+			start, before := time.Now(), len(r.agent.Queries())
 			time.Sleep(2 * time.Second) // the rate over this time is checked
-			if n := len(r.agent.Questions()) - before; float64(n) > 2*(2*time.Since(start).Seconds()+2) {
+			if n := len(r.agent.Queries()) - before; float64(n) > 2*(2*time.Since(start).Seconds()+2) {
 				t.Errorf("%d queries in %v", n, time.Since(start))
 			}
 			r.agent.SetCheck("n1", "b0", fakes.Check{ID: "web", Status: "critical"})
@@ -212,16 +212,16 @@
 	r.wantState(d, late, "cold")
 	r.agent.Remove("n1", "b0")
 	r.wantState(d, "b0", "gone")
-	r.agent.Put(r.instance("b0"))
+	r.agent.Register(r.instance("b0"))
 	r.wantState(d, "b0", "cold")
 	other := r.instance("b1")
 	r.agent.Remove("n1", "b1")
 	other.ID = "x1"
-	r.agent.Put(other)
+	r.agent.Register(other)
 	r.wantState(d, "x1", "cold")
 	again := r.instance("b2")
 	again.Meta = map[string]string{"boot": "2"}
-	r.agent.Put(again)
+	r.agent.Register(again)
 	r.wantState(d, "b2", "cold")
 	r.agent.SetCheck("n1", "b3", fakes.Check{ID: "web", Status: "critical"})
 	r.wantState(d, "b3", "draining")
@@ -233,8 +233,8 @@
 func TestNewNodeIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	limits := func(c *fakes.BackendConfig) {
-		c.Capacity, c.Work = 400, func(string) time.Duration { return 25 * time.Millisecond }
-		c.ColdFrom, c.WarmWithin, c.FallMultiple, c.FallFor = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
+		c.Capacity, c.WorkTime = 400, func(string) time.Duration { return 25 * time.Millisecond }
+		c.SlowStartMinCapacity, c.SlowStartWindow, c.OverloadFactor, c.OverloadDuration = 0.2, 6*time.Second, 0.15, 500*time.Millisecond
 	}
 	r := newFixture(t, nil)
 	for range 3 {
@@ -253,17 +253,17 @@
 	for l.served.Load() < 100 {
 		time.Sleep(time.Millisecond)
 	}
-	added := r.start(func(c *fakes.BackendConfig) { limits(c); c.Cold = true })
+	added := r.start(func(c *fakes.BackendConfig) { limits(c); c.StartCold = true })
 	r.wantState(a, added, "cold")
 	r.wantState(b, added, "cold")
 	served := l.served.Load()
-	for l.served.Load() < served+600 || r.ledger.Reached(added).Count == 0 { // it is not left out either
+	for l.served.Load() < served+600 || r.ledger.Arrivals(added).Count == 0 { // it is not left out either
 		time.Sleep(10 * time.Millisecond)
 	}
 	r.wantNoLoss(l)
 	all := int(l.served.Load() - served)
-	if n := r.ledger.Reached(added).Count; r.backends[added].Fallen() || n*4 > all {
-		t.Errorf("the new backend got %d attempts of %d, fallen: %v", n, all, r.backends[added].Fallen())
+	if n := r.ledger.Arrivals(added).Count; r.backends[added].Overloaded() || n*4 > all {
+		t.Errorf("the new backend got %d attempts of %d, fallen: %v", n, all, r.backends[added].Overloaded())
 	}
 }
 
@@ -272,11 +272,11 @@
 	t.Parallel()
 	r := newFixture(t, nil)
 	slow := r.start(func(c *fakes.BackendConfig) {
-		c.Work = func(string) time.Duration { return 700 * time.Millisecond }
+		c.WorkTime = func(string) time.Duration { return 700 * time.Millisecond }
 	})
 	d := r.gateway(1, nil)
 	l := r.load(10, "pay", time.Hour, d) // one each
-	r.ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 10 })
+	r.ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 10 })
 	r.agent.SetCheck("n1", slow, fakes.Check{ID: "web", Status: "critical", Output: "503"})
 	r.wantState(d, slow, "draining")
 	const explanation = "consul:identity says that it takes nothing new; critical: web: 503"
@@ -290,8 +290,8 @@
 	for l.sent.Load() < 10 {
 		time.Sleep(time.Millisecond)
 	}
-	if l.served.Load() != 10 || len(r.attempts(slow)) != 10 || len(r.ledger.Doubled()) > 0 {
-		t.Errorf("%v, %d attempts, doubled %q", l, len(r.attempts(slow)), r.ledger.Doubled())
+	if l.served.Load() != 10 || len(r.attempts(slow)) != 10 || len(r.ledger.RepeatedEffects()) > 0 {
+		t.Errorf("%v, %d attempts, doubled %q", l, len(r.attempts(slow)), r.ledger.RepeatedEffects())
 	}
 }
 
@@ -342,7 +342,7 @@
 		t.Fatal(err)
 	}
 	r.agent.Remove("n1", "b0") // while no gateway runs
-	if err := r.agent.Fail(fakes.Refusing); err != nil {
+	if err := r.agent.SetFault(fakes.ConsulRefusesConnections); err != nil {
 		t.Fatal(err)
 	}
 	second := r.gateway(4, with)
@@ -353,7 +353,7 @@
 	for l.served.Load() < 100 {
 		time.Sleep(time.Millisecond)
 	}
-	if err := r.agent.Fail(fakes.Well); err != nil {
+	if err := r.agent.SetFault(fakes.ConsulHealthy); err != nil {
 		t.Fatal(err)
 	}
 	r.wantState(second, "b0", "gone")
@@ -382,7 +382,7 @@
 		if _, err := second.Do(t.Context(), pumicecroft.Request{Class: "look", Plan: "shop"}); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		for end := time.Now().Add(hosttest.Patience); ; time.Sleep(10 * time.Millisecond) { // and the file is good again
+		for end := time.Now().Add(hosttest.WaitTimeout); ; time.Sleep(10 * time.Millisecond) { // and the file is good again
 			if nodes, _, err := endpointcache.Read(dir, "consul:identity"); err == nil && len(nodes) == 3 {
 				break
 			}
--- a/disconnect_test.go
+++ b/disconnect_test.go
@@ -77,13 +77,13 @@
 					options = append(options, slow)
 				case further, beside:
 					options = append(options, slow)
-					first := testkit.Raw(t, func(_ int, conn net.Conn) {
+					first := testkit.ServeRaw(t, func(_ int, conn net.Conn) {
 						if wait == further {
 							io.WriteString(conn, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 						}
 					})
 					config.InitialEndpoints = readyBackends(first, addr)
-					decider = testkit.Script(func(ev decision.Event) []decision.Action {
+					decider = testkit.NewScriptedEngine(func(ev decision.Event) []decision.Action {
 						var as []decision.Action
 						if ev, ok := ev.(decision.Request); ok {
 							as = append(as, decision.StartAttempt{Request: ev.ID, Backend: 1})
@@ -123,13 +123,13 @@
 						}
 					}()
 				default:
-					first := testkit.Raw(t, func(_ int, conn net.Conn) {
+					first := testkit.ServeRaw(t, func(_ int, conn net.Conn) {
 						waiting <- true
 						<-goOn
 						io.WriteString(conn, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 					})
 					config.InitialEndpoints = readyBackends(first, addr)
-					decider = testkit.Script(func(ev decision.Event) []decision.Action { // it is sent once more, whatever became of it
+					decider = testkit.NewScriptedEngine(func(ev decision.Event) []decision.Action { // it is sent once more, whatever became of it
 						switch ev := ev.(type) {
 						case decision.Request:
 							return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 1}}
@@ -152,7 +152,7 @@
 				testkit.Await(t, left, "it to be seen that its client has left")
 				d.gateway.OpenRequests() // and what comes of that is done: it is one step
 				close(goOn)
-				patient, stop := context.WithTimeout(t.Context(), testkit.Patient)
+				patient, stop := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 				defer stop()
 				if err := d.gateway.Close(patient); err != nil { // what was to leave has left
 					t.Error(err)
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -20,8 +20,8 @@
 }
 
 // lists gives the lists that a decision module hears, as they come.
-func recordUpdates(on func(decision.EndpointUpdate)) *testkit.Scripted {
-	return &testkit.Scripted{Heard: make(chan decision.Event, 1000), On: func(ev decision.Event) []decision.Action {
+func recordUpdates(on func(decision.EndpointUpdate)) *testkit.ScriptedEngine {
+	return &testkit.ScriptedEngine{Events: make(chan decision.Event, 1000), Respond: func(ev decision.Event) []decision.Action {
 		if l, ok := ev.(decision.EndpointUpdate); ok {
 			on(l)
 		}
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -29,17 +29,17 @@
 func TestDo(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
 	for _, class := range []string{"look", "pay", "once"} {
-		a, err := r.Door.Do(t.Context(), newRequest(class))
+		a, err := r.Gateway.Do(t.Context(), newRequest(class))
 		if err != nil || !strings.HasPrefix(string(a.Body), "done ") || a.Attempts != 1 || a.ContentType == "" {
 			t.Errorf("%s: %+v, %v", class, a, err)
 		}
 	}
 	req := newRequest("pay")
 	req.ID, req.Target, req.Host, req.ContentType = 0xabc, "/pay/x?y=1", "h", "text/plain"
-	if _, err := r.Door.Do(t.Context(), req); err != nil {
+	if _, err := r.Gateway.Do(t.Context(), req); err != nil {
 		t.Error(err)
 	}
-	seen := r.Ledger.Of("0000000000000abc")
+	seen := r.Ledger.ForRequest("0000000000000abc")
 	if len(seen) != 1 || seen[0].Body != "amount=3" || seen[0].Key != "k" {
 		t.Errorf("%+v", seen)
 	}
@@ -51,7 +51,7 @@
 	bad := func(change func(*pumicecroft.Request)) error {
 		req := newRequest("pay")
 		change(&req)
-		_, err := r.Door.Do(t.Context(), req)
+		_, err := r.Gateway.Do(t.Context(), req)
 		return err
 	}
 	for name, change := range map[string]func(*pumicecroft.Request){
@@ -85,49 +85,49 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	why := errors.New("the shop has closed")
 	cancel(why)
-	if _, err := r.Door.Do(ctx, newRequest("look")); !errors.Is(err, why) {
+	if _, err := r.Gateway.Do(ctx, newRequest("look")); !errors.Is(err, why) {
 		t.Errorf("a context that has ended: %v", err)
 	}
 
 	empty := hosttest.New(t, 0, nil, nil)
-	_, err := empty.Door.Do(t.Context(), newRequest("look"))
+	_, err := empty.Gateway.Do(t.Context(), newRequest("look"))
 	var refused *pumicecroft.RejectedError
 	if !errors.Is(err, pumicecroft.ErrRejected) || !errors.As(err, &refused) || refused.RetryAfter <= 0 || errors.Is(err, pumicecroft.ErrFailed) {
 		t.Errorf("nobody there: %v", err)
 	}
 
-	broken := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.RunAndError }, nil)
-	if _, err := broken.Door.Do(t.Context(), newRequest("once")); !errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
+	broken := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { return fakes.ExecuteThenError }, nil)
+	if _, err := broken.Gateway.Do(t.Context(), newRequest("once")); !errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("failed: %v", err)
 	}
-	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.Hang }, nil)
+	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { return fakes.ExecuteThenHang }, nil)
 	req := newRequest("once")
 	req.Timeout = 200 * time.Millisecond
 	start := time.Now()
-	if _, err := hung.Door.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrFailed) || time.Since(start) > 15*time.Second {
+	if _, err := hung.Gateway.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrFailed) || time.Since(start) > 15*time.Second {
 		t.Errorf("hung: %v after %v", err, time.Since(start))
 	}
 }
 
 func TestDo_DuplicateAndReplayedID(t *testing.T) {
 	goOn := make(chan bool)
-	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { <-goOn; return fakes.Work }, nil)
+	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { <-goOn; return fakes.ServeNormally }, nil)
 	req := newRequest("pay")
 	req.ID = 5
 	first := make(chan error, 1)
 	go func() {
-		_, err := r.Door.Do(t.Context(), req)
+		_, err := r.Gateway.Do(t.Context(), req)
 		first <- err
 	}()
-	r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 })
-	if _, err := r.Door.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrDuplicateID) || !errors.Is(err, pumicecroft.ErrBadRequest) {
+	r.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 })
+	if _, err := r.Gateway.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrDuplicateID) || !errors.Is(err, pumicecroft.ErrBadRequest) {
 		t.Errorf("open: %v", err)
 	}
 	close(goOn)
 	if err := <-first; err != nil {
 		t.Error(err)
 	}
-	if _, err := r.Door.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrReplayed) || !errors.Is(err, pumicecroft.ErrFailed) {
+	if _, err := r.Gateway.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrReplayed) || !errors.Is(err, pumicecroft.ErrFailed) {
 		t.Errorf("again: %v", err)
 	}
 	if n := len(r.Ledger.Attempts()); n != 1 {
@@ -136,41 +136,41 @@
 }
 
 func TestMaxOpenRequests(t *testing.T) {
-	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.Hang }, func(c *pumicecroft.Config) { c.MaxOpenRequests = 3 })
+	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { return fakes.ExecuteThenHang }, func(c *pumicecroft.Config) { c.MaxOpenRequests = 3 })
 	ctx, leave := context.WithCancel(t.Context())
 	var asking sync.WaitGroup
 	for range 3 {
-		asking.Go(func() { r.Door.Do(ctx, newRequest("look")) })
+		asking.Go(func() { r.Gateway.Do(ctx, newRequest("look")) })
 	}
-	r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 3 })
-	if _, err := r.Door.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrTooManyRequests) || !errors.Is(err, pumicecroft.ErrRejected) {
+	r.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 3 })
+	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrTooManyRequests) || !errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("one too many: %v", err)
 	}
 	leave()
 	asking.Wait()
-	r.Settled()
+	r.AwaitIdle()
 }
 
 // Close loses nothing: what was taken has its answer before it returns, what comes then is refused, and when its
 // own time is up the rest is told so at once.
 func TestClose(t *testing.T) {
 	goOn := make(chan bool)
-	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Act {
+	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Behavior {
 		if a.Class == "pay" {
 			<-goOn
 		}
-		return fakes.Work
+		return fakes.ServeNormally
 	}, nil)
 	first := make(chan error, 1)
 	go func() {
-		_, err := r.Door.Do(t.Context(), newRequest("pay"))
+		_, err := r.Gateway.Do(t.Context(), newRequest("pay"))
 		first <- err
 	}()
-	r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 })
+	r.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 })
 	closed := make(chan error, 1)
-	go func() { closed <- r.Door.Close(context.Background()) }()
-	for end := time.Now().Add(hosttest.Patience); ; time.Sleep(time.Millisecond) {
-		if _, err := r.Door.Do(t.Context(), newRequest("look")); errors.Is(err, pumicecroft.ErrClosed) && errors.Is(err, pumicecroft.ErrRejected) {
+	go func() { closed <- r.Gateway.Close(context.Background()) }()
+	for end := time.Now().Add(hosttest.WaitTimeout); ; time.Sleep(time.Millisecond) {
+		if _, err := r.Gateway.Do(t.Context(), newRequest("look")); errors.Is(err, pumicecroft.ErrClosed) && errors.Is(err, pumicecroft.ErrRejected) {
 			break
 		}
 		if time.Now().After(end) {
@@ -189,20 +189,20 @@
 	if err := <-closed; err != nil {
 		t.Error(err)
 	}
-	if err := r.Door.Close(context.Background()); err != nil {
+	if err := r.Gateway.Close(context.Background()); err != nil {
 		t.Errorf("once more: %v", err)
 	}
-	r.Door.Update(membership.Update{Full: true}) // does nothing, and no harm
+	r.Gateway.Update(membership.Update{Full: true}) // does nothing, and no harm
 
-	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Act { return fakes.Hang }, nil)
+	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { return fakes.ExecuteThenHang }, nil)
 	go func() {
-		_, err := hung.Door.Do(t.Context(), newRequest("pay"))
+		_, err := hung.Gateway.Do(t.Context(), newRequest("pay"))
 		first <- err
 	}()
-	hung.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 })
+	hung.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 })
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if err := hung.Door.Close(ctx); !errors.Is(err, pumicecroft.ErrAborted) || !errors.Is(err, context.DeadlineExceeded) {
+	if err := hung.Gateway.Close(ctx); !errors.Is(err, pumicecroft.ErrAborted) || !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("a close that is given no time: %v", err)
 	}
 	if err := <-first; !errors.Is(err, pumicecroft.ErrAborted) || !errors.Is(err, pumicecroft.ErrFailed) {
@@ -233,22 +233,22 @@
 	s := pushedSource{make(chan membership.Update), make(chan bool)}
 	r := hosttest.New(t, 1, nil, nil, pumicecroft.WithSource(s))
 	push := func(l membership.Update) { s.lists <- l; <-s.lists }
-	if _, err := r.Door.Do(t.Context(), newRequest("look")); err != nil {
+	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); err != nil {
 		t.Error(err)
 	}
 	push(membership.Update{Nodes: []membership.Node{{Name: "b0", Addr: r.Backends[0].Addr(), State: decision.Draining}}})
-	if _, err := r.Door.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrRejected) {
+	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("while the one backend drains: %v", err)
 	}
 	push(membership.Update{Full: true, Nodes: []membership.Node{{Name: ""}, {Name: "bad", State: 9}, {Name: "none"},
 		{Name: "new", Addr: r.Backends[0].Addr()}}}) // three make no sense
-	if _, err := r.Door.Do(t.Context(), newRequest("look")); err != nil {
+	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); err != nil {
 		t.Errorf("a new one: %v", err)
 	}
-	r.Door.Close(t.Context())
+	r.Gateway.Close(t.Context())
 	select {
 	case <-s.ended:
-	case <-time.After(hosttest.Patience):
+	case <-time.After(hosttest.WaitTimeout):
 		t.Error("the source outlives the door")
 	}
 }
@@ -300,7 +300,7 @@
 			}
 		}
 	}
-	for end := time.Now().Add(hosttest.Patience); runtime.NumGoroutine() > before+2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(hosttest.WaitTimeout); runtime.NumGoroutine() > before+2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
 		}
--- a/grpcproxy/disconnect_test.go
+++ b/grpcproxy/disconnect_test.go
@@ -21,7 +21,7 @@
 			dials, waiting, goOn := atomic.Int32{}, make(chan bool, 10), make(chan bool)
 			r := newRig(t, func(o *options) {
 				if further {
-					o.act = once(fakes.GRPCPushBack, fakes.GRPCServe)
+					o.act = once(fakes.GRPCRetryPushback, fakes.GRPCServe)
 				}
 				o.back.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if n := dials.Add(1); n == 1 && !further || n == 2 && further {
@@ -50,7 +50,7 @@
 			if further {
 				want = 1
 			}
-			if n := len(r.ledger.Of(c.id)); n != want {
+			if n := len(r.ledger.ForRequest(c.id)); n != want {
 				t.Errorf("%d attempts, want %d", n, want)
 			}
 		})
--- a/grpcproxy/fixture_test.go
+++ b/grpcproxy/fixture_test.go
@@ -56,7 +56,7 @@
 // options are what a test may change.
 type options struct {
 	cells    []int // of the backends; two of one cell
-	act      func(fakes.Attempt) fakes.GRPCAct
+	act      func(fakes.Attempt) fakes.GRPCBehavior
 	work     time.Duration
 	between  func(fakes.Attempt)
 	settings decision.Settings
@@ -71,7 +71,7 @@
 func newRig(t testing.TB, change func(*options)) *fixture {
 	t.Helper()
 	before := runtime.NumGoroutine()
-	o := options{cells: []int{0, 0}, settings: deskSettings(), config: Config{Methods: deskMethods}, back: BackendConfig{ConnectTimeout: testkit.Patient}}
+	o := options{cells: []int{0, 0}, settings: deskSettings(), config: Config{Methods: deskMethods}, back: BackendConfig{ConnectTimeout: testkit.WaitTimeout}}
 	if change != nil {
 		change(&o)
 	}
@@ -82,8 +82,8 @@
 		if memories[cell] == nil {
 			memories[cell] = &fakes.Cell{Number: cell, Window: 5 * time.Second}
 		}
-		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell], Ledger: r.ledger, Act: o.act, Work: o.work, Between: o.between,
-			Keyed: func(m string) bool { return m != "/shop.Desk/Look" && m != "/shop.Desk/Watch" }})
+		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell], Ledger: r.ledger, Behavior: o.act, WorkTime: o.work, AfterMessage: o.between,
+			IdempotentByKey: func(m string) bool { return m != "/shop.Desk/Look" && m != "/shop.Desk/Watch" }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -127,7 +127,7 @@
 		for _, b := range r.backends {
 			b.Kill()
 		}
-		for end := time.Now().Add(testkit.Patient); runtime.NumGoroutine() > before; time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(testkit.WaitTimeout); runtime.NumGoroutine() > before; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				buf := make([]byte, 1<<20)
 				t.Errorf("%d goroutines, %d before:\n%s", runtime.NumGoroutine(), before, buf[:runtime.Stack(buf, true)])
@@ -243,23 +243,23 @@
 }
 
 // once gives an act for the first attempt of all, and another for the rest.
-func once(first, rest fakes.GRPCAct) func(fakes.Attempt) fakes.GRPCAct {
+func once(first, rest fakes.GRPCBehavior) func(fakes.Attempt) fakes.GRPCBehavior {
 	var done sync.Once
-	return func(fakes.Attempt) fakes.GRPCAct {
+	return func(fakes.Attempt) fakes.GRPCBehavior {
 		act := rest
 		done.Do(func() { act = first })
 		return act
 	}
 }
 
-func always(act fakes.GRPCAct) func(fakes.Attempt) fakes.GRPCAct {
-	return func(fakes.Attempt) fakes.GRPCAct { return act }
+func always(act fakes.GRPCBehavior) func(fakes.Attempt) fakes.GRPCBehavior {
+	return func(fakes.Attempt) fakes.GRPCBehavior { return act }
 }
 
 // await waits until ok.
 func await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testkit.Patient); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
--- a/grpcproxy/frames_test.go
+++ b/grpcproxy/frames_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(testkit.Patient))
+	conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	w := &rawClient{t: t, conn: conn, f: http2.NewFramer(conn, conn), next: 1}
 	w.enc = hpack.NewEncoder(&w.head)
 	w.f.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
@@ -211,7 +211,7 @@
 // have streams, none has its effect twice, and another client is served.
 func TestRapidReset(t *testing.T) {
 	r := newRig(t, func(o *options) {
-		o.act = func(a fakes.Attempt) fakes.GRPCAct {
+		o.act = func(a fakes.Attempt) fakes.GRPCBehavior {
 			if a.Class == "/shop.Desk/Once" {
 				return fakes.GRPCHang
 			}
@@ -234,7 +234,7 @@
 		}
 		w.mu.Unlock()
 		if err == nil && i%10 == 0 { // it has become an attempt; the others are mostly gone before they are looked at
-			await(t, "an attempt, or a refusal", func() bool { return len(r.ledger.Of(c.id)) > 0 || w.over.Load() == id })
+			await(t, "an attempt, or a refusal", func() bool { return len(r.ledger.ForRequest(c.id)) > 0 || w.over.Load() == id })
 			most = max(most, r.gateway.OpenRequests())
 		}
 		if err == nil {
@@ -258,7 +258,7 @@
 	if most == 0 || most > 2*20+2 { // twice, as one that is called off is open until its attempt has ended
 		t.Errorf("%d calls of it were open at once", most)
 	}
-	if doubled := r.ledger.Doubled(); len(doubled) > 0 {
+	if doubled := r.ledger.RepeatedEffects(); len(doubled) > 0 {
 		t.Errorf("effects twice: %v", doubled)
 	}
 	t.Logf("%d calls, %d attempts, at most %d open", n, len(r.ledger.Attempts()), most)
@@ -273,7 +273,7 @@
 	}
 	defer conn.Close()
 	io.WriteString(conn, "GET /shop.Desk/Look HTTP/1.1\r\nHost: desk\r\n\r\n")
-	testkit.UntilEnd(t, conn)
+	testkit.ReadUntilClosed(t, conn)
 	if res := r.do(r.call("Look")); res.st.Code() != codes.OK {
 		t.Errorf("another client: %v", res.st)
 	}
--- a/grpcproxy/idempotency_test.go
+++ b/grpcproxy/idempotency_test.go
@@ -29,7 +29,7 @@
 func TestRepeatedIdempotencyKeys(t *testing.T) {
 	for _, c := range []struct {
 		name, method string
-		act          fakes.GRPCAct
+		act          fakes.GRPCBehavior
 		change       func(*call)
 		first        codes.Code
 		second       codes.Code
@@ -40,14 +40,14 @@
 		{"another message", "Pay", fakes.GRPCServe, func(c *call) { c.text = "amount=4" }, codes.OK, codes.InvalidArgument, 1},
 		{"another method", "Pay", fakes.GRPCServe, func(c *call) { c.method = "/shop.Desk/Once" }, codes.OK, codes.InvalidArgument, 1},
 		{"another customer", "Pay", fakes.GRPCServe, func(c *call) { c.md = metadata.Join(c.md); c.md.Set("x-api-key", "0000000000000008") }, codes.OK, codes.OK, 2},
-		{"it may have run", "Once", fakes.GRPCResetLate, nil, codes.Unknown, codes.Unknown, 1},
+		{"it may have run", "Once", fakes.GRPCResetAfterMessage, nil, codes.Unknown, codes.Unknown, 1},
 		{"safe", "Look", fakes.GRPCServe, nil, codes.OK, codes.OK, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			r := newRig(t, func(o *options) {
 				o.cells = []int{1, 2} // only the edge drops a repeat
-				o.act = func(fakes.Attempt) fakes.GRPCAct { return c.act }
+				o.act = func(fakes.Attempt) fakes.GRPCBehavior { return c.act }
 				o.door = func(d *pumicecroft.Config) {
 					d.Idempotency, d.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: dir}
 				}
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -53,7 +53,7 @@
 	defer stop()
 	set := longSettings()
 	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15, InitialEndpoints: membership.Update{Nodes: []membership.Node{
-		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000, ConnectTimeout: testkit.Patient}))
+		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000, ConnectTimeout: testkit.WaitTimeout}))
 	if err != nil {
 		return err
 	}
@@ -98,9 +98,9 @@
 
 // memoryPerStream opens n streams at a door in a process of its own over ten connections, reads one message of each, and gives what
 // the door's memory grew by, in KiB for each, once it no longer grows.
-func memoryPerStream(t testing.TB, act fakes.GRPCAct, n int) float64 {
+func memoryPerStream(t testing.TB, act fakes.GRPCBehavior, n int) float64 {
 	t.Helper()
-	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Act: always(act), MaxStreams: 1000})
+	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Behavior: always(act), MaxStreams: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/grpcproxy/proxy_test.go
+++ b/grpcproxy/proxy_test.go
@@ -32,21 +32,21 @@
 	served, never := end{codes.OK, "", 1}, func(c codes.Code) end { return end{c, "-1", 1} }
 	again := func(e end) end { e.attempts++; return e }
 	type row struct{ look, pay, once end } // with two backends of one cell; the first attempt alone ends so
-	rows := map[fakes.GRPCAct]row{
-		fakes.GRPCServe:        {served, served, served},
-		fakes.GRPCNotFound:     {never(codes.NotFound), never(codes.NotFound), never(codes.NotFound)},
-		fakes.GRPCRefuseStream: {again(served), again(served), again(served)},
-		fakes.GRPCGoAwayBelow:  {again(served), again(served), again(served)},
-		fakes.GRPCPushBack:     {again(served), again(served), again(served)},
-		fakes.GRPCInternal:     {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCResetCancel:  {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCResetLate:    {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCBreak:        {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCBreakLate:    {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCNoMessage:    {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCTwoMessages:  {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCTrailersCut:  {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCTooLong:      {again(served), again(served), never(codes.Unknown)},
+	rows := map[fakes.GRPCBehavior]row{
+		fakes.GRPCServe:             {served, served, served},
+		fakes.GRPCNotFound:          {never(codes.NotFound), never(codes.NotFound), never(codes.NotFound)},
+		fakes.GRPCRefuseStream:      {again(served), again(served), again(served)},
+		fakes.GRPCGoAwayBelow:       {again(served), again(served), again(served)},
+		fakes.GRPCRetryPushback:     {again(served), again(served), again(served)},
+		fakes.GRPCInternal:          {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCResetCancel:       {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCResetAfterMessage: {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCClose:             {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCCloseMidMessage:   {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCNoMessage:         {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCTwoMessages:       {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCMissingTrailers:   {again(served), again(served), never(codes.Unknown)},
+		fakes.GRPCMessageTooLarge:   {again(served), again(served), never(codes.Unknown)},
 	}
 	for act, row := range rows {
 		for method, want := range map[string]end{"Look": row.look, "Pay": row.pay, "Once": row.once} {
@@ -54,7 +54,7 @@
 				r := newRig(t, func(o *options) { o.act = once(act, fakes.GRPCServe) })
 				c := r.call(method)
 				res := r.do(c)
-				seen := r.ledger.Of(c.id)
+				seen := r.ledger.ForRequest(c.id)
 				if res.st.Code() != want.code || res.pushback != want.pushback || len(seen) != want.attempts {
 					t.Errorf("%v, pushback %q, %d attempts; want %+v", res.st, res.pushback, len(seen), want)
 				}
@@ -114,7 +114,7 @@
 	addr, transport := testkit.Serve(t, r.gateway.ServeHTTP), &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	return r, func(id int) fakes.Reply {
-		a := fakes.Ask{ID: uint64(1<<40 + id), Class: "look", Customer: 7, Plan: plan.Name, Timeout: 10 * time.Second}
+		a := fakes.Request{ID: uint64(1<<40 + id), Class: "look", Customer: 7, Plan: plan.Name, Timeout: 10 * time.Second}
 		return a.Do(t.Context(), transport, addr)
 	}
 }
@@ -212,7 +212,7 @@
 				var m framedMessage
 				gone <- errors.Join(err, s.RecvMsg(&m))
 			}()
-			if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End != "" }) {
+			if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].Outcome != "" }) {
 				t.Fatal("it never came")
 			}
 			testkit.Await(t, begun, "the call's beginning")
@@ -229,7 +229,7 @@
 				t.Error("the call ended well")
 			}
 			await(t, "its place", func() bool { return narrow() == codes.OK })
-			if n := len(r.ledger.Of(c.id)); n != 1 || r.ledger.Effects(c.key) != 1 {
+			if n := len(r.ledger.ForRequest(c.id)); n != 1 || r.ledger.Effects(c.key) != 1 {
 				t.Errorf("%d attempts, %d effects", n, r.ledger.Effects(c.key))
 			}
 			await(t, "the backend to hear of it", func() bool { return r.backends[0].Resets()+r.backends[1].Resets() == 1 })
@@ -241,7 +241,7 @@
 // A backend that sends headers and then nothing: a safe call is answered by another backend or refused, a keyed one fails
 // in time where no other backend drops its repeat, and no client is told to make it again.
 func TestHeadThenNothing(t *testing.T) {
-	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCHeadThenHang), []int{0, 1} })
+	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCHeadersThenHang), []int{0, 1} })
 	var calls sync.WaitGroup
 	for _, method := range []string{"Look", "Pay", "Once", "Watch", "Buy"} {
 		calls.Go(func() {
@@ -259,7 +259,7 @@
 			if took := time.Since(begun); took >= c.timeout || res.pushback == "" || harmless == (res.pushback == "-1") || res.st.Code() == codes.OK {
 				t.Errorf("%s: %v after %v, pushback %q", method, res.st, took, res.pushback)
 			}
-			if n := len(r.ledger.Of(c.id)); !harmless && n != 1 {
+			if n := len(r.ledger.ForRequest(c.id)); !harmless && n != 1 {
 				t.Errorf("%s: %d attempts", method, n)
 			}
 		})
@@ -274,7 +274,7 @@
 	var held sync.Map
 	r := newRig(t, func(o *options) {
 		o.cells = []int{0, 1}
-		o.act = func(a fakes.Attempt) fakes.GRPCAct {
+		o.act = func(a fakes.Attempt) fakes.GRPCBehavior {
 			if _, again := held.LoadOrStore(a.ID, true); !again {
 				<-hold
 			}
@@ -288,7 +288,7 @@
 	for range n {
 		go func() { results <- r.do(r.call("Once")) }()
 	}
-	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == n }) {
+	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == n }) {
 		t.Fatal("not all came")
 	}
 	before := len(r.ledger.Attempts())
@@ -298,9 +298,9 @@
 		onFirst += b2i(a.Backend == "g0")
 	}
 	// The upper half of the first backend's streams was not looked at; what the test holds of them is let go as unrun.
-	b.ForgetAbove(uint32(onFirst))
+	b.DropAbove(uint32(onFirst))
 	b.GoAway(uint32(onFirst))
-	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) >= before+onFirst/2-1 }) {
+	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) >= before+onFirst/2-1 }) {
 		t.Errorf("%d attempts were made again of %d", len(r.ledger.Attempts())-before, onFirst/2)
 	}
 	release()
@@ -309,7 +309,7 @@
 			t.Errorf("%v", res.st)
 		}
 	}
-	if doubled := r.ledger.Doubled(); len(doubled) > 0 {
+	if doubled := r.ledger.RepeatedEffects(); len(doubled) > 0 {
 		t.Errorf("effects twice: %v", doubled)
 	}
 }
@@ -324,7 +324,7 @@
 // Streams: what comes before the first message may be made again, what comes after is the client's.
 func TestServerStreaming(t *testing.T) {
 	for name, c := range map[string]struct {
-		first    fakes.GRPCAct
+		first    fakes.GRPCBehavior
 		method   string
 		code     codes.Code
 		texts    int
@@ -333,13 +333,13 @@
 		"three messages":         {fakes.GRPCStream, "Watch", codes.OK, 3, 1},
 		"none":                   {fakes.GRPCNoMessage, "Watch", codes.OK, 0, 1},
 		"refused":                {fakes.GRPCRefuseStream, "Buy", codes.OK, 3, 2},
-		"broke before":           {fakes.GRPCBreak, "Watch", codes.OK, 3, 2},
-		"broke within the first": {fakes.GRPCBreakLate, "Buy", codes.OK, 3, 2},
-		"broke after":            {fakes.GRPCStreamBreak, "Watch", codes.Unknown, 1, 1},
+		"broke before":           {fakes.GRPCClose, "Watch", codes.OK, 3, 2},
+		"broke within the first": {fakes.GRPCCloseMidMessage, "Buy", codes.OK, 3, 2},
+		"broke after":            {fakes.GRPCStreamClose, "Watch", codes.Unknown, 1, 1},
 		"an error after":         {fakes.GRPCStreamInternal, "Watch", codes.Internal, 1, 1},
 		"an error after, keyed":  {fakes.GRPCStreamInternal, "Buy", codes.Unknown, 1, 1},
 		"a word of the service":  {fakes.GRPCNotFound, "Watch", codes.NotFound, 0, 1},
-		"reset after":            {fakes.GRPCResetLate, "Buy", codes.Unknown, 1, 1},
+		"reset after":            {fakes.GRPCResetAfterMessage, "Buy", codes.Unknown, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first := make(chan bool) // the client has its first message: had it not, the call could be made again
@@ -353,8 +353,8 @@
 					close(first)
 				}
 			})
-			if res.st.Code() != c.code || len(res.texts) != c.texts || len(r.ledger.Of(k.id)) != c.attempts {
-				t.Errorf("%v, %q, %d attempts; want %+v", res.st, res.texts, len(r.ledger.Of(k.id)), c)
+			if res.st.Code() != c.code || len(res.texts) != c.texts || len(r.ledger.ForRequest(k.id)) != c.attempts {
+				t.Errorf("%v, %q, %d attempts; want %+v", res.st, res.texts, len(r.ledger.ForRequest(k.id)), c)
 			}
 			if c.code != codes.OK && res.pushback != "-1" {
 				t.Errorf("pushback %q", res.pushback)
@@ -402,7 +402,7 @@
 
 // A streamed answer ends with its time, whatever the backend does, and the client hears so before its own.
 func TestStreamPastDeadline(t *testing.T) {
-	for _, act := range []fakes.GRPCAct{fakes.GRPCStreamHang, fakes.GRPCEndless} {
+	for _, act := range []fakes.GRPCBehavior{fakes.GRPCStreamHang, fakes.GRPCEndless} {
 		r := newRig(t, func(o *options) { o.act = always(act) })
 		c := r.call("Watch")
 		c.timeout = 600 * time.Millisecond
@@ -589,7 +589,7 @@
 		} else if err := errors.Join(s.RecvMsg(&out), s.RecvMsg(&out), s.CloseSend()); err != nil || !errors.Is(s.RecvMsg(&out), io.EOF) {
 			t.Errorf("one message: %v", err)
 		}
-		if n := len(r.ledger.Of(c.id)); n != 1 || r.ledger.Effects(c.key) != 1 {
+		if n := len(r.ledger.ForRequest(c.id)); n != 1 || r.ledger.Effects(c.key) != 1 {
 			t.Errorf("%d attempts, %d effects", n, r.ledger.Effects(c.key))
 		}
 	}
@@ -598,7 +598,7 @@
 // 1,000 calls on one connection of a client, one of them stuck: the others are served.
 func TestManyCallsOnOneConnection(t *testing.T) {
 	r := newRig(t, func(o *options) {
-		o.act = func(a fakes.Attempt) fakes.GRPCAct {
+		o.act = func(a fakes.Attempt) fakes.GRPCBehavior {
 			if a.Body == "stuck" {
 				return fakes.GRPCHang
 			}
@@ -612,7 +612,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	gone := make(chan result, 1)
 	go func() { gone <- stuck.on(ctx, r.client) }()
-	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
+	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
 		t.Fatal("it never came")
 	}
 	var calls sync.WaitGroup
@@ -644,7 +644,7 @@
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
 	r := newRig(t, func(o *options) {
-		o.act = func(fakes.Attempt) fakes.GRPCAct {
+		o.act = func(fakes.Attempt) fakes.GRPCBehavior {
 			<-hold
 			return fakes.GRPCStream
 		}
@@ -654,7 +654,7 @@
 	for range n {
 		go func() { results <- r.watch(r.call("Buy"), nil) }()
 	}
-	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == n }) {
+	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == n }) {
 		t.Fatal("not all came")
 	}
 	r.stop()
--- a/http_test.go
+++ b/http_test.go
@@ -178,21 +178,21 @@
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", MaxBody+1))), -1
 		}, 400},
 	} {
-		g := testkit.Script(startOn(1))
+		g := testkit.NewScriptedEngine(startOn(1))
 		d := startGateway(t, g, "127.0.0.1:1")
 		testkit.Next[decision.EndpointUpdate](t, g)
 		if res, _ := testkit.Do(t, d.newRequest(t, c.class, c.change)); res.StatusCode != c.status {
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
-		if len(g.Heard) > 0 {
-			t.Errorf("%s: the gateway heard %+v", name, <-g.Heard)
+		if len(g.Events) > 0 {
+			t.Errorf("%s: the gateway heard %+v", name, <-g.Events)
 		}
 		d.stop()
 	}
 }
 
 func TestRejectionCarriesRetryAfter(t *testing.T) {
-	d := startGateway(t, testkit.Script(func(ev decision.Event) []decision.Action {
+	d := startGateway(t, testkit.NewScriptedEngine(func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
 			return []decision.Action{decision.Reject{Request: r.ID, RetryAfter: 250 * time.Millisecond}, decision.Fail{Request: r.ID}}
 		}
@@ -206,7 +206,7 @@
 
 // Whatever the gateway does or does not do, a request has an answer before its client's time is up.
 func TestUnansweredRequestGets504(t *testing.T) {
-	g := testkit.Script(nil)
+	g := testkit.NewScriptedEngine(nil)
 	d := startGateway(t, g)
 	res, _ := testkit.Do(t, d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "0.5") }))
 	if res.StatusCode != http.StatusGatewayTimeout {
@@ -226,7 +226,7 @@
 		<-r.Context().Done()
 		closed <- true
 	})
-	g := testkit.Script(func(ev decision.Event) []decision.Action {
+	g := testkit.NewScriptedEngine(func(ev decision.Event) []decision.Action {
 		switch ev := ev.(type) {
 		case decision.Request:
 			return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 1}}
@@ -258,7 +258,7 @@
 // A client that ends only its sending counts as gone too, but it may still read: what it reads must not look
 // like a served answer.
 func TestHalfClosedClientGetsNoEmpty200(t *testing.T) {
-	g := testkit.Script(nil)
+	g := testkit.NewScriptedEngine(nil)
 	d := startGateway(t, g)
 	conn, err := net.Dial("tcp", d.addr)
 	if err != nil {
@@ -280,7 +280,7 @@
 
 // An id that is open already would leave the second request without an answer: the gateway passes over it.
 func TestDuplicateIDIsRejected(t *testing.T) {
-	g := testkit.Script(nil)
+	g := testkit.NewScriptedEngine(nil)
 	d := startGateway(t, g)
 	first := make(chan int, 1)
 	go func() {
@@ -304,7 +304,7 @@
 
 // A body that is cut midway is no answer: the attempt has failed, and the client is told so.
 func TestTruncatedResponseIsNotServed(t *testing.T) {
-	d := startGateway(t, nil, testkit.Raw(t, func(_ int, conn net.Conn) {
+	d := startGateway(t, nil, testkit.ServeRaw(t, func(_ int, conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 		conn.Close()
 	}))
@@ -355,7 +355,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(testkit.Patient):
+	case <-time.After(testkit.WaitTimeout):
 		t.Error("it never ended")
 	}
 }
@@ -374,7 +374,7 @@
 func TestIncompleteRequestsAreClosed(t *testing.T) {
 	head := "POST /pay HTTP/1.1\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n" +
 		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: units=1,spread=2,first=1\r\n"
-	g := testkit.Script(nil)
+	g := testkit.NewScriptedEngine(nil)
 	d := startGateway(t, g)
 	testkit.Next[decision.EndpointUpdate](t, g)
 	ends := make(chan string)
@@ -388,7 +388,7 @@
 		io.WriteString(c, text)
 		go func() {
 			start := time.Now()
-			said := testkit.UntilEnd(t, c)
+			said := testkit.ReadUntilClosed(t, c)
 			if took := time.Since(start); took > 2900*time.Millisecond || said != "" && !strings.HasPrefix(said, "HTTP/1.1 4") {
 				t.Errorf("%s: after %v %q", name, took, said)
 			}
@@ -398,15 +398,15 @@
 	for range 4 {
 		<-ends
 	}
-	if len(g.Heard) > 0 {
-		t.Errorf("the gateway heard %+v", <-g.Heard)
+	if len(g.Events) > 0 {
+		t.Errorf("the gateway heard %+v", <-g.Events)
 	}
 }
 
 // A request that can be framed in two ways may hide another in its body. The server drops one of the two headers
 // before a handler sees them, so the one left must be enough to turn it away.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
-	g := testkit.Script(nil)
+	g := testkit.NewScriptedEngine(nil)
 	d := startGateway(t, g)
 	testkit.Next[decision.EndpointUpdate](t, g)
 	for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
@@ -414,12 +414,12 @@
 		io.WriteString(c, "POST /pay "+proto+"\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n"+
 			"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: units=1,spread=2,first=1\r\n"+
 			"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
-		if said := testkit.UntilEnd(t, c); !strings.Contains(said, " 400 ") {
+		if said := testkit.ReadUntilClosed(t, c); !strings.Contains(said, " 400 ") {
 			t.Errorf("%s: %q", proto, said)
 		}
 	}
-	if len(g.Heard) > 0 {
-		t.Errorf("the gateway heard %+v", <-g.Heard)
+	if len(g.Events) > 0 {
+		t.Errorf("the gateway heard %+v", <-g.Events)
 	}
 }
 
@@ -520,9 +520,9 @@
 	if status := ask(id, "1"); status == http.StatusOK {
 		t.Fatal("a request that was not answered was served")
 	}
-	for end := time.Now().Add(testkit.Patient); tried.Load() == 0; id++ {
+	for end := time.Now().Add(testkit.WaitTimeout); tried.Load() == 0; id++ {
 		if time.Now().After(end) {
-			t.Fatalf("backend %d, silent once, is not tried again in %v", hung.Load(), testkit.Patient)
+			t.Fatalf("backend %d, silent once, is not tried again in %v", hung.Load(), testkit.WaitTimeout)
 		}
 		time.Sleep(5 * time.Millisecond) // so that the customer stays within its quota
 		if status := ask(id+1, "20.5"); status != http.StatusOK {
--- a/httpproxy/disconnect_test.go
+++ b/httpproxy/disconnect_test.go
@@ -65,7 +65,7 @@
 					}
 					testkit.Await(t, left, "it to be seen that its client has left")
 					close(goOn)
-					patient, stop := context.WithTimeout(t.Context(), testkit.Patient)
+					patient, stop := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 					defer stop()
 					if err := r.gateway.Close(patient); err != nil { // what was to leave has left
 						t.Error(err)
--- a/httpproxy/proxy_test.go
+++ b/httpproxy/proxy_test.go
@@ -591,7 +591,7 @@
 func TestTokenExpiresDuringRequest(t *testing.T) {
 	t.Parallel()
 	secret := strings.Repeat("s", 32)
-	path := testcerts.Write(t, t.TempDir(), map[string][]byte{"secret": []byte(secret)})
+	path := testcerts.WriteFiles(t, t.TempDir(), map[string][]byte{"secret": []byte(secret)})
 	ends := time.Now().Truncate(time.Second).Add(2 * time.Second)
 	var n atomic.Int64
 	b := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -58,8 +58,8 @@
 func TestCertificateReloadUnderLoad(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
-	cert, key := a.Pair(nil, "shop.example", "*.wild.example")
-	path := testcerts.Write(t, dir, map[string][]byte{"c": cert, "k": key})
+	cert, key := a.Issue(nil, "shop.example", "*.wild.example")
+	path := testcerts.WriteFiles(t, dir, map[string][]byte{"c": cert, "k": key})
 	held, goOn := make(chan bool, 1000), make(chan bool)
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/held" {
@@ -128,18 +128,18 @@
 	bad := 0
 	for i := range 200 {
 		before := serial()
-		cert, key := a.Pair(nil, "shop.example", "*.wild.example")
+		cert, key := a.Issue(nil, "shop.example", "*.wild.example")
 		switch i % 6 {
 		case 1: // the key is not there yet
 			key, bad = []byte("SECRET half of a key"), bad+1
 		case 3:
-			cert, key = a.Pair(func(c *x509.Certificate) { c.NotAfter = time.Now().Add(-time.Minute) }, "shop.example")
+			cert, key = a.Issue(func(c *x509.Certificate) { c.NotAfter = time.Now().Add(-time.Minute) }, "shop.example")
 			bad++
 		case 5:
-			_, key = a.Pair(nil, "other.example")
+			_, key = a.Issue(nil, "other.example")
 			bad++
 		}
-		testcerts.Write(t, dir, map[string][]byte{"c": cert, "k": key})
+		testcerts.WriteFiles(t, dir, map[string][]byte{"c": cert, "k": key})
 		err := store.Reload()
 		if good := i%2 == 0; (err == nil) != good || (serial() != before) != good {
 			t.Fatalf("swap %d: %v, serial %s before and %s now", i, err, before, serial())
@@ -160,13 +160,13 @@
 // Towards backends: the authority, the name, the pins and the door's own certificate count, and no request goes where one of them is wrong.
 func TestTLSToBackends(t *testing.T) {
 	a, other := testcerts.New(t), testcerts.New(t)
-	cert, key := a.Pair(nil, "backend.example", "127.0.0.1")
+	cert, key := a.Issue(nil, "backend.example", "127.0.0.1")
 	pair, err := tls.X509KeyPair(cert, key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, ownKey := a.Pair(nil, "door.example")
-	path := testcerts.Write(t, t.TempDir(), map[string][]byte{"ca": a.PEM, "other": other.PEM, "c": own, "k": ownKey})
+	own, ownKey := a.Issue(nil, "door.example")
+	path := testcerts.WriteFiles(t, t.TempDir(), map[string][]byte{"ca": a.PEM, "other": other.PEM, "c": own, "k": ownKey})
 	var resumed, came atomic.Int64
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		came.Add(1)
@@ -219,8 +219,8 @@
 // A client's certificate says who asks, where it is one of the authority's.
 func TestClientCertificates(t *testing.T) {
 	a, other := testcerts.New(t), testcerts.New(t)
-	cert, key := a.Pair(nil, "shop.example")
-	path := testcerts.Write(t, t.TempDir(), map[string][]byte{"c": cert, "k": key, "ca": a.PEM})
+	cert, key := a.Issue(nil, "shop.example")
+	path := testcerts.WriteFiles(t, t.TempDir(), map[string][]byte{"c": cert, "k": key, "ca": a.PEM})
 	backend := startServer(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), nil)
 	r := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("[tls]\nclient_ca_file = %q\nclient_auth = \"ask\"\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("ca"), path("c"), path("k"))+`
 [[identity]]
@@ -232,7 +232,7 @@
 `)
 	addr, _ := startTLSListener(t, r)
 	load := func(a *testcerts.Authority, names ...string) tls.Certificate {
-		c, err := tls.X509KeyPair(a.Pair(nil, names...))
+		c, err := tls.X509KeyPair(a.Issue(nil, names...))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/idempotency_test.go
+++ b/idempotency_test.go
@@ -22,7 +22,7 @@
 )
 
 // withKeys is a door that recognises keys, before n backends of one cell each, so that only the edge can drop a repeat.
-func newDeduplicatingRig(t *testing.T, n int, act func(fakes.Attempt) fakes.Act, limits idempotency.Limits) *hosttest.Rig {
+func newDeduplicatingRig(t *testing.T, n int, act func(fakes.Attempt) fakes.Behavior, limits idempotency.Limits) *hosttest.Fixture {
 	t.Helper()
 	return hosttest.New(t, n, act, func(c *pumicecroft.Config) { c.Idempotency = &limits })
 }
@@ -30,7 +30,7 @@
 // until waits until something holds.
 func waitUntil(t *testing.T, holds func() bool, what string) {
 	t.Helper()
-	for end := time.Now().Add(hosttest.Patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(hosttest.WaitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
@@ -60,7 +60,7 @@
 					if i%4 > 1 && j == 1 { // later, mostly
 						time.Sleep(time.Duration(i%20) * time.Millisecond)
 					}
-					a, err := r.Door.Do(t.Context(), req)
+					a, err := r.Gateway.Do(t.Context(), req)
 					if err != nil {
 						t.Errorf("%s %s: %v", req.Class, req.IdempotencyKey, err)
 						return
@@ -85,25 +85,25 @@
 	for _, c := range []struct {
 		name   string
 		class  string
-		act    fakes.Act
-		change func(a *fakes.Ask) // of the repeat
+		act    fakes.Behavior
+		change func(a *fakes.Request) // of the repeat
 		first  int
 		second int
 		sent   int
 		retry  bool
 	}{
-		{"served", "pay", fakes.Work, nil, 200, 200, 1, false},
-		{"another body", "pay", fakes.Work, func(a *fakes.Ask) { a.Body = "amount=4" }, 200, 422, 1, false},
-		{"another class", "pay", fakes.Work, func(a *fakes.Ask) { a.Class = "once" }, 200, 422, 1, false},
-		{"another customer", "pay", fakes.Work, func(a *fakes.Ask) { a.Customer = 8 }, 200, 200, 2, false},
-		{"it may have run", "once", fakes.RunAndError, nil, 502, 409, 1, true},
-		{"it broke", "once", fakes.RunAndBreak, nil, 502, 409, 1, true},
-		{"turned away: a repeat is a new request, whose backend is held back", "pay", fakes.TurnAway, nil, 503, 503, 1, true},
+		{"served", "pay", fakes.ServeNormally, nil, 200, 200, 1, false},
+		{"another body", "pay", fakes.ServeNormally, func(a *fakes.Request) { a.Body = "amount=4" }, 200, 422, 1, false},
+		{"another class", "pay", fakes.ServeNormally, func(a *fakes.Request) { a.Class = "once" }, 200, 422, 1, false},
+		{"another customer", "pay", fakes.ServeNormally, func(a *fakes.Request) { a.Customer = 8 }, 200, 200, 2, false},
+		{"it may have run", "once", fakes.ExecuteThenError, nil, 502, 409, 1, true},
+		{"it broke", "once", fakes.ExecuteThenReset, nil, 502, 409, 1, true},
+		{"turned away: a repeat is a new request, whose backend is held back", "pay", fakes.RejectNotStarted, nil, 503, 503, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newDeduplicatingRig(t, 1, fakes.Once(c.act), idempotency.Limits{UnknownTTL: time.Minute})
-			addr := hosttest.Serve(t, r.Door, nil)
-			first := r.Ask(c.class)
+			r := newDeduplicatingRig(t, 1, fakes.OnFirstAttempt(c.act), idempotency.Limits{UnknownTTL: time.Minute})
+			addr := hosttest.Serve(t, r.Gateway, nil)
+			first := r.NewRequest(c.class)
 			again := first
 			again.ID = first.ID + 1000
 			if c.change != nil {
@@ -111,8 +111,8 @@
 			}
 			var told [2]*http.Response // read by hand: the stand-in client takes an answer to another try for a wrong one
 			var bodies [2]string
-			for i, a := range []fakes.Ask{first, again} {
-				req, err := a.Request(t.Context(), addr)
+			for i, a := range []fakes.Request{first, again} {
+				req, err := a.HTTPRequest(t.Context(), addr)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -134,28 +134,28 @@
 // The first client's leaving does not end what a second one waits for; when both have left, it is called off.
 func TestDisconnectWhileRepeatWaits(t *testing.T) {
 	hold := make(chan bool)
-	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Act {
+	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Behavior {
 		if a.Body == "hold" {
 			<-hold
 		}
-		return fakes.Work
+		return fakes.ServeNormally
 	}, idempotency.Limits{})
 	firstLeaves, leave := context.WithCancel(t.Context())
 	req := keyedRequest("pay", "k", "hold")
 	got := make(chan error, 1)
 	go func() {
-		_, err := r.Door.Do(firstLeaves, req)
+		_, err := r.Gateway.Do(firstLeaves, req)
 		got <- err
 	}()
-	if !r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
+	if !r.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
 		t.Fatal("the first never came")
 	}
 	second := make(chan error, 1)
 	go func() {
-		_, err := r.Door.Do(t.Context(), req)
+		_, err := r.Gateway.Do(t.Context(), req)
 		second <- err
 	}()
-	waits := func() bool { _, _, joined := r.Door.IdempotencyStats(); return joined > 1 }
+	waits := func() bool { _, _, joined := r.Gateway.IdempotencyStats(); return joined > 1 }
 	waitUntil(t, waits, "the second to wait")
 	req.Body[0] = 'X' // the first caller may change its body from when it has left
 	leave()
@@ -175,16 +175,16 @@
 func TestInvalidKeys(t *testing.T) {
 	r := newDeduplicatingRig(t, 1, nil, idempotency.Limits{MaxResponseBytes: 3})
 	for _, key := range []string{strings.Repeat("k", 64<<10), "a\tb", "ü"} {
-		if _, err := r.Door.Do(t.Context(), keyedRequest("pay", key, "b")); !errors.Is(err, pumicecroft.ErrBadRequest) {
+		if _, err := r.Gateway.Do(t.Context(), keyedRequest("pay", key, "b")); !errors.Is(err, pumicecroft.ErrBadRequest) {
 			t.Errorf("%.10q: %v", key, err)
 		}
 	}
 	for i, want := range []error{nil, pumicecroft.ErrResponseNotRetained} {
-		if _, err := r.Door.Do(t.Context(), keyedRequest("pay", "k", "b")); !errors.Is(err, want) {
+		if _, err := r.Gateway.Do(t.Context(), keyedRequest("pay", "k", "b")); !errors.Is(err, want) {
 			t.Errorf("%d: %v", i, err)
 		}
 	}
-	if _, err := r.Door.Do(t.Context(), keyedRequest("pay", "k", "c")); !errors.Is(err, pumicecroft.ErrKeyConflict) {
+	if _, err := r.Gateway.Do(t.Context(), keyedRequest("pay", "k", "c")); !errors.Is(err, pumicecroft.ErrKeyConflict) {
 		t.Error(err)
 	}
 	w := httptest.NewRecorder()
@@ -196,22 +196,22 @@
 // A customer that has as much in flight as it may is refused at once, with when to come back; another's request goes on.
 func TestTooManyKeysInFlight(t *testing.T) {
 	hold := make(chan bool)
-	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Act {
+	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Behavior {
 		if a.Body == "hold" {
 			<-hold
 		}
-		return fakes.Work
+		return fakes.ServeNormally
 	}, idempotency.Limits{MaxBytes: 4000, RetryAfter: 70 * time.Millisecond})
 	var asking sync.WaitGroup
 	defer asking.Wait()
 	defer close(hold)
 	busy := false
 	for i := range 20 {
-		ctx, cancel := context.WithTimeout(t.Context(), hosttest.Patience)
+		ctx, cancel := context.WithTimeout(t.Context(), hosttest.WaitTimeout)
 		answered := make(chan error, 1)
 		asking.Go(func() {
 			defer cancel()
-			_, err := r.Door.Do(ctx, keyedRequest("pay", fmt.Sprint(i), "hold"))
+			_, err := r.Gateway.Do(ctx, keyedRequest("pay", fmt.Sprint(i), "hold"))
 			answered <- err
 		})
 		waitUntil(t, func() bool {
@@ -224,7 +224,7 @@
 				busy = true
 				return true
 			default:
-				_, n, _ := r.Door.IdempotencyStats()
+				_, n, _ := r.Gateway.IdempotencyStats()
 				return n > i
 			}
 		}, "a request to be held or refused")
@@ -234,7 +234,7 @@
 	}
 	other := keyedRequest("pay", "k", "b")
 	other.Customer = 8
-	if _, err := r.Door.Do(t.Context(), other); err != nil || !busy {
+	if _, err := r.Gateway.Do(t.Context(), other); err != nil || !busy {
 		t.Errorf("refused: %v; another customer's: %v", busy, err)
 	}
 }
@@ -242,11 +242,11 @@
 // A disk that hangs takes no client beyond its time: what waited for it goes on with what is left.
 func TestSlowJournalKeepsDeadlines(t *testing.T) {
 	dir := t.TempDir()
-	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Act {
+	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Behavior {
 		if a.Key == "slow" {
-			return fakes.Hang
+			return fakes.ExecuteThenHang
 		}
-		return fakes.Work
+		return fakes.ServeNormally
 	}, func(c *pumicecroft.Config) {
 		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: dir, GroupCommitDelay: time.Second, WriteTimeout: 400 * time.Millisecond}
 	})
@@ -258,7 +258,7 @@
 		req := keyedRequest("once", c.key, "b")
 		req.Timeout = c.timeout
 		start := time.Now()
-		_, err := r.Door.Do(t.Context(), req)
+		_, err := r.Gateway.Do(t.Context(), req)
 		if took := time.Since(start); !errors.Is(err, c.want) || took > c.timeout {
 			t.Errorf("%s: %v after %v of %v, want %v", c.key, err, took, c.timeout, c.want)
 		}
@@ -289,7 +289,7 @@
 				var pair sync.WaitGroup
 				for j := range 2 {
 					pair.Go(func() {
-						a, err := first.Door.Do(t.Context(), keyedRequest("once", fmt.Sprint("k", i), "b"))
+						a, err := first.Gateway.Do(t.Context(), keyedRequest("once", fmt.Sprint("k", i), "b"))
 						switch {
 						case err == nil:
 							answers[i][j] = string(a.Body)
@@ -306,7 +306,7 @@
 	for range pairs {
 		<-some
 	}
-	if err := first.Door.Close(t.Context()); err != nil {
+	if err := first.Gateway.Close(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	pressing.Wait()
@@ -317,7 +317,7 @@
 	second := hosttest.New(t, 0, nil, func(c *pumicecroft.Config) { withJournal(c); c.InitialEndpoints = nodes })
 	answered, refused := 0, 0
 	for i, pair := range answers {
-		a, err := second.Door.Do(t.Context(), keyedRequest("once", fmt.Sprint("k", i), "b"))
+		a, err := second.Gateway.Do(t.Context(), keyedRequest("once", fmt.Sprint("k", i), "b"))
 		if err != nil {
 			t.Fatalf("k%d at the next door: %v", i, err)
 		}
@@ -340,12 +340,12 @@
 // A body that comes in other pieces is the same body; one of 60 MB is turned away, with its key as without, and its key stays free.
 func TestBodyInPiecesHasSameDigest(t *testing.T) {
 	r := newDeduplicatingRig(t, 1, nil, idempotency.Limits{})
-	addr := hosttest.Serve(t, r.Door, nil)
-	first := r.Ask("pay")
+	addr := hosttest.Serve(t, r.Gateway, nil)
+	first := r.NewRequest("pay")
 	press := func(body io.Reader, size int64) int {
 		a := first
-		a.ID = r.Ask("pay").ID
-		req, err := a.Request(t.Context(), addr)
+		a.ID = r.NewRequest("pay").ID
+		req, err := a.HTTPRequest(t.Context(), addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -383,7 +383,7 @@
 	req := keyedRequest("once", "k", "b")
 	req.Timeout = 200 * time.Millisecond
 	start := time.Now()
-	_, err := r.Door.Do(t.Context(), req)
+	_, err := r.Gateway.Do(t.Context(), req)
 	if took := time.Since(start); !errors.Is(err, pumicecroft.ErrRejected) || took > 2*time.Second {
 		t.Errorf("%v after %v", err, took)
 	}
--- a/internal/capacitytest/agent.go
+++ b/internal/capacitytest/agent.go
@@ -18,7 +18,7 @@
 )
 
 // Hosts are n backends, spread over 9 zones, 2,300 services' cells and one kind.
-func Hosts(n int) []platform.Endpoint {
+func Endpoints(n int) []platform.Endpoint {
 	out := make([]platform.Endpoint, n)
 	for i := range out {
 		out[i] = platform.Endpoint{Name: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
@@ -30,41 +30,41 @@
 // Agent is discovery as a door sees it, an agent on loopback. What it writes it cuts into pieces, which do not keep to lines, and rests
 // between them.
 type Agent struct {
-	Piece int           // bytes; 0: all that there is to say is written at once
-	Rest  time.Duration // between two pieces
-	Pad   int           // spaces behind each entry: a list may come indented
+	ChunkBytes int           // bytes; 0: all that there is to say is written at once
+	ChunkPause time.Duration // between two pieces
+	Padding    int           // spaces behind each entry: a list may come indented
 
 	Silent atomic.Bool // it takes calls and says nothing
 
-	Asked atomic.Int64 // calls
-	Wrote atomic.Int64 // bytes
+	Calls        atomic.Int64 // calls
+	BytesWritten atomic.Int64 // bytes
 
-	ln   net.Listener
-	ran  sync.WaitGroup
-	mu   sync.Mutex
-	seq  int64
-	all  []platform.Endpoint
-	at   map[string]int
-	open map[net.Conn]chan []byte // watches that have told all up to seq
+	ln        net.Listener
+	running   sync.WaitGroup
+	mu        sync.Mutex
+	seq       int64
+	endpoints []platform.Endpoint
+	position  map[string]int
+	watches   map[net.Conn]chan []byte // watches that have told all up to seq
 }
 
 // Start has it listen on a loopback port of the system's choosing.
 func (a *Agent) Start(hosts []platform.Endpoint) error {
-	a.seq, a.all, a.at, a.open = 41, hosts, map[string]int{}, map[net.Conn]chan []byte{}
+	a.seq, a.endpoints, a.position, a.watches = 41, hosts, map[string]int{}, map[net.Conn]chan []byte{}
 	for i, h := range hosts {
-		a.at[h.Name] = i
+		a.position[h.Name] = i
 	}
 	var err error
 	if a.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return err
 	}
-	a.ran.Go(func() {
+	a.running.Go(func() {
 		for {
 			c, err := a.ln.Accept()
 			if err != nil {
 				return
 			}
-			a.ran.Go(func() { a.serve(c) })
+			a.running.Go(func() { a.serve(c) })
 		}
 	})
 	return nil
@@ -77,35 +77,35 @@
 func (a *Agent) Close() {
 	a.ln.Close()
 	a.mu.Lock()
-	for c := range a.open {
+	for c := range a.watches {
 		c.Close()
 	}
 	a.mu.Unlock()
-	a.ran.Wait()
+	a.running.Wait()
 }
 
 // Tell tells of new states of hosts, in one line or in a line for each.
-func (a *Agent) Tell(hosts []platform.Endpoint, single bool) {
+func (a *Agent) Update(hosts []platform.Endpoint, single bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var text bytes.Buffer
 	for _, h := range hosts {
-		a.all[a.at[h.Name]] = h
+		a.endpoints[a.position[h.Name]] = h
 		if single {
 			a.seq++
-			text.Write(a.line(false, []platform.Endpoint{h}))
+			text.Write(a.encodeUpdate(false, []platform.Endpoint{h}))
 		}
 	}
 	if !single {
 		a.seq++
-		text.Write(a.line(false, hosts))
+		text.Write(a.encodeUpdate(false, hosts))
 	}
-	for _, say := range a.open {
+	for _, say := range a.watches {
 		say <- text.Bytes()
 	}
 }
 
-func (a *Agent) line(whole bool, hosts []platform.Endpoint) []byte {
+func (a *Agent) encodeUpdate(whole bool, hosts []platform.Endpoint) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"seq":%d,"whole":%t,"hosts":[`, a.seq, whole)
 	for i, h := range hosts {
@@ -117,7 +117,7 @@
 			panic(err) // it is the tests' own
 		}
 		b.Write(text)
-		b.Write(bytes.Repeat([]byte(" "), a.Pad))
+		b.Write(bytes.Repeat([]byte(" "), a.Padding))
 	}
 	b.WriteString("]}\n")
 	return b.Bytes()
@@ -127,7 +127,7 @@
 func (a *Agent) List() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.line(true, a.all)
+	return a.encodeUpdate(true, a.endpoints)
 }
 
 func (a *Agent) serve(c net.Conn) {
@@ -136,10 +136,10 @@
 	if err != nil {
 		return
 	}
-	a.Asked.Add(1)
+	a.Calls.Add(1)
 	say := make(chan []byte, 64)
 	gone := make(chan struct{})
-	a.ran.Go(func() {
+	a.running.Go(func() {
 		defer close(gone)
 		_, _ = c.Read(make([]byte, 1)) // a watch asks once
 	})
@@ -149,15 +149,15 @@
 	}
 	a.mu.Lock()
 	if r.URL.Query().Get("from") == strconv.FormatInt(a.seq, 10) {
-		say <- a.line(false, nil)
+		say <- a.encodeUpdate(false, nil)
 	} else {
-		say <- a.line(true, a.all)
+		say <- a.encodeUpdate(true, a.endpoints)
 	}
-	a.open[c] = say
+	a.watches[c] = say
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
-		delete(a.open, c)
+		delete(a.watches, c)
 		a.mu.Unlock()
 	}()
 	quiet := time.NewTicker(2 * time.Second)
@@ -178,15 +178,15 @@
 		}
 		for len(text) > 0 {
 			n := len(text)
-			if a.Piece > 0 {
-				n = min(n, a.Piece)
+			if a.ChunkBytes > 0 {
+				n = min(n, a.ChunkBytes)
 			}
 			if _, err := c.Write(fmt.Appendf(nil, "%x\r\n%s\r\n", n, text[:n])); err != nil {
 				return
 			}
-			a.Wrote.Add(int64(n))
+			a.BytesWritten.Add(int64(n))
 			if text = text[n:]; len(text) > 0 {
-				time.Sleep(a.Rest)
+				time.Sleep(a.ChunkPause)
 			}
 		}
 		if r.URL.Query().Get("watch") == "" {
--- a/internal/capacitytest/backends_test.go
+++ b/internal/capacitytest/backends_test.go
@@ -16,7 +16,7 @@
 const membershipInSteps = true
 
 // taken is what one size has shown.
-type taken struct {
+type listCosts struct {
 	hosts     int
 	listBytes int
 	known     int           // of the hosts
@@ -29,7 +29,7 @@
 	peak      int64
 	newsCPU   time.Duration // of one change
 	newsTime  time.Duration // from the agent's write until the door had done with it
-	calm      Told
+	calm      Report
 	rate      float64 // of a core in calm, all in all
 	dials     float64 // connections to backends that were opened a second in calm
 	bursts    []burst
@@ -40,22 +40,22 @@
 	hosts      int
 	nodes      int64 // of them that the door was done with in time
 	cpu, spent time.Duration
-	told       Told
+	told       Report
 	wrote      int64
 	said       int // lines in the door's log
 }
 
 // bench is one door's process, its agent and its backend.
-type bench struct {
-	t     *testing.T
-	agent *Agent
-	door  *DoorProcess
-	rate  float64 // processor time a second in calm; until that is known, much
+type fixture struct {
+	t       *testing.T
+	agent   *Agent
+	gateway *GatewayProcess
+	cpuRate float64 // processor time a second in calm; until that is known, much
 }
 
-func newBench(t *testing.T, n, pad int) *bench {
-	b := &bench{t: t, rate: 0.1, agent: &Agent{Piece: *piece, Rest: 2 * time.Millisecond, Pad: pad}}
-	if err := b.agent.Start(Hosts(n)); err != nil {
+func newFixture(t *testing.T, n, pad int) *fixture {
+	b := &fixture{t: t, cpuRate: 0.1, agent: &Agent{ChunkBytes: *piece, ChunkPause: 2 * time.Millisecond, Padding: pad}}
+	if err := b.agent.Start(Endpoints(n)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.agent.Close)
@@ -64,16 +64,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(backend.Kill)
-	b.door, err = StartDoor(Plan{Config: file(b.agent.Addr()), Backend: backend.Addr(), PerSecond: 286, Customers: 290, Most: *most})
+	b.gateway, err = StartGateway(Plan{Config: platformConfig(b.agent.Addr()), Backend: backend.Addr(), PerSecond: 286, Customers: 290, Most: *maxNodes})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = b.door.Stop() })
+	t.Cleanup(func() { _ = b.gateway.Stop() })
 	return b
 }
 
 // look is what a door's process tells.
-func look[T any](b *bench, told T, err error) T {
+func must[T any](b *fixture, told T, err error) T {
 	b.t.Helper()
 	if err != nil {
 		b.t.Fatal(err)
@@ -81,36 +81,36 @@
 	return told
 }
 
-func (b *bench) all() Told {
+func (b *fixture) report() Report {
 	b.t.Helper()
-	told, err := b.door.All()
-	return look(b, told, err)
+	told, err := b.gateway.Full()
+	return must(b, told, err)
 }
 
-func (b *bench) ready() int {
+func (b *fixture) ready() int {
 	b.t.Helper()
-	n, err := b.door.Ready()
-	return look(b, n, err)
+	n, err := b.gateway.ReadyBackends()
+	return must(b, n, err)
 }
 
 // until waits until discovery has told of so many nodes in all and the door's processor rests again, and gives when that was told and
 // what it has cost over calm.
-func (b *bench) until(nodes int64, from time.Time, before Told, patience time.Duration) (out burst, ok bool) {
+func (b *fixture) awaitNodes(nodes int64, from time.Time, before Report, patience time.Duration) (out burst, ok bool) {
 	b.t.Helper()
-	told, err := b.door.Await(nodes, patience)
-	last := look(b, told, err)
+	told, err := b.gateway.Await(nodes, patience)
+	last := must(b, told, err)
 	ok, out.spent = last.Nodes >= nodes, last.At.Sub(from)
 	for i := 0; ok && i < 100; i++ { // what it still does behind that
 		time.Sleep(100 * time.Millisecond)
-		told, err := b.door.Look()
-		now := look(b, told, err)
+		told, err := b.gateway.Quick()
+		now := must(b, told, err)
 		rest := now.CPU - last.CPU
-		if last = now; rest < time.Duration((b.rate*2+0.05)*float64(100*time.Millisecond)) {
+		if last = now; rest < time.Duration((b.cpuRate*2+0.05)*float64(100*time.Millisecond)) {
 			break
 		}
 	}
-	out.told = b.all()
-	out.cpu = out.told.CPU - before.CPU - time.Duration(b.rate*float64(time.Since(from)))
+	out.told = b.report()
+	out.cpu = out.told.CPU - before.CPU - time.Duration(b.cpuRate*float64(time.Since(from)))
 	return out, ok
 }
 
@@ -118,53 +118,53 @@
 const burstPatience = time.Minute
 
 // took has a door take a list of n hosts, then news.
-func took(t *testing.T, n, pad int, patience time.Duration) (out taken) {
+func measureList(t *testing.T, n, pad int, patience time.Duration) (out listCosts) {
 	t.Helper()
 	out.hosts = n
-	b := newBench(t, n, pad)
+	b := newFixture(t, n, pad)
 	out.listBytes = len(b.agent.List())
-	list, ok := b.until(int64(n), b.door.Begun, Told{}, patience)
-	out.asks, out.wrote, out.resident, out.peak = b.agent.Asked.Load(), b.agent.Wrote.Load(), list.told.Resident, list.told.Peak
+	list, ok := b.awaitNodes(int64(n), b.gateway.StartedAt, Report{}, patience)
+	out.asks, out.wrote, out.resident, out.peak = b.agent.Calls.Load(), b.agent.BytesWritten.Load(), list.told.Resident, list.told.Peak
 	if !ok {
-		t.Logf("%d hosts: the door says %s", n, b.door.Said)
+		t.Logf("%d hosts: the door says %s", n, b.gateway.Log)
 		return out
 	}
-	settled := time.Since(b.door.Begun)
-	out.list, out.served = list.spent, list.told.First.Sub(b.door.Begun)
+	settled := time.Since(b.gateway.StartedAt)
+	out.list, out.served = list.spent, list.told.First.Sub(b.gateway.StartedAt)
 	// calm
 	pause := time.Second
 	if *full {
 		pause = 20 * time.Second // longer than a connection rests
 	}
 	time.Sleep(500 * time.Millisecond)
-	from := b.all()
+	from := b.report()
 	began := time.Now()
 	time.Sleep(pause)
-	out.calm = b.all()
+	out.calm = b.report()
 	out.dials = float64(out.calm.Dialled-from.Dialled) / time.Since(began).Seconds()
-	b.rate = float64(out.calm.CPU-from.CPU) / float64(time.Since(began))
-	out.rate = b.rate
-	out.listCPU = list.told.CPU - time.Duration(b.rate*float64(settled))
+	b.cpuRate = float64(out.calm.CPU-from.CPU) / float64(time.Since(began))
+	out.rate = b.cpuRate
+	out.listCPU = list.told.CPU - time.Duration(b.cpuRate*float64(settled))
 	out.resident, out.peak = out.calm.Resident, out.calm.Peak
 	out.known = b.ready()
 	// one change, and back: each by itself
-	before, began := b.all(), time.Now()
+	before, began := b.report(), time.Now()
 	var waits []time.Duration
 	const changes = 300
 	for i := range changes {
-		h := b.agent.all[n/2]
+		h := b.agent.endpoints[n/2]
 		h.Health = []string{"Terminating", "Ready"}[i%2]
 		at := time.Now()
-		b.agent.Tell([]platform.Endpoint{h}, true)
-		told, err := b.door.Await(before.Nodes+int64(i)+1, patience)
-		if now := look(b, told, err); now.Nodes <= before.Nodes+int64(i) {
-			t.Fatalf("%d hosts: change %d was never taken in: %s", n, i, b.door.Said)
+		b.agent.Update([]platform.Endpoint{h}, true)
+		told, err := b.gateway.Await(before.Nodes+int64(i)+1, patience)
+		if now := must(b, told, err); now.Nodes <= before.Nodes+int64(i) {
+			t.Fatalf("%d hosts: change %d was never taken in: %s", n, i, b.gateway.Log)
 		} else {
 			waits = append(waits, now.At.Sub(at))
 		}
 	}
-	last := b.all()
-	out.newsCPU = (last.CPU - before.CPU - time.Duration(b.rate*float64(time.Since(began)))) / changes
+	last := b.report()
+	out.newsCPU = (last.CPU - before.CPU - time.Duration(b.cpuRate*float64(time.Since(began)))) / changes
 	slices.Sort(waits)
 	out.newsTime = waits[len(waits)/2]
 	// a zone's loss and return, in single lines and in one
@@ -173,17 +173,17 @@
 		single       bool
 	}{{"lost, single lines", "Gone", true}, {"back, one line", "Ready", false}, {"lost, one line", "Gone", false}, {"back, single lines", "Ready", true}} {
 		var zone []platform.Endpoint
-		for _, h := range b.agent.all[:n-n%9] {
+		for _, h := range b.agent.endpoints[:n-n%9] {
 			if h.Zone == "z3" {
 				h.Health = s.health
 				zone = append(zone, h)
 			}
 		}
-		before, wrote, said, began := b.all(), b.agent.Wrote.Load(), b.door.Said.Lines(), time.Now()
-		b.agent.Tell(zone, s.single)
-		told, ok := b.until(before.Nodes+int64(len(zone)), began, before, burstPatience)
+		before, wrote, said, began := b.report(), b.agent.BytesWritten.Load(), b.gateway.Log.Lines(), time.Now()
+		b.agent.Update(zone, s.single)
+		told, ok := b.awaitNodes(before.Nodes+int64(len(zone)), began, before, burstPatience)
 		told.hosts, told.nodes = len(zone), told.told.Nodes-before.Nodes
-		told.name, told.wrote, told.said = s.name, b.agent.Wrote.Load()-wrote, b.door.Said.Lines()-said
+		told.name, told.wrote, told.said = s.name, b.agent.BytesWritten.Load()-wrote, b.gateway.Log.Lines()-said
 		if ok {
 			told.told.Ready = b.ready()
 		}
@@ -195,7 +195,7 @@
 	return out
 }
 
-func (r taken) log(t *testing.T) {
+func (r listCosts) log(t *testing.T) {
 	t.Helper()
 	mb := func(n int64) float64 { return float64(n) / (1 << 20) }
 	if r.list == 0 {
@@ -221,10 +221,10 @@
 
 // A door is told of more and more backends by an agent that writes in pieces.
 func TestBackends(t *testing.T) {
-	var all []taken
-	for _, n := range of(t, []int{100, 10_000}, []int{100, 1000, 10_000, 110_000}) {
+	var all []listCosts
+	for _, n := range sizesFor(t, []int{100, 10_000}, []int{100, 1000, 10_000, 110_000}) {
 		patience := 10 * time.Second
-		r := took(t, n, 0, patience)
+		r := measureList(t, n, 0, patience)
 		r.log(t)
 		all = append(all, r)
 	}
@@ -246,12 +246,12 @@
 }
 
 // A list that is longer than any one of which a door has room for the text is taken in all the same.
-func TestALongListIsTaken(t *testing.T) {
+func TestLongListIsAccepted(t *testing.T) {
 	if !membershipInSteps {
 		t.Skip("until membership is taken in steps: the list is asked for again and again")
 	}
 	const hosts = 2000
-	if r := took(t, hosts, 5000, 10*time.Second); r.known != hosts {
+	if r := measureList(t, hosts, 5000, 10*time.Second); r.known != hosts {
 		t.Errorf("of %d hosts in %d bytes the door knows %d, after %d calls", hosts, r.listBytes, r.known, r.asks)
 	}
 }
@@ -259,39 +259,39 @@
 func ratio(a, b time.Duration) float64 { return float64(a) / float64(max(b, 1)) }
 
 // gateway is what one size has shown of the decision module alone.
-type gateway struct {
+type engineCosts struct {
 	hosts                           int
 	whole, again                    time.Duration // a list when none is known; the same once more
 	one, tick, request, burst, line time.Duration
 	bytes                           float64 // for each backend
 }
 
-func alone(t *testing.T, n int) (out gateway) {
+func measureEngine(t *testing.T, n int) (out engineCosts) {
 	t.Helper()
 	out.hosts = n
-	m := newModule(t, nil)
+	m := newEngineFixture(t, nil)
 	handle := func(ev decision.Event) time.Duration {
 		m.now += time.Millisecond
 		return m.handle(ev)
 	}
-	list := infos(n, 1)
-	empty := held()
+	list := engineEndpoints(n, 1)
+	empty := heapInUse()
 	out.whole = handle(list)
-	out.bytes = (held() - empty) / float64(n)
+	out.bytes = (heapInUse() - empty) / float64(n)
 	out.again = handle(list)
 	change := func(i int, s decision.BackendState) decision.EndpointUpdate {
 		b := list.Endpoints[i]
 		b.State = s
 		return decision.EndpointUpdate{Endpoints: []decision.Endpoint{b}}
 	}
-	out.one = middle(20, func(i int) time.Duration {
+	out.one = median(20, func(i int) time.Duration {
 		return handle(change(n/2, []decision.BackendState{decision.Draining, decision.Ready}[i%2]))
 	})
-	out.tick = middle(5, func(int) time.Duration {
+	out.tick = median(5, func(int) time.Duration {
 		m.now += time.Second
 		return handle(decision.Timer{})
 	})
-	out.request = middle(200, func(int) time.Duration {
+	out.request = median(200, func(int) time.Duration {
 		m.now += time.Millisecond
 		return m.ask(7, "big", "service-0")
 	})
@@ -310,7 +310,7 @@
 }
 
 // middle is the middle one of n takes.
-func middle(n int, take func(i int) time.Duration) time.Duration {
+func median(n int, take func(i int) time.Duration) time.Duration {
 	var all []time.Duration
 	for i := range n {
 		all = append(all, take(i))
@@ -320,10 +320,10 @@
 }
 
 // The decision module alone is told of more and more backends.
-func TestBackendsOfTheModule(t *testing.T) {
-	var all []gateway
-	for _, n := range of(t, []int{100, 10_000}, []int{100, 1000, 10_000, 110_000}) {
-		g := alone(t, n)
+func TestEngineBackends(t *testing.T) {
+	var all []engineCosts
+	for _, n := range sizesFor(t, []int{100, 10_000}, []int{100, 1000, 10_000, 110_000}) {
+		g := measureEngine(t, n)
 		t.Logf("%d backends: %.0f bytes each; a whole list %v, again %v; one change %v; a ninth gone, each %v; a ninth back in one %v; the tick %v; a request %v",
 			g.hosts, g.bytes, g.whole, g.again, g.one, g.line, g.burst, g.tick, g.request)
 		all = append(all, g)
--- a/internal/capacitytest/config_test.go
+++ b/internal/capacitytest/config_test.go
@@ -14,7 +14,7 @@
 
 // What a door reads again, whole, at each change of configuration: an operator's file with more and more routes.
 func TestRereadingRoutes(t *testing.T) {
-	for _, n := range of(t, []int{24, 240}, []int{24, 240, 2400, 24_000}) {
+	for _, n := range sizesFor(t, []int{24, 240}, []int{24, 240, 2400, 24_000}) {
 		var b bytes.Buffer
 		b.WriteString("listen = \"127.0.0.1:0\"\n")
 		for i := range min(n, 23) {
@@ -24,13 +24,13 @@
 		for i := range n {
 			fmt.Fprintf(&b, "[[route]]\nname = \"route-%d\"\nhost = \"h%d.example.org\"\npath = \"/v1/things-%d/{id}/parts\"\nmethods = [\"GET\"]\nservice = \"s%d\"\n", i, i%2300, i, i%23)
 		}
-		empty, began, cpu := held(), time.Now(), CPU()
+		empty, began, cpu := heapInUse(), time.Now(), CPU()
 		f, err := operatorconfig.Parse(b.Bytes())
 		if err != nil {
 			t.Fatal(err)
 		}
 		spent, cost := time.Since(began), CPU()-cpu
-		t.Logf("%d routes, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a route are held", n, float64(b.Len())/(1<<20), spent, cost, (held()-empty)/float64(n))
+		t.Logf("%d routes, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a route are held", n, float64(b.Len())/(1<<20), spent, cost, (heapInUse()-empty)/float64(n))
 		if len(f.HTTP.Routes) != n {
 			t.Errorf("of %d routes %d are there", n, len(f.HTTP.Routes))
 		}
@@ -40,12 +40,12 @@
 
 // The keys of more and more tenants.
 func TestRereadingKeys(t *testing.T) {
-	for _, n := range of(t, []int{100, 1000}, []int{1000, 10_000, 100_000, 820_000}) {
+	for _, n := range sizesFor(t, []int{100, 1000}, []int{1000, 10_000, 100_000, 820_000}) {
 		var b bytes.Buffer
 		for i := range n {
 			fmt.Fprintf(&b, "%064x tenant-%06d everyone\n", i, i)
 		}
-		empty, began, cpu := held(), time.Now(), CPU()
+		empty, began, cpu := heapInUse(), time.Now(), CPU()
 		keys, err := identity.ParseKeys(b.Bytes(), []string{"everyone"})
 		if err != nil {
 			t.Fatal(err)
@@ -55,16 +55,16 @@
 		if len(keys) != n {
 			t.Errorf("of %d keys %d are there", n, len(keys))
 		}
-		t.Logf("%d tenants' keys, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a tenant are held", n, float64(b.Len())/(1<<20), spent, cost, (held()-empty)/float64(n))
+		t.Logf("%d tenants' keys, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a tenant are held", n, float64(b.Len())/(1<<20), spent, cost, (heapInUse()-empty)/float64(n))
 		runtime.KeepAlive(rule)
 	}
 }
 
 // The platform's file holds the list as it was last known, and SIGHUP has it read whole for two addresses.
 func TestRereadingThePlatformsFile(t *testing.T) {
-	for _, n := range of(t, []int{100, 1000}, []int{100, 1000, 10_000, 110_000}) {
-		a := &Agent{all: Hosts(n)}
-		text := file("127.0.0.1:1")
+	for _, n := range sizesFor(t, []int{100, 1000}, []int{100, 1000, 10_000, 110_000}) {
+		a := &Agent{endpoints: Endpoints(n)}
+		text := platformConfig("127.0.0.1:1")
 		text = text[:len(text)-1] + `,"known":` + string(a.List()) + "}"
 		began, cpu := time.Now(), CPU()
 		c, err := platform.ParseConfig([]byte(text))
@@ -80,20 +80,20 @@
 	if !*full {
 		t.Skip("it takes a quarter of a minute: -full")
 	}
-	b := newBench(t, 1000, 0)
-	if _, ok := b.until(1000, b.door.Begun, Told{}, 10*time.Second); !ok {
-		t.Fatalf("the list never came: %s", b.door.Said)
+	b := newFixture(t, 1000, 0)
+	if _, ok := b.awaitNodes(1000, b.gateway.StartedAt, Report{}, 10*time.Second); !ok {
+		t.Fatalf("the list never came: %s", b.gateway.Log)
 	}
 	const pause = 10 * time.Second
 	rate := func() float64 {
-		from, began := b.all(), time.Now()
+		from, began := b.report(), time.Now()
 		time.Sleep(pause)
-		return float64(b.all().CPU-from.CPU) / float64(time.Since(began))
+		return float64(b.report().CPU-from.CPU) / float64(time.Since(began))
 	}
 	calm := rate()
 	b.agent.Silent.Store(true)
-	asked, said := b.agent.Asked.Load(), b.door.Said.Lines()
+	asked, said := b.agent.Calls.Load(), b.gateway.Log.Lines()
 	silent := rate()
 	t.Logf("processor time in calm %.4f of a core, with discovery silent %.4f; %.2f calls and %.2f lines of log a second", calm, silent,
-		float64(b.agent.Asked.Load()-asked)/pause.Seconds(), float64(b.door.Said.Lines()-said)/pause.Seconds())
+		float64(b.agent.Calls.Load()-asked)/pause.Seconds(), float64(b.gateway.Log.Lines()-said)/pause.Seconds())
 }
--- a/internal/capacitytest/door.go
+++ b/internal/capacitytest/door.go
@@ -36,7 +36,7 @@
 }
 
 // Told is what a door's process tells of the time since it was asked before.
-type Told struct {
+type Report struct {
 	CPU      time.Duration // in all
 	Resident int64         // bytes, now
 	Peak     int64         // the most that was resident
@@ -54,12 +54,12 @@
 }
 
 // ownProcess is the variable that has a test's program be a door's process.
-const ownProcess = "PUMICECROFT_SCALE_DOOR"
+const processEnv = "PUMICECROFT_SCALE_DOOR"
 
 // Main is the main of a test's program that StartDoor is used in. It never returns where it is a door's process.
 func Main(run func() int) {
-	if os.Getenv(ownProcess) != "" {
-		if err := serve(os.Stdin, os.Stdout); err != nil {
+	if os.Getenv(processEnv) != "" {
+		if err := runGateway(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -69,34 +69,34 @@
 }
 
 // door is the Door of a process, and what is noted of it.
-type door struct {
+type instrumentedGateway struct {
 	*pumicecroft.Gateway
-	mu   sync.Mutex
-	news chan struct{} // closed when discovery has told of more
-	told Told
-	took []time.Duration
+	mu        sync.Mutex
+	updated   chan struct{} // closed when discovery has told of more
+	report    Report
+	latencies []time.Duration
 }
 
 // source passes on what discovery tells, and notes it.
-type source struct {
+type countingSource struct {
 	*platform.Discovery
-	d *door
+	gateway *instrumentedGateway
 }
 
-func (s source) Run(ctx context.Context, update func(membership.Update)) {
+func (s countingSource) Run(ctx context.Context, update func(membership.Update)) {
 	s.Discovery.Run(ctx, func(l membership.Update) {
 		update(l)
-		s.d.mu.Lock()
-		defer s.d.mu.Unlock()
-		s.d.told.Nodes += int64(len(l.Nodes))
-		s.d.told.At = time.Now()
-		close(s.d.news)
-		s.d.news = make(chan struct{})
+		s.gateway.mu.Lock()
+		defer s.gateway.mu.Unlock()
+		s.gateway.report.Nodes += int64(len(l.Nodes))
+		s.gateway.report.At = time.Now()
+		close(s.gateway.updated)
+		s.gateway.updated = make(chan struct{})
 	})
 }
 
 // serve is a door's process: a Door as the daemon makes it, asked in open loop, that tells of itself at each line that it reads.
-func serve(in io.Reader, out io.Writer) error {
+func runGateway(in io.Reader, out io.Writer) error {
 	lines, write := bufio.NewScanner(in), json.NewEncoder(out)
 	lines.Buffer(nil, 64<<20)
 	if !lines.Scan() {
@@ -112,8 +112,8 @@
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
 	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3) // as the daemon does it
-	d := &door{news: make(chan struct{})}
-	d.told.Errors = map[string]int{}
+	d := &instrumentedGateway{updated: make(chan struct{})}
+	d.report.Errors = map[string]int{}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)) // the log is part of the price
 	slog.SetDefault(log)
 	set := daemon.GatewayConfig(config)
@@ -123,11 +123,11 @@
 	d.Gateway, err = pumicecroft.New(set, pumicecroft.WithLogger(log),
 		pumicecroft.WithDialer(func(ctx context.Context, network, _ string) (net.Conn, error) {
 			d.mu.Lock()
-			d.told.Dialled++
+			d.report.Dialled++
 			d.mu.Unlock()
 			return new(net.Dialer).DialContext(ctx, network, p.Backend)
 		}),
-		pumicecroft.WithSource(source{&platform.Discovery{Addr: config.Discovery, FromVersion: config.Known.Seq, PollWithin: config.Conns.SubscribeWithin,
+		pumicecroft.WithSource(countingSource{&platform.Discovery{Addr: config.Discovery, FromVersion: config.Known.Seq, PollWithin: config.Conns.SubscribeWithin,
 			Seed: config.Seed, DrainGrace: config.Settings.DrainGrace, MaxEntries: config.Limits.MaxBackends()}, d}))
 	if err != nil {
 		return err
@@ -136,20 +136,20 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	if p.PerSecond > 0 {
-		go d.ask(ctx, p)
+		go d.sendRequests(ctx, p)
 	}
-	if err := write.Encode(Told{At: time.Now()}); err != nil {
+	if err := write.Encode(Report{At: time.Now()}); err != nil {
 		return err
 	}
 	for lines.Scan() {
-		var q question
+		var q query
 		if err := json.Unmarshal(lines.Bytes(), &q); err != nil {
 			return err
 		}
 		if q.Nodes > 0 {
-			d.await(q.Nodes, q.Within)
+			d.awaitNodes(q.Nodes, q.Within)
 		}
-		if err := write.Encode(d.tell(q)); err != nil {
+		if err := write.Encode(d.buildReport(q)); err != nil {
 			return err
 		}
 	}
@@ -157,7 +157,7 @@
 }
 
 // question is what a door's process is asked.
-type question struct {
+type query struct {
 	Nodes  int64         // answered when discovery has told of so many
 	Within time.Duration // ... or this time is over
 	All    bool          // with what costs something to tell; requests are counted from then on anew
@@ -165,12 +165,12 @@
 }
 
 // await waits until discovery has told of so many nodes.
-func (d *door) await(nodes int64, within time.Duration) {
+func (d *instrumentedGateway) awaitNodes(nodes int64, within time.Duration) {
 	end := time.NewTimer(within)
 	defer end.Stop()
 	for {
 		d.mu.Lock()
-		enough, news := d.told.Nodes >= nodes, d.news
+		enough, news := d.report.Nodes >= nodes, d.updated
 		d.mu.Unlock()
 		if enough {
 			return
@@ -184,7 +184,7 @@
 }
 
 // ask asks the Door in open loop.
-func (d *door) ask(ctx context.Context, p Plan) {
+func (d *instrumentedGateway) sendRequests(ctx context.Context, p Plan) {
 	gap := time.Duration(float64(time.Second) / p.PerSecond)
 	due := time.Now()
 	for i := 0; ctx.Err() == nil; i++ {
@@ -195,14 +195,14 @@
 			now := time.Now()
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.told.Asked++
+			d.report.Asked++
 			if err != nil {
-				d.told.Errors[err.Error()]++
+				d.report.Errors[err.Error()]++
 			} else {
-				if d.told.Served++; d.told.First.IsZero() {
-					d.told.First = now
+				if d.report.Served++; d.report.First.IsZero() {
+					d.report.First = now
 				}
-				d.took = append(d.took, now.Sub(at))
+				d.latencies = append(d.latencies, now.Sub(at))
 			}
 		}()
 		due = due.Add(gap)
@@ -210,7 +210,7 @@
 }
 
 // tell is what there is to tell.
-func (d *door) tell(q question) Told {
+func (d *instrumentedGateway) buildReport(q query) Report {
 	cpu := CPU()
 	ready := 0
 	if q.Ready {
@@ -221,16 +221,16 @@
 		}
 	}
 	d.mu.Lock()
-	out, took := d.told, d.took
+	out, took := d.report, d.latencies
 	if q.All {
-		d.told.Asked, d.told.Served, d.told.Errors, d.took = 0, 0, map[string]int{}, nil
+		d.report.Asked, d.report.Served, d.report.Errors, d.latencies = 0, 0, map[string]int{}, nil
 	}
 	d.mu.Unlock()
 	if out.CPU, out.Ready = cpu, ready; !q.All {
 		out.Errors = nil // it is still added to
 		return out
 	}
-	out.Resident, out.Peak = status("VmRSS:"), status("VmHWM:")
+	out.Resident, out.Peak = procStatus("VmRSS:"), procStatus("VmHWM:")
 	if files, err := os.ReadDir("/proc/self/fd"); err == nil {
 		out.Files = len(files)
 	}
@@ -251,7 +251,7 @@
 }
 
 // status is one of this process's figures that are given in kB.
-func status(name string) (bytes int64) {
+func procStatus(name string) (bytes int64) {
 	text, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(text)) {
 		if rest, ok := strings.CutPrefix(line, name); ok {
@@ -262,20 +262,20 @@
 }
 
 // DoorProcess is a process that holds one Door.
-type DoorProcess struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	lines *bufio.Scanner
-	Begun time.Time // when it had its plan
-	Up    Told      // the first that it told
-	Said  *tail     // the last that it said in its log
+type GatewayProcess struct {
+	cmd         *exec.Cmd
+	in          io.WriteCloser
+	lines       *bufio.Scanner
+	StartedAt   time.Time // when it had its plan
+	FirstReport Report    // the first that it told
+	Log         *logTail  // the last that it said in its log
 }
 
 // StartDoor starts one, of this test's program.
-func StartDoor(p Plan) (*DoorProcess, error) {
-	d := &DoorProcess{cmd: exec.Command(os.Args[0]), Said: &tail{}}
-	d.cmd.Env = append(os.Environ(), ownProcess+"=1")
-	d.cmd.Stderr = d.Said
+func StartGateway(p Plan) (*GatewayProcess, error) {
+	d := &GatewayProcess{cmd: exec.Command(os.Args[0]), Log: &logTail{}}
+	d.cmd.Env = append(os.Environ(), processEnv+"=1")
+	d.cmd.Stderr = d.Log
 	d.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	var err error
 	if d.in, err = d.cmd.StdinPipe(); err != nil {
@@ -289,61 +289,61 @@
 	if err := d.cmd.Start(); err != nil {
 		return nil, err
 	}
-	d.Begun = time.Now()
+	d.StartedAt = time.Now()
 	if err := json.NewEncoder(d.in).Encode(p); err != nil {
 		return nil, errors.Join(err, d.Stop())
 	}
-	if d.Up, err = d.read(); err != nil {
+	if d.FirstReport, err = d.read(); err != nil {
 		return nil, errors.Join(err, d.Stop())
 	}
 	return d, nil
 }
 
-func (d *DoorProcess) read() (t Told, err error) {
+func (d *GatewayProcess) read() (t Report, err error) {
 	if !d.lines.Scan() {
-		return t, fmt.Errorf("scale: the door's process has ended: %s", d.Said)
+		return t, fmt.Errorf("scale: the door's process has ended: %s", d.Log)
 	}
 	return t, json.Unmarshal(d.lines.Bytes(), &t)
 }
 
-func (d *DoorProcess) ask(q question) (Told, error) {
+func (d *GatewayProcess) query(q query) (Report, error) {
 	if err := json.NewEncoder(d.in).Encode(q); err != nil {
-		return Told{}, err
+		return Report{}, err
 	}
 	return d.read()
 }
 
 // Await waits until discovery has told of so many nodes in all, or a time is over.
-func (d *DoorProcess) Await(nodes int64, within time.Duration) (Told, error) {
-	return d.ask(question{Nodes: nodes, Within: within})
+func (d *GatewayProcess) Await(nodes int64, within time.Duration) (Report, error) {
+	return d.query(query{Nodes: nodes, Within: within})
 }
 
 // Look asks for what costs nothing to tell.
-func (d *DoorProcess) Look() (Told, error) { return d.ask(question{}) }
+func (d *GatewayProcess) Quick() (Report, error) { return d.query(query{}) }
 
 // All asks for all there is to tell, of requests since it was asked before.
-func (d *DoorProcess) All() (Told, error) { return d.ask(question{All: true}) }
+func (d *GatewayProcess) Full() (Report, error) { return d.query(query{All: true}) }
 
 // Ready asks how many backends the Door believes ready.
-func (d *DoorProcess) Ready() (int, error) {
-	t, err := d.ask(question{Ready: true})
+func (d *GatewayProcess) ReadyBackends() (int, error) {
+	t, err := d.query(query{Ready: true})
 	return t.Ready, err
 }
 
 // Stop ends it.
-func (d *DoorProcess) Stop() error {
+func (d *GatewayProcess) Stop() error {
 	_ = d.in.Close()
 	return d.cmd.Wait()
 }
 
 // tail keeps the last bytes of what is written to it, and how many lines there were.
-type tail struct {
+type logTail struct {
 	mu    sync.Mutex
 	last  []byte
 	lines int
 }
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *logTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, b := range p {
@@ -359,13 +359,13 @@
 }
 
 // Lines is how many there were.
-func (t *tail) Lines() int {
+func (t *logTail) Lines() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lines
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.last)
--- a/internal/capacitytest/doors_test.go
+++ b/internal/capacitytest/doors_test.go
@@ -12,13 +12,13 @@
 
 // More and more hollow doors (the shipped core and decision module) share a counter and backends. Each backend is as busy, and each door
 // asked as often, at every size; the counter stays one.
-func TestDoors(t *testing.T) {
+func TestGateways(t *testing.T) {
 	perDoor := *rate
 	if *full && *sizes == "" {
 		perDoor = min(perDoor, 6)
 	}
-	for _, n := range of(t, []int{3, 30}, []int{3, 30, 300, 2800}) {
-		c := hollow(n, perDoor)
+	for _, n := range sizesFor(t, []int{3, 30}, []int{3, 30, 300, 2800}) {
+		c := emulatorConfig(n, perDoor)
 		c.Faults = []emulator.Fault{{Kind: emulator.Deploy, At: 2 * time.Second, Duration: 2 * time.Second, Magnitude: float64(max(1, c.Backends.Count/4))},
 			{Kind: emulator.GatewayRestart, At: 7 * time.Second, Duration: 500 * time.Millisecond, Magnitude: float64(max(1, n/10))}}
 		r, err := emulator.New(c, 7)
@@ -46,7 +46,7 @@
 }
 
 // hollow is a region of so many doors, each asked so often.
-func hollow(doors int, perDoor float64) emulator.Config {
+func emulatorConfig(doors int, perDoor float64) emulator.Config {
 	backends := max(6, int(float64(doors)*perDoor/84))
 	set := decision.Settings{MaxAttempts: 3, CanCancel: true, MaxRetryAfter: time.Second, UsagePeriod: 500 * time.Millisecond, DrainGrace: time.Second, // half as long as one drains
 		SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second, OverloadFactor: 4, OverloadDuration: 3 * time.Second, ResponseGrace: 50 * time.Millisecond,
@@ -65,9 +65,9 @@
 
 // More and more doors lose a discovery, that costs work to ask, in one moment, and it is away for a while. What is counted is
 // the calls that it gets in the busiest second, and how long the last door takes to ask again once it is back.
-func TestAskingDiscovery(t *testing.T) {
+func TestDiscoveryPollRate(t *testing.T) {
 	within := 10 * time.Second
-	for _, n := range of(t, []int{3, 300}, []int{3, 30, 300, 2800}) {
+	for _, n := range sizesFor(t, []int{3, 300}, []int{3, 30, 300, 2800}) {
 		for _, away := range []time.Duration{8 * time.Second, time.Hour} {
 			if away > time.Minute && !*full {
 				continue
--- a/internal/capacitytest/module_test.go
+++ b/internal/capacitytest/module_test.go
@@ -11,16 +11,16 @@
 )
 
 // module is a decision module by itself, with a clock that the test moves.
-type module struct {
+type engineFixture struct {
 	*decision.Engine
-	now  time.Duration
-	acts []decision.Action
-	id   decision.RequestID
+	now     time.Duration
+	actions []decision.Action
+	id      decision.RequestID
 }
 
-func newModule(t *testing.T, change func(*decision.Settings)) *module {
+func newEngineFixture(t *testing.T, change func(*decision.Settings)) *engineFixture {
 	t.Helper()
-	config, err := platform.ParseConfig([]byte(file("127.0.0.1:1")))
+	config, err := platform.ParseConfig([]byte(platformConfig("127.0.0.1:1")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	if change != nil {
 		change(&set)
 	}
-	m := &module{now: time.Hour}
+	m := &engineFixture{now: time.Hour}
 	if m.Engine, err = decision.New(set, 1, m.now); err != nil {
 		t.Fatal(err)
 	}
@@ -36,18 +36,18 @@
 }
 
 // handle gives how long an event takes.
-func (m *module) handle(ev decision.Event) time.Duration {
+func (m *engineFixture) handle(ev decision.Event) time.Duration {
 	began := time.Now()
-	m.acts = m.Handle(m.now, ev, m.acts[:0])
+	m.actions = m.Handle(m.now, ev, m.actions[:0])
 	return time.Since(began)
 }
 
 // ask has a customer ask and be answered at once, and gives how long the two events take.
-func (m *module) ask(customer int, plan, protocol string) time.Duration {
+func (m *engineFixture) ask(customer int, plan, protocol string) time.Duration {
 	m.id++
 	spent := m.handle(decision.Request{ID: m.id, Customer: decision.CustomerID(customer), Class: "look", Plan: plan, Cost: 1, Timeout: time.Second,
 		GatewaySpread: 3, Protocol: protocol})
-	for _, a := range m.acts {
+	for _, a := range m.actions {
 		if s, ok := a.(decision.StartAttempt); ok {
 			return spent + m.handle(decision.Outcome{Request: s.Request, Backend: s.Backend, Latency: time.Millisecond, Final: true})
 		}
@@ -56,7 +56,7 @@
 }
 
 // held is what is in use on the heap.
-func held() float64 {
+func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -65,7 +65,7 @@
 }
 
 // infos are n backends of so many services.
-func infos(n, services int) decision.EndpointUpdate {
+func engineEndpoints(n, services int) decision.EndpointUpdate {
 	list := decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: make([]decision.Endpoint, n)}
 	for i := range list.Endpoints {
 		list.Endpoints[i] = decision.Endpoint{ID: decision.BackendID(i + 1), Zone: fmt.Sprint("z", i%9), InstanceType: "m2", Cell: i % 2300, Weight: 1,
@@ -77,14 +77,14 @@
 // More and more tenants have asked at one door within a minute: what each holds, and the second's tick, in which one in ten may lend
 // others a part of its ceiling.
 func TestTenants(t *testing.T) {
-	for _, n := range of(t, []int{1000, 20_000}, []int{1000, 10_000, 17_160, 100_000, 820_000}) {
-		m := newModule(t, func(s *decision.Settings) {
+	for _, n := range sizesFor(t, []int{1000, 20_000}, []int{1000, 10_000, 17_160, 100_000, 820_000}) {
+		m := newEngineFixture(t, func(s *decision.Settings) {
 			s.HasSharedCounter, s.UsagePeriod = true, 500*time.Millisecond
 			s.Plans = []decision.Plan{{Name: "shop", Rate: 4, Burst: 13, Price: 1},
 				{Name: "flagship", Rate: 12, Burst: 40, Price: 2, HardLimitRate: 12, HardLimitBurst: 40, HardLimitOverdraft: 5}}
 		})
-		m.handle(infos(100, 1))
-		empty := held()
+		m.handle(engineEndpoints(100, 1))
+		empty := heapInUse()
 		one := func(i int) time.Duration {
 			plan := "shop"
 			if i%10 == 0 {
@@ -97,26 +97,26 @@
 			m.now += 30 * time.Second / time.Duration(n) // nobody is forgotten
 			worst = max(worst, one(i))
 		}
-		bytes := (held() - empty) / float64(n)
+		bytes := (heapInUse() - empty) / float64(n)
 		var ticks []time.Duration
 		for range 5 {
 			m.now += time.Second
 			ticks = append(ticks, m.handle(decision.Timer{}))
 		}
 		gifts := 0
-		for _, a := range m.acts {
+		for _, a := range m.actions {
 			if _, ok := a.(decision.CounterAdd); ok {
 				gifts++
 			}
 		}
-		tick := middle(len(ticks), func(i int) time.Duration { return ticks[i] })
-		request := middle(200, func(i int) time.Duration { return one(i * 7 % n) })
-		plain := newModule(t, nil)
-		plain.handle(infos(100, 1))
+		tick := median(len(ticks), func(i int) time.Duration { return ticks[i] })
+		request := median(200, func(i int) time.Duration { return one(i * 7 % n) })
+		plain := newEngineFixture(t, nil)
+		plain.handle(engineEndpoints(100, 1))
 		for i := range n {
 			plain.ask(i+1, "big", "service-0")
 		}
-		without := middle(5, func(int) time.Duration {
+		without := median(5, func(int) time.Duration {
 			plain.now += time.Second
 			return plain.handle(decision.Timer{})
 		})
@@ -140,16 +140,16 @@
 	if *full {
 		backends = 110_000
 	}
-	for _, n := range of(t, []int{1, 230}, []int{1, 10, 230, 2300}) {
-		m := newModule(t, nil)
-		list := infos(backends, n)
+	for _, n := range sizesFor(t, []int{1, 230}, []int{1, 10, 230, 2300}) {
+		m := newEngineFixture(t, nil)
+		list := engineEndpoints(backends, n)
 		m.handle(list)
 		for range 10 { // what is taken for granted at the start has faded
 			m.now += time.Second
 			m.handle(decision.Timer{})
 		}
 		var all []time.Duration
-		request := middle(500, func(i int) time.Duration {
+		request := median(500, func(i int) time.Duration {
 			m.now += 3 * time.Millisecond
 			spent := m.ask(7, "big", fmt.Sprint("service-", i%n))
 			all = append(all, spent)
@@ -163,7 +163,7 @@
 			}
 		}
 		m.handle(out)
-		refused := middle(100, func(int) time.Duration {
+		refused := median(100, func(int) time.Duration {
 			m.now += 3 * time.Millisecond
 			return m.ask(7, "big", "service-0")
 		})
--- a/internal/capacitytest/routes_test.go
+++ b/internal/capacitytest/routes_test.go
@@ -11,20 +11,20 @@
 // An operator's table of more and more routes is made, and a request finds its own.
 func TestRoutes(t *testing.T) {
 	var least time.Duration
-	for _, n := range of(t, []int{24, 2400}, []int{24, 240, 2400, 24_000}) {
+	for _, n := range sizesFor(t, []int{24, 2400}, []int{24, 240, 2400, 24_000}) {
 		rules := make([]routes.Rule[int], n)
 		for i := range rules {
 			rules[i] = routes.Rule[int]{Name: fmt.Sprint("route-", i), Line: i + 1, Host: fmt.Sprintf("h%d.example.org", i%2300),
 				Path: fmt.Sprintf("/v1/things-%d/{id}/parts", i), Methods: []string{"GET"}, Target: i}
 		}
-		empty := held()
+		empty := heapInUse()
 		began := time.Now()
 		table, err := routes.New(rules)
 		if err != nil {
 			t.Fatal(err)
 		}
 		made := time.Since(began)
-		bytes := (held() - empty) / float64(n)
+		bytes := (heapInUse() - empty) / float64(n)
 		find := func(i int) time.Duration {
 			began := time.Now()
 			m, err := table.Match(&routes.Request{Method: "GET", Host: fmt.Sprintf("h%d.example.org", i%2300), Path: fmt.Sprintf("/v1/things-%d/17/parts", i)})
@@ -34,7 +34,7 @@
 			}
 			return spent
 		}
-		found := middle(500, func(i int) time.Duration { return find(i * 31 % n) })
+		found := median(500, func(i int) time.Duration { return find(i * 31 % n) })
 		t.Logf("%d routes: made in %v, %.0f bytes each, a request finds its own in %v", n, made, bytes, found)
 		if least == 0 {
 			least = found
--- a/internal/capacitytest/scale_test.go
+++ b/internal/capacitytest/scale_test.go
@@ -9,18 +9,18 @@
 )
 
 var (
-	full  = flag.Bool("full", false, "the sizes of docs/CAPACITY.md, not the small ones")
-	sizes = flag.String("sizes", "", "these sizes alone, with commas between")
-	piece = flag.Int("piece", 64<<10, "bytes that the agent writes at once; 0: a whole list")
-	most  = flag.Int("most", 0, "backends that a door's table keeps; 0: as the program has it")
-	rate  = flag.Float64("rate", 60, "requests a second of a hollow door; with -full 6 at most, unless -sizes are given: at 286 the largest size would take an hour")
-	mem   = flag.Int("mem", 192, "memory_mb of a door")
+	full     = flag.Bool("full", false, "the sizes of docs/CAPACITY.md, not the small ones")
+	sizes    = flag.String("sizes", "", "these sizes alone, with commas between")
+	piece    = flag.Int("piece", 64<<10, "bytes that the agent writes at once; 0: a whole list")
+	maxNodes = flag.Int("most", 0, "backends that a door's table keeps; 0: as the program has it")
+	rate     = flag.Float64("rate", 60, "requests a second of a hollow door; with -full 6 at most, unless -sizes are given: at 286 the largest size would take an hour")
+	memoryMB = flag.Int("mem", 192, "memory_mb of a door")
 )
 
 func TestMain(m *testing.M) { Main(m.Run) }
 
 // of gives the sizes of a test.
-func of(t *testing.T, small, fully []int) (out []int) {
+func sizesFor(t *testing.T, small, fully []int) (out []int) {
 	t.Helper()
 	switch {
 	case *sizes != "":
@@ -42,9 +42,9 @@
 type object = map[string]any
 
 // file is a door's file as the platform writes it, one of 2,800 doors.
-func file(discovery string) string {
+func platformConfig(discovery string) string {
 	text, err := json.Marshal(object{"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "7",
-		"limits": object{"cores": 1, "memory_mb": *mem, "sockets": 1024},
+		"limits": object{"cores": 1, "memory_mb": *memoryMB, "sockets": 1024},
 		"settings": object{"balancers": 2800, "me": 1, "discovery": "pushed", "lanes": []object{{"name": "look", "effect": "retryable",
 			"goal_time_us": 500_000, "deadline_us": 5_000_000, "gain": 1}}, "tariffs": []object{{"name": "big", "value_factor": 1}},
 			"family_info":   object{"largest": 1},
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -18,9 +18,9 @@
 	a := testcerts.New(t)
 	dir := t.TempDir()
 	write := func(name string, cert, key []byte) {
-		testcerts.Write(t, dir, map[string][]byte{name + "c": cert, name + "k": key})
+		testcerts.WriteFiles(t, dir, map[string][]byte{name + "c": cert, name + "k": key})
 	}
-	pair := func(change func(*x509.Certificate), names ...string) (c, k []byte) { return a.Pair(change, names...) }
+	pair := func(change func(*x509.Certificate), names ...string) (c, k []byte) { return a.Issue(change, names...) }
 	c1, k1 := pair(nil, "a.example")
 	c2, k2 := pair(nil, "*.b.example", "b.example")
 	write("1", c1, k1)
--- a/internal/counterclient/client_test.go
+++ b/internal/counterclient/client_test.go
@@ -17,7 +17,7 @@
 // newClient returns a Client that is closed at the end of the test.
 func newClient(t *testing.T, addr string, timeout time.Duration) *Client {
 	t.Helper()
-	c := New(Config{Addr: addr, Timeout: timeout, ConnectTimeout: testkit.Patient})
+	c := New(Config{Addr: addr, Timeout: timeout, ConnectTimeout: testkit.WaitTimeout})
 	t.Cleanup(c.Close)
 	return c
 }
@@ -45,7 +45,7 @@
 			t.Errorf("Ref %d", r.Ref)
 		}
 		return r
-	case <-time.After(2 * testkit.Patient):
+	case <-time.After(2 * testkit.WaitTimeout):
 		t.Fatal("the call does not end")
 		return decision.CounterResult{}
 	}
@@ -54,17 +54,17 @@
 // Amounts are added one after another, then a hundred at once. Each call must get its own total.
 func TestAdd_Totals(t *testing.T) {
 	counter := newCounter(t)
-	c := newClient(t, counter.Addr(), testkit.Patient)
+	c := newClient(t, counter.Addr(), testkit.WaitTimeout)
 	for _, call := range []struct{ amount, total float64 }{{3, 3}, {-1.25, 1.75}, {0, 1.75}, {1e-3, 1.751}} {
 		if r := add(t, c, 1<<62, call.amount); r.Result != decision.Succeeded || r.Total != call.total {
 			t.Errorf("%v: %+v, want %v", call.amount, r, call.total)
 		}
 	}
-	counter.TurnAway(true)
+	counter.SetUnavailable(true)
 	if r := add(t, c, 1, 1); r.Result != decision.Rejected {
 		t.Errorf("while the counter rejects calls: %+v", r)
 	}
-	counter.TurnAway(false)
+	counter.SetUnavailable(false)
 	results := make(chan decision.CounterResult, 100)
 	for i := range 100 {
 		c.Add(decision.CounterAdd{Ref: uint64(i), Key: uint64(1000 + i), Amount: float64(i), TTL: time.Minute},
@@ -99,7 +99,7 @@
 					_, _ = conn.Write([]byte(c.response))
 				}
 			})
-			if r := add(t, newClient(t, addr, testkit.Patient), 1, 1); r.Result != c.want {
+			if r := add(t, newClient(t, addr, testkit.WaitTimeout), 1, 1); r.Result != c.want {
 				t.Errorf("%+v, want result %v", r, c.want)
 			}
 		})
@@ -126,7 +126,7 @@
 		t.Errorf("without a response: %+v", r)
 	}
 	c.mu.Lock()
-	c.config.Timeout = testkit.Patient
+	c.config.Timeout = testkit.WaitTimeout
 	c.mu.Unlock()
 	results := make(chan decision.CounterResult, 1)
 	c.Add(decision.CounterAdd{Key: 2, TTL: time.Minute}, func(r decision.CounterResult) { results <- r })
@@ -146,7 +146,7 @@
 	}
 	addr := unused.Addr().String()
 	_ = unused.Close()
-	c := newClient(t, addr, testkit.Patient)
+	c := newClient(t, addr, testkit.WaitTimeout)
 	if r := add(t, c, 1, 1); r.Result != decision.ConnectFailed {
 		t.Errorf("connection refused: %+v", r)
 	}
@@ -163,7 +163,7 @@
 // A connection does not come up. The call must end at its timeout, as one that was not sent.
 func TestAdd_ConnectionDoesNotComeUp(t *testing.T) {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
-	c := New(Config{Addr: "x", Timeout: 20 * time.Millisecond, ConnectTimeout: testkit.Patient, Dial: dial})
+	c := New(Config{Addr: "x", Timeout: 20 * time.Millisecond, ConnectTimeout: testkit.WaitTimeout, Dial: dial})
 	defer c.Close()
 	if r := add(t, c, 1, 1); r.Result != decision.ConnectFailed {
 		t.Errorf("%+v", r)
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if !counts.OK() || counts.Served == 0 || counts.Refused == 0 || counts.Advised != counts.Refused {
+	if !counts.OK() || counts.Served == 0 || counts.Rejected == 0 || counts.WithRetryAfter != counts.Rejected {
 		t.Errorf("%+v\n%s", counts, out.String())
 	}
 	if last := lines[len(lines)-1]; !regexp.MustCompile(`^served=\d+ refused=\d+ failed=\d+ lost=0 duplicates=0$`).MatchString(last) {
@@ -29,7 +29,7 @@
 			t.Errorf("no word of %q in\n%s", what, out.String())
 		}
 	}
-	if counts := (Counts{Asked: 1, Duplicates: 1}); counts.OK() || (Counts{Asked: 1, Lost: 1}).OK() || (Counts{}).OK() {
+	if counts := (Counts{Sent: 1, Duplicates: 1}); counts.OK() || (Counts{Sent: 1, Lost: 1}).OK() || (Counts{}).OK() {
 		t.Error("what was lost or duplicated counts as good")
 	}
 }
--- a/internal/fakes/askgrpc.go
+++ b/internal/fakes/askgrpc.go
@@ -28,12 +28,12 @@
 // DoGRPC asks as Do does, over gRPC: the class is the method, the headers are metadata, and the time-out is grpc-timeout.
 // What cannot be said so (a class that is not there, a time that is no number) is sent as it stands. The reply's status is
 // the one that HTTP's front has for the same end; see grpcStatus.
-func (a Ask) DoGRPC(ctx context.Context, rt http.RoundTripper, addr string) Reply {
-	ctx, cancel := context.WithTimeout(ctx, cmp.Or(a.Patience, a.Timeout))
+func (a Request) DoGRPC(ctx context.Context, rt http.RoundTripper, addr string) Reply {
+	ctx, cancel := context.WithTimeout(ctx, cmp.Or(a.ClientTimeout, a.Timeout))
 	defer cancel()
 	start := time.Now()
-	out := func(r Reply) Reply { r.Took = time.Since(start); return r }
-	plain, err := a.Request(ctx, addr)
+	out := func(r Reply) Reply { r.Latency = time.Since(start); return r }
+	plain, err := a.HTTPRequest(ctx, addr)
 	if err != nil {
 		return out(Reply{Err: err})
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return out(Reply{Err: err})
 	}
-	return out(a.grpcReply(res, answer))
+	return out(a.readGRPCReply(res, answer))
 }
 
 // grpcTimeout is a time in seconds as a grpc-timeout.
@@ -81,9 +81,9 @@
 	return strconv.FormatInt(int64(v*1000), 10) + "m"
 }
 
-var errGRPC = errors.New("no answer as gRPC has it")
+var errInvalidGRPCResponse = errors.New("no answer as gRPC has it")
 
-func (a Ask) grpcReply(res *http.Response, body []byte) Reply {
+func (a Request) readGRPCReply(res *http.Response, body []byte) Reply {
 	field := func(name string) string {
 		if v := res.Trailer.Get(name); v != "" {
 			return v
@@ -95,17 +95,17 @@
 	}
 	code, err := strconv.Atoi(field("Grpc-Status"))
 	if err != nil {
-		return Reply{Err: fmt.Errorf("%w: grpc-status %q", errGRPC, field("Grpc-Status"))}
+		return Reply{Err: fmt.Errorf("%w: grpc-status %q", errInvalidGRPCResponse, field("Grpc-Status"))}
 	}
 	ms, err := strconv.Atoi(field("Grpc-Retry-Pushback-Ms"))
 	r := Reply{Status: grpcStatus(code, err == nil, ms)}
 	switch r.Status {
 	case http.StatusOK:
 		if len(body) < 5 || body[0] != 0 || int(binary.BigEndian.Uint32(body[1:])) != len(body)-5 {
-			return Reply{Err: fmt.Errorf("%w: a good status and %d bytes", errGRPC, len(body))}
+			return Reply{Err: fmt.Errorf("%w: a good status and %d bytes", errInvalidGRPCResponse, len(body))}
 		}
-		if r.Body = string(body[5:]); r.Body != answerTo(a.RequestID()) {
-			return Reply{Err: errWrong}
+		if r.Body = string(body[5:]); r.Body != responseBody(a.RequestID()) {
+			return Reply{Err: errWrongResponse}
 		}
 	case http.StatusServiceUnavailable:
 		if err == nil {
--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -15,26 +15,26 @@
 )
 
 // Act is what a backend does with one attempt in place of its work.
-type Act int
+type Behavior int
 
 // The acts.
 const (
-	Work         Act = iota // as a backend does: wait for a slot, work, answer
-	Hang                    // run, and never answer; ends when the connection does
-	HangUnrun               // never run and never answer
-	RunAndBreak             // run, and reset the connection in place of an answer
-	RunAndError             // run, and answer 500
-	TurnAway                // 503 with the proof that it has not run
-	RunAndSpoil             // run, and answer with noise
-	RunAndCut               // run, and end the connection midway through the answer
-	BreakUnheard            // reset the connection; it has not run, which the other side cannot know
+	ServeNormally         Behavior = iota // as a backend does: wait for a slot, work, answer
+	ExecuteThenHang                       // run, and never answer; ends when the connection does
+	HangWithoutExecution                  // never run and never answer
+	ExecuteThenReset                      // run, and reset the connection in place of an answer
+	ExecuteThenError                      // run, and answer 500
+	RejectNotStarted                      // 503 with the proof that it has not run
+	ExecuteThenGarble                     // run, and answer with noise
+	ExecuteThenTruncate                   // run, and end the connection midway through the answer
+	ResetWithoutExecution                 // reset the connection; it has not run, which the other side cannot know
 )
 
 // Once gives an act for the first attempt of all and Work for the rest. It may be shared by backends.
-func Once(act Act) func(Attempt) Act {
+func OnFirstAttempt(act Behavior) func(Attempt) Behavior {
 	var once sync.Once
-	return func(Attempt) Act {
-		now := Work
+	return func(Attempt) Behavior {
+		now := ServeNormally
 		once.Do(func() { now = act })
 		return now
 	}
@@ -42,48 +42,48 @@
 
 // BackendConfig says what a backend is like.
 type BackendConfig struct {
-	Name string
-	Zone string
-	Kind string
-	Cell *Cell
+	Name         string
+	Zone         string
+	InstanceType string
+	Cell         *Cell
 	// Slots work at once, Queue wait; what is beyond is turned away. 0: no bound on either.
 	Slots, Queue int
 	// Work is how long a request of a class works, on a warm backend.
-	Work func(class string) time.Duration
+	WorkTime func(class string) time.Duration
 	// Act overrides what happens with an attempt; nil: Work.
-	Act func(a Attempt) Act
+	Behavior func(a Attempt) Behavior
 	// Keyed tells which classes have effects that must stay single.
-	Keyed func(class string) bool
+	IdempotentByKey func(class string) bool
 	// A backend that has just started has ColdFrom of its capacity, and all of it after WarmWithin. Sent more than
 	// FallMultiple times what it can do for FallFor, it falls over and stays down. FallMultiple 0: it does not.
-	ColdFrom     float64
-	WarmWithin   time.Duration
-	FallMultiple float64
-	FallFor      time.Duration
+	SlowStartMinCapacity float64
+	SlowStartWindow      time.Duration
+	OverloadFactor       float64
+	OverloadDuration     time.Duration
 	// Capacity is what it can do warm, in requests a second; 0: what its slots and work come to. Where it is given,
 	// work takes as long on a cold backend, which then shows that it is cold by falling alone.
 	Capacity float64
 	// Cold starts it cold; else it has run for long.
-	Cold   bool
-	Ledger *Ledger
-	Meter  *Meter // nil: answers tell no use
-	GRPC   bool   // it speaks gRPC; its methods' names end with its classes
+	StartCold bool
+	Ledger    *Ledger
+	Meter     *Meter // nil: answers tell no use
+	GRPC      bool   // it speaks gRPC; its methods' names end with its classes
 }
 
 // Backend is a stand-in for one backend.
 type Backend struct {
-	config BackendConfig
-	addr   string
-	born   time.Time // zero: long ago
-	server *http.Server
-	grpc   *GRPCBackend
-	slots  chan struct{}
+	config    BackendConfig
+	addr      string
+	startedAt time.Time // zero: long ago
+	server    *http.Server
+	grpc      *GRPCBackend
+	slots     chan struct{}
 
-	mu       sync.Mutex
-	draining bool
-	fallen   bool
-	waiting  int
-	recent   []time.Time // arrivals within FallFor, while cold
+	mu             sync.Mutex
+	draining       bool
+	overloaded     bool
+	admitted       int
+	recentArrivals []time.Time // arrivals within FallFor, while cold
 }
 
 // StartBackend starts a backend on a loopback port of the system's choosing.
@@ -92,12 +92,12 @@
 	if c.Slots > 0 {
 		b.slots = make(chan struct{}, c.Slots)
 	}
-	if c.Cold {
-		b.born = time.Now()
+	if c.StartCold {
+		b.startedAt = time.Now()
 	}
 	var err error
 	if c.GRPC {
-		if b.grpc, err = StartGRPC(GRPCConfig{deal: b.deal}); err == nil {
+		if b.grpc, err = StartGRPC(GRPCConfig{execute: b.execute}); err == nil {
 			b.addr = b.grpc.Addr()
 		}
 		return b, err
@@ -122,12 +122,12 @@
 
 // Endpoint is its entry in discovery's list.
 func (b *Backend) Endpoint() platform.Endpoint {
-	e := platform.Endpoint{Name: b.config.Name, Addr: b.addr, Zone: b.config.Zone, InstanceType: b.config.Kind, Health: "Ready", Weight: 1}
+	e := platform.Endpoint{Name: b.config.Name, Addr: b.addr, Zone: b.config.Zone, InstanceType: b.config.InstanceType, Health: "Ready", Weight: 1}
 	if b.config.Cell != nil {
 		e.Cell = b.config.Cell.Number
 	}
-	if !b.born.IsZero() {
-		e.StartedAtMS = b.born.UnixMilli()
+	if !b.startedAt.IsZero() {
+		e.StartedAtMS = b.startedAt.UnixMilli()
 	}
 	return e
 }
@@ -149,50 +149,50 @@
 }
 
 // Fallen tells whether it was sent too much while it was cold.
-func (b *Backend) Fallen() bool {
+func (b *Backend) Overloaded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fallen
+	return b.overloaded
 }
 
 // warmth is the share of its capacity that it has.
-func (b *Backend) warmth(now time.Time) float64 {
-	if b.born.IsZero() || b.config.WarmWithin <= 0 {
+func (b *Backend) capacityShare(now time.Time) float64 {
+	if b.startedAt.IsZero() || b.config.SlowStartWindow <= 0 {
 		return 1
 	}
-	age := float64(now.Sub(b.born)) / float64(b.config.WarmWithin)
-	return min(1, b.config.ColdFrom+(1-b.config.ColdFrom)*age)
+	age := float64(now.Sub(b.startedAt)) / float64(b.config.SlowStartWindow)
+	return min(1, b.config.SlowStartMinCapacity+(1-b.config.SlowStartMinCapacity)*age)
 }
 
 // arrive counts an arrival and tells whether the attempt is taken.
-func (b *Backend) arrive(now time.Time, work time.Duration) (taken bool) {
+func (b *Backend) admit(now time.Time, work time.Duration) (taken bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	capacity := b.config.Capacity
 	if capacity == 0 && work > 0 {
 		capacity = float64(b.config.Slots) / work.Seconds()
 	}
-	if w := b.warmth(now); w < 1 && b.config.FallMultiple > 0 && capacity > 0 {
-		for len(b.recent) > 0 && now.Sub(b.recent[0]) > b.config.FallFor {
-			b.recent = b.recent[1:]
+	if w := b.capacityShare(now); w < 1 && b.config.OverloadFactor > 0 && capacity > 0 {
+		for len(b.recentArrivals) > 0 && now.Sub(b.recentArrivals[0]) > b.config.OverloadDuration {
+			b.recentArrivals = b.recentArrivals[1:]
 		}
-		b.recent = append(b.recent, now)
-		can := w * capacity * b.config.FallFor.Seconds()
-		if now.Sub(b.born) > b.config.FallFor && float64(len(b.recent)) > b.config.FallMultiple*can {
-			b.fallen = true
+		b.recentArrivals = append(b.recentArrivals, now)
+		can := w * capacity * b.config.OverloadDuration.Seconds()
+		if now.Sub(b.startedAt) > b.config.OverloadDuration && float64(len(b.recentArrivals)) > b.config.OverloadFactor*can {
+			b.overloaded = true
 		}
 	}
-	if b.fallen || b.draining || b.config.Queue > 0 && b.waiting >= b.config.Queue+b.config.Slots {
+	if b.overloaded || b.draining || b.config.Queue > 0 && b.admitted >= b.config.Queue+b.config.Slots {
 		return false
 	}
-	b.waiting++
+	b.admitted++
 	return true
 }
 
-func (b *Backend) leave() {
+func (b *Backend) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waiting--
+	b.admitted--
 }
 
 // ServeHTTP is one attempt.
@@ -207,8 +207,8 @@
 		return // it has not come whole
 	}
 	a := &Attempt{Class: class, ID: r.Header.Get("Request-Id"), Key: r.Header.Get("Idempotency-Key"),
-		Conn: r.RemoteAddr, Body: string(body), Timeout: r.Header.Get("Request-Timeout")}
-	act, use, ok := b.deal(r.Context(), a)
+		RemoteAddr: r.RemoteAddr, Body: string(body), Timeout: r.Header.Get("Request-Timeout")}
+	act, use, ok := b.execute(r.Context(), a)
 	if !ok {
 		return
 	}
@@ -216,23 +216,23 @@
 		w.Header().Set("X-RateLimit-Used", use)
 	}
 	switch act {
-	case Work:
-		io.WriteString(w, answerTo(a.ID))
-	case TurnAway:
+	case ServeNormally:
+		io.WriteString(w, responseBody(a.ID))
+	case RejectNotStarted:
 		w.Header().Set("Not-Started", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case RunAndError:
+	case ExecuteThenError:
 		w.WriteHeader(http.StatusInternalServerError)
-	case Hang, HangUnrun:
+	case ExecuteThenHang, HangWithoutExecution:
 		<-r.Context().Done()
 	default:
-		b.spoil(w, act)
+		b.breakResponse(w, act)
 	}
 }
 
 // deal is what becomes of an attempt that has come whole, short of its answer: how it is to be answered, with the use that
 // the meter tells, if it does; !ok: the client has left. ctx ends when the client leaves.
-func (b *Backend) deal(ctx context.Context, a *Attempt) (act Act, use string, ok bool) {
+func (b *Backend) execute(ctx context.Context, a *Attempt) (act Behavior, use string, ok bool) {
 	c := &b.config
 	now := time.Now()
 	a.Backend, a.At = c.Name, now
@@ -240,43 +240,43 @@
 		a.Cell = c.Cell.Number
 	}
 	c.Ledger.add(a)
-	if c.Act != nil {
-		act = c.Act(*a)
+	if c.Behavior != nil {
+		act = c.Behavior(*a)
 	}
 	work := time.Duration(0)
-	if c.Work != nil {
-		work = c.Work(a.Class)
+	if c.WorkTime != nil {
+		work = c.WorkTime(a.Class)
 	}
-	if act == TurnAway || act == Work && !b.arrive(now, work) {
-		c.Ledger.end(a, "turned away", false)
-		return TurnAway, "", true
+	if act == RejectNotStarted || act == ServeNormally && !b.admit(now, work) {
+		c.Ledger.finish(a, "turned away", false)
+		return RejectNotStarted, "", true
 	}
-	if act == Work {
-		defer b.leave()
+	if act == ServeNormally {
+		defer b.release()
 		if c.Capacity == 0 {
-			work = time.Duration(float64(work) / b.warmth(now))
+			work = time.Duration(float64(work) / b.capacityShare(now))
 		}
-		if !b.work(ctx, work) {
-			c.Ledger.end(a, "given up", false) // the client left while it waited or worked
+		if !b.process(ctx, work) {
+			c.Ledger.finish(a, "given up", false) // the client left while it waited or worked
 			return act, "", false
 		}
 	}
-	effect := act != HangUnrun && act != BreakUnheard && (c.Keyed == nil || c.Keyed(a.Class)) && c.Cell.first(a.Key, now)
+	effect := act != HangWithoutExecution && act != ResetWithoutExecution && (c.IdempotentByKey == nil || c.IdempotentByKey(a.Class)) && c.Cell.firstUse(a.Key, now)
 	if c.Meter != nil {
-		if v, ok := c.Meter.count(a.ID, now); ok {
+		if v, ok := c.Meter.recordAttempt(a.ID, now); ok {
 			use = strconv.FormatFloat(v, 'f', 1, 64)
 		}
 	}
-	c.Ledger.end(a, map[Act]string{Work: "served", RunAndError: "error", Hang: "hung", HangUnrun: "hung", RunAndBreak: "broken",
-		BreakUnheard: "broken", RunAndSpoil: "spoilt", RunAndCut: "cut"}[act], effect)
+	c.Ledger.finish(a, map[Behavior]string{ServeNormally: "served", ExecuteThenError: "error", ExecuteThenHang: "hung", HangWithoutExecution: "hung", ExecuteThenReset: "broken",
+		ResetWithoutExecution: "broken", ExecuteThenGarble: "spoilt", ExecuteThenTruncate: "cut"}[act], effect)
 	return act, use, true
 }
 
 // answerTo is the body that only this request's answer has.
-func answerTo(id string) string { return "done " + id + "\n" }
+func responseBody(id string) string { return "done " + id + "\n" }
 
 // work waits for a slot and works; false if the client left meanwhile.
-func (b *Backend) work(ctx context.Context, d time.Duration) bool {
+func (b *Backend) process(ctx context.Context, d time.Duration) bool {
 	if b.slots != nil {
 		select {
 		case b.slots <- struct{}{}:
@@ -299,16 +299,16 @@
 }
 
 // spoil ends an attempt below HTTP.
-func (b *Backend) spoil(w http.ResponseWriter, act Act) {
+func (b *Backend) breakResponse(w http.ResponseWriter, act Behavior) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	switch act {
-	case RunAndSpoil:
+	case ExecuteThenGarble:
 		_, _ = io.WriteString(conn, "\x00\x01noise\r\n\r\n")
-	case RunAndCut:
+	case ExecuteThenTruncate:
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 	default:
 		if tcp, ok := conn.(*net.TCPConn); ok {
--- a/internal/fakes/consul.go
+++ b/internal/fakes/consul.go
@@ -18,21 +18,21 @@
 )
 
 // Fault is a way in which a Consul agent fails.
-type Fault int
+type ConsulFault int
 
 // The faults.
 const (
-	Well          Fault = iota
-	Refusing            // nothing listens, and what was open is cut
-	Silent              // questions are taken, and never answered
-	Erring              // 500 to everything
-	Cutting             // half an answer, and the connection ends
-	Leaderless          // as a server without a leader: stale questions get what is known, others a 500
-	EmptyNoLeader       // an empty list at once, and no leader known
-	Filtering           // lists are emptied by ACLs, and say so
-	ZeroIndex           // answers at once, with index 0
-	Instant             // answers at once, whatever the index that is asked for
-	Garbling            // 200, and no JSON
+	ConsulHealthy            ConsulFault = iota
+	ConsulRefusesConnections             // nothing listens, and what was open is cut
+	ConsulSilent                         // questions are taken, and never answered
+	ConsulServerError                    // 500 to everything
+	ConsulTruncates                      // half an answer, and the connection ends
+	ConsulNoLeader                       // as a server without a leader: stale questions get what is known, others a 500
+	ConsulEmptyNoLeader                  // an empty list at once, and no leader known
+	ConsulACLFiltered                    // lists are emptied by ACLs, and say so
+	ConsulZeroIndex                      // answers at once, with index 0
+	ConsulImmediate                      // answers at once, whatever the index that is asked for
+	ConsulGarbled                        // 200, and no JSON
 )
 
 // Instance is a service's registration with its checks, as a Consul agent holds it.
@@ -54,17 +54,17 @@
 
 type instance struct {
 	Instance
-	create, modify uint64
-	ttls           map[string]*ttl // by check
+	createIndex, modifyIndex uint64
+	ttlChecks                map[string]*ttlCheck // by check
 }
 
-type ttl struct {
-	every, goneAfter time.Duration
-	alarm, gone      *time.Timer
+type ttlCheck struct {
+	interval, deregisterAfter time.Duration
+	expiry, deregistration    *time.Timer
 }
 
 // Question is a query as it came.
-type Question struct {
+type ConsulQuery struct {
 	Path   string
 	Params url.Values
 	Token  string
@@ -72,7 +72,7 @@
 }
 
 // mostQuestions are kept.
-const mostQuestions = 20_000
+const maxQueries = 20_000
 
 // Consul is a stand-in for a Consul agent, written from its public API documentation: health and catalogue with
 // blocking queries, the agent's services and TTL checks, ACL tokens, and failures on demand. It knows one
@@ -81,22 +81,22 @@
 	tls  *tls.Config
 	addr string
 
-	mu        sync.Mutex
-	server    *http.Server
-	index     uint64
-	last      map[string]uint64 // index of the last change, by service
-	instances map[string]*instance
-	changed   chan struct{} // closed at the next change, also of the fault
-	fault     Fault
-	delay     time.Duration
-	contact   time.Duration
-	token     string
-	questions []Question
+	mu          sync.Mutex
+	server      *http.Server
+	index       uint64
+	lastIndex   map[string]uint64 // index of the last change, by service
+	instances   map[string]*instance
+	changed     chan struct{} // closed at the next change, also of the fault
+	fault       ConsulFault
+	delay       time.Duration
+	lastContact time.Duration
+	token       string
+	queries     []ConsulQuery
 }
 
 // StartConsul starts one on a loopback port of the system's choosing; with a TLS configuration it speaks TLS.
 func StartConsul(config *tls.Config) (*Consul, error) {
-	c := &Consul{tls: config, index: 10, last: map[string]uint64{}, instances: map[string]*instance{}, changed: make(chan struct{})}
+	c := &Consul{tls: config, index: 10, lastIndex: map[string]uint64{}, instances: map[string]*instance{}, changed: make(chan struct{})}
 	return c, c.listen("127.0.0.1:0")
 }
 
@@ -110,13 +110,13 @@
 		ln = tls.NewListener(ln, c.tls)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/health/service/{service}", c.query)
-	mux.HandleFunc("GET /v1/catalog/service/{service}", c.query)
-	mux.HandleFunc("PUT /v1/agent/service/register", c.register)
-	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", c.deregister)
-	mux.HandleFunc("PUT /v1/agent/service/maintenance/{id}", c.maintenance)
-	mux.HandleFunc("PUT /v1/agent/check/update/{check}", c.update)
-	c.server = &http.Server{Handler: c.guard(mux), ErrorLog: log.New(io.Discard, "", 0)}
+	mux.HandleFunc("GET /v1/health/service/{service}", c.handleQuery)
+	mux.HandleFunc("GET /v1/catalog/service/{service}", c.handleQuery)
+	mux.HandleFunc("PUT /v1/agent/service/register", c.handleRegister)
+	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", c.handleDeregister)
+	mux.HandleFunc("PUT /v1/agent/service/maintenance/{id}", c.handleMaintenance)
+	mux.HandleFunc("PUT /v1/agent/check/update/{check}", c.handleCheckUpdate)
+	c.server = &http.Server{Handler: c.withFaults(mux), ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = c.server.Serve(ln) }()
 	return nil
 }
@@ -128,24 +128,24 @@
 func (c *Consul) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fault = Refusing
+	c.fault = ConsulRefusesConnections
 	for _, i := range c.instances {
-		i.stop()
+		i.stopTimers()
 	}
 	c.server.Close()
 }
 
 // Fail has it fail in some way, or be well again.
-func (c *Consul) Fail(f Fault) error {
+func (c *Consul) SetFault(f ConsulFault) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	was := c.fault
 	c.fault = f
-	c.wake()
-	if f == Refusing && was != Refusing {
+	c.notifyWatchers()
+	if f == ConsulRefusesConnections && was != ConsulRefusesConnections {
 		return c.server.Close()
 	}
-	if was == Refusing && f != Refusing {
+	if was == ConsulRefusesConnections && f != ConsulRefusesConnections {
 		return c.listen(c.addr)
 	}
 	return nil
@@ -155,53 +155,53 @@
 func (c *Consul) SetDelay(d time.Duration) { c.mu.Lock(); c.delay = d; c.mu.Unlock() }
 
 // SetLastContact is how old what it tells is, by its own word.
-func (c *Consul) SetLastContact(d time.Duration) { c.mu.Lock(); c.contact = d; c.mu.Unlock() }
+func (c *Consul) SetLastContact(d time.Duration) { c.mu.Lock(); c.lastContact = d; c.mu.Unlock() }
 
 // RequireToken has it refuse who does not show this token; empty: nobody.
 func (c *Consul) RequireToken(t string) { c.mu.Lock(); c.token = t; c.mu.Unlock() }
 
 // Questions gives the queries that came, the oldest first.
-func (c *Consul) Questions() []Question {
+func (c *Consul) Queries() []ConsulQuery {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.questions)
+	return slices.Clone(c.queries)
 }
 
 // wake tells those who wait; it wants the lock.
-func (c *Consul) wake() {
+func (c *Consul) notifyWatchers() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // touch counts a change of a service; it wants the lock.
-func (c *Consul) touch(service string) uint64 {
+func (c *Consul) recordChange(service string) uint64 {
 	c.index++
-	c.last[service] = c.index
-	c.wake()
+	c.lastIndex[service] = c.index
+	c.notifyWatchers()
 	return c.index
 }
 
-func key(node, id string) string { return node + "/" + id }
+func instanceKey(node, id string) string { return node + "/" + id }
 
 // Put registers instances, or changes them; one that is there keeps the index of its creation.
-func (c *Consul) Put(is ...Instance) {
+func (c *Consul) Register(is ...Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, i := range is {
-		c.put(i)
+		c.registerInstance(i)
 	}
 }
 
-func (c *Consul) put(i Instance) *instance {
+func (c *Consul) registerInstance(i Instance) *instance {
 	i.Passing, i.Warning = cmp.Or(i.Passing, 1), cmp.Or(i.Warning, 1)
-	at := c.touch(i.Service)
-	in := c.instances[key(i.Node, i.ID)]
+	at := c.recordChange(i.Service)
+	in := c.instances[instanceKey(i.Node, i.ID)]
 	if in == nil {
-		in = &instance{create: at, ttls: map[string]*ttl{}}
-		c.instances[key(i.Node, i.ID)] = in
+		in = &instance{createIndex: at, ttlChecks: map[string]*ttlCheck{}}
+		c.instances[instanceKey(i.Node, i.ID)] = in
 	}
 	i.Checks = slices.Clone(i.Checks)
-	in.Instance, in.modify = i, at
+	in.Instance, in.modifyIndex = i, at
 	return in
 }
 
@@ -209,25 +209,25 @@
 func (c *Consul) Remove(node, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.remove(node, id)
+	c.removeInstance(node, id)
 }
 
-func (c *Consul) remove(node, id string) bool {
-	in := c.instances[key(node, id)]
+func (c *Consul) removeInstance(node, id string) bool {
+	in := c.instances[instanceKey(node, id)]
 	if in == nil {
 		return false
 	}
-	in.stop()
-	delete(c.instances, key(node, id))
-	c.touch(in.Service)
+	in.stopTimers()
+	delete(c.instances, instanceKey(node, id))
+	c.recordChange(in.Service)
 	return true
 }
 
-func (i *instance) stop() {
-	for _, t := range i.ttls {
-		t.alarm.Stop()
-		if t.gone != nil {
-			t.gone.Stop()
+func (i *instance) stopTimers() {
+	for _, t := range i.ttlChecks {
+		t.expiry.Stop()
+		if t.deregistration != nil {
+			t.deregistration.Stop()
 		}
 	}
 }
@@ -240,7 +240,7 @@
 }
 
 func (c *Consul) setCheck(node, id string, k Check) {
-	in := c.instances[key(node, id)]
+	in := c.instances[instanceKey(node, id)]
 	if in == nil {
 		return
 	}
@@ -257,11 +257,11 @@
 	default:
 		in.Checks[n] = k
 	}
-	c.touch(in.Service)
+	c.recordChange(in.Service)
 }
 
 // Maintain puts an instance into maintenance mode, or ends it; an empty id means the whole node.
-func (c *Consul) Maintain(node, id string, on bool, reason string) {
+func (c *Consul) SetMaintenance(node, id string, on bool, reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, in := range c.instances {
@@ -276,7 +276,7 @@
 		if on {
 			in.Checks = append(in.Checks, Check{ID: check, Name: "Maintenance Mode", Status: "critical", Output: reason})
 		}
-		c.touch(in.Service)
+		c.recordChange(in.Service)
 	}
 }
 
@@ -285,13 +285,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, in := range c.instances {
-		in.stop()
+		in.stopTimers()
 	}
 	c.instances, c.index = map[string]*instance{}, 2
-	for s := range c.last {
-		c.last[s] = c.index
+	for s := range c.lastIndex {
+		c.lastIndex[s] = c.index
 	}
-	c.wake()
+	c.notifyWatchers()
 }
 
 // Instances tells which instances of a service it holds, by node and id, with the state that their checks add up to.
@@ -318,16 +318,16 @@
 }
 
 // guard deals with faults and tokens before any answer.
-func (c *Consul) guard(next http.Handler) http.Handler {
+func (c *Consul) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
 		token := cmp.Or(r.Header.Get("X-Consul-Token"), strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer "))
-		if len(c.questions) < mostQuestions {
-			c.questions = append(c.questions, Question{r.URL.Path, r.URL.Query(), token, time.Now()})
+		if len(c.queries) < maxQueries {
+			c.queries = append(c.queries, ConsulQuery{r.URL.Path, r.URL.Query(), token, time.Now()})
 		}
 		wanted := c.token
 		c.mu.Unlock()
-		if c.faulty(w, r) {
+		if c.applyFault(w, r) {
 			return
 		}
 		if wanted != "" && token != wanted {
@@ -339,22 +339,22 @@
 }
 
 // faulty answers as the present fault has it, if that is one that does not look at the question.
-func (c *Consul) faulty(w http.ResponseWriter, r *http.Request) bool {
+func (c *Consul) applyFault(w http.ResponseWriter, r *http.Request) bool {
 	for {
 		c.mu.Lock()
 		fault, changed := c.fault, c.changed
 		c.mu.Unlock()
 		switch fault {
-		case Silent:
+		case ConsulSilent:
 			select {
 			case <-changed:
 				continue
 			case <-r.Context().Done():
 				return true
 			}
-		case Erring:
+		case ConsulServerError:
 			http.Error(w, "rpc error making call: EOF", http.StatusInternalServerError)
-		case Cutting:
+		case ConsulTruncates:
 			conn, buf, err := http.NewResponseController(w).Hijack()
 			if err != nil {
 				return true
@@ -363,8 +363,8 @@
 				"X-Consul-KnownLeader: true\r\nX-Consul-LastContact: 0\r\nContent-Length: 4000\r\n\r\n[{\"Node\":{\"Node\":\"cut\"")
 			_ = buf.Flush()
 			conn.Close()
-		case Garbling:
-			c.head(w, 99)
+		case ConsulGarbled:
+			c.writeHeaders(w, 99)
 			io.WriteString(w, "<html>not what you think</html>")
 		default:
 			return false
@@ -373,25 +373,25 @@
 	}
 }
 
-func (c *Consul) head(w http.ResponseWriter, index uint64) {
+func (c *Consul) writeHeaders(w http.ResponseWriter, index uint64) {
 	c.mu.Lock()
-	fault, contact := c.fault, c.contact
+	fault, contact := c.fault, c.lastContact
 	c.mu.Unlock()
-	if fault == ZeroIndex {
+	if fault == ConsulZeroIndex {
 		index = 0
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("X-Consul-Index", strconv.FormatUint(index, 10))
-	h.Set("X-Consul-KnownLeader", strconv.FormatBool(fault != Leaderless && fault != EmptyNoLeader))
+	h.Set("X-Consul-KnownLeader", strconv.FormatBool(fault != ConsulNoLeader && fault != ConsulEmptyNoLeader))
 	h.Set("X-Consul-LastContact", strconv.FormatInt(contact.Milliseconds(), 10))
-	if fault == Filtering {
+	if fault == ConsulACLFiltered {
 		h.Set("X-Consul-Results-Filtered-By-ACLs", "true")
 	}
 }
 
 // query answers for the health and the catalogue of a service, at once or when it has changed.
-func (c *Consul) query(w http.ResponseWriter, r *http.Request) {
+func (c *Consul) handleQuery(w http.ResponseWriter, r *http.Request) {
 	q, service := r.URL.Query(), r.PathValue("service")
 	from, err := strconv.ParseUint(cmp.Or(q.Get("index"), "0"), 10, 64)
 	wait, err2 := time.ParseDuration(cmp.Or(q.Get("wait"), "5m"))
@@ -403,14 +403,14 @@
 		http.Error(w, "No path to datacenter", http.StatusInternalServerError)
 		return
 	}
-	match, err := filter(q.Get("filter"))
+	match, err := parseFilter(q.Get("filter"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	c.mu.Lock()
-	if c.last[service] == 0 {
-		c.last[service] = c.index
+	if c.lastIndex[service] == 0 {
+		c.lastIndex[service] = c.index
 	}
 	c.mu.Unlock()
 	end := time.NewTimer(min(wait, 10*time.Minute))
@@ -418,13 +418,13 @@
 	waited := false
 	for {
 		c.mu.Lock()
-		index, changed, fault, delay := c.last[service], c.changed, c.fault, c.delay
+		index, changed, fault, delay := c.lastIndex[service], c.changed, c.fault, c.delay
 		c.mu.Unlock()
-		if fault == Leaderless && !q.Has("stale") {
+		if fault == ConsulNoLeader && !q.Has("stale") {
 			http.Error(w, "No cluster leader", http.StatusInternalServerError)
 			return
 		}
-		if from == 0 || index != from || fault == ZeroIndex || fault == Instant || fault == EmptyNoLeader || fault == Filtering {
+		if from == 0 || index != from || fault == ConsulZeroIndex || fault == ConsulImmediate || fault == ConsulEmptyNoLeader || fault == ConsulACLFiltered {
 			if waited && delay > 0 {
 				time.Sleep(delay)
 			}
@@ -433,7 +433,7 @@
 		waited = true
 		select {
 		case <-changed:
-			if c.faulty(w, r) {
+			if c.applyFault(w, r) {
 				return
 			}
 			continue
@@ -444,12 +444,12 @@
 		break
 	}
 	c.mu.Lock()
-	index, fault := c.last[service], c.fault
+	index, fault := c.lastIndex[service], c.fault
 	var found []*instance
 	for _, in := range c.instances {
-		if in.Service == service && in.has(q["tag"]) && match(in) && (q.Get("ns") == "" || q.Get("ns") == in.Namespace) &&
+		if in.Service == service && in.hasTags(q["tag"]) && match(in) && (q.Get("ns") == "" || q.Get("ns") == in.Namespace) &&
 			(q.Get("partition") == "" || q.Get("partition") == in.Partition) &&
-			(!q.Has("passing") || in.status() == "passing") && fault != EmptyNoLeader && fault != Filtering {
+			(!q.Has("passing") || in.status() == "passing") && fault != ConsulEmptyNoLeader && fault != ConsulACLFiltered {
 			found = append(found, in)
 		}
 	}
@@ -458,14 +458,14 @@
 		if (a.Node == near) != (b.Node == near) {
 			return map[bool]int{true: -1, false: 1}[a.Node == near]
 		}
-		return cmp.Compare(key(a.Node, a.ID), key(b.Node, b.ID))
+		return cmp.Compare(instanceKey(a.Node, a.ID), instanceKey(b.Node, b.ID))
 	})
 	out := []any{}
 	for _, in := range found {
 		if strings.HasPrefix(r.URL.Path, "/v1/health/") {
-			out = append(out, in.health())
+			out = append(out, in.healthEntry())
 		} else {
-			out = append(out, in.catalogue())
+			out = append(out, in.catalogEntry())
 		}
 	}
 	text, err := json.Marshal(out)
@@ -474,11 +474,11 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	c.head(w, index)
+	c.writeHeaders(w, index)
 	w.Write(text)
 }
 
-func (i *instance) has(tags []string) bool {
+func (i *instance) hasTags(tags []string) bool {
 	for _, t := range tags {
 		if !slices.Contains(i.Tags, t) {
 			return false
@@ -488,7 +488,7 @@
 }
 
 // filter reads a filter expression.
-func filter(text string) (func(*instance) bool, error) {
+func parseFilter(text string) (func(*instance) bool, error) {
 	if text == "" {
 		return func(*instance) bool { return true }, nil
 	}
@@ -503,28 +503,28 @@
 
 type object = map[string]any
 
-func (i *instance) health() object {
+func (i *instance) healthEntry() object {
 	checks := []object{}
 	for _, k := range i.Checks {
 		checks = append(checks, object{"Node": i.Node, "CheckID": k.ID, "Name": k.Name, "Status": k.Status, "Notes": "", "Output": k.Output,
 			"ServiceID": i.ID, "ServiceName": i.Service, "ServiceTags": i.Tags, "Type": "", "Definition": object{},
-			"CreateIndex": i.create, "ModifyIndex": i.modify})
+			"CreateIndex": i.createIndex, "ModifyIndex": i.modifyIndex})
 	}
 	return object{
 		"Node": object{"ID": "", "Node": i.Node, "Address": i.NodeAddr, "Datacenter": "dc1", "TaggedAddresses": object{},
 			"Meta": i.NodeMeta, "CreateIndex": 1, "ModifyIndex": 1},
 		"Service": object{"ID": i.ID, "Service": i.Service, "Tags": i.Tags, "Address": i.Addr, "Meta": i.Meta, "Port": i.Port,
 			"Weights": object{"Passing": i.Passing, "Warning": i.Warning}, "EnableTagOverride": false,
-			"CreateIndex": i.create, "ModifyIndex": i.modify, "Namespace": i.Namespace, "Partition": i.Partition},
+			"CreateIndex": i.createIndex, "ModifyIndex": i.modifyIndex, "Namespace": i.Namespace, "Partition": i.Partition},
 		"Checks": checks,
 	}
 }
 
-func (i *instance) catalogue() object {
+func (i *instance) catalogEntry() object {
 	return object{"ID": "", "Node": i.Node, "Address": i.NodeAddr, "Datacenter": "dc1", "TaggedAddresses": object{}, "NodeMeta": i.NodeMeta,
 		"ServiceID": i.ID, "ServiceName": i.Service, "ServiceAddress": i.Addr, "ServiceTags": i.Tags, "ServiceMeta": i.Meta,
 		"ServicePort": i.Port, "ServiceWeights": object{"Passing": i.Passing, "Warning": i.Warning},
-		"CreateIndex": i.create, "ModifyIndex": i.modify, "Namespace": i.Namespace, "Partition": i.Partition}
+		"CreateIndex": i.createIndex, "ModifyIndex": i.modifyIndex, "Namespace": i.Namespace, "Partition": i.Partition}
 }
 
 // agentNode is the node that the agent's own services are at.
@@ -533,7 +533,7 @@
 type checkDefinition struct{ CheckID, Name, TTL, Status, DeregisterCriticalServiceAfter string }
 
 // register takes a service of the agent's own.
-func (c *Consul) register(w http.ResponseWriter, r *http.Request) {
+func (c *Consul) handleRegister(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		ID, Name, Address string
 		Port              int
@@ -566,57 +566,57 @@
 		i.Checks = append(i.Checks, Check{ID: k.CheckID, Name: cmp.Or(k.Name, "Service '"+in.Name+"' check"), Status: cmp.Or(k.Status, "critical")})
 		definitions = append(definitions, k)
 	}
-	if old := c.instances[key(i.Node, i.ID)]; old != nil {
-		old.stop()
+	if old := c.instances[instanceKey(i.Node, i.ID)]; old != nil {
+		old.stopTimers()
 	}
-	kept := c.put(i)
-	kept.ttls = map[string]*ttl{}
+	kept := c.registerInstance(i)
+	kept.ttlChecks = map[string]*ttlCheck{}
 	for _, k := range definitions {
 		if k.TTL == "" {
 			continue
 		}
 		every, _ := time.ParseDuration(k.TTL)
 		goneAfter, _ := time.ParseDuration(k.DeregisterCriticalServiceAfter)
-		t := &ttl{every: every, goneAfter: goneAfter}
+		t := &ttlCheck{interval: every, deregisterAfter: goneAfter}
 		id, check := i.ID, k.CheckID
-		t.alarm = time.AfterFunc(every, func() { c.expired(id, check, t) })
-		kept.ttls[k.CheckID] = t
+		t.expiry = time.AfterFunc(every, func() { c.expireCheck(id, check, t) })
+		kept.ttlChecks[k.CheckID] = t
 	}
 }
 
 // expired is a TTL check that was not renewed in time.
-func (c *Consul) expired(id, check string, t *ttl) {
+func (c *Consul) expireCheck(id, check string, t *ttlCheck) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	in := c.instances[key(agentNode, id)]
-	if in == nil || in.ttls[check] != t {
+	in := c.instances[instanceKey(agentNode, id)]
+	if in == nil || in.ttlChecks[check] != t {
 		return
 	}
 	c.setCheck(agentNode, id, Check{ID: check, Status: "critical", Output: "TTL expired"})
-	if t.goneAfter > 0 {
-		t.gone = time.AfterFunc(t.goneAfter, func() { c.Remove(agentNode, id) })
+	if t.deregisterAfter > 0 {
+		t.deregistration = time.AfterFunc(t.deregisterAfter, func() { c.Remove(agentNode, id) })
 	}
 }
 
-func (c *Consul) deregister(w http.ResponseWriter, r *http.Request) {
+func (c *Consul) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.remove(agentNode, r.PathValue("id")) {
+	if !c.removeInstance(agentNode, r.PathValue("id")) {
 		http.Error(w, fmt.Sprintf("Unknown service ID %q", r.PathValue("id")), http.StatusNotFound)
 	}
 }
 
-func (c *Consul) maintenance(w http.ResponseWriter, r *http.Request) {
+func (c *Consul) handleMaintenance(w http.ResponseWriter, r *http.Request) {
 	on, err := strconv.ParseBool(r.URL.Query().Get("enable"))
 	if err != nil {
 		http.Error(w, "Missing value for enable", http.StatusBadRequest)
 		return
 	}
-	c.Maintain(agentNode, r.PathValue("id"), on, r.URL.Query().Get("reason"))
+	c.SetMaintenance(agentNode, r.PathValue("id"), on, r.URL.Query().Get("reason"))
 }
 
 // update renews a TTL check.
-func (c *Consul) update(w http.ResponseWriter, r *http.Request) {
+func (c *Consul) handleCheckUpdate(w http.ResponseWriter, r *http.Request) {
 	var in struct{ Status, Output string }
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil || !slices.Contains([]string{"passing", "warning", "critical"}, in.Status) {
 		http.Error(w, fmt.Sprintf("Invalid check status: %q", in.Status), http.StatusBadRequest)
@@ -626,13 +626,13 @@
 	defer c.mu.Unlock()
 	check := r.PathValue("check")
 	for _, i := range c.instances {
-		t := i.ttls[check]
+		t := i.ttlChecks[check]
 		if t == nil {
 			continue
 		}
-		t.alarm.Reset(t.every)
-		if t.gone != nil {
-			t.gone.Stop()
+		t.expiry.Reset(t.interval)
+		if t.deregistration != nil {
+			t.deregistration.Stop()
 		}
 		c.setCheck(i.Node, i.ID, Check{ID: check, Status: in.Status, Output: in.Output})
 		return
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -17,11 +17,11 @@
 	addr   string
 	server *http.Server
 
-	mu      sync.Mutex
-	seq     int64
-	hosts   map[string]entry
-	changed chan struct{} // closed at the next change
-	down    bool
+	mu        sync.Mutex
+	seq       int64
+	endpoints map[string]entry
+	changed   chan struct{} // closed at the next change
+	down      bool
 }
 
 type entry struct {
@@ -31,9 +31,9 @@
 
 // StartDiscovery starts one on a loopback port of the system's choosing.
 func StartDiscovery() (*Discovery, error) {
-	d := &Discovery{hosts: map[string]entry{}, changed: make(chan struct{}), seq: 1}
+	d := &Discovery{endpoints: map[string]entry{}, changed: make(chan struct{}), seq: 1}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", d.endpoints)
+	mux.HandleFunc("GET /v1/endpoints", d.handleEndpoints)
 	var err error
 	d.server, d.addr, err = listen(mux)
 	return d, err
@@ -51,7 +51,7 @@
 	defer d.mu.Unlock()
 	d.seq++
 	for _, e := range es {
-		d.hosts[e.Name] = entry{e, d.seq}
+		d.endpoints[e.Name] = entry{e, d.seq}
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -60,7 +60,7 @@
 // SetHealth changes the health of one entry: Ready, Terminating or Gone.
 func (d *Discovery) SetHealth(host, health string) {
 	d.mu.Lock()
-	e := d.hosts[host].Endpoint
+	e := d.endpoints[host].Endpoint
 	d.mu.Unlock()
 	e.Health = health
 	d.Set(e)
@@ -79,13 +79,13 @@
 func (d *Discovery) List() platform.EndpointUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since(-1)
+	return d.changesSince(-1)
 }
 
 // since gives what changed after a version; -1: all that is not gone.
-func (d *Discovery) since(from int64) platform.EndpointUpdate {
+func (d *Discovery) changesSince(from int64) platform.EndpointUpdate {
 	l := platform.EndpointUpdate{Seq: d.seq, Full: from < 0, Endpoints: []platform.Endpoint{}}
-	for _, e := range d.hosts {
+	for _, e := range d.endpoints {
 		if e.seq > from && (from >= 0 || e.Health != "Gone") {
 			l.Endpoints = append(l.Endpoints, e.Endpoint)
 		}
@@ -100,7 +100,7 @@
 }
 
 // endpoints answers with the whole list, or with a watch.
-func (d *Discovery) endpoints(w http.ResponseWriter, r *http.Request) {
+func (d *Discovery) handleEndpoints(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") != "1" {
 		_ = json.NewEncoder(w).Encode(d.List()) // the client has gone
 		return
@@ -117,7 +117,7 @@
 	for {
 		d.mu.Lock()
 		down, changed := d.down, d.changed
-		l := d.since(from)
+		l := d.changesSince(from)
 		d.mu.Unlock()
 		if !down && (first || len(l.Endpoints) > 0) {
 			if json.NewEncoder(w).Encode(l) != nil || control.Flush() != nil {
--- a/internal/fakes/grpc_test.go
+++ b/internal/fakes/grpc_test.go
@@ -26,17 +26,17 @@
 
 // The stand-in is what gRPC's own client expects; and that client sends a call again by itself when its stream was
 // refused, also with retries switched off, which is why front doors don't use it.
-func TestGRPCAgainstTheClient(t *testing.T) {
+func TestGRPCBackend_AgainstGRPCClient(t *testing.T) {
 	t.Parallel()
 	ledger := &Ledger{}
 	var act atomic.Int64
 	var times atomic.Int64
-	b, err := StartGRPC(GRPCConfig{Name: "g", Ledger: ledger, Cell: &Cell{Window: 5 * time.Second}, Keyed: func(string) bool { return true },
-		Act: func(Attempt) GRPCAct {
-			if GRPCAct(act.Load()) == GRPCRefuseStream && times.Add(1) > 1 {
+	b, err := StartGRPC(GRPCConfig{Name: "g", Ledger: ledger, Cell: &Cell{Window: 5 * time.Second}, IdempotentByKey: func(string) bool { return true },
+		Behavior: func(Attempt) GRPCBehavior {
+			if GRPCBehavior(act.Load()) == GRPCRefuseStream && times.Add(1) > 1 {
 				return GRPCServe
 			}
-			return GRPCAct(act.Load())
+			return GRPCBehavior(act.Load())
 		}})
 	if err != nil {
 		t.Fatal(err)
@@ -48,10 +48,10 @@
 	}
 	t.Cleanup(func() { _ = client.Close() })
 	for i, c := range []struct {
-		act  GRPCAct
+		act  GRPCBehavior
 		code codes.Code
-	}{{GRPCServe, codes.OK}, {GRPCNotFound, codes.NotFound}, {GRPCInternal, codes.Internal}, {GRPCPushBack, codes.Unavailable}, {GRPCResetCancel, codes.Canceled},
-		{GRPCResetLate, codes.Internal}, {GRPCNoMessage, codes.Internal}, {GRPCTwoMessages, codes.Internal}, {GRPCTooLong, codes.ResourceExhausted},
+	}{{GRPCServe, codes.OK}, {GRPCNotFound, codes.NotFound}, {GRPCInternal, codes.Internal}, {GRPCRetryPushback, codes.Unavailable}, {GRPCResetCancel, codes.Canceled},
+		{GRPCResetAfterMessage, codes.Internal}, {GRPCNoMessage, codes.Internal}, {GRPCTwoMessages, codes.Internal}, {GRPCMessageTooLarge, codes.ResourceExhausted},
 		{GRPCHang, codes.DeadlineExceeded}, {GRPCRefuseStream, codes.OK}, {GRPCServe, codes.OK}} {
 		act.Store(int64(c.act))
 		id := fmt.Sprintf("id-%d", i)
@@ -65,7 +65,7 @@
 		if status.Code(err) != c.code || err == nil && string(out) != "done "+id {
 			t.Errorf("act %d: %v, %q; want %v", c.act, err, out, c.code)
 		}
-		as := ledger.Of(id)
+		as := ledger.ForRequest(id)
 		want := 1
 		if c.act == GRPCRefuseStream {
 			want = 2
--- a/internal/fakes/ledger.go
+++ b/internal/fakes/ledger.go
@@ -13,16 +13,16 @@
 
 // Attempt is one attempt that has come whole to a backend.
 type Attempt struct {
-	Backend string
-	Cell    int
-	Class   string
-	ID      string // Request-Id as it came
-	Key     string
-	At      time.Time
-	Conn    string // the address that it came from
-	Body    string
-	Timeout string
-	End     string // how the backend dealt with it: served, error, turned away, hung, broken, spoilt; "" until then
+	Backend    string
+	Cell       int
+	Class      string
+	ID         string // Request-Id as it came
+	Key        string
+	At         time.Time
+	RemoteAddr string // the address that it came from
+	Body       string
+	Timeout    string
+	Outcome    string // how the backend dealt with it: served, error, turned away, hung, broken, spoilt; "" until then
 	// Metadata is all that came with a call over gRPC, by name, as it stood on the wire.
 	Metadata map[string][]string
 	Effect   bool // it had an effect: it ran and no repeat of it was dropped
@@ -33,47 +33,47 @@
 type Ledger struct {
 	mu       sync.Mutex
 	attempts []*Attempt
-	reached  map[string]Reached
+	arrivals map[string]BackendArrivals
 	effects  map[string]int // by key, or by id where there is none
-	heard    chan struct{}  // closed at the next change
+	changed  chan struct{}  // closed at the next change
 }
 
 func (l *Ledger) add(a *Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts = append(l.attempts, a)
-	if l.reached == nil {
-		l.reached = map[string]Reached{}
+	if l.arrivals == nil {
+		l.arrivals = map[string]BackendArrivals{}
 	}
-	l.reached[a.Backend] = Reached{l.reached[a.Backend].Count + 1, a.At}
-	l.changed()
+	l.arrivals[a.Backend] = BackendArrivals{l.arrivals[a.Backend].Count + 1, a.At}
+	l.notifyChanged()
 }
 
 // Reached is what has come to one backend.
-type Reached struct {
+type BackendArrivals struct {
 	Count int
 	Last  time.Time
 }
 
 // Reached tells what has come to a backend so far. It costs the same however much that is.
-func (l *Ledger) Reached(backend string) Reached {
+func (l *Ledger) Arrivals(backend string) BackendArrivals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.reached[backend]
+	return l.arrivals[backend]
 }
 
-func (l *Ledger) changed() {
-	if l.heard != nil {
-		close(l.heard)
-		l.heard = nil
+func (l *Ledger) notifyChanged() {
+	if l.changed != nil {
+		close(l.changed)
+		l.changed = nil
 	}
 }
 
 // end notes how an attempt ended; effect tells that it ran and counts.
-func (l *Ledger) end(a *Attempt, how string, effect bool) {
+func (l *Ledger) finish(a *Attempt, how string, effect bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a.End = how
+	a.Outcome = how
 	if effect {
 		if l.effects == nil {
 			l.effects = map[string]int{}
@@ -81,7 +81,7 @@
 		a.Effect = true
 		l.effects[a.effectKey()]++
 	}
-	l.changed()
+	l.notifyChanged()
 }
 
 func (a *Attempt) effectKey() string {
@@ -103,12 +103,12 @@
 }
 
 // Of gives the attempts of one request id.
-func (l *Ledger) Of(id string) []Attempt {
+func (l *Ledger) ForRequest(id string) []Attempt {
 	return slices.DeleteFunc(l.Attempts(), func(a Attempt) bool { return a.ID != id })
 }
 
 // Doubled gives the keys (and, without keys, ids) whose effect happened more than once.
-func (l *Ledger) Doubled() []string {
+func (l *Ledger) RepeatedEffects() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
@@ -133,10 +133,10 @@
 	defer end.Stop()
 	for {
 		l.mu.Lock()
-		if l.heard == nil {
-			l.heard = make(chan struct{})
+		if l.changed == nil {
+			l.changed = make(chan struct{})
 		}
-		heard := l.heard
+		heard := l.changed
 		l.mu.Unlock()
 		if ok(l.Attempts()) {
 			return true
@@ -161,7 +161,7 @@
 }
 
 // first tells whether a key is new to the cell, and keeps it.
-func (c *Cell) first(key string, now time.Time) bool {
+func (c *Cell) firstUse(key string, now time.Time) bool {
 	if c == nil || key == "" {
 		return true
 	}
