--- a/internal/fakes/meter.go
+++ b/internal/fakes/meter.go
@@ -10,38 +10,38 @@
 type Meter struct {
 	Period time.Duration // 500 ms if 0
 
-	mu    sync.Mutex
-	asked map[string]asked // requests that no backend has seen yet, and those of this and the last period
-	use   map[uint64]*use
+	mu       sync.Mutex
+	requests map[string]meteredRequest // requests that no backend has seen yet, and those of this and the last period
+	usage    map[uint64]*customerUsage
 }
 
-type asked struct {
+type meteredRequest struct {
 	customer uint64
-	units    float64
+	cost     float64
 	rate     float64
-	seen     bool
+	counted  bool
 }
 
-type use struct {
-	period    int64
-	now, last float64 // units
+type customerUsage struct {
+	period            int64
+	current, previous float64 // units
 }
 
 // Enter tells whose a request is, what it takes and the rate of its customer's plan.
-func (m *Meter) Enter(id string, customer uint64, units, rate float64) {
+func (m *Meter) Register(id string, customer uint64, units, rate float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.asked == nil {
-		m.asked, m.use = map[string]asked{}, map[uint64]*use{}
+	if m.requests == nil {
+		m.requests, m.usage = map[string]meteredRequest{}, map[uint64]*customerUsage{}
 	}
-	m.asked[id] = asked{customer: customer, units: units, rate: rate}
+	m.requests[id] = meteredRequest{customer: customer, cost: units, rate: rate}
 }
 
 // Forget drops a request that has its answer.
 func (m *Meter) Forget(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.asked, id)
+	delete(m.requests, id)
 }
 
 func (m *Meter) period() time.Duration {
@@ -52,30 +52,30 @@
 }
 
 // count counts an attempt and gives its customer's use in the last finished period, in percent of its rate.
-func (m *Meter) count(id string, now time.Time) (percent float64, ok bool) {
+func (m *Meter) recordAttempt(id string, now time.Time) (percent float64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	a, ok := m.asked[id]
+	a, ok := m.requests[id]
 	if !ok || a.rate <= 0 {
 		return 0, false
 	}
-	u := m.use[a.customer]
+	u := m.usage[a.customer]
 	if u == nil {
-		u = &use{}
-		m.use[a.customer] = u
+		u = &customerUsage{}
+		m.usage[a.customer] = u
 	}
 	p := now.UnixNano() / int64(m.period())
 	if p != u.period {
-		u.last = 0
+		u.previous = 0
 		if p == u.period+1 {
-			u.last = u.now
+			u.previous = u.current
 		}
-		u.period, u.now = p, 0
+		u.period, u.current = p, 0
 	}
-	if !a.seen {
-		a.seen = true
-		m.asked[id] = a
-		u.now += a.units
+	if !a.counted {
+		a.counted = true
+		m.requests[id] = a
+		u.current += a.cost
 	}
-	return 100 * u.last / (a.rate * m.period().Seconds()), true
+	return 100 * u.previous / (a.rate * m.period().Seconds()), true
 }
--- a/internal/fakes/standin_test.go
+++ b/internal/fakes/standin_test.go
@@ -14,9 +14,9 @@
 	"pumicecroft/internal/platform"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-func backend(t *testing.T, c BackendConfig) *Backend {
+func startBackend(t *testing.T, c BackendConfig) *Backend {
 	t.Helper()
 	if c.Ledger == nil {
 		c.Ledger = &Ledger{}
@@ -31,41 +31,41 @@
 
 var lastID uint64
 
-func ask(t *testing.T, addr, key string, timeout time.Duration) Reply {
+func sendRequest(t *testing.T, addr, key string, timeout time.Duration) Reply {
 	lastID++
-	a := Ask{ID: lastID, Class: "pay", Plan: "p", Key: key, Timeout: timeout}
+	a := Request{ID: lastID, Class: "pay", Plan: "p", Key: key, Timeout: timeout}
 	return a.Do(t.Context(), &http.Transport{DisableKeepAlives: true}, addr)
 }
 
-func TestCellsDropRepeats(t *testing.T) {
+func TestCell_DropsRepeatedKeys(t *testing.T) {
 	l := &Ledger{}
 	one, two := &Cell{Number: 1, Window: 200 * time.Millisecond}, &Cell{Number: 2, Window: time.Hour}
 	keyed := func(string) bool { return true }
-	a, b := backend(t, BackendConfig{Cell: one, Ledger: l, Keyed: keyed}), backend(t, BackendConfig{Cell: one, Ledger: l, Keyed: keyed})
-	c := backend(t, BackendConfig{Cell: two, Ledger: l, Keyed: keyed})
+	a, b := startBackend(t, BackendConfig{Cell: one, Ledger: l, IdempotentByKey: keyed}), startBackend(t, BackendConfig{Cell: one, Ledger: l, IdempotentByKey: keyed})
+	c := startBackend(t, BackendConfig{Cell: two, Ledger: l, IdempotentByKey: keyed})
 	for i, step := range []struct {
 		b    *Backend
 		want int
 	}{{a, 1}, {b, 1}, {a, 1}, {c, 2}, {c, 2}} {
-		if r := ask(t, step.b.Addr(), "k", patience); r.Status != 200 || l.Effects("k") != step.want {
+		if r := sendRequest(t, step.b.Addr(), "k", waitTimeout); r.Status != 200 || l.Effects("k") != step.want {
 			t.Errorf("step %d: %v, %d effects, want %d", i, r, l.Effects("k"), step.want)
 		}
 	}
 	time.Sleep(210 * time.Millisecond) // the window is over
-	ask(t, a.Addr(), "k", patience)
-	if l.Effects("k") != 3 || len(l.Doubled()) != 1 || len(one.keys) != 1 || len(one.order) != 1 {
-		t.Errorf("%d effects, %v, %d keys kept", l.Effects("k"), l.Doubled(), len(one.keys))
+	sendRequest(t, a.Addr(), "k", waitTimeout)
+	if l.Effects("k") != 3 || len(l.RepeatedEffects()) != 1 || len(one.keys) != 1 || len(one.order) != 1 {
+		t.Errorf("%d effects, %v, %d keys kept", l.Effects("k"), l.RepeatedEffects(), len(one.keys))
 	}
 }
 
-func TestSlotsQueueAndDrain(t *testing.T) {
+func TestBackend_SlotsQueueAndDrain(t *testing.T) {
 	l := &Ledger{}
-	b := backend(t, BackendConfig{Ledger: l, Slots: 1, Queue: 1, Work: func(string) time.Duration { return 50 * time.Millisecond },
-		Act: func(Attempt) Act { return Work }})
+	b := startBackend(t, BackendConfig{Ledger: l, Slots: 1, Queue: 1, WorkTime: func(string) time.Duration { return 50 * time.Millisecond },
+		Behavior: func(Attempt) Behavior { return ServeNormally }})
 	replies := make(chan Reply, 3)
 	for i := range 3 {
 		go func() {
-			a := Ask{ID: 1000 + uint64(i), Class: "c", Plan: "p", Timeout: patience}
+			a := Request{ID: 1000 + uint64(i), Class: "c", Plan: "p", Timeout: waitTimeout}
 			replies <- a.Do(t.Context(), &http.Transport{DisableKeepAlives: true}, b.Addr())
 		}()
 	}
@@ -77,75 +77,75 @@
 		t.Errorf("of three at once, with one slot and a queue of one: %v", kinds)
 	}
 	b.Drain()
-	if r := ask(t, b.Addr(), "", patience); r.Status != 503 {
+	if r := sendRequest(t, b.Addr(), "", waitTimeout); r.Status != 503 {
 		t.Errorf("draining: %v", r)
 	}
 	b.Kill()
-	if r := ask(t, b.Addr(), "", patience); r.Status != 0 || r.Err == nil {
+	if r := sendRequest(t, b.Addr(), "", waitTimeout); r.Status != 0 || r.Err == nil {
 		t.Errorf("dead: %v", r)
 	}
 }
 
-func TestActs(t *testing.T) {
-	for act, want := range map[Act]struct {
+func TestBackend_Behaviors(t *testing.T) {
+	for act, want := range map[Behavior]struct {
 		reply  string
 		effect int
 	}{
-		Work: {"served", 1}, RunAndError: {"failed 500", 1}, TurnAway: {"refused", 0}, RunAndBreak: {"lost", 1},
-		BreakUnheard: {"lost", 0}, RunAndSpoil: {"lost", 1}, RunAndCut: {"lost", 1}, Hang: {"lost", 1}, HangUnrun: {"lost", 0},
+		ServeNormally: {"served", 1}, ExecuteThenError: {"failed 500", 1}, RejectNotStarted: {"refused", 0}, ExecuteThenReset: {"lost", 1},
+		ResetWithoutExecution: {"lost", 0}, ExecuteThenGarble: {"lost", 1}, ExecuteThenTruncate: {"lost", 1}, ExecuteThenHang: {"lost", 1}, HangWithoutExecution: {"lost", 0},
 	} {
 		l := &Ledger{}
-		b := backend(t, BackendConfig{Ledger: l, Act: func(Attempt) Act { return act }})
-		timeout := patience
-		if act == Hang || act == HangUnrun {
+		b := startBackend(t, BackendConfig{Ledger: l, Behavior: func(Attempt) Behavior { return act }})
+		timeout := waitTimeout
+		if act == ExecuteThenHang || act == HangWithoutExecution {
 			timeout = 300 * time.Millisecond
 		}
-		r := ask(t, b.Addr(), "k", timeout)
-		ended := l.Await(patience, func(as []Attempt) bool { return len(as) == 1 && as[0].End != "" })
+		r := sendRequest(t, b.Addr(), "k", timeout)
+		ended := l.Await(waitTimeout, func(as []Attempt) bool { return len(as) == 1 && as[0].Outcome != "" })
 		if r.String() != want.reply || !ended || l.Effects("k") != want.effect {
 			t.Errorf("act %d: %v (%v), %d effects, want %v", act, r, r.Err, l.Effects("k"), want)
 		}
 	}
 }
 
-func TestAColdBackendFalls(t *testing.T) {
-	cold := BackendConfig{Capacity: 1000, ColdFrom: 0.01, WarmWithin: time.Hour, FallMultiple: 2, FallFor: 100 * time.Millisecond, Cold: true}
-	b := backend(t, cold)
-	for end := time.Now().Add(patience); !b.Fallen(); {
-		ask(t, b.Addr(), "", patience)
+func TestBackend_OverloadedWhileCold(t *testing.T) {
+	cold := BackendConfig{Capacity: 1000, SlowStartMinCapacity: 0.01, SlowStartWindow: time.Hour, OverloadFactor: 2, OverloadDuration: 100 * time.Millisecond, StartCold: true}
+	b := startBackend(t, cold)
+	for end := time.Now().Add(waitTimeout); !b.Overloaded(); {
+		sendRequest(t, b.Addr(), "", waitTimeout)
 		if time.Now().After(end) {
 			t.Fatal("it does not fall")
 		}
 	}
-	if r := ask(t, b.Addr(), "", patience); r.Status != 503 {
+	if r := sendRequest(t, b.Addr(), "", waitTimeout); r.Status != 503 {
 		t.Errorf("fallen: %v", r)
 	}
-	cold.Cold = false
-	b = backend(t, cold)
+	cold.StartCold = false
+	b = startBackend(t, cold)
 	for range 200 {
-		ask(t, b.Addr(), "", patience)
+		sendRequest(t, b.Addr(), "", waitTimeout)
 	}
-	if b.Fallen() {
+	if b.Overloaded() {
 		t.Error("a warm one fell")
 	}
 }
 
 func TestMeter(t *testing.T) {
 	m := &Meter{Period: time.Second}
-	m.Enter("a", 1, 3, 2)
-	m.Enter("b", 1, 1, 2)
+	m.Register("a", 1, 3, 2)
+	m.Register("b", 1, 1, 2)
 	at := time.Unix(100, 0)
 	for i, step := range []struct {
 		id   string
 		at   time.Duration
 		want float64
 	}{{"a", 0, 0}, {"a", 1, 0}, {"b", 2, 0}, {"b", time.Second, 200}, {"b", 3 * time.Second, 0}} {
-		if got, ok := m.count(step.id, at.Add(step.at)); !ok || got != step.want {
+		if got, ok := m.recordAttempt(step.id, at.Add(step.at)); !ok || got != step.want {
 			t.Errorf("step %d: %v %v, want %v", i, got, ok, step.want)
 		}
 	}
 	m.Forget("a")
-	if _, ok := m.count("a", at); ok {
+	if _, ok := m.recordAttempt("a", at); ok {
 		t.Error("a request that was forgotten counts")
 	}
 }
@@ -233,21 +233,21 @@
 			t.Errorf("%s: %q, want %q", step[0], got, step[1])
 		}
 	}
-	c.Lose()
+	c.Reset()
 	if got := call("/tally/a?n=1&keep_ms=60000"); got != "200 1" {
 		t.Errorf("after a loss: %q", got)
 	}
-	c.TurnAway(true)
+	c.SetUnavailable(true)
 	if got := call("/tally/a?n=1&keep_ms=60000"); got != "503 " || c.Calls() != 4 {
 		t.Errorf("turned away: %q, %d calls", got, c.Calls())
 	}
 }
 
 // An answer that was made for another request is none.
-func TestAWrongAnswerCountsAsLost(t *testing.T) {
+func TestRequest_WrongResponseCountsAsLost(t *testing.T) {
 	l := &Ledger{}
-	b := backend(t, BackendConfig{Ledger: l})
-	a := Ask{ID: 5, Class: "c", Plan: "p", Timeout: patience, Header: http.Header{"Request-Id": {"0000000000000006"}}}
+	b := startBackend(t, BackendConfig{Ledger: l})
+	a := Request{ID: 5, Class: "c", Plan: "p", Timeout: waitTimeout, Header: http.Header{"Request-Id": {"0000000000000006"}}}
 	if r := a.Do(context.Background(), &http.Transport{DisableKeepAlives: true}, b.Addr()); r.String() != "lost" {
 		t.Errorf("%v", r)
 	}
--- a/internal/grpctransport/transport_test.go
+++ b/internal/grpctransport/transport_test.go
@@ -32,11 +32,11 @@
 	lastID  atomic.Uint64
 }
 
-func newRig(t *testing.T, act func(fakes.Attempt) fakes.GRPCAct, change func(*fakes.GRPCConfig, *Config)) *fixture {
+func newRig(t *testing.T, act func(fakes.Attempt) fakes.GRPCBehavior, change func(*fakes.GRPCConfig, *Config)) *fixture {
 	t.Helper()
 	r := &fixture{t: t, ledger: &fakes.Ledger{}}
-	sc := fakes.GRPCConfig{Name: "g", Ledger: r.ledger, Act: act, Cell: &fakes.Cell{Window: 5 * time.Second}, Keyed: func(m string) bool { return m == "/shop.Desk/Pay" }}
-	c := Config{ConnectTimeout: testkit.Patient, MaxMessageBytes: 1 << 20}
+	sc := fakes.GRPCConfig{Name: "g", Ledger: r.ledger, Behavior: act, Cell: &fakes.Cell{Window: 5 * time.Second}, IdempotentByKey: func(m string) bool { return m == "/shop.Desk/Pay" }}
+	c := Config{ConnectTimeout: testkit.WaitTimeout, MaxMessageBytes: 1 << 20}
 	if change != nil {
 		change(&sc, &c)
 	}
@@ -62,7 +62,7 @@
 // attempt makes one attempt; patience 0 is a long one.
 func (r *fixture) attempt(req *Request, patience time.Duration) executor.Response {
 	if patience == 0 {
-		patience = testkit.Patient
+		patience = testkit.WaitTimeout
 	}
 	return r.back.RoundTrip(executor.NewAttempt(1, time.Now().Add(patience), req))
 }
@@ -70,18 +70,18 @@
 // Each way in which a backend can end an attempt gives the result that the table has for it, and what the result calls
 // unrun has not run.
 func TestResults(t *testing.T) {
-	for act, want := range map[fakes.GRPCAct]decision.Result{
+	for act, want := range map[fakes.GRPCBehavior]decision.Result{
 		fakes.GRPCServe: decision.Succeeded, fakes.GRPCNotFound: decision.Succeeded,
 		fakes.GRPCStream:       decision.Unknown, // three messages for a unary call
-		fakes.GRPCRefuseStream: decision.Rejected, fakes.GRPCGoAwayBelow: decision.Rejected, fakes.GRPCPushBack: decision.Rejected,
-		fakes.GRPCHang: decision.TimedOut, fakes.GRPCHeadThenHang: decision.TimedOut,
-		fakes.GRPCResetCancel: decision.ConnectionLost, fakes.GRPCResetLate: decision.ConnectionLost, fakes.GRPCBreak: decision.ConnectionLost, fakes.GRPCBreakLate: decision.ConnectionLost,
+		fakes.GRPCRefuseStream: decision.Rejected, fakes.GRPCGoAwayBelow: decision.Rejected, fakes.GRPCRetryPushback: decision.Rejected,
+		fakes.GRPCHang: decision.TimedOut, fakes.GRPCHeadersThenHang: decision.TimedOut,
+		fakes.GRPCResetCancel: decision.ConnectionLost, fakes.GRPCResetAfterMessage: decision.ConnectionLost, fakes.GRPCClose: decision.ConnectionLost, fakes.GRPCCloseMidMessage: decision.ConnectionLost,
 		fakes.GRPCInternal:  decision.ErrorResponse,
-		fakes.GRPCNoMessage: decision.Unknown, fakes.GRPCTwoMessages: decision.Unknown, fakes.GRPCTrailersCut: decision.Unknown, fakes.GRPCTooLong: decision.Unknown,
+		fakes.GRPCNoMessage: decision.Unknown, fakes.GRPCTwoMessages: decision.Unknown, fakes.GRPCMissingTrailers: decision.Unknown, fakes.GRPCMessageTooLarge: decision.Unknown,
 	} {
 		t.Run(fmt.Sprint(act), func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return act }, nil)
+			r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return act }, nil)
 			patience := time.Duration(0)
 			if want == decision.TimedOut {
 				patience = 300 * time.Millisecond
@@ -97,7 +97,7 @@
 				if n := r.ledger.Effects(key); unrun && n != 0 || n > 1 {
 					t.Errorf("%d effects", n)
 				}
-				if as := r.ledger.Of(req.Metadata[0].Value); len(as) != 1 { // never again by itself
+				if as := r.ledger.ForRequest(req.Metadata[0].Value); len(as) != 1 { // never again by itself
 					t.Errorf("it reached the backend %d times", len(as))
 				}
 				if a, ok := reply.Body.(*Response); act == fakes.GRPCServe && (!ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value) {
@@ -115,7 +115,7 @@
 func TestGoAwayDuringCalls(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { <-hold; return fakes.GRPCServe }, nil)
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { <-hold; return fakes.GRPCServe }, nil)
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release)
 	var mu sync.Mutex
@@ -129,7 +129,7 @@
 			results[reply.Result]++
 		})
 	}
-	if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 100 }) {
+	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 100 }) {
 		t.Fatal("the attempts did not come")
 	}
 	open, _ := r.backend.Conns()
@@ -137,7 +137,7 @@
 		t.Errorf("100 attempts at once made %d connections", open)
 	}
 	r.backend.GoAway(100) // streams are numbered in steps of two: half of them are above
-	for end := time.Now().Add(testkit.Patient); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitTimeout); ; time.Sleep(time.Millisecond) {
 		mu.Lock()
 		n := results[decision.Rejected]
 		mu.Unlock()
@@ -165,16 +165,16 @@
 // and over so many at once only.
 func TestGoAwayAfterEachCall(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend = 1 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend = 1 })
 	var ran sync.WaitGroup
 	defer ran.Wait()
 	for i := range 2 {
 		ran.Go(func() { r.attempt(r.request(10), time.Second) })
-		if !r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == i+1 }) {
+		if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == i+1 }) {
 			t.Fatalf("attempt %d did not come", i)
 		}
 		r.backend.GoAway(0)
-		for end := time.Now().Add(testkit.Patient); ; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testkit.WaitTimeout); ; time.Sleep(time.Millisecond) {
 			r.back.mu.Lock()
 			conns := r.back.byID[1].conns
 			left := len(conns) == i+1 && conns[i].state() == stateDraining
@@ -198,19 +198,19 @@
 // Calls that are given up reset their streams at once, and their slots are free again.
 func TestCancelledAttempt(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxStreamsPerConn = 1, 4 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxStreamsPerConn = 1, 4 })
 	for range 20 {
-		a := executor.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
+		a := executor.NewAttempt(1, time.Now().Add(testkit.WaitTimeout), r.request(10))
 		before := len(r.ledger.Attempts())
 		go func() {
-			r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) > before })
+			r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) > before })
 			a.Cancel(executor.ErrCancelled)
 		}()
 		if reply := r.back.RoundTrip(a); reply.Result != decision.Cancelled {
 			t.Fatalf("%v", reply.Result)
 		}
 	}
-	a := executor.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
+	a := executor.NewAttempt(1, time.Now().Add(testkit.WaitTimeout), r.request(10))
 	a.Cancel(executor.ErrCancelled)
 	if reply := r.back.RoundTrip(a); reply.Result != decision.NotSent {
 		t.Errorf("called off before it began: %v", reply.Result)
@@ -223,7 +223,7 @@
 // Streams and connections are bounded by both sides; what finds none free has not been sent.
 func TestConnectionAndStreamLimits(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCHang },
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCHang },
 		func(s *fakes.GRPCConfig, c *Config) {
 			c.MaxConnsPerBackend, c.MaxStreamsPerConn, s.MaxStreams = 2, 8, 5
 		})
@@ -267,12 +267,12 @@
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { <-hold; return fakes.GRPCServe }, nil)
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { <-hold; return fakes.GRPCServe }, nil)
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release)
 	ended := make(chan decision.Result)
 	go func() { ended <- r.attempt(r.request(10), 0).Result }()
-	r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 })
+	r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 })
 	change := membership.Change{Endpoint: decision.Endpoint{ID: 1, State: decision.Draining}, Addr: r.backend.Addr()}
 	r.back.Apply([]membership.Change{change})
 	if reply := r.attempt(r.request(10), 0); reply.Result != decision.NotSent {
@@ -284,7 +284,7 @@
 	if got := <-ended; got != decision.Succeeded {
 		t.Errorf("what was in flight: %v", got)
 	}
-	for end := time.Now().Add(testkit.Patient); ; time.Sleep(time.Millisecond) { // and its connection ends then
+	for end := time.Now().Add(testkit.WaitTimeout); ; time.Sleep(time.Millisecond) { // and its connection ends then
 		if open, _ := r.backend.Conns(); open == 0 {
 			break
 		}
@@ -324,7 +324,7 @@
 		_ = f.WriteSettings()
 		serve(conn, f)
 	})
-	r := &fixture{t: t, back: New(Config{ConnectTimeout: testkit.Patient})}
+	r := &fixture{t: t, back: New(Config{ConnectTimeout: testkit.WaitTimeout})}
 	r.back.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: 1}, Addr: addr}})
 	t.Cleanup(r.back.Close)
 	return r
@@ -388,17 +388,17 @@
 // Many at once over few connections, each with its own answer, one of them stuck.
 func TestManyStreams(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(a fakes.Attempt) fakes.GRPCAct {
+	r := newRig(t, func(a fakes.Attempt) fakes.GRPCBehavior {
 		if a.ID == fmt.Sprintf("%016x", 1) {
 			return fakes.GRPCHang
 		}
 		return fakes.GRPCServe
 	}, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxStreamsPerConn = 1, 1000 })
 	ctx, cancel := context.WithCancel(t.Context())
-	stuck := executor.NewAttempt(1, time.Now().Add(testkit.Patient), r.request(10))
+	stuck := executor.NewAttempt(1, time.Now().Add(testkit.WaitTimeout), r.request(10))
 	ended := make(chan decision.Result)
 	go func() { ended <- r.back.RoundTrip(stuck).Result }()
-	r.ledger.Await(testkit.Patient, func(as []fakes.Attempt) bool { return len(as) == 1 })
+	r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 })
 	var ran sync.WaitGroup
 	for range 90 { // a backend that says nothing of it is taken to allow 100
 		ran.Go(func() {
@@ -430,10 +430,10 @@
 // An answer that is longer than the windows comes whole, as they are opened while it is read.
 func TestLargeResponse(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCAct { return fakes.GRPCTooLong }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxMessageBytes = 1, 16<<20 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCMessageTooLarge }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxMessageBytes = 1, 16<<20 })
 	for range 2 {
 		reply := r.attempt(r.request(10), 0)
-		if a, ok := reply.Body.(*Response); !ok || len(a.Body) != fakes.GRPCTooLongBytes+5 {
+		if a, ok := reply.Body.(*Response); !ok || len(a.Body) != fakes.GRPCLargeMessageBytes+5 {
 			t.Fatalf("%v", reply.Result)
 		}
 	}
--- a/internal/hosttest/hosttest.go
+++ b/internal/hosttest/hosttest.go
@@ -18,11 +18,11 @@
 )
 
 // Patience is how long a test waits for something that must happen.
-const Patience = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
 // Rig is a Door over backends.
-type Rig struct {
-	Door     *pumicecroft.Gateway
+type Fixture struct {
+	Gateway  *pumicecroft.Gateway
 	Ledger   *fakes.Ledger
 	Backends []*fakes.Backend
 	t        testing.TB
@@ -45,14 +45,14 @@
 }
 
 // New makes one with n backends in one cell; act may be nil, and change too.
-func New(t testing.TB, n int, act func(fakes.Attempt) fakes.Act, change func(*pumicecroft.Config), options ...pumicecroft.Option) *Rig {
+func New(t testing.TB, n int, act func(fakes.Attempt) fakes.Behavior, change func(*pumicecroft.Config), options ...pumicecroft.Option) *Fixture {
 	t.Helper()
-	r := &Rig{t: t, Ledger: &fakes.Ledger{}, lastID: 0xab0000}
+	r := &Fixture{t: t, Ledger: &fakes.Ledger{}, lastID: 0xab0000}
 	list := platform.EndpointUpdate{Full: true}
 	cell := &fakes.Cell{Window: 5 * time.Second}
 	for i := range n {
-		b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprintf("b%d", i), Ledger: r.Ledger, Act: act, Cell: cell,
-			Keyed: func(class string) bool { return class != "look" }})
+		b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprintf("b%d", i), Ledger: r.Ledger, Behavior: act, Cell: cell,
+			IdempotentByKey: func(class string) bool { return class != "look" }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,9 +69,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Door = d
+	r.Gateway = d
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), WaitTimeout)
 		defer cancel()
 		if err := d.Close(ctx); err != nil {
 			t.Errorf("the door's end: %v", err)
@@ -81,11 +81,11 @@
 }
 
 // Ask is a request with an id of its own.
-func (r *Rig) Ask(class string) fakes.Ask {
+func (r *Fixture) NewRequest(class string) fakes.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastID++
-	a := fakes.Ask{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: 15 * time.Second}
+	a := fakes.Request{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: 15 * time.Second}
 	if class != "look" {
 		a.Key, a.Body = fmt.Sprintf("key-%x", r.lastID), "amount=3"
 	}
@@ -109,7 +109,7 @@
 }
 
 // Do asks a server and gives the reply, whatever served it.
-func Do(t testing.TB, a fakes.Ask, addr string) fakes.Reply {
+func Do(t testing.TB, a fakes.Request, addr string) fakes.Reply {
 	t.Helper()
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
@@ -117,19 +117,19 @@
 }
 
 // Settled waits until a Door keeps nothing.
-func (r *Rig) Settled() {
+func (r *Fixture) AwaitIdle() {
 	r.t.Helper()
-	for end := time.Now().Add(Patience); r.Door.OpenRequests() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); r.Gateway.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%d requests are kept", r.Door.OpenRequests())
+			r.t.Fatalf("%d requests are kept", r.Gateway.OpenRequests())
 		}
 	}
 }
 
 // Free checks that the one place of plan "one" is free: a request of it is served at once.
-func (r *Rig) Free() {
+func (r *Fixture) RequireFreeSlot() {
 	r.t.Helper()
-	a, err := r.Door.Do(r.t.Context(), pumicecroft.Request{Class: "look", Plan: "one", Customer: 7})
+	a, err := r.Gateway.Do(r.t.Context(), pumicecroft.Request{Class: "look", Plan: "one", Customer: 7})
 	if err != nil || !strings.HasPrefix(string(a.Body), "done ") {
 		r.t.Errorf("the plan's one place is not free: %v", err)
 	}
--- a/internal/httplistener/conntable_test.go
+++ b/internal/httplistener/conntable_test.go
@@ -79,7 +79,7 @@
 			io.WriteString(conn, getRequest[:40])
 			poll(t, "the piece to be read", func() bool { return idle(true) })
 			for _, c := range dialAll(t, s.addr, fewConns+1)[:2] {
-				testkit.UntilEnd(t, c) // others make room
+				testkit.ReadUntilClosed(t, c) // others make room
 			}
 			io.WriteString(conn, getRequest[40:])
 			checkRejected(t, responses)
@@ -108,7 +108,7 @@
 	}
 	for i := range 2 {
 		c := dialAll(t, s.addr, 1)[0]
-		testkit.UntilEnd(t, slow[i])
+		testkit.ReadUntilClosed(t, slow[i])
 		io.WriteString(c, getRequest)
 		checkRejected(t, bufio.NewReader(c))
 		slow = append(slow, c)
@@ -141,10 +141,10 @@
 	io.WriteString(clients[1], "G")
 	poll(t, "the byte to arrive", func() bool { return socketpeek.At(conns[1]) == socketpeek.Waiting })
 	table.onStateChange(conns[3], http.StateNew)
-	testkit.UntilEnd(t, clients[2])
+	testkit.ReadUntilClosed(t, clients[2])
 	table.onStateChange(conns[0], http.StateIdle) // it is idle for the shortest time now
 	table.onStateChange(conns[4], http.StateNew)
-	testkit.UntilEnd(t, clients[3])
+	testkit.ReadUntilClosed(t, clients[3])
 }
 
 // Idle connections are closed at the end. One on which bytes have arrived that were not read yet must be spared, and
@@ -180,7 +180,7 @@
 	table.onStateChange(conns[2], http.StateActive)
 	ended := make(chan bool)
 	go func() { table.closeIdle(t.Context()); close(ended) }()
-	testkit.UntilEnd(t, clients[0])
+	testkit.ReadUntilClosed(t, clients[0])
 	table.mu.Lock()
 	if len(table.open) != 2 || table.open[conns[1]] == nil || table.open[conns[2]] == nil {
 		t.Errorf("%d connections are left", len(table.open))
--- a/internal/httplistener/harness_test.go
+++ b/internal/httplistener/harness_test.go
@@ -67,7 +67,7 @@
 // poll waits until a condition holds.
 func poll(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testkit.Patient); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
--- a/internal/httplistener/shutdown_test.go
+++ b/internal/httplistener/shutdown_test.go
@@ -27,7 +27,7 @@
 
 func testShutdown(t *testing.T, earlierRequests int) {
 	started, proceed := make(chan bool, 2), make(chan bool)
-	options := Options{HeaderTimeout: testkit.Patient}
+	options := Options{HeaderTimeout: testkit.WaitTimeout}
 	s := startServer(t, 1000, options, func(_ http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("A") == "" {
 			return
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -14,20 +14,20 @@
 	Where    string // the levels of the other factors
 	A, B     string
 	Figure   *Figure
-	Told     paired.Comparison
+	Result   paired.Comparison
 	Unpaired int   // runs of one way that the other lacks, or that failed
 	Err      error // why it can't be compared
 }
 
 // What can't be compared.
 var (
-	ErrNoLevel = errors.New("there is no such level")
-	ErrUnlike  = errors.New("experiments that are not alike")
+	ErrNoLevel              = errors.New("there is no such level")
+	ErrDifferentExperiments = errors.New("experiments that are not alike")
 )
 
 // Within compares levels of a factor of one experiment: each of the others with the level of; with only the one that with names, if it
 // names one.
-func Within(r *Results, factor, of, with string, figures []string, rules paired.Options) ([]Comparison, error) {
+func CompareLevels(r *Results, factor, of, with string, figures []string, rules paired.Options) ([]Comparison, error) {
 	i := slices.IndexFunc(r.Factors, func(f Factor) bool { return f.Name == factor })
 	if i < 0 {
 		return nil, fmt.Errorf("%w: no factor %q", ErrNoLevel, factor)
@@ -47,20 +47,20 @@
 		if l.Name == of || with != "" && l.Name != with {
 			continue
 		}
-		a := pick(r.Rows, func(c []string) bool { return c[i] == of }, i)
-		b := pick(r.Rows, func(c []string) bool { return c[i] == l.Name }, i)
+		a := selectRows(r.Rows, func(c []string) bool { return c[i] == of }, i)
+		b := selectRows(r.Rows, func(c []string) bool { return c[i] == l.Name }, i)
 		out = append(out, compare(r.Experiment, i, a, b, of, l.Name, figures, rules)...)
 	}
 	return out, nil
 }
 
 // Across compares two directories of one experiment, of different builds say, cell by cell.
-func Across(a, b *Results, nameA, nameB string, figures []string, rules paired.Options) ([]Comparison, error) {
+func CompareResults(a, b *Results, nameA, nameB string, figures []string, rules paired.Options) ([]Comparison, error) {
 	if a.Digest != b.Digest {
-		return nil, fmt.Errorf("%w: %q and %q; what differs between them belongs into a factor", ErrUnlike, a.Name, b.Name)
+		return nil, fmt.Errorf("%w: %q and %q; what differs between them belongs into a factor", ErrDifferentExperiments, a.Name, b.Name)
 	}
 	all := func([]string) bool { return true }
-	return compare(a.Experiment, -1, pick(a.Rows, all, -1), pick(b.Rows, all, -1), nameA, nameB, figures, rules), nil
+	return compare(a.Experiment, -1, selectRows(a.Rows, all, -1), selectRows(b.Rows, all, -1), nameA, nameB, figures, rules), nil
 }
 
 type pairKey struct {
@@ -69,7 +69,7 @@
 }
 
 // where names a cell without one of its factors.
-func where(cell []string, but int) string {
+func cellLabel(cell []string, but int) string {
 	rest := slices.Clone(cell)
 	if but >= 0 {
 		rest = slices.Delete(rest, but, but+1)
@@ -77,11 +77,11 @@
 	return strings.Join(rest, " / ")
 }
 
-func pick(rows []*Row, in func(cell []string) bool, but int) map[pairKey]*Row {
+func selectRows(rows []*Row, in func(cell []string) bool, but int) map[pairKey]*Row {
 	out := map[pairKey]*Row{}
 	for _, r := range rows {
 		if in(r.Cell) {
-			out[pairKey{where(r.Cell, but), r.Repetition}] = r
+			out[pairKey{cellLabel(r.Cell, but), r.Repetition}] = r
 		}
 	}
 	return out
@@ -91,13 +91,13 @@
 func compare(e *Experiment, but int, a, b map[pairKey]*Row, nameA, nameB string, figures []string, rules paired.Options) (out []Comparison) {
 	var wheres []string
 	for _, c := range e.Cells {
-		if w := where(c.Levels, but); !slices.Contains(wheres, w) {
+		if w := cellLabel(c.Levels, but); !slices.Contains(wheres, w) {
 			wheres = append(wheres, w)
 		}
 	}
 	for _, w := range wheres {
 		for _, name := range figures {
-			f := FigureOf(name)
+			f := FigureByName(name)
 			c := Comparison{Where: w, A: nameA, B: nameB, Figure: f}
 			var x, y []float64
 			for rep := range e.Repetitions {
@@ -111,7 +111,7 @@
 					c.Unpaired++
 				}
 			}
-			c.Told, c.Err = paired.Compare(x, y, f.Higher, rules)
+			c.Result, c.Err = paired.Compare(x, y, f.HigherIsBetter, rules)
 			out = append(out, c)
 		}
 	}
@@ -132,12 +132,12 @@
 	if c.Err != nil {
 		return c.Err.Error()
 	}
-	v := c.Told.Verdict.String()
+	v := c.Result.Verdict.String()
 	switch {
-	case c.Told.Verdict != paired.Inconclusive:
-	case c.Told.MorePairs > 0:
-		v += fmt.Sprintf("; some %d more would", c.Told.MorePairs)
-	case c.Told.MorePairs < 0:
+	case c.Result.Verdict != paired.Inconclusive:
+	case c.Result.MorePairs > 0:
+		v += fmt.Sprintf("; some %d more would", c.Result.MorePairs)
+	case c.Result.MorePairs < 0:
 		v += "; nor would 100,000 more"
 	}
 	return v
--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -18,7 +18,7 @@
 	var b barrier
 	b.parties = int32(workers)
 	if 2*workers <= processors { // what else runs has room beside those that spin
-		b.spins = spins
+		b.spinLimit = spinLimit
 	}
 	var running sync.WaitGroup
 	var steps, takes atomic.Int32 // the next shard's; who is done takes one more, as shards are never equally busy
@@ -56,26 +56,26 @@
 }
 
 // spins are some tens of microseconds, as long as most windows take. With 200 of them a third of all CPU was the scheduler's.
-const spins = 20_000
+const spinLimit = 20_000
 
 // barrier has parties wait for each other, over and over.
 type barrier struct {
-	parties int32
-	spins   int
-	here    atomic.Int32
-	turn    atomic.Uint32
+	parties    int32
+	spinLimit  int
+	arrived    atomic.Int32
+	generation atomic.Uint32
 }
 
 // wait returns once all parties are here. What each did before it, all see after it.
 func (b *barrier) wait() {
-	turn := b.turn.Load()
-	if b.here.Add(1) == b.parties {
-		b.here.Store(0)
-		b.turn.Add(1)
+	turn := b.generation.Load()
+	if b.arrived.Add(1) == b.parties {
+		b.arrived.Store(0)
+		b.generation.Add(1)
 		return
 	}
-	for n := 0; b.turn.Load() == turn; n++ {
-		if n > b.spins { // somebody's window is long, or there are fewer processors than workers
+	for n := 0; b.generation.Load() == turn; n++ {
+		if n > b.spinLimit { // somebody's window is long, or there are fewer processors than workers
 			runtime.Gosched()
 		}
 	}
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -57,7 +57,7 @@
 }
 
 // mostCells bounds an experiment.
-const mostCells = 10_000
+const maxCells = 10_000
 
 // SeedOf is a repetition's, the same in all cells: differences between them are paired.
 func (e *Experiment) SeedOf(repetition int) uint64 {
@@ -74,12 +74,12 @@
 	e := &Experiment{Name: top.Text("name", true), Seed: uint64(top.Int("seed", 1, 0, math.MaxInt)), Repetitions: top.Int("repetitions", 10, 1, 100_000), text: text}
 	e.Figures = top.Texts("figures")
 	for _, name := range e.Figures {
-		if FigureOf(name) == nil {
+		if FigureByName(name) == nil {
 			d.Problemf("", "figures", "%q is none of %s", name, strings.Join(FigureNames(), ", "))
 		}
 	}
 	if len(e.Figures) == 0 {
-		e.Figures = usualFigures
+		e.Figures = defaultFigures
 	}
 	seen := map[string]bool{}
 	cells := 1
@@ -108,8 +108,8 @@
 		}
 		f.RejectUnknownKeys()
 		e.Factors = append(e.Factors, out)
-		if cells *= max(1, len(out.Levels)); cells > mostCells {
-			d.Problemf(f.Path, "level", "more than %d cells", mostCells)
+		if cells *= max(1, len(out.Levels)); cells > maxCells {
+			d.Problemf(f.Path, "level", "more than %d cells", maxCells)
 			return nil, d.Err()
 		}
 	}
@@ -135,7 +135,7 @@
 		return out, err
 	}
 	for n := range cells {
-		if err := e.cell(text, n, read); err != nil {
+		if err := e.addCell(text, n, read); err != nil {
 			return nil, err
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // cell reads the region of one combination of levels. What a level sets stands where the file has the level.
-func (e *Experiment) cell(text []byte, n int, trace func(path string) ([]emulator.Arrival, error)) error {
+func (e *Experiment) addCell(text []byte, n int, trace func(path string) ([]emulator.Arrival, error)) error {
 	d, err := settings.Parse(text)
 	if err != nil {
 		return err
@@ -170,7 +170,7 @@
 		c.Levels[i] = l.Name
 		at := fmt.Sprintf("factor[%d].level[%d]", i, j)
 		for _, key := range slices.Sorted(maps.Keys(l.Set)) {
-			if err := put(base, strings.Split(key, "."), l.Set[key]); err != nil {
+			if err := setPath(base, strings.Split(key, "."), l.Set[key]); err != nil {
 				d.Problemf(at, "set", "%s: %v", key, err)
 				continue
 			}
@@ -194,7 +194,7 @@
 }
 
 // put sets a value by its path.
-func put(m map[string]any, path []string, v any) error {
+func setPath(m map[string]any, path []string, v any) error {
 	for i, p := range path[:len(path)-1] {
 		next, there := m[p]
 		if !there {
@@ -212,8 +212,8 @@
 }
 
 const (
-	much = 1 << 40
-	day  = 24 * time.Hour
+	unbounded = 1 << 40
+	day       = 24 * time.Hour
 )
 
 // readRegion reads [region].
@@ -224,7 +224,7 @@
 	c.Warmup = s.Duration("warmup", 10*time.Second, 0, day)
 	c.UpdateInterval = s.Duration("lists", 500*time.Millisecond, time.Millisecond, time.Hour)
 	c.CounterLoss = s.Float("counter_loss", 0, 0, 1)
-	c.RateLimit = s.Float("limit", 0, 0, much)
+	c.RateLimit = s.Float("limit", 0, 0, unbounded)
 	y := s.Table("counter")
 	c.Counter = emulator.Counter{Rate: y.Float("rate", 0, 0, 1e9), MaxWait: y.Duration("queue", 30*time.Millisecond, 0, time.Minute),
 		Timeout: y.Duration("patience", 100*time.Millisecond, time.Millisecond, time.Minute)}
@@ -250,7 +250,7 @@
 		MeanCalm: a.Duration("calm", 10*time.Second, time.Millisecond, day), Period: a.Duration("day", 0, 0, day), Amplitude: a.Float("depth", 0, 0, 1)}
 	path := a.Text("trace", false)
 	a.RejectUnknownKeys()
-	readRules(s, c)
+	readSettings(s, c)
 	for _, f := range s.List("fault") {
 		kind := emulator.FaultKind(f.OneOf("kind", "", emulator.FaultKindNames...))
 		if _, there := f.Get("kind"); !there {
@@ -271,7 +271,7 @@
 }
 
 // readRules reads classes, plans and what else the decision module is told.
-func readRules(s *settings.Section, c *emulator.Config) {
+func readSettings(s *settings.Section, c *emulator.Config) {
 	g := s.Table("settings")
 	set := &c.Settings
 	*set = decision.Settings{GatewayCount: c.Gateways, CanCancel: g.Bool("can_cancel", true), MaxAttempts: g.Int("max_attempts", 3, 1, 100),
@@ -286,16 +286,16 @@
 	for _, e := range s.List("class") {
 		k := decision.Class{Name: e.Text("name", true), Idempotency: decision.Idempotency(e.OneOf("effect", "safe", "safe", "keyed", "unsafe")),
 			DedupScope: decision.DedupScope(e.OneOf("group", "all", "all", "zone", "cell")), DedupWindow: e.Duration("key_window", 0, 0, day),
-			Deadline: e.Duration("deadline", 3*time.Second, time.Millisecond, time.Hour), PriorityWeight: e.Float("worth", 1, 0, much), LateWeightFactor: e.Float("late_worth", 0, 0, 1)}
+			Deadline: e.Duration("deadline", 3*time.Second, time.Millisecond, time.Hour), PriorityWeight: e.Float("worth", 1, 0, unbounded), LateWeightFactor: e.Float("late_worth", 0, 0, 1)}
 		k.LatencyObjective = e.Duration("aim", k.Deadline/3, time.Millisecond, time.Hour)
 		set.Classes = append(set.Classes, k)
 		c.Clients.Classes = append(c.Clients.Classes, emulator.Share{Name: k.Name, Weight: e.Float("share", 1, 0, 1e6)})
 		e.RejectUnknownKeys()
 	}
 	for _, e := range s.List("plan") {
-		p := decision.Plan{Name: e.Text("name", true), Rate: e.Float("rate", 0, 0, much), Burst: e.Float("burst", 0, 0, much), Price: e.Float("price", 1, 0, much),
+		p := decision.Plan{Name: e.Text("name", true), Rate: e.Float("rate", 0, 0, unbounded), Burst: e.Float("burst", 0, 0, unbounded), Price: e.Float("price", 1, 0, unbounded),
 			OverQuotaWeightFactor: e.Float("over_worth", 0, 0, 1), OverQuotaCostFactor: e.Float("over_cost", 0, 0, 1000),
-			HardLimitRate: e.Float("ceiling_rate", 0, 0, much), HardLimitBurst: e.Float("ceiling_burst", 0, 0, much), HardLimitOverdraft: e.Float("ceiling_slack", 0, 0, much)}
+			HardLimitRate: e.Float("ceiling_rate", 0, 0, unbounded), HardLimitBurst: e.Float("ceiling_burst", 0, 0, unbounded), HardLimitOverdraft: e.Float("ceiling_slack", 0, 0, unbounded)}
 		set.Plans = append(set.Plans, p)
 		c.Clients.Plans = append(c.Clients.Plans, emulator.Share{Name: p.Name, Weight: e.Float("share", 1, 0, 1e6)})
 		e.RejectUnknownKeys()
@@ -309,7 +309,9 @@
 }
 
 // ReadFile reads an experiment's file; traces are found beside it.
-func ReadFile(path string) (*Experiment, error) { return read(path, traceBeside(filepath.Dir(path))) }
+func ReadFile(path string) (*Experiment, error) {
+	return read(path, readTraceBeside(filepath.Dir(path)))
+}
 
 func read(path string, trace func(string) ([]byte, error)) (*Experiment, error) {
 	text, err := os.ReadFile(path)
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	row := &Row{Experiment: "0123456789abcdef", Build: "fedcba9876543210", Cell: []string{"module", "a zone is lost"}, Repetition: 7, Seed: 1<<63 + 11, Failed: "as a test has it"}
-	if err := row.fill(&res); err != nil {
+	if err := row.setResult(&res); err != nil {
 		t.Fatal(err)
 	}
 	return row
@@ -59,7 +59,7 @@
 	if err := os.Mkdir(filepath.Join(d.path, "runs"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Put(got); err != nil {
+	if err := d.Save(got); err != nil {
 		t.Fatal(err)
 	}
 	before, err := os.ReadFile(files[0])
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -78,32 +78,32 @@
 	dir := t.TempDir()
 	file, out := write(t, dir, 3, ""), filepath.Join(dir, "out")
 	ctx, stop := context.WithCancel(t.Context())
-	ran, err := Run(ctx, file, out, RunOptions{Jobs: 2, Told: func(done, _ int, _ *Row) {
+	ran, err := Run(ctx, file, out, RunOptions{Jobs: 2, OnRun: func(done, _ int, _ *Row) {
 		if done == 4 {
 			stop()
 		}
 	}})
-	if !errors.Is(err, context.Canceled) || ran.Now < 4 || ran.Now > 5 {
+	if !errors.Is(err, context.Canceled) || ran.Completed < 4 || ran.Completed > 5 {
 		t.Fatalf("ended early: %+v, %v", ran, err)
 	}
 	// What it has by then is good as it is.
 	if text, err := readAndReport(out); err != nil || !strings.Contains(text, "| as it is |") {
 		t.Errorf("%v: %s", err, text)
 	}
-	was := ran.Now
-	if ran, err = Run(t.Context(), file, out, RunOptions{Jobs: 3}); err != nil || ran.Before != was || ran.Now != 9-was {
+	was := ran.Completed
+	if ran, err = Run(t.Context(), file, out, RunOptions{Jobs: 3}); err != nil || ran.Existing != was || ran.Completed != 9-was {
 		t.Fatalf("gone on with: %+v, %v", ran, err)
 	}
 	// More repetitions are the same experiment; and one run alone on many processors comes to the same.
 	file = write(t, dir, 8, "")
-	if ran, err = Run(t.Context(), file, out, RunOptions{Jobs: 4}); err != nil || ran.Before != 9 || ran.Now != 15 {
+	if ran, err = Run(t.Context(), file, out, RunOptions{Jobs: 4}); err != nil || ran.Existing != 9 || ran.Completed != 15 {
 		t.Fatalf("more repetitions: %+v, %v", ran, err)
 	}
 	r, err := Read(out)
 	if err != nil || len(r.Rows) != 24 {
 		t.Fatalf("%d rows, %v", len(r.Rows), err)
 	}
-	told, err := Within(r, "service", "", "", r.Figures, paired.Options{})
+	told, err := CompareLevels(r, "service", "", "", r.Figures, paired.Options{})
 	if err != nil || len(told) != 6 {
 		t.Fatalf("%+v, %v", told, err)
 	}
@@ -112,14 +112,14 @@
 		if c.B == "a tenth slower" && c.Figure.Name == "p99_ms" {
 			want = paired.Worse
 		}
-		if c.B == "the same" && c.Told.Verdict != want || want == paired.Worse && c.Told.Verdict != want {
-			t.Errorf("%s against %s in %s: %s, %+v", c.B, c.A, c.Figure.Name, c.Verdict(), c.Told)
+		if c.B == "the same" && c.Result.Verdict != want || want == paired.Worse && c.Result.Verdict != want {
+			t.Errorf("%s against %s in %s: %s, %+v", c.B, c.A, c.Figure.Name, c.Verdict(), c.Result)
 		}
 	}
-	if _, err := Within(r, "service", "x", "", r.Figures, paired.Options{}); !errors.Is(err, ErrNoLevel) {
+	if _, err := CompareLevels(r, "service", "x", "", r.Figures, paired.Options{}); !errors.Is(err, ErrNoLevel) {
 		t.Error(err)
 	}
-	if told, err = Across(r, r, "a", "b", r.Figures, paired.Options{}); err != nil || len(told) != 9 || told[0].Told.Verdict != paired.Same {
+	if told, err = CompareResults(r, r, "a", "b", r.Figures, paired.Options{}); err != nil || len(told) != 9 || told[0].Result.Verdict != paired.Same {
 		t.Errorf("%+v, %v", told, err)
 	}
 	page, err := HTML(r, "", paired.Options{})
@@ -171,7 +171,7 @@
 	}
 	d.Close()
 	other := write(t, t.TempDir(), 1, "[[factor.level]]\nname = \"one more\"\n")
-	if _, err := Run(t.Context(), other, out, RunOptions{Jobs: 1}); !errors.Is(err, ErrOther) {
+	if _, err := Run(t.Context(), other, out, RunOptions{Jobs: 1}); !errors.Is(err, ErrOtherExperiment) {
 		t.Errorf("another experiment: %v", err)
 	}
 
@@ -189,12 +189,12 @@
 		if err := os.WriteFile(files[0], torn, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if r, err := Read(out); err != nil || len(r.Rows) != 2 || len(r.Torn) != 1 {
-			t.Errorf("%s: %d rows, %v, %v", name, len(r.Rows), r.Torn, err)
+		if r, err := Read(out); err != nil || len(r.Rows) != 2 || len(r.Damaged) != 1 {
+			t.Errorf("%s: %d rows, %v, %v", name, len(r.Rows), r.Damaged, err)
 		}
 	}
 	ran, err := Run(t.Context(), file, out, RunOptions{Jobs: 1})
-	if err != nil || ran.Now != 1 || len(ran.Torn) != 1 {
+	if err != nil || ran.Completed != 1 || len(ran.Damaged) != 1 {
 		t.Errorf("made again: %+v, %v", ran, err)
 	}
 	if again, err := os.ReadFile(files[0]); err != nil || string(again) != string(whole) {
@@ -204,18 +204,18 @@
 	if err := os.Rename(files[0], strings.Replace(files[0], "-00000", "-00007", 1)); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := Read(out); err != nil || len(r.Torn) != 1 {
-		t.Errorf("renamed: %v, %v", r.Torn, err)
+	if r, err := Read(out); err != nil || len(r.Damaged) != 1 {
+		t.Errorf("renamed: %v, %v", r.Damaged, err)
 	}
 	row, err := readRow(files[1])
 	if err != nil {
 		t.Fatal(err)
 	}
 	row.Build = "another"
-	if err := d.Put(row); err != nil {
+	if err := d.Save(row); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Run(t.Context(), file, out, RunOptions{Jobs: 1}); !errors.Is(err, ErrBuild) {
+	if _, err := Run(t.Context(), file, out, RunOptions{Jobs: 1}); !errors.Is(err, ErrOtherBuild) {
 		t.Errorf("another build: %v", err)
 	}
 }
@@ -238,7 +238,7 @@
 	for _, row := range r.Rows {
 		if row.Cell[0] == "the same" {
 			row.Failed, row.Figures, row.Latency = "it panicked: <x> | y", nil, nil
-			if err := d.Put(row); err != nil {
+			if err := d.Save(row); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -265,7 +265,7 @@
 	// Latencies beyond the histogram's range are counted.
 	res := emulator.Result{Latency: hdrhistogram.New(1, 1000, 3), OutOfRange: 3}
 	var row Row
-	if err := row.fill(&res); err != nil || row.Beyond != 3 || row.Figures["worth"] != 0 {
+	if err := row.setResult(&res); err != nil || row.Beyond != 3 || row.Figures["worth"] != 0 {
 		t.Errorf("%+v, %v", row, err)
 	}
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -23,37 +23,37 @@
 )
 
 //go:embed report.html
-var page string
+var pageTemplate string
 
 // colours are told apart also by who does not see all of them (Okabe and Ito).
-var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
+var palette = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 	color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{0, 0, 0, 255}}
 
 var dashes = [][]vg.Length{nil, {6, 3}, {2, 2}, {8, 2, 2, 2}}
 
 // part is what a report says of the cells that differ in one factor alone.
-type part struct {
-	Where  string
-	Levels []level
-	Told   []Comparison
-	Plots  []template.HTML
+type section struct {
+	Where       string
+	Levels      []levelSummary
+	Comparisons []Comparison
+	Plots       []template.HTML
 }
 
 // level is one of them.
-type level struct {
+type levelSummary struct {
 	Name         string
 	Runs, Failed int
-	Why          string // of the first that failed
+	FirstFailure string // of the first that failed
 	Means        []float64
-	Spreads      []float64 // standard deviations; NaN of one run
+	StdDevs      []float64 // standard deviations; NaN of one run
 	Beyond       int
 	latency      *hdrhistogram.Histogram
 	seconds      []secondMeans
 }
 
 type secondMeans struct {
-	offered        bool
-	worth, refused float64
+	offered                 bool
+	weightServed, notServed float64
 }
 
 // report gathers what a report says, by the levels of a factor.
@@ -61,18 +61,18 @@
 	*Experiment
 	Rows, Failed int
 	Builds       []string
-	Torn         []error
+	Damaged      []error
 	By           string
-	Parts        []part
+	Parts        []section
 	Figures      []*Figure
 	Overview     []template.HTML
 }
 
 // gather puts a report together; by names the factor whose levels stand side by side, the first if it is empty.
-func gather(r *Results, by string, rules paired.Options) (*report, error) {
-	out := &report{Experiment: r.Experiment, Rows: len(r.Rows), Torn: r.Torn}
+func buildReport(r *Results, by string, rules paired.Options) (*report, error) {
+	out := &report{Experiment: r.Experiment, Rows: len(r.Rows), Damaged: r.Damaged}
 	for _, name := range r.Figures {
-		out.Figures = append(out.Figures, FigureOf(name))
+		out.Figures = append(out.Figures, FigureByName(name))
 	}
 	i := -1
 	if len(r.Factors) > 0 {
@@ -94,7 +94,7 @@
 	var told []Comparison
 	if len(levels) > 1 {
 		var err error
-		if told, err = Within(r, by, "", "", r.Figures, rules); err != nil {
+		if told, err = CompareLevels(r, by, "", "", r.Figures, rules); err != nil {
 			return nil, err
 		}
 	}
@@ -107,13 +107,13 @@
 		}
 	}
 	for _, c := range r.Cells {
-		w := where(c.Levels, i)
-		if slices.ContainsFunc(out.Parts, func(p part) bool { return p.Where == w }) {
+		w := cellLabel(c.Levels, i)
+		if slices.ContainsFunc(out.Parts, func(p section) bool { return p.Where == w }) {
 			continue
 		}
-		p := part{Where: w}
+		p := section{Where: w}
 		for _, name := range levels {
-			l, err := gatherLevel(r, out.Figures, name, func(cell []string) bool { return where(cell, i) == w && (i < 0 || cell[i] == name) })
+			l, err := summarizeLevel(r, out.Figures, name, func(cell []string) bool { return cellLabel(cell, i) == w && (i < 0 || cell[i] == name) })
 			if err != nil {
 				return nil, err
 			}
@@ -121,7 +121,7 @@
 		}
 		for _, c := range told {
 			if c.Where == w {
-				p.Told = append(p.Told, c)
+				p.Comparisons = append(p.Comparisons, c)
 			}
 		}
 		out.Parts = append(out.Parts, p)
@@ -129,8 +129,8 @@
 	return out, nil
 }
 
-func gatherLevel(r *Results, figures []*Figure, name string, in func(cell []string) bool) (level, error) {
-	l := level{Name: name}
+func summarizeLevel(r *Results, figures []*Figure, name string, in func(cell []string) bool) (levelSummary, error) {
+	l := levelSummary{Name: name}
 	values := make([][]float64, len(figures))
 	for _, row := range r.Rows {
 		if !in(row.Cell) {
@@ -138,8 +138,8 @@
 		}
 		if row.Failed != "" {
 			l.Failed++
-			if l.Why == "" {
-				l.Why = row.Failed
+			if l.FirstFailure == "" {
+				l.FirstFailure = row.Failed
 			}
 			continue
 		}
@@ -164,13 +164,13 @@
 				l.seconds = append(l.seconds, secondMeans{})
 			}
 			l.seconds[i].offered = l.seconds[i].offered || s.Offered > 0
-			l.seconds[i].worth += share(s.WeightServed, s.WeightOffered)
-			l.seconds[i].refused += share(float64(s.Rejected+s.Failed), float64(s.Offered))
+			l.seconds[i].weightServed += ratio(s.WeightServed, s.WeightOffered)
+			l.seconds[i].notServed += ratio(float64(s.Rejected+s.Failed), float64(s.Offered))
 		}
 	}
 	for i := range l.seconds {
-		l.seconds[i].worth /= float64(l.Runs)
-		l.seconds[i].refused /= float64(l.Runs)
+		l.seconds[i].weightServed /= float64(l.Runs)
+		l.seconds[i].notServed /= float64(l.Runs)
 	}
 	for _, v := range values {
 		mean, sd := math.NaN(), math.NaN()
@@ -180,13 +180,13 @@
 		if len(v) > 1 {
 			sd = stat.StdDev(v, nil)
 		}
-		l.Means, l.Spreads = append(l.Means, mean), append(l.Spreads, sd)
+		l.Means, l.StdDevs = append(l.Means, mean), append(l.StdDevs, sd)
 	}
 	return l, nil
 }
 
 // number writes a figure as people read it.
-func number(v float64) string {
+func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
 		return "-"
@@ -206,19 +206,19 @@
 
 // HTML is a report in one file that needs nothing else.
 func HTML(r *Results, by string, rules paired.Options) ([]byte, error) {
-	rep, err := gather(r, by, rules)
+	rep, err := buildReport(r, by, rules)
 	if err != nil {
 		return nil, err
 	}
 	for i := range rep.Parts {
-		if err := rep.Parts[i].draw(); err != nil {
+		if err := rep.Parts[i].plot(); err != nil {
 			return nil, err
 		}
 	}
 	if rep.Overview, err = rep.overview(); err != nil {
 		return nil, err
 	}
-	t, err := template.New("report").Funcs(template.FuncMap{"number": number, "signed": signed}).Parse(page)
+	t, err := template.New("report").Funcs(template.FuncMap{"number": formatNumber, "signed": formatSigned}).Parse(pageTemplate)
 	if err != nil {
 		return nil, err
 	}
@@ -227,16 +227,16 @@
 	return b.Bytes(), err
 }
 
-func signed(v float64) string {
+func formatSigned(v float64) string {
 	if v > 0 {
-		return "+" + number(v)
+		return "+" + formatNumber(v)
 	}
-	return number(v)
+	return formatNumber(v)
 }
 
 // Markdown is a report without its plots.
 func Markdown(r *Results, by string, rules paired.Options) ([]byte, error) {
-	rep, err := gather(r, by, rules)
+	rep, err := buildReport(r, by, rules)
 	if err != nil {
 		return nil, err
 	}
@@ -244,7 +244,7 @@
 	cell := func(s string) string { return strings.ReplaceAll(s, "|", "\\|") }
 	fmt.Fprintf(&b, "# %s\n\n%d runs, %d failed, seed %d, %d repetitions, experiment %s, build %s.\n", rep.Name, rep.Rows, rep.Failed, rep.Seed, rep.Repetitions, rep.Digest,
 		strings.Join(rep.Builds, ", "))
-	for _, err := range rep.Torn {
+	for _, err := range rep.Damaged {
 		fmt.Fprintf(&b, "\nLeft out: %v.\n", err)
 	}
 	for _, p := range rep.Parts {
@@ -259,9 +259,9 @@
 		for _, l := range p.Levels {
 			fmt.Fprintf(&b, "| %s | %d |", cell(l.Name), l.Runs)
 			for i := range l.Means {
-				fmt.Fprintf(&b, " %s", number(l.Means[i]))
-				if !math.IsNaN(l.Spreads[i]) {
-					fmt.Fprintf(&b, " ± %s", number(l.Spreads[i]))
+				fmt.Fprintf(&b, " %s", formatNumber(l.Means[i]))
+				if !math.IsNaN(l.StdDevs[i]) {
+					fmt.Fprintf(&b, " ± %s", formatNumber(l.StdDevs[i]))
 				}
 				b.WriteString(" |")
 			}
@@ -269,16 +269,16 @@
 		}
 		for _, l := range p.Levels {
 			if l.Failed > 0 {
-				fmt.Fprintf(&b, "\n%s: %d runs failed: %s\n", l.Name, l.Failed, l.Why)
+				fmt.Fprintf(&b, "\n%s: %d runs failed: %s\n", l.Name, l.Failed, l.FirstFailure)
 			}
 			if l.Beyond > 0 {
 				fmt.Fprintf(&b, "\n%s: %d latencies are beyond the histogram's range, and in no quantile.\n", l.Name, l.Beyond)
 			}
 		}
-		if len(p.Told) > 0 {
-			b.WriteString("\n| against " + cell(p.Told[0].A) + " | figure | difference | 95% interval | verdict |\n| --- | --- | --- | --- | --- |\n")
-			for _, c := range p.Told {
-				fmt.Fprintf(&b, "| %s | %s | %s | %s to %s | %s |\n", cell(c.B), c.Figure.Name, signed(c.Told.Mean), signed(c.Told.Low), signed(c.Told.High), c.Verdict())
+		if len(p.Comparisons) > 0 {
+			b.WriteString("\n| against " + cell(p.Comparisons[0].A) + " | figure | difference | 95% interval | verdict |\n| --- | --- | --- | --- | --- |\n")
+			for _, c := range p.Comparisons {
+				fmt.Fprintf(&b, "| %s | %s | %s | %s to %s | %s |\n", cell(c.B), c.Figure.Name, formatSigned(c.Result.Mean), formatSigned(c.Result.Low), formatSigned(c.Result.High), c.Verdict())
 			}
 		}
 	}
@@ -286,12 +286,12 @@
 }
 
 // draw makes a part's plots.
-func (p *part) draw() error {
-	some := slices.ContainsFunc(p.Levels, func(l level) bool { return l.Runs > 0 })
+func (p *section) plot() error {
+	some := slices.ContainsFunc(p.Levels, func(l levelSummary) bool { return l.Runs > 0 })
 	if !some {
 		return nil
 	}
-	cdf, err := p.chart("Latency of served calls", "ms", "share at or below", func(l *level) plotter.XYs {
+	cdf, err := p.lineChart("Latency of served calls", "ms", "share at or below", func(l *levelSummary) plotter.XYs {
 		var out plotter.XYs
 		if l.latency == nil || l.latency.TotalCount() == 0 {
 			return nil
@@ -304,14 +304,14 @@
 	if err != nil {
 		return err
 	}
-	worth, err := p.chart("Worth served, of offered", "s", "share", func(l *level) plotter.XYs {
-		return l.series(func(s secondMeans) float64 { return s.worth })
+	worth, err := p.lineChart("Worth served, of offered", "s", "share", func(l *levelSummary) plotter.XYs {
+		return l.series(func(s secondMeans) float64 { return s.weightServed })
 	}, false)
 	if err != nil {
 		return err
 	}
-	refused, err := p.chart("Calls not served", "s", "share", func(l *level) plotter.XYs {
-		return l.series(func(s secondMeans) float64 { return s.refused })
+	refused, err := p.lineChart("Calls not served", "s", "share", func(l *levelSummary) plotter.XYs {
+		return l.series(func(s secondMeans) float64 { return s.notServed })
 	}, false)
 	if err != nil {
 		return err
@@ -320,7 +320,7 @@
 	return nil
 }
 
-func (l *level) series(of func(secondMeans) float64) (out plotter.XYs) {
+func (l *levelSummary) series(of func(secondMeans) float64) (out plotter.XYs) {
 	for i, s := range l.seconds {
 		if s.offered { // not of the warm-up
 			out = append(out, plotter.XY{X: float64(i), Y: of(s)})
@@ -330,12 +330,12 @@
 }
 
 // line styles a series so that it is told apart where others lie on it.
-func style(line *plotter.Line, i int) {
-	line.Color, line.Width, line.Dashes = colours[i%len(colours)], vg.Points(1.6-0.1*float64(min(i, 6))), dashes[i%len(dashes)]
+func styleLine(line *plotter.Line, i int) {
+	line.Color, line.Width, line.Dashes = palette[i%len(palette)], vg.Points(1.6-0.1*float64(min(i, 6))), dashes[i%len(dashes)]
 }
 
 // svg draws a plot.
-func svg(p *plot.Plot, w, h vg.Length) (template.HTML, error) {
+func renderSVG(p *plot.Plot, w, h vg.Length) (template.HTML, error) {
 	p.Title.TextStyle.Font.Size, p.Legend.TextStyle.Font.Size = 13, 10
 	canvas := vgsvg.New(w, h)
 	p.Draw(draw.New(canvas))
@@ -351,10 +351,10 @@
 }
 
 // wholeTicks label an axis without decimals that say nothing.
-type wholeTicks struct{ plot.DefaultTicks }
+type integerTicks struct{ plot.DefaultTicks }
 
 // Ticks is plot.Ticker's.
-func (t wholeTicks) Ticks(least, most float64) []plot.Tick {
+func (t integerTicks) Ticks(least, most float64) []plot.Tick {
 	ticks := t.DefaultTicks.Ticks(least, most)
 	for i := range ticks {
 		if ticks[i].Label != "" {
@@ -365,10 +365,10 @@
 }
 
 // chart draws a line for each level.
-func (p *part) chart(title, x, y string, of func(l *level) plotter.XYs, logarithmic bool) (template.HTML, error) {
+func (p *section) lineChart(title, x, y string, of func(l *levelSummary) plotter.XYs, logarithmic bool) (template.HTML, error) {
 	c := plot.New()
 	c.Title.Text, c.X.Label.Text, c.Y.Label.Text = title, x, y
-	c.X.Tick.Marker = wholeTicks{}
+	c.X.Tick.Marker = integerTicks{}
 	c.Add(plotter.NewGrid())
 	least, most, low, high := math.Inf(1), 0.0, 1.0, 0.0
 	for i := range p.Levels {
@@ -380,7 +380,7 @@
 		if err != nil {
 			return "", err
 		}
-		style(line, i)
+		styleLine(line, i)
 		c.Add(line)
 		c.Legend.Add(p.Levels[i].Name, line)
 		least, most = min(least, xys[0].X), max(most, xys[len(xys)-1].X)
@@ -398,7 +398,7 @@
 		c.X.Scale, c.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 		c.X.Min, c.X.Max = math.Pow(10, math.Floor(math.Log10(least))), math.Pow(10, math.Ceil(math.Log10(most)))
 	}
-	return svg(c, 15*vg.Centimeter, 8*vg.Centimeter)
+	return renderSVG(c, 15*vg.Centimeter, 8*vg.Centimeter)
 }
 
 // overview draws each figure over the levels, a line for each place: against their size, where levels are numbers.
@@ -425,12 +425,12 @@
 			if numbers {
 				x = sizes[i]
 			}
-			ticks = append(ticks, plot.Tick{Value: x, Label: wrapped(names[i].Name, 64/len(names))})
+			ticks = append(ticks, plot.Tick{Value: x, Label: wrapLabel(names[i].Name, 64/len(names))})
 		}
 		for i, p := range r.Parts {
-			var xys errorXYs
+			var xys meansWithErrors
 			for j, l := range p.Levels {
-				if mean, sd := l.Means[f], l.Spreads[f]; !math.IsNaN(mean) {
+				if mean, sd := l.Means[f], l.StdDevs[f]; !math.IsNaN(mean) {
 					if math.IsNaN(sd) {
 						sd = 0
 					}
@@ -449,7 +449,7 @@
 			if err != nil {
 				return nil, err
 			}
-			style(line, i)
+			styleLine(line, i)
 			bars.Color = line.Color
 			c.Add(line, bars)
 			if p.Where != "" {
@@ -465,7 +465,7 @@
 		} else {
 			c.X.Min, c.X.Max = -0.3, float64(len(names))-0.7
 		}
-		text, err := svg(c, 12*vg.Centimeter, 7*vg.Centimeter)
+		text, err := renderSVG(c, 12*vg.Centimeter, 7*vg.Centimeter)
 		if err != nil {
 			return nil, err
 		}
@@ -475,7 +475,7 @@
 }
 
 // wrapped breaks a label into lines of about so many letters, between words.
-func wrapped(label string, width int) string {
+func wrapLabel(label string, width int) string {
 	var lines []string
 	for _, word := range strings.Fields(label) {
 		if last := len(lines) - 1; last >= 0 && len(lines[last])+1+len(word) <= width {
@@ -488,7 +488,7 @@
 }
 
 // errorXYs are means with their spreads.
-type errorXYs struct {
+type meansWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
 }
@@ -496,7 +496,7 @@
 // Plot is one figure over the levels of a factor, a line for each place, as SVG.
 func Plot(r *Results, by, figure string, rules paired.Options) ([]byte, error) {
 	r.Figures = []string{figure}
-	rep, err := gather(r, by, rules)
+	rep, err := buildReport(r, by, rules)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/rows.go
+++ b/internal/lab/rows.go
@@ -35,10 +35,10 @@
 }
 
 // fill puts in what the run came to.
-func (r *Row) fill(of *emulator.Result) (err error) {
+func (r *Row) setResult(of *emulator.Result) (err error) {
 	r.Figures, r.Counts, r.Beyond, r.Seconds, r.Events = map[string]float64{}, of.Counts, of.OutOfRange, of.Seconds, of.Events
 	for _, f := range Figures {
-		r.Figures[f.Name] = f.of(of)
+		r.Figures[f.Name] = f.value(of)
 	}
 	r.Latency, err = of.Latency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	return err
@@ -49,10 +49,10 @@
 
 // What a directory of results may say.
 var (
-	ErrBusy    = errors.New("another run writes there")
-	ErrOther   = errors.New("results of another experiment")
-	ErrBuild   = errors.New("results of another build")
-	ErrDamaged = errors.New("a result is damaged")
+	ErrBusy            = errors.New("another run writes there")
+	ErrOtherExperiment = errors.New("results of another experiment")
+	ErrOtherBuild      = errors.New("results of another build")
+	ErrDamaged         = errors.New("a result is damaged")
 )
 
 // Dir is a directory of results, of one experiment by one build, which one run at a time writes. Each result is a file of its own
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	d := &Dir{path: path, lock: lock}
-	if err := d.belongTo(e); err != nil {
+	if err := d.bindExperiment(e); err != nil {
 		d.Close()
 		return nil, err
 	}
@@ -90,30 +90,30 @@
 }
 
 // belongTo keeps an experiment with the results, unless they are of another one.
-func (d *Dir) belongTo(e *Experiment) error {
+func (d *Dir) bindExperiment(e *Experiment) error {
 	was, err := readExperiment(d.path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
 		return err
 	case was.Digest != e.Digest:
-		return fmt.Errorf("%s: %w: %q", d.path, ErrOther, was.Name)
+		return fmt.Errorf("%s: %w: %q", d.path, ErrOtherExperiment, was.Name)
 	}
 	for name, text := range e.traces {
-		if err := writeWhole(traceIn(d.path, name), text); err != nil {
+		if err := writeAtomic(tracePath(d.path, name), text); err != nil {
 			return err
 		}
 	}
-	return writeWhole(filepath.Join(d.path, experimentFile), e.text)
+	return writeAtomic(filepath.Join(d.path, experimentFile), e.text)
 }
 
 // readExperiment reads the experiment that a directory's results are of.
 func readExperiment(dir string) (*Experiment, error) {
-	return read(filepath.Join(dir, experimentFile), tracesIn(dir))
+	return read(filepath.Join(dir, experimentFile), readTraceFrom(dir))
 }
 
 // traceBeside reads traces by paths that are from a directory.
-func traceBeside(dir string) func(string) ([]byte, error) {
+func readTraceBeside(dir string) func(string) ([]byte, error) {
 	return func(path string) ([]byte, error) {
 		if !filepath.IsAbs(path) {
 			path = filepath.Join(dir, path)
@@ -123,30 +123,30 @@
 }
 
 // traceIn is where a directory of results keeps a trace that its experiment names.
-func traceIn(dir, name string) string {
+func tracePath(dir, name string) string {
 	return filepath.Join(dir, fmt.Sprintf("trace-%016x.csv", xxhash.Sum64String(name)))
 }
 
-func tracesIn(dir string) func(string) ([]byte, error) {
-	return func(name string) ([]byte, error) { return os.ReadFile(traceIn(dir, name)) }
+func readTraceFrom(dir string) func(string) ([]byte, error) {
+	return func(name string) ([]byte, error) { return os.ReadFile(tracePath(dir, name)) }
 }
 
 // Close lets another run in.
 func (d *Dir) Close() { _ = d.lock.Close() }
 
 // writeWhole writes a file that is there whole or not at all, whatever happens meanwhile.
-func writeWhole(path string, text []byte) error {
+func writeAtomic(path string, text []byte) error {
 	return atomicfile.Replace(path, text, atomicfile.Options{TempPattern: ".new-*", Perm: 0o644, Sync: true})
 }
 
 // Put keeps a row.
-func (d *Dir) Put(row *Row) error {
+func (d *Dir) Save(row *Row) error {
 	text, err := json.Marshal(row)
 	if err != nil {
 		return err
 	}
 	text = fmt.Appendf(text, "\n%016x\n", xxhash.Sum64(text))
-	return writeWhole(filepath.Join(d.path, "runs", row.name()), text)
+	return writeAtomic(filepath.Join(d.path, "runs", row.name()), text)
 }
 
 // name is a row's file, which is that of its cell and repetition.
@@ -178,8 +178,8 @@
 // Results are an experiment and its rows.
 type Results struct {
 	*Experiment
-	Rows []*Row // by cell, then repetition
-	Torn []error
+	Rows    []*Row // by cell, then repetition
+	Damaged []error
 }
 
 // Read reads a directory. A result that is damaged is told in Torn and is not among the rows.
@@ -204,13 +204,13 @@
 	for _, f := range files {
 		row, err := readRow(f)
 		if errors.Is(err, ErrDamaged) {
-			out.Torn = append(out.Torn, err)
+			out.Damaged = append(out.Damaged, err)
 			continue
 		} else if err != nil {
 			return nil, err
 		}
 		if _, ok := at(row); row.Experiment != e.Digest || !ok {
-			return nil, fmt.Errorf("%s: %w", f, ErrOther)
+			return nil, fmt.Errorf("%s: %w", f, ErrOtherExperiment)
 		}
 		out.Rows = append(out.Rows, row)
 	}
@@ -226,7 +226,7 @@
 }
 
 // buildOf tells programs apart: the checksum of the one that runs.
-func buildOf() (string, error) {
+func executableDigest() (string, error) {
 	path, err := os.Executable()
 	if err != nil {
 		return "", err
--- a/internal/lab/runs.go
+++ b/internal/lab/runs.go
@@ -12,14 +12,14 @@
 
 // RunOptions say how an experiment is run.
 type RunOptions struct {
-	Jobs int                         // processors to use; 1 at the least
-	Told func(done, all int, r *Row) // after each run, one at a time; nil: nobody is
+	Jobs  int                         // processors to use; 1 at the least
+	OnRun func(done, all int, r *Row) // after each run, one at a time; nil: nobody is
 }
 
 // Ran is what a run of an experiment did.
-type Ran struct {
-	All, Before, Now, Failed int // runs; those that were there already; that were made; of these, that failed
-	Torn                     []error
+type RunSummary struct {
+	Total, Existing, Completed, Failed int // runs; those that were there already; that were made; of these, that failed
+	Damaged                            []error
 }
 
 // ErrAllFailed is an experiment with a cell of which no run came to anything.
@@ -27,23 +27,23 @@
 
 // Run makes all runs of the experiment in a file that its directory lacks. When ctx ends, what is done is kept, and a later Run goes on
 // from there. A run that fails is kept with its reason, and made again by the next Run.
-func Run(ctx context.Context, file, dir string, o RunOptions) (Ran, error) {
+func Run(ctx context.Context, file, dir string, o RunOptions) (RunSummary, error) {
 	e, err := ReadFile(file)
 	if err != nil {
-		return Ran{}, err
+		return RunSummary{}, err
 	}
-	build, err := buildOf()
+	build, err := executableDigest()
 	if err != nil {
-		return Ran{}, err
+		return RunSummary{}, err
 	}
 	d, err := Open(dir, e)
 	if err != nil {
-		return Ran{}, err
+		return RunSummary{}, err
 	}
 	defer d.Close()
 	had, err := Read(dir)
 	if err != nil {
-		return Ran{}, err
+		return RunSummary{}, err
 	}
 	there := map[string]bool{}
 	for _, r := range had.Rows {
@@ -51,11 +51,11 @@
 			continue
 		}
 		if r.Build != build {
-			return Ran{}, fmt.Errorf("%s: %w (%s, this is %s): runs by both could not be compared", dir, ErrBuild, r.Build, build)
+			return RunSummary{}, fmt.Errorf("%s: %w (%s, this is %s): runs by both could not be compared", dir, ErrOtherBuild, r.Build, build)
 		}
 		there[r.name()] = true
 	}
-	ran := Ran{All: len(e.Cells) * e.Repetitions, Torn: had.Torn}
+	ran := RunSummary{Total: len(e.Cells) * e.Repetitions, Damaged: had.Damaged}
 	type job struct {
 		row    Row
 		config emulator.Config
@@ -65,7 +65,7 @@
 		for _, c := range e.Cells {
 			r := Row{Experiment: e.Digest, Build: build, Cell: c.Levels, Repetition: rep, Seed: e.SeedOf(rep)}
 			if there[r.name()] {
-				ran.Before++
+				ran.Existing++
 				continue
 			}
 			todo = append(todo, job{r, c.Config})
@@ -98,15 +98,15 @@
 					row.Failed = err.Error()
 				}
 				mu.Lock()
-				if err := d.Put(&row); err != nil {
+				if err := d.Save(&row); err != nil {
 					failed = err
 				}
-				ran.Now++
+				ran.Completed++
 				if row.Failed != "" {
 					ran.Failed++
 				}
-				if o.Told != nil {
-					o.Told(ran.Before+ran.Now, ran.All, &row)
+				if o.OnRun != nil {
+					o.OnRun(ran.Existing+ran.Completed, ran.Total, &row)
 				}
 				mu.Unlock()
 			}
@@ -116,7 +116,7 @@
 	if failed == nil {
 		failed = ctx.Err()
 	}
-	if failed == nil && ran.Now > 0 && ran.Failed == ran.Now && ran.Before == 0 {
+	if failed == nil && ran.Completed > 0 && ran.Failed == ran.Completed && ran.Existing == 0 {
 		failed = ErrAllFailed
 	}
 	return ran, failed
@@ -139,5 +139,5 @@
 		return err
 	}
 	result := r.Result()
-	return row.fill(&result)
+	return row.setResult(&result)
 }
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -13,7 +13,7 @@
 )
 
 // mostTrace bounds a trace.
-const mostTrace = 50_000_000
+const maxTraceArrivals = 50_000_000
 
 // ReadTrace reads arrivals from CSV, a line each: seconds from the start, customer (a number from 0), class, units. A first line of names
 // is passed over. An error names the line.
@@ -42,8 +42,8 @@
 		if !(at >= 0 && at < 1e6) {
 			return nil, fmt.Errorf("line %d: %v seconds", line, at)
 		}
-		if len(out) == mostTrace {
-			return nil, fmt.Errorf("line %d: more than %d arrivals", line, mostTrace)
+		if len(out) == maxTraceArrivals {
+			return nil, fmt.Errorf("line %d: more than %d arrivals", line, maxTraceArrivals)
 		}
 		out = append(out, emulator.Arrival{At: time.Duration(at * float64(time.Second)), Customer: customer, Class: string([]byte(f[2])), Cost: units})
 	}
--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -8,12 +8,12 @@
 
 // A result file's keys are read by people's scripts: they stay as they are, whatever the fields are called in Go.
 func TestKeysOfResultFile(t *testing.T) {
-	figures := func(n time.Duration) Figures {
-		return Figures{Count: int64(n), Beyond: int64(n + 1), Mean: n + 2, P50: n + 3, P90: n + 4, P99: n + 5, P999: n + 6, Max: n + 7, Histogram: []byte{byte(n), 8}}
+	figures := func(n time.Duration) LatencySummary {
+		return LatencySummary{Count: int64(n), Beyond: int64(n + 1), Mean: n + 2, P50: n + 3, P90: n + 4, P99: n + 5, P999: n + 6, Max: n + 7, Histogram: []byte{byte(n), 8}}
 	}
 	kind := figures(10)
-	r := &Result{Plan: "plan", Target: "target", Seed: 1, Took: 2, Partial: true, Asked: 3, Lost: 4, Retries: 5, Good: 6, Bytes: 7, By: map[string]int{"200": 8},
-		Kinds: map[string]*Figures{"kind": &kind}, All: figures(20), Served: figures(30), LagP99: 9, Invalid: "why"}
+	r := &Result{Plan: "plan", Target: "target", Seed: 1, Duration: 2, Partial: true, Sent: 3, Dropped: 4, Retries: 5, Good: 6, Bytes: 7, Outcomes: map[string]int{"200": 8},
+		Kinds: map[string]*LatencySummary{"kind": &kind}, All: figures(20), Served: figures(30), LagP99: 9, Invalid: "why"}
 	got, err := json.Marshal(r)
 	want := `{"Plan":"plan","Target":"target","Seed":1,"Took":2,"Partial":true,"Asked":3,"Lost":4,"Retries":5,"Good":6,"Bytes":7,"By":{"200":8},` +
 		`"Kinds":{"kind":{"Count":10,"Beyond":11,"Mean":12,"P50":13,"P90":14,"P99":15,"P999":16,"Max":17,"Histogram":"Cgg="}},` +
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -42,7 +42,7 @@
 
 func ask(t testing.TB, p *Plan, addr string) *Result {
 	t.Helper()
-	r, err := Run(t.Context(), p, Options{Target: addr, Out: io.Discard})
+	r, err := Run(t.Context(), p, Options{Target: addr, Progress: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	})
 	p := plan(t, "rate = 500\narrivals = \"even\"\nduration = \"1500ms\"\nconnections = 400\n[[request]]\nname = \"look\"\npath = \"/\"\n")
 	r := ask(t, p, addr)
-	if r.Asked < 740 || r.Asked > 750 || r.Good != r.Asked || r.By["200"] != r.Asked || r.Partial {
+	if r.Sent < 740 || r.Sent > 750 || r.Good != r.Sent || r.Outcomes["200"] != r.Sent || r.Partial {
 		t.Fatalf("%+v", r)
 	}
 	t.Logf("%v, lag %v", r, r.LagP99)
@@ -116,11 +116,11 @@
 		precisely(max(stalled.Load(), time.Now().Add(delay).UnixNano()))
 	})
 	p := plan(t, "rate = 200\nduration = \"20s\"\nconnections = 400\n[[request]]\nname = \"look\"\npath = \"/\"\n")
-	show := func(name string, f *Figures) { t.Logf("%s: p50 %v p99 %v p99.9 %v", name, f.P50, f.P99, f.P999) }
+	show := func(name string, f *LatencySummary) { t.Logf("%s: p50 %v p99 %v p99.9 %v", name, f.P50, f.P99, f.P999) }
 	r := ask(t, p, addr)
 	show("no stall", &r.All)
 	time.AfterFunc(10*time.Second, func() { stalled.Store(time.Now().Add(time.Second).UnixNano()) })
-	closed := newFigures(10 * time.Second)
+	closed := newLatencySummary(10 * time.Second)
 	stop := make(chan bool)
 	var loop sync.WaitGroup
 	loop.Go(func() {
@@ -141,16 +141,16 @@
 	r = ask(t, p, addr)
 	close(stop)
 	loop.Wait()
-	if err := closed.settle(); err != nil {
+	if err := closed.summarize(); err != nil {
 		t.Fatal(err)
 	}
 	show("a stall of 1 s", &r.All)
 	show("closed loop", &closed)
-	t.Logf("lag p99 %v; of the open loop %d over 150 ms of %d, of the closed %d of %d", r.LagP99, over(r.All.h, 150*time.Millisecond), r.All.Count, over(closed.h, 150*time.Millisecond), closed.Count)
+	t.Logf("lag p99 %v; of the open loop %d over 150 ms of %d, of the closed %d of %d", r.LagP99, over(r.All.histogram, 150*time.Millisecond), r.All.Count, over(closed.histogram, 150*time.Millisecond), closed.Count)
 }
 
 // precisely sleeps as closely as the load waits, so that the delay is known.
-func precisely(at int64) { until(context.Background(), time.Unix(0, at)) }
+func precisely(at int64) { waitUntil(context.Background(), time.Unix(0, at)) }
 
 func over(h *hdrhistogram.Histogram, d time.Duration) (n int64) {
 	for _, b := range h.Distribution() {
@@ -177,11 +177,11 @@
 	p := plan(t, "rate = 400\nduration = \"500ms\"\ntimeout = \"300ms\"\nopen = 60\nconnections = 100\n[[request]]\nname = \"look\"\npath = \"/\"\n")
 	r := ask(t, p, addr)
 	ends := 0
-	for _, c := range r.By {
+	for _, c := range r.Outcomes {
 		ends += c
 	}
-	if ends != r.Asked || r.All.Count != int64(r.Asked) || r.By["timed out"] == 0 || r.Lost == 0 || r.By["no room"] != r.Lost || r.All.P90 < 290*time.Millisecond || r.Good > 60 {
-		t.Errorf("%v %+v", r, r.By)
+	if ends != r.Sent || r.All.Count != int64(r.Sent) || r.Outcomes["timed out"] == 0 || r.Dropped == 0 || r.Outcomes["no room"] != r.Dropped || r.All.P90 < 290*time.Millisecond || r.Good > 60 {
+		t.Errorf("%v %+v", r, r.Outcomes)
 	}
 }
 
@@ -200,7 +200,7 @@
 		}
 	})
 	r, err := Run(ctx, plan(t, "rate = 200\nduration = \"1h\"\nmost_lag = \"10s\"\n[[request]]\nname = \"look\"\npath = \"/\"\n"), Options{Target: addr})
-	if err != nil || !r.Partial || r.Invalid != "" || r.Good < 20 || r.Good != r.Asked {
+	if err != nil || !r.Partial || r.Invalid != "" || r.Good < 20 || r.Good != r.Sent {
 		t.Errorf("ended early: %v, %v", r, err)
 	}
 	text, err := r.JSON()
@@ -278,8 +278,8 @@
 	if part := float64(repeated) / float64(kinds["pay"]); math.Abs(part-0.4) > 0.06 {
 		t.Errorf("%v of the keys are repeats", part)
 	}
-	if part := float64(r.Retries) / float64(looks); math.Abs(part-0.5) > 0.15 || early > 0 || r.By["503"]+r.Retries != looks {
-		t.Errorf("%d of %d came back, %d too early: %v", r.Retries, looks, early, r.By)
+	if part := float64(r.Retries) / float64(looks); math.Abs(part-0.5) > 0.15 || early > 0 || r.Outcomes["503"]+r.Retries != looks {
+		t.Errorf("%d of %d came back, %d too early: %v", r.Retries, looks, early, r.Outcomes)
 	}
 }
 
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	var n atomic.Int64
-	s := grpc.NewServer(grpc.ForceServerCodec(raw{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
+	s := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
 		var in []byte
 		if err := stream.RecvMsg(&in); err != nil {
 			return err
@@ -311,17 +311,17 @@
 	go s.Serve(ln)
 	t.Cleanup(s.Stop)
 	r := ask(t, plan(t, "rate = 500\nrequests = 300\nfollow = 0\n[[request]]\nname = \"pay\"\nprotocol = \"grpc\"\npath = \"/shop.Desk/Pay\"\nbody = \"pay\"\nheaders = [\"Customer: {customer}\"]\n"), ln.Addr().String())
-	if r.By["OK"] != 100 || r.By["Unavailable"] != 100 || r.By["Internal"] != 100 || r.Good != 100 {
-		t.Errorf("%v", r.By)
+	if r.Outcomes["OK"] != 100 || r.Outcomes["Unavailable"] != 100 || r.Outcomes["Internal"] != 100 || r.Good != 100 {
+		t.Errorf("%v", r.Outcomes)
 	}
 }
 
 // The schedule is the plan's alone, at its rate, and within its bounds.
 func TestSchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Plan{Seed: rapid.Uint64().Draw(t, "seed"), Rate: rapid.Float64Range(100, 5000).Draw(t, "rate"), Even: rapid.Bool().Draw(t, "even"), Duration: 2 * time.Second,
-			Requests: rapid.IntRange(1, 20_000).Draw(t, "requests"), Customers: rapid.IntRange(1, 100).Draw(t, "customers"), Plans: []Weight{{"a", 1}, {"b", 0}}, Kinds: []Kind{{Name: "x", Part: 1, Repeat: 0.3}, {Name: "y", Part: 1}}}
-		d, e := NewDrawer(p), NewDrawer(p)
+		p := &Plan{Seed: rapid.Uint64().Draw(t, "seed"), Rate: rapid.Float64Range(100, 5000).Draw(t, "rate"), EvenArrivals: rapid.Bool().Draw(t, "even"), Duration: 2 * time.Second,
+			MaxRequests: rapid.IntRange(1, 20_000).Draw(t, "requests"), Customers: rapid.IntRange(1, 100).Draw(t, "customers"), Plans: []Share{{"a", 1}, {"b", 0}}, Kinds: []RequestKind{{Name: "x", Weight: 1, RepeatKeyShare: 0.3}, {Name: "y", Weight: 1}}}
+		d, e := NewGenerator(p), NewGenerator(p)
 		n, last := 0, time.Duration(0)
 		seen := map[uint64]bool{}
 		for {
@@ -338,7 +338,7 @@
 			}
 			last, seen[s.Key] = s.At, true
 		}
-		if want := min(float64(p.Requests), 2*p.Rate); math.Abs(float64(n)-want) > 6*math.Sqrt(want)+2 {
+		if want := min(float64(p.MaxRequests), 2*p.Rate); math.Abs(float64(n)-want) > 6*math.Sqrt(want)+2 {
 			t.Fatalf("%d shots, want %v", n, want)
 		}
 	})
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -19,130 +19,130 @@
 
 // Plan is what is asked.
 type Plan struct {
-	Name        string
-	Seed        uint64
-	Rate        float64 // requests a second
-	Even        bool    // at even steps; else as a Poisson process
-	Duration    time.Duration
-	Requests    int           // at the most
-	Connections int           // that are open at once
-	Open        int           // requests that wait at once, for a connection or an answer; one more counts as lost
-	Timeout     time.Duration // of a request, from when it should have been asked
-	Follow      float64       // the share of clients that come back when a refusal says; others do not
-	Hasty       float64       // the share that comes back at once, whatever a refusal says; they are not among those that follow it
-	Tries       int           // of a client that comes back
-	Customers   int
-	FirstOne    int     // the number of the first customer
-	First       uint64  // that requests are numbered from, so that two plans' ids differ
-	Zipf        float64 // exponent of their popularity, above 1; 0: all alike
-	Plans       []Weight
-	Kinds       []Kind
-	MostLag     time.Duration // the 99th percentile of how late requests are asked, over which the run is not valid
+	Name             string
+	Seed             uint64
+	Rate             float64 // requests a second
+	EvenArrivals     bool    // at even steps; else as a Poisson process
+	Duration         time.Duration
+	MaxRequests      int           // at the most
+	Connections      int           // that are open at once
+	MaxOpen          int           // requests that wait at once, for a connection or an answer; one more counts as lost
+	Timeout          time.Duration // of a request, from when it should have been asked
+	FollowRetryAfter float64       // the share of clients that come back when a refusal says; others do not
+	RetryImmediately float64       // the share that comes back at once, whatever a refusal says; they are not among those that follow it
+	MaxTries         int           // of a client that comes back
+	Customers        int
+	FirstCustomer    int     // the number of the first customer
+	FirstNumber      uint64  // that requests are numbered from, so that two plans' ids differ
+	ZipfExponent     float64 // exponent of their popularity, above 1; 0: all alike
+	Plans            []Share
+	Kinds            []RequestKind
+	MaxLag           time.Duration // the 99th percentile of how late requests are asked, over which the run is not valid
 }
 
 // Weight is how much of something there is.
-type Weight struct {
-	Name string
-	Part float64
+type Share struct {
+	Name   string
+	Weight float64
 }
 
 // Kind is one kind of request. In Path, Headers and Body, {id}, {customer}, {plan}, {key} and {timeout} are filled in.
-type Kind struct {
-	Name    string
-	Part    float64
-	GRPC    bool // Path is a method such as /shop.Desk/Pay, Headers are metadata
-	Method  string
-	Path    string
-	Headers []Header
-	Body    string
-	Repeat  float64 // the share that asks again with the key of an earlier one
+type RequestKind struct {
+	Name           string
+	Weight         float64
+	GRPC           bool // Path is a method such as /shop.Desk/Pay, Headers are metadata
+	Method         string
+	Path           string
+	Headers        []Header
+	Body           string
+	RepeatKeyShare float64 // the share that asks again with the key of an earlier one
 }
 
 // Header is one field.
 type Header struct{ Name, Value string }
 
 // Shot is one request as it was drawn.
-type Shot struct {
-	At       time.Duration // from the run's start
-	Number   uint64
-	Kind     int
-	Customer int
-	Plan     string
-	Key      uint64
-	Follows  bool // its client follows advice
-	Hasty    bool // its client comes back at once
+type Request struct {
+	At                 time.Duration // from the run's start
+	Number             uint64
+	Kind               int
+	Customer           int
+	Plan               string
+	Key                uint64
+	FollowsRetryAfter  bool // its client follows advice
+	RetriesImmediately bool // its client comes back at once
 }
 
 const (
-	forTimes uint64 = iota + 1
-	forShot
-	forRun
+	streamArrivals uint64 = iota + 1
+	streamRequests
+	streamRun
 )
 
 // repeatWithin is how many earlier ones a repeated key is drawn from.
-const repeatWithin = 1000
+const maxRecentKeys = 1000
 
 // Drawer draws a plan's shots, one after another. The same plan gives the same shots.
-type Drawer struct {
-	p      *Plan
-	times  *rand.Rand
-	shots  *rand.Rand
-	zipf   *rand.Zipf
-	plans  eventqueue.WeightedPicker
-	kinds  eventqueue.WeightedPicker
-	at     time.Duration
-	number uint64
-	recent [][]uint64 // keys, by kind
+type Generator struct {
+	plan     *Plan
+	times    *rand.Rand
+	requests *rand.Rand
+	zipf     *rand.Zipf
+	plans    eventqueue.WeightedPicker
+	kinds    eventqueue.WeightedPicker
+	at       time.Duration
+	number   uint64
+	recent   [][]uint64 // keys, by kind
 }
 
 // NewDrawer begins to draw.
-func NewDrawer(p *Plan) *Drawer {
-	d := &Drawer{p: p, times: eventqueue.NewRand(p.Seed, forTimes), shots: eventqueue.NewRand(p.Seed, forShot), recent: make([][]uint64, len(p.Kinds))}
+func NewGenerator(p *Plan) *Generator {
+	d := &Generator{plan: p, times: eventqueue.NewRand(p.Seed, streamArrivals), requests: eventqueue.NewRand(p.Seed, streamRequests), recent: make([][]uint64, len(p.Kinds))}
 	var plans, kinds []float64
 	for _, v := range p.Plans {
-		plans = append(plans, v.Part)
+		plans = append(plans, v.Weight)
 	}
 	for _, k := range p.Kinds {
-		kinds = append(kinds, k.Part)
+		kinds = append(kinds, k.Weight)
 	}
 	d.plans, d.kinds = eventqueue.NewWeightedPicker(plans...), eventqueue.NewWeightedPicker(kinds...)
-	if p.Zipf > 0 && p.Customers > 1 {
-		d.zipf = rand.NewZipf(d.shots, p.Zipf, 1, uint64(p.Customers-1))
+	if p.ZipfExponent > 0 && p.Customers > 1 {
+		d.zipf = rand.NewZipf(d.requests, p.ZipfExponent, 1, uint64(p.Customers-1))
 	}
 	return d
 }
 
 // Next is the next shot, if the plan has one more.
-func (d *Drawer) Next() (Shot, bool) {
-	p := d.p
+func (d *Generator) Next() (Request, bool) {
+	p := d.plan
 	step := 1 / p.Rate
-	if !p.Even {
+	if !p.EvenArrivals {
 		step *= d.times.ExpFloat64()
 	}
 	d.at += time.Duration(step * float64(time.Second))
-	if d.at >= p.Duration || d.number >= uint64(p.Requests) {
-		return Shot{}, false
+	if d.at >= p.Duration || d.number >= uint64(p.MaxRequests) {
+		return Request{}, false
 	}
 	d.number++
-	s := Shot{At: d.at, Number: p.First + d.number, Plan: p.Plans[d.plans.Pick(d.shots.Float64())].Name,
-		Kind: d.kinds.Pick(d.shots.Float64()), Follows: d.shots.Float64() < p.Follow}
-	if p.Hasty > 0 {
-		s.Hasty = d.shots.Float64() < p.Hasty
-		s.Follows = s.Follows && !s.Hasty
+	s := Request{At: d.at, Number: p.FirstNumber + d.number, Plan: p.Plans[d.plans.Pick(d.requests.Float64())].Name,
+		Kind: d.kinds.Pick(d.requests.Float64()), FollowsRetryAfter: d.requests.Float64() < p.FollowRetryAfter}
+	if p.RetryImmediately > 0 {
+		s.RetriesImmediately = d.requests.Float64() < p.RetryImmediately
+		s.FollowsRetryAfter = s.FollowsRetryAfter && !s.RetriesImmediately
 	}
 	if d.zipf != nil {
 		s.Customer = int(d.zipf.Uint64())
 	} else {
-		s.Customer = d.shots.IntN(p.Customers)
+		s.Customer = d.requests.IntN(p.Customers)
 	}
-	s.Customer += p.FirstOne
+	s.Customer += p.FirstCustomer
 	s.Key = eventqueue.Mix(p.Seed ^ s.Number)
-	if keys := d.recent[s.Kind]; len(keys) > 0 && d.shots.Float64() < p.Kinds[s.Kind].Repeat {
-		s.Key = keys[d.shots.IntN(len(keys))]
+	if keys := d.recent[s.Kind]; len(keys) > 0 && d.requests.Float64() < p.Kinds[s.Kind].RepeatKeyShare {
+		s.Key = keys[d.requests.IntN(len(keys))]
 		return s, true
 	}
-	if p.Kinds[s.Kind].Repeat > 0 {
-		if d.recent[s.Kind] = append(d.recent[s.Kind], s.Key); len(d.recent[s.Kind]) > repeatWithin {
+	if p.Kinds[s.Kind].RepeatKeyShare > 0 {
+		if d.recent[s.Kind] = append(d.recent[s.Kind], s.Key); len(d.recent[s.Kind]) > maxRecentKeys {
 			d.recent[s.Kind] = d.recent[s.Kind][1:]
 		}
 	}
@@ -150,21 +150,21 @@
 }
 
 // fill puts a shot's values into a text.
-func fill(text string, s *Shot, try int, timeout time.Duration) string {
+func expand(text string, s *Request, try int, timeout time.Duration) string {
 	if !strings.Contains(text, "{") {
 		return text
 	}
-	return strings.NewReplacer("{id}", id(s, try), "{customer}", fmt.Sprintf("%016x", s.Customer), "{plan}", s.Plan,
+	return strings.NewReplacer("{id}", requestID(s, try), "{customer}", fmt.Sprintf("%016x", s.Customer), "{plan}", s.Plan,
 		"{key}", fmt.Sprintf("%016x", s.Key), "{timeout}", fmt.Sprintf("%.3f", timeout.Seconds())).Replace(text)
 }
 
 // id names a try.
-func id(s *Shot, try int) string {
+func requestID(s *Request, try int) string {
 	return fmt.Sprintf("%016x", eventqueue.Mix(s.Number<<8|uint64(try)))
 }
 
 // platform are the fields of the platform's dialect.
-func platform(class string) []Header {
+func platformHeaders(class string) []Header {
 	return []Header{{"Request-Id", "{id}"}, {"Request-Class", class}, {"X-Tier", "{plan}"}, {"X-Api-Key", "{customer}"}, {"Request-Timeout", "{timeout}"},
 		{"X-Call-Terms", "units=1,spread=1,first=0"}, {"Idempotency-Key", "{key}"}}
 }
@@ -176,26 +176,26 @@
 		return nil, err
 	}
 	s := d.Top()
-	p := &Plan{Name: s.Text("name", true), Seed: uint64(s.Int("seed", 1, 0, math.MaxInt)), Rate: s.Float("rate", 100, 1e-3, 1e6), Even: s.OneOf("arrivals", "poisson", "poisson", "even") == 1,
-		Duration: s.Duration("duration", 10*time.Second, time.Millisecond, 24*time.Hour), Requests: s.Int("requests", 1_000_000, 1, 1e9), Connections: s.Int("connections", 64, 1, 60_000),
-		Open: s.Int("open", 10_000, 1, 1_000_000), Timeout: s.Duration("timeout", 10*time.Second, time.Millisecond, time.Hour), Follow: s.Float("follow", 0, 0, 1), Hasty: s.Float("hasty", 0, 0, 1),
-		Tries: s.Int("tries", 3, 1, 100), Customers: s.Int("customers", 100, 1, 1e9), Zipf: s.Float("zipf", 0, 0, 10), MostLag: s.Duration("most_lag", 10*time.Millisecond, time.Microsecond, time.Minute)}
-	if p.Zipf > 0 && p.Zipf <= 1 {
-		s.Problemf("zipf", "%v is not above 1, nor 0 for customers that are alike", p.Zipf)
+	p := &Plan{Name: s.Text("name", true), Seed: uint64(s.Int("seed", 1, 0, math.MaxInt)), Rate: s.Float("rate", 100, 1e-3, 1e6), EvenArrivals: s.OneOf("arrivals", "poisson", "poisson", "even") == 1,
+		Duration: s.Duration("duration", 10*time.Second, time.Millisecond, 24*time.Hour), MaxRequests: s.Int("requests", 1_000_000, 1, 1e9), Connections: s.Int("connections", 64, 1, 60_000),
+		MaxOpen: s.Int("open", 10_000, 1, 1_000_000), Timeout: s.Duration("timeout", 10*time.Second, time.Millisecond, time.Hour), FollowRetryAfter: s.Float("follow", 0, 0, 1), RetryImmediately: s.Float("hasty", 0, 0, 1),
+		MaxTries: s.Int("tries", 3, 1, 100), Customers: s.Int("customers", 100, 1, 1e9), ZipfExponent: s.Float("zipf", 0, 0, 10), MaxLag: s.Duration("most_lag", 10*time.Millisecond, time.Microsecond, time.Minute)}
+	if p.ZipfExponent > 0 && p.ZipfExponent <= 1 {
+		s.Problemf("zipf", "%v is not above 1, nor 0 for customers that are alike", p.ZipfExponent)
 	}
 	for _, e := range s.List("plan") {
-		p.Plans = append(p.Plans, Weight{e.Text("name", true), e.Float("share", 1, 0, 1e6)})
+		p.Plans = append(p.Plans, Share{e.Text("name", true), e.Float("share", 1, 0, 1e6)})
 		e.RejectUnknownKeys()
 	}
 	if len(p.Plans) == 0 {
-		p.Plans = []Weight{{"everyone", 1}}
+		p.Plans = []Share{{"everyone", 1}}
 	}
 	for _, e := range s.List("request") {
-		p.Kinds = append(p.Kinds, readKind(e))
+		p.Kinds = append(p.Kinds, parseKind(e))
 	}
 	sum := 0.0
 	for _, k := range p.Kinds {
-		sum += k.Part
+		sum += k.Weight
 	}
 	if len(p.Kinds) == 0 || sum <= 0 {
 		d.Problemf("", "request", "there is none with a share: [[request]] with a name and a path")
@@ -207,9 +207,9 @@
 	return p, nil
 }
 
-func readKind(e *settings.Section) Kind {
-	k := Kind{Name: e.Text("name", true), Part: e.Float("share", 1, 0, 1e6), GRPC: e.OneOf("protocol", "http", "http", "grpc") == 1, Path: e.Text("path", true),
-		Body: e.Text("body", false), Repeat: e.Float("repeat_key", 0, 0, 1)}
+func parseKind(e *settings.Section) RequestKind {
+	k := RequestKind{Name: e.Text("name", true), Weight: e.Float("share", 1, 0, 1e6), GRPC: e.OneOf("protocol", "http", "http", "grpc") == 1, Path: e.Text("path", true),
+		Body: e.Text("body", false), RepeatKeyShare: e.Float("repeat_key", 0, 0, 1)}
 	usual := http.MethodGet
 	if k.Body != "" {
 		usual = http.MethodPost
@@ -224,7 +224,7 @@
 		e.Problemf("path", "%q is no method such as /shop.Desk/Pay", k.Path)
 	}
 	if e.OneOf("dialect", "plain", "plain", "platform") == 1 {
-		k.Headers = platform(k.Name)
+		k.Headers = platformHeaders(k.Name)
 		if k.Path == "/" {
 			k.Path = "/" + k.Name
 		}
@@ -241,7 +241,7 @@
 }
 
 // Change puts another rate and duration into a plan; 0 and empty leave the plan's.
-func (p *Plan) Change(rate float64, duration string) error {
+func (p *Plan) Override(rate float64, duration string) error {
 	if rate != 0 {
 		if !(rate >= 1e-3 && rate <= 1e6) {
 			return fmt.Errorf("a rate of %v a second: 0.001 to 1e6", rate)
--- a/internal/load/ways.go
+++ b/internal/load/ways.go
@@ -23,14 +23,14 @@
 type reply struct {
 	status     string        // such as 200, OK, 503; of what has none, why
 	good       bool          // answered well
-	refused    bool          // and asking again is harmless
+	rejected   bool          // and asking again is harmless
 	retryAfter time.Duration // as it was told; 0: it was not
 	bytes      int64
 }
 
 // way asks once.
-type way interface {
-	ask(ctx context.Context, target string, k *Kind, s *Shot, try int, left time.Duration) reply
+type client interface {
+	send(ctx context.Context, target string, k *RequestKind, s *Request, try int, left time.Duration) reply
 	close()
 }
 
@@ -38,7 +38,7 @@
 var ErrNotLoopback = errors.New("the target is not on this machine")
 
 // loopback tells whether a target is on this machine; a name must be localhost.
-func loopback(target string) error {
+func requireLoopback(target string) error {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
 		return fmt.Errorf("%q is no host:port: %w", target, err)
@@ -50,34 +50,34 @@
 }
 
 // overHTTP asks over HTTP/1.1.
-type overHTTP struct{ transport *http.Transport }
+type httpClient struct{ transport *http.Transport }
 
-func newHTTP(conns int) *overHTTP {
-	return &overHTTP{&http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, MaxIdleConns: conns, DisableCompression: true, IdleConnTimeout: 30 * time.Second}}
+func newHTTPClient(conns int) *httpClient {
+	return &httpClient{&http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, MaxIdleConns: conns, DisableCompression: true, IdleConnTimeout: 30 * time.Second}}
 }
 
-func (w *overHTTP) close() { w.transport.CloseIdleConnections() }
+func (w *httpClient) close() { w.transport.CloseIdleConnections() }
 
-func (w *overHTTP) ask(ctx context.Context, target string, k *Kind, s *Shot, try int, left time.Duration) reply {
-	req, err := http.NewRequestWithContext(ctx, k.Method, "http://"+target+fill(k.Path, s, try, left), strings.NewReader(fill(k.Body, s, try, left)))
+func (w *httpClient) send(ctx context.Context, target string, k *RequestKind, s *Request, try int, left time.Duration) reply {
+	req, err := http.NewRequestWithContext(ctx, k.Method, "http://"+target+expand(k.Path, s, try, left), strings.NewReader(expand(k.Body, s, try, left)))
 	if err != nil {
 		return reply{status: "no request"}
 	}
 	for _, h := range k.Headers {
-		req.Header.Add(h.Name, fill(h.Value, s, try, left))
+		req.Header.Add(h.Name, expand(h.Value, s, try, left))
 	}
 	res, err := w.transport.RoundTrip(req)
 	if err != nil {
-		return reply{status: why(err)}
+		return reply{status: errorName(err)}
 	}
 	n, err := io.Copy(io.Discard, res.Body)
 	res.Body.Close()
 	r := reply{status: strconv.Itoa(res.StatusCode), bytes: n, good: res.StatusCode < 400}
 	if err != nil {
-		r.status, r.good = "cut, "+why(err), false
+		r.status, r.good = "cut, "+errorName(err), false
 	}
 	if after := res.Header.Get("Retry-After"); after != "" && (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests) {
-		r.refused = true
+		r.rejected = true
 		if seconds, err := strconv.ParseFloat(after, 64); err == nil && seconds >= 0 && seconds < 1e6 {
 			r.retryAfter = time.Duration(seconds * float64(time.Second))
 		}
@@ -86,7 +86,7 @@
 }
 
 // why names an error in a word, so that equal ones count together.
-func why(err error) string {
+func errorName(err error) string {
 	var op *net.OpError
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
@@ -102,22 +102,22 @@
 }
 
 // raw carries messages as they are.
-type raw struct{}
+type rawCodec struct{}
 
-func (raw) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
-func (raw) Unmarshal(text []byte, v any) error {
+func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
+func (rawCodec) Unmarshal(text []byte, v any) error {
 	*v.(*[]byte) = append([]byte(nil), text...)
 	return nil
 }
-func (raw) Name() string { return "proto" }
+func (rawCodec) Name() string { return "proto" }
 
 // overGRPC makes unary calls, on some connections in turn.
-type overGRPC struct{ conns []*grpc.ClientConn }
+type grpcClient struct{ conns []*grpc.ClientConn }
 
-func newGRPC(target string, conns int) (*overGRPC, error) {
-	w := &overGRPC{}
+func newGRPCClient(target string, conns int) (*grpcClient, error) {
+	w := &grpcClient{}
 	for range min(conns, 16) { // each carries many calls at once
-		c, err := grpc.NewClient("passthrough:///"+target, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.ForceCodec(raw{})), grpc.WithDisableRetry())
+		c, err := grpc.NewClient("passthrough:///"+target, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.ForceCodec(rawCodec{})), grpc.WithDisableRetry())
 		if err != nil {
 			w.close()
 			return nil, err
@@ -127,18 +127,18 @@
 	return w, nil
 }
 
-func (w *overGRPC) close() {
+func (w *grpcClient) close() {
 	for _, c := range w.conns {
 		_ = c.Close()
 	}
 }
 
-func (w *overGRPC) ask(ctx context.Context, _ string, k *Kind, s *Shot, try int, left time.Duration) reply {
+func (w *grpcClient) send(ctx context.Context, _ string, k *RequestKind, s *Request, try int, left time.Duration) reply {
 	var pairs []string
 	for _, h := range k.Headers {
-		pairs = append(pairs, strings.ToLower(h.Name), fill(h.Value, s, try, left))
+		pairs = append(pairs, strings.ToLower(h.Name), expand(h.Value, s, try, left))
 	}
-	in, out := []byte(fill(k.Body, s, try, left)), []byte(nil)
+	in, out := []byte(expand(k.Body, s, try, left)), []byte(nil)
 	var trailer metadata.MD
 	err := w.conns[s.Number%uint64(len(w.conns))].Invoke(metadata.AppendToOutgoingContext(ctx, pairs...), k.Path, &in, &out, grpc.Trailer(&trailer))
 	code := status.Code(err)
@@ -148,12 +148,12 @@
 	}
 	if push := trailer.Get("grpc-retry-pushback-ms"); len(push) > 0 && (code == codes.Unavailable || code == codes.ResourceExhausted) {
 		if ms, err := strconv.Atoi(push[0]); err == nil && ms >= 0 {
-			r.refused, r.retryAfter = true, time.Duration(ms)*time.Millisecond
+			r.rejected, r.retryAfter = true, time.Duration(ms)*time.Millisecond
 		}
 	}
 	for _, d := range status.Convert(err).Details() {
 		if info, ok := d.(*errdetails.RetryInfo); ok && r.retryAfter == 0 {
-			r.refused, r.retryAfter = true, info.GetRetryDelay().AsDuration()
+			r.rejected, r.retryAfter = true, info.GetRetryDelay().AsDuration()
 		}
 	}
 	return r
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -123,7 +123,7 @@
 			<-r.Context().Done()
 		}
 	})
-	ctx, stop := context.WithTimeout(t.Context(), testkit.Patient)
+	ctx, stop := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 	defer stop()
 	(&Discovery{PollWithin: within}).followAddr(ctx, addr, from, 0, retry, func(u EndpointUpdate) {
 		if u.Seq == 43 && call == 0 {
@@ -132,7 +132,7 @@
 		}
 	})
 	if call == 0 {
-		return testkit.Patient, 0
+		return testkit.WaitTimeout, 0
 	}
 	return delay, call
 }
@@ -153,9 +153,9 @@
 	var gateways sync.WaitGroup
 	for seed := range uint64(12) {
 		gateways.Go(func() {
-			ctx, stop := context.WithTimeout(t.Context(), testkit.Patient)
+			ctx, stop := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 			defer stop()
-			addrs, delay := make(chan string, 1), testkit.Patient
+			addrs, delay := make(chan string, 1), testkit.WaitTimeout
 			var moved time.Time
 			d := &Discovery{Addr: before, FromVersion: FromFullUpdate, AddrChanges: addrs, PollWithin: time.Minute, Seed: seed}
 			d.Follow(ctx, func(u EndpointUpdate) {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -40,7 +40,7 @@
 	lists := make(chan EndpointUpdate, 10)
 	from := int64(41)
 	for want, wantSeq := range []int64{42, 42, 43} {
-		ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
+		ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 		err := (&Discovery{}).watch(ctx, &http.Transport{}, addr, watchTimeouts{silence: time.Second}, &from,
 			func(u EndpointUpdate) { lists <- u })
 		if err == nil || ctx.Err() != nil || from != wantSeq {
@@ -179,7 +179,7 @@
 	}
 	const indented = "{\n  \"seq\": 42,\n  \"whole\": true,\n\n  \"hosts\": [\n    " + entry + "\n  ]\n}\n\n"
 	short := watchTimeouts{silence: 200 * time.Millisecond}
-	shortFirst := watchTimeouts{first: 200 * time.Millisecond, silence: testkit.Patient}
+	shortFirst := watchTimeouts{first: 200 * time.Millisecond, silence: testkit.WaitTimeout}
 	for _, c := range []struct {
 		name     string
 		timeouts watchTimeouts
@@ -202,7 +202,7 @@
 		{"no response", shortFirst, func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 		}, errSilent, 0},
-		{"an update without end", watchTimeouts{silence: testkit.Patient}, func(w http.ResponseWriter, r *http.Request) {
+		{"an update without end", watchTimeouts{silence: testkit.WaitTimeout}, func(w http.ResponseWriter, r *http.Request) {
 			flushed(w, fmt.Sprintf(indented, 7, "Ready")+`{"seq":43,"whole":false,"hosts":[`)
 			for r.Context().Err() == nil {
 				flushed(w, strings.Repeat(" ", 1<<16))
@@ -210,7 +210,7 @@
 		}, errEntryTooLong, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient/2)
+			ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout/2)
 			defer cancel()
 			from, updates := int64(1), 0
 			addr := testkit.Serve(t, c.handle)
--- a/internal/platform/sync_test.go
+++ b/internal/platform/sync_test.go
@@ -36,7 +36,7 @@
 	}()
 	sync := func(since time.Time, want int64) {
 		t.Helper()
-		long, stop := context.WithTimeout(t.Context(), testkit.Patient)
+		long, stop := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 		defer stop()
 		if err := source.Sync(long, since); err != nil || reported.Load() < want {
 			t.Fatalf("synced (%v) with version %d reported, want %d", err, reported.Load(), want)
--- a/internal/platform/updates_test.go
+++ b/internal/platform/updates_test.go
@@ -307,7 +307,7 @@
 		var updates []EndpointUpdate
 		from := int64(9)
 		transport := bodyTransport{&chunkReader{text.String() + behind, 1 << 20, io.ErrUnexpectedEOF}}
-		err := (&Discovery{}).watch(t.Context(), transport, "agent", watchTimeouts{silence: testkit.Patient}, &from,
+		err := (&Discovery{}).watch(t.Context(), transport, "agent", watchTimeouts{silence: testkit.WaitTimeout}, &from,
 			func(u EndpointUpdate) { updates = append(updates, u) })
 		if err == nil || want != nil && !errors.Is(err, want) {
 			t.Errorf("%q: ended with %v", behind, err)
--- a/internal/platformtransport/attempt_test.go
+++ b/internal/platformtransport/attempt_test.go
@@ -25,7 +25,7 @@
 	for name, m := range map[string]*Request{"GET": getRequest, "POST with a key": keyedPost} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int64
-			addr := testkit.Raw(t, func(n int, conn net.Conn) {
+			addr := testkit.ServeRaw(t, func(n int, conn net.Conn) {
 				requests.Add(1)
 				if n == 1 {
 					io.WriteString(conn, okResponse)
@@ -34,7 +34,7 @@
 				}
 			})
 			tr, id := newTransport(t, addr)
-			ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
+			ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 			defer cancel()
 			if r := tr.send(ctx, id, m); r.Result != decision.Succeeded {
 				t.Fatalf("the first attempt ended as %v", r.Result)
@@ -100,8 +100,8 @@
 			decision.Succeeded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tr, id := newTransport(t, testkit.Raw(t, c.backend))
-			ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
+			tr, id := newTransport(t, testkit.ServeRaw(t, c.backend))
+			ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 			defer cancel()
 			if r := tr.send(ctx, id, keyedPost); r.Result != c.want || r.HasUsage || r.LoadReport != nil {
 				t.Errorf("%v, want %v; usage %v, load %v", r.Result, c.want, r.HasUsage, r.LoadReport)
@@ -123,7 +123,7 @@
 		t.Errorf("connection refused: %v", r.Result)
 	}
 
-	tr, id = newTransport(t, testkit.Raw(t, func(_ int, _ net.Conn) { <-t.Context().Done() }))
+	tr, id = newTransport(t, testkit.ServeRaw(t, func(_ int, _ net.Conn) { <-t.Context().Done() }))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	if r := tr.send(ctx, id, keyedPost); r.Result != decision.TimedOut {
@@ -131,7 +131,7 @@
 	}
 
 	read := make(chan bool, 1)
-	tr, id = newTransport(t, testkit.Raw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() }))
+	tr, id = newTransport(t, testkit.ServeRaw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() }))
 	ctx, cancel = context.WithCancel(t.Context())
 	go func() { <-read; cancel() }()
 	if r := tr.send(ctx, id, keyedPost); r.Result != decision.Cancelled {
@@ -164,7 +164,7 @@
 func newDrainTest(t *testing.T) *drainTest {
 	t.Helper()
 	d := &drainTest{dialing: make(chan bool, 1), proceed: make(chan bool), requests: make(chan int, 10)}
-	addr := testkit.Raw(t, func(n int, conn net.Conn) {
+	addr := testkit.ServeRaw(t, func(n int, conn net.Conn) {
 		d.requests <- n
 		io.WriteString(conn, okResponse)
 	})
@@ -222,7 +222,7 @@
 // A request must not leave after a given time. Later it must not be written, on a new connection or an idle one.
 func TestRoundTrip_NotAfter(t *testing.T) {
 	requests := 0
-	tr, id := newTransport(t, testkit.Raw(t, func(_ int, conn net.Conn) {
+	tr, id := newTransport(t, testkit.ServeRaw(t, func(_ int, conn net.Conn) {
 		requests++
 		io.WriteString(conn, okResponse)
 	}))
@@ -235,7 +235,7 @@
 		{-time.Second, decision.NotSent},
 		{0, decision.Succeeded},
 	} {
-		a := executor.NewAttempt(id, time.Now().Add(testkit.Patient), keyedPost)
+		a := executor.NewAttempt(id, time.Now().Add(testkit.WaitTimeout), keyedPost)
 		if c.notAfter != 0 {
 			a.NotAfter = time.Now().Add(c.notAfter)
 		}
@@ -269,7 +269,7 @@
 		}
 		io.WriteString(w, "queue=3,qps=9\n")
 	}))
-	p := tr.Probe(id, testkit.Patient)
+	p := tr.Probe(id, testkit.WaitTimeout)
 	if p.Result != decision.Succeeded || !slices.Equal(p.LoadReport, []float64{3, 9}) {
 		t.Errorf("%+v", p)
 	}
--- a/internal/platformtransport/connection_test.go
+++ b/internal/platformtransport/connection_test.go
@@ -72,7 +72,7 @@
 // Attempts in flight hold sockets, of which a gateway may have only so many. One too many must not be sent.
 func TestConnections_Limit(t *testing.T) {
 	read := make(chan bool, 1)
-	addr := testkit.Raw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() })
+	addr := testkit.ServeRaw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() })
 	config := testConfig()
 	config.MaxConns = 1
 	tr := newTableTransport(t, config)
@@ -117,7 +117,7 @@
 func trySurplusBytes(t *testing.T, surplus string, late bool) bool {
 	t.Helper()
 	conns, took := map[net.Conn]bool{}, make(chan time.Duration, 10)
-	addr := testkit.Raw(t, func(_ int, conn net.Conn) {
+	addr := testkit.ServeRaw(t, func(_ int, conn net.Conn) {
 		conns[conn] = true
 		start := time.Now()
 		if late {
@@ -149,7 +149,7 @@
 // One response of several is invalid. Its connection must be closed, and the others kept.
 func TestConnections_InvalidResponseClosesOnlyItsOwn(t *testing.T) {
 	proceed, read := make(chan bool), make(chan bool, 2)
-	addr := testkit.Raw(t, func(n int, conn net.Conn) {
+	addr := testkit.ServeRaw(t, func(n int, conn net.Conn) {
 		if n <= 2 {
 			read <- true
 			<-proceed
@@ -185,7 +185,7 @@
 func TestConnections_RemovedBackendsAreForgotten(t *testing.T) {
 	const backends = 20
 	conns := map[net.Conn]bool{}
-	addr := testkit.Raw(t, func(_ int, conn net.Conn) { conns[conn] = true; io.WriteString(conn, okResponse) })
+	addr := testkit.ServeRaw(t, func(_ int, conn net.Conn) { conns[conn] = true; io.WriteString(conn, okResponse) })
 	tr := newTableTransport(t, testConfig())
 	name := func(i int) string { return "s-" + string(rune('a'+i)) }
 	ids := map[decision.BackendID]bool{}
--- a/internal/platformtransport/harness_test.go
+++ b/internal/platformtransport/harness_test.go
@@ -88,7 +88,7 @@
 func (tr *tableTransport) send(ctx context.Context, id decision.BackendID, m *Request) executor.Response {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(testkit.Patient)
+		deadline = time.Now().Add(testkit.WaitTimeout)
 	}
 	a := executor.NewAttempt(id, deadline, m)
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/platformtransport/update_cost_test.go
+++ b/internal/platformtransport/update_cost_test.go
@@ -30,7 +30,7 @@
 // so that the lock is held for one batch at a time.
 func TestApply_Batches(t *testing.T) {
 	const backends = 100
-	addr := testkit.Raw(t, write(okResponse))
+	addr := testkit.ServeRaw(t, write(okResponse))
 	var tr *Transport
 	var known []int // backends at each closing, under the lock
 	config := testConfig()
@@ -48,7 +48,7 @@
 	}
 	tr.Apply(changes)
 	for i := range backends {
-		a := executor.NewAttempt(decision.BackendID(i+1), time.Now().Add(testkit.Patient), getRequest)
+		a := executor.NewAttempt(decision.BackendID(i+1), time.Now().Add(testkit.WaitTimeout), getRequest)
 		if r := tr.RoundTrip(a); r.Result != decision.Succeeded {
 			t.Fatal(r.Result)
 		}
--- a/internal/processtest/crowd_test.go
+++ b/internal/processtest/crowd_test.go
@@ -16,7 +16,7 @@
 )
 
 // crowd has so many clients hold connections to a door until ctx ends: each says something, rests until the door ends it, and comes again a tick later.
-func crowd(ctx context.Context, clients int, addr, says string, again time.Duration, ran *sync.WaitGroup) {
+func holdConnections(ctx context.Context, clients int, addr, says string, again time.Duration, ran *sync.WaitGroup) {
 	for range clients {
 		ran.Go(func() {
 			tick := time.NewTicker(again)
@@ -52,16 +52,16 @@
 		{"G", 500 * time.Millisecond},
 		{"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 20 * time.Millisecond}, // they come again and again
 	}
-	f := deploy(t, Shape{Doors: len(forms), Backends: 6, Work: 5 * time.Millisecond, Slots: 16, Queue: 64, Relayed: true, Descriptors: descriptors, MiB: 192})
+	f := deploy(t, Config{Gateways: len(forms), Backends: 6, WorkTime: 5 * time.Millisecond, Slots: 16, Queue: 64, Relayed: true, Descriptors: descriptors, MemoryMB: 192})
 	heard := func() {
 		t.Helper()
-		for _, d := range f.Doors {
+		for _, d := range f.Gateways {
 			if _, err := d.Process.Await(fmt.Sprint("seq=", d.Agent.List().Seq)); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	f.Tell("Gone", 3, 4, 5)
+	f.SetHealth("Gone", 3, 4, 5)
 	heard()
 	ctx, stop := context.WithCancel(t.Context())
 	var crowds sync.WaitGroup
@@ -72,58 +72,58 @@
 		t.Helper()
 		var asking sync.WaitGroup
 		var served atomic.Int64
-		for _, d := range f.Doors {
+		for _, d := range f.Gateways {
 			for range atOnce {
 				asking.Go(func() {
 					for range requests / atOnce {
-						a := fakes.Ask{ID: 0xc0000 + uint64(id.Add(1)), Class: "look", Plan: "big", Customer: 7, Spread: len(f.Doors), Timeout: 2 * time.Second}
+						a := fakes.Request{ID: 0xc0000 + uint64(id.Add(1)), Class: "look", Plan: "big", Customer: 7, GatewaySpread: len(f.Gateways), Timeout: 2 * time.Second}
 						tr := &http.Transport{DisableKeepAlives: true}
 						r := a.Do(ctx, tr, d.Addr)
-						if r.Status == 0 && len(f.Ledger.Of(a.RequestID())) == 0 { // shut before it was read: its client asks once more
+						if r.Status == 0 && len(f.Ledger.ForRequest(a.RequestID())) == 0 { // shut before it was read: its client asks once more
 							again.Add(1)
 							r = a.Do(ctx, tr, d.Addr)
 						}
 						switch {
 						case r.Status == http.StatusOK:
 							served.Add(1)
-						case r.Status == 0 && len(f.Ledger.Of(a.RequestID())) == 0:
+						case r.Status == 0 && len(f.Ledger.ForRequest(a.RequestID())) == 0:
 							shut.Add(1)
 						case r.String() != "refused":
-							t.Errorf("%s: %s: %v after %v: %v, %d attempts", what, d.Name, r, r.Took, r.Err, len(f.Ledger.Of(a.RequestID())))
+							t.Errorf("%s: %s: %v after %v: %v, %d attempts", what, d.Name, r, r.Latency, r.Err, len(f.Ledger.ForRequest(a.RequestID())))
 						}
 					}
 				})
 			}
 		}
 		asking.Wait()
-		if all := int64(requests * len(f.Doors)); served.Load() < all*9/10 {
+		if all := int64(requests * len(f.Gateways)); served.Load() < all*9/10 {
 			t.Errorf("%s: %d of %d are served, %d were shut unread until then", what, served.Load(), all, again.Load())
 		}
 	}
-	for i, d := range f.Doors {
-		crowd(ctx, clients, d.Addr, forms[i].says, forms[i].again, &crowds)
+	for i, d := range f.Gateways {
+		holdConnections(ctx, clients, d.Addr, forms[i].says, forms[i].again, &crowds)
 	}
 	ask("before")
-	for i, d := range f.Doors {
+	for i, d := range f.Gateways {
 		d.Agent.SetDown(true)
 		if d.Number%2 == 0 {
-			d.Watch.Refuse()
-			d.Watch.Reset()
+			d.DiscoveryRelay.Refuse()
+			d.DiscoveryRelay.Reset()
 		}
-		crowd(ctx, clients, d.Addr, forms[i].says, forms[i].again, &crowds)
+		holdConnections(ctx, clients, d.Addr, forms[i].says, forms[i].again, &crowds)
 	}
 	for lost := time.Now(); time.Since(lost) < 3500*time.Millisecond; { // longer than a watch may be silent
 		ask("meanwhile")
 	}
-	f.Tell("Terminating", 0, 1, 2)
-	f.Tell("Ready", 3, 4, 5)
+	f.SetHealth("Terminating", 0, 1, 2)
+	f.SetHealth("Ready", 3, 4, 5)
 	back := time.Now()
-	for _, d := range f.Doors {
-		d.Watch.Heal()
+	for _, d := range f.Gateways {
+		d.DiscoveryRelay.Heal()
 		d.Agent.SetDown(false)
 	}
 	heard()
-	for _, d := range f.Doors {
+	for _, d := range f.Gateways {
 		held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.Process.cmd.Process.Pid))
 		t.Logf("%s holds %d descriptors (%v)", d.Name, len(held), err)
 	}
@@ -132,10 +132,10 @@
 	} else {
 		t.Logf("the return was heard after %v", late)
 	}
-	for time.Since(back) < Grace+500*time.Millisecond {
+	for time.Since(back) < DrainGrace+500*time.Millisecond {
 		ask("after")
 	}
-	notStale(t, f)
+	requireNoStaleAttempts(t, f)
 	t.Logf("of %d requests %d were shut before they were read, %d once more", id.Load(), again.Load(), shut.Load())
 	// A connection whose client is slow to write may be shut for the next, so this depends on the machine: on two busy cores it was one in a hundred once more
 	// with clients that came again after 0.2 s. With the newest shut in place of the slowest it is one in four.
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -16,13 +16,13 @@
 )
 
 // patience is how long the rig waits for something that must happen: it fails then, and only then.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // keepLines is how many of a process's last lines are kept.
-const keepLines = 2000
+const maxLines = 2000
 
 // Program builds the program, once for all who ask in this process, and tells where it is; End removes it.
-var Program = sync.OnceValues(func() (string, error) {
+var BuildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "pumicecroft-rig")
 	if err != nil {
 		return "", err
@@ -39,32 +39,32 @@
 })
 
 // End removes what Program has built. A test's main calls it last.
-func End() {
-	if path, err := Program(); err == nil {
+func RemoveProgram() {
+	if path, err := BuildProgram(); err == nil {
 		_ = os.RemoveAll(filepath.Dir(path))
 	}
 }
 
 // Process is one process of the program. It is safe for concurrent use.
 type Process struct {
-	cmd  *exec.Cmd
-	gone chan struct{} // closed when it has ended
+	cmd    *exec.Cmd
+	exited chan struct{} // closed when it has ended
 
-	mu    sync.Mutex
-	lines []string
-	heard chan struct{} // closed at the next line, or its end
-	err   error         // how it ended
+	mu      sync.Mutex
+	lines   []string
+	newLine chan struct{} // closed at the next line, or its end
+	err     error         // how it ended
 }
 
 // start starts the program with arguments and an environment beside this one's. It may hold so many descriptors as the platform allows, and
 // the system keeps it to that.
-func start(descriptors int, env []string, args ...string) (*Process, error) {
-	path, err := Program()
+func startProcess(descriptors int, env []string, args ...string) (*Process, error) {
+	path, err := BuildProgram()
 	if err != nil {
 		return nil, err
 	}
 	limited := append([]string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, descriptors), path}, args...)
-	p := &Process{cmd: exec.Command("/bin/sh", limited...), gone: make(chan struct{}), heard: make(chan struct{})}
+	p := &Process{cmd: exec.Command("/bin/sh", limited...), exited: make(chan struct{}), newLine: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	r, w, err := os.Pipe()
@@ -85,11 +85,11 @@
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		p.mu.Lock()
-		if p.lines = append(p.lines, lines.Text()); len(p.lines) > keepLines {
+		if p.lines = append(p.lines, lines.Text()); len(p.lines) > maxLines {
 			p.lines = p.lines[1:]
 		}
-		close(p.heard)
-		p.heard = make(chan struct{})
+		close(p.newLine)
+		p.newLine = make(chan struct{})
 		p.mu.Unlock()
 	}
 	r.Close()
@@ -97,7 +97,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.err = err
-	close(p.gone)
+	close(p.exited)
 }
 
 // Lines are the last that it has said.
@@ -109,11 +109,11 @@
 
 // Await waits for a line that holds a text, and tells it.
 func (p *Process) Await(text string) (string, error) {
-	end := time.NewTimer(patience)
+	end := time.NewTimer(waitTimeout)
 	defer end.Stop()
 	for {
 		p.mu.Lock()
-		heard := p.heard
+		heard := p.newLine
 		for _, l := range p.lines {
 			if strings.Contains(l, text) {
 				p.mu.Unlock()
@@ -123,7 +123,7 @@
 		p.mu.Unlock()
 		select {
 		case <-heard:
-		case <-p.gone:
+		case <-p.exited:
 			return "", fmt.Errorf("it has ended (%w) and never said %q: %s", p.err, text, strings.Join(p.Lines(), "\n"))
 		case <-end.C:
 			return "", fmt.Errorf("it never said %q: %s", text, strings.Join(p.Lines(), "\n"))
@@ -141,7 +141,7 @@
 // Alive tells whether it has not ended.
 func (p *Process) Alive() bool {
 	select {
-	case <-p.gone:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -151,25 +151,25 @@
 // Kill ends it at once, and waits for that.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	<-p.gone
+	<-p.exited
 }
 
 // Term tells it to end and waits until it has.
-func (p *Process) Term() error {
+func (p *Process) Terminate() error {
 	p.Signal(syscall.SIGTERM)
 	select {
-	case <-p.gone:
+	case <-p.exited:
 		return p.err
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.Kill()
 		return errors.New("it did not end after SIGTERM")
 	}
 }
 
 // Stop has it stand still, and tells when it does: the system has taken it off all processors.
-func (p *Process) Stop() error {
+func (p *Process) Pause() error {
 	p.Signal(syscall.SIGSTOP)
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		if err != nil {
 			return err
@@ -183,4 +183,4 @@
 }
 
 // Go has it go on.
-func (p *Process) Go() { p.Signal(syscall.SIGCONT) }
+func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
--- a/internal/processtest/relay.go
+++ b/internal/processtest/relay.go
@@ -9,13 +9,13 @@
 )
 
 // Way is a direction through a relay.
-type Way int
+type Direction int
 
 // The ways.
 const (
-	Up   Way = 1 << iota // from who dialled to who listens
-	Down                 // back
-	Both = Up | Down
+	Upstream       Direction = 1 << iota // from who dialled to who listens
+	Downstream                           // back
+	BothDirections = Upstream | Downstream
 )
 
 // Relay stands between who dials and who listens, on loopback, and does to what passes as it is told. What is stalled passes when that
@@ -25,23 +25,23 @@
 	ln     net.Listener
 	rng    *rand.Rand
 
-	mu      sync.Mutex
-	stalled Way
-	delay   time.Duration
-	refuses bool
-	loses   float64 // share of new connections that come up and are silent for good
-	conns   map[*passage]bool
-	changed chan struct{} // closed at the next change
-	opened  int
-	closed  bool
-	ran     sync.WaitGroup
+	mu          sync.Mutex
+	stalled     Direction
+	delay       time.Duration
+	refuse      bool
+	silentShare float64 // share of new connections that come up and are silent for good
+	conns       map[*relayConn]bool
+	changed     chan struct{} // closed at the next change
+	opened      int
+	closed      bool
+	running     sync.WaitGroup
 }
 
 // passage is one connection through a relay.
-type passage struct {
-	near, far net.Conn
-	over      chan struct{}
-	once      sync.Once
+type relayConn struct {
+	client, server net.Conn
+	done           chan struct{}
+	once           sync.Once
 }
 
 // NewRelay starts a relay at host, on a port of the system's choosing.
@@ -50,8 +50,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{target: target, ln: ln, rng: rand.New(rand.NewPCG(seed, 0x9e1a)), conns: map[*passage]bool{}, changed: make(chan struct{})}
-	r.ran.Go(r.accept)
+	r := &Relay{target: target, ln: ln, rng: rand.New(rand.NewPCG(seed, 0x9e1a)), conns: map[*relayConn]bool{}, changed: make(chan struct{})}
+	r.running.Go(r.accept)
 	return r, nil
 }
 
@@ -66,10 +66,10 @@
 }
 
 // Lead has new connections lead elsewhere.
-func (r *Relay) Lead(target string) { r.change(func() { r.target = target }) }
+func (r *Relay) SetTarget(target string) { r.update(func() { r.target = target }) }
 
 // change makes a change that what passes is to notice.
-func (r *Relay) change(do func()) {
+func (r *Relay) update(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do()
@@ -78,20 +78,20 @@
 }
 
 // Stall lets nothing pass in a way, or both; new connections come up, and are as silent.
-func (r *Relay) Stall(w Way) { r.change(func() { r.stalled |= w }) }
+func (r *Relay) Stall(w Direction) { r.update(func() { r.stalled |= w }) }
 
 // Delay has what passes come so much later.
-func (r *Relay) Delay(d time.Duration) { r.change(func() { r.delay = d }) }
+func (r *Relay) Delay(d time.Duration) { r.update(func() { r.delay = d }) }
 
 // Refuse has new connections reset.
-func (r *Relay) Refuse() { r.change(func() { r.refuses = true }) }
+func (r *Relay) Refuse() { r.update(func() { r.refuse = true }) }
 
 // Lose has a share of new connections come up and stay silent for good, whatever is healed.
-func (r *Relay) Lose(share float64) { r.change(func() { r.loses = share }) }
+func (r *Relay) SetSilentShare(share float64) { r.update(func() { r.silentShare = share }) }
 
 // Heal ends all that was begun; what was stalled passes now.
 func (r *Relay) Heal() {
-	r.change(func() { r.stalled, r.delay, r.refuses, r.loses = 0, 0, false, 0 })
+	r.update(func() { r.stalled, r.delay, r.refuse, r.silentShare = 0, 0, false, 0 })
 }
 
 // Reset resets all connections that are open.
@@ -108,8 +108,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.conns {
-		if p.far != nil {
-			p.far.Close()
+		if p.server != nil {
+			p.server.Close()
 		}
 	}
 }
@@ -117,13 +117,13 @@
 // Close ends it and waits until nothing of it runs.
 func (r *Relay) Close() {
 	r.ln.Close()
-	r.change(func() {
+	r.update(func() {
 		r.closed = true
 		for p := range r.conns {
 			p.reset()
 		}
 	})
-	r.ran.Wait()
+	r.running.Wait()
 }
 
 func (r *Relay) accept() {
@@ -134,8 +134,8 @@
 		}
 		r.mu.Lock()
 		r.opened++
-		refuses, silent := r.refuses || r.closed, r.loses > 0 && r.rng.Float64() < r.loses
-		p := &passage{near: c, over: make(chan struct{})}
+		refuses, silent := r.refuse || r.closed, r.silentShare > 0 && r.rng.Float64() < r.silentShare
+		p := &relayConn{client: c, done: make(chan struct{})}
 		if !refuses {
 			r.conns[p] = true
 		}
@@ -145,15 +145,15 @@
 			p.reset()
 		case silent: // until it is reset
 		default:
-			r.ran.Go(func() { r.pass(p) })
+			r.running.Go(func() { r.forward(p) })
 		}
 	}
 }
 
 // pass carries one connection, from when it may be carried on.
-func (r *Relay) pass(p *passage) {
-	defer r.drop(p)
-	if !r.free(p, Up) { // a network that is cut carries no handshake either
+func (r *Relay) forward(p *relayConn) {
+	defer r.remove(p)
+	if !r.waitPassable(p, Upstream) { // a network that is cut carries no handshake either
 		return
 	}
 	r.mu.Lock()
@@ -164,21 +164,21 @@
 		return
 	}
 	r.mu.Lock()
-	p.far = far
+	p.server = far
 	r.mu.Unlock()
 	var ran sync.WaitGroup
-	ran.Go(func() { r.pump(p, Up, p.far, p.near) })
-	ran.Go(func() { r.pump(p, Down, p.near, p.far) })
+	ran.Go(func() { r.copyOneWay(p, Upstream, p.server, p.client) })
+	ran.Go(func() { r.copyOneWay(p, Downstream, p.client, p.server) })
 	ran.Wait()
 }
 
 // pump carries one way until its source ends, and then closes what it led to. The end of a side that was half open is not passed on.
-func (r *Relay) pump(p *passage, w Way, to, from net.Conn) {
+func (r *Relay) copyOneWay(p *relayConn, w Direction, to, from net.Conn) {
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
 		if n > 0 {
-			if !r.free(p, w) {
+			if !r.waitPassable(p, w) {
 				return
 			}
 			if _, err := to.Write(b[:n]); err != nil {
@@ -190,7 +190,7 @@
 			return
 		}
 		if err != nil {
-			if r.free(p, w) {
+			if r.waitPassable(p, w) {
 				p.reset()
 			}
 			return
@@ -199,7 +199,7 @@
 }
 
 // free waits until something may pass in a way, and for as long as it is delayed; false: the connection is over.
-func (r *Relay) free(p *passage, w Way) bool {
+func (r *Relay) waitPassable(p *relayConn, w Direction) bool {
 	for {
 		r.mu.Lock()
 		stalled, delay, changed := r.stalled&w != 0, r.delay, r.changed
@@ -215,13 +215,13 @@
 		case <-late:
 			return true
 		case <-changed:
-		case <-p.over:
+		case <-p.done:
 			return false
 		}
 	}
 }
 
-func (r *Relay) drop(p *passage) {
+func (r *Relay) remove(p *relayConn) {
 	p.reset()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,10 +229,10 @@
 }
 
 // reset ends a connection with a reset on both sides.
-func (p *passage) reset() {
+func (p *relayConn) reset() {
 	p.once.Do(func() {
-		close(p.over)
-		for _, c := range []net.Conn{p.near, p.far} {
+		close(p.done)
+		for _, c := range []net.Conn{p.client, p.server} {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				tcp.SetLinger(0)
 				_ = tcp.Close()
--- a/internal/processtest/relay_test.go
+++ b/internal/processtest/relay_test.go
@@ -52,20 +52,20 @@
 	}
 	comes := func(what string, c net.Conn, want string) {
 		t.Helper()
-		if s, err := read(c, patience); s != want || err != nil {
+		if s, err := read(c, waitTimeout); s != want || err != nil {
 			t.Errorf("%s: %q, %v, want %q", what, s, err, want)
 		}
 	}
 	ends := func(what string, c net.Conn) {
 		t.Helper()
-		if s, err := read(c, patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		if s, err := read(c, waitTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: %q, %v", what, s, err)
 		}
 	}
 	c := dial()
 	io.WriteString(c, "a")
 	comes("it passes", c, "a")
-	for _, w := range []Way{Up, Down, Both} {
+	for _, w := range []Direction{Upstream, Downstream, BothDirections} {
 		r.Stall(w)
 		io.WriteString(c, "b")
 		silent("stalled", c)
@@ -80,7 +80,7 @@
 		t.Errorf("delayed both ways by %v", d)
 	}
 	r.Heal()
-	r.Stall(Both)
+	r.Stall(BothDirections)
 	late := dial()
 	io.WriteString(late, "d")
 	silent("one that came while nothing passes", late)
@@ -89,7 +89,7 @@
 	r.Refuse()
 	ends("refused", dial())
 	r.Heal()
-	r.Lose(1)
+	r.SetSilentShare(1)
 	lost := dial()
 	io.WriteString(lost, "e")
 	silent("lost", lost)
--- a/internal/socketpeek/socketpeek_test.go
+++ b/internal/socketpeek/socketpeek_test.go
@@ -30,13 +30,13 @@
 	seen := []Sight{At(near)}
 	io.WriteString(far, "x")
 	_, _ = near.Read(nil)
-	for deadline := time.Now().Add(testkit.Patient); At(near) == Clean && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testkit.WaitTimeout); At(near) == Clean && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	seen = append(seen, At(near), At(near))
 	_, _ = near.Read(make([]byte, 1))
 	far.Close()
-	for deadline := time.Now().Add(testkit.Patient); At(near) == Clean && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testkit.WaitTimeout); At(near) == Clean && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	seen = append(seen, At(near))
--- a/internal/testcerts/testcerts.go
+++ b/internal/testcerts/testcerts.go
@@ -19,11 +19,11 @@
 
 // Authority signs certificates.
 type Authority struct {
-	t    testing.TB
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	n    int64
-	PEM  []byte
+	t          testing.TB
+	cert       *x509.Certificate
+	key        *ecdsa.PrivateKey
+	lastSerial int64
+	PEM        []byte
 }
 
 // New makes one.
@@ -54,10 +54,10 @@
 }
 
 // Pair makes a certificate and its key, in PEM, for names and addresses; change may change it.
-func (a *Authority) Pair(change func(*x509.Certificate), names ...string) (cert, key []byte) {
+func (a *Authority) Issue(change func(*x509.Certificate), names ...string) (cert, key []byte) {
 	a.t.Helper()
-	a.n++
-	c := &x509.Certificate{SerialNumber: big.NewInt(100 + a.n), Subject: pkix.Name{CommonName: names[0]}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
+	a.lastSerial++
+	c := &x509.Certificate{SerialNumber: big.NewInt(100 + a.lastSerial), Subject: pkix.Name{CommonName: names[0]}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}, KeyUsage: x509.KeyUsageDigitalSignature}
 	for _, n := range names {
 		if ip := net.ParseIP(n); ip != nil {
@@ -84,7 +84,7 @@
 }
 
 // Write writes texts into files of a directory, and gives their paths.
-func Write(t testing.TB, dir string, files map[string][]byte) func(name string) string {
+func WriteFiles(t testing.TB, dir string, files map[string][]byte) func(name string) string {
 	t.Helper()
 	for name, text := range files {
 		if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -17,12 +17,12 @@
 )
 
 // Patient is how long a test waits for something that must happen: it fails then, and only then.
-const Patient = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
 // Do makes a request on a connection of its own and reads the whole answer.
 func Do(t testing.TB, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	client := &http.Client{Timeout: Patient, Transport: &http.Transport{}}
+	client := &http.Client{Timeout: WaitTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	res, err := client.Do(req)
 	if err != nil {
@@ -69,7 +69,7 @@
 }
 
 // Raw is a backend on bare connections: it reads whole requests and hands each to answer, with its number.
-func Raw(t testing.TB, answer func(n int, conn net.Conn)) string {
+func ServeRaw(t testing.TB, answer func(n int, conn net.Conn)) string {
 	t.Helper()
 	numbers := make(chan int)
 	go func() {
@@ -101,39 +101,39 @@
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(Patient):
+	case <-time.After(WaitTimeout):
 		t.Fatalf("waited in vain for %s", what)
 	}
 	return v
 }
 
 // Scripted is a decision module that does as it is told and keeps what it hears; On says what to do about each event.
-type Scripted struct {
-	Heard chan decision.Event
-	On    func(decision.Event) []decision.Action
+type ScriptedEngine struct {
+	Events  chan decision.Event
+	Respond func(decision.Event) []decision.Action
 }
 
 // Handle keeps the event.
-func (s *Scripted) Handle(_ time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
-	s.Heard <- ev
-	if s.On != nil {
-		as = append(as, s.On(ev)...)
+func (s *ScriptedEngine) Handle(_ time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
+	s.Events <- ev
+	if s.Respond != nil {
+		as = append(as, s.Respond(ev)...)
 	}
 	return as
 }
 
 // Script makes one; on may be nil.
-func Script(on func(decision.Event) []decision.Action) *Scripted {
-	return &Scripted{Heard: make(chan decision.Event, 100), On: on}
+func NewScriptedEngine(on func(decision.Event) []decision.Action) *ScriptedEngine {
+	return &ScriptedEngine{Events: make(chan decision.Event, 100), Respond: on}
 }
 
 // Next is the next event of a type.
-func Next[E decision.Event](t testing.TB, s *Scripted) E {
+func Next[E decision.Event](t testing.TB, s *ScriptedEngine) E {
 	t.Helper()
-	timeout := time.After(Patient)
+	timeout := time.After(WaitTimeout)
 	for {
 		select {
-		case ev := <-s.Heard:
+		case ev := <-s.Events:
 			if e, ok := ev.(E); ok {
 				return e
 			}
@@ -144,9 +144,9 @@
 }
 
 // UntilEnd waits until the other side has closed a connection and gives what it said before.
-func UntilEnd(t testing.TB, c net.Conn) string {
+func ReadUntilClosed(t testing.TB, c net.Conn) string {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(Patient))
+	c.SetReadDeadline(time.Now().Add(WaitTimeout))
 	said, err := io.ReadAll(c)
 	if ne, ok := errors.AsType[net.Error](err); ok && ne.Timeout() {
 		t.Errorf("the connection was never closed; it said %q", said)
--- a/middleware/gin/gin_test.go
+++ b/middleware/gin/gin_test.go
@@ -50,11 +50,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var hang atomic.Bool
-			r := hosttest.New(t, 2, func(fakes.Attempt) fakes.Act {
+			r := hosttest.New(t, 2, func(fakes.Attempt) fakes.Behavior {
 				if hang.Load() {
-					return fakes.Hang
+					return fakes.ExecuteThenHang
 				}
-				return fakes.Work
+				return fakes.ServeNormally
 			}, nil)
 			e := gin.New()
 			var told atomic.Value
@@ -63,18 +63,18 @@
 				if last := c.Errors.Last(); last != nil {
 					told.Store(last.Err)
 				}
-			}, deadline(100*time.Millisecond, c.answer), pumicegin.New(r.Door))
+			}, deadline(100*time.Millisecond, c.answer), pumicegin.New(r.Gateway))
 			addr := hosttest.Serve(t, e, nil)
 			for range 5 {
 				hang.Store(true)
-				a := r.Ask("pay")
+				a := r.NewRequest("pay")
 				a.Plan = "one"
 				if reply := hosttest.Do(t, a, addr); reply.Status != c.status || reply.Body != c.body {
 					t.Errorf("%d %q, want %d %q", reply.Status, reply.Body, c.status, c.body)
 				}
 				hang.Store(false)
-				r.Settled()
-				r.Free()
+				r.AwaitIdle()
+				r.RequireFreeSlot()
 			}
 			if err, _ := told.Load().(error); !errors.Is(err, context.DeadlineExceeded) {
 				t.Errorf("the host is told of %v", err)
@@ -86,17 +86,17 @@
 func TestChainAndRoutes(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
 	e := gin.New()
-	e.Use(pumicegin.New(r.Door, middleware.Routes("/look")), pumicegin.New(r.Door)) // /look meets both
+	e.Use(pumicegin.New(r.Gateway, middleware.Routes("/look")), pumicegin.New(r.Gateway)) // /look meets both
 	after := 0
 	count := func(c *gin.Context) { after++; c.Status(http.StatusTeapot) }
 	e.GET("/look", count)
 	e.GET("/own", count)
 	addr := hosttest.Serve(t, e, nil)
-	a := r.Ask("look")
-	if reply := hosttest.Do(t, a, addr); reply.String() != "served" || after != 0 || len(r.Ledger.Of(a.RequestID())) != 1 {
-		t.Errorf("%v, %d handlers after it, %d attempts", reply, after, len(r.Ledger.Of(a.RequestID())))
+	a := r.NewRequest("look")
+	if reply := hosttest.Do(t, a, addr); reply.String() != "served" || after != 0 || len(r.Ledger.ForRequest(a.RequestID())) != 1 {
+		t.Errorf("%v, %d handlers after it, %d attempts", reply, after, len(r.Ledger.ForRequest(a.RequestID())))
 	}
-	if reply := hosttest.Do(t, r.Ask("pay"), addr); reply.String() != "served" { // gin has no handler for it
+	if reply := hosttest.Do(t, r.NewRequest("pay"), addr); reply.String() != "served" { // gin has no handler for it
 		t.Errorf("%v", reply)
 	}
 	res, err := http.Get("http://" + addr + "/own")
@@ -124,14 +124,14 @@
 		} else {
 			_, _ = c.GetRawData()
 		}
-	}, pumicegin.New(r.Door))
+	}, pumicegin.New(r.Gateway))
 	addr := hosttest.Serve(t, e, nil)
 	for _, kept := range []bool{true, false} {
 		bind.Store(kept)
-		a := r.Ask("pay")
+		a := r.NewRequest("pay")
 		a.Body = `{"Amount":3}`
 		reply := hosttest.Do(t, a, addr)
-		seen := r.Ledger.Of(a.RequestID())
+		seen := r.Ledger.ForRequest(a.RequestID())
 		if kept && (reply.String() != "served" || len(seen) != 1 || seen[0].Body != a.Body) || !kept && (reply.Status != 400 || len(seen) > 0) {
 			t.Errorf("kept %v: %v, %+v", kept, reply, seen)
 		}
@@ -141,7 +141,7 @@
 func TestServeAndAMapperOfTheHosts(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
 	e := gin.New()
-	e.GET("/shops/:shop/stock", pumicegin.Serve(r.Door, middleware.Mapper(func(*http.Request) (pumicecroft.Request, error) {
+	e.GET("/shops/:shop/stock", pumicegin.Serve(r.Gateway, middleware.Mapper(func(*http.Request) (pumicecroft.Request, error) {
 		return pumicecroft.Request{Class: "look", Plan: "shop", Customer: 4}, nil
 	})))
 	addr := hosttest.Serve(t, e, nil)
--- a/middleware/nethttp/nethttp_test.go
+++ b/middleware/nethttp/nethttp_test.go
@@ -47,9 +47,9 @@
 		"all":                 {[]middleware.Option{middleware.Routes("/")}, "/look", true},
 		"two calls of Routes": {[]middleware.Option{middleware.Routes("/a"), middleware.Routes("/look")}, "/look", true},
 	} {
-		addr := hosttest.Serve(t, nethttp.New(r.Door, c.options...)(http.HandlerFunc(own)), nil)
-		a := r.Ask("look")
-		req, err := a.Request(t.Context(), addr)
+		addr := hosttest.Serve(t, nethttp.New(r.Gateway, c.options...)(http.HandlerFunc(own)), nil)
+		a := r.NewRequest("look")
+		req, err := a.HTTPRequest(t.Context(), addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,27 +96,27 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var hang atomic.Bool
-			r := hosttest.New(t, 2, func(fakes.Attempt) fakes.Act {
+			r := hosttest.New(t, 2, func(fakes.Attempt) fakes.Behavior {
 				if hang.Load() {
-					return fakes.Hang
+					return fakes.ExecuteThenHang
 				}
-				return fakes.Work
+				return fakes.ServeNormally
 			}, nil)
-			addr := hosttest.Serve(t, c.host(nethttp.New(r.Door)(http.HandlerFunc(own))), quiet)
+			addr := hosttest.Serve(t, c.host(nethttp.New(r.Gateway)(http.HandlerFunc(own))), quiet)
 			for range 10 { // TimeoutHandler picks by chance if the handler returns too soon
 				hang.Store(true)
-				a := r.Ask("pay")
+				a := r.NewRequest("pay")
 				a.Plan = "one"
 				reply := hosttest.Do(t, a, addr)
 				if reply.Status != c.status || reply.Body != c.body {
 					t.Errorf("%d %q, want %d %q", reply.Status, reply.Body, c.status, c.body)
 				}
-				if n := len(r.Ledger.Of(a.RequestID())); n != 1 {
+				if n := len(r.Ledger.ForRequest(a.RequestID())); n != 1 {
 					t.Errorf("%d attempts", n)
 				}
 				hang.Store(false)
-				r.Settled()
-				r.Free()
+				r.AwaitIdle()
+				r.RequireFreeSlot()
 			}
 		})
 	}
@@ -126,10 +126,10 @@
 // http.TimeoutHandler has begun to look, which then picks by chance whose answer counts. It must be the host's.
 func TestTheHostsTimeIsUpOnArrival(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
-	h := nethttp.New(r.Door)(http.HandlerFunc(own))
+	h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
 	addr := hosttest.Serve(t, http.TimeoutHandler(h, time.Nanosecond, "the host says no"), quiet)
 	for range 500 {
-		if reply := hosttest.Do(t, r.Ask("look"), addr); reply.Status != 503 || reply.Body != "the host says no" {
+		if reply := hosttest.Do(t, r.NewRequest("look"), addr); reply.Status != 503 || reply.Body != "the host says no" {
 			t.Fatalf("%d %q", reply.Status, reply.Body)
 		}
 	}
@@ -170,7 +170,7 @@
 	r := hosttest.New(t, 1, nil, nil)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 	defer cancel()
-	req, err := r.Ask("look").Request(ctx, "h")
+	req, err := r.NewRequest("look").HTTPRequest(ctx, "h")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 		w.host = true
 		w.mu.Unlock()
 	}()
-	r.Door.ServeHTTP(w, req)
+	r.Gateway.ServeHTTP(w, req)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.host || w.status != 504 {
@@ -199,10 +199,10 @@
 
 func TestAWrappedWriter(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
-	h := nethttp.New(r.Door)(http.HandlerFunc(own))
+	h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
 	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { h.ServeHTTP(plain{w}, req) }), nil)
 	for _, class := range []string{"look", "pay"} {
-		if reply := hosttest.Do(t, r.Ask(class), addr); reply.String() != "served" {
+		if reply := hosttest.Do(t, r.NewRequest(class), addr); reply.String() != "served" {
 			t.Errorf("%s: %v %v", class, reply, reply.Err)
 		}
 	}
@@ -226,14 +226,14 @@
 		"limited to more": {func(w http.ResponseWriter, r *http.Request) { r.Body = http.MaxBytesReader(w, r.Body, 1<<20) }, 200},
 		"taken away":      {func(_ http.ResponseWriter, r *http.Request) { r.Body = nil }, 400},
 	} {
-		h := nethttp.New(r.Door)(http.HandlerFunc(own))
+		h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
 		addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			c.before(w, req)
 			h.ServeHTTP(w, req)
 		}), nil)
-		a := r.Ask("pay")
+		a := r.NewRequest("pay")
 		reply := hosttest.Do(t, a, addr)
-		seen := r.Ledger.Of(a.RequestID())
+		seen := r.Ledger.ForRequest(a.RequestID())
 		if reply.Status != c.status || (len(seen) > 0) != (c.status == 200) || len(seen) > 0 && seen[0].Body != a.Body {
 			t.Errorf("%s: %d, %d attempts", name, reply.Status, len(seen))
 		}
@@ -258,22 +258,22 @@
 	router := chi.NewRouter()
 	router.Use(recoverer)
 	panics := true
-	router.Use(nethttp.New(r.Door, middleware.Mapper(func(req *http.Request) (pumicecroft.Request, error) {
+	router.Use(nethttp.New(r.Gateway, middleware.Mapper(func(req *http.Request) (pumicecroft.Request, error) {
 		if panics {
 			panic(http.ErrBodyNotAllowed)
 		}
-		return r.Door.PlatformRequest(req)
+		return r.Gateway.PlatformRequest(req)
 	})))
 	router.Get("/own", own)
 	addr := hosttest.Serve(t, router, quiet)
-	if reply := hosttest.Do(t, r.Ask("look"), addr); reply.Status != 500 {
+	if reply := hosttest.Do(t, r.NewRequest("look"), addr); reply.Status != 500 {
 		t.Errorf("%v", reply)
 	}
-	if r.Door.OpenRequests() != 0 {
+	if r.Gateway.OpenRequests() != 0 {
 		t.Error("the panic left a request open")
 	}
 	panics = false
-	if reply := hosttest.Do(t, r.Ask("look"), addr); reply.String() != "served" {
+	if reply := hosttest.Do(t, r.NewRequest("look"), addr); reply.String() != "served" {
 		t.Errorf("afterwards: %v", reply)
 	}
 }
@@ -281,10 +281,10 @@
 // A host that runs its handlers again, as retry middleware does, must not make an effect happen twice, on whatever
 // backend the repeat would end.
 func TestAHostThatReplaysHandlers(t *testing.T) {
-	for _, act := range []fakes.Act{fakes.RunAndBreak, fakes.RunAndError, fakes.Work} {
+	for _, act := range []fakes.Behavior{fakes.ExecuteThenReset, fakes.ExecuteThenError, fakes.ServeNormally} {
 		for _, class := range []string{"pay", "once"} {
-			r := hosttest.New(t, 1, fakes.Once(act), nil)
-			h := nethttp.New(r.Door)(http.HandlerFunc(own))
+			r := hosttest.New(t, 1, fakes.OnFirstAttempt(act), nil)
+			h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
 			addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 				body, _ := io.ReadAll(req.Body)
 				for range 3 {
@@ -294,7 +294,7 @@
 				req.Body = io.NopCloser(strings.NewReader(string(body)))
 				h.ServeHTTP(w, req)
 			}), nil)
-			a := r.Ask(class)
+			a := r.NewRequest(class)
 			reply := hosttest.Do(t, a, addr)
 			if n := r.Ledger.Effects(a.Key); n != 1 || reply.Status != http.StatusConflict {
 				t.Errorf("%s after act %d: %d effects, the last answer %v", class, act, n, reply)
@@ -317,8 +317,8 @@
 	for _, n := range []int{1, 2} {
 		r := hosttest.New(t, 1, nil, nil)
 		mux := http.NewServeMux()
-		first := nethttp.New(r.Door, middleware.Routes("/look"))
-		second := nethttp.New(r.Door, middleware.Routes("/look", "/pay"))
+		first := nethttp.New(r.Gateway, middleware.Routes("/look"))
+		second := nethttp.New(r.Gateway, middleware.Routes("/look", "/pay"))
 		h := first(http.HandlerFunc(own))
 		if n == 2 {
 			h = first(second(http.HandlerFunc(own))) // /look meets both, /pay the second
@@ -327,13 +327,13 @@
 		addr := hosttest.Serve(t, mux, nil)
 		served := 0
 		for i := range 30 {
-			a := r.Ask([]string{"look", "pay"}[i%2*(n-1)])
+			a := r.NewRequest([]string{"look", "pay"}[i%2*(n-1)])
 			a.Plan = "tiny"
 			reply := hosttest.Do(t, a, addr)
 			if reply.String() == "served" {
 				served++
 			}
-			if got := len(r.Ledger.Of(a.RequestID())); got > 1 || (got == 1) != (reply.String() == "served") {
+			if got := len(r.Ledger.ForRequest(a.RequestID())); got > 1 || (got == 1) != (reply.String() == "served") {
 				t.Errorf("%v, sent %d times", reply, got)
 			}
 		}
@@ -350,7 +350,7 @@
 func TestTwoDoorsOfADeployment(t *testing.T) {
 	dep := &pumicecroft.Deployment{}
 	const burst, rate = 40.0, 20.0
-	var rigs []*hosttest.Rig
+	var rigs []*hosttest.Fixture
 	var addrs []string
 	for me := range 2 {
 		r := hosttest.New(t, 1, nil, func(c *pumicecroft.Config) {
@@ -358,15 +358,15 @@
 			c.Settings.Plans = []decision.Plan{{Name: "shop", Rate: 1000, Burst: 1000, Price: 1, HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: 4}}
 		}, pumicecroft.WithDeployment(dep))
 		rigs = append(rigs, r)
-		addrs = append(addrs, hosttest.Serve(t, nethttp.New(r.Door)(http.HandlerFunc(own)), nil))
+		addrs = append(addrs, hosttest.Serve(t, nethttp.New(r.Gateway)(http.HandlerFunc(own)), nil))
 	}
 	start := time.Now()
 	var asking sync.WaitGroup
 	for i := range 8 {
 		asking.Go(func() {
 			for time.Since(start) < time.Second {
-				a := rigs[i%2].Ask("look")
-				a.Spread = 2
+				a := rigs[i%2].NewRequest("look")
+				a.GatewaySpread = 2
 				hosttest.Do(t, a, addrs[i%2])
 			}
 		})
@@ -386,7 +386,7 @@
 	if _, err := pumicecroft.New(config, pumicecroft.WithDeployment(dep)); !errors.Is(err, pumicecroft.ErrConfig) {
 		t.Errorf("another count of front doors: %v", err)
 	}
-	if err := rigs[1].Door.Close(t.Context()); err != nil {
+	if err := rigs[1].Gateway.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
 	config.Settings.GatewayCount, config.Settings.GatewayIndex = 2, 1
@@ -401,7 +401,7 @@
 func TestHTTP2(t *testing.T) {
 	r := hosttest.New(t, 2, nil, nil)
 	var proto atomic.Value
-	h := nethttp.New(r.Door)(http.HandlerFunc(own))
+	h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
 	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		proto.Store(req.Proto)
 		h.ServeHTTP(w, req)
@@ -415,11 +415,11 @@
 	var asking sync.WaitGroup
 	for i := range 40 {
 		asking.Go(func() {
-			a := r.Ask([]string{"look", "pay", "once"}[i%3])
+			a := r.NewRequest([]string{"look", "pay", "once"}[i%3])
 			if reply := a.Do(t.Context(), tr, addr); reply.String() != "served" {
 				t.Errorf("%s: %v %v", a.Class, reply, reply.Err)
 			}
-			if seen := r.Ledger.Of(a.RequestID()); len(seen) != 1 || seen[0].Body != a.Body {
+			if seen := r.Ledger.ForRequest(a.RequestID()); len(seen) != 1 || seen[0].Body != a.Body {
 				t.Errorf("%s: %+v", a.Class, seen)
 			}
 		})
@@ -429,8 +429,8 @@
 		t.Errorf("it was %v", proto.Load())
 	}
 	// A body whose length is not told beforehand is as good here.
-	a := r.Ask("pay")
-	req, err := a.Request(t.Context(), addr)
+	a := r.NewRequest("pay")
+	req, err := a.HTTPRequest(t.Context(), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -440,19 +440,19 @@
 		t.Fatal(res, err)
 	}
 	res.Body.Close()
-	if seen := r.Ledger.Of(a.RequestID()); len(seen) != 1 || seen[0].Body != "amount=3" {
+	if seen := r.Ledger.ForRequest(a.RequestID()); len(seen) != 1 || seen[0].Body != "amount=3" {
 		t.Errorf("%+v", seen)
 	}
 	for name, body := range map[string]string{"over the limit": strings.Repeat("x", pumicecroft.MaxBody+1)} {
-		a := r.Ask("pay")
-		req, _ := a.Request(t.Context(), addr)
+		a := r.NewRequest("pay")
+		req, _ := a.HTTPRequest(t.Context(), addr)
 		req.Body, req.ContentLength = io.NopCloser(strings.NewReader(body)), -1
 		res, err := tr.RoundTrip(req)
 		if err != nil {
 			t.Fatal(err)
 		}
 		res.Body.Close()
-		if res.StatusCode != 413 || len(r.Ledger.Of(a.RequestID())) > 0 {
+		if res.StatusCode != 413 || len(r.Ledger.ForRequest(a.RequestID())) > 0 {
 			t.Errorf("%s: %s", name, res.Status)
 		}
 	}
@@ -460,8 +460,8 @@
 
 // A client that resets its stream has left, and its neighbours on the connection have not.
 func TestHTTP2ClientLeaves(t *testing.T) {
-	r := hosttest.New(t, 1, fakes.Once(fakes.Hang), nil)
-	addr := hosttest.Serve(t, nethttp.New(r.Door)(http.HandlerFunc(own)), func(s *http.Server) {
+	r := hosttest.New(t, 1, fakes.OnFirstAttempt(fakes.ExecuteThenHang), nil)
+	addr := hosttest.Serve(t, nethttp.New(r.Gateway)(http.HandlerFunc(own)), func(s *http.Server) {
 		s.Protocols = new(http.Protocols)
 		s.Protocols.SetUnencryptedHTTP2(true)
 	})
@@ -469,33 +469,33 @@
 	tr.Protocols.SetUnencryptedHTTP2(true)
 	defer tr.CloseIdleConnections()
 	ctx, leave := context.WithCancel(t.Context())
-	a := r.Ask("pay")
+	a := r.NewRequest("pay")
 	a.Plan = "one"
 	gone := make(chan fakes.Reply, 1)
 	go func() { gone <- a.Do(ctx, tr, addr) }()
-	if !r.Ledger.Await(hosttest.Patience, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].End == "hung" }) {
+	if !r.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].Outcome == "hung" }) {
 		t.Fatal("the request never came")
 	}
-	if reply := r.Ask("look").Do(t.Context(), tr, addr); reply.String() != "served" {
+	if reply := r.NewRequest("look").Do(t.Context(), tr, addr); reply.String() != "served" {
 		t.Errorf("its neighbour: %v %v", reply, reply.Err)
 	}
 	leave()
 	<-gone
-	r.Settled()
-	r.Free()
+	r.AwaitIdle()
+	r.RequireFreeSlot()
 }
 
 // Who asks may be known to the host; then headers that claim another count for nothing.
 func TestIdentity(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
-	h := nethttp.New(r.Door)(http.HandlerFunc(own))
+	h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
 	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		ctx := pumicecroft.WithIdentity(req.Context(), pumicecroft.Identity{Customer: 99, Plan: "tiny"})
 		h.ServeHTTP(w, req.WithContext(ctx))
 	}), nil)
 	served := 0
 	for i := range 20 {
-		a := r.Ask("look")
+		a := r.NewRequest("look")
 		a.Customer, a.Plan = uint64(i), "shop" // each claims to be somebody else, without bounds
 		a.Header = http.Header{"X-Api-Key": {"nonsense"}}
 		if hosttest.Do(t, a, addr).String() == "served" {
@@ -511,7 +511,7 @@
 func TestAMapperOfTheHosts(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
 	errNoShop := errors.New("no shop is named")
-	addr := hosttest.Serve(t, nethttp.New(r.Door, middleware.Routes("/api"), middleware.Mapper(func(req *http.Request) (pumicecroft.Request, error) {
+	addr := hosttest.Serve(t, nethttp.New(r.Gateway, middleware.Routes("/api"), middleware.Mapper(func(req *http.Request) (pumicecroft.Request, error) {
 		if req.FormValue("shop") == "" {
 			return pumicecroft.Request{}, errNoShop
 		}
@@ -538,9 +538,9 @@
 // A host that strips a prefix has its backends asked for what is left.
 func TestStripPrefix(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
-	addr := hosttest.Serve(t, http.StripPrefix("/v1", nethttp.New(r.Door)(http.HandlerFunc(own))), nil)
-	a := r.Ask("look")
-	req, err := a.Request(t.Context(), addr)
+	addr := hosttest.Serve(t, http.StripPrefix("/v1", nethttp.New(r.Gateway)(http.HandlerFunc(own))), nil)
+	a := r.NewRequest("look")
+	req, err := a.HTTPRequest(t.Context(), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -550,7 +550,7 @@
 		t.Fatal(err)
 	}
 	res.Body.Close()
-	if seen := r.Ledger.Of(a.RequestID()); res.StatusCode != 200 || len(seen) != 1 || seen[0].Class != "look" {
+	if seen := r.Ledger.ForRequest(a.RequestID()); res.StatusCode != 200 || len(seen) != 1 || seen[0].Class != "look" {
 		t.Errorf("%s %+v", res.Status, seen)
 	}
 }
