--- a/internal/executor/contextwatch.go
+++ b/internal/executor/contextwatch.go
@@ -55,7 +55,8 @@
 	if e.nextWatch == 0 || now < e.nextWatch {
 		return
 	}
-	for request := e.unwatchedHead; request != nil && request.arrivedAt+contextWatchDelay <= now; request = e.unwatchedHead {
+	for e.unwatchedHead != nil && e.unwatchedHead.arrivedAt+contextWatchDelay <= now {
+		request := e.unwatchedHead
 		e.unlinkUnwatched(request)
 		request.stopWatch = context.AfterFunc(request.ctx, func() { e.clientDisconnected(request) })
 	}
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -127,7 +127,8 @@
 
 // Serve submits a request and waits for its final answer, for responseTimeout at the most. When ctx ends first, the
 // request ends as ClientDisconnected, and its attempts are cancelled. The error is that of Machine.Submit.
-func (e *Executor) Serve(ctx context.Context, event decision.Request, responseTimeout time.Duration, payload any) (Result, error) {
+func (e *Executor) Serve(ctx context.Context, event decision.Request,
+	responseTimeout time.Duration, payload any) (Result, error) {
 	request := &openRequest{executor: e, id: event.ID, payload: payload, inline: e.inline, ctx: ctx}
 	request.attempts, request.pending = request.attemptsBuf[:0], request.pendingBuf[:0]
 	e.mu.Lock() // unlocked without defer, as it is not held while a transport runs, which may panic
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -125,7 +125,8 @@
 // ResponseStarted asks whether an attempt's response may be passed on before it is complete. If it may, the request
 // belongs to that attempt: others are cancelled, none is started any more, and the attempt's end is the request's.
 // It may not once the request is answered, the attempt is cancelled, or another response has started.
-func (m *Machine) ResponseStarted(now time.Duration, id decision.RequestID, number int) (effects []Effect, allowed bool) {
+func (m *Machine) ResponseStarted(now time.Duration, id decision.RequestID,
+	number int) (effects []Effect, allowed bool) {
 	m.advance(now)
 	request := m.requests[id]
 	attempt := request.attempt(number)
--- a/internal/lifecycle/requests.go
+++ b/internal/lifecycle/requests.go
@@ -51,7 +51,8 @@
 // Submit opens a request, or returns one of the errors above. Attempts end by event.Timeout from now; the request
 // is answered as DeadlineExceeded after responseTimeout from now at the latest. The tag comes back in the
 // request's effects.
-func (m *Machine) Submit(now time.Duration, tag any, event decision.Request, responseTimeout time.Duration) ([]Effect, error) {
+func (m *Machine) Submit(now time.Duration, tag any, event decision.Request,
+	responseTimeout time.Duration) ([]Effect, error) {
 	m.advance(now)
 	idempotency, known := m.idempotency[event.Class]
 	switch {
--- a/internal/lifecycle/timers.go
+++ b/internal/lifecycle/timers.go
@@ -31,12 +31,15 @@
 // are taken out at once, so it holds a few for each open request and one of the engine's own.
 type timerHeap []*timer
 
+// Len is heap.Interface's.
 func (h timerHeap) Len() int { return len(h) }
 
+// Less orders by time, then by when a timer was set.
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 
+// Swap keeps each timer's index.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i+1, j+1
