--- a/deployment.go
+++ b/deployment.go
@@ -20,7 +20,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.claimed) > 0 && d.gatewayCount != count {
-		return fmt.Errorf("%w: GatewayCount is %d, and %d in others of the deployment", ErrConfig, count, d.gatewayCount)
+		return fmt.Errorf("%w: GatewayCount is %d, and %d in others of the deployment",
+			ErrConfig, count, d.gatewayCount)
 	}
 	if d.claimed[index] {
 		return fmt.Errorf("%w: %d", ErrGatewayIndexTaken, index)
--- a/idempotency.go
+++ b/idempotency.go
@@ -75,7 +75,8 @@
 func (g *Gateway) doIdempotent(ctx context.Context, request *Request,
 	message *platformtransport.Request) (*Response, error) {
 	attempts := 0
-	message.Body = slices.Clone(message.Body) // the request may go on after its caller has left, who may then change it
+	// The request may go on after its caller has left, who may then change the body.
+	message.Body = slices.Clone(message.Body)
 	parts := [][]byte{
 		[]byte(request.Class), []byte(message.Method), []byte(message.Target), []byte(message.ContentType), message.Body,
 	}
--- a/request.go
+++ b/request.go
@@ -85,7 +85,8 @@
 	if err := g.normalize(&request); err != nil {
 		return nil, err
 	}
-	if replayable, ok := payload.(ReplayablePayload); ok && g.deduplicates(&request) && replayable.DigestParts() != nil {
+	replayable, ok := payload.(ReplayablePayload)
+	if ok && g.deduplicates(&request) && replayable.DigestParts() != nil {
 		return g.forwardIdempotent(ctx, &request, replayable)
 	}
 	response, _, err = g.execute(ctx, &request, payload)
