--- a/docs_test.go
+++ b/docs_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The programs in the page for embedders are those in examples, which are compiled with everything else.
-func TestThePageHasThePrograms(t *testing.T) {
+// Programs in the page for embedders are those in examples, which are compiled with everything else.
+// A copy that is edited alone would stop compiling without notice.
+func TestLibraryPageHoldsExamples(t *testing.T) {
 	page, err := os.ReadFile("docs/operate/library.md")
 	if err != nil {
 		t.Fatal(err)
--- a/purity_test.go
+++ b/purity_test.go
@@ -12,9 +12,16 @@
 	"testing"
 )
 
-// purePackages do no I/O, read no clock, take no lock and start no goroutine, so that the same code runs under
-// real sockets, under a virtual clock and in the simulator.
-var purePackages = []string{"decision", "idempotency", "internal/journal", "internal/simdisk", "routes", "identity", "internal/http1proxy", "internal/timerwheel", "internal/endpointindex", "internal/lifecycle", "membership", "internal/backoff", "internal/blockingquery", "internal/pollbackoff", "internal/connpool", "internal/platformhttp", "internal/consulcatalog", "internal/grpcproto", "internal/loadreport", "internal/sim", "internal/requestmeta", "internal/eventqueue", "internal/emulator", "internal/paired", "internal/reservemodel", "quota", "recovery"}
+// purePackages do no I/O, read no clock, take no lock and start no goroutine, so that the same code
+// runs on real sockets, under a virtual clock and in the platform's simulator.
+var purePackages = []string{
+	"decision", "idempotency", "identity", "internal/backoff", "internal/blockingquery",
+	"internal/connpool", "internal/consulcatalog", "internal/emulator", "internal/endpointindex",
+	"internal/eventqueue", "internal/grpcproto", "internal/http1proxy", "internal/journal",
+	"internal/lifecycle", "internal/loadreport", "internal/paired", "internal/platformhttp",
+	"internal/pollbackoff", "internal/requestmeta", "internal/reservemodel", "internal/sim",
+	"internal/simdisk", "internal/timerwheel", "membership", "quota", "recovery", "routes",
+}
 
 var impureImports = []string{"net", "os", "sync", "log", "syscall", "context", "io", "runtime", "testing", "unsafe"}
 
@@ -23,7 +30,7 @@
 
 var pureRand = []string{"New", "NewPCG", "Rand", "Source", "PCG", "NewZipf", "Zipf"}
 
-// pureOf are what pure packages may use of packages that also do I/O: what works on values alone.
+// pureOf lists what pure packages may use of packages that also do I/O: identifiers that work on values alone.
 var pureOf = map[string][]string{
 	"net/http":      {"Request", "Response", "ReadResponse", "ReadRequest", "NoBody", "MethodGet", "MethodPost", "StatusSwitchingProtocols"},
 	"net/url":       {"PathUnescape"},
@@ -32,7 +39,7 @@
 	"io":            {"EOF", "ErrUnexpectedEOF", "ReadFull", "ReadAll", "LimitReader"},
 }
 
-// impurities names what a file does that a pure package must not.
+// impurities returns what a file does that a pure package must not, each with its position.
 func impurities(name string, src any) ([]string, error) {
 	fset := token.NewFileSet()
 	file, err := parser.ParseFile(fset, name, src, 0)
