--- a/door_test.go
+++ b/gateway_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Each end of a request is an error of its own kind, and of the kinds above it.
+// Each end of a request is an error of its own, and one of the general ones.
 func TestErrors(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
 	bad := func(change func(*pumicecroft.Request)) error {
@@ -140,7 +140,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	var asking sync.WaitGroup
 	for range 3 {
-		asking.Go(func() { r.Gateway.Do(ctx, newRequest("look")) })
+		asking.Go(func() { _, _ = r.Gateway.Do(ctx, newRequest("look")) })
 	}
 	r.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 3 })
 	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrTooManyRequests) || !errors.Is(err, pumicecroft.ErrRejected) {
@@ -151,8 +151,8 @@
 	r.AwaitIdle()
 }
 
-// Close loses nothing: what was taken has its answer before it returns, what comes then is refused, and when its
-// own time is up the rest is told so at once.
+// Close loses no request: open ones are answered before it returns, new ones are rejected, and when its own context ends
+// the rest ends as ErrAborted at once.
 func TestClose(t *testing.T) {
 	goOn := make(chan bool)
 	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Behavior {
@@ -210,7 +210,7 @@
 	}
 }
 
-// source is a list that the test pushes.
+// pushedSource is a source whose updates the test pushes.
 type pushedSource struct {
 	lists chan membership.Update
 	ended chan bool
@@ -245,11 +245,13 @@
 	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); err != nil {
 		t.Errorf("a new one: %v", err)
 	}
-	r.Gateway.Close(t.Context())
+	if err := r.Gateway.Close(t.Context()); err != nil {
+		t.Error(err)
+	}
 	select {
 	case <-s.ended:
 	case <-time.After(hosttest.WaitTimeout):
-		t.Error("the source outlives the door")
+		t.Error("the source outlives the gateway")
 	}
 }
 
@@ -273,11 +275,11 @@
 	}
 }
 
-// A Door leaves nothing running, and several of them share nothing.
+// Gateways come and go in one process: Close leaves no goroutine, and several Gateways share nothing.
 func TestCloseLeavesNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for range 20 {
-		var doors []*pumicecroft.Gateway
+		var gateways []*pumicecroft.Gateway
 		for i := range 3 {
 			c := hosttest.Config()
 			c.InitialEndpoints.Nodes = []membership.Node{{Name: "one", Addr: "127.0.0.1:1"}}
@@ -290,11 +292,11 @@
 			req := newRequest("once")
 			req.ID = 77 // the same at each: they do not know of one another
 			if _, err := d.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrRejected) {
-				t.Errorf("door %d: %v", i, err)
+				t.Errorf("gateway %d: %v", i, err)
 			}
-			doors = append(doors, d)
+			gateways = append(gateways, d)
 		}
-		for _, d := range doors {
+		for _, d := range gateways {
 			if err := d.Close(t.Context()); err != nil {
 				t.Error(err)
 			}
@@ -311,7 +313,7 @@
 
 func (idleSource) Run(context.Context, func(membership.Update)) {}
 
-// A source without a name, or of a name that is plain here and not there, is an error of the configuration.
+// A source without a name, or of a name that is trusted here and not there, is an ErrConfig.
 func TestInvalidSources(t *testing.T) {
 	for _, os := range [][]membership.SourceInfo{{{}}, {{Name: "x"}, {Name: "x", Trusted: true}}, {{Name: "own"}}} {
 		var options []pumicecroft.Option
--- a/internal/executor/transportmux_test.go
+++ b/internal/executor/transportmux_test.go
@@ -10,7 +10,7 @@
 	"pumicecroft/membership"
 )
 
-// spoken notes what one protocol's backends are told.
+// recordingTransport records what one protocol's transport is told.
 type recordingTransport struct {
 	name  string
 	calls *[]string
@@ -38,8 +38,8 @@
 
 func (l payloadFor) Protocol() string { return string(l) }
 
-// Attempts, probes and news go to the one that speaks the protocol, and a backend that goes over to another protocol is
-// gone from the first.
+// Attempts, probes and changes go to the protocol's transport, and a backend that changes its protocol is removed from
+// the first one.
 func TestTransportMux(t *testing.T) {
 	var told []string
 	m := NewTransportMux(map[string]BackendTransport{"a": recordingTransport{"a", &told}, "b": recordingTransport{"b", &told}})
--- a/internal/lifecycle/property_test.go
+++ b/internal/lifecycle/property_test.go
@@ -13,7 +13,7 @@
 	"pumicecroft/recovery"
 )
 
-// TestMain has the property tests draw the same every time, unless -rapid.seed says otherwise.
+// TestMain has the property tests draw the same values every time, unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20", "rapid.checks": "300", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -23,34 +23,34 @@
 	os.Exit(m.Run())
 }
 
-// The property test drives a core with events in any order, over a decision module that does anything at all in
-// answer, the shipped one among them. Whatever happens: one Final for each request let in, none for another; every
-// Start one outcome at the decision module, and no outcome without a send; nothing left once all has ended.
+// The property tests drive a Machine with events in any order, over an engine that does anything at all in answer, or
+// over the one in use. Whatever happens: one Respond for each submitted request, none for another; one outcome at the
+// engine for each StartAttempt, and none without one; nothing left once all has ended.
 
 type requestRecord struct {
 	finals            int
 	running           []bool // open
-	madeAttempts      []int  // attempts that were started
+	madeAttempts      []int  // numbers of attempts that were started
 	cancelled         []bool
-	requested         int // that the decision module asked for
+	requested         int // StartAttempt actions of the engine
 	outcomes          []int
-	respondingAttempt int // the attempt whose answer has begun, counted from 1
+	respondingAttempt int // the attempt whose response has started, counted from 1
 }
 
 type propertyRun struct {
 	t            *rapid.T
 	machine      *Machine
-	engine       DecisionEngine // nil: chance
+	engine       DecisionEngine // nil: random actions
 	now          time.Duration
 	records      map[decision.RequestID]*requestRecord
 	order        []decision.RequestID
 	depth        int
-	pendingSync  uint64        // the CatchUp that has no answer yet; 0: none
-	lastEventAt  time.Duration // when anything happened last
+	pendingSync  uint64        // the SyncID that awaits SourcesSynced; 0: none
+	lastEventAt  time.Duration // of the last effects
 	detectPauses bool          // pauses are noticed
 }
 
-// Handle is the decision module: chance, or the one that ships, watched.
+// Handle is the engine, random or the one in use, with its events and actions checked.
 func (w *propertyRun) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
 	if o, ok := ev.(decision.Outcome); ok {
 		s := w.records[o.Request]
@@ -81,7 +81,7 @@
 }
 
 func (w *propertyRun) randomActions(as []decision.Action) []decision.Action {
-	if w.depth++; w.depth > 50 { // else sends that are not made lead to sends for ever
+	if w.depth++; w.depth > 50 { // else attempts that are not made lead to further ones for ever
 		return as
 	}
 	for range rapid.IntRange(0, 2).Draw(w.t, "actions") {
@@ -103,7 +103,7 @@
 	return as
 }
 
-// see checks the effects of one step.
+// checkEffects checks the effects of one step.
 func (w *propertyRun) checkEffects(es []Effect) {
 	w.lastEventAt = w.now
 	for _, e := range es {
@@ -116,10 +116,10 @@
 			w.pendingSync = e.SyncID
 		case StartAttempt:
 			if w.pendingSync > 0 {
-				w.t.Fatalf("%+v before the core has caught up", e)
+				w.t.Fatalf("%+v before the sources have synced", e)
 			}
 			if s.respondingAttempt > 0 {
-				w.t.Fatalf("a start after an answer has begun: %+v", e)
+				w.t.Fatalf("a start after a response has started: %+v", e)
 			}
 			if s.finals > 0 {
 				w.t.Fatalf("a start after the final answer: %+v", e)
@@ -134,7 +134,7 @@
 			s.madeAttempts = append(s.madeAttempts, e.Attempt)
 		case CancelAttempt:
 			if !s.running[e.Attempt] || s.cancelled[e.Attempt] {
-				w.t.Fatalf("an attempt called off that is not out, or twice: %+v", e)
+				w.t.Fatalf("an attempt cancelled that is not in flight, or twice: %+v", e)
 			}
 			s.cancelled[e.Attempt] = true
 		case Respond:
@@ -142,7 +142,7 @@
 				w.t.Fatalf("a second final answer: %+v", e)
 			}
 			if s.respondingAttempt > 0 && (e.Verdict == Rejected || e.Verdict == Served && e.Attempt != s.respondingAttempt-1) {
-				w.t.Fatalf("%+v, and the answer of attempt %d has begun", e, s.respondingAttempt-1)
+				w.t.Fatalf("%+v, and the response of attempt %d has started", e, s.respondingAttempt-1)
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 		before, from := w.pendingSync, w.lastEventAt
 		defer func() {
 			if w.lastEventAt > from && w.pendingSync == before {
-				w.t.Fatalf("%v went by, and nobody was asked to catch up", w.now-from)
+				w.t.Fatalf("%v went by, and no sync was asked for", w.now-from)
 			}
 		}()
 	}
@@ -229,7 +229,8 @@
 	}
 }
 
-// stop takes a list's word on backends, and looks whether the open attempts that it stops are those which a walk over all finds.
+// checkMarkDrained has the Machine mark the attempts that a random update drains, and compares them with those that a
+// walk over all attempts finds.
 func (w *propertyRun) checkMarkDrained() {
 	list := decision.EndpointUpdate{Kind: decision.UpdateKind(rapid.IntRange(0, int(decision.UpdateFailed)).Draw(w.t, "kind"))}
 	last := map[decision.BackendID]decision.BackendState{}
@@ -266,7 +267,7 @@
 	}
 }
 
-// caughtUp answers a CatchUp; one that is asked for in the same moment is another.
+// sourcesSynced answers a SyncSources. One that is asked for in the same step is another.
 func (w *propertyRun) sourcesSynced(serial uint64) {
 	owed := w.pendingSync
 	if serial == owed {
@@ -359,7 +360,7 @@
 		w.machine = New(w, set.Classes, Limits{DetectPauses: w.detectPauses}, 0)
 		w.run()
 		if w.machine.UnmatchedOutcomes() != 0 {
-			t.Fatalf("%d actions of the decision module fit no request", w.machine.UnmatchedOutcomes())
+			t.Fatalf("%d actions of the engine match no request", w.machine.UnmatchedOutcomes())
 		}
 	})
 }
--- a/recovery/fleet_test.go
+++ b/recovery/restarts_test.go
@@ -10,8 +10,8 @@
 	"pumicecroft/decision"
 )
 
-// restarts is a fleet of decision modules whose processes are killed and start again, with a meter that tells what customers used over all
-// doors in the last half second, as the platform's does.
+// fleet is a set of decision engines whose processes are killed and restarted, with a meter that tells what customers
+// used over all gateways in the last half second, as the platform's does.
 type fleet struct {
 	t        *rapid.T
 	rng      *rand.Rand
@@ -20,12 +20,11 @@
 	now      time.Duration
 	id       decision.RequestID
 	usage    map[decision.CustomerID]*[2]float64 // of this period and the last one
-	most     float64                             // of the plan's rate, that anybody used in a period
 }
 
 type gatewayProcess struct {
 	engine            *decision.Engine
-	downUntil         time.Duration // it is away until then
+	downUntil         time.Duration // it is not running until then
 	snapshot          *Snapshot
 	assumedQuotaSpent bool
 	startedAt         time.Duration
@@ -52,7 +51,7 @@
 
 func (f *fleet) takeSnapshot(d *gatewayProcess, me int) {
 	debtors := NewQuotaDebts(f.settings.Plans, MaxCustomers)
-	d.engine.Handle(f.now, decision.Timer{Token: 1 << 40}, nil) // its clock
+	d.engine.Handle(f.now, decision.Timer{Token: 1 << 40}, nil) // sets its clock
 	for c, owes := range d.engine.Customers() {
 		if owes {
 			debtors.Add(c)
@@ -64,7 +63,7 @@
 	d.snapshot = s
 }
 
-// ask asks at a door and tells whether it was sent on; it is answered at once, with the meter's word.
+// request makes a request at a gateway and tells whether it was sent; it succeeds at once, with the meter's reading.
 func (f *fleet) request(d *gatewayProcess, c decision.CustomerID) bool {
 	f.id++
 	sent := false
@@ -86,9 +85,11 @@
 	return true
 }
 
-// Whatever is killed when, with what it kept or without, at once or one after another or in a loop: a customer at five times its plan gets
-// at most what the same fleet gives it without kills, or its plan if that is more, one burst however many kills there are (while doors are
-// away it earns what it may use later), and for each kill one unit and what it used at that door in the second before. Those at half of their plans are served nearly all from a second after the last kill on.
+// Restarts must not grant fresh bursts, whatever is killed when, with snapshots or without, at once, one after another or
+// in a loop. A customer at five times its plan gets at most: what the same fleet grants without kills, or its plan if
+// that is more; one burst, however many kills there are (while gateways are away it earns what it may use later); and for
+// each kill one unit and what it used at that gateway in the second before. Those at half of their plans are served
+// nearly all from a second after the last kill on.
 func TestRestartsGrantNoExtraBurst(t *testing.T) {
 	const length, step = 24 * time.Second, 10 * time.Millisecond
 	run := func(t *rapid.T, seed uint64, n int, rate, burst float64, kills map[time.Duration][]int, keeps []bool) (flood, lastSecond float64, honest, asked int, killed int) {
--- a/decisions_test.go
+++ b/snapshots_test.go
@@ -18,8 +18,9 @@
 	"pumicecroft/recovery"
 )
 
-// A Door that has used up a customer's burst leaves that to its next process. One that finds nothing, or what another process keeps, begins
-// with customers that have used theirs up; without a directory nothing is kept, and all begin with their bursts.
+// A customer uses up its burst and the gateway restarts: the snapshot must keep it from a fresh burst. A gateway that
+// finds no snapshot, or one that another process has open, begins with customers that have used theirs up; without a
+// directory nothing is kept, and all begin with their bursts.
 func TestSnapshotOutlivesProcess(t *testing.T) {
 	addr := testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "done") })
 	dir := t.TempDir()
@@ -52,7 +53,7 @@
 		}
 	}
 	d := begin(dir)
-	if n := served(d, 1, 5); n != 0 || !strings.Contains(said.String(), "no decisions kept") {
+	if n := served(d, 1, 5); n != 0 || !strings.Contains(said.String(), "no snapshot found") {
 		t.Errorf("%d served of a burst that nobody knows of: %s", n, &said)
 	}
 	end(d)
@@ -75,7 +76,7 @@
 	}
 	second := begin(dir) // by mistake
 	if n := served(second, 2, 5); n != 0 || !strings.Contains(said.String(), "in use by another process") {
-		t.Errorf("%d served by a second door of the same number: %s", n, &said)
+		t.Errorf("%d served by a second gateway of the same number: %s", n, &said)
 	}
 	end(second)
 	end(d)
