--- a/cmd/pumicecroft/kills_test.go
+++ b/cmd/pumicecroft/kills_test.go
@@ -20,12 +20,13 @@
 )
 
 var (
-	killsFlag = flag.Int("kills", 12, "how often TestKeysOutliveKills kills the program")
-	killsSync = flag.String("kills.sync", "0s", "journal_sync of TestKeysOutliveKills")
+	killsFlag = flag.Int("kills", 12, "how often TestIdempotencyKeysSurviveKills kills the program")
+	killsSync = flag.String("kills.sync", "0s", "journal_sync of TestIdempotencyKeysSurviveKills")
 )
 
-// The program is killed at points of chance, again and again, with its journal of keys on. Clients press until they have an end: no key has
-// its effect twice, and one that was answered is answered alike ever after, by each later process.
+// The program is killed at random times, with its journal of idempotency keys. Clients retry until
+// they have a response: no key may have its effect twice, and a key that has a response must get
+// the same one from each later process.
 func TestIdempotencyKeysSurviveKills(t *testing.T) {
 	ledger := &fakes.Ledger{}
 	var nodes strings.Builder
@@ -51,7 +52,8 @@
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	defer client.CloseIdleConnections()
 	press := func(ctx context.Context, addr string, worker uint64, key string) (*http.Response, string, error) {
-		ask := fakes.Request{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second, Key: key, Body: "b " + key}
+		ask := fakes.Request{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second,
+			Key: key, Body: "b " + key}
 		req, err := ask.HTTPRequest(ctx, addr)
 		if err != nil {
 			return nil, "", err
@@ -175,5 +177,6 @@
 	if len(keys) < *killsFlag {
 		t.Errorf("only %d keys were answered", len(keys))
 	}
-	t.Logf("%d kills: %d keys answered, %d presses, %d told that nothing is known", *killsFlag, len(keys), pressed.Load(), undecided.Load())
+	t.Logf("%d kills: %d keys answered, %d presses, %d told that nothing is known", *killsFlag, len(keys),
+		pressed.Load(), undecided.Load())
 }
--- a/cmd/pumicecroft/lab_test.go
+++ b/cmd/pumicecroft/lab_test.go
@@ -29,7 +29,7 @@
 burst = 10
 `
 
-// From an experiment's file to its verdicts: the program as it is, and with an edit of a file that ships.
+// An experiment is run by the program as it is, and by one with an edit of its files, and compared.
 func TestLabVariants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it builds programs")
@@ -48,7 +48,8 @@
 		}
 	}
 	var out bytes.Buffer
-	if err := run(t.Context(), []string{"lab", "variants", variants, experiment, "-d", dir, "--root", root}, &out); err != nil {
+	if err := run(t.Context(), []string{"lab", "variants", variants, experiment, "-d", dir, "--root", root},
+		&out); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, line := range strings.Split(out.String(), "\n") {
@@ -61,7 +62,7 @@
 	}
 }
 
-// The experiments that ship are good, and their reports are written.
+// The experiments in the repository are valid, and their reports are written.
 func TestLabFiles(t *testing.T) {
 	files, err := filepath.Glob("../../lab/*.toml")
 	if err != nil || len(files) < 5 {
@@ -92,7 +93,8 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	for _, args := range [][]string{{"lab", "check", experiment}, {"lab", "run", experiment, "-d", dir}, {"lab", "report", dir}, {"lab", "report", dir, "--markdown"}, {"lab", "figures"}} {
+	for _, args := range [][]string{{"lab", "check", experiment}, {"lab", "run", experiment, "-d", dir},
+		{"lab", "report", dir}, {"lab", "report", dir, "--markdown"}, {"lab", "figures"}} {
 		if err := run(t.Context(), args, &out); err != nil {
 			t.Errorf("%q: %v", args, err)
 		}
@@ -102,7 +104,8 @@
 			t.Errorf("lacks %q: %s", want, out.String())
 		}
 	}
-	if text, err := os.ReadFile(filepath.Join(dir, "report.md")); err != nil || !strings.Contains(string(text), "| p50_ms |") {
+	if text, err := os.ReadFile(filepath.Join(dir, "report.md")); err != nil ||
+		!strings.Contains(string(text), "| p50_ms |") {
 		t.Errorf("%v: %s", err, text)
 	}
 }
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -33,7 +33,7 @@
 burst = 100000
 `
 
-// curl and Node's client and server, which nobody here wrote, through the daemon by a file of ten lines.
+// curl, and Node's client and server, work through the daemon by a file of ten lines.
 func TestPeerClientsAndBackends(t *testing.T) {
 	node, err := exec.LookPath("node")
 	if err != nil {
@@ -86,11 +86,13 @@
 		args []string
 		want []string
 	}{
-		{[]string{"-si", "-H", "X-A: b", base + "/items/7%2F8?q=2"}, []string{"HTTP/1.1 201 ", "X-Saw: GET /items/7%2F8?q=2 b"}},
+		{[]string{"-si", "-H", "X-A: b", base + "/items/7%2F8?q=2"},
+			[]string{"HTTP/1.1 201 ", "X-Saw: GET /items/7%2F8?q=2 b"}},
 		{[]string{"-sI", base + "/x"}, []string{"HTTP/1.1 201 ", "X-Saw: HEAD /x"}},
 		{[]string{"-si", "-X", "DELETE", base + "/none"}, []string{"HTTP/1.1 204 "}},
 		{[]string{"-si", "-d", "a=1", base + "/x"}, []string{"201 ", "a=1"}},
-		{[]string{"-si", "-H", "Expect: 100-continue", "-T", large, base + "/x"}, []string{"HTTP/1.1 100 ", "201 ", "89abcdef"}},
+		{[]string{"-si", "-H", "Expect: 100-continue", "-T", large, base + "/x"},
+			[]string{"HTTP/1.1 100 ", "201 ", "89abcdef"}},
 		{[]string{"-si", "-H", "Transfer-Encoding: chunked", "-d", "a=1", base + "/x"}, []string{"201 ", "a=1"}},
 		{[]string{"-si", "--raw", base + "/chunks"}, []string{"chunked", "one ", "two", "X-End: yes"}},
 		{[]string{"-si", base + "/hints"}, []string{"HTTP/1.1 103 ", "201 "}},
@@ -120,13 +122,14 @@
 	}
 }
 
-// A SIGHUP puts other routes in force, a bad file none, and what waits goes on by the routes that it came by.
+// SIGHUP puts other routes in force, an invalid file none, and open requests go on by the routes
+// that they arrived by.
 func TestSIGHUPReloadsRoutes(t *testing.T) {
-	came, goOn := make(chan bool, 1), make(chan bool)
+	came, release := make(chan bool, 1), make(chan bool)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/held" {
 			came <- true
-			<-goOn
+			<-release
 		}
 		io.WriteString(w, "ok")
 	}))
@@ -165,30 +168,33 @@
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
 	change("[[route]]\nrefuse = 410\n", 410) // the bad one in between has changed nothing, and ended nothing
-	goOn <- true
+	release <- true
 	if got := <-held; got != 200 {
 		t.Errorf("what waited got %d", got)
 	}
 }
 
-// check reads what a file names, and says what is wrong with it and where.
+// The check command reads the files that a file names, and says what is wrong with them and where.
 func TestCheckReadsFiles(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
 	cert, key := a.Issue(nil, "shop.example", "unused.example")
 	_, otherKey := a.Issue(nil, "else.example")
 	at := testcerts.WriteFiles(t, dir, map[string][]byte{"c": cert, "k": key, "other": otherKey, "keys": []byte("zz\n")})
-	base := fmt.Sprintf(tenLines, "127.0.0.1:9") + "[[route]]\nhost = \"shop.example\"\n[[route]]\nhost = \"bare.example\"\n[tls]\n"
+	base := fmt.Sprintf(tenLines,
+		"127.0.0.1:9") + "[[route]]\nhost = \"shop.example\"\n[[route]]\nhost = \"bare.example\"\n[tls]\n"
 	pair := func(c, k string) string {
 		return fmt.Sprintf("[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", at(c), at(k))
 	}
 	for name, c := range map[string]struct{ more, want string }{
-		"good":            {pair("c", "k"), `no certificate is for host "bare.example"`},
-		"unused":          {pair("c", "k"), `a certificate is for "unused.example", which no route uses`},
-		"another's key":   {pair("c", "other"), "line 17: tls.certificate[0].cert_file: the key is not the certificate's"},
-		"no file":         {pair("c", "none"), "line 17: tls.certificate[0].cert_file: open "},
-		"no certificate":  {pair("k", "k"), "line 17: tls.certificate[0].cert_file: it can't be read"},
-		"a file of keys":  {pair("c", "k") + fmt.Sprintf("[[identity]]\nkind = \"key\"\nfile = %q\n", at("keys")), "line 20: identity[0].file: " + at("keys") + ": line 1: "},
+		"good":   {pair("c", "k"), `no certificate is for host "bare.example"`},
+		"unused": {pair("c", "k"), `a certificate is for "unused.example", which no route uses`},
+		"another's key": {pair("c", "other"),
+			"line 17: tls.certificate[0].cert_file: the key is not the certificate's"},
+		"no file":        {pair("c", "none"), "line 17: tls.certificate[0].cert_file: open "},
+		"no certificate": {pair("k", "k"), "line 17: tls.certificate[0].cert_file: it can't be read"},
+		"a file of keys": {pair("c", "k") + fmt.Sprintf("[[identity]]\nkind = \"key\"\nfile = %q\n", at("keys")),
+			"line 20: identity[0].file: " + at("keys") + ": line 1: "},
 		"without a place": {"", "line 16: tls.certificate: there is none"},
 	} {
 		var out bytes.Buffer
@@ -199,7 +205,7 @@
 	}
 }
 
-// routes says what would become of a request.
+// The routes command prints what would become of a request.
 func TestShowRoute(t *testing.T) {
 	path := writeFile(t, fmt.Sprintf(tenLines, "127.0.0.1:9")+`[http]
 trusted = ["10.0.0.0/8"]
@@ -215,15 +221,18 @@
 timeout = "2s"
 `)
 	for _, c := range []struct{ args, want string }{
-		{"GET|/items/a%2Fb|-H|X-Customer: c|--from|10.1.1.1", "route     items (line 18)\n          id = \"a/b\"\nwho       c, by header 0, plan everyone\nservice   shop\nclass     shop: safe to repeat\ndeadline  2s\nunits     3\n"},
-		{"POST|http://x/items/7|-H|X-Customer: c|--from|10.1.1.1", "class     shop (once): never repeated once it may have run"},
+		{"GET|/items/a%2Fb|-H|X-Customer: c|--from|10.1.1.1",
+			"route     items (line 18)\n          id = \"a/b\"\nwho       c, by header 0, plan everyone\nservice   shop\nclass     shop: safe to repeat\ndeadline  2s\nunits     3\n"},
+		{"POST|http://x/items/7|-H|X-Customer: c|--from|10.1.1.1",
+			"class     shop (once): never repeated once it may have run"},
 		{"GET|/items/7|-H|X-Customer: c", "refused   401: Nothing says who asks"},
 		{"PUT|/items/7", "refused   405: no route takes this method, but GET, POST"},
 		{"GET|/else", "refused   404: No route takes such a request"},
 		{"GET|/items/..", "refused   400: "},
 	} {
 		var out bytes.Buffer
-		if err := run(t.Context(), append([]string{"routes", path}, strings.Split(c.args, "|")...), &out); err != nil || !strings.Contains(out.String(), c.want) {
+		if err := run(t.Context(), append([]string{"routes", path}, strings.Split(c.args, "|")...),
+			&out); err != nil || !strings.Contains(out.String(), c.want) {
 			t.Errorf("%s: %v\n%s", c.args, err, out.String())
 		}
 	}
@@ -232,7 +241,8 @@
 	}
 }
 
-// Services whose backends stand in Consul: each has its own, what a node's meta says of its protocol comes first, and neither gets the other's requests.
+// Backends of two services come from Consul: each has its own, a node's metadata on its protocol
+// takes precedence, and neither gets the other's requests.
 func TestServicesFromConsul(t *testing.T) {
 	agent, err := fakes.StartConsul(nil)
 	if err != nil {
@@ -240,12 +250,17 @@
 	}
 	t.Cleanup(agent.Close)
 	for _, name := range []string{"a", "b"} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "by "+name) }))
+		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter,
+			_ *http.Request) {
+			io.WriteString(w, "by "+name)
+		}))
 		t.Cleanup(s.Close)
 		host, port, _ := net.SplitHostPort(strings.TrimPrefix(s.URL, "http://"))
 		number, _ := strconv.Atoi(port)
-		agent.Register(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number, Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
-			fakes.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1, Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.Check{{ID: "up", Status: "passing"}}})
+		agent.Register(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number,
+			Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
+			fakes.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1,
+				Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.Check{{ID: "up", Status: "passing"}}})
 	}
 	_, addr, _ := startServing(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
--- a/conformance/grpc_test.go
+++ b/conformance/grpc_test.go
@@ -19,7 +19,7 @@
 	"pumicecroft/membership"
 )
 
-// overGRPC is a Door in this process behind a gRPC server, with backends that speak gRPC.
+// overGRPC starts a Gateway in this process behind a gRPC server, with backends that speak gRPC.
 func overGRPC(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
@@ -28,12 +28,13 @@
 	}
 	dc := daemon.GatewayConfig(c)
 	dc.Protocol = membership.ProtocolGRPC
-	door, err := pumicecroft.New(dc, grpcproxy.WithBackends(grpcproxy.BackendConfig{}),
+	gateway, err := pumicecroft.New(dc, grpcproxy.WithBackends(grpcproxy.BackendConfig{}),
 		pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := grpcproxy.New(door, grpcproxy.Config{Methods: deskMethods(door), Strict: true, MaxMessageBytes: pumicecroft.MaxBody})
+	front, err := grpcproxy.New(gateway, grpcproxy.Config{Methods: deskMethods(gateway), Strict: true,
+		MaxMessageBytes: pumicecroft.MaxBody})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,13 +43,13 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	g := &hostedGRPC{door: door, addr: ln.Addr().String(), stop: stop, served: make(chan error, 1)}
+	g := &hostedGRPC{gateway: gateway, addr: ln.Addr().String(), stop: stop, served: make(chan error, 1)}
 	go func() { g.served <- front.Serve(ctx, ln) }()
 	t.Cleanup(func() { _ = g.Stop() })
 	return g
 }
 
-// daemonWithGRPC is the daemon by an operator's file, asked over gRPC, with backends that speak it.
+// daemonWithGRPC starts the daemon by an operator's file, for clients and backends that speak gRPC.
 func daemonWithGRPC(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
@@ -58,14 +59,16 @@
 	text := fileWith(c, `protocol = "grpc"`) + fmt.Sprintf("[discovery]\naddress = %q\n", c.Discovery)
 	text += fmt.Sprintf("[grpc]\nlisten = \"127.0.0.1:0\"\nstrict = true\nmax_message = %d\n", pumicecroft.MaxBody)
 	for _, class := range c.Settings.Classes {
-		text += fmt.Sprintf("[[grpc.method]]\nname = \"/%s/%s\"\nclass = %q\n", fakes.GRPCService, class.Name, class.Name)
+		text += fmt.Sprintf("[[grpc.method]]\nname = \"/%s/%s\"\nclass = %q\n", fakes.GRPCService, class.Name,
+			class.Name)
 	}
 	p := startByFile(t, text, c)
 	p.addr = p.grpc
 	return p
 }
 
-// startByFile starts the daemon by an operator's file, and waits until it knows all that the configuration lists, and more.
+// startByFile starts the daemon by an operator's file, and waits until it knows all backends that
+// the configuration lists, and more.
 func startByFile(t testing.TB, text string, c platform.Config, more ...string) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "pumicecroft.toml")
@@ -78,26 +81,29 @@
 		names = append(names, n.Name)
 	}
 	slices.Sort(names)
-	waitForNames(t, names, func() ([]pumicecroft.BackendStatus, error) { return daemon.FetchBackendStatus(t.Context(), p.members) })
+	waitForNames(t, names, func() ([]pumicecroft.BackendStatus,
+		error) {
+		return daemon.FetchBackendStatus(t.Context(), p.members)
+	})
 	return p
 }
 
-// deskMethods are the methods of the stand-ins' service: each class is one.
-func deskMethods(door *pumicecroft.Gateway) map[string]grpcproxy.Method {
+// deskMethods are the methods of the fakes' service: one for each class.
+func deskMethods(gateway *pumicecroft.Gateway) map[string]grpcproxy.Method {
 	methods := map[string]grpcproxy.Method{}
-	for _, class := range door.ClassNames() {
+	for _, class := range gateway.ClassNames() {
 		methods["/"+fakes.GRPCService+"/"+class] = grpcproxy.Method{Class: class}
 	}
 	return methods
 }
 
 type hostedGRPC struct {
-	door   *pumicecroft.Gateway
-	addr   string
-	stop   func()
-	served chan error
-	once   sync.Once
-	err    error
+	gateway *pumicecroft.Gateway
+	addr    string
+	stop    func()
+	served  chan error
+	once    sync.Once
+	err     error
 }
 
 func (g *hostedGRPC) Addr() string { return g.addr }
@@ -107,7 +113,7 @@
 		g.stop()
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		defer cancel()
-		g.err = errors.Join(<-g.served, g.door.Close(ctx))
+		g.err = errors.Join(<-g.served, g.gateway.Close(ctx))
 	})
 	return g.err
 }
--- a/grpcproxy/fixture_test.go
+++ b/grpcproxy/fixture_test.go
@@ -26,20 +26,27 @@
 	"pumicecroft/membership"
 )
 
-// The test's service: Look is safe, Pay keyed within a cell, Once unsafe, Watch safe and streaming, Buy keyed and streaming.
-var deskMethods = map[string]Method{"/shop.Desk/Look": {Class: "look"}, "/shop.Desk/Pay": {Class: "pay"}, "/shop.Desk/Once": {Class: "once"},
-	"/shop.Desk/Watch": {Class: "look", Streaming: true}, "/shop.Desk/Buy": {Class: "pay", Streaming: true}, "/shop.More/*": {Class: "look"}}
+// deskMethods are the methods of the test's service: Look is idempotent, Pay idempotent by key
+// within a cell, Once not idempotent, Watch idempotent and streaming, Buy idempotent by key and
+// streaming.
+var deskMethods = map[string]Method{"/shop.Desk/Look": {Class: "look"}, "/shop.Desk/Pay": {Class: "pay"},
+	"/shop.Desk/Once":  {Class: "once"},
+	"/shop.Desk/Watch": {Class: "look", Streaming: true}, "/shop.Desk/Buy": {Class: "pay", Streaming: true},
+	"/shop.More/*": {Class: "look"}}
 
 func deskSettings(plans ...decision.Plan) decision.Settings {
 	class := func(name string, e decision.Idempotency) decision.Class {
-		return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second, LatencyObjective: 10 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 1}
+		return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell,
+			DedupWindow: 5 * time.Second, LatencyObjective: 10 * time.Second, Deadline: 15 * time.Second,
+			PriorityWeight: 1}
 	}
 	return decision.Settings{CanCancel: true, MaxRetryAfter: 900 * time.Millisecond,
-		Classes: []decision.Class{class("look", decision.Idempotent), class("pay", decision.IdempotentByKey), class("once", decision.NonIdempotent)},
-		Plans:   append(plans, decision.Plan{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1})}
+		Classes: []decision.Class{class("look", decision.Idempotent), class("pay", decision.IdempotentByKey),
+			class("once", decision.NonIdempotent)},
+		Plans: append(plans, decision.Plan{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1})}
 }
 
-// fixture is a Door behind a gRPC server, with stand-in backends and a client.
+// fixture is a gateway behind a gRPC server, with fake backends and a client.
 type fixture struct {
 	t        testing.TB
 	ledger   *fakes.Ledger
@@ -65,13 +72,14 @@
 	more     []membership.Node // of other protocols
 	ledger   *fakes.Ledger
 	server   func(*Proxy) *grpc.Server
-	door     func(*pumicecroft.Config)
+	gateway  func(*pumicecroft.Config)
 }
 
 func newRig(t testing.TB, change func(*options)) *fixture {
 	t.Helper()
 	before := runtime.NumGoroutine()
-	o := options{cells: []int{0, 0}, settings: deskSettings(), config: Config{Methods: deskMethods}, back: BackendConfig{ConnectTimeout: testkit.WaitTimeout}}
+	o := options{cells: []int{0, 0}, settings: deskSettings(), config: Config{Methods: deskMethods},
+		back: BackendConfig{ConnectTimeout: testkit.WaitTimeout}}
 	if change != nil {
 		change(&o)
 	}
@@ -82,20 +90,22 @@
 		if memories[cell] == nil {
 			memories[cell] = &fakes.Cell{Number: cell, Window: 5 * time.Second}
 		}
-		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell], Ledger: r.ledger, Behavior: o.act, WorkTime: o.work, AfterMessage: o.between,
+		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell],
+			Ledger: r.ledger, Behavior: o.act, WorkTime: o.work, AfterMessage: o.between,
 			IdempotentByKey: func(m string) bool { return m != "/shop.Desk/Look" && m != "/shop.Desk/Watch" }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.backends = append(r.backends, b)
-		known.Nodes = append(known.Nodes, membership.Node{Name: fmt.Sprintf("g%d", i), Addr: b.Addr(), Cell: cell, Protocol: membership.ProtocolGRPC})
+		known.Nodes = append(known.Nodes, membership.Node{Name: fmt.Sprintf("g%d", i), Addr: b.Addr(), Cell: cell,
+			Protocol: membership.ProtocolGRPC})
 	}
 	var err error
-	door := pumicecroft.Config{Settings: o.settings, InitialEndpoints: known, MaxOpenRequests: 1 << 15}
-	if o.door != nil {
-		o.door(&door)
+	gateway := pumicecroft.Config{Settings: o.settings, InitialEndpoints: known, MaxOpenRequests: 1 << 15}
+	if o.gateway != nil {
+		o.gateway(&gateway)
 	}
-	r.gateway, err = pumicecroft.New(door, WithBackends(o.back))
+	r.gateway, err = pumicecroft.New(gateway, WithBackends(o.back))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +140,8 @@
 		for end := time.Now().Add(testkit.WaitTimeout); runtime.NumGoroutine() > before; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				buf := make([]byte, 1<<20)
-				t.Errorf("%d goroutines, %d before:\n%s", runtime.NumGoroutine(), before, buf[:runtime.Stack(buf, true)])
+				t.Errorf("%d goroutines, %d before:\n%s", runtime.NumGoroutine(), before,
+					buf[:runtime.Stack(buf, true)])
 				return
 			}
 		}
@@ -138,10 +149,12 @@
 	return r
 }
 
-// connect makes a client with a connection of its own.
+// connect returns a client with a connection of its own.
 func (r *fixture) connect() *grpc.ClientConn {
-	c, err := grpc.NewClient("passthrough:///"+r.addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
-		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(Codec()), grpc.MaxCallRecvMsgSize(64<<20), grpc.MaxCallSendMsgSize(64<<20)))
+	c, err := grpc.NewClient("passthrough:///"+r.addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDisableRetry(),
+		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(Codec()), grpc.MaxCallRecvMsgSize(64<<20),
+			grpc.MaxCallSendMsgSize(64<<20)))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -211,7 +224,8 @@
 
 func codeOf(err error) codes.Code { return status.Code(err) }
 
-// watch makes a server-streaming call and reads it to its end; seen, if it is there, is called after each message.
+// watch makes a server-streaming call and reads it to its end. seen, if it is not nil, is called
+// after each message.
 func (r *fixture) watch(c call, seen func(n int)) result {
 	ctx, cancel := c.context(r.t.Context())
 	defer cancel()
@@ -242,7 +256,7 @@
 	return res
 }
 
-// once gives an act for the first attempt of all, and another for the rest.
+// once returns an act for the first of all attempts, and another for the rest.
 func once(first, rest fakes.GRPCBehavior) func(fakes.Attempt) fakes.GRPCBehavior {
 	var done sync.Once
 	return func(fakes.Attempt) fakes.GRPCBehavior {
@@ -256,7 +270,7 @@
 	return func(fakes.Attempt) fakes.GRPCBehavior { return act }
 }
 
-// await waits until ok.
+// await waits until ok returns true.
 func await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testkit.WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
--- a/grpcproxy/frames_test.go
+++ b/grpcproxy/frames_test.go
@@ -20,7 +20,7 @@
 	"pumicecroft/internal/testkit"
 )
 
-// rawClient is a client on bare frames.
+// rawClient is a client that handles HTTP/2 frames itself.
 type rawClient struct {
 	t    *testing.T
 	conn net.Conn
@@ -50,11 +50,12 @@
 	return w
 }
 
-// open opens a stream for a call, with more fields; an error is one of the connection.
+// open opens a stream for a call, with more fields. The error is the connection's.
 func (w *rawClient) open(c call, more ...string) (id uint32, err error) {
 	id = w.next
 	w.next += 2
-	fields := []string{":method", "POST", ":scheme", "http", ":path", c.method, ":authority", "desk", "content-type", "application/grpc", "te", "trailers"}
+	fields := []string{":method", "POST", ":scheme", "http", ":path", c.method, ":authority", "desk", "content-type",
+		"application/grpc", "te", "trailers"}
 	for name, vs := range c.md {
 		for _, v := range vs {
 			fields = append(fields, name, v)
@@ -76,7 +77,7 @@
 	return id, err
 }
 
-// ask makes a whole call and gives what came back: the last head's status, or how the stream ended.
+// ask makes a call and returns the last header's status, or how the stream ended.
 func (w *rawClient) ask(c call, more ...string) string {
 	w.t.Helper()
 	id, err := w.open(c, more...)
@@ -131,12 +132,14 @@
 	}
 }
 
-// Deadlines of 0, below it, of noise, and of longer than a time can be.
+// Clients send timeouts of 0, negative, malformed and beyond any duration.
 func TestUnusualTimeouts(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
-	for timeout, want := range map[string]string{"0S": "status 4", "0n": "status 4", "-1S": "status 13", "soon": "status 13", "": "status 13",
-		"123456789S": "status 13", "5x": "status 13", "99999999H": "status 0", "99999999M": "status 0", "5S": "status 0"} {
+	for timeout, want := range map[string]string{"0S": "status 4", "0n": "status 4", "-1S": "status 13",
+		"soon": "status 13", "": "status 13",
+		"123456789S": "status 13", "5x": "status 13", "99999999H": "status 0", "99999999M": "status 0",
+		"5S": "status 0"} {
 		if got := w.ask(r.call("Look"), "grpc-timeout", timeout); got != want {
 			t.Errorf("grpc-timeout %q: %s, want %s", timeout, got, want)
 		}
@@ -145,7 +148,9 @@
 		t.Errorf("without a deadline: %s", got)
 	}
 	for _, a := range r.ledger.Attempts() { // the class's is 15 s
-		if d, err := time.ParseDuration(a.Timeout[:len(a.Timeout)-1] + map[byte]string{'u': "us", 'n': "ns", 'm': "ms", 'S': "s"}[a.Timeout[len(a.Timeout)-1]]); err != nil || d > 15*time.Second {
+		if d, err := time.ParseDuration(a.Timeout[:len(a.Timeout)-1] +
+			map[byte]string{'u': "us", 'n': "ns", 'm': "ms", 'S': "s"}[a.Timeout[len(a.Timeout)-1]]); err != nil ||
+			d > 15*time.Second {
 			t.Errorf("a backend was given %q, %v", a.Timeout, err)
 		}
 	}
@@ -154,7 +159,7 @@
 	}
 }
 
-// A call's time as a backend sees it is less than what the client gave.
+// The timeout that a backend sees must be less than what the client gave.
 func TestRemainingTimeoutIsForwarded(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
@@ -162,12 +167,13 @@
 		t.Fatal(got)
 	}
 	got := r.ledger.Attempts()[0].Timeout
-	if d, err := time.ParseDuration(strings.TrimSuffix(got, "u") + "us"); err != nil || d >= 2*time.Second || d < time.Second {
+	if d, err := time.ParseDuration(strings.TrimSuffix(got, "u") + "us"); err != nil || d >= 2*time.Second ||
+		d < time.Second {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// Metadata over the limit: the call is turned away, its neighbours on the connection go on.
+// A call has metadata over the limit: it is rejected, and other calls on the connection go on.
 func TestHeaderListOverLimit(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
@@ -182,7 +188,7 @@
 	}
 }
 
-// A client that floods with pings is sent away; others do not notice.
+// A client floods the server with pings: its connection is closed, and others do not notice.
 func TestPingFlood(t *testing.T) {
 	r := newRig(t, nil)
 	w := r.raw(t)
@@ -207,8 +213,9 @@
 	}
 }
 
-// A client that opens calls and cancels them in a loop makes bounded work: no more of them are out at backends than it may
-// have streams, none has its effect twice, and another client is served.
+// A client opens calls and cancels them in a loop (CVE-2023-44487). The work must stay bounded: no
+// more attempts are open than the client may have streams, no effect happens twice, and another
+// client is served.
 func TestRapidReset(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.act = func(a fakes.Attempt) fakes.GRPCBehavior {
@@ -234,7 +241,10 @@
 		}
 		w.mu.Unlock()
 		if err == nil && i%10 == 0 { // it has become an attempt; the others are mostly gone before they are looked at
-			await(t, "an attempt, or a refusal", func() bool { return len(r.ledger.ForRequest(c.id)) > 0 || w.over.Load() == id })
+			await(t, "an attempt, or a refusal", func() bool {
+				return len(r.ledger.ForRequest(c.id)) > 0 ||
+					w.over.Load() == id
+			})
 			most = max(most, r.gateway.OpenRequests())
 		}
 		if err == nil {
@@ -264,7 +274,7 @@
 	t.Logf("%d calls, %d attempts, at most %d open", n, len(r.ledger.Attempts()), most)
 }
 
-// A connection that says no HTTP/2 is closed.
+// A connection without HTTP/2 is closed.
 func TestClientWithoutHTTP2(t *testing.T) {
 	r := newRig(t, nil)
 	conn, err := net.Dial("tcp", r.addr)
--- a/grpcproxy/idempotency_test.go
+++ b/grpcproxy/idempotency_test.go
@@ -15,7 +15,8 @@
 	"pumicecroft/internal/fakes"
 )
 
-// again is a call once more, by a client that pressed twice: the same key, an id of its own.
+// again returns a call once more, as a client does that was pressed twice: with the same key and
+// another ID.
 func (r *fixture) again(c call) call {
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
 	c.md = c.md.Copy()
@@ -24,8 +25,9 @@
 	return c
 }
 
-// Repeats over gRPC, with the first one's end, what comes then, and how many calls were sent on: a repeat gets the same message, status, header and
-// trailers; also by another door that reads its journal.
+// Calls are repeated with their idempotency keys, after each end of the first one. A repeat must
+// get the same message, status, header and trailers, also from another gateway that reads the
+// journal.
 func TestRepeatedIdempotencyKeys(t *testing.T) {
 	for _, c := range []struct {
 		name, method string
@@ -37,9 +39,15 @@
 	}{
 		{"served", "Pay", fakes.GRPCServe, nil, codes.OK, codes.OK, 1},
 		{"the service's own word", "Once", fakes.GRPCNotFound, nil, codes.NotFound, codes.NotFound, 1},
-		{"another message", "Pay", fakes.GRPCServe, func(c *call) { c.text = "amount=4" }, codes.OK, codes.InvalidArgument, 1},
-		{"another method", "Pay", fakes.GRPCServe, func(c *call) { c.method = "/shop.Desk/Once" }, codes.OK, codes.InvalidArgument, 1},
-		{"another customer", "Pay", fakes.GRPCServe, func(c *call) { c.md = metadata.Join(c.md); c.md.Set("x-api-key", "0000000000000008") }, codes.OK, codes.OK, 2},
+		{"another message", "Pay", fakes.GRPCServe, func(c *call) { c.text = "amount=4" }, codes.OK,
+			codes.InvalidArgument, 1},
+		{"another method", "Pay", fakes.GRPCServe, func(c *call) { c.method = "/shop.Desk/Once" }, codes.OK,
+			codes.InvalidArgument, 1},
+		{"another customer", "Pay", fakes.GRPCServe, func(c *call) {
+			c.md = metadata.Join(c.md)
+			c.md.Set("x-api-key",
+				"0000000000000008")
+		}, codes.OK, codes.OK, 2},
 		{"it may have run", "Once", fakes.GRPCResetAfterMessage, nil, codes.Unknown, codes.Unknown, 1},
 		{"safe", "Look", fakes.GRPCServe, nil, codes.OK, codes.OK, 2},
 	} {
@@ -48,8 +56,9 @@
 			r := newRig(t, func(o *options) {
 				o.cells = []int{1, 2} // only the edge drops a repeat
 				o.act = func(fakes.Attempt) fakes.GRPCBehavior { return c.act }
-				o.door = func(d *pumicecroft.Config) {
-					d.Idempotency, d.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: dir}
+				o.gateway = func(d *pumicecroft.Config) {
+					d.Idempotency, d.IdempotencyJournal = &idempotency.Limits{},
+						&pumicecroft.IdempotencyJournal{Dir: dir}
 				}
 			})
 			one := r.call(c.method)
@@ -68,7 +77,9 @@
 				for _, md := range []metadata.MD{first.header, second.header} {
 					md.Delete("date")
 				}
-				if first.text != second.text || first.st.Message() != second.st.Message() || !reflect.DeepEqual(first.trailer, second.trailer) || !reflect.DeepEqual(first.header, second.header) {
+				if first.text != second.text || first.st.Message() != second.st.Message() ||
+					!reflect.DeepEqual(first.trailer, second.trailer) ||
+					!reflect.DeepEqual(first.header, second.header) {
 					t.Errorf("%+v, then %+v", first, second)
 				}
 			}
@@ -76,11 +87,12 @@
 	}
 }
 
-// Two at once: one goes on, and both have its answer; the quota and the node see one.
+// Two calls with one key arrive at once: one is sent to a backend, both get its response, and quota
+// and backend see one.
 func TestPairsOverGRPC(t *testing.T) {
 	r := newRig(t, func(o *options) {
 		o.cells, o.work = []int{1, 2}, 2*time.Millisecond
-		o.door = func(d *pumicecroft.Config) { d.Idempotency = &idempotency.Limits{} }
+		o.gateway = func(d *pumicecroft.Config) { d.Idempotency = &idempotency.Limits{} }
 	})
 	const pairs = 200
 	var pressing sync.WaitGroup
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -24,7 +24,8 @@
 	"pumicecroft/membership"
 )
 
-// runAsGateway names the variable that makes the test's binary a door of its own, for the backend at the address that it holds.
+// runAsGateway names the variable that makes the test's binary a gateway, for the backend at the
+// address that it holds.
 const runAsGateway = "PUMICECROFT_GRPC_DOOR"
 
 func TestMain(m *testing.M) {
@@ -38,7 +39,7 @@
 	os.Exit(m.Run())
 }
 
-// longSettings are of calls that may be open for an hour.
+// longSettings are settings by which calls may be open for an hour.
 func longSettings() decision.Settings {
 	s := deskSettings()
 	for i := range s.Classes {
@@ -47,17 +48,20 @@
 	return s
 }
 
-// serveGateway is a door over gRPC until SIGTERM.
+// serveGateway serves gRPC until SIGTERM.
 func serveGateway(backend string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	set := longSettings()
-	door, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15, InitialEndpoints: membership.Update{Nodes: []membership.Node{
-		{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}}, WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000, ConnectTimeout: testkit.WaitTimeout}))
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15,
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{
+			{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}},
+		WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000,
+			ConnectTimeout: testkit.WaitTimeout}))
 	if err != nil {
 		return err
 	}
-	front, err := New(door, Config{Methods: deskMethods})
+	front, err := New(gateway, Config{Methods: deskMethods})
 	if err != nil {
 		return err
 	}
@@ -76,7 +80,7 @@
 	}
 }
 
-// residentBytes is a process's memory, in KiB.
+// residentBytes returns a process's resident memory, in KiB.
 func residentBytes(t testing.TB, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -96,24 +100,26 @@
 	return 0
 }
 
-// memoryPerStream opens n streams at a door in a process of its own over ten connections, reads one message of each, and gives what
-// the door's memory grew by, in KiB for each, once it no longer grows.
+// memoryPerStream opens n streams over ten connections at a gateway in a process of its own, reads
+// one message of each, and returns how much its memory grew, in KiB for each, once it no longer
+// grows.
 func memoryPerStream(t testing.TB, act fakes.GRPCBehavior, n int) float64 {
 	t.Helper()
-	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Behavior: always(act), MaxStreams: 1000})
+	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Behavior: always(act),
+		MaxStreams: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer backend.Kill()
-	door := exec.Command(os.Args[0])
-	door.Env = append(os.Environ(), runAsGateway+"="+backend.Addr())
-	out, err := door.StdoutPipe()
-	if err = errors.Join(err, door.Start()); err != nil {
+	gateway := exec.Command(os.Args[0])
+	gateway.Env = append(os.Environ(), runAsGateway+"="+backend.Addr())
+	out, err := gateway.StdoutPipe()
+	if err = errors.Join(err, gateway.Start()); err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		door.Process.Signal(syscall.SIGTERM)
-		_ = door.Wait()
+		gateway.Process.Signal(syscall.SIGTERM)
+		_ = gateway.Wait()
 	}()
 	addr, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
@@ -129,7 +135,7 @@
 		k.timeout = 50 * time.Millisecond
 		k.on(context.Background(), c) // so that it is connected
 	}
-	before := residentBytes(t, door.Process.Pid)
+	before := residentBytes(t, gateway.Process.Pid)
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
 	first := make(chan error, n)
@@ -159,14 +165,15 @@
 		}
 	}
 	last := 0
-	for now := residentBytes(t, door.Process.Pid); now > last+last/100; now = residentBytes(t, door.Process.Pid) { // by more than 1% in a second
+	// by more than 1% in a second
+	for now := residentBytes(t, gateway.Process.Pid); now > last+last/100; now = residentBytes(t, gateway.Process.Pid) {
 		last = now
 		time.Sleep(time.Second)
 	}
-	return float64(residentBytes(t, door.Process.Pid)-before) / float64(n)
+	return float64(residentBytes(t, gateway.Process.Pid)-before) / float64(n)
 }
 
-// A stream that is slow or idle costs a door bounded memory.
+// Clients hold many streams open that are slow or idle: each must cost the gateway bounded memory.
 func TestMemoryOfSlowStreams(t *testing.T) {
 	if raceEnabled {
 		t.Skip("the race detector's own memory counts too")
@@ -176,8 +183,8 @@
 	}
 }
 
-// BenchmarkMemory reports what each of 10,000 idle streams and each of 1,000 streams whose clients do not read costs a door,
-// in KiB of its process.
+// BenchmarkMemory reports what each of 10,000 idle streams, and each of 1,000 streams whose clients
+// do not read, costs a gateway, in KiB of its process.
 //
 //	go test -run xxx -bench Memory -benchtime 1x ./grpcproxy
 func BenchmarkMemory(b *testing.B) {
--- a/httpproxy/disconnect_test.go
+++ b/httpproxy/disconnect_test.go
@@ -11,8 +11,9 @@
 	"pumicecroft/internal/testkit"
 )
 
-// A client that leaves while its request waits for a connection to a backend, for a first attempt or a further one, is sent to nobody when that
-// connection is up: whether it closes its connection or cancels its stream, and whatever backends speak.
+// A client disconnects while its request waits for a connection to a backend, in the first attempt
+// or a later one: it closes its connection or cancels its stream. When the connection is up, the
+// request must not be sent on it, over HTTP/1.1 or HTTP/2.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for _, h2 := range []bool{false, true} { // the client's
 		for _, backs := range []string{"", "speaks = \"h2\"\n"} {
@@ -28,14 +29,15 @@
 						}), nil)
 					}
 					first, second := backend(), backend()
-					dials, waiting, goOn := atomic.Int32{}, make(chan bool, 10), make(chan bool)
-					r := startProxyWithDialer(t, serviceSection("shop", first, second)+backs, func(_ context.Context, network, addr string) (net.Conn, error) {
-						if n := dials.Add(1); n == 1 && !further || n == 2 && further {
-							waiting <- true
-							<-goOn // it comes up all the same
-						}
-						return net.Dial(network, addr)
-					})
+					dials, waiting, release := atomic.Int32{}, make(chan bool, 10), make(chan bool)
+					r := startProxyWithDialer(t, serviceSection("shop", first, second)+backs,
+						func(_ context.Context, network, addr string) (net.Conn, error) {
+							if n := dials.Add(1); n == 1 && !further || n == 2 && further {
+								waiting <- true
+								<-release // it comes up all the same
+							}
+							return net.Dial(network, addr)
+						})
 					left := make(chan bool, 1)
 					addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 						context.AfterFunc(req.Context(), func() { left <- true })
@@ -64,7 +66,7 @@
 						t.Error("it was answered")
 					}
 					testkit.Await(t, left, "it to be seen that its client has left")
-					close(goOn)
+					close(release)
 					patient, stop := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 					defer stop()
 					if err := r.gateway.Close(patient); err != nil { // what was to leave has left
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -24,7 +24,7 @@
 	"pumicecroft/internal/testcerts"
 )
 
-// startTLSListener serves a rig's front as the daemon does, by the [tls] of its file.
+// startTLSListener serves a fixture's proxy as the daemon does, by the [tls] of its file.
 func startTLSListener(t testing.TB, r *fixture) (addr string, store *certs.Store) {
 	t.Helper()
 	config, store, err := httpproxyconfig.Listener(&r.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
@@ -38,7 +38,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- httplistener.NewServer(r.proxy, 2000, 5*time.Second, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
+		ended <- httplistener.NewServer(r.proxy, 2000, 5*time.Second, slog.New(slog.DiscardHandler),
+			httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -50,25 +51,27 @@
 }
 
 func newTLSClient(a *testcerts.Authority, name string, h2 bool, own ...tls.Certificate) *http.Client {
-	return &http.Client{Transport: &http.Transport{ForceAttemptHTTP2: h2, MaxIdleConnsPerHost: 2000, TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: name, Certificates: own}}}
+	return &http.Client{Transport: &http.Transport{ForceAttemptHTTP2: h2, MaxIdleConnsPerHost: 2000,
+		TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: name, Certificates: own}}}
 }
 
-// A certificate is put in place of another 100 times, some of them bad, while 1,000 requests at a time are in flight: none fails, and the new one is
-// what new connections see.
+// A certificate is replaced 100 times, sometimes by an invalid one, while 1,000 requests at a time
+// are open: none may fail, and new connections must see the new certificate.
 func TestCertificateReloadUnderLoad(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
 	cert, key := a.Issue(nil, "shop.example", "*.wild.example")
 	path := testcerts.WriteFiles(t, dir, map[string][]byte{"c": cert, "k": key})
-	held, goOn := make(chan bool, 1000), make(chan bool)
+	held, release := make(chan bool, 1000), make(chan bool)
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/held" {
 			held <- true
-			<-goOn
+			<-release
 		}
 		io.WriteString(w, r.Proto)
 	}), nil)
-	r := startProxy(t, serviceSection("shop", backend)+"backend_connections = 2000\nconnect_timeout = \"20s\"\ndeadline = \"1h\"\naim = \"1h\"\n"+fmt.Sprintf("[tls]\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("c"), path("k")))
+	r := startProxy(t, serviceSection("shop",
+		backend)+"backend_connections = 2000\nconnect_timeout = \"20s\"\ndeadline = \"1h\"\naim = \"1h\"\n"+fmt.Sprintf("[tls]\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("c"), path("k")))
 	addr, store := startTLSListener(t, r)
 	get := func(c *http.Client, path string) error {
 		res, err := c.Get("https://" + addr + path)
@@ -99,7 +102,7 @@
 		select {
 		case <-held:
 		case <-time.After(3 * testTimeout):
-			close(goOn)
+			close(release)
 			ran.Wait()
 			t.Fatalf("not all came: %d failed, first: %v", failed.Load(), first.Load())
 		}
@@ -149,7 +152,7 @@
 		}
 	}
 	stop()
-	close(goOn)
+	close(release)
 	ran.Wait()
 	t.Logf("100 swaps and %d that were bad, over 1,000 held and %d other requests", bad, asked.Load())
 	if failed.Load() > 0 || asked.Load() == 0 {
@@ -157,7 +160,8 @@
 	}
 }
 
-// Towards backends: the authority, the name, the pins and the door's own certificate count, and no request goes where one of them is wrong.
+// Backends are verified by authority, name and pins, and verify the proxy's certificate: no request
+// is sent where one of them is wrong.
 func TestTLSToBackends(t *testing.T) {
 	a, other := testcerts.New(t), testcerts.New(t)
 	cert, key := a.Issue(nil, "backend.example", "127.0.0.1")
@@ -175,7 +179,8 @@
 		}
 		w.Header().Set("Connection", "close")
 		io.WriteString(w, r.TLS.PeerCertificates[0].Subject.CommonName)
-	}), &tls.Config{Certificates: []tls.Certificate{pair}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: a.Pool()})
+	}), &tls.Config{Certificates: []tls.Certificate{pair}, ClientAuth: tls.RequireAndVerifyClientCert,
+		ClientCAs: a.Pool()})
 	sum := sha256.Sum256(pair.Leaf.RawSubjectPublicKeyInfo)
 	pin := base64.StdEncoding.EncodeToString(sum[:])
 	mine := fmt.Sprintf("cert_file = %q\nkey_file = %q\n", path("c"), path("k"))
@@ -183,13 +188,14 @@
 		text string
 		good bool
 	}{
-		"by the address":        {fmt.Sprintf("ca_file = %q\n", path("ca")) + mine, true},
-		"by a name":             {fmt.Sprintf("ca_file = %q\nname = \"backend.example\"\n", path("ca")) + mine, true},
-		"another name":          {fmt.Sprintf("ca_file = %q\nname = \"else.example\"\n", path("ca")) + mine, false},
-		"another authority":     {fmt.Sprintf("ca_file = %q\n", path("other")) + mine, false},
-		"pinned":                {fmt.Sprintf("ca_file = %q\npins = [%q]\n", path("ca"), pin) + mine, true},
-		"pinned alone":          {fmt.Sprintf("verify = \"pins\"\npins = [%q]\n", pin) + mine, true},
-		"another pin":           {"verify = \"pins\"\npins = [\"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\"]\n" + mine, false},
+		"by the address":    {fmt.Sprintf("ca_file = %q\n", path("ca")) + mine, true},
+		"by a name":         {fmt.Sprintf("ca_file = %q\nname = \"backend.example\"\n", path("ca")) + mine, true},
+		"another name":      {fmt.Sprintf("ca_file = %q\nname = \"else.example\"\n", path("ca")) + mine, false},
+		"another authority": {fmt.Sprintf("ca_file = %q\n", path("other")) + mine, false},
+		"pinned":            {fmt.Sprintf("ca_file = %q\npins = [%q]\n", path("ca"), pin) + mine, true},
+		"pinned alone":      {fmt.Sprintf("verify = \"pins\"\npins = [%q]\n", pin) + mine, true},
+		"another pin": {"verify = \"pins\"\npins = [\"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\"]\n" +
+			mine, false},
 		"without a certificate": {fmt.Sprintf("ca_file = %q\n", path("ca")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -216,7 +222,7 @@
 	}
 }
 
-// A client's certificate says who asks, where it is one of the authority's.
+// A client's certificate identifies the caller, if the authority has issued it.
 func TestClientCertificates(t *testing.T) {
 	a, other := testcerts.New(t), testcerts.New(t)
 	cert, key := a.Issue(nil, "shop.example")
--- a/internal/grpctransport/transport_test.go
+++ b/internal/grpctransport/transport_test.go
@@ -23,7 +23,7 @@
 	"pumicecroft/membership"
 )
 
-// fixture is a backend and what makes attempts at it.
+// fixture is a backend and a transport to it.
 type fixture struct {
 	t       *testing.T
 	backend *fakes.GRPCBackend
@@ -35,7 +35,8 @@
 func newRig(t *testing.T, act func(fakes.Attempt) fakes.GRPCBehavior, change func(*fakes.GRPCConfig, *Config)) *fixture {
 	t.Helper()
 	r := &fixture{t: t, ledger: &fakes.Ledger{}}
-	sc := fakes.GRPCConfig{Name: "g", Ledger: r.ledger, Behavior: act, Cell: &fakes.Cell{Window: 5 * time.Second}, IdempotentByKey: func(m string) bool { return m == "/shop.Desk/Pay" }}
+	sc := fakes.GRPCConfig{Name: "g", Ledger: r.ledger, Behavior: act, Cell: &fakes.Cell{Window: 5 * time.Second},
+		IdempotentByKey: func(m string) bool { return m == "/shop.Desk/Pay" }}
 	c := Config{ConnectTimeout: testkit.WaitTimeout, MaxMessageBytes: 1 << 20}
 	if change != nil {
 		change(&sc, &c)
@@ -56,10 +57,11 @@
 
 func (r *fixture) request(size int) *Request {
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
-	return &Request{Method: "/shop.Desk/Pay", Body: framed(size), Metadata: []Field{{"request-id", id}, {"idempotency-key", "key-" + id}}}
+	return &Request{Method: "/shop.Desk/Pay", Body: framed(size),
+		Metadata: []Field{{"request-id", id}, {"idempotency-key", "key-" + id}}}
 }
 
-// attempt makes one attempt; patience 0 is a long one.
+// attempt makes one attempt; patience 0 means a long one.
 func (r *fixture) attempt(req *Request, patience time.Duration) executor.Response {
 	if patience == 0 {
 		patience = testkit.WaitTimeout
@@ -67,17 +69,20 @@
 	return r.back.RoundTrip(executor.NewAttempt(1, time.Now().Add(patience), req))
 }
 
-// Each way in which a backend can end an attempt gives the result that the table has for it, and what the result calls
-// unrun has not run.
+// Each way in which a backend can end an attempt has the result that grpcproto states, and a call
+// whose result says that it did not run did not.
 func TestResults(t *testing.T) {
 	for act, want := range map[fakes.GRPCBehavior]decision.Result{
 		fakes.GRPCServe: decision.Succeeded, fakes.GRPCNotFound: decision.Succeeded,
 		fakes.GRPCStream:       decision.Unknown, // three messages for a unary call
-		fakes.GRPCRefuseStream: decision.Rejected, fakes.GRPCGoAwayBelow: decision.Rejected, fakes.GRPCRetryPushback: decision.Rejected,
-		fakes.GRPCHang: decision.TimedOut, fakes.GRPCHeadersThenHang: decision.TimedOut,
-		fakes.GRPCResetCancel: decision.ConnectionLost, fakes.GRPCResetAfterMessage: decision.ConnectionLost, fakes.GRPCClose: decision.ConnectionLost, fakes.GRPCCloseMidMessage: decision.ConnectionLost,
+		fakes.GRPCRefuseStream: decision.Rejected, fakes.GRPCGoAwayBelow: decision.Rejected,
+		fakes.GRPCRetryPushback: decision.Rejected,
+		fakes.GRPCHang:          decision.TimedOut, fakes.GRPCHeadersThenHang: decision.TimedOut,
+		fakes.GRPCResetCancel: decision.ConnectionLost, fakes.GRPCResetAfterMessage: decision.ConnectionLost,
+		fakes.GRPCClose: decision.ConnectionLost, fakes.GRPCCloseMidMessage: decision.ConnectionLost,
 		fakes.GRPCInternal:  decision.ErrorResponse,
-		fakes.GRPCNoMessage: decision.Unknown, fakes.GRPCTwoMessages: decision.Unknown, fakes.GRPCMissingTrailers: decision.Unknown, fakes.GRPCMessageTooLarge: decision.Unknown,
+		fakes.GRPCNoMessage: decision.Unknown, fakes.GRPCTwoMessages: decision.Unknown,
+		fakes.GRPCMissingTrailers: decision.Unknown, fakes.GRPCMessageTooLarge: decision.Unknown,
 	} {
 		t.Run(fmt.Sprint(act), func(t *testing.T) {
 			t.Parallel()
@@ -100,9 +105,11 @@
 				if as := r.ledger.ForRequest(req.Metadata[0].Value); len(as) != 1 { // never again by itself
 					t.Errorf("it reached the backend %d times", len(as))
 				}
-				if a, ok := reply.Body.(*Response); act == fakes.GRPCServe && (!ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value) {
+				if a, ok := reply.Body.(*Response); act == fakes.GRPCServe &&
+					(!ok || string(a.Body[5:]) != "done "+req.Metadata[0].Value) {
 					t.Errorf("answered %+v", reply.Body)
-				} else if act == fakes.GRPCNotFound && (!ok || a.Code != grpcproto.NotFound || a.Message != "as scripted") {
+				} else if act == fakes.GRPCNotFound && (!ok || a.Code != grpcproto.NotFound ||
+					a.Message != "as scripted") {
 					t.Errorf("answered %+v", reply.Body)
 				}
 			}
@@ -110,8 +117,8 @@
 	}
 }
 
-// A GOAWAY while streams are open: those above its last stream have not run and are told so, the others end well, and
-// what comes next goes to another connection.
+// A backend sends GOAWAY while streams are open: those above its last stream did not run and end
+// so, the others succeed, and later calls use another connection.
 func TestGoAwayDuringCalls(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
@@ -161,11 +168,12 @@
 	}
 }
 
-// A backend that says GOAWAY again and again, with a stream that does not end each time, is asked over new connections,
-// and over so many at once only.
+// A backend sends GOAWAY repeatedly, each time with a stream that does not end: calls use new
+// connections, of which there are a limited number.
 func TestGoAwayAfterEachCall(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend = 1 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCHang },
+		func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend = 1 })
 	var ran sync.WaitGroup
 	defer ran.Wait()
 	for i := range 2 {
@@ -195,10 +203,11 @@
 	}
 }
 
-// Calls that are given up reset their streams at once, and their slots are free again.
+// Cancelled calls reset their streams at once, and free them.
 func TestCancelledAttempt(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCHang }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxStreamsPerConn = 1, 4 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCHang },
+		func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxStreamsPerConn = 1, 4 })
 	for range 20 {
 		a := executor.NewAttempt(1, time.Now().Add(testkit.WaitTimeout), r.request(10))
 		before := len(r.ledger.Attempts())
@@ -220,14 +229,15 @@
 	}
 }
 
-// Streams and connections are bounded by both sides; what finds none free has not been sent.
+// Streams and connections are limited by both sides. A call that finds no free stream was not sent.
 func TestConnectionAndStreamLimits(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCHang },
 		func(s *fakes.GRPCConfig, c *Config) {
 			c.MaxConnsPerBackend, c.MaxStreamsPerConn, s.MaxStreams = 2, 8, 5
 		})
-	warm := executor.NewAttempt(1, time.Now().Add(100*time.Millisecond), r.request(10)) // so that the settings have come
+	// so that the settings have come
+	warm := executor.NewAttempt(1, time.Now().Add(100*time.Millisecond), r.request(10))
 	r.back.RoundTrip(warm)
 	var open sync.WaitGroup
 	sent := atomic.Int64{}
@@ -247,7 +257,8 @@
 	}
 }
 
-// A backend that stops reading with a request half written: it can't have run, and neighbours on other connections go on.
+// A backend stops reading when a request is half written: the call did not run, and calls on other
+// connections go on.
 func TestClosedSendWindow(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, nil, func(s *fakes.GRPCConfig, c *Config) { s.Window, c.MaxConnsPerBackend = 1000, 1 })
@@ -263,7 +274,7 @@
 	}
 }
 
-// A drain or an end of a backend lets nothing new onto old connections, and what is on them ends well.
+// A backend drains or is removed: no new call uses its connections, and the calls on them succeed.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
@@ -307,12 +318,14 @@
 	if reply := r.attempt(r.request(1), 0); reply.Result != decision.ConnectFailed {
 		t.Errorf("%v", reply.Result)
 	}
-	if reply := b.RoundTrip(executor.NewAttempt(9, time.Now().Add(time.Second), r.request(1))); reply.Result != decision.NotSent {
+	if reply := b.RoundTrip(executor.NewAttempt(9, time.Now().Add(time.Second),
+		r.request(1))); reply.Result != decision.NotSent {
 		t.Errorf("to a backend that is not known: %v", reply.Result)
 	}
 }
 
-// startRawBackend serves connections by hand, after the preface and the settings.
+// startRawBackend starts a backend that handles HTTP/2 frames itself, after the preface and the
+// settings.
 func startRawBackend(t *testing.T, serve func(c net.Conn, f *http2.Framer)) *fixture {
 	t.Helper()
 	addr := testkit.Accept(t, func(conn net.Conn) {
@@ -330,8 +343,8 @@
 	return r
 }
 
-// A backend that floods with frames that carry nothing, or sends what is no HTTP/2, loses its connection, and memory
-// stays what it was.
+// A backend floods the connection with frames without content, or does not speak HTTP/2: it loses
+// its connection, and memory does not grow.
 func TestFrameFloods(t *testing.T) {
 	for name, serve := range map[string]func(c net.Conn, f *http2.Framer){
 		"pings": func(_ net.Conn, f *http2.Framer) {
@@ -385,7 +398,7 @@
 	}
 }
 
-// Many at once over few connections, each with its own answer, one of them stuck.
+// Many concurrent calls on few connections get their own responses while one is stuck.
 func TestManyStreams(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, func(a fakes.Attempt) fakes.GRPCBehavior {
@@ -427,10 +440,11 @@
 	cancel()
 }
 
-// An answer that is longer than the windows comes whole, as they are opened while it is read.
+// A response larger than the windows arrives completely, as they are returned while it is read.
 func TestLargeResponse(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCMessageTooLarge }, func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxMessageBytes = 1, 16<<20 })
+	r := newRig(t, func(fakes.Attempt) fakes.GRPCBehavior { return fakes.GRPCMessageTooLarge },
+		func(_ *fakes.GRPCConfig, c *Config) { c.MaxConnsPerBackend, c.MaxMessageBytes = 1, 16<<20 })
 	for range 2 {
 		reply := r.attempt(r.request(10), 0)
 		if a, ok := reply.Body.(*Response); !ok || len(a.Body) != fakes.GRPCLargeMessageBytes+5 {
@@ -439,7 +453,8 @@
 	}
 }
 
-// A backend that opens the window of streams by a setting, halfway through a request, gets the rest of it.
+// A backend opens the windows of streams by a setting while a request is half written: it gets the
+// rest.
 func TestSettingsChangeDuringCall(t *testing.T) {
 	t.Parallel()
 	r := startRawBackend(t, func(_ net.Conn, f *http2.Framer) {
@@ -463,10 +478,12 @@
 				continue
 			}
 			head.Reset()
-			for _, h := range [][2]string{{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-status", "5"}} {
+			for _, h := range [][2]string{{":status", "200"}, {"content-type", "application/grpc"},
+				{"grpc-status", "5"}} {
 				_ = encoder.WriteField(hpack.HeaderField{Name: h[0], Value: h[1]})
 			}
-			_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: d.StreamID, BlockFragment: head.Bytes(), EndHeaders: true, EndStream: true})
+			_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: d.StreamID, BlockFragment: head.Bytes(),
+				EndHeaders: true, EndStream: true})
 		}
 	})
 	for _, size := range []int{1, 100} { // with the first answer the first settings have come
--- a/internal/operatorconfig/http_test.go
+++ b/internal/operatorconfig/http_test.go
@@ -9,7 +9,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Files of ordinary HTTP: what they come to, or each problem with line and key. The file's line 1 is "listen".
+// Files of ordinary HTTP give their classes, routes and identities, or each problem with line and
+// key. Line 1 of the file is "listen".
 func TestHTTP(t *testing.T) {
 	datadriven.RunTest(t, "testdata/web", func(_ *testing.T, d *datadriven.TestData) string {
 		f, err := Parse([]byte("listen = \"127.0.0.1:0\"\n" + d.Input))
@@ -18,7 +19,8 @@
 		}
 		var b strings.Builder
 		for _, c := range f.Gateway.Settings.Classes {
-			b.WriteString("class " + c.Name + " " + []string{"safe", "keyed", "unsafe"}[c.Idempotency] + " " + c.Deadline.String() + "\n")
+			b.WriteString("class " + c.Name + " " + []string{"safe", "keyed", "unsafe"}[c.Idempotency] + " " +
+				c.Deadline.String() + "\n")
 		}
 		for _, p := range f.Gateway.Settings.Plans {
 			b.WriteString("plan " + p.Name + "\n")
@@ -28,7 +30,9 @@
 		}
 		for _, r := range f.HTTP.Routes {
 			to := r.Target
-			b.WriteString("route " + r.Name + " " + r.Host + r.Path + " -> " + strings.Join([]string{to.Service, to.Class.Idempotent, to.Class.IdempotentByKey, to.Class.NonIdempotent}, "|"))
+			b.WriteString("route " + r.Name + " " + r.Host + r.Path + " -> " +
+				strings.Join([]string{to.Service, to.Class.Idempotent, to.Class.IdempotentByKey,
+					to.Class.NonIdempotent}, "|"))
 			if to.Idempotency != nil && *to.Idempotency == decision.Idempotent {
 				b.WriteString(" safe")
 			}
