--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -20,7 +20,8 @@
 	if !counts.OK() || counts.Served == 0 || counts.Rejected == 0 || counts.WithRetryAfter != counts.Rejected {
 		t.Errorf("%+v\n%s", counts, out.String())
 	}
-	if last := lines[len(lines)-1]; !regexp.MustCompile(`^served=\d+ refused=\d+ failed=\d+ lost=0 duplicates=0$`).MatchString(last) {
+	lastLine := regexp.MustCompile(`^served=\d+ refused=\d+ failed=\d+ lost=0 duplicates=0$`)
+	if last := lines[len(lines)-1]; !lastLine.MatchString(last) {
 		t.Errorf("the last line is %q", last)
 	}
 	for _, what := range []string{"node-0 drains", "node-1 dies", "node-6 starts cold",
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -19,25 +19,26 @@
 	"google.golang.org/grpc/status"
 )
 
-// reply is how one try ended.
+// reply is the result of one try.
 type reply struct {
-	status     string        // such as 200, OK, 503; of what has none, why
-	good       bool          // answered well
-	rejected   bool          // and asking again is harmless
-	retryAfter time.Duration // as it was told; 0: it was not
+	status     string        // such as 200, OK, 503; without a response, the reason
+	good       bool          // a successful response
+	rejected   bool          // a retry is safe
+	retryAfter time.Duration // 0 means that it was not sent
 	bytes      int64
 }
 
-// way asks once.
+// client sends requests in one protocol. It is safe for concurrent use.
 type client interface {
-	send(ctx context.Context, target string, k *RequestKind, s *Request, try int, left time.Duration) reply
+	// send sends one try of a request and blocks until its result. left is the timeout that the request carries.
+	send(ctx context.Context, target string, kind *RequestKind, r *Request, try int, left time.Duration) reply
 	close()
 }
 
-// ErrNotLoopback is a target that is on another machine.
+// ErrNotLoopback is returned for a target on another machine.
 var ErrNotLoopback = errors.New("the target is not on this machine")
 
-// loopback tells whether a target is on this machine; a name must be localhost.
+// requireLoopback returns an error unless a target is on this machine. The only name allowed is localhost.
 func requireLoopback(target string) error {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
@@ -49,59 +50,66 @@
 	return nil
 }
 
-// overHTTP asks over HTTP/1.1.
+// httpClient sends requests over HTTP/1.1.
 type httpClient struct{ transport *http.Transport }
 
 func newHTTPClient(conns int) *httpClient {
-	return &httpClient{&http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, MaxIdleConns: conns, DisableCompression: true, IdleConnTimeout: 30 * time.Second}}
+	return &httpClient{&http.Transport{
+		MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, MaxIdleConns: conns,
+		DisableCompression: true, IdleConnTimeout: 30 * time.Second,
+	}}
 }
 
-func (w *httpClient) close() { w.transport.CloseIdleConnections() }
+func (c *httpClient) close() { c.transport.CloseIdleConnections() }
 
-func (w *httpClient) send(ctx context.Context, target string, k *RequestKind, s *Request, try int, left time.Duration) reply {
-	req, err := http.NewRequestWithContext(ctx, k.Method, "http://"+target+expand(k.Path, s, try, left), strings.NewReader(expand(k.Body, s, try, left)))
+func (c *httpClient) send(
+	ctx context.Context, target string, kind *RequestKind, r *Request, try int, left time.Duration,
+) reply {
+	url, body := "http://"+target+expand(kind.Path, r, try, left), strings.NewReader(expand(kind.Body, r, try, left))
+	req, err := http.NewRequestWithContext(ctx, kind.Method, url, body)
 	if err != nil {
 		return reply{status: "no request"}
 	}
-	for _, h := range k.Headers {
-		req.Header.Add(h.Name, expand(h.Value, s, try, left))
+	for _, h := range kind.Headers {
+		req.Header.Add(h.Name, expand(h.Value, r, try, left))
 	}
-	res, err := w.transport.RoundTrip(req)
+	res, err := c.transport.RoundTrip(req)
 	if err != nil {
 		return reply{status: errorName(err)}
 	}
 	n, err := io.Copy(io.Discard, res.Body)
 	res.Body.Close()
-	r := reply{status: strconv.Itoa(res.StatusCode), bytes: n, good: res.StatusCode < 400}
+	out := reply{status: strconv.Itoa(res.StatusCode), bytes: n, good: res.StatusCode < 400}
 	if err != nil {
-		r.status, r.good = "cut, "+errorName(err), false
+		out.status, out.good = "cut, "+errorName(err), false
 	}
-	if after := res.Header.Get("Retry-After"); after != "" && (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests) {
-		r.rejected = true
+	rejection := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
+	if after := res.Header.Get("Retry-After"); after != "" && rejection {
+		out.rejected = true
 		if seconds, err := strconv.ParseFloat(after, 64); err == nil && seconds >= 0 && seconds < 1e6 {
-			r.retryAfter = time.Duration(seconds * float64(time.Second))
+			out.retryAfter = time.Duration(seconds * float64(time.Second))
 		}
 	}
-	return r
+	return out
 }
 
-// why names an error in a word, so that equal ones count together.
+// errorName classifies an error, so that errors of one class are counted together.
 func errorName(err error) string {
-	var op *net.OpError
+	var opError *net.OpError
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		return "timed out"
 	case errors.Is(err, context.Canceled):
 		return "ended"
-	case errors.As(err, &op):
-		return op.Op + " failed"
+	case errors.As(err, &opError):
+		return opError.Op + " failed"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return "connection ended"
 	}
 	return "broken"
 }
 
-// raw carries messages as they are.
+// rawCodec passes gRPC messages as bytes.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
@@ -111,50 +119,60 @@
 }
 func (rawCodec) Name() string { return "proto" }
 
-// overGRPC makes unary calls, on some connections in turn.
+// maxGRPCConns is the largest number of connections of a grpcClient: each of them carries many calls at once.
+const maxGRPCConns = 16
+
+// grpcClient makes unary calls, on its connections in turn.
 type grpcClient struct{ conns []*grpc.ClientConn }
 
 func newGRPCClient(target string, conns int) (*grpcClient, error) {
-	w := &grpcClient{}
-	for range min(conns, 16) { // each carries many calls at once
-		c, err := grpc.NewClient("passthrough:///"+target, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.ForceCodec(rawCodec{})), grpc.WithDisableRetry())
+	c := &grpcClient{}
+	for range min(conns, maxGRPCConns) {
+		conn, err := grpc.NewClient("passthrough:///"+target,
+			grpc.WithTransportCredentials(insecure.NewCredentials()),
+			grpc.WithDefaultCallOptions(grpc.ForceCodec(rawCodec{})), grpc.WithDisableRetry())
 		if err != nil {
-			w.close()
+			c.close()
 			return nil, err
 		}
-		w.conns = append(w.conns, c)
+		c.conns = append(c.conns, conn)
 	}
-	return w, nil
+	return c, nil
 }
 
-func (w *grpcClient) close() {
-	for _, c := range w.conns {
-		_ = c.Close()
+func (c *grpcClient) close() {
+	for _, conn := range c.conns {
+		_ = conn.Close()
 	}
 }
 
-func (w *grpcClient) send(ctx context.Context, _ string, k *RequestKind, s *Request, try int, left time.Duration) reply {
+func (c *grpcClient) send(
+	ctx context.Context, _ string, kind *RequestKind, r *Request, try int, left time.Duration,
+) reply {
 	var pairs []string
-	for _, h := range k.Headers {
-		pairs = append(pairs, strings.ToLower(h.Name), expand(h.Value, s, try, left))
+	for _, h := range kind.Headers {
+		pairs = append(pairs, strings.ToLower(h.Name), expand(h.Value, r, try, left))
 	}
-	in, out := []byte(expand(k.Body, s, try, left)), []byte(nil)
+	in, out := []byte(expand(kind.Body, r, try, left)), []byte(nil)
 	var trailer metadata.MD
-	err := w.conns[s.Number%uint64(len(w.conns))].Invoke(metadata.AppendToOutgoingContext(ctx, pairs...), k.Path, &in, &out, grpc.Trailer(&trailer))
+	conn := c.conns[r.Number%uint64(len(c.conns))]
+	callContext := metadata.AppendToOutgoingContext(ctx, pairs...)
+	err := conn.Invoke(callContext, kind.Path, &in, &out, grpc.Trailer(&trailer))
 	code := status.Code(err)
-	r := reply{status: code.String(), good: err == nil, bytes: int64(len(out))}
+	result := reply{status: code.String(), good: err == nil, bytes: int64(len(out))}
 	if code == codes.DeadlineExceeded && ctx.Err() != nil {
-		r.status = "timed out"
+		result.status = "timed out"
 	}
-	if push := trailer.Get("grpc-retry-pushback-ms"); len(push) > 0 && (code == codes.Unavailable || code == codes.ResourceExhausted) {
-		if ms, err := strconv.Atoi(push[0]); err == nil && ms >= 0 {
-			r.rejected, r.retryAfter = true, time.Duration(ms)*time.Millisecond
+	rejection := code == codes.Unavailable || code == codes.ResourceExhausted
+	if pushback := trailer.Get("grpc-retry-pushback-ms"); len(pushback) > 0 && rejection {
+		if ms, err := strconv.Atoi(pushback[0]); err == nil && ms >= 0 {
+			result.rejected, result.retryAfter = true, time.Duration(ms)*time.Millisecond
 		}
 	}
 	for _, d := range status.Convert(err).Details() {
-		if info, ok := d.(*errdetails.RetryInfo); ok && r.retryAfter == 0 {
-			r.rejected, r.retryAfter = true, info.GetRetryDelay().AsDuration()
+		if info, ok := d.(*errdetails.RetryInfo); ok && result.retryAfter == 0 {
+			result.rejected, result.retryAfter = true, info.GetRetryDelay().AsDuration()
 		}
 	}
-	return r
+	return result
 }
--- a/internal/load/json_test.go
+++ b/internal/load/json_test.go
@@ -5,12 +5,17 @@
 	"time"
 )
 
-// The result file's keys are what readers of earlier results know, whatever the fields are called in Go.
+// Readers of earlier results know the keys of the result file. A key that follows the rename of a Go field shows here.
 func TestResultFileKeepsItsKeys(t *testing.T) {
-	figures := LatencySummary{Count: 1, Beyond: 2, Mean: 3, P50: 4, P90: 5, P99: 6, P999: 7, Max: 8, Histogram: []byte("h")}
-	r := &Result{Plan: "desk", Target: "127.0.0.1:1", Seed: 9, Duration: time.Second, Partial: true, Sent: 10, Dropped: 11, Retries: 12, Good: 13,
-		Bytes: 14, Outcomes: map[string]int{"200": 15}, Kinds: map[string]*LatencySummary{"look": &figures}, All: LatencySummary{Count: 16}, Served: LatencySummary{Count: 17},
-		LagP99: 18, Invalid: "late"}
+	figures := LatencySummary{
+		Count: 1, Beyond: 2, Mean: 3, P50: 4, P90: 5, P99: 6, P999: 7, Max: 8, Histogram: []byte("h"),
+	}
+	r := &Result{
+		Plan: "desk", Target: "127.0.0.1:1", Seed: 9, Duration: time.Second, Partial: true, Sent: 10, Dropped: 11,
+		Retries: 12, Good: 13, Bytes: 14, Outcomes: map[string]int{"200": 15},
+		Kinds: map[string]*LatencySummary{"look": &figures}, All: LatencySummary{Count: 16},
+		Served: LatencySummary{Count: 17}, LagP99: 18, Invalid: "late",
+	}
 	const want = `{
   "Plan": "desk",
   "Target": "127.0.0.1:1",
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -24,6 +24,10 @@
 	"pgregory.net/rapid"
 )
 
+// lookRequest is the request of most plans of the tests.
+const lookRequest = "[[request]]\nname = \"look\"\npath = \"/\"\n"
+
+// plan parses a plan with a name.
 func plan(t testing.TB, text string) *Plan {
 	t.Helper()
 	p, err := Parse([]byte("name = \"test\"\n" + text))
@@ -33,13 +37,15 @@
 	return p
 }
 
-// target is a backend that answers after a delay.
+// target starts a backend and returns its address.
 func target(t testing.TB, h http.HandlerFunc) string {
+	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
+// ask runs a plan.
 func ask(t testing.TB, p *Plan, addr string) *Result {
 	t.Helper()
 	r, err := Run(t.Context(), p, Options{Target: addr, Progress: io.Discard})
@@ -49,13 +55,14 @@
 	return r
 }
 
-// near tells whether a latency is the known one, within 1% or 1 ms above what the machine's own timers add. A machine that is busy
-// with something else may be later; then the run's own lag says so.
+// near reports whether a latency is the known one, within 1% or 1 ms above what the machine's timers add. A busy
+// machine may be later; then the run's own lag shows it.
 func near(got, want, lag time.Duration) bool {
 	return got >= want-time.Millisecond && got <= want+max(want/100, time.Millisecond)+4*lag+2*time.Millisecond
 }
 
-// A known delay is measured as what it is; with a stall in the middle the tail shows it, where a closed loop shows nothing.
+// A backend answers after a known delay and stalls once. The open loop must measure the delay and show the stall in its
+// tail; a closed loop doesn't show it.
 func TestKnownDelay(t *testing.T) {
 	const delay, stall = 30 * time.Millisecond, 400 * time.Millisecond
 	var stalled atomic.Int64
@@ -63,7 +70,7 @@
 		time.Sleep(delay)
 		time.Sleep(time.Until(time.Unix(0, stalled.Load())))
 	})
-	p := plan(t, "rate = 500\narrivals = \"even\"\nduration = \"1500ms\"\nconnections = 400\n[[request]]\nname = \"look\"\npath = \"/\"\n")
+	p := plan(t, "rate = 500\narrivals = \"even\"\nduration = \"1500ms\"\nconnections = 400\n"+lookRequest)
 	r := ask(t, p, addr)
 	if r.Sent < 740 || r.Sent > 750 || r.Good != r.Sent || r.Outcomes["200"] != r.Sent || r.Partial {
 		t.Fatalf("%+v", r)
@@ -146,7 +153,8 @@
 	}
 	show("a stall of 1 s", &r.All)
 	show("closed loop", &closed)
-	t.Logf("lag p99 %v; of the open loop %d over 150 ms of %d, of the closed %d of %d", r.LagP99, over(r.All.histogram, 150*time.Millisecond), r.All.Count, over(closed.histogram, 150*time.Millisecond), closed.Count)
+	t.Logf("lag p99 %v; of the open loop %d over 150 ms of %d, of the closed %d of %d", r.LagP99,
+		over(r.All.histogram, 150*time.Millisecond), r.All.Count, over(closed.histogram, 150*time.Millisecond), closed.Count)
 }
 
 // precisely sleeps as closely as the load waits, so that the delay is known.
@@ -174,13 +182,14 @@
 		}
 	})
 	t.Cleanup(func() { close(gone) })
-	p := plan(t, "rate = 400\nduration = \"500ms\"\ntimeout = \"300ms\"\nopen = 60\nconnections = 100\n[[request]]\nname = \"look\"\npath = \"/\"\n")
+	p := plan(t, "rate = 400\nduration = \"500ms\"\ntimeout = \"300ms\"\nopen = 60\nconnections = 100\n"+lookRequest)
 	r := ask(t, p, addr)
 	ends := 0
 	for _, c := range r.Outcomes {
 		ends += c
 	}
-	if ends != r.Sent || r.All.Count != int64(r.Sent) || r.Outcomes["timed out"] == 0 || r.Dropped == 0 || r.Outcomes["no room"] != r.Dropped || r.All.P90 < 290*time.Millisecond || r.Good > 60 {
+	if ends != r.Sent || r.All.Count != int64(r.Sent) || r.Outcomes["timed out"] == 0 || r.Dropped == 0 ||
+		r.Outcomes["no room"] != r.Dropped || r.All.P90 < 290*time.Millisecond || r.Good > 60 {
 		t.Errorf("%v %+v", r, r.Outcomes)
 	}
 }
@@ -188,7 +197,7 @@
 // One that can't keep its schedule says so, and one that is ended early gives what it has.
 func TestNotValid(t *testing.T) {
 	addr := target(t, func(http.ResponseWriter, *http.Request) {})
-	p := plan(t, "rate = 1e6\nrequests = 20000\nopen = 20\nmost_lag = \"1us\"\n[[request]]\nname = \"look\"\npath = \"/\"\n")
+	p := plan(t, "rate = 1e6\nrequests = 20000\nopen = 20\nmost_lag = \"1us\"\n"+lookRequest)
 	if r := ask(t, p, addr); !strings.Contains(r.Invalid, "schedule") || !strings.Contains(r.String(), "NOT VALID") {
 		t.Errorf("%v", r)
 	}
@@ -199,13 +208,15 @@
 			stop()
 		}
 	})
-	r, err := Run(ctx, plan(t, "rate = 200\nduration = \"1h\"\nmost_lag = \"10s\"\n[[request]]\nname = \"look\"\npath = \"/\"\n"), Options{Target: addr})
+	p = plan(t, "rate = 200\nduration = \"1h\"\nmost_lag = \"10s\"\n"+lookRequest)
+	r, err := Run(ctx, p, Options{Target: addr})
 	if err != nil || !r.Partial || r.Invalid != "" || r.Good < 20 || r.Good != r.Sent {
 		t.Errorf("ended early: %v, %v", r, err)
 	}
 	text, err := r.JSON()
 	var again Result
-	if err = errors.Join(err, json.Unmarshal(text, &again)); err != nil || again.Good != r.Good || len(again.All.Histogram) == 0 {
+	err = errors.Join(err, json.Unmarshal(text, &again))
+	if err != nil || again.Good != r.Good || len(again.All.Histogram) == 0 {
 		t.Errorf("%v: %s", err, text)
 	}
 	for _, c := range []string{"10.1.2.3:80", "example.org:80", "0.0.0.0:80", "nowhere"} {
@@ -215,8 +226,8 @@
 	}
 }
 
-// Clients that follow advice come back when it says, others do not; keys are repeated as often as was asked for; what a request brings
-// is as the plan has it.
+// Clients that follow Retry-After retry when it says, and others don't. Idempotency keys are repeated as often as the
+// plan says, and requests have the plan's content.
 func TestClients(t *testing.T) {
 	var mu sync.Mutex
 	keys, tries, kinds := map[string]int{}, map[string]time.Time{}, map[string]int{}
@@ -229,7 +240,8 @@
 		keys[key]++
 		if class == "pay" {
 			body, _ := io.ReadAll(r.Body)
-			if r.Method != http.MethodPost || r.URL.Path != "/pay" || string(body) != "pay "+key || r.Header.Get("X-Tier") == "" || len(r.Header.Get("Request-Id")) != 16 {
+			if r.Method != http.MethodPost || r.URL.Path != "/pay" || string(body) != "pay "+key ||
+				r.Header.Get("X-Tier") == "" || len(r.Header.Get("Request-Id")) != 16 {
 				t.Errorf("%v %v %q", r.Method, r.URL, body)
 			}
 			return
@@ -278,7 +290,8 @@
 	if part := float64(repeated) / float64(kinds["pay"]); math.Abs(part-0.4) > 0.06 {
 		t.Errorf("%v of the keys are repeats", part)
 	}
-	if part := float64(r.Retries) / float64(looks); math.Abs(part-0.5) > 0.15 || early > 0 || r.Outcomes["503"]+r.Retries != looks {
+	share := float64(r.Retries) / float64(looks)
+	if math.Abs(share-0.5) > 0.15 || early > 0 || r.Outcomes["503"]+r.Retries != looks {
 		t.Errorf("%d of %d came back, %d too early: %v", r.Retries, looks, early, r.Outcomes)
 	}
 }
@@ -290,13 +303,14 @@
 		t.Fatal(err)
 	}
 	var n atomic.Int64
-	s := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
+	handle := func(_ any, stream grpc.ServerStream) error {
 		var in []byte
 		if err := stream.RecvMsg(&in); err != nil {
 			return err
 		}
 		md, _ := metadata.FromIncomingContext(stream.Context())
-		if method, _ := grpc.MethodFromServerStream(stream); method != "/shop.Desk/Pay" || string(in) != "pay" || len(md.Get("customer")) != 1 {
+		method, _ := grpc.MethodFromServerStream(stream)
+		if method != "/shop.Desk/Pay" || string(in) != "pay" || len(md.Get("customer")) != 1 {
 			return status.Errorf(codes.InvalidArgument, "%s %q %v", method, in, md)
 		}
 		switch n.Add(1) % 3 {
@@ -307,10 +321,13 @@
 			return status.Error(codes.Internal, "broken")
 		}
 		return stream.SendMsg(&in)
-	}))
+	}
+	s := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(handle))
 	go s.Serve(ln)
 	t.Cleanup(s.Stop)
-	r := ask(t, plan(t, "rate = 500\nrequests = 300\nfollow = 0\n[[request]]\nname = \"pay\"\nprotocol = \"grpc\"\npath = \"/shop.Desk/Pay\"\nbody = \"pay\"\nheaders = [\"Customer: {customer}\"]\n"), ln.Addr().String())
+	p := plan(t, "rate = 500\nrequests = 300\nfollow = 0\n[[request]]\nname = \"pay\"\nprotocol = \"grpc\"\n"+
+		"path = \"/shop.Desk/Pay\"\nbody = \"pay\"\nheaders = [\"Customer: {customer}\"]\n")
+	r := ask(t, p, ln.Addr().String())
 	if r.Outcomes["OK"] != 100 || r.Outcomes["Unavailable"] != 100 || r.Outcomes["Internal"] != 100 || r.Good != 100 {
 		t.Errorf("%v", r.Outcomes)
 	}
@@ -319,8 +336,13 @@
 // The schedule is the plan's alone, at its rate, and within its bounds.
 func TestSchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Plan{Seed: rapid.Uint64().Draw(t, "seed"), Rate: rapid.Float64Range(100, 5000).Draw(t, "rate"), EvenArrivals: rapid.Bool().Draw(t, "even"), Duration: 2 * time.Second,
-			MaxRequests: rapid.IntRange(1, 20_000).Draw(t, "requests"), Customers: rapid.IntRange(1, 100).Draw(t, "customers"), Plans: []Share{{"a", 1}, {"b", 0}}, Kinds: []RequestKind{{Name: "x", Weight: 1, RepeatKeyShare: 0.3}, {Name: "y", Weight: 1}}}
+		p := &Plan{
+			Seed: rapid.Uint64().Draw(t, "seed"), Rate: rapid.Float64Range(100, 5000).Draw(t, "rate"),
+			EvenArrivals: rapid.Bool().Draw(t, "even"), Duration: 2 * time.Second,
+			MaxRequests: rapid.IntRange(1, 20_000).Draw(t, "requests"),
+			Customers:   rapid.IntRange(1, 100).Draw(t, "customers"), Plans: []Share{{"a", 1}, {"b", 0}},
+			Kinds: []RequestKind{{Name: "x", Weight: 1, RepeatKeyShare: 0.3}, {Name: "y", Weight: 1}},
+		}
 		d, e := NewGenerator(p), NewGenerator(p)
 		n, last := 0, time.Duration(0)
 		seen := map[uint64]bool{}
@@ -333,7 +355,8 @@
 				break
 			}
 			n++
-			if s.At < last || s.At >= p.Duration || s.Customer < 0 || s.Customer >= p.Customers || s.Plan != "a" || seen[s.Key] && s.Kind == 1 {
+			if s.At < last || s.At >= p.Duration || s.Customer < 0 || s.Customer >= p.Customers || s.Plan != "a" ||
+				seen[s.Key] && s.Kind == 1 {
 				t.Fatalf("%+v after %v", s, last)
 			}
 			last, seen[s.Key] = s.At, true
@@ -356,8 +379,16 @@
 protocol = "smtp"
 headers = ["a"]
 `))
-	for _, want := range []string{"line 1: name: it is empty", "line 2: rate: 0 is not from 0.001", `line 3: duration: "soon" is no time`, "line 4: zipf: 0.5 is not above 1", "line 5: conections: no such key",
-		`line 8: request[0].path: "y" does not begin with /`, `line 9: request[0].protocol: "smtp" is none of`, `line 10: request[0].headers: "a" is no NAME: VALUE`} {
+	for _, want := range []string{
+		"line 1: name: it is empty",
+		"line 2: rate: 0 is not from 0.001",
+		`line 3: duration: "soon" is no time`,
+		"line 4: zipf: 0.5 is not above 1",
+		"line 5: conections: no such key",
+		`line 8: request[0].path: "y" does not begin with /`,
+		`line 9: request[0].protocol: "smtp" is none of`,
+		`line 10: request[0].headers: "a" is no NAME: VALUE`,
+	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("lacks %s: %v", want, err)
 		}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -5,99 +5,109 @@
 	"fmt"
 	"io"
 	"runtime"
+	"slices"
 	"sync"
 	"time"
 )
 
-// Options say where a plan is asked, and who hears of it.
+// Options say where a plan's requests are sent, and who is notified of them.
 type Options struct {
 	Target      string    // host:port
-	AllowRemote bool      // it need not be on this machine
-	Progress    io.Writer // gets a line a second; nil: nobody does
-	// Route names the target of each try of a request over HTTP, on this machine; nil: it is Target.
-	Route func(s *Request, try int) (target string)
-	// Before hears of each try that is about to be asked, by its id, and Ended of each that has an end; both may be called by many
-	// goroutines at once. nil: nobody does.
-	BeforeTry func(s *Request, try int, id string)
-	OnOutcome func(e Outcome)
+	AllowRemote bool      // Target may be on another machine
+	Progress    io.Writer // gets a line a second; nil means none
+	// Route returns the target of each try over HTTP, on this machine; nil means Target.
+	Route func(r *Request, try int) (target string)
+	// BeforeTry is called before each try with its ID, and OnOutcome after it. Both may be called concurrently. nil
+	// means no call.
+	BeforeTry func(r *Request, try int, id string)
+	OnOutcome func(outcome Outcome)
 }
 
-// End is how one try of a request ended.
+// Outcome is the result of one try of a request.
 type Outcome struct {
 	Request    *Request
 	Kind       string
 	Try        int
 	Target     string
-	SentAt     time.Time // when it was asked
+	SentAt     time.Time
 	Latency    time.Duration
-	Status     string // such as 200 or 503; of what has none, why
+	Status     string // such as 200 or 503; without a response, the reason
 	Good       bool
-	Rejected   bool // and asking again is harmless
+	Rejected   bool // a retry is safe
 	RetryAfter time.Duration
 }
 
-// Run asks a plan. When ctx ends it asks nothing more, waits for what is out as long as that has time, and gives what came of it by then.
-// An error means that nothing was asked.
+// Run sends a plan's requests. When ctx ends, it sends no more, waits for the open requests until their timeouts, and
+// returns the results so far. An error means that nothing was sent.
 func Run(ctx context.Context, p *Plan, o Options) (*Result, error) {
 	if err := requireLoopback(o.Target); err != nil && !o.AllowRemote && o.Route == nil {
 		return nil, err
 	}
-	var overH client = newHTTPClient(p.Connections)
-	defer overH.close()
-	var overG client
-	for _, k := range p.Kinds {
-		if k.GRPC && overG == nil {
-			g, err := newGRPCClient(o.Target, p.Connections)
-			if err != nil {
-				return nil, err
-			}
-			overG = g
-			defer overG.close()
+	r := runner{
+		plan: p, options: &o, slots: make(chan bool, p.MaxOpen), http: newHTTPClient(p.Connections),
+	}
+	defer r.http.close()
+	if slices.ContainsFunc(p.Kinds, func(k RequestKind) bool { return k.GRPC }) {
+		grpc, err := newGRPCClient(o.Target, p.Connections)
+		if err != nil {
+			return nil, err
 		}
+		defer grpc.close()
+		r.grpc = grpc
 	}
-	res := newResult(p, o.Target)
-	r := runner{plan: p, options: &o, result: res, start: time.Now(), slots: make(chan bool, p.MaxOpen)}
+	r.result, r.start = newResult(p, o.Target), time.Now()
 	stop := r.reportProgress(o.Progress)
 	defer stop()
-	var asking sync.WaitGroup
-	draw := NewGenerator(p)
+	r.run(ctx)
+	return r.result, nil
+}
+
+// runner is a run.
+type runner struct {
+	plan    *Plan
+	options *Options
+	result  *Result
+	start   time.Time
+	slots   chan bool // one for each open request
+	http    client
+	grpc    client // nil if no kind needs it
+}
+
+// run sends all requests and waits for their outcomes.
+func (r *runner) run(ctx context.Context) {
+	var sending sync.WaitGroup
+	generator := NewGenerator(r.plan)
 	for {
-		s, ok := draw.Next()
+		request, ok := generator.Next()
 		if !ok {
 			break
 		}
-		if !waitUntil(ctx, r.start.Add(s.At)) {
-			res.Partial = true
+		if !waitUntil(ctx, r.start.Add(request.At)) {
+			r.result.Partial = true
 			break
 		}
-		lag := time.Since(r.start) - s.At
-		k := &p.Kinds[s.Kind]
-		w := overH
-		if k.GRPC {
-			w = overG
-		}
+		lag := time.Since(r.start) - request.At
 		select {
 		case r.slots <- true:
-		default: // so many wait already: it is lost, and counts as such
-			res.recordDropped(&s, lag)
+		default: // too many requests are open: this one is dropped and counted as such
+			r.result.recordDropped(&request, lag)
 			continue
 		}
-		res.recordSent(lag)
-		asking.Go(func() {
+		r.result.recordSent(lag)
+		sending.Go(func() {
 			defer func() { <-r.slots }()
-			r.runRequest(w, k, &s)
+			r.runRequest(&request)
 		})
 	}
-	asking.Wait()
-	res.finish(time.Since(r.start))
-	return res, nil
+	sending.Wait()
+	r.result.finish(time.Since(r.start))
 }
 
-// early is how much too late a timer may come: the system's clocks wake a sleeper a millisecond late.
+// spinWindow is how long before a time waitUntil stops sleeping: the system wakes a sleeper up to a millisecond late.
 const spinWindow = 1500 * time.Microsecond
 
-// until waits for a time more closely than timers do: the last of it is spent looking at the clock, which takes a processor where much
-// is asked.
+// waitUntil waits for a time more precisely than timers do: it polls the clock in the end, which takes up to a
+// processor at high rates. It returns false if ctx has ended.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	if !sleep(ctx, time.Until(at)-spinWindow) {
 		return false
@@ -108,85 +118,89 @@
 	return ctx.Err() == nil
 }
 
-// sleep waits, and tells whether ctx goes on.
+// sleep waits and reports whether ctx has not ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-type runner struct {
-	plan    *Plan
-	options *Options
-	result  *Result
-	start   time.Time
-	slots   chan bool
-}
-
-// client is one client's request with its tries. Its time counts from when it should have asked.
-func (r *runner) runRequest(w client, k *RequestKind, s *Request) {
-	due := r.start.Add(s.At + r.plan.Timeout)
-	ctx, cancel := context.WithDeadline(context.Background(), due)
+// runRequest sends one request with its retries. Its latency counts from the time at which it was due.
+func (r *runner) runRequest(request *Request) {
+	kind := &r.plan.Kinds[request.Kind]
+	deadline := r.start.Add(request.At + r.plan.Timeout)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	for try := 0; ; try++ {
-		target := r.options.Target
-		if r.options.Route != nil && !k.GRPC {
-			target = r.options.Route(s, try)
-		}
-		if r.options.BeforeTry != nil {
-			r.options.BeforeTry(s, try, requestID(s, try))
-		}
-		asked := time.Now()
-		a := w.send(ctx, target, k, s, try, time.Until(due))
-		took := time.Since(r.start) - s.At
-		if r.options.OnOutcome != nil {
-			r.options.OnOutcome(Outcome{Request: s, Kind: k.Name, Try: try, Target: target, SentAt: asked, Latency: time.Since(asked), Status: a.status, Good: a.good, Rejected: a.rejected,
-				RetryAfter: a.retryAfter})
-		}
-		wait := a.retryAfter
-		if s.RetriesImmediately {
+		reply := r.sendTry(ctx, kind, request, try, deadline)
+		latency := time.Since(r.start) - request.At
+		wait := reply.retryAfter
+		if request.RetriesImmediately {
 			wait = 0
 		}
-		if a.rejected && (s.FollowsRetryAfter || s.RetriesImmediately) && try+1 < r.plan.MaxTries && time.Now().Add(wait).Before(due) {
+		retries := request.FollowsRetryAfter || request.RetriesImmediately
+		if reply.rejected && retries && try+1 < r.plan.MaxTries && time.Now().Add(wait).Before(deadline) {
 			r.result.recordRetry()
 			if sleep(ctx, wait) {
 				continue
 			}
 		}
-		r.result.recordOutcome(s, took, &a)
+		r.result.recordOutcome(request, latency, &reply)
 		return
 	}
 }
 
-// tell says a line a second, until it is stopped.
+// sendTry sends one try of a request and reports its outcome.
+func (r *runner) sendTry(ctx context.Context, kind *RequestKind, request *Request, try int, deadline time.Time) reply {
+	target, sender := r.options.Target, r.http
+	if kind.GRPC {
+		sender = r.grpc
+	} else if r.options.Route != nil {
+		target = r.options.Route(request, try)
+	}
+	if r.options.BeforeTry != nil {
+		r.options.BeforeTry(request, try, requestID(request, try))
+	}
+	sentAt := time.Now()
+	reply := sender.send(ctx, target, kind, request, try, time.Until(deadline))
+	if r.options.OnOutcome != nil {
+		r.options.OnOutcome(Outcome{
+			Request: request, Kind: kind.Name, Try: try, Target: target, SentAt: sentAt, Latency: time.Since(sentAt),
+			Status: reply.status, Good: reply.good, Rejected: reply.rejected, RetryAfter: reply.retryAfter,
+		})
+	}
+	return reply
+}
+
+// reportProgress writes a line a second until stop is called.
 func (r *runner) reportProgress(out io.Writer) (stop func()) {
 	if out == nil {
 		return func() {}
 	}
-	ended := make(chan bool)
-	var telling sync.WaitGroup
-	telling.Go(func() {
-		t := time.NewTicker(time.Second)
-		defer t.Stop()
+	done := make(chan bool)
+	var reporting sync.WaitGroup
+	reporting.Go(func() {
+		ticker := time.NewTicker(time.Second)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-t.C:
+			case <-ticker.C:
 				fmt.Fprintln(out, r.result.progressLine())
-			case <-ended:
+			case <-done:
 				return
 			}
 		}
 	})
 	return func() {
-		close(ended)
-		telling.Wait()
+		close(done)
+		reporting.Wait()
 	}
 }
