--- a/internal/hosttest/hosttest.go
+++ b/internal/hosttest/hosttest.go
@@ -1,4 +1,5 @@
-// Package hosttest is what tests of hosts share: a Door over stand-in backends, in the test's own process.
+// Package hosttest holds the fixture of tests that serve a gateway: a Gateway over fake backends, in the test's own
+// process. It listens on loopback only. Everything that it starts is stopped when the test ends.
 package hosttest
 
 import (
@@ -17,10 +18,10 @@
 	"pumicecroft/internal/platform"
 )
 
-// Patience is how long a test waits for something that must happen.
+// WaitTimeout is how long a test waits for something that must happen.
 const WaitTimeout = 20 * time.Second
 
-// Rig is a Door over backends.
+// Fixture is a gateway over fake backends.
 type Fixture struct {
 	Gateway  *pumicecroft.Gateway
 	Ledger   *fakes.Ledger
@@ -30,29 +31,45 @@
 	lastID   uint64
 }
 
-// Config is a deployment with a safe, a keyed and an unsafe class, a plan without bounds ("shop"), one that may
-// have one attempt out ("one") and one of ten units ("tiny").
+// Config returns a configuration with an idempotent class ("look"), one that is idempotent by key ("pay") and a
+// non-idempotent one ("once"); and with plans without limits ("shop"), with one attempt in flight at most ("one"), and
+// with a quota of ten units ("tiny").
 func Config() pumicecroft.Config {
-	class := func(name string, e decision.Idempotency) decision.Class {
-		return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second,
-			LatencyObjective: 10 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 1}
+	class := func(name string, idempotency decision.Idempotency) decision.Class {
+		return decision.Class{
+			Name: name, Idempotency: idempotency, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second,
+			LatencyObjective: 10 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 1,
+		}
 	}
-	return pumicecroft.Config{Seed: 1, Settings: decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: true,
-		MaxRetryAfter: 900 * time.Millisecond,
-		Classes:       []decision.Class{class("look", decision.Idempotent), class("pay", decision.IdempotentByKey), class("once", decision.NonIdempotent)},
-		Plans: []decision.Plan{{Name: "shop", Price: 1}, {Name: "one", MaxInFlight: 1, Price: 1},
-			{Name: "tiny", Rate: 0.01, Burst: 10, Price: 1}}}}
+	return pumicecroft.Config{Seed: 1, Settings: decision.Settings{
+		GatewayCount: 1, MaxAttempts: 3, CanCancel: true, MaxRetryAfter: 900 * time.Millisecond,
+		Classes: []decision.Class{
+			class("look", decision.Idempotent),
+			class("pay", decision.IdempotentByKey),
+			class("once", decision.NonIdempotent),
+		},
+		Plans: []decision.Plan{
+			{Name: "shop", Price: 1},
+			{Name: "one", MaxInFlight: 1, Price: 1},
+			{Name: "tiny", Rate: 0.01, Burst: 10, Price: 1},
+		},
+	}}
 }
 
-// New makes one with n backends in one cell; act may be nil, and change too.
-func New(t testing.TB, n int, act func(fakes.Attempt) fakes.Behavior, change func(*pumicecroft.Config), options ...pumicecroft.Option) *Fixture {
+// New starts a gateway with n backends in one cell. behavior and change, which edits the configuration, may be nil.
+func New(
+	t testing.TB, n int, behavior func(fakes.Attempt) fakes.Behavior, change func(*pumicecroft.Config),
+	options ...pumicecroft.Option,
+) *Fixture {
 	t.Helper()
 	r := &Fixture{t: t, Ledger: &fakes.Ledger{}, lastID: 0xab0000}
 	list := platform.EndpointUpdate{Full: true}
 	cell := &fakes.Cell{Window: 5 * time.Second}
 	for i := range n {
-		b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprintf("b%d", i), Ledger: r.Ledger, Behavior: act, Cell: cell,
-			IdempotentByKey: func(class string) bool { return class != "look" }})
+		b, err := fakes.StartBackend(fakes.BackendConfig{
+			Name: fmt.Sprintf("b%d", i), Ledger: r.Ledger, Behavior: behavior, Cell: cell,
+			IdempotentByKey: func(class string) bool { return class != "look" },
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,13 +91,13 @@
 		ctx, cancel := context.WithTimeout(context.Background(), WaitTimeout)
 		defer cancel()
 		if err := d.Close(ctx); err != nil {
-			t.Errorf("the door's end: %v", err)
+			t.Errorf("closing the gateway: %v", err)
 		}
 	})
 	return r
 }
 
-// Ask is a request with an id of its own.
+// NewRequest returns a request with an ID of its own, and with a key and a body unless it is idempotent.
 func (r *Fixture) NewRequest(class string) fakes.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +109,7 @@
 	return a
 }
 
-// Serve serves a handler on a port of the system's choosing and gives the address.
+// Serve serves a handler on a free loopback port and returns the address. change, which edits the server, may be nil.
 func Serve(t testing.TB, h http.Handler, change func(*http.Server)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -108,29 +125,29 @@
 	return ln.Addr().String()
 }
 
-// Do asks a server and gives the reply, whatever served it.
-func Do(t testing.TB, a fakes.Request, addr string) fakes.Reply {
+// Do sends a request on a connection of its own and returns the reply.
+func Do(t testing.TB, request fakes.Request, addr string) fakes.Reply {
 	t.Helper()
-	tr := &http.Transport{}
-	defer tr.CloseIdleConnections()
-	return a.Do(t.Context(), tr, addr)
+	transport := &http.Transport{}
+	defer transport.CloseIdleConnections()
+	return request.Do(t.Context(), transport, addr)
 }
 
-// Settled waits until a Door keeps nothing.
+// AwaitIdle waits until the gateway has no open request.
 func (r *Fixture) AwaitIdle() {
 	r.t.Helper()
 	for end := time.Now().Add(WaitTimeout); r.Gateway.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%d requests are kept", r.Gateway.OpenRequests())
+			r.t.Fatalf("%d requests are open", r.Gateway.OpenRequests())
 		}
 	}
 }
 
-// Free checks that the one place of plan "one" is free: a request of it is served at once.
+// RequireFreeSlot fails the test unless the one slot of plan "one" is free, so that a request is served at once.
 func (r *Fixture) RequireFreeSlot() {
 	r.t.Helper()
-	a, err := r.Gateway.Do(r.t.Context(), pumicecroft.Request{Class: "look", Plan: "one", Customer: 7})
-	if err != nil || !strings.HasPrefix(string(a.Body), "done ") {
-		r.t.Errorf("the plan's one place is not free: %v", err)
+	response, err := r.Gateway.Do(r.t.Context(), pumicecroft.Request{Class: "look", Plan: "one", Customer: 7})
+	if err != nil || !strings.HasPrefix(string(response.Body), "done ") {
+		r.t.Errorf("the plan's one slot is not free: %v", err)
 	}
 }
--- a/internal/testcerts/testcerts.go
+++ b/internal/testcerts/testcerts.go
@@ -1,4 +1,5 @@
-// Package testcerts makes certificates for tests, of an authority that lives as long as the test.
+// Package testcerts issues certificates for tests, by an authority that exists as long as the test. It writes files
+// only into directories that its caller names.
 package testcerts
 
 import (
@@ -17,7 +18,7 @@
 	"time"
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority. Its methods must not be called concurrently.
 type Authority struct {
 	t          testing.TB
 	cert       *x509.Certificate
@@ -26,13 +27,16 @@
 	PEM        []byte
 }
 
-// New makes one.
+// New creates an authority that is valid for an hour.
 func New(t testing.TB) *Authority {
 	t.Helper()
 	a := &Authority{t: t, key: Key(t)}
-	c := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
-		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
-	der, err := x509.CreateCertificate(rand.Reader, c, c, &a.key.PublicKey, a.key)
+	template := &x509.Certificate{
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
+		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
+	}
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &a.key.PublicKey, a.key)
 	if err == nil {
 		a.cert, err = x509.ParseCertificate(der)
 	}
@@ -43,7 +47,7 @@
 	return a
 }
 
-// Key makes a key.
+// Key generates a private key.
 func Key(t testing.TB) *ecdsa.PrivateKey {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -53,37 +57,44 @@
 	return k
 }
 
-// Pair makes a certificate and its key, in PEM, for names and addresses; change may change it.
+// Issue issues a certificate with its key, both in PEM, for names (DNS names, IP addresses or URIs). change, which
+// edits the certificate, may be nil.
 func (a *Authority) Issue(change func(*x509.Certificate), names ...string) (cert, key []byte) {
 	a.t.Helper()
 	a.lastSerial++
-	c := &x509.Certificate{SerialNumber: big.NewInt(100 + a.lastSerial), Subject: pkix.Name{CommonName: names[0]}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}, KeyUsage: x509.KeyUsageDigitalSignature}
-	for _, n := range names {
-		if ip := net.ParseIP(n); ip != nil {
-			c.IPAddresses = append(c.IPAddresses, ip)
-		} else if u, err := url.Parse(n); err == nil && u.Scheme != "" {
-			c.URIs = append(c.URIs, u)
+	template := &x509.Certificate{
+		SerialNumber: big.NewInt(100 + a.lastSerial), Subject: pkix.Name{CommonName: names[0]},
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+		KeyUsage:    x509.KeyUsageDigitalSignature,
+	}
+	for _, name := range names {
+		if ip := net.ParseIP(name); ip != nil {
+			template.IPAddresses = append(template.IPAddresses, ip)
+		} else if uri, err := url.Parse(name); err == nil && uri.Scheme != "" {
+			template.URIs = append(template.URIs, uri)
 		} else {
-			c.DNSNames = append(c.DNSNames, n)
+			template.DNSNames = append(template.DNSNames, name)
 		}
 	}
 	if change != nil {
-		change(c)
+		change(template)
 	}
-	k := Key(a.t)
-	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &k.PublicKey, a.key)
+	private := Key(a.t)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &private.PublicKey, a.key)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	keyDER, err := x509.MarshalPKCS8PrivateKey(k)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER})
+	cert = pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
+	key = pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER})
+	return cert, key
 }
 
-// Write writes texts into files of a directory, and gives their paths.
+// WriteFiles writes files into a directory and returns a function that returns their paths.
 func WriteFiles(t testing.TB, dir string, files map[string][]byte) func(name string) string {
 	t.Helper()
 	for name, text := range files {
@@ -94,9 +105,9 @@
 	return func(name string) string { return filepath.Join(dir, name) }
 }
 
-// Pool is the authority as one to believe.
+// Pool returns a pool with the authority's certificate.
 func (a *Authority) Pool() *x509.CertPool {
-	p := x509.NewCertPool()
-	p.AddCert(a.cert)
-	return p
+	pool := x509.NewCertPool()
+	pool.AddCert(a.cert)
+	return pool
 }
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit is what tests of several packages share: backends on bare connections, a decision module that
-// does as it is told, and waits that end only when something has gone wrong.
+// Package testkit holds helpers that tests of several packages share: backends on bare connections, a scripted decision
+// engine, and waits that time out only if something is wrong.
 package testkit
 
 import (
@@ -16,10 +16,10 @@
 	"pumicecroft/decision"
 )
 
-// Patient is how long a test waits for something that must happen: it fails then, and only then.
+// WaitTimeout is how long a test waits for something that must happen before it fails.
 const WaitTimeout = 20 * time.Second
 
-// Do makes a request on a connection of its own and reads the whole answer.
+// Do sends a request on a connection of its own and reads the complete response.
 func Do(t testing.TB, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	client := &http.Client{Timeout: WaitTimeout, Transport: &http.Transport{}}
@@ -36,7 +36,7 @@
 	return res, string(body)
 }
 
-// Serve is a backend over HTTP; it gives the address.
+// Serve starts a backend over HTTP and returns its address.
 func Serve(t testing.TB, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -44,8 +44,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// Accept hands each connection to serve, in a goroutine of its own, and closes it when serve returns; it gives the
-// address.
+// Accept starts a listener and returns its address. It calls serve for each connection, in a goroutine of its own, and
+// closes the connection when serve returns.
 func Accept(t testing.TB, serve func(conn net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +68,8 @@
 	return ln.Addr().String()
 }
 
-// Raw is a backend on bare connections: it reads whole requests and hands each to answer, with its number.
+// ServeRaw starts a backend on bare connections and returns its address. It reads complete requests and calls answer
+// for each, with the number of the request, from 1.
 func ServeRaw(t testing.TB, answer func(n int, conn net.Conn)) string {
 	t.Helper()
 	numbers := make(chan int)
@@ -96,60 +97,63 @@
 	})
 }
 
-// Await waits for a value.
+// Await receives a value, and fails the test after WaitTimeout.
 func Await[T any](t testing.TB, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(WaitTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
 
-// Scripted is a decision module that does as it is told and keeps what it hears; On says what to do about each event.
+// ScriptedEngine is a decision engine whose actions the test decides. Events gets each event; Respond, unless nil,
+// returns the actions.
 type ScriptedEngine struct {
 	Events  chan decision.Event
 	Respond func(decision.Event) []decision.Action
 }
 
-// Handle keeps the event.
-func (s *ScriptedEngine) Handle(_ time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
-	s.Events <- ev
+// Handle sends the event to Events and appends the actions of Respond.
+func (s *ScriptedEngine) Handle(
+	_ time.Duration, event decision.Event, actions []decision.Action,
+) []decision.Action {
+	s.Events <- event
 	if s.Respond != nil {
-		as = append(as, s.Respond(ev)...)
+		actions = append(actions, s.Respond(event)...)
 	}
-	return as
+	return actions
 }
 
-// Script makes one; on may be nil.
-func NewScriptedEngine(on func(decision.Event) []decision.Action) *ScriptedEngine {
-	return &ScriptedEngine{Events: make(chan decision.Event, 100), Respond: on}
+// NewScriptedEngine returns an engine; respond may be nil.
+func NewScriptedEngine(respond func(decision.Event) []decision.Action) *ScriptedEngine {
+	return &ScriptedEngine{Events: make(chan decision.Event, 100), Respond: respond}
 }
 
-// Next is the next event of a type.
+// Next returns the next event of a type. Events of other types are skipped.
 func Next[E decision.Event](t testing.TB, s *ScriptedEngine) E {
 	t.Helper()
 	timeout := time.After(WaitTimeout)
 	for {
 		select {
-		case ev := <-s.Events:
-			if e, ok := ev.(E); ok {
-				return e
+		case event := <-s.Events:
+			if wanted, ok := event.(E); ok {
+				return wanted
 			}
 		case <-timeout:
-			t.Fatalf("no %T was heard", *new(E))
+			t.Fatalf("no %T arrived", *new(E))
 		}
 	}
 }
 
-// UntilEnd waits until the other side has closed a connection and gives what it said before.
-func ReadUntilClosed(t testing.TB, c net.Conn) string {
+// ReadUntilClosed reads until the other side closes a connection, and returns what it read.
+func ReadUntilClosed(t testing.TB, conn net.Conn) string {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(WaitTimeout))
-	said, err := io.ReadAll(c)
-	if ne, ok := errors.AsType[net.Error](err); ok && ne.Timeout() {
-		t.Errorf("the connection was never closed; it said %q", said)
+	conn.SetReadDeadline(time.Now().Add(WaitTimeout))
+	received, err := io.ReadAll(conn)
+	if netError, ok := errors.AsType[net.Error](err); ok && netError.Timeout() {
+		t.Errorf("the connection was not closed after %q", received)
 	}
-	return string(said)
+	return string(received)
 }
