--- a/internal/capacitytest/agent.go
+++ b/internal/capacitytest/agent.go
@@ -1,5 +1,6 @@
-// Package capacitytest is what the tests of the coming size share: an agent of discovery that tells of as many backends as are wanted, in
-// pieces, and a process that holds one shipped Door and tells what that costs. docs/CAPACITY.md rests on what its tests print.
+// Package capacitytest measures the cost of large deployments: a discovery agent that reports any number of backends in
+// chunks, and a process with one gateway that reports its processor time, memory and latencies. docs/CAPACITY.md is
+// based on what its tests print. The package listens on loopback and starts processes of the test's own program.
 package capacitytest
 
 import (
@@ -17,27 +18,29 @@
 	"pumicecroft/internal/platform"
 )
 
-// Hosts are n backends, spread over 9 zones, 2,300 services' cells and one kind.
+// Endpoints returns n backends in 9 zones and 2,300 cells, of one instance type.
 func Endpoints(n int) []platform.Endpoint {
 	out := make([]platform.Endpoint, n)
 	for i := range out {
-		out[i] = platform.Endpoint{Name: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
-			Zone: "z" + strconv.Itoa(i%9), InstanceType: "m2", Cell: i % 2300, Health: "Ready", Weight: 1}
+		out[i] = platform.Endpoint{
+			Name: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
+			Zone: "z" + strconv.Itoa(i%9), InstanceType: "m2", Cell: i % 2300, Health: "Ready", Weight: 1,
+		}
 	}
 	return out
 }
 
-// Agent is discovery as a door sees it, an agent on loopback. What it writes it cuts into pieces, which do not keep to lines, and rests
-// between them.
+// Agent is a fake discovery agent on loopback. It writes its responses in chunks, whose bounds are independent of
+// lines, and pauses between them.
 type Agent struct {
-	ChunkBytes int           // bytes; 0: all that there is to say is written at once
-	ChunkPause time.Duration // between two pieces
-	Padding    int           // spaces behind each entry: a list may come indented
+	ChunkBytes int           // 0 means that a response is written at once
+	ChunkPause time.Duration // between two chunks
+	Padding    int           // spaces after each entry, as in an indented list
 
-	Silent atomic.Bool // it takes calls and says nothing
+	Silent atomic.Bool // calls are accepted and not answered
 
-	Calls        atomic.Int64 // calls
-	BytesWritten atomic.Int64 // bytes
+	Calls        atomic.Int64
+	BytesWritten atomic.Int64
 
 	ln        net.Listener
 	running   sync.WaitGroup
@@ -45,14 +48,15 @@
 	seq       int64
 	endpoints []platform.Endpoint
 	position  map[string]int
-	watches   map[net.Conn]chan []byte // watches that have told all up to seq
+	watches   map[net.Conn]chan []byte // open watches that have been sent everything up to seq
 }
 
-// Start has it listen on a loopback port of the system's choosing.
-func (a *Agent) Start(hosts []platform.Endpoint) error {
-	a.seq, a.endpoints, a.position, a.watches = 41, hosts, map[string]int{}, map[net.Conn]chan []byte{}
-	for i, h := range hosts {
-		a.position[h.Name] = i
+// Start starts the agent with an endpoint list on a free loopback port.
+func (a *Agent) Start(endpoints []platform.Endpoint) error {
+	a.seq, a.endpoints = 41, endpoints
+	a.position, a.watches = map[string]int{}, map[net.Conn]chan []byte{}
+	for i, e := range endpoints {
+		a.position[e.Name] = i
 	}
 	var err error
 	if a.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -60,20 +64,20 @@
 	}
 	a.running.Go(func() {
 		for {
-			c, err := a.ln.Accept()
+			conn, err := a.ln.Accept()
 			if err != nil {
 				return
 			}
-			a.running.Go(func() { a.serve(c) })
+			a.running.Go(func() { a.serve(conn) })
 		}
 	})
 	return nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the agent listens on.
 func (a *Agent) Addr() string { return a.ln.Addr().String() }
 
-// Close ends it.
+// Close stops the agent and its watches.
 func (a *Agent) Close() {
 	a.ln.Close()
 	a.mu.Lock()
@@ -84,7 +88,7 @@
 	a.running.Wait()
 }
 
-// Tell tells of new states of hosts, in one line or in a line for each.
+// Update sends changed endpoints to all watches, in one update or, with single, in one for each endpoint.
 func (a *Agent) Update(hosts []platform.Endpoint, single bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,11 +104,12 @@
 		a.seq++
 		text.Write(a.encodeUpdate(false, hosts))
 	}
-	for _, say := range a.watches {
-		say <- text.Bytes()
+	for _, updates := range a.watches {
+		updates <- text.Bytes()
 	}
 }
 
+// encodeUpdate returns a line with an update. a.mu must be held.
 func (a *Agent) encodeUpdate(whole bool, hosts []platform.Endpoint) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"seq":%d,"whole":%t,"hosts":[`, a.seq, whole)
@@ -114,7 +119,7 @@
 		}
 		text, err := json.Marshal(h)
 		if err != nil {
-			panic(err) // it is the tests' own
+			panic(err) // the endpoint comes from a test
 		}
 		b.Write(text)
 		b.Write(bytes.Repeat([]byte(" "), a.Padding))
@@ -123,13 +128,14 @@
 	return b.Bytes()
 }
 
-// List is the whole list as it is written now.
+// List returns the full update with the current endpoint list.
 func (a *Agent) List() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.encodeUpdate(true, a.endpoints)
 }
 
+// serve answers the one call of a connection.
 func (a *Agent) serve(c net.Conn) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
@@ -137,11 +143,11 @@
 		return
 	}
 	a.Calls.Add(1)
-	say := make(chan []byte, 64)
+	updates := make(chan []byte, 64)
 	gone := make(chan struct{})
 	a.running.Go(func() {
 		defer close(gone)
-		_, _ = c.Read(make([]byte, 1)) // a watch asks once
+		_, _ = c.Read(make([]byte, 1)) // a connection has only one call
 	})
 	if a.Silent.Load() {
 		<-gone
@@ -149,27 +155,28 @@
 	}
 	a.mu.Lock()
 	if r.URL.Query().Get("from") == strconv.FormatInt(a.seq, 10) {
-		say <- a.encodeUpdate(false, nil)
+		updates <- a.encodeUpdate(false, nil)
 	} else {
-		say <- a.encodeUpdate(true, a.endpoints)
+		updates <- a.encodeUpdate(true, a.endpoints)
 	}
-	a.watches[c] = say
+	a.watches[c] = updates
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
 		delete(a.watches, c)
 		a.mu.Unlock()
 	}()
-	quiet := time.NewTicker(2 * time.Second)
-	defer quiet.Stop()
-	if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
+	heartbeat := time.NewTicker(2 * time.Second)
+	defer heartbeat.Stop()
+	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+	if _, err := c.Write([]byte(head)); err != nil {
 		return
 	}
 	for {
 		text := []byte("\n")
 		select {
-		case text = <-say:
-		case <-quiet.C:
+		case text = <-updates:
+		case <-heartbeat.C:
 			if a.Silent.Load() {
 				continue
 			}
--- a/internal/capacitytest/config_test.go
+++ b/internal/capacitytest/config_test.go
@@ -12,7 +12,8 @@
 	"pumicecroft/internal/platform"
 )
 
-// What a door reads again, whole, at each change of configuration: an operator's file with more and more routes.
+// A gateway reads an operator's file completely at each change of its configuration. This measures files with more and
+// more routes.
 func TestRereadingRoutes(t *testing.T) {
 	for _, n := range sizesFor(t, []int{24, 240}, []int{24, 240, 2400, 24_000}) {
 		var b bytes.Buffer
@@ -22,7 +23,8 @@
 		}
 		b.WriteString("[[plan]]\nname = \"everyone\"\nrate = 100.0\nburst = 200.0\n")
 		for i := range n {
-			fmt.Fprintf(&b, "[[route]]\nname = \"route-%d\"\nhost = \"h%d.example.org\"\npath = \"/v1/things-%d/{id}/parts\"\nmethods = [\"GET\"]\nservice = \"s%d\"\n", i, i%2300, i, i%23)
+			fmt.Fprintf(&b, "[[route]]\nname = \"route-%d\"\nhost = \"h%d.example.org\"\n"+
+				"path = \"/v1/things-%d/{id}/parts\"\nmethods = [\"GET\"]\nservice = \"s%d\"\n", i, i%2300, i, i%23)
 		}
 		empty, began, cpu := heapInUse(), time.Now(), CPU()
 		f, err := operatorconfig.Parse(b.Bytes())
@@ -30,7 +32,8 @@
 			t.Fatal(err)
 		}
 		spent, cost := time.Since(began), CPU()-cpu
-		t.Logf("%d routes, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a route are held", n, float64(b.Len())/(1<<20), spent, cost, (heapInUse()-empty)/float64(n))
+		t.Logf("%d routes, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a route are held",
+			n, float64(b.Len())/(1<<20), spent, cost, (heapInUse()-empty)/float64(n))
 		if len(f.HTTP.Routes) != n {
 			t.Errorf("of %d routes %d are there", n, len(f.HTTP.Routes))
 		}
@@ -55,7 +58,8 @@
 		if len(keys) != n {
 			t.Errorf("of %d keys %d are there", n, len(keys))
 		}
-		t.Logf("%d tenants' keys, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a tenant are held", n, float64(b.Len())/(1<<20), spent, cost, (heapInUse()-empty)/float64(n))
+		t.Logf("%d tenants' keys, a file of %.2f MB: read in %v, %v of a core, %.0f bytes a tenant are held",
+			n, float64(b.Len())/(1<<20), spent, cost, (heapInUse()-empty)/float64(n))
 		runtime.KeepAlive(rule)
 	}
 }
@@ -71,7 +75,8 @@
 		if err != nil || len(c.Known.Endpoints) != n {
 			t.Fatalf("of %d hosts %d are there: %v", n, len(c.Known.Endpoints), err)
 		}
-		t.Logf("a file of %.2f MB with %d hosts: read in %v, %v of a core", float64(len(text))/(1<<20), n, time.Since(began), CPU()-cpu)
+		t.Logf("a file of %.2f MB with %d hosts: read in %v, %v of a core",
+			float64(len(text))/(1<<20), n, time.Since(began), CPU()-cpu)
 	}
 }
 
@@ -94,6 +99,7 @@
 	b.agent.Silent.Store(true)
 	asked, said := b.agent.Calls.Load(), b.gateway.Log.Lines()
 	silent := rate()
-	t.Logf("processor time in calm %.4f of a core, with discovery silent %.4f; %.2f calls and %.2f lines of log a second", calm, silent,
+	t.Logf("processor time in calm %.4f of a core, with discovery silent %.4f; "+
+		"%.2f calls and %.2f lines of log a second", calm, silent,
 		float64(b.agent.Calls.Load()-asked)/pause.Seconds(), float64(b.gateway.Log.Lines()-said)/pause.Seconds())
 }
--- a/internal/capacitytest/engine_test.go
+++ b/internal/capacitytest/engine_test.go
@@ -10,7 +10,7 @@
 	"pumicecroft/internal/platform"
 )
 
-// module is a decision module by itself, with a clock that the test moves.
+// engineFixture is a decision engine alone, with a clock that the test advances.
 type engineFixture struct {
 	*decision.Engine
 	now     time.Duration
@@ -18,6 +18,7 @@
 	id      decision.RequestID
 }
 
+// newEngineFixture creates an engine; change, which edits its settings, may be nil.
 func newEngineFixture(t *testing.T, change func(*decision.Settings)) *engineFixture {
 	t.Helper()
 	config, err := platform.ParseConfig([]byte(platformConfig("127.0.0.1:1")))
@@ -35,27 +36,31 @@
 	return m
 }
 
-// handle gives how long an event takes.
+// handle handles an event and returns the time that it took.
 func (m *engineFixture) handle(ev decision.Event) time.Duration {
 	began := time.Now()
 	m.actions = m.Handle(m.now, ev, m.actions[:0])
 	return time.Since(began)
 }
 
-// ask has a customer ask and be answered at once, and gives how long the two events take.
+// ask handles a request of a customer and its response at once, and returns the time that the two events took.
 func (m *engineFixture) ask(customer int, plan, protocol string) time.Duration {
 	m.id++
-	spent := m.handle(decision.Request{ID: m.id, Customer: decision.CustomerID(customer), Class: "look", Plan: plan, Cost: 1, Timeout: time.Second,
-		GatewaySpread: 3, Protocol: protocol})
+	spent := m.handle(decision.Request{
+		ID: m.id, Customer: decision.CustomerID(customer), Class: "look", Plan: plan, Cost: 1,
+		Timeout: time.Second, GatewaySpread: 3, Protocol: protocol,
+	})
 	for _, a := range m.actions {
 		if s, ok := a.(decision.StartAttempt); ok {
-			return spent + m.handle(decision.Outcome{Request: s.Request, Backend: s.Backend, Latency: time.Millisecond, Final: true})
+			return spent + m.handle(decision.Outcome{
+				Request: s.Request, Backend: s.Backend, Latency: time.Millisecond, Final: true,
+			})
 		}
 	}
 	return spent
 }
 
-// held is what is in use on the heap.
+// heapInUse returns the bytes in use on the heap.
 func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -64,18 +69,20 @@
 	return float64(m.HeapAlloc)
 }
 
-// infos are n backends of so many services.
+// engineEndpoints returns n backends of a number of services.
 func engineEndpoints(n, services int) decision.EndpointUpdate {
 	list := decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: make([]decision.Endpoint, n)}
 	for i := range list.Endpoints {
-		list.Endpoints[i] = decision.Endpoint{ID: decision.BackendID(i + 1), Zone: fmt.Sprint("z", i%9), InstanceType: "m2", Cell: i % 2300, Weight: 1,
-			Protocol: fmt.Sprint("service-", i%services)}
+		list.Endpoints[i] = decision.Endpoint{
+			ID: decision.BackendID(i + 1), Zone: fmt.Sprint("z", i%9), InstanceType: "m2", Cell: i % 2300, Weight: 1,
+			Protocol: fmt.Sprint("service-", i%services),
+		}
 	}
 	return list
 }
 
-// More and more tenants have asked at one door within a minute: what each holds, and the second's tick, in which one in ten may lend
-// others a part of its ceiling.
+// More and more customers send requests to one gateway within a minute. This measures the memory for each of them, and
+// the tick of a second, in which one of ten may deposit a part of its hard limit in the shared counter.
 func TestTenants(t *testing.T) {
 	for _, n := range sizesFor(t, []int{1000, 20_000}, []int{1000, 10_000, 17_160, 100_000, 820_000}) {
 		m := newEngineFixture(t, func(s *decision.Settings) {
@@ -122,7 +129,8 @@
 		})
 		m.now += 2 * time.Minute
 		forget := m.handle(decision.Timer{})
-		t.Logf("%d tenants: %.0f bytes each; the tick %v, at most %v, %d gifts in the last; without a counter %v; a request %v, at most %v at its first; all forgotten in %v",
+		t.Logf("%d tenants: %.0f bytes each; the tick %v, at most %v, %d gifts in the last; without a counter %v; "+
+			"a request %v, at most %v at its first; all forgotten in %v",
 			n, bytes, tick, max(ticks[0], ticks[1], ticks[2], ticks[3], ticks[4]), gifts, without, request, worst, forget)
 		if bytes > 600 {
 			t.Errorf("%d tenants hold %.0f bytes each", n, bytes)
@@ -134,7 +142,7 @@
 	}
 }
 
-// One door knows all backends, of more and more services. A request looks for those of its own service.
+// One gateway knows the backends of more and more services. A request selects among those of its own service.
 func TestServices(t *testing.T) {
 	backends := 10_000
 	if *full {
@@ -144,7 +152,7 @@
 		m := newEngineFixture(t, nil)
 		list := engineEndpoints(backends, n)
 		m.handle(list)
-		for range 10 { // what is taken for granted at the start has faded
+		for range 10 { // until the assumptions of the start have expired
 			m.now += time.Second
 			m.handle(decision.Timer{})
 		}
@@ -173,6 +181,7 @@
 		for _, spent := range all {
 			worst = max(worst, spent)
 		}
-		t.Logf("%d backends of %d services: a request %v, at most %v; one of a service without a ready backend %v; the tick %v", backends, n, request, worst, refused, tick)
+		t.Logf("%d backends of %d services: a request %v, at most %v; one of a service without a ready backend %v; "+
+			"the tick %v", backends, n, request, worst, refused, tick)
 	}
 }
--- a/internal/capacitytest/gateway.go
+++ b/internal/capacitytest/gateway.go
@@ -26,37 +26,37 @@
 	"pumicecroft/membership"
 )
 
-// Plan is what a door's process is to do.
+// Plan configures a gateway's process. It is passed to the process as JSON.
 type Plan struct {
-	Config    string  // the platform's file
-	Backend   string  // where all addresses of backends lead
-	PerSecond float64 // requests
-	Customers int     // that these come from in turn
-	Most      int     // backends that the table of members keeps; 0: as the program has it
+	Config    string  // the platform's node configuration
+	Backend   string  // address to which all connections to backends go
+	PerSecond float64 // requests a second
+	Customers int     // which send the requests in turn
+	Most      int     // largest number of backends of the membership table; 0 means the program's default
 }
 
-// Told is what a door's process tells of the time since it was asked before.
+// Report is what a gateway's process reports about the time since the report before. It is passed as JSON.
 type Report struct {
-	CPU      time.Duration // in all
-	Resident int64         // bytes, now
-	Peak     int64         // the most that was resident
-	Nodes    int64         // that discovery has told of, in all, as the Door was done with them
-	At       time.Time     // when it was done with the last of them
-	Files    int           // descriptors
-	Dialled  int64         // connections to backends, in all
-	Asked    int           // requests that ended
+	CPU      time.Duration // total
+	Resident int64         // bytes
+	Peak     int64         // largest Resident
+	Nodes    int64         // total endpoints in the updates that the gateway has processed
+	At       time.Time     // when the last of them was processed
+	Files    int           // open descriptors
+	Dialled  int64         // total connections to backends
+	Asked    int           // completed requests
 	Served   int
-	P50, P99 time.Duration // of requests, from when they were due
+	P50, P99 time.Duration // of served requests, from when they were due
 	Worst    time.Duration
-	Ready    int // backends that the Door believes ready, if that was asked
-	First    time.Time
-	Errors   map[string]int // of the requests that were not served
+	Ready    int            // backends that are ready to the gateway, if the query asked for it
+	First    time.Time      // when the first request was served
+	Errors   map[string]int // requests that were not served, by error
 }
 
-// ownProcess is the variable that has a test's program be a door's process.
+// processEnv is the environment variable that makes a test's program a gateway's process.
 const processEnv = "PUMICECROFT_SCALE_DOOR"
 
-// Main is the main of a test's program that StartDoor is used in. It never returns where it is a door's process.
+// Main is the TestMain of a program that calls StartGateway. It doesn't return.
 func Main(run func() int) {
 	if os.Getenv(processEnv) != "" {
 		if err := runGateway(os.Stdin, os.Stdout); err != nil {
@@ -68,21 +68,22 @@
 	os.Exit(run())
 }
 
-// door is the Door of a process, and what is noted of it.
+// instrumentedGateway is the gateway of a process with its measurements.
 type instrumentedGateway struct {
 	*pumicecroft.Gateway
 	mu        sync.Mutex
-	updated   chan struct{} // closed when discovery has told of more
+	updated   chan struct{} // closed and replaced at each endpoint update
 	report    Report
 	latencies []time.Duration
 }
 
-// source passes on what discovery tells, and notes it.
+// countingSource is discovery that counts the endpoints that the gateway has processed.
 type countingSource struct {
 	*platform.Discovery
 	gateway *instrumentedGateway
 }
 
+// Run implements the source of endpoint updates.
 func (s countingSource) Run(ctx context.Context, update func(membership.Update)) {
 	s.Discovery.Run(ctx, func(l membership.Update) {
 		update(l)
@@ -95,12 +96,13 @@
 	})
 }
 
-// serve is a door's process: a Door as the daemon makes it, asked in open loop, that tells of itself at each line that it reads.
+// runGateway is the main function of a gateway's process: a gateway as the daemon creates it, with requests in open
+// loop. It answers each query that it reads with a report.
 func runGateway(in io.Reader, out io.Writer) error {
 	lines, write := bufio.NewScanner(in), json.NewEncoder(out)
 	lines.Buffer(nil, 64<<20)
 	if !lines.Scan() {
-		return errors.New("scale: no plan came")
+		return errors.New("capacitytest: no plan was received")
 	}
 	var p Plan
 	if err := json.Unmarshal(lines.Bytes(), &p); err != nil {
@@ -111,15 +113,19 @@
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
-	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3) // as the daemon does it
+	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3) // as the daemon does
 	d := &instrumentedGateway{updated: make(chan struct{})}
 	d.report.Errors = map[string]int{}
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil)) // the log is part of the price
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil)) // logging is part of the cost
 	slog.SetDefault(log)
 	set := daemon.GatewayConfig(config)
 	if p.Most > 0 {
 		set.Membership.MaxNodes = p.Most
 	}
+	discovery := &platform.Discovery{
+		Addr: config.Discovery, FromVersion: config.Known.Seq, PollWithin: config.Conns.SubscribeWithin,
+		Seed: config.Seed, DrainGrace: config.Settings.DrainGrace, MaxEntries: config.Limits.MaxBackends(),
+	}
 	d.Gateway, err = pumicecroft.New(set, pumicecroft.WithLogger(log),
 		pumicecroft.WithDialer(func(ctx context.Context, network, _ string) (net.Conn, error) {
 			d.mu.Lock()
@@ -127,8 +133,7 @@
 			d.mu.Unlock()
 			return new(net.Dialer).DialContext(ctx, network, p.Backend)
 		}),
-		pumicecroft.WithSource(countingSource{&platform.Discovery{Addr: config.Discovery, FromVersion: config.Known.Seq, PollWithin: config.Conns.SubscribeWithin,
-			Seed: config.Seed, DrainGrace: config.Settings.DrainGrace, MaxEntries: config.Limits.MaxBackends()}, d}))
+		pumicecroft.WithSource(countingSource{discovery, d}))
 	if err != nil {
 		return err
 	}
@@ -156,15 +161,15 @@
 	return nil
 }
 
-// question is what a door's process is asked.
+// query asks a gateway's process for a report. It is passed as JSON.
 type query struct {
-	Nodes  int64         // answered when discovery has told of so many
-	Within time.Duration // ... or this time is over
-	All    bool          // with what costs something to tell; requests are counted from then on anew
-	Ready  bool          // with how many backends are believed ready, which costs much
+	Nodes  int64         // wait until so many endpoints were processed in total ...
+	Within time.Duration // ... or until this time is over
+	All    bool          // with the expensive fields; the requests are counted from 0 then
+	Ready  bool          // with Report.Ready, which is very expensive
 }
 
-// await waits until discovery has told of so many nodes.
+// awaitNodes waits until so many endpoints were processed in total, or the time is over.
 func (d *instrumentedGateway) awaitNodes(nodes int64, within time.Duration) {
 	end := time.NewTimer(within)
 	defer end.Stop()
@@ -183,7 +188,7 @@
 	}
 }
 
-// ask asks the Door in open loop.
+// sendRequests sends requests to the gateway in open loop.
 func (d *instrumentedGateway) sendRequests(ctx context.Context, p Plan) {
 	gap := time.Duration(float64(time.Second) / p.PerSecond)
 	due := time.Now()
@@ -209,7 +214,7 @@
 	}
 }
 
-// tell is what there is to tell.
+// buildReport answers a query.
 func (d *instrumentedGateway) buildReport(q query) Report {
 	cpu := CPU()
 	ready := 0
@@ -227,7 +232,7 @@
 	}
 	d.mu.Unlock()
 	if out.CPU, out.Ready = cpu, ready; !q.All {
-		out.Errors = nil // it is still added to
+		out.Errors = nil // it is still being changed
 		return out
 	}
 	out.Resident, out.Peak = procStatus("VmRSS:"), procStatus("VmHWM:")
@@ -241,7 +246,7 @@
 	return out
 }
 
-// CPU is the processor time that this process has had.
+// CPU returns the processor time that this process has used.
 func CPU() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -250,7 +255,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// status is one of this process's figures that are given in kB.
+// procStatus returns a value of /proc/self/status that is in kB, as bytes; 0 if it is missing.
 func procStatus(name string) (bytes int64) {
 	text, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(text)) {
@@ -261,17 +266,17 @@
 	return bytes << 10
 }
 
-// DoorProcess is a process that holds one Door.
+// GatewayProcess is a process with one gateway.
 type GatewayProcess struct {
 	cmd         *exec.Cmd
 	in          io.WriteCloser
 	lines       *bufio.Scanner
-	StartedAt   time.Time // when it had its plan
-	FirstReport Report    // the first that it told
-	Log         *logTail  // the last that it said in its log
+	StartedAt   time.Time // when it got its plan
+	FirstReport Report    // its first report
+	Log         *logTail  // the end of its log
 }
 
-// StartDoor starts one, of this test's program.
+// StartGateway starts a gateway's process from this test's program, and waits for its first report.
 func StartGateway(p Plan) (*GatewayProcess, error) {
 	d := &GatewayProcess{cmd: exec.Command(os.Args[0]), Log: &logTail{}}
 	d.cmd.Env = append(os.Environ(), processEnv+"=1")
@@ -299,13 +304,15 @@
 	return d, nil
 }
 
+// read reads a report.
 func (d *GatewayProcess) read() (t Report, err error) {
 	if !d.lines.Scan() {
-		return t, fmt.Errorf("scale: the door's process has ended: %s", d.Log)
+		return t, fmt.Errorf("capacitytest: the gateway's process has ended: %s", d.Log)
 	}
 	return t, json.Unmarshal(d.lines.Bytes(), &t)
 }
 
+// query sends a query and reads its report.
 func (d *GatewayProcess) query(q query) (Report, error) {
 	if err := json.NewEncoder(d.in).Encode(q); err != nil {
 		return Report{}, err
@@ -313,30 +320,33 @@
 	return d.read()
 }
 
-// Await waits until discovery has told of so many nodes in all, or a time is over.
+// Await waits until the gateway has processed so many endpoints in total, or the time is over.
 func (d *GatewayProcess) Await(nodes int64, within time.Duration) (Report, error) {
 	return d.query(query{Nodes: nodes, Within: within})
 }
 
-// Look asks for what costs nothing to tell.
+// Quick returns a report without the expensive fields.
 func (d *GatewayProcess) Quick() (Report, error) { return d.query(query{}) }
 
-// All asks for all there is to tell, of requests since it was asked before.
+// Full returns a complete report, except Ready, on the requests since the last call of Full.
 func (d *GatewayProcess) Full() (Report, error) { return d.query(query{All: true}) }
 
-// Ready asks how many backends the Door believes ready.
+// ReadyBackends returns the number of backends that are ready to the gateway.
 func (d *GatewayProcess) ReadyBackends() (int, error) {
 	t, err := d.query(query{Ready: true})
 	return t.Ready, err
 }
 
-// Stop ends it.
+// Stop closes the process's input, which ends it, and waits for that.
 func (d *GatewayProcess) Stop() error {
 	_ = d.in.Close()
 	return d.cmd.Wait()
 }
 
-// tail keeps the last bytes of what is written to it, and how many lines there were.
+// tailBytes is the length of the output that a logTail keeps.
+const tailBytes = 512
+
+// logTail keeps the last bytes that were written to it, and counts the lines.
 type logTail struct {
 	mu    sync.Mutex
 	last  []byte
@@ -352,13 +362,13 @@
 		}
 	}
 	t.last = append(t.last, p...)
-	if over := len(t.last) - 512; over > 0 {
+	if over := len(t.last) - tailBytes; over > 0 {
 		t.last = append(t.last[:0], t.last[over:]...)
 	}
 	return len(p), nil
 }
 
-// Lines is how many there were.
+// Lines returns the number of lines.
 func (t *logTail) Lines() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/capacitytest/gateways_test.go
+++ b/internal/capacitytest/gateways_test.go
@@ -10,8 +10,8 @@
 	"pumicecroft/internal/pollbackoff"
 )
 
-// More and more hollow doors (the shipped core and decision module) share a counter and backends. Each backend is as busy, and each door
-// asked as often, at every size; the counter stays one.
+// More and more emulated gateways (lifecycle machine and decision engine) share one counter and backends. The load of
+// each backend and gateway is the same at every size.
 func TestGateways(t *testing.T) {
 	perDoor := *rate
 	if *full && *sizes == "" {
@@ -19,8 +19,16 @@
 	}
 	for _, n := range sizesFor(t, []int{3, 30}, []int{3, 30, 300, 2800}) {
 		c := emulatorConfig(n, perDoor)
-		c.Faults = []emulator.Fault{{Kind: emulator.Deploy, At: 2 * time.Second, Duration: 2 * time.Second, Magnitude: float64(max(1, c.Backends.Count/4))},
-			{Kind: emulator.GatewayRestart, At: 7 * time.Second, Duration: 500 * time.Millisecond, Magnitude: float64(max(1, n/10))}}
+		c.Faults = []emulator.Fault{
+			{
+				Kind: emulator.Deploy, At: 2 * time.Second, Duration: 2 * time.Second,
+				Magnitude: float64(max(1, c.Backends.Count/4)),
+			},
+			{
+				Kind: emulator.GatewayRestart, At: 7 * time.Second, Duration: 500 * time.Millisecond,
+				Magnitude: float64(max(1, n/10)),
+			},
+		}
 		r, err := emulator.New(c, 7)
 		if err != nil {
 			t.Fatal(err)
@@ -36,35 +44,52 @@
 		}
 		out := r.Result()
 		second := c.Duration.Seconds()
-		t.Logf("%d doors of %.0f requests a second, %d backends: counter %.0f calls a second, %.2f a door, %d of %d turned away or late; %d requests, %.3f served; %d attempts at cold backends, %d fell; sent to draining ones %d, past ceilings %d; played in %v",
-			n, perDoor, c.Backends.Count, float64(out.CounterCalls)/second, float64(out.CounterCalls)/second/float64(n), out.CounterCallsLost, out.CounterCalls, out.Offered,
-			float64(out.Served)/float64(out.Offered), out.ToWarming, out.Overloads, out.ToDraining, out.PeriodsOverHardLimit, time.Since(began).Round(time.Millisecond))
-		if out.ToDraining > 0 || out.PeriodsOverHardLimit > 0 { // the other rules are asserted by package region, on days that strain them
-			t.Errorf("%d doors: sent to draining backends %d times, past ceilings %d times by %.1f", n, out.ToDraining, out.PeriodsOverHardLimit, out.MaxOvershoot)
+		t.Logf("%d doors of %.0f requests a second, %d backends: counter %.0f calls a second, %.2f a door, "+
+			"%d of %d turned away or late; %d requests, %.3f served; "+
+			"%d attempts at cold backends, %d fell; sent to draining ones %d, past ceilings %d; played in %v",
+			n, perDoor, c.Backends.Count, float64(out.CounterCalls)/second, float64(out.CounterCalls)/second/float64(n),
+			out.CounterCallsLost, out.CounterCalls, out.Offered, float64(out.Served)/float64(out.Offered), out.ToWarming,
+			out.Overloads, out.ToDraining, out.PeriodsOverHardLimit, time.Since(began).Round(time.Millisecond))
+		// The tests of package emulator assert the other rules, under more load.
+		if out.ToDraining > 0 || out.PeriodsOverHardLimit > 0 {
+			t.Errorf("%d doors: sent to draining backends %d times, past ceilings %d times by %.1f",
+				n, out.ToDraining, out.PeriodsOverHardLimit, out.MaxOvershoot)
 		}
 	}
 }
 
-// hollow is a region of so many doors, each asked so often.
+// emulatorConfig returns a region with a number of gateways and the requests a second of each.
 func emulatorConfig(doors int, perDoor float64) emulator.Config {
 	backends := max(6, int(float64(doors)*perDoor/84))
-	set := decision.Settings{MaxAttempts: 3, CanCancel: true, MaxRetryAfter: time.Second, UsagePeriod: 500 * time.Millisecond, DrainGrace: time.Second, // half as long as one drains
-		SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second, OverloadFactor: 4, OverloadDuration: 3 * time.Second, ResponseGrace: 50 * time.Millisecond,
-		Classes: []decision.Class{{Name: "look", LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
+	set := decision.Settings{
+		MaxAttempts: 3, CanCancel: true, MaxRetryAfter: time.Second, UsagePeriod: 500 * time.Millisecond,
+		DrainGrace:           time.Second, // half as long as a backend drains
+		SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second, OverloadFactor: 4,
+		OverloadDuration: 3 * time.Second, ResponseGrace: 50 * time.Millisecond,
+		Classes: []decision.Class{
+			{Name: "look", LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
+		},
 		Plans: []decision.Plan{{Name: "shop", Rate: 4, Burst: 13, Price: 1},
 			{Name: "flagship", Rate: 12, Burst: 40, Price: 2, HardLimitRate: 12, HardLimitBurst: 40, HardLimitOverdraft: 5}}}
-	return emulator.Config{Gateways: doors, Policy: emulator.PolicyEngine, Duration: 16 * time.Second, Warmup: time.Second, UpdateInterval: 500 * time.Millisecond, Settings: set,
+	return emulator.Config{
+		Gateways: doors, Policy: emulator.PolicyEngine, Duration: 16 * time.Second, Warmup: time.Second,
+		UpdateInterval: 500 * time.Millisecond, Settings: set,
 		Network: emulator.Network{MinDelay: 250 * time.Microsecond, MeanExtraDelay: 250 * time.Microsecond},
 		Backends: emulator.Backends{Count: backends, Zones: min(9, backends), Cells: backends, Concurrency: 8, MaxQueue: 32,
-			Service: emulator.Distribution{Shape: emulator.Exponential, Mean: 40 * time.Millisecond}, ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second},
-		Clients: emulator.Clients{Customers: doors * 290, GatewaySpread: 3, Cost: 1, MaxTries: 2, FollowRetryAfter: 1, Backoff: 100 * time.Millisecond, ZipfExponent: 1.1, UniformShare: 0.3,
-			Classes: []emulator.Share{{Name: "look", Weight: 1}}, Plans: []emulator.Share{{Name: "shop", Weight: 9}, {Name: "flagship", Weight: 1}}},
+			Service:        emulator.Distribution{Shape: emulator.Exponential, Mean: 40 * time.Millisecond},
+			ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second},
+		Clients: emulator.Clients{
+			Customers: doors * 290, GatewaySpread: 3, Cost: 1, MaxTries: 2, FollowRetryAfter: 1,
+			Backoff: 100 * time.Millisecond, ZipfExponent: 1.1, UniformShare: 0.3,
+			Classes: []emulator.Share{{Name: "look", Weight: 1}},
+			Plans:   []emulator.Share{{Name: "shop", Weight: 9}, {Name: "flagship", Weight: 1}},
+		},
 		Arrivals: emulator.Arrivals{Rate: perDoor * float64(doors)},
 		Counter:  emulator.Counter{Rate: 600, MaxWait: 30 * time.Millisecond, Timeout: 120 * time.Millisecond}}
 }
 
-// More and more doors lose a discovery, that costs work to ask, in one moment, and it is away for a while. What is counted is
-// the calls that it gets in the busiest second, and how long the last door takes to ask again once it is back.
+// More and more gateways lose discovery at the same moment, for some time. This counts the calls that discovery gets in
+// its busiest second, and measures how long the last gateway takes to call again after its return.
 func TestDiscoveryPollRate(t *testing.T) {
 	within := 10 * time.Second
 	for _, n := range sizesFor(t, []int{3, 300}, []int{3, 30, 300, 2800}) {
@@ -92,7 +117,8 @@
 				}
 				most = max(most, i-from+1)
 			}
-			t.Logf("%d doors, discovery away for %v: %d calls in its busiest second, %.2f a door and second over all, the last door asks %v after its return", n, away, most,
+			t.Logf("%d doors, discovery away for %v: %d calls in its busiest second, %.2f a door and second over all, "+
+				"the last door asks %v after its return", n, away, most,
 				float64(len(calls))/float64(n)/away.Seconds(), last)
 			if limit := 1 + n; most > limit {
 				t.Errorf("%d doors make %d calls in a second", n, most)
--- a/internal/capacitytest/routes_test.go
+++ b/internal/capacitytest/routes_test.go
@@ -8,7 +8,7 @@
 	"pumicecroft/routes"
 )
 
-// An operator's table of more and more routes is made, and a request finds its own.
+// An operator's table has more and more routes. The time in which a request finds its route must not grow with them.
 func TestRoutes(t *testing.T) {
 	var least time.Duration
 	for _, n := range sizesFor(t, []int{24, 2400}, []int{24, 240, 2400, 24_000}) {
@@ -27,7 +27,9 @@
 		bytes := (heapInUse() - empty) / float64(n)
 		find := func(i int) time.Duration {
 			began := time.Now()
-			m, err := table.Match(&routes.Request{Method: "GET", Host: fmt.Sprintf("h%d.example.org", i%2300), Path: fmt.Sprintf("/v1/things-%d/17/parts", i)})
+			m, err := table.Match(&routes.Request{
+				Method: "GET", Host: fmt.Sprintf("h%d.example.org", i%2300), Path: fmt.Sprintf("/v1/things-%d/17/parts", i),
+			})
 			spent := time.Since(began)
 			if err != nil || m.Rule.Target != i {
 				t.Fatalf("route %d: %v, %v", i, m.Rule, err)
