--- a/consul/query.go
+++ b/consul/query.go
@@ -176,14 +176,14 @@
 // responseStarted reports whether any byte of the response to the query that is out has arrived. mu must be
 // held.
 func (s *queryState) responseStarted() bool {
-	return s.conn != nil && (!s.conn.Nothing() || s.conn.Got() > s.readBefore)
+	return s.conn != nil && (!s.conn.FullyRead() || s.conn.BytesRead() > s.readBefore)
 }
 
 // startAlarm calls silent after a timeout. If the response has begun to arrive by then, as it may have while
 // this process was paused, the query gets responseGrace more, once.
 func (s *queryState) startAlarm(timeout time.Duration, silent func()) *time.Timer {
 	extended := false
-	return unread.Alarm(timeout, func() time.Duration {
+	return unread.AfterSilence(timeout, func() time.Duration {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if extended || !s.responseStarted() {
@@ -204,7 +204,7 @@
 	defer s.mu.Unlock()
 	s.conn = observed
 	if observed != nil {
-		s.readBefore = observed.Got()
+		s.readBefore = observed.BytesRead()
 	}
 }
 
--- a/grpcproxy/request.go
+++ b/grpcproxy/request.go
@@ -33,7 +33,7 @@
 	names := &p.config.Names
 	r.IdempotencyKey = values.IdempotencyKey
 	if values.ID != "" || p.config.Strict {
-		id, err := requestmeta.Hex(values.ID)
+		id, err := requestmeta.ParseHexID(values.ID)
 		if err != nil {
 			return r, invalidCall(names.ID, values.ID)
 		}
@@ -95,7 +95,7 @@
 // customerID returns the number of a customer.
 func (p *Proxy) customerID(text string) (uint64, error) {
 	if !p.config.CustomerText {
-		return requestmeta.Customer(text)
+		return requestmeta.ParseCustomer(text)
 	}
 	if text == "" {
 		return 0, strconv.ErrSyntax
@@ -116,11 +116,11 @@
 	if values.Terms == "" && (!p.config.Strict || p.config.Names.Terms == "") {
 		return nil
 	}
-	terms, ok := requestmeta.Parse(values.Terms, &p.settings)
+	terms, ok := requestmeta.ParseTerms(values.Terms, &p.settings)
 	if !ok {
 		return invalidCall(p.config.Names.Terms, values.Terms)
 	}
-	r.Cost, r.GatewaySpread, r.FirstGateway = terms.Units, terms.Spread, terms.First
+	r.Cost, r.GatewaySpread, r.FirstGateway = terms.Cost, terms.GatewaySpread, terms.FirstGateway
 	return nil
 }
 
--- a/httpproxy/request.go
+++ b/httpproxy/request.go
@@ -82,11 +82,11 @@
 	case declared == "":
 		return nil
 	case strings.Contains(declared, "="):
-		terms, ok := requestmeta.Parse(declared, &p.settings)
+		terms, ok := requestmeta.ParseTerms(declared, &p.settings)
 		if !ok {
 			return malformed("terms")
 		}
-		request.Cost, request.GatewaySpread, request.FirstGateway = terms.Units, terms.Spread, terms.First
+		request.Cost, request.GatewaySpread, request.FirstGateway = terms.Cost, terms.GatewaySpread, terms.FirstGateway
 		return nil
 	}
 	cost, err := strconv.ParseFloat(declared, 64)
@@ -113,7 +113,7 @@
 	if len(ids) != 1 {
 		return nil, malformed(name)
 	}
-	id, err := requestmeta.Hex(ids[0])
+	id, err := requestmeta.ParseHexID(ids[0])
 	if err != nil {
 		return nil, malformed(name)
 	}
--- a/identity/asserted.go
+++ b/identity/asserted.go
@@ -55,7 +55,7 @@
 // customer returns the number of a customer.
 func (a *AssertedRule) customer(name string) (uint64, error) {
 	if a.HexCustomers {
-		id, err := requestmeta.Customer(name)
+		id, err := requestmeta.ParseCustomer(name)
 		if err != nil {
 			return 0, fmt.Errorf("%s is no customer's number", a.CustomerHeader)
 		}
--- a/internal/fakes/consul.go
+++ b/internal/fakes/consul.go
@@ -82,17 +82,16 @@
 	tls  *tls.Config
 	addr string
 
-	mu          sync.Mutex
-	server      *http.Server
-	index       uint64
-	lastIndex   map[string]uint64 // modify index of the last change, by service
-	instances   map[string]*instance
-	changed     chan struct{} // closed and replaced at each change, also of the fault
-	fault       ConsulFault
-	delay       time.Duration
-	lastContact time.Duration
-	token       string
-	queries     []ConsulQuery
+	mu        sync.Mutex
+	server    *http.Server
+	index     uint64
+	lastIndex map[string]uint64 // modify index of the last change, by service
+	instances map[string]*instance
+	changed   chan struct{} // closed and replaced at each change, also of the fault
+	fault     ConsulFault
+	delay     time.Duration
+	token     string
+	queries   []ConsulQuery
 }
 
 // StartConsul starts a fake agent on a free loopback port. With a TLS configuration, it speaks TLS.
@@ -163,13 +162,6 @@
 	c.delay = delay
 }
 
-// SetLastContact sets the age of the data that the agent reports in X-Consul-LastContact.
-func (c *Consul) SetLastContact(age time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lastContact = age
-}
-
 // RequireToken makes the agent reject requests without this ACL token. Empty accepts all requests.
 func (c *Consul) RequireToken(token string) {
 	c.mu.Lock()
--- a/internal/fakes/consulquery.go
+++ b/internal/fakes/consulquery.go
@@ -78,7 +78,7 @@
 // writeHeaders sets the headers of a query's response.
 func (c *Consul) writeHeaders(w http.ResponseWriter, index uint64) {
 	c.mu.Lock()
-	fault, lastContact := c.fault, c.lastContact
+	fault := c.fault
 	c.mu.Unlock()
 	if fault == ConsulZeroIndex {
 		index = 0
@@ -87,7 +87,7 @@
 	h.Set("Content-Type", "application/json")
 	h.Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	h.Set("X-Consul-KnownLeader", strconv.FormatBool(fault != ConsulNoLeader && fault != ConsulEmptyNoLeader))
-	h.Set("X-Consul-LastContact", strconv.FormatInt(lastContact.Milliseconds(), 10))
+	h.Set("X-Consul-LastContact", "0")
 	if fault == ConsulACLFiltered {
 		h.Set("X-Consul-Results-Filtered-By-ACLs", "true")
 	}
--- a/internal/httplistener/clientconn.go
+++ b/internal/httplistener/clientconn.go
@@ -92,7 +92,7 @@
 func (c *clientConn) detectEnd(fd uintptr) bool {
 	switch n, err := peekByte(fd); {
 	case n > 0:
-		if !socketpeek.Gone(fd) {
+		if !socketpeek.PeerClosed(fd) {
 			return false
 		}
 		c.endErr = io.EOF
@@ -118,7 +118,7 @@
 // clientDisconnected reports whether the client of a connection has disconnected. It does not block.
 func clientDisconnected(c net.Conn) (gone bool) {
 	if cc, ok := c.(*clientConn); ok && cc.raw != nil {
-		_ = cc.raw.Control(func(fd uintptr) { gone = socketpeek.Gone(fd) })
+		_ = cc.raw.Control(func(fd uintptr) { gone = socketpeek.PeerClosed(fd) })
 	}
 	return gone
 }
@@ -127,9 +127,9 @@
 func requestPending(c net.Conn) bool {
 	c = underlyingConn(c)
 	// The socket first: what it shows may be read by the server before requestStarted is looked at.
-	state := socketpeek.At(c)
+	state := socketpeek.Peek(c)
 	cc, ok := c.(*clientConn)
-	return state == socketpeek.Waiting || ok && cc.requestStarted.Load()
+	return state == socketpeek.Readable || ok && cc.requestStarted.Load()
 }
 
 // underlyingConn returns the connection that TLS runs on, or the connection itself.
--- a/internal/httplistener/conntable_test.go
+++ b/internal/httplistener/conntable_test.go
@@ -139,7 +139,7 @@
 	table.onStateChange(conns[1], http.StateNew)
 	table.onStateChange(conns[2], http.StateNew)
 	io.WriteString(clients[1], "G")
-	poll(t, "the byte to arrive", func() bool { return socketpeek.At(conns[1]) == socketpeek.Waiting })
+	poll(t, "the byte to arrive", func() bool { return socketpeek.Peek(conns[1]) == socketpeek.Readable })
 	table.onStateChange(conns[3], http.StateNew)
 	testkit.ReadUntilClosed(t, clients[2])
 	table.onStateChange(conns[0], http.StateIdle) // it is idle for the shortest time now
--- a/internal/httpproxytransport/transport.go
+++ b/internal/httpproxytransport/transport.go
@@ -260,7 +260,7 @@
 			return t.dial(a, destination)
 		}
 		c := pooled.Owner.(*conn)
-		if c.peeker.Peek() == socketpeek.Clean {
+		if c.peeker.Peek() == socketpeek.Idle {
 			return c, 0
 		}
 		t.discard(c)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -49,7 +49,7 @@
 	timeouts watchTimeouts) (*updateStream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	asked := time.Now()
-	alarm := unread.Alarm(cmp.Or(timeouts.first, timeouts.silence), func() time.Duration {
+	alarm := unread.AfterSilence(cmp.Or(timeouts.first, timeouts.silence), func() time.Duration {
 		if d.state.idle() {
 			return 0
 		}
--- a/internal/platform/watchstate.go
+++ b/internal/platform/watchstate.go
@@ -64,7 +64,7 @@
 	s.mu.Lock()
 	conn := s.conn
 	s.mu.Unlock()
-	return conn == nil || conn.Nothing()
+	return conn == nil || conn.FullyRead()
 }
 
 // wakeUp has the next watch opened at once instead of after its backoff.
@@ -104,7 +104,7 @@
 		switch {
 		case endedBefore:
 			return fmt.Errorf("platform: discovery: %w", errSilent)
-		case alive && conn.Nothing():
+		case alive && conn.FullyRead():
 			return nil
 		case !alive && d.PollWithin == 0:
 			s.wakeUp()
--- a/internal/platformtransport/operations.go
+++ b/internal/platformtransport/operations.go
@@ -34,7 +34,7 @@
 // what the pool has discarded. Neither waits. The caller holds the lock.
 func (t *Transport) checkConns(x *platformhttp.Exchange, op platformhttp.Op) platformhttp.Op {
 	for op == platformhttp.CheckConn {
-		clean := x.Conn.Owner.(*conn).peeker.Peek() == socketpeek.Clean
+		clean := x.Conn.Owner.(*conn).peeker.Peek() == socketpeek.Idle
 		op = x.ConnChecked(t.now(), clean)
 	}
 	t.closeDiscarded()
--- a/internal/processtest/fleet.go
+++ b/internal/processtest/fleet.go
@@ -192,13 +192,3 @@
 	}
 	return out
 }
-
-// OverloadedBackends returns the number of backends that were sent too much while they were cold.
-func (f *Fleet) OverloadedBackends() (n int) {
-	for _, b := range f.Backends {
-		if b.Overloaded() {
-			n++
-		}
-	}
-	return n
-}
--- a/internal/requestmeta/requestmeta.go
+++ b/internal/requestmeta/requestmeta.go
@@ -15,13 +15,13 @@
 
 // Terms are a request's cost, and the gateways that its customer uses.
 type Terms struct {
-	Units         float64 // the cost
-	Spread, First int     // the customer uses Spread gateways in a row, from the index First
+	Cost                        float64 // the cost
+	GatewaySpread, FirstGateway int     // the customer uses Spread gateways in a row, from the index First
 }
 
-// Parse parses terms. ok is false unless each is there once, and in the range of the settings.
+// ParseTerms parses terms. ok is false unless each is there once, and in the range of the settings.
 // Unknown terms are ignored.
-func Parse(text string, set *decision.Settings) (t Terms, ok bool) {
+func ParseTerms(text string, set *decision.Settings) (t Terms, ok bool) {
 	var hasUnits, hasSpread, hasFirst bool
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -30,13 +30,13 @@
 		switch name {
 		case "units":
 			repeated, hasUnits = hasUnits, true
-			t.Units, err = strconv.ParseFloat(value, 64)
+			t.Cost, err = strconv.ParseFloat(value, 64)
 		case "spread":
 			repeated, hasSpread = hasSpread, true
-			t.Spread, err = strconv.Atoi(value)
+			t.GatewaySpread, err = strconv.Atoi(value)
 		case "first":
 			repeated, hasFirst = hasFirst, true
-			t.First, err = strconv.Atoi(value)
+			t.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil || repeated {
 			return Terms{}, false
@@ -47,21 +47,21 @@
 
 // inRange reports whether terms are in the range of the settings.
 func (t *Terms) inRange(set *decision.Settings) bool {
-	return t.Units > 0 && !math.IsInf(t.Units, 0) && (set.MaxCost <= 0 || t.Units <= set.MaxCost) &&
-		t.Spread >= 1 && t.Spread <= set.GatewayCount && t.First >= 0 && t.First < set.GatewayCount
+	return t.Cost > 0 && !math.IsInf(t.Cost, 0) && (set.MaxCost <= 0 || t.Cost <= set.MaxCost) &&
+		t.GatewaySpread >= 1 && t.GatewaySpread <= set.GatewayCount && t.FirstGateway >= 0 && t.FirstGateway < set.GatewayCount
 }
 
-// Hex parses a number of 16 hex digits. The error is of package strconv.
-func Hex(s string) (uint64, error) {
+// ParseHexID parses a number of 16 hex digits. The error is of package strconv.
+func ParseHexID(s string) (uint64, error) {
 	if len(s) != 16 {
 		return 0, strconv.ErrSyntax
 	}
 	return strconv.ParseUint(s, 16, 64)
 }
 
-// Customer parses a customer's number of 16 hex digits. The error is of package strconv.
-func Customer(s string) (uint64, error) {
-	n, err := Hex(s)
+// ParseCustomer parses a customer's number of 16 hex digits. The error is of package strconv.
+func ParseCustomer(s string) (uint64, error) {
+	n, err := ParseHexID(s)
 	if err == nil && n >= maxCustomerID {
 		err = strconv.ErrRange
 	}
--- a/internal/socketpeek/socketpeek_test.go
+++ b/internal/socketpeek/socketpeek_test.go
@@ -11,7 +11,7 @@
 )
 
 // Peeking shows what has arrived on a connection and does not read it.
-func TestPending(t *testing.T) {
+func TestPeek(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,20 +27,20 @@
 		t.Fatal(err)
 	}
 	defer near.Close()
-	seen := []Sight{At(near)}
+	seen := []State{Peek(near)}
 	io.WriteString(far, "x")
 	_, _ = near.Read(nil)
-	for deadline := time.Now().Add(testkit.WaitTimeout); At(near) == Clean && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testkit.WaitTimeout); Peek(near) == Idle && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	seen = append(seen, At(near), At(near))
+	seen = append(seen, Peek(near), Peek(near))
 	_, _ = near.Read(make([]byte, 1))
 	far.Close()
-	for deadline := time.Now().Add(testkit.WaitTimeout); At(near) == Clean && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testkit.WaitTimeout); Peek(near) == Idle && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	seen = append(seen, At(near))
-	if want := []Sight{Clean, Waiting, Waiting, Ended}; !slices.Equal(seen, want) {
+	seen = append(seen, Peek(near))
+	if want := []State{Idle, Readable, Readable, Closed}; !slices.Equal(seen, want) {
 		t.Errorf("seen %v, want %v", seen, want)
 	}
 }
--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -16,20 +16,20 @@
 // read it; its other methods are safe for concurrent use.
 type Conn struct {
 	net.Conn
-	raw  syscall.RawConn // nil: it can't be known
-	look *socketpeek.Peeker
-	tell func() // called each time that the reader finds nothing, and at the end
+	raw    syscall.RawConn // nil: it can't be known
+	peeker *socketpeek.Peeker
+	onWait func() // called each time that the reader finds nothing, and at the end
 
-	mu    sync.Mutex // held during a read, so that nothing is read and not yet counted
-	empty bool       // the reader has found nothing, and waits
-	ended bool
-	got   uint64 // bytes that were read
+	mu        sync.Mutex // held during a read, so that nothing is read and not yet counted
+	waiting   bool       // the reader has found nothing, and waits
+	closed    bool
+	bytesRead uint64 // bytes that were read
 }
 
 // New returns a Conn. tell, unless it is nil, is called by the reading goroutine each time that it
 // finds nothing to read, and by Close; no lock is held.
 func New(c net.Conn, tell func()) *Conn {
-	u := &Conn{Conn: c, tell: tell, look: socketpeek.New(c)}
+	u := &Conn{Conn: c, onWait: tell, peeker: socketpeek.New(c)}
 	if sc, ok := c.(syscall.Conn); ok {
 		u.raw, _ = sc.SyscallConn()
 	}
@@ -50,12 +50,12 @@
 				break
 			}
 		}
-		c.empty = failed == syscall.EAGAIN
-		c.got += uint64(max(0, n))
-		empty := c.empty
+		c.waiting = failed == syscall.EAGAIN
+		c.bytesRead += uint64(max(0, n))
+		empty := c.waiting
 		c.mu.Unlock()
-		if empty && c.tell != nil {
-			c.tell()
+		if empty && c.onWait != nil {
+			c.onWait()
 		}
 		return !empty
 	})
@@ -73,38 +73,38 @@
 // Close closes the connection.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	c.ended, c.empty = true, false
+	c.closed, c.waiting = true, false
 	c.mu.Unlock()
 	err := c.Conn.Close()
-	if c.tell != nil {
-		c.tell()
+	if c.onWait != nil {
+		c.onWait()
 	}
 	return err
 }
 
-// Nothing reports whether all that has arrived was read and handled: the reader waits for more, and
+// FullyRead reports whether all that has arrived was read and handled: the reader waits for more, and
 // there is no more. It returns false where that can't be known.
-func (c *Conn) Nothing() bool {
+func (c *Conn) FullyRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.raw == nil || c.ended || !c.empty {
+	if c.raw == nil || c.closed || !c.waiting {
 		return false
 	}
-	return c.look.Peek() == socketpeek.Clean
+	return c.peeker.Peek() == socketpeek.Idle
 }
 
-// Got returns how many bytes were read.
-func (c *Conn) Got() uint64 {
+// BytesRead returns how many bytes were read.
+func (c *Conn) BytesRead() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.got
+	return c.bytesRead
 }
 
-// Alarm calls silent when nothing was heard for the duration after, unless longer returns that there is
+// AfterSilence calls silent when nothing was heard for the duration after, unless longer returns that there is
 // more to wait for, and for how long. Guards against an alarm by this process's own pause: what the
 // peer said meanwhile has arrived and is unread, and longer sees that. The timer may be stopped and
 // reset as any other.
-func Alarm(after time.Duration, longer func() time.Duration, silent func()) *time.Timer {
+func AfterSilence(after time.Duration, longer func() time.Duration, silent func()) *time.Timer {
 	var t *time.Timer
 	armed := make(chan struct{})
 	t = time.AfterFunc(after, func() {
--- a/internal/unread/unread_test.go
+++ b/internal/unread/unread_test.go
@@ -11,7 +11,7 @@
 
 // Nothing returns true while the reader waits, false from the arrival of bytes until it waits
 // again, and false after the end.
-func TestNothing(t *testing.T) {
+func TestFullyRead(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	}
 	told := make(chan bool, 100)
 	c := New(near, func() { told <- true })
-	if c.Nothing() {
+	if c.FullyRead() {
 		t.Error("nobody reads, and nothing is unread")
 	}
 	got, deal := make(chan string), make(chan bool)
@@ -47,14 +47,14 @@
 	}()
 	for range 3 {
 		testkit.Await(t, told, "the reader to wait")
-		if !c.Nothing() {
+		if !c.FullyRead() {
 			t.Error("the reader waits for more, and something is unread")
 		}
 		io.WriteString(far, "x")
 		if s := testkit.Await(t, got, "what was written"); s != "x" {
 			t.Errorf("read %q", s)
 		}
-		if c.Nothing() {
+		if c.FullyRead() {
 			t.Error("what was read is not dealt with, and nothing is unread")
 		}
 		deal <- true
@@ -65,7 +65,7 @@
 		t.Errorf("it ended with %v", err)
 	}
 	_ = c.Close()
-	if c.Nothing() {
+	if c.FullyRead() {
 		t.Error("it is closed, and nothing is unread")
 	}
 }
--- a/platformrequest.go
+++ b/platformrequest.go
@@ -22,7 +22,7 @@
 	if repeated != "" {
 		return Request{}, badRequest(repeated, strings.Join(r.Header[repeated], ", "))
 	}
-	id, err := requestmeta.Hex(header.id)
+	id, err := requestmeta.ParseHexID(header.id)
 	if err != nil {
 		return Request{}, badRequest("Request-Id", header.id)
 	}
@@ -41,7 +41,7 @@
 	if !ok {
 		return Request{}, badRequest("Request-Timeout", header.timeout)
 	}
-	terms, ok := requestmeta.Parse(header.terms, &g.config.Settings)
+	terms, ok := requestmeta.ParseTerms(header.terms, &g.config.Settings)
 	if !ok {
 		return Request{}, badRequest("X-Call-Terms", header.terms)
 	}
@@ -56,9 +56,9 @@
 		Method:         r.Method,
 		Target:         reqtarget.Of(r),
 		Host:           r.Host,
-		Cost:           terms.Units,
-		GatewaySpread:  terms.Spread,
-		FirstGateway:   terms.First,
+		Cost:           terms.Cost,
+		GatewaySpread:  terms.GatewaySpread,
+		FirstGateway:   terms.FirstGateway,
 	}
 	if values := r.Header["Content-Type"]; len(values) > 0 {
 		request.ContentType = values[0]
@@ -96,7 +96,7 @@
 func (g *Gateway) platformIdentity(r *http.Request, header *platformHeader) (Identity, error) {
 	identity, known := IdentityFrom(r.Context())
 	if !known {
-		customer, err := requestmeta.Customer(header.customer)
+		customer, err := requestmeta.ParseCustomer(header.customer)
 		if err != nil {
 			return Identity{}, badRequest("X-Api-Key", header.customer)
 		}
