--- a/decision/actions.go
+++ b/decision/actions.go
@@ -5,11 +5,12 @@
 // Action is something that the gateway must do, at once and in order.
 type Action interface{ isAction() }
 
-// StartAttempt starts an attempt: the first one, a retry or a hedged one.
+// StartAttempt starts an attempt: the first one of a request, or a retry.
 type StartAttempt struct {
 	Request RequestID
 	Backend BackendID
-	// Timeout is how long to wait for the response. Zero: until the client disconnects.
+	// Timeout is how long to wait for the response. Zero, which the Engine always gives: until the
+	// request's deadline.
 	Timeout time.Duration
 	// NotAfter is the time after which the attempt must not be sent any more: it then ends as
 	// NotSent. Zero: no limit. Backends drop repeats of what may have run for the DedupWindow only.
@@ -59,7 +60,7 @@
 	Request RequestID
 }
 
-// Probe asks a backend for its load report. One ProbeResult follows.
+// Probe asks a backend for its load report. One ProbeResult follows. The Engine makes none.
 type Probe struct{ Backend BackendID }
 
 // CounterAdd adds Amount to a number that all gateways share, and asks for the total. One
--- a/decision/concurrencylimit.go
+++ b/decision/concurrencylimit.go
@@ -25,7 +25,8 @@
 	// chanceDeviations is how many standard deviations over badOutcomeRatio the bad outcomes of a
 	// second must be.
 	chanceDeviations = 3.0
-	// The least weight evens out the noise of one of hundreds of gateways.
+	// minSampleWeight and maxSampleWeight bound the weight of one second in the running means. The
+	// lower bound smooths the means of a gateway with few outcomes a second.
 	minSampleWeight = 1.0 / 4
 	maxSampleWeight = 0.5
 	// sustainableKnownWeight is from which weight on the sustainable concurrency bounds the limit
@@ -33,7 +34,7 @@
 	sustainableKnownWeight = 2.0 / 3
 )
 
-// limitState is the concurrency limit, N, and what it is found by.
+// limitState is the concurrency limit and what it is computed from.
 type limitState struct {
 	concurrencyLimit       float64 // attempts that may be in flight; +Inf: not limited yet
 	endedAttempts          float64 // attempts ended or late, fading
@@ -52,22 +53,22 @@
 	return min(lateObjectiveRatio*objective, byLatency)
 }
 
-// adjustConcurrencyLimit sets the concurrency limit N, how many of this gateway's attempts may be
-// in flight. It runs once a second, elapsed seconds after the last time.
+// adjustConcurrencyLimit sets the concurrency limit: how many of this gateway's attempts may be in
+// flight. It runs once a second, elapsed seconds after the last time.
 //
-// N is not limited at first. A second with too many bad outcomes cuts it to limitDecreaseFactor of
+// There is no limit at first. A second with too many bad outcomes cuts it to limitDecreaseFactor of
 // what is in flight; any other second in which something ended grows it by limitIncreaseFactor. It
 // stays between half and all of the sustainable concurrency: cuts come late and go on after a jam,
 // and by Little's law what is beyond it must be late.
 //
 // Bad outcomes are attempts that a backend turned away, and late ones, ended or in flight: the
 // client's own time-out comes only when the queues hold nothing but requests that nobody waits for.
-// Subrated attempts count as the slots that they were squeezed from, else each would lift the next
-// cut.
+// A subrated attempt counts as the part of a slot that it still holds: counted as a whole one, it
+// would raise what the next cut leaves.
 //
-// Where there are many gateways a second holds an attempt or two: so the means fade over seconds, N
-// is a fraction where that is a gateway's share, and it grows only if something has ended since its
-// cut.
+// Where there are many gateways a second holds an attempt or two: so the means fade over seconds,
+// the limit is a fraction where that is a gateway's share, and it grows only if something has ended
+// since its cut.
 func (e *Engine) adjustConcurrencyLimit(elapsed float64) {
 	weight := max(minSampleWeight, min(maxSampleWeight, e.sendRate/minOutcomeSamples))
 	e.countLateAttempts()
--- a/decision/customers.go
+++ b/decision/customers.go
@@ -19,13 +19,13 @@
 
 // customer is what this gateway knows of a customer.
 type customer struct {
-	plan       *Plan
-	newcomers  *quota.NewcomerStats // of its plan
-	gateways   float64              // how many it uses
-	isMember   bool                 // this is one of them
-	lastSeenAt time.Duration
-	inFlight   int     // attempts
-	lastCost   float64 // of its last request, units
+	plan            *Plan
+	newcomers       *quota.NewcomerStats // of its plan
+	gateways        float64              // how many it uses
+	usesThisGateway bool                 // this is one of them
+	lastSeenAt      time.Duration
+	inFlight        int     // attempts
+	lastCost        float64 // of its last request, units
 
 	tokens           float64 // of the quota, percent-seconds, as of tokensAt
 	tokensAt         time.Duration
@@ -68,7 +68,7 @@
 		plan:              plan,
 		newcomers:         e.newcomersByPlan[plan.Name],
 		gateways:          float64(gateways),
-		isMember:          offset < gateways,
+		usesThisGateway:   offset < gateways,
 		admitProbability:  1,
 		tokensAt:          e.now,
 		hardLimitTokensAt: e.createdAt,
@@ -82,7 +82,7 @@
 	if c.isNewcomer() {
 		c.tokens = min(c.tokens, newcomerSlack+c.percentSeconds(event.Cost)+quotaMarginRatio*c.tokens)
 	}
-	if e.settings.HasSharedCounter && plan.HardLimitRate > 0 && c.isMember && gateways > 1 {
+	if e.settings.HasSharedCounter && plan.HardLimitRate > 0 && c.usesThisGateway && gateways > 1 {
 		c.sharedBucket = quota.NewSharedBucket(uint64(event.Customer), plan.Name,
 			plan.HardLimitBurst, gateways, e.settings.MaxCost)
 	}
--- a/decision/engine.go
+++ b/decision/engine.go
@@ -90,6 +90,7 @@
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
+	// The longest time over which adjustConcurrencyLimit asks for recent failures, in seconds.
 	failureTTL := durationOf(maxSampleWeight / minSampleWeight)
 	e := &Engine{
 		settings:        settings,
@@ -140,8 +141,8 @@
 	return actions
 }
 
-// start sets the first tick at a random moment: gateways that start together would else call the
-// shared counter in the same moment of every second, and it turns away calls that come at once.
+// start sets the first tick at a random moment: gateways that start together would otherwise call
+// the shared counter at the same moment of every second, and it rejects calls that come at once.
 func (e *Engine) start() {
 	e.started = true
 	e.lastTickAt = e.now
--- a/decision/events.go
+++ b/decision/events.go
@@ -47,7 +47,8 @@
 	Removed               // it no longer exists
 )
 
-// Endpoint is one entry of an endpoint update.
+// Endpoint is one entry of an endpoint update. The Engine does not read InstanceType and Weight: it
+// selects by what it sees of a backend itself.
 type Endpoint struct {
 	ID           BackendID
 	State        BackendState
@@ -69,7 +70,7 @@
 const (
 	UpdateDelta  UpdateKind = iota // only what changed
 	UpdateFull                     // all endpoints; one that it lacks is removed
-	UpdateCached                   // all endpoints as last known before a restart; they may be stale
+	UpdateCached                   // all endpoints as last known before a restart; handled as UpdateFull
 	UpdateFailed                   // the update could not be had; the endpoints stay as they are
 )
 
@@ -109,9 +110,11 @@
 	// completed usage period, in percent of its plan's rate.
 	HasUsage bool
 	Usage    float64
-	// SettledCost is the true cost in units where it is settled afterwards, else 0.
+	// SettledCost is the true cost in units where it is settled afterwards, else 0. The Engine does not
+	// read it.
 	SettledCost float64
-	// LoadReport holds the figures of Settings.LoadReportFields, or nothing.
+	// LoadReport holds the figures of Settings.LoadReportFields, or nothing. The Engine does not read
+	// it.
 	LoadReport []float64
 }
 
@@ -125,7 +128,7 @@
 // ClientDisconnected tells that the client of a request has left. No final answer is owed any more.
 type ClientDisconnected struct{ Request RequestID }
 
-// ProbeResult ends one Probe.
+// ProbeResult ends one Probe. The Engine makes none.
 type ProbeResult struct {
 	Backend    BackendID
 	Result     Result
--- a/decision/hardlimit.go
+++ b/decision/hardlimit.go
@@ -24,5 +24,5 @@
 	refill := customer.plan.HardLimitRate / customer.gateways * elapsed
 	customer.hardLimitTokens = min(customer.hardLimitShare(), customer.hardLimitTokens+refill)
 	customer.hardLimitTokensAt = e.now
-	return customer.isMember && customer.hardLimitTokens >= cost
+	return customer.usesThisGateway && customer.hardLimitTokens >= cost
 }
--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -53,13 +53,12 @@
 	}
 }
 
-// overdue brings up to date how many responses, in mean ones, a backend owes since its last one,
-// and returns it. So a backend that goes silent, as it hangs, is paused or is cut off, shows before
-// any time-out.
+// overdue updates and returns how many responses, in mean ones, a backend is behind since its last
+// one. It shows a backend that hangs, is paused or is cut off before any attempt times out.
 //
 // A few long requests, or one on a dead connection, can raise it wrongly, so it only raises the
-// cost of selection. With nothing in flight it fades, and so does slowness: else every backend
-// would be avoided in turn for a minute after one dead attempt, and the rest, crowded, would
+// cost of selection. With nothing in flight it fades, and so does slowness: otherwise every backend
+// would be avoided in turn for a minute after one dead attempt, and the rest would be overloaded and
 // respond late. That costs an attempt every few seconds at a backend that stays silent, which
 // cancelSlowAttempts makes up for.
 func (e *Engine) overdue(backend *backend) float64 {
@@ -76,8 +75,8 @@
 
 // cancelSlowAttempts ends first attempts that have waited slowAttemptFactor times their class's
 // mean latency, so that they are made once more elsewhere, in the same slot. A connection that has
-// gone silent, or a backend that hangs, would else hold the slot until the client stops waiting, a
-// hundred times as long as a response takes; a few of them are all of a small concurrency limit.
+// gone silent, or a backend that hangs, would otherwise hold the slot until the client stops waiting, a
+// hundred times as long as a response takes; a few of them use up a small concurrency limit.
 //
 // In a jam many attempts wait as long, and what is cancelled there is work done twice: so the
 // budget bounds it to a small share of the attempts, and none is cancelled again.
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -109,10 +109,10 @@
 // period until t: steady, in percent of its rate, and perOwn, for each unit that this gateway
 // forwarded itself.
 //
-// Two things tell of it. The fading mean of the reports does, begun with one request of a customer
-// that uses priorUsagePercent; this gateway's own requests do, for its share of the time only. Each
-// is weighed by what it tells: at one of two gateways nearly all comes from the requests, at one of
-// 300 nearly all from the reports.
+// There are two estimates. One is the fading mean of the usage reports, with a prior of one request of
+// a customer that uses priorUsagePercent of its rate. The other is what this gateway forwarded itself,
+// scaled to all gateways; it covers this gateway's share of the time only. ownWeight is the weight of
+// the second one: near 1 at one of two gateways, near 0 at one of 300.
 func (c *customer) otherGatewaysUsage(t time.Duration) (steady, perOwn float64) {
 	factor, since := c.globalUsageFactor(), max(0, (t-c.tokensAt).Seconds())
 	fade := math.Pow(c.retention, since/max(c.usagePeriod, minUsagePeriod))
@@ -120,22 +120,22 @@
 	const priorRange = priorUsagePercentMany - priorUsagePercent
 	prior := priorUsagePercent + priorRange*(c.retention-usageRetention)/(1-usageRetention)
 	mean := (last + fade*c.meteredUsage) / (last/prior + fade*c.meteredSeconds)
-	// A burst at once tells as much as one that took as long as a report's delay.
+	// A burst within a report's delay counts as if it had taken that long.
 	since = max(since, usageDelayPeriods*c.usagePeriod)
 	ownWeight := since / factor / (last/mean + since/factor)
 	return mean * (1 - ownWeight) * (factor - 1) / factor, ownWeight * (factor - 1)
 }
 
 // withinQuota reports whether a customer's plan allows a request of a cost and a priority weight a
-// unit.
+// unit. It may draw random numbers, so each call is one decision.
 //
 // While reports come and the bucket is empty, requests pass with the admit probability. Beside that
 // the estimate of available must hold the cost and the reserve at any time: reports come late, and
-// a short burst is over before one tells of it. Of newcomers' requests some are rejected at random,
-// those that gain least first: nothing else tells newcomers apart.
+// a short burst is over before one shows it. Some of the newcomers' requests are rejected at random,
+// those with the least gain first, as nothing else is known of newcomers.
 func (e *Engine) withinQuota(customer *customer, priorityWeight, cost float64) bool {
 	plan := customer.plan
-	if customer.hasMaxInFlight() {
+	if customer.atMaxInFlight() {
 		return false
 	}
 	// The admit probability binds only while reports come. They come with responses: were so much
@@ -156,7 +156,7 @@
 
 // hasMaxInFlight reports whether the customer has this gateway's even share of Plan.MaxInFlight in
 // flight.
-func (c *customer) hasMaxInFlight() bool {
+func (c *customer) atMaxInFlight() bool {
 	limit := c.plan.MaxInFlight
 	return limit > 0 && float64(c.inFlight) >= math.Ceil(float64(limit)/c.gateways)
 }
--- a/decision/quota_test.go
+++ b/decision/quota_test.go
@@ -85,7 +85,7 @@
 				c.lastRequest++
 				c.handle(d, Request{ID: c.lastRequest, Customer: 9, Class: "safe", Plan: "flagship", Cost: 1,
 					Timeout: 6 * second, GatewaySpread: set[0], FirstGateway: set[1]})
-				if k := g.customers[9]; k.isMember {
+				if k := g.customers[9]; k.usesThisGateway {
 					member++
 					part += k.hardLimitShare()
 				}
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -16,10 +16,10 @@
 	return nil
 }
 
-// retry makes a request whose attempts have all failed once more, in the slot of the last, and
-// reports whether it did. It does not where MaxAttempts are made, where the client would likely
-// stop waiting first (half a mean latency is left), or where no backend is eligible. Retries need
-// no budget of their own: the concurrency limit bounds all attempts.
+// retry starts another attempt of a request whose attempts have all failed, in the slot of the last
+// one, and reports whether it did. It does not where MaxAttempts are made, where the client would
+// likely stop waiting first (half a mean latency is left), or where no backend is eligible. Retries
+// need no budget of their own: the concurrency limit bounds all attempts.
 func (e *Engine) retry(req *request, slot *slot) bool {
 	timeLeft := (req.deadline - e.now).Seconds()
 	if len(req.attempts) >= e.settings.MaxAttempts || timeLeft < req.class.meanLatency/2 {
--- a/decision/retryafter.go
+++ b/decision/retryafter.go
@@ -24,7 +24,8 @@
 	if !e.withinHardLimit(customer, cost) {
 		wait = max(wait, (cost-customer.hardLimitTokens)*customer.gateways/customer.plan.HardLimitRate)
 	}
-	if wait <= 0 { // a limit on attempts in flight: one of them must end
+	// No refill is waited for: MaxInFlight was the limit, or the customer does not use this gateway.
+	if wait <= 0 {
 		return e.retryAfterSlot()
 	}
 	return durationOf(min(wait, e.settings.MaxRetryAfter.Seconds()))
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -49,7 +49,8 @@
 	// LateWeightFactor is the share of the weight, 0 to 1, that a response past the objective
 	// earns.
 	LateWeightFactor float64 `cbor:"LateWorth"`
-	// Streaming says that a response starts (ResponseStarted) before it ends.
+	// Streaming says that a response starts (ResponseStarted) before it ends. The Engine does not read
+	// it.
 	Streaming bool `cbor:"Stream"`
 }
 
@@ -82,16 +83,17 @@
 }
 
 // Settings are the facts that an Engine starts with. They never change; a gateway whose settings
-// change starts a new Engine. Their cbor tags and the order of their fields must not change, as
-// those of Class.
+// change starts a new Engine. Their cbor tags, which are earlier names of the fields, and the
+// order of the fields must not change, as those of Class.
 type Settings struct {
 	// GatewayCount is how many gateways share the backends, at least 1. GatewayIndex is this one's
 	// number, from 0.
-	GatewayCount int     `cbor:"FrontDoors"`
-	GatewayIndex int     `cbor:"Me"`
-	Zone         string  `cbor:"Zone"`
-	Classes      []Class `cbor:"Classes"`
-	Plans        []Plan  `cbor:"Plans"`
+	GatewayCount int `cbor:"FrontDoors"`
+	GatewayIndex int `cbor:"Me"`
+	// Zone is this gateway's zone. The Engine does not read it: it prefers no zone.
+	Zone    string  `cbor:"Zone"`
+	Classes []Class `cbor:"Classes"`
+	Plans   []Plan  `cbor:"Plans"`
 	// UsagePeriod is the period over which usage reports sum a customer's use. Zero: there are no
 	// reports.
 	UsagePeriod time.Duration `cbor:"MeterPeriod"`
@@ -99,24 +101,28 @@
 	MaxCost float64 `cbor:"LargestUnits"`
 	// MaxAttempts is how many attempts one request may have in all, at least 1.
 	MaxAttempts int `cbor:"MaxAttempts"`
-	// AllowHedging says that two attempts of a request may be in flight together.
+	// AllowHedging says that two attempts of a request may be in flight together. The Engine does not
+	// read it: it never hedges.
 	AllowHedging bool `cbor:"ParallelTries"`
 	// CanCancel says that CancelAttempt is carried out.
 	CanCancel bool `cbor:"CanCancel"`
-	// CanProbe says that Probe is carried out.
+	// CanProbe says that Probe is carried out. The Engine does not read it: it never probes.
 	CanProbe bool `cbor:"CanProbe"`
 	// MaxRetryAfter is the longest Retry-After that clients follow. Zero: they are given none.
 	MaxRetryAfter time.Duration `cbor:"MaxRetryAfter"`
 	// SubscribeToEndpoints says that endpoint updates come only after Subscribe.
 	SubscribeToEndpoints bool `cbor:"AskForList"`
-	// LoadReportFields are the names of what a load report holds, in order.
+	// LoadReportFields are the names of what a load report holds, in order. The Engine does not read
+	// load reports.
 	LoadReportFields []string `cbor:"LoadColumns"`
 	// LoadReportsInResponses says that load reports come with outcomes as well as with probe
 	// results.
 	LoadReportsInResponses bool `cbor:"LoadInAnswers"`
 	// ResponseGrace is how long past a client's deadline a final answer still counts.
 	ResponseGrace time.Duration `cbor:"AnswerGrace"`
-	// DrainGrace is how long attempts that go to a draining backend may go on.
+	// DrainGrace is how long after a backend is told to drain a gateway that does not know it yet may
+	// still send to it. The Engine does not read it: it sends nothing to a backend that it knows to
+	// drain. Package lifecycle does.
 	DrainGrace time.Duration `cbor:"DrainGrace"`
 	// SlowStartMinCapacity is the share of its capacity, 0 to 1, that a backend has as it starts.
 	SlowStartMinCapacity float64 `cbor:"ColdFrom"`
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -28,8 +28,8 @@
 	backend.warmupTokens, backend.warmupTokensAt = e.rng.Float64(), e.now
 }
 
-// warmupFraction is the least share of its capacity, 0 to 1, that a backend has by now. It ends
-// slow start when that is over.
+// warmupFraction returns the least share of its capacity, 0 to 1, that a backend has by now. It also
+// ends slow start when that is over.
 func (e *Engine) warmupFraction(backend *backend) float64 {
 	age, window := float64(e.now-backend.warmingSince), float64(e.settings.SlowStartWindow)
 	backend.warmingUp = backend.warmingUp && age < window
--- a/decision/state.go
+++ b/decision/state.go
@@ -12,10 +12,10 @@
 // read off an Engine and put back into another one before any event; nothing is decided by it here.
 // Its cbor tags are names in stored snapshots and must never change.
 type CustomerState struct {
-	ID       CustomerID `cbor:"ID"`
-	Plan     string     `cbor:"Plan"`
-	Gateways int        `cbor:"Doors"`  // how many the customer uses
-	Member   bool       `cbor:"Member"` // this is one of them
+	ID              CustomerID `cbor:"ID"`
+	Plan            string     `cbor:"Plan"`
+	Gateways        int        `cbor:"Doors"`  // how many the customer uses
+	UsesThisGateway bool       `cbor:"Member"` // this is one of them
 	// MissingTokens is what its quota lacks of a full burst, in percent-seconds of its rate.
 	MissingTokens float64 `cbor:"Missing"`
 	// AdmitProbability is the share of its requests that pass while the quota is empty, 0 to 1.
@@ -55,7 +55,7 @@
 		ID:               id,
 		Plan:             c.plan.Name,
 		Gateways:         int(c.gateways),
-		Member:           c.isMember,
+		UsesThisGateway:  c.usesThisGateway,
 		AdmitProbability: c.admitProbability,
 		MeteredUsage:     c.meteredUsage,
 		OwnUsage:         c.ownUsage,
@@ -92,7 +92,7 @@
 
 func (e *Engine) restoreCustomer(state CustomerState, plan *Plan) {
 	first := 0
-	if !state.Member {
+	if !state.UsesThisGateway {
 		first = (e.settings.GatewayIndex + 1) % e.settings.GatewayCount
 	}
 	// The cost of a whole burst: a newcomer's bucket would else begin with room for one small
@@ -104,7 +104,7 @@
 		FirstGateway:  first,
 		GatewaySpread: state.Gateways,
 	}, plan)
-	customer.isMember, customer.lastCost = state.Member, 1
+	customer.usesThisGateway, customer.lastCost = state.UsesThisGateway, 1
 	customer.admitProbability = state.AdmitProbability
 	customer.meteredUsage, customer.ownUsage = state.MeteredUsage, state.OwnUsage
 	customer.meteredSeconds = state.MeteredSeconds
--- a/decision/state_test.go
+++ b/decision/state_test.go
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	plan := &g.settings.Plans[0]
-	state := CustomerState{ID: 7, Plan: plan.Name, Gateways: 300, Member: true, MissingTokens: 10,
+	state := CustomerState{ID: 7, Plan: plan.Name, Gateways: 300, UsesThisGateway: true, MissingTokens: 10,
 		AdmitProbability: 1, MeteredUsage: 50, OwnUsage: 1, MeteredSeconds: 1}
 	if over := g.Restore(time.Hour, []CustomerState{state}); over != 0 {
 		t.Fatal("the customer is ignored")
--- a/endpoints.go
+++ b/endpoints.go
@@ -75,8 +75,8 @@
 	return more
 }
 
-// syncSources has all sources that can take in what has arrived, after a pause of the process. It returns when they
-// have, or ctx ends.
+// syncSources makes every source that is a Syncer apply what it has received, after a pause of the process. It
+// returns when they have, or ctx ends.
 func (g *Gateway) syncSources(ctx context.Context, pausedFor time.Duration) {
 	g.pauseLog.Do(func() { g.log.Info("process paused", "paused_for", pausedFor) })
 	var syncs sync.WaitGroup
@@ -89,7 +89,7 @@
 		syncs.Go(func() {
 			if err := syncer.Sync(ctx, since); err != nil && !g.closing.Load() {
 				g.endpointLog.Do(func() {
-					g.log.Warn("process was paused and endpoint source is unreachable; using cached endpoints",
+					g.log.Warn("endpoint source did not sync after a process pause; keeping its endpoints",
 						"paused_for", pausedFor, "source", source.Name, "err", err)
 				})
 			}
--- a/gateway.go
+++ b/gateway.go
@@ -49,7 +49,8 @@
 	counter      executor.Counter           // nil: none
 	deduplicator *deduplicator.Deduplicator // nil: idempotency keys are not recognised
 
-	// Each bounds one kind of log line, so that a flood of one does not hide another.
+	// Each limits one kind of log message, so that a flood of one does not hide another. endpointLog is shared by
+	// everything about endpoints and by snapshots.
 	badRequestLog, deadlineLog, endpointLog, pauseLog rate.Sometimes
 
 	// reportLocks lets in one update of a source at a time, by its name. One is locked before updateMu.
--- a/http_test.go
+++ b/http_test.go
@@ -273,7 +273,8 @@
 		t.Fatal(err)
 	}
 	testkit.Next[decision.ClientDisconnected](t, g)
-	if res, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && res.StatusCode < 500 {
+	res, err := http.ReadResponse(bufio.NewReader(conn), nil) //nolint:bodyclose // the test closes the connection
+	if err == nil && res.StatusCode < 500 {
 		t.Errorf("it read %s", res.Status)
 	}
 }
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -19,7 +19,7 @@
 type Limits struct {
 	MaxConns    int           // to all destinations together: idle, in use, or being opened
 	IdleTimeout time.Duration // a connection that was idle for so long is closed
-	// ReuseDelay is how long a connection rests after a response. Surplus bytes behind a response have
+	// ReuseDelay is how long a connection stays idle after a response before it is used again. Surplus bytes behind a response have
 	// mostly arrived by then, and show that the connection must not be used again.
 	ReuseDelay time.Duration
 	// MinReuseDelay takes the place of ReuseDelay when MaxConns connections exist: then the connection
@@ -65,15 +65,15 @@
 // Idle returns the number of idle connections.
 func (p *Pool) Idle() int { return p.idle.Len() }
 
-// Acquire returns an idle connection to a destination, the most recently used that has rested: it is the
-// least likely to have been closed by the other side. Before use the driver must check that no byte has
+// Acquire returns an idle connection to a destination, the most recently used one that was idle for
+// ReuseDelay: it is the least likely to have been closed by the other side. Before use the driver must check that no byte has
 // arrived on it, and discard it otherwise: that byte would be read as the response to the next request.
 //
 // If Acquire returns neither a connection nor an error, the driver is to open one, and owes one call of
 // Opened or OpenFailed. fresh asks for a new connection. The error is ErrPoolFull.
 func (p *Pool) Acquire(now time.Duration, to *Destination, fresh bool) (*Conn, error) {
 	if !fresh {
-		if c := p.acquireRested(now, to); c != nil {
+		if c := p.acquireReusable(now, to); c != nil {
 			return c, nil
 		}
 	}
@@ -92,9 +92,9 @@
 	return nil, nil
 }
 
-// acquireRested takes the most recently used connection that has rested for ReuseDelay, and discards
+// acquireReusable takes the most recently used connection that was idle for ReuseDelay, and discards
 // those that it finds past IdleTimeout. It returns nil if there is none.
-func (p *Pool) acquireRested(now time.Duration, to *Destination) *Conn {
+func (p *Pool) acquireReusable(now time.Duration, to *Destination) *Conn {
 	for i := len(to.idle) - 1; i >= 0; i-- {
 		c := to.idle[i]
 		if now-c.idleSince < p.limits.ReuseDelay {
--- a/internal/executor/effects.go
+++ b/internal/executor/effects.go
@@ -44,7 +44,7 @@
 		e.addToCounter(effect.CounterAdd)
 	case lifecycle.SyncSources:
 		go e.runSync(effect.SyncID, effect.PausedFor)
-	case lifecycle.Subscribe: // sources update without being asked
+	case lifecycle.Subscribe: // sources send updates unasked; only the simulator acts on it
 	}
 }
 
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -95,9 +95,9 @@
 // SetCounter sets the counter that all gateways share. It must be called before anything is served.
 func (e *Executor) SetCounter(counter Counter) { e.counter = counter }
 
-// SetSyncSources sets what has all sources of endpoints take in what has arrived, after the process was paused for
-// so long. It returns when they have or ctx ends. It must be set before anything is served; unset, nothing is
-// waited for.
+// SetSyncSources sets the function that makes all endpoint sources apply what they have received, after the process
+// was paused for so long. The function returns when they have or ctx ends. It must be set before anything is served;
+// unset, nothing is waited for.
 func (e *Executor) SetSyncSources(sync func(ctx context.Context, pausedFor time.Duration)) {
 	e.syncSources = sync
 }
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -48,10 +48,11 @@
 	MaxRememberedIDs int
 	// IDRetention is how long such an id is remembered. Default: 10 s.
 	IDRetention time.Duration
-	// DetectPauses has the Machine notice that its process was paused, and hold attempts back until the sources
+	// DetectPauses makes the Machine notice that its process was paused, and hold attempts back until the sources
 	// have synced (SyncSources). Next is then never further away than Deadlines().CheckInterval.
 	DetectPauses bool
-	// DrainGrace is how long a draining backend may be sent to; how soon a pause is noticed follows from it.
+	// DrainGrace is how long after a backend is told to drain a gateway that does not know it yet may still send to
+	// it; how soon a pause is noticed follows from it.
 	// Default: 2 s, which is also the longest that counts.
 	DrainGrace time.Duration
 }
@@ -142,9 +143,9 @@
 // RememberedIDs is how many ids of requests that may have executed are remembered.
 func (m *Machine) RememberedIDs() int { return len(m.rememberedOrder) }
 
-// UnmatchedOutcomes is how many actions of the engine matched no request here. Each is an error of the engine;
+// UnmatchedActions is how many actions of the engine matched no request here. Each is an error of the engine;
 // they are ignored.
-func (m *Machine) UnmatchedOutcomes() uint64 { return m.unmatched }
+func (m *Machine) UnmatchedActions() uint64 { return m.unmatched }
 
 // Next is when Tick must be called if no other method is called before; !ok: not at all.
 func (m *Machine) Next() (at time.Duration, ok bool) {
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -147,8 +147,8 @@
 		return nil
 	})
 	r.wantEffects("refusal", r.submit(1, "safe"), "final 1 refused 250ms")
-	if r.machine.UnmatchedOutcomes() != 1 {
-		t.Errorf("%d strays, want the second answer", r.machine.UnmatchedOutcomes())
+	if r.machine.UnmatchedActions() != 1 {
+		t.Errorf("%d strays, want the second answer", r.machine.UnmatchedActions())
 	}
 	r.wantNothingLeft()
 }
@@ -330,8 +330,8 @@
 		return nil
 	})
 	r.wantEffects("list", r.machine.UpdateEndpoints(r.now, decision.EndpointUpdate{}), "probe 3; subscribe")
-	if r.machine.UnmatchedOutcomes() != 3 {
-		t.Errorf("%d strays, want 3", r.machine.UnmatchedOutcomes())
+	if r.machine.UnmatchedActions() != 3 {
+		t.Errorf("%d strays, want 3", r.machine.UnmatchedActions())
 	}
 	r.wantEffects("probed", r.machine.ProbeAnswered(r.now, decision.ProbeResult{Backend: 3}), "")
 	r.wantLastEvent("probe_result{")
--- a/internal/lifecycle/property_test.go
+++ b/internal/lifecycle/property_test.go
@@ -359,8 +359,8 @@
 		w.detectPauses = rapid.Bool().Draw(t, "pauses are noticed")
 		w.machine = New(w, set.Classes, Limits{DetectPauses: w.detectPauses}, 0)
 		w.run()
-		if w.machine.UnmatchedOutcomes() != 0 {
-			t.Fatalf("%d actions of the engine match no request", w.machine.UnmatchedOutcomes())
+		if w.machine.UnmatchedActions() != 0 {
+			t.Fatalf("%d actions of the engine match no request", w.machine.UnmatchedActions())
 		}
 	})
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -27,7 +27,8 @@
 	PollWithin time.Duration
 	// Seed makes the random part of waits before calls.
 	Seed uint64
-	// DrainGrace is how long requests may be sent to a draining backend. Where calls cost nothing, a watch
+	// DrainGrace is how long after a backend is told to drain a gateway that does not know it yet may still
+	// send to it. Where calls cost nothing, a watch
 	// must begin within half of it, and within a second. Default 2 s.
 	DrainGrace time.Duration
 	// MaxEntries limits the entries of an update; one with more is rejected. Default
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -10,7 +10,7 @@
 )
 
 // EndpointUpdate is the list of backends, or a change of it, in the protocol's form. The tags are the
-// protocol's names; the fields have the field's terms.
+// protocol's names; the Go names are the usual ones.
 type EndpointUpdate struct {
 	Seq       int64      `json:"seq"`   // version of the list that the update leads to
 	Full      bool       `json:"whole"` // backends that are missing are gone
--- a/internal/platformhttp/exchange.go
+++ b/internal/platformhttp/exchange.go
@@ -247,7 +247,7 @@
 	return End
 }
 
-// endUnsent ends an attempt that was provably not executed.
+// endUnsent ends an attempt of which nothing was sent. A cancelled one is reported as Cancelled.
 func (x *Exchange) endUnsent(err error) Op {
 	x.Err = err
 	switch {
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -200,7 +200,7 @@
 		c.world.violatef(ruleReleased, "gateway %d keeps %d requests and %d attempts at rest",
 			g.number, n, len(g.attempts))
 	}
-	if n := g.machine.UnmatchedOutcomes(); n > 0 {
+	if n := g.machine.UnmatchedActions(); n > 0 {
 		c.world.violatef(ruleActionsMatchRequest, "%d actions of gateway %d's engine match no request",
 			n, g.number)
 	}
--- a/options.go
+++ b/options.go
@@ -13,8 +13,9 @@
 
 // Source supplies endpoints: a discovery service's client, a file, a program's own list.
 type Source interface {
-	// Run calls update with what it learns until ctx ends, and returns then. A source that cannot be reached calls
-	// it with the Update's Err alone; its earlier endpoints stay. Run is called once, in a goroutine of its own;
+	// Run calls update with what it learns until ctx ends, and returns then. A source that cannot be reached may
+	// call it with the Update's Err alone; its earlier endpoints stay. (Package consul does; the platform's discovery
+	// only logs that its watch ended.) Run is called once, in a goroutine of its own;
 	// update may be called from any goroutine, and blocks while an update of the same source is taken in.
 	Run(ctx context.Context, update func(membership.Update))
 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -32,7 +32,7 @@
 func drawCustomers(t *rapid.T) []decision.CustomerState {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) decision.CustomerState {
 		return decision.CustomerState{ID: decision.CustomerID(rapid.Uint64().Draw(t, "id")), Plan: rapid.SampledFrom([]string{"shop", "open", "gone"}).Draw(t, "plan"),
-			Gateways: rapid.IntRange(0, 5).Draw(t, "doors"), Member: rapid.Bool().Draw(t, "member"), MissingTokens: rapid.Float64Range(0, 500).Draw(t, "missing"),
+			Gateways: rapid.IntRange(0, 5).Draw(t, "doors"), UsesThisGateway: rapid.Bool().Draw(t, "member"), MissingTokens: rapid.Float64Range(0, 500).Draw(t, "missing"),
 			AdmitProbability: rapid.Float64Range(0, 1).Draw(t, "pass"), MeteredUsage: rapid.Float64().Draw(t, "metered")}
 	}), 0, 20).Draw(t, "customers")
 }
--- a/recovery/stored_test.go
+++ b/recovery/stored_test.go
@@ -21,7 +21,7 @@
 		GatewayIndex: 3, GatewayCount: 7, BootID: 0xfeed_beef_0123_4567, TakenAt: time.Date(2026, time.December, 3, 7, 4, 5, 123_456_789, time.UTC),
 		SettingsDigest: 0x0123_4567_89ab_cdef, Complete: true,
 		Customers: []decision.CustomerState{
-			{ID: 1 << 40, Plan: "shop", Gateways: 5, Member: true, MissingTokens: 123.25, AdmitProbability: 0.75, MeteredUsage: 50.5, OwnUsage: 12.125, MeteredSeconds: 1.5},
+			{ID: 1 << 40, Plan: "shop", Gateways: 5, UsesThisGateway: true, MissingTokens: 123.25, AdmitProbability: 0.75, MeteredUsage: 50.5, OwnUsage: 12.125, MeteredSeconds: 1.5},
 			{ID: 9, Plan: "open", Gateways: 1, AdmitProbability: 0.1},
 		},
 	}
