--- a/internal/executor/attempt.go
+++ b/internal/executor/attempt.go
@@ -109,7 +109,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	effects, allowed := e.machine.ConfirmSend(e.clock.Now(), request.id, a.number)
-	e.execute(effects)
+	e.executeEffects(effects)
 	return !allowed
 }
 
@@ -125,6 +125,6 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	effects, allowed := e.machine.ResponseStarted(e.clock.Now(), request.id, a.number)
-	e.execute(effects)
+	e.executeEffects(effects)
 	return allowed
 }
--- a/internal/executor/contextwatch.go
+++ b/internal/executor/contextwatch.go
@@ -11,7 +11,7 @@
 const contextWatchDelay = 2 * time.Millisecond
 
 // track notes a request whose context is to be watched once it is contextWatchDelay old. The caller holds the lock.
-func (e *Executor) track(request *openRequest) {
+func (e *Executor) trackContext(request *openRequest) {
 	request.arrivedAt, request.tracked = e.clock.Now(), true
 	if request.prev = e.unwatchedTail; request.prev != nil {
 		request.prev.next = request
@@ -19,13 +19,13 @@
 		e.unwatchedHead = request
 	}
 	e.unwatchedTail = request
-	if e.nextWatch == 0 {
-		e.nextWatch = request.arrivedAt + contextWatchDelay
+	if e.nextWatchAt == 0 {
+		e.nextWatchAt = request.arrivedAt + contextWatchDelay
 	}
 }
 
 // untrack ends what track and watchContexts began. The caller holds the lock.
-func (e *Executor) untrack(request *openRequest) {
+func (e *Executor) untrackContext(request *openRequest) {
 	switch {
 	case !request.tracked:
 	case request.stopWatch != nil:
@@ -52,7 +52,7 @@
 
 // watchContexts begins to watch the context of each request that is old enough. The caller holds the lock.
 func (e *Executor) watchContexts(now time.Duration) {
-	if e.nextWatch == 0 || now < e.nextWatch {
+	if e.nextWatchAt == 0 || now < e.nextWatchAt {
 		return
 	}
 	for e.unwatchedHead != nil && e.unwatchedHead.arrivedAt+contextWatchDelay <= now {
@@ -60,7 +60,7 @@
 		e.unlinkUnwatched(request)
 		request.stopWatch = context.AfterFunc(request.ctx, func() { e.clientDisconnected(request) })
 	}
-	if e.nextWatch = 0; e.unwatchedHead != nil {
-		e.nextWatch = e.unwatchedHead.arrivedAt + contextWatchDelay
+	if e.nextWatchAt = 0; e.unwatchedHead != nil {
+		e.nextWatchAt = e.unwatchedHead.arrivedAt + contextWatchDelay
 	}
 }
--- a/internal/executor/effects.go
+++ b/internal/executor/effects.go
@@ -14,9 +14,9 @@
 )
 
 // execute carries out effects in their order. The caller holds the lock.
-func (e *Executor) execute(effects []lifecycle.Effect) {
+func (e *Executor) executeEffects(effects []lifecycle.Effect) {
 	for i := range effects {
-		e.executeOne(&effects[i])
+		e.executeEffect(&effects[i])
 	}
 	e.armTimer()
 	if e.idle != nil && e.machine.OpenRequests() == 0 {
@@ -25,7 +25,7 @@
 	}
 }
 
-func (e *Executor) executeOne(effect *lifecycle.Effect) {
+func (e *Executor) executeEffect(effect *lifecycle.Effect) {
 	switch effect.Kind {
 	case lifecycle.StartAttempt:
 		e.startAttempt(effect)
@@ -114,11 +114,11 @@
 	if !request.done {
 		request.result.Response = response // respond keeps it if this attempt answers the request
 	}
-	e.execute(e.machine.AttemptEnded(e.clock.Now(), request.id, attempt.number, response.Outcome))
+	e.executeEffects(e.machine.AttemptEnded(e.clock.Now(), request.id, attempt.number, response.Outcome))
 }
 
 func (e *Executor) clientDisconnected(request *openRequest) {
-	e.step(func(now time.Duration) []lifecycle.Effect { return e.machine.Disconnect(now, request, request.id) })
+	e.handleEvent(func(now time.Duration) []lifecycle.Effect { return e.machine.Disconnect(now, request, request.id) })
 }
 
 // probe asks a backend for its load, if allowed, and tells the machine.
@@ -127,7 +127,7 @@
 	if allowed {
 		result = e.transport.Probe(id, probeTimeout)
 	}
-	e.step(func(now time.Duration) []lifecycle.Effect {
+	e.handleEvent(func(now time.Duration) []lifecycle.Effect {
 		e.probesInFlight--
 		return e.machine.ProbeAnswered(now, result)
 	})
@@ -142,7 +142,7 @@
 }
 
 func (e *Executor) counterAnswered(result decision.CounterResult) {
-	e.step(func(now time.Duration) []lifecycle.Effect { return e.machine.CounterAnswered(now, result) })
+	e.handleEvent(func(now time.Duration) []lifecycle.Effect { return e.machine.CounterAnswered(now, result) })
 }
 
 // runSync has the sources take in what has arrived, and tells the machine.
@@ -152,5 +152,5 @@
 		defer cancel()
 		e.syncSources(ctx, pausedFor)
 	}
-	e.step(func(now time.Duration) []lifecycle.Effect { return e.machine.SourcesSynced(now, syncID) })
+	e.handleEvent(func(now time.Duration) []lifecycle.Effect { return e.machine.SourcesSynced(now, syncID) })
 }
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -74,7 +74,7 @@
 	probesInFlight int
 
 	unwatchedHead, unwatchedTail *openRequest  // those whose ctx is not watched yet, the oldest first
-	nextWatch                    time.Duration // when the oldest of them is to be; 0: there is none
+	nextWatchAt                  time.Duration // when the oldest of them is to be; 0: there is none
 }
 
 // New returns an Executor of a Machine on the same clock. canCancel tells whether the decision engine cancels the
@@ -122,7 +122,7 @@
 
 // UpdateEndpoints passes an update of the backends on.
 func (e *Executor) UpdateEndpoints(update decision.EndpointUpdate) {
-	e.step(func(now time.Duration) []lifecycle.Effect { return e.machine.UpdateEndpoints(now, update) })
+	e.handleEvent(func(now time.Duration) []lifecycle.Effect { return e.machine.UpdateEndpoints(now, update) })
 }
 
 // Serve submits a request and waits for its final answer, for responseTimeout at the most. When ctx ends first, the
@@ -133,32 +133,32 @@
 	request.attempts, request.pending = request.attemptsBuf[:0], request.pendingBuf[:0]
 	e.mu.Lock() // unlocked without defer, as it is not held while a transport runs, which may panic
 	effects, err := e.machine.Submit(e.clock.Now(), request, event, responseTimeout)
-	e.execute(effects)
+	e.executeEffects(effects)
 	if err != nil {
 		e.mu.Unlock()
 		return Result{}, err
 	}
 	if !request.done && ctx.Done() != nil {
-		e.track(request)
+		e.trackContext(request)
 		e.armTimer()
 	}
 	for {
 		switch {
 		case len(request.pending) > 0:
-			e.makePending(request)
+			e.runPendingAttempt(request)
 		case request.done:
 			result := request.result
-			e.untrack(request)
+			e.untrackContext(request)
 			e.mu.Unlock()
 			return result, nil
 		default:
-			e.awaitWake(request)
+			e.waitForWakeUp(request)
 		}
 	}
 }
 
 // makePending makes the first pending attempt of a request, without the lock, which the caller holds.
-func (e *Executor) makePending(request *openRequest) {
+func (e *Executor) runPendingAttempt(request *openRequest) {
 	attempt := request.pending[0]
 	request.pending = request.pending[:copy(request.pending, request.pending[1:])]
 	request.attempting = true
@@ -170,7 +170,7 @@
 }
 
 // awaitWake waits for wakeUp, without the lock, which the caller holds.
-func (e *Executor) awaitWake(request *openRequest) {
+func (e *Executor) waitForWakeUp(request *openRequest) {
 	request.waiting = true
 	if request.wake == nil {
 		request.wake = make(chan bool, 1)
@@ -189,17 +189,17 @@
 }
 
 // step lets one event in and executes its effects.
-func (e *Executor) step(event func(now time.Duration) []lifecycle.Effect) {
+func (e *Executor) handleEvent(event func(now time.Duration) []lifecycle.Effect) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.execute(event(e.clock.Now()))
+	e.executeEffects(event(e.clock.Now()))
 }
 
 // armTimer sets the timer for what the machine or the contexts' watch waits for next. The caller holds the lock.
 func (e *Executor) armTimer() {
 	at, ok := e.machine.Next()
-	if e.nextWatch > 0 && (!ok || e.nextWatch < at) {
-		at, ok = e.nextWatch, true
+	if e.nextWatchAt > 0 && (!ok || e.nextWatchAt < at) {
+		at, ok = e.nextWatchAt, true
 	}
 	switch {
 	case !ok || e.stopped:
@@ -223,7 +223,7 @@
 	e.timerAt = 0
 	now := e.clock.Now()
 	e.watchContexts(now)
-	e.execute(e.machine.Tick(now))
+	e.executeEffects(e.machine.Tick(now))
 }
 
 // Drain closes the Machine and waits until no request is open, or ctx ends. It returns how many requests have no
@@ -256,5 +256,5 @@
 	defer e.mu.Unlock()
 	e.stopped = true
 	e.cancel()
-	e.execute(e.machine.Abort(e.clock.Now()))
+	e.executeEffects(e.machine.Abort(e.clock.Now()))
 }
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -11,17 +11,18 @@
 	backend      decision.BackendID
 	startedAt    time.Duration
 	deadline     time.Duration
-	open         bool // it has not ended
+	open         bool // has not ended yet
 	cancelled    bool
-	awaitingSync bool          // its StartAttempt waits until the sources have synced
-	drained      bool          // its backend has been told to drain, or was removed, since it was chosen
+	awaitingSync bool          // the StartAttempt effect is held back until the sources have synced
+	drained      bool          // the backend started to drain or was removed after it was chosen
 	pausedFor    time.Duration // how long the process was paused while the attempt was in flight
 	result       decision.Result
-	prev         attemptRef // among the open attempts at the backend
+	prev         attemptRef // neighbours in the list of open attempts at the backend
 	next         attemptRef
 }
 
-// attemptRef refers to an attempt by its number, as attempts move in memory when their slice grows.
+// attemptRef refers to an attempt by request and number. A pointer would not do, because attempts move in memory when
+// their slice grows.
 type attemptRef struct {
 	request *openRequest
 	number  int
@@ -29,7 +30,7 @@
 
 func (r attemptRef) attempt() *attemptState { return &r.request.attempts[r.number] }
 
-// attempt returns an attempt by its number; nil: there is none.
+// attempt returns the attempt with this number, or nil if there is none. The receiver may be nil.
 func (r *openRequest) attempt(number int) *attemptState {
 	if r == nil || number < 0 || number >= len(r.attempts) {
 		return nil
@@ -37,12 +38,12 @@
 	return &r.attempts[number]
 }
 
-// startAttempt starts an attempt. One for a request that is answered, whose response has started, or that has had
-// MaxAttempts is not made: the engine is told that it was not sent.
+// startAttempt starts an attempt. If the request is already answered, its response has started, or it has used up
+// MaxAttempts, no attempt is started and the engine gets a NotSent outcome.
 func (m *Machine) startAttempt(action decision.StartAttempt) {
 	request := m.requests[action.Request]
 	if request == nil {
-		m.unmatched++
+		m.unmatchedActions++
 		return
 	}
 	number := len(request.attempts)
@@ -57,7 +58,7 @@
 		attempt.deadline = m.now + action.Timeout
 		m.setExtraTimer(request, timer{at: attempt.deadline, request: request, kind: timerAttempt, attempt: number})
 	}
-	attempt.awaitingSync = m.pendingSync > 0
+	attempt.awaitingSync = m.pendingSyncID > 0
 	request.attempts = append(request.attempts, attempt)
 	m.attemptOpened(request, number)
 	if attempt.awaitingSync {
@@ -67,7 +68,7 @@
 	m.emitStart(request, number, action.NotAfter)
 }
 
-// emitStart asks the executor to start an attempt.
+// emitStart emits the StartAttempt effect of an attempt.
 func (m *Machine) emitStart(request *openRequest, number int, notAfter time.Duration) {
 	attempt := &request.attempts[number]
 	m.emit(Effect{
@@ -82,9 +83,9 @@
 	})
 }
 
-// queueNotSent queues the outcome of an attempt that was not sent. It is not handled yet.
+// queueNotSent queues a NotSent outcome for the engine without handling the queue.
 func (m *Machine) queueNotSent(request *openRequest, number int) {
-	m.events = append(m.events, decision.Outcome{
+	m.eventQueue = append(m.eventQueue, decision.Outcome{
 		Request: request.id,
 		Backend: request.attempts[number].backend,
 		Attempt: number,
@@ -93,7 +94,7 @@
 	})
 }
 
-// applyCancel cancels the attempt that the engine names. One that does not exist is ignored.
+// applyCancel carries out a CancelAttempt action. An attempt that does not exist is ignored.
 func (m *Machine) applyCancel(action decision.CancelAttempt) {
 	request := m.requests[action.Request]
 	if attempt := request.attempt(action.Attempt); attempt != nil {
@@ -101,14 +102,14 @@
 	}
 }
 
-// cancelAttempt ends the wait for an attempt, once.
+// cancelAttempt cancels an open attempt. Repeated calls have no effect.
 func (m *Machine) cancelAttempt(request *openRequest, number int, timedOut bool) {
 	attempt := &request.attempts[number]
 	if !attempt.open || attempt.cancelled {
 		return
 	}
 	attempt.cancelled = true
-	if attempt.awaitingSync { // the executor has not heard of it
+	if attempt.awaitingSync { // the executor was never asked to start it
 		m.endHeldAttempt(request, number)
 		return
 	}
@@ -122,9 +123,10 @@
 	})
 }
 
-// ResponseStarted asks whether an attempt's response may be passed on before it is complete. If it may, the request
-// belongs to that attempt: others are cancelled, none is started any more, and the attempt's end is the request's.
-// It may not once the request is answered, the attempt is cancelled, or another response has started.
+// ResponseStarted reports that an attempt has begun to receive its response, and returns whether the response may be
+// passed on to the client before it is complete. If so, the request is bound to that attempt: all others are cancelled,
+// no more are started, and the request ends when the attempt does. It is not allowed once the request is answered, the
+// attempt is cancelled, or another response has started.
 func (m *Machine) ResponseStarted(now time.Duration, id decision.RequestID,
 	number int) (effects []Effect, allowed bool) {
 	m.advance(now)
@@ -140,12 +142,12 @@
 			m.cancelAttempt(request, i, false)
 		}
 	}
-	// The engine may have ended the request, or this attempt.
+	// In handling the event, the engine may have ended the request or cancelled this attempt.
 	return m.effects, !request.answered && !request.attempts[number].cancelled
 }
 
-// AttemptEnded tells how an attempt ended. A request's first success is served. A second call for one attempt is
-// ignored.
+// AttemptEnded reports how an attempt ended. The first success of a request is served to the client. A second call for
+// the same attempt is ignored.
 func (m *Machine) AttemptEnded(now time.Duration, id decision.RequestID, number int, outcome Outcome) []Effect {
 	m.advance(now)
 	request := m.requests[id]
@@ -155,7 +157,7 @@
 	}
 	attempt.result = outcome.Result
 	m.attemptClosed(request, number)
-	m.finishByAttempt(request, number)
+	m.answerFromAttempt(request, number)
 	event := decision.Outcome{
 		Request:     id,
 		Backend:     attempt.backend,
@@ -176,23 +178,23 @@
 	return m.effects
 }
 
-// finishByAttempt answers a request whose attempt has ended, where that settles it without the engine: by a success,
-// or by the end of the attempt whose response has started.
-func (m *Machine) finishByAttempt(request *openRequest, number int) {
+// answerFromAttempt answers a request after one of its attempts has ended, in the cases that need no decision of the
+// engine: the attempt succeeded, or it is the one whose response has started.
+func (m *Machine) answerFromAttempt(request *openRequest, number int) {
 	result := request.attempts[number].result
 	responding := request.respondingAttempt == number+1
 	switch {
-	case request.respondingAttempt > 0 && !responding: // cancelled for the attempt whose response has started
+	case request.respondingAttempt > 0 && !responding: // another attempt's response has started; this one was cancelled
 	case result == decision.Succeeded:
-		m.finish(request, Effect{Verdict: Served, Attempt: number})
+		m.answer(request, Effect{Verdict: Served, Attempt: number})
 	case responding && result == decision.TimedOut:
-		m.finish(request, Effect{Verdict: DeadlineExceeded})
-	case responding: // part of its response is with the client: it cannot be retried
-		m.finish(request, Effect{Verdict: Failed})
+		m.answer(request, Effect{Verdict: DeadlineExceeded})
+	case responding: // the client already has part of the response, so the request cannot be retried
+		m.answer(request, Effect{Verdict: Failed})
 	}
 }
 
-// attemptOpened links an attempt into the list of open attempts at its backend, until attemptClosed.
+// attemptOpened counts an attempt as in flight and adds it to the list of open attempts at its backend.
 func (m *Machine) attemptOpened(request *openRequest, number int) {
 	request.inFlight++
 	attempt, ref := &request.attempts[number], attemptRef{request, number}
@@ -203,6 +205,7 @@
 	m.openAttempts[attempt.backend] = ref
 }
 
+// attemptClosed undoes attemptOpened.
 func (m *Machine) attemptClosed(request *openRequest, number int) {
 	request.inFlight--
 	attempt := &request.attempts[number]
--- a/internal/lifecycle/effects.go
+++ b/internal/lifecycle/effects.go
@@ -6,25 +6,27 @@
 	"pumicecroft/decision"
 )
 
-// EffectKind says what an Effect asks of the executor.
+// EffectKind is the kind of work that an Effect asks of the executor.
 type EffectKind uint8
 
 // The kinds of effects.
 const (
-	// StartAttempt asks for attempt Attempt at Backend, to end by Deadline. One call of AttemptEnded must follow.
+	// StartAttempt starts attempt number Attempt at Backend, to end by Deadline. The executor must call AttemptEnded
+	// once for it.
 	StartAttempt EffectKind = iota
-	// CancelAttempt asks for that attempt to end now. Its AttemptEnded still follows.
+	// CancelAttempt ends that attempt now. AttemptEnded must still be called for it.
 	CancelAttempt
-	// Respond is the request's one final answer: Verdict, with RetryAfter or with the response of Attempt.
+	// Respond gives the request its only final answer: Verdict, with RetryAfter or with the response of Attempt.
 	Respond
-	// ProbeBackend asks Backend for its load. One call of ProbeAnswered must follow.
+	// ProbeBackend asks Backend for its load. The executor must call ProbeAnswered once.
 	ProbeBackend
-	// Subscribe asks for updates of the backends.
+	// Subscribe asks for endpoint updates.
 	Subscribe
-	// AddToCounter asks the counter that all gateways share, as CounterAdd says. One call of CounterAnswered must
-	// follow.
+	// AddToCounter performs CounterAdd on the counter that all gateways share. The executor must call CounterAnswered
+	// once.
 	AddToCounter
-	// SyncSources has all sources take in what has arrived. One call of SourcesSynced with SyncID must follow.
+	// SyncSources makes all endpoint sources apply the updates that have arrived. The executor must call SourcesSynced
+	// once with SyncID.
 	SyncSources
 )
 
@@ -34,37 +36,38 @@
 // The verdicts.
 const (
 	Served             Verdict = iota // with the response of Attempt
-	Rejected                          // trying again is harmless
-	Failed                            // it may have executed
-	DeadlineExceeded                  // its time was up before there was another answer; it may have executed
-	ClientDisconnected                // nobody awaits an answer
-	Aborted                           // the Machine was aborted before there was another answer; it may have executed
+	Rejected                          // the client may safely retry
+	Failed                            // the request may have executed
+	DeadlineExceeded                  // no other answer before the response deadline; the request may have executed
+	ClientDisconnected                // the client is gone, so nobody receives the answer
+	Aborted                           // Machine.Abort came before any other answer; the request may have executed
 )
 
-// Effect is one thing that the executor must do. Its Kind says which of the other fields are set.
+// Effect is one operation that the executor must carry out. Kind determines which of the other fields are set; the
+// comments name the kinds.
 type Effect struct {
 	Kind       EffectKind
-	Tag        any                // StartAttempt, CancelAttempt and Respond: what Submit was given
-	Request    decision.RequestID // as Tag
-	Attempt    int                // StartAttempt, CancelAttempt, and Respond with Served; from 0
-	Backend    decision.BackendID
+	Tag        any                 // StartAttempt, CancelAttempt and Respond: the tag passed to Submit
+	Request    decision.RequestID  // StartAttempt, CancelAttempt and Respond
+	Attempt    int                 // StartAttempt, CancelAttempt, and Respond with Served; counted from 0
+	Backend    decision.BackendID  // StartAttempt, CancelAttempt and ProbeBackend
 	Deadline   time.Duration       // StartAttempt
 	DecidedAt  time.Duration       // StartAttempt
-	NotAfter   time.Duration       // StartAttempt: it must not be sent after that; 0: no limit
-	TimedOut   bool                // CancelAttempt: the attempt's time is up
+	NotAfter   time.Duration       // StartAttempt: the latest time at which it may be sent; 0: no limit
+	TimedOut   bool                // CancelAttempt: the attempt reached its deadline
 	Verdict    Verdict             // Respond
-	RetryAfter time.Duration       // Respond with Rejected; 0: no advice
+	RetryAfter time.Duration       // Respond with Rejected; 0: the client is told nothing
 	Reason     decision.Reason     // Respond with Rejected
 	CounterAdd decision.CounterAdd // AddToCounter
 	SyncID     uint64              // SyncSources
 	PausedFor  time.Duration       // SyncSources: how long the process may have been paused
 }
 
-// Outcome is how an attempt ended, as its executor saw it.
+// Outcome is how an attempt ended, as reported by the executor.
 type Outcome struct {
 	Result      decision.Result
 	HasUsage    bool
-	Usage       float64 // percent; see decision.Outcome
+	Usage       float64 // in percent; see decision.Outcome
 	SettledCost float64 // see decision.Outcome
 	LoadReport  []float64
 }
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -9,48 +9,56 @@
 	"pumicecroft/decision"
 )
 
-// encodeEvent is an event as text, with all of its fields. Its words are the tests' own, so that they stay when Go
-// identifiers are renamed.
-func encodeEvent(ev decision.Event) string {
-	switch ev := ev.(type) {
+// encodeEvent returns an event as text with all of its fields. The names in the text are independent of Go identifiers,
+// so that expectations remain valid when identifiers are renamed.
+func encodeEvent(event decision.Event) string {
+	switch event := event.(type) {
 	case decision.Request:
-		return fmt.Sprintf("request{id=%d customer=%d class=%s plan=%s cost=%v timeout=%v first_gateway=%d spread=%d protocol=%s}",
-			ev.ID, ev.Customer, ev.Class, ev.Plan, ev.Cost, ev.Timeout, ev.FirstGateway, ev.GatewaySpread, ev.Protocol)
+		return fmt.Sprintf("request{id=%d customer=%d class=%s plan=%s cost=%v timeout=%v first_gateway=%d spread=%d "+
+			"protocol=%s}", event.ID, event.Customer, event.Class, event.Plan, event.Cost, event.Timeout,
+			event.FirstGateway, event.GatewaySpread, event.Protocol)
 	case decision.EndpointUpdate:
-		text := fmt.Sprintf("endpoint_update{kind=%d endpoints=[", ev.Kind)
-		for _, b := range ev.Endpoints {
+		text := fmt.Sprintf("endpoint_update{kind=%d endpoints=[", event.Kind)
+		for _, endpoint := range event.Endpoints {
 			text += fmt.Sprintf("{id=%d state=%d zone=%s instance_type=%s cell=%d started_at=%v weight=%v protocol=%s}",
-				b.ID, b.State, b.Zone, b.InstanceType, b.Cell, b.StartedAt, b.Weight, b.Protocol)
+				endpoint.ID, endpoint.State, endpoint.Zone, endpoint.InstanceType, endpoint.Cell,
+				endpoint.StartedAt, endpoint.Weight, endpoint.Protocol)
 		}
 		return text + "]}"
 	case decision.Outcome:
-		return fmt.Sprintf("outcome{request=%d backend=%d attempt=%d result=%d latency=%v final=%v has_usage=%v usage=%v cost=%v load=%v}",
-			ev.Request, ev.Backend, ev.Attempt, ev.Result, ev.Latency, ev.Final, ev.HasUsage, ev.Usage, ev.SettledCost, ev.LoadReport)
+		return fmt.Sprintf("outcome{request=%d backend=%d attempt=%d result=%d latency=%v final=%v has_usage=%v usage=%v "+
+			"cost=%v load=%v}", event.Request, event.Backend, event.Attempt, event.Result, event.Latency, event.Final,
+			event.HasUsage, event.Usage, event.SettledCost, event.LoadReport)
 	case decision.ResponseStarted:
-		return fmt.Sprintf("response_started{request=%d attempt=%d}", ev.Request, ev.Attempt)
+		return fmt.Sprintf("response_started{request=%d attempt=%d}", event.Request, event.Attempt)
 	case decision.ClientDisconnected:
-		return fmt.Sprintf("client_disconnected{request=%d}", ev.Request)
+		return fmt.Sprintf("client_disconnected{request=%d}", event.Request)
 	case decision.ProbeResult:
-		return fmt.Sprintf("probe_result{backend=%d result=%d latency=%v load=%v}", ev.Backend, ev.Result, ev.Latency, ev.LoadReport)
+		return fmt.Sprintf("probe_result{backend=%d result=%d latency=%v load=%v}",
+			event.Backend, event.Result, event.Latency, event.LoadReport)
 	case decision.CounterResult:
-		return fmt.Sprintf("counter_result{ref=%d result=%d total=%v}", ev.Ref, ev.Result, ev.Total)
+		return fmt.Sprintf("counter_result{ref=%d result=%d total=%v}", event.Ref, event.Result, event.Total)
 	case decision.ProcessPaused:
-		return fmt.Sprintf("process_paused{duration=%v}", ev.Duration)
+		return fmt.Sprintf("process_paused{duration=%v}", event.Duration)
 	case decision.Timer:
-		return fmt.Sprintf("timer{token=%d}", ev.Token)
+		return fmt.Sprintf("timer{token=%d}", event.Token)
 	}
-	panic(fmt.Sprintf("encodeEvent lacks %T", ev))
+	panic(fmt.Sprintf("encodeEvent does not support %T", event))
 }
 
-// A field that an event gets and encodeEvent doesn't name would not be compared any more.
+// If a field is added to an event but not to encodeEvent, the tests would silently not compare it.
 func TestEncodeEvent_NamesEveryField(t *testing.T) {
-	for _, zero := range []decision.Event{decision.Request{}, decision.EndpointUpdate{}, decision.Outcome{}, decision.ResponseStarted{},
-		decision.ClientDisconnected{}, decision.ProbeResult{}, decision.CounterResult{}, decision.ProcessPaused{}, decision.Timer{}} {
+	for _, zero := range []decision.Event{
+		decision.Request{}, decision.EndpointUpdate{}, decision.Outcome{}, decision.ResponseStarted{},
+		decision.ClientDisconnected{}, decision.ProbeResult{}, decision.CounterResult{}, decision.ProcessPaused{},
+		decision.Timer{},
+	} {
 		for i := range reflect.TypeOf(zero).NumField() {
 			changed := reflect.New(reflect.TypeOf(zero)).Elem()
 			setNonZero(t, changed.Field(i))
 			if encodeEvent(changed.Interface().(decision.Event)) == encodeEvent(zero) {
-				t.Errorf("%T: field %d is not in its text", zero, i)
+				t.Errorf("encodeEvent(%T): got the same text for the zero value and for a changed field %s, want a difference",
+					zero, reflect.TypeOf(zero).Field(i).Name)
 			}
 		}
 	}
@@ -60,7 +68,8 @@
 		changed := decision.EndpointUpdate{Endpoints: make([]decision.Endpoint, 1)}
 		setNonZero(t, reflect.ValueOf(&changed.Endpoints[0]).Elem().Field(i))
 		if encodeEvent(changed) == empty {
-			t.Errorf("an entry of a list: field %d is not in its text", i)
+			t.Errorf("encodeEvent(EndpointUpdate): got the same text for a zero endpoint and for a changed field %s, "+
+				"want a difference", entry.Field(i).Name)
 		}
 	}
 }
@@ -82,6 +91,6 @@
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
 	default:
-		t.Fatalf("no value for a field of kind %v", v.Kind())
+		t.Fatalf("setNonZero does not support fields of kind %v", v.Kind())
 	}
 }
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -1,18 +1,20 @@
-// Package lifecycle is the state machine of a request: it is submitted, the decision engine says what becomes of
-// it, attempts start and end, timers fire, attempts are cancelled, and it gets exactly one final answer.
+// Package lifecycle implements the state machine of a request: the request is submitted, the decision engine decides
+// how to handle it, attempts start, end or are cancelled, timers fire, and the request gets exactly one final answer.
 //
-// The package is pure. Events and times go in by the methods of Machine, effects come out as values, and an
-// executor carries them out at once and in order: over sockets, in memory, or in a simulated world. The package
-// opens nothing, reads no clock, starts no goroutine and takes no lock. A Machine is owned by its executor, which
-// lets one caller in at a time. The shape is that of etcd's raft library.
+// The package does no I/O. Events and times are passed to the methods of Machine, which return effects as values. An
+// executor carries out the effects immediately and in order: over sockets, in memory, or in a simulation. The package
+// reads no clock, starts no goroutine and takes no lock; the executor that owns a Machine serializes the calls to it.
+// The design follows etcd's raft library.
 //
-// Three invariants hold whatever an executor does in whatever order, and the tests check them: each submitted
-// request gets exactly one Respond; each StartAttempt is followed by exactly one outcome at the decision engine;
-// and once a request is answered and its attempts have ended, nothing of it is kept but the bounded memory of ids
-// that must not execute again.
+// Three invariants hold for any order of calls, and the tests check them:
+//   - Each submitted request gets exactly one Respond effect.
+//   - Each StartAttempt action is followed by exactly one outcome event to the decision engine.
+//   - Once a request is answered and its attempts have ended, all its state is released, except for its id where the
+//     request must not execute again. The number of such ids is bounded.
 //
-// machine.go has the events' common path, requests.go and attempts.go the two state machines, effects.go what
-// comes out, pause.go the pauses of the process, replays.go the memory of ids, timers.go the timer heap.
+// machine.go contains the handling common to all events, requests.go and attempts.go the state machines of requests
+// and attempts, effects.go the effects, pause.go the handling of process pauses, replays.go the remembered ids, and
+// timers.go the timer heap.
 package lifecycle
 
 import (
@@ -23,8 +25,8 @@
 	"pumicecroft/recovery"
 )
 
-// DecisionEngine decides what becomes of requests. *decision.Engine is the one in use; tests script others. Handle
-// is called by one caller at a time, appends its actions to actions, and must not block.
+// DecisionEngine decides how requests are handled. *decision.Engine implements it; tests use scripted engines. Handle
+// appends the resulting actions to actions. It is never called concurrently and must not block.
 type DecisionEngine interface {
 	Handle(now time.Duration, event decision.Event, actions []decision.Action) []decision.Action
 }
@@ -37,23 +39,24 @@
 	defaultIDRetention      = 10 * time.Second
 )
 
-// Limits bound what a Machine keeps. A field that is zero or negative takes its default.
+// Limits bounds the state that a Machine keeps. A field that is zero or negative takes its default.
 type Limits struct {
-	// MaxOpenRequests is how many requests may be open at once, counting those that are answered and still have
-	// an attempt in flight. Default: 16,384.
+	// MaxOpenRequests is the maximum number of open requests, including those that are answered but still have an
+	// attempt in flight. Default: 16,384.
 	MaxOpenRequests int
-	// MaxAttempts is how many attempts one request may have. Default: 16.
+	// MaxAttempts is the maximum number of attempts per request. Default: 16.
 	MaxAttempts int
-	// MaxRememberedIDs is how many ids of requests that may have executed are remembered. Default: 4,096.
+	// MaxRememberedIDs is the maximum number of remembered ids of requests that may have executed. Default: 4,096.
 	MaxRememberedIDs int
 	// IDRetention is how long such an id is remembered. Default: 10 s.
 	IDRetention time.Duration
-	// DetectPauses makes the Machine notice that its process was paused, and hold attempts back until the sources
-	// have synced (SyncSources). Next is then never further away than Deadlines().CheckInterval.
+	// DetectPauses makes the Machine detect that its process was paused, and then hold back attempts until the
+	// sources have synced (SyncSources). With it, Next is never later than Deadlines().CheckInterval after the last
+	// event.
 	DetectPauses bool
-	// DrainGrace is how long after a backend is told to drain a gateway that does not know it yet may still send to
-	// it; how soon a pause is noticed follows from it.
-	// Default: 2 s, which is also the longest that counts.
+	// DrainGrace is how long a gateway may keep sending to a backend that was told to drain, because it has not
+	// received that update yet. The time in which a pause is detected is derived from it.
+	// Default: 2 s, which is also the maximum.
 	DrainGrace time.Duration
 }
 
@@ -73,36 +76,36 @@
 	return l
 }
 
-// Machine runs the requests of one gateway. It is not safe for concurrent use. Each method that returns effects
-// returns them in a slice that is valid until the next call. Times are durations on one clock whose origin does
-// not matter; a time before an earlier one counts as that one.
+// Machine runs the requests of one gateway. It is not safe for concurrent use. A returned slice of effects is valid
+// until the next call. Times are durations since an arbitrary origin; a time that is earlier than the latest one seen
+// is replaced by it.
 type Machine struct {
-	engine       DecisionEngine
-	limits       Limits
-	idempotency  map[string]decision.Idempotency // by class
-	now          time.Duration
-	requests     map[decision.RequestID]*openRequest
-	openAttempts map[decision.BackendID]attemptRef // the latest open attempt at a backend
-	timers       timerHeap
-	timerSeq     uint64
-	events       []decision.Event // not yet handled; an action may add to them
-	handling     bool             // events are being handled
-	actions      []decision.Action
-	effects      []Effect
-	closed       bool
-	unmatched    uint64
+	engine           DecisionEngine
+	limits           Limits
+	idempotency      map[string]decision.Idempotency // by class
+	now              time.Duration
+	requests         map[decision.RequestID]*openRequest
+	openAttempts     map[decision.BackendID]attemptRef // head of each backend's list of open attempts, newest first
+	timers           timerHeap
+	timerSeq         uint64
+	eventQueue       []decision.Event // not yet handled; applying an action may append to it
+	handling         bool             // handleQueuedEvents is running
+	actions          []decision.Action
+	effects          []Effect
+	closed           bool
+	unmatchedActions uint64
 
-	pauses      recovery.PauseDetector
-	pendingSync uint64 // the SyncID that awaits SourcesSynced; 0: none
-	lastSync    uint64
-	heldStarts  []heldStart
+	pauseDetector recovery.PauseDetector
+	pendingSyncID uint64 // the SyncID for which SourcesSynced is awaited; 0: none
+	lastSyncID    uint64
+	heldStarts    []heldStart
 
 	rememberedIDs   map[decision.RequestID]bool
 	rememberedOrder []rememberedID // oldest first
 }
 
-// New returns a Machine on an engine that has handled nothing yet. The classes tell which requests must not
-// execute twice.
+// New returns a Machine for an engine that has not handled any event yet. The classes determine which requests must
+// not execute twice.
 func New(engine DecisionEngine, classes []decision.Class, limits Limits, now time.Duration) *Machine {
 	m := &Machine{
 		engine:        engine,
@@ -111,7 +114,7 @@
 		now:           now,
 		requests:      map[decision.RequestID]*openRequest{},
 		openAttempts:  map[decision.BackendID]attemptRef{},
-		pauses:        recovery.PauseDetector{Deadlines: recovery.DeadlinesFor(limits.DrainGrace)},
+		pauseDetector: recovery.PauseDetector{Deadlines: recovery.DeadlinesFor(limits.DrainGrace)},
 		rememberedIDs: map[decision.RequestID]bool{},
 	}
 	for _, class := range classes {
@@ -120,16 +123,16 @@
 	return m
 }
 
-// Deadlines are the time limits around a pause of the process. They do not change.
-func (m *Machine) Deadlines() recovery.Deadlines { return m.pauses.Deadlines }
+// Deadlines returns the time limits for detecting and handling process pauses. They never change.
+func (m *Machine) Deadlines() recovery.Deadlines { return m.pauseDetector.Deadlines }
 
-// OpenRequests is how many requests are kept: without an answer, or with an attempt in flight.
+// OpenRequests returns the number of requests that have no answer yet or still have an attempt in flight.
 func (m *Machine) OpenRequests() int { return len(m.requests) }
 
-// Unanswered is how many requests have no final answer yet.
+// Unanswered returns the number of requests that have no final answer yet.
 func (m *Machine) Unanswered() int {
 	n := 0
-	for _, request := range m.requests { // counts only: the order does not matter
+	for _, request := range m.requests { // only counts, so the map order does not matter
 		if !request.answered {
 			n++
 		}
@@ -137,33 +140,35 @@
 	return n
 }
 
-// PendingTimers is how many timers are set: the engine's own, and those of open requests.
+// PendingTimers returns the number of timers that are set: the engine's own and those of open requests.
 func (m *Machine) PendingTimers() int { return len(m.timers) }
 
-// RememberedIDs is how many ids of requests that may have executed are remembered.
+// RememberedIDs returns the number of remembered ids of requests that may have executed.
 func (m *Machine) RememberedIDs() int { return len(m.rememberedOrder) }
 
-// UnmatchedActions is how many actions of the engine matched no request here. Each is an error of the engine;
-// they are ignored.
-func (m *Machine) UnmatchedActions() uint64 { return m.unmatched }
+// UnmatchedActions returns the number of actions that were ignored because they start an attempt for an unknown
+// request, answer a request that is unknown or already answered, or are of an unknown type. Each is an error of the
+// engine.
+func (m *Machine) UnmatchedActions() uint64 { return m.unmatchedActions }
 
-// Next is when Tick must be called if no other method is called before; !ok: not at all.
+// Next returns the time by which Tick must be called if no other method is called before. If ok is false, there is no
+// such time.
 func (m *Machine) Next() (at time.Duration, ok bool) {
 	at, ok = m.nextTimer()
-	if check := m.pauses.NextCheck(); m.limits.DetectPauses && (!ok || check < at) {
+	if check := m.pauseDetector.NextCheck(); m.limits.DetectPauses && (!ok || check < at) {
 		return check, true
 	}
 	return at, ok
 }
 
-// Tick fires the timers that are due. Calling it early or late does no harm: no timer fires early, and those that
-// are late fire in the order of their times.
+// Tick fires the timers that are due. It may be called early or late: no timer fires early, and overdue timers fire in
+// the order of their times.
 func (m *Machine) Tick(now time.Duration) []Effect {
 	m.advance(now)
 	return m.effects
 }
 
-// UpdateEndpoints passes an update of the backends on to the engine.
+// UpdateEndpoints passes an endpoint update on to the engine.
 func (m *Machine) UpdateEndpoints(now time.Duration, update decision.EndpointUpdate) []Effect {
 	m.advance(now)
 	m.markDrained(&update)
@@ -171,24 +176,24 @@
 	return m.effects
 }
 
-// ProbeAnswered passes the end of a ProbeBackend on to the engine.
+// ProbeAnswered passes the result of a ProbeBackend effect on to the engine.
 func (m *Machine) ProbeAnswered(now time.Duration, result decision.ProbeResult) []Effect {
 	m.advance(now)
 	m.dispatch(result)
 	return m.effects
 }
 
-// CounterAnswered passes the answer to an AddToCounter on to the engine.
+// CounterAnswered passes the result of an AddToCounter effect on to the engine.
 func (m *Machine) CounterAnswered(now time.Duration, result decision.CounterResult) []Effect {
 	m.advance(now)
 	m.dispatch(result)
 	return m.effects
 }
 
-// Close has Submit return ErrClosed from now on. Open requests go on.
+// Close makes Submit return ErrClosed from now on. Open requests continue.
 func (m *Machine) Close() { m.closed = true }
 
-// Abort closes the Machine, answers all requests that have no answer yet as Aborted, and cancels all attempts.
+// Abort closes the Machine, answers all unanswered requests as Aborted, and cancels all attempts.
 func (m *Machine) Abort(now time.Duration) []Effect {
 	m.closed = true
 	m.advance(now)
@@ -207,20 +212,21 @@
 	return m.effects
 }
 
-// advance begins each event: a pause is noticed and what was due before the event happens before it.
+// advance prepares the handling of an event: it moves the time on, detects a pause, and fires the timers that are due,
+// so that they take effect before the event.
 func (m *Machine) advance(now time.Duration) {
 	m.now, m.effects = max(m.now, now), m.effects[:0]
 	if m.limits.DetectPauses {
 		due, waiting := m.nextTimer()
-		if paused := m.pauses.Observe(m.now, due, waiting); paused > 0 {
+		if paused := m.pauseDetector.Observe(m.now, due, waiting); paused > 0 {
 			m.onPause(paused)
 		}
 	}
 	m.fireTimers()
 }
 
-// fireTimers fires the timers that are due. One that is set meanwhile waits for the next call, so that a timer
-// which sets itself anew cannot keep this call from ending.
+// fireTimers fires the timers that are due. Timers that are set meanwhile wait for the next call; otherwise a timer
+// that sets itself again with no delay would keep this loop running forever.
 func (m *Machine) fireTimers() {
 	newest := m.timerSeq
 	for len(m.timers) > 0 && m.timers[0].at <= m.now && m.timers[0].seq <= newest {
@@ -236,38 +242,38 @@
 	}
 }
 
-// dispatch passes an event to the engine, and then those that its actions led to.
+// dispatch passes an event to the engine, followed by the events that result from the engine's actions.
 func (m *Machine) dispatch(event decision.Event) {
-	m.events = append(m.events, event)
-	m.drainEvents()
+	m.eventQueue = append(m.eventQueue, event)
+	m.handleQueuedEvents()
 }
 
-// drainEvents handles the queued events, unless a caller further up does so already.
-func (m *Machine) drainEvents() {
+// handleQueuedEvents handles the queued events. In a nested call it does nothing, as the outer call handles them.
+func (m *Machine) handleQueuedEvents() {
 	if m.handling {
 		return
 	}
 	m.handling = true
 	defer func() { m.handling = false }()
-	for i := 0; i < len(m.events); i++ {
-		m.actions = m.engine.Handle(m.now, m.events[i], m.actions[:0])
+	for i := 0; i < len(m.eventQueue); i++ {
+		m.actions = m.engine.Handle(m.now, m.eventQueue[i], m.actions[:0])
 		for _, action := range m.actions {
-			m.apply(action)
+			m.applyAction(action)
 		}
 	}
-	clear(m.events)
-	m.events = m.events[:0]
+	clear(m.eventQueue)
+	m.eventQueue = m.eventQueue[:0]
 }
 
-// apply carries out one action of the engine.
-func (m *Machine) apply(action decision.Action) {
+// applyAction applies one action of the engine.
+func (m *Machine) applyAction(action decision.Action) {
 	switch action := action.(type) {
 	case decision.StartAttempt:
 		m.startAttempt(action)
 	case decision.Reject:
-		m.respond(action.Request, Effect{Verdict: Rejected, RetryAfter: action.RetryAfter, Reason: action.Reason})
+		m.applyResponse(action.Request, Effect{Verdict: Rejected, RetryAfter: action.RetryAfter, Reason: action.Reason})
 	case decision.Fail:
-		m.respond(action.Request, Effect{Verdict: Failed})
+		m.applyResponse(action.Request, Effect{Verdict: Failed})
 	case decision.CancelAttempt:
 		m.applyCancel(action)
 	case decision.SetTimer:
@@ -279,7 +285,7 @@
 	case decision.CounterAdd:
 		m.emit(Effect{Kind: AddToCounter, CounterAdd: action})
 	default:
-		m.unmatched++
+		m.unmatchedActions++
 	}
 }
 
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -13,54 +13,63 @@
 
 const ms = time.Millisecond
 
-var classes = []decision.Class{{Name: "safe"}, {Name: "keyed", Idempotency: decision.IdempotentByKey}, {Name: "unsafe", Idempotency: decision.NonIdempotent}}
+var classes = []decision.Class{
+	{Name: "safe"},
+	{Name: "keyed", Idempotency: decision.IdempotentByKey},
+	{Name: "unsafe", Idempotency: decision.NonIdempotent},
+}
 
-// harness is a Machine over a scripted engine, which is the harness itself. It records the events that it handles.
+// harness is a Machine with a scripted decision engine, which is the harness itself. It records the events that the
+// engine gets.
 type harness struct {
 	t       *testing.T
 	machine *Machine
 	now     time.Duration
 	events  []string
-	react   func(ev decision.Event) []decision.Action
+	react   func(event decision.Event) []decision.Action
 }
 
-func (r *harness) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
-	if now != r.now {
-		r.t.Errorf("the engine is told that it is %v, it is %v", now, r.now)
+func (h *harness) Handle(now time.Duration, event decision.Event, actions []decision.Action) []decision.Action {
+	if now != h.now {
+		h.t.Errorf("Handle got time %v, want %v", now, h.now)
 	}
-	r.events = append(r.events, encodeEvent(ev))
-	if r.react != nil {
-		as = append(as, r.react(ev)...)
+	h.events = append(h.events, encodeEvent(event))
+	if h.react != nil {
+		actions = append(actions, h.react(event)...)
 	}
-	return as
+	return actions
 }
 
-func newHarness(t *testing.T, l Limits, on func(decision.Event) []decision.Action) *harness {
-	r := &harness{t: t, react: on, now: time.Hour}
-	r.machine = New(r, classes, l, r.now)
-	return r
+func newHarness(t *testing.T, limits Limits, react func(decision.Event) []decision.Action) *harness {
+	h := &harness{t: t, react: react, now: time.Hour}
+	h.machine = New(h, classes, limits, h.now)
+	return h
 }
 
-// describeEffects returns effects as short lines, such as "start 1/0 at 7 by 2s" and "final 1 served".
-func describeEffects(es []Effect) string {
+// describeEffects returns effects as short lines, such as "start 1/0 at 7 by 2s" and "respond 1 served".
+func describeEffects(effects []Effect) string {
 	var lines []string
-	for _, e := range es {
-		switch e.Kind {
+	for _, effect := range effects {
+		switch effect.Kind {
 		case StartAttempt:
-			lines = append(lines, fmt.Sprintf("start %d/%d at %d by %v", e.Request, e.Attempt, e.Backend, e.Deadline-time.Hour))
+			lines = append(lines, fmt.Sprintf("start %d/%d at %d by %v",
+				effect.Request, effect.Attempt, effect.Backend, effect.Deadline-time.Hour))
 		case CancelAttempt:
-			lines = append(lines, fmt.Sprintf("calloff %d/%d%s", e.Request, e.Attempt, map[bool]string{true: " late"}[e.TimedOut]))
+			lines = append(lines, fmt.Sprintf("cancel %d/%d%s",
+				effect.Request, effect.Attempt, map[bool]string{true: " timed out"}[effect.TimedOut]))
 		case Respond:
-			verdict := []string{"served", "refused", "failed", "late", "left", "aborted"}[e.Verdict]
-			if e.Verdict == Rejected {
-				verdict += " " + e.RetryAfter.String()
+			verdict := []string{
+				"served", "rejected", "failed", "deadline exceeded", "client disconnected", "aborted",
+			}[effect.Verdict]
+			if effect.Verdict == Rejected {
+				verdict += " " + effect.RetryAfter.String()
 			}
-			if e.Verdict == Served {
-				verdict += fmt.Sprint(" by ", e.Attempt)
+			if effect.Verdict == Served {
+				verdict += fmt.Sprint(" by ", effect.Attempt)
 			}
-			lines = append(lines, fmt.Sprintf("final %d %s", e.Request, verdict))
+			lines = append(lines, fmt.Sprintf("respond %d %s", effect.Request, verdict))
 		case ProbeBackend:
-			lines = append(lines, fmt.Sprintf("probe %d", e.Backend))
+			lines = append(lines, fmt.Sprintf("probe %d", effect.Backend))
 		case Subscribe:
 			lines = append(lines, "subscribe")
 		}
@@ -68,355 +77,388 @@
 	return strings.Join(lines, "; ")
 }
 
-func (r *harness) wantEffects(what string, es []Effect, want string) {
-	r.t.Helper()
-	if got := describeEffects(es); got != want {
-		r.t.Errorf("%s: %q, want %q", what, got, want)
+func (h *harness) wantEffects(what string, effects []Effect, want string) {
+	h.t.Helper()
+	if got := describeEffects(effects); got != want {
+		h.t.Errorf("%s: got effects %q, want %q", what, got, want)
 	}
 }
 
-func (r *harness) submit(id decision.RequestID, class string) []Effect {
-	r.t.Helper()
-	es, err := r.machine.Submit(r.now, id, decision.Request{ID: id, Class: class, Timeout: 960 * ms}, 980*ms)
+func (h *harness) submit(id decision.RequestID, class string) []Effect {
+	h.t.Helper()
+	effects, err := h.machine.Submit(h.now, id, decision.Request{ID: id, Class: class, Timeout: 960 * ms}, 980*ms)
 	if err != nil {
-		r.t.Fatalf("request %d: %v", id, err)
+		h.t.Fatalf("request %d: %v", id, err)
 	}
-	return es
+	return effects
 }
 
-func (r *harness) setTime(d time.Duration) time.Duration {
-	r.now = time.Hour + d
-	return r.now
+func (h *harness) setTime(d time.Duration) time.Duration {
+	h.now = time.Hour + d
+	return h.now
 }
 
-func (r *harness) wantLastEvent(part string) {
-	r.t.Helper()
-	if len(r.events) == 0 || !strings.Contains(r.events[len(r.events)-1], part) {
-		r.t.Errorf("the decision module heard %q last, want %q in it", r.events[max(0, len(r.events)-1):], part)
+func (h *harness) wantLastEvent(part string) {
+	h.t.Helper()
+	if len(h.events) == 0 || !strings.Contains(h.events[len(h.events)-1], part) {
+		h.t.Errorf("last event of the engine: got %q, want one that contains %q", h.events[max(0, len(h.events)-1):], part)
 	}
 }
 
-func (r *harness) wantNothingLeft() {
-	r.t.Helper()
-	if r.machine.OpenRequests() != 0 || len(r.machine.timers) != 0 {
-		r.t.Errorf("%d requests and %d timers are left", r.machine.OpenRequests(), len(r.machine.timers))
+func (h *harness) wantNothingLeft() {
+	h.t.Helper()
+	if h.machine.OpenRequests() != 0 || len(h.machine.timers) != 0 {
+		h.t.Errorf("got %d open requests and %d timers, want none", h.machine.OpenRequests(), len(h.machine.timers))
 	}
 }
 
-// startOnBackend7 starts each request on backend 7, and reacts to other events as more does.
+// startOnBackend7 is an engine that starts each request on backend 7. It passes all other events to more, if not nil.
 func startOnBackend7(more func(decision.Event) []decision.Action) func(decision.Event) []decision.Action {
-	return func(ev decision.Event) []decision.Action {
-		if r, ok := ev.(decision.Request); ok {
-			return []decision.Action{decision.StartAttempt{Request: r.ID, Backend: 7}}
+	return func(event decision.Event) []decision.Action {
+		if request, ok := event.(decision.Request); ok {
+			return []decision.Action{decision.StartAttempt{Request: request.ID, Backend: 7}}
 		}
 		if more != nil {
-			return more(ev)
+			return more(event)
 		}
 		return nil
 	}
 }
 
 func TestFirstSuccessIsServed(t *testing.T) {
-	r := newHarness(t, Limits{}, startOnBackend7(nil))
-	r.wantEffects("arrival", r.submit(1, "safe"), "start 1/0 at 7 by 960ms")
-	r.wantEffects("answer", r.machine.AttemptEnded(r.setTime(30*ms), 1, 0, Outcome{Result: decision.Succeeded, HasUsage: true, Usage: 5, LoadReport: []float64{2}}), "final 1 served by 0")
-	r.wantLastEvent("{request=1 backend=7 attempt=0 result=0 latency=30ms final=true has_usage=true usage=5 cost=0 load=[2]}")
-	r.wantEffects("a second word", r.machine.AttemptEnded(r.now, 1, 0, Outcome{}), "")
-	r.wantNothingLeft()
+	h := newHarness(t, Limits{}, startOnBackend7(nil))
+	h.wantEffects("submit", h.submit(1, "safe"), "start 1/0 at 7 by 960ms")
+	h.wantEffects("attempt 0 succeeds", h.machine.AttemptEnded(h.setTime(30*ms), 1, 0,
+		Outcome{Result: decision.Succeeded, HasUsage: true, Usage: 5, LoadReport: []float64{2}}), "respond 1 served by 0")
+	h.wantLastEvent(
+		"{request=1 backend=7 attempt=0 result=0 latency=30ms final=true has_usage=true usage=5 cost=0 load=[2]}")
+	h.wantEffects("second AttemptEnded", h.machine.AttemptEnded(h.now, 1, 0, Outcome{}), "")
+	h.wantNothingLeft()
 }
 
 func TestRetryIsServed(t *testing.T) {
-	r := newHarness(t, Limits{}, startOnBackend7(func(ev decision.Event) []decision.Action {
-		if o, ok := ev.(decision.Outcome); ok && o.Attempt == 0 {
-			return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8, Timeout: 100 * ms}}
+	h := newHarness(t, Limits{}, startOnBackend7(func(event decision.Event) []decision.Action {
+		if outcome, ok := event.(decision.Outcome); ok && outcome.Attempt == 0 {
+			return []decision.Action{decision.StartAttempt{Request: outcome.Request, Backend: 8, Timeout: 100 * ms}}
 		}
 		return nil
 	}))
-	r.submit(1, "safe")
-	r.wantEffects("broken", r.machine.AttemptEnded(r.setTime(10*ms), 1, 0, Outcome{Result: decision.ConnectionLost}), "start 1/1 at 8 by 110ms")
-	r.wantEffects("the attempt's own time", r.machine.Tick(r.setTime(110*ms)), "calloff 1/1 late")
-	r.wantEffects("its answer all the same", r.machine.AttemptEnded(r.setTime(111*ms), 1, 1, Outcome{Result: decision.Succeeded}), "final 1 served by 1")
-	r.wantNothingLeft()
+	h.submit(1, "safe")
+	h.wantEffects("connection lost",
+		h.machine.AttemptEnded(h.setTime(10*ms), 1, 0, Outcome{Result: decision.ConnectionLost}), "start 1/1 at 8 by 110ms")
+	h.wantEffects("timeout of the attempt", h.machine.Tick(h.setTime(110*ms)), "cancel 1/1 timed out")
+	h.wantEffects("success after cancellation",
+		h.machine.AttemptEnded(h.setTime(111*ms), 1, 1, Outcome{Result: decision.Succeeded}), "respond 1 served by 1")
+	h.wantNothingLeft()
 }
 
 func TestOnlyFirstFinalAnswerCounts(t *testing.T) {
-	r := newHarness(t, Limits{}, func(ev decision.Event) []decision.Action {
-		if q, ok := ev.(decision.Request); ok {
-			return []decision.Action{decision.Reject{Request: q.ID, RetryAfter: 250 * ms}, decision.Fail{Request: q.ID}}
+	h := newHarness(t, Limits{}, func(event decision.Event) []decision.Action {
+		if request, ok := event.(decision.Request); ok {
+			return []decision.Action{
+				decision.Reject{Request: request.ID, RetryAfter: 250 * ms}, decision.Fail{Request: request.ID},
+			}
 		}
 		return nil
 	})
-	r.wantEffects("refusal", r.submit(1, "safe"), "final 1 refused 250ms")
-	if r.machine.UnmatchedActions() != 1 {
-		t.Errorf("%d strays, want the second answer", r.machine.UnmatchedActions())
+	h.wantEffects("submit", h.submit(1, "safe"), "respond 1 rejected 250ms")
+	if h.machine.UnmatchedActions() != 1 {
+		t.Errorf("got %d unmatched actions, want 1 (the second final answer)", h.machine.UnmatchedActions())
 	}
-	r.wantNothingLeft()
+	h.wantNothingLeft()
 }
 
-// An engine that never answers a request must not leave its client waiting: the Machine answers it at the response
-// deadline.
+// If the engine never answers a request, the Machine must answer it at the response deadline.
 func TestUnansweredRequestEndsAtResponseDeadline(t *testing.T) {
-	r := newHarness(t, Limits{}, startOnBackend7(nil))
-	r.submit(1, "safe")
-	if at, ok := r.machine.Next(); !ok || at != time.Hour+960*ms {
-		t.Errorf("next at %v %v", at, ok)
+	h := newHarness(t, Limits{}, startOnBackend7(nil))
+	h.submit(1, "safe")
+	if at, ok := h.machine.Next(); !ok || at != time.Hour+960*ms {
+		t.Errorf("Next: got %v, %v, want %v, true", at, ok, time.Hour+960*ms)
 	}
-	r.wantEffects("early", r.machine.Tick(r.setTime(959*ms)), "")
-	r.wantEffects("attempts' time", r.machine.Tick(r.setTime(960*ms)), "calloff 1/0 late")
-	r.wantEffects("last moment", r.machine.Tick(r.setTime(980*ms)), "final 1 late")
-	r.wantLastEvent("client_disconnected{")
-	r.wantEffects("the end of it", r.machine.AttemptEnded(r.setTime(981*ms), 1, 0, Outcome{Result: decision.TimedOut}), "")
-	r.wantLastEvent("final=true")
-	r.wantNothingLeft()
+	h.wantEffects("before the deadline", h.machine.Tick(h.setTime(959*ms)), "")
+	h.wantEffects("at the deadline", h.machine.Tick(h.setTime(960*ms)), "cancel 1/0 timed out")
+	h.wantEffects("at the response deadline", h.machine.Tick(h.setTime(980*ms)), "respond 1 deadline exceeded")
+	h.wantLastEvent("client_disconnected{")
+	h.wantEffects("the attempt ends",
+		h.machine.AttemptEnded(h.setTime(981*ms), 1, 0, Outcome{Result: decision.TimedOut}), "")
+	h.wantLastEvent("final=true")
+	h.wantNothingLeft()
 }
 
-// An executor that was paused finds all timers overdue at once. They fire in the order of their times, before the
-// event that woke it, so a response that came too late is not served.
+// When a paused executor resumes, many timers are overdue at once. They must fire in the order of their times and
+// before the event that is being handled, so that a response that arrives after the deadline is not served.
 func TestOverdueTimersFireBeforeLateEvent(t *testing.T) {
-	r := newHarness(t, Limits{}, startOnBackend7(nil))
-	r.submit(1, "safe")
-	r.now += 5 * ms
-	r.submit(2, "safe")
-	r.wantEffects("all at once", r.machine.AttemptEnded(r.setTime(5*time.Second), 2, 0, Outcome{Result: decision.Succeeded}),
-		"calloff 1/0 late; final 1 late; calloff 2/0 late; final 2 late")
-	r.wantLastEvent("result=0 latency=4.995s final=true")
-	r.wantEffects("nothing more", r.machine.Tick(r.now), "")
+	h := newHarness(t, Limits{}, startOnBackend7(nil))
+	h.submit(1, "safe")
+	h.now += 5 * ms
+	h.submit(2, "safe")
+	h.wantEffects("first event after all timers are overdue",
+		h.machine.AttemptEnded(h.setTime(5*time.Second), 2, 0, Outcome{Result: decision.Succeeded}),
+		"cancel 1/0 timed out; respond 1 deadline exceeded; cancel 2/0 timed out; respond 2 deadline exceeded")
+	h.wantLastEvent("result=0 latency=4.995s final=true")
+	h.wantEffects("tick without due timers", h.machine.Tick(h.now), "")
 }
 
-func TestTimersOfOneInstantFireInOrder(t *testing.T) {
+func TestSimultaneousTimersFireInOrderSet(t *testing.T) {
 	var tokens []uint64
-	r := newHarness(t, Limits{}, func(ev decision.Event) []decision.Action {
-		switch ev := ev.(type) {
+	h := newHarness(t, Limits{}, func(event decision.Event) []decision.Action {
+		switch event := event.(type) {
 		case decision.Request:
-			return []decision.Action{decision.SetTimer{After: 10 * ms, Token: 3, Request: 1}, decision.SetTimer{After: 10 * ms, Token: 1, Request: 1},
+			return []decision.Action{
+				decision.SetTimer{After: 10 * ms, Token: 3, Request: 1}, decision.SetTimer{After: 10 * ms, Token: 1, Request: 1},
 				decision.SetTimer{After: 10 * ms}, decision.SetTimer{After: -ms, Token: 9, Request: 1}}
 		case decision.Timer:
-			tokens = append(tokens, ev.Token)
-			if ev.Token == 9 { // one that would come for ever
+			tokens = append(tokens, event.Token)
+			if event.Token == 9 { // a timer that sets itself again with no delay
 				return []decision.Action{decision.SetTimer{Token: 9, Request: 1}}
 			}
 		}
 		return nil
 	})
-	r.submit(1, "safe")
-	r.machine.Tick(r.now)
-	r.machine.Tick(r.setTime(10 * ms))
+	h.submit(1, "safe")
+	h.machine.Tick(h.now)
+	h.machine.Tick(h.setTime(10 * ms))
 	if want := []uint64{9, 9, 3, 1, 0}; !slices.Equal(tokens, want) {
-		t.Errorf("timers came as %v, want %v", tokens, want)
+		t.Errorf("timers fired in the order %v, want %v", tokens, want)
 	}
 }
 
 func TestDisconnectedClientStartsNothing(t *testing.T) {
-	r := newHarness(t, Limits{}, startOnBackend7(func(ev decision.Event) []decision.Action {
-		if g, ok := ev.(decision.ClientDisconnected); ok {
-			return []decision.Action{decision.CancelAttempt{Request: g.Request}, decision.StartAttempt{Request: g.Request, Backend: 9}}
+	h := newHarness(t, Limits{}, startOnBackend7(func(event decision.Event) []decision.Action {
+		if disconnected, ok := event.(decision.ClientDisconnected); ok {
+			return []decision.Action{
+				decision.CancelAttempt{Request: disconnected.Request},
+				decision.StartAttempt{Request: disconnected.Request, Backend: 9},
+			}
 		}
 		return nil
 	}))
-	r.submit(1, "safe")
-	r.wantEffects("another's tag", r.machine.Disconnect(r.now, "stranger", 1), "")
-	r.wantEffects("left", r.machine.Disconnect(r.setTime(10*ms), decision.RequestID(1), 1), "final 1 left; calloff 1/0")
-	r.wantLastEvent("attempt=1 result=7") // what it wanted to send after the end was not sent
-	r.wantEffects("twice", r.machine.Disconnect(r.now, decision.RequestID(1), 1), "")
-	if r.machine.OpenRequests() != 1 || r.machine.Unanswered() != 0 {
-		t.Errorf("open %d, owed %d, want the attempt only", r.machine.OpenRequests(), r.machine.Unanswered())
+	h.submit(1, "safe")
+	h.wantEffects("Disconnect with another tag", h.machine.Disconnect(h.now, "other tag", 1), "")
+	h.wantEffects("Disconnect", h.machine.Disconnect(h.setTime(10*ms), decision.RequestID(1), 1),
+		"respond 1 client disconnected; cancel 1/0")
+	h.wantLastEvent("attempt=1 result=7") // the attempt started after the disconnect ends as NotSent
+	h.wantEffects("second Disconnect", h.machine.Disconnect(h.now, decision.RequestID(1), 1), "")
+	if h.machine.OpenRequests() != 1 || h.machine.Unanswered() != 0 {
+		t.Errorf("got %d open and %d unanswered requests, want 1 (its attempt is in flight) and 0",
+			h.machine.OpenRequests(), h.machine.Unanswered())
 	}
-	r.machine.AttemptEnded(r.setTime(11*ms), 1, 0, Outcome{Result: decision.Cancelled})
-	r.wantNothingLeft()
+	h.machine.AttemptEnded(h.setTime(11*ms), 1, 0, Outcome{Result: decision.Cancelled})
+	h.wantNothingLeft()
 }
 
-// An engine that answers a request and cancels nothing leaves an attempt in flight. The Machine cancels it at its
-// deadline, and its end is still reported as an outcome.
-func TestAttemptOutlivesItsRequest(t *testing.T) {
-	r := newHarness(t, Limits{}, func(ev decision.Event) []decision.Action {
-		if q, ok := ev.(decision.Request); ok {
-			return []decision.Action{decision.StartAttempt{Request: q.ID, Backend: 7}, decision.Fail{Request: q.ID}}
+// If the engine answers a request without cancelling its attempt, the attempt stays in flight. The Machine must cancel
+// it at the deadline, and still report its outcome to the engine.
+func TestAttemptInFlightAfterFinalAnswer(t *testing.T) {
+	h := newHarness(t, Limits{}, func(event decision.Event) []decision.Action {
+		if request, ok := event.(decision.Request); ok {
+			return []decision.Action{decision.StartAttempt{Request: request.ID, Backend: 7}, decision.Fail{Request: request.ID}}
 		}
 		return nil
 	})
-	r.wantEffects("arrival", r.submit(1, "safe"), "start 1/0 at 7 by 960ms; final 1 failed")
-	if _, err := r.machine.Submit(r.now, 1, decision.Request{ID: 1, Class: "safe", Timeout: 1}, 1); !errors.Is(err, ErrDuplicateID) {
-		t.Errorf("its id again: %v", err)
+	h.wantEffects("submit", h.submit(1, "safe"), "start 1/0 at 7 by 960ms; respond 1 failed")
+	if _, err := h.machine.Submit(h.now, 1, decision.Request{ID: 1, Class: "safe", Timeout: 1},
+		1); !errors.Is(err, ErrDuplicateID) {
+		t.Errorf("Submit with the id of an open request: got error %v, want %v", err, ErrDuplicateID)
 	}
-	r.wantEffects("its time", r.machine.Tick(r.setTime(960*ms)), "calloff 1/0 late")
-	r.wantEffects("its answer", r.machine.AttemptEnded(r.setTime(970*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
-	r.wantLastEvent("result=0 latency=970ms final=true")
-	r.wantNothingLeft()
+	h.wantEffects("at the deadline", h.machine.Tick(h.setTime(960*ms)), "cancel 1/0 timed out")
+	h.wantEffects("the attempt succeeds",
+		h.machine.AttemptEnded(h.setTime(970*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
+	h.wantLastEvent("result=0 latency=970ms final=true")
+	h.wantNothingLeft()
 }
 
 func TestSubmit_Limits(t *testing.T) {
-	r := newHarness(t, Limits{MaxOpenRequests: 2, MaxAttempts: 1}, startOnBackend7(func(ev decision.Event) []decision.Action {
-		if o, ok := ev.(decision.Outcome); ok && o.Attempt < 3 {
-			return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8}}
+	limits := Limits{MaxOpenRequests: 2, MaxAttempts: 1}
+	h := newHarness(t, limits, startOnBackend7(func(event decision.Event) []decision.Action {
+		if outcome, ok := event.(decision.Outcome); ok && outcome.Attempt < 3 {
+			return []decision.Action{decision.StartAttempt{Request: outcome.Request, Backend: 8}}
 		}
 		return nil
 	}))
-	again := func(id decision.RequestID, class string) error {
-		_, err := r.machine.Submit(r.now, id, decision.Request{ID: id, Class: class, Timeout: time.Second}, time.Second)
+	submit := func(id decision.RequestID, class string) error {
+		_, err := h.machine.Submit(h.now, id, decision.Request{ID: id, Class: class, Timeout: time.Second}, time.Second)
 		return err
 	}
-	r.submit(1, "safe")
-	if err := again(1, "safe"); !errors.Is(err, ErrDuplicateID) {
-		t.Errorf("an open id: %v", err)
+	h.submit(1, "safe")
+	if err := submit(1, "safe"); !errors.Is(err, ErrDuplicateID) {
+		t.Errorf("id of an open request: got error %v, want %v", err, ErrDuplicateID)
 	}
-	r.submit(2, "keyed")
-	if err := again(3, "safe"); !errors.Is(err, ErrTooManyRequests) {
-		t.Errorf("one too many: %v", err)
+	h.submit(2, "keyed")
+	if err := submit(3, "safe"); !errors.Is(err, ErrTooManyRequests) {
+		t.Errorf("third open request: got error %v, want %v", err, ErrTooManyRequests)
 	}
-	r.wantEffects("attempts beyond the bound", r.machine.AttemptEnded(r.now, 1, 0, Outcome{Result: decision.Rejected}), "")
-	r.wantLastEvent("attempt=3 result=7")
-	r.machine.Close()
-	if err := again(4, "safe"); !errors.Is(err, ErrClosed) {
-		t.Errorf("closed: %v", err)
+	h.wantEffects("attempts beyond MaxAttempts",
+		h.machine.AttemptEnded(h.now, 1, 0, Outcome{Result: decision.Rejected}), "")
+	h.wantLastEvent("attempt=3 result=7")
+	h.machine.Close()
+	if err := submit(4, "safe"); !errors.Is(err, ErrClosed) {
+		t.Errorf("after Close: got error %v, want %v", err, ErrClosed)
 	}
-	r.wantEffects("abort", r.machine.Abort(r.now), "final 1 aborted; final 2 aborted; calloff 2/0")
-	r.machine.AttemptEnded(r.now, 2, 0, Outcome{Result: decision.Cancelled})
-	r.wantNothingLeft()
+	h.wantEffects("Abort", h.machine.Abort(h.now), "respond 1 aborted; respond 2 aborted; cancel 2/0")
+	h.machine.AttemptEnded(h.now, 2, 0, Outcome{Result: decision.Cancelled})
+	h.wantNothingLeft()
 }
 
-// A host that runs its handlers again submits an id again. A request that may have executed must not execute twice;
-// one that provably never did may be submitted again.
+// A host that runs its handlers again submits the same id again. A request that may have executed must not execute
+// twice; one that certainly did not execute may be submitted again.
 func TestSubmit_ReplayedID(t *testing.T) {
-	r := newHarness(t, Limits{MaxRememberedIDs: 2, IDRetention: time.Second}, startOnBackend7(nil))
-	try := func(id decision.RequestID, class string, end decision.Result) error {
-		if _, err := r.machine.Submit(r.now, id, decision.Request{ID: id, Class: class, Timeout: time.Second}, time.Second); err != nil {
+	h := newHarness(t, Limits{MaxRememberedIDs: 2, IDRetention: time.Second}, startOnBackend7(nil))
+	submitAndEnd := func(id decision.RequestID, class string, end decision.Result) error {
+		if _, err := h.machine.Submit(h.now, id, decision.Request{ID: id, Class: class, Timeout: time.Second},
+			time.Second); err != nil {
 			return err
 		}
-		r.machine.AttemptEnded(r.now, id, 0, Outcome{Result: end})
-		r.machine.Disconnect(r.now, id, id)
+		h.machine.AttemptEnded(h.now, id, 0, Outcome{Result: end})
+		h.machine.Disconnect(h.now, id, id)
 		return nil
 	}
 	for _, c := range []struct {
-		class string
-		end   decision.Result
-		again bool
+		class   string
+		end     decision.Result
+		allowed bool
 	}{
 		{"safe", decision.Succeeded, true}, {"keyed", decision.Succeeded, false}, {"keyed", decision.ConnectionLost, false},
 		{"keyed", decision.Rejected, true}, {"unsafe", decision.Cancelled, false}, {"unsafe", decision.TimedOut, false},
 		{"unsafe", decision.ConnectFailed, true}, {"unsafe", decision.NotSent, true}, {"unsafe", decision.Unknown, false},
 		{"unsafe", decision.ErrorResponse, false},
 	} {
-		r.now += time.Minute
-		for i, want := range []bool{true, c.again} {
-			if err := try(1, c.class, c.end); (err == nil) != want || err != nil && !errors.Is(err, ErrReplayed) {
-				t.Errorf("%s that ended as %d, time %d: %v", c.class, c.end, i+1, err)
+		h.now += time.Minute
+		for i, want := range []bool{true, c.allowed} {
+			if err := submitAndEnd(1, c.class, c.end); (err == nil) != want || err != nil && !errors.Is(err, ErrReplayed) {
+				t.Errorf("class %s, result %d, submission %d: got error %v, want success %v (else %v)",
+					c.class, c.end, i+1, err, want, ErrReplayed)
 			}
 		}
 	}
-	r.now += time.Minute
+	h.now += time.Minute
 	for id := range decision.RequestID(50) {
-		if err := try(id, "unsafe", decision.Succeeded); err != nil {
+		if err := submitAndEnd(id, "unsafe", decision.Succeeded); err != nil {
 			t.Fatal(err)
 		}
-		if len(r.machine.rememberedIDs) > 2 || len(r.machine.rememberedOrder) > 2 {
-			t.Fatalf("%d ids are kept, 2 may be", len(r.machine.rememberedIDs))
+		if len(h.machine.rememberedIDs) > 2 || len(h.machine.rememberedOrder) > 2 {
+			t.Fatalf("got %d entries in rememberedIDs and %d in rememberedOrder, want at most 2",
+				len(h.machine.rememberedIDs), len(h.machine.rememberedOrder))
 		}
 	}
-	if err := try(49, "unsafe", decision.Succeeded); !errors.Is(err, ErrReplayed) {
-		t.Errorf("the latest id: %v", err)
+	if err := submitAndEnd(49, "unsafe", decision.Succeeded); !errors.Is(err, ErrReplayed) {
+		t.Errorf("latest id: got error %v, want %v", err, ErrReplayed)
 	}
-	r.now += time.Second
-	if err := try(49, "unsafe", decision.Succeeded); err != nil {
-		t.Errorf("after the time that ids are remembered: %v", err)
+	h.now += time.Second
+	if err := submitAndEnd(49, "unsafe", decision.Succeeded); err != nil {
+		t.Errorf("after IDRetention: got error %v, want none", err)
 	}
 }
 
 func TestUnmatchedActionsAreCounted(t *testing.T) {
-	r := newHarness(t, Limits{}, func(ev decision.Event) []decision.Action {
-		if _, ok := ev.(decision.EndpointUpdate); ok {
+	h := newHarness(t, Limits{}, func(event decision.Event) []decision.Action {
+		if _, ok := event.(decision.EndpointUpdate); ok {
 			return []decision.Action{decision.Probe{Backend: 3}, decision.Subscribe{}, decision.StartAttempt{Request: 99},
 				decision.CancelAttempt{Request: 99}, decision.Reject{Request: 99}, nil}
 		}
 		return nil
 	})
-	r.wantEffects("list", r.machine.UpdateEndpoints(r.now, decision.EndpointUpdate{}), "probe 3; subscribe")
-	if r.machine.UnmatchedActions() != 3 {
-		t.Errorf("%d strays, want 3", r.machine.UnmatchedActions())
+	h.wantEffects("UpdateEndpoints", h.machine.UpdateEndpoints(h.now, decision.EndpointUpdate{}), "probe 3; subscribe")
+	if h.machine.UnmatchedActions() != 3 {
+		t.Errorf("got %d unmatched actions, want 3", h.machine.UnmatchedActions())
 	}
-	r.wantEffects("probed", r.machine.ProbeAnswered(r.now, decision.ProbeResult{Backend: 3}), "")
-	r.wantLastEvent("probe_result{")
-	r.wantResponseStarted("of none", 5, 0, false, "")
-	r.wantLastEvent("probe_result{")
+	h.wantEffects("ProbeAnswered", h.machine.ProbeAnswered(h.now, decision.ProbeResult{Backend: 3}), "")
+	h.wantLastEvent("probe_result{")
+	h.wantResponseStarted("unknown request", 5, 0, false, "")
+	h.wantLastEvent("probe_result{")
 }
 
-func (r *harness) wantResponseStarted(what string, id decision.RequestID, attempt int, may bool, want string) {
-	r.t.Helper()
-	es, got := r.machine.ResponseStarted(r.now, id, attempt)
-	r.wantEffects(what, es, want)
-	if got != may {
-		r.t.Errorf("%s: the answer may begin: %v, want %v", what, got, may)
+func (h *harness) wantResponseStarted(what string, id decision.RequestID, attempt int, wantAllowed bool, want string) {
+	h.t.Helper()
+	effects, got := h.machine.ResponseStarted(h.now, id, attempt)
+	h.wantEffects(what, effects, want)
+	if got != wantAllowed {
+		h.t.Errorf("%s: ResponseStarted allowed: got %v, want %v", what, got, wantAllowed)
 	}
 }
 
-// hedgeAfter100ms starts each request on backend 7 and, at the engine's timer, beside that on backend 8.
-func hedgeAfter100ms(ev decision.Event) []decision.Action {
-	switch ev := ev.(type) {
+// hedgeAfter100ms is an engine that starts each request on backend 7, and 100 ms later also on backend 8.
+func hedgeAfter100ms(event decision.Event) []decision.Action {
+	switch event := event.(type) {
 	case decision.Request:
-		return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 7}, decision.SetTimer{After: 100 * ms, Token: 1, Request: ev.ID}}
+		return []decision.Action{
+			decision.StartAttempt{Request: event.ID, Backend: 7},
+			decision.SetTimer{After: 100 * ms, Token: 1, Request: event.ID},
+		}
 	case decision.Timer:
 		return []decision.Action{decision.StartAttempt{Request: 1, Backend: 8}}
 	}
 	return nil
 }
 
-// Once part of a response is with the client, no other attempt can answer the request: others are cancelled, their
-// responses may not start, their success changes nothing, and none is started any more.
-func TestStartedResponseBindsRequest(t *testing.T) {
-	r := newHarness(t, Limits{}, hedgeAfter100ms)
-	r.submit(1, "safe")
-	r.wantEffects("a second attempt", r.machine.Tick(r.setTime(100*ms)), "start 1/1 at 8 by 960ms")
-	r.wantResponseStarted("the second one's", 1, 1, true, "calloff 1/0")
-	r.wantLastEvent("response_started{")
-	r.wantResponseStarted("again", 1, 1, false, "")
-	r.wantResponseStarted("the first one's", 1, 0, false, "")
-	r.wantEffects("the first was answered", r.machine.AttemptEnded(r.setTime(120*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
-	r.wantEffects("the end", r.machine.AttemptEnded(r.setTime(130*ms), 1, 1, Outcome{Result: decision.Succeeded}), "final 1 served by 1")
-	r.wantNothingLeft()
+// Once the client has part of a response, no other attempt may answer the request: the others are cancelled, their
+// responses may not start, and their success is ignored.
+func TestStartedResponseExcludesOtherAttempts(t *testing.T) {
+	h := newHarness(t, Limits{}, hedgeAfter100ms)
+	h.submit(1, "safe")
+	h.wantEffects("second attempt", h.machine.Tick(h.setTime(100*ms)), "start 1/1 at 8 by 960ms")
+	h.wantResponseStarted("response of attempt 1", 1, 1, true, "cancel 1/0")
+	h.wantLastEvent("response_started{")
+	h.wantResponseStarted("response of attempt 1 again", 1, 1, false, "")
+	h.wantResponseStarted("response of attempt 0", 1, 0, false, "")
+	h.wantEffects("attempt 0 succeeds",
+		h.machine.AttemptEnded(h.setTime(120*ms), 1, 0, Outcome{Result: decision.Succeeded}), "")
+	h.wantEffects("attempt 1 succeeds",
+		h.machine.AttemptEnded(h.setTime(130*ms), 1, 1, Outcome{Result: decision.Succeeded}), "respond 1 served by 1")
+	h.wantNothingLeft()
 }
 
-// A response that breaks halfway cannot be taken back. The request fails with it: it is never retried or rejected,
-// whatever its class.
-func TestStartedResponseThatBreaksIsNotRetried(t *testing.T) {
-	for result, want := range map[decision.Result]string{decision.ConnectionLost: "final 1 failed", decision.Rejected: "final 1 failed",
-		decision.ErrorResponse: "final 1 failed", decision.TimedOut: "final 1 late"} {
-		again := startOnBackend7(func(ev decision.Event) []decision.Action {
-			if o, ok := ev.(decision.Outcome); ok && o.Attempt == 0 {
-				return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8}, decision.Reject{Request: o.Request}}
+// A response that fails after it has started cannot be withdrawn from the client. The request must fail with it: it is
+// never retried or rejected, whatever its class.
+func TestFailureOfStartedResponseIsNotRetried(t *testing.T) {
+	for result, want := range map[decision.Result]string{
+		decision.ConnectionLost: "respond 1 failed",
+		decision.Rejected:       "respond 1 failed",
+		decision.ErrorResponse:  "respond 1 failed",
+		decision.TimedOut:       "respond 1 deadline exceeded",
+	} {
+		react := startOnBackend7(func(event decision.Event) []decision.Action {
+			if outcome, ok := event.(decision.Outcome); ok && outcome.Attempt == 0 {
+				return []decision.Action{
+					decision.StartAttempt{Request: outcome.Request, Backend: 8}, decision.Reject{Request: outcome.Request},
+				}
 			}
 			return nil
 		})
-		r := newHarness(t, Limits{}, again)
-		r.submit(1, "safe")
-		r.wantResponseStarted("it", 1, 0, true, "")
-		r.wantEffects(want, r.machine.AttemptEnded(r.setTime(30*ms), 1, 0, Outcome{Result: result}), want)
-		r.wantNothingLeft()
+		h := newHarness(t, Limits{}, react)
+		h.submit(1, "safe")
+		h.wantResponseStarted("first response", 1, 0, true, "")
+		h.wantEffects(fmt.Sprintf("attempt 0 ends with result %d", result),
+			h.machine.AttemptEnded(h.setTime(30*ms), 1, 0, Outcome{Result: result}), want)
+		h.wantNothingLeft()
 	}
-	r := newHarness(t, Limits{}, startOnBackend7(func(ev decision.Event) []decision.Action {
-		if _, ok := ev.(decision.ResponseStarted); ok {
+	h := newHarness(t, Limits{}, startOnBackend7(func(event decision.Event) []decision.Action {
+		if _, ok := event.(decision.ResponseStarted); ok {
 			return []decision.Action{decision.StartAttempt{Request: 1, Backend: 8}, decision.Reject{Request: 1}}
 		}
 		return nil
 	}))
-	r.submit(1, "safe")
-	r.wantResponseStarted("a module that refuses what it is told has begun", 1, 0, false, "final 1 failed")
+	h.submit(1, "safe")
+	h.wantResponseStarted("engine rejects the request on ResponseStarted", 1, 0, false, "respond 1 failed")
 }
 
 // A response may not start once its attempt is cancelled or its request is answered.
 func TestResponseStarted_TooLate(t *testing.T) {
-	r := newHarness(t, Limits{}, startOnBackend7(nil))
-	r.submit(1, "safe")
-	r.setTime(960 * ms)
-	r.wantResponseStarted("when its time is up", 1, 0, false, "calloff 1/0 late")
-	r.wantEffects("the last moment", r.machine.Tick(r.setTime(980*ms)), "final 1 late")
-	r.wantResponseStarted("after the end", 1, 0, false, "")
+	h := newHarness(t, Limits{}, startOnBackend7(nil))
+	h.submit(1, "safe")
+	h.setTime(960 * ms)
+	h.wantResponseStarted("at the deadline", 1, 0, false, "cancel 1/0 timed out")
+	h.wantEffects("at the response deadline", h.machine.Tick(h.setTime(980*ms)), "respond 1 deadline exceeded")
+	h.wantResponseStarted("after the final answer", 1, 0, false, "")
 }
 
-// A response that has started still ends at its request's deadline.
+// A response that has started is still cancelled at the deadline of its request.
 func TestStartedResponseEndsAtDeadline(t *testing.T) {
-	r := newHarness(t, Limits{}, startOnBackend7(nil))
-	r.submit(1, "safe")
-	r.wantResponseStarted("it", 1, 0, true, "")
-	r.wantEffects("its time", r.machine.Tick(r.setTime(960*ms)), "calloff 1/0 late")
-	r.wantEffects("its end", r.machine.AttemptEnded(r.setTime(961*ms), 1, 0, Outcome{Result: decision.TimedOut}), "final 1 late")
-	r.wantNothingLeft()
+	h := newHarness(t, Limits{}, startOnBackend7(nil))
+	h.submit(1, "safe")
+	h.wantResponseStarted("first response", 1, 0, true, "")
+	h.wantEffects("at the deadline", h.machine.Tick(h.setTime(960*ms)), "cancel 1/0 timed out")
+	h.wantEffects("the attempt ends",
+		h.machine.AttemptEnded(h.setTime(961*ms), 1, 0, Outcome{Result: decision.TimedOut}), "respond 1 deadline exceeded")
+	h.wantNothingLeft()
 }
--- a/internal/lifecycle/pause.go
+++ b/internal/lifecycle/pause.go
@@ -6,15 +6,15 @@
 	"pumicecroft/decision"
 )
 
-// Guards against a stale view after a pause of the process. A paused process resumes with clients' requests,
-// backends' responses, timers and its sources' updates before it in no order. An attempt that is decided before
-// those updates rests on a view as old as the pause: a backend that was told to drain meanwhile would be sent to.
-// So with the first event after a pause the sources are asked to sync, and StartAttempt effects are held back until
-// they have, or cannot be reached. Nothing else waits: responses, rejections, timers and cancellations go on.
+// Protection against stale endpoints after a pause of the process. When a paused process resumes, requests, responses,
+// timers and endpoint updates are all pending, in no particular order. An attempt that is decided before the updates
+// are read could go to a backend that was told to drain during the pause. Therefore the first event after a pause asks
+// the sources to sync, and StartAttempt effects are held back until they have synced or cannot be reached. Responses,
+// rejections, timers and cancellations are not held back.
 //
-// An attempt that was in flight during the pause proves nothing about how long its backend took, and its usage
-// reading may be as old as the pause: discountPause takes both out. An attempt that was decided before and has not
-// been sent when the process resumes is confirmed once more (ConfirmSend).
+// The latency of an attempt that was in flight during the pause includes the pause, and its usage reading may be as old
+// as the pause; discountPause corrects both. An attempt that was decided before the pause and is not yet sent when the
+// process resumes must be confirmed (ConfirmSend).
 
 // heldStart is an attempt whose StartAttempt is held back.
 type heldStart struct {
@@ -23,29 +23,29 @@
 	notAfter time.Duration
 }
 
-// onPause notes that the process may have been paused until now, and asks the sources to sync.
+// onPause records that the process may have been paused until now, and asks the sources to sync.
 func (m *Machine) onPause(paused time.Duration) {
-	m.lastSync++
-	m.pendingSync = m.lastSync
-	for _, request := range m.requests { // only sets fields: the order reaches no effect
+	m.lastSyncID++
+	m.pendingSyncID = m.lastSyncID
+	for _, request := range m.requests { // only sets fields, so the map order does not matter
 		for i := range request.attempts {
 			if attempt := &request.attempts[i]; attempt.open && !attempt.awaitingSync {
 				attempt.pausedFor += paused
 			}
 		}
 	}
-	m.emit(Effect{Kind: SyncSources, SyncID: m.lastSync, PausedFor: paused})
+	m.emit(Effect{Kind: SyncSources, SyncID: m.lastSyncID, PausedFor: paused})
 	m.dispatch(decision.ProcessPaused{Duration: paused})
 }
 
-// SourcesSynced tells that the sources have taken in all that had arrived at the SyncSources with this id, or that
-// they cannot be reached. An answer to an earlier SyncSources changes nothing.
+// SourcesSynced reports that the sources have applied all updates that had arrived when SyncSources was emitted with
+// this id, or that they cannot be reached. Ids other than the latest are ignored.
 func (m *Machine) SourcesSynced(now time.Duration, syncID uint64) []Effect {
 	m.advance(now)
-	if syncID != m.pendingSync {
+	if syncID != m.pendingSyncID {
 		return m.effects
 	}
-	m.pendingSync = 0
+	m.pendingSyncID = 0
 	held := m.heldStarts
 	m.heldStarts = nil
 	for _, start := range held {
@@ -54,7 +54,8 @@
 	return m.effects
 }
 
-// releaseHeldStart starts an attempt that was held back, unless its backend drains by now.
+// releaseHeldStart starts an attempt that was held back, unless its backend drains or its request was answered
+// meanwhile.
 func (m *Machine) releaseHeldStart(start heldStart) {
 	request := start.request
 	attempt := &request.attempts[start.attempt]
@@ -69,32 +70,32 @@
 	m.emitStart(request, start.attempt, start.notAfter)
 }
 
-// endHeldAttempt ends an attempt that was held back as not sent.
+// endHeldAttempt ends, as NotSent, an attempt that was held back.
 func (m *Machine) endHeldAttempt(request *openRequest, number int) {
 	attempt := &request.attempts[number]
 	attempt.awaitingSync, attempt.result = false, decision.NotSent
 	m.attemptClosed(request, number)
 	m.queueNotSent(request, number)
-	m.drainEvents()
+	m.handleQueuedEvents()
 	m.releaseIfDone(request)
 }
 
-// Syncing tells whether StartAttempt effects are held back now.
-func (m *Machine) Syncing() bool { return m.pendingSync > 0 }
+// Syncing returns whether StartAttempt effects are currently held back.
+func (m *Machine) Syncing() bool { return m.pendingSyncID > 0 }
 
-// ConfirmSend asks whether an attempt that was decided longer ago than Deadlines().MaxDecisionAge may still be sent.
-// It may not if the process was paused since and the sources have not synced, or if its backend was told to drain
-// since it was chosen. The caller then ends it as not sent.
+// ConfirmSend returns whether an attempt that was decided longer ago than Deadlines().MaxDecisionAge may still be sent.
+// It may not if it has ended or was cancelled, if the process was paused since and the sources have not synced, or if
+// its backend started to drain or was removed since it was chosen. The caller then ends it as NotSent.
 func (m *Machine) ConfirmSend(now time.Duration, id decision.RequestID, number int) (effects []Effect, allowed bool) {
 	m.advance(now)
 	attempt := m.requests[id].attempt(number)
 	if attempt == nil {
 		return m.effects, false
 	}
-	return m.effects, attempt.open && !attempt.cancelled && !attempt.drained && m.pendingSync == 0
+	return m.effects, attempt.open && !attempt.cancelled && !attempt.drained && m.pendingSyncID == 0
 }
 
-// markDrained marks the open attempts at backends that an update drains or removes.
+// markDrained marks the open attempts at backends that the update drains or removes.
 func (m *Machine) markDrained(update *decision.EndpointUpdate) {
 	if update.Kind == decision.UpdateFailed || len(m.requests) == 0 {
 		return
@@ -103,8 +104,8 @@
 	for i := range update.Endpoints {
 		ready[update.Endpoints[i].ID] = update.Endpoints[i].State == decision.Ready
 	}
-	if update.Kind != decision.UpdateDelta { // what a full update lacks is removed
-		for id := range m.openAttempts { // only sets fields: the order reaches no effect
+	if update.Kind != decision.UpdateDelta { // backends that a full update does not list are removed
+		for id := range m.openAttempts { // only sets map entries, so the map order does not matter
 			if _, named := ready[id]; !named {
 				ready[id] = false
 			}
@@ -117,8 +118,8 @@
 	}
 }
 
-// discountPause takes out of an outcome what a pause during the attempt makes meaningless: the time of the pause,
-// the usage reading, and a timeout, which was the process's own fault.
+// discountPause removes from an outcome what a pause during the attempt has falsified: it subtracts the pause from the
+// latency, drops the usage reading, and turns TimedOut into Unknown, because the pause may have caused the timeout.
 func discountPause(outcome decision.Outcome, paused time.Duration) decision.Outcome {
 	outcome.Latency, outcome.HasUsage = max(0, outcome.Latency-paused), false
 	if outcome.Result == decision.TimedOut {
--- a/internal/lifecycle/pause_test.go
+++ b/internal/lifecycle/pause_test.go
@@ -8,176 +8,188 @@
 	"pumicecroft/decision"
 )
 
-// newPausableHarness returns a harness whose Machine detects pauses, and has seen an event at 0.
-func newPausableHarness(t *testing.T, on func(decision.Event) []decision.Action) *harness {
-	r := newHarness(t, Limits{DetectPauses: true}, on)
-	r.machine.Tick(r.now)
-	return r
+// newPausableHarness returns a harness whose Machine detects pauses. Its first event is a Tick at the start time.
+func newPausableHarness(t *testing.T, react func(decision.Event) []decision.Action) *harness {
+	h := newHarness(t, Limits{DetectPauses: true}, react)
+	h.machine.Tick(h.now)
+	return h
 }
 
-// syncRequested is the SyncID of the only SyncSources among effects; 0: there is none.
-func (r *harness) syncRequested(es []Effect) (serial uint64) {
-	r.t.Helper()
-	for _, e := range es {
-		if e.Kind == SyncSources {
-			if serial > 0 {
-				r.t.Errorf("two at once: %+v", es)
+// syncRequested returns the SyncID of the only SyncSources among the effects, or 0 if there is none.
+func (h *harness) syncRequested(effects []Effect) (syncID uint64) {
+	h.t.Helper()
+	for _, effect := range effects {
+		if effect.Kind == SyncSources {
+			if syncID > 0 {
+				h.t.Errorf("got more than one SyncSources: %+v", effects)
 			}
-			serial = e.SyncID
+			syncID = effect.SyncID
 		}
 	}
-	return serial
+	return syncID
 }
 
 func drainUpdate(id decision.BackendID) decision.EndpointUpdate {
-	return decision.EndpointUpdate{Kind: decision.UpdateDelta, Endpoints: []decision.Endpoint{{ID: id, State: decision.Draining}}}
+	return decision.EndpointUpdate{
+		Kind:      decision.UpdateDelta,
+		Endpoints: []decision.Endpoint{{ID: id, State: decision.Draining}},
+	}
 }
 
-// A backend is told to drain while the process is paused, and a request arrives before that update is read. Its attempt
-// must wait until the sources have synced, and go elsewhere if its backend drains by then.
+// A backend is told to drain while the process is paused, and a request arrives before that update is read. The attempt
+// must be held back until the sources have synced, and go to another backend if its own drains according to the update.
 func TestStartAfterPauseWaitsForSync(t *testing.T) {
-	elsewhere := func(ev decision.Event) []decision.Action {
-		if o, ok := ev.(decision.Outcome); ok && o.Result == decision.NotSent && o.Attempt == 0 {
-			return []decision.Action{decision.StartAttempt{Request: o.Request, Backend: 8}}
+	elsewhere := func(event decision.Event) []decision.Action {
+		if outcome, ok := event.(decision.Outcome); ok && outcome.Result == decision.NotSent && outcome.Attempt == 0 {
+			return []decision.Action{decision.StartAttempt{Request: outcome.Request, Backend: 8}}
 		}
 		return nil
 	}
 	for name, c := range map[string]struct {
-		list *decision.EndpointUpdate
-		want string
+		update *decision.EndpointUpdate
+		want   string
 	}{
-		"no news":            {nil, "start 1/0 at 7 by 6.96s"},
+		"no update":          {nil, "start 1/0 at 7 by 6.96s"},
 		"its backend drains": {new(drainUpdate(7)), "start 1/1 at 8 by 6.96s"},
-		"its backend is not on the whole list": {&decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: []decision.Endpoint{{ID: 8}}},
+		"full update without its backend": {
+			&decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: []decision.Endpoint{{ID: 8}}},
 			"start 1/1 at 8 by 6.96s"},
-		"another one drains": {new(drainUpdate(8)), "start 1/0 at 7 by 6.96s"},
-		"asking failed":      {&decision.EndpointUpdate{Kind: decision.UpdateFailed}, "start 1/0 at 7 by 6.96s"},
+		"another backend drains": {new(drainUpdate(8)), "start 1/0 at 7 by 6.96s"},
+		"update failed":          {&decision.EndpointUpdate{Kind: decision.UpdateFailed}, "start 1/0 at 7 by 6.96s"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newPausableHarness(t, startOnBackend7(elsewhere))
-			r.setTime(6 * time.Second)
-			es := r.submit(1, "safe")
-			serial := r.syncRequested(es)
-			r.wantEffects("an arrival", es, "")
-			r.setTime(6*time.Second + ms)
-			if c.list != nil {
-				r.wantEffects("the news", r.machine.UpdateEndpoints(r.now, *c.list), "")
+			h := newPausableHarness(t, startOnBackend7(elsewhere))
+			h.setTime(6 * time.Second)
+			effects := h.submit(1, "safe")
+			syncID := h.syncRequested(effects)
+			h.wantEffects("submit", effects, "")
+			h.setTime(6*time.Second + ms)
+			if c.update != nil {
+				h.wantEffects("UpdateEndpoints", h.machine.UpdateEndpoints(h.now, *c.update), "")
 			}
-			r.wantEffects("an older answer", r.machine.SourcesSynced(r.now, serial-1), "")
-			r.wantEffects("all is taken in", r.machine.SourcesSynced(r.now, serial), c.want)
-			if r.machine.Syncing() || serial == 0 {
-				t.Error("it still catches up, or never did")
+			h.wantEffects("SourcesSynced with an older id", h.machine.SourcesSynced(h.now, syncID-1), "")
+			h.wantEffects("SourcesSynced", h.machine.SourcesSynced(h.now, syncID), c.want)
+			if h.machine.Syncing() || syncID == 0 {
+				t.Errorf("got SyncID %d and Syncing %v, want a SyncID above 0 and Syncing false", syncID, h.machine.Syncing())
 			}
-			r.wantEffects("the next one waits for nothing", r.submit(2, "safe"), "start 2/0 at 7 by 6.961s")
+			h.wantEffects("submit after the sync", h.submit(2, "safe"), "start 2/0 at 7 by 6.961s")
 		})
 	}
 }
 
-// An attempt that is held back after a pause ends like one in flight: by its client, its deadline or an abort. It was
-// never sent, so its id does not count as executed.
+// An attempt that is held back after a pause must end like one in flight when its client disconnects, its deadline
+// passes or the Machine is aborted. It was never sent, so its id must not be remembered.
 func TestHeldStartEndsWithoutSend(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(r *harness) []Effect
-		want string
+		trigger func(h *harness) []Effect
+		want    string
 	}{
-		"its client leaves": {func(r *harness) []Effect { return r.machine.Disconnect(r.now, decision.RequestID(1), 1) }, "final 1 left"},
-		"its time is up": {func(r *harness) []Effect {
-			r.machine.Tick(r.setTime(6*time.Second + 970*ms))
-			return r.machine.Tick(r.setTime(6*time.Second + 990*ms))
-		}, "final 1 late"},
-		"the core is shut": {func(r *harness) []Effect { return r.machine.Abort(r.now) }, "final 1 aborted"},
+		"client disconnects": {func(h *harness) []Effect {
+			return h.machine.Disconnect(h.now, decision.RequestID(1), 1)
+		}, "respond 1 client disconnected"},
+		"deadline passes": {func(h *harness) []Effect {
+			h.machine.Tick(h.setTime(6*time.Second + 970*ms))
+			return h.machine.Tick(h.setTime(6*time.Second + 990*ms))
+		}, "respond 1 deadline exceeded"},
+		"machine is aborted": {func(h *harness) []Effect { return h.machine.Abort(h.now) }, "respond 1 aborted"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newPausableHarness(t, startOnBackend7(func(ev decision.Event) []decision.Action {
-				if g, ok := ev.(decision.ClientDisconnected); ok {
-					return []decision.Action{decision.CancelAttempt{Request: g.Request}}
+			h := newPausableHarness(t, startOnBackend7(func(event decision.Event) []decision.Action {
+				if disconnected, ok := event.(decision.ClientDisconnected); ok {
+					return []decision.Action{decision.CancelAttempt{Request: disconnected.Request}}
 				}
 				return nil
 			}))
-			r.setTime(6 * time.Second)
-			serial := r.syncRequested(r.submit(1, "unsafe"))
-			r.wantEffects("its end", c.do(r), c.want)
-			if !strings.Contains(strings.Join(r.events, "; "), "result=7") {
-				t.Errorf("the decision module never heard that it was not sent: %q", r.events)
+			h.setTime(6 * time.Second)
+			syncID := h.syncRequested(h.submit(1, "unsafe"))
+			h.wantEffects("end of the request", c.trigger(h), c.want)
+			if !strings.Contains(strings.Join(h.events, "; "), "result=7") {
+				t.Errorf("got events %q, want a NotSent outcome (result=7)", h.events)
 			}
-			r.wantEffects("all is taken in", r.machine.SourcesSynced(r.now, serial), "")
-			if r.machine.OpenRequests() != 0 || r.machine.RememberedIDs() != 0 {
-				t.Errorf("%d are open, and %d ids count as run", r.machine.OpenRequests(), r.machine.RememberedIDs())
+			h.wantEffects("SourcesSynced", h.machine.SourcesSynced(h.now, syncID), "")
+			if h.machine.OpenRequests() != 0 || h.machine.RememberedIDs() != 0 {
+				t.Errorf("got %d open requests and %d remembered ids, want none",
+					h.machine.OpenRequests(), h.machine.RememberedIDs())
 			}
 		})
 	}
 }
 
-// A second pause before the sources have synced after the first makes that sync worthless: what arrived during the
-// second one is unread.
+// If the process is paused again before the sources have synced, that sync does not cover the updates that arrived
+// during the second pause. Another one must be requested.
 func TestPauseDuringSyncNeedsAnotherSync(t *testing.T) {
-	r := newPausableHarness(t, startOnBackend7(nil))
-	r.setTime(6 * time.Second)
-	first := r.syncRequested(r.submit(1, "safe"))
-	es := r.machine.SourcesSynced(r.setTime(6*time.Second+700*ms), first)
-	if r.syncRequested(es) != 0 || describeEffects(es) != "start 1/0 at 7 by 6.96s" {
-		t.Errorf("half a second later: %q", describeEffects(es))
+	h := newPausableHarness(t, startOnBackend7(nil))
+	h.setTime(6 * time.Second)
+	first := h.syncRequested(h.submit(1, "safe"))
+	effects := h.machine.SourcesSynced(h.setTime(6*time.Second+700*ms), first)
+	if h.syncRequested(effects) != 0 || describeEffects(effects) != "start 1/0 at 7 by 6.96s" {
+		t.Errorf("SourcesSynced after 700 ms: got effects %q, want the held start and no SyncSources",
+			describeEffects(effects))
 	}
-	r.setTime(9 * time.Second)
-	second := r.syncRequested(r.submit(2, "safe"))
-	es = r.machine.SourcesSynced(r.setTime(15*time.Second), second)
-	third := r.syncRequested(es)
-	if third <= second || strings.Contains(describeEffects(es), "start") {
-		t.Errorf("six seconds later: %q, and CatchUp %d", describeEffects(es), third)
+	h.setTime(9 * time.Second)
+	second := h.syncRequested(h.submit(2, "safe"))
+	effects = h.machine.SourcesSynced(h.setTime(15*time.Second), second)
+	third := h.syncRequested(effects)
+	if third <= second || strings.Contains(describeEffects(effects), "start") {
+		t.Errorf("SourcesSynced after 6 s: got effects %q and SyncID %d, want no start and a SyncID above %d",
+			describeEffects(effects), third, second)
 	}
 }
 
-// An attempt is decided, and the process is paused before it is sent. It may not be sent before the sources have synced,
-// nor to a backend that drains by then.
+// An attempt whose process is paused between the decision and the send must not be sent before the sources have synced,
+// and no attempt may be sent to a backend that started to drain after the decision.
 func TestConfirmSend(t *testing.T) {
-	r := newPausableHarness(t, startOnBackend7(nil))
-	r.wantEffects("an arrival", r.submit(1, "safe"), "start 1/0 at 7 by 960ms")
-	if _, may := r.machine.ConfirmSend(r.setTime(600*ms), 1, 0); !may {
-		t.Error("a slow connection is no standstill")
+	h := newPausableHarness(t, startOnBackend7(nil))
+	h.wantEffects("submit", h.submit(1, "safe"), "start 1/0 at 7 by 960ms")
+	if _, allowed := h.machine.ConfirmSend(h.setTime(600*ms), 1, 0); !allowed {
+		t.Error("ConfirmSend 600 ms after the decision, without a pause: got false, want true")
 	}
-	es, may := r.machine.ConfirmSend(r.setTime(6*time.Second), 1, 0)
-	if serial := r.syncRequested(es); may || serial == 0 {
-		t.Errorf("it leaves after a standstill: %v, %q", may, describeEffects(es))
+	effects, allowed := h.machine.ConfirmSend(h.setTime(6*time.Second), 1, 0)
+	if syncID := h.syncRequested(effects); allowed || syncID == 0 {
+		t.Errorf("ConfirmSend after a pause: got %v and SyncID %d, want false and a SyncID above 0", allowed, syncID)
 	}
 
-	r = newPausableHarness(t, startOnBackend7(nil))
-	r.submit(1, "safe")
-	r.machine.UpdateEndpoints(r.setTime(100*ms), drainUpdate(7))
-	if _, may := r.machine.ConfirmSend(r.setTime(600*ms), 1, 0); may {
-		t.Error("it leaves for a backend that drains")
+	h = newPausableHarness(t, startOnBackend7(nil))
+	h.submit(1, "safe")
+	h.machine.UpdateEndpoints(h.setTime(100*ms), drainUpdate(7))
+	if _, allowed := h.machine.ConfirmSend(h.setTime(600*ms), 1, 0); allowed {
+		t.Error("ConfirmSend for a draining backend: got true, want false")
 	}
-	if _, may := r.machine.ConfirmSend(r.now, 2, 0); may {
-		t.Error("what nobody asked for leaves")
+	if _, allowed := h.machine.ConfirmSend(h.now, 2, 0); allowed {
+		t.Error("ConfirmSend for an unknown request: got true, want false")
 	}
 }
 
-// An attempt that is in flight during a pause must not count against its backend: the pause is taken off its latency,
-// and its usage reading is dropped, as it is as old as the pause.
+// A pause while an attempt is in flight must not count against the backend: it is subtracted from the latency. The
+// usage reading is dropped, because it may be as old as the pause.
 func TestPauseIsDiscountedFromOutcome(t *testing.T) {
-	r := newPausableHarness(t, startOnBackend7(nil))
-	es, err := r.machine.Submit(r.now, decision.RequestID(1), decision.Request{ID: 1, Class: "safe", Timeout: 20 * time.Second}, 20*time.Second)
-	r.wantEffects("an arrival", es, "start 1/0 at 7 by 20s")
+	h := newPausableHarness(t, startOnBackend7(nil))
+	effects, err := h.machine.Submit(h.now, decision.RequestID(1),
+		decision.Request{ID: 1, Class: "safe", Timeout: 20 * time.Second}, 20*time.Second)
+	h.wantEffects("submit", effects, "start 1/0 at 7 by 20s")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.machine.Tick(r.setTime(100 * ms))
-	r.machine.Tick(r.setTime(6 * time.Second))
-	r.wantLastEvent("process_paused{duration=5.9s}")
-	r.machine.AttemptEnded(r.setTime(6*time.Second+10*ms), 1, 0, Outcome{Result: decision.Succeeded, HasUsage: true, Usage: 300})
-	r.wantLastEvent("result=0 latency=110ms final=true has_usage=false")
+	h.machine.Tick(h.setTime(100 * ms))
+	h.machine.Tick(h.setTime(6 * time.Second))
+	h.wantLastEvent("process_paused{duration=5.9s}")
+	h.machine.AttemptEnded(h.setTime(6*time.Second+10*ms), 1, 0,
+		Outcome{Result: decision.Succeeded, HasUsage: true, Usage: 300})
+	h.wantLastEvent("result=0 latency=110ms final=true has_usage=false")
 }
 
-// A process that is busy, or idle because no timer is due, must not be taken for a paused one.
-func TestFrequentTicksAreNoPause(t *testing.T) {
-	r := newPausableHarness(t, startOnBackend7(nil))
+// A process that is idle because no timer is due, or so busy that it calls Tick up to 200 ms late, must not be taken
+// for a paused one.
+func TestTicksWithinToleranceAreNoPause(t *testing.T) {
+	h := newPausableHarness(t, startOnBackend7(nil))
 	for i := range 100 {
-		at, ok := r.machine.Next()
+		at, ok := h.machine.Next()
 		if !ok {
-			t.Fatal("it does not look at its clock")
+			t.Fatal("Next: got no time, want one for the next pause check")
 		}
-		r.now = at + time.Duration(i%5)*50*ms
-		if r.syncRequested(r.machine.Tick(r.now)) != 0 {
-			t.Fatalf("it stood still at %v, called %v late", r.now, r.now-at)
+		h.now = at + time.Duration(i%5)*50*ms
+		if h.syncRequested(h.machine.Tick(h.now)) != 0 {
+			t.Fatalf("Tick at %v, %v late: got SyncSources, want none", h.now, h.now-at)
 		}
 	}
 }
--- a/internal/lifecycle/property_test.go
+++ b/internal/lifecycle/property_test.go
@@ -13,7 +13,7 @@
 	"pumicecroft/recovery"
 )
 
-// TestMain has the property tests draw the same values every time, unless -rapid.seed is given.
+// TestMain fixes the random seed of the property tests, unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20", "rapid.checks": "300", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -23,344 +23,370 @@
 	os.Exit(m.Run())
 }
 
-// The property tests drive a Machine with events in any order, over an engine that does anything at all in answer, or
-// over the one in use. Whatever happens: one Respond for each submitted request, none for another; one outcome at the
-// engine for each StartAttempt, and none without one; nothing left once all has ended.
+// The property tests pass random events to a Machine whose engine responds with random actions, or is the real
+// decision.Engine. They check that each submitted request gets exactly one Respond, that the engine gets exactly one
+// outcome for each StartAttempt and no other outcomes, and that no state is left once everything has ended.
 
+// requestRecord is what the test has seen of one request. Its slices are indexed by attempt number.
 type requestRecord struct {
-	finals            int
-	running           []bool // open
-	madeAttempts      []int  // numbers of attempts that were started
-	cancelled         []bool
-	requested         int // StartAttempt actions of the engine
-	outcomes          []int
-	respondingAttempt int // the attempt whose response has started, counted from 1
+	responses         int    // number of Respond effects
+	inFlight          []bool // by attempt number
+	startedAttempts   []int  // numbers of the attempts that were started
+	cancelled         []bool // by attempt number
+	startActions      int    // number of StartAttempt actions of the engine
+	outcomes          []int  // number of outcomes, by attempt number
+	respondingAttempt int    // the attempt whose response has started, counted from 1; 0: none
 }
 
 type propertyRun struct {
-	t            *rapid.T
-	machine      *Machine
-	engine       DecisionEngine // nil: random actions
-	now          time.Duration
-	records      map[decision.RequestID]*requestRecord
-	order        []decision.RequestID
-	depth        int
-	pendingSync  uint64        // the SyncID that awaits SourcesSynced; 0: none
-	lastEventAt  time.Duration // of the last effects
-	detectPauses bool          // pauses are noticed
+	t             *rapid.T
+	machine       *Machine
+	engine        DecisionEngine // nil: random actions
+	now           time.Duration
+	records       map[decision.RequestID]*requestRecord
+	ids           []decision.RequestID
+	engineCalls   int           // of the random engine in the current step
+	pendingSyncID uint64        // the SyncID for which SourcesSynced is awaited; 0: none
+	lastEventAt   time.Duration // when checkEffects was last called
+	detectPauses  bool
 }
 
-// Handle is the engine, random or the one in use, with its events and actions checked.
-func (w *propertyRun) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
-	if o, ok := ev.(decision.Outcome); ok {
-		s := w.records[o.Request]
-		if s == nil || o.Attempt >= s.requested {
-			w.t.Fatalf("an outcome without a send: %+v", o)
+// Handle implements DecisionEngine with the real or the random engine, and checks its events and actions.
+func (r *propertyRun) Handle(now time.Duration, event decision.Event, actions []decision.Action) []decision.Action {
+	if outcome, ok := event.(decision.Outcome); ok {
+		record := r.records[outcome.Request]
+		if record == nil || outcome.Attempt >= record.startActions {
+			r.t.Fatalf("outcome without a StartAttempt: %+v", outcome)
 		}
-		for len(s.outcomes) < s.requested {
-			s.outcomes = append(s.outcomes, 0)
+		for len(record.outcomes) < record.startActions {
+			record.outcomes = append(record.outcomes, 0)
 		}
-		if s.outcomes[o.Attempt]++; s.outcomes[o.Attempt] > 1 {
-			w.t.Fatalf("a second outcome: %+v", o)
+		if record.outcomes[outcome.Attempt]++; record.outcomes[outcome.Attempt] > 1 {
+			r.t.Fatalf("got %d outcomes for one attempt, want 1: %+v", record.outcomes[outcome.Attempt], outcome)
 		}
-		if o.Final != (s.finals > 0) && w.machine.requests[o.Request] != nil && o.Final != w.machine.requests[o.Request].answered {
-			w.t.Fatalf("%+v, and the request has %d final answers", o, s.finals)
+		if outcome.Final != (record.responses > 0) && r.machine.requests[outcome.Request] != nil &&
+			outcome.Final != r.machine.requests[outcome.Request].answered {
+			r.t.Fatalf("got Final %v for a request with %d final answers: %+v", outcome.Final, record.responses, outcome)
 		}
 	}
-	if w.engine != nil {
-		as = w.engine.Handle(now, ev, as)
+	if r.engine != nil {
+		actions = r.engine.Handle(now, event, actions)
 	} else {
-		as = w.randomActions(as)
+		actions = r.randomActions(actions)
 	}
-	for _, a := range as {
-		if s, ok := a.(decision.StartAttempt); ok && w.records[s.Request] != nil && w.machine.requests[s.Request] != nil {
-			w.records[s.Request].requested++
+	for _, action := range actions {
+		if start, ok := action.(decision.StartAttempt); ok && r.records[start.Request] != nil &&
+			r.machine.requests[start.Request] != nil {
+			r.records[start.Request].startActions++
 		}
 	}
-	return as
+	return actions
 }
 
-func (w *propertyRun) randomActions(as []decision.Action) []decision.Action {
-	if w.depth++; w.depth > 50 { // else attempts that are not made lead to further ones for ever
-		return as
+func (r *propertyRun) randomActions(actions []decision.Action) []decision.Action {
+	if r.engineCalls++; r.engineCalls > 50 { // otherwise NotSent outcomes could lead to new attempts forever
+		return actions
 	}
-	for range rapid.IntRange(0, 2).Draw(w.t, "actions") {
-		id := rapid.SampledFrom(append(slices.Clone(w.order), 1<<40)).Draw(w.t, "id")
-		after := time.Duration(rapid.IntRange(-5, 800).Draw(w.t, "after")) * ms
-		switch rapid.IntRange(0, 6).Draw(w.t, "action") {
+	for range rapid.IntRange(0, 2).Draw(r.t, "actions") {
+		id := rapid.SampledFrom(append(slices.Clone(r.ids), 1<<40)).Draw(r.t, "id")
+		after := time.Duration(rapid.IntRange(-5, 800).Draw(r.t, "after")) * ms
+		switch rapid.IntRange(0, 6).Draw(r.t, "action") {
 		case 0, 1:
-			as = append(as, decision.StartAttempt{Request: id, Backend: 1, Timeout: max(0, after)})
+			actions = append(actions, decision.StartAttempt{Request: id, Backend: 1, Timeout: max(0, after)})
 		case 2:
-			as = append(as, decision.Reject{Request: id, RetryAfter: max(0, after)})
+			actions = append(actions, decision.Reject{Request: id, RetryAfter: max(0, after)})
 		case 3:
-			as = append(as, decision.Fail{Request: id})
+			actions = append(actions, decision.Fail{Request: id})
 		case 4:
-			as = append(as, decision.CancelAttempt{Request: id, Attempt: rapid.IntRange(-1, 3).Draw(w.t, "attempt")})
+			actions = append(actions, decision.CancelAttempt{Request: id, Attempt: rapid.IntRange(-1, 3).Draw(r.t, "attempt")})
 		case 5:
-			as = append(as, decision.SetTimer{After: after, Token: uint64(rapid.IntRange(1, 3).Draw(w.t, "token")), Request: id})
+			actions = append(actions, decision.SetTimer{
+				After: after, Token: uint64(rapid.IntRange(1, 3).Draw(r.t, "token")), Request: id,
+			})
 		}
 	}
-	return as
+	return actions
 }
 
-// checkEffects checks the effects of one step.
-func (w *propertyRun) checkEffects(es []Effect) {
-	w.lastEventAt = w.now
-	for _, e := range es {
-		s := w.records[e.Request]
-		switch e.Kind {
+// checkEffects checks effects of the Machine and records them.
+func (r *propertyRun) checkEffects(effects []Effect) {
+	r.lastEventAt = r.now
+	for _, effect := range effects {
+		record := r.records[effect.Request]
+		switch effect.Kind {
 		case SyncSources:
-			if !w.detectPauses || e.SyncID <= w.pendingSync {
-				w.t.Fatalf("%+v after %d", e, w.pendingSync)
+			if !r.detectPauses || effect.SyncID <= r.pendingSyncID {
+				r.t.Fatalf("unexpected SyncSources: %+v; detectPauses %v, pending SyncID %d",
+					effect, r.detectPauses, r.pendingSyncID)
 			}
-			w.pendingSync = e.SyncID
+			r.pendingSyncID = effect.SyncID
 		case StartAttempt:
-			if w.pendingSync > 0 {
-				w.t.Fatalf("%+v before the sources have synced", e)
+			if r.pendingSyncID > 0 {
+				r.t.Fatalf("StartAttempt while SyncID %d is pending: %+v", r.pendingSyncID, effect)
 			}
-			if s.respondingAttempt > 0 {
-				w.t.Fatalf("a start after a response has started: %+v", e)
+			if record.respondingAttempt > 0 {
+				r.t.Fatalf("StartAttempt after the response of attempt %d has started: %+v", record.respondingAttempt-1, effect)
 			}
-			if s.finals > 0 {
-				w.t.Fatalf("a start after the final answer: %+v", e)
+			if record.responses > 0 {
+				r.t.Fatalf("StartAttempt after %d final answers: %+v", record.responses, effect)
 			}
-			if e.Deadline > w.now+900*ms || e.Attempt < len(s.running) {
-				w.t.Fatalf("an odd start: %+v", e)
+			if effect.Deadline > r.now+900*ms || effect.Attempt < len(record.inFlight) {
+				r.t.Fatalf("got StartAttempt %+v, want a deadline up to %v and an attempt number from %d",
+					effect, r.now+900*ms, len(record.inFlight))
 			}
-			for len(s.running) <= e.Attempt {
-				s.running, s.cancelled = append(s.running, false), append(s.cancelled, false)
+			for len(record.inFlight) <= effect.Attempt {
+				record.inFlight, record.cancelled = append(record.inFlight, false), append(record.cancelled, false)
 			}
-			s.running[e.Attempt] = true
-			s.madeAttempts = append(s.madeAttempts, e.Attempt)
+			record.inFlight[effect.Attempt] = true
+			record.startedAttempts = append(record.startedAttempts, effect.Attempt)
 		case CancelAttempt:
-			if !s.running[e.Attempt] || s.cancelled[e.Attempt] {
-				w.t.Fatalf("an attempt cancelled that is not in flight, or twice: %+v", e)
+			if !record.inFlight[effect.Attempt] || record.cancelled[effect.Attempt] {
+				r.t.Fatalf("CancelAttempt for an attempt with in flight %v, cancelled %v: %+v",
+					record.inFlight[effect.Attempt], record.cancelled[effect.Attempt], effect)
 			}
-			s.cancelled[e.Attempt] = true
+			record.cancelled[effect.Attempt] = true
 		case Respond:
-			if s.finals++; s.finals > 1 {
-				w.t.Fatalf("a second final answer: %+v", e)
+			if record.responses++; record.responses > 1 {
+				r.t.Fatalf("got %d final answers, want 1: %+v", record.responses, effect)
 			}
-			if s.respondingAttempt > 0 && (e.Verdict == Rejected || e.Verdict == Served && e.Attempt != s.respondingAttempt-1) {
-				w.t.Fatalf("%+v, and the response of attempt %d has started", e, s.respondingAttempt-1)
+			if record.respondingAttempt > 0 && (effect.Verdict == Rejected ||
+				effect.Verdict == Served && effect.Attempt != record.respondingAttempt-1) {
+				r.t.Fatalf("got %+v after the response of attempt %d has started", effect, record.respondingAttempt-1)
 			}
 		}
 	}
 }
 
-func (w *propertyRun) drawID() decision.RequestID {
-	if len(w.order) == 0 {
+func (r *propertyRun) drawID() decision.RequestID {
+	if len(r.ids) == 0 {
 		return 0
 	}
-	return rapid.SampledFrom(w.order).Draw(w.t, "request")
+	return rapid.SampledFrom(r.ids).Draw(r.t, "request")
 }
 
-func (w *propertyRun) step() {
-	w.depth = 0
-	w.now += time.Duration(rapid.IntRange(0, 300).Draw(w.t, "pass")) * ms
-	if w.detectPauses && rapid.IntRange(0, 9).Draw(w.t, "stands still") == 0 {
-		w.now += time.Duration(rapid.IntRange(100, 7000).Draw(w.t, "for")) * ms
+func (r *propertyRun) step() {
+	r.engineCalls = 0
+	r.now += time.Duration(rapid.IntRange(0, 300).Draw(r.t, "elapsed")) * ms
+	if r.detectPauses && rapid.IntRange(0, 9).Draw(r.t, "paused") == 0 {
+		r.now += time.Duration(rapid.IntRange(100, 7000).Draw(r.t, "paused for")) * ms
 	}
-	if w.now-w.lastEventAt > recovery.DefaultCheckInterval+recovery.DefaultTolerance && w.detectPauses && w.lastEventAt > 0 {
-		before, from := w.pendingSync, w.lastEventAt
+	if r.now-r.lastEventAt > recovery.DefaultCheckInterval+recovery.DefaultTolerance &&
+		r.detectPauses && r.lastEventAt > 0 {
+		before, from := r.pendingSyncID, r.lastEventAt
 		defer func() {
-			if w.lastEventAt > from && w.pendingSync == before {
-				w.t.Fatalf("%v went by, and no sync was asked for", w.now-from)
+			if r.lastEventAt > from && r.pendingSyncID == before {
+				r.t.Fatalf("no SyncSources after a pause of %v", r.now-from)
 			}
 		}()
 	}
-	switch rapid.IntRange(0, 9).Draw(w.t, "event") {
+	switch rapid.IntRange(0, 9).Draw(r.t, "event") {
 	case 9:
-		serial := w.pendingSync
-		if rapid.IntRange(0, 4).Draw(w.t, "older") == 0 {
-			serial--
+		syncID := r.pendingSyncID
+		if rapid.IntRange(0, 4).Draw(r.t, "older SyncID") == 0 {
+			syncID--
 		}
-		w.sourcesSynced(serial)
+		r.sourcesSynced(syncID)
 	case 0, 1, 2:
-		id := decision.RequestID(len(w.order) + 1)
-		if len(w.order) > 0 && rapid.IntRange(0, 9).Draw(w.t, "again") == 0 {
-			id = w.drawID()
+		id := decision.RequestID(len(r.ids) + 1)
+		if len(r.ids) > 0 && rapid.IntRange(0, 9).Draw(r.t, "reuse id") == 0 {
+			id = r.drawID()
 		}
-		for at, ok := w.machine.Next(); ok && at <= w.now; at, ok = w.machine.Next() {
-			w.checkEffects(w.machine.Tick(w.now)) // what is due may end the one that has the id
+		for at, ok := r.machine.Next(); ok && at <= r.now; at, ok = r.machine.Next() {
+			r.checkEffects(r.machine.Tick(r.now)) // due timers may end the request that has the id
 		}
-		old := w.records[id]
-		if old != nil && w.machine.requests[id] == nil {
-			return // an id that was used is used again on purpose only: see TestAReplayedIDIsNotSentAgain
+		old := r.records[id]
+		if old != nil && r.machine.requests[id] == nil {
+			return // ids of ended requests are not reused here; see TestSubmit_ReplayedID
 		}
 		if old == nil {
-			w.records[id] = &requestRecord{}
-			w.order = append(w.order, id)
+			r.records[id] = &requestRecord{}
+			r.ids = append(r.ids, id)
 		}
-		class := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(w.t, "class")
-		es, err := w.machine.Submit(w.now, w.records[id], decision.Request{ID: id, Class: class, Plan: "p", Cost: 1, GatewaySpread: 1,
-			Timeout: 900 * ms}, 950*ms)
-		w.checkEffects(es)
+		class := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(r.t, "class")
+		effects, err := r.machine.Submit(r.now, r.records[id], decision.Request{
+			ID: id, Class: class, Plan: "p", Cost: 1, GatewaySpread: 1, Timeout: 900 * ms,
+		}, 950*ms)
+		r.checkEffects(effects)
 		if (err != nil) != (old != nil) {
-			w.t.Fatalf("request %d: %v, open before: %v", id, err, old != nil)
+			r.t.Fatalf("Submit of request %d: got error %v, want an error: %v", id, err, old != nil)
 		}
 	case 3, 4:
-		id := w.drawID()
-		if s := w.records[id]; s != nil && len(s.running) > 0 {
-			w.endAttempt(id, rapid.IntRange(0, len(s.running)-1).Draw(w.t, "attempt"))
+		id := r.drawID()
+		if record := r.records[id]; record != nil && len(record.inFlight) > 0 {
+			r.endAttempt(id, rapid.IntRange(0, len(record.inFlight)-1).Draw(r.t, "attempt"))
 		}
 	case 8:
-		id := w.drawID()
-		if s := w.records[id]; s != nil && len(s.running) > 0 {
-			n := rapid.IntRange(0, len(s.running)-1).Draw(w.t, "begins")
-			es, may := w.machine.ResponseStarted(w.now, id, n)
-			w.checkEffects(es)
-			if may && (s.respondingAttempt > 0 || !s.running[n] || s.cancelled[n] || s.finals > 0) {
-				w.t.Fatalf("the answer of attempt %d may begin: %+v", n, s)
+		id := r.drawID()
+		if record := r.records[id]; record != nil && len(record.inFlight) > 0 {
+			n := rapid.IntRange(0, len(record.inFlight)-1).Draw(r.t, "responding attempt")
+			effects, allowed := r.machine.ResponseStarted(r.now, id, n)
+			r.checkEffects(effects)
+			if allowed && (record.respondingAttempt > 0 || !record.inFlight[n] || record.cancelled[n] ||
+				record.responses > 0) {
+				r.t.Fatalf("ResponseStarted of attempt %d: got allowed, want not allowed: %+v", n, record)
 			}
-			if may || len(es) > 0 && w.machine.requests[id] != nil && w.machine.requests[id].respondingAttempt > 0 {
-				s.respondingAttempt = w.machine.requests[id].respondingAttempt
+			if allowed || len(effects) > 0 && r.machine.requests[id] != nil && r.machine.requests[id].respondingAttempt > 0 {
+				record.respondingAttempt = r.machine.requests[id].respondingAttempt
 			}
 		}
 	case 5:
-		if id := w.drawID(); w.records[id] != nil {
-			w.checkEffects(w.machine.Disconnect(w.now, w.records[id], id))
+		if id := r.drawID(); r.records[id] != nil {
+			r.checkEffects(r.machine.Disconnect(r.now, r.records[id], id))
 		}
 	case 6:
-		w.checkEffects(w.machine.Tick(w.now))
+		r.checkEffects(r.machine.Tick(r.now))
 	case 7:
-		w.checkMarkDrained()
-		w.checkEffects(w.machine.UpdateEndpoints(w.now, decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: []decision.Endpoint{{ID: 1}, {ID: 2, Cell: 1}}}))
+		r.checkMarkDrained()
+		r.checkEffects(r.machine.UpdateEndpoints(r.now, decision.EndpointUpdate{
+			Kind:      decision.UpdateFull,
+			Endpoints: []decision.Endpoint{{ID: 1}, {ID: 2, Cell: 1}},
+		}))
 	}
 }
 
-// checkMarkDrained has the Machine mark the attempts that a random update drains, and compares them with those that a
-// walk over all attempts finds.
-func (w *propertyRun) checkMarkDrained() {
-	list := decision.EndpointUpdate{Kind: decision.UpdateKind(rapid.IntRange(0, int(decision.UpdateFailed)).Draw(w.t, "kind"))}
+// checkMarkDrained calls markDrained with a random update and compares the marked attempts with those found by a scan
+// of all attempts. It also checks the lists of open attempts by backend.
+func (r *propertyRun) checkMarkDrained() {
+	update := decision.EndpointUpdate{
+		Kind: decision.UpdateKind(rapid.IntRange(0, int(decision.UpdateFailed)).Draw(r.t, "kind")),
+	}
 	last := map[decision.BackendID]decision.BackendState{}
-	for range rapid.IntRange(0, 3).Draw(w.t, "entries") {
-		b := decision.Endpoint{ID: decision.BackendID(rapid.IntRange(0, 3).Draw(w.t, "backend")), State: decision.BackendState(rapid.IntRange(0, 2).Draw(w.t, "state"))}
-		list.Endpoints, last[b.ID] = append(list.Endpoints, b), b.State
+	for range rapid.IntRange(0, 3).Draw(r.t, "entries") {
+		endpoint := decision.Endpoint{
+			ID:    decision.BackendID(rapid.IntRange(0, 3).Draw(r.t, "backend")),
+			State: decision.BackendState(rapid.IntRange(0, 2).Draw(r.t, "state")),
+		}
+		update.Endpoints, last[endpoint.ID] = append(update.Endpoints, endpoint), endpoint.State
 	}
 	want, open := map[attemptRef]bool{}, 0
-	for _, k := range w.machine.requests {
-		for i, t := range k.attempts {
-			state, named := last[t.backend]
-			if t.open {
+	for _, request := range r.machine.requests {
+		for number, attempt := range request.attempts {
+			state, named := last[attempt.backend]
+			if attempt.open {
 				open++
 			}
-			hit := t.open && list.Kind != decision.UpdateFailed && (named && state != decision.Ready || !named && list.Kind != decision.UpdateDelta)
-			want[attemptRef{k, i}] = t.drained || hit
+			drains := attempt.open && update.Kind != decision.UpdateFailed &&
+				(named && state != decision.Ready || !named && update.Kind != decision.UpdateDelta)
+			want[attemptRef{request, number}] = attempt.drained || drains
 		}
 	}
-	w.machine.markDrained(&list)
-	for r, is := range want {
-		if r.attempt().drained != is {
-			w.t.Fatalf("request %d, attempt %d at %d, after %+v: stopped %v, want %v", r.request.id, r.number, r.attempt().backend, list, !is, is)
+	r.machine.markDrained(&update)
+	for ref, wantDrained := range want {
+		if ref.attempt().drained != wantDrained {
+			r.t.Fatalf("request %d, attempt %d at backend %d, after %+v: drained is %v, want %v",
+				ref.request.id, ref.number, ref.attempt().backend, update, !wantDrained, wantDrained)
 		}
 	}
-	for id, r := range w.machine.openAttempts {
-		for ; r.request != nil; r = r.attempt().next {
-			if open--; !r.attempt().open || r.attempt().backend != id {
-				w.t.Fatalf("request %d, attempt %d is among those open at %d: %+v", r.request.id, r.number, id, *r.attempt())
+	for id, ref := range r.machine.openAttempts {
+		for ; ref.request != nil; ref = ref.attempt().next {
+			if open--; !ref.attempt().open || ref.attempt().backend != id {
+				r.t.Fatalf("request %d, attempt %d is in the list of open attempts at backend %d: %+v",
+					ref.request.id, ref.number, id, *ref.attempt())
 			}
 		}
 	}
 	if open != 0 {
-		w.t.Fatalf("%d open attempts are not found by their backends", open)
+		r.t.Fatalf("the lists of open attempts lack %d attempts, want 0", open)
 	}
 }
 
-// sourcesSynced answers a SyncSources. One that is asked for in the same step is another.
-func (w *propertyRun) sourcesSynced(serial uint64) {
-	owed := w.pendingSync
-	if serial == owed {
-		w.pendingSync = 0
+// sourcesSynced reports a SyncSources as done. The Machine may request another one in the same call.
+func (r *propertyRun) sourcesSynced(syncID uint64) {
+	pending := r.pendingSyncID
+	if syncID == pending {
+		r.pendingSyncID = 0
 	}
-	es := w.machine.SourcesSynced(w.now, serial)
-	if len(es) > 0 && es[0].Kind == SyncSources {
-		w.pendingSync = owed
+	effects := r.machine.SourcesSynced(r.now, syncID)
+	if len(effects) > 0 && effects[0].Kind == SyncSources {
+		r.pendingSyncID = pending
 	}
-	w.checkEffects(es)
+	r.checkEffects(effects)
 }
 
-func (w *propertyRun) endAttempt(id decision.RequestID, attempt int) {
-	s := w.records[id]
-	if !s.running[attempt] {
+func (r *propertyRun) endAttempt(id decision.RequestID, attempt int) {
+	record := r.records[id]
+	if !record.inFlight[attempt] {
 		return
 	}
-	result := decision.Result(rapid.IntRange(0, int(decision.Unknown)).Draw(w.t, "result"))
-	w.checkEffects(w.machine.AttemptEnded(w.now, id, attempt, Outcome{Result: result})) // what was due may call it off first
-	s.running[attempt] = false
+	result := decision.Result(rapid.IntRange(0, int(decision.Unknown)).Draw(r.t, "result"))
+	// Timers that are due may cancel the attempt first.
+	r.checkEffects(r.machine.AttemptEnded(r.now, id, attempt, Outcome{Result: result}))
+	record.inFlight[attempt] = false
 }
 
-func (w *propertyRun) run() {
-	for range rapid.IntRange(1, 60).Draw(w.t, "steps") {
-		w.step()
+func (r *propertyRun) run() {
+	for range rapid.IntRange(1, 60).Draw(r.t, "steps") {
+		r.step()
 	}
-	// All time passes, and each attempt that was started ends.
+	// Let all timers fire and all started attempts end.
 	for range 200 {
-		w.depth = 0
-		w.sourcesSynced(w.pendingSync)
-		if at, ok := w.machine.Next(); ok {
-			w.now = max(w.now, at)
+		r.engineCalls = 0
+		r.sourcesSynced(r.pendingSyncID)
+		if at, ok := r.machine.Next(); ok {
+			r.now = max(r.now, at)
 		}
-		w.checkEffects(w.machine.Tick(w.now))
-		for _, id := range w.order {
-			for n := range w.records[id].running {
-				w.depth = 0
-				w.endAttempt(id, n)
+		r.checkEffects(r.machine.Tick(r.now))
+		for _, id := range r.ids {
+			for number := range r.records[id].inFlight {
+				r.engineCalls = 0
+				r.endAttempt(id, number)
 			}
 		}
-		if w.machine.OpenRequests() == 0 {
+		if r.machine.OpenRequests() == 0 {
 			break
 		}
 	}
-	if w.machine.OpenRequests() != 0 {
-		w.t.Fatalf("%d requests are left", w.machine.OpenRequests())
+	if r.machine.OpenRequests() != 0 {
+		r.t.Fatalf("got %d open requests at the end, want 0", r.machine.OpenRequests())
 	}
-	for _, id := range w.order {
-		s := w.records[id]
-		if s.finals != 1 {
-			w.t.Fatalf("request %d has %d final answers", id, s.finals)
+	for _, id := range r.ids {
+		record := r.records[id]
+		if record.responses != 1 {
+			r.t.Fatalf("request %d: got %d final answers, want 1", id, record.responses)
 		}
-		for _, n := range s.madeAttempts {
-			if n >= len(s.outcomes) || s.outcomes[n] != 1 {
-				w.t.Fatalf("request %d: attempts %v were made, and the outcomes are %v", id, s.madeAttempts, s.outcomes)
+		for _, n := range record.startedAttempts {
+			if n >= len(record.outcomes) || record.outcomes[n] != 1 {
+				r.t.Fatalf("request %d: attempts %v were started, got outcome counts %v by attempt, want 1 for each of them",
+					id, record.startedAttempts, record.outcomes)
 			}
 		}
 	}
-	for _, t := range w.machine.timers {
-		if t.request != nil || t.token != 0 {
-			w.t.Fatalf("a timer of a request is left: %+v", t)
+	for _, timer := range r.machine.timers {
+		if timer.request != nil || timer.token != 0 {
+			r.t.Fatalf("got a timer at the end that belongs to a request, want none: %+v", timer)
 		}
 	}
 }
 
-func TestAnyOrderOfEvents_RandomEngine(t *testing.T) {
+func TestRandomEvents_RandomEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &propertyRun{t: t, records: map[decision.RequestID]*requestRecord{}}
-		w.detectPauses = rapid.Bool().Draw(t, "pauses are noticed")
-		w.machine = New(w, classes, Limits{MaxAttempts: 4, DetectPauses: w.detectPauses}, 0)
-		w.run()
+		r := &propertyRun{t: t, records: map[decision.RequestID]*requestRecord{}}
+		r.detectPauses = rapid.Bool().Draw(t, "detect pauses")
+		r.machine = New(r, classes, Limits{MaxAttempts: 4, DetectPauses: r.detectPauses}, 0)
+		r.run()
 	})
 }
 
-func TestAnyOrderOfEvents_DecisionEngine(t *testing.T) {
+func TestRandomEvents_DecisionEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &propertyRun{t: t, records: map[decision.RequestID]*requestRecord{}}
-		set := decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: rapid.Bool().Draw(t, "cancel"),
+		r := &propertyRun{t: t, records: map[decision.RequestID]*requestRecord{}}
+		settings := decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: rapid.Bool().Draw(t, "cancel"),
 			MaxRetryAfter: time.Second, Plans: []decision.Plan{{Name: "p", Rate: 50, Burst: 50, Price: 1}}}
-		for _, c := range classes {
-			c.LatencyObjective, c.Deadline, c.PriorityWeight, c.DedupWindow = time.Second, 2*time.Second, 1, 5*time.Second
-			set.Classes = append(set.Classes, c)
+		for _, class := range classes {
+			class.LatencyObjective, class.Deadline, class.PriorityWeight, class.DedupWindow =
+				time.Second, 2*time.Second, 1, 5*time.Second
+			settings.Classes = append(settings.Classes, class)
 		}
-		g, err := decision.New(set, rapid.Uint64().Draw(t, "seed"), 0)
+		engine, err := decision.New(settings, rapid.Uint64().Draw(t, "seed"), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.engine = g
-		w.detectPauses = rapid.Bool().Draw(t, "pauses are noticed")
-		w.machine = New(w, set.Classes, Limits{DetectPauses: w.detectPauses}, 0)
-		w.run()
-		if w.machine.UnmatchedActions() != 0 {
-			t.Fatalf("%d actions of the engine match no request", w.machine.UnmatchedActions())
+		r.engine = engine
+		r.detectPauses = rapid.Bool().Draw(t, "detect pauses")
+		r.machine = New(r, settings.Classes, Limits{DetectPauses: r.detectPauses}, 0)
+		r.run()
+		if r.machine.UnmatchedActions() != 0 {
+			t.Fatalf("got %d unmatched actions, want 0", r.machine.UnmatchedActions())
 		}
 	})
 }
--- a/internal/lifecycle/replays.go
+++ b/internal/lifecycle/replays.go
@@ -6,16 +6,17 @@
 	"pumicecroft/decision"
 )
 
-// A host that runs its handlers again submits an id again. Where the request may have executed and its class does
-// not permit that it executes again, the id is remembered after the request's end, so that Submit refuses it.
+// A host that runs its handlers again submits the same id again. The id of a request that may have executed and whose
+// class does not allow a second execution is therefore remembered after the request has ended, and Submit returns
+// ErrReplayed for it.
 
-// rememberedID is an id of a request that may have executed.
+// rememberedID is the id of a request that may have executed, and when to forget it.
 type rememberedID struct {
 	id    decision.RequestID
 	until time.Duration
 }
 
-// isRemembered tells whether an id's request may have executed lately. It drops ids whose time is over.
+// isRemembered returns whether the id is remembered. It first drops the ids whose retention time is over.
 func (m *Machine) isRemembered(id decision.RequestID) bool {
 	for len(m.rememberedOrder) > 0 && m.rememberedOrder[0].until <= m.now {
 		m.forgetOldestID()
@@ -23,7 +24,7 @@
 	return m.rememberedIDs[id]
 }
 
-// remember notes an id for Limits.IDRetention, in place of the oldest where there is no room.
+// remember keeps an id for Limits.IDRetention. If MaxRememberedIDs is reached, it replaces the oldest one.
 func (m *Machine) remember(id decision.RequestID) {
 	if m.isRemembered(id) {
 		return
--- a/internal/lifecycle/requests.go
+++ b/internal/lifecycle/requests.go
@@ -9,48 +9,49 @@
 	"pumicecroft/decision"
 )
 
-// Errors of Submit. None of these requests has led to an attempt.
+// Errors of Submit. A request for which one is returned has not led to an attempt.
 var (
 	// ErrDuplicateID is returned while a request with this id is open.
 	ErrDuplicateID = errors.New("lifecycle: a request with this id is open")
-	// ErrReplayed is returned for an id whose request may have executed a short while ago, where its class does
-	// not permit that it executes again.
+	// ErrReplayed is returned if an earlier request with this id ended less than Limits.IDRetention ago and may have
+	// executed, and the class does not allow a second execution.
 	ErrReplayed = errors.New("lifecycle: a request with this id may have executed already")
 	// ErrTooManyRequests is returned while Limits.MaxOpenRequests requests are open.
 	ErrTooManyRequests = errors.New("lifecycle: too many open requests")
 	// ErrClosed is returned after Close or Abort.
-	ErrClosed = errors.New("lifecycle: closed")
+	ErrClosed = errors.New("lifecycle: machine is closed")
 )
 
-// A client's time counts from when it sent its request, which over a network is before the request is seen here,
-// and the answer must reach it before that time is up.
+// A client's timeout starts when it sends its request, which is before the gateway receives it, and the answer must
+// reach the client before the timeout ends. Callers of Submit shorten the client's timeout by these margins.
 const (
-	// TimeoutMargin is how much less time the engine is told of.
+	// TimeoutMargin is subtracted from the client's timeout to get the timeout of attempts, decision.Request.Timeout.
 	TimeoutMargin = 40 * time.Millisecond
-	// ResponseMargin is how long before the end a request without an answer is answered as DeadlineExceeded.
+	// ResponseMargin is subtracted from the client's timeout to get the responseTimeout of Submit.
 	ResponseMargin = 20 * time.Millisecond
 )
 
-// openRequest is a submitted request, until it is answered and all of its attempts have ended.
+// openRequest is the state of a submitted request. It is kept until the request is answered and all of its attempts
+// have ended.
 type openRequest struct {
 	id                decision.RequestID
 	tag               any
 	idempotency       decision.Idempotency
-	deadline          time.Duration // attempts end by then
-	responseDeadline  time.Duration // the request is answered by then
+	deadline          time.Duration // by which attempts end
+	responseDeadline  time.Duration // by which the request is answered
 	answered          bool
 	respondingAttempt int // the attempt whose response is being passed on, counted from 1; 0: none
-	inFlight          int // attempts that have not ended
+	inFlight          int // number of attempts that have not ended
 	attempts          []attemptState
-	deadlineTimer     timer // at deadline, then at responseDeadline
-	engineTimer       timer // the engine's first for this request
+	deadlineTimer     timer // fires at deadline, then at responseDeadline
+	engineTimer       timer // the first timer that the engine sets for this request
 	extraTimers       []*timer
-	attemptsBuf       [2]attemptState // the first room of attempts, so that most requests allocate none
+	attemptsBuf       [2]attemptState // initial storage of attempts, which saves most requests an allocation
 }
 
-// Submit opens a request, or returns one of the errors above. Attempts end by event.Timeout from now; the request
-// is answered as DeadlineExceeded after responseTimeout from now at the latest. The tag comes back in the
-// request's effects.
+// Submit opens a request, or returns one of the errors above. Attempts are cancelled event.Timeout from now. A request
+// that is still unanswered responseTimeout from now, or event.Timeout if that is longer, is answered as
+// DeadlineExceeded. The request's effects carry the tag.
 func (m *Machine) Submit(now time.Duration, tag any, event decision.Request,
 	responseTimeout time.Duration) ([]Effect, error) {
 	m.advance(now)
@@ -75,15 +76,15 @@
 	request.attempts = request.attemptsBuf[:0]
 	m.requests[request.id] = request
 	m.dispatch(event)
-	if m.requests[request.id] == request { // it has not ended already
+	if m.requests[request.id] == request { // the engine's actions have not ended it already
 		at := max(request.deadline, m.now)
 		m.setTimer(&request.deadlineTimer, timer{at: at, request: request, kind: timerDeadline})
 	}
 	return m.effects, nil
 }
 
-// Disconnect tells that the client of a request is gone. Nothing happens if no request of that id awaits an answer,
-// or if it was submitted with another tag.
+// Disconnect reports that the client of a request has disconnected. The call has no effect if no request with this id
+// is unanswered, or if that request was submitted with another tag.
 func (m *Machine) Disconnect(now time.Duration, tag any, id decision.RequestID) []Effect {
 	m.advance(now)
 	if request := m.requests[id]; request != nil && !request.answered && request.tag == tag {
@@ -107,39 +108,40 @@
 	m.abandon(request, DeadlineExceeded)
 }
 
-// abandon ends a request without a decision of the engine.
+// abandon answers a request without a decision of the engine, and tells the engine that no answer is awaited any more.
 func (m *Machine) abandon(request *openRequest, verdict Verdict) {
-	m.finish(request, Effect{Verdict: verdict})
+	m.answer(request, Effect{Verdict: verdict})
 	m.dispatch(decision.ClientDisconnected{Request: request.id})
 	m.releaseIfDone(request)
 }
 
-// respond gives a request the final answer that the engine chose. Only the first one counts.
-func (m *Machine) respond(id decision.RequestID, response Effect) {
+// applyResponse answers a request as the engine decided. An action for a request that is unknown or already answered is
+// counted as unmatched.
+func (m *Machine) applyResponse(id decision.RequestID, response Effect) {
 	request := m.requests[id]
 	if request == nil || request.answered {
-		m.unmatched++
+		m.unmatchedActions++
 		return
 	}
-	if request.respondingAttempt > 0 { // part of a response is with the client: it cannot be rejected
+	if request.respondingAttempt > 0 { // the client already has part of a response, so this must not be a rejection
 		response = Effect{Verdict: Failed}
 	}
-	m.finish(request, response)
+	m.answer(request, response)
 	m.releaseIfDone(request)
 }
 
-// finish answers a request, once.
-func (m *Machine) finish(request *openRequest, response Effect) {
+// answer emits the Respond effect of a request. Repeated calls have no effect.
+func (m *Machine) answer(request *openRequest, response Effect) {
 	if request.answered {
 		return
 	}
 	request.answered = true
 	response.Kind, response.Tag, response.Request = Respond, request.tag, request.id
 	m.emit(response)
-	m.clearEngineTimers(request) // timers of attempts stay until these have ended
+	m.clearEngineTimers(request) // the timers of attempts in flight are still needed
 }
 
-// releaseIfDone drops a request that is answered and has no attempt in flight.
+// releaseIfDone releases the state of a request that is answered and has no attempt in flight.
 func (m *Machine) releaseIfDone(request *openRequest) {
 	if !request.answered || request.inFlight > 0 || m.requests[request.id] != request {
 		return
@@ -151,7 +153,7 @@
 	}
 }
 
-// mayHaveExecuted tells whether any attempt's result leaves it open that the request has executed.
+// mayHaveExecuted returns whether, judging by the results of its attempts, the request may have executed.
 func (r *openRequest) mayHaveExecuted() bool {
 	for i := range r.attempts {
 		switch r.attempts[i].result {
@@ -163,7 +165,7 @@
 	return false
 }
 
-// sortedIDs returns the ids in ascending order, so that effects do not depend on the order of a map.
+// sortedIDs returns the ids in ascending order, so that the order of effects does not depend on the map order.
 func sortedIDs(requests map[decision.RequestID]*openRequest) []decision.RequestID {
 	return slices.Sorted(maps.Keys(requests))
 }
--- a/internal/lifecycle/timers.go
+++ b/internal/lifecycle/timers.go
@@ -10,49 +10,49 @@
 // timer is an entry of the timer heap.
 type timer struct {
 	at      time.Duration
-	seq     uint64       // orders timers of one instant by when they were set
-	index   int          // in the heap, from 1; 0: not set
-	request *openRequest // nil: the engine's own
-	token   uint64       // timerEngine: what the engine is told
+	seq     uint64       // sequence number; orders timers of the same time by when they were set
+	index   int          // position in the heap, counted from 1; 0: not set
+	request *openRequest // nil for the engine's own timer
+	token   uint64       // timerEngine: the token of the decision.Timer event
 	kind    timerKind
-	attempt int // timerAttempt: the attempt's number
+	attempt int // timerAttempt: number of the attempt
 }
 
-// timerKind says what a timer does when it fires.
+// timerKind determines what a timer does when it fires.
 type timerKind uint8
 
 const (
-	timerEngine timerKind = iota
-	timerDeadline
-	timerAttempt
+	timerEngine   timerKind = iota // passes a decision.Timer to the engine
+	timerDeadline                  // runs onDeadline for the request
+	timerAttempt                   // cancels the attempt
 )
 
-// timerHeap orders timers by time and, among equal times, by when they were set. Timers of requests that have ended
-// are taken out at once, so it holds a few for each open request and one of the engine's own.
+// timerHeap orders timers by time and, for equal times, by when they were set. When a request is released, its timers
+// are removed immediately, so the heap holds a few timers for each open request and one of the engine's own.
 type timerHeap []*timer
 
-// Len is heap.Interface's.
+// Len implements heap.Interface.
 func (h timerHeap) Len() int { return len(h) }
 
-// Less orders by time, then by when a timer was set.
+// Less implements heap.Interface. It orders by time, then by when the timers were set.
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 
-// Swap keeps each timer's index.
+// Swap implements heap.Interface. It updates the index of both timers.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i+1, j+1
 }
 
-// Push is heap.Interface's: use setTimer.
+// Push implements heap.Interface. Call setTimer instead.
 func (h *timerHeap) Push(x any) {
 	t := x.(*timer)
 	*h = append(*h, t)
 	t.index = len(*h)
 }
 
-// Pop is heap.Interface's: use fireTimers.
+// Pop implements heap.Interface. Call fireTimers instead.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
@@ -62,7 +62,7 @@
 	return t
 }
 
-// nextTimer is when the first timer fires; !ok: none is set.
+// nextTimer returns when the first timer fires. If ok is false, no timer is set.
 func (m *Machine) nextTimer() (at time.Duration, ok bool) {
 	if len(m.timers) == 0 {
 		return 0, false
@@ -70,7 +70,7 @@
 	return m.timers[0].at, true
 }
 
-// setTimer sets t to value and puts it into the heap, where it must not be.
+// setTimer sets t to value and adds it to the heap. t must not be in the heap already.
 func (m *Machine) setTimer(t *timer, value timer) {
 	m.timerSeq++
 	*t = value
@@ -78,15 +78,15 @@
 	heap.Push(&m.timers, t)
 }
 
-// clearTimer takes a timer out of the heap, if it is there.
+// clearTimer removes a timer from the heap, if it is in there.
 func (m *Machine) clearTimer(t *timer) {
 	if t.index > 0 {
 		heap.Remove(&m.timers, t.index-1)
 	}
 }
 
-// setEngineTimer sets a timer for the engine. One that belongs to a request which is answered is not set: the engine
-// would ignore it.
+// setEngineTimer sets a timer for the engine. A timer for a request that is answered or unknown is not set, because the
+// engine would ignore it.
 func (m *Machine) setEngineTimer(action decision.SetTimer) {
 	t := timer{at: m.now + max(action.After, 0), token: action.Token, kind: timerEngine}
 	if action.Token == 0 {
@@ -105,7 +105,7 @@
 	m.setExtraTimer(request, t)
 }
 
-// setExtraTimer sets one more timer of a request, in the place of one that has fired if there is one.
+// setExtraTimer sets an additional timer for a request. It reuses a timer that is no longer set, if there is one.
 func (m *Machine) setExtraTimer(request *openRequest, value timer) {
 	for _, t := range request.extraTimers {
 		if t.index == 0 {
@@ -118,7 +118,7 @@
 	m.setTimer(t, value)
 }
 
-// clearEngineTimers clears the timers that the engine has set for a request.
+// clearEngineTimers clears all timers that the engine has set for a request.
 func (m *Machine) clearEngineTimers(request *openRequest) {
 	m.clearTimer(&request.engineTimer)
 	for _, t := range request.extraTimers {
