--- a/internal/executor/attempt.go
+++ b/internal/executor/attempt.go
@@ -8,35 +8,35 @@
 	"pumicecroft/decision"
 )
 
-// Causes of a cancelled attempt.
+// Causes for the cancellation of an attempt.
 var (
 	ErrCancelled        = errors.New("executor: attempt cancelled")
 	ErrDeadlineExceeded = errors.New("executor: attempt deadline exceeded")
 )
 
-// Attempt is one attempt that a Transport makes.
+// Attempt is an attempt of a request, to be made by a Transport.
 type Attempt struct {
 	Backend  decision.BackendID
-	Deadline time.Time // it is cancelled then
-	// NotAfter is when it must not be sent any more: the Transport asks SendForbidden right before, and ends it as
-	// not sent. Zero: no limit.
+	Deadline time.Time // when the attempt is cancelled
+	// NotAfter is the latest time at which the attempt may be sent. The Transport checks this by calling SendForbidden
+	// right before sending, and otherwise ends the attempt as NotSent. Zero means no limit.
 	NotAfter time.Time
-	Payload  any // what Serve was given
+	Payload  any // the payload passed to Serve
 
-	request     *openRequest // nil: it belongs to no request
+	request     *openRequest // nil if the attempt belongs to no request
 	number      int
 	decidedAt   time.Time
 	mu          sync.Mutex
 	cancelCause error
-	onCancel    func() // ends the wait that the Transport is in
+	onCancel    func() // interrupts the Transport's current wait
 }
 
-// NewAttempt returns an attempt that belongs to no request, as probes and tests need.
+// NewAttempt returns an attempt that belongs to no request, for probes and tests.
 func NewAttempt(id decision.BackendID, deadline time.Time, payload any) *Attempt {
 	return &Attempt{Backend: id, Deadline: deadline, Payload: payload}
 }
 
-// Cancel ends the wait for an attempt, for one of the causes above. Only the first call counts.
+// Cancel cancels an attempt for one of the causes above. Calls after the first have no effect.
 func (a *Attempt) Cancel(cause error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,16 +49,16 @@
 	}
 }
 
-// CancelCause is why the attempt was cancelled; nil: it was not.
+// CancelCause returns why the attempt was cancelled, or nil if it was not.
 func (a *Attempt) CancelCause() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.cancelCause
 }
 
-// OnCancel sets what ends the wait that the Transport is about to begin; nil: it waits no more. If the attempt is
-// cancelled already, stop is not kept and the cause is returned. stop runs once at the most, under a lock of the
-// attempt: it must not block.
+// OnCancel sets the function that interrupts the wait that the Transport is about to begin; nil removes it. If the
+// attempt is already cancelled, stop is not stored and the cause is returned. stop is called at most once, with the
+// attempt's lock held, so it must not block.
 func (a *Attempt) OnCancel(stop func()) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,8 +68,8 @@
 	return a.cancelCause
 }
 
-// IfActive runs do if the attempt is not cancelled, and keeps it from being so meanwhile; else it returns the
-// cause. do must not block.
+// IfActive calls do if the attempt is not cancelled, and returns the cause otherwise. The attempt cannot be cancelled
+// while do runs. do must not block.
 func (a *Attempt) IfActive(do func()) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,12 +79,12 @@
 	return a.cancelCause
 }
 
-// SendForbidden tells whether the attempt must not be sent any more: it is cancelled, its client has gone, NotAfter
-// has passed, or it was decided a while ago and the Machine does not confirm it. A Transport asks right before the
-// first byte is sent, without a lock that its OnCancel function takes.
+// SendForbidden returns whether the attempt must not be sent any more: it is cancelled, its client has disconnected,
+// NotAfter has passed, or it was decided longer ago than MaxDecisionAge and the Machine does not confirm it. A
+// Transport calls it right before it sends the first byte, without holding a lock that its OnCancel function takes.
 func (a *Attempt) SendForbidden() bool { return a.SendForbiddenAt(time.Now()) }
 
-// SendForbiddenAt is SendForbidden for callers that have just read the clock.
+// SendForbiddenAt is like SendForbidden, for callers that have just read the clock.
 func (a *Attempt) SendForbiddenAt(now time.Time) bool {
 	if !a.NotAfter.IsZero() && now.After(a.NotAfter) {
 		return true
@@ -93,8 +93,8 @@
 	if request == nil {
 		return a.CancelCause() != nil
 	}
-	// The end of a client's context may not have been noticed yet, and an attempt that was held back may be older
-	// than the last look at it.
+	// The context is checked here as well, because it may not be watched yet (see contextWatchDelay), and it may have
+	// ended while the attempt was held back.
 	if request.ctx.Err() != nil {
 		request.executor.clientDisconnected(request)
 		return true
@@ -113,9 +113,9 @@
 	return !allowed
 }
 
-// StartResponse asks whether the attempt's response may be passed on before it is complete; see
-// lifecycle.Machine.ResponseStarted. A Transport calls it once at the most, without a lock that its OnCancel
-// function takes, and ends an attempt that may not as cancelled.
+// StartResponse returns whether the attempt's response may be passed on before it is complete; see
+// lifecycle.Machine.ResponseStarted. A Transport calls it at most once, without holding a lock that its OnCancel
+// function takes. If it returns false, the Transport ends the attempt as Cancelled.
 func (a *Attempt) StartResponse() bool {
 	request := a.request
 	if request == nil {
--- a/internal/executor/clock.go
+++ b/internal/executor/clock.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// clockOrigin is how far before the Executor's start its clock begins, so that a backend that started before it has
-// a start above 0. One that started even earlier counts as started long ago.
+// clockOffset is the time on a Clock when it is created. With it, a backend that started up to 24 h before the gateway
+// has a start time above 0. A start time of 0 means that the backend started long ago.
 const clockOffset = 24 * time.Hour
 
-// Clock turns times into the Machine's: durations since clockOrigin before NewClock, by the monotonic clock.
+// Clock converts between system time and the Machine's time, which is the duration since an origin clockOffset before
+// NewClock was called, measured by the monotonic clock.
 type Clock struct{ start time.Time }
 
-// NewClock returns a clock that starts now.
+// NewClock returns a Clock that starts now.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the present on the Machine's clock.
+// Now returns the current time on the Machine's clock.
 func (c Clock) Now() time.Duration { return clockOffset + time.Since(c.start) }
 
-// ToWallTime is the system's time for one of the Machine's.
+// ToWallTime converts a time of the Machine's clock to system time.
 func (c Clock) ToWallTime(d time.Duration) time.Time { return c.start.Add(d - clockOffset) }
 
-// FromWallTime turns a time of the wall clock into the Machine's. The zero time, and all before the clock's origin,
-// is 0: long ago.
+// FromWallTime converts a wall clock time to the Machine's clock. It returns 0, which means long ago, for the zero time
+// and for times before the origin.
 func (c Clock) FromWallTime(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
--- a/internal/executor/contextwatch.go
+++ b/internal/executor/contextwatch.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// contextWatchDelay is how old a request is when its context begins to be watched. Most requests are answered before,
-// and a watch costs about a tenth of what the gateway does for a request. A client that leaves sooner is noticed
-// then, and by SendForbidden.
+// contextWatchDelay is the age of a request at which the watch of its context begins. Most requests are answered
+// earlier and so need no watch, which costs about a tenth of the gateway's work for a request. If a client disconnects
+// earlier, this is detected when the watch begins, or by SendForbidden.
 const contextWatchDelay = 2 * time.Millisecond
 
-// track notes a request whose context is to be watched once it is contextWatchDelay old. The caller holds the lock.
+// trackContext schedules the watch of a request's context for when the request is contextWatchDelay old. The caller
+// holds the lock.
 func (e *Executor) trackContext(request *openRequest) {
 	request.arrivedAt, request.tracked = e.clock.Now(), true
 	if request.prev = e.unwatchedTail; request.prev != nil {
@@ -24,7 +25,7 @@
 	}
 }
 
-// untrack ends what track and watchContexts began. The caller holds the lock.
+// untrackContext ends the watch of a request's context, or cancels its scheduling. The caller holds the lock.
 func (e *Executor) untrackContext(request *openRequest) {
 	switch {
 	case !request.tracked:
@@ -50,7 +51,7 @@
 	request.prev, request.next = nil, nil
 }
 
-// watchContexts begins to watch the context of each request that is old enough. The caller holds the lock.
+// watchContexts starts the watch of the context of each request that is old enough. The caller holds the lock.
 func (e *Executor) watchContexts(now time.Duration) {
 	if e.nextWatchAt == 0 || now < e.nextWatchAt {
 		return
--- a/internal/executor/effects.go
+++ b/internal/executor/effects.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	probeTimeout = time.Second
-	maxProbes    = 64 // in flight; one more ends as not sent
+	probeTimeout        = time.Second
+	maxConcurrentProbes = 64 // further probes end as NotSent
 )
 
-// execute carries out effects in their order. The caller holds the lock.
+// executeEffects carries out effects in order. The caller holds the lock.
 func (e *Executor) executeEffects(effects []lifecycle.Effect) {
 	for i := range effects {
 		e.executeEffect(&effects[i])
@@ -39,16 +39,16 @@
 		e.respond(effect)
 	case lifecycle.ProbeBackend:
 		e.probesInFlight++
-		go e.probe(effect.Backend, e.probesInFlight <= maxProbes)
+		go e.probe(effect.Backend, e.probesInFlight <= maxConcurrentProbes)
 	case lifecycle.AddToCounter:
 		e.addToCounter(effect.CounterAdd)
 	case lifecycle.SyncSources:
 		go e.runSync(effect.SyncID, effect.PausedFor)
-	case lifecycle.Subscribe: // sources send updates unasked; only the simulator acts on it
+	case lifecycle.Subscribe: // sources send updates without being asked; only the simulator uses this effect
 	}
 }
 
-// respond sets a request's result.
+// respond sets the result of a request and wakes up its serving goroutine.
 func (e *Executor) respond(effect *lifecycle.Effect) {
 	request := effect.Tag.(*openRequest)
 	result := &request.result
@@ -61,16 +61,17 @@
 	request.wakeUp()
 }
 
-// startAttempt hands an attempt to the serving goroutine or, if that is not free, to one of its own.
+// startAttempt passes an attempt to the serving goroutine if that may make attempts and is not occupied. Otherwise the
+// attempt gets its own goroutine.
 func (e *Executor) startAttempt(effect *lifecycle.Effect) {
 	request := effect.Tag.(*openRequest)
 	attempt := e.newAttempt(request, effect)
-	for len(request.attempts) < effect.Attempt { // numbers of attempts that the machine did not start
+	for len(request.attempts) < effect.Attempt { // skip the numbers of attempts that the machine did not start
 		request.attempts = append(request.attempts, nil)
 	}
 	request.attempts = append(request.attempts, attempt)
 	request.result.Attempts++
-	if request.inline && !request.attempting && len(request.pending) == 0 {
+	if request.inline && !request.attemptRunning && len(request.pending) == 0 {
 		request.pending = append(request.pending, attempt)
 		request.wakeUp()
 		return
@@ -100,7 +101,7 @@
 	return attempt
 }
 
-// roundTrip makes an attempt, unless it was cancelled before it began.
+// roundTrip makes an attempt, unless it is already cancelled.
 func (e *Executor) roundTrip(attempt *Attempt) Response {
 	if attempt.CancelCause() != nil {
 		return Response{Outcome: lifecycle.Outcome{Result: decision.NotSent}}
@@ -108,11 +109,11 @@
 	return e.transport.RoundTrip(attempt)
 }
 
-// attemptEnded tells the machine of an attempt's end. The caller holds the lock.
+// attemptEnded reports the end of an attempt to the machine. The caller holds the lock.
 func (e *Executor) attemptEnded(attempt *Attempt, response Response) {
 	request := attempt.request
 	if !request.done {
-		request.result.Response = response // respond keeps it if this attempt answers the request
+		request.result.Response = response // respond clears it unless it is the answer to the request
 	}
 	e.executeEffects(e.machine.AttemptEnded(e.clock.Now(), request.id, attempt.number, response.Outcome))
 }
@@ -121,7 +122,7 @@
 	e.handleEvent(func(now time.Duration) []lifecycle.Effect { return e.machine.Disconnect(now, request, request.id) })
 }
 
-// probe asks a backend for its load, if allowed, and tells the machine.
+// probe asks a backend for its load, if allowed, and reports the result to the machine.
 func (e *Executor) probe(id decision.BackendID, allowed bool) {
 	result := decision.ProbeResult{Backend: id, Result: decision.NotSent}
 	if allowed {
@@ -145,7 +146,7 @@
 	e.handleEvent(func(now time.Duration) []lifecycle.Effect { return e.machine.CounterAnswered(now, result) })
 }
 
-// runSync has the sources take in what has arrived, and tells the machine.
+// runSync makes the sources apply the updates that have arrived, and reports this to the machine.
 func (e *Executor) runSync(syncID uint64, pausedFor time.Duration) {
 	if e.syncSources != nil {
 		ctx, cancel := context.WithTimeout(e.ctx, e.deadlines.SyncTimeout)
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -1,13 +1,13 @@
-// Package executor runs a lifecycle.Machine under the system's clock: it lets events in one after another, under
-// one lock, and carries out the effects. Attempts are made by a Transport. Nothing that happens under the lock
-// waits for I/O.
+// Package executor runs a lifecycle.Machine on the system clock: it passes events to the Machine one at a time, under a
+// lock, and carries out the effects. Attempts are made by a Transport. No I/O is done while the lock is held.
 //
-// A request is served by its caller's own goroutine, which also makes its attempts one after another; only an
-// attempt that runs beside another, or a probe, has a goroutine of its own.
+// A request is served by the goroutine of its caller. If the decision engine can cancel attempts, that goroutine also
+// makes the attempts, one after another, and only concurrent attempts get a goroutine of their own; otherwise every
+// attempt does. Probes and syncs always have their own goroutine.
 //
-// executor.go has the requests, effects.go what the Machine asks for, attempt.go what a Transport sees of an attempt,
-// contextwatch.go how it is noticed that a client has gone, transport.go and transportmux.go the Transports, and
-// clock.go the clock.
+// executor.go contains the Executor and the serving of requests, effects.go carries out effects, attempt.go is the
+// Transport's view of an attempt, contextwatch.go detects that clients disconnect, transport.go and transportmux.go
+// define the transports, and clock.go converts times.
 package executor
 
 import (
@@ -20,45 +20,45 @@
 	"pumicecroft/recovery"
 )
 
-// Result is the one final answer to a request.
+// Result is the final answer to a request.
 type Result struct {
 	Verdict    lifecycle.Verdict
-	RetryAfter time.Duration   // of a rejection; 0: no advice
+	RetryAfter time.Duration   // of a rejection; 0: the client is told nothing
 	Reason     decision.Reason // of a rejection
-	// Response is that of a served request, and of a failed one whose last attempt had an error response.
+	// Response is set if the request was served, or failed and the last attempt got an error response.
 	Response Response
-	Attempts int // that were started
+	Attempts int // number of attempts that were started
 }
 
 // openRequest is a request that is being served. Its fields are guarded by Executor.mu.
 type openRequest struct {
-	executor     *Executor
-	id           decision.RequestID
-	payload      any
-	inline       bool      // the serving goroutine makes the attempts
-	attempting   bool      // it is making one
-	waiting      bool      // it waits on wake
-	wake         chan bool // holds one
-	done         bool      // result is set
-	result       Result
-	pending      []*Attempt // for the serving goroutine to make
-	attempts     []*Attempt // all, by their numbers; nil: one that the machine did not start
-	firstAttempt Attempt    // the room of the first attempt, so that most requests allocate none
-	attemptsBuf  [1]*Attempt
-	pendingBuf   [1]*Attempt
+	executor       *Executor
+	id             decision.RequestID
+	payload        any
+	inline         bool      // the serving goroutine makes the attempts
+	attemptRunning bool      // the serving goroutine is making an attempt
+	waiting        bool      // the serving goroutine waits on wake
+	wake           chan bool // buffered, for one value
+	done           bool      // result is final
+	result         Result
+	pending        []*Attempt // attempts for the serving goroutine to make
+	attempts       []*Attempt // by attempt number; nil if the machine did not start that attempt
+	firstAttempt   Attempt    // storage of the first attempt, which saves most requests an allocation
+	attemptsBuf    [1]*Attempt
+	pendingBuf     [1]*Attempt
 
 	ctx        context.Context // the client's
 	arrivedAt  time.Duration
-	tracked    bool         // its ctx is watched, or will be
-	stopWatch  func() bool  // ends the watch; nil: it has not begun
-	prev, next *openRequest // among those whose ctx is not watched yet
+	tracked    bool         // ctx is watched, or its watch is scheduled
+	stopWatch  func() bool  // ends the watch of ctx; nil if it has not begun
+	prev, next *openRequest // neighbours in the list of requests whose ctx is not watched yet
 }
 
-// Executor runs one Machine. It is safe for concurrent use.
+// Executor runs a Machine. It is safe for concurrent use.
 type Executor struct {
 	clock       Clock
 	transport   Transport
-	counter     Counter // nil: each AddToCounter ends as not sent
+	counter     Counter // nil: each AddToCounter ends as NotSent
 	syncSources func(ctx context.Context, pausedFor time.Duration)
 	inline      bool
 	deadlines   recovery.Deadlines
@@ -68,18 +68,18 @@
 	mu             sync.Mutex
 	machine        *lifecycle.Machine
 	timer          *time.Timer
-	timerAt        time.Duration // when timer fires; 0: it is not set
-	idle           chan struct{} // closed once no request is open; nil: nobody waits for that
+	timerAt        time.Duration // when timer fires; 0: not set
+	idle           chan struct{} // closed once no request is open; nil if no Drain is waiting
 	stopped        bool
 	probesInFlight int
 
-	unwatchedHead, unwatchedTail *openRequest  // those whose ctx is not watched yet, the oldest first
-	nextWatchAt                  time.Duration // when the oldest of them is to be; 0: there is none
+	unwatchedHead, unwatchedTail *openRequest  // requests whose ctx is not watched yet, oldest first
+	nextWatchAt                  time.Duration // when the watch of the oldest of them begins; 0: none
 }
 
-// New returns an Executor of a Machine on the same clock. canCancel tells whether the decision engine cancels the
-// attempts of a request that has ended; if not, each attempt has a goroutine of its own, so that none holds back
-// its request's answer.
+// New returns an Executor for a Machine that uses the same clock. canCancel is whether the decision engine cancels the
+// attempts of a request that has ended. If not, each attempt gets its own goroutine, so that an attempt that is still
+// running does not delay the answer to its request.
 func New(clock Clock, machine *lifecycle.Machine, transport Transport, canCancel bool) *Executor {
 	e := &Executor{
 		clock:     clock,
@@ -92,46 +92,46 @@
 	return e
 }
 
-// SetCounter sets the counter that all gateways share. It must be called before anything is served.
+// SetCounter sets the counter that all gateways share. It must be called before the first request.
 func (e *Executor) SetCounter(counter Counter) { e.counter = counter }
 
-// SetSyncSources sets the function that makes all endpoint sources apply what they have received, after the process
-// was paused for so long. The function returns when they have or ctx ends. It must be set before anything is served;
-// unset, nothing is waited for.
+// SetSyncSources sets the function that makes all endpoint sources apply the updates that they have received, after the
+// process was paused for pausedFor. The function returns when they have done so or ctx ends. SetSyncSources must be
+// called before the first request. Without it, a sync completes at once.
 func (e *Executor) SetSyncSources(sync func(ctx context.Context, pausedFor time.Duration)) {
 	e.syncSources = sync
 }
 
-// Clock is the clock of the Executor and its Machine.
+// Clock returns the clock of the Executor and its Machine.
 func (e *Executor) Clock() Clock { return e.clock }
 
-// OpenRequests is how many requests the Machine keeps.
+// OpenRequests returns the number of requests that have no answer yet or still have an attempt in flight.
 func (e *Executor) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.machine.OpenRequests()
 }
 
-// Inspect calls read while nothing else happens, so that it can read what the decisions rest on. read must not
-// block.
+// Inspect calls read with the lock held, so that read can access the state of the Machine and the decision engine. read
+// must not block.
 func (e *Executor) Inspect(read func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	read()
 }
 
-// UpdateEndpoints passes an update of the backends on.
+// UpdateEndpoints passes an endpoint update to the Machine.
 func (e *Executor) UpdateEndpoints(update decision.EndpointUpdate) {
 	e.handleEvent(func(now time.Duration) []lifecycle.Effect { return e.machine.UpdateEndpoints(now, update) })
 }
 
-// Serve submits a request and waits for its final answer, for responseTimeout at the most. When ctx ends first, the
-// request ends as ClientDisconnected, and its attempts are cancelled. The error is that of Machine.Submit.
+// Serve submits a request and waits for its final answer, for at most responseTimeout. If ctx ends first, the request
+// ends as ClientDisconnected and the decision engine may cancel its attempts. An error is one of Machine.Submit.
 func (e *Executor) Serve(ctx context.Context, event decision.Request,
 	responseTimeout time.Duration, payload any) (Result, error) {
 	request := &openRequest{executor: e, id: event.ID, payload: payload, inline: e.inline, ctx: ctx}
 	request.attempts, request.pending = request.attemptsBuf[:0], request.pendingBuf[:0]
-	e.mu.Lock() // unlocked without defer, as it is not held while a transport runs, which may panic
+	e.mu.Lock() // no deferred unlock: a transport, which may panic, runs without the lock
 	effects, err := e.machine.Submit(e.clock.Now(), request, event, responseTimeout)
 	e.executeEffects(effects)
 	if err != nil {
@@ -157,19 +157,20 @@
 	}
 }
 
-// makePending makes the first pending attempt of a request, without the lock, which the caller holds.
+// runPendingAttempt makes the first pending attempt of a request. The caller holds the lock, which is released while
+// the attempt runs.
 func (e *Executor) runPendingAttempt(request *openRequest) {
 	attempt := request.pending[0]
 	request.pending = request.pending[:copy(request.pending, request.pending[1:])]
-	request.attempting = true
+	request.attemptRunning = true
 	e.mu.Unlock()
 	response := e.roundTrip(attempt)
 	e.mu.Lock()
-	request.attempting = false
+	request.attemptRunning = false
 	e.attemptEnded(attempt, response)
 }
 
-// awaitWake waits for wakeUp, without the lock, which the caller holds.
+// waitForWakeUp waits for a call of wakeUp. The caller holds the lock, which is released while waiting.
 func (e *Executor) waitForWakeUp(request *openRequest) {
 	request.waiting = true
 	if request.wake == nil {
@@ -180,7 +181,7 @@
 	e.mu.Lock()
 }
 
-// wakeUp has the serving goroutine look at its request again. The caller holds the lock.
+// wakeUp makes the serving goroutine check its request again. The caller holds the lock.
 func (r *openRequest) wakeUp() {
 	if r.waiting {
 		r.waiting = false
@@ -188,14 +189,15 @@
 	}
 }
 
-// step lets one event in and executes its effects.
+// handleEvent calls event, which passes an event to the machine, and carries out the effects.
 func (e *Executor) handleEvent(event func(now time.Duration) []lifecycle.Effect) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.executeEffects(event(e.clock.Now()))
 }
 
-// armTimer sets the timer for what the machine or the contexts' watch waits for next. The caller holds the lock.
+// armTimer sets the timer to the earlier of the machine's next tick and the next start of a context watch. The caller
+// holds the lock.
 func (e *Executor) armTimer() {
 	at, ok := e.machine.Next()
 	if e.nextWatchAt > 0 && (!ok || e.nextWatchAt < at) {
@@ -226,8 +228,8 @@
 	e.executeEffects(e.machine.Tick(now))
 }
 
-// Drain closes the Machine and waits until no request is open, or ctx ends. It returns how many requests have no
-// answer then.
+// Drain closes the Machine and waits until no request is open or ctx ends. It returns the number of requests that still
+// have no answer.
 func (e *Executor) Drain(ctx context.Context) (unanswered int) {
 	e.mu.Lock()
 	e.machine.Close()
@@ -249,8 +251,8 @@
 	return e.machine.Unanswered()
 }
 
-// Stop answers all requests that have no answer yet as Aborted, and stops the timer. Nothing can be submitted
-// afterwards; attempts that are cancelled end by themselves.
+// Stop answers all unanswered requests as Aborted, cancels all attempts, and stops the timer. Later calls of Serve
+// return an error. Stop does not wait for the cancelled attempts to end.
 func (e *Executor) Stop() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"runtime"
 	"sync"
 	"sync/atomic"
@@ -17,48 +16,50 @@
 
 var classes = []decision.Class{{Name: "c"}, {Name: "pay", Idempotency: decision.IdempotentByKey}}
 
-// fakeTransport makes attempts as the test says.
+// fakeTransport makes attempts and probes by calling functions of the test.
 type fakeTransport struct {
-	roundTrip func(a *Attempt) Response
+	roundTrip func(attempt *Attempt) Response
 	probe     func() decision.ProbeResult
 }
 
-func (c fakeTransport) RoundTrip(a *Attempt) Response { return c.roundTrip(a) }
+func (t fakeTransport) RoundTrip(attempt *Attempt) Response { return t.roundTrip(attempt) }
 
-func (c fakeTransport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
-	if c.probe == nil {
+func (t fakeTransport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
+	if t.probe == nil {
 		return decision.ProbeResult{Backend: id}
 	}
-	return c.probe()
+	return t.probe()
 }
 
-func responseWith(r decision.Result) Response { return Response{Outcome: lifecycle.Outcome{Result: r}} }
+func responseWith(result decision.Result) Response {
+	return Response{Outcome: lifecycle.Outcome{Result: result}}
+}
 
-// waitForCancel waits until the attempt is cancelled.
-func waitForCancel(a *Attempt) Response {
-	off := make(chan bool)
-	if a.OnCancel(func() { close(off) }) == nil {
-		<-off
+// waitForCancel waits until the attempt is cancelled, and returns TimedOut or Cancelled depending on the cause.
+func waitForCancel(attempt *Attempt) Response {
+	cancelled := make(chan bool)
+	if attempt.OnCancel(func() { close(cancelled) }) == nil {
+		<-cancelled
 	}
-	if errors.Is(a.CancelCause(), ErrDeadlineExceeded) {
+	if errors.Is(attempt.CancelCause(), ErrDeadlineExceeded) {
 		return responseWith(decision.TimedOut)
 	}
 	return responseWith(decision.Cancelled)
 }
 
-// scriptedEngine acts as the test says, under the Executor's lock.
-type scriptedEngine func(ev decision.Event) []decision.Action
+// scriptedEngine is a decision engine that calls a function of the test. It runs with the Executor's lock held.
+type scriptedEngine func(event decision.Event) []decision.Action
 
-func (d scriptedEngine) Handle(_ time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
-	return append(as, d(ev)...)
+func (s scriptedEngine) Handle(_ time.Duration, event decision.Event, actions []decision.Action) []decision.Action {
+	return append(actions, s(event)...)
 }
 
-func newTestExecutor(t *testing.T, d scriptedEngine, c fakeTransport, canCancel bool) *Executor {
+func newTestExecutor(t *testing.T, engine scriptedEngine, transport fakeTransport, canCancel bool) *Executor {
 	t.Helper()
 	clock := NewClock()
-	dr := New(clock, lifecycle.New(d, classes, lifecycle.Limits{}, clock.Now()), c, canCancel)
-	t.Cleanup(dr.Stop)
-	return dr
+	executor := New(clock, lifecycle.New(engine, classes, lifecycle.Limits{}, clock.Now()), transport, canCancel)
+	t.Cleanup(executor.Stop)
+	return executor
 }
 
 func newRequest(id int) decision.Request {
@@ -67,9 +68,9 @@
 
 const responseTimeout = 1020 * time.Millisecond
 
-func startOnce(ev decision.Event) []decision.Action {
-	if r, ok := ev.(decision.Request); ok {
-		return []decision.Action{decision.StartAttempt{Request: r.ID, Backend: 1}}
+func startOnce(event decision.Event) []decision.Action {
+	if request, ok := event.(decision.Request); ok {
+		return []decision.Action{decision.StartAttempt{Request: request.ID, Backend: 1}}
 	}
 	return nil
 }
@@ -78,104 +79,112 @@
 	synctest.Test(t, func(t *testing.T) {
 		before := runtime.NumGoroutine()
 		during := 0
-		d := newTestExecutor(t, startOnce, fakeTransport{roundTrip: func(a *Attempt) Response {
+		executor := newTestExecutor(t, startOnce, fakeTransport{roundTrip: func(attempt *Attempt) Response {
 			during = runtime.NumGoroutine()
-			r := responseWith(decision.Succeeded)
-			r.Body = a.Payload
-			return r
+			response := responseWith(decision.Succeeded)
+			response.Body = attempt.Payload
+			return response
 		}}, true)
-		a, err := d.Serve(t.Context(), newRequest(1), responseTimeout, "hello")
-		if err != nil || a.Verdict != lifecycle.Served || a.Response.Body != "hello" || a.Attempts != 1 {
-			t.Errorf("%+v, %v", a, err)
+		result, err := executor.Serve(t.Context(), newRequest(1), responseTimeout, "hello")
+		if err != nil || result.Verdict != lifecycle.Served || result.Response.Body != "hello" || result.Attempts != 1 {
+			t.Errorf("Serve: got %+v, error %v, want Served with body %q after 1 attempt", result, err, "hello")
 		}
 		if during != before {
-			t.Errorf("%d goroutines were started for an attempt", during-before)
+			t.Errorf("got %d goroutines during the attempt, want %d as before", during, before)
 		}
-		if d.OpenRequests() != 0 {
-			t.Error("the request is kept")
+		if executor.OpenRequests() != 0 {
+			t.Errorf("got %d open requests after the answer, want 0", executor.OpenRequests())
 		}
 	})
 }
 
-// A client disconnects, and its context is not watched yet: that begins when a request is some milliseconds old, and an
-// attempt that was held back may be sent right then. It must not be sent all the same.
-func TestDisconnectedClientIsSentNothing(t *testing.T) {
-	for _, which := range []string{"a first attempt", "a further one", "one beside another"} {
-		t.Run(which, func(t *testing.T) {
+// A client disconnects while its context is not watched yet, which starts only contextWatchDelay after the request.
+// SendForbidden must still prevent the attempt from being sent.
+func TestNothingSentForDisconnectedClient(t *testing.T) {
+	for _, name := range []string{"first attempt", "retry", "concurrent attempt"} {
+		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, leave := context.WithCancel(t.Context())
-				var left atomic.Int32
-				d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
+				ctx, disconnect := context.WithCancel(t.Context())
+				var sent atomic.Int32
+				executor := newTestExecutor(t, func(event decision.Event) []decision.Action {
 					send := decision.StartAttempt{Request: 1, Backend: 1}
-					switch ev := ev.(type) {
+					switch event := event.(type) {
 					case decision.Request:
-						switch which {
-						case "a first attempt":
-							leave()
-						case "one beside another":
+						switch name {
+						case "first attempt":
+							disconnect()
+						case "concurrent attempt":
 							return []decision.Action{send, send}
 						}
 						return []decision.Action{send}
 					case decision.Outcome:
-						if which == "a further one" && ev.Attempt == 0 {
+						if name == "retry" && event.Attempt == 0 {
 							return []decision.Action{send}
 						}
 					case decision.ClientDisconnected:
-						return []decision.Action{decision.CancelAttempt{Request: 1}, decision.CancelAttempt{Request: 1, Attempt: 1}}
+						return []decision.Action{
+							decision.CancelAttempt{Request: 1}, decision.CancelAttempt{Request: 1, Attempt: 1},
+						}
 					}
 					return nil
-				}, fakeTransport{roundTrip: func(a *Attempt) Response {
+				}, fakeTransport{roundTrip: func(attempt *Attempt) Response {
 					switch {
-					case a.number == 0 && which == "a further one":
-						leave()
+					case attempt.number == 0 && name == "retry":
+						disconnect()
 						return responseWith(decision.Rejected)
-					case a.number == 0 && which == "one beside another":
-						return waitForCancel(a)
-					case which == "one beside another":
-						leave()
+					case attempt.number == 0 && name == "concurrent attempt":
+						return waitForCancel(attempt)
+					case name == "concurrent attempt":
+						disconnect()
 					}
-					if a.SendForbidden() {
+					if attempt.SendForbidden() {
 						return responseWith(decision.NotSent)
 					}
-					left.Add(1)
+					sent.Add(1)
 					return responseWith(decision.Succeeded)
 				}}, true)
-				a, err := d.Serve(ctx, newRequest(1), responseTimeout, nil)
+				result, err := executor.Serve(ctx, newRequest(1), responseTimeout, nil)
 				synctest.Wait()
-				if err != nil || a.Verdict != lifecycle.ClientDisconnected || left.Load() != 0 || d.OpenRequests() != 0 {
-					t.Errorf("%+v, %v; %d attempts left, %d open", a, err, left.Load(), d.OpenRequests())
+				if err != nil || result.Verdict != lifecycle.ClientDisconnected || sent.Load() != 0 ||
+					executor.OpenRequests() != 0 {
+					t.Errorf("Serve: got %+v, error %v, %d attempts sent, %d open requests, "+
+						"want ClientDisconnected (%d) with none sent or open",
+						result, err, sent.Load(), executor.OpenRequests(), lifecycle.ClientDisconnected)
 				}
 			})
 		})
 	}
 }
 
-// A transport that does not return must not delay an answer, whether the serving goroutine makes the attempt or another.
+// An attempt that waits for its backend must not delay the answer that the engine has decided, whether the serving
+// goroutine makes the attempt (canCancel) or another one.
 func TestResponseDoesNotWaitForTransport(t *testing.T) {
 	for _, canCancel := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
-				switch ev := ev.(type) {
+			executor := newTestExecutor(t, func(event decision.Event) []decision.Action {
+				switch event := event.(type) {
 				case decision.Request:
-					return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 1},
-						decision.SetTimer{After: 300 * time.Millisecond, Token: 1, Request: ev.ID}}
+					return []decision.Action{decision.StartAttempt{Request: event.ID, Backend: 1},
+						decision.SetTimer{After: 300 * time.Millisecond, Token: 1, Request: event.ID}}
 				case decision.Timer:
-					as := []decision.Action{decision.Reject{Request: 1, RetryAfter: time.Second}}
+					actions := []decision.Action{decision.Reject{Request: 1, RetryAfter: time.Second}}
 					if canCancel {
-						as = append(as, decision.CancelAttempt{Request: 1})
+						actions = append(actions, decision.CancelAttempt{Request: 1})
 					}
-					return as
+					return actions
 				}
 				return nil
 			}, fakeTransport{roundTrip: waitForCancel}, canCancel)
-			begun := time.Now()
-			a, err := d.Serve(t.Context(), newRequest(1), responseTimeout, nil)
-			if took := time.Since(begun); err != nil || a.Verdict != lifecycle.Rejected || a.RetryAfter != time.Second || took != 300*time.Millisecond {
-				t.Errorf("cancel %v: %+v, %v after %v", canCancel, a, err, took)
+			start := time.Now()
+			result, err := executor.Serve(t.Context(), newRequest(1), responseTimeout, nil)
+			if took := time.Since(start); err != nil || result.Verdict != lifecycle.Rejected ||
+				result.RetryAfter != time.Second || took != 300*time.Millisecond {
+				t.Errorf("canCancel %v: Serve: got %+v, error %v after %v, want Rejected (%d) with RetryAfter 1s after 300ms",
+					canCancel, result, err, took, lifecycle.Rejected)
 			}
 			time.Sleep(time.Second)
-			if d.OpenRequests() != 0 {
-				t.Errorf("cancel %v: an attempt outlives its time", canCancel)
+			if executor.OpenRequests() != 0 {
+				t.Errorf("canCancel %v: got %d open requests after the deadline, want 0", canCancel, executor.OpenRequests())
 			}
 		})
 	}
@@ -183,233 +192,250 @@
 
 func TestUnansweredRequestEndsAtResponseDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestExecutor(t, func(decision.Event) []decision.Action { return nil }, fakeTransport{roundTrip: waitForCancel}, true)
-		begun := time.Now()
-		a, err := d.Serve(t.Context(), newRequest(1), responseTimeout, nil)
-		if took := time.Since(begun); err != nil || a.Verdict != lifecycle.DeadlineExceeded || took != responseTimeout {
-			t.Errorf("%+v, %v after %v", a, err, took)
+		executor := newTestExecutor(t, func(decision.Event) []decision.Action { return nil },
+			fakeTransport{roundTrip: waitForCancel}, true)
+		start := time.Now()
+		result, err := executor.Serve(t.Context(), newRequest(1), responseTimeout, nil)
+		if took := time.Since(start); err != nil || result.Verdict != lifecycle.DeadlineExceeded || took != responseTimeout {
+			t.Errorf("Serve: got %+v, error %v after %v, want DeadlineExceeded (%d) after %v",
+				result, err, took, lifecycle.DeadlineExceeded, responseTimeout)
 		}
 	})
 }
 
-// The attempt of a caller that leaves is cancelled at once, and nothing of its request is left.
+// When the context of a caller ends, its attempt is cancelled immediately and no state of the request is left.
 func TestClientDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
-			if _, ok := ev.(decision.ClientDisconnected); ok {
+		executor := newTestExecutor(t, func(event decision.Event) []decision.Action {
+			if _, ok := event.(decision.ClientDisconnected); ok {
 				return []decision.Action{decision.CancelAttempt{Request: 1}}
 			}
-			return startOnce(ev)
+			return startOnce(event)
 		}, fakeTransport{roundTrip: waitForCancel}, true)
-		ctx, leave := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		defer leave()
-		begun := time.Now()
-		a, err := d.Serve(ctx, newRequest(1), responseTimeout, nil)
-		if took := time.Since(begun); err != nil || a.Verdict != lifecycle.ClientDisconnected || took != 100*time.Millisecond || d.OpenRequests() != 0 {
-			t.Errorf("%+v, %v after %v, %d open", a, err, took, d.OpenRequests())
+		ctx, disconnect := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		defer disconnect()
+		start := time.Now()
+		result, err := executor.Serve(ctx, newRequest(1), responseTimeout, nil)
+		if took := time.Since(start); err != nil || result.Verdict != lifecycle.ClientDisconnected ||
+			took != 100*time.Millisecond || executor.OpenRequests() != 0 {
+			t.Errorf("Serve: got %+v, error %v after %v with %d open requests, "+
+				"want ClientDisconnected (%d) after 100ms with none",
+				result, err, took, executor.OpenRequests(), lifecycle.ClientDisconnected)
 		}
 	})
 }
 
-// A context ends between the decision and the send: nothing is sent.
+// If the context ends between the decision and the send, nothing must be sent.
 func TestClientDisconnect_BetweenDecisionAndSend(t *testing.T) {
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	sent := 0
 	var outcome decision.Outcome
-	d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
-		switch ev := ev.(type) {
+	executor := newTestExecutor(t, func(event decision.Event) []decision.Action {
+		switch event := event.(type) {
 		case decision.Request:
-			leave() // the decision is made, and nothing carried out yet
+			disconnect() // the attempt is decided but not started yet
 			return []decision.Action{decision.StartAttempt{Request: 1, Backend: 1}, decision.CancelAttempt{Request: 1}}
 		case decision.Outcome:
-			outcome = ev
+			outcome = event
 		}
 		return nil
 	}, fakeTransport{roundTrip: func(*Attempt) Response { sent++; return responseWith(decision.Succeeded) }}, true)
-	a, err := d.Serve(ctx, newRequest(1), responseTimeout, nil)
-	if err != nil || a.Verdict != lifecycle.ClientDisconnected || sent != 0 || outcome.Result != decision.NotSent {
-		t.Errorf("%+v, %v; %d sent, the outcome %+v", a, err, sent, outcome)
+	result, err := executor.Serve(ctx, newRequest(1), responseTimeout, nil)
+	if err != nil || result.Verdict != lifecycle.ClientDisconnected || sent != 0 || outcome.Result != decision.NotSent {
+		t.Errorf("Serve: got %+v, error %v, %d attempts sent, outcome %+v, "+
+			"want ClientDisconnected (%d), none sent, result NotSent (%d)",
+			result, err, sent, outcome, lifecycle.ClientDisconnected, decision.NotSent)
 	}
 }
 
-// A second attempt beside the first has a goroutine of its own; the first success is served, once.
+// A second concurrent attempt runs on its own goroutine, and the first success is served.
 func TestHedgedAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
-			switch ev := ev.(type) {
+		executor := newTestExecutor(t, func(event decision.Event) []decision.Action {
+			switch event := event.(type) {
 			case decision.Request:
-				return []decision.Action{decision.StartAttempt{Request: 1, Backend: 1}, decision.StartAttempt{Request: 1, Backend: 2}}
+				return []decision.Action{
+					decision.StartAttempt{Request: 1, Backend: 1}, decision.StartAttempt{Request: 1, Backend: 2},
+				}
 			case decision.Outcome:
-				if ev.Result == decision.Succeeded {
-					return []decision.Action{decision.CancelAttempt{Request: 1, Attempt: 1 - ev.Attempt}}
+				if event.Result == decision.Succeeded {
+					return []decision.Action{decision.CancelAttempt{Request: 1, Attempt: 1 - event.Attempt}}
 				}
 			}
 			return nil
-		}, fakeTransport{roundTrip: func(a *Attempt) Response {
-			if a.Backend == 1 {
-				return waitForCancel(a)
+		}, fakeTransport{roundTrip: func(attempt *Attempt) Response {
+			if attempt.Backend == 1 {
+				return waitForCancel(attempt)
 			}
 			time.Sleep(50 * time.Millisecond)
-			r := responseWith(decision.Succeeded)
-			r.Body = "two"
-			return r
+			response := responseWith(decision.Succeeded)
+			response.Body = "two"
+			return response
 		}}, true)
-		a, err := d.Serve(t.Context(), newRequest(1), responseTimeout, nil)
-		if err != nil || a.Verdict != lifecycle.Served || a.Response.Body != "two" || a.Attempts != 2 {
-			t.Errorf("%+v, %v", a, err)
+		result, err := executor.Serve(t.Context(), newRequest(1), responseTimeout, nil)
+		if err != nil || result.Verdict != lifecycle.Served || result.Response.Body != "two" || result.Attempts != 2 {
+			t.Errorf("Serve: got %+v, error %v, want Served with body %q after 2 attempts", result, err, "two")
 		}
 		synctest.Wait()
-		if d.OpenRequests() != 0 {
-			t.Error("an attempt is left")
+		if executor.OpenRequests() != 0 {
+			t.Errorf("got %d open requests after the answer, want 0", executor.OpenRequests())
 		}
 	})
 }
 
 func TestDrainAndStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
-			if _, ok := ev.(decision.ClientDisconnected); ok {
+		executor := newTestExecutor(t, func(event decision.Event) []decision.Action {
+			if _, ok := event.(decision.ClientDisconnected); ok {
 				return []decision.Action{decision.CancelAttempt{Request: 1}}
 			}
-			return startOnce(ev)
+			return startOnce(event)
 		}, fakeTransport{roundTrip: waitForCancel}, true)
-		if owed := d.Drain(t.Context()); owed != 0 {
-			t.Errorf("%d owed of none", owed)
+		if unanswered := executor.Drain(t.Context()); unanswered != 0 {
+			t.Errorf("Drain without requests: got %d unanswered, want 0", unanswered)
 		}
-		d = newTestExecutor(t, startOnce, fakeTransport{roundTrip: waitForCancel}, true)
+		executor = newTestExecutor(t, startOnce, fakeTransport{roundTrip: waitForCancel}, true)
 		got := make(chan Result, 1)
 		go func() {
-			a, _ := d.Serve(t.Context(), newRequest(1), responseTimeout, nil)
-			got <- a
+			result, _ := executor.Serve(t.Context(), newRequest(1), responseTimeout, nil)
+			got <- result
 		}()
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		if owed := d.Drain(ctx); owed != 1 {
-			t.Errorf("%d owed, want the one that hangs", owed)
+		if unanswered := executor.Drain(ctx); unanswered != 1 {
+			t.Errorf("Drain with a request that does not end: got %d unanswered, want 1", unanswered)
 		}
-		if _, err := d.Serve(t.Context(), newRequest(2), responseTimeout, nil); !errors.Is(err, lifecycle.ErrClosed) {
-			t.Errorf("while draining: %v", err)
+		if _, err := executor.Serve(t.Context(), newRequest(2), responseTimeout, nil); !errors.Is(err, lifecycle.ErrClosed) {
+			t.Errorf("Serve after Drain: got error %v, want %v", err, lifecycle.ErrClosed)
 		}
-		d.Stop()
-		if a := <-got; a.Verdict != lifecycle.Aborted {
-			t.Errorf("%+v", a)
+		executor.Stop()
+		if result := <-got; result.Verdict != lifecycle.Aborted {
+			t.Errorf("Serve after Stop: got %+v, want Aborted (%d)", result, lifecycle.Aborted)
 		}
 		synctest.Wait()
-		if d.OpenRequests() != 0 {
-			t.Error("something is left")
+		if executor.OpenRequests() != 0 {
+			t.Errorf("got %d open requests after Stop, want 0", executor.OpenRequests())
 		}
 	})
 }
 
-func TestProbesAreBounded(t *testing.T) {
+func TestConcurrentProbesAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var out, most, ended atomic.Int64
-		refused := 0
-		d := newTestExecutor(t, func(ev decision.Event) []decision.Action {
-			switch ev := ev.(type) {
+		var inFlight, maxInFlight, ended atomic.Int64
+		notSent := 0
+		executor := newTestExecutor(t, func(event decision.Event) []decision.Action {
+			switch event := event.(type) {
 			case decision.EndpointUpdate:
-				var as []decision.Action
-				for range 2 * maxProbes {
-					as = append(as, decision.Probe{Backend: 1})
+				var actions []decision.Action
+				for range 2 * maxConcurrentProbes {
+					actions = append(actions, decision.Probe{Backend: 1})
 				}
-				return as
+				return actions
 			case decision.ProbeResult:
 				ended.Add(1)
-				if ev.Result == decision.NotSent {
-					refused++
+				if event.Result == decision.NotSent {
+					notSent++
 				}
 			}
 			return nil
 		}, fakeTransport{probe: func() decision.ProbeResult {
-			most.Store(max(most.Load(), out.Add(1)))
+			maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
 			time.Sleep(time.Second)
-			out.Add(-1)
+			inFlight.Add(-1)
 			return decision.ProbeResult{Backend: 1}
 		}}, true)
-		d.UpdateEndpoints(decision.EndpointUpdate{})
+		executor.UpdateEndpoints(decision.EndpointUpdate{})
 		time.Sleep(2 * time.Second)
-		if most.Load() > maxProbes || ended.Load() != 2*maxProbes || refused != maxProbes {
-			t.Errorf("%d probes at once, %d ended, %d not sent", most.Load(), ended.Load(), refused)
+		if maxInFlight.Load() > maxConcurrentProbes || ended.Load() != 2*maxConcurrentProbes ||
+			notSent != maxConcurrentProbes {
+			t.Errorf("got %d concurrent probes, %d ended, %d not sent, want at most %d, %d, %d", maxInFlight.Load(),
+				ended.Load(), notSent, maxConcurrentProbes, 2*maxConcurrentProbes, maxConcurrentProbes)
 		}
 	})
 }
 
-// Many callers at once, with everything that can happen to a request: each gets one answer, and nothing is left.
+// Concurrent callers with successes, failures, timeouts and disconnects: each Serve returns an answer, and no state is
+// left afterwards.
 func TestConcurrentCallers(t *testing.T) {
 	clock := NewClock()
-	set := decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: true, Plans: []decision.Plan{{Name: "p"}},
-		Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}}}
-	g, err := decision.New(set, 1, clock.Now())
+	settings := decision.Settings{GatewayCount: 1, MaxAttempts: 3, CanCancel: true, Plans: []decision.Plan{{Name: "p"}},
+		Classes: []decision.Class{
+			{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
+		}}
+	engine, err := decision.New(settings, 1, clock.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var n atomic.Int64
-	d := New(clock, lifecycle.New(g, set.Classes, lifecycle.Limits{}, clock.Now()), fakeTransport{roundTrip: func(a *Attempt) Response {
-		if a.Payload == true { // its caller leaves
-			return waitForCancel(a)
+	var attempts atomic.Int64
+	machine := lifecycle.New(engine, settings.Classes, lifecycle.Limits{}, clock.Now())
+	executor := New(clock, machine, fakeTransport{roundTrip: func(attempt *Attempt) Response {
+		if attempt.Payload == true { // the caller disconnects
+			return waitForCancel(attempt)
 		}
-		switch n.Add(1) % 7 {
+		switch attempts.Add(1) % 7 {
 		case 0:
 			return responseWith(decision.Rejected)
 		case 1:
 			return responseWith(decision.ConnectionLost)
 		case 2:
-			return waitForCancel(a)
+			return waitForCancel(attempt)
 		case 3:
 			time.Sleep(time.Millisecond)
 		}
 		return responseWith(decision.Succeeded)
 	}}, true)
-	defer d.Stop()
-	list := decision.EndpointUpdate{Kind: decision.UpdateFull}
+	defer executor.Stop()
+	update := decision.EndpointUpdate{Kind: decision.UpdateFull}
 	for i := range 5 {
-		list.Endpoints = append(list.Endpoints, decision.Endpoint{ID: decision.BackendID(i + 1)})
+		update.Endpoints = append(update.Endpoints, decision.Endpoint{ID: decision.BackendID(i + 1)})
 	}
-	d.UpdateEndpoints(list)
+	executor.UpdateEndpoints(update)
 	var callers sync.WaitGroup
 	verdicts := make([]atomic.Int64, lifecycle.Aborted+1)
-	for c := range 16 {
+	for caller := range 16 {
 		callers.Go(func() {
 			for i := range 50 {
 				ctx, cancel := context.WithCancel(t.Context())
-				leaves := (c+i)%5 == 0
-				if leaves {
+				disconnects := (caller+i)%5 == 0
+				if disconnects {
 					time.AfterFunc(time.Millisecond, cancel)
 				}
-				req := decision.Request{ID: decision.RequestID(c*1000 + i), Customer: decision.CustomerID(c), Class: "c", Plan: "p",
-					Cost: 1, Timeout: 60 * time.Millisecond, GatewaySpread: 1}
-				a, err := d.Serve(ctx, req, 80*time.Millisecond, leaves)
+				request := decision.Request{ID: decision.RequestID(caller*1000 + i), Customer: decision.CustomerID(caller),
+					Class: "c", Plan: "p", Cost: 1, Timeout: 60 * time.Millisecond, GatewaySpread: 1}
+				result, err := executor.Serve(ctx, request, 80*time.Millisecond, disconnects)
 				if err != nil {
 					t.Error(err)
 				}
-				verdicts[a.Verdict].Add(1)
+				verdicts[result.Verdict].Add(1)
 				cancel()
 			}
 		})
 	}
 	callers.Wait()
-	if owed := d.Drain(t.Context()); owed != 0 || d.OpenRequests() != 0 {
-		t.Errorf("%d owed, %d open", owed, d.OpenRequests())
+	if unanswered := executor.Drain(t.Context()); unanswered != 0 || executor.OpenRequests() != 0 {
+		t.Errorf("Drain: got %d unanswered, %d open requests, want none", unanswered, executor.OpenRequests())
 	}
 	if verdicts[lifecycle.Served].Load() == 0 || verdicts[lifecycle.ClientDisconnected].Load() == 0 {
-		t.Errorf("verdicts %v", fmt.Sprint(verdicts[lifecycle.Served].Load(), verdicts[lifecycle.ClientDisconnected].Load()))
+		t.Errorf("got %d verdicts Served and %d ClientDisconnected, want at least 1 each",
+			verdicts[lifecycle.Served].Load(), verdicts[lifecycle.ClientDisconnected].Load())
 	}
 }
 
 func TestClock(t *testing.T) {
-	c := NewClock()
+	clock := NewClock()
 	now := time.Now()
-	if got := c.FromWallTime(now.Add(-time.Hour)); got < c.Now()-time.Hour-time.Second || got > c.Now()-time.Hour+time.Second {
-		t.Errorf("an hour ago is %v, and now is %v", got, c.Now())
+	if got := clock.FromWallTime(now.Add(-time.Hour)); got < clock.Now()-time.Hour-time.Second ||
+		got > clock.Now()-time.Hour+time.Second {
+		t.Errorf("FromWallTime(an hour ago): got %v, want %v ± 1s", got, clock.Now()-time.Hour)
 	}
-	if got := c.FromWallTime(time.Time{}); got != 0 {
-		t.Errorf("long ago is %v", got)
+	if got := clock.FromWallTime(time.Time{}); got != 0 {
+		t.Errorf("FromWallTime(zero time): got %v, want 0", got)
 	}
-	if got := c.FromWallTime(now.Add(-48 * time.Hour)); got != 0 {
-		t.Errorf("before the origin is %v", got)
+	if got := clock.FromWallTime(now.Add(-48 * time.Hour)); got != 0 {
+		t.Errorf("FromWallTime(before the origin): got %v, want 0", got)
 	}
-	if at := c.ToWallTime(c.Now()); time.Until(at).Abs() > time.Second {
-		t.Errorf("now is %v", at)
+	if at := clock.ToWallTime(clock.Now()); time.Until(at).Abs() > time.Second {
+		t.Errorf("ToWallTime(Now()): got %v, want %v ± 1s", at, time.Now())
 	}
 }
--- a/internal/executor/transport.go
+++ b/internal/executor/transport.go
@@ -8,38 +8,39 @@
 	"pumicecroft/membership"
 )
 
-// Response is how an attempt ended and, if there was a response, with what.
+// Response is the outcome of an attempt and the backend's response, if there was one.
 type Response struct {
 	lifecycle.Outcome
-	Body any // of the Transport's own type; it goes to the caller of Serve untouched
+	Body any // of a type defined by the Transport; passed to the caller of Serve unchanged
 }
 
-// Transport makes attempts. Both methods are called without a lock held, by many goroutines at once, and may block.
+// Transport makes attempts. Its methods are called concurrently, without a lock held, and may block.
 type Transport interface {
-	// RoundTrip makes one attempt and returns when it has ended; it never makes it twice. It must return soon once
-	// the attempt is cancelled.
+	// RoundTrip makes one attempt, without retries, and returns when it has ended. It must return promptly when the
+	// attempt is cancelled.
 	RoundTrip(attempt *Attempt) Response
-	// Probe asks a backend for its load, for timeout at the most.
+	// Probe asks a backend for its load and waits for at most timeout.
 	Probe(id decision.BackendID, timeout time.Duration) decision.ProbeResult
 }
 
-// BackendTransport is a Transport that is told which backends it is to reach.
+// BackendTransport is a Transport that is configured with the backends that it can reach.
 type BackendTransport interface {
 	Transport
-	// Apply takes in changes; they hold for every attempt that begins after it returns. It must not block.
+	// Apply applies changes to the set of backends. They are in effect for every attempt that starts after Apply has
+	// returned. It must not block.
 	Apply(changes []membership.Change)
-	// Close closes all connections. Attempts in flight end by themselves.
+	// Close closes all connections. It does not wait for attempts in flight to end.
 	Close()
 }
 
-// Payload is what an attempt carries.
+// Payload is the content of an attempt.
 type Payload interface {
-	// Protocol is the name of the protocol that it is sent over.
+	// Protocol returns the name of the protocol over which the payload is sent.
 	Protocol() string
 }
 
-// Counter is a set of numbers that all gateways share. Add must not block: it calls done once, from a goroutine of
-// its own, when the call was answered or its time is up.
+// Counter is a set of numbers that all gateways share. Add must not block. It calls done exactly once, from another
+// goroutine, when the call is answered or has timed out.
 type Counter interface {
 	Add(call decision.CounterAdd, done func(decision.CounterResult))
 }
--- a/internal/executor/transportmux.go
+++ b/internal/executor/transportmux.go
@@ -9,23 +9,23 @@
 	"pumicecroft/membership"
 )
 
-// TransportMux is a BackendTransport over several protocols: an attempt goes to the one that its payload names,
-// which must be a Payload. It is safe for concurrent use.
+// TransportMux is a BackendTransport that combines the transports of several protocols. It passes an attempt to the
+// transport of the payload's protocol; each payload must be a Payload. It is safe for concurrent use.
 type TransportMux struct {
-	transports map[string]BackendTransport // by protocol; fixed
+	transports map[string]BackendTransport // by protocol; never modified
 
 	mu        sync.Mutex
-	protocols map[decision.BackendID]string // of backends that are not removed
+	protocols map[decision.BackendID]string // excludes removed backends
 }
 
 var _ BackendTransport = (*TransportMux)(nil)
 
-// NewTransportMux returns a TransportMux of transports by the names of their protocols.
+// NewTransportMux returns a TransportMux for the given transports, keyed by protocol name.
 func NewTransportMux(transports map[string]BackendTransport) *TransportMux {
 	return &TransportMux{transports: transports, protocols: map[decision.BackendID]string{}}
 }
 
-// RoundTrip makes an attempt. One over a protocol without a transport ends as not sent.
+// RoundTrip makes an attempt. If the protocol has no transport, the attempt ends as NotSent.
 func (m *TransportMux) RoundTrip(attempt *Attempt) Response {
 	if transport := m.transports[attempt.Payload.(Payload).Protocol()]; transport != nil {
 		return transport.RoundTrip(attempt)
@@ -33,7 +33,8 @@
 	return Response{Outcome: lifecycle.Outcome{Result: decision.NotSent}}
 }
 
-// Probe asks a backend over its own protocol.
+// Probe asks a backend for its load over the backend's protocol. If that is unknown or has no transport, the probe ends
+// as NotSent.
 func (m *TransportMux) Probe(id decision.BackendID, timeout time.Duration) decision.ProbeResult {
 	m.mu.Lock()
 	transport := m.transports[m.protocols[id]]
@@ -44,8 +45,8 @@
 	return transport.Probe(id, timeout)
 }
 
-// Apply passes each transport the changes of its backends. A backend that changes its protocol is removed from the
-// transport that had it.
+// Apply passes to each transport the changes of its backends. A backend whose protocol has changed is removed from its
+// previous transport.
 func (m *TransportMux) Apply(changes []membership.Change) {
 	parts := map[string][]membership.Change{}
 	m.mu.Lock()
--- a/internal/executor/transportmux_test.go
+++ b/internal/executor/transportmux_test.go
@@ -10,75 +10,81 @@
 	"pumicecroft/membership"
 )
 
-// recordingTransport records what one protocol's transport is told.
+// recordingTransport records the calls to the transport of one protocol.
 type recordingTransport struct {
 	name  string
 	calls *[]string
 }
 
-func (s recordingTransport) RoundTrip(*Attempt) Response {
-	*s.calls = append(*s.calls, s.name+" carries")
+func (t recordingTransport) RoundTrip(*Attempt) Response {
+	*t.calls = append(*t.calls, t.name+": RoundTrip")
 	return responseWith(decision.Succeeded)
 }
 
-func (s recordingTransport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
-	*s.calls = append(*s.calls, fmt.Sprintf("%s probes %d", s.name, id))
+func (t recordingTransport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
+	*t.calls = append(*t.calls, fmt.Sprintf("%s: Probe %d", t.name, id))
 	return decision.ProbeResult{Backend: id}
 }
 
-func (s recordingTransport) Apply(cs []membership.Change) {
-	for _, c := range cs {
-		*s.calls = append(*s.calls, fmt.Sprintf("%s: %d is in state %d", s.name, c.ID, c.State))
+func (t recordingTransport) Apply(changes []membership.Change) {
+	for _, change := range changes {
+		*t.calls = append(*t.calls, fmt.Sprintf("%s: Apply %d state %d", t.name, change.ID, change.State))
 	}
 }
 
-func (s recordingTransport) Close() { *s.calls = append(*s.calls, s.name+" closes") }
+func (t recordingTransport) Close() { *t.calls = append(*t.calls, t.name+": Close") }
 
 type payloadFor string
 
-func (l payloadFor) Protocol() string { return string(l) }
+func (p payloadFor) Protocol() string { return string(p) }
 
-// Attempts, probes and changes go to the protocol's transport, and a backend that changes its protocol is removed from
-// the first one.
+// Attempts, probes and changes must go to the transport of the protocol, and a backend that changes its protocol must
+// be removed from the previous transport.
 func TestTransportMux(t *testing.T) {
-	var told []string
-	m := NewTransportMux(map[string]BackendTransport{"a": recordingTransport{"a", &told}, "b": recordingTransport{"b", &told}})
-	step := func(want string, do func()) {
+	var calls []string
+	mux := NewTransportMux(map[string]BackendTransport{
+		"a": recordingTransport{"a", &calls},
+		"b": recordingTransport{"b", &calls},
+	})
+	wantCalls := func(want string, act func()) {
 		t.Helper()
-		told = nil
-		do()
-		if got := strings.Join(told, "; "); got != want {
-			t.Errorf("%q, want %q", got, want)
+		calls = nil
+		act()
+		if got := strings.Join(calls, "; "); got != want {
+			t.Errorf("got calls %q, want %q", got, want)
 		}
 	}
 	change := func(id decision.BackendID, protocol string, state decision.BackendState) func() {
 		return func() {
-			m.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: id, Protocol: protocol, State: state}}})
+			mux.Apply([]membership.Change{{Endpoint: decision.Endpoint{ID: id, Protocol: protocol, State: state}}})
 		}
 	}
-	step("a: 1 is in state 0", change(1, "a", decision.Ready))
-	step("b: 2 is in state 0", change(2, "b", decision.Ready))
-	step("b probes 2", func() { m.Probe(2, time.Second) })
-	step("a carries", func() { m.RoundTrip(NewAttempt(1, time.Now(), payloadFor("a"))) })
-	step("b carries", func() { m.RoundTrip(NewAttempt(2, time.Now(), payloadFor("b"))) })
-	step("", func() {
-		if r := m.RoundTrip(NewAttempt(2, time.Now(), payloadFor("c"))); r.Result != decision.NotSent {
-			t.Errorf("an attempt over a protocol that nobody speaks: %v", r.Result)
+	wantCalls("a: Apply 1 state 0", change(1, "a", decision.Ready))
+	wantCalls("b: Apply 2 state 0", change(2, "b", decision.Ready))
+	wantCalls("b: Probe 2", func() { mux.Probe(2, time.Second) })
+	wantCalls("a: RoundTrip", func() { mux.RoundTrip(NewAttempt(1, time.Now(), payloadFor("a"))) })
+	wantCalls("b: RoundTrip", func() { mux.RoundTrip(NewAttempt(2, time.Now(), payloadFor("b"))) })
+	wantCalls("", func() {
+		if response := mux.RoundTrip(NewAttempt(2, time.Now(), payloadFor("c"))); response.Result != decision.NotSent {
+			t.Errorf("attempt over a protocol without a transport: got result %v, want NotSent (%v)",
+				response.Result, decision.NotSent)
 		}
-		if p := m.Probe(3, time.Second); p.Result != decision.NotSent {
-			t.Errorf("a probe of a backend that is not known: %v", p.Result)
+		if probe := mux.Probe(3, time.Second); probe.Result != decision.NotSent {
+			t.Errorf("probe of an unknown backend: got result %v, want NotSent (%v)", probe.Result, decision.NotSent)
 		}
 	})
-	step("", change(3, "c", decision.Ready))
-	told = nil
+	wantCalls("", change(3, "c", decision.Ready))
+	calls = nil
 	change(1, "b", decision.Ready)()
-	if got := strings.Join(told, "; "); got != "a: 1 is in state 2; b: 1 is in state 0" && got != "b: 1 is in state 0; a: 1 is in state 2" {
-		t.Errorf("a backend that goes over to another protocol: %q", got)
+	if got := strings.Join(calls, "; "); got != "a: Apply 1 state 2; b: Apply 1 state 0" &&
+		got != "b: Apply 1 state 0; a: Apply 1 state 2" {
+		t.Errorf("backend changes its protocol from a to b: got calls %q, "+
+			"want its removal (state 2) from a and its addition (state 0) to b", got)
 	}
 	change(1, "b", decision.Removed)()
 	change(2, "b", decision.Removed)()
 	change(3, "c", decision.Removed)()
-	if len(m.protocols) != 0 {
-		t.Errorf("%v is kept of backends that are gone", m.protocols)
+	if len(mux.protocols) != 0 {
+		t.Errorf("got protocols %v after all backends are removed, want none", mux.protocols)
 	}
 }
