--- a/internal/lifecycle/effects.go
+++ b/internal/lifecycle/effects.go
@@ -52,7 +52,7 @@
 	Attempt    int                 // StartAttempt, CancelAttempt, and Respond with Served; counted from 0
 	Backend    decision.BackendID  // StartAttempt, CancelAttempt and ProbeBackend
 	Deadline   time.Duration       // StartAttempt
-	DecidedAt  time.Duration       // StartAttempt
+	DecidedAt  time.Duration       // StartAttempt: when the engine decided to start it
 	NotAfter   time.Duration       // StartAttempt: the latest time at which it may be sent; 0: no limit
 	TimedOut   bool                // CancelAttempt: the attempt reached its deadline
 	Verdict    Verdict             // Respond
--- a/internal/lifecycle/property_test.go
+++ b/internal/lifecycle/property_test.go
@@ -27,7 +27,7 @@
 // decision.Engine. They check that each submitted request gets exactly one Respond, that the engine gets exactly one
 // outcome for each StartAttempt and no other outcomes, and that no state is left once everything has ended.
 
-// requestRecord is what the test has seen of one request. Its slices are indexed by attempt number.
+// requestRecord is what the test has seen of one request.
 type requestRecord struct {
 	responses         int    // number of Respond effects
 	inFlight          []bool // by attempt number
