--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -46,8 +46,8 @@
 	return h
 }
 
-// describeEffects returns effects as text, such as "start 1/0 at 7 by 2s; respond 1 served by 0". Attempt 0 of request 1
-// is written as 1/0, and deadlines are relative to the start of the test.
+// describeEffects returns effects as text, such as "start 1/0 at 7 by 2s; respond 1 served by 0". Attempt 0 of request
+// 1 is written as 1/0, and deadlines are relative to the start of the test.
 func describeEffects(effects []Effect) string {
 	var lines []string
 	for _, effect := range effects {
