--- a/internal/endpointindex/group.go
+++ b/internal/endpointindex/group.go
@@ -7,24 +7,24 @@
 	"github.com/tidwall/btree"
 )
 
-// Group is a part of an Index's members. Only those that are ready are in its order and count as
-// warming.
+// Group is a subset of an Index's members. Only ready members are ordered and counted as warming.
 type Group[T any] struct {
 	index *Index[T]
 	size  int
 	ready *btree.BTreeG[orderedEntry[T]]
 
-	// Start times of the warming members, as of epoch: those after epochAt are upcoming.
+	// Start times of the warming members, as of epoch. Those after epochAt are in upcoming, the others
+	// in started.
 	upcoming startTimes
 	started  startTimes
 	epoch    uint64
 	epochAt  time.Duration
-	// What Warming returns for that epoch.
+	// The results of Warming for epoch.
 	warming    int
 	warmingAge time.Duration
 }
 
-// orderedEntry has the rank beside the pointer, so that a search reads few other lines of memory.
+// orderedEntry stores the rank next to the pointer, so that a search has few cache misses.
 type orderedEntry[T any] struct {
 	rank  uint64
 	entry *Entry[T]
@@ -34,23 +34,22 @@
 	return a.rank < b.rank || a.rank == b.rank && a.entry.TieBreaker < b.entry.TieBreaker
 }
 
-// Len returns how many members are in the group, ready or not.
+// Len returns the number of members in the group, ready or not.
 func (g *Group[T]) Len() int { return g.size }
 
-// ReadyLen returns how many members of the group are ready.
+// ReadyLen returns the number of ready members in the group.
 func (g *Group[T]) ReadyLen() int { return g.ready.Len() }
 
-// Ready iterates over the ready members in their order. No member may be put or removed meanwhile.
+// Ready iterates over the ready members in order. The group must not be changed during the iteration.
 func (g *Group[T]) Ready() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		g.ready.Scan(func(e orderedEntry[T]) bool { return yield(e.entry.Value) })
 	}
 }
 
-// Warming returns how many of the members that were ready at the last Advance were warming then,
-// and the sum of the times since they started; a member that starts in the future is warming, and
-// adds none. Its cost is that of the members that started, or stopped warming, since it was last
-// called for an earlier epoch.
+// Warming returns the number of members that were ready and warming at the last Advance, and the sum
+// of their ages then. A member whose start is in the future counts as warming, with an age of 0. The
+// cost depends only on how many members started or stopped warming since the epoch of the last call.
 func (g *Group[T]) Warming() (count int, ages time.Duration) {
 	if g.epoch == g.index.epoch {
 		return g.warming, g.warmingAge
@@ -76,25 +75,27 @@
 	return &g.started
 }
 
-// startTimes counts members by their start, with their number and the sum of their starts. The sum
-// may overflow: so does what it is taken from, by as much, and the ages that are left are small.
+// startTimes counts members by start time, and keeps their total number and the sum of their start
+// times. The sum may overflow. The ages computed from it are right all the same: the product from
+// which it is subtracted wraps around by the same amount, and the difference is small.
 type startTimes struct {
 	counts btree.Map[time.Duration, int]
 	total  int
 	sum    time.Duration
 }
 
-// add adds members that started at a time, or takes them away. Members that have stopped warming
-// are not there any more, and can't be taken away again.
+// add adds a number of members with the same start time, or removes them if the number is negative.
+// Removing more members than there are does nothing, as members that stopped warming have already
+// been removed.
 func (s *startTimes) add(at time.Duration, members int) {
-	had, _ := s.counts.Get(at)
-	if had+members < 0 {
+	previous, _ := s.counts.Get(at)
+	if previous+members < 0 {
 		return
 	}
 	s.total, s.sum = s.total+members, s.sum+time.Duration(members)*at
-	if had+members == 0 {
+	if previous+members == 0 {
 		s.counts.Delete(at)
 		return
 	}
-	s.counts.Set(at, had+members)
+	s.counts.Set(at, previous+members)
 }
--- a/internal/endpointindex/index.go
+++ b/internal/endpointindex/index.go
@@ -1,8 +1,8 @@
-// Package endpointindex finds members of a large set by what changed of them, so that nobody walks
-// over all: the ready members of a group in an order, how many of these are warming up and for how
-// long together, members that are to be reconciled, and members that failed lately. It decides
-// nothing: what members, groups and failures are is its caller's business. It does no I/O and has
-// no clock; its one caller, the decision engine, owns each Index and all its entries.
+// Package endpointindex is an incrementally updated index of a large set of members, so that queries
+// don't iterate over the whole set. It answers which members of a group are ready, in order; how many
+// of these are warming up, and the sum of their ages; which members must be reconciled; and how many
+// failed recently. The caller defines what members, groups and failures are. The package does no I/O
+// and has no clock; its one caller, the decision engine, owns each Index and all its entries.
 package endpointindex
 
 import (
@@ -18,29 +18,29 @@
 	failureTTL    time.Duration
 	ready         int
 	epoch         uint64        // the number of calls of Advance
-	epochAt       time.Duration // when the last was
+	epochAt       time.Duration // the time passed to the last Advance
 	dirty         []*Entry[T]
-	failures      *list.List // of failureRecord[T], the latest last
+	failures      *list.List // of failureRecord[T], oldest first
 }
 
 // New returns an empty Index. Members are warming for up to warmingPeriod from their start;
-// failures are remembered for failureTTL.
+// failures are kept for failureTTL.
 func New[T any](warmingPeriod, failureTTL time.Duration) *Index[T] {
 	return &Index[T]{warmingPeriod: warmingPeriod, failureTTL: failureTTL, failures: list.New()}
 }
 
-// Entry is a member's place in the Index: in one group at most, in none at first. Value, Rank and
-// TieBreaker are set once, before the first Put.
+// Entry is a member's entry in the Index. It is in at most one group, and initially in none. Value,
+// Rank and TieBreaker must be set before the first Put and not changed afterwards.
 type Entry[T any] struct {
 	Value      T      // the member
-	Rank       uint64 // its place in the order of any group
-	TieBreaker uint32 // must differ for members of equal Rank
+	Rank       uint64 // the sort key within a group
+	TieBreaker uint32 // orders members of equal Rank, and must differ between them
 	ready      bool
 	warming    bool
 	dirty      bool
 	group      *Group[T]
-	startedAt  time.Duration // meaningful while warming
-	failure    *list.Element // in Index.failures; nil: none
+	startedAt  time.Duration // meaningful only if warming
+	failure    *list.Element // the element in Index.failures, or nil
 }
 
 type failureRecord[T any] struct {
@@ -53,15 +53,15 @@
 	return Group[T]{index: x, ready: btree.NewBTreeGOptions(less[T], btree.Options{NoLocks: true})}
 }
 
-// ReadyLen returns how many members are ready, in all groups.
+// ReadyLen returns the number of ready members in all groups.
 func (x *Index[T]) ReadyLen() int { return x.ready }
 
-// Advance sets the time that Group.Warming tells of. It must not go back.
+// Advance begins a new epoch and sets the time for which Group.Warming counts. now must not decrease.
 func (x *Index[T]) Advance(now time.Duration) { x.epoch, x.epochAt = x.epoch+1, now }
 
-// Put puts a member into a group, and takes it out of any other. A member that is ready is in the
-// group's order; if it is warming too, it counts as warming from startedAt on. It costs nothing
-// where all is so already.
+// Put puts a member into a group, and removes it from any other group. A ready member takes part in
+// the group's order; one that is ready and warming is counted by Group.Warming, with the given start.
+// If nothing changes, Put returns at once.
 func (e *Entry[T]) Put(group *Group[T], ready, warming bool, startedAt time.Duration) {
 	if e.group == group && e.ready == ready && e.warming == warming && e.startedAt == startedAt {
 		return
@@ -72,7 +72,7 @@
 	if !ready {
 		return
 	}
-	group.Warming() // before the change, which must not show before the next Advance
+	group.Warming() // caches the result for this epoch, as the change must not count before the next Advance
 	group.index.ready++
 	group.ready.Set(orderedEntry[T]{e.Rank, e})
 	if warming {
@@ -80,7 +80,7 @@
 	}
 }
 
-// detach takes a member out of its group.
+// detach removes a member from its group, if it is in one.
 func (e *Entry[T]) detach() {
 	group := e.group
 	if group == nil {
@@ -98,36 +98,36 @@
 	e.group, e.ready = nil, false
 }
 
-// MarkDirty has the next Reconcile visit a member.
+// MarkDirty marks a member for the next Reconcile.
 func (x *Index[T]) MarkDirty(entry *Entry[T]) {
 	if !entry.dirty {
 		entry.dirty, x.dirty = true, append(x.dirty, entry)
 	}
 }
 
-// Reconcile calls visit for each member that is marked dirty, in the order in which they were
-// marked. Those for which it returns false are visited by the next Reconcile again.
+// Reconcile calls visit for each dirty member, in the order in which they were marked. Members for
+// which visit returns false stay dirty.
 func (x *Index[T]) Reconcile(visit func(T) (done bool)) {
-	left := x.dirty[:0]
+	remaining := x.dirty[:0]
 	for _, entry := range x.dirty {
 		if entry.dirty = !visit(entry.Value); entry.dirty {
-			left = append(left, entry)
+			remaining = append(remaining, entry)
 		}
 	}
-	clear(x.dirty[len(left):])
-	if x.dirty = left; len(left) == 0 {
-		x.dirty = nil // it may have been as long as the set
+	clear(x.dirty[len(remaining):])
+	if x.dirty = remaining; len(remaining) == 0 {
+		x.dirty = nil // frees the backing array, which may be as long as the whole set
 	}
 }
 
-// Remove takes a member out of its group and forgets its failures.
+// Remove removes a member from its group and deletes its failure.
 func (x *Index[T]) Remove(entry *Entry[T]) {
 	entry.detach()
 	x.forgetFailure(entry)
 }
 
-// RecordFailure records a failure of a member, in place of an earlier one. at must not be before
-// that of any failure recorded earlier.
+// RecordFailure records a member's failure in place of its previous one, and deletes expired failures.
+// at must not be earlier than that of any failure already recorded.
 func (x *Index[T]) RecordFailure(entry *Entry[T], at time.Duration) {
 	x.forgetFailure(entry)
 	entry.failure = x.failures.PushBack(failureRecord[T]{entry, at})
@@ -147,8 +147,8 @@
 	}
 }
 
-// RecentFailures returns how many members failed less than window ago. window must not exceed
-// failureTTL.
+// RecentFailures returns the number of members whose last failure is less than window ago. window must
+// not exceed failureTTL.
 func (x *Index[T]) RecentFailures(now, window time.Duration) (count int) {
 	for e := x.failures.Back(); e != nil && now-e.Value.(failureRecord[T]).at < window; e = e.Prev() {
 		count++
--- a/internal/endpointindex/index_test.go
+++ b/internal/endpointindex/index_test.go
@@ -25,15 +25,15 @@
 
 // indexModel is an Index beside its model.
 type indexModel struct {
-	t       *testing.T
-	where   string
-	rng     *rand.Rand
-	now     time.Duration
-	index   *Index[*member]
-	groups  [3]Group[*member]
-	members []*member
-	warming [3]int // what the model's walk found warming at the last advance
-	ages    [3]time.Duration
+	t        *testing.T
+	position string
+	rng      *rand.Rand
+	now      time.Duration
+	index    *Index[*member]
+	groups   [3]Group[*member]
+	members  []*member
+	warming  [3]int // what the model's walk found warming at the last advance
+	ages     [3]time.Duration
 }
 
 func newIndexModel(t *testing.T, seed uint64) *indexModel {
@@ -84,14 +84,14 @@
 func (w *indexModel) reconcile() {
 	w.index.Reconcile(func(m *member) bool {
 		if !m.dirty {
-			w.t.Errorf("%s: %d is visited without being dirty, or twice", w.where, m.id)
+			w.t.Errorf("%s: %d is visited without being dirty, or twice", w.position, m.id)
 		}
 		m.dirty = false
 		return true
 	})
 	for _, m := range w.members {
 		if m.dirty {
-			w.t.Errorf("%s: %d is not visited", w.where, m.id)
+			w.t.Errorf("%s: %d is not visited", w.position, m.id)
 		}
 	}
 }
@@ -124,11 +124,11 @@
 		return cmp.Or(cmp.Compare(a.entry.Rank, b.entry.Rank), cmp.Compare(a.id, b.id))
 	})
 	if got := slices.Collect(l.Ready()); !slices.Equal(got, want) || l.ReadyLen() != len(want) || l.Len() != known {
-		w.t.Errorf("%s, group %d: %d of %d, %d ready, want %d of %d, or another order", w.where, i,
+		w.t.Errorf("%s, group %d: %d of %d, %d ready, want %d of %d, or another order", w.position, i,
 			len(got), l.Len(), l.ReadyLen(), len(want), known)
 	}
 	if n, ages := l.Warming(); n != w.warming[i] || ages != w.ages[i] {
-		w.t.Errorf("%s, group %d: %d warming of %v together, want %d of %v", w.where, i, n, ages,
+		w.t.Errorf("%s, group %d: %d warming of %v together, want %d of %v", w.position, i, n, ages,
 			w.warming[i], w.ages[i])
 	}
 }
@@ -139,7 +139,7 @@
 	for seed := range uint64(60) {
 		w := newIndexModel(t, seed)
 		for step := range 600 {
-			w.where = fmt.Sprintf("seed %d, step %d", seed, step)
+			w.position = fmt.Sprintf("seed %d, step %d", seed, step)
 			for range w.rng.IntN(8) {
 				w.change()
 			}
@@ -164,7 +164,7 @@
 			}
 			if w.index.ReadyLen() != ready || w.index.RecentFailures(w.now, ago) != failed ||
 				w.index.failures.Len() != remembered {
-				t.Errorf("%s: %d ready, %d failed of %d remembered, want %d, %d of %d", w.where,
+				t.Errorf("%s: %d ready, %d failed of %d remembered, want %d, %d of %d", w.position,
 					w.index.ReadyLen(), w.index.RecentFailures(w.now, ago), w.index.failures.Len(),
 					ready, failed, remembered)
 			}
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -1,16 +1,16 @@
-// Package eventqueue is what simulated worlds stand on: a queue of events in the order of their
-// times, and randomness that depends on a seed and a purpose. Packages sim and emulator share it.
-// It is pure; its values belong to one caller at a time.
+// Package eventqueue provides the basics of a discrete-event simulation: a queue of events ordered by
+// time, and random numbers that depend only on a seed and a purpose. Packages sim and emulator use it.
+// It is pure, and its values are not safe for concurrent use.
 package eventqueue
 
 import "time"
 
-// Queue holds events, the earliest first; of one time, the one of the lowest order first. Events of
-// one time must have different orders: then what is taken does not depend on when it was put there.
-// The zero value is empty.
+// Queue is a priority queue of events, ordered by time and, for equal times, by order. Events of equal
+// time must have different orders, so that the sequence of events does not depend on the sequence of
+// Push calls. The zero value is an empty queue.
 //
-// It is a heap with four children a node: half as deep as container/heap's, and without an
-// interface call for each comparison (BenchmarkQueue compares them).
+// It is a 4-ary heap: half as deep as container/heap's binary heap, and without an interface call for
+// each comparison (BenchmarkQueue compares them).
 type Queue[T any] struct{ heap []entry[T] }
 
 type entry[T any] struct {
@@ -23,13 +23,13 @@
 	return e.at < other.at || e.at == other.at && e.order < other.order
 }
 
-// arity is how many children a node of the heap has.
+// arity is the number of children of each heap node.
 const arity = 4
 
-// Len is how many events the queue holds.
+// Len returns the number of events in the queue.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// Next gives the time of the earliest event; ok is false if there is none.
+// Next returns the time of the earliest event, without removing it; ok is false if the queue is empty.
 func (q *Queue[T]) Next() (at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -53,11 +53,11 @@
 	heap[i] = added
 }
 
-// Pop takes the earliest event. The queue must not be empty. It takes O(log n).
+// Pop removes and returns the earliest event. The queue must not be empty. It takes O(log n).
 func (q *Queue[T]) Pop() (at time.Duration, value T) {
 	heap := q.heap
 	first, last := heap[0], heap[len(heap)-1]
-	heap[len(heap)-1] = entry[T]{} // lets go of what the value refers to
+	heap[len(heap)-1] = entry[T]{} // so that the garbage collector can free the value
 	q.heap = heap[:len(heap)-1]
 	if len(q.heap) > 0 {
 		q.siftDown(last)
@@ -65,7 +65,7 @@
 	return first.at, first.value
 }
 
-// siftDown puts an entry into the heap, whose root is free.
+// siftDown inserts an entry at the root, whose previous entry was removed, and restores the heap order.
 func (q *Queue[T]) siftDown(moved entry[T]) {
 	heap, i := q.heap, 0
 	for {
--- a/internal/reservemodel/model_test.go
+++ b/internal/reservemodel/model_test.go
@@ -53,7 +53,7 @@
 			t.Fatalf("%+v, %v", r, err)
 		}
 		if s.Pool == 0 {
-			h, lo := erlang(l.LambdaH, s.High), erlang(l.LambdaL, s.Low)
+			h, lo := erlangDistribution(l.LambdaH, s.High), erlangDistribution(l.LambdaL, s.Low)
 			if math.Abs(r.RejectedHigh-l.LambdaH*h[s.High]) > 1e-6 || math.Abs(r.RejectedLow-l.LambdaL*lo[s.Low]) > 1e-6 || r.Degraded != 0 {
 				t.Fatalf("%+v", r)
 			}
--- a/internal/reservemodel/paper.go
+++ b/internal/reservemodel/paper.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Case is one of the paper's loads, with the best splits by its Figs. 5 and 6.
+// Case is one of the paper's loads, with the best splits and their payoffs according to its Figs. 5 and 6.
 type Case struct {
 	Name                string
 	N                   int
@@ -13,7 +13,7 @@
 	PaperSubRatedPayoff float64
 }
 
-// Cases gives the paper's cases: nine loads for 16 slots, and with twice the rates for 32.
+// Cases returns the paper's cases: nine loads for 16 slots, and the same loads with twice the rates for 32 slots.
 func Cases() (cases []Case) {
 	figures := map[int][]struct {
 		without        Split
@@ -61,21 +61,21 @@
 	return cases
 }
 
-// SearchResult is what exhaustive search finds for a case.
+// SearchResult is the result of an exhaustive search over all splits of a case.
 type SearchResult struct {
 	Without, SubRated             Split // the best splits, without and with sub-rating
 	WithoutPayoff, SubRatedPayoff float64
-	GainMean, GainBest            float64    // of sub-rating at the same split, over all splits
-	Chosen                        [2]Split   // the best by Methods 1 and 2
+	GainMean, GainBest            float64    // relative gain of sub-rating at the same split, over all splits
+	Chosen                        [2]Split   // the best splits by Methods 1 and 2
 	ChosenPayoff                  [2]float64 // the exact payoffs of Chosen, with sub-rating
-	PaperSplitPayoff              float64    // the exact payoff of Case.PaperSubRated
+	PaperSplitPayoff              float64    // the exact payoff of Case.PaperSubRated, with sub-rating
 }
 
-// payoffTolerance is the difference from which on one payoff is better than another.
+// payoffTolerance is how much larger a payoff must be to count as better than another.
 const payoffTolerance = 1e-9
 
-// Search solves all splits of a case. parallel calls job for each number below n, in any order and
-// as many at once as it likes, and returns when all have ended.
+// Search solves all splits of a case. parallel must call job for each i from 0 to n-1, in any order and
+// with any concurrency, and return after all calls have returned.
 func Search(c Case, parallel func(n int, job func(i int))) (SearchResult, error) {
 	all := Splits(c.N)
 	without, subRated := make([]float64, len(all)), make([]float64, len(all))
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,11 +1,11 @@
-// Package timerwheel is a hierarchical timing wheel for many timers that are mostly cancelled before
-// they fire, or that all run about as long. Adding and removing a timer is O(1). Advancing time costs
-// one step for each timer that fires and each level that a timer moves down; waiting timers cost
-// nothing. (BenchmarkWheel compares it with a heap.) After Varghese and Lauck, "Hashed and
-// Hierarchical Timing Wheels" (1987).
+// Package timerwheel implements a hierarchical timing wheel, after Varghese and Lauck, "Hashed and
+// Hierarchical Timing Wheels" (1987). It suits many timers that are mostly cancelled before they fire
+// or that have similar durations. Adding and removing a timer is O(1). Advancing time costs one step
+// for each timer that fires and for each level that a timer moves down; waiting timers cost nothing.
+// BenchmarkWheel compares it with a heap.
 //
-// The package is pure. It allocates nothing, as a Timer is embedded in what it belongs to, and it is
-// not safe for concurrent use.
+// The package is pure and not safe for concurrent use. Adding a timer allocates nothing, as the owner
+// of a Timer provides its memory.
 package timerwheel
 
 import (
@@ -22,7 +22,7 @@
 // Timer is one timer. Its zero value is not scheduled. It must not be copied while it is scheduled.
 type Timer[T any] struct {
 	Value      T         // for the owner's use
-	next, prev *Timer[T] // ring of its slot; nil: not scheduled
+	next, prev *Timer[T] // circular list of the timers in its slot; nil if not scheduled
 	dueTick    uint64
 	level      uint8
 	slot       uint8
@@ -31,17 +31,17 @@
 // Scheduled reports whether the timer is in a wheel.
 func (t *Timer[T]) Scheduled() bool { return t.next != nil }
 
-// Wheel holds timers. Times are durations since one origin and must not go back. A timer fires at the
-// first tick at or after its time.
+// Wheel is a timing wheel. Times are durations since a common origin, and the current time must not
+// decrease. A timer fires at the first tick at or after its time.
 type Wheel[T any] struct {
 	tick     time.Duration
-	nowTick  uint64 // the last tick that is over
+	nowTick  uint64 // the last tick that has been processed
 	count    int
-	rings    [levels][slotsPerLevel]*Timer[T] // the first timer of each slot
-	occupied [levels]uint64                   // a bit for each slot
+	rings    [levels][slotsPerLevel]*Timer[T] // the first timer of each slot's circular list
+	occupied [levels]uint64                   // bitmap of the slots that hold timers
 }
 
-// New returns a Wheel with a resolution of tick that begins at now.
+// New returns a Wheel with a resolution of tick, whose current time is now.
 func New[T any](tick, now time.Duration) *Wheel[T] {
 	return &Wheel[T]{tick: tick, nowTick: uint64(max(0, now) / tick)}
 }
@@ -49,7 +49,8 @@
 // Len returns the number of scheduled timers.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Add schedules a timer that is not scheduled. If its time has passed it fires at the next tick.
+// Add schedules a timer to fire at a time. The timer must not be scheduled already. If the time has
+// passed, the timer fires at the next tick.
 func (w *Wheel[T]) Add(t *Timer[T], at time.Duration) {
 	t.dueTick = max(w.nowTick+1, uint64((max(0, at)+w.tick-1)/w.tick))
 	w.insert(t)
@@ -64,8 +65,8 @@
 	}
 }
 
-// insert puts a timer into the slot for the highest group of bits in which its tick differs from the
-// present one.
+// insert puts a timer into its slot. The level is the highest group of bitsPerLevel bits in which the
+// timer's tick differs from the current tick; the slot is the value of these bits in the timer's tick.
 func (w *Wheel[T]) insert(t *Timer[T]) {
 	level := (bits.Len64(t.dueTick^w.nowTick) - 1) / bitsPerLevel
 	slot := t.dueTick >> (level * bitsPerLevel) & (slotsPerLevel - 1)
@@ -94,15 +95,15 @@
 	t.next, t.prev = nil, nil
 }
 
-// earliest returns the first occupied slot of the lowest occupied level, and the tick at which the slot
-// begins. Timers of a lower level fire before those of a higher one, as they differ from now in lower
-// bits only.
-func (w *Wheel[T]) earliest() (level, slot int, beginTick uint64, ok bool) {
+// earliestSlot returns the first occupied slot of the lowest occupied level, and the tick at which the
+// slot begins. Timers of a lower level fire before those of a higher one, as their ticks differ from the
+// current tick in lower bits only.
+func (w *Wheel[T]) earliestSlot() (level, slot int, beginTick uint64, ok bool) {
 	for level := range levels {
 		if w.occupied[level] == 0 {
 			continue
 		}
-		slot := bits.TrailingZeros64(w.occupied[level]) // all are ahead: passed slots are empty
+		slot := bits.TrailingZeros64(w.occupied[level]) // slots before the current tick are always empty
 		shift := level * bitsPerLevel
 		above := w.nowTick >> shift &^ (slotsPerLevel - 1)
 		return level, slot, (above | uint64(slot)) << shift, true
@@ -110,30 +111,31 @@
 	return 0, 0, 0, false
 }
 
-// Next returns a time before which no timer fires: that of the first timer, or an earlier one. ok is
-// false if no timer is scheduled.
+// Next returns a lower bound on the time at which the next timer fires. ok is false if no timer is
+// scheduled.
 func (w *Wheel[T]) Next() (at time.Duration, ok bool) {
-	_, _, tick, ok := w.earliest()
+	_, _, tick, ok := w.earliestSlot()
 	return time.Duration(tick) * w.tick, ok
 }
 
-// Advance moves time to now and calls fire with each timer that is due, after removing it, in the order
-// of their ticks; the order within one tick is not specified. fire may add and remove timers.
+// Advance sets the current time to now. It removes each timer that is due and then calls fire with it,
+// in the order of the timers' ticks; the order within one tick is not specified. fire may add and remove
+// timers.
 func (w *Wheel[T]) Advance(now time.Duration, fire func(*Timer[T])) {
 	target := uint64(max(0, now) / w.tick)
 	for {
-		level, slot, beginTick, ok := w.earliest()
+		level, slot, beginTick, ok := w.earliestSlot()
 		if !ok || beginTick > target {
 			break
 		}
 		w.nowTick = max(w.nowTick, beginTick)
-		w.emptySlot(level, slot, fire)
+		w.flushSlot(level, slot, fire)
 	}
 	w.nowTick = max(w.nowTick, target)
 }
 
-// emptySlot fires the timers of a slot that are due, and moves the others to lower levels.
-func (w *Wheel[T]) emptySlot(level, slot int, fire func(*Timer[T])) {
+// flushSlot empties a slot: it fires the timers that are due and moves the others to lower levels.
+func (w *Wheel[T]) flushSlot(level, slot int, fire func(*Timer[T])) {
 	for w.rings[level][slot] != nil {
 		t := w.rings[level][slot]
 		w.unlink(t)
--- a/membership/helpers_test.go
+++ b/membership/helpers_test.go
@@ -77,7 +77,7 @@
 	return strings.Join(lines, "; ")
 }
 
-func (tt *tableTest) changes(at time.Duration, source, text, want string) {
+func (tt *tableTest) delta(at time.Duration, source, text, want string) {
 	tt.t.Helper()
 	changes, invalid := tt.table.Report(at, source, Update{Nodes: parseNodes(text)}, startOffset)
 	tt.want(at, changes, want)
@@ -130,7 +130,7 @@
 }
 
 // doubtsRemoval reports whether a table keeps nodes that a source's full update lacks.
-func doubtsRemoval(table *Table, source string) bool {
+func hasPendingRemoval(table *Table, source string) bool {
 	return len(table.sources[table.sourceIndex(source)].missing) > 0
 }
 
--- a/membership/massremoval.go
+++ b/membership/massremoval.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// massRemoval is the set of nodes that one full update lacked and the one before it did not, while that
-// is in doubt. Each update's set has its own delay: a source that loses its nodes little by little has
-// lost as many in the end.
+// massRemoval is a pending removal of the nodes that first went missing in one full update. The nodes are
+// kept until the removal is confirmed. Each full update has its own pending removal with its own delay, so
+// nodes that go missing later, after a mass removal has begun, wait for their own full delay.
 type massRemoval struct {
 	remaining     int           // nodes of the set that are still missing
-	since         time.Duration // when they went missing, or when the source failed or the process paused since
-	delay         time.Duration // how long they must be missing
-	confirmations int           // full updates that lacked them since then
-	confirmedAt   time.Duration // when there were confirmationsNeeded
-	elapsed       bool          // the delay has passed, and this was noticed in time
+	since         time.Duration // start of the delay; moved on when the source fails or the process was paused
+	delay         time.Duration // how long the nodes must be missing
+	confirmations int           // full updates that lacked the nodes, counted from since
+	confirmedAt   time.Duration // when confirmations reached confirmationsNeeded
+	elapsed       bool          // the delay has passed, and a call noticed it within maxTimerLateness
 }
 
 // confirmationsNeeded is how many full updates must lack a node before its removal can come due.
 const confirmationsNeeded = 2
 
-// maxTimerLateness is how late a removal that came due may be noticed. A longer gap means that this
-// process was paused: updates that are read after it may be older than the pause, so they confirm
-// nothing, and the delay starts anew.
+// maxTimerLateness is how late the table may notice that a removal is due. A longer gap means that the
+// process was paused: updates read after the pause may have been sent before it, so they do not confirm
+// the removal, and its delay starts over.
 const maxTimerLateness = 150 * time.Millisecond
 
-// restart has the removal wait for its whole delay again, from now on.
+// restart starts the removal's delay over and discards its confirmations.
 func (r *massRemoval) restart(now time.Duration) {
 	r.since = now
 	r.confirmations = 0
 	r.elapsed = false
 }
 
-// due returns when the removal may be believed, and false while the source has not confirmed it.
+// due returns when the removal may be carried out. It returns false while the removal lacks confirmations
+// or its source is failed.
 func (r *massRemoval) due(src *source) (time.Duration, bool) {
 	return max(r.since+r.delay, r.confirmedAt), r.confirmations >= confirmationsNeeded && !src.failed
 }
 
-// recordMissing takes in what a source's full update lacks and the one before did not, and returns what
-// is to be removed now. In a mass removal that is nothing: its nodes are kept until settleRemovals.
-// Nodes whose removal is in doubt count as missing, so the doubt does not end as further nodes follow.
+// recordMissing handles the nodes that a source's full update lacks and that were not missing before, and
+// returns those to remove now. In a mass removal it returns none: settleRemovals removes them later. Nodes
+// of pending removals count as missing, so that a source which loses its nodes in several updates is still
+// recognized.
 func (t *Table) recordMissing(sourceIndex int, missing []string, update *Update) []string {
 	src := &t.sources[sourceIndex]
 	for _, removal := range src.removals {
@@ -69,12 +71,13 @@
 	return nil
 }
 
-// isMassRemoval reports whether an update that lacks this many of a source's nodes is in doubt.
+// isMassRemoval reports whether so many missing nodes, out of a source's known nodes, are a mass removal.
 func (t *Table) isMassRemoval(missing, known int) bool {
 	return missing >= t.policy.MassRemovalMin && float64(missing) > t.policy.MassRemovalRatio*float64(known)
 }
 
-// clearMissing notes that a source has named a node again, or has reported its removal.
+// clearMissing takes a node out of its pending removal: the source has named the node again or has
+// reported its removal.
 func (s *source) clearMissing(name string) {
 	removal := s.missing[name]
 	if removal == nil {
@@ -87,13 +90,13 @@
 	}
 }
 
-// settleRemovals removes what a source has lacked for long enough. confirmed means that the source has
-// just sent a full update. Silence confirms nothing: without an update, a removal that comes due is only
-// marked as elapsed, and the next update decides.
-func (t *Table) settleRemovals(src *source, confirmed bool) {
+// settleRemovals carries out a source's pending removals that are due. afterFullUpdate means that the
+// source has just sent a full update. Without one, a removal that is due is only marked as elapsed, and
+// the source's next full update decides.
+func (t *Table) settleRemovals(src *source, afterFullUpdate bool) {
 	var settled []*massRemoval
 	for _, removal := range src.removals {
-		if t.isSettled(src, removal, confirmed) {
+		if t.isSettled(src, removal, afterFullUpdate) {
 			settled = append(settled, removal)
 		}
 	}
@@ -113,21 +116,21 @@
 	}
 }
 
-// isSettled reports whether a removal is to be believed now. A confirmation counts up to
-// maxTimerLateness early, as the next update may come much later.
-func (t *Table) isSettled(src *source, removal *massRemoval, confirmed bool) bool {
-	due, counting := removal.due(src)
+// isSettled reports whether a pending removal is to be carried out now. A full update may settle it up to
+// maxTimerLateness before it is due, as the next update may come much later.
+func (t *Table) isSettled(src *source, removal *massRemoval, afterFullUpdate bool) bool {
+	due, confirmed := removal.due(src)
 	earliest := due
-	if confirmed {
+	if afterFullUpdate {
 		earliest -= maxTimerLateness
 	}
 	switch {
-	case !counting || t.now < earliest:
+	case !confirmed || t.now < earliest:
 		return false
 	case t.now-due > maxTimerLateness && !removal.elapsed:
 		removal.restart(t.now)
 		return false
-	case !confirmed:
+	case !afterFullUpdate:
 		removal.elapsed = true
 		return false
 	}
--- a/membership/massremoval_test.go
+++ b/membership/massremoval_test.go
@@ -16,13 +16,13 @@
 		tt.full(0, "s", all, ready)
 		tt.full(1*sec, "s", "a b:draining g", "b#2:draining; g#7:ready") // lacks four of six
 		tt.wantStatus("c", "ready since 0s by s")
-		if !doubtsRemoval(tt.table, "s") {
+		if !hasPendingRemoval(tt.table, "s") {
 			t.Error("it does not doubt")
 		}
 		tt.tick(10*sec, "") // it was said once only
 		tt.full(11*sec, "s", "a b:draining d g", "c#3:gone; e#5:gone; f#6:gone")
 		tt.wantStatus("d", "ready since 0s by s")
-		if doubtsRemoval(tt.table, "s") {
+		if hasPendingRemoval(tt.table, "s") {
 			t.Error("it doubts still")
 		}
 	})
@@ -102,8 +102,8 @@
 		tt.full(0, "s", all, ready)
 		tt.full(1*sec, "s", "", "a#1:gone; b#2:gone; c#3:gone; d#4:gone; e#5:gone; f#6:gone")
 		tt.full(2*sec, "s", "a", "a#7:ready")
-		tt.changes(3*sec, "s", "a:draining", "a#7:draining")
-		tt.changes(4*sec, "s", "a", "a#7:ready")
+		tt.delta(3*sec, "s", "a:draining", "a#7:draining")
+		tt.delta(4*sec, "s", "a", "a#7:ready")
 	})
 }
 
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -8,14 +8,14 @@
 	"pumicecroft/decision"
 )
 
-// Merge takes one source's update into a Table in steps. Other sources' updates and ticks may come
-// between two steps; two updates of one source must not overlap.
+// Merge applies one source's update to a Table in steps. Other sources' updates and ticks may come between
+// two steps; two updates of one source must not overlap.
 //
-// Between two steps, each node stands either as its source reported it before the update, or as the
-// update reports it. Nodes that the update has draining or removed are taken first, so that from the
-// first steps on nothing is Ready that the update takes out. Nodes that a full update lacks are removed
-// last. Whoever decides by a state between two steps therefore sends nothing that neither the old state
-// nor the update allows, and at worst does not know a new node yet.
+// Between two steps, each node is either as its source reported it before the update or as the update
+// reports it. Known nodes that the update reports as draining or removed are merged first, so that they
+// stop being Ready before anything else changes. Nodes that a full update lacks are removed last. A request
+// that is routed between two steps therefore goes only to nodes that the old state or the update allows; at
+// worst, new nodes are not used yet.
 //
 // If an update names a node more than once, the last entry counts.
 type Merge struct {
@@ -25,11 +25,11 @@
 	startOffset  func(time.Time) time.Duration
 	updateNumber uint64
 	stage        stage
-	position     int            // in what the stage goes through
-	removedIndex map[string]int // known nodes that the update has removed so far, by the entry that did
-	overflow     []int          // entries for which there was no room
-	missing      []string       // what the update lacks and is to be removed
-	invalid      []error        // of the current step
+	position     int            // index in the list that the current stage iterates over
+	removedIndex map[string]int // known nodes removed by this update so far, with the index of the removing entry
+	overflow     []int          // indexes of entries skipped because the table was full
+	missing      []string       // nodes that the update lacks and that are removed at once
+	invalid      []error        // errors of the current call of Next
 }
 
 // stage is a part of a merge.
@@ -37,14 +37,14 @@
 
 const (
 	stageStart    stage = iota
-	stageDrains         // entries that take known nodes out
+	stageDrains         // entries that report known nodes as draining or removed
 	stageEntries        // all entries
 	stageMissing        // nodes that a full update lacks
-	stageOverflow       // entries for which there may be room by now
+	stageOverflow       // entries that were skipped because the table was full
 	stageDone
 )
 
-// BeginMerge begins to merge an update. startOffset turns a node's start into the table's time. The
+// BeginMerge begins to merge an update. startOffset converts a node's start to the table's time. The
 // update's nodes must not change before the merge is done.
 func (t *Table) BeginMerge(source string, update Update, startOffset func(time.Time) time.Duration) *Merge {
 	t.updateCount++
@@ -57,16 +57,16 @@
 	}
 }
 
-// Report merges an update at once. Invalid entries change nothing and are returned as errors; the others
-// count. The changes are valid until the table's next call.
+// Report merges a whole update. Invalid entries are ignored and returned as errors; valid ones are merged
+// all the same. The changes are valid until the table's next call.
 func (t *Table) Report(now time.Duration, source string, update Update,
 	startOffset func(time.Time) time.Duration) (changes []Change, invalid []error) {
 	changes, invalid, _ = t.BeginMerge(source, update, startOffset).Next(now, math.MaxInt)
 	return changes, invalid
 }
 
-// Next merges up to a number of entries and reports whether there are more. The changes are valid until
-// the table's next call.
+// Next merges up to the given number of entries and reports whether the merge has more to do. The changes
+// are valid until the table's next call.
 func (m *Merge) Next(now time.Duration, entries int) (changes []Change, invalid []error, more bool) {
 	t := m.table
 	t.advance(now, m.sourceIndex)
@@ -87,7 +87,7 @@
 	return t.changes, m.invalid, m.stage < stageDone
 }
 
-// step goes one position on, or to the next stage, and reports whether that took in an entry.
+// step moves on by one position, or to the next stage, and reports whether it merged an entry.
 func (m *Merge) step() (merged bool) {
 	switch m.stage {
 	case stageStart:
@@ -176,7 +176,7 @@
 	return true
 }
 
-// applyEntry merges one entry, unless a later one on the same node has been merged before.
+// applyEntry merges one entry, unless a later entry for the same node has already been merged.
 func (m *Merge) applyEntry(index int) {
 	node := m.update.Nodes[index]
 	if m.update.DrainsOnly {
@@ -184,7 +184,7 @@
 		if known == nil {
 			return
 		}
-		node = m.drained(known)
+		node = m.asDraining(known)
 	}
 	if err := node.Check(); err != nil {
 		m.invalid = append(m.invalid, err)
@@ -201,9 +201,9 @@
 		return
 	}
 	m.table.sources[m.sourceIndex].clearMissing(node.Name)
-	room := m.table.applyReport(m.sourceIndex, node, m.startOffset(node.StartedAt))
+	accepted := m.table.applyReport(m.sourceIndex, node, m.startOffset(node.StartedAt))
 	switch {
-	case !room:
+	case !accepted:
 		if m.stage == stageEntries {
 			m.overflow = append(m.overflow, index)
 		}
@@ -219,8 +219,9 @@
 	}
 }
 
-// drained returns a known node as the source, or else the first source, reported it, but draining.
-func (m *Merge) drained(known *member) Node {
+// asDraining returns this source's report on a known node, or else the first source's, with its state set
+// to Draining.
+func (m *Merge) asDraining(known *member) Node {
 	node := *known.reports[0].node
 	if own := known.nodeFrom(m.sourceIndex); own != nil {
 		node = *own
@@ -229,7 +230,7 @@
 	return node
 }
 
-// isKnown reports whether any source knew a node when the merge began, or does now.
+// isKnown reports whether the table has a node, or had it before an earlier entry of this update removed it.
 func (m *Merge) isKnown(name string) bool {
 	_, removed := m.removedIndex[name]
 	return removed || m.table.members[name] != nil
@@ -248,16 +249,17 @@
 	return &known.reports[i]
 }
 
-// markNamed notes that the update names a node, so that it is not missing, without a valid entry for it.
+// markNamed records that the update names a node without a valid entry, so that the node does not count as
+// missing.
 func (m *Merge) markNamed(name string) {
 	if r := m.report(name); r != nil && r.updateNumber != m.updateNumber {
 		r.updateNumber, r.entryIndex = m.updateNumber, -1
 	}
 }
 
-// findMissing returns the nodes that the update does not name and that were not missing before, sorted,
-// so that the order of changes does not depend on the table's history. It alone goes through all nodes
-// of a source.
+// findMissing returns the nodes that the update does not name and that were not missing before. They are
+// sorted, so that the order of changes does not depend on the table's history. This is the only place that
+// iterates over all nodes of a source.
 func (m *Merge) findMissing() []string {
 	src := &m.table.sources[m.sourceIndex]
 	var missing []string
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -12,10 +12,10 @@
 )
 
 // mirror holds the last change of each node, as a consumer of a table's changes knows the nodes.
-type mirror map[string]Change
+type appliedChanges map[string]Change
 
 // apply follows changes and returns the nodes that became ready by them.
-func (m mirror) apply(changes []Change) (ready []string) {
+func (m appliedChanges) apply(changes []Change) (ready []string) {
 	for _, c := range changes {
 		switch was, known := m[c.Name]; {
 		case c.State == decision.Removed:
@@ -60,7 +60,7 @@
 		rng := rand.New(rand.NewPCG(seed, 17))
 		policy := Policy{MaxNodes: []int{4, 100}[rng.IntN(2)]}
 		atOnce, inSteps := NewTable(policy, sourceInfos("a!", "b!")...), NewTable(policy, sourceInfos("a!", "b!")...)
-		want, got, literal := mirror{}, mirror{}, map[string]Node{}
+		want, got, literal := appliedChanges{}, appliedChanges{}, map[string]Node{}
 		for round := range 12 {
 			at := time.Duration(round) * sec
 			update := randomUpdate(rng)
@@ -166,7 +166,7 @@
 	}
 	next(1, "b#2:draining", true)
 	next(1, "e#5:ready", true)
-	tt.changes(sec, "t", "d:draining", "d#4:draining")
+	tt.delta(sec, "t", "d:draining", "d#4:draining")
 	next(1, "", true)
 	next(3, "f#6:ready; g#7:ready", true)
 	next(1, "", true)
--- a/membership/probation.go
+++ b/membership/probation.go
@@ -8,7 +8,7 @@
 	"pumicecroft/internal/backoff"
 )
 
-// evaluate decides the state of a member by its reports and the time, and emits what that changes.
+// evaluate updates a member's state from its reports and the time, and emits the change if there is one.
 func (t *Table) evaluate(m *member, started time.Duration) {
 	if len(m.reports) == 0 {
 		t.remove(m)
@@ -23,8 +23,8 @@
 	t.emit(m, *m.reports[0].node, started)
 }
 
-// nextState returns the state that a member's reports and probation come to, and the index of the source
-// that decided. It counts an outage where one begins, and starts probation where one ends.
+// nextState returns a member's state by its reports and probation, and the index of the source that
+// decided. It counts an outage when one begins, and starts probation when one ends.
 func (t *Table) nextState(m *member) (state State, decidedBy int) {
 	if index := m.firstNotReady(); index != noSource {
 		if m.state != Draining && m.state != Unknown {
@@ -45,8 +45,8 @@
 	return Ready, first
 }
 
-// firstNotReady returns the first source that reports a member as not ready, or noSource. One is enough:
-// a drain that any source reports must be honored.
+// firstNotReady returns the index of the first source that reports a member as not ready, or noSource. A
+// drain that any one source reports must be honored.
 func (m *member) firstNotReady() int {
 	for _, r := range m.reports {
 		if r.node.State != decision.Ready {
@@ -56,13 +56,13 @@
 	return noSource
 }
 
-// probation returns how long a member must report ready before it is taken back.
+// probation returns how long a member must stay ready before it becomes Ready again.
 func (t *Table) probation(m *member) time.Duration {
 	return backoff.Exponential{Initial: t.policy.ProbationMin, Max: t.policy.ProbationMax}.Delay(m.outages - 1)
 }
 
-// reschedule has a member evaluated again when its probation ends or its next outage is forgotten. It
-// forgets those outages that it has outlived by now.
+// reschedule schedules a member's next evaluation, for when its probation ends or its next outage is
+// forgotten. It first forgets the outages that are due to be forgotten now.
 func (t *Table) reschedule(m *member) {
 	t.unschedule(m)
 	switch {
--- a/membership/probation_test.go
+++ b/membership/probation_test.go
@@ -12,13 +12,13 @@
 // A drain counts at once. A node that reports ready again is on probation first, for longer each time.
 func TestFlappingNodeServesLongerProbation(t *testing.T) {
 	tt := newTableTest(t, Policy{ProbationMin: sec, ProbationMax: 5 * sec, ProbationReset: 20 * sec}, "s")
-	tt.changes(0, "s", "a", "a#1:ready")
+	tt.delta(0, "s", "a", "a#1:ready")
 	at := time.Duration(0)
 	for i, hold := range []time.Duration{1 * sec, 2 * sec, 4 * sec, 5 * sec, 5 * sec} {
 		at += sec
-		tt.changes(at, "s", "a:draining", "a#1:draining")
+		tt.delta(at, "s", "a:draining", "a#1:draining")
 		at += sec / 2
-		tt.changes(at, "s", "a", "")
+		tt.delta(at, "s", "a", "")
 		tt.wantStatus("a", fmt.Sprintf("suspect since %v by s, until %v", at, at+hold))
 		tt.tick(at+hold-1, "")
 		at += hold
@@ -36,8 +36,8 @@
 	if _, ok := tt.table.Next(); ok || tt.table.Statuses()[0].RecentOutages != 0 {
 		t.Errorf("%d times are remembered for good", tt.table.Statuses()[0].RecentOutages)
 	}
-	tt.changes(at+201*sec, "s", "a:draining", "a#1:draining")
-	tt.changes(at+202*sec, "s", "a", "")
+	tt.delta(at+201*sec, "s", "a:draining", "a#1:draining")
+	tt.delta(at+202*sec, "s", "a", "")
 	tt.tick(at+203*sec, "a#1:ready")
 }
 
@@ -76,7 +76,7 @@
 // one whose health check flaps, and tombstones stay bounded.
 func TestReturningNodeServesProbation(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s")
-	tt.changes(0, "s", "a b", "a#1:ready; b#2:ready")
+	tt.delta(0, "s", "a b", "a#1:ready; b#2:ready")
 	taken, events := 0, 0
 	for i := range 60 {
 		now := time.Duration(i+1) * sec
@@ -98,14 +98,14 @@
 	if taken > 1 || events > 62 {
 		t.Errorf("taken back %d times, %d events", taken, events)
 	}
-	tt.changes(70*sec, "s", "a:gone", "a#32:gone")
-	tt.changes(20*60*sec, "s", "a", "a#33:ready") // long forgotten
+	tt.delta(70*sec, "s", "a:gone", "a#32:gone")
+	tt.delta(20*60*sec, "s", "a", "a#33:ready") // long forgotten
 	if len(tt.table.tombstones) > 0 || len(tt.table.tombstoneOrder) > 0 {
 		t.Errorf("%d ghosts, %d in order", len(tt.table.tombstones), len(tt.table.tombstoneOrder))
 	}
 	for i := range 30_000 { // names that are ever new, gone at once
-		tt.changes(21*60*sec, "s", fmt.Sprintf("n%d", i), fmt.Sprintf("n%d#%d:ready", i, 34+i))
-		tt.changes(21*60*sec, "s", fmt.Sprintf("n%d:gone", i), fmt.Sprintf("n%d#%d:gone", i, 34+i))
+		tt.delta(21*60*sec, "s", fmt.Sprintf("n%d", i), fmt.Sprintf("n%d#%d:ready", i, 34+i))
+		tt.delta(21*60*sec, "s", fmt.Sprintf("n%d:gone", i), fmt.Sprintf("n%d#%d:gone", i, 34+i))
 	}
 	if len(tt.table.tombstones) > 20_001 || len(tt.table.tombstoneOrder) > 20_001 {
 		t.Errorf("%d ghosts, %d in order", len(tt.table.tombstones), len(tt.table.tombstoneOrder))
--- a/membership/sources.go
+++ b/membership/sources.go
@@ -9,34 +9,35 @@
 // SourceInfo describes a source to a Table.
 type SourceInfo struct {
 	Name string
-	// Trusted means that the source's reports are taken as they stand: no probation, and no doubt about a
-	// mass removal. It suits a list that a person or the program itself has made.
+	// Trusted means that the source's reports apply at once: its nodes serve no probation, and a mass
+	// removal needs no confirmation. It suits a list that a person or the program itself maintains.
 	Trusted bool
 }
 
 // source is a source with its state.
 type source struct {
 	SourceInfo
-	failed   bool      // its last update was an error
-	cached   bool      // it has only sent a cached update so far
-	members  []*member // those that it has a report on, in no order
-	version  uint64    // counts changes of its reports
-	missing  map[string]*massRemoval
-	removals []*massRemoval // those of missing, the oldest first
+	failed   bool                    // its last update was an error
+	cached   bool                    // its last full update was a cached one
+	members  []*member               // members that it has a report on, in no particular order
+	version  uint64                  // counts changes of its reports
+	missing  map[string]*massRemoval // nodes kept although its last full update lacked them, by name
+	removals []*massRemoval          // the distinct values of missing, oldest first
 }
 
-// report is the last report of one source on one node. Few nodes are known to more than one source, so
-// a member holds only those that exist.
+// report is the last report of one source on one node. Few nodes are known to more than one source, so a
+// member stores only the reports that exist.
 type report struct {
 	sourceIndex  int
 	memberSlot   int // index in source.members
 	node         *Node
 	started      time.Duration // node.StartedAt in the table's time
-	updateNumber uint64        // the update that named the node last
-	entryIndex   int           // and the index of its entry in that; -1 if the entry was invalid
+	updateNumber uint64        // the last update that named the node
+	entryIndex   int           // index of the node's entry in that update; -1 if the entry was invalid
 }
 
-// findReport returns the index of a source's report, or where it would be inserted.
+// findReport returns the index of a source's report, and false with the index at which to insert it if
+// there is none.
 func (m *member) findReport(sourceIndex int) (int, bool) {
 	return slices.BinarySearchFunc(m.reports, sourceIndex, func(r report, index int) int {
 		return cmp.Compare(r.sourceIndex, index)
@@ -51,13 +52,13 @@
 	return nil
 }
 
-// sourceIndex finds a source by name. It returns -1 if there is none.
+// sourceIndex returns the index of the source with this name, or noSource.
 func (t *Table) sourceIndex(name string) int {
 	return slices.IndexFunc(t.sources, func(s source) bool { return s.Name == name })
 }
 
-// markFailed notes that a source can't be reached. Its reports stay in force. A mass removal in doubt
-// has to be confirmed anew once the source is back.
+// markFailed records that a source can't be reached. Its reports stay in force. Pending removals must be
+// confirmed again, for their full delay, once the source is back.
 func (t *Table) markFailed(sourceIndex int) {
 	src := &t.sources[sourceIndex]
 	src.failed = true
@@ -66,7 +67,7 @@
 	}
 }
 
-// setReport stores a source's report on a node, or replaces the one before.
+// setReport stores a source's report on a node in place of the previous one.
 func (t *Table) setReport(sourceIndex int, m *member, node Node, started time.Duration) {
 	src := &t.sources[sourceIndex]
 	i, known := m.findReport(sourceIndex)
@@ -99,8 +100,8 @@
 	src.clearMissing(m.name)
 }
 
-// removeSlot removes the member at a slot. The last member takes its place, so that the cost does not
-// grow with the number of members.
+// removeSlot removes the member at a slot and moves the last member there, so that the cost does not depend
+// on the number of members.
 func (s *source) removeSlot(sourceIndex, slot int) {
 	end := len(s.members) - 1
 	last := s.members[end]
@@ -111,8 +112,8 @@
 	s.members = s.members[:end]
 }
 
-// NodesFrom returns the nodes that a source has a report on, sorted by name, as it reported them last,
-// and a version that differs whenever they have changed. An unknown source has none.
+// NodesFrom returns a source's last reports, sorted by node name, and a version that changes whenever they
+// do. An unknown source has no nodes and version 0.
 func (t *Table) NodesFrom(source string) (nodes []Node, version uint64) {
 	index := t.sourceIndex(source)
 	if index < 0 {
@@ -127,7 +128,7 @@
 	return nodes, src.version
 }
 
-// SourceVersion returns the version that NodesFrom gives, without the nodes.
+// SourceVersion returns the same version as NodesFrom, without the cost of copying the nodes.
 func (t *Table) SourceVersion(source string) uint64 {
 	if index := t.sourceIndex(source); index >= 0 {
 		return t.sources[index].version
--- a/membership/starttimes.go
+++ b/membership/starttimes.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// StartTimes fills in when nodes started, from a source's cached update of before a restart, where the
-// source itself does not say: a source that has just started may not know it of nodes that are older
-// than itself. It is not safe for concurrent use.
+// StartTimes fills in the start times that a source does not report, from an update of that source that was
+// cached before a restart. A source that has just started may not know when nodes older than itself started.
+// It is not safe for concurrent use.
 type StartTimes struct {
-	cached   map[string]Node // the cached update; nil once a full update has come
+	cached   map[string]Node // the cached update; nil after the first full update
 	cachedAt time.Time
-	inferred map[string]Node // nodes of the first full update, with the starts filled in; it does not grow
+	inferred map[string]Node // the first full update's nodes without a start, with it filled in; never grows later
 }
 
-// NewStartTimes returns the start times of nodes that were cached at a time.
+// NewStartTimes returns the start times of nodes that were cached at the given time.
 func NewStartTimes(cached []Node, at time.Time) *StartTimes {
 	s := &StartTimes{cached: map[string]Node{}, cachedAt: at}
 	for _, node := range cached {
@@ -23,9 +23,10 @@
 	return s
 }
 
-// FillIn fills in the starts that an update lacks; it is called for each update, before it is merged.
-// The first full update takes them from the cached one; a node that is not in that has started since, at
-// the earliest when it was cached. The nodes are copied before they are changed.
+// FillIn fills in the starts that an update lacks. It must be called for each update, before the update is
+// merged. For the first full update, the starts come from the cached update; a node that is not in the
+// cached update, or has another address there, started later than the cache was written, and is given that
+// time. The update's nodes are copied, not changed in place.
 func (s *StartTimes) FillIn(update *Update) {
 	if update.Err != nil {
 		return
@@ -43,7 +44,7 @@
 	}
 }
 
-// infer notes the starts of those nodes of the first full update that lack one.
+// infer determines the starts of those nodes of the first full update that lack one.
 func (s *StartTimes) infer(nodes []Node) {
 	s.inferred = map[string]Node{}
 	for _, node := range nodes {
--- a/membership/status.go
+++ b/membership/status.go
@@ -10,20 +10,20 @@
 	"pumicecroft/decision"
 )
 
-// State is a Table's verdict on a node.
+// State is the state of a node in a Table, by the reports of all sources.
 type State uint8
 
 // The states. Only WarmingUp and Ready nodes are sent new requests.
 const (
-	Unknown   State = iota // no source has named it
+	Unknown   State = iota // not reported by any source
 	WarmingUp              // ready, and started or registered within Policy.WarmupWindow
 	Ready
-	Probation // was out and reports ready, for less than its probation
-	Draining  // finishes what it has
+	Probation // reports ready after an outage, and its probation has not ended
+	Draining  // finishes its open requests and gets no new ones
 	Removed
 )
 
-// stateNames are what the states are called in command output, JSON and traces.
+// stateNames are the names of the states in command output, JSON and traces.
 var stateNames = [...]string{
 	Unknown:   "unknown",
 	WarmingUp: "cold",
@@ -33,24 +33,24 @@
 	Removed:   "gone",
 }
 
-// String returns the name of the state, as it stands in command output.
+// String returns the name of the state in command output.
 func (s State) String() string { return stateNames[s] }
 
-// NodeStatus is a Table's view of one node, for people.
+// NodeStatus is the status of one node, for display.
 type NodeStatus struct {
 	Node
 	ID                decision.BackendID
 	EffectiveState    State
-	Since             time.Duration // of EffectiveState, but for WarmingUp, which is Ready with a recent start
-	ProbationUntil    time.Duration // when a node in Probation is taken back; otherwise 0
+	Since             time.Duration // start of EffectiveState; for WarmingUp, when the node became Ready
+	ProbationUntil    time.Duration // when the probation of a node in Probation ends; otherwise 0
 	RecentOutages     int
-	Source            string // the source whose report decided
-	Stale             bool   // that source has failed since its last report, or has only sent a cached update
-	MissingFromUpdate bool   // a source's last full update lacks the node, as part of a mass removal in doubt
-	Reason            string // in words
+	Source            string // the source whose report decided the state
+	Stale             bool   // that source has failed since its last report, or its last full update was a cached one
+	MissingFromUpdate bool   // a source's last full update lacks the node, in a mass removal not yet confirmed
+	Reason            string // human-readable reason for the state
 }
 
-// Statuses returns the view of all nodes, sorted by name.
+// Statuses returns the status of all nodes, sorted by name.
 func (t *Table) Statuses() []NodeStatus {
 	var statuses []NodeStatus
 	for _, m := range t.members {
@@ -87,7 +87,7 @@
 	return status
 }
 
-// describe explains a status in words. decisive is the report that decided.
+// describe returns a human-readable reason for a status. decisive is the report that decided the state.
 func describe(status NodeStatus, decisive *Node) string {
 	var parts []string
 	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
--- a/membership/table.go
+++ b/membership/table.go
@@ -7,14 +7,14 @@
 	"pumicecroft/decision"
 )
 
-// Change is what the decision engine and the transports must learn of one node. Its State is Ready,
+// Change is a change of one node that the decision engine and the transports must apply. Its State is Ready,
 // Draining or Removed.
 type Change struct {
 	decision.Endpoint
 	Name string
 	Addr string
-	// Replaced means that another process now stands at the node's address, or the same at another
-	// address: open connections lead nowhere.
+	// Replaced means that the node's address, start or protocol has changed, so open connections to it must
+	// not be used any more.
 	Replaced bool
 }
 
@@ -23,32 +23,32 @@
 	name             string
 	id               decision.BackendID
 	reports          []report // one of each source that knows the node, by precedence
-	emitted          Change   // the last one
+	emitted          Change   // the last change that was emitted; its ID is 0 before the first
 	state            State
-	since            time.Duration // of state
-	decidedBy        int           // index of the source whose report decided
-	drainedByTrusted bool          // a trusted source drained the node: it is taken back at once
+	since            time.Duration // start of state
+	decidedBy        int           // index of the source whose report decided the state
+	drainedByTrusted bool          // a trusted source drained the node, so it serves no probation afterwards
 	probationUntil   time.Duration
-	outages          int           // those that are not forgotten
-	healthySince     time.Duration // moved on by Policy.ProbationReset for each outage that is forgotten
-	queueIndex       int           // in Table.queue, from 1; 0 if it is not there
-	evaluateAt       time.Duration // when the queue wants it evaluated
+	outages          int           // recent outages, not counting forgotten ones
+	healthySince     time.Duration // advanced by Policy.ProbationReset for each outage that is forgotten
+	queueIndex       int           // index in Table.queue plus 1; 0 if it is not in the queue
+	evaluateAt       time.Duration // when it is due in the queue
 }
 
-// Table merges what several sources report of the nodes. It is not safe for concurrent use. The sources
-// stand in order of precedence:
+// Table merges the reports of several sources on nodes. It is not safe for concurrent use. The sources are
+// in order of precedence, and reports are merged by these rules:
 //
-//   - What a node is (address, zone, cell, instance type, weight) is taken from the first source that
-//     knows it.
-//   - A node is ready only if all sources that know it say so. A source that does not know a node has no
-//     say in it.
+//   - A node's attributes (address, zone, cell, instance type, weight, protocol) come from the first source
+//     that knows it.
+//   - A node is ready only if all sources that know it report it as ready. Sources that do not know it are
+//     not considered.
 //   - Its start is the latest that any of them reports.
 //   - It is removed when no source knows it any more.
-//   - A source that fails keeps its last reports; they are marked stale.
-//   - A full update that lacks most nodes is doubted: see Policy.MassRemovalRatio.
+//   - A failed source's last reports stay in force and are marked stale.
+//   - The removals of a full update that lacks most nodes must be confirmed: see Policy.MassRemovalRatio.
 //
-// A change costs the same however many nodes there are. A full update is compared with what its source
-// reported before; a Merge takes it in steps.
+// The cost of one change does not depend on the number of nodes. A full update is compared with all
+// previous reports of its source; a Merge does this in steps.
 type Table struct {
 	policy         Policy
 	sources        []source
@@ -57,10 +57,10 @@
 	members        map[string]*member
 	queue          evaluationQueue
 	tombstones     map[string]tombstone
-	tombstoneOrder []string // names in order of removal; some may have come back, or stand here twice
+	tombstoneOrder []string // names in order of removal; may hold duplicates, and nodes that are back
 	updateCount    uint64   // merges that have begun
 	skipped        int
-	changes        []Change // of the current call
+	changes        []Change // changes of the current call
 }
 
 // NewTable returns an empty table of sources, in order of precedence.
@@ -72,19 +72,19 @@
 	return t
 }
 
-// Len returns how many nodes are kept.
+// Len returns the number of nodes in the table.
 func (t *Table) Len() int { return len(t.members) }
 
-// SkippedEntries returns how many entries of updates were skipped because Policy.MaxNodes nodes are kept.
+// SkippedEntries returns how many entries of updates were skipped because the table held Policy.MaxNodes nodes.
 func (t *Table) SkippedEntries() int { return t.skipped }
 
-// Tick does what has come due by now. The changes are valid until the table's next call.
+// Tick processes everything that is due by now. The changes are valid until the table's next call.
 func (t *Table) Tick(now time.Duration) []Change {
 	t.advance(now, noSource)
 	return t.changes
 }
 
-// Next returns when Tick is to be called, and false if nothing waits for it.
+// Next returns when Tick must be called next, and false if nothing is scheduled.
 func (t *Table) Next() (at time.Duration, ok bool) {
 	if len(t.queue) > 0 {
 		at, ok = t.queue[0].evaluateAt, true
@@ -92,8 +92,8 @@
 	for i := range t.sources {
 		src := &t.sources[i]
 		for _, removal := range src.removals {
-			due, counting := removal.due(src)
-			if counting && !removal.elapsed && (!ok || due < at) {
+			due, confirmed := removal.due(src)
+			if confirmed && !removal.elapsed && (!ok || due < at) {
 				at, ok = due, true
 			}
 		}
@@ -101,11 +101,11 @@
 	return at, ok
 }
 
-// noSource is the index that no source has.
+// noSource is the source index that stands for none.
 const noSource = -1
 
-// advance begins each call: it sets the time and does what has come due. Mass removals of the source
-// that is reporting are left to its update.
+// advance is the first step of each call: it sets the time and processes everything that is due. It skips
+// pending removals of the reporting source, which are settled after the source's update is merged.
 func (t *Table) advance(now time.Duration, reporting int) {
 	t.now = max(t.now, now)
 	t.changes = t.changes[:0]
@@ -121,8 +121,9 @@
 	}
 }
 
-// applyReport takes in one source's report on one node. It returns false if there is no room for the node.
-func (t *Table) applyReport(sourceIndex int, node Node, started time.Duration) (room bool) {
+// applyReport stores one source's report on one node and evaluates the node. It returns false if the node is
+// new and the table is full.
+func (t *Table) applyReport(sourceIndex int, node Node, started time.Duration) (accepted bool) {
 	m := t.members[node.Name]
 	if m == nil {
 		if node.State == decision.Removed {
@@ -147,13 +148,13 @@
 	return true
 }
 
-// removeReport takes back a source's report on a node.
+// removeReport deletes a source's report on a node and evaluates the node.
 func (t *Table) removeReport(sourceIndex int, name string) {
 	t.applyReport(sourceIndex, Node{Name: name, State: decision.Removed}, 0)
 }
 
-// add adds a node under an ID that was never used, with the outages of its tombstone if it was here
-// before. Unless a trusted source adds it, it then begins in probation.
+// add adds a node under a new ID, with the outages from its tombstone if the node was removed recently. If
+// that leaves any outages and the source is not trusted, the node begins in probation.
 func (t *Table) add(name string, trusted bool) *member {
 	t.lastID++
 	m := &member{name: name, id: t.lastID, since: t.now, healthySince: t.now}
@@ -181,11 +182,11 @@
 		m.outages++
 	}
 	if announced && !t.sources[m.decidedBy].Trusted {
-		t.bury(m)
+		t.addTombstone(m)
 	}
 }
 
-// emit appends the change that a node's state and report make, if there is one.
+// emit appends a Change if the member's state or attributes differ from those last emitted.
 func (t *Table) emit(m *member, node Node, started time.Duration) {
 	change := Change{
 		Name: m.name,
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -13,12 +13,12 @@
 	tt := newTableTest(t, Policy{}, "s!")
 	tt.full(1*sec, "s", "a b", "a#1:ready; b#2:ready")
 	tt.full(2*sec, "s", "a b", "") // nothing has changed
-	tt.changes(3*sec, "s", "c", "c#3:ready")
-	tt.changes(4*sec, "s", "b:gone", "b#2:gone")
-	tt.changes(5*sec, "s", "b", "b#4:ready") // a new one, under a new id
+	tt.delta(3*sec, "s", "c", "c#3:ready")
+	tt.delta(4*sec, "s", "b:gone", "b#2:gone")
+	tt.delta(5*sec, "s", "b", "b#4:ready") // a new one, under a new id
 	tt.full(6*sec, "s", "b", "a#1:gone; c#3:gone")
-	tt.changes(7*sec, "s", "z:gone", "") // never named
-	tt.changes(7*sec, "nobody", "z", "") // no such source
+	tt.delta(7*sec, "s", "z:gone", "") // never named
+	tt.delta(7*sec, "nobody", "z", "") // no such source
 	if tt.table.Len() != 1 {
 		t.Errorf("%d nodes", tt.table.Len())
 	}
@@ -32,18 +32,18 @@
 	tt := newTableTest(t, Policy{ProbationMin: sec}, "consul", "platform")
 	tt.full(0, "platform", "a b", "a#1:ready; b#2:ready")
 	tt.full(1*sec, "consul", "a@x c", "a#1:ready moved to h:ax; c#3:ready") // the first source's address counts
-	tt.changes(2*sec, "consul", "a:draining@x", "a#1:draining")             // they disagree
+	tt.delta(2*sec, "consul", "a:draining@x", "a#1:draining")               // they disagree
 	tt.wantStatus("a", "draining since 2s by consul")
-	tt.changes(3*sec, "platform", "a:draining", "")
-	tt.changes(4*sec, "consul", "a@x", "") // the other is late: it still says draining
+	tt.delta(3*sec, "platform", "a:draining", "")
+	tt.delta(4*sec, "consul", "a@x", "") // the other is late: it still says draining
 	tt.wantStatus("a", "draining since 2s by platform")
-	tt.changes(14*sec, "platform", "a", "") // by 10 s
+	tt.delta(14*sec, "platform", "a", "") // by 10 s
 	tt.tick(15*sec, "a#1:ready")
-	tt.changes(16*sec, "consul", "c:gone", "c#3:gone")               // which only one of them knew
-	tt.changes(17*sec, "consul", "a:gone", "a#1:ready moved to h:a") // the other still knows it, by its address
-	tt.changes(18*sec, "platform", "a:gone", "a#1:gone")
-	tt.changes(19*sec, "consul", "b:draining", "b#2:draining")
-	tt.changes(20*sec, "consul", "b:gone", "") // and then does not know it: the platform's report alone counts
+	tt.delta(16*sec, "consul", "c:gone", "c#3:gone")               // which only one of them knew
+	tt.delta(17*sec, "consul", "a:gone", "a#1:ready moved to h:a") // the other still knows it, by its address
+	tt.delta(18*sec, "platform", "a:gone", "a#1:gone")
+	tt.delta(19*sec, "consul", "b:draining", "b#2:draining")
+	tt.delta(20*sec, "consul", "b:gone", "") // and then does not know it: the platform's report alone counts
 	tt.tick(21*sec, "b#2:ready")
 }
 
@@ -64,15 +64,15 @@
 // closed.
 func TestRestartedNodeIsReplaced(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s", "o")
-	tt.changes(100*sec, "s", "a^90", "a#1:ready^90")
+	tt.delta(100*sec, "s", "a^90", "a#1:ready^90")
 	tt.wantStatus("a", "cold since 1m40s by s")
 	tt.tick(106*sec, "")
 	tt.wantStatus("a", "ready since 1m40s by s")
-	tt.changes(110*sec, "s", "a^109", "a#1:ready^109 moved to h:a")
-	tt.changes(111*sec, "o", "a^105", "") // an older start
-	tt.changes(112*sec, "o", "a^111", "a#1:ready^111 moved to h:a")
-	tt.changes(113*sec, "s", "a:draining^109", "a#1:draining^111")
-	tt.changes(114*sec, "s", "a^109", "") // well again without a restart
+	tt.delta(110*sec, "s", "a^109", "a#1:ready^109 moved to h:a")
+	tt.delta(111*sec, "o", "a^105", "") // an older start
+	tt.delta(112*sec, "o", "a^111", "a#1:ready^111 moved to h:a")
+	tt.delta(113*sec, "s", "a:draining^109", "a#1:draining^111")
+	tt.delta(114*sec, "s", "a^109", "") // well again without a restart
 	tt.tick(115*sec, "a#1:ready^111")
 }
 
@@ -181,7 +181,7 @@
 				}
 				see(changes)
 				m.apply(source, update)
-				doubtful := doubtsRemoval(table, source) // a repeated update may confirm a mass removal
+				doubtful := hasPendingRemoval(table, source) // a repeated update may confirm a mass removal
 				changes, _ = table.Report(now, source, update, startOffset)
 				if len(changes) > 0 && !doubtful {
 					t.Fatalf("seed %d: repeated: %s", seed, formatChanges(changes))
@@ -214,7 +214,7 @@
 	cached := Update{Full: true, Cached: true, Nodes: parseNodes("a b")}
 	tt.want(0, changesOf(tt.table.Report(0, "s", cached, startOffset)), "a#1:ready; b#2:ready")
 	tt.wantStatus("a", "ready since 0s by s, old")
-	tt.changes(1*sec, "s", "a", "") // of the rest nothing is known
+	tt.delta(1*sec, "s", "a", "") // of the rest nothing is known
 	tt.wantStatus("b", "ready since 0s by s, old")
 	tt.full(2*sec, "s", "a b", "")
 	tt.wantStatus("a", "ready since 0s by s")
@@ -230,5 +230,5 @@
 	tt.full(2*sec, "s", "a b c d", "")
 	tt.full(3*sec, "s", "a b c", "")
 	tt.full(4*sec, "s", "a", "")
-	tt.changes(5*sec, "s", "a:gone", "")
+	tt.delta(5*sec, "s", "a:gone", "")
 }
--- a/quota/counterlink.go
+++ b/quota/counterlink.go
@@ -7,43 +7,42 @@
 )
 
 const (
-	// maxCallsInFlight bounds the calls of one gateway.
+	// maxCallsInFlight limits the concurrent calls of one gateway.
 	maxCallsInFlight = 64
 
-	// downThreshold is how many calls in a row must fail before the counter counts as down.
+	// downThreshold is the number of consecutive failed calls after which the counter counts as down.
 	downThreshold = 3
 
-	// fractionDecreaseFactor is what a call that was rejected leaves of the fraction of customers
-	// that the counter is called for, fractionIncrease what each success adds to it,
-	// minCustomerFraction the least that it is.
+	// The fraction of customers that the counter is called for decreases by a factor with each
+	// rejected call and increases by a constant with each successful one (AIMD).
 	fractionDecreaseFactor = 0.7
 	fractionIncrease       = 1.0 / 64
 	minCustomerFraction    = 1.0 / 64
 )
 
-// downBackoff is how long the counter counts as down, until one call tries it again.
+// downBackoff is the time from when the counter counts as down until a single call probes it.
 var downBackoff = backoff.Exponential{Initial: 250 * time.Millisecond, Max: 4 * time.Second}
 
-// CounterLink is what a gateway knows of its way to the shared counter: whether it responds, and
-// for which fraction of the customers it can be called without being crowded. A crowded counter
-// serves calls in turn and turns some away. Then every gateway calls it for fewer customers, and
-// all gateways for about the same ones, so that those that deposit and those that withdraw still
-// meet.
+// CounterLink is a gateway's circuit breaker and load limiter for calls to the shared counter. It
+// tracks whether the counter responds, and for which fraction of the customers it can be called
+// without being overloaded. An overloaded counter queues calls and rejects some of them. Each
+// gateway then calls it for fewer customers. All gateways choose about the same customers, by the
+// keys of their buckets, so that deposits and withdrawals still go to the same buckets.
 type CounterLink struct {
 	customerFraction float64
 	inFlight         int
-	failures         int // in a row
+	failures         int // consecutive
 	downUntil        time.Duration
-	downFor          time.Duration // how long it counted as down for last, before jitter
-	probing          bool          // one call is in flight to see whether it is up again
+	downFor          time.Duration // the last backoff delay, before jitter
+	probing          bool          // a single call is in flight to probe whether the counter is up again
 }
 
-// NewCounterLink returns a link of which nothing is known: the counter may be called for all
-// customers.
+// NewCounterLink returns a CounterLink in its initial state, in which the counter may be called for
+// all customers.
 func NewCounterLink() CounterLink { return CounterLink{customerFraction: 1} }
 
-// Allow reports whether the counter may be called for a customer's bucket now. If so CallStarted
-// must follow.
+// Allow reports whether the counter may be called for a customer's bucket now. If it returns true,
+// the caller must make the call and record it with CallStarted.
 func (l *CounterLink) Allow(now time.Duration, bucket *SharedBucket) bool {
 	down := l.failures >= downThreshold
 	if l.inFlight >= maxCallsInFlight || down && (now < l.downUntil || l.probing) {
@@ -52,8 +51,8 @@
 	return l.customerFraction >= 1 || float64(bucket.key>>11)/(1<<53) < l.customerFraction
 }
 
-// CallStarted records a call. Exactly one of CallSucceeded, CallRejected and CallFailed must
-// follow.
+// CallStarted records the start of a call. Its end must be recorded by exactly one of
+// CallSucceeded, CallRejected and CallFailed.
 func (l *CounterLink) CallStarted() {
 	l.inFlight++
 	l.probing = l.failures >= downThreshold
@@ -66,21 +65,21 @@
 	l.customerFraction = min(1, l.customerFraction+fractionIncrease)
 }
 
-// CallRejected records a call that the counter turned away, as it is crowded. chance is as for
+// CallRejected records a call that the counter rejected because it is overloaded. random is as for
 // CallFailed.
-func (l *CounterLink) CallRejected(now time.Duration, chance float64) {
+func (l *CounterLink) CallRejected(now time.Duration, random float64) {
 	l.customerFraction = max(minCustomerFraction, l.customerFraction*fractionDecreaseFactor)
-	l.CallFailed(now, chance)
+	l.CallFailed(now, random)
 }
 
-// CallFailed records a call without a result. chance, 0 to 1, is random, and keeps gateways apart
-// that lost the counter in the same moment.
-func (l *CounterLink) CallFailed(now time.Duration, chance float64) {
+// CallFailed records a call that returned no result. random is a random number from 0 to 1. It adds
+// jitter, so that gateways that lost the counter at the same moment don't probe it at the same time.
+func (l *CounterLink) CallFailed(now time.Duration, random float64) {
 	l.inFlight--
 	l.probing = false
 	l.failures++
 	if l.failures >= downThreshold {
 		l.downFor = downBackoff.Next(l.downFor)
-		l.downUntil = now + time.Duration((0.5+chance/2)*float64(l.downFor))
+		l.downUntil = now + time.Duration((0.5+random/2)*float64(l.downFor))
 	}
 }
--- a/quota/newcomers.go
+++ b/quota/newcomers.go
@@ -1,28 +1,29 @@
 package quota
 
 const (
-	// firstUsageSamples is how many first usage reports the over-quota ratio is a mean of, by
-	// fading weights.
+	// firstUsageSamples is the number of first usage reports that the exponentially weighted
+	// over-quota ratio averages over.
 	firstUsageSamples = 32
-	// requestSamples is the same for the means of cost and weight, in requests.
+	// requestSamples is the number of requests that the weighted means of cost and weight average over.
 	requestSamples = 256
-	// priorFirstUsages is how many first reports within the quota are assumed before any has come.
+	// priorFirstUsages is the number of first reports within the quota that the ratio starts from.
 	priorFirstUsages = 2
 
 	// fullRate is a usage of exactly the plan's rate, in percent.
 	fullRate = 100
 )
 
-// NewcomerStats is what one gateway has seen of the customers of a plan, fading: whether those that
-// it met first were over their rate by their first usage report, and what requests cost and weigh.
-// Where there are many gateways, most requests come from customers of whom a gateway knows nothing
-// else. The zero value has seen none.
+// NewcomerStats holds exponentially weighted statistics of one gateway on the customers of a plan:
+// how many newcomers, which are customers that this gateway had no usage report of before, were over
+// their rate by their first usage report, and the cost and weight of all requests. With many
+// gateways, most requests come from customers of whom a gateway knows nothing else. The zero value
+// is ready to use.
 type NewcomerStats struct {
-	firstUsages, overQuota float64 // first reports; those over the rate
-	requests, cost, weight float64 // requests; the sum of their costs in units; of cost times priority weight
+	firstUsages, overQuota float64 // weighted number of first reports; of those over the rate
+	requests, cost, weight float64 // weighted sums: requests; their costs in units; cost times priority weight
 }
 
-// RecordRequest counts a request of a cost, and of a priority weight a unit.
+// RecordRequest records a request's cost and its priority weight for each unit of cost.
 func (n *NewcomerStats) RecordRequest(priorityWeight, cost float64) {
 	const fade = 1 - 1.0/requestSamples
 	n.requests = fade*n.requests + 1
@@ -30,7 +31,7 @@
 	n.weight = fade*n.weight + priorityWeight*cost
 }
 
-// RecordFirstUsage counts a customer's first usage report, in percent of its rate.
+// RecordFirstUsage records a customer's first usage report, in percent of its rate.
 func (n *NewcomerStats) RecordFirstUsage(usage float64) {
 	const fade = 1 - 1.0/firstUsageSamples
 	n.firstUsages, n.overQuota = fade*n.firstUsages+1, fade*n.overQuota
@@ -39,14 +40,14 @@
 	}
 }
 
-// OverQuotaRatio returns the share of newcomers that are over their rate, from 0 to below 1.
+// OverQuotaRatio returns the fraction of newcomers that are over their rate, from 0 to below 1.
 func (n *NewcomerStats) OverQuotaRatio() float64 {
 	return n.overQuota / (n.firstUsages + priorFirstUsages)
 }
 
-// OverQuotaProbability returns the chance that a newcomer's request of a cost is beyond its quota.
-// A customer over its rate keeps its bucket near empty, so that what costs little fits in now and
-// then, and what costs much hardly ever.
+// OverQuotaProbability returns the probability that a newcomer's request of the given cost exceeds
+// its quota. The bucket of a customer over its rate is nearly empty, so a cheap request sometimes
+// fits and an expensive one hardly ever does.
 func (n *NewcomerStats) OverQuotaProbability(cost float64) float64 {
 	if cost <= 0 {
 		return 0
@@ -55,20 +56,21 @@
 	return n.OverQuotaRatio() * cost * cost / (cost*cost + mean*mean)
 }
 
-// NetGain returns what forwarding a newcomer's request gains, as a share of its weight, where one
-// beyond the quota loses overQuotaLoss times its weight: 1 where no newcomer is over its rate. Of
-// those that are, a unit forwarded inside the quota, too, puts one of mean weight beyond it later.
+// NetGain returns the expected gain of forwarding a newcomer's request, as a fraction of its weight,
+// if a request over the quota loses overQuotaLoss times its weight. It is 1 if no newcomer is over
+// its rate. For a newcomer that is, each unit forwarded within the quota also pushes a later unit of
+// mean weight over the quota.
 func (n *NewcomerStats) NetGain(priorityWeight, cost, overQuotaLoss float64) float64 {
-	beyond := n.OverQuotaProbability(cost)
-	displaced := n.OverQuotaRatio() * (1 - beyond) * overQuotaLoss // in units of mean weight
-	if displaced > 0 {
-		displaced /= n.RelativeWeight(priorityWeight)
+	overQuota := n.OverQuotaProbability(cost)
+	displacedLoss := n.OverQuotaRatio() * (1 - overQuota) * overQuotaLoss // relative to the mean weight
+	if displacedLoss > 0 {
+		displacedLoss /= n.RelativeWeight(priorityWeight)
 	}
-	return 1 - beyond*overQuotaLoss - displaced
+	return 1 - overQuota*overQuotaLoss - displacedLoss
 }
 
-// RelativeWeight returns a priority weight beside the mean of all requests; 1 where nothing is
-// known.
+// RelativeWeight returns a priority weight divided by the mean over all units of cost, or 1 before
+// any request was recorded.
 func (n *NewcomerStats) RelativeWeight(priorityWeight float64) float64 {
 	if n.weight <= 0 {
 		return 1
--- a/quota/sharedbucket.go
+++ b/quota/sharedbucket.go
@@ -7,29 +7,31 @@
 	"pumicecroft/internal/eventqueue"
 )
 
-// BucketTTL is the life of a shared bucket's key. What is in the bucket then is lost.
+// BucketTTL is the lifetime of a shared bucket's key. The tokens in the bucket are lost when it
+// expires.
 const BucketTTL = time.Minute
 
-// totalTolerance is what a total may be off by, in units: the counter keeps seven digits.
+// totalTolerance is the rounding error allowed in a total, in units: the counter keeps seven digits.
 const totalTolerance = 1e-3
 
-// depositBackoff is the time between two deposits to a bucket that is full.
+// depositBackoff is the time between two deposits to a full bucket.
 var depositBackoff = backoff.Exponential{Initial: 500 * time.Millisecond, Max: 8 * time.Second}
 
-// SharedBucket is a gateway's view of what gateways lend each other of one customer's hard limit.
-// The zero value is of no bucket. Amounts are units of cost.
+// SharedBucket is a gateway's view of the shared token bucket of one customer's hard limit, through
+// which gateways lend each other tokens. The zero value stands for no bucket. Amounts are in units
+// of cost.
 type SharedBucket struct {
 	key           uint64  // the same at every gateway
-	capacity      float64 // the most that may lie in it; 0: there is none
-	localShare    float64 // the most that a gateway holds of its own
-	surplus       float64 // what one deposit puts in
+	capacity      float64 // the most tokens that the bucket may hold; 0 if there is no bucket
+	localShare    float64 // the most tokens that a gateway holds outside the bucket
+	surplus       float64 // the size of one deposit
 	nextDepositAt time.Duration
 	depositDelay  time.Duration // from the last deposit to nextDepositAt, before jitter
 }
 
-// NewSharedBucket returns the bucket of a customer under a plan whose hard limit holds burst units,
-// over so many gateways, for requests of maxCost at most. Exists tells whether there is one: it
-// must be able to lend a request of maxCost.
+// NewSharedBucket returns the bucket of a customer under a plan whose hard limit has a burst of
+// burst units, shared by a number of gateways, with requests that cost at most maxCost. There is no
+// bucket (see Exists) if its capacity would be less than maxCost.
 func NewSharedBucket(customer uint64, plan string, burst float64, gateways int, maxCost float64) SharedBucket {
 	key := mixBits(customer)
 	for i := range len(plan) {
@@ -50,20 +52,20 @@
 	return b
 }
 
-// mixBits spreads all bits of a number over all bits: a step of splitmix64.
+// mixBits hashes a number by one step of splitmix64, so that each input bit affects all output bits.
 func mixBits(x uint64) uint64 { return eventqueue.Mix(x + 0x9e3779b97f4a7c15) }
 
 // Exists reports whether there is a bucket.
 func (b *SharedBucket) Exists() bool { return b.capacity > 0 }
 
-// LocalShare returns the most that a gateway holds of its own.
+// LocalShare returns the most tokens that a gateway holds outside the bucket.
 func (b *SharedBucket) LocalShare() float64 { return b.localShare }
 
 // Key returns the key of the bucket's number on the counter, below 2^63.
 func (b *SharedBucket) Key() uint64 { return b.key >> 1 }
 
-// Surplus returns what a gateway that holds all of its LocalShare deposits, or 0 if it should not
-// yet.
+// Surplus returns how much a gateway that holds its full LocalShare should deposit now, or 0 if it
+// is too early for another deposit.
 func (b *SharedBucket) Surplus(now time.Duration) float64 {
 	if now < b.nextDepositAt {
 		return 0
@@ -71,28 +73,30 @@
 	return b.surplus
 }
 
-// Deposited takes the total after a deposit, and returns what must be added to it: 0, or less where
-// the bucket holds more than its capacity. A full bucket is deposited to less and less often, an
-// emptied one as soon as there is a surplus. chance, 0 to 1, is random, and keeps gateways apart.
-func (b *SharedBucket) Deposited(now time.Duration, total, chance float64) (correction float64) {
+// Deposited records a deposit by the total that it returned, and returns the correction to add to
+// the counter: 0, or a negative amount if the bucket exceeds its capacity. The delay until the next
+// deposit backs off exponentially while the bucket is full, and returns to its minimum otherwise.
+// random is a random number from 0 to 1. It adds jitter, so that gateways don't deposit at the same
+// time.
+func (b *SharedBucket) Deposited(now time.Duration, total, random float64) (correction float64) {
 	if total >= b.capacity-totalTolerance {
 		b.depositDelay = depositBackoff.Next(b.depositDelay)
 	} else {
 		b.depositDelay = depositBackoff.Initial
 	}
-	b.nextDepositAt = now + time.Duration((0.5+chance)*float64(b.depositDelay))
+	b.nextDepositAt = now + time.Duration((0.5+random)*float64(b.depositDelay))
 	return -max(0, total-b.capacity)
 }
 
-// Withdrawn takes the total after a cost was taken out, and reports whether it was there.
-// correction is what must be added to the total: the cost again if it was not there, or less than 0
-// where the bucket holds more than its capacity.
+// Withdrawn interprets the total that a withdrawal of cost returned, and reports whether the bucket
+// held that much. correction is the amount to add to the counter: the cost if the bucket held too
+// little, or what brings the total to the capacity if the bucket exceeded it.
 func (b *SharedBucket) Withdrawn(cost, total float64) (granted bool, correction float64) {
 	before := total + cost
 	switch {
 	case total < -totalTolerance:
 		return false, cost
-	case before > b.capacity+totalTolerance: // deposits crossed, or it is another's number: none of it is trusted
+	case before > b.capacity+totalTolerance: // concurrent deposits, or another use of the key: grant nothing
 		return false, b.capacity - total
 	}
 	return true, 0
--- a/recovery/debts.go
+++ b/recovery/debts.go
@@ -9,9 +9,9 @@
 	"pumicecroft/decision"
 )
 
-// RefillTime is how long a customer that uses nothing takes at the most until its token bucket is full again. A gateway
-// that began with customers of which nothing is known can say only then that those who are not in its snapshot owe
-// nothing: else two restarts would grant a burst that one does not.
+// RefillTime returns the longest time that an empty token bucket of any of the plans takes to refill. A gateway that
+// started without knowing its customers' usage may mark a snapshot as complete only after this time; otherwise two
+// restarts in a row would grant a burst that a single restart does not.
 func RefillTime(plans []decision.Plan) (longest time.Duration) {
 	for i := range plans {
 		if plan := &plans[i]; plan.Rate > 0 {
@@ -22,12 +22,12 @@
 	return longest
 }
 
-// QuotaDebts collects the customers with the largest debts, as many as a snapshot holds. Use NewQuotaDebts.
+// QuotaDebts collects the customers with the largest quota debts, up to a limit. Use NewQuotaDebts to create one.
 type QuotaDebts struct {
 	limit     int
 	plans     map[string]*decision.Plan
 	debts     []quotaDebt
-	truncated bool // a customer with a debt was left out
+	truncated bool // a customer with a debt was dropped because of limit
 }
 
 type quotaDebt struct {
@@ -35,7 +35,7 @@
 	owes float64
 }
 
-// NewQuotaDebts returns a QuotaDebts of limit customers at the most.
+// NewQuotaDebts returns a QuotaDebts that keeps at most limit customers.
 func NewQuotaDebts(plans []decision.Plan, limit int) *QuotaDebts {
 	return &QuotaDebts{limit: limit, plans: plansByName(plans)}
 }
@@ -48,7 +48,8 @@
 	return byName
 }
 
-// Add adds a customer with a debt. One without a plan is ignored. Up to twice the limit are held.
+// Add adds a customer with a debt. A customer of an unknown plan is ignored. To save sorting, up to twice the limit are
+// held before the smallest debts are dropped.
 func (d *QuotaDebts) Add(customer decision.CustomerState) {
 	plan := d.plans[customer.Plan]
 	if plan == nil {
@@ -60,7 +61,7 @@
 	}
 }
 
-// trim keeps the largest debts, in one order.
+// trim sorts the debts, largest first and equal ones by customer ID, and drops those beyond the limit.
 func (d *QuotaDebts) trim() {
 	slices.SortFunc(d.debts, func(a, b quotaDebt) int {
 		return cmp.Or(cmp.Compare(b.owes, a.owes), cmp.Compare(a.ID, b.ID))
@@ -70,7 +71,8 @@
 	}
 }
 
-// Largest returns the customers with the largest debts, the largest first. complete: no other has one.
+// Largest returns the customers with the largest debts, largest first. complete reports whether these are all customers
+// that were added.
 func (d *QuotaDebts) Largest() (customers []decision.CustomerState, complete bool) {
 	d.trim()
 	for i := range d.debts {
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -1,7 +1,7 @@
-// Package recovery says what a gateway may still rely on after its process was restarted or paused: snapshot.go is
-// the stored form of its decisions' state, restore.go what a restart makes of it, debts.go whom a snapshot keeps,
-// and pause.go how a pause of the process is noticed.
+// Package recovery determines which state a gateway can rely on after its process was restarted or paused: snapshot.go
+// holds the stored format of the decision engine's state, restore.go restores it after a restart, debts.go selects the
+// customers for a snapshot, and pause.go detects pauses of the process.
 //
-// The package is pure: times are durations on the gateway's own clock, and it imports nothing of this module but what
-// is as pure. Each of its values has one owner: lifecycle.Machine has the PauseDetector.
+// The package is pure: it does no I/O and reads no clock, and of this module it imports only pure packages. Each of its
+// values has a single owner; that of the PauseDetector is lifecycle.Machine.
 package recovery
--- a/recovery/restarts_test.go
+++ b/recovery/restarts_test.go
@@ -32,7 +32,7 @@
 
 const period = 500 * time.Millisecond
 
-func (f *fleet) boot(d *gatewayProcess, me int) {
+func (f *fleet) startGateway(d *gatewayProcess, me int) {
 	set := f.settings
 	set.GatewayIndex, set.AssumeQuotaSpent = me, true
 	b := RestoreNothing(nil)
@@ -101,7 +101,7 @@
 		for i := range n {
 			d := &gatewayProcess{}
 			f.gateways = append(f.gateways, d)
-			f.boot(d, i)
+			f.startGateway(d, i)
 		}
 		last := time.Duration(0)
 		recent := make([][]time.Duration, n) // of the flood's, by door
@@ -113,7 +113,7 @@
 			}
 			for i, d := range f.gateways {
 				if d.engine == nil && f.now >= d.downUntil {
-					f.boot(d, i)
+					f.startGateway(d, i)
 				}
 				if d.engine != nil && keeps[i] && (f.now+time.Duration(i)*step)%time.Second == 0 {
 					f.takeSnapshot(d, i)
--- a/recovery/restore.go
+++ b/recovery/restore.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// MaxTrustedAge is the age up to which customers that are not in a complete snapshot owe nothing. What one used
-	// meanwhile at other gateways is as unseen as usage always is for a while; a copy of a snapshot that was put back
-	// from longer ago cannot be told from a fresh one otherwise.
+	// MaxTrustedAge is the age up to which customers that are not in a complete snapshot are taken to owe nothing. Usage
+	// at other gateways within this time is missing, but usage reports always lag by some time. The limit is needed
+	// because a copy of an old snapshot that was put back can't be told from a fresh snapshot by anything but its age.
 	MaxTrustedAge = 10 * time.Second
-	// MaxClockSkew is how far a snapshot may be from the future: clocks are adjusted by small steps all the time.
+	// MaxClockSkew is how far in the future a snapshot's time may be, as clocks are adjusted in small steps.
 	MaxClockSkew = 2 * time.Second
 )
 
-// GatewayInfo is the gateway that restores a snapshot.
+// GatewayInfo describes the gateway that restores a snapshot.
 type GatewayInfo struct {
 	Index, Count   int
 	SettingsDigest uint64
 	Plans          []decision.Plan
 }
 
-// Restored is what a gateway begins with.
+// Restored is the state that a gateway starts with.
 type Restored struct {
-	// AssumeQuotaSpent: nothing is known of customers that are not among Customers, and they are assumed to have used
-	// up their bursts (decision.Settings.AssumeQuotaSpent). Else they owe nothing.
+	// AssumeQuotaSpent means that customers not among Customers are unknown and are assumed to have used up their bursts
+	// (decision.Settings.AssumeQuotaSpent). Otherwise they owe nothing.
 	AssumeQuotaSpent bool
-	Customers        []decision.CustomerState // as they are by now
-	Age              time.Duration            // of the snapshot; below 0: it is from the future
-	Repaid           int                      // customers that had a debt and have none by now
-	Explanation      string                   // for people
-	Err              error                    // why the snapshot is rejected as a whole
+	Customers        []decision.CustomerState // their state as of now
+	Age              time.Duration            // age of the snapshot; negative if its time is in the future
+	Repaid           int                      // number of customers in the snapshot that have no debt left
+	Explanation      string                   // human-readable
+	Err              error                    // why the whole snapshot was rejected, or nil
 }
 
-// RestoreNothing is what a gateway begins with that knows nothing.
+// RestoreNothing returns the state that a gateway starts with if it has no usable snapshot. err is why the snapshot was
+// rejected, or nil.
 func RestoreNothing(err error) Restored {
 	return Restored{
 		AssumeQuotaSpent: true,
@@ -45,15 +46,17 @@
 	}
 }
 
-// Restore says what a gateway makes of a snapshot at a time of the wall clock.
+// Restore returns the state that a gateway starts with, from a snapshot and the wall-clock time.
 //
-// A debt is paid off at the plan's rate as time goes by. All gateways may have been away together, and each would take
-// the whole of that for its own to give: so each counts its share, and usage readings tell the rest within seconds.
+// Debts are paid off at the plan's rate over time. If all gateways were down together, each of them would credit a
+// customer with its whole rate for the same time, so each gateway credits only its share. Usage reports correct the
+// rest within seconds.
 //
-// How much time went by is the snapshot's age. But a snapshot may be a copy that was put back, or the clock may have
-// been set: only one that is younger than MaxTrustedAge is trusted in that customers which are not in it owe nothing,
-// and that those in it have paid since. Of any other only the debts count, and nothing of them is paid off: no
-// customer gets more by it than one of which nothing is known.
+// The time that has passed is the snapshot's age. But the snapshot may be an old copy that was put back, or the clock
+// may have been set. So debts are reduced only if the age is at most MaxTrustedAge, and customers that are not in the
+// snapshot are taken to owe nothing only if it is also complete. Of an older snapshot, or one from the future by more
+// than MaxClockSkew, only the debts are used, unreduced, so that no customer gets more from it than an unknown customer
+// would.
 func Restore(s *Snapshot, gateway GatewayInfo, now time.Time) Restored {
 	switch {
 	case s.GatewayIndex != gateway.Index || s.GatewayCount != gateway.Count:
@@ -66,7 +69,7 @@
 	plans := plansByName(gateway.Plans)
 	for _, customer := range s.Customers {
 		plan := plans[customer.Plan]
-		if plan == nil { // equal settings hold the same plans, but a snapshot may say anything
+		if plan == nil { // equal settings have the same plans, but the snapshot's contents are not trusted
 			continue
 		}
 		customer.MissingTokens = max(0, customer.MissingTokens-100*paidSeconds/float64(max(1, customer.Gateways)))
@@ -79,7 +82,7 @@
 	return restored
 }
 
-// assessAge says how far a snapshot of an age is trusted, and for how many seconds debts were paid off.
+// assessAge returns how far a snapshot of the given age is trusted, and for how many seconds its debts were paid off.
 func assessAge(s *Snapshot, age time.Duration) (restored Restored, paidSeconds float64) {
 	restored = Restored{Age: age, AssumeQuotaSpent: !s.Complete}
 	switch {
--- a/recovery/snapshot.go
+++ b/recovery/snapshot.go
@@ -17,10 +17,10 @@
 // FormatVersion is the version of the format that Encode writes and Decode reads.
 const FormatVersion = 1
 
-// MaxCustomers is how many customers a snapshot holds at the most: those with the largest debts.
+// MaxCustomers is the most customers that a snapshot holds. If there are more, those with the largest debts are kept.
 const MaxCustomers = 100_000
 
-// Why a snapshot is rejected.
+// Reasons for which a snapshot is rejected.
 var (
 	ErrCorrupt       = errors.New("recovery: snapshot is torn or damaged")
 	ErrFormatVersion = errors.New("recovery: unsupported snapshot format")
@@ -28,16 +28,17 @@
 	ErrOtherSettings = errors.New("recovery: snapshot taken under other settings")
 )
 
-// Snapshot is what a gateway keeps of its decisions' state. Its cbor tags are names in stored snapshots, and never
-// change.
+// Snapshot is the state of a gateway's decision engine that is kept over a restart. Its cbor tags are the field names
+// in stored snapshots and must never change.
 type Snapshot struct {
 	GatewayIndex   int                      `cbor:"Door"`
 	GatewayCount   int                      `cbor:"Of"`
-	BootID         uint64                   `cbor:"Boot"` // of the process that took it
+	BootID         uint64                   `cbor:"Boot"` // boot ID of the process that took the snapshot
 	TakenAt        time.Time                `cbor:"At"`
-	SettingsDigest uint64                   `cbor:"Settings"` // of the settings that it was taken under
+	SettingsDigest uint64                   `cbor:"Settings"` // digest of the settings that the snapshot was taken under
 	Customers      []decision.CustomerState `cbor:"Customers"`
-	// Complete: no customer with a debt is missing, for want of room or because the gateway did not know of it.
+	// Complete means that no customer with a debt is missing, neither because of MaxCustomers nor because the gateway did
+	// not know of its debt.
 	Complete bool `cbor:"Whole"`
 }
 
@@ -45,8 +46,8 @@
 
 const checksumHeaderSize = 16 // length and checksum, 8 bytes each
 
-// Encode returns a snapshot's bytes: a line with the format's version, the length and checksum of the rest, and the
-// rest as CBOR.
+// Encode encodes a snapshot: a line with the format version, the length and checksum of the content, and the content as
+// CBOR.
 func Encode(s *Snapshot) ([]byte, error) {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
@@ -63,7 +64,7 @@
 	return append(b, content...), nil
 }
 
-// Decode is the reverse of Encode. The error is an ErrCorrupt or an ErrFormatVersion.
+// Decode decodes a snapshot that Encode encoded. Its error wraps ErrCorrupt or ErrFormatVersion.
 func Decode(b []byte) (*Snapshot, error) {
 	version, content, ok := splitHeader(b)
 	if !ok {
@@ -90,7 +91,7 @@
 	return &s, nil
 }
 
-// splitHeader splits the line with the format's version off.
+// splitHeader splits off the first line and returns the format version in it and the bytes after it.
 func splitHeader(b []byte) (version int, content []byte, ok bool) {
 	b, ok = bytes.CutPrefix(b, magic)
 	line, content, found := bytes.Cut(b, []byte("\n"))
@@ -98,11 +99,12 @@
 	return version, content, ok && found && err == nil
 }
 
-// SettingsDigest is the same for equal settings. A snapshot holds under the settings alone that it was taken under.
+// SettingsDigest returns a digest that is the same for equal settings. A snapshot is valid only under the settings that
+// it was taken under.
 func SettingsDigest(settings decision.Settings) uint64 {
-	settings.AssumeQuotaSpent = false // it follows from the snapshot
+	settings.AssumeQuotaSpent = false // it is derived from the snapshot
 	encoded, err := cbor.Marshal(settings)
-	if err != nil { // nothing in Settings fails to encode
+	if err != nil { // can't happen: all fields of Settings can be encoded
 		return 0
 	}
 	return xxhash.Sum64(encoded)
--- a/recovery/stored_test.go
+++ b/recovery/stored_test.go
@@ -11,7 +11,7 @@
 	"pumicecroft/decision"
 )
 
-var writeStored = flag.Bool("write-stored", false, "write testdata/snapshot.form1 anew, for a form that is new")
+var updateStored = flag.Bool("write-stored", false, "write testdata/snapshot.form1 anew, for a form that is new")
 
 const storedPath = "testdata/snapshot.form1"
 
@@ -50,7 +50,7 @@
 // customer begin with nothing after an upgrade; so what was written once is read field by field, and written alike.
 func TestDecode_SnapshotOfAnEarlierProgram(t *testing.T) {
 	want := storedSnapshot()
-	if *writeStored {
+	if *updateStored {
 		b, err := Encode(want)
 		if err != nil {
 			t.Fatal(err)
