--- a/internal/endpointindex/index_test.go
+++ b/internal/endpointindex/index_test.go
@@ -11,19 +11,19 @@
 
 const testWarmingPeriod, testFailureTTL = 10 * time.Second, 2 * time.Second
 
-// member is one of a model that finds members by walking over all.
+// member is a member of a simple model, which answers queries by iterating over all members.
 type member struct {
 	entry     Entry[*member]
 	id        int
-	group     int // -1: none
+	group     int // -1 if in none
 	ready     bool
 	warming   bool
 	startedAt time.Duration
-	failedAt  time.Duration // 0: nothing
+	failedAt  time.Duration // 0 if it has not failed
 	dirty     bool
 }
 
-// indexModel is an Index beside its model.
+// indexModel is an Index together with its model.
 type indexModel struct {
 	t        *testing.T
 	position string
@@ -32,89 +32,89 @@
 	index    *Index[*member]
 	groups   [3]Group[*member]
 	members  []*member
-	warming  [3]int // what the model's walk found warming at the last advance
+	warming  [3]int // by the model, as of the last advance
 	ages     [3]time.Duration
 }
 
 func newIndexModel(t *testing.T, seed uint64) *indexModel {
-	w := &indexModel{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * time.Hour,
+	im := &indexModel{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * time.Hour,
 		index: New[*member](testWarmingPeriod, testFailureTTL)}
-	for i := range w.groups {
-		w.groups[i] = w.index.NewGroup()
+	for i := range im.groups {
+		im.groups[i] = im.index.NewGroup()
 	}
-	for id := range 1 + w.rng.IntN(200) {
+	for id := range 1 + im.rng.IntN(200) {
 		m := &member{id: id, group: -1}
-		m.entry = Entry[*member]{Value: m, Rank: w.rng.Uint64N(100), TieBreaker: uint32(id)}
-		w.members = append(w.members, m)
+		m.entry = Entry[*member]{Value: m, Rank: im.rng.Uint64N(100), TieBreaker: uint32(id)}
+		im.members = append(im.members, m)
 	}
-	return w
+	return im
 }
 
-// change does something with a member. Some start before or after the current time, some at one moment.
-func (w *indexModel) change() {
-	m := w.members[w.rng.IntN(len(w.members))]
-	switch w.rng.IntN(10) {
+// change makes a random change of a random member. Start times may be in the past or in the future, or equal.
+func (im *indexModel) change() {
+	m := im.members[im.rng.IntN(len(im.members))]
+	switch im.rng.IntN(10) {
 	case 0, 1:
 		m.group, m.failedAt = -1, 0
-		w.index.Remove(&m.entry)
+		im.index.Remove(&m.entry)
 		return
 	case 2, 3:
-		m.failedAt = w.now
-		w.index.RecordFailure(&m.entry, w.now)
+		m.failedAt = im.now
+		im.index.RecordFailure(&m.entry, im.now)
 		return
 	case 4:
 		m.dirty = true
-		w.index.MarkDirty(&m.entry)
+		im.index.MarkDirty(&m.entry)
 		return
 	case 5:
-		w.reconcile()
+		im.reconcile()
 		return
 	}
-	m.group, m.ready = w.rng.IntN(3), w.rng.IntN(3) > 0
-	if w.rng.IntN(2) == 0 {
-		m.startedAt = w.now - 2*testWarmingPeriod + time.Duration(w.rng.IntN(25))*time.Second
+	m.group, m.ready = im.rng.IntN(3), im.rng.IntN(3) > 0
+	if im.rng.IntN(2) == 0 {
+		m.startedAt = im.now - 2*testWarmingPeriod + time.Duration(im.rng.IntN(25))*time.Second
 	}
-	if w.rng.IntN(4) == 0 {
+	if im.rng.IntN(4) == 0 {
 		m.warming = !m.warming
 	}
-	m.entry.Put(&w.groups[m.group], m.ready, m.warming, m.startedAt)
+	m.entry.Put(&im.groups[m.group], m.ready, m.warming, m.startedAt)
 }
 
 // reconcile checks that each dirty member is visited once.
-func (w *indexModel) reconcile() {
-	w.index.Reconcile(func(m *member) bool {
+func (im *indexModel) reconcile() {
+	im.index.Reconcile(func(m *member) bool {
 		if !m.dirty {
-			w.t.Errorf("%s: %d is visited without being dirty, or twice", w.position, m.id)
+			im.t.Errorf("%s: member %d is visited without being dirty, or twice", im.position, m.id)
 		}
 		m.dirty = false
 		return true
 	})
-	for _, m := range w.members {
+	for _, m := range im.members {
 		if m.dirty {
-			w.t.Errorf("%s: %d is not visited", w.position, m.id)
+			im.t.Errorf("%s: dirty member %d is not visited", im.position, m.id)
 		}
 	}
 }
 
-func (w *indexModel) advance() {
-	w.index.Advance(w.now)
-	for i := range w.groups {
-		w.warming[i], w.ages[i] = 0, 0
-		for _, m := range w.members {
-			if m.group == i && m.ready && m.warming && w.now-m.startedAt < testWarmingPeriod {
-				w.warming[i]++
-				w.ages[i] += max(0, w.now-m.startedAt)
+func (im *indexModel) advance() {
+	im.index.Advance(im.now)
+	for i := range im.groups {
+		im.warming[i], im.ages[i] = 0, 0
+		for _, m := range im.members {
+			if m.group == i && m.ready && m.warming && im.now-m.startedAt < testWarmingPeriod {
+				im.warming[i]++
+				im.ages[i] += max(0, im.now-m.startedAt)
 			}
 		}
 	}
 }
 
-func (w *indexModel) check(i int) {
-	known, l := 0, &w.groups[i]
+func (im *indexModel) check(i int) {
+	size, group := 0, &im.groups[i]
 	var want []*member
-	for _, m := range w.members {
+	for _, m := range im.members {
 		if m.group == i {
-			known++
+			size++
 			if m.ready {
 				want = append(want, m)
 			}
@@ -123,125 +123,125 @@
 	slices.SortFunc(want, func(a, b *member) int {
 		return cmp.Or(cmp.Compare(a.entry.Rank, b.entry.Rank), cmp.Compare(a.id, b.id))
 	})
-	if got := slices.Collect(l.Ready()); !slices.Equal(got, want) || l.ReadyLen() != len(want) || l.Len() != known {
-		w.t.Errorf("%s, group %d: %d of %d, %d ready, want %d of %d, or another order", w.position, i,
-			len(got), l.Len(), l.ReadyLen(), len(want), known)
+	got := slices.Collect(group.Ready())
+	if !slices.Equal(got, want) || group.ReadyLen() != len(want) || group.Len() != size {
+		im.t.Errorf("%s, group %d: Ready yields %d of %d members, ReadyLen is %d, want %d of %d in the model's order",
+			im.position, i, len(got), group.Len(), group.ReadyLen(), len(want), size)
 	}
-	if n, ages := l.Warming(); n != w.warming[i] || ages != w.ages[i] {
-		w.t.Errorf("%s, group %d: %d warming of %v together, want %d of %v", w.position, i, n, ages,
-			w.warming[i], w.ages[i])
+	if n, ages := group.Warming(); n != im.warming[i] || ages != im.ages[i] {
+		im.t.Errorf("%s, group %d: Warming returns %d, %v, want %d, %v", im.position, i, n, ages,
+			im.warming[i], im.ages[i])
 	}
 }
 
-// Whatever happens to members, the index finds what a walk over all finds, and Warming what the walk
-// found at the last Advance.
-func TestIndex_MatchesWalkOverMembers(t *testing.T) {
+// After random changes, the index must give the same answers as a model that iterates over all members. Warming must
+// give the model's answer as of the last Advance.
+func TestIndex_MatchesModel(t *testing.T) {
 	for seed := range uint64(60) {
-		w := newIndexModel(t, seed)
+		im := newIndexModel(t, seed)
 		for step := range 600 {
-			w.position = fmt.Sprintf("seed %d, step %d", seed, step)
-			for range w.rng.IntN(8) {
-				w.change()
+			im.position = fmt.Sprintf("seed %d, step %d", seed, step)
+			for range im.rng.IntN(8) {
+				im.change()
 			}
-			if w.rng.IntN(2) == 0 {
-				w.advance()
+			if im.rng.IntN(2) == 0 {
+				im.advance()
 			}
-			if w.rng.IntN(2) == 0 {
-				w.check(w.rng.IntN(3))
+			if im.rng.IntN(2) == 0 {
+				im.check(im.rng.IntN(3))
 			}
-			ready, failed, remembered := 0, 0, 0
-			ago := testFailureTTL/2 + time.Duration(w.rng.IntN(5))*testFailureTTL/8
-			for _, m := range w.members {
+			ready, failed, kept := 0, 0, 0
+			window := testFailureTTL/2 + time.Duration(im.rng.IntN(5))*testFailureTTL/8
+			for _, m := range im.members {
 				if m.group >= 0 && m.ready {
 					ready++
 				}
-				if m.failedAt > 0 && w.now-m.failedAt < ago {
+				if m.failedAt > 0 && im.now-m.failedAt < window {
 					failed++
 				}
 				if m.entry.failure != nil {
-					remembered++
+					kept++
 				}
 			}
-			if w.index.ReadyLen() != ready || w.index.RecentFailures(w.now, ago) != failed ||
-				w.index.failures.Len() != remembered {
-				t.Errorf("%s: %d ready, %d failed of %d remembered, want %d, %d of %d", w.position,
-					w.index.ReadyLen(), w.index.RecentFailures(w.now, ago), w.index.failures.Len(),
-					ready, failed, remembered)
+			if im.index.ReadyLen() != ready || im.index.RecentFailures(im.now, window) != failed ||
+				im.index.failures.Len() != kept {
+				t.Errorf("%s: %d ready, %d recent of %d kept failures, want %d, %d of %d", im.position,
+					im.index.ReadyLen(), im.index.RecentFailures(im.now, window), im.index.failures.Len(),
+					ready, failed, kept)
 			}
-			if w.now += time.Duration(w.rng.IntN(5)) * 250 * time.Millisecond; t.Failed() {
+			if im.now += time.Duration(im.rng.IntN(5)) * 250 * time.Millisecond; t.Failed() {
 				return
 			}
 		}
 	}
 }
 
-// A loop over Ready that breaks goes no further, and an empty group has no members.
+// Ready stops when the loop breaks, and yields nothing for an empty group.
 func TestReady_StopsEarly(t *testing.T) {
-	l := New[int](testWarmingPeriod, testFailureTTL).NewGroup()
-	for range l.Ready() {
-		t.Error("an empty group has a member")
+	group := New[int](testWarmingPeriod, testFailureTTL).NewGroup()
+	for range group.Ready() {
+		t.Error("Ready yields a member of an empty group")
 	}
 	for i := range 1000 {
-		(&Entry[int]{Value: i, Rank: uint64(i)}).Put(&l, true, false, 0)
+		(&Entry[int]{Value: i, Rank: uint64(i)}).Put(&group, true, false, 0)
 	}
 	seen := 0
-	for v := range l.Ready() {
+	for v := range group.Ready() {
 		if seen++; v >= 4 {
 			break
 		}
 	}
 	if seen != 5 {
-		t.Errorf("%d were seen of the first 5", seen)
+		t.Errorf("Ready yielded %d members before the break, want 5", seen)
 	}
 }
 
-// Two days after the clock's origin the start times of 110,000 members sum up to more than a Duration
-// holds; the sum of their ages must be right all the same. Nothing is kept of members that are removed.
+// Two days after the clock's origin, the sum of 110,000 start times overflows a Duration. The sum of the ages must be
+// right all the same. After all members are removed, no start times may be kept.
 func TestWarming_ManyMembersLongAfterOrigin(t *testing.T) {
 	const n = 110_000
-	now, r := 48*time.Hour, New[int](testWarmingPeriod, testFailureTTL)
-	l, entries := r.NewGroup(), make([]Entry[int], n)
+	now, index := 48*time.Hour, New[int](testWarmingPeriod, testFailureTTL)
+	group, entries := index.NewGroup(), make([]Entry[int], n)
 	for i := range entries {
 		entries[i] = Entry[int]{Rank: uint64(i)}
-		entries[i].Put(&l, true, true, now-time.Second)
+		entries[i].Put(&group, true, true, now-time.Second)
 	}
-	r.Advance(now)
-	if got, ages := l.Warming(); got != n || ages != n*time.Second {
-		t.Errorf("%d of %v together", got, ages)
+	index.Advance(now)
+	if got, ages := group.Warming(); got != n || ages != n*time.Second {
+		t.Errorf("Warming returns %d, %v, want %d, %v", got, ages, n, n*time.Second)
 	}
 	for i := range entries[1:] {
-		r.Remove(&entries[i+1])
+		index.Remove(&entries[i+1])
 	}
-	r.Advance(now)
-	if got, ages := l.Warming(); got != 1 || ages != time.Second || l.Len() != 1 {
-		t.Errorf("of one: %d of %v together, %d known", got, ages, l.Len())
+	index.Advance(now)
+	if got, ages := group.Warming(); got != 1 || ages != time.Second || group.Len() != 1 {
+		t.Errorf("Warming returns %d, %v with %d members, want 1, 1s with 1", got, ages, group.Len())
 	}
-	r.Advance(now + testWarmingPeriod)
-	r.Remove(&entries[0])
-	if kept := l.started.counts.Len() + l.upcoming.counts.Len(); kept != 0 {
-		t.Errorf("%d start times are kept of no member", kept)
+	index.Advance(now + testWarmingPeriod)
+	index.Remove(&entries[0])
+	if kept := group.started.counts.Len() + group.upcoming.counts.Len(); kept != 0 {
+		t.Errorf("%d start times are kept without members, want none", kept)
 	}
 }
 
-// A dirty member is visited each time until it is done with, and failures longer ago than the TTL are
-// forgotten.
+// Reconcile visits a dirty member until visit returns true. Failures older than the TTL are deleted.
 func TestReconcileAndRecordFailure(t *testing.T) {
-	r := New[int](testWarmingPeriod, testFailureTTL)
+	index := New[int](testWarmingPeriod, testFailureTTL)
 	a, b := &Entry[int]{Value: 1}, &Entry[int]{Value: 2}
-	r.MarkDirty(a)
-	r.MarkDirty(b)
-	for times := range 3 {
+	index.MarkDirty(a)
+	index.MarkDirty(b)
+	for call := range 3 {
 		var seen []int
-		r.Reconcile(func(v int) bool { seen = append(seen, v); return v == 1 || times == 2 })
-		if want := [][]int{{1, 2}, {2}, {2}}[times]; !slices.Equal(seen, want) {
-			t.Errorf("time %d: %v, want %v", times, seen, want)
+		index.Reconcile(func(v int) bool { seen = append(seen, v); return v == 1 || call == 2 })
+		if want := [][]int{{1, 2}, {2}, {2}}[call]; !slices.Equal(seen, want) {
+			t.Errorf("call %d of Reconcile visits %v, want %v", call, seen, want)
 		}
 	}
-	if r.dirty != nil {
-		t.Error("a list is kept for no members")
+	if index.dirty != nil {
+		t.Errorf("the dirty list has capacity %d without members, want nil", cap(index.dirty))
 	}
-	r.RecordFailure(a, time.Second)
-	if r.RecordFailure(b, time.Second+testFailureTTL); r.failures.Len() != 1 {
-		t.Errorf("%d failures are remembered, the older of which is %v old", r.failures.Len(), testFailureTTL)
+	index.RecordFailure(a, time.Second)
+	if index.RecordFailure(b, time.Second+testFailureTTL); index.failures.Len() != 1 {
+		t.Errorf("%d failures are kept, want 1: the other is %v old", index.failures.Len(), testFailureTTL)
 	}
 }
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// binaryHeap is a queue on container/heap.
+// binaryHeap is an event queue on top of container/heap, for comparison.
 type binaryHeap []entry[uint64]
 
 func (q binaryHeap) Len() int           { return len(q) }
@@ -23,9 +23,8 @@
 	return e
 }
 
-// Whatever is pushed and popped in whatever order, events come by their times, then by their
-// orders.
-func TestQueue_OrderOfTimes(t *testing.T) {
+// For any sequence of pushes and pops, events must be popped by time, and by order where times are equal.
+func TestQueue_PopsByTimeThenOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[uint64]
 		var model []entry[uint64]
@@ -40,7 +39,7 @@
 				})
 				next, ok := q.Next()
 				if at, v := q.Pop(); at != model[0].at || v != model[0].value || next != at || !ok {
-					t.Fatalf("%v %d, want %v", at, v, model[0])
+					t.Fatalf("Pop returns %v, %d and Next returned %v, %v, want %v", at, v, next, ok, model[0])
 				}
 				model = model[1:]
 			} else {
@@ -50,37 +49,39 @@
 				model = append(model, e)
 			}
 			if q.Len() != len(model) {
-				t.Fatalf("it holds %d of %d", q.Len(), len(model))
+				t.Fatalf("Len is %d, want %d", q.Len(), len(model))
 			}
 		}
 	})
 	if _, ok := new(Queue[int]).Next(); ok {
-		t.Error("an empty queue has a next")
+		t.Error("Next of an empty queue returns true, want false")
 	}
 }
 
-// Draws depend on seed and purpose alone, and are evenly spread.
+// Random numbers must depend on all of seed and purpose and on nothing else, and must be evenly distributed.
 func TestRandom_DependsOnPurposeAndIsEven(t *testing.T) {
-	if NewRand(1, 2, 3).Uint64() != NewRand(1, 2, 3).Uint64() || NewRand(1, 2, 3).Uint64() == NewRand(1, 3, 2).Uint64() || NewRand(1, 2).Uint64() == NewRand(2, 2).Uint64() {
-		t.Error("chance does not hang on seed and purpose alone")
+	if NewRand(1, 2, 3).Uint64() != NewRand(1, 2, 3).Uint64() ||
+		NewRand(1, 2, 3).Uint64() == NewRand(1, 3, 2).Uint64() ||
+		NewRand(1, 2).Uint64() == NewRand(2, 2).Uint64() {
+		t.Error("random numbers differ for equal seeds and purposes, or are equal for different ones")
 	}
-	var parts [10]int
+	var counts [10]int
 	for i := range uint64(100_000) {
-		parts[int(10*RandFloat64(7, i))]++
+		counts[int(10*RandFloat64(7, i))]++
 	}
-	for i, n := range parts {
+	for i, n := range counts {
 		if n < 9_700 || n > 10_300 {
-			t.Errorf("%d of 100,000 in part %d of 10", n, i)
+			t.Errorf("%d of 100,000 numbers in interval %d of 10, want 9,700 to 10,300", n, i)
 		}
 	}
 }
 
-// BenchmarkQueue takes the earliest and puts another one later, with n there.
+// BenchmarkQueue measures a pop followed by a push of a later event, with n events in the queue.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		rng := rand.New(rand.NewPCG(1, 1))
 		name := map[int]string{100: "100", 10_000: "10,000", 1_000_000: "1,000,000"}[n]
-		b.Run("four/"+name, func(b *testing.B) {
+		b.Run("4-ary/"+name, func(b *testing.B) {
 			var q Queue[uint64]
 			for i := range uint64(n) {
 				q.Push(time.Duration(rng.IntN(n)), i, i)
@@ -92,7 +93,7 @@
 				q.Push(at+time.Duration(rng.IntN(n)), order, v)
 			}
 		})
-		b.Run("container/"+name, func(b *testing.B) {
+		b.Run("container-heap/"+name, func(b *testing.B) {
 			q := &binaryHeap{}
 			for i := range uint64(n) {
 				heap.Push(q, entry[uint64]{time.Duration(rng.IntN(n)), i, i})
--- a/internal/timerwheel/bench_test.go
+++ b/internal/timerwheel/bench_test.go
@@ -11,10 +11,10 @@
 // heapTimer is a timer in a timerHeap.
 type heapTimer struct {
 	at    time.Duration
-	index int // -1: not in the heap
+	index int // index in the heap, for removal; -1 if it is not in the heap
 }
 
-// timerHeap is container/heap's, with an index for removing.
+// timerHeap is a heap of timers for container/heap.
 type timerHeap []*heapTimer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -36,18 +36,18 @@
 	return t
 }
 
-// BenchmarkWheel has n timers of about 5 s, in a wheel and in a heap. A step adds one and lets 5 s/n pass, so
-// that one fires, or is removed before.
+// BenchmarkWheel compares a wheel with a heap, with n timers of about 5 s each. An iteration advances the time by
+// 5 s/n and adds one timer, so that about one timer fires, or is removed before it fires.
 func BenchmarkWheel(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		for _, remove := range []bool{false, true} {
-			b.Run(fmt.Sprintf("wheel/%d/unset=%v", n, remove), func(b *testing.B) { benchmarkWheel(b, n, remove) })
-			b.Run(fmt.Sprintf("heap/%d/unset=%v", n, remove), func(b *testing.B) { benchmarkHeap(b, n, remove) })
+			b.Run(fmt.Sprintf("wheel/%d/remove=%v", n, remove), func(b *testing.B) { benchmarkWheel(b, n, remove) })
+			b.Run(fmt.Sprintf("heap/%d/remove=%v", n, remove), func(b *testing.B) { benchmarkHeap(b, n, remove) })
 		}
 	}
 }
 
-// timeout is about 5 s.
+// timeout returns a random timeout from 5 s to 6 s.
 func timeout(rng *rand.Rand) time.Duration {
 	return 5*time.Second + time.Duration(rng.IntN(int(time.Second)))
 }
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is a wheel as a plain list.
+// model is a Wheel together with a model of it, a plain list of timers.
 type model struct {
 	wheel  *Wheel[int]
 	tick   time.Duration
@@ -18,10 +18,10 @@
 
 type modelTimer struct {
 	timer   *Timer[int]
-	dueTick time.Duration // number of a tick
+	dueTick time.Duration // the number of the tick, not a duration
 }
 
-// drawDuration draws a duration of any magnitude up to 1<<maxBits.
+// drawDuration draws a duration from least to at most 1<<maxBits, of varying magnitude.
 func drawDuration(t *rapid.T, least int64, maxBits int, label string) time.Duration {
 	bits := rapid.SampledFrom([]int{2, 7, 13, 20, maxBits}).Draw(t, "size")
 	return time.Duration(rapid.Int64Range(least, 1<<bits).Draw(t, label))
@@ -37,7 +37,7 @@
 
 func (m *model) remove(t *rapid.T) {
 	if len(m.timers) == 0 {
-		t.Skip("none")
+		t.Skip("no timers")
 	}
 	i := rapid.IntRange(0, len(m.timers)-1).Draw(t, "which")
 	m.wheel.Remove(m.timers[i].timer)
@@ -50,33 +50,35 @@
 	next, ok := m.wheel.Next()
 	before := func(timer modelTimer) bool { return timer.dueTick*m.tick < next }
 	if ok != (len(m.timers) > 0) || ok && slices.ContainsFunc(m.timers, before) {
-		t.Fatalf("next at %v, %v", next, ok)
+		t.Fatalf("Next returns %v, %v with %d timers, or a timer is due earlier", next, ok, len(m.timers))
 	}
 	last := time.Duration(0)
 	m.wheel.Advance(m.now, func(timer *Timer[int]) {
 		i := slices.IndexFunc(m.timers, func(other modelTimer) bool { return other.timer == timer })
 		if i < 0 || m.timers[i].dueTick > m.now/m.tick || m.timers[i].dueTick < last || timer.Scheduled() {
-			t.Fatalf("%d fires at %v, after one of tick %v", timer.Value, m.now, last)
+			t.Fatalf("timer %d fires at %v, after one of tick %d: it is not due, out of order, removed or still scheduled",
+				timer.Value, m.now, last)
 		}
 		last = m.timers[i].dueTick
 		m.timers = slices.Delete(m.timers, i, i+1)
 	})
 	for _, other := range m.timers {
 		if other.dueTick <= m.now/m.tick || !other.timer.Scheduled() {
-			t.Fatalf("%d of tick %d has not fired at %v", other.timer.Value, other.dueTick, m.now)
+			t.Fatalf("timer %d, due at tick %d, has not fired at %v, or is not scheduled",
+				other.timer.Value, other.dueTick, m.now)
 		}
 	}
 }
 
 func (m *model) checkLen(t *rapid.T) {
 	if m.wheel.Len() != len(m.timers) {
-		t.Fatalf("%d are scheduled, want %d", m.wheel.Len(), len(m.timers))
+		t.Fatalf("Len is %d, want %d", m.wheel.Len(), len(m.timers))
 	}
 }
 
-// Timers are added and removed, and time passes, in any order. Each must fire at the first tick at or after
-// its time, in order, and never else.
-func TestWheel_AgainstList(t *testing.T) {
+// Timers are added and removed while time advances, at random. Each must fire exactly once, at the first tick at or
+// after its time, in order of ticks.
+func TestWheel_MatchesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tick := time.Duration(rapid.SampledFrom([]int{1, 3, 1000}).Draw(t, "tick"))
 		now := time.Duration(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
@@ -90,8 +92,8 @@
 	})
 }
 
-// A timer adds itself again when it fires, for a time that has passed. It must fire again at the next tick, and
-// not at once.
+// A timer is added again when it fires, for a time that has passed. It must fire again at the next tick and not in
+// the same call of Advance.
 func TestWheel_AddWhileFiring(t *testing.T) {
 	w := New[int](10, 0)
 	fired := 0
@@ -103,6 +105,6 @@
 		})
 	}
 	if fired != 10 || w.Len() != 1 {
-		t.Errorf("it fired %d times", fired)
+		t.Errorf("fired %d times with %d timers scheduled, want 10 and 1", fired, w.Len())
 	}
 }
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -12,49 +12,49 @@
 
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
-		list := Update{Full: true}
+		update := Update{Full: true}
 		for i := range n {
 			node := Node{Name: fmt.Sprint("node-", i), Addr: fmt.Sprint("10.0.0.1:", i), Zone: "z", Cell: i % 20}
-			list.Nodes = append(list.Nodes, node)
+			update.Nodes = append(update.Nodes, node)
 		}
 		b.Run(fmt.Sprintf("change/%d", n), func(b *testing.B) {
 			table := NewTable(Policy{}, sourceInfos("s")...)
-			table.Report(0, "s", list, startOffset)
+			table.Report(0, "s", update, startOffset)
 			b.ReportAllocs()
 			now := time.Duration(0)
 			for i := 0; b.Loop(); i++ {
 				now += sec
-				one := list.Nodes[i%n]
-				one.State = decision.BackendState(i / n % 2)
-				table.Report(now, "s", Update{Nodes: []Node{one}}, startOffset)
+				changed := update.Nodes[i%n]
+				changed.State = decision.BackendState(i / n % 2)
+				table.Report(now, "s", Update{Nodes: []Node{changed}}, startOffset)
 			}
 		})
-		b.Run(fmt.Sprintf("whole/%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("full/%d", n), func(b *testing.B) {
 			table := NewTable(Policy{}, sourceInfos("s")...)
 			b.ReportAllocs()
 			now := time.Duration(0)
 			for b.Loop() {
 				now += sec
-				table.Report(now, "s", list, startOffset)
+				table.Report(now, "s", update, startOffset)
 			}
 		})
 	}
 }
 
-// BenchmarkServices measures a table of twenty services of one catalog, each a source: the cost of one
-// change, alone and as the full update of its service (as a catalog reports it), and the memory of a node.
+// BenchmarkServices measures a table of twenty services of one catalog, each with its own source: the cost of one
+// change, reported alone and in a full update of its service (as a catalog does), and the memory for each node.
 func BenchmarkServices(b *testing.B) {
 	const services = 20
 	for _, n := range []int{100, 1000, 10_000} {
 		var names []string
-		lists := make([]Update, services)
+		updates := make([]Update, services)
 		for s := range services {
 			names = append(names, fmt.Sprint("consul:service-", s))
-			lists[s].Full = true
+			updates[s].Full = true
 		}
 		for i := range n {
-			l := &lists[i%services]
-			l.Nodes = append(l.Nodes, Node{
+			update := &updates[i%services]
+			update.Nodes = append(update.Nodes, Node{
 				Name:   fmt.Sprint("node-", i, "/instance"),
 				Addr:   fmt.Sprintf("10.0.%d.%d:80", i/250, i%250),
 				Zone:   "z",
@@ -62,35 +62,35 @@
 				Weight: 1,
 			})
 		}
-		fill := func() *Table {
+		newFilledTable := func() *Table {
 			table := NewTable(Policy{}, sourceInfos(names...)...)
-			for s := range lists {
-				table.Report(0, names[s], lists[s], startOffset)
+			for s := range updates {
+				table.Report(0, names[s], updates[s], startOffset)
 			}
 			return table
 		}
-		turn := func(i int) (int, Node) {
+		changedNode := func(i int) (int, Node) {
 			s := i % services
-			node := lists[s].Nodes[i/services%len(lists[s].Nodes)]
+			node := updates[s].Nodes[i/services%len(updates[s].Nodes)]
 			node.Weight = float64(2 + i%2)
 			return s, node
 		}
 		b.Run(fmt.Sprintf("change/%d", n), func(b *testing.B) {
-			table := fill()
+			table := newFilledTable()
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				s, node := turn(i)
+				s, node := changedNode(i)
 				table.Report(time.Duration(i), names[s], Update{Nodes: []Node{node}}, startOffset)
 			}
 		})
 		b.Run(fmt.Sprintf("service/%d", n), func(b *testing.B) {
-			table := fill()
+			table := newFilledTable()
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				s, node := turn(i)
-				l := Update{Full: true, Nodes: slices.Clone(lists[s].Nodes)}
-				l.Nodes[i/services%len(l.Nodes)] = node
-				table.Report(time.Duration(i), names[s], l, startOffset)
+				s, node := changedNode(i)
+				update := Update{Full: true, Nodes: slices.Clone(updates[s].Nodes)}
+				update.Nodes[i/services%len(update.Nodes)] = node
+				table.Report(time.Duration(i), names[s], update, startOffset)
 			}
 		})
 		b.Run(fmt.Sprintf("all/%d", n), func(b *testing.B) {
@@ -98,15 +98,15 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			table := fill()
+			table := newFilledTable()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
-				fill()
+				newFilledTable()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "bytes/node")
 			if table.Len() != n {
-				b.Fatal(table.Len())
+				b.Fatalf("%d nodes, want %d", table.Len(), n)
 			}
 		})
 	}
--- a/membership/helpers_test.go
+++ b/membership/helpers_test.go
@@ -14,8 +14,9 @@
 
 const sec = time.Second
 
-// tableTest is a table whose updates and changes are written as short lines. A node is "a", followed by
-// ":draining" or ":gone", "@addr", and "^7" for a start at 7 s.
+// tableTest is a Table whose updates and changes are written in a short notation. In an update, a node is its
+// name, optionally followed by its state (":draining" or ":gone"), a suffix of its address ("@x"), and its start
+// in seconds ("^7"). In a change, the name is followed by "#" and the node's ID.
 type tableTest struct {
 	t     *testing.T
 	table *Table
@@ -25,7 +26,7 @@
 	return &tableTest{t, NewTable(policy, sourceInfos(sources...)...)}
 }
 
-// sourceInfos returns sources by name; one with a "!" behind it is trusted.
+// sourceInfos returns sources with the given names. A name that ends in "!" makes a trusted source.
 func sourceInfos(names ...string) []SourceInfo {
 	var sources []SourceInfo
 	for _, name := range names {
@@ -70,22 +71,24 @@
 			line += fmt.Sprintf("^%d", int(c.StartedAt/sec))
 		}
 		if c.Replaced {
-			line += " moved to " + c.Addr
+			line += " replaced at " + c.Addr
 		}
 		lines = append(lines, line)
 	}
 	return strings.Join(lines, "; ")
 }
 
+// delta reports an update of some nodes and checks the changes.
 func (tt *tableTest) delta(at time.Duration, source, text, want string) {
 	tt.t.Helper()
 	changes, invalid := tt.table.Report(at, source, Update{Nodes: parseNodes(text)}, startOffset)
 	tt.want(at, changes, want)
 	if len(invalid) > 0 {
-		tt.t.Errorf("at %v: %v", at, invalid)
+		tt.t.Errorf("at %v: invalid entries %v, want none", at, invalid)
 	}
 }
 
+// full reports a full update and checks the changes.
 func (tt *tableTest) full(at time.Duration, source, text, want string) {
 	tt.t.Helper()
 	changes, _ := tt.table.Report(at, source, Update{Full: true, Nodes: parseNodes(text)}, startOffset)
@@ -100,11 +103,11 @@
 func (tt *tableTest) want(at time.Duration, changes []Change, want string) {
 	tt.t.Helper()
 	if got := formatChanges(changes); got != want {
-		tt.t.Errorf("at %v: %q, want %q", at, got, want)
+		tt.t.Errorf("at %v: changes are %q, want %q", at, got, want)
 	}
 }
 
-// wantStatus checks a node as people see it.
+// wantStatus checks the displayed status of a node.
 func (tt *tableTest) wantStatus(name, want string) {
 	tt.t.Helper()
 	got := "unknown"
@@ -112,7 +115,7 @@
 		if v.Name == name {
 			got = fmt.Sprintf("%v since %v by %s", v.EffectiveState, v.Since, v.Source)
 			if v.Stale {
-				got += ", old"
+				got += ", stale"
 			}
 			if v.ProbationUntil > 0 {
 				got += fmt.Sprintf(", until %v", v.ProbationUntil)
@@ -120,23 +123,23 @@
 		}
 	}
 	if got != want {
-		tt.t.Errorf("%s: %q, want %q", name, got, want)
+		tt.t.Errorf("status of %s is %q, want %q", name, got, want)
 	}
 }
 
 // reportFailure has a source report that it can't be reached.
 func reportFailure(table *Table, now time.Duration, source string) []Change {
-	return changesOf(table.Report(now, source, Update{Err: errors.New("cut")}, startOffset))
+	return changesOf(table.Report(now, source, Update{Err: errors.New("connection refused")}, startOffset))
 }
 
-// doubtsRemoval reports whether a table keeps nodes that a source's full update lacks.
+// hasPendingRemoval reports whether a source has a mass removal that is not yet confirmed.
 func hasPendingRemoval(table *Table, source string) bool {
 	return len(table.sources[table.sourceIndex(source)].missing) > 0
 }
 
 // isMissing reports whether a node is kept although a full update lacks it.
 func isMissing(table *Table, name string) bool {
-	return slices.ContainsFunc(table.sources, func(o source) bool { return o.missing[name] != nil })
+	return slices.ContainsFunc(table.sources, func(src source) bool { return src.missing[name] != nil })
 }
 
 func changesOf(changes []Change, _ []error) []Change { return changes }
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -11,17 +11,17 @@
 	"pumicecroft/decision"
 )
 
-// mirror holds the last change of each node, as a consumer of a table's changes knows the nodes.
+// appliedChanges holds the last change of each node, as a consumer of a table's changes would.
 type appliedChanges map[string]Change
 
-// apply follows changes and returns the nodes that became ready by them.
+// apply applies changes and returns the nodes that became ready.
 func (m appliedChanges) apply(changes []Change) (ready []string) {
 	for _, c := range changes {
-		switch was, known := m[c.Name]; {
+		switch previous, known := m[c.Name]; {
 		case c.State == decision.Removed:
 			delete(m, c.Name)
 			continue
-		case c.State == decision.Ready && (!known || was.State != decision.Ready):
+		case c.State == decision.Ready && (!known || previous.State != decision.Ready):
 			ready = append(ready, c.Name)
 		}
 		c.Replaced = false
@@ -30,7 +30,7 @@
 	return ready
 }
 
-// randomUpdate returns an update of a few nodes, some of them named more than once, some invalid.
+// randomUpdate returns an update of a few nodes, some of which may be named more than once or be invalid.
 func randomUpdate(rng *rand.Rand) Update {
 	update := Update{Full: rng.IntN(3) > 0, DrainsOnly: rng.IntN(6) == 0}
 	if update.DrainsOnly {
@@ -51,21 +51,20 @@
 	return update
 }
 
-// A long update is merged in steps, so that requests are decided between two of them. Whatever the size
-// of the steps and with ticks between them, the merge must end where the update in one piece ends, and in
-// between no node may become ready that the update takes out, or that neither it nor the state before
-// has ready.
+// A long update is merged in steps, and requests are routed between them. For any step size, and with ticks
+// between steps, the result must be that of merging the update at once. In between, a node may become ready only
+// if the update's last entry for it says so, or, for a new node, an earlier entry.
 func TestMergeInStepsEqualsReport(t *testing.T) {
 	for seed := range uint64(4000) {
 		rng := rand.New(rand.NewPCG(seed, 17))
 		policy := Policy{MaxNodes: []int{4, 100}[rng.IntN(2)]}
 		atOnce, inSteps := NewTable(policy, sourceInfos("a!", "b!")...), NewTable(policy, sourceInfos("a!", "b!")...)
-		want, got, literal := appliedChanges{}, appliedChanges{}, map[string]Node{}
+		want, got, inOrder := appliedChanges{}, appliedChanges{}, map[string]Node{}
 		for round := range 12 {
 			at := time.Duration(round) * sec
 			update := randomUpdate(rng)
 			changes, wantInvalid := atOnce.Report(at, "a", update, startOffset)
-			last := map[string]decision.BackendState{} // what the update comes to
+			last := map[string]decision.BackendState{} // by the last entry of each node
 			for _, n := range update.Nodes {
 				if update.DrainsOnly || n.Check() == nil {
 					last[n.Name] = n.State
@@ -76,7 +75,7 @@
 				before[name] = true
 			}
 			want.apply(changes)
-			applyInOrder(literal, update)
+			applyInOrder(inOrder, update)
 			invalidInSteps := 0
 			merge := inSteps.BeginMerge("a", update, startOffset)
 			for more, step := true, 0; more; step++ {
@@ -87,7 +86,7 @@
 				for _, name := range got.apply(changes) {
 					state, named := last[name]
 					if !named || state != decision.Ready && (before[name] || !namedTwice(update, name)) {
-						t.Fatalf("seed %d, round %d: step %d makes %s ready; the update: %+v", seed, round, step, name, update)
+						t.Fatalf("seed %d, round %d: step %d makes %s ready, update %+v", seed, round, step, name, update)
 					}
 				}
 				if rng.IntN(3) == 0 {
@@ -100,18 +99,19 @@
 			}
 			if !maps.EqualFunc(want, got, func(a, b Change) bool { a.ID, b.ID = 0, 0; return a == b }) ||
 				atOnce.SkippedEntries() != inSteps.SkippedEntries() {
-				t.Fatalf("seed %d, round %d: in steps %+v, at once %+v, by %+v", seed, round, got, want, update)
+				t.Fatalf("seed %d, round %d: merged in steps %+v, at once %+v, update %+v", seed, round, got, want, update)
 			}
-			if policy.MaxNodes == 100 && !maps.EqualFunc(want, literal, func(c Change, n Node) bool {
+			if policy.MaxNodes == 100 && !maps.EqualFunc(want, inOrder, func(c Change, n Node) bool {
 				return c.Addr == n.Addr && (c.State == decision.Ready) == (n.State == decision.Ready)
 			}) {
-				t.Fatalf("seed %d, round %d: %+v, entry by entry %+v, by %+v", seed, round, want, literal, update)
+				t.Fatalf("seed %d, round %d: merged %+v, entries applied in order %+v, update %+v",
+					seed, round, want, inOrder, update)
 			}
 		}
 	}
 }
 
-// applyInOrder applies an update's entries one after another, as they stand in it.
+// applyInOrder applies an update's entries one after another, in the update's order. It serves as a model.
 func applyInOrder(nodes map[string]Node, update Update) {
 	named := map[string]bool{}
 	for _, name := range update.Invalid {
@@ -150,8 +150,8 @@
 	return n > 1
 }
 
-// Drains are merged before all other entries and missing nodes are removed after them; another source's
-// report between two steps counts at once.
+// Drains are merged before all other entries, and missing nodes are removed after them. Another source's report
+// between two steps applies at once.
 func TestMergeTakesDrainsFirst(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s!", "t!")
 	tt.full(0, "s", "a b c d", "a#1:ready; b#2:ready; c#3:ready; d#4:ready")
@@ -161,7 +161,7 @@
 		changes, _, more := merge.Next(sec, n)
 		tt.want(sec, changes, want)
 		if more != wantMore {
-			t.Errorf("%q: more %v", want, more)
+			t.Errorf("step with changes %q: more is %v, want %v", want, more, wantMore)
 		}
 	}
 	next(1, "b#2:draining", true)
@@ -174,8 +174,8 @@
 	next(1, "", false)
 }
 
-// An unfinished update reports drains before the rest of it has come. Those of known nodes count, whatever
-// becomes of the update; nothing else may come of it.
+// A source reports the drains of an update before it has received the rest. Those of known nodes apply even if the
+// rest never arrives; nothing else may change.
 func TestDrainsOnlyUpdate(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s!", "t!")
 	tt.full(0, "s", "a b", "a#1:ready; b#2:ready")
@@ -186,18 +186,19 @@
 	changes, invalid := tt.table.Report(sec, "s", early, startOffset)
 	tt.want(sec, changes, "a#1:draining; c#3:draining")
 	if len(invalid) > 0 || tt.table.Len() != 3 || changes[0].Addr != "h:a" || changes[0].Replaced {
-		t.Errorf("%v, %d nodes, %+v", invalid, tt.table.Len(), changes[0])
+		t.Errorf("invalid entries %v, %d nodes, first change %+v; want none, 3, and h:a not replaced",
+			invalid, tt.table.Len(), changes[0])
 	}
-	tt.full(2*sec, "s", "a b", "a#1:ready; c#3:ready") // it says nothing of c
+	tt.full(2*sec, "s", "a b", "a#1:ready; c#3:ready") // c is not a node of s
 }
 
-// A full update that replaces the nodes of a full table finds room: its last entries are skipped only
-// until the missing nodes are removed.
+// A full update replaces the nodes of a table that holds MaxNodes. Entries that don't fit at first must be merged
+// after the missing nodes are removed.
 func TestFullUpdateReplacesFullTable(t *testing.T) {
 	tt := newTableTest(t, Policy{MaxNodes: 3}, "s!")
 	tt.full(0, "s", "a b c", "a#1:ready; b#2:ready; c#3:ready")
 	tt.full(sec, "s", "x c y z", "a#1:gone; b#2:gone; x#4:ready; y#5:ready")
 	if tt.table.SkippedEntries() != 1 {
-		t.Errorf("%d entries were skipped", tt.table.SkippedEntries())
+		t.Errorf("%d entries were skipped, want 1", tt.table.SkippedEntries())
 	}
 }
--- a/membership/names_test.go
+++ b/membership/names_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The names of states are part of the output of "pumicecroft members", of JSON and of traces: a constant
-// that is renamed must not change them.
+// The names of states appear in the output of "pumicecroft members", in JSON and in traces, so renaming a constant
+// must not change them.
 func TestStateNames(t *testing.T) {
 	for state, want := range map[State]string{
 		Unknown:   "unknown",
@@ -14,10 +14,10 @@
 		Removed:   "gone",
 	} {
 		if got := state.String(); got != want {
-			t.Errorf("state %d is called %q, want %q", state, got, want)
+			t.Errorf("name of state %d is %q, want %q", state, got, want)
 		}
 	}
 	if ProtocolHTTP != "http" || ProtocolGRPC != "grpc" {
-		t.Errorf("protocols %q and %q", ProtocolHTTP, ProtocolGRPC)
+		t.Errorf("protocols are %q and %q, want \"http\" and \"grpc\"", ProtocolHTTP, ProtocolGRPC)
 	}
 }
--- a/membership/probation_test.go
+++ b/membership/probation_test.go
@@ -9,49 +9,49 @@
 	"pumicecroft/decision"
 )
 
-// A drain counts at once. A node that reports ready again is on probation first, for longer each time.
+// A drain applies at once. A node that reports ready again serves probation first, for longer after each outage.
 func TestFlappingNodeServesLongerProbation(t *testing.T) {
 	tt := newTableTest(t, Policy{ProbationMin: sec, ProbationMax: 5 * sec, ProbationReset: 20 * sec}, "s")
 	tt.delta(0, "s", "a", "a#1:ready")
 	at := time.Duration(0)
-	for i, hold := range []time.Duration{1 * sec, 2 * sec, 4 * sec, 5 * sec, 5 * sec} {
+	for i, probation := range []time.Duration{1 * sec, 2 * sec, 4 * sec, 5 * sec, 5 * sec} {
 		at += sec
 		tt.delta(at, "s", "a:draining", "a#1:draining")
 		at += sec / 2
 		tt.delta(at, "s", "a", "")
-		tt.wantStatus("a", fmt.Sprintf("suspect since %v by s, until %v", at, at+hold))
-		tt.tick(at+hold-1, "")
-		at += hold
+		tt.wantStatus("a", fmt.Sprintf("suspect since %v by s, until %v", at, at+probation))
+		tt.tick(at+probation-1, "")
+		at += probation
 		if next, ok := tt.table.Next(); !ok || next != at {
-			t.Errorf("time %d: next at %v %v, want %v", i, next, ok, at)
+			t.Errorf("outage %d: Next returns %v, %v, want %v, true", i, next, ok, at)
 		}
 		tt.tick(at, "a#1:ready")
 	}
-	// While it stays healthy, its outages are forgotten one after another.
+	// While the node stays healthy, its outages are forgotten one after another.
 	tt.tick(at+35*sec, "")
 	if got := tt.table.Statuses()[0].RecentOutages; got != 3 {
-		t.Errorf("%d times are remembered, want 3", got)
+		t.Errorf("%d recent outages, want 3", got)
 	}
 	tt.tick(at+200*sec, "")
 	if _, ok := tt.table.Next(); ok || tt.table.Statuses()[0].RecentOutages != 0 {
-		t.Errorf("%d times are remembered for good", tt.table.Statuses()[0].RecentOutages)
+		t.Errorf("%d recent outages and something scheduled: %v, want 0 and false", tt.table.Statuses()[0].RecentOutages, ok)
 	}
 	tt.delta(at+201*sec, "s", "a:draining", "a#1:draining")
 	tt.delta(at+202*sec, "s", "a", "")
 	tt.tick(at+203*sec, "a#1:ready")
 }
 
-// A health check flaps every second for a minute. The node must be taken back a few times at most, and
-// the decision engine must not be flooded with changes.
+// A health check flaps every second for a minute. The node must not become Ready again, and the decision engine
+// must not get a change for each flap.
 func TestFlappingEverySecondEmitsFewChanges(t *testing.T) {
 	table := NewTable(Policy{}, sourceInfos("s")...)
-	in, events := 0, 0
+	readyCount, changeCount := 0, 0
 	ready := false
-	see := func(changes []Change) {
+	record := func(changes []Change) {
 		for _, c := range changes {
-			events++
+			changeCount++
 			if ready = c.State == decision.Ready; ready {
-				in++
+				readyCount++
 			}
 		}
 	}
@@ -59,25 +59,25 @@
 		at := time.Duration(half) * sec / 2
 		state := []decision.BackendState{decision.Ready, decision.Draining}[half%2]
 		changes, _ := table.Report(at, "s", Update{Nodes: []Node{{Name: "a", Addr: "h:1", State: state}}}, startOffset)
-		see(changes)
+		record(changes)
 		if state == decision.Draining && ready {
-			t.Fatalf("at %v it fails and is believed ready", at)
+			t.Fatalf("at %v the node is ready, want draining", at)
 		}
 		for next, ok := table.Next(); ok && next < at+sec/2; next, ok = table.Next() {
-			see(table.Tick(next))
+			record(table.Tick(next))
 		}
 	}
-	if in > 1 || events > 3 {
-		t.Errorf("taken back %d times in %d events", in-1, events)
+	if readyCount > 1 || changeCount > 3 {
+		t.Errorf("ready %d times in %d changes, want at most 1 in 3", readyCount, changeCount)
 	}
 }
 
-// A node is removed and registered again under the same name every second. It serves its probation like
-// one whose health check flaps, and tombstones stay bounded.
+// A node is removed and registered again under the same name every second. It serves probation like a node whose
+// health check flaps, and the number of tombstones stays bounded.
 func TestReturningNodeServesProbation(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s")
 	tt.delta(0, "s", "a b", "a#1:ready; b#2:ready")
-	taken, events := 0, 0
+	readyCount, changeCount := 0, 0
 	for i := range 60 {
 		now := time.Duration(i+1) * sec
 		entry := []string{"a:gone", "a"}[i%2]
@@ -85,29 +85,29 @@
 		reported := changesOf(tt.table.Report(now, "s", Update{Nodes: parseNodes(entry)}, startOffset))
 		for _, changes := range [][]Change{ticked, reported} {
 			for _, c := range changes {
-				events++
+				changeCount++
 				if c.State == decision.Ready {
-					taken++
+					readyCount++
 				}
 				if c.Name != "a" {
-					t.Errorf("%+v", c)
+					t.Errorf("change of another node than a: %+v", c)
 				}
 			}
 		}
 	}
-	if taken > 1 || events > 62 {
-		t.Errorf("taken back %d times, %d events", taken, events)
+	if readyCount > 1 || changeCount > 62 {
+		t.Errorf("ready %d times in %d changes, want at most 1 in 62", readyCount, changeCount)
 	}
 	tt.delta(70*sec, "s", "a:gone", "a#32:gone")
-	tt.delta(20*60*sec, "s", "a", "a#33:ready") // long forgotten
+	tt.delta(20*60*sec, "s", "a", "a#33:ready") // its tombstone has expired
 	if len(tt.table.tombstones) > 0 || len(tt.table.tombstoneOrder) > 0 {
-		t.Errorf("%d ghosts, %d in order", len(tt.table.tombstones), len(tt.table.tombstoneOrder))
+		t.Errorf("%d tombstones, %d in order, want none", len(tt.table.tombstones), len(tt.table.tombstoneOrder))
 	}
-	for i := range 30_000 { // names that are ever new, gone at once
+	for i := range 30_000 { // always new names, removed at once
 		tt.delta(21*60*sec, "s", fmt.Sprintf("n%d", i), fmt.Sprintf("n%d#%d:ready", i, 34+i))
 		tt.delta(21*60*sec, "s", fmt.Sprintf("n%d:gone", i), fmt.Sprintf("n%d#%d:gone", i, 34+i))
 	}
 	if len(tt.table.tombstones) > 20_001 || len(tt.table.tombstoneOrder) > 20_001 {
-		t.Errorf("%d ghosts, %d in order", len(tt.table.tombstones), len(tt.table.tombstoneOrder))
+		t.Errorf("%d tombstones, %d in order, want at most 20001", len(tt.table.tombstones), len(tt.table.tombstoneOrder))
 	}
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -15,87 +15,89 @@
 	tt.full(2*sec, "s", "a b", "") // nothing has changed
 	tt.delta(3*sec, "s", "c", "c#3:ready")
 	tt.delta(4*sec, "s", "b:gone", "b#2:gone")
-	tt.delta(5*sec, "s", "b", "b#4:ready") // a new one, under a new id
+	tt.delta(5*sec, "s", "b", "b#4:ready") // a new node, with a new ID
 	tt.full(6*sec, "s", "b", "a#1:gone; c#3:gone")
-	tt.delta(7*sec, "s", "z:gone", "") // never named
-	tt.delta(7*sec, "nobody", "z", "") // no such source
+	tt.delta(7*sec, "s", "z:gone", "") // unknown node
+	tt.delta(7*sec, "nobody", "z", "") // unknown source
 	if tt.table.Len() != 1 {
-		t.Errorf("%d nodes", tt.table.Len())
+		t.Errorf("%d nodes, want 1", tt.table.Len())
 	}
 	tt.wantStatus("b", "ready since 5s by s")
 	tt.wantStatus("a", "unknown")
 }
 
-// A node gets requests only if all sources that know it report it as ready; a source that does not know
-// it has no say.
+// A node is ready only if all sources that know it report it as ready. Sources that do not know it are not
+// considered.
 func TestAllSourcesMustReportReady(t *testing.T) {
 	tt := newTableTest(t, Policy{ProbationMin: sec}, "consul", "platform")
 	tt.full(0, "platform", "a b", "a#1:ready; b#2:ready")
-	tt.full(1*sec, "consul", "a@x c", "a#1:ready moved to h:ax; c#3:ready") // the first source's address counts
-	tt.delta(2*sec, "consul", "a:draining@x", "a#1:draining")               // they disagree
+	tt.full(1*sec, "consul", "a@x c", "a#1:ready replaced at h:ax; c#3:ready") // the first source's address applies
+	tt.delta(2*sec, "consul", "a:draining@x", "a#1:draining")                  // the sources disagree
 	tt.wantStatus("a", "draining since 2s by consul")
 	tt.delta(3*sec, "platform", "a:draining", "")
-	tt.delta(4*sec, "consul", "a@x", "") // the other is late: it still says draining
+	tt.delta(4*sec, "consul", "a@x", "") // platform still reports it as draining
 	tt.wantStatus("a", "draining since 2s by platform")
-	tt.delta(14*sec, "platform", "a", "") // by 10 s
+	tt.delta(14*sec, "platform", "a", "") // 10 s later than consul
 	tt.tick(15*sec, "a#1:ready")
-	tt.delta(16*sec, "consul", "c:gone", "c#3:gone")               // which only one of them knew
-	tt.delta(17*sec, "consul", "a:gone", "a#1:ready moved to h:a") // the other still knows it, by its address
+	tt.delta(16*sec, "consul", "c:gone", "c#3:gone")                  // known to consul only
+	tt.delta(17*sec, "consul", "a:gone", "a#1:ready replaced at h:a") // platform still knows it, at another address
 	tt.delta(18*sec, "platform", "a:gone", "a#1:gone")
 	tt.delta(19*sec, "consul", "b:draining", "b#2:draining")
-	tt.delta(20*sec, "consul", "b:gone", "") // and then does not know it: the platform's report alone counts
+	tt.delta(20*sec, "consul", "b:gone", "") // consul does not know it any more, so platform's report decides
 	tt.tick(21*sec, "b#2:ready")
 }
 
-// A source that fails keeps its last reports, and they are marked as stale.
+// A failed source's last reports stay in force and are marked as stale.
 func TestFailedSourceKeepsReports(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s")
 	tt.full(0, "s", "a b", "a#1:ready; b#2:ready")
 	if changes := reportFailure(tt.table, 1*sec, "s"); len(changes) > 0 {
-		t.Errorf("%v", changes)
+		t.Errorf("changes after a failure: %v, want none", changes)
 	}
 	tt.tick(time.Hour, "")
-	tt.wantStatus("a", "ready since 0s by s, old")
-	tt.full(time.Hour, "s", "a c", "c#3:ready; b#2:gone") // the difference alone
+	tt.wantStatus("a", "ready since 0s by s, stale")
+	tt.full(time.Hour, "s", "a c", "c#3:ready; b#2:gone") // only the differences
 	tt.wantStatus("a", "ready since 0s by s")
 }
 
-// A node restarts under the same name and address. It is warming up again, and connections to it are
-// closed.
+// A node restarts under the same name and address. It warms up again, and the change is marked as Replaced, so that
+// connections to the node are closed.
 func TestRestartedNodeIsReplaced(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s", "o")
 	tt.delta(100*sec, "s", "a^90", "a#1:ready^90")
 	tt.wantStatus("a", "cold since 1m40s by s")
 	tt.tick(106*sec, "")
 	tt.wantStatus("a", "ready since 1m40s by s")
-	tt.delta(110*sec, "s", "a^109", "a#1:ready^109 moved to h:a")
-	tt.delta(111*sec, "o", "a^105", "") // an older start
-	tt.delta(112*sec, "o", "a^111", "a#1:ready^111 moved to h:a")
+	tt.delta(110*sec, "s", "a^109", "a#1:ready^109 replaced at h:a")
+	tt.delta(111*sec, "o", "a^105", "") // the latest start applies
+	tt.delta(112*sec, "o", "a^111", "a#1:ready^111 replaced at h:a")
 	tt.delta(113*sec, "s", "a:draining^109", "a#1:draining^111")
-	tt.delta(114*sec, "s", "a^109", "") // well again without a restart
+	tt.delta(114*sec, "s", "a^109", "") // ready again without a restart
 	tt.tick(115*sec, "a#1:ready^111")
 }
 
 func TestInvalidEntries(t *testing.T) {
 	table := NewTable(Policy{MaxNodes: 2}, sourceInfos("s")...)
-	changes, invalid := table.Report(0, "s", Update{Nodes: []Node{{Name: ""}, {Name: "a"}, {Name: "b", Addr: "h", State: 7},
-		{Name: "c", Addr: "h"}, {Name: "d", Addr: "h"}, {Name: "e", Addr: "h"}}}, startOffset)
+	changes, invalid := table.Report(0, "s", Update{Nodes: []Node{{Name: ""}, {Name: "a"},
+		{Name: "b", Addr: "h", State: 7}, {Name: "c", Addr: "h"}, {Name: "d", Addr: "h"}, {Name: "e", Addr: "h"},
+	}}, startOffset)
 	if len(changes) != 2 || len(invalid) != 3 || table.Len() != 2 || table.SkippedEntries() != 1 {
-		t.Errorf("%s, %v, %d kept, %d skipped", formatChanges(changes), invalid, table.Len(), table.SkippedEntries())
+		t.Errorf("changes %s, invalid entries %v, %d nodes, %d skipped; want 2 changes, 3 invalid, 2 nodes, 1 skipped",
+			formatChanges(changes), invalid, table.Len(), table.SkippedEntries())
 	}
-	for i := range 10_000 { // names that are ever new
+	for i := range 10_000 { // always new names
 		name := fmt.Sprint("n", i)
 		table.Report(0, "s", Update{Full: true, Nodes: []Node{{Name: name, Addr: "h"}}}, startOffset)
 		table.Report(0, "s", Update{Nodes: []Node{{Name: name, Addr: "h", State: decision.Draining}}}, startOffset)
 	}
 	if table.Len() > 2 || len(table.queue) > 2 {
-		t.Errorf("%d nodes, %d in the queue", table.Len(), len(table.queue))
+		t.Errorf("%d nodes, %d in the queue, want at most 2", table.Len(), len(table.queue))
 	}
 }
 
-// model is a simple model of the table: what each source reported last.
+// model is a simple model of the table that keeps each source's last reports.
 type model struct {
-	reports map[string]map[string]Node // by node, by source
+	reports map[string]map[string]Node // by node, then by source
 }
 
 func (m *model) apply(source string, update Update) {
@@ -126,9 +128,9 @@
 	return false
 }
 
-// Whatever sources report in whatever order: the changes add up to the table's state, no node is ready
-// that any source reports as draining or that none knows, no ID is used twice, and a repeated update
-// changes nothing.
+// Sources send random updates in random order. The changes must add up to the table's state, no node may be ready
+// that any source reports as draining or that no source knows, no ID may be used twice, and a repeated update must
+// change nothing.
 func TestRandomUpdatesMatchModel(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -139,14 +141,14 @@
 		known := map[string]Change{}
 		ids := map[decision.BackendID]string{}
 		now := time.Duration(0)
-		see := func(changes []Change) {
+		record := func(changes []Change) {
 			for _, c := range changes {
-				old, was := known[c.Name]
-				if was && old.ID != c.ID || !was && ids[c.ID] != "" || !was && c.State == decision.Removed {
-					t.Fatalf("seed %d: %+v after %+v", seed, c, old)
+				previous, hadChange := known[c.Name]
+				if hadChange && previous.ID != c.ID || !hadChange && ids[c.ID] != "" || !hadChange && c.State == decision.Removed {
+					t.Fatalf("seed %d: wrong ID or unknown node in change %+v after %+v", seed, c, previous)
 				}
-				if was && old == c {
-					t.Fatalf("seed %d: %+v twice", seed, c)
+				if hadChange && previous == c {
+					t.Fatalf("seed %d: change %+v was emitted twice", seed, c)
 				}
 				ids[c.ID] = c.Name
 				known[c.Name] = c
@@ -171,59 +173,59 @@
 			}
 			switch rng.IntN(5) {
 			case 0:
-				see(table.Tick(now))
+				record(table.Tick(now))
 			case 1:
-				see(reportFailure(table, now, source))
+				record(reportFailure(table, now, source))
 			default:
 				changes, invalid := table.Report(now, source, update, startOffset)
 				if len(invalid) > 0 {
-					t.Fatal(invalid)
+					t.Fatalf("seed %d: invalid entries %v, want none", seed, invalid)
 				}
-				see(changes)
+				record(changes)
 				m.apply(source, update)
-				doubtful := hasPendingRemoval(table, source) // a repeated update may confirm a mass removal
+				removalPending := hasPendingRemoval(table, source) // a repeated update may confirm a mass removal
 				changes, _ = table.Report(now, source, update, startOffset)
-				if len(changes) > 0 && !doubtful {
-					t.Fatalf("seed %d: repeated: %s", seed, formatChanges(changes))
+				if len(changes) > 0 && !removalPending {
+					t.Fatalf("seed %d: a repeated update makes changes %s, want none", seed, formatChanges(changes))
 				}
-				see(changes)
+				record(changes)
 			}
 			for name, reports := range m.reports {
 				c, ok := known[name]
 				if !ok && len(reports) > 0 || ok && len(reports) == 0 && !isMissing(table, name) ||
 					ok && m.draining(name) && c.State == decision.Ready {
-					t.Fatalf("seed %d: %s is %+v (%v), and the sources report %+v", seed, name, c, ok, reports)
+					t.Fatalf("seed %d: %s is %+v (known: %v), but the sources report %+v", seed, name, c, ok, reports)
 				}
 			}
 		}
-		// In the end every node that all its sources report as ready is taken back.
+		// In the end every node that all its sources report as ready must be ready.
 		for at, ok := table.Next(); ok && at <= now+2*time.Hour; at, ok = table.Next() {
-			see(table.Tick(at))
+			record(table.Tick(at))
 		}
 		for name := range m.reports {
 			if c, ok := known[name]; ok && !m.draining(name) && c.State != decision.Ready && !isMissing(table, name) {
-				t.Fatalf("seed %d: %s is out for good: %+v", seed, name, c)
+				t.Fatalf("seed %d: %s never becomes ready: %+v", seed, name, c)
 			}
 		}
 	}
 }
 
-// A cached update of before a restart is stale until its source has reported.
+// An update that was cached before a restart is stale until its source sends a full update.
 func TestCachedUpdateIsStale(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s")
 	cached := Update{Full: true, Cached: true, Nodes: parseNodes("a b")}
 	tt.want(0, changesOf(tt.table.Report(0, "s", cached, startOffset)), "a#1:ready; b#2:ready")
-	tt.wantStatus("a", "ready since 0s by s, old")
-	tt.delta(1*sec, "s", "a", "") // of the rest nothing is known
-	tt.wantStatus("b", "ready since 0s by s, old")
+	tt.wantStatus("a", "ready since 0s by s, stale")
+	tt.delta(1*sec, "s", "a", "") // b is still known from the cache only
+	tt.wantStatus("b", "ready since 0s by s, stale")
 	tt.full(2*sec, "s", "a b", "")
 	tt.wantStatus("a", "ready since 0s by s")
 	reportFailure(tt.table, 3*sec, "s")
-	tt.wantStatus("a", "ready since 0s by s, old")
+	tt.wantStatus("a", "ready since 0s by s, stale")
 }
 
-// One of two sources no longer knows a node. The node keeps the start that the other reported, and its
-// connections.
+// One of two sources removes a node. The node must keep the start that the other source reported, and must not be
+// marked as Replaced, which would close its connections.
 func TestStartKeptWhenOneSourceRemoves(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s", "o!")
 	tt.full(1*sec, "o", "a^90 b^90 c^90 d^90", "a#1:ready^90; b#2:ready^90; c#3:ready^90; d#4:ready^90")
--- a/recovery/pause.go
+++ b/recovery/pause.go
@@ -30,8 +30,8 @@
 	SyncTimeout    time.Duration // limit for the sources to process what arrived during a pause
 }
 
-// DeadlinesFor returns the Deadlines for a drain grace. A grace of 0, below 0 or above 2 s is replaced with 2 s, and one
-// between 0 and 0.4 s with 0.4 s.
+// DeadlinesFor returns the Deadlines for a drain grace. A grace of 0, below 0 or above 2 s is replaced with 2 s, and
+// one between 0 and 0.4 s with 0.4 s.
 func DeadlinesFor(grace time.Duration) Deadlines {
 	if grace <= 0 {
 		grace = defaultDrainGrace
