--- a/quota/doc.go
+++ b/quota/doc.go
@@ -20,8 +20,8 @@
 //
 // If half a share is too small for the largest request but a whole share is not, the gateway keeps
 // the cost of the largest request and the bucket holds the rest; otherwise the gateway could not
-// forward such a request without the counter. If even a whole share is too small, the gateway deposits all
-// that it keeps, as it can't spend it on such a request.
+// forward such a request without the counter. If even a whole share is too small, the gateway
+// deposits all that it keeps, as it can't spend it on such a request.
 //
 // # The bound
 //
