--- a/internal/platformtransport/operations.go
+++ b/internal/platformtransport/operations.go
@@ -12,10 +12,10 @@
 	"pumicecroft/internal/socketpeek"
 )
 
-// aLongTimeAgo is a deadline that ends reads and writes at once.
+// aLongTimeAgo is a deadline in the past, which makes pending reads and writes fail at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// execute carries out one operation of an exchange and returns the next.
+// execute carries out one operation of an exchange and returns the next one.
 func (t *Transport) execute(a *executor.Attempt, x *platformhttp.Exchange, op platformhttp.Op) platformhttp.Op {
 	switch op {
 	case platformhttp.Dial:
@@ -30,8 +30,8 @@
 	panic(fmt.Sprintf("platformtransport: unexpected operation %d", op))
 }
 
-// checkConns carries out checks of idle connections for as long as they follow each other, and closes
-// what the pool has discarded. Neither waits. The caller holds the lock.
+// checkConns carries out CheckConn operations until another one follows, and closes the connections that the
+// pool has discarded. It does not block. The caller must hold the lock.
 func (t *Transport) checkConns(x *platformhttp.Exchange, op platformhttp.Op) platformhttp.Op {
 	for op == platformhttp.CheckConn {
 		clean := x.Conn.Owner.(*conn).peeker.Peek() == socketpeek.Idle
@@ -49,7 +49,7 @@
 	return t.checkConns(x, x.Dialed(t.now(), c, err))
 }
 
-// connect opens a connection. It ends early if the attempt is cancelled.
+// connect opens a connection. It returns early if the attempt is cancelled.
 func (t *Transport) connect(a *executor.Attempt, x *platformhttp.Exchange) (*conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -73,7 +73,7 @@
 		err = t.write(a, x, c)
 	}
 	if err == nil {
-		return x.Wrote(t.now(), c.readBuf, nil) // without an error it does not use the BackendSet
+		return x.Wrote(t.now(), c.readBuf, nil) // needs no lock: it uses the BackendSet only after an error
 	}
 	propagateCancel(a, x)
 	t.mu.Lock()
@@ -81,7 +81,7 @@
 	return t.checkConns(x, x.Wrote(t.now(), nil, err))
 }
 
-// write writes the request, if it may still leave.
+// write writes the request, unless it is too late to send it.
 func (t *Transport) write(a *executor.Attempt, x *platformhttp.Exchange, c *conn) error {
 	now := time.Now()
 	if a.SendForbiddenAt(now) {
@@ -104,8 +104,7 @@
 	previous := x.ReadDeadline
 	op := x.Received(t.now(), n, err)
 	if op == platformhttp.Read && x.ReadDeadline != previous {
-		// A cancellation may have set a deadline that ends the next read at once; IfActive keeps this from
-		// undoing it.
+		// A cancellation sets a deadline in the past. IfActive makes sure that it is not overwritten.
 		_ = a.IfActive(func() { _ = c.SetReadDeadline(t.start.Add(x.ReadDeadline)) })
 	}
 	return op
@@ -113,7 +112,7 @@
 
 func (t *Transport) executeFinish(a *executor.Attempt, x *platformhttp.Exchange) platformhttp.Op {
 	c := x.Conn.Owner.(*conn)
-	if x.ReadDeadline > 0 { // for the next request; a connection whose attempt was cancelled is not reused
+	if x.ReadDeadline > 0 { // reset for the next request; after a cancellation the connection is not reused
 		_ = a.IfActive(func() { _ = c.SetReadDeadline(time.Time{}) })
 	}
 	if c.readBuf = x.ReusableBuffer(); cap(c.readBuf) > maxKeptBuffer {
@@ -126,7 +125,7 @@
 	return t.checkConns(x, x.Finish(t.now()))
 }
 
-// propagateCancel tells the exchange that its attempt was cancelled, if it was.
+// propagateCancel cancels the exchange if its attempt was cancelled.
 func propagateCancel(a *executor.Attempt, x *platformhttp.Exchange) {
 	switch cause := a.CancelCause(); {
 	case errors.Is(cause, executor.ErrCancelled):
--- a/internal/platformtransport/transport.go
+++ b/internal/platformtransport/transport.go
@@ -1,7 +1,6 @@
-// Package platformtransport makes attempts at backends over HTTP/1.1 sockets. It carries out what a
-// platformhttp.Exchange wants, one operation after another, and decides nothing. Each attempt runs in the
-// goroutine that calls RoundTrip. The BackendSet has one lock, which is not held while anything waits,
-// and which the Transport owns.
+// Package platformtransport makes attempts at backends over HTTP/1.1 sockets. It carries out the operations of
+// a platformhttp.Exchange one after another and makes no decisions. Each attempt runs in the goroutine that
+// calls RoundTrip. The Transport guards the BackendSet with one lock, which is not held while anything blocks.
 package platformtransport
 
 import (
@@ -23,43 +22,43 @@
 	"golang.org/x/time/rate"
 )
 
-// MaxBody is the largest body of a request or response that the protocol allows, in bytes.
+// MaxBody is the maximum size of a request or response body in the protocol, in bytes.
 const MaxBody = platformhttp.MaxBody
 
-// maxKeptBuffer is the largest buffer, in bytes, that an idle connection keeps for the next request, and
-// as much for the next response.
+// maxKeptBuffer is the maximum size, in bytes, of the write buffer and of the read buffer that a connection
+// keeps for its next request.
 const maxKeptBuffer = 2 << 10
 
-// applyBatchSize is how many changes are applied under one hold of the lock. For each backend that is
-// removed, connections are closed under the lock, by a system call each, and no attempt starts or ends
-// meanwhile. They must be closed before others are opened in their place.
+// applyBatchSize is the number of changes that are applied while the lock is held once. The connections of
+// removed backends are closed under the lock, with a system call each, so that they are closed before others
+// are opened in their place. No attempt can start or end in that time.
 const applyBatchSize = 16
 
-// Failed attempts are logged up to errorLogBurst, then once in errorLogInterval.
+// The first errorLogBurst failed attempts are logged, then at most one per errorLogInterval.
 const (
 	errorLogBurst    = 10
 	errorLogInterval = time.Second
 )
 
-// Config says how backends are reached.
+// Config configures a Transport.
 type Config struct {
-	MaxConns         int           // to all backends together, idle ones included
-	IdleTimeout      time.Duration // a backend closes a connection that was idle for so long
-	ConnectTimeout   time.Duration // applies if Dial is nil
-	LoadReportFields []string      // the settings' names of load figures; none: there are no load reports
-	Log              *slog.Logger  // nil: nothing is logged
-	// Dial opens connections. nil: net.Dialer with ConnectTimeout.
+	MaxConns         int           // maximum connections to all backends together, idle ones included
+	IdleTimeout      time.Duration // after which backends close an idle connection
+	ConnectTimeout   time.Duration // used if Dial is nil
+	LoadReportFields []string      // names of the load figures in the settings; empty: load reports are ignored
+	Log              *slog.Logger  // nil: no logging
+	// Dial opens connections. Nil means a net.Dialer with ConnectTimeout.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Request is what an attempt sends.
+// Request is the request of an attempt.
 type Request = platformhttp.Request
 
-// Response is what a backend answered.
+// Response is the response of an attempt that succeeded.
 type Response = platformhttp.Response
 
-// Transport sends attempts to the backends that it was told of, over connections that it keeps. It is
-// safe for concurrent use.
+// Transport makes attempts at the known backends and keeps connections to them. It is safe for concurrent
+// use.
 type Transport struct {
 	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
 	log           *slog.Logger
@@ -68,7 +67,7 @@
 
 	mu          sync.Mutex
 	backends    *platformhttp.BackendSet
-	expiryTimer *time.Timer // fires when the longest idle connection expires; nil: none is idle
+	expiryTimer *time.Timer // fires when the next idle connection expires; nil: not set
 }
 
 var _ executor.BackendTransport = (*Transport)(nil)
@@ -81,7 +80,7 @@
 	readBuf  []byte
 }
 
-// New returns a Transport that knows no backends yet.
+// New returns a Transport without backends.
 func New(c Config) *Transport {
 	t := &Transport{
 		dial:          c.Dial,
@@ -99,10 +98,10 @@
 	return t
 }
 
-// now is the BackendSet's clock.
+// now returns the time on the BackendSet's clock.
 func (t *Transport) now() time.Duration { return time.Since(t.start) }
 
-// withLock runs f under the lock, and closes the connections that the pool has discarded.
+// withLock runs f and closes the connections that the pool has discarded, with the lock held.
 func (t *Transport) withLock(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,8 +109,8 @@
 	t.closeDiscarded()
 }
 
-// closeDiscarded closes the connections that the pool has discarded, and sets the timer for those that
-// expire. The caller holds the lock.
+// closeDiscarded closes the connections that the pool has discarded, and starts the timer for the next idle
+// one that expires. The caller must hold the lock.
 func (t *Transport) closeDiscarded() {
 	for _, c := range t.backends.Pool.TakeDiscarded() {
 		_ = c.Owner.(*conn).Close()
@@ -128,14 +127,15 @@
 	})
 }
 
-// Apply takes in changes of backends. It holds for every attempt that starts after it returns.
+// Apply applies changes of backends. They are in effect for every attempt that starts after it returns.
 func (t *Transport) Apply(changes []membership.Change) {
 	for batch := range slices.Chunk(changes, applyBatchSize) {
 		t.withLock(func() { t.backends.Apply(batch) })
 	}
 }
 
-// Close closes the idle connections. One in use is closed when its attempt ends.
+// Close removes all backends and closes the idle connections. A connection in use is closed when its attempt
+// ends.
 func (t *Transport) Close() {
 	t.withLock(t.backends.Close)
 	t.mu.Lock()
@@ -145,8 +145,8 @@
 	}
 }
 
-// RoundTrip makes one attempt and returns how it ended. It never sends a request twice. It blocks until
-// the attempt has ended or was cancelled.
+// RoundTrip makes one attempt and returns its result. It never sends the request twice. It blocks until the
+// attempt ends or is cancelled.
 func (t *Transport) RoundTrip(a *executor.Attempt) executor.Response {
 	var x platformhttp.Exchange
 	for op := t.startExchange(a, &x); op != platformhttp.End; {
@@ -176,7 +176,8 @@
 	})
 }
 
-// notAfter is the time after which an attempt must not leave, on the BackendSet's clock; 0: no limit.
+// notAfter returns the time after which the attempt's request must not be sent, on the BackendSet's clock; 0: no
+// limit.
 func (t *Transport) notAfter(a *executor.Attempt) time.Duration {
 	if a.NotAfter.IsZero() {
 		return 0
@@ -184,7 +185,7 @@
 	return max(1, a.NotAfter.Sub(t.start))
 }
 
-// Probe asks a backend for its health, and for its load if there are load reports.
+// Probe sends a health check to a backend. If load reports are configured, it requests the load instead.
 func (t *Transport) Probe(id decision.BackendID, timeout time.Duration) decision.ProbeResult {
 	result := decision.ProbeResult{Backend: id}
 	m := &Request{Method: "GET", Target: "/health"}
--- a/internal/platformtransport/update_cost_test.go
+++ b/internal/platformtransport/update_cost_test.go
@@ -15,7 +15,7 @@
 	"pumicecroft/membership"
 )
 
-// observedConn is a connection that reports that it is closed.
+// observedConn is a connection that calls onClose before it is closed.
 type observedConn struct {
 	*net.TCPConn
 	onClose func()
@@ -26,13 +26,13 @@
 	return c.TCPConn.Close()
 }
 
-// Many backends are removed at once. They must be applied in batches, each with the closing of its connections,
-// so that the lock is held for one batch at a time.
+// Many backends are removed at once. The removals must be applied in batches, and the connections of each batch closed
+// with it, so that the lock is held for only one batch at a time.
 func TestApply_Batches(t *testing.T) {
 	const backends = 100
 	addr := testkit.ServeRaw(t, write(okResponse))
 	var tr *Transport
-	var known []int // backends at each closing, under the lock
+	var known []int // number of known backends when each connection is closed; guarded by the lock
 	config := testConfig()
 	config.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
@@ -50,22 +50,22 @@
 	for i := range backends {
 		a := executor.NewAttempt(decision.BackendID(i+1), time.Now().Add(testkit.WaitTimeout), getRequest)
 		if r := tr.RoundTrip(a); r.Result != decision.Succeeded {
-			t.Fatal(r.Result)
+			t.Fatalf("attempt at backend %d: got %v, want Succeeded", i, r.Result)
 		}
 		changes[i].State = decision.Removed
 	}
 	tr.Apply(changes)
 	if len(known) != backends || tr.backends.Len() != 0 {
-		t.Fatalf("%d connections of %d were closed, %d backends are known", len(known), backends, tr.backends.Len())
+		t.Fatalf("%d connections were closed, %d backends are known, want %d and 0", len(known), tr.backends.Len(), backends)
 	}
 	for i, n := range known {
 		if removed := backends - n; removed > i+applyBatchSize {
-			t.Fatalf("%d backends were removed when connection %d was closed", removed, i)
+			t.Fatalf("%d backends were removed when connection %d was closed, want %d at most", removed, i, i+applyBatchSize)
 		}
 	}
 }
 
-// updateChain is all that a change of endpoints passes through below the membership table.
+// updateChain holds all layers below the membership table that process a change of endpoints.
 type updateChain struct {
 	mux      *executor.TransportMux
 	executor *executor.Executor
@@ -115,7 +115,7 @@
 	c.executor.UpdateEndpoints(update)
 }
 
-// replace removes count backends, each step-th, and adds them again, in updates of batch changes each.
+// replace removes count backends, every step-th one, and adds them again, in updates of batch changes each.
 func (c *updateChain) replace(count, step, batch int) {
 	for _, state := range []decision.BackendState{decision.Removed, decision.Ready} {
 		var changes []membership.Change
@@ -130,8 +130,8 @@
 	}
 }
 
-// Single backends change while 100 or 20,000 are known. A change must cost about the same, in all layers below the
-// membership table together. The best of some rounds counts.
+// Single backends change while 100 or 20,000 are known. In all layers below the membership table together, a change
+// must cost about the same. The fastest of 20 rounds is compared.
 func TestUpdateCost_IndependentOfBackendCount(t *testing.T) {
 	best := func(backends int) time.Duration {
 		c, best := newUpdateChain(t, backends), time.Hour
@@ -143,7 +143,7 @@
 		return best
 	}
 	if few, many := best(100), best(20_000); many > 10*few {
-		t.Errorf("200 changes take %v where 20,000 are known, %v where 100 are", many, few)
+		t.Errorf("200 changes take %v with 20,000 backends, %v with 100, want 10 times as long at most", many, few)
 	}
 }
 
--- a/internal/pollbackoff/backoff.go
+++ b/internal/pollbackoff/backoff.go
@@ -1,16 +1,17 @@
-// Package pollbackoff computes when a gateway calls discovery. It is pure: times are durations, and the
-// random part of delays comes from a seed.
+// Package pollbackoff computes when a gateway calls discovery. It is deterministic: times are passed in as
+// durations, and the jitter comes from a seeded generator.
 //
-// Gateways that start together, or lose discovery together, would call together. Where a call costs
-// discovery work, most of these calls would then time out while discovery still works on them, and
-// immediate retries would keep it overloaded for good. So each gateway calls at a random moment of its
-// own, and doubles its delay after each call that fails.
+// Gateways that start together, or lose discovery together, would call it at the same moment. If a call
+// costs discovery work, most of these calls would time out while discovery still works on them, and
+// immediate retries would keep it overloaded indefinitely. So each gateway calls at a random time, and its
+// delay doubles after each failed call.
 //
-// Delays are bounded, as a change counts as known 6 s after discovery had it and could be reached. A call
-// that gets a response gets it within a second. So at most 5 s pass from the last moment at which a gateway
-// can't have missed a change to its next call; the time that a failed call took is part of them.
+// Delays are bounded, as a gateway must know a change 6 s after discovery had it and was reachable. A call
+// that succeeds has its response within a second. So the next call must start at most 5 s after the last
+// moment at which the gateway's list was certainly up to date; the duration of a failed call counts towards
+// these 5 s.
 //
-// docs/measurements/0013-poll-backoff.md has the load that this puts on discovery.
+// docs/measurements/0013-poll-backoff.md describes the resulting load on discovery.
 package pollbackoff
 
 import (
@@ -21,93 +22,97 @@
 )
 
 const (
-	// visibilityDeadline is when a change must be known, after discovery had it and could be reached.
+	// visibilityDeadline is the time within which a gateway must know a change after discovery had it and
+	// was reachable.
 	visibilityDeadline = 6 * time.Second
-	// responseTime is the time within which a call that succeeds has been connected and answered.
+	// responseTime is the time that a successful call may take, including the connection setup.
 	responseTime = time.Second
-	// minDelay is the delay between calls that cost nothing, and the least delay after a failure.
+	// minDelay is the delay between calls that cost nothing, and the minimum delay after a failure, before
+	// jitter.
 	minDelay = 100 * time.Millisecond
-	// maxFirstDelay and firstDelayDivisor bound the delay after a first failure: the divisor's part of the
-	// interval, and at most the former.
+	// maxFirstDelay and firstDelayDivisor determine the delay after a first failure: the interval divided by
+	// firstDelayDivisor, but at most maxFirstDelay.
 	maxFirstDelay     = time.Second
 	firstDelayDivisor = 10
-	// maxJitter bounds the random part that is taken from a delay, as long ones need no more of it to
-	// spread calls, and shorter delays are more calls.
+	// maxJitter is the maximum jitter that is subtracted from a delay. More is not needed to spread calls,
+	// and shorter delays mean more calls.
 	maxJitter = 1250 * time.Millisecond
 )
 
-// Backoff computes one gateway's delays. It is not safe for concurrent use.
+// Backoff computes the delays of one gateway. It is not safe for concurrent use.
 type Backoff struct {
 	interval time.Duration
 	rng      *rand.Rand
-	failures int // consecutive calls that failed
+	failures int // consecutive failed calls
 }
 
-// New returns the backoff of a gateway that must call within an interval. Zero means that calls cost
-// discovery nothing, so the gateway may call at once.
+// New returns the backoff of a gateway that must call discovery within an interval. Zero means that
+// calls cost discovery nothing, so the gateway may call at once.
 func New(interval time.Duration, seed uint64) *Backoff {
 	return &Backoff{interval: max(0, interval), rng: rand.New(rand.NewPCG(seed, 0x9ace))}
 }
 
-// First returns the delay before a first call whose response is wanted within a time: at most four fifths
-// of that, or of the interval if that is shorter. If nothing is known yet (wanted is zero), only a short
-// delay spreads the calls of gateways that start together.
-func (b *Backoff) First(wanted time.Duration) time.Duration {
+// First returns the delay before the first call, whose response should arrive within the given time. It is at
+// most four fifths of that time or of the interval, whichever is shorter. If no endpoints are known yet
+// (within is 0), the delay is short and only spreads the calls of gateways that start together.
+func (b *Backoff) First(within time.Duration) time.Duration {
 	b.failures = 0
-	return b.random(max(fourFifths(min(b.interval, wanted)), b.firstDelay()))
+	return b.randomBelow(max(latestCall(min(b.interval, within)), b.firstDelay()))
 }
 
-// AfterLoss returns the delay after a call that failed, or whose watch has ended. granted means that the
-// call had been granted, so that others have probably lost their watches at the same moment. unsure is how
-// long changes may have been missed: since the last progress of a granted watch, or since the call.
-func (b *Backoff) AfterLoss(granted bool, unsure time.Duration) time.Duration {
+// AfterLoss returns the delay after a call that failed or whose watch ended. served means that discovery had
+// served the call before its watch ended; other gateways have probably lost their watches at the same moment.
+// staleFor is how long changes may have been missed: since the last progress of a served watch, otherwise
+// since the call.
+func (b *Backoff) AfterLoss(served bool, staleFor time.Duration) time.Duration {
 	if b.interval == 0 {
 		return minDelay
 	}
-	if granted {
+	if served {
 		b.failures = 0
-		return b.random(b.maxDelay(unsure))
+		return b.randomBelow(b.maxDelay(staleFor))
 	}
-	return b.retryDelay(unsure)
+	return b.retryDelay(staleFor)
 }
 
-// AfterInvalid returns the delay after a response that was rejected as invalid. The next one probably is
-// too, and costs work even where calls do not, so the delay doubles until a call is granted. The parameters
-// are those of AfterLoss.
-func (b *Backoff) AfterInvalid(granted bool, unsure time.Duration) time.Duration {
-	if granted {
+// AfterInvalid returns the delay after a response that was rejected as invalid. The next response is probably
+// invalid too, and costs work even if calls are otherwise free, so the delay doubles until a call is served.
+// The parameters are those of AfterLoss.
+func (b *Backoff) AfterInvalid(served bool, staleFor time.Duration) time.Duration {
+	if served {
 		b.failures = 0
 	}
-	return b.retryDelay(unsure)
+	return b.retryDelay(staleFor)
 }
 
-// retryDelay returns the delay after consecutive failures, and counts one more.
-func (b *Backoff) retryDelay(unsure time.Duration) time.Duration {
-	exponential := backoff.Exponential{Initial: max(minDelay, b.firstDelay()), Max: b.maxDelay(unsure)}
+// retryDelay returns the delay after a failed call and increments the number of consecutive failures.
+func (b *Backoff) retryDelay(staleFor time.Duration) time.Duration {
+	exponential := backoff.Exponential{Initial: max(minDelay, b.firstDelay()), Max: b.maxDelay(staleFor)}
 	delay := exponential.Delay(b.failures)
 	b.failures++
-	return delay - b.random(min(delay/2, maxJitter))
+	return delay - b.randomBelow(min(delay/2, maxJitter))
 }
 
 func (b *Backoff) firstDelay() time.Duration {
 	return min(b.interval/firstDelayDivisor, maxFirstDelay)
 }
 
-// maxDelay returns the longest delay of a gateway that may have missed changes for a time: what is left of
-// visibilityDeadline, less responseTime, and at most four fifths of the interval. Nothing is left after a
-// pause of the process; minDelay holds then.
-func (b *Backoff) maxDelay(unsure time.Duration) time.Duration {
-	delay := max(minDelay, visibilityDeadline-responseTime-unsure)
+// maxDelay returns the maximum delay of a gateway whose list may have been stale for a time: the rest of
+// visibilityDeadline, less responseTime, but at least minDelay, as nothing may be left after a pause of the
+// process. It is never more than four fifths of the interval.
+func (b *Backoff) maxDelay(staleFor time.Duration) time.Duration {
+	delay := max(minDelay, visibilityDeadline-responseTime-staleFor)
 	if b.interval > 0 {
-		delay = min(delay, fourFifths(b.interval))
+		delay = min(delay, latestCall(b.interval))
 	}
 	return delay
 }
 
-// fourFifths is how much of a time limit may pass before a call: the rest is for its response.
-func fourFifths(d time.Duration) time.Duration { return d * 4 / 5 }
+// latestCall returns the latest time for a call whose response must arrive within limit: the last fifth is
+// left for the response.
+func latestCall(limit time.Duration) time.Duration { return limit * 4 / 5 }
 
-// random returns a uniformly distributed delay below limit.
-func (b *Backoff) random(limit time.Duration) time.Duration {
+// randomBelow returns a uniformly distributed delay below limit.
+func (b *Backoff) randomBelow(limit time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(limit))
 }
