--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -14,7 +14,7 @@
 )
 
 // Discovery watches the platform's discovery service and reports its updates. It implements
-// pumicecroft.Source with the optional Sync method, and must not be copied after Run or Follow was called.
+// pumicecroft.Syncer, and must not be copied after Run or Follow was called.
 type Discovery struct {
 	Addr string // host:port
 	// FromVersion is the version of the endpoint list that is already known, or FromFullUpdate.
