--- a/decision/selection.go
+++ b/decision/selection.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// subsetWindow sets how many backends a gateway keeps to: as many as it sends attempts in this
-	// time, and at least minSubsetSize. It learns which backends are slow or silent only of those
-	// that it hears from every few seconds.
+	// subsetWindow determines the size of a gateway's subset of backends: as many as it sends
+	// attempts in this time, and at least minSubsetSize. It can detect slow and silent backends
+	// only if each of them gets an attempt every few seconds.
 	subsetWindow  = 4 * time.Second
 	minSubsetSize = 4.0
 
-	// selectionJitter spreads the costs of equal backends, by up to this share.
+	// selectionJitter is the largest relative random increase of a selection cost; it breaks ties
+	// between equal backends.
 	selectionJitter = 0.05
 )
 
-// subsetSize is how many of a pool's backends this gateway keeps to, as the sum of their warm-up
-// fractions. Each gateway has its own random order of them, so all are used alike. After a quiet
-// time a burst goes to as many as there are requests.
+// subsetSize returns the size of this gateway's subset of the pool, as a sum of warm-up fractions.
+// As every gateway has its own random order of the backends, all backends are used about equally.
+// After an idle period the number of open requests makes the subset large enough for a burst.
 func (p *protocolPool) subsetSize(requests int) float64 {
 	return max(minSubsetSize, p.sendRate*subsetWindow.Seconds(), float64(requests))
 }
 
-// selectBackend returns the backend that an attempt of a request should go to, or nil where there
-// is none: of this gateway's subset of those that are ready, the one of least selectionCost. A
-// backend that is on hold, or not eligible for this request, is passed over; so is one that is
-// warming up and has no token.
+// selectBackend returns the backend for an attempt of a request, or nil if there is none: the one
+// with the lowest selectionCost in this gateway's subset of the ready backends. Backends that are
+// on hold, are not eligible for the request, or are in slow start without a token are skipped.
 //
-// The subset ends where the warm-up fractions of those met reach its size, whether they have a
-// token now or not: so one that warms up is in as many gateways' subsets as it can bear. Silent
-// ones don't count.
+// The subset ends when the warm-up fractions of the backends in it add up to its size, whether or
+// not they have a token now: thus a backend in slow start is in the subsets of as many gateways as
+// its capacity allows. Silent backends do not count towards the size.
 func (e *Engine) selectBackend(req *request) *backend {
 	if req.pool == nil {
 		return nil
@@ -45,7 +45,7 @@
 		if e.now < candidate.holdUntil || !e.eligible(req, candidate) {
 			continue
 		}
-		overdue := e.overdue(candidate)
+		overdue := e.updateOverdueResponses(candidate)
 		seen += e.warmupFraction(candidate) * float64(boolToInt(overdue <= overdueTolerance))
 		if !e.hasWarmupToken(req.pool, candidate) {
 			continue
@@ -57,30 +57,30 @@
 	return best
 }
 
-// selectionCost is lowest for the backend that should respond first: its attempts in flight with
-// this one, times its slowness, times a factor for the responses that are overdue. It has no unit.
-// A further rule on which of the eligible backends is best belongs here; one that forbids a backend
-// to a request belongs in eligible.
+// selectionCost returns a cost, without a unit, that is lowest for the backend that should respond
+// first: its attempts in flight including this one, times its latency ratio, times a factor for
+// overdue responses. Further criteria for the best of the eligible backends belong here; rules that
+// forbid a backend for a request belong in eligible.
 func (e *Engine) selectionCost(backend *backend, overdue float64) float64 {
 	silence := 1 + max(0, overdue-overdueTolerance)
 	jitter := 1 + selectionJitter*e.rng.Float64()
-	cost := float64(backend.inFlight+1) * backend.slowness * silence * jitter
-	if backend.warmingUp { // the queues of the others are in their mean latency, and it has none
+	cost := float64(backend.inFlight+1) * backend.latencyRatio * silence * jitter
+	if backend.warmingUp { // meanLatency includes the queues of the warm backends; a new one has no queue
 		cost *= e.bestLatency / (e.meanLatency * e.warmupFraction(backend))
 	}
 	return cost
 }
 
-// eligible reports whether a request may be sent to a backend. It is not sent to one where it was
-// before, unless that is the only one of its protocol. Once an attempt may have run, it is sent
-// only where a repeat is harmless, or where backends drop it: inside the DedupScope of that
-// attempt, and as long as its DedupWindow surely lasts.
+// eligible reports whether a request may be sent to a backend. A backend that already had an
+// attempt of the request is not eligible, unless it is the only one of its protocol. Once an
+// attempt may have run, a backend is eligible only if the class is idempotent, or if the backend
+// drops the repeat: it is within the DedupScope of that attempt, and the DedupWindow has not ended.
 func (e *Engine) eligible(req *request, backend *backend) bool {
 	tried := func(a attempt) bool { return a.backend == backend }
 	if req.pool.Len() > 1 && slices.ContainsFunc(req.attempts, tried) {
 		return false
 	}
-	executed := req.executedAttempt()
+	executed := req.possiblyExecutedAttempt()
 	if executed == nil || req.class.Idempotency == Idempotent {
 		return true
 	}
@@ -89,7 +89,7 @@
 		req.class.DedupScope.includes(&executed.backend.Endpoint, &backend.Endpoint)
 }
 
-// includes reports whether two endpoints share the memory of idempotency keys.
+// includes reports whether two endpoints share their record of idempotency keys.
 func (s DedupScope) includes(a, b *Endpoint) bool {
 	return (s != DedupScopeZone || a.Zone == b.Zone) && (s != DedupScopeCell || a.Cell == b.Cell)
 }
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// A backend whose process has just started has a part of its capacity only, which grows over
-// Settings.SlowStartWindow. Sent more than Settings.OverloadFactor times that for
-// Settings.OverloadDuration it fails. Each gateway limits what it sends by itself so that all of
-// them together stay below: a token bucket of attempts.
+// Slow start: a backend whose process has just started has only part of its capacity, which grows
+// over Settings.SlowStartWindow. It fails if it is sent more than Settings.OverloadFactor times its
+// present capacity for Settings.OverloadDuration. Each gateway limits its own attempts with a token
+// bucket for each backend, sized so that all gateways together stay below that.
 
-// warmupTokenLifetime is how long an attempt that is due is kept, or for the next warmupTokenSends
-// attempts that this gateway sends, if that is longer.
+// warmupTokenLifetime is how long an unused token is kept. It is kept until this gateway has sent
+// warmupTokenSends further attempts if that takes longer.
 const (
 	warmupTokenLifetime = time.Second
 	warmupTokenSends    = 2
 
-	// minWarmCapacity stands in for a warm capacity of zero where it divides, in backends.
+	// minWarmCapacity replaces a warm capacity of zero, which would be divided by; in backends.
 	minWarmCapacity = 1e-6
 )
 
-// startWarmup puts a backend into slow start as of since. Each gateway begins with a random
-// fraction of one token: where each of many has one in half a minute, with equal fractions all
-// would leave the backend idle for that long, and then all send at once.
+// startWarmup puts a backend into slow start as of since. Each gateway starts with a random
+// fraction of a token. If each of many gateways gets one token in half a minute, equal fractions
+// would leave the backend idle for that long, and then all gateways would send at once.
 func (e *Engine) startWarmup(backend *backend, since time.Duration) {
 	backend.warmingUp, backend.warmingSince = true, since
 	backend.warmupTokens, backend.warmupTokensAt = e.rng.Float64(), e.now
 }
 
-// warmupFraction returns the least share of its capacity, 0 to 1, that a backend has by now. It also
-// ends slow start when that is over.
+// warmupFraction returns the share of its full capacity, 0 to 1, that a backend has at least by
+// now. It also ends slow start once that is over.
 func (e *Engine) warmupFraction(backend *backend) float64 {
 	age, window := float64(e.now-backend.warmingSince), float64(e.settings.SlowStartWindow)
 	backend.warmingUp = backend.warmingUp && age < window
@@ -40,7 +40,7 @@
 	return min(1, least+(1-least)*max(0, age)/window)
 }
 
-// warmCapacity is the sum of the warm-up fractions of a pool's ready backends, as of the last
+// warmCapacity returns the sum of the warm-up fractions of a pool's ready backends, as of the last
 // update or tick.
 func (e *Engine) warmCapacity(pool *protocolPool) float64 {
 	count, ages := pool.Warming()
@@ -49,33 +49,34 @@
 	return float64(pool.ReadyLen()) - missing
 }
 
-// hasWarmupToken refills a backend's tokens, and reports whether there is one for an attempt now;
-// startAttempt takes it. A backend that is not warming up always has one.
+// hasWarmupToken refills a backend's token bucket, and reports whether it holds a token for an
+// attempt now; startAttempt takes it. A backend that is not in slow start always has one.
 //
-// Tokens come at the backend's warm-up fraction of the rate at which this gateway sends to a warm
-// one, or at which all gateways together send one attempt a second, if that is more. If every
-// gateway does so, they stay within the backend's present capacity together, with the overload
-// factor as the margin; where many backends are warming up a warm one is sent more, and half of
-// that margin is used. The rate is the highest of late: by a second that a jam holds down, backends
-// that are warming up would stand idle for as long as the warm ones are overloaded.
+// The refill rate is the backend's warm-up fraction times the rate at which this gateway sends to a
+// warm backend. If all gateways together send less than one attempt a second to a warm backend, it
+// is calculated as if they sent one. Applied by every gateway, this keeps the total within the
+// backend's present capacity, and the overload factor remains as a margin. If many backends are in
+// slow start, the warm ones are sent more, and half of that margin is used. The recent peak rate is
+// used, not the current one: a rate lowered by an overload would keep backends in slow start idle
+// for as long as the warm ones are overloaded.
 //
-// At most one token is saved up. At a gateway that has one every few seconds or less it expires if
-// it is not used soon: what many gateways have saved up would come at once.
+// At most one token is saved. At a gateway that gets a token only every few seconds, an unused one
+// expires: otherwise the tokens saved by many gateways could be used at the same time.
 func (e *Engine) hasWarmupToken(pool *protocolPool, backend *backend) bool {
 	fraction := e.warmupFraction(backend)
 	if !backend.warmingUp {
 		return true
 	}
 	ready, capacity := float64(pool.ReadyLen()), e.warmCapacity(pool)
-	// What is sent is shared by warm-up fractions.
+	// Attempts are distributed in proportion to the warm-up fractions.
 	warm := max(capacity, ready*min(1, 2/e.settings.OverloadFactor))
 	sends := max(pool.sendRate, ready/float64(e.settings.GatewayCount))
-	// It is in the subsets of this share of the gateways.
+	// The share of the gateways that have this backend in their subset.
 	inSubset := min(1, pool.subsetSize(len(e.requests))/max(capacity, minWarmCapacity))
 	rate := fraction * max(sends, pool.peakSendRate) / (warm * inSubset)
 	backend.warmupTokens += rate * (e.now - backend.warmupTokensAt).Seconds()
 	backend.warmupTokensAt = e.now
-	// expiry is how many tokens come in the time that one is kept for.
+	// expiry is the lifetime of a token, as the number of tokens added in that time.
 	expiry := rate * max(warmupTokenLifetime.Seconds(), warmupTokenSends/sends)
 	if expiry >= 1 {
 		backend.warmupTokens = min(1, backend.warmupTokens)
--- a/decision/state.go
+++ b/decision/state.go
@@ -5,43 +5,45 @@
 	"time"
 )
 
-// minQuotaDebt is the least debt, as QuotaDebt returns it, that is worth remembering.
+// minQuotaDebt is the least QuotaDebt for which a customer's state is worth saving.
 const minQuotaDebt = 1e-3
 
-// CustomerState is what a later process of the same gateway must not forget of a customer. It is
-// read off an Engine and put back into another one before any event; nothing is decided by it here.
-// Its cbor tags are names in stored snapshots and must never change.
+// CustomerState is the state of a customer that survives a restart of the gateway: it is read from
+// one Engine and restored into another before its first event. Its cbor tags are names in stored
+// snapshots and must never change.
 type CustomerState struct {
 	ID              CustomerID `cbor:"ID"`
 	Plan            string     `cbor:"Plan"`
-	Gateways        int        `cbor:"Doors"`  // how many the customer uses
-	UsesThisGateway bool       `cbor:"Member"` // this is one of them
-	// MissingTokens is what its quota lacks of a full burst, in percent-seconds of its rate.
+	Gateways        int        `cbor:"Doors"`  // how many gateways the customer uses
+	UsesThisGateway bool       `cbor:"Member"` // this gateway is one of them
+	// MissingTokens is how far its quota bucket is below a full burst, in percent-seconds of its
+	// rate.
 	MissingTokens float64 `cbor:"Missing"`
-	// AdmitProbability is the share of its requests that pass while the quota is empty, 0 to 1.
+	// AdmitProbability is the probability, 0 to 1, that a request is admitted while the quota
+	// bucket is empty.
 	AdmitProbability float64 `cbor:"Pass"`
-	// What usage reports told, fading: its use over all gateways and at this one, in
-	// percent-seconds, and of how many seconds.
+	// Exponentially decaying sums over the customer's usage reports: its use over all gateways and
+	// its use at this gateway, both in percent-seconds, and the seconds that the reports cover.
 	MeteredUsage   float64 `cbor:"Metered"`
 	OwnUsage       float64 `cbor:"Own"`
 	MeteredSeconds float64 `cbor:"Heard"`
 }
 
-// QuotaDebt is how much of its burst a customer has used, 0 to 1, and more if it is held down
-// besides.
+// QuotaDebt is the used share of the customer's burst, 0 to 1, plus how far its admit probability
+// is below 1.
 func (s *CustomerState) QuotaDebt(plan *Plan) float64 {
 	if plan.Rate <= 0 {
 		return 1 - s.AdmitProbability
 	}
-	return s.MissingTokens*plan.Rate/(fullRate*plan.Burst) + 1 - s.AdmitProbability
+	return s.MissingTokens*plan.Rate/(fullRatePercent*plan.Burst) + 1 - s.AdmitProbability
 }
 
-// Customers iterates over all customers, each as it is at the moment, in no order, and tells
-// whether it has a debt worth remembering. The Engine may be used between two steps: a customer
-// that is new meanwhile may be left out.
+// Customers iterates over the current states of all customers, in no particular order. The second
+// value reports whether the customer's debt is worth saving. The Engine may be used between two
+// steps: a customer that is added in between may or may not be visited.
 func (e *Engine) Customers() iter.Seq2[CustomerState, bool] {
 	return func(yield func(CustomerState, bool) bool) {
-		for id, customer := range e.customers { // the map's order: the caller sorts
+		for id, customer := range e.customers { // in map order: callers that need an order must sort
 			state := e.customerState(id, customer)
 			if !yield(state, state.QuotaDebt(customer.plan) > minQuotaDebt) {
 				return
@@ -62,14 +64,14 @@
 		MeteredSeconds:   c.meteredSeconds,
 	}
 	if c.plan.Rate > 0 {
-		state.MissingTokens = c.burstTokens() - c.available(e.now)
+		state.MissingTokens = c.burstTokens() - c.availableTokens(e.now)
 	}
 	return state
 }
 
-// Restore puts back what an earlier process knew, at a time of the Engine's clock. It must be
-// called before the first event: later, all states are ignored. States that make no sense under
-// these settings are ignored too. It returns how many were.
+// Restore restores the states saved by an earlier process, at a time of the Engine's clock. It must
+// be called before the first event: after that, all states are ignored. States that are invalid
+// under the Engine's settings are ignored too. It returns how many were ignored.
 func (e *Engine) Restore(now time.Duration, states []CustomerState) (ignored int) {
 	for _, state := range states {
 		plan := e.plans[state.Plan]
@@ -83,7 +85,8 @@
 	return ignored
 }
 
-// valid reports whether all figures can be those of a customer of so many gateways.
+// valid reports whether all values are possible for a customer in a deployment of that many
+// gateways.
 func (s *CustomerState) valid(gateways int) bool {
 	return s.Gateways >= 1 && s.Gateways <= gateways &&
 		s.AdmitProbability >= 0 && s.AdmitProbability <= 1 &&
@@ -95,8 +98,8 @@
 	if !state.UsesThisGateway {
 		first = (e.settings.GatewayIndex + 1) % e.settings.GatewayCount
 	}
-	// The cost of a whole burst: a newcomer's bucket would else begin with room for one small
-	// request.
+	// With the cost of a whole burst, the bucket of a new customer starts full; otherwise it would
+	// start with room for one small request only.
 	cost := max(1, plan.Burst)
 	customer := e.customerFor(Request{
 		Customer:      state.ID,
@@ -111,6 +114,7 @@
 	if plan.Rate > 0 {
 		customer.tokens = max(0, min(customer.burstTokens()-state.MissingTokens, customer.tokens))
 	}
-	// The admit probability binds until usage reports have had time to come.
+	// The admit probability applies only while usage reports are recent: this gives them time to
+	// arrive.
 	customer.usageAt = e.now
 }
--- a/decision/usagereports.go
+++ b/decision/usagereports.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Usage reports tell what a customer used over all gateways in a period that is over. They come
-// with responses, so many responses repeat one report, and none come while a customer is rejected.
+// A usage report gives a customer's use over all gateways in a completed period. Reports arrive
+// with responses, so many responses repeat the same report, and none arrive while a customer is
+// rejected.
 
-// onUsage counts a usage report, in percent of the plan's rate.
-func (e *Engine) onUsage(customer *customer, usage float64) {
+// onUsageReport applies a usage report, in percent of the plan's rate.
+func (e *Engine) onUsageReport(customer *customer, usage float64) {
 	period := e.settings.UsagePeriod
 	if period <= 0 || !customer.isNewReport(e.now, period, usage) {
 		return
@@ -18,19 +19,19 @@
 	customer.usageAt, customer.lastUsage = e.now, usage
 	customer.settlePeriod(e.now, period, usage)
 	if first {
-		customer.onFirstUsage(usage)
+		customer.onFirstUsageReport(usage)
 	}
 	if customer.tokens > 0 || usage <= 0 {
 		customer.admitProbability = 1
 	} else {
-		customer.admitProbability = min(1, customer.admitProbability*fullRate/usage)
+		customer.admitProbability = min(1, customer.admitProbability*fullRatePercent/usage)
 	}
 }
 
-// isNewReport reports whether a usage report tells of a period that has not been counted. Many
-// responses repeat one report, and they come with jitter and out of order: a repeat is told by its
-// value and by the time. A report counts for no period that has not ended; else tokensAt would run
-// ahead of the clock, and the bucket would not fill any more.
+// isNewReport reports whether a usage report covers a period that has not been counted yet.
+// Responses repeat reports, with jitter and out of order: a repeat is recognized by its value and
+// by the time since the last report. A report is not counted for a period that has not ended:
+// otherwise tokensAt would run ahead of the clock, and the bucket would not refill any more.
 func (c *customer) isNewReport(now, period time.Duration, usage float64) bool {
 	if c.meteredSeconds <= 0 {
 		return true
@@ -40,13 +41,13 @@
 	return sinceLast >= period/2 && !repeated && c.tokensAt+period <= now
 }
 
-// settlePeriod moves the bucket on to the end of the period that a report tells of, which is taken
-// to have ended usageDelayPeriods ago. Of a gap before it only this gateway's own requests are
-// known.
+// settlePeriod advances the bucket to the end of the period that a report covers, which is assumed
+// to have ended usageDelayPeriods ago. In a gap between that period and the last one, only this
+// gateway's own requests are known; the use at the others is estimated.
 func (c *customer) settlePeriod(now, period time.Duration, usage float64) {
 	from := max(c.tokensAt, now-(1+usageDelayPeriods)*period)
 	if c.plan.Rate > 0 {
-		c.tokens = c.available(from)
+		c.tokens = c.availableTokens(from)
 	}
 	c.tokensAt = from + period
 	own := 0.0
@@ -59,16 +60,18 @@
 	c.meteredUsage = c.retention*c.meteredUsage + usage*period.Seconds()
 	c.meteredSeconds = c.retention*c.meteredSeconds + period.Seconds()
 	c.ownUsage = c.retention*c.ownUsage + own
-	c.tokens = max(0, min(c.burstTokens(), c.tokens+(fullRate-usage)*period.Seconds()))
+	c.tokens = max(0, min(c.burstTokens(), c.tokens+(fullRatePercent-usage)*period.Seconds()))
 }
 
-// onFirstUsage takes a newcomer's first report as what it has done at the other gateways until now:
-// one of many gateways meets most customers once or twice, and a customer over its rate has mostly
-// been so for long, so its bucket is empty. What one request makes of a period's use tells nothing.
-func (c *customer) onFirstUsage(usage float64) {
+// onFirstUsageReport sets a newcomer's tokens by its first usage report, which shows what the
+// customer has done at other gateways so far. One of many gateways sees most customers only once or
+// twice, and a customer above its rate has usually been so for a long time, so its bucket is
+// assumed to be empty; any other newcomer gets at least twice the quota margin. A use that one
+// request alone can explain does not count as above the rate.
+func (c *customer) onFirstUsageReport(usage float64) {
 	c.newcomers.RecordFirstUsage(usage)
 	c.tokens = max(c.tokens, 2*quotaMarginRatio*c.burstTokens())
-	if c.plan.Rate > 0 && usage > fullRate+fullRate*c.lastCost/(c.plan.Rate*c.usagePeriod) {
+	if c.plan.Rate > 0 && usage > fullRatePercent+fullRatePercent*c.lastCost/(c.plan.Rate*c.usagePeriod) {
 		c.tokens = 0
 	}
 }
