--- a/idempotency/bench_test.go
+++ b/idempotency/bench_test.go
@@ -11,8 +11,9 @@
 	"pumicecroft/internal/journal"
 )
 
-// BenchmarkStore is a request with a key and its end while n keys are held, without a log and with one
-// whose disk takes no time. It also reports the memory of an entry, and what is accounted for it.
+// BenchmarkStore measures a request with a key, from Begin to Complete, while the store holds n keys: without
+// a log, and with a log whose operations take no time. It also reports the heap memory and the accounted memory
+// of an entry.
 func BenchmarkStore(b *testing.B) {
 	for _, n := range []int{1, 1000, 1_000_000} {
 		for _, logged := range []bool{false, true} {
@@ -32,7 +33,7 @@
 }
 
 func (l *benchLoad) request() {
-	const groupSize = 64 // requests between two flushes of the log
+	const groupSize = 64 // requests between flushes of the log
 	l.now += time.Microsecond
 	key := fmt.Sprintf("%016x", l.rng.Uint64())
 	who := decision.CustomerID(l.rng.IntN(1000))
--- a/idempotency/eviction.go
+++ b/idempotency/eviction.go
@@ -6,27 +6,28 @@
 	"pumicecroft/decision"
 )
 
-// Memory in bytes of an entry beside its key and response, and of a ticket. BenchmarkStore compares
-// them with the heap.
+// Accounted memory in bytes of an entry without its key and response, and of a ticket.
+// BenchmarkStore compares the accounted memory with the heap.
 const (
 	entryOverhead  = 496
 	ticketOverhead = 192
 )
 
-// What a log record has room for, in bytes.
+// Largest response and content type that are stored, in bytes. They fit the length fields of a log
+// record.
 const (
 	maxStoredResponse = 8 << 20
 	maxContentType    = 1 << 15
 )
 
-// customer is the account of one customer that has entries.
+// customer accounts for the memory of one customer's entries.
 type customer struct {
 	id             decision.CustomerID
 	inFlightBytes  int
-	storedBytes    int    // evictable
-	oldest, newest *entry // evictable
-	heapIndex      int    // in Store.evictionOrder; -1: not there
-	pinned         bool   // makeRoom runs for it: it stays when its last entry is evicted
+	storedBytes    int    // of evictable entries
+	oldest, newest *entry // ends of the list of evictable entries
+	heapIndex      int    // in Store.evictionOrder; -1: not in the heap
+	pinned         bool   // set while makeRoom runs for it: the account stays when its last entry is evicted
 }
 
 func (c *customer) totalBytes() int { return c.inFlightBytes + c.storedBytes }
@@ -57,8 +58,8 @@
 	e.older, e.younger = nil, nil
 }
 
-// customerFor returns a customer's account, which it creates if necessary. A new account that gets
-// no entry must be released.
+// customerFor returns a customer's account and creates it if necessary. A new account that gets no
+// entry must be released with releaseCustomer.
 func (s *Store) customerFor(id decision.CustomerID) *customer {
 	c := s.customers[id]
 	if c == nil {
@@ -82,21 +83,21 @@
 	return r.size() <= s.limits.MaxResponseBytes && len(r.ContentType) <= maxContentType
 }
 
-// size is what a stored response costs, in bytes.
+// size returns the memory that a stored response accounts for, in bytes.
 func (r Response) size() int { return len(r.Body) + len(r.ContentType) }
 
-// withinShare reports whether a customer may add bytes to what it has in flight. A customer's
-// requests in flight may use at most as much as stays free for all others: one flooding customer
-// gets half of the memory, two a third each, and a new customer always finds room. This is the
-// dynamic threshold for shared buffers of Choudhury and Hahne (1998) with alpha = 1.
+// withinShare reports whether a customer's requests in flight may use another bytes. The limit is the
+// part of the budget that no request in flight would then use: one flooding customer gets half of the
+// budget, two get a third each, and a new customer always finds room. This is the dynamic threshold
+// for shared buffers of Choudhury and Hahne (1998) with alpha = 1.
 func (s *Store) withinShare(c *customer, bytes int) bool {
 	return c.inFlightBytes+bytes <= s.limits.MaxBytes-s.inFlightBytes-bytes
 }
 
-// makeRoom evicts entries until bytes more fit, for customer c, and reports whether they do. Entries
-// in flight are never evicted. A customer above an even share of the memory evicts its own entries,
-// the oldest first. One below takes from the customer with the most evictable bytes, if that one is
-// above its share.
+// makeRoom evicts entries until another bytes fit into the budget for customer c, and reports whether
+// they do. Entries in flight are never evicted. A customer above an even share of the budget evicts
+// its own entries, the oldest first. A customer below it evicts those of the customer with the most
+// evictable bytes if that customer is above its share, and otherwise its own.
 func (s *Store) makeRoom(c *customer, bytes int) bool {
 	for s.bytes+bytes > s.limits.MaxBytes {
 		victim := s.victimFor(c, bytes)
@@ -120,7 +121,7 @@
 	return c
 }
 
-// addCost adds to the cost of an entry, and to the sums that it is part of.
+// addCost adds to the cost of an entry, and to the totals of its customer and of the store.
 func (s *Store) addCost(e *entry, bytes int) {
 	e.cost += bytes
 	s.bytes += bytes
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -1,12 +1,12 @@
 // Package idempotency deduplicates requests that carry an idempotency key. For each request it
 // decides whether to execute it, to wait for an earlier request with the same key, to replay the
-// stored response, or to reject it. Stored keys share one memory budget that is fair by customer.
+// stored response, or to reject it. All keys share one memory budget, divided fairly among customers.
 //
 // The package is pure: events and times go in, decisions come out. It does no I/O, reads no clock,
 // takes no lock and starts no goroutine. A Store belongs to its caller, which serializes all calls
 // (package deduplicator does so for the running gateway). Times are durations since one origin. A
-// time before an earlier one counts as the earlier one, so a clock that steps back expires nothing
-// twice.
+// time earlier than a previous one is treated as the previous one, so that a clock that steps back
+// never expires an entry twice.
 package idempotency
 
 import "time"
@@ -25,15 +25,15 @@
 	Body        []byte // must not be modified
 }
 
-// Verdict is the decision about one request.
+// Verdict says how one request is to be handled.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Proceed: execute the request. The caller owes one call of Complete for its Ticket.
+	// Proceed: execute the request. The caller must call Complete once with the Ticket.
 	Proceed Verdict = iota
-	// Join: a request with the same key is in flight. This one waits for its end, until its own
-	// deadline passes or its client disconnects.
+	// Join: a request with the same key is in flight. This one waits until that request ends, its
+	// own deadline passes or its client disconnects.
 	Join
 	// Replay: the key's request succeeded; send the stored Response.
 	Replay
@@ -42,15 +42,15 @@
 	// Conflict: the key was used by a different request (other method, path, class or body).
 	Conflict
 	// OutcomeUnknown: the key's request may have been executed, and its outcome is not known. The
-	// verdict stays the same until RetryAfter has passed; then the key is forgotten and a repeat
-	// would be executed.
+	// verdict stays the same until RetryAfter has passed; then the key expires and a repeated
+	// request would be executed.
 	OutcomeUnknown
 	// Busy: the customer's share of memory for requests in flight is used up, or nothing can be
-	// evicted. Nothing was executed; retry after RetryAfter.
+	// evicted. The request was not executed; retry after RetryAfter.
 	Busy
 	// InvalidKey: the key is empty, too long, or has characters other than visible ASCII and space.
 	InvalidKey
-	// Rejected: the request that this one waited for was provably not executed. A retry is safe.
+	// Rejected: the request that this one waited for was definitely not executed. A retry is safe.
 	Rejected
 	// DeadlineExceeded: the deadline passed before the request that this one waited for ended.
 	DeadlineExceeded
@@ -70,7 +70,7 @@
 	RetryAfter time.Duration
 }
 
-// Completion is the end of one request that waited.
+// Completion is the final decision about one request that waited.
 type Completion struct {
 	Tag any // as passed to Begin
 	Decision
@@ -81,12 +81,12 @@
 
 // The outcomes.
 const (
-	Succeeded   Outcome = iota // it was executed; its response is the key's from now on
-	NotExecuted                // provably: it was rejected, or no attempt left the gateway
+	Succeeded   Outcome = iota // it was executed; its response is replayed to later requests with the key
+	NotExecuted                // definitely: it was rejected, or no attempt left the gateway
 	Unknown                    // it may have been executed
 )
 
-// Limits bounds a Store. A zero field takes its default.
+// Limits configures the bounds of a Store. A zero field takes its default.
 type Limits struct {
 	// MaxBytes bounds the memory of all entries, by their accounted cost. Default 64 MiB.
 	MaxBytes int
@@ -122,8 +122,8 @@
 	return l
 }
 
-// isValidKey reports whether key is a structured string of the Idempotency-Key draft: visible ASCII
-// and spaces, 1 to MaxKeyBytes of them.
+// isValidKey reports whether key is a valid string of the Idempotency-Key draft: 1 to MaxKeyBytes
+// visible ASCII characters and spaces.
 func isValidKey(key string) bool {
 	for i := range len(key) {
 		if key[i] < ' ' || key[i] > '~' {
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -13,17 +13,17 @@
 	"pumicecroft/decision"
 )
 
-// modelKey is what the model knows of one key.
+// modelKey is the model's state of one key.
 type modelKey struct {
 	fingerprint Fingerprint
 	state       state
 	response    Response
 	expiresAt   time.Duration
 	leader      *Ticket
-	deadlines   map[int]time.Duration // of those that wait, by tag; 0: the leader's, which has none
+	deadlines   map[int]time.Duration // of waiting requests, by tag; 0 for the leader, which has none
 }
 
-// model is the simplest store that has no memory limit, beside the store under test.
+// model is a simple reference implementation of a store without a memory limit, and the store under test.
 type model struct {
 	limits Limits
 	store  *Store
@@ -36,7 +36,7 @@
 	verdicts map[Verdict]int
 }
 
-// expire lets the model's time pass, and returns the completions that this must give.
+// expire removes what has expired by now from the model, and returns the completions that the store must return.
 func (m *model) expire() map[int]Verdict {
 	due := map[int]Verdict{}
 	for id, k := range m.keys {
@@ -53,25 +53,25 @@
 	return due
 }
 
-// checkCompletions compares the completions of a call with those that it must give.
+// checkCompletions compares the completions that a call returned with those that it must return.
 func (m *model) checkCompletions(t *rapid.T, completions []Completion, want map[int]Verdict) {
 	t.Helper()
 	got := map[int]Verdict{}
 	for _, c := range completions {
 		tag := c.Tag.(int)
 		if !m.waiting[tag] {
-			t.Fatalf("completion of %d, %v, which does not wait", tag, c.Verdict)
+			t.Fatalf("completion for tag %d with verdict %v, which is not waiting", tag, c.Verdict)
 		}
 		delete(m.waiting, tag)
 		got[tag] = c.Verdict
 		m.verdicts[c.Verdict]++
 	}
 	if !maps.Equal(got, want) {
-		t.Fatalf("completions %v, want %v", got, want)
+		t.Fatalf("verdicts of completions by tag: %v, want %v", got, want)
 	}
 }
 
-// verdict is the verdict about a request with a key, of which the model knows k; nil: nothing.
+// verdict returns the expected verdict for a request with a key. k is the key's state, nil if it has none.
 func (m *model) verdict(key string, k *modelKey, fingerprint Fingerprint) Verdict {
 	switch {
 	case !isValidKey(key):
@@ -109,7 +109,7 @@
 		want == Replay && string(d.Response.Body) != string(k.response.Body),
 		want == OutcomeUnknown && d.RetryAfter != k.expiresAt-m.now,
 		(d.Ticket != nil) != (want == Proceed || want == Join):
-		t.Fatalf("%+v, want %v", d, want)
+		t.Fatalf("Begin returned %+v, want verdict %v", d, want)
 	}
 	switch want {
 	case Proceed:
@@ -125,7 +125,7 @@
 
 func (m *model) abandon(t *rapid.T) {
 	if len(m.waiting) == 0 {
-		t.Skip("nobody waits")
+		t.Skip("no request is waiting")
 	}
 	tag := rapid.SampledFrom(slices.Sorted(maps.Keys(m.waiting))).Draw(t, "tag")
 	due := m.expire()
@@ -143,14 +143,14 @@
 		}
 	}
 	if unwanted != want {
-		t.Fatalf("unwanted: %v, want %v", unwanted, want)
+		t.Fatalf("Abandon returned unwanted = %v, want %v", unwanted, want)
 	}
 	if again, _ := m.store.Abandon(m.now, m.tickets[tag]); again {
-		t.Fatal("a ticket is abandoned twice")
+		t.Fatalf("second Abandon of a ticket returned unwanted = %v, want false", again)
 	}
 }
 
-// inFlight are the keys in flight, in order.
+// inFlight returns the keys in flight, sorted.
 func (m *model) inFlight() []entryID {
 	var ids []entryID
 	for id, k := range m.keys {
@@ -167,7 +167,7 @@
 func (m *model) complete(t *rapid.T) {
 	inFlight := m.inFlight()
 	if len(inFlight) == 0 {
-		t.Skip("none is in flight")
+		t.Skip("no request is in flight")
 	}
 	id := rapid.SampledFrom(inFlight).Draw(t, "key")
 	k, outcome := m.keys[id], Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
@@ -191,17 +191,17 @@
 	}
 }
 
-func (m *model) wait(t *rapid.T) {
+func (m *model) advanceTime(t *rapid.T) {
 	m.now += time.Duration(rapid.IntRange(0, 30).Draw(t, "duration")) * time.Millisecond
 	m.checkCompletions(t, m.store.Tick(m.now), m.expire())
 }
 
-// checkSums compares the store's keys and sums of bytes with its entries.
+// checkSums compares the store's number of keys and byte totals with its entries.
 func (m *model) checkSums(t *rapid.T) {
 	bytes, inFlightBytes := 0, 0
 	for id, e := range m.store.entries {
 		if m.keys[id] == nil {
-			t.Fatalf("%v is held", id)
+			t.Fatalf("the store holds key %v, want it removed", id)
 		}
 		bytes += e.cost
 		if e.state == stateInFlight {
@@ -211,13 +211,13 @@
 	s := m.store
 	if s.Len() != len(m.keys) || s.Bytes() != bytes || s.inFlightBytes != inFlightBytes ||
 		len(s.evictionOrder) != s.Customers() {
-		t.Fatalf("%d keys of %d, %d bytes of %d, %d in flight of %d", s.Len(), len(m.keys), s.Bytes(), bytes,
-			s.inFlightBytes, inFlightBytes)
+		t.Fatalf("%d keys, want %d; %d bytes, want %d; %d bytes in flight, want %d; %d customers in the heap, want %d",
+			s.Len(), len(m.keys), s.Bytes(), bytes, s.inFlightBytes, inFlightBytes, len(s.evictionOrder), s.Customers())
 	}
 }
 
-// checkEmptyAtTheEnd completes all requests, lets all keys expire, and checks that nothing is left.
-func (m *model) checkEmptyAtTheEnd(t *rapid.T) {
+// checkEmptyAfterExpiry completes all requests, lets all keys expire, and checks that the store is empty.
+func (m *model) checkEmptyAfterExpiry(t *rapid.T) {
 	for id, k := range m.keys {
 		if k.state == stateInFlight {
 			m.store.Complete(m.now, k.leader, NotExecuted, Response{})
@@ -227,13 +227,14 @@
 	s := m.store
 	s.Tick(m.now + time.Hour)
 	if s.Len() != 0 || s.Bytes() != 0 || s.Customers() != 0 || s.timers.Len() != 0 || s.inFlightBytes != 0 {
-		t.Fatalf("left: %d keys, %d bytes, %d customers, %d timers", s.Len(), s.Bytes(), s.Customers(), s.timers.Len())
+		t.Fatalf("%d keys, %d bytes, %d customers, %d timers, %d bytes in flight, want 0 of each", s.Len(), s.Bytes(),
+			s.Customers(), s.timers.Len(), s.inFlightBytes)
 	}
 }
 
-// Requests begin, end and are abandoned in any order and at any time, while there is room. The store must
-// decide as the model does, each request that waits must end once, and when all keys have expired nothing
-// may be left.
+// Requests begin, end and are abandoned in random order and at random times, with enough memory. The store
+// must return the verdicts of the model, each waiting request must be completed exactly once, and the store
+// must be empty when all keys have expired.
 func TestStore_AgainstModel(t *testing.T) {
 	verdicts := map[Verdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -245,14 +246,14 @@
 			"begin":    m.begin,
 			"abandon":  m.abandon,
 			"complete": m.complete,
-			"wait":     m.wait,
+			"wait":     m.advanceTime,
 			"":         m.checkSums,
 		})
-		m.checkEmptyAtTheEnd(t)
+		m.checkEmptyAfterExpiry(t)
 	})
 	for v := range DeadlineExceeded + 1 {
 		if v != Busy && verdicts[v] == 0 {
-			t.Errorf("verdict %v never came up", v)
+			t.Errorf("verdict %v was never returned", v)
 		}
 	}
 }
--- a/idempotency/records.go
+++ b/idempotency/records.go
@@ -10,8 +10,8 @@
 	"golang.org/x/crypto/cryptobyte"
 )
 
-// A Store with a log keeps the last record of each key there. Integers are big-endian; a field of
-// variable length has its length in front, in as many bytes as its number says.
+// A Store with a log appends a record for each change of a key; the last one describes the key.
+// Integers are big-endian. [1+n] is a length field of 1 byte, followed by n bytes.
 //
 //	version[1] kind[1] customer[8] key[1+n] fingerprint[16] expires[8] status[2] type[2+n] body[3+n]
 //
@@ -21,11 +21,11 @@
 
 // The kinds of records. Their numbers are stored.
 const (
-	recordInFlight  = 1 + iota // it proceeded, and may have been executed from then on
-	recordResponse             // it succeeded, and its response is stored
-	recordCompleted            // it succeeded, and its response is not stored
-	recordUnknown              // it may have been executed
-	recordRemoved              // it was not executed: the key is forgotten
+	recordInFlight  = 1 + iota // the request proceeded, and may have been executed from then on
+	recordResponse             // the request succeeded, and its response is stored
+	recordCompleted            // the request succeeded, and its response is not stored
+	recordUnknown              // the request may have been executed
+	recordRemoved              // the request was not executed: the key is removed
 )
 
 // ErrInvalidRecord is returned by Restore for a record that can't be decoded.
@@ -59,7 +59,7 @@
 		in.ReadUint24LengthPrefixed(&body) &&
 		in.Empty()
 	if !ok || r.kind < recordInFlight || r.kind > recordRemoved || !isValidKey(string(key)) {
-		return record{}, fmt.Errorf("%w: %d bytes of version %d", ErrInvalidRecord, len(b), version)
+		return record{}, fmt.Errorf("%w: %d bytes, format version %d", ErrInvalidRecord, len(b), version)
 	}
 	r.id = entryID{decision.CustomerID(customer), string(key)}
 	r.expires = time.Duration(expires) * time.Millisecond
@@ -87,11 +87,11 @@
 	b.AddUint16(uint16(r.Status))
 	b.AddUint16LengthPrefixed(func(b *cryptobyte.Builder) { b.AddBytes([]byte(r.ContentType)) })
 	b.AddUint24LengthPrefixed(func(b *cryptobyte.Builder) { b.AddBytes(r.Body) })
-	s.recordBuf = b.BytesOrPanic() // can't fail: MaxKeyBytes and storable keep each field in its length
+	s.recordBuf = b.BytesOrPanic() // can't panic: MaxKeyBytes and storable bound each variable-length field
 	return s.recordBuf
 }
 
-// recordKind is the kind of record that describes an entry's present state.
+// recordKind returns the kind of record that describes an entry's current state.
 func (e *entry) recordKind() uint8 {
 	switch {
 	case e.state == stateUnknown:
@@ -104,8 +104,8 @@
 	return recordCompleted
 }
 
-// appendRecord writes an entry's state to the log and returns the record's number; 0 if there is no
-// log or it accepts nothing. A response that doesn't fit into a record is not stored.
+// appendRecord appends an entry's state to the log and returns the record's number; 0 if there is no
+// log or it doesn't accept the record. A response that is too large for the log is left out of it.
 func (s *Store) appendRecord(e *entry) uint64 {
 	if s.log == nil {
 		return 0
@@ -118,7 +118,7 @@
 	return s.log.Append(s.now, &e.slot, b)
 }
 
-// appendRemoval writes that an entry's request was not executed, if the log has a record of it.
+// appendRemoval appends that an entry's request was not executed, if the log has a record of it.
 func (s *Store) appendRemoval(e *entry) {
 	if s.log != nil && e.slot.HasRecord() {
 		s.log.Append(s.now, nil, s.encodeRecord(recordRemoved, e))
--- a/idempotency/recovery.go
+++ b/idempotency/recovery.go
@@ -7,14 +7,14 @@
 	"pumicecroft/internal/journal"
 )
 
-// Restore adds a record of the log that is being recovered; records come in their order. epoch is the
-// Unix time at the store's time 0. It returns the slot of the record's entry, nil if it has none:
-// the key was removed or has expired, or there is no room for it by the rules of eviction. Errors
-// wrap ErrInvalidRecord.
+// Restore applies a record of the log that is being recovered. It must be called in the order of the
+// records. epoch is the Unix time at the store's time 0. It returns the slot of the record's entry, or
+// nil if the key was removed, has expired, or does not fit into the memory budget. Errors wrap
+// ErrInvalidRecord.
 //
 // A request that was in flight when the log ended may have been executed: its outcome is unknown for
-// UnknownTTL from now. An expiry later than any that can have been written comes from a clock that
-// was set back; the entry expires TTL from now instead.
+// UnknownTTL from now. An expiry that is further away than TTL means that the system clock was set
+// back; the entry expires TTL from now instead.
 func (s *Store) Restore(now, epoch time.Duration, b []byte) (*journal.Slot[Entry], error) {
 	s.advance(now)
 	r, err := decodeRecord(b)
@@ -38,7 +38,7 @@
 	return &e.slot, nil
 }
 
-// restoredState is the state that a record's entry has in this process, and when it expires.
+// restoredState returns the state and the expiry of an entry that is restored from a record.
 func (s *Store) restoredState(r record, epoch time.Duration) (state, time.Duration) {
 	expiresAt := min(r.expires-epoch, s.now+s.limits.TTL)
 	switch r.kind {
@@ -50,8 +50,8 @@
 	return stateCompleted, expiresAt
 }
 
-// restoreEntry adds the entry of a record, with its response if both limit and room allow. It
-// returns nil if there is no room for the entry.
+// restoreEntry adds the entry of a record, with its response if that is within MaxResponseBytes and
+// there is room. It returns nil if there is no room for the entry.
 func (s *Store) restoreEntry(r record, state state, expiresAt time.Duration) *entry {
 	cost := entryOverhead + len(r.id.key)
 	c := s.customerFor(r.id.customer)
@@ -76,8 +76,8 @@
 	return e
 }
 
-// AttachLog has the store write all changes to a log that was recovered with Restore. Requests that
-// were in flight when the log ended are written as of unknown outcome.
+// AttachLog makes the store append all changes to a log that was recovered with Restore. Requests
+// that were in flight when the log ended are appended with an unknown outcome.
 func (s *Store) AttachLog(log *journal.Log[Entry], epoch time.Duration) {
 	s.log, s.epoch = log, epoch
 	for _, e := range s.interrupted {
@@ -88,8 +88,8 @@
 	s.interrupted = nil
 }
 
-// RewriteStale appends again what the log asks for. It is to be called after each operation of the
-// log, as that may have made room.
+// RewriteStale appends again the records that the log reports as stale. It must be called after each
+// operation of the log, which may have made room for more of them.
 func (s *Store) RewriteStale(now time.Duration) {
 	s.now = max(s.now, now)
 	for slot := s.log.Stale(); slot != nil; slot = s.log.Stale() {
@@ -97,8 +97,9 @@
 	}
 }
 
-// RecordResponse writes the response of a request that proceeded to the log, before Complete gives
-// it to any client; Complete is still owed. It returns the record's number; 0 if there is none.
+// RecordResponse appends the response of a request that proceeded to the log, before Complete gives
+// it to any client; Complete must still be called. It returns the record's number, or 0 if no record
+// was appended.
 func (s *Store) RecordResponse(now time.Duration, t *Ticket, r Response) uint64 {
 	s.now = max(s.now, now)
 	if s.log == nil || !s.executing(t) {
--- a/idempotency/recovery_test.go
+++ b/idempotency/recovery_test.go
@@ -25,7 +25,7 @@
 	return log
 }
 
-// Bytes that nobody wrote come as records. Each must be an error or an entry within the store's bounds.
+// Records are arbitrary bytes. Restore must return an error, or restore an entry within the store's limits.
 func FuzzRestore(f *testing.F) {
 	s := New(Limits{}, 0)
 	s.AttachLog(emptyLog(f), 0)
@@ -39,16 +39,16 @@
 			slot, err := s.Restore(time.Second, 0, record)
 			if err != nil && !errors.Is(err, ErrInvalidRecord) || (slot != nil) != (s.Len() == 1) ||
 				s.Bytes() > 4096 || s.Len() > 1 {
-				t.Fatalf("%v, %v: %d keys of %d bytes", slot, err, s.Len(), s.Bytes())
+				t.Fatalf("Restore returned %v, %v; the store has %d keys of %d bytes", slot, err, s.Len(), s.Bytes())
 			}
 		}
 		if at, ok := s.Next(); ok != (s.Len() == 1) || ok && at > time.Second+s.limits.TTL+time.Minute {
-			t.Fatalf("%d keys, and the next expiry is at %v", s.Len(), at)
+			t.Fatalf("%d keys, next expiry at %v, %v; want an expiry within the TTL if there is a key", s.Len(), at, ok)
 		}
 	})
 }
 
-// restartTest is a store with a log on a simulated disk, restarted now and then.
+// restartTest is a store with a log on a simulated disk, which is restarted at random.
 type restartTest struct {
 	seed     uint64
 	rng      *rand.Rand
@@ -65,10 +65,10 @@
 const (
 	restartEpoch     = time.Hour
 	restartCustomers = 3
-	restartKeys      = 40 // of a customer
+	restartKeys      = 40 // per customer
 )
 
-// recoverStore makes a store from what is on the disk.
+// recoverStore recovers a store from the disk.
 func (r *restartTest) recoverStore(t *rapid.T) (*Store, *journal.Log[Entry]) {
 	t.Helper()
 	s := New(restartLimits, r.now)
@@ -111,7 +111,7 @@
 	r.inFlight = slices.Delete(r.inFlight, i, i+1)
 }
 
-// restart recovers another store from the disk, compares it with the present one, and goes on with it.
+// restart recovers another store from the disk, compares it with the current one, and replaces that.
 func (r *restartTest) restart(t *rapid.T) {
 	t.Helper()
 	r.flush()
@@ -124,7 +124,7 @@
 		}
 	}
 	if restored.Bytes() > restartLimits.MaxBytes {
-		t.Fatalf("seed %d: %d bytes", r.seed, restored.Bytes())
+		t.Fatalf("seed %d: the restored store has %d bytes, limit %d", r.seed, restored.Bytes(), restartLimits.MaxBytes)
 	}
 	r.store, r.log, r.inFlight = restored, log, nil
 }
@@ -136,28 +136,29 @@
 		return
 	}
 	if after == nil {
-		t.Fatalf("seed %d: %v was in state %d, and is not known", r.seed, id, before.state)
+		t.Fatalf("seed %d: key %v, in state %d before the restart, was not restored", r.seed, id, before.state)
 	}
 	if before.state == stateInFlight {
 		if after.state != stateUnknown {
-			t.Fatalf("seed %d: %v was in flight, and is in state %d", r.seed, id, after.state)
+			t.Fatalf("seed %d: key %v, in flight before the restart, has state %d, want %d", r.seed, id, after.state,
+				stateUnknown)
 		}
 		return
 	}
 	if after.state != before.state || after.responseStored != before.responseStored ||
 		len(after.response.Body) != len(before.response.Body) {
-		t.Fatalf("seed %d: %v was in state %d and is in %d, response stored %v and %v", r.seed, id,
-			before.state, after.state, before.responseStored, after.responseStored)
+		t.Fatalf("seed %d: key %v has state %d, want %d; response stored: %v, want %v; body of %d bytes, want %d",
+			r.seed, id, after.state, before.state, after.responseStored, before.responseStored,
+			len(after.response.Body), len(before.response.Body))
 	}
 	if after.expiresAt > before.expiresAt || before.expiresAt-after.expiresAt > time.Millisecond {
-		t.Fatalf("seed %d: %v expires at %v, and expired at %v", r.seed, id, after.expiresAt, before.expiresAt)
+		t.Fatalf("seed %d: key %v expires at %v, want %v", r.seed, id, after.expiresAt, before.expiresAt)
 	}
 }
 
-// Requests begin and end, and now and then another store recovers the log. It must know of each key what the
-// store before it knew: with the same state, response and expiry, and a request in flight as one of unknown
-// outcome.
-func TestRestore_KnowsWhatTheStoreBeforeKnew(t *testing.T) {
+// Requests begin and end, and at random times another store recovers the log. It must restore each key that
+// the previous store held, with the same state, response and expiry; requests in flight get an unknown outcome.
+func TestRestore_MatchesStoreBeforeRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		r := &restartTest{seed: seed, rng: rand.New(rand.NewPCG(seed, 3)), disk: simdisk.New()}
@@ -178,7 +179,8 @@
 	})
 }
 
-// records of one key that succeeded, "done", and one in flight, "open", written at the epoch.
+// recordsBeforeRestart returns the records of a key that succeeded, "done", and of one in flight, "open", both
+// written at the epoch.
 func recordsBeforeRestart(limits Limits, epoch time.Duration) [][]byte {
 	s := New(limits, 0)
 	s.epoch = epoch
@@ -191,17 +193,17 @@
 	}
 }
 
-// The system's clock is set during a restart. Set back, keys live for TTL from the restart at most; set
-// forward, they may be forgotten early. A request that was in flight has an unknown outcome for UnknownTTL
-// from the restart, whatever the clock says. Within a process, a clock that steps back expires nothing twice.
-func TestRestore_ClockWasSet(t *testing.T) {
+// The system clock is changed during a restart. If it is set back, keys live for at most TTL from the restart;
+// if it is set forward, they may expire early. A request that was in flight has an unknown outcome for
+// UnknownTTL from the restart in either case. Within a process, a clock that steps back changes no expiry.
+func TestRestore_ClockChangedDuringRestart(t *testing.T) {
 	limits := Limits{TTL: time.Hour, UnknownTTL: time.Minute}
 	for _, c := range []struct {
 		name      string
 		jump      time.Duration
-		expiresAt time.Duration // of "done", by the later process's clock; 0: it is forgotten
+		expiresAt time.Duration // of "done", by the later process's clock; 0: it has expired
 	}{
-		{"not at all", 0, time.Hour},
+		{"unchanged", 0, time.Hour},
 		{"back", -24 * time.Hour, time.Hour},
 		{"forward", 30 * time.Minute, 30 * time.Minute},
 		{"far forward", 24 * time.Hour, 0},
@@ -222,7 +224,7 @@
 				return d.Verdict
 			}
 			if got := verdict(0, "done"); (got == Replay) != (c.expiresAt > 0) {
-				t.Errorf("the key that succeeded: %v", got)
+				t.Errorf("verdict for the succeeded key after the restart: %v; replay wanted: %v", got, c.expiresAt > 0)
 			}
 			for _, step := range []struct {
 				at   time.Duration
@@ -239,7 +241,7 @@
 					continue
 				}
 				if got := verdict(step.at, step.key); got != step.want {
-					t.Errorf("%s at %v: %v, want %v", step.key, step.at, got, step.want)
+					t.Errorf("verdict for key %q at %v: %v, want %v", step.key, step.at, got, step.want)
 				}
 			}
 		})
--- a/idempotency/request.go
+++ b/idempotency/request.go
@@ -6,8 +6,8 @@
 	"pumicecroft/decision"
 )
 
-// Begin decides about a request. tag identifies it in the Completions of later calls. A request that
-// joins ends at deadline at the latest.
+// Begin returns the decision about a new request. tag identifies the request in the Completions of
+// later calls. A request that joins ends at deadline at the latest.
 func (s *Store) Begin(now time.Duration, who decision.CustomerID, key string, fingerprint Fingerprint,
 	tag any, deadline time.Duration) (Decision, []Completion) {
 	s.advance(now)
@@ -30,7 +30,7 @@
 	return s.join(e, tag, deadline), s.completions
 }
 
-// join has a request wait for the one in flight.
+// join adds a request to those that wait for the one in flight.
 func (s *Store) join(e *entry, tag any, deadline time.Duration) Decision {
 	if !s.withinShare(e.customer, ticketOverhead) || !s.makeRoom(e.customer, ticketOverhead) {
 		return Decision{Verdict: Busy, RetryAfter: s.limits.RetryAfter}
@@ -44,7 +44,7 @@
 	return Decision{Verdict: Join, Ticket: t}
 }
 
-// admit begins the first request of a key.
+// admit lets the first request with a key proceed, if there is memory for its entry.
 func (s *Store) admit(who decision.CustomerID, key string, fingerprint Fingerprint, tag any) Decision {
 	c := s.customerFor(who)
 	cost := entryOverhead + ticketOverhead + len(key)
@@ -63,9 +63,9 @@
 	return Decision{Verdict: Proceed, Ticket: t}
 }
 
-// Abandon says that the client of a ticket has disconnected. unwanted reports that no other request
-// waits for the execution any more, so it may be cancelled; its Complete is still owed, for the
-// ticket that proceeded.
+// Abandon removes a ticket whose client has disconnected. unwanted reports that no request waits for
+// the execution any more, so that it may be cancelled; Complete must still be called with the ticket
+// that proceeded.
 func (s *Store) Abandon(now time.Duration, t *Ticket) (unwanted bool, completions []Completion) {
 	s.advance(now)
 	if t.next == nil { // it has ended
@@ -75,7 +75,7 @@
 	return t.entry.state == stateInFlight && t.entry.waiters == nil, s.completions
 }
 
-// Complete says how the request of a ticket that proceeded ended. It returns the completions of all
+// Complete ends a request that proceeded, with its outcome. It returns the completions of all
 // requests that waited for it, including its own if its client is still connected. A second call for
 // the same request does nothing.
 func (s *Store) Complete(now time.Duration, t *Ticket, outcome Outcome, r Response) []Completion {
@@ -90,14 +90,14 @@
 		s.removeWaiter(waiter)
 		s.complete(waiter, d)
 	}
-	s.addCost(e, -ticketOverhead) // the leader's, also if its client has disconnected
+	s.addCost(e, -ticketOverhead) // of the leader, which counts until here even if its client has disconnected
 	if outcome == NotExecuted {
 		s.appendRemoval(e)
 		s.removeEntry(e)
 		return s.completions
 	}
 	recorded := e.responseRecorded && outcome == Succeeded
-	s.settle(e, outcome, r)
+	s.finishEntry(e, outcome, r)
 	if !recorded {
 		s.appendRecord(e)
 	}
@@ -110,7 +110,7 @@
 	return t.leader && e.state == stateInFlight && s.entries[e.id] == e
 }
 
-// decisionFor is the decision given to all requests that waited for an execution with this outcome.
+// decisionFor returns the decision for all requests that waited for an execution with this outcome.
 func (s *Store) decisionFor(outcome Outcome, r Response) Decision {
 	switch outcome {
 	case Succeeded:
@@ -121,8 +121,9 @@
 	return Decision{Verdict: OutcomeUnknown, RetryAfter: s.limits.UnknownTTL}
 }
 
-// settle moves an entry out of flight and stores its response if there is room.
-func (s *Store) settle(e *entry, outcome Outcome, r Response) {
+// finishEntry ends an entry's time in flight: it sets its final state and expiry, stores its response
+// if there is room, and makes the entry evictable.
+func (s *Store) finishEntry(e *entry, outcome Outcome, r Response) {
 	cost, size := e.cost, r.size()
 	s.addCost(e, -cost)
 	e.state, e.expiresAt = stateUnknown, s.now+s.limits.UnknownTTL
--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -8,7 +8,7 @@
 	"pumicecroft/internal/timerwheel"
 )
 
-// timerResolution is how finely expiry times and deadlines are told apart.
+// timerResolution is the granularity of expiry times and deadlines.
 const timerResolution = time.Millisecond
 
 // Store holds the entries of all keys. The package comment says who may call it.
@@ -18,22 +18,22 @@
 	entries   map[entryID]*entry
 	customers map[decision.CustomerID]*customer
 	timers    *timerwheel.Wheel[*timerTarget]
-	waiting   int // tickets without an end
+	waiting   int // tickets whose requests have not ended
 
 	evictionOrder customerHeap // all customers, the one with the most evictable bytes first
 	inFlightBytes int
 	bytes         int // of all entries
 
-	completions []Completion // result of the running call; reused by the next
+	completions []Completion // returned by the current call; reused by the next
 
 	log         *journal.Log[Entry] // nil: entries are kept in memory only
 	epoch       time.Duration       // Unix time at the store's time 0
-	interrupted []*entry            // were in flight when the restored log ended
+	interrupted []*entry            // restored entries that were in flight when the log ended
 	recordBuf   []byte              // encodeRecord's buffer
 }
 
-// Entry identifies what all requests with one key share, for a caller that tracks requests in
-// flight. It is comparable.
+// Entry identifies the state that all requests with one key share, for callers that track requests
+// in flight. It is comparable.
 type Entry struct{ e *entry }
 
 // state is the state of an entry.
@@ -57,27 +57,27 @@
 	customer    *customer
 	fingerprint Fingerprint
 	state       state
-	cost        int // bytes of memory that it accounts for
+	cost        int // memory accounted for it, in bytes
 	expiresAt   time.Duration
 	timer       timerwheel.Timer[*timerTarget]
 	target      timerTarget
 
 	responseStored   bool // in stateCompleted: response is set
-	responseRecorded bool // in stateInFlight: the log has the response, no client has it yet
+	responseRecorded bool // in stateInFlight: the response is in the log, but not sent to any client yet
 	response         Response
 
-	waiters        *Ticket // ring; nil: nobody waits
+	waiters        *Ticket // circular list; nil: empty
 	older, younger *entry  // neighbours among the customer's evictable entries
 	slot           journal.Slot[Entry]
 }
 
-// timerTarget is what a timer fires for: the expiry of an entry, or the deadline of a ticket.
+// timerTarget is the object of a timer: an entry that expires, or a ticket whose deadline passes.
 type timerTarget struct {
 	entry  *entry
 	ticket *Ticket
 }
 
-// New returns an empty Store whose clock stands at now.
+// New returns an empty Store with its clock at now.
 func New(l Limits, now time.Duration) *Store {
 	return &Store{
 		limits:    l.withDefaults(),
@@ -91,8 +91,8 @@
 // Len returns the number of keys held.
 func (s *Store) Len() int { return len(s.entries) }
 
-// Waiting returns the number of tickets without an end: requests that proceeded and whose clients
-// are still connected, and requests that joined.
+// Waiting returns the number of tickets whose requests have not ended: requests that proceeded and
+// whose clients are still connected, and requests that joined.
 func (s *Store) Waiting() int { return s.waiting }
 
 // Bytes returns the accounted cost of all entries.
@@ -101,10 +101,10 @@
 // Customers returns the number of customers that have entries.
 func (s *Store) Customers() int { return len(s.customers) }
 
-// Next returns the time at which Tick must be called at the latest. ok is false if no timer is set.
+// Next returns the time by which Tick must be called. ok is false if no timer is set.
 func (s *Store) Next() (at time.Duration, ok bool) { return s.timers.Next() }
 
-// Tick removes expired keys and ends requests that waited past their deadline. As with the other
+// Tick removes expired keys and ends waiting requests whose deadline has passed. As with the other
 // methods, the returned slice is valid until the next call.
 func (s *Store) Tick(now time.Duration) []Completion {
 	s.advance(now)
@@ -126,12 +126,12 @@
 	})
 }
 
-// complete adds the end of a ticket that was removed from its entry's waiters.
+// complete adds a completion for a ticket that was removed from its entry's waiters.
 func (s *Store) complete(t *Ticket, d Decision) {
 	s.completions = append(s.completions, Completion{t.tag, d})
 }
 
-// addEntry adds an entry in flight. Its cost is still to be added.
+// addEntry adds an entry in flight. The caller adds its cost.
 func (s *Store) addEntry(c *customer, key string, fingerprint Fingerprint) *entry {
 	e := &entry{id: entryID{c.id, key}, customer: c, fingerprint: fingerprint}
 	e.target.entry = e
@@ -141,7 +141,7 @@
 	return e
 }
 
-// removeEntry removes an entry, and its customer if that was the last one.
+// removeEntry removes an entry, and its customer's account if that was its last entry.
 func (s *Store) removeEntry(e *entry) {
 	if e.state != stateInFlight {
 		e.customer.removeEvictable(e)
--- a/idempotency/ticket.go
+++ b/idempotency/ticket.go
@@ -2,23 +2,23 @@
 
 import "pumicecroft/internal/timerwheel"
 
-// Ticket is one request that has not ended: it proceeded, or waits for one that did.
+// Ticket represents a request that proceeded, or that waits for one that did.
 type Ticket struct {
 	tag        any
 	entry      *entry
-	leader     bool // it proceeded
+	leader     bool // its request proceeded
 	timer      timerwheel.Timer[*timerTarget]
 	target     timerTarget
-	next, prev *Ticket // ring of its entry's waiters; nil: it has ended
-	seq        uint64  // of the log record that its request is in flight
+	next, prev *Ticket // circular list of its entry's waiters; nil: it is not in the list any more
+	seq        uint64  // number of the log record that says that its request proceeded
 }
 
 // Entry returns the entry that the ticket's request belongs to.
 func (t *Ticket) Entry() Entry { return Entry{t.entry} }
 
 // Seq returns the number of the log record which says that the ticket's request proceeded. The
-// request must not be executed before that record is durable. 0: the log accepts nothing at the
-// moment, or there is none.
+// request must not be executed before that record is durable. Seq is 0 if the log accepted no record
+// or there is no log.
 func (t *Ticket) Seq() uint64 { return t.seq }
 
 // addWaiter adds a ticket to the waiters of its entry.
@@ -33,7 +33,7 @@
 	t.entry.waiters = t
 }
 
-// removeWaiter removes a ticket from the waiters of its entry. It must be called once.
+// removeWaiter removes a ticket from the waiters of its entry. It must be called once per ticket.
 func (s *Store) removeWaiter(t *Ticket) {
 	s.waiting--
 	e := t.entry
--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile replaces files as a whole and locks them against other processes. It owns no
-// state; it reads and writes nothing but the named files and temporary files beside them.
+// Package atomicfile replaces files atomically and locks them against other processes. It keeps no
+// state; it reads and writes only the named files and temporary files in their directories.
 package atomicfile
 
 import (
@@ -12,28 +12,28 @@
 	"github.com/gofrs/flock"
 )
 
-// ErrLocked reports that another process holds a lock.
+// ErrLocked is returned by TryLock if the lock is already held.
 var ErrLocked = errors.New("atomicfile: locked by another process")
 
-// Options say how a file is replaced. The zero value gives a file that only its owner can read and
-// that may be torn after a crash of the machine.
+// Options configures Replace. The zero value creates a file that only its owner can read, and that
+// may be incomplete after a crash of the machine.
 type Options struct {
 	TempPattern string      // name of the temporary file, as for os.CreateTemp
 	Perm        fs.FileMode // permissions of the new file; 0: 0o600
-	Sync        bool        // flush the data to disk before the new file takes its name
-	SyncDir     bool        // flush the directory, so that the new name survives a loss of power
+	Sync        bool        // sync the data to disk before the file is renamed
+	SyncDir     bool        // sync the directory, so that the rename survives a power failure
 }
 
 // Replace writes data to a temporary file in path's directory and renames it to path. Readers see
-// the old contents or the new, never a part; if it fails the old file is unchanged and the temporary
-// file is removed. It blocks for as long as the disk takes.
+// either the old contents or the new. If it fails before the rename, the old file is unchanged and the
+// temporary file is removed. It blocks for as long as the disk takes.
 func Replace(path string, data []byte, o Options) error {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, o.TempPattern)
 	if err != nil {
 		return err
 	}
-	if err = fill(f, data, o); err == nil {
+	if err = writeAndClose(f, data, o); err == nil {
 		err = os.Rename(f.Name(), path)
 	}
 	if err != nil {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// fill writes the data and closes the file, whatever fails.
-func fill(f *os.File, data []byte, o Options) error {
+// writeAndClose writes the data and closes the file, also after an error.
+func writeAndClose(f *os.File, data []byte, o Options) error {
 	_, err := f.Write(data)
 	if o.Perm != 0 {
 		err = errors.Join(err, f.Chmod(o.Perm))
@@ -69,7 +69,8 @@
 type Lock struct{ file *flock.Flock }
 
 // TryLock locks the file at path, which it creates if it is missing (readable by its owner only). It
-// does not wait: the error is ErrLocked if another process, or another Lock of this one, holds it.
+// does not wait: the error wraps ErrLocked if another process, or another Lock of this process, holds
+// the lock.
 func TryLock(path string) (*Lock, error) {
 	l := &Lock{file: flock.New(path)}
 	locked, err := l.file.TryLock()
@@ -82,5 +83,5 @@
 	return l, nil
 }
 
-// Close releases the lock. The file stays.
+// Close releases the lock. The file is not removed.
 func (l *Lock) Close() error { return l.file.Close() }
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -35,17 +35,19 @@
 	}
 }
 
+// Replace fails because its target is a directory, or because its directory does not exist. It must return an
+// error and leave no temporary file.
 func TestReplaceFailureLeavesNothingBehind(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.MkdirAll(filepath.Join(path, "entry"), 0o700); err != nil { // the rename fails
 		t.Fatal(err)
 	}
 	if err := Replace(path, []byte("x"), Options{TempPattern: ".new-*"}); err == nil {
-		t.Error("a directory was replaced")
+		t.Error("Replace of a directory: got no error, want one")
 	}
 	checkNoTemporaryFiles(t, path)
 	if err := Replace(filepath.Join(path, "missing", "file"), nil, Options{}); err == nil {
-		t.Error("a file was written into a directory that does not exist")
+		t.Error("Replace in a directory that does not exist: got no error, want one")
 	}
 }
 
@@ -64,19 +66,19 @@
 		t.Fatal(err)
 	}
 	if _, err := TryLock(path); !errors.Is(err, ErrLocked) {
-		t.Errorf("second lock: %v, want %v", err, ErrLocked)
+		t.Errorf("TryLock of a locked file: %v, want %v", err, ErrLocked)
 	}
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
 	second, err := TryLock(path)
 	if err != nil {
-		t.Fatalf("after the first was released: %v", err)
+		t.Fatalf("TryLock after the first lock was released: %v", err)
 	}
 	if err := second.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := TryLock(filepath.Join(path, "missing", "lock")); err == nil || errors.Is(err, ErrLocked) {
-		t.Errorf("in a directory that does not exist: %v", err)
+		t.Errorf("TryLock in a directory that does not exist: %v, want an error other than ErrLocked", err)
 	}
 }
--- a/internal/deduplicator/bench_test.go
+++ b/internal/deduplicator/bench_test.go
@@ -12,7 +12,7 @@
 	"pumicecroft/idempotency"
 )
 
-// BenchmarkRecovery is the start with a journal of n completed keys on disk.
+// BenchmarkRecovery measures Open with a journal of n completed keys on disk.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkRecovery(b, n) })
@@ -41,7 +41,7 @@
 		}
 		b.StopTimer()
 		if _, keys, _ := d.Stats(); keys != n {
-			b.Fatalf("%d keys of %d", keys, n)
+			b.Fatalf("%d keys recovered, want %d", keys, n)
 		}
 		if err := d.Close(context.Background()); err != nil {
 			b.Fatal(err)
@@ -51,7 +51,7 @@
 	b.ReportMetric(float64(dirSize(config.Dir))/float64(n), "disk-B/key")
 }
 
-// fillJournal makes n requests with a key each.
+// fillJournal makes n requests with distinct keys.
 func fillJournal(b *testing.B, d *Deduplicator, n int) {
 	const callers = 256
 	run := func(context.Context) Result {
--- a/internal/deduplicator/deduplicator.go
+++ b/internal/deduplicator/deduplicator.go
@@ -1,7 +1,7 @@
-// Package deduplicator runs an idempotency.Store under the system's clock. It owns the store's lock
-// and timer, and one goroutine for each request that proceeds, so that a request goes on for the
-// clients that wait for it when its own client has disconnected. With a journal, a request is
-// executed only once its record is on disk. Nothing waits while the lock is held.
+// Package deduplicator runs an idempotency.Store on the system clock. It owns the store's lock and
+// timer, and executes each request that proceeds in its own goroutine, so that the request continues
+// for other waiting clients when its own client has disconnected. With a journal, a request is
+// executed only once its record is on disk. No code blocks while it holds the lock.
 package deduplicator
 
 import (
@@ -21,15 +21,15 @@
 // time, if JournalConfig.RejectOnFailure is set. The request was not executed.
 var ErrNotPersisted = errors.New("deduplicator: idempotency key could not be persisted")
 
-// ErrClosed is returned for a request that came after Close, or that Close ended while it waited for
-// the disk. The request was not executed.
+// ErrClosed is returned for a request that arrived after Close, or that Close ended while it waited
+// for the disk. The request was not executed.
 var ErrClosed = errors.New("deduplicator: closed")
 
-// Result is what a request that proceeded came to.
+// Result is the result of executing a request.
 type Result struct {
 	Outcome  idempotency.Outcome
 	Response idempotency.Response // with idempotency.Succeeded
-	Err      error                // with another outcome: returned to all that wait for the request
+	Err      error                // with another outcome: returned to all callers that wait for the request
 }
 
 // Deduplicator deduplicates requests by their idempotency keys. It is safe for concurrent use.
@@ -51,7 +51,7 @@
 	runner          *logfile.Runner[idempotency.Entry]
 	awaitingDurable []recordWaiter // by ascending record number
 	awaitingWritten []recordWaiter // by ascending record number
-	journalFailed   bool           // the last state that was logged
+	journalFailed   bool           // the state that was logged last
 }
 
 // New returns a Deduplicator without a journal.
@@ -66,20 +66,20 @@
 	return d
 }
 
-// waiter is a caller of Do that waits. It is the tag of its ticket.
+// waiter is a waiting caller of Do. It is the tag of its ticket.
 type waiter struct {
-	done chan completion // has room for one
+	done chan completion // buffered, capacity 1
 }
 
-// completion is what Do returns to a waiter.
+// completion is the result of Do for a waiter.
 type completion struct {
 	idempotency.Decision
 	err error
 }
 
-// Do deduplicates one request. If the request proceeds, run is called once, in a goroutine of its
-// own. The context of run has the values of ctx and is cancelled when no client waits for the
-// request any more.
+// Do deduplicates one request. If the request proceeds, run is called once, in a separate goroutine.
+// The context of run has the values of ctx and is cancelled when no client waits for the request any
+// more.
 //
 // Do returns the decision: Replay with the response if the request succeeded, otherwise another
 // verdict, with the error that run returned, for this request or the one it waited for. It blocks
@@ -88,7 +88,7 @@
 func (d *Deduplicator) Do(ctx context.Context, who decision.CustomerID, key string,
 	fingerprint idempotency.Fingerprint, timeout time.Duration,
 	run func(context.Context) Result) (idempotency.Decision, error) {
-	if ctx.Err() != nil { // otherwise run would start before the cancellation is seen
+	if ctx.Err() != nil { // otherwise run would start before the cancellation is noticed
 		return idempotency.Decision{}, context.Cause(ctx)
 	}
 	w := &waiter{done: make(chan completion, 1)}
@@ -130,7 +130,7 @@
 	return got, nil
 }
 
-// abandon takes back a request whose client has disconnected, and cancels the execution if no other
+// abandon removes a request whose client has disconnected, and cancels the execution if no other
 // client waits for it.
 func (d *Deduplicator) abandon(t *idempotency.Ticket) {
 	d.mu.Lock()
@@ -142,15 +142,15 @@
 	}
 }
 
-// execute runs a request that proceeded, once its record is durable, and gives the outcome to all
-// that wait for it.
+// execute runs a request that proceeded, once its record is durable, and delivers the outcome to all
+// callers that wait for it.
 func (d *Deduplicator) execute(ctx context.Context, t *idempotency.Ticket, deadline time.Duration,
 	durable chan bool, run func(context.Context) Result) {
 	var r Result
 	switch {
 	case durable == nil || d.awaitRecord(ctx, durable, deadline):
 		r = run(ctx)
-	case ctx.Err() != nil: // nobody waits for it any more, or Close cancelled it
+	case ctx.Err() != nil: // no client waits for it any more, or Close cancelled it
 		r = Result{Outcome: idempotency.NotExecuted, Err: ErrClosed}
 	case d.journal.RejectOnFailure:
 		r = Result{Outcome: idempotency.NotExecuted, Err: ErrNotPersisted}
@@ -173,9 +173,9 @@
 	}
 }
 
-// deliver ends the requests of completions and sets the timer for the next expiry. err goes to those
-// whose request failed; not to a request that succeeded or passed its own deadline. The caller holds
-// the lock.
+// deliver passes completions to their waiters and sets the timer for the store's next expiry. err is
+// passed on with all verdicts but Replay and DeadlineExceeded, as those are not due to a failure of
+// the execution. The caller holds the lock.
 func (d *Deduplicator) deliver(completions []idempotency.Completion, err error) {
 	for _, c := range completions {
 		result := completion{c.Decision, err}
@@ -202,21 +202,22 @@
 	d.deliver(d.store.Tick(d.now()), nil)
 }
 
-// now is the store's clock.
+// now returns the store's time.
 func (d *Deduplicator) now() time.Duration { return time.Since(d.start) }
 
-// Stats returns the memory that all keys account for, in bytes, the number of keys, and the number of
-// requests that wait.
+// Stats returns the accounted memory of all keys in bytes, the number of keys, and the number of
+// requests that have not ended.
 func (d *Deduplicator) Stats() (bytes, keys, waiting int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.store.Bytes(), d.store.Len(), d.store.Waiting()
 }
 
-// Close waits until all requests being executed have ended, which the caller sees to, and writes the
-// journal to the end. When ctx ends first, requests that wait for the disk end with ErrClosed, and
-// the journal gets JournalConfig.WriteTimeout for the rest; the error says that this was not enough.
-// Close must be called once. Requests that come later are rejected with ErrClosed.
+// Close waits until all requests being executed have ended, and then writes and syncs the rest of the
+// journal for at most JournalConfig.WriteTimeout. The caller must make sure that the requests end.
+// When ctx ends first, Close cancels them; those that wait for the disk end with ErrClosed. An error
+// means that the journal may be incomplete. Close must be called once. Later requests are rejected
+// with ErrClosed.
 func (d *Deduplicator) Close(ctx context.Context) error {
 	d.mu.Lock()
 	if d.closed = true; d.timer != nil {
--- a/internal/deduplicator/deduplicator_test.go
+++ b/internal/deduplicator/deduplicator_test.go
@@ -16,18 +16,18 @@
 	"pumicecroft/internal/testkit"
 )
 
-// testDisk is a simulated disk, for one process after another.
+// testDisk is a simulated disk that can hang. Several processes may use it in turn.
 type testDisk struct {
-	mu    sync.Mutex
-	disk  *simdisk.Disk
-	hangs chan struct{} // not nil: operations wait until it is closed
+	mu        sync.Mutex
+	disk      *simdisk.Disk
+	hangUntil chan struct{} // not nil: operations block until it is closed
 }
 
 func newTestDisk() *testDisk { return &testDisk{disk: simdisk.New()} }
 
 func (d *testDisk) Do(op journal.Op) error {
 	d.mu.Lock()
-	hangs := d.hangs
+	hangs := d.hangUntil
 	d.mu.Unlock()
 	if hangs != nil {
 		<-hangs
@@ -45,22 +45,22 @@
 
 func (d *testDisk) Close() error { return nil }
 
-// change changes the disk while no operation runs.
-func (d *testDisk) change(f func(*simdisk.Disk)) {
+// withDisk calls f with the disk while no operation runs.
+func (d *testDisk) withDisk(f func(*simdisk.Disk)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.disk)
 }
 
-// hang makes operations wait until the channel is closed; nil: they don't.
-func (d *testDisk) hang(until chan struct{}) {
+// setHang makes operations block until the channel is closed; nil: they don't block.
+func (d *testDisk) setHang(until chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.hangs = until
+	d.hangUntil = until
 }
 
-// openOn opens a Deduplicator with its journal on a disk.
-func openOn(t *testing.T, disk *testDisk, configure func(*JournalConfig)) *Deduplicator {
+// openOnDisk opens a Deduplicator with its journal on a disk.
+func openOnDisk(t *testing.T, disk *testDisk, configure func(*JournalConfig)) *Deduplicator {
 	t.Helper()
 	config := JournalConfig{WriteTimeout: 10 * time.Second, files: disk}
 	if configure != nil {
@@ -79,8 +79,8 @@
 	t.Cleanup(func() { _ = d.Close(context.Background()) })
 }
 
-// request makes a request with a key; run is called if it proceeds. It returns the body of the response, or
-// the name of the verdict if there is none.
+// request makes a request with a key; run is called if it proceeds. It returns the body of the response, or the
+// name of the verdict if there is no response.
 func request(d *Deduplicator, key string, run func() Result) (string, error) {
 	got, err := d.Do(context.Background(), 1, key, idempotency.Fingerprint{1}, 5*time.Second,
 		func(context.Context) Result { return run() })
@@ -93,20 +93,20 @@
 	return string(got.Response.Body), nil
 }
 
-// succeed runs a request to a response.
-func succeed(body string) func() Result {
+// succeedWith returns a run function that succeeds with a response.
+func succeedWith(body string) func() Result {
 	return func() Result { return Result{Response: idempotency.Response{Status: 200, Body: []byte(body)}} }
 }
 
-// fail runs a request to an outcome without a response.
-func fail(outcome idempotency.Outcome) func() Result {
+// failWith returns a run function that ends with an outcome and no response.
+func failWith(outcome idempotency.Outcome) func() Result {
 	return func() Result { return Result{Outcome: outcome, Err: errNoResponse} }
 }
 
 var errNoResponse = errors.New("no response")
 
-// when returns a channel that is closed when a condition holds.
-func when(condition func() bool) <-chan bool {
+// closedWhen returns a channel that is closed when a condition holds.
+func closedWhen(condition func() bool) <-chan bool {
 	holds := make(chan bool)
 	go func() {
 		for !condition() {
@@ -117,17 +117,17 @@
 	return holds
 }
 
-// A client disconnects before its request starts: before Do is called, or while the request waits for the
+// A client disconnects before its request is executed: before Do is called, or while the request waits for the
 // disk. The request must not be executed.
 func TestDo_DisconnectedClientStartsNothing(t *testing.T) {
 	for _, waits := range []bool{false, true} {
 		t.Run(fmt.Sprintf("waits for the disk %t", waits), func(t *testing.T) {
 			disk, released := newTestDisk(), make(chan struct{})
-			d := openOn(t, disk, nil)
+			d := openOnDisk(t, disk, nil)
 			ctx, disconnect := context.WithCancel(t.Context())
 			defer disconnect()
 			if waits {
-				disk.hang(released)
+				disk.setHang(released)
 			} else {
 				disconnect()
 			}
@@ -141,24 +141,24 @@
 				ended <- err
 			}()
 			if waits {
-				testkit.Await(t, when(func() bool { _, _, n := d.Stats(); return n == 1 }), "the request to wait")
+				testkit.Await(t, closedWhen(func() bool { _, _, n := d.Stats(); return n == 1 }), "the request to wait")
 				disconnect()
 			}
-			if err := testkit.Await(t, ended, "its end"); !errors.Is(err, context.Canceled) {
-				t.Errorf("it ended with %v", err)
+			if err := testkit.Await(t, ended, "the end of the request"); !errors.Is(err, context.Canceled) {
+				t.Errorf("Do returned error %v, want %v", err, context.Canceled)
 			}
 			executed := func() bool {
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				return !waits || len(d.cancels) == 0 || ran.Load()
 			}
-			testkit.Await(t, when(executed), "the end of its execution")
+			testkit.Await(t, closedWhen(executed), "the end of its execution")
 			close(released)
 			if err := d.Close(t.Context()); err != nil {
 				t.Error(err)
 			}
 			if ran.Load() {
-				t.Error("it was executed")
+				t.Errorf("request of a disconnected client was executed: %v, want false", ran.Load())
 			}
 		})
 	}
--- a/internal/deduplicator/fingerprint.go
+++ b/internal/deduplicator/fingerprint.go
@@ -13,14 +13,15 @@
 	"pumicecroft/idempotency"
 )
 
-// fingerprintKeyFile is the name of the key's file in the journal's directory.
+// fingerprintKeyFile is the name of the file with the key, in the journal's directory.
 const fingerprintKeyFile = "secret"
 
 // fingerprintKeyLen is the length of the key in bytes.
 const fingerprintKeyLen = 32
 
-// Fingerprint returns a keyed hash of a request's parts: no client can make two different requests
-// with one fingerprint. Each part is hashed with its length, so that bytes can't move between parts.
+// Fingerprint returns a keyed hash of a request's parts, so that clients can't construct two different
+// requests with the same fingerprint. Each part is hashed with its length, so that the same bytes
+// split into other parts have another fingerprint.
 func (d *Deduplicator) Fingerprint(parts ...[]byte) (f idempotency.Fingerprint) {
 	h := hmac.New(sha256.New, d.fingerprintKey[:])
 	var size [8]byte
@@ -33,8 +34,8 @@
 	return f
 }
 
-// loadFingerprintKey reads the key from the journal's directory, or writes it there with a new
-// journal. With another key, no repeat of a request in the journal would be recognized.
+// loadFingerprintKey reads the key from the journal's directory, or writes a random one if the journal
+// is new. With another key, a repeated request would not match its fingerprint in the journal.
 func (d *Deduplicator) loadFingerprintKey(newJournal bool) error {
 	path := filepath.Join(d.journal.Dir, fingerprintKeyFile)
 	b, err := os.ReadFile(path)
@@ -43,16 +44,16 @@
 		copy(d.fingerprintKey[:], b)
 		return nil
 	case err == nil && !newJournal:
-		return fmt.Errorf("%s has %d bytes, not %d", path, len(b), len(d.fingerprintKey))
+		return fmt.Errorf("%s has %d bytes, expected %d", path, len(b), len(d.fingerprintKey))
 	case err != nil && !errors.Is(err, fs.ErrNotExist):
 		return err
 	case !newJournal:
-		return fmt.Errorf("%s is missing, and the journal's fingerprints were made with it", path)
+		return fmt.Errorf("%s is missing: the fingerprints in the journal can't be checked without it", path)
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
 	_, err = f.Write(d.fingerprintKey[:])
-	return errors.Join(err, f.Sync(), f.Close()) // the directory is synced with the first segment
+	return errors.Join(err, f.Sync(), f.Close()) // the directory is synced when the first segment is created
 }
--- a/internal/deduplicator/golden_test.go
+++ b/internal/deduplicator/golden_test.go
@@ -21,18 +21,18 @@
 	"pumicecroft/internal/logfile"
 )
 
-// writeGolden is needed only when the stored form changes.
-var writeGolden = flag.Bool("write-golden", false, "write testdata/journal again")
+// writeGolden is needed only when the stored format changes.
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/journal")
 
 const (
-	goldenDir     = "testdata/journal" // segments, the key of the fingerprints, and records.txt
-	goldenRecords = "records.txt"
-	goldenLogID   = 0x0123456789abcdef
-	goldenEpoch   = 4_102_444_800 * time.Second // 2100-01-01: no record of it has expired when a test reads it
-	goldenLimit   = 200                         // bytes of a response that is stored
+	goldenDir              = "testdata/journal" // segments, the fingerprint key, and records.txt
+	goldenRecords          = "records.txt"
+	goldenLogID            = 0x0123456789abcdef
+	goldenEpoch            = 4_102_444_800 * time.Second // 2100-01-01: its records have not expired when a test reads them
+	goldenMaxResponseBytes = 200
 )
 
-// goldenFingerprintKey is the key of the fingerprints, which is stored beside the segments.
+// goldenFingerprintKey returns the fingerprint key, which is stored in the same directory as the segments.
 func goldenFingerprintKey() []byte {
 	key := make([]byte, fingerprintKeyLen)
 	for i := range key {
@@ -41,7 +41,7 @@
 	return key
 }
 
-// goldenFingerprint is the fingerprint of a request with these parts.
+// goldenFingerprint returns the fingerprint of a request with these parts.
 func goldenFingerprint(parts ...string) idempotency.Fingerprint {
 	d := &Deduplicator{}
 	copy(d.fingerprintKey[:], goldenFingerprintKey())
@@ -52,7 +52,7 @@
 	return d.Fingerprint(all...)
 }
 
-// goldenProcess is one process that writes the journal, with times of its own.
+// goldenProcess simulates a process that writes the journal, with its own clock.
 type goldenProcess struct {
 	t     *testing.T
 	files logfile.SegmentStore
@@ -63,7 +63,7 @@
 
 func startGolden(t *testing.T, files logfile.SegmentStore, now time.Duration) *goldenProcess {
 	t.Helper()
-	store := idempotency.New(idempotency.Limits{MaxResponseBytes: goldenLimit}, now)
+	store := idempotency.New(idempotency.Limits{MaxResponseBytes: goldenMaxResponseBytes}, now)
 	p := &goldenProcess{t: t, files: files, store: store, now: now}
 	segments, err := files.List()
 	if err != nil {
@@ -81,7 +81,7 @@
 	return p
 }
 
-// flush carries out all that the log wants done.
+// flush performs all operations of the log.
 func (p *goldenProcess) flush() {
 	p.t.Helper()
 	p.store.RewriteStale(p.now)
@@ -106,7 +106,7 @@
 	return d.Ticket
 }
 
-// complete ends it.
+// complete records the response of a request that succeeded, and completes the request.
 func (p *goldenProcess) complete(ticket *idempotency.Ticket, outcome idempotency.Outcome,
 	response idempotency.Response) {
 	p.t.Helper()
@@ -118,7 +118,7 @@
 	p.flush()
 }
 
-// goldenCase is a key of the journal and what its next request comes to.
+// goldenCase is a key of the journal and the verdict for its next request.
 type goldenCase struct {
 	customer decision.CustomerID
 	key      string
@@ -136,7 +136,7 @@
 	large := idempotency.Response{
 		Status:      200,
 		ContentType: "text/plain",
-		Body:        bytes.Repeat([]byte("x"), goldenLimit),
+		Body:        bytes.Repeat([]byte("x"), goldenMaxResponseBytes),
 	}
 	cases := []goldenCase{
 		{1, "answered", idempotency.Succeeded, page, idempotency.Replay},
@@ -160,9 +160,10 @@
 }
 
 // Keys that were in flight when the first process closed its journal, and when the second one was killed.
-const goldenClosed, goldenKilled = "in flight at the close", "in flight at the kill"
+const goldenKeyAtClose, goldenKeyAtKill = "in flight at the close", "in flight at the kill"
 
-// writeGoldenJournal writes the journal of two processes: one that closes its journal, and one that is killed.
+// writeGoldenJournal writes the journal of two processes in turn. The first closes its journal, the second is
+// killed.
 func writeGoldenJournal(t *testing.T, dir string) {
 	t.Helper()
 	files, err := logfile.OpenDir(dir)
@@ -173,7 +174,7 @@
 	cases := goldenCases()
 	half := len(cases) / 2
 	first := startGolden(t, files, 0)
-	first.begin(3, goldenClosed)
+	first.begin(3, goldenKeyAtClose)
 	for _, c := range cases[:half] {
 		first.complete(first.begin(c.customer, c.key), c.outcome, c.response)
 	}
@@ -183,13 +184,13 @@
 	for _, c := range cases[half:] {
 		second.complete(second.begin(c.customer, c.key), c.outcome, c.response)
 	}
-	second.begin(3, goldenKilled)
+	second.begin(3, goldenKeyAtKill)
 	if err := os.WriteFile(filepath.Join(dir, fingerprintKeyFile), goldenFingerprintKey(), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// segmentNames are the files of a journal's segments.
+// segmentNames returns the file names of a journal's segments.
 func segmentNames(t *testing.T, dir string) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.journal"))
@@ -202,8 +203,8 @@
 	return paths
 }
 
-// describeRecords describes all records of a journal, in order, a line with all fields for each. It decodes
-// them without package idempotency.
+// describeRecords returns one line with all fields for each record of a journal, in order. It decodes the records
+// without package idempotency.
 func describeRecords(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := logfile.OpenDir(dir)
@@ -245,13 +246,13 @@
 		in.ReadUint24LengthPrefixed(&body) &&
 		in.Empty()
 	if !ok {
-		t.Errorf("a record of %d bytes can't be decoded: %x", len(record), record)
+		t.Errorf("record of %d bytes can't be decoded: %x", len(record), record)
 	}
 	return fmt.Sprintf("form=%d kind=%d customer=%d key=%q digest=%x expires=%d status=%d type=%q body=%q\n",
 		version, kind, customer, key, fingerprint, expires, status, contentType, body)
 }
 
-// copyGolden copies the golden journal to a directory that a process may change.
+// copyGolden copies the golden journal to a temporary directory that the test may change.
 func copyGolden(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "keys")
@@ -264,7 +265,7 @@
 	return dir
 }
 
-// replaceGolden makes the journal in a directory the golden one.
+// replaceGolden replaces the golden journal by the one in dir.
 func replaceGolden(t *testing.T, dir string) {
 	t.Helper()
 	if err := os.RemoveAll(goldenDir); err != nil {
@@ -288,7 +289,7 @@
 	}
 }
 
-// Two processes write a journal. It must have the same bytes as the one that an earlier program wrote.
+// Two processes write a journal. It must have the same bytes as the journal of an earlier release.
 func TestGoldenJournal_Written(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keys")
 	writeGoldenJournal(t, dir)
@@ -297,10 +298,10 @@
 	}
 	names := segmentNames(t, goldenDir)
 	if len(names) < 4 {
-		t.Errorf("only %d segments", len(names))
+		t.Errorf("%d segments in the golden journal, want at least 4", len(names))
 	}
 	if got := segmentNames(t, dir); !slices.Equal(got, names) {
-		t.Fatalf("wrote %v, want %v", got, names)
+		t.Fatalf("wrote segments %v, want %v", got, names)
 	}
 	for _, name := range append(names, fingerprintKeyFile) {
 		want, err := os.ReadFile(filepath.Join(goldenDir, name))
@@ -313,7 +314,7 @@
 	}
 }
 
-// An earlier program's journal is read. It must have the same records, field by field, with all kinds of them.
+// The journal of an earlier release is decoded. It must have the same records, field by field, of all kinds.
 func TestGoldenJournal_Records(t *testing.T) {
 	want, err := os.ReadFile(filepath.Join(goldenDir, goldenRecords))
 	if err != nil {
@@ -330,8 +331,8 @@
 	}
 }
 
-// An earlier program's journal is opened. A request with one of its keys must get what it would have got there,
-// and another request with the key a conflict.
+// The journal of an earlier release is opened. A repeated request with one of its keys must get the verdict and
+// response that it would have got from that release, and a different request with the key a conflict.
 func TestGoldenJournal_Opened(t *testing.T) {
 	dir := copyGolden(t)
 	d, err := Open(idempotency.Limits{}, JournalConfig{Dir: dir, WriteTimeout: 10 * time.Second})
@@ -340,20 +341,20 @@
 	}
 	closeAtEnd(t, d)
 	cases := append(goldenCases(),
-		goldenCase{customer: 3, key: goldenClosed, verdict: idempotency.OutcomeUnknown},
-		goldenCase{customer: 3, key: goldenKilled, verdict: idempotency.OutcomeUnknown})
-	if _, keys, _ := d.Stats(); keys != len(cases)-1 { // all but the one that was not executed
-		t.Errorf("%d keys are held, want %d", keys, len(cases)-1)
+		goldenCase{customer: 3, key: goldenKeyAtClose, verdict: idempotency.OutcomeUnknown},
+		goldenCase{customer: 3, key: goldenKeyAtKill, verdict: idempotency.OutcomeUnknown})
+	if _, keys, _ := d.Stats(); keys != len(cases)-1 { // all except the one that was not executed
+		t.Errorf("%d keys, want %d", keys, len(cases)-1)
 	}
 	for _, c := range cases {
 		if c.verdict != idempotency.Proceed {
 			if got := repeatGolden(t, d, c, "another body"); got.Verdict != idempotency.Conflict {
-				t.Errorf("key %q with another body: %v", c.key, got.Verdict)
+				t.Errorf("key %q with another body: verdict %v, want %v", c.key, got.Verdict, idempotency.Conflict)
 			}
 		}
 		got := repeatGolden(t, d, c, c.key)
 		if got.Verdict != c.verdict {
-			t.Errorf("key %q: %v, want %v", c.key, got.Verdict, c.verdict)
+			t.Errorf("key %q: verdict %v, want %v", c.key, got.Verdict, c.verdict)
 		}
 		if c.verdict == idempotency.Replay && (got.Response.Status != c.response.Status ||
 			got.Response.ContentType != c.response.ContentType || !bytes.Equal(got.Response.Body, c.response.Body)) {
@@ -362,12 +363,13 @@
 	}
 }
 
-// repeatGolden makes a request with a key of the golden journal, the same one if body is the key.
+// repeatGolden makes a request with a key of the golden journal. If body is the key, it repeats the request that
+// the journal has; otherwise it is a different request.
 func repeatGolden(t *testing.T, d *Deduplicator, c goldenCase, body string) idempotency.Decision {
 	t.Helper()
 	fingerprint := d.Fingerprint([]byte("POST"), []byte("/pay"), []byte(body))
 	if body == c.key && fingerprint != goldenFingerprint("POST", "/pay", c.key) {
-		t.Errorf("key %q: the fingerprint is %x", c.key, fingerprint)
+		t.Errorf("key %q: fingerprint %x, want %x", c.key, fingerprint, goldenFingerprint("POST", "/pay", c.key))
 	}
 	executed := false
 	run := func(context.Context) Result {
@@ -384,7 +386,7 @@
 	return got
 }
 
-// The header of an earlier program's second segment is compared field by field, as little-endian numbers.
+// The header of an earlier release's second segment must have the expected fields, as little-endian integers.
 func TestGoldenJournal_SegmentHeader(t *testing.T) {
 	names := segmentNames(t, goldenDir)
 	text, err := os.ReadFile(filepath.Join(goldenDir, names[1]))
@@ -396,6 +398,7 @@
 		fields = append(fields, binary.LittleEndian.Uint64(text[at:]))
 	}
 	if string(text[:8]) != "pjH1\x01\x00\x00\x00" || !slices.Equal(fields, []uint64{2, goldenLogID, 1}) {
-		t.Errorf("the second segment begins %q with number, log ID and previous segment %x", text[:8], fields)
+		t.Errorf("second segment: magic and version %q; number, log ID and previous segment %x, want %x", text[:8],
+			fields, []uint64{2, goldenLogID, 1})
 	}
 }
--- a/internal/deduplicator/journal.go
+++ b/internal/deduplicator/journal.go
@@ -12,34 +12,34 @@
 	"pumicecroft/internal/logfile"
 )
 
-// JournalConfig says how keys are kept on disk.
+// JournalConfig configures the journal, which stores keys on disk.
 type JournalConfig struct {
-	// Dir is the journal's directory, used by this process alone.
+	// Dir is the journal's directory. No other process may use it.
 	Dir string
 	// GroupCommitDelay is how long a record waits for others to be written with it. 0: not at all.
 	GroupCommitDelay time.Duration
-	// SyncInterval is the time between syncs; a request is executed once its record is written.
-	// 0: each group of records is synced, and a request is executed only then.
+	// SyncInterval is the time between syncs. If it is set, a request is executed once its record is
+	// written. 0: each group of records is synced, and a request is executed only after that.
 	SyncInterval time.Duration
 	// WriteTimeout is how long a request waits for the disk.
 	WriteTimeout time.Duration
 	// RejectOnFailure rejects a request whose record is not on disk within WriteTimeout. Otherwise
 	// the request is executed with its key in memory only.
 	RejectOnFailure bool
-	// Log is told when the journal fails and when it works again. nil: nobody is.
+	// Log receives messages when the journal fails and when it recovers; nil: none.
 	Log *slog.Logger
 
-	files logfile.SegmentStore // replaces Dir in tests
+	files logfile.SegmentStore // if set, used instead of Dir, in tests
 }
 
 // recordWaiter waits until a record of the journal is durable or written.
 type recordWaiter struct {
 	seq  uint64
-	done chan bool // has room for one: whether the record is there
+	done chan bool // buffered, capacity 1: receives whether the record is durable or written
 }
 
-// Open returns a Deduplicator with the keys that are in its journal. An error leaves the journal
-// unchanged.
+// Open returns a Deduplicator with the keys of its journal. If it fails, the segments of the journal
+// are unchanged.
 func Open(l idempotency.Limits, j JournalConfig) (*Deduplicator, error) {
 	d := New(l)
 	d.journal = &j
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// onJournalProgress is called by the runner after each operation on the journal's files. The lock is
-// held.
+// onJournalProgress is called by the runner, with the lock held, whenever the state of the journal may
+// have changed.
 func (d *Deduplicator) onJournalProgress() {
 	d.awaitingDurable = notifyRecordWaiters(d.awaitingDurable, d.log.Durable(), d.log.Lost())
 	d.awaitingWritten = notifyRecordWaiters(d.awaitingWritten, d.log.Written(), d.log.Lost())
@@ -96,7 +96,7 @@
 	}
 }
 
-// logJournalState logs that the journal fails, or with nil that it works again.
+// logJournalState logs that the journal has failed, or if err is nil, that it has recovered.
 func (d *Deduplicator) logJournalState(err error) {
 	switch log := d.journal.Log; {
 	case log == nil:
@@ -109,8 +109,9 @@
 	}
 }
 
-// watchRecord returns a channel that is told whether a record is there, and puts it into a list of
-// waiters. A record without a number was not accepted by the log. The caller holds the lock.
+// watchRecord adds a waiter for a record to a list and returns its channel, which receives true when
+// the record is durable or written, depending on the list, and false if it is lost. A seq of 0 means
+// that the log did not accept the record. The caller holds the lock.
 func (d *Deduplicator) watchRecord(waiters *[]recordWaiter, seq uint64) chan bool {
 	done := make(chan bool, 1)
 	if seq == 0 {
@@ -122,19 +123,19 @@
 	return done
 }
 
-// notifyRecordWaiters tells the waiters of all records up to there that they are there, and those up
-// to lost that they never will be. It returns the rest.
-func notifyRecordWaiters(waiters []recordWaiter, there, lost uint64) []recordWaiter {
+// notifyRecordWaiters sends true to the waiters of all records up to reached, and false to those of
+// the other records up to lost. It returns the remaining waiters.
+func notifyRecordWaiters(waiters []recordWaiter, reached, lost uint64) []recordWaiter {
 	n := 0
-	for ; n < len(waiters) && waiters[n].seq <= max(there, lost); n++ {
-		waiters[n].done <- waiters[n].seq <= there
+	for ; n < len(waiters) && waiters[n].seq <= max(reached, lost); n++ {
+		waiters[n].done <- waiters[n].seq <= reached
 	}
 	return waiters[n:]
 }
 
-// recordResponse writes a response to the journal before any client gets it. Otherwise a process
-// that is killed right after its response could not replay it, and the repeat would be answered with
-// OutcomeUnknown. Requests that joined keep their own deadlines meanwhile.
+// recordResponse writes a response to the journal before any client gets it. Otherwise, if the process
+// were killed right after sending the response, a repeated request would get OutcomeUnknown instead of
+// the response. Requests that joined keep their own deadlines meanwhile.
 func (d *Deduplicator) recordResponse(ctx context.Context, t *idempotency.Ticket,
 	r idempotency.Response, deadline time.Duration) {
 	d.mu.Lock()
@@ -143,22 +144,22 @@
 	d.awaitRecord(ctx, written, deadline)
 }
 
-// awaitRecord waits until a record is there and reports whether it is: for at most WriteTimeout, and
-// not beyond the client's deadline.
+// awaitRecord waits for a channel of watchRecord and returns the value that it receives. It waits for
+// at most WriteTimeout, and not beyond the request's deadline or the end of ctx; then it returns false.
 func (d *Deduplicator) awaitRecord(ctx context.Context, done chan bool, deadline time.Duration) bool {
 	timeout := time.NewTimer(min(d.journal.WriteTimeout, deadline-d.now()))
 	defer timeout.Stop()
 	select {
-	case there := <-done:
-		return there
+	case ok := <-done:
+		return ok
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// JournalUsage returns what the journal takes on disk, and the error for which it accepts nothing at
-// the moment. Both are zero without a journal.
+// JournalUsage returns the space that the journal uses, and the error because of which it accepts no
+// records at the moment. Both are zero without a journal.
 func (d *Deduplicator) JournalUsage() (journal.Usage, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/deduplicator/journal_test.go
+++ b/internal/deduplicator/journal_test.go
@@ -18,21 +18,21 @@
 	"pumicecroft/internal/simdisk"
 )
 
-// restartCases are requests before a restart, and what their repeats get after it.
+// restartCases are requests before a restart, and the results of repeating them after it.
 var restartCases = []struct {
 	key  string
 	run  func() Result
-	want string // "new": the repeat is executed
+	want string // "new": the repeated request is executed
 }{
-	{"succeeded", succeed("a1"), "a1"},
-	{"empty response", succeed(""), ""},
-	{"too large", succeed(strings.Repeat("x", 100<<10)), "done"},
-	{"not executed", fail(idempotency.NotExecuted), "new"},
-	{"unknown outcome", fail(idempotency.Unknown), "undecided"},
+	{"succeeded", succeedWith("a1"), "a1"},
+	{"empty response", succeedWith(""), ""},
+	{"too large", succeedWith(strings.Repeat("x", 100<<10)), "done"},
+	{"not executed", failWith(idempotency.NotExecuted), "new"},
+	{"unknown outcome", failWith(idempotency.Unknown), "undecided"},
 }
 
-// A process ends: by Close, by a kill, or by a crash of the machine that loses what was not synced. The next
-// process must know what each key came to, and that a request in flight has an unknown outcome.
+// A process ends: by Close, by a kill, or by a crash of the machine that loses unsynced data. The next process
+// must return the outcome of each key, and an unknown outcome for a request that was in flight.
 func TestRestart(t *testing.T) {
 	for _, how := range []string{"close", "kill", "crash"} {
 		t.Run(how, func(t *testing.T) { testRestart(t, how) })
@@ -41,14 +41,14 @@
 
 func testRestart(t *testing.T, how string) {
 	disk := newTestDisk()
-	d := openOn(t, disk, nil)
+	d := openOnDisk(t, disk, nil)
 	for _, c := range restartCases {
 		if _, err := request(d, c.key, c.run); err != nil && !errors.Is(err, errNoResponse) {
 			t.Fatal(err)
 		}
 	}
-	// When this one is executed, the records before it are durable.
-	if _, err := request(d, "last", succeed("")); err != nil {
+	// When this request is executed, the records of the earlier ones are durable.
+	if _, err := request(d, "last", succeedWith("")); err != nil {
 		t.Fatal(err)
 	}
 	if how == "close" {
@@ -58,34 +58,35 @@
 	} else {
 		started, release := make(chan bool), make(chan bool)
 		go func() {
-			_, _ = request(d, "in flight", func() Result { started <- true; <-release; return succeed("late")() })
+			_, _ = request(d, "in flight", func() Result { started <- true; <-release; return succeedWith("late")() })
 		}()
 		<-started
-		disk.change(func(s *simdisk.Disk) { disk = &testDisk{disk: s.Clone()} })
+		disk.withDisk(func(s *simdisk.Disk) { disk = &testDisk{disk: s.Clone()} })
 		if how == "crash" {
 			disk.disk.Crash(rand.New(rand.NewPCG(1, 2)))
 		}
 		close(release)
 		closeAtEnd(t, d)
 	}
-	next := openOn(t, disk, nil)
+	next := openOnDisk(t, disk, nil)
 	closeAtEnd(t, next)
 	for _, c := range restartCases {
-		if got, err := request(next, c.key, succeed("new")); got != c.want || err != nil {
-			t.Errorf("%s: %q, %v, want %q", c.key, got, err, c.want)
+		if got, err := request(next, c.key, succeedWith("new")); got != c.want || err != nil {
+			t.Errorf("repeated request %q: %q, error %v, want %q", c.key, got, err, c.want)
 		}
 	}
-	if got, _ := request(next, "in flight", succeed("new")); how != "close" && got != "undecided" {
-		t.Errorf("the request in flight is %q", got)
+	if got, _ := request(next, "in flight", succeedWith("new")); how != "close" && got != "undecided" {
+		t.Errorf("repeated request that was in flight: %q, want %q", got, "undecided")
 	}
 	got, err := next.Do(context.Background(), 1, "succeeded", idempotency.Fingerprint{2}, time.Second, nil)
 	if err != nil || got.Verdict != idempotency.Conflict {
-		t.Errorf("another request with an earlier key: %v, %v", got.Verdict, err)
+		t.Errorf("different request with an earlier key: verdict %v, error %v, want %v", got.Verdict, err,
+			idempotency.Conflict)
 	}
 }
 
-// The disk is full, fails or hangs. Requests must be executed or rejected, as configured, none may wait for
-// longer than WriteTimeout, and what happened meanwhile must be on disk once that works again.
+// The disk is full, fails or hangs. Requests must be executed or rejected, as configured, without waiting for
+// longer than WriteTimeout. Their outcomes must be on disk once it works again.
 func TestJournalFailure(t *testing.T) {
 	for _, how := range []string{"full", "fails", "hangs"} {
 		for _, reject := range []bool{false, true} {
@@ -97,50 +98,50 @@
 func testJournalFailure(t *testing.T, how string, reject bool) {
 	const requests = 20
 	disk := newTestDisk()
-	d := openOn(t, disk, func(config *JournalConfig) {
+	d := openOnDisk(t, disk, func(config *JournalConfig) {
 		config.RejectOnFailure = reject
 		if how == "hangs" {
 			config.WriteTimeout = 20 * time.Millisecond
 		}
 	})
-	if got, err := request(d, "before", succeed("b")); got != "b" || err != nil {
-		t.Fatal(got, err)
+	if got, err := request(d, "before", succeedWith("b")); got != "b" || err != nil {
+		t.Fatalf("request before the failure: %q, error %v, want %q", got, err, "b")
 	}
 	release := make(chan struct{})
 	breakDisk(disk, how, release)
 	for i := range requests {
 		ran := false
-		got, err := request(d, fmt.Sprint("k", i), func() Result { ran = true; return succeed("a")() })
+		got, err := request(d, fmt.Sprint("k", i), func() Result { ran = true; return succeedWith("a")() })
 		if reject && (ran || !errors.Is(err, ErrNotPersisted)) || !reject && (got != "a" || err != nil) {
-			t.Fatalf("request %d: %q, %v, ran %v", i, got, err, ran)
+			t.Fatalf("request %d: %q, error %v, executed: %v; want it rejected: %v", i, got, err, ran, reject)
 		}
 	}
-	if got, err := request(d, "before", succeed("new")); got != "b" || err != nil {
-		t.Errorf("the key from before: %q, %v", got, err)
+	if got, err := request(d, "before", succeedWith("new")); got != "b" || err != nil {
+		t.Errorf("key from before the failure: %q, error %v, want %q", got, err, "b")
 	}
 	if _, err := d.JournalUsage(); (err != nil) != (how != "hangs") {
-		t.Errorf("the journal's error is %v", err)
+		t.Errorf("JournalUsage returned error %v; want an error: %v", err, how != "hangs")
 	}
-	disk.change(func(s *simdisk.Disk) { s.Fault, s.Capacity = nil, 0 })
-	disk.hang(nil)
+	disk.withDisk(func(s *simdisk.Disk) { s.Fault, s.Capacity = nil, 0 })
+	disk.setHang(nil)
 	close(release)
 	awaitJournal(t, d)
 	if err := d.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	next := openOn(t, disk, nil)
+	next := openOnDisk(t, disk, nil)
 	closeAtEnd(t, next)
 	for i := range requests {
 		want := "a"
 		if reject {
 			want = "new"
 		}
-		got, err := request(next, fmt.Sprint("k", i), succeed("new"))
+		got, err := request(next, fmt.Sprint("k", i), succeedWith("new"))
 		if how == "fails" && reject && got == "undecided" && i == 0 {
-			continue // its record may be there although the write failed, and its removal could not be written
+			continue // its record may be on disk although the write failed, and its removal could not be written
 		}
 		if got != want || err != nil {
-			t.Errorf("after a restart, request %d: %q, %v, want %q", i, got, err, want)
+			t.Errorf("request %d repeated after a restart: %q, error %v, want %q", i, got, err, want)
 		}
 	}
 }
@@ -149,15 +150,15 @@
 func breakDisk(disk *testDisk, how string, release chan struct{}) {
 	switch how {
 	case "full":
-		disk.change(func(s *simdisk.Disk) { s.Capacity = s.Bytes() + 1 })
+		disk.withDisk(func(s *simdisk.Disk) { s.Capacity = s.Bytes() + 1 })
 	case "fails":
-		disk.change(func(s *simdisk.Disk) { s.Fault = func(journal.Op) error { return simdisk.ErrIO } })
+		disk.withDisk(func(s *simdisk.Disk) { s.Fault = func(journal.Op) error { return simdisk.ErrIO } })
 	case "hangs":
-		disk.hang(release)
+		disk.setHang(release)
 	}
 }
 
-// awaitJournal waits until the journal works and everything is on disk.
+// awaitJournal waits until the journal has recovered and all its records are on disk.
 func awaitJournal(t *testing.T, d *Deduplicator) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -166,13 +167,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the journal does not recover: %+v, %v", u, err)
+			t.Fatalf("the journal has not recovered after 20 s: usage %+v, error %v", u, err)
 		}
 	}
 }
 
-// Many requests at once, each repeated: some before a restart, some after it, some on both sides. Each must
-// have one effect.
+// Many requests run at once, and some are repeated after a restart. Each must be executed exactly once.
 func TestRestart_RepeatsHaveOneEffect(t *testing.T) {
 	disk := newTestDisk()
 	var effects [400]atomic.Int32
@@ -181,33 +181,34 @@
 		for i := from; i < to; i++ {
 			body := fmt.Sprint("a", i)
 			requests.Go(func() {
-				got, err := request(d, fmt.Sprint("k", i), func() Result { effects[i].Add(1); return succeed(body)() })
+				got, err := request(d, fmt.Sprint("k", i), func() Result { effects[i].Add(1); return succeedWith(body)() })
 				if got != body || err != nil {
-					t.Errorf("%d: %q, %v", i, got, err)
+					t.Errorf("request %d: %q, error %v, want %q", i, got, err, body)
 				}
 			})
 		}
 		requests.Wait()
 	}
-	d := openOn(t, disk, nil)
+	d := openOnDisk(t, disk, nil)
 	requestAll(d, 0, 300)
 	if err := d.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := request(d, "x", succeed("")); !errors.Is(err, ErrClosed) {
-		t.Errorf("after Close: %v", err)
+	if _, err := request(d, "x", succeedWith("")); !errors.Is(err, ErrClosed) {
+		t.Errorf("request after Close: error %v, want %v", err, ErrClosed)
 	}
-	next := openOn(t, disk, nil)
+	next := openOnDisk(t, disk, nil)
 	closeAtEnd(t, next)
 	requestAll(next, 100, 400)
 	for i := range effects {
 		if n := effects[i].Load(); n != 1 {
-			t.Errorf("%d had its effect %d times", i, n)
+			t.Errorf("request %d was executed %d times, want 1", i, n)
 		}
 	}
 }
 
-// A journal's directory belongs to one process, and needs the key of its fingerprints.
+// A journal's directory is opened by two processes, and with a truncated fingerprint key. Open must return an
+// error. After a regular restart, fingerprints must be the same.
 func TestOpen_Directory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keys")
 	config := JournalConfig{Dir: dir, WriteTimeout: 10 * time.Second}
@@ -216,11 +217,11 @@
 		t.Fatal(err)
 	}
 	fingerprint := d.Fingerprint([]byte("a"), []byte("b"))
-	if _, err := request(d, "k", succeed("a")); err != nil {
+	if _, err := request(d, "k", succeedWith("a")); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(idempotency.Limits{}, config); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second Open: error %v, want one that names another process", err)
 	}
 	if err := d.Close(context.Background()); err != nil {
 		t.Fatal(err)
@@ -229,7 +230,7 @@
 		t.Fatal(err)
 	}
 	if d.Fingerprint([]byte("a"), []byte("b")) != fingerprint {
-		t.Error("a request has another fingerprint after a restart")
+		t.Errorf("fingerprint after a restart: %x, want %x", d.Fingerprint([]byte("a"), []byte("b")), fingerprint)
 	}
 	if err := d.Close(context.Background()); err != nil {
 		t.Fatal(err)
@@ -238,25 +239,25 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(idempotency.Limits{}, config); err == nil || !strings.Contains(err.Error(), "secret has 3 bytes") {
-		t.Errorf("with a key cut short: %v", err)
+		t.Errorf("Open with a truncated key: error %v, want one that gives its length", err)
 	}
 }
 
-// The disk hangs when the gateway shuts down. A request that waits for it must be rejected when the closer's
-// time is up, and Close must return.
+// The disk hangs when the gateway shuts down. When the context of Close ends, a request that waits for the disk
+// must be rejected, and Close must return.
 func TestClose_HangingDisk(t *testing.T) {
 	disk := newTestDisk()
-	d := openOn(t, disk, func(config *JournalConfig) { config.WriteTimeout = 2 * time.Second })
-	if _, err := request(d, "before", succeed("b")); err != nil {
+	d := openOnDisk(t, disk, func(config *JournalConfig) { config.WriteTimeout = 2 * time.Second })
+	if _, err := request(d, "before", succeedWith("b")); err != nil {
 		t.Fatal(err)
 	}
 	release := make(chan struct{})
 	defer close(release)
-	disk.hang(release)
+	disk.setHang(release)
 	ended := make(chan error, 1)
 	ran := false
 	go func() {
-		_, err := request(d, "k", func() Result { ran = true; return succeed("a")() })
+		_, err := request(d, "k", func() Result { ran = true; return succeedWith("a")() })
 		ended <- err
 	}()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // until it waits
@@ -267,15 +268,15 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the request does not wait for the disk")
+			t.Fatal("the request is not waiting for the disk after 20 s")
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := d.Close(ctx); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("Close returned %v, want %v", err, context.DeadlineExceeded)
 	}
 	if err := <-ended; !errors.Is(err, ErrClosed) || ran {
-		t.Errorf("the request that waited: %v, ran %v", err, ran)
+		t.Errorf("waiting request: error %v, executed: %v; want %v, not executed", err, ran, ErrClosed)
 	}
 }
--- a/internal/endpointcache/endpointcache.go
+++ b/internal/endpointcache/endpointcache.go
@@ -1,9 +1,9 @@
 // Package endpointcache stores endpoint lists on disk, so that a gateway that starts while their
 // source is unreachable has endpoints to begin with. It reads and writes one file per source and
-// keeps no state; what a cached list is good for is decided by its caller.
+// keeps no state. Its caller decides how to use a cached list.
 //
 // A file's first line is a JSON header with the format version, the source and the checksum of the
-// rest. A file that is truncated, damaged or of another source is never read as a list.
+// rest. Read rejects a file that is truncated, corrupt or of another source.
 package endpointcache
 
 import (
@@ -24,7 +24,7 @@
 	"pumicecroft/membership"
 )
 
-// Errors of Read. A file that does not exist is fs.ErrNotExist.
+// Errors of Read. For a file that does not exist, it returns fs.ErrNotExist.
 var (
 	ErrCorrupt     = errors.New("endpointcache: file is truncated or corrupt")
 	ErrOtherSource = errors.New("endpointcache: not an endpoint list of this source")
@@ -33,10 +33,10 @@
 // maxFileBytes is the size of the largest file that Read accepts.
 const maxFileBytes = 64 << 20
 
-// formatVersion identifies the file format; a later format has another number.
+// formatVersion identifies the file format. An incompatible format needs another number.
 const formatVersion = "pumicecroft-members-1"
 
-// header is a file's first line. Checksum and size are of everything behind it.
+// header is a file's first line. Checksum and size cover everything after it.
 type header struct {
 	Format string `json:"form"`
 	Source string `json:"source"`
@@ -44,14 +44,14 @@
 	Size   int    `json:"size"`   // bytes
 }
 
-// newHeader describes a list of a source, given its encoded content.
+// newHeader returns the header for a source's encoded list.
 func newHeader(source string, body []byte) header {
 	sum := sha256.Sum256(body)
 	return header{Format: formatVersion, Source: source, SHA256: hex.EncodeToString(sum[:]), Size: len(body)}
 }
 
-// content is the rest of a file.
-type content struct {
+// endpointList is the JSON document after the header.
+type endpointList struct {
 	SavedAt time.Time `json:"at"`
 	Nodes   []node    `json:"nodes"`
 }
@@ -79,7 +79,7 @@
 		Cell:         n.Cell,
 		Draining:     n.State != decision.Ready,
 		Weight:       n.Weight,
-		StartedAt:    n.StartedAt.Round(0), // without the monotonic clock's reading
+		StartedAt:    n.StartedAt.Round(0), // without the monotonic clock reading
 		Note:         n.Note,
 		Protocol:     n.Protocol,
 	}
@@ -103,15 +103,15 @@
 	return m
 }
 
-// Path returns the file of a source's endpoint list in dir.
+// Path returns the path of the file of a source's endpoint list in dir.
 func Path(dir, source string) string {
 	return filepath.Join(dir, url.PathEscape(source)+".members")
 }
 
-// Write stores the nodes that a source had at savedAt. The directory must exist. If it fails, the
-// file holds the earlier list. It returns when the list is on disk.
+// Write stores the nodes that a source had at savedAt. The directory must exist. Write returns when
+// the list is on disk. If it fails before the file is replaced, the file keeps the previous list.
 func Write(dir, source string, nodes []membership.Node, savedAt time.Time) error {
-	list := content{SavedAt: savedAt.Round(0)}
+	list := endpointList{SavedAt: savedAt.Round(0)}
 	for _, n := range nodes {
 		list.Nodes = append(list.Nodes, newNode(n))
 	}
@@ -156,7 +156,7 @@
 	defer f.Close() //nolint:errcheck // it was only read
 	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err == nil && len(text) > maxFileBytes {
-		err = fmt.Errorf("%w: it has more than %d bytes", ErrOtherSource, maxFileBytes)
+		err = fmt.Errorf("%w: file is larger than %d bytes", ErrOtherSource, maxFileBytes)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -165,24 +165,24 @@
 }
 
 // decode checks a file's header and returns its list.
-func decode(text []byte, source string) (content, error) {
+func decode(text []byte, source string) (endpointList, error) {
 	first, body, found := bytes.Cut(text, []byte("\n"))
 	var h header
 	if err := json.Unmarshal(first, &h); err != nil || !found {
 		if len(text) == 0 || bytes.HasPrefix(text, []byte(`{"form":"`+formatVersion)) {
-			return content{}, ErrCorrupt
+			return endpointList{}, ErrCorrupt
 		}
-		return content{}, ErrOtherSource
+		return endpointList{}, ErrOtherSource
 	}
 	if h.Format != formatVersion || h.Source != source {
-		return content{}, fmt.Errorf("%w: it is %.40q of %.80q", ErrOtherSource, h.Format, h.Source)
+		return endpointList{}, fmt.Errorf("%w: format %.40q, source %.80q", ErrOtherSource, h.Format, h.Source)
 	}
 	if h != newHeader(source, body) {
-		return content{}, fmt.Errorf("%w: %d bytes of %d", ErrCorrupt, len(body), h.Size)
+		return endpointList{}, fmt.Errorf("%w: %d bytes after the header, %d expected", ErrCorrupt, len(body), h.Size)
 	}
-	var list content
+	var list endpointList
 	if err := json.Unmarshal(body, &list); err != nil {
-		return content{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
+		return endpointList{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return list, nil
 }
--- a/internal/endpointcache/endpointcache_test.go
+++ b/internal/endpointcache/endpointcache_test.go
@@ -15,7 +15,8 @@
 )
 
 var testNodes = []membership.Node{
-	{Name: "n/a", Addr: "10.0.0.1:80", Zone: "z", InstanceType: "m", Cell: 3, Weight: 2, StartedAt: time.Unix(1_800_000_000, 5).UTC()},
+	{Name: "n/a", Addr: "10.0.0.1:80", Zone: "z", InstanceType: "m", Cell: 3, Weight: 2,
+		StartedAt: time.Unix(1_800_000_000, 5).UTC()},
 	{Name: "n/b", Addr: "[::1]:80", State: decision.Draining, Note: "critical: web", Weight: 1},
 }
 
@@ -23,7 +24,7 @@
 	dir := t.TempDir()
 	at := time.Unix(1_800_000_009, 0).UTC()
 	if _, _, err := Read(dir, "consul:web/x"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("Read without a file: %v, want %v", err, fs.ErrNotExist)
 	}
 	for _, nodes := range [][]membership.Node{testNodes, testNodes[:1], nil, testNodes} {
 		if err := Write(dir, "consul:web/x", nodes, at); err != nil {
@@ -31,19 +32,19 @@
 		}
 		got, when, err := Read(dir, "consul:web/x")
 		if err != nil || !when.Equal(at) || !reflect.DeepEqual(got, nodes) {
-			t.Errorf("%+v at %v, %v; want %+v", got, when, err, nodes)
+			t.Errorf("Read returned %+v at %v, %v; want %+v at %v", got, when, err, nodes, at)
 		}
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "*")); len(left) != 1 {
-		t.Errorf("left behind: %q", left)
+		t.Errorf("files in the directory: %q, want only the list", left)
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, ".*")); len(left) != 0 {
-		t.Errorf("left behind: %q", left)
+		t.Errorf("temporary files left: %q", left)
 	}
 }
 
-// A file that was cut at any byte, or had any byte changed, must not be read as a list: the gateway would
-// send requests to addresses that its source never named.
+// A file that was truncated at any byte, or had any byte changed, must not be read as a list: the gateway would
+// send requests to addresses that its source never returned.
 func TestRead_RejectsDamagedFile(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir, "s", testNodes, time.Unix(1, 0)); err != nil {
@@ -58,18 +59,19 @@
 			t.Fatal(err)
 		}
 		if _, _, err := Read(dir, "s"); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrOtherSource) {
-			t.Errorf("%s at %d: %v", what, i, err)
+			t.Errorf("file %s at byte %d: error %v, want ErrCorrupt or ErrOtherSource", what, i, err)
 		}
 	}
 	for i := range good {
-		wantRejected("cut", i, good[:i])
+		wantRejected("truncated", i, good[:i])
 		changed := bytes.Clone(good)
 		changed[i] ^= 0x04
 		wantRejected("changed", i, changed)
 	}
-	wantRejected("more behind it", len(good), append(bytes.Clone(good), '\n'))
+	wantRejected("extended", len(good), append(bytes.Clone(good), '\n'))
 }
 
+// A file of another source, of another format or with other contents must not be read as a list.
 func TestRead_RejectsForeignFile(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir, "other", testNodes, time.Unix(1, 0)); err != nil {
@@ -79,31 +81,32 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Read(dir, "s"); !errors.Is(err, ErrOtherSource) {
-		t.Errorf("another source's: %v", err)
+		t.Errorf("file of another source: %v, want %v", err, ErrOtherSource)
 	}
-	for _, text := range []string{"hello\nworld", `{"form":"pumicecroft-members-2","source":"s"}` + "\n{}", "[]\n[]", "\x00\x00\n"} {
+	for _, text := range []string{"hello\nworld", `{"form":"pumicecroft-members-2","source":"s"}` + "\n{}", "[]\n[]",
+		"\x00\x00\n"} {
 		if err := os.WriteFile(Path(dir, "s"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := Read(dir, "s"); !errors.Is(err, ErrOtherSource) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("file with contents %q: %v, want %v", text, err, ErrOtherSource)
 		}
 	}
 }
 
-// A write that fails must leave no temporary file, or a full disk would never recover.
+// A failed write must leave no temporary file: on a full disk, the files would use up the remaining space.
 func TestWrite_FailureLeavesNothingBehind(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(filepath.Join(dir, "none"), "s", testNodes, time.Unix(1, 0)); err == nil {
-		t.Error("into a directory that is not there: no error")
+		t.Error("Write into a directory that does not exist: got no error, want one")
 	}
 	if err := os.Mkdir(Path(dir, "s"), 0o700); err != nil { // the rename fails
 		t.Fatal(err)
 	}
 	if err := Write(dir, "s", testNodes, time.Unix(1, 0)); err == nil {
-		t.Error("over a directory: no error")
+		t.Error("Write over a directory: got no error, want one")
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, ".*")); len(left) != 0 {
-		t.Errorf("left behind: %q", left)
+		t.Errorf("temporary files left: %q", left)
 	}
 }
--- a/internal/endpointcache/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -13,18 +13,21 @@
 	"pumicecroft/membership"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/consul%3Aweb.members anew: only for a new form of the file")
+var writeGolden = flag.Bool("write-golden", false,
+	"rewrite testdata/consul%3Aweb.members, only after a change of the file format")
 
-// An endpoint list that an earlier release wrote is read field by field, and is written again to the same bytes: neither the fields' names
-// nor their order, nor what is left out of a field that is empty, may follow the spelling of a Go identifier.
-func TestEarlierFileIsReadAndWrittenAlike(t *testing.T) {
+// An endpoint list of an earlier release is read, compared field by field, and written to the same bytes again.
+// This guards the stored format against renamed or reordered Go fields and changed omission of empty fields.
+func TestGoldenFile_ReadAndRewritten(t *testing.T) {
 	const source = "consul:web"
 	at := time.Date(2026, 12, 1, 11, 20, 1, 250_000_000, time.UTC)
 	want := []membership.Node{
-		{Name: "n1/b0", Addr: "10.0.0.1:9000", Zone: "zone-a", InstanceType: "m2.large", Protocol: membership.ProtocolGRPC, Cell: 7,
-			State: decision.Ready, Weight: 2.5, StartedAt: time.Date(2026, 11, 30, 9, 8, 7, 6_000_005, time.UTC), Note: "warning: disk: 91 % full"},
-		{Name: "n1/b1", Addr: "[::1]:9001", Zone: "zone-b", InstanceType: "m3", Protocol: membership.ProtocolHTTP, Cell: 1<<62 + 3,
-			State: decision.Draining, Weight: 1, StartedAt: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), Note: "critical: web: \"503\" <busy> & slow"},
+		{Name: "n1/b0", Addr: "10.0.0.1:9000", Zone: "zone-a", InstanceType: "m2.large",
+			Protocol: membership.ProtocolGRPC, Cell: 7, State: decision.Ready, Weight: 2.5,
+			StartedAt: time.Date(2026, 11, 30, 9, 8, 7, 6_000_005, time.UTC), Note: "warning: disk: 91 % full"},
+		{Name: "n1/b1", Addr: "[::1]:9001", Zone: "zone-b", InstanceType: "m3",
+			Protocol: membership.ProtocolHTTP, Cell: 1<<62 + 3, State: decision.Draining, Weight: 1,
+			StartedAt: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), Note: "critical: web: \"503\" <busy> & slow"},
 		{Name: "bare", Addr: "h:1"},
 	}
 	path := Path("testdata", source)
@@ -35,10 +38,10 @@
 	}
 	got, when, err := Read("testdata", source)
 	if err != nil || !when.Equal(at) {
-		t.Fatalf("of %v: %v", when, err)
+		t.Fatalf("Read returned a list of %v, error %v; want a list of %v", when, err, at)
 	}
 	if len(got) != len(want) {
-		t.Fatalf("%d nodes, want %d", len(got), len(want))
+		t.Fatalf("Read returned %d nodes, want %d", len(got), len(want))
 	}
 	for i := range want {
 		if !reflect.DeepEqual(got[i], want[i]) {
@@ -58,6 +61,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(before, after) {
-		t.Errorf("written again:\n%s\nwas:\n%s", after, before)
+		t.Errorf("rewritten file:\n%s\nwant:\n%s", after, before)
 	}
 }
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -8,17 +8,17 @@
 	"math"
 )
 
-// A segment is a file: a header, then frames. A frame is what was written at once: a group of records.
+// A segment is a file: a header, then frames. A frame is a group of records that was written at once.
 // Integers are little-endian.
 //
 //	header: magic[4] version[4] number[8] logID[8] previous[8] previousSynced[8] checksum[4]
 //	frame:  magic[4] length[4] synced[4] checksum[4] payload[length]
 //	payload: records, each a uvarint of its length and its bytes
 //
-// checksum is CRC-32C over what stands before it. That of a frame goes on over the log's ID, the
-// segment's number, the frame's offset, and the payload: a frame is valid only where it was written.
-// synced is how much of the segment had been synced when the frame was written; damage below that was
-// not done by a crash.
+// checksum is CRC-32C over the bytes before it in the header or frame. For a frame it also covers the
+// log's ID, the segment's number, the frame's offset and the payload, so that a frame is valid only
+// where it was written. synced is the number of bytes of the segment that had been synced when the
+// frame was written; a crash can't damage those.
 const (
 	headerLen       = 44
 	frameHeaderLen  = 16
@@ -30,13 +30,13 @@
 
 // Errors of Recover, wrapped with the segment and the offset.
 var (
-	// ErrCorrupt: synced data is not there as it was written.
+	// ErrCorrupt: synced data is missing or was changed.
 	ErrCorrupt = errors.New("corrupt")
 	// ErrForeign: a segment belongs to another log, or has another format version.
 	ErrForeign = errors.New("not of this log")
 )
 
-// errIncomplete is a header or record that is cut short.
+// errIncomplete is returned for a header or record that is truncated or invalid.
 var errIncomplete = errors.New("incomplete")
 
 // CorruptError says where a log is corrupt. It wraps ErrCorrupt.
@@ -61,15 +61,15 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// segmentHeader is what a segment begins with.
+// segmentHeader is the header at the start of a segment.
 type segmentHeader struct {
 	number         uint64
-	logID          uint64 // the same in all segments of one log, drawn when the log was created
-	previous       uint64 // number of the segment before it; 0: it is the first
-	previousSynced int64  // how much of that had been synced
+	logID          uint64 // the same in all segments of one log, chosen at random when the log was created
+	previous       uint64 // number of the previous segment; 0: this is the first
+	previousSynced int64  // number of bytes of the previous segment that had been synced
 }
 
-// encode returns the header as it stands in the file.
+// encode returns the header as it is stored.
 func (h segmentHeader) encode() []byte {
 	b := make([]byte, 0, headerLen)
 	b = binary.LittleEndian.AppendUint32(b, headerMagic)
@@ -80,9 +80,9 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader decodes the header of the segment with a number. It returns errIncomplete for a header
-// that was not written to its end, which is normal only for a segment that was never used; other
-// errors wrap ErrForeign.
+// decodeHeader decodes the header of the segment with the given number. It returns errIncomplete for
+// a header that is truncated or has a wrong checksum, which is normal only for a segment that was
+// never used; other errors wrap ErrForeign.
 func decodeHeader(number uint64, b []byte) (h segmentHeader, err error) {
 	if len(b) < headerLen || binary.LittleEndian.Uint32(b) != headerMagic ||
 		binary.LittleEndian.Uint32(b[headerLen-4:]) != crc32.Checksum(b[:headerLen-4], castagnoli) {
@@ -103,8 +103,8 @@
 	return h, nil
 }
 
-// frameChecksum is the checksum of a frame: of the first 12 bytes of its header, its place, and its
-// payload.
+// frameChecksum returns the checksum of a frame: of the first 12 bytes of its header, its position in
+// the log and its payload.
 func frameChecksum(logID, segment uint64, offset int64, header12, payload []byte) uint32 {
 	var position [24]byte
 	binary.LittleEndian.PutUint64(position[:], logID)
@@ -115,7 +115,7 @@
 	return crc32.Update(sum, castagnoli, payload)
 }
 
-// finishFrame fills in the header of a frame: b is room for it, and the payload.
+// finishFrame fills in the header of a frame. b is space for the header, followed by the payload.
 func finishFrame(b []byte, logID, segment uint64, offset, synced int64) {
 	binary.LittleEndian.PutUint32(b, frameMagic)
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(b)-frameHeaderLen))
@@ -123,8 +123,8 @@
 	binary.LittleEndian.PutUint32(b[12:], frameChecksum(logID, segment, offset, b[:12], b[frameHeaderLen:]))
 }
 
-// decodeFrame decodes the frame at an offset of a segment. ok is false if it is incomplete, damaged,
-// or was written elsewhere.
+// decodeFrame decodes the frame at an offset of a segment. ok is false if it is truncated, damaged, or
+// was written at another position.
 func decodeFrame(b []byte, logID, segment uint64, offset int64) (payload []byte, synced int64, ok bool) {
 	b = b[offset:]
 	if len(b) < frameHeaderLen || binary.LittleEndian.Uint32(b) != frameMagic {
@@ -140,9 +140,9 @@
 	return payload, synced, checksum == frameChecksum(logID, segment, offset, b[:12], payload)
 }
 
-// eachRecord calls f with each record of a payload. It returns errIncomplete if the payload does not
-// decode, which is damage: a payload with the right checksum was written by appendRecord.
-func eachRecord(payload []byte, f func(record []byte) error) error {
+// forEachRecord calls f with each record of a payload. It returns errIncomplete if the payload can't
+// be decoded. As the payload's checksum is right, that means corruption and not a partial write.
+func forEachRecord(payload []byte, f func(record []byte) error) error {
 	for len(payload) > 0 {
 		n, width := binary.Uvarint(payload)
 		if width <= 0 || n > uint64(len(payload)-width) {
@@ -162,14 +162,14 @@
 
 // scanFrames calls f with the offset and payload of each frame of a segment, up to the first that is
 // not valid. It returns the end of the valid frames, and how much of the segment is known to have been
-// synced: at least mustHave, which a later segment says.
+// synced: at least minSynced, which the next segment's header says.
 //
-// A crash may cut a segment off anywhere beyond what was synced, and may leave any part of the rest.
+// A crash may truncate a segment anywhere beyond its synced part, and may leave any part of the rest.
 // So an invalid frame ends the segment, unless a later frame or segment says that it had been synced:
 // then the segment is corrupt.
-func scanFrames(b []byte, h segmentHeader, mustHave int64,
+func scanFrames(b []byte, h segmentHeader, minSynced int64,
 	f func(offset int64, payload []byte) error) (end, synced int64, err error) {
-	end, synced = headerLen, max(mustHave, headerLen)
+	end, synced = headerLen, max(minSynced, headerLen)
 	for end < int64(len(b)) {
 		payload, frameSynced, ok := decodeFrame(b, h.logID, h.number, end)
 		if !ok {
@@ -183,19 +183,19 @@
 		synced = max(synced, frameSynced)
 		end += frameHeaderLen + int64(len(payload))
 	}
-	if end < mustHave {
-		reason := fmt.Sprintf("no valid frame, and %d bytes had been synced", mustHave)
+	if end < minSynced {
+		reason := fmt.Sprintf("invalid frame, although %d bytes of the segment had been synced", minSynced)
 		return 0, 0, &CorruptError{h.number, end, reason}
 	}
 	if later, found := laterSyncedFrame(b, h, end); found {
-		reason := fmt.Sprintf("no valid frame, and the one at %d says that it had been synced", later)
+		reason := fmt.Sprintf("invalid frame, although the frame at offset %d says that it had been synced", later)
 		return 0, 0, &CorruptError{h.number, end, reason}
 	}
 	return end, synced, nil
 }
 
-// laterSyncedFrame looks for a valid frame behind an offset which says that what stands at the offset
-// had been synced. It returns that frame's offset, and whether there is one.
+// laterSyncedFrame looks for a valid frame after an offset which says that the data at the offset had
+// been synced. It returns that frame's offset, and whether there is one.
 func laterSyncedFrame(b []byte, h segmentHeader, offset int64) (int64, bool) {
 	for later := offset + 1; later+frameHeaderLen <= int64(len(b)); later++ {
 		if _, synced, ok := decodeFrame(b, h.logID, h.number, later); ok && synced > offset {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,26 +1,26 @@
-// Package journal is a log of records in files that survives crashes. Appended records are grouped,
-// written and synced; a file is removed when nobody needs its records any more. Each record belongs to
-// a Slot, of which the last record counts and earlier ones are garbage. When more than half of the log
-// is garbage, the live records of the oldest segment are appended again and the segment is removed.
+// Package journal implements a write-ahead log in segment files. Appended records are written and
+// synced in groups. A record may belong to a Slot: then it is live until a later record is appended
+// for the Slot or the Slot is dropped, and garbage afterwards. When more than half of the log is
+// garbage, the live records of the oldest segment are appended again and the segment is removed.
 //
-// Guarantees, whenever the process or the machine stops:
+// Guarantees after a crash of the process or of the machine:
 //
-//   - A record that was reported durable is read again by Recover, in the order of appending, unless
-//     its Slot was dropped or has a later record. Dropped records may come back, so a record must not
+//   - Recover reads each record that was reported durable, in the order of appending, unless its Slot
+//     was dropped or has a later record. Recover may also read dropped records, so a record must not
 //     depend on others.
-//   - A record without a Slot is read again as long as any record that was appended before it.
-//   - A record that was not reported durable may be read again or not, but in order: of one segment,
-//     never a later record without the earlier ones.
-//   - Damage to synced data is a CorruptError that names segment and offset, and changes no file. One
-//     case can't be told from a crash: damage to the last group of the last segment.
-//   - When the disk fails or is full, the log reports it (Err) and accepts nothing until it has begun a
-//     new segment. Then it asks for the records that are not on disk (Stale). Callers that wait for a
-//     record learn that it is lost; the log never blocks.
+//   - A record without a Slot is kept for as long as any record that was appended before it.
+//   - Recover may or may not read a record that was not reported durable, but within one segment it
+//     never reads a later record without the earlier ones.
+//   - For damage to synced data, Recover returns a CorruptError that names segment and offset, and
+//     changes no file. Damage to the last group of the last segment can't be told from a crash.
+//   - When the disk fails or is full, the log reports it (Err) and accepts no records until it has
+//     begun a new segment. Then it returns the slots whose records are not on disk (Stale). Callers
+//     that wait for a record are told that it is lost (Lost); the log never blocks.
 //
 // The package is pure: appends and times go in, file operations come out (Next), and their results go
 // back in (Done), one at a time. It does no I/O, reads no clock, takes no lock and starts no
 // goroutine. A Log belongs to its driver, which serializes all calls: package logfile for real files,
-// package sim for a simulated disk that loses and reorders what was not synced.
+// package sim for a simulated disk that loses and reorders unsynced data.
 package journal
 
 import "time"
@@ -33,15 +33,15 @@
 	// GroupCommitDelay is how long the first record of a group waits for others, if the disk is idle.
 	// Default 0: not at all.
 	GroupCommitDelay time.Duration
-	// SyncInterval is how long written records may stay unsynced; records are durable once they are
-	// written, which survives a crash of the process but not always of the machine. Default 0: each
-	// group is synced, and durable only then.
+	// SyncInterval is how long written records may stay unsynced. If it is set, records are durable
+	// once they are written: they survive a crash of the process, but not always of the machine.
+	// Default 0: each group is synced, and its records are durable only then.
 	SyncInterval time.Duration
-	// MaxPending bounds the bytes that wait to be written. Records beyond it are treated as if the
-	// disk had failed. Default 4 MiB.
+	// MaxPending bounds the bytes that wait to be written. Records beyond it are not accepted, as
+	// after a failure of the disk. Default 4 MiB.
 	MaxPending int
-	// RetryDelay is the pause after a failure, doubled with each further one up to a minute. Default
-	// 1 s.
+	// RetryDelay is the pause after a failure. It doubles with each consecutive failure, up to a
+	// minute. Default 1 s.
 	RetryDelay time.Duration
 }
 
@@ -72,7 +72,7 @@
 	Write                 // write Data at Offset of Segment, which is its end
 	Sync                  // sync what was written to Segment
 	SyncDir               // sync the directory
-	Remove                // remove the file of Segment; it is no error if it does not exist
+	Remove                // remove the file of Segment, if it exists
 )
 
 // String returns the kind's name.
@@ -88,11 +88,11 @@
 	Data    []byte // must not be modified; valid until Done
 }
 
-// Usage is what a log takes, on disk and in memory.
+// Usage is the space that a log uses on disk and in memory.
 type Usage struct {
 	Segments       int
 	Bytes          int64 // of all segments
-	LiveBytes      int64 // of records that count, on disk or on their way there
+	LiveBytes      int64 // of live records that are on disk, pending or being written
 	PendingBytes   int   // that wait to be written
-	UnwrittenBytes int64 // of records that count, but are not on disk and must be appended again
+	UnwrittenBytes int64 // of live records that are not on disk and must be appended again
 }
--- a/internal/journal/log.go
+++ b/internal/journal/log.go
@@ -13,13 +13,13 @@
 	orphans     []uint64      // files to remove that are no part of the log
 	dirUnsynced bool          // a file was removed since the directory was synced
 
-	pending      []byte        // the next group: room for a frame's header, and records
-	pendingSince time.Duration // when its first record came
-	spare        []byte        // buffer of a group that was written
+	pending      []byte        // the next group: space for the frame's header, then records
+	pendingSince time.Duration // when its first record was appended
+	spareBuf     []byte        // buffer of a written group, reused for a later one
 
 	pendingSlots segment[T] // of the records in pending
 	writingSlots segment[T] // of the records that are being written
-	unwritten    segment[T] // of records that are not on disk and must be appended again
+	unwritten    segment[T] // of live records that are not on disk and must be appended again
 
 	lastSeq       uint64        // of the last record appended
 	writingSeq    uint64        // of the last record that is being written
@@ -29,23 +29,23 @@
 	lostSeq       uint64        // records up to it that are not durable never will be
 	unsyncedSince time.Duration // when active.size last went beyond active.synced
 
-	runningOp  Op   // given out by Next, not Done yet
-	segmentOps []Op // what is left to do for a new segment
+	runningOp  Op   // returned by Next, not Done yet
+	segmentOps []Op // operations still to do to begin a new segment
 
 	barrierSet bool // the oldest segment may be removed once barrierSeq is synced
 	barrierSeq uint64
 
-	failed   bool  // the log accepts nothing
-	cause    error // of the last failure
-	failures int   // in a row
-	retryAt  time.Duration
-	removeAt time.Duration // when the next file may be removed, after a removal failed
+	failed              bool  // the log accepts nothing
+	lastErr             error // of the last failure
+	consecutiveFailures int   // in a row
+	retryAt             time.Duration
+	removeAt            time.Duration // when the next file may be removed, after a removal failed
 
 	closing bool // Close was called
-	closed  bool // the final frame was given out
+	closed  bool // Next has returned the final frame
 }
 
-// Usage returns what the log takes.
+// Usage returns the space that the log uses.
 func (l *Log[T]) Usage() Usage {
 	u := Usage{
 		Segments:       len(l.segments),
@@ -60,32 +60,33 @@
 	return u
 }
 
-// Err returns the error for which the log accepts nothing at the moment; nil if it accepts records.
+// Err returns the error because of which the log accepts no records at the moment; nil if it accepts
+// them.
 func (l *Log[T]) Err() error {
 	if !l.failed {
 		return nil
 	}
-	return l.cause
+	return l.lastErr
 }
 
-// Durable returns the number up to which all records are durable, except those that Lost excludes.
+// Durable returns the number up to which all records are durable, except those that were lost.
 func (l *Log[T]) Durable() uint64 { return l.durableSeq }
 
-// Written returns the number up to which all records are with the operating system: they survive a
-// crash of the process, and not always one of the machine.
+// Written returns the number up to which all records were passed to the operating system: they
+// survive a crash of the process, but not always of the machine.
 func (l *Log[T]) Written() uint64 { return l.writtenSeq }
 
-// Lost returns the number up to which records that are not durable never will be.
+// Lost returns the number up to which all records that are not durable yet are lost.
 func (l *Log[T]) Lost() uint64 { return l.lostSeq }
 
-// MaxRecord returns the largest size of a record in bytes. A larger one is never accepted, and its
-// slot then has no record.
+// MaxRecord returns the largest size of a record in bytes. A larger one is never accepted, and leaves
+// its slot without a record.
 func (l *Log[T]) MaxRecord() int { return l.options.MaxPending / 2 }
 
-// Append adds a record to the next group and makes it the one that counts for its slot; s may be nil.
-// It returns the record's number, which Durable reaches when the record is durable. It returns 0 if
-// the log accepts nothing at the moment. Then Stale returns the slot when it does again; a record
-// without a slot is dropped.
+// Append adds a record to the next group and makes it the live record of its slot; s may be nil. It
+// returns the record's number, which Durable reaches when the record is durable. It returns 0 if the
+// log accepts no records at the moment: then Stale returns the slot when the log accepts records
+// again, and a record without a slot is discarded.
 func (l *Log[T]) Append(now time.Duration, s *Slot[T], record []byte) uint64 {
 	size := int64(len(record)) + recordOverhead
 	s.Drop()
@@ -99,7 +100,7 @@
 		return 0
 	}
 	if len(l.pending) == 0 {
-		l.pending, l.spare = l.spare[:0], nil
+		l.pending, l.spareBuf = l.spareBuf[:0], nil
 		l.pending = append(l.pending, make([]byte, frameHeaderLen)...)
 		l.pendingSince = now
 	}
@@ -111,9 +112,9 @@
 	return l.lastSeq
 }
 
-// Stale returns a slot whose record its owner must append again: one that is not on disk, or one of
-// the oldest segment when that is to be removed. It returns nil if there is none now. It returns no
-// more slots than the disk keeps up with: the owner calls it again after each Done.
+// Stale returns a slot whose record the caller must append again: one that is not on disk, or one of
+// the oldest segment when that is to be removed. It returns nil if there is none, or if the disk does
+// not keep up with the pending records: the caller calls it again after each Done.
 func (l *Log[T]) Stale() *Slot[T] {
 	if l.failed || l.closing || len(l.pending) > l.options.MaxPending/4 {
 		return nil
@@ -131,9 +132,10 @@
 	return nil
 }
 
-// oldestRemovable reports whether nobody needs the oldest segment any more: none of its records
-// counts, and the records that replaced them are synced. As the replacing records are not known one
-// by one, a barrier is set at the first call: all that was appended until then must be synced.
+// oldestRemovable reports whether the oldest segment can be removed: none of its records is live, and
+// the records that replaced them are synced. The log does not track which records those are, so it
+// sets a barrier when the segment first has no live record: all records appended until then must be
+// synced.
 func (l *Log[T]) oldestRemovable() bool {
 	if len(l.segments) < 2 || l.segments[0].first != nil || l.unwritten.first != nil {
 		return false
@@ -144,8 +146,8 @@
 	return l.syncedSeq >= l.barrierSeq || len(l.pending) == 0 && l.active.size == l.active.synced
 }
 
-// Close stops accepting records. What is pending is still written and synced by the operations that
-// Next returns, until Closed reports true.
+// Close stops the log from accepting records. Next returns the operations that write and sync the
+// pending records, until Closed reports true.
 func (l *Log[T]) Close() { l.closing = true }
 
 // Closed reports whether Close was called and nothing is left to do.
--- a/internal/journal/operations.go
+++ b/internal/journal/operations.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	maxSpareBytes     = 256 << 10 // a larger buffer is not kept for the next group
-	maxRetryDoublings = 10        // of Options.RetryDelay, below maxRetryDelay
+	maxSpareBytes     = 256 << 10 // a larger buffer is not kept for a later group
+	maxRetryDoublings = 10        // of Options.RetryDelay, within maxRetryDelay
 )
 
-// NextWake returns when Next is to be called, if no operation is running and nothing is appended
+// NextWake returns when Next must be called next if no operation is running and nothing is appended
 // before. ok is false if there is no such time.
 func (l *Log[T]) NextWake() (at time.Duration, ok bool) {
 	earliest := func(t time.Duration) {
@@ -39,8 +39,8 @@
 	return at, ok
 }
 
-// Next returns the operation to carry out now. Its result must be given to Done before Next returns
-// another one; until then, and if there is nothing to do, Next returns None.
+// Next returns the operation to perform now. Its result must be passed to Done before Next returns
+// another one; until then, and if there is nothing to do, Next returns an Op of kind None.
 func (l *Log[T]) Next(now time.Duration) Op {
 	if l.runningOp.Kind == None {
 		l.runningOp = l.nextOp(now)
@@ -65,7 +65,7 @@
 		l.pendingSlots.moveAll(&l.writingSlots)
 		l.writingSeq = l.lastSeq
 		return l.writePending()
-	case l.closing: // an empty frame says that everything before it was synced
+	case l.closing: // the final empty frame records that everything before it was synced
 		l.closed = true
 		l.pending = make([]byte, frameHeaderLen)
 		return l.writePending()
@@ -90,7 +90,7 @@
 		len(l.pending) > l.options.MaxPending/4 || l.closing)
 }
 
-// writePending makes the pending group a frame of the active segment.
+// writePending returns the operation that writes the pending group as a frame of the active segment.
 func (l *Log[T]) writePending() Op {
 	frame, g := l.pending, l.active
 	finishFrame(frame, l.id, g.number, g.size, g.synced)
@@ -98,8 +98,8 @@
 	return Op{Kind: Write, Segment: g.number, Offset: g.size, Data: frame}
 }
 
-// beginSegment plans the operations for a new segment. Its header names the segment before it and how
-// much of that is known to be synced.
+// beginSegment plans the operations for a new segment and returns the first. The segment's header
+// names the previous segment and how much of that is known to be synced.
 func (l *Log[T]) beginSegment() Op {
 	l.lastSegment++
 	h := segmentHeader{number: l.lastSegment, logID: l.id}
@@ -120,13 +120,13 @@
 	return l.segmentOps[0]
 }
 
-// Done gives the log the result of the operation that Next returned. Durable and Lost then tell which
-// records are durable and which never will be.
+// Done passes the result of the operation that Next returned to the log. Afterwards, Durable and Lost
+// return which records are durable and which are lost.
 func (l *Log[T]) Done(now time.Duration, err error) {
 	op := l.runningOp
 	l.runningOp = Op{}
 	if err != nil {
-		l.fail(now, op, err)
+		l.opFailed(now, op, err)
 		return
 	}
 	switch {
@@ -136,7 +136,7 @@
 		l.writeDone(now, op)
 	case op.Kind == Sync:
 		l.active.synced = l.active.size
-		l.syncedSeq, l.durableSeq, l.failures = l.writtenSeq, l.writtenSeq, 0
+		l.syncedSeq, l.durableSeq, l.consecutiveFailures = l.writtenSeq, l.writtenSeq, 0
 	case op.Kind == SyncDir:
 		l.dirUnsynced = false
 	case op.Kind == Remove:
@@ -153,10 +153,10 @@
 	l.writingSlots.moveAll(g)
 	l.writtenSeq = max(l.writtenSeq, l.writingSeq)
 	if l.options.SyncInterval > 0 {
-		l.durableSeq, l.failures = l.writtenSeq, 0
+		l.durableSeq, l.consecutiveFailures = l.writtenSeq, 0
 	}
 	if cap(op.Data) <= maxSpareBytes {
-		l.spare = op.Data
+		l.spareBuf = op.Data
 	}
 }
 
@@ -169,8 +169,8 @@
 	}
 }
 
-// segmentOpDone takes in one of the operations for a new segment. With the last of them the segment
-// becomes the active one, and a log that had failed accepts records again.
+// segmentOpDone handles the success of one of the operations for a new segment. After the last of them
+// the segment becomes the active one, and a log that had failed accepts records again.
 func (l *Log[T]) segmentOpDone(op Op) {
 	if op.Kind == Sync && op.Segment != l.lastSegment {
 		g := l.segments[len(l.segments)-1]
@@ -180,17 +180,18 @@
 	if l.segmentOps = l.segmentOps[1:]; len(l.segmentOps) == 0 {
 		l.active = &segment[T]{number: l.lastSegment, size: headerLen, synced: headerLen}
 		l.segments = append(l.segments, l.active)
-		l.failed, l.cause = false, nil
+		l.failed, l.lastErr = false, nil
 	}
 }
 
-// fail takes in an operation that failed. What a failed write or sync has left in its file is not
-// known, and a later sync that succeeds proves nothing about it, as the system may have dropped the
-// dirty pages. So what was not synced before counts as not on disk, although it may be.
-func (l *Log[T]) fail(now time.Duration, op Op, err error) {
-	l.cause = err
-	beginning := len(l.segmentOps) > 0
-	if !beginning && (op.Kind == Remove || op.Kind == SyncDir) { // harmless: the files only take room
+// opFailed handles an operation that failed. What a failed write or sync has left in its file is not
+// known, and a later sync that succeeds proves nothing about it, as the operating system may have
+// dropped the dirty pages. So data that was not synced before is treated as not on disk, although it
+// may be.
+func (l *Log[T]) opFailed(now time.Duration, op Op, err error) {
+	l.lastErr = err
+	beginningSegment := len(l.segmentOps) > 0
+	if !beginningSegment && (op.Kind == Remove || op.Kind == SyncDir) { // harmless: only disk space is not freed
 		l.removeAt = now + l.options.RetryDelay
 		return
 	}
@@ -199,9 +200,9 @@
 		g.syncFailed = true
 		g.moveFrom(&l.unwritten, l.syncedSeq+1)
 	}
-	if beginning && l.segmentOps[0].Segment != l.lastSegment {
+	if beginningSegment && l.segmentOps[0].Segment != l.lastSegment {
 		l.lastSegment-- // its file was not created
-	} else if beginning {
+	} else if beginningSegment {
 		l.orphans = append(l.orphans, l.lastSegment)
 	}
 	l.writingSlots.moveAll(&l.unwritten)
@@ -209,7 +210,7 @@
 	l.pending, l.segmentOps, l.active = nil, nil, nil
 	l.writtenSeq, l.lostSeq = l.syncedSeq, l.lastSeq
 	l.failed, l.barrierSet = true, false
-	l.failures++
+	l.consecutiveFailures++
 	retry := backoff.Exponential{Initial: l.options.RetryDelay, Max: maxRetryDelay}
-	l.retryAt = now + retry.Delay(min(l.failures-1, maxRetryDoublings))
+	l.retryAt = now + retry.Delay(min(l.consecutiveFailures-1, maxRetryDoublings))
 }
--- a/internal/journal/owner_test.go
+++ b/internal/journal/owner_test.go
@@ -17,10 +17,10 @@
 // testOptions make small segments and groups.
 var testOptions = journal.Options{SegmentBytes: 4 << 10, MaxPending: 2 << 10, RetryDelay: time.Second}
 
-// testLogID is the id of the tests' logs.
+// testLogID is the ID of the logs in these tests.
 const testLogID = 7
 
-// owner keeps numbered values by name in a log on a simulated disk, as users of the package do.
+// owner stores numbered values by name in a log on a simulated disk, as callers of the package do.
 type owner struct {
 	log    *journal.Log[string]
 	disk   *simdisk.Disk
@@ -29,7 +29,7 @@
 	values map[string]int // the last value of each name
 
 	pending []pendingValue
-	// durable has the newest durable value of each name that was not dropped: Recover must return it or a
+	// durable holds the newest durable value of each name that was not dropped: Recover must return it or a
 	// later one.
 	durable map[string]int
 }
@@ -41,7 +41,7 @@
 	value int
 }
 
-// openOwner returns an owner with what is on the disk.
+// openOwner returns an owner with the values that are recovered from the disk.
 func openOwner(disk *simdisk.Disk, options journal.Options, now time.Duration) (*owner, error) {
 	o := &owner{disk: disk, now: now, slots: map[string]*slot{}, values: map[string]int{}, durable: map[string]int{}}
 	var err error
@@ -77,7 +77,7 @@
 	return o.slots[name]
 }
 
-// encodeValue encodes a value, with padding whose length depends on it.
+// encodeValue encodes a record, with padding whose length depends on the value.
 func encodeValue(name string, value int) []byte {
 	return []byte(fmt.Sprintf("%s=%d%s", name, value, strings.Repeat(".", value*37%400)))
 }
@@ -90,8 +90,8 @@
 	}
 }
 
-// fill puts n values with names of their own, and calls after behind each.
-func (o *owner) fill(n int, after func()) {
+// putMany puts n values with distinct names, and calls after following each.
+func (o *owner) putMany(n int, after func()) {
 	for i := range n {
 		o.put("k"+strconv.Itoa(i), i+1)
 		after()
@@ -106,7 +106,7 @@
 	o.pending = slices.DeleteFunc(o.pending, func(p pendingValue) bool { return p.name == name })
 }
 
-// step carries out one operation, appends what the log asks for, and reports whether there was an operation.
+// step performs one operation, appends stale records again, and reports whether there was an operation.
 func (o *owner) step() bool {
 	op := o.log.Next(o.now)
 	if op.Kind != journal.None {
@@ -124,7 +124,7 @@
 	return op.Kind != journal.None
 }
 
-// settle carries out operations, and lets time pass, until there is nothing left to do.
+// settle performs operations, and advances the time, until there is nothing left to do.
 func (o *owner) settle() {
 	for range 10_000 {
 		if o.step() {
@@ -135,9 +135,9 @@
 			return
 		}
 		if at <= o.now {
-			panic("the log wants to be called now, and has nothing to do")
+			panic("NextWake returned the present time, but there is no operation")
 		}
 		o.now = at
 	}
-	panic("the log never settles")
+	panic("the log still has operations to do after 10,000 steps")
 }
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Loader returns the first bytes of a segment's file, at most limit of them.
+// Loader reads the first bytes of a segment's file, at most limit of them.
 type Loader func(segment uint64, limit int64) ([]byte, error)
 
-// Recover reads a log and continues it. Its first operations begin a new segment; segments that exist
-// are not written to again. segments are the numbers of the files that exist, in any order; load reads
-// one. restore is called with each record, in order, and returns the slot that the record is of, or
-// nil. A record is valid until restore returns. If there is no log, Recover begins one with the given
-// id.
+// Recover reads a log and returns a Log that continues it. The first operations of that begin a new
+// segment; existing segments are not written to again. segments are the numbers of the existing files,
+// in any order; load reads one. restore is called with each record, in order, and returns the slot
+// that the record belongs to, or nil. A record is valid until restore returns. If there is no log,
+// Recover begins one with the given id.
 //
-// No file is changed before Recover returns, nor if it fails: with an error of load or restore, a
-// CorruptError, or an error that wraps ErrForeign.
+// Recover itself changes no file. It returns an error of load or restore, a CorruptError, or an error
+// that wraps ErrForeign.
 func Recover[T any](options Options, id uint64, segments []uint64, load Loader,
 	restore func(record []byte) (*Slot[T], error)) (*Log[T], error) {
 	l := &Log[T]{options: options.withDefaults(), id: id}
@@ -36,11 +36,11 @@
 		l.id = chain[0].logID
 	}
 	for i, h := range chain {
-		mustHave := int64(headerLen)
+		minSynced := int64(headerLen)
 		if i+1 < len(chain) {
-			mustHave = max(mustHave, chain[i+1].previousSynced)
+			minSynced = max(minSynced, chain[i+1].previousSynced)
 		}
-		g, err := loadSegment(h, mustHave, load, restore)
+		g, err := loadSegment(h, minSynced, load, restore)
 		if err != nil {
 			return nil, err
 		}
@@ -48,23 +48,23 @@
 	}
 	l.dropEmptySegments()
 	l.findOrphans(segments)
-	// What a segment holds beyond the part known to be synced may exist in memory only, and a sync that
-	// succeeds now proves nothing if an earlier one failed: it is written again.
+	// Records beyond the part of a segment that is known to be synced may exist only in the page cache,
+	// and a sync that succeeds now proves nothing if an earlier one failed: they are appended again.
 	for _, g := range l.segments {
 		g.moveFrom(&l.unwritten, uint64(g.synced))
 	}
 	return l, nil
 }
 
-// dropEmptySegments forgets segments without frames at the end: their headers may never have been
-// synced.
+// dropEmptySegments removes trailing segments without frames from the list: their headers may never
+// have been synced.
 func (l *Log[T]) dropEmptySegments() {
 	for n := len(l.segments); n > 0 && l.segments[n-1].size == headerLen; n-- {
 		l.segments = l.segments[:n-1]
 	}
 }
 
-// findOrphans notes the files that are no part of the log, to remove them.
+// findOrphans lists the files that are not part of the log, so that they are removed.
 func (l *Log[T]) findOrphans(segments []uint64) {
 	for _, n := range segments {
 		used := func(g *segment[T]) bool { return g.number == n }
@@ -74,7 +74,7 @@
 	}
 }
 
-// loadHeaders reads the headers of segments. A file that ends within its header has none.
+// loadHeaders reads the headers of segments. A file with an incomplete header is left out.
 func loadHeaders(segments []uint64, load Loader) (map[uint64]segmentHeader, error) {
 	headers := map[uint64]segmentHeader{}
 	for _, n := range segments {
@@ -89,22 +89,22 @@
 		case !errors.Is(err, errIncomplete):
 			return nil, err
 		case len(b) > headerLen: // no frame is written before the header is synced
-			return nil, &CorruptError{n, 0, "invalid header with data behind it"}
+			return nil, &CorruptError{n, 0, "invalid header followed by data"}
 		}
 	}
 	return headers, nil
 }
 
-// loadSegment reads the frames of a segment, of which at least mustHave bytes had been synced.
-func loadSegment[T any](h segmentHeader, mustHave int64, load Loader,
+// loadSegment reads the frames of a segment, of which at least minSynced bytes had been synced.
+func loadSegment[T any](h segmentHeader, minSynced int64, load Loader,
 	restore func(record []byte) (*Slot[T], error)) (*segment[T], error) {
 	b, err := load(h.number, maxSegmentBytes)
 	if err != nil {
 		return nil, fmt.Errorf("journal: segment %d: %w", h.number, err)
 	}
-	g := &segment[T]{number: h.number, syncFailed: true} // whether a sync of it failed is not known
-	g.size, g.synced, err = scanFrames(b, h, mustHave, func(offset int64, payload []byte) error {
-		return eachRecord(payload, func(record []byte) error {
+	g := &segment[T]{number: h.number, syncFailed: true} // an earlier process may have had a failed sync
+	g.size, g.synced, err = scanFrames(b, h, minSynced, func(offset int64, payload []byte) error {
+		return forEachRecord(payload, func(record []byte) error {
 			s, err := restore(record)
 			if s.Drop(); s != nil && err == nil {
 				g.add(s, int64(len(record))+recordOverhead, uint64(offset))
@@ -119,8 +119,9 @@
 }
 
 // segmentChain returns the headers of the segments that are part of the log, the oldest first: the
-// last one that was begun and those that its header leads back to. A segment that was given up before
-// anything was written to it is skipped by the one after it.
+// newest segment with a header, and those that are reached through the previous fields. A segment that
+// was abandoned before a frame was written to it is not reached, as the next one refers to the segment
+// before it.
 func segmentChain(segments []uint64, headers map[uint64]segmentHeader) ([]segmentHeader, error) {
 	var chain []segmentHeader
 	for _, n := range slices.Backward(segments) {
@@ -142,7 +143,7 @@
 			break
 		}
 		if h.number >= last.number {
-			return nil, foreignError(last.number, "its header leads back to segment %d", h.number)
+			return nil, foreignError(last.number, "its header names segment %d as the previous one", h.number)
 		}
 		chain = append(chain, h)
 	}
@@ -150,15 +151,15 @@
 	return chain, checkLogID(chain)
 }
 
-// checkChainStart returns an error if the segment that the oldest one leads back to was lost, instead
-// of removed. Segments are removed in order, so an older one can't be there any more.
+// checkChainStart returns an error if the missing segment that the oldest one refers to was lost and
+// not removed by the log. The log removes segments in order, so no older one may exist.
 func checkChainStart(missing uint64, segments []uint64, headers map[uint64]segmentHeader) error {
 	if slices.Contains(segments, missing) {
-		return &CorruptError{missing, 0, "invalid header, and the segment was in use"}
+		return &CorruptError{missing, 0, "invalid header, although the segment was in use"}
 	}
 	for _, n := range segments {
 		if n < missing && headers[n].number == n {
-			return &CorruptError{missing, 0, fmt.Sprintf("it is missing, and the older segment %d exists", n)}
+			return &CorruptError{missing, 0, fmt.Sprintf("segment is missing, although the older segment %d exists", n)}
 		}
 	}
 	return nil
@@ -168,7 +169,7 @@
 func checkLogID(chain []segmentHeader) error {
 	for _, h := range chain {
 		if first := chain[0].logID; h.logID != first {
-			return foreignError(h.number, "it is of log %x, and those before it are of %x", h.logID, first)
+			return foreignError(h.number, "log ID is %x, that of the oldest segment is %x", h.logID, first)
 		}
 	}
 	return nil
--- a/internal/journal/recovery_test.go
+++ b/internal/journal/recovery_test.go
@@ -10,8 +10,8 @@
 	"pumicecroft/internal/simdisk"
 )
 
-// do carries out operations on a disk.
-func do(t *testing.T, disk *simdisk.Disk, ops ...journal.Op) {
+// applyOps performs operations on a disk.
+func applyOps(t *testing.T, disk *simdisk.Disk, ops ...journal.Op) {
 	t.Helper()
 	for _, op := range ops {
 		if err := disk.Do(op); err != nil {
@@ -20,69 +20,70 @@
 	}
 }
 
-// segmentsOf are the numbers of a disk's segments, in order, at least so many.
-func segmentsOf(t *testing.T, disk *simdisk.Disk, atLeast int) []uint64 {
+// sortedSegments returns the numbers of a disk's segments, and fails the test if there are fewer than atLeast.
+func sortedSegments(t *testing.T, disk *simdisk.Disk, atLeast int) []uint64 {
 	t.Helper()
 	segments := slices.Sorted(slices.Values(disk.List()))
 	if len(segments) < atLeast {
-		t.Fatalf("%d segments", len(segments))
+		t.Fatalf("%d segments, want at least %d", len(segments), atLeast)
 	}
 	return segments
 }
 
-// A crash cuts the only segment off, at each byte in turn. Recover must return all complete frames and no
-// error, and the log must go on from there.
-func TestRecover_EveryCut(t *testing.T) {
+// A crash truncates the only segment, at each byte in turn. Recover must return all complete frames and no
+// error, and the log must accept records again.
+func TestRecover_TruncatedAtEveryByte(t *testing.T) {
 	disk := simdisk.New()
 	o := newOwner(t, disk)
-	o.fill(12, func() { o.step() })
+	o.putMany(12, func() { o.step() })
 	whole := disk.Segment(1)
 	last := 0
 	for cut := range len(whole) + 1 {
 		torn := simdisk.New()
-		do(t, torn, journal.Op{Kind: journal.Create, Segment: 1, Data: whole[:cut]},
+		applyOps(t, torn, journal.Op{Kind: journal.Create, Segment: 1, Data: whole[:cut]},
 			journal.Op{Kind: journal.Sync, Segment: 1}, journal.Op{Kind: journal.SyncDir})
 		second, err := openOwner(torn, testOptions, 0)
 		if err != nil {
-			t.Fatalf("cut at %d of %d: %v", cut, len(whole), err)
+			t.Fatalf("truncated to %d of %d bytes: %v", cut, len(whole), err)
 		}
 		if len(second.values) < last {
-			t.Fatalf("cut at %d: %d records, and one byte less has %d", cut, len(second.values), last)
+			t.Fatalf("truncated to %d bytes: %d records, want at least the %d of one byte less", cut,
+				len(second.values), last)
 		}
 		last = len(second.values)
 		second.put("new", 1)
 		second.settle()
 		if third, err := openOwner(torn, testOptions, 0); err != nil || len(third.values) != last+1 {
-			t.Fatalf("cut at %d, opened again: %d records, %v", cut, len(third.values), err)
+			t.Fatalf("truncated to %d bytes, reopened: %d records, want %d, error %v", cut, len(third.values), last+1, err)
 		}
 	}
 	if last == 0 {
-		t.Fatal("nothing was read at all")
+		t.Fatal("no records were recovered from the whole segment")
 	}
 }
 
-// Each byte of a synced log is damaged in turn. Recover must return an error that names the segment and an
-// offset at or before the byte. Only damage to the last group can't be told from a crash, until the log is
+// Each byte of a synced log is corrupted in turn. Recover must return an error that names the segment and an
+// offset at or before the byte. Only damage to the last group can't be told from a crash, unless the log was
 // closed.
-func TestRecover_EveryDamagedByte(t *testing.T) {
+func TestRecover_EveryByteCorrupted(t *testing.T) {
 	for _, closed := range []bool{false, true} {
-		t.Run("closed "+strconv.FormatBool(closed), func(t *testing.T) { testEveryDamagedByte(t, closed) })
+		t.Run("closed "+strconv.FormatBool(closed), func(t *testing.T) { testEveryByteCorrupted(t, closed) })
 	}
 }
 
-func testEveryDamagedByte(t *testing.T, closed bool) {
+func testEveryByteCorrupted(t *testing.T, closed bool) {
 	const records = 30
 	disk := simdisk.New()
 	o := newOwner(t, disk)
-	o.fill(records, o.settle)
+	o.putMany(records, o.settle)
 	if closed {
 		o.log.Close()
 		o.settle()
 		if !o.log.Closed() {
-			t.Fatal("it does not close")
+			t.Fatal("Closed returned false after Close and all operations")
 		}
 	}
-	segments := segmentsOf(t, disk, 2)
+	segments := sortedSegments(t, disk, 2)
 	lastSegment := segments[len(segments)-1]
 	missed := 0
 	for _, n := range segments {
@@ -94,23 +95,24 @@
 			switch {
 			case errors.As(err, &corrupt):
 				if corrupt.Segment != n || corrupt.Offset > int64(offset) || !errors.Is(err, journal.ErrCorrupt) {
-					t.Fatalf("byte %d of segment %d: %v", offset, n, err)
+					t.Fatalf("corrupted byte %d of segment %d: error %v, want ErrCorrupt at or before the byte", offset, n, err)
 				}
 			case errors.Is(err, journal.ErrForeign): // its header names another log
 			case err != nil:
-				t.Fatalf("byte %d of segment %d: %v", offset, n, err)
+				t.Fatalf("corrupted byte %d of segment %d: error %v, want ErrCorrupt or ErrForeign", offset, n, err)
 			default:
 				missed++
 				if n != lastSegment || closed && len(next.values) < records || len(next.values) < records-1 {
-					t.Fatalf("byte %d of segment %d of %d: no error, and %d records", offset, n, len(segments), len(next.values))
+					t.Fatalf("corrupted byte %d of segment %d of %d: no error, and %d of %d records", offset, n,
+						len(segments), len(next.values), records)
 				}
 			}
 		}
 	}
-	t.Logf("%d bytes whose damage is taken for a cut", missed)
+	t.Logf("%d bytes whose corruption was taken for the effect of a crash", missed)
 }
 
-// foreignSegment is the first segment of another log.
+// foreignSegment returns the first segment of another log.
 func foreignSegment(t *testing.T) []byte {
 	t.Helper()
 	disk := simdisk.New()
@@ -125,13 +127,13 @@
 	return disk.Segment(1)
 }
 
-// Files are missing, of another log, or renamed. Recover must return an error; but a file that never became a
-// segment is removed, and its number not used again.
-func TestRecover_WrongFiles(t *testing.T) {
+// Segment files are missing, renamed, or belong to another log. Recover must return an error. Only a file whose
+// header was never completed is accepted: it is removed, and its number is not reused.
+func TestRecover_InvalidFileSet(t *testing.T) {
 	disk := simdisk.New()
 	o := newOwner(t, disk)
-	o.fill(60, o.settle)
-	segments := segmentsOf(t, disk, 3)
+	o.putMany(60, o.settle)
+	segments := sortedSegments(t, disk, 3)
 	unfinished := journal.Op{Kind: journal.Create, Segment: 99, Data: disk.Segment(1)[:20]}
 	for _, c := range []struct {
 		name string
@@ -149,46 +151,47 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			changed := disk.Clone()
-			do(t, changed, c.ops...)
+			applyOps(t, changed, c.ops...)
 			if _, err := openOwner(changed, testOptions, 0); !errors.Is(err, c.want) {
-				t.Errorf("%v, want %v", err, c.want)
+				t.Errorf("Recover returned error %v, want %v", err, c.want)
 			}
 		})
 	}
 	changed := disk.Clone()
-	do(t, changed, unfinished)
+	applyOps(t, changed, unfinished)
 	next, err := openOwner(changed, testOptions, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.settle()
 	if changed.Segment(99) != nil || changed.Segment(100) == nil {
-		t.Error("a file that never became a segment is kept, or its number is used again")
+		t.Errorf("segment 99, with an unfinished header, exists: %v, want false; its successor 100 exists: %v, want true",
+			changed.Segment(99) != nil, changed.Segment(100) != nil)
 	}
 }
 
-// Bytes that nobody wrote stand in two files. Recover must return an error or records, and the log must work.
+// Two segment files have arbitrary contents. Recover must return an error, or a log that accepts records.
 func FuzzRecover(f *testing.F) {
 	disk := simdisk.New()
 	o := newOwner(f, disk)
-	o.fill(5, o.settle)
+	o.putMany(5, o.settle)
 	f.Add(disk.Segment(1), disk.Segment(1)[:44])
 	f.Add(disk.Segment(1)[:44], []byte("\x70\x6a\x48\x31"))
 	f.Fuzz(func(t *testing.T, one, two []byte) {
 		disk := simdisk.New()
-		do(t, disk, journal.Op{Kind: journal.Create, Segment: 1, Data: one},
+		applyOps(t, disk, journal.Op{Kind: journal.Create, Segment: 1, Data: one},
 			journal.Op{Kind: journal.Create, Segment: 2, Data: two})
 		bytes := 0
 		restore := func(record []byte) (*slot, error) { bytes += len(record); return nil, nil }
 		log, err := journal.Recover(testOptions, testLogID, disk.List(), disk.Load, restore)
 		if err != nil {
 			if !errors.Is(err, journal.ErrCorrupt) && !errors.Is(err, journal.ErrForeign) {
-				t.Fatal(err)
+				t.Fatalf("Recover returned error %v, want ErrCorrupt or ErrForeign", err)
 			}
 			return
 		}
 		if bytes > len(one)+len(two) {
-			t.Fatalf("%d bytes of records in %d", bytes, len(one)+len(two))
+			t.Fatalf("recovered %d bytes of records from %d bytes of files", bytes, len(one)+len(two))
 		}
 		for range 100 {
 			if op := log.Next(0); op.Kind != journal.None {
--- a/internal/journal/slot.go
+++ b/internal/journal/slot.go
@@ -1,12 +1,12 @@
 package journal
 
-// recordOverhead is what a record is taken to cost beside its bytes.
+// recordOverhead is the estimated size in bytes that a record takes in addition to its data.
 const recordOverhead = 4
 
-// Slot is the owner of records, of which the last one counts. Its zero value has none. It must not be
-// copied while it has a record.
+// Slot tracks the live record of one of the caller's items: the last one that was appended for it.
+// Its zero value has no record. It must not be copied while it has a record.
 type Slot[T any] struct {
-	Value      T // for the owner's use
+	Value      T // for the caller's use
 	segment    *segment[T]
 	size       int64
 	seq        uint64 // number of its record; after Recover, offset of the record's frame
@@ -16,21 +16,22 @@
 // HasRecord reports whether the slot has a record, written or pending.
 func (s *Slot[T]) HasRecord() bool { return s.segment != nil }
 
-// Drop says that the slot's record does not count any more. Recover may return it all the same. A nil
-// Slot is ignored.
+// Drop marks the slot's record as garbage. Recover may still read it. Drop does nothing for a nil
+// Slot.
 func (s *Slot[T]) Drop() {
 	if s != nil && s.segment != nil {
 		s.segment.remove(s)
 	}
 }
 
-// segment is one file, with a list of the slots whose records are in it, in the order of the records.
+// segment is one file, with a list of the slots whose live records are in it, in the order of the
+// records.
 type segment[T any] struct {
-	number      uint64 // 0: a list of slots that is not on disk
+	number      uint64 // 0: a list of slots whose records are in no file
 	size        int64
 	synced      int64
-	syncFailed  bool  // a later sync that succeeds proves nothing
-	liveBytes   int64 // of records that count
+	syncFailed  bool // a later sync that succeeds proves nothing
+	liveBytes   int64
 	first, last *Slot[T]
 }
 
@@ -69,7 +70,7 @@
 	}
 }
 
-// moveFrom moves the slots from seq on to a segment that keeps no order, without their numbers.
+// moveFrom moves the slots with numbers from seq on to an unordered segment, and clears their numbers.
 func (g *segment[T]) moveFrom(to *segment[T], seq uint64) {
 	for s := g.last; s != nil && s.seq >= seq; s = g.last {
 		size := s.size
--- a/internal/loadreport/readings.go
+++ b/internal/loadreport/readings.go
@@ -1,5 +1,6 @@
-// Package loadreport reads what backends tell beside their answers: a customer's use and their own load, in the platform's
-// forms, over whatever protocol. What makes no sense says nothing. It is pure.
+// Package loadreport parses what backends report along with their responses, in the platform's formats
+// and independent of the protocol: a customer's usage of its rate and the backend's own load. Invalid
+// reports are ignored. The package is pure.
 package loadreport
 
 import (
@@ -9,50 +10,53 @@
 )
 
 const (
-	maxUse  = 10_000 // percent; a figure over it is no customer's use
-	maxLoad = 1e300  // over any figure that a report could hold
+	maxUsagePercent = 10_000 // a higher usage is implausible and ignored
+	maxLoadValue    = 1e300  // above any plausible value; a report with a higher one is ignored
 )
 
-// Reader reads reports of the columns that it was made for. It is safe for concurrent use.
-type Reader struct{ columns, other []string }
+// Reader parses reports with a given set of load columns. It is safe for concurrent use.
+type Reader struct{ columns, aliases []string }
 
-// columnNames are the names that the protocol page's example has for the settings' load figures. Backends may use either.
-var columnNames = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util",
+// columnAliases maps the column names of the settings to those of the example on the protocol page.
+// Backends may use either.
+var columnAliases = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util",
 	"mean_ms": "latency_ms", "tps": "qps", "err_ps": "eps"}
 
-// New makes one for the settings' names of load figures; none: there are no load reports.
+// New returns a Reader for the load columns that the settings name. Without columns, there are no load
+// reports.
 func New(loadColumns []string) Reader {
 	var r Reader
 	for _, name := range loadColumns {
-		r.columns, r.other = append(r.columns, name), append(r.other, columnNames[name])
+		r.columns, r.aliases = append(r.columns, name), append(r.aliases, columnAliases[name])
 	}
 	return r
 }
 
-// HasLoad tells whether there are load reports.
+// HasLoad reports whether the settings name load columns.
 func (r Reader) HasLoad() bool { return len(r.columns) > 0 }
 
-// Use reads a customer's use, in percent of its rate.
+// Use parses a customer's usage, in percent of its rate.
 func (r Reader) Use(text string) (percent float64, ok bool) {
 	v, err := strconv.ParseFloat(text, 64)
-	return v, err == nil && v >= 0 && v <= maxUse
+	return v, err == nil && v >= 0 && v <= maxUsagePercent
 }
 
-// Load reads a report such as "queue=2,qps=31"; nil if it does not hold all that the settings name.
+// Load parses a load report such as "queue=2,qps=31". It returns the values in the order of the
+// columns, or nil if the report is invalid or lacks a column.
 func (r Reader) Load(text string) []float64 {
 	if text == "" || len(r.columns) == 0 {
 		return nil
 	}
 	load := make([]float64, len(r.columns))
 	for i := range load {
-		load[i] = -1 // none yet
+		load[i] = -1 // not read yet
 	}
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		for i, column := range r.columns {
-			if name == column || name == r.other[i] && name != "" {
+			if name == column || name == r.aliases[i] && name != "" {
 				v, err := strconv.ParseFloat(value, 64)
-				if err != nil || !(v >= 0) || v > maxLoad || load[i] >= 0 {
+				if err != nil || !(v >= 0) || v > maxLoadValue || load[i] >= 0 {
 					return nil
 				}
 				load[i] = v
--- a/internal/logfile/dir.go
+++ b/internal/logfile/dir.go
@@ -32,7 +32,7 @@
 	openFile   *os.File // nil: no segment is open
 }
 
-// OpenDir takes a directory for this process and creates it if it does not exist. The error wraps
+// OpenDir locks a directory for this process and creates it if it does not exist. The error wraps
 // ErrInUse if another process holds it.
 func OpenDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
@@ -68,8 +68,8 @@
 	return numbers, nil
 }
 
-// Load reads a segment's first bytes, at most maxBytes of them. A file that is truncated meanwhile is
-// read as far as it goes.
+// Load reads a segment's first bytes, at most maxBytes of them. If the file is truncated during the
+// read, Load returns the bytes that were read.
 func (d *Dir) Load(number uint64, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(d.segmentPath(number))
 	if err != nil {
@@ -122,7 +122,7 @@
 	return err
 }
 
-// removeSegment removes a segment. One that does not exist is no error.
+// removeSegment removes a segment, if it exists.
 func (d *Dir) removeSegment(number uint64) error {
 	err := os.Remove(d.segmentPath(number))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -139,9 +139,9 @@
 	return cmp.Or(f.Sync(), f.Close())
 }
 
-// openSegment has a segment's file open. The descriptor is kept until another segment is wanted:
-// the kernel reports a failed write-back once per descriptor, so a descriptor that is opened later
-// would never show it and lost data would count as synced.
+// openSegment opens a segment's file, if it is not open already. The descriptor is kept until another
+// segment is opened: the kernel reports a failed write-back once per descriptor, so a descriptor that
+// is opened later would not report it, and lost data would be treated as synced.
 func (d *Dir) openSegment(number uint64) error {
 	if d.openFile != nil && d.openNumber == number {
 		return nil
--- a/internal/logfile/runner.go
+++ b/internal/logfile/runner.go
@@ -9,8 +9,8 @@
 	"pumicecroft/internal/journal"
 )
 
-// Runner performs a log's operations in a goroutine of its own, while others append to the log under
-// the lock that they share with it. It never touches files while it holds that lock.
+// Runner performs a log's operations in a separate goroutine, while other goroutines append to the log
+// under a shared lock. It performs no file operation while it holds that lock.
 type Runner[T any] struct {
 	mu         sync.Locker
 	log        *journal.Log[T]
@@ -21,9 +21,9 @@
 	done       chan struct{}
 }
 
-// Run starts a runner. onProgress is called with the lock held after each operation, and whenever the
-// log wakes by itself: there the owner learns what is durable or lost, and appends what is stale.
-// clock is the log's.
+// Run starts a Runner. onProgress is called with the lock held after each operation and whenever the
+// runner wakes up: it is where the caller checks which records are durable or lost, and appends stale
+// records again. clock returns the log's time.
 func Run[T any](
 	mu sync.Locker,
 	log *journal.Log[T],
@@ -44,7 +44,7 @@
 	return r
 }
 
-// Wake tells the runner that something was appended. It does not block.
+// Wake tells the runner that a record was appended. It does not block.
 func (r *Runner[T]) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -52,12 +52,12 @@
 	}
 }
 
-// step is what the log wants done next.
+// step is the next action of the runner.
 type step struct {
 	op     journal.Op
 	wakeAt time.Duration
-	wakes  bool // the log has something to do at wakeAt, whether or not anything is appended
-	closed bool // the log was closed and everything is done
+	wakes  bool // the log has an operation to do at wakeAt, even if nothing is appended
+	closed bool // the log was closed and all its operations are done
 }
 
 func (r *Runner[T]) run() {
@@ -100,9 +100,10 @@
 	r.log.Done(r.clock(), err)
 }
 
-// Close has the log write and sync what it holds, then releases the store. The lock must not be held.
-// The error says that something was not written. If ctx ends first, because the disk hangs, the error
-// is ctx's cause, and the store is left to the operation that is under way.
+// Close writes and syncs the pending records of the log, then closes the store. The caller must not
+// hold the lock. An error means that records may not have been written. If ctx ends first, as when the
+// disk hangs, the error is the cause of ctx, and the store is not closed, because an operation on it
+// may still be running.
 func (r *Runner[T]) Close(ctx context.Context) error {
 	r.mu.Lock()
 	r.log.Close()
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,6 +1,6 @@
-// Package settings reads TOML files key by key, such as an operator's file or an experiment's. All
-// problems of a file are found in one go, and name its keys and lines. A key that the program does
-// not read is a problem, as it may be misspelt. The package reads text: files are the caller's.
+// Package settings decodes TOML documents key by key, such as an operator's file or an experiment's.
+// It collects all problems of a document, each with its key and line. A key that the program does not
+// read is a problem, as it may be misspelt. The caller reads the files.
 package settings
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem is one error in a document.
 type Problem struct {
 	Line    int    // from 1; 0: unknown
-	Key     string // such as plan[1].rate, with entries of lists from 0; empty if the text is no TOML
+	Key     string // such as plan[1].rate, with list indexes from 0; empty if the text is not valid TOML
 	Message string
 }
 
-// Error returns the problem in a line.
+// Error returns the problem as one line of text.
 func (p Problem) Error() string {
 	if p.Key == "" {
 		return fmt.Sprintf("line %d: %s", p.Line, p.Message)
@@ -28,10 +28,10 @@
 	return fmt.Sprintf("line %d: %s: %s", p.Line, p.Key, p.Message)
 }
 
-// Problems are all things that are wrong with a file, by line.
+// Problems holds all errors in a document, ordered by line.
 type Problems []Problem
 
-// Error returns the problems, a line each.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -40,7 +40,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Document is a file that is read key by key. It collects problems.
+// Document is a parsed TOML document that is read key by key. It collects problems.
 type Document struct {
 	Root map[string]any
 
@@ -48,7 +48,7 @@
 	problems Problems
 }
 
-// Parse reads a file's text. The error, a Problems, says that it is no TOML.
+// Parse parses the text of a document. If it is not valid TOML, the error is of type Problems.
 func Parse(text []byte) (*Document, error) {
 	d := &Document{Root: map[string]any{}, lines: map[string]int{}}
 	if err := toml.Unmarshal(text, &d.Root); err != nil {
@@ -62,12 +62,12 @@
 	return d, nil
 }
 
-// index notes the line of each key and table. The text is valid TOML.
+// index records the line of each key and table. The text must be valid TOML.
 func (d *Document) index(text []byte) {
 	var parser unstable.Parser
 	parser.Reset(text)
 	table := ""
-	counts := map[string]int{} // entries of lists of tables, by path
+	counts := map[string]int{} // number of entries of each list of tables, by path
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		key, line := keyOf(&parser, expression)
@@ -85,7 +85,7 @@
 	}
 }
 
-// keyOf returns the parts of an expression's key, and the line where it stands.
+// keyOf returns the parts of an expression's key, and its line.
 func keyOf(parser *unstable.Parser, expression *unstable.Node) (parts []string, line int) {
 	for k := expression.Key(); k.Next(); {
 		node := k.Node()
@@ -97,7 +97,7 @@
 	return parts, line
 }
 
-// indexedPath returns the path of a table. A part that names a list of tables means its last entry.
+// indexedPath returns the path of a table. A part that names a list of tables stands for the list's last entry.
 func indexedPath(key []string, counts map[string]int) string {
 	path := ""
 	for _, part := range key {
@@ -123,7 +123,7 @@
 	return table + "." + key
 }
 
-// Problemf adds a problem with a key of a table. If the key is not there, it has the table's line.
+// Problemf adds a problem with a key of a table. If the key is missing, the problem has the table's line.
 func (d *Document) Problemf(table, key, format string, args ...any) {
 	path := Join(table, key)
 	line, ok := d.lines[path]
@@ -136,13 +136,13 @@
 // AddProblem adds a problem whose line is known.
 func (d *Document) AddProblem(p Problem) { d.problems = append(d.problems, p) }
 
-// Line returns where a key or table stands, from 1; 0 means that it is not there.
+// Line returns the line of a key or table, from 1; 0 if it is missing.
 func (d *Document) Line(path string) int { return d.lines[path] }
 
-// SetLine sets where a key stands that was added to Root.
+// SetLine sets the line of a key that the caller has added to Root.
 func (d *Document) SetLine(path string, line int) { d.lines[path] = line }
 
-// Err returns all problems by line, as Problems, or nil.
+// Err returns all problems, ordered by line, as Problems; nil if there are none.
 func (d *Document) Err() error {
 	if len(d.problems) == 0 {
 		return nil
--- a/internal/settings/section.go
+++ b/internal/settings/section.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Section is one table of a Document. Its methods that read a key note a problem if the value is
-// invalid, and return the default then.
+// Section is one table of a Document. Its methods that read a key add a problem to the document if
+// the value is invalid; those with a defaultValue then return it.
 type Section struct {
 	Path string
-	Keys map[string]any // nil: the table is not there
+	Keys map[string]any // nil: the table is missing
 
 	document *Document
 	known    map[string]bool // keys that were read
@@ -24,10 +24,10 @@
 	return &Section{Path: path, Keys: keys, document: d, known: map[string]bool{}}
 }
 
-// Top returns the document's own table.
+// Top returns the document's root table.
 func (d *Document) Top() *Section { return d.section("", d.Root) }
 
-// Line returns where the table stands, from 1; 0 means that it is not there.
+// Line returns the line of the table, from 1; 0 if it is missing.
 func (s *Section) Line() int { return s.document.lines[s.Path] }
 
 // Problemf adds a problem with a key of the table.
@@ -35,7 +35,7 @@
 	s.document.Problemf(s.Path, key, format, args...)
 }
 
-// Table returns a table below this one. Its Keys are nil if it is not there.
+// Table returns a subtable of this table. Its Keys are nil if it is missing.
 func (s *Section) Table(name string) *Section {
 	value, ok := s.Get(name)
 	keys, isTable := value.(map[string]any)
@@ -45,7 +45,7 @@
 	return s.document.section(Join(s.Path, name), keys)
 }
 
-// List returns the tables of a list.
+// List returns the tables of a list of tables; nil if it is missing.
 func (s *Section) List(name string) []*Section {
 	value, ok := s.Get(name)
 	if !ok {
@@ -65,7 +65,7 @@
 	return tables
 }
 
-// RejectUnknownKeys notes a problem for each key that was not read.
+// RejectUnknownKeys adds a problem for each key that was not read.
 func (s *Section) RejectUnknownKeys() {
 	for key := range s.Keys {
 		if !s.known[key] {
@@ -74,14 +74,15 @@
 	}
 }
 
-// Get returns a value as it stands, and whether it is there.
+// Get returns the decoded value of a key, and whether the key is present.
 func (s *Section) Get(key string) (any, bool) {
 	s.known[key] = true
 	value, ok := s.Keys[key]
 	return value, ok
 }
 
-// Text returns a text, by default an empty one. If it is required, it has to be there and not empty.
+// Text returns a string, which is empty if the key is missing. A required string must be present and
+// not empty.
 func (s *Section) Text(key string, required bool) string {
 	value, ok := s.Get(key)
 	text, isText := value.(string)
@@ -96,7 +97,7 @@
 	return text
 }
 
-// Texts returns a list of texts that are not empty; nil means that there is none.
+// Texts returns a list of strings, none of which may be empty; nil if the key is missing.
 func (s *Section) Texts(key string) []string {
 	value, ok := s.Get(key)
 	if !ok {
@@ -116,7 +117,8 @@
 	return texts
 }
 
-// OneOf returns the index of a text among names.
+// OneOf returns the index in names of a string that must be one of them. It returns the index of
+// defaultName if the key is missing, and 0 if the value is invalid.
 func (s *Section) OneOf(key, defaultName string, names ...string) int {
 	value, ok := s.Get(key)
 	if !ok {
@@ -130,7 +132,7 @@
 	return max(0, i)
 }
 
-// Float returns a number from minValue to maxValue.
+// Float returns a number between minValue and maxValue.
 func (s *Section) Float(key string, defaultValue, minValue, maxValue float64) float64 {
 	value, ok := s.Get(key)
 	if !ok {
@@ -151,7 +153,7 @@
 	return defaultValue
 }
 
-// Int returns a whole number from minValue to maxValue.
+// Int returns an integer between minValue and maxValue.
 func (s *Section) Int(key string, defaultValue, minValue, maxValue int) int {
 	value, ok := s.Get(key)
 	if !ok {
@@ -169,7 +171,7 @@
 	return defaultValue
 }
 
-// Ints returns a list of whole numbers; nil means that there is none.
+// Ints returns a list of integers; nil if the key is missing.
 func (s *Section) Ints(key string) (numbers []int) {
 	value, ok := s.Get(key)
 	if !ok {
@@ -188,7 +190,7 @@
 	return numbers
 }
 
-// Duration returns a duration such as "250ms", from minValue to maxValue.
+// Duration returns a duration such as "250ms", between minValue and maxValue.
 func (s *Section) Duration(key string, defaultValue, minValue, maxValue time.Duration) time.Duration {
 	value, ok := s.Get(key)
 	if !ok {
@@ -207,7 +209,7 @@
 	return defaultValue
 }
 
-// Bool returns true or false.
+// Bool returns a boolean.
 func (s *Section) Bool(key string, defaultValue bool) bool {
 	value, ok := s.Get(key)
 	if !ok {
@@ -221,7 +223,7 @@
 	return b
 }
 
-// describeType says what a value is, for problems.
+// describeType returns the type of a value for messages.
 func describeType(value any) string {
 	switch value.(type) {
 	case string:
@@ -240,7 +242,7 @@
 	return "a date or time"
 }
 
-// formatValue returns a value as it is written in a file.
+// formatValue formats a value for messages; strings are quoted.
 func formatValue(value any) string {
 	if text, ok := value.(string); ok {
 		return strconv.Quote(text)
@@ -248,7 +250,7 @@
 	return fmt.Sprint(value)
 }
 
-// formatBound returns a bound of a number.
+// formatBound formats a bound of a number for messages.
 func formatBound(bound float64) string {
 	if bound == math.MaxFloat64 {
 		return "any number"
--- a/internal/simdisk/simdisk.go
+++ b/internal/simdisk/simdisk.go
@@ -1,7 +1,7 @@
-// Package simdisk is a disk in memory that loses what disks lose: after a crash, what was not
-// synced is there or not, sector by sector; an operation may fail, and a sync that failed leaves
-// its data unsynced for good, whatever later ones report. It carries out package journal's
-// operations. It is pure: randomness is the caller's, and there is one caller at a time.
+// Package simdisk simulates a disk in memory, with its faults. After a crash, each sector that was
+// not synced is lost or kept at random. Operations may fail, and a failed sync leaves its data
+// unsynced for good, whatever later syncs report. A Disk performs the operations of package journal.
+// It is pure: the caller provides the randomness and serializes all calls.
 package simdisk
 
 import (
@@ -13,21 +13,21 @@
 	"pumicecroft/internal/journal"
 )
 
-// Sector is how many bytes a disk writes as a whole or not at all.
+// Sector is the number of bytes that a disk writes atomically.
 const Sector = 512
 
-// How operations end.
+// Errors of operations.
 var (
 	ErrFull             = errors.New("no space left on the disk")
 	ErrIO               = errors.New("input/output error")
-	errInvalidOperation = errors.New("simdisk: the operation does not fit what is there")
+	errInvalidOperation = errors.New("simdisk: operation does not match the state of its file")
 )
 
-// file is one segment's file.
+// file is the file of one segment.
 type file struct {
 	content    []byte
-	synced     []byte // what of content survives a crash for sure
-	syncFailed bool   // no later sync makes more of it durable
+	synced     []byte // the part of content that is certain to survive a crash
+	syncFailed bool   // later syncs make no more of it durable
 	nameSynced bool   // its directory entry survives a crash
 }
 
@@ -37,24 +37,24 @@
 	return &c
 }
 
-// Disk is one directory of segments' files.
+// Disk is a directory of segment files.
 type Disk struct {
-	// Capacity is in bytes; 0: without a bound.
+	// Capacity is the size of the disk in bytes; 0: unlimited.
 	Capacity int
-	// Fault is called before each operation, and may give the error that it ends with; nil: none
-	// fails.
+	// Fault is called before each operation and may return an error for the operation to fail with.
+	// nil: no operation fails.
 	Fault func(journal.Op) error
-	// PartialWrite tells how many of n bytes a failed write leaves in its file; nil: all.
+	// PartialWrite returns how many of n bytes a failed write leaves in its file; nil: all.
 	PartialWrite func(n int) int
 
 	files   map[uint64]*file
-	removed map[uint64]*file // may be back after a crash, as their removal is not synced
+	removed map[uint64]*file // may reappear after a crash, as their removal was not synced
 }
 
-// New makes an empty disk.
+// New returns an empty disk.
 func New() *Disk { return &Disk{files: map[uint64]*file{}, removed: map[uint64]*file{}} }
 
-// List gives the numbers of the segments that are there, in no order.
+// List returns the numbers of the existing segments, in no particular order.
 func (d *Disk) List() (numbers []uint64) {
 	for n := range d.files {
 		numbers = append(numbers, n)
@@ -62,16 +62,16 @@
 	return numbers
 }
 
-// Load reads the first bytes of a segment, most of them at most.
-func (d *Disk) Load(number uint64, most int64) ([]byte, error) {
+// Load reads the first bytes of a segment, at most limit of them.
+func (d *Disk) Load(number uint64, limit int64) ([]byte, error) {
 	f := d.files[number]
 	if f == nil {
 		return nil, errInvalidOperation
 	}
-	return append([]byte(nil), f.content[:min(int64(len(f.content)), most)]...), nil
+	return append([]byte(nil), f.content[:min(int64(len(f.content)), limit)]...), nil
 }
 
-// Bytes is the size of all files.
+// Bytes returns the total size of all files.
 func (d *Disk) Bytes() (n int) {
 	for _, f := range d.files {
 		n += len(f.content)
@@ -79,7 +79,7 @@
 	return n
 }
 
-// Do carries out an operation. A write that fails may leave a part of its data.
+// Do performs an operation. A failed write may leave a part of its data in the file.
 func (d *Disk) Do(op journal.Op) error {
 	var err error
 	if d.Fault != nil {
@@ -128,19 +128,20 @@
 	return err
 }
 
-// write appends to a file, as far as there is room. err is the fault that it ends with.
-func (d *Disk) write(f *file, at int64, data []byte, err error) error {
-	if room := d.Capacity - d.Bytes(); err == nil && d.Capacity > 0 && len(data) > room {
-		data, err = data[:max(0, room)], ErrFull
+// write writes data at the end of a file, as far as the capacity allows. err is the injected fault
+// that it returns, if any.
+func (d *Disk) write(f *file, offset int64, data []byte, err error) error {
+	if free := d.Capacity - d.Bytes(); err == nil && d.Capacity > 0 && len(data) > free {
+		data, err = data[:max(0, free)], ErrFull
 	} else if err != nil && d.PartialWrite != nil {
 		data = data[:d.PartialWrite(len(data))]
 	}
-	f.content = append(f.content[:at], data...)
+	f.content = append(f.content[:offset], data...)
 	return err
 }
 
-// Crash stops the machine: what was not synced is there or not, as rng has it. What is left is
-// synced.
+// Crash simulates a crash of the machine: data that was not synced is lost or kept at random. The
+// remaining data is synced.
 func (d *Disk) Crash(rng *rand.Rand) {
 	for _, n := range sortedNumbers(d.removed) {
 		if f := d.removed[n]; rng.IntN(2) == 0 {
@@ -160,18 +161,18 @@
 		}
 		kept := make([]byte, length)
 		copy(kept, f.synced)
-		odds := rng.IntN(4) // a few sectors, or most
-		for at := len(f.synced) / Sector * Sector; at < length; at += Sector {
+		odds := rng.IntN(4) // from a quarter of the sectors to all are kept
+		for offset := len(f.synced) / Sector * Sector; offset < length; offset += Sector {
 			if rng.IntN(4) <= odds {
-				from := max(at, len(f.synced)) // what was synced is not written anew
-				copy(kept[from:min(at+Sector, length)], f.content[from:])
+				from := max(offset, len(f.synced)) // the synced part of the sector stays as it is
+				copy(kept[from:min(offset+Sector, length)], f.content[from:])
 			}
 		}
 		d.files[n] = &file{content: kept, synced: append([]byte(nil), kept...), nameSynced: true}
 	}
 }
 
-// Clone makes another disk with the same files, without faults.
+// Clone returns a copy of the disk's files, without its capacity and faults.
 func (d *Disk) Clone() *Disk {
 	c := New()
 	for n, f := range d.files {
@@ -183,17 +184,18 @@
 	return c
 }
 
-// Corrupt changes a byte of a segment, and tells whether there is one to change.
-func (d *Disk) Corrupt(number uint64, at int64, by byte) bool {
+// Corrupt flips the bits of mask in a byte of a segment. It reports whether the byte exists and mask
+// is not 0.
+func (d *Disk) Corrupt(number uint64, offset int64, mask byte) bool {
 	f := d.files[number]
-	if f == nil || at >= int64(len(f.content)) || by == 0 {
+	if f == nil || offset >= int64(len(f.content)) || mask == 0 {
 		return false
 	}
-	f.content[at] ^= by
+	f.content[offset] ^= mask
 	return true
 }
 
-// Segment gives the content of a segment's file, which must not be changed; nil: there is none.
+// Segment returns the content of a segment's file, which must not be modified; nil if there is none.
 func (d *Disk) Segment(number uint64) []byte {
 	if f := d.files[number]; f != nil {
 		return f.content
--- a/internal/snapshotfile/snapshotfile.go
+++ b/internal/snapshotfile/snapshotfile.go
@@ -1,6 +1,6 @@
-// Package snapshotfile stores a gateway's snapshot of its decisions in a directory that outlives the
-// process: one file per gateway index, replaced as a whole, with a lock so that two processes of one
-// index never write it in turn. It does not interpret the contents: that is package recovery's job.
+// Package snapshotfile stores the snapshots of a gateway's decisions in a directory that outlives the
+// process. Each gateway index has one file, which is replaced atomically and locked so that only one
+// process writes it. The package does not interpret the contents; package recovery does.
 package snapshotfile
 
 import (
@@ -29,15 +29,15 @@
 	return filepath.Join(dir, prefix+strconv.Itoa(index)+suffix)
 }
 
-// File is a gateway's snapshot, held by this process until Close. Its methods may be called from one
-// goroutine at a time, and block for as long as the file system takes.
+// File is a gateway's snapshot file, locked by this process until Close. Its methods may be called
+// from one goroutine at a time, and block for as long as the file system takes.
 type File struct {
 	path string
 	lock *atomicfile.Lock
 }
 
-// Open takes a gateway's snapshot in a directory that exists. The error wraps ErrInUse if another
-// process holds it.
+// Open locks a gateway's snapshot file. The directory must exist. The error wraps ErrInUse if another
+// process holds the lock.
 func Open(dir string, index int) (*File, error) {
 	path := Path(dir, index)
 	lock, err := atomicfile.TryLock(path + ".lock")
@@ -50,11 +50,10 @@
 	return &File{path: path, lock: lock}, nil
 }
 
-// Read returns what was written last. The error is fs.ErrNotExist if nothing ever was.
+// Read returns the snapshot. The error wraps fs.ErrNotExist if none was ever written.
 func (f *File) Read() ([]byte, error) { return Read(f.path) }
 
-// Read returns the contents of a snapshot file, which another process may hold. The error names the
-// file.
+// Read returns the contents of a snapshot file. It needs no lock. The error names the file.
 func Read(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -63,7 +62,7 @@
 	defer f.Close() //nolint:errcheck // it was only read
 	text, err := io.ReadAll(io.LimitReader(f, MaxFileBytes+1))
 	if err == nil && len(text) > MaxFileBytes {
-		err = fmt.Errorf("it has more than %d bytes", MaxFileBytes)
+		err = fmt.Errorf("file is larger than %d bytes", MaxFileBytes)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -71,17 +70,17 @@
 	return text, nil
 }
 
-// Write replaces the snapshot. If it fails, the earlier one stays. The data is not synced, as a
-// snapshot is written every second and a restarted machine can do without it: after a crash of the
-// machine the file may be torn, which the checksum inside the snapshot shows.
+// Write replaces the snapshot. If it fails, the previous one stays. The data is not synced, as a
+// snapshot is written every second and is not needed after a restart of the machine. After a crash of
+// the machine the file may be incomplete, which the checksum in the snapshot detects.
 func (f *File) Write(text []byte) error {
 	return atomicfile.Replace(f.path, text, atomicfile.Options{TempPattern: ".decisions-*"})
 }
 
-// Close lets another process take the snapshot.
+// Close releases the lock, so that another process can open the snapshot file.
 func (f *File) Close() error { return f.lock.Close() }
 
-// List returns the snapshot files in a directory by the index of their gateway.
+// List returns the paths of the snapshot files in a directory, by gateway index.
 func List(dir string) (map[int]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/snapshotfile/snapshotfile_test.go
+++ b/internal/snapshotfile/snapshotfile_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// A snapshot file is held by one process at a time, is replaced as a whole whatever fails, and is found again.
+// A snapshot file must be held by one process at a time, keep its contents when a write fails, and be listed.
 func TestFile_OpenWriteRead(t *testing.T) {
 	dir := t.TempDir()
 	f, err := Open(dir, 3)
@@ -17,18 +17,18 @@
 		t.Fatal(err)
 	}
 	if _, err := f.Read(); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("before the first write: %v", err)
+		t.Errorf("Read before the first write: %v, want %v", err, fs.ErrNotExist)
 	}
 	for _, text := range []string{"one", "two"} {
 		if err := f.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
 		if got, err := f.Read(); string(got) != text || err != nil {
-			t.Errorf("%q, %v", got, err)
+			t.Errorf("Read returned %q, %v, want %q", got, err, text)
 		}
 	}
 	if _, err := Open(dir, 3); !errors.Is(err, ErrInUse) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second Open: %v, want %v", err, ErrInUse)
 	}
 	other, err := Open(dir, 4)
 	if err != nil {
@@ -39,34 +39,34 @@
 		t.Fatal(err)
 	}
 	if f, err = Open(dir, 3); err != nil {
-		t.Fatalf("after the first was closed: %v", err)
+		t.Fatalf("Open after the first file was closed: %v", err)
 	}
 	closeAtEnd(t, f)
 	if got, err := f.Read(); string(got) != "two" || err != nil {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("Read after reopening returned %q, %v, want %q", got, err, "two")
 	}
 	if found, err := List(dir); err != nil || !maps.Equal(found, map[int]string{3: Path(dir, 3)}) {
-		t.Errorf("%v, %v", found, err)
+		t.Errorf("List returned %v, %v, want only index 3", found, err)
 	}
-	// Its place can't be taken: what is there stays, and nothing is left behind.
+	// The rename fails, as the target is a directory. No temporary file must be left.
 	path := Path(dir, 4)
-	if err := os.MkdirAll(filepath.Join(path, "in the way"), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(path, "entry"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := other.Write([]byte("x")); err == nil {
-		t.Error("a directory was written over")
+		t.Error("Write over a directory: got no error, want one")
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, ".decisions-*")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("temporary files left: %v", left)
 	}
 	if _, err := Open(filepath.Join(dir, "none"), 0); err == nil {
-		t.Error("a directory that is not there was taken")
+		t.Error("Open in a directory that does not exist: got no error, want one")
 	}
 	if err := os.Truncate(Path(dir, 3), MaxFileBytes+1); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := f.Read(); err == nil {
-		t.Error("a file over the bound was read")
+		t.Errorf("Read of a file of %d bytes: got no error, want one", MaxFileBytes+1)
 	}
 }
 
