--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -11,7 +11,7 @@
 // timerResolution is the granularity of expiry times and deadlines.
 const timerResolution = time.Millisecond
 
-// Store holds the entries of all keys. The package comment says who may call it.
+// Store holds the entries of all keys. It is not safe for concurrent use; see the package comment.
 type Store struct {
 	limits    Limits
 	now       time.Duration
--- a/internal/journal/compare/compare_test.go
+++ b/internal/journal/compare/compare_test.go
@@ -1,6 +1,7 @@
-// Package compare tries stores on the pattern that the journal of idempotency keys has: many requests at once, each of
-// which writes that it begins, durably, before it goes on, and what came of it, durably at some time; and keys that are forgotten in
-// about the order in which they came. It is a module of its own, so that nothing that embeds the front door builds these stores.
+// Package compare benchmarks key-value stores against package journal with the workload of the idempotency journal:
+// many concurrent requests, each of which durably writes a record before it is executed and another record, which
+// becomes durable later, with its outcome; and keys that are deleted in about the order in which they arrived. It is a
+// separate module, so that programs that import the gateway don't depend on these stores.
 //
 //	cd internal/journal/compare && go test -bench . -benchtime 20000x -count 3
 package compare
@@ -22,45 +23,47 @@
 	"go.etcd.io/bbolt"
 )
 
-// store is what a journal of keys needs.
+// store provides the operations that the idempotency journal needs.
 type store interface {
-	Begin(key, value []byte) error // returns when it is durable
-	End(key, value []byte) error
-	Forget(key []byte) error
+	Begin(key, value []byte) error // returns when the value is durable
+	End(key, value []byte) error   // the value becomes durable later
+	Delete(key []byte) error
 	Close() error
 }
 
-type opener struct {
+// implementation is a kind of store to compare.
+type implementation struct {
 	name string
 	open func(dir string) (store, error)
-	// recover opens what was closed or cut, reads all of it, and gives how many keys there are.
-	recover func(dir string) (int, error)
+	// recoverKeys opens a store that was closed or whose process was killed, reads all of it, and returns the number
+	// of keys.
+	recoverKeys func(dir string) (int, error)
 }
 
-// quiet keeps pebble's log to itself.
-type quiet struct{}
+// discardLogger discards pebble's log, and panics for fatal errors.
+type discardLogger struct{}
 
-func (quiet) Infof(string, ...any)      {}
-func (quiet) Errorf(string, ...any)     {}
-func (quiet) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
+func (discardLogger) Infof(string, ...any)      {}
+func (discardLogger) Errorf(string, ...any)     {}
+func (discardLogger) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
 
-type pebbles struct{ db *pebble.DB }
+type pebbleStore struct{ db *pebble.DB }
 
 func openPebble(dir string) (*pebble.DB, error) {
-	return pebble.Open(dir, &pebble.Options{Logger: quiet{}})
+	return pebble.Open(dir, &pebble.Options{Logger: discardLogger{}})
 }
 
-func (p pebbles) Begin(key, value []byte) error { return p.db.Set(key, value, pebble.Sync) }
-func (p pebbles) End(key, value []byte) error   { return p.db.Set(key, value, pebble.NoSync) }
-func (p pebbles) Forget(key []byte) error       { return p.db.Delete(key, pebble.NoSync) }
-func (p pebbles) Close() error                  { return p.db.Close() }
+func (p pebbleStore) Begin(key, value []byte) error { return p.db.Set(key, value, pebble.Sync) }
+func (p pebbleStore) End(key, value []byte) error   { return p.db.Set(key, value, pebble.NoSync) }
+func (p pebbleStore) Delete(key []byte) error       { return p.db.Delete(key, pebble.NoSync) }
+func (p pebbleStore) Close() error                  { return p.db.Close() }
 
 var bucket = []byte("keys")
 
-// bolts groups what comes at once, as bbolt's Batch does; the ends are grouped too, and waited for by nobody.
-type bolts struct {
-	db   *bbolt.DB
-	ends sync.WaitGroup
+// boltStore groups concurrent writes with bbolt's Batch. End and Delete are grouped, too, and not waited for.
+type boltStore struct {
+	db         *bbolt.DB
+	background sync.WaitGroup // writes of End and Delete
 }
 
 func openBolt(dir string) (*bbolt.DB, error) {
@@ -75,29 +78,29 @@
 	})
 }
 
-func (b *bolts) Begin(key, value []byte) error {
+func (b *boltStore) Begin(key, value []byte) error {
 	return b.db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, value) })
 }
 
-func (b *bolts) End(key, value []byte) error {
-	b.ends.Go(func() { _ = b.Begin(key, value) })
+func (b *boltStore) End(key, value []byte) error {
+	b.background.Go(func() { _ = b.Begin(key, value) })
 	return nil
 }
 
-func (b *bolts) Forget(key []byte) error {
-	b.ends.Go(func() { _ = b.db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Delete(key) }) })
+func (b *boltStore) Delete(key []byte) error {
+	b.background.Go(func() { _ = b.db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Delete(key) }) })
 	return nil
 }
 
-func (b *bolts) Close() error {
-	b.ends.Wait()
+func (b *boltStore) Close() error {
+	b.background.Wait()
 	return b.db.Close()
 }
 
-var stores = []opener{
+var stores = []implementation{
 	{"pebble", func(dir string) (store, error) {
 		db, err := openPebble(dir)
-		return pebbles{db}, err
+		return pebbleStore{db}, err
 	}, func(dir string) (n int, err error) {
 		db, err := openPebble(dir)
 		if err != nil {
@@ -114,7 +117,7 @@
 	}},
 	{"bbolt", func(dir string) (store, error) {
 		db, err := openBolt(dir)
-		return &bolts{db: db}, err
+		return &boltStore{db: db}, err
 	}, func(dir string) (n int, err error) {
 		db, err := openBolt(dir)
 		if err != nil {
@@ -128,20 +131,20 @@
 }
 
 const (
-	callers  = 64
-	kept     = 20_000 // keys, before they are forgotten
-	beginLen = 60
-	endLen   = 600
+	clients          = 64
+	liveKeys         = 20_000 // number of later keys after which a key is deleted
+	beginValueLength = 60
+	endValueLength   = 600
 )
 
-// key is one as clients make them: by chance, so that their order says nothing.
+// key returns key number n. Like keys of real clients it is random, so that keys do not arrive in sorted order.
 func key(n uint64) []byte {
 	rng := rand.New(rand.NewPCG(n, 7))
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, rng.Uint64()), n)
 }
 
-// written is how many bytes this process had written to storage.
-func written(b *testing.B) float64 {
+// bytesWritten returns the number of bytes that this process has written to storage.
+func bytesWritten(b *testing.B) float64 {
 	text, err := os.ReadFile("/proc/self/io")
 	if err != nil {
 		b.Skip(err)
@@ -152,6 +155,8 @@
 	return n
 }
 
+// BenchmarkStores measures the latency of Begin, the bytes written to disk per operation, and the time to open the
+// store.
 func BenchmarkStores(b *testing.B) {
 	for _, s := range stores {
 		b.Run(s.name, func(b *testing.B) {
@@ -160,15 +165,15 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			value := make([]byte, endLen)
+			value := make([]byte, endValueLength)
 			var mu sync.Mutex
-			var took []time.Duration
+			var latencies []time.Duration
 			var next uint64
-			var callersDone sync.WaitGroup
-			before := written(b)
+			var clientsDone sync.WaitGroup
+			before := bytesWritten(b)
 			b.ResetTimer()
-			for range callers {
-				callersDone.Go(func() {
+			for range clients {
+				clientsDone.Go(func() {
 					for {
 						mu.Lock()
 						n := next
@@ -178,34 +183,34 @@
 							return
 						}
 						start := time.Now()
-						if err := st.Begin(key(n), value[:beginLen]); err != nil {
+						if err := st.Begin(key(n), value[:beginValueLength]); err != nil {
 							b.Error(err)
 							return
 						}
 						d := time.Since(start)
 						_ = st.End(key(n), value)
-						if n >= kept {
-							_ = st.Forget(key(n - kept))
+						if n >= liveKeys {
+							_ = st.Delete(key(n - liveKeys))
 						}
 						mu.Lock()
-						took = append(took, d)
+						latencies = append(latencies, d)
 						mu.Unlock()
 					}
 				})
 			}
-			callersDone.Wait()
+			clientsDone.Wait()
 			b.StopTimer()
 			if err := st.Close(); err != nil {
 				b.Fatal(err)
 			}
-			slices.Sort(took)
-			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
-			b.ReportMetric((written(b)-before)/float64(b.N), "disk-B/op")
+			slices.Sort(latencies)
+			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
+			b.ReportMetric((bytesWritten(b)-before)/float64(b.N), "disk-B/op")
 			start := time.Now()
-			n, err := s.recover(dir)
-			if err != nil || n < min(b.N, kept)/2 {
-				b.Fatalf("%d keys are back, %v", n, err)
+			n, err := s.recoverKeys(dir)
+			if err != nil || n < min(b.N, liveKeys)/2 {
+				b.Fatalf("recovered %d keys, error %v, want at least %d", n, err, min(b.N, liveKeys)/2)
 			}
 			b.ReportMetric(float64(time.Since(start).Milliseconds()), "open-ms")
 			b.ReportMetric(float64(n), "keys")
--- a/internal/journal/compare/damage_test.go
+++ b/internal/journal/compare/damage_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Damage to what had been synced, a byte at a time, in a store that was killed: whether opening says so, or keys are missing in silence.
+// A store is killed, and single bytes of its synced data are changed in turn. The test logs how often opening the store
+// reports an error, returns all keys, or loses keys without an error.
 func TestDamage(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
@@ -20,64 +21,65 @@
 			t.Fatal(err)
 		}
 		for n := range uint64(keys) {
-			if err := st.Begin(key(n), make([]byte, endLen)); err != nil {
+			if err := st.Begin(key(n), make([]byte, endValueLength)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		taken := t.TempDir() // as a killed process leaves it
-		type place struct {
-			file string
-			at   int
+		copied := t.TempDir() // the files as a killed process leaves them
+		type position struct {
+			file   string
+			offset int
 		}
-		var places []place
+		var positions []position
 		entries, _ := os.ReadDir(dir)
 		for _, e := range entries {
 			b, err := os.ReadFile(filepath.Join(dir, e.Name()))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(filepath.Join(taken, e.Name()), b, 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(copied, e.Name()), b, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			for at, c := range b {
-				if c != 0 || s.name == "journal" { // the others have room that was never written
-					places = append(places, place{e.Name(), at})
+			for offset, c := range b {
+				if c != 0 || s.name == "journal" { // the other stores preallocate space that was never written
+					positions = append(positions, position{e.Name(), offset})
 				}
 			}
 		}
 		_ = st.Close()
-		said, whole, lost, fell := 0, 0, 0, 0
+		reported, intact, unreported, panics := 0, 0, 0, 0
 		for i := range flips {
-			p := places[i*len(places)/flips]
-			hurt := t.TempDir()
-			entries, _ := os.ReadDir(taken)
+			p := positions[i*len(positions)/flips]
+			damaged := t.TempDir()
+			entries, _ := os.ReadDir(copied)
 			for _, e := range entries {
-				b, _ := os.ReadFile(filepath.Join(taken, e.Name()))
+				b, _ := os.ReadFile(filepath.Join(copied, e.Name()))
 				if e.Name() == p.file {
-					b[p.at] ^= 0x40
+					b[p.offset] ^= 0x40
 				}
-				_ = os.WriteFile(filepath.Join(hurt, e.Name()), b, 0o600)
+				_ = os.WriteFile(filepath.Join(damaged, e.Name()), b, 0o600)
 			}
 			n, err := func() (n int, err error) {
 				defer func() {
 					if r := recover(); r != nil {
-						err = fmt.Errorf("%w: %v", errFell, r)
-						fell++
+						err = fmt.Errorf("%w: %v", errPanicked, r)
+						panics++
 					}
 				}()
-				return s.recover(hurt)
+				return s.recoverKeys(damaged)
 			}()
 			switch {
 			case err != nil:
-				said++
+				reported++
 			case n < keys:
-				lost++
+				unreported++
 			default:
-				whole++
+				intact++
 			}
 		}
-		t.Logf("%s: of %d changed bytes %d are said (%d by a panic), %d opens have all %d keys, %d lack some and say nothing", s.name, flips, said, fell, whole, keys, lost)
+		t.Logf("%s: of %d changed bytes, %d were reported (%d by a panic), %d left all %d keys intact, "+
+			"%d lost keys without an error", s.name, flips, reported, panics, intact, keys, unreported)
 	}
 }
 
-var errFell = fmt.Errorf("it fell over")
+var errPanicked = fmt.Errorf("store panicked")
--- a/internal/journal/compare/own_test.go
+++ b/internal/journal/compare/own_test.go
@@ -9,21 +9,22 @@
 	"pumicecroft/internal/logfile"
 )
 
-// own is this project's journal, with each key's record held by its caller, as the store of keys does it.
-type own struct {
-	mu    sync.Mutex
-	log   *journal.Log[[]byte]
-	run   *logfile.Runner[[]byte]
-	slots map[string]*journal.Slot[[]byte]
-	waits []wait
+// journalStore uses package journal and holds the record of each key in memory, as idempotency.Store does.
+type journalStore struct {
+	mu      sync.Mutex
+	log     *journal.Log[[]byte]
+	runner  *logfile.Runner[[]byte]
+	slots   map[string]*journal.Slot[[]byte]
+	waiters []durableWaiter // by ascending record number
 }
 
-type wait struct {
+// durableWaiter waits until a record is durable.
+type durableWaiter struct {
 	seq  uint64
 	done chan bool
 }
 
-func openOwn(dir string) (*own, error) {
+func openJournal(dir string) (*journalStore, error) {
 	d, err := logfile.OpenDir(dir)
 	if err != nil {
 		return nil, err
@@ -32,76 +33,82 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &own{slots: map[string]*journal.Slot[[]byte]{}}
-	o.log, err = journal.Recover(journal.Options{}, logfile.NewLogID(), numbers, d.Load, func(rec []byte) (*journal.Slot[[]byte], error) {
-		name := string(rec[:16])
-		if o.slots[name] == nil {
-			o.slots[name] = &journal.Slot[[]byte]{}
-		}
-		o.slots[name].Value = append([]byte(nil), rec...)
-		return o.slots[name], nil
-	})
+	j := &journalStore{slots: map[string]*journal.Slot[[]byte]{}}
+	j.log, err = journal.Recover(journal.Options{}, logfile.NewLogID(), numbers, d.Load,
+		func(record []byte) (*journal.Slot[[]byte], error) {
+			key := string(record[:16])
+			if j.slots[key] == nil {
+				j.slots[key] = &journal.Slot[[]byte]{}
+			}
+			j.slots[key].Value = append([]byte(nil), record...)
+			return j.slots[key], nil
+		})
 	if err != nil {
 		return nil, err
 	}
 	start := time.Now()
-	o.run = logfile.Run(&o.mu, o.log, d, func() time.Duration { return time.Since(start) }, func() {
-		for len(o.waits) > 0 && o.waits[0].seq <= o.log.Durable() {
-			o.waits[0].done <- true
-			o.waits = o.waits[1:]
+	j.runner = logfile.Run(&j.mu, j.log, d, func() time.Duration { return time.Since(start) }, func() {
+		for len(j.waiters) > 0 && j.waiters[0].seq <= j.log.Durable() {
+			j.waiters[0].done <- true
+			j.waiters = j.waiters[1:]
 		}
-		for s := o.log.Stale(); s != nil; s = o.log.Stale() {
-			o.log.Append(0, s, s.Value)
+		for s := j.log.Stale(); s != nil; s = j.log.Stale() {
+			j.log.Append(0, s, s.Value)
 		}
 	})
-	return o, nil
+	return j, nil
 }
 
-func (o *own) put(key, value []byte) uint64 {
-	s := o.slots[string(key)]
+// put appends the record of a key and returns its number.
+func (j *journalStore) put(key, value []byte) uint64 {
+	s := j.slots[string(key)]
 	if s == nil {
 		s = &journal.Slot[[]byte]{}
-		o.slots[string(key)] = s
+		j.slots[string(key)] = s
 	}
 	s.Value = append(append([]byte(nil), key...), value...)
-	return o.log.Append(0, s, s.Value)
+	return j.log.Append(0, s, s.Value)
 }
 
-func (o *own) Begin(key, value []byte) error {
-	w := wait{done: make(chan bool, 1)}
-	o.mu.Lock()
-	w.seq = o.put(key, value)
-	o.waits = append(o.waits, w)
-	o.mu.Unlock()
-	o.run.Wake()
+func (j *journalStore) Begin(key, value []byte) error {
+	w := durableWaiter{done: make(chan bool, 1)}
+	j.mu.Lock()
+	w.seq = j.put(key, value)
+	j.waiters = append(j.waiters, w)
+	j.mu.Unlock()
+	j.runner.Wake()
 	<-w.done
 	return nil
 }
 
-func (o *own) End(key, value []byte) error {
-	o.mu.Lock()
-	o.put(key, value)
-	o.mu.Unlock()
-	o.run.Wake()
+func (j *journalStore) End(key, value []byte) error {
+	j.mu.Lock()
+	j.put(key, value)
+	j.mu.Unlock()
+	j.runner.Wake()
 	return nil
 }
 
-func (o *own) Forget(key []byte) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.slots[string(key)].Drop()
-	delete(o.slots, string(key))
+func (j *journalStore) Delete(key []byte) error {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.slots[string(key)].Drop()
+	delete(j.slots, string(key))
 	return nil
 }
 
-func (o *own) Close() error { return o.run.Close(context.Background()) }
+func (j *journalStore) Close() error { return j.runner.Close(context.Background()) }
 
 func init() {
-	stores = append(stores, opener{"journal", func(dir string) (store, error) { return openOwn(dir) }, func(dir string) (int, error) {
-		o, err := openOwn(dir)
-		if err != nil {
-			return 0, err
-		}
-		return len(o.slots), o.Close()
-	}})
+	stores = append(stores, implementation{
+		"journal",
+		func(dir string) (store, error) { return openJournal(dir) },
+		func(dir string) (int, error) {
+			j, err := openJournal(dir)
+			if err != nil {
+				return 0, err
+			}
+			return len(j.slots), j.Close()
+		},
+	})
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,7 +1,8 @@
 // Package journal implements a write-ahead log in segment files. Appended records are written and
 // synced in groups. A record may belong to a Slot: then it is live until a later record is appended
-// for the Slot or the Slot is dropped, and garbage afterwards. When more than half of the log is
-// garbage, the live records of the oldest segment are appended again and the segment is removed.
+// for the Slot or the Slot is dropped, and garbage afterwards. When the log is larger than two
+// segments and twice its live records together, the live records of the oldest segment are appended
+// again and the segment is removed.
 //
 // Guarantees after a crash of the process or of the machine:
 //
--- a/internal/journal/log.go
+++ b/internal/journal/log.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Log is a log of records. The package comment says who may call it.
+// Log is a write-ahead log of records. It is not safe for concurrent use; see the package comment.
 type Log[T any] struct {
 	options Options
 	id      uint64 // the same in all segments of the log
@@ -10,7 +10,7 @@
 	segments    []*segment[T] // on disk, the oldest first
 	active      *segment[T]   // the last of segments, if it may be written to
 	lastSegment uint64        // highest segment number ever used
-	orphans     []uint64      // files to remove that are no part of the log
+	orphans     []uint64      // numbers of files that are not part of the log and are to be removed
 	dirUnsynced bool          // a file was removed since the directory was synced
 
 	pending      []byte        // the next group: space for the frame's header, then records
@@ -26,7 +26,7 @@
 	writtenSeq    uint64        // of the last record written
 	syncedSeq     uint64        // of the last record synced
 	durableSeq    uint64        // of the last record reported durable
-	lostSeq       uint64        // records up to it that are not durable never will be
+	lostSeq       uint64        // records up to this one that are not durable are lost
 	unsyncedSince time.Duration // when active.size last went beyond active.synced
 
 	runningOp  Op   // returned by Next, not Done yet
@@ -35,10 +35,10 @@
 	barrierSet bool // the oldest segment may be removed once barrierSeq is synced
 	barrierSeq uint64
 
-	failed              bool  // the log accepts nothing
-	lastErr             error // of the last failure
-	consecutiveFailures int   // in a row
-	retryAt             time.Duration
+	failed              bool  // the log accepts no records
+	lastErr             error // of the last failed operation
+	consecutiveFailures int
+	retryAt             time.Duration // when a failed log begins a new segment
 	removeAt            time.Duration // when the next file may be removed, after a removal failed
 
 	closing bool // Close was called
--- a/internal/journal/owner_test.go
+++ b/internal/journal/owner_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// putMany puts n values with distinct names, and calls after following each.
+// putMany puts n values with distinct names. It calls after once for each, when it is put.
 func (o *owner) putMany(n int, after func()) {
 	for i := range n {
 		o.put("k"+strconv.Itoa(i), i+1)
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -9,11 +9,11 @@
 // Loader reads the first bytes of a segment's file, at most limit of them.
 type Loader func(segment uint64, limit int64) ([]byte, error)
 
-// Recover reads a log and returns a Log that continues it. The first operations of that begin a new
-// segment; existing segments are not written to again. segments are the numbers of the existing files,
-// in any order; load reads one. restore is called with each record, in order, and returns the slot
-// that the record belongs to, or nil. A record is valid until restore returns. If there is no log,
-// Recover begins one with the given id.
+// Recover reads a log and returns a Log that continues it in a new segment; existing segments are not
+// written to again. segments are the numbers of the existing files, in any order; load reads one.
+// restore is called with each record, in order, and returns the slot that the record belongs to, or
+// nil. A record is valid until restore returns. If there is no log, Recover begins one with the given
+// id.
 //
 // Recover itself changes no file. It returns an error of load or restore, a CorruptError, or an error
 // that wraps ErrForeign.
--- a/internal/settings/section.go
+++ b/internal/settings/section.go
@@ -45,7 +45,7 @@
 	return s.document.section(Join(s.Path, name), keys)
 }
 
-// List returns the tables of a list of tables; nil if it is missing.
+// List returns the tables of a list of tables; nil if it is missing or invalid.
 func (s *Section) List(name string) []*Section {
 	value, ok := s.Get(name)
 	if !ok {
@@ -97,7 +97,7 @@
 	return text
 }
 
-// Texts returns a list of strings, none of which may be empty; nil if the key is missing.
+// Texts returns a list of strings, none of which may be empty; nil if it is missing or invalid.
 func (s *Section) Texts(key string) []string {
 	value, ok := s.Get(key)
 	if !ok {
@@ -171,7 +171,7 @@
 	return defaultValue
 }
 
-// Ints returns a list of integers; nil if the key is missing.
+// Ints returns a list of integers; nil if it is missing or invalid.
 func (s *Section) Ints(key string) (numbers []int) {
 	value, ok := s.Get(key)
 	if !ok {
