--- a/consul/client_test.go
+++ b/consul/client_test.go
@@ -29,7 +29,7 @@
 	"pumicecroft/membership"
 )
 
-// The fake agent is what Consul's API client expects: blocking queries, health, the catalog, registration,
+// The fake agent must behave as Consul's API client expects: blocking queries, health, the catalog, registration,
 // TTL checks, maintenance and tokens.
 func TestFakeConsulAgainstClient(t *testing.T) {
 	t.Parallel()
@@ -67,10 +67,10 @@
 	found, meta := health(nil)
 	if len(found) != 1 || found[0].Service.ID != "w1" || found[0].Service.Port != 80 ||
 		found[0].Checks.AggregatedStatus() != "critical" || !meta.KnownLeader || meta.LastIndex == 0 {
-		t.Fatalf("%+v %+v", found, meta)
+		t.Fatalf("entries %+v, meta %+v; want w1 at port 80, critical, with a known leader and an index", found, meta)
 	}
 	created := found[0].Service.CreateIndex
-	// A blocking query ends with the change, and one without a change at its time.
+	// A blocking query returns on a change, or without one after its wait time.
 	changed := make(chan string)
 	go func() {
 		f, m, err := c.Health().Service("web", "", false, &api.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: time.Minute})
@@ -84,40 +84,41 @@
 		t.Fatal(err)
 	}
 	if got := <-changed; got != "passing" {
-		t.Errorf("the blocking query told %s", got)
+		t.Errorf("the blocking query returned %s, want passing", got)
 	}
 	if f, _, err := c.Health().Service("web", "", true, nil); err != nil || len(f) != 1 {
-		t.Errorf("passing: %v %v", f, err)
+		t.Errorf("passing instances: %v, error %v; want 1 instance", f, err)
 	}
 	_, meta = health(nil)
 	start := time.Now()
 	_, unchanged := health(&api.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: 50 * time.Millisecond})
 	if unchanged.LastIndex != meta.LastIndex || time.Since(start) < 50*time.Millisecond {
-		t.Errorf("without a change: index %d after %v", unchanged.LastIndex, time.Since(start))
+		t.Errorf("without a change: index %d after %v, want %d after at least 50ms", unchanged.LastIndex,
+			time.Since(start), meta.LastIndex)
 	}
-	// Registered again it is the same registration; deregistered meanwhile it is another.
+	// Registering a service again keeps its CreateIndex, unless it was deregistered in between.
 	if err := register("w1"); err != nil {
 		t.Fatal(err)
 	}
 	if found, _ = health(nil); found[0].Service.CreateIndex != created {
-		t.Errorf("registered again: created at %d, before at %d", found[0].Service.CreateIndex, created)
+		t.Errorf("registered again: CreateIndex %d, want %d", found[0].Service.CreateIndex, created)
 	}
 	if err := errors.Join(c.Agent().ServiceDeregister("w1"), register("w1")); err != nil {
 		t.Fatal(err)
 	}
 	if found, _ = health(nil); found[0].Service.CreateIndex == created {
-		t.Error("a new registration bears the old index")
+		t.Errorf("registered after a deregistration: CreateIndex %d as before, want another", created)
 	}
 	if err := c.Agent().EnableServiceMaintenance("w1", "repairs"); err != nil {
 		t.Fatal(err)
 	}
 	if found, _ = health(nil); found[0].Checks.AggregatedStatus() != "maintenance" {
-		t.Errorf("in maintenance it is %s", found[0].Checks.AggregatedStatus())
+		t.Errorf("status in maintenance mode is %s, want maintenance", found[0].Checks.AggregatedStatus())
 	}
-	// Nobody renews its check: it turns critical, and is deregistered.
+	// Its TTL check is not renewed: it turns critical, and the service is deregistered.
 	for end := time.Now().Add(hosttest.WaitTimeout); len(found) > 0; found, _ = health(nil) {
 		if time.Now().After(end) {
-			t.Fatal("it was never deregistered")
+			t.Fatalf("w1 was not deregistered within %v", hosttest.WaitTimeout)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -129,27 +130,27 @@
 	)
 	for what, o := range map[string]*api.QueryOptions{"filter": {Filter: `Service.Meta.v == "3"`}, "near": {Near: "n"}} {
 		if f, _ := health(o); f[0].Node.Node != "n" || what == "filter" && len(f) != 1 {
-			t.Errorf("%s: %+v", what, f)
+			t.Errorf("%s: got %+v, want n first, and n alone by the filter", what, f)
 		}
 	}
 	all, _, err := c.Catalog().Service("web", "new", nil)
 	if err != nil || len(all) != 1 || all[0].ServicePort != 81 || all[0].Address != "10.0.0.1" {
-		t.Errorf("the catalog by tag: %+v %v", all, err)
+		t.Errorf("catalog by tag new: %+v, error %v; want one service at 10.0.0.1, port 81", all, err)
 	}
 	if _, _, err := c.Health().Service("web", "", false, &api.QueryOptions{Filter: "nonsense"}); err == nil {
-		t.Error("a filter that makes no sense: no error")
+		t.Error("invalid filter: no error")
 	}
 	agent.RequireToken("secret")
 	var status api.StatusError
 	if _, _, err := c.Health().Service("web", "", false, nil); !errors.As(err, &status) || status.Code != 403 {
-		t.Errorf("without a token: %v", err)
+		t.Errorf("without a token: error %v, want status 403", err)
 	}
 	if f, _ := health(&api.QueryOptions{Token: "secret"}); len(f) != 2 {
-		t.Errorf("with it: %+v", f)
+		t.Errorf("with the token: %+v, want 2 entries", f)
 	}
 }
 
-// All settings reach the agent as parameters, and the token is read again when its file has changed.
+// All settings must reach the agent as query parameters, and a changed token file must be read again.
 func TestQueryParameters(t *testing.T) {
 	t.Parallel()
 	agent := startAgent(t)
@@ -174,49 +175,49 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	lists := make(chan membership.Update, 1000)
+	updates := make(chan membership.Update, 1000)
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
 		service := Service{Name: "web", Tags: []string{"blue"}, Near: "_agent", Filter: `Service.Meta.v == "2"`}
-		c.Service(service).Run(ctx, func(u membership.Update) { lists <- u })
+		c.Service(service).Run(ctx, func(u membership.Update) { updates <- u })
 	}()
-	if l := <-lists; l.Err == nil || !strings.Contains(l.Err.Error(), "consul: web: Unexpected response code: 403") {
-		t.Errorf("with an old token: %+v", l)
+	if u := <-updates; u.Err == nil || !strings.Contains(u.Err.Error(), "consul: web: Unexpected response code: 403") {
+		t.Errorf("with the old token: %+v, want an error with status 403", u)
 	}
 	if err := os.WriteFile(token, []byte("two\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for l := range lists {
-		if l.Err == nil && len(l.Nodes) == 1 && l.Nodes[0].Name == "n/a" && l.Nodes[0].Addr == "10.0.0.1:81" {
+	for u := range updates {
+		if u.Err == nil && len(u.Nodes) == 1 && u.Nodes[0].Name == "n/a" && u.Nodes[0].Addr == "10.0.0.1:81" {
 			break
 		}
 	}
-	asked := func(path string) (int, []fakes.ConsulQuery) {
+	findQuery := func(path string) (int, []fakes.ConsulQuery) {
 		all := agent.Queries()
 		return slices.IndexFunc(all, func(q fakes.ConsulQuery) bool { return q.Path == path && q.Token == "two" }), all
 	}
-	for i, _ := asked("/v1/catalog/service/web"); i < 0; i, _ = asked("/v1/catalog/service/web") {
-		time.Sleep(time.Millisecond) // it may still wait after the failure
+	for i, _ := findQuery("/v1/catalog/service/web"); i < 0; i, _ = findQuery("/v1/catalog/service/web") {
+		time.Sleep(time.Millisecond) // the catalog query may still be in its retry delay
 	}
 	cancel()
 	<-ended
 	for _, path := range []string{"/v1/health/service/web", "/v1/catalog/service/web"} {
-		i, all := asked(path)
+		i, all := findQuery(path)
 		p := all[i].Params
 		if p.Get("dc") != "dc1" || p.Get("ns") != "team" || p.Get("partition") != "part" || !p.Has("consistent") ||
 			p.Get("tag") != "blue" || p.Get("wait") != "7000ms" {
-			t.Errorf("%s with %v", path, p)
+			t.Errorf("%s: parameters %v, want dc=dc1 ns=team partition=part consistent tag=blue wait=7000ms", path, p)
 		}
 		if strings.HasPrefix(path, "/v1/health") &&
 			(p.Get("near") != "_agent" || p.Get("filter") != `Service.Meta.v == "2"`) {
-			t.Errorf("%s with %v", path, p)
+			t.Errorf("%s: parameters %v, want near=_agent and filter=%s", path, p, `Service.Meta.v == "2"`)
 		}
 	}
 }
 
-// certificate returns a self-signed certificate for loopback, and the files that hold it and its key.
-func certificate(t *testing.T, dir, name string) (tls.Certificate, string, string) {
+// newCertificate returns a self-signed certificate for loopback, and the files with it and its key.
+func newCertificate(t *testing.T, dir, name string) (tls.Certificate, string, string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -253,13 +254,13 @@
 	return pair, certFile, keyFile
 }
 
-// Over TLS both sides present certificates. An agent whose certificate the CA did not sign is rejected.
+// With mutual TLS, both a server certificate of another CA and a missing client certificate must be rejected.
 func TestTLS(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	server, ca, _ := certificate(t, dir, "agent")
-	_, clientCert, clientKey := certificate(t, dir, "gateway")
-	_, otherCA, _ := certificate(t, dir, "other")
+	server, ca, _ := newCertificate(t, dir, "agent")
+	_, clientCert, clientKey := newCertificate(t, dir, "gateway")
+	_, otherCA, _ := newCertificate(t, dir, "other")
 	pool := x509.NewCertPool()
 	text, err := os.ReadFile(clientCert)
 	if err != nil || !pool.AppendCertsFromPEM(text) {
@@ -275,7 +276,7 @@
 	}
 	t.Cleanup(agent.Close)
 	agent.Register(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81})
-	first := func(c Config) membership.Update {
+	firstUpdate := func(c Config) membership.Update {
 		t.Helper()
 		c.Address = "https://" + agent.Addr()
 		client, err := New(c)
@@ -284,23 +285,23 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		lists := make(chan membership.Update, 100)
-		go client.Service(Service{Name: "web", HealthOnly: true}).Run(ctx, func(l membership.Update) {
+		updates := make(chan membership.Update, 100)
+		go client.Service(Service{Name: "web", HealthOnly: true}).Run(ctx, func(u membership.Update) {
 			select {
-			case lists <- l:
+			case updates <- u:
 			default:
 			}
 		})
-		return <-lists
+		return <-updates
 	}
-	if l := first(Config{CAFile: ca, CertFile: clientCert, KeyFile: clientKey}); len(l.Nodes) != 1 || l.Err != nil {
-		t.Errorf("%+v", l)
+	if u := firstUpdate(Config{CAFile: ca, CertFile: clientCert, KeyFile: clientKey}); len(u.Nodes) != 1 || u.Err != nil {
+		t.Errorf("first update %+v, want one node and no error", u)
 	}
-	if l := first(Config{CAFile: otherCA, CertFile: clientCert, KeyFile: clientKey}); l.Err == nil {
-		t.Error("an agent whose certificate another CA signed was accepted")
+	if u := firstUpdate(Config{CAFile: otherCA, CertFile: clientCert, KeyFile: clientKey}); u.Err == nil {
+		t.Errorf("server certificate of another CA: first update %+v, want an error", u)
 	}
-	if l := first(Config{CAFile: ca}); l.Err == nil {
-		t.Error("accepted without a client certificate")
+	if u := firstUpdate(Config{CAFile: ca}); u.Err == nil {
+		t.Errorf("no client certificate: first update %+v, want an error", u)
 	}
 }
 
@@ -310,22 +311,22 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]Config{
-		"no address":           {},
-		"no port":              {Address: "localhost"},
-		"another scheme":       {Address: "ftp://localhost:1"},
-		"no such token file":   {Address: "h:1", TokenFile: empty + "-not"},
-		"an empty token file":  {Address: "h:1", TokenFile: empty},
-		"TLS files over http":  {Address: "h:1", CAFile: empty},
-		"a CA that is none":    {Address: "https://h:1", CAFile: empty},
-		"a certificate, empty": {Address: "https://h:1", CertFile: empty, KeyFile: empty},
+		"no address":          {},
+		"no port":             {Address: "localhost"},
+		"unsupported scheme":  {Address: "ftp://localhost:1"},
+		"no such token file":  {Address: "h:1", TokenFile: empty + "-not"},
+		"empty token file":    {Address: "h:1", TokenFile: empty},
+		"TLS files over http": {Address: "h:1", CAFile: empty},
+		"empty CA file":       {Address: "https://h:1", CAFile: empty},
+		"empty certificate":   {Address: "https://h:1", CertFile: empty, KeyFile: empty},
 	} {
 		if _, err := New(c); !errors.Is(err, ErrConfig) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want %v on one line", name, err, ErrConfig)
 		}
 	}
 }
 
-// A response that does not end is cut off, and is an error.
+// A response over maxResponseBytes is truncated, which is reported as an error.
 func TestResponseOverLimit(t *testing.T) {
 	t.Parallel()
 	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -345,13 +346,13 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	ended, lists := make(chan bool), make(chan membership.Update, 100)
+	ended, updates := make(chan bool), make(chan membership.Update, 100)
 	go func() {
 		defer close(ended)
-		c.Service(Service{Name: "web", HealthOnly: true}).Run(ctx, func(l membership.Update) { lists <- l })
+		c.Service(Service{Name: "web", HealthOnly: true}).Run(ctx, func(u membership.Update) { updates <- u })
 	}()
-	if l := <-lists; l.Err == nil {
-		t.Errorf("%+v", l)
+	if u := <-updates; u.Err == nil {
+		t.Errorf("first update %+v, want an error", u)
 	}
 	cancel()
 	<-ended
--- a/consul/consul.go
+++ b/consul/consul.go
@@ -1,13 +1,14 @@
-// Package consul supplies a gateway's backends from Consul: the catalog says which instances exist, the
-// health API which of them may be sent requests. It also registers the gateway itself as a service.
+// Package consul discovers a gateway's backends in Consul: the catalog lists the instances that exist, and
+// the health API reports which of them may receive requests. The package can also register the gateway
+// itself as a service.
 //
 // A Client holds the configuration and the connections to one agent or server. A Watch follows one service
-// with blocking queries and is a pumicecroft.Source of its own. When to query, how far a response may be
-// trusted and what its entries mean is decided by internal/blockingquery and internal/consulcatalog, which
-// do no I/O.
+// with blocking queries and implements pumicecroft.Source. This package does the I/O;
+// internal/blockingquery decides when to query and how far to trust a response, and
+// internal/consulcatalog interprets the entries.
 //
-// For settings that a Config lacks, Consul's API client takes CONSUL_HTTP_TOKEN, CONSUL_NAMESPACE and
-// CONSUL_PARTITION from the environment.
+// Where a Config sets no token, namespace or partition, Consul's API client falls back to the environment
+// variables CONSUL_HTTP_TOKEN, CONSUL_NAMESPACE and CONSUL_PARTITION.
 package consul
 
 import (
@@ -22,28 +23,29 @@
 	"pumicecroft/internal/consulcatalog"
 )
 
-// ErrConfig means that a Config is invalid, or names files that can't be read.
+// ErrConfig means that a Config or a Registration is invalid, or that a file it names is unreadable or invalid.
 var ErrConfig = errors.New("consul: invalid configuration")
 
-// ErrPartial means that a response may lack instances, as its server had no leader, was out of date, or
-// filtered them by ACLs. Of such a response only failing instances are believed.
+// ErrPartial means that a response may lack instances, because the server had no leader, was out of date,
+// or filtered the response by ACLs. Only the failing instances in such a response are acted on.
 var ErrPartial = errors.New("consul: response is not complete")
 
-// Consistency says how fresh responses must be. See "Consistency Modes" in Consul's API documentation.
+// Consistency selects how fresh responses must be. See "Consistency Modes" in Consul's API documentation.
 type Consistency int
 
 // The consistency modes.
 const (
 	Default    Consistency = iota
-	Stale                  // any server responds, also without a leader; Config.MaxStale limits how old its data may be
-	Consistent             // the leader confirms its leadership first
+	Stale                  // any server responds, even without a leader; Config.MaxStale limits the age of its data
+	Consistent             // the leader first confirms with its peers that it still leads
 )
 
-// Config says how an agent or server is reached, and how it is queried.
+// Config describes how to reach and query an agent or server.
 type Config struct {
 	// Address is host:port, http://host:port, https://host:port or unix:///path.
 	Address string
-	// TokenFile holds the ACL token. It is read again for each query. Empty means no token.
+	// TokenFile is the file with the ACL token. It is read again before each query, so that a rotated token
+	// takes effect. Empty means no token.
 	TokenFile string
 	// Datacenter, Namespace and Partition default to those of the agent.
 	Datacenter, Namespace, Partition string
@@ -53,35 +55,35 @@
 	// ServerName is the name in the server's certificate. Default: the host of Address.
 	ServerName  string
 	Consistency Consistency
-	// Wait, MaxStale and RetryMax are those of blockingquery.Policy, with its defaults.
+	// Wait, MaxStale and RetryMax are the fields of the same names in blockingquery.Policy, with its defaults.
 	Wait, MaxStale, RetryMax time.Duration
-	// Seed makes the random part of delays. Zero means a seed by the time.
+	// Seed seeds the jitter of retry delays. Zero means a seed taken from the clock.
 	Seed uint64
 }
 
-// Mapping says where the attributes of a node are found: each of its fields names a key of the service's
-// meta, "node:KEY" for a key of the node's meta, or "datacenter".
+// Mapping selects the metadata from which a node's attributes are read: each of its keys is a key of the
+// service's meta, "node:KEY" for a key of the node's meta, or "datacenter".
 type Mapping = consulcatalog.Mapping
 
-// Service selects the instances of a service that are backends.
+// Service selects the instances of a service that become backends.
 type Service struct {
 	Name   string
 	Tags   []string // an instance must have all of them
-	Near   string   // a node's name or _agent, by whose distance responses are sorted; empty means not sorted
-	Filter string   // an expression over the fields of the health API; empty means none
-	// HealthOnly leaves the catalog out: the instances that the health API lists are those that exist.
+	Near   string   // sort responses by distance from this node; _agent is the agent's own node; empty: unsorted
+	Filter string   // a filter expression over the fields of the health API; empty means no filter
+	// HealthOnly skips the catalog: the instances that exist are those that the health API lists.
 	HealthOnly bool
 	Mapping    Mapping
 }
 
-// Client reaches one agent or server. It is safe for concurrent use.
+// Client queries one agent or server. It is safe for concurrent use.
 type Client struct {
 	config Config
 	api    *api.Client
 }
 
-// New returns a client. It reads the files that the configuration names, and connects nowhere. Its errors
-// are ErrConfig.
+// New returns a client. It reads the files that the configuration names, but opens no connection. Every
+// error it returns wraps ErrConfig.
 func New(config Config) (*Client, error) {
 	client, err := newClient(config)
 	if err != nil {
@@ -122,7 +124,7 @@
 	return &Client{config: config, api: apiClient}, nil
 }
 
-// options returns the options of a query, with the token as its file has it now.
+// options returns the options of a query, with the current content of the token file.
 func (c *Client) options(ctx context.Context) (*api.QueryOptions, error) {
 	options := &api.QueryOptions{
 		AllowStale:        c.config.Consistency == Stale,
--- a/consul/example_test.go
+++ b/consul/example_test.go
@@ -9,7 +9,8 @@
 	"pumicecroft/decision"
 )
 
-// A gateway whose backends are the instances of a service. The order of the options is the precedence of the sources.
+// A gateway whose backends are the instances of a Consul service. With several sources, the order of the options
+// is their precedence.
 func Example() {
 	client, err := consul.New(consul.Config{Address: "127.0.0.1:8500", Consistency: consul.Stale})
 	if err != nil {
--- a/consul/fixture_test.go
+++ b/consul/fixture_test.go
@@ -21,30 +21,30 @@
 
 func TestMain(m *testing.M) {
 	for _, name := range []string{"CONSUL_HTTP_TOKEN", "CONSUL_NAMESPACE", "CONSUL_PARTITION", "CONSUL_HTTP_ADDR"} {
-		if err := os.Unsetenv(name); err != nil { // the API client reads them
+		if err := os.Unsetenv(name); err != nil { // Consul's API client reads these variables
 			panic(err)
 		}
 	}
 	flag.Parse()
-	if err := flag.Set("test.parallel", "16"); err != nil { // the tests mostly wait
+	if err := flag.Set("test.parallel", "16"); err != nil { // the tests spend most of their time waiting
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// fixture is an agent, backends that are registered at it, and gateways that follow it.
+// fixture holds a fake agent, the backends that are registered at it, and the client of gateways that follow it.
 type fixture struct {
-	t        *testing.T
-	agent    *fakes.Consul
-	client   *Client
-	ledger   *fakes.Ledger
-	cell     *fakes.Cell
-	backends map[string]*fakes.Backend // by id
-	last     int
-	id       atomic.Uint64
+	t             *testing.T
+	agent         *fakes.Consul
+	client        *Client
+	ledger        *fakes.Ledger
+	cell          *fakes.Cell
+	backends      map[string]*fakes.Backend // by service ID
+	nextBackend   int
+	lastRequestID atomic.Uint64
 }
 
-const service = "identity"
+const serviceName = "identity"
 
 func startAgent(t *testing.T) *fakes.Consul {
 	t.Helper()
@@ -58,59 +58,59 @@
 
 func newFixture(t *testing.T, change func(*Config)) *fixture {
 	t.Helper()
-	r := &fixture{
+	f := &fixture{
 		t:        t,
 		agent:    startAgent(t),
 		ledger:   &fakes.Ledger{},
 		cell:     &fakes.Cell{Window: 5 * time.Second},
 		backends: map[string]*fakes.Backend{},
 	}
-	c := Config{Address: r.agent.Addr(), Wait: 300 * time.Millisecond, RetryMax: 200 * time.Millisecond, Seed: 1}
+	c := Config{Address: f.agent.Addr(), Wait: 300 * time.Millisecond, RetryMax: 200 * time.Millisecond, Seed: 1}
 	if change != nil {
 		change(&c)
 	}
 	var err error
-	if r.client, err = New(c); err != nil {
+	if f.client, err = New(c); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		for _, b := range r.backends {
+		for _, b := range f.backends {
 			b.Kill()
 		}
 	})
-	return r
+	return f
 }
 
 // instance returns a backend's registration.
-func (r *fixture) instance(id string) fakes.Instance {
-	host, port, err := net.SplitHostPort(r.backends[id].Addr())
+func (f *fixture) instance(id string) fakes.Instance {
+	host, port, err := net.SplitHostPort(f.backends[id].Addr())
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	n, err := strconv.Atoi(port)
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return fakes.Instance{
 		Node:     "n1",
 		NodeAddr: host,
 		ID:       id,
-		Service:  service,
+		Service:  serviceName,
 		Port:     n,
 		Meta:     map[string]string{"cell": "0"},
 		Checks:   []fakes.Check{{ID: "web", Status: "passing"}},
 	}
 }
 
-// start starts a backend and registers it.
-func (r *fixture) start(change func(*fakes.BackendConfig)) string {
-	r.t.Helper()
-	id := fmt.Sprintf("b%d", r.last)
-	r.last++
+// startBackend starts a backend, registers it at the agent, and returns its service ID.
+func (f *fixture) startBackend(change func(*fakes.BackendConfig)) string {
+	f.t.Helper()
+	id := fmt.Sprintf("b%d", f.nextBackend)
+	f.nextBackend++
 	c := fakes.BackendConfig{
 		Name:            id,
-		Ledger:          r.ledger,
-		Cell:            r.cell,
+		Ledger:          f.ledger,
+		Cell:            f.cell,
 		IdempotentByKey: func(class string) bool { return class != "look" },
 	}
 	if change != nil {
@@ -118,16 +118,16 @@
 	}
 	b, err := fakes.StartBackend(c)
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	r.backends[id] = b
-	r.agent.Register(r.instance(id))
+	f.backends[id] = b
+	f.agent.Register(f.instance(id))
 	return id
 }
 
-// gateway starts a gateway that follows the agent, and waits until it knows n nodes.
-func (r *fixture) gateway(n int, change func(*pumicecroft.Config)) *pumicecroft.Gateway {
-	r.t.Helper()
+// startGateway starts a gateway that follows the agent, and waits until it knows n nodes.
+func (f *fixture) startGateway(n int, change func(*pumicecroft.Config)) *pumicecroft.Gateway {
+	f.t.Helper()
 	c := hosttest.Config()
 	c.Settings.SlowStartMinCapacity = 0.2
 	c.Settings.SlowStartWindow = 200 * time.Millisecond
@@ -140,90 +140,93 @@
 	if change != nil {
 		change(&c)
 	}
-	w := r.client.Service(Service{Name: service, Mapping: Mapping{Cell: "cell", Zone: "zone", Started: "boot"}})
-	d, err := pumicecroft.New(c, pumicecroft.WithNamedSource(w.SourceInfo(), w))
+	w := f.client.Service(Service{Name: serviceName, Mapping: Mapping{Cell: "cell", Zone: "zone", Started: "boot"}})
+	gateway, err := pumicecroft.New(c, pumicecroft.WithNamedSource(w.SourceInfo(), w))
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	r.t.Cleanup(func() {
+	f.t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), hosttest.WaitTimeout)
 		defer cancel()
-		if err := d.Close(ctx); err != nil {
-			r.t.Errorf("closing the gateway: %v", err)
+		if err := gateway.Close(ctx); err != nil {
+			f.t.Errorf("closing the gateway: %v", err)
 		}
 	})
-	r.await(d, fmt.Sprintf("%d nodes", n), func(ms statuses) bool { return len(ms) == n })
-	return d
+	f.waitFor(gateway, fmt.Sprintf("%d nodes", n), func(nodes statuses) bool { return len(nodes) == n })
+	return gateway
 }
 
-// statuses are the statuses of a gateway's backends by ID.
+// statuses holds the statuses of a gateway's backends by service ID.
 type statuses map[string]pumicecroft.BackendStatus
 
-func statusesOf(d *pumicecroft.Gateway) statuses {
+func statusesOf(gateway *pumicecroft.Gateway) statuses {
 	out := statuses{}
-	for _, m := range d.Backends() {
+	for _, m := range gateway.Backends() {
 		out[m.Name[len("n1/"):]] = m
 	}
 	return out
 }
 
-// await waits until the status of a gateway's backends is as wanted.
-func (r *fixture) await(d *pumicecroft.Gateway, what string, ok func(statuses) bool) {
-	r.t.Helper()
-	for end := time.Now().Add(hosttest.WaitTimeout); !ok(statusesOf(d)); time.Sleep(time.Millisecond) {
+// waitFor waits until the statuses of a gateway's backends meet a condition, which what describes.
+func (f *fixture) waitFor(gateway *pumicecroft.Gateway, what string, condition func(statuses) bool) {
+	f.t.Helper()
+	for end := time.Now().Add(hosttest.WaitTimeout); !condition(statusesOf(gateway)); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("waited in vain for %s; the gateway has %+v", what, statusesOf(d))
+			f.t.Fatalf("timed out waiting for %s; the gateway has %+v", what, statusesOf(gateway))
 		}
 	}
 }
 
-// wantState waits until a gateway has a node in a state; "gone" means that it does not know it.
-func (r *fixture) wantState(d *pumicecroft.Gateway, id, state string) {
-	r.t.Helper()
-	r.await(d, id+" to be "+state, func(ms statuses) bool {
-		m, ok := ms[id]
+// waitForState waits until a gateway has a node in a state. "gone" means that the gateway does not list the node.
+func (f *fixture) waitForState(gateway *pumicecroft.Gateway, id, state string) {
+	f.t.Helper()
+	f.waitFor(gateway, id+" to be "+state, func(nodes statuses) bool {
+		m, ok := nodes[id]
 		return ok && m.State == state || !ok && state == "gone"
 	})
 }
 
-// load sends requests to gateways from many clients at once, until stop is called.
-type load struct {
-	rounds                         []atomic.Int64 // requests that have ended, by client
+// loadGenerator sends requests to gateways from several concurrent clients until stop is called.
+type loadGenerator struct {
+	completed                      []atomic.Int64 // number of completed requests, by client
 	sent, served, rejected, failed atomic.Int64
 	firstErr                       atomic.Value
 	stop                           func()
 }
 
 // String returns the counts.
-func (l *load) String() string {
+func (l *loadGenerator) String() string {
 	return fmt.Sprintf("sent=%d served=%d rejected=%d failed=%d (%v)",
 		l.sent.Load(), l.served.Load(), l.rejected.Load(), l.failed.Load(), l.firstErr.Load())
 }
 
-// awaitResponses waits until each client has the response to the request that is out when it is called.
-func (l *load) awaitResponses() {
-	for i := range l.rounds {
-		for n := l.rounds[i].Load(); l.rounds[i].Load() == n; {
+// waitForResponses waits until each client has received the response to the request it has in flight now.
+func (l *loadGenerator) waitForResponses() {
+	for i := range l.completed {
+		for n := l.completed[i].Load(); l.completed[i].Load() == n; {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-func (r *fixture) load(clients int, class string, pause time.Duration, gateways ...*pumicecroft.Gateway) *load {
-	l := &load{rounds: make([]atomic.Int64, clients)}
+// startLoad starts clients that send requests of a class, each with a pause after a response. The clients are
+// spread over the gateways.
+func (f *fixture) startLoad(clients int, class string, pause time.Duration,
+	gateways ...*pumicecroft.Gateway) *loadGenerator {
+	l := &loadGenerator{completed: make([]atomic.Int64, clients)}
 	ctx, cancel := context.WithCancel(context.Background())
-	var ran sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range clients {
-		ran.Go(func() {
+		running.Go(func() {
 			for ctx.Err() == nil {
-				n := r.id.Add(1)
+				n := f.lastRequestID.Add(1)
 				req := pumicecroft.Request{ID: n, Class: class, Plan: "shop", Customer: uint64(i)}
 				if class != "look" {
 					req.IdempotencyKey = fmt.Sprintf("key-%d", n)
 				}
 				_, err := gateways[i%len(gateways)].Do(context.Background(), req)
 				l.sent.Add(1)
-				l.rounds[i].Add(1)
+				l.completed[i].Add(1)
 				switch {
 				case err == nil:
 					l.served.Add(1)
@@ -241,15 +244,15 @@
 		})
 	}
 	var once sync.Once
-	l.stop = func() { once.Do(func() { cancel(); ran.Wait() }) }
-	r.t.Cleanup(l.stop)
+	l.stop = func() { once.Do(func() { cancel(); running.Wait() }) }
+	f.t.Cleanup(l.stop)
 	return l
 }
 
-// attempts returns the attempts that reached a backend.
-func (r *fixture) attempts(id string) []fakes.Attempt {
+// attemptsAt returns the attempts that reached a backend.
+func (f *fixture) attemptsAt(id string) []fakes.Attempt {
 	var out []fakes.Attempt
-	for _, a := range r.ledger.Attempts() {
+	for _, a := range f.ledger.Attempts() {
 		if a.Backend == id {
 			out = append(out, a)
 		}
@@ -257,16 +260,16 @@
 	return out
 }
 
-// wantNoLoss ends a load and checks that no request was lost or failed and none executed twice. A few may be
-// rejected: clients that send again at once meet the engine's reserves now and then, whatever the agent does.
-func (r *fixture) wantNoLoss(l *load) {
-	r.t.Helper()
+// stopAndCheckNoLoss stops a load and checks that no request was lost or failed and none was executed twice. Up to
+// 5% may be rejected: clients that send again at once sometimes reach the engine's reserves, whatever the agent does.
+func (f *fixture) stopAndCheckNoLoss(l *loadGenerator) {
+	f.t.Helper()
 	l.stop()
 	sent, rejected := l.sent.Load(), l.rejected.Load()
 	if sent == 0 || l.failed.Load() > 0 || rejected*20 > sent || l.served.Load()+rejected != sent {
-		r.t.Errorf("requests were lost: %v", l)
+		f.t.Errorf("%v, want sent above 0, no failed requests, at most 5%% rejected, all others served", l)
 	}
-	if d := r.ledger.RepeatedEffects(); len(d) > 0 {
-		r.t.Errorf("executed twice: %q", d)
+	if repeated := f.ledger.RepeatedEffects(); len(repeated) > 0 {
+		f.t.Errorf("requests executed twice: %q, want none", repeated)
 	}
 }
--- a/consul/query.go
+++ b/consul/query.go
@@ -18,20 +18,20 @@
 )
 
 var (
-	errSilent    = errors.New("no response in time")
+	errTimeout   = errors.New("no response in time")
 	errRestarted = errors.New("query is restarted")
 )
 
-// responseGrace is how long a response may still take that has begun to arrive when its query times out.
+// responseGrace is the extra time for a response that has begun to arrive when its query times out.
 const responseGrace = time.Second
 
-// queryFunc sends one query. It returns the head of the response, and a function that takes in the rest by
-// the verdict on it.
+// queryFunc sends one query. It returns the head of the response, and a function that applies the entries
+// according to the verdict on that head.
 type queryFunc func(*api.QueryOptions) (blockingquery.Response, func(blockingquery.Verdict), error)
 
-// follow sends a blocking query again and again until ctx ends. number tells the queries of one watch
-// apart. failed is called with each failure.
-func (w *Watch) follow(ctx context.Context, number uint64, query queryFunc, failed func(error)) {
+// runQueryLoop repeats a blocking query until ctx ends. number identifies the query within its watch and
+// varies the seed of its retry delays. failed is called with each failure.
+func (w *Watch) runQueryLoop(ctx context.Context, number uint64, query queryFunc, failed func(error)) {
 	start := time.Now()
 	config := w.client.config
 	policy := blockingquery.Policy{Wait: config.Wait, MaxStale: config.MaxStale, RetryMax: config.RetryMax}
@@ -74,15 +74,15 @@
 	}
 }
 
-// send sends one query and waits for its response. Where the context was canceled, the error is the cause
-// of that. The context has ended when it returns.
+// send sends one query and waits for its response. If the context was canceled, the error is the cause of
+// the cancellation. send always cancels the context before it returns.
 func (w *Watch) send(ctx context.Context, cancel context.CancelCauseFunc, state *queryState, next blockingquery.Query,
 	query queryFunc) (response blockingquery.Response, apply func(blockingquery.Verdict), err error) {
 	defer cancel(nil)
-	alarm := state.startAlarm(next.Timeout, func() { cancel(errSilent) })
-	defer alarm.Stop()
+	timer := state.startTimeout(next.Timeout, func() { cancel(errTimeout) })
+	defer timer.Stop()
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) { state.onConn(info.Conn) },
+		GotConn: func(info httptrace.GotConnInfo) { state.setConn(info.Conn) },
 	})
 	options, err := w.client.options(traced)
 	if err == nil {
@@ -107,22 +107,22 @@
 	w.queries = slices.DeleteFunc(w.queries, func(other *queryState) bool { return other == state })
 }
 
-// Sync sends the service's queries anew and returns when their responses have been reported. A query that
-// has been failing since before since is not waited for. If no query is left to wait for, or ctx ends,
-// Sync returns an error.
+// Sync sends the service's queries again and returns when their responses have been reported. It does not
+// wait for a query that has been failing since before the time since. If no query is left to wait for, or
+// ctx ends, Sync returns an error.
 func (w *Watch) Sync(ctx context.Context, since time.Time) error {
 	w.mu.Lock()
 	queries := slices.Clone(w.queries)
 	w.mu.Unlock()
 	var results []chan error
 	for _, state := range queries {
-		if result := state.request(since); result != nil {
+		if result := state.requestRefresh(since); result != nil {
 			results = append(results, result)
 		}
 	}
-	silent := fmt.Errorf("consul: %s: %w", w.service.Name, errSilent)
+	timeoutErr := fmt.Errorf("consul: %s: %w", w.service.Name, errTimeout)
 	if len(results) == 0 {
-		return silent
+		return timeoutErr
 	}
 	var errs error
 	for _, result := range results {
@@ -130,28 +130,29 @@
 		case err := <-result:
 			errs = errors.Join(errs, err)
 		case <-ctx.Done():
-			return silent
+			return timeoutErr
 		}
 	}
 	return errs
 }
 
-// queryState is what Sync knows of a query that is sent again and again. It is safe for concurrent use.
+// queryState lets Sync refresh a query that runQueryLoop repeats. It is safe for concurrent use.
 type queryState struct {
-	wake chan struct{} // holds one value: the next query is to be sent at once
+	wake chan struct{} // capacity 1; a value means that the next query is to be sent at once
 
 	mu          sync.Mutex
-	waiters     []chan error       // of Sync, for the next query; each receives its result
-	cancel      context.CancelFunc // restarts the query that is out; nil if none is
-	conn        *unread.Conn       // its connection; nil if it has none yet, or one that can't be observed
-	readBefore  uint64             // what had been read of conn before
+	waiters     []chan error       // calls of Sync that wait for the next query; each receives its result
+	cancel      context.CancelFunc // restarts the query in flight; nil if there is none
+	conn        *unread.Conn       // connection of the query in flight; nil if not assigned or not observable
+	readBefore  uint64             // bytes read from conn before the query
 	failedSince time.Time          // zero if the last query did not fail
 }
 
-// request asks for a query that is sent from now on, and returns a channel that receives its result, or nil
-// if the query has been failing since before since. A query that is out is restarted, unless its response
-// has begun to arrive: that is reported first, whatever becomes of the next query.
-func (s *queryState) request(since time.Time) chan error {
+// requestRefresh requests a query that is sent from now on, and returns a channel that receives its result.
+// It returns nil if the query has been failing since before the time since. A query in flight is restarted,
+// unless its response has begun to arrive: that response is then reported first, even if the next query
+// fails.
+func (s *queryState) requestRefresh(since time.Time) chan error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.failedSince.IsZero() && s.failedSince.Before(since) {
@@ -169,19 +170,19 @@
 func (s *queryState) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // it is woken already
+	default: // a wake-up is already pending
 	}
 }
 
-// responseStarted reports whether any byte of the response to the query that is out has arrived. mu must be
+// responseStarted reports whether any byte of the response to the query in flight has arrived. mu must be
 // held.
 func (s *queryState) responseStarted() bool {
 	return s.conn != nil && (!s.conn.FullyRead() || s.conn.BytesRead() > s.readBefore)
 }
 
-// startAlarm calls silent after a timeout. If the response has begun to arrive by then, as it may have while
-// this process was paused, the query gets responseGrace more, once.
-func (s *queryState) startAlarm(timeout time.Duration, silent func()) *time.Timer {
+// startTimeout calls onTimeout after a timeout. If the response has begun to arrive by then, for example
+// while this process was paused, the query gets responseGrace more, once.
+func (s *queryState) startTimeout(timeout time.Duration, onTimeout func()) *time.Timer {
 	extended := false
 	return unread.AfterSilence(timeout, func() time.Duration {
 		s.mu.Lock()
@@ -191,11 +192,11 @@
 		}
 		extended = true
 		return responseGrace
-	}, silent)
+	}, onTimeout)
 }
 
-// onConn notes the connection that the query is sent on.
-func (s *queryState) onConn(conn net.Conn) {
+// setConn records the connection that the query is sent on.
+func (s *queryState) setConn(conn net.Conn) {
 	if t, ok := conn.(*tls.Conn); ok {
 		conn = t.NetConn()
 	}
@@ -208,20 +209,21 @@
 	}
 }
 
-// begin begins a query and returns the waiters that it is for. Later ones wait for the next query.
+// begin starts a query and returns the waiters that receive its result. Waiters that are added later wait
+// for the next query.
 func (s *queryState) begin(cancel context.CancelFunc) (waiters []chan error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	waiters, s.waiters = s.waiters, nil
 	s.cancel, s.conn = cancel, nil
 	select {
-	case <-s.wake: // this is the query that was asked for
+	case <-s.wake: // the query that now starts is the one that was requested
 	default:
 	}
 	return waiters
 }
 
-// restart ends a query that is sent again for the same waiters and those that have come since.
+// restart ends a canceled query and requests another one for its waiters and those added since.
 func (s *queryState) restart(waiters []chan error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,7 +232,7 @@
 	s.wakeUp()
 }
 
-// end ends a query, and gives its result to the waiters.
+// end ends a query and sends its result to the waiters.
 func (s *queryState) end(waiters []chan error, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/consul/register.go
+++ b/consul/register.go
@@ -21,32 +21,33 @@
 	Address string // host:port at which clients reach the gateway
 	Tags    []string
 	Meta    map[string]string
-	// TTL is how long without a renewal the health check turns critical. It is renewed every third of it.
-	// Default 10 s.
+	// TTL is the time after the last renewal at which the health check turns critical. The check is renewed
+	// every TTL/3. Default 10 s.
 	TTL time.Duration
 	// DeregisterAfter is how long the check may be critical before the agent removes the registration, so
-	// that a gateway that crashed is removed too. Consul takes no less than 1 min. Default 10 min.
+	// that a crashed gateway is removed too. Consul's minimum is 1 min. Default 10 min.
 	DeregisterAfter time.Duration
-	// OnResult is called with each error, and with nil when a call succeeds after one. It must not block.
-	// Nil means that nobody is told.
+	// OnResult, if not nil, is called with each error of a call to the agent, and with nil at the first
+	// success after an error. It must not block.
 	OnResult func(error)
 }
 
 const (
 	defaultTTL             = 10 * time.Second
 	defaultDeregisterAfter = 10 * time.Minute
-	// deregisterTimeout limits the call to the agent at the end.
+	// deregisterTimeout limits the call that deregisters the service.
 	deregisterTimeout = 2 * time.Second
-	// maxRegisterRetry is the longest delay before a failed call to the agent is made again.
+	// maxRegisterRetry is the longest delay before a failed call to the agent is retried.
 	maxRegisterRetry = time.Second
-	// minRegisterTimeout is the least time that a call to the agent gets; otherwise it gets a third of TTL.
+	// minRegisterTimeout is the shortest timeout of a call to the agent, which is otherwise TTL/3.
 	minRegisterTimeout = 100 * time.Millisecond
 )
 
-// Register keeps a gateway registered at the agent until ctx ends. It registers the service, renews its
-// check, registers again if the agent has lost it, turns the check critical when draining is closed, and
-// deregisters the service at the end. It blocks until then, and returns the error of the last call. While
-// the agent can't be reached it goes on trying; the gateway is not affected.
+// Register keeps a gateway registered at the agent and blocks until ctx ends. It registers the service,
+// renews its TTL check, registers the service again if the agent has lost it, turns the check critical when
+// draining is closed, and deregisters the service when ctx ends. While the agent is unreachable it keeps
+// retrying; the gateway is not affected. The result is ErrConfig for an invalid registration, otherwise the
+// error of the deregistration.
 func (c *Client) Register(ctx context.Context, registration Registration, draining <-chan struct{}) error {
 	r, err := newRegistrar(c, registration)
 	if err != nil {
@@ -64,7 +65,7 @@
 		case <-ctx.Done():
 			return r.deregister(ctx)
 		}
-		err := r.renewWithin(ctx, max(r.TTL/3, minRegisterTimeout))
+		err := r.renewWithTimeout(ctx, max(r.TTL/3, minRegisterTimeout))
 		if r.OnResult != nil && (err != nil || failing) && ctx.Err() == nil {
 			r.OnResult(err)
 		}
@@ -77,17 +78,17 @@
 	}
 }
 
-// registrar is a registration with its state.
+// registrar holds a Registration and its state at the agent.
 type registrar struct {
 	Registration
 	client         *Client
 	host           string
 	port           int
 	checkID        string
-	status, output string // of the check
+	status, output string // of the TTL check
 
 	registered bool
-	attempted  bool // the agent may hold a registration, even if the call failed
+	attempted  bool // a registration was sent; the agent may hold it even if the call failed
 }
 
 func newRegistrar(client *Client, registration Registration) (*registrar, error) {
@@ -115,13 +116,13 @@
 	}, nil
 }
 
-func (r *registrar) renewWithin(ctx context.Context, timeout time.Duration) error {
+func (r *registrar) renewWithTimeout(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return r.renew(ctx)
 }
 
-// renew updates the check, or registers the service if the agent does not know it.
+// renew updates the TTL check, or registers the service if the agent does not know the check.
 func (r *registrar) renew(ctx context.Context) error {
 	options, err := r.client.options(ctx)
 	if err != nil {
@@ -132,7 +133,7 @@
 		if !isUnknownCheck(err) {
 			return err
 		}
-		r.registered = false // the agent was reset
+		r.registered = false // the agent has lost the registration
 	}
 	r.attempted = true
 	service := &api.AgentServiceRegistration{
@@ -156,7 +157,8 @@
 	return err
 }
 
-// deregister removes the service at the end of ctx. A service that the agent does not know is no error.
+// deregister removes the service from the agent, although ctx has ended. It is not an error if the agent
+// does not know the service.
 func (r *registrar) deregister(ctx context.Context) error {
 	if !r.attempted {
 		return nil
@@ -173,8 +175,8 @@
 	return err
 }
 
-// isUnknownCheck reports whether an error says that the agent does not know the check or service. Agents
-// before 1.11 say so with status 500.
+// isUnknownCheck reports whether an error means that the agent does not know the check or service. Agents
+// before 1.11 respond with status 500 in this case.
 func isUnknownCheck(err error) bool {
 	var status api.StatusError
 	return errors.As(err, &status) &&
--- a/consul/register_test.go
+++ b/consul/register_test.go
@@ -10,8 +10,8 @@
 	"pumicecroft/internal/hosttest"
 )
 
-// A gateway is registered while it serves: passing and renewed, registered again when the agent lost it,
-// critical while it drains, and deregistered at the end.
+// A gateway is registered while it serves: its check is passing and renewed, it is registered again when the agent
+// has lost it, its check is critical while it drains, and it is deregistered at the end.
 func TestRegistration(t *testing.T) {
 	t.Parallel()
 	agent := startAgent(t)
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	status := func(want string) {
+	waitForStatus := func(want string) {
 		t.Helper()
 		for end := time.Now().Add(hosttest.WaitTimeout); ; time.Sleep(2 * time.Millisecond) {
 			got := agent.Instances("gateways")["agent/gateway-1"]
@@ -27,7 +27,7 @@
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("it is %q, want %q", got, want)
+				t.Fatalf("status of the registration is %q, want %q", got, want)
 			}
 		}
 	}
@@ -42,55 +42,55 @@
 			OnResult: func(err error) { results <- err },
 		}, draining)
 	}()
-	status("passing")
+	waitForStatus("passing")
 	const severalTTLs = 2 * time.Second
 	for until := time.Now().Add(severalTTLs); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if got := agent.Instances("gateways")["agent/gateway-1"]; got != "passing" {
-			t.Fatalf("it is %q", got)
+			t.Fatalf("status of the registration is %q, want passing", got)
 		}
 	}
-	agent.Remove("agent", "gateway-1") // the agent was reset
-	status("")
-	status("passing")
+	agent.Remove("agent", "gateway-1") // as if the agent had lost its registrations
+	waitForStatus("")
+	waitForStatus("passing")
 	if err := agent.SetFault(fakes.ConsulRefusesConnections); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-results; err == nil {
-		t.Error("the failure was not reported")
+		t.Error("OnResult got nil, want the error of the failed call")
 	}
-	status("critical") // by its TTL, as nobody could renew it
+	waitForStatus("critical") // the TTL expires, as the check can't be renewed
 	if err := agent.SetFault(fakes.ConsulHealthy); err != nil {
 		t.Fatal(err)
 	}
-	status("passing")
+	waitForStatus("passing")
 	for err := errors.New("not yet"); err != nil; {
 		err = <-results // until a call succeeds
 	}
 	close(draining)
-	status("critical")
+	waitForStatus("critical")
 	cancel()
 	if err := <-ended; err != nil {
-		t.Errorf("the end: %v", err)
+		t.Errorf("Register returned %v, want nil", err)
 	}
-	status("")
+	waitForStatus("")
 
-	// An agent that can't be reached does not delay the end for long.
+	// An agent that does not respond delays the return of Register only by the timeout of the deregistration.
 	ctx, cancel = context.WithCancel(t.Context())
 	go func() {
 		registration := Registration{Name: "gateways", ID: "gateway-1", Address: "127.0.0.1:8080", TTL: time.Second}
 		ended <- c.Register(ctx, registration, nil)
 	}()
-	status("passing")
+	waitForStatus("passing")
 	if err := agent.SetFault(fakes.ConsulSilent); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
 	cancel()
 	if err := <-ended; err == nil || time.Since(start) > 2*deregisterTimeout {
-		t.Errorf("the end: %v after %v", err, time.Since(start))
+		t.Errorf("Register returned %v after %v, want an error within %v", err, time.Since(start), 2*deregisterTimeout)
 	}
 	err = c.Register(t.Context(), Registration{Name: "gateways", Address: "nowhere"}, nil)
 	if !errors.Is(err, ErrConfig) {
-		t.Errorf("a bad address: %v", err)
+		t.Errorf("invalid address: %v, want %v", err, ErrConfig)
 	}
 }
--- a/consul/transport.go
+++ b/consul/transport.go
@@ -28,10 +28,10 @@
 	maxTokenBytes    = 4096
 )
 
-// target is where an agent or server listens.
+// target is the address at which an agent or server listens.
 type target struct {
 	scheme string // http or https
-	host   string // host:port; "localhost" for a socket
+	host   string // host:port; "localhost" for a Unix socket
 	socket string // path of a Unix socket; empty for TCP
 }
 
@@ -53,7 +53,8 @@
 	return target{}, fmt.Errorf("address %q: scheme is not http, https or unix", address)
 }
 
-// newTransport returns a transport whose connections tell whether they hold unread bytes.
+// newTransport returns a transport whose connections are unread.Conns, so that a query can see whether its
+// response has begun to arrive.
 func newTransport(config Config, to target) (*http.Transport, error) {
 	tlsConfig, err := newTLSConfig(config, to)
 	if err != nil {
@@ -80,11 +81,11 @@
 	}, nil
 }
 
-// newTLSConfig returns nil for a target without TLS.
+// newTLSConfig returns the TLS configuration for a target, or nil if the target does not use TLS.
 func newTLSConfig(config Config, to target) (*tls.Config, error) {
 	if to.scheme != "https" {
 		if config.CAFile != "" || config.CertFile != "" || config.KeyFile != "" {
-			return nil, fmt.Errorf("TLS files, but address %q is not https", config.Address)
+			return nil, fmt.Errorf("CA, certificate or key file is set, but address %q is not https", config.Address)
 		}
 		return nil, nil
 	}
@@ -117,12 +118,12 @@
 	}
 	token := strings.TrimSpace(string(text))
 	if token == "" || len(token) > maxTokenBytes {
-		return "", fmt.Errorf("%s does not hold a token", path)
+		return "", fmt.Errorf("token file %s is empty or too long", path)
 	}
 	return token, nil
 }
 
-// limitedTransport cuts response bodies off at maxResponseBytes.
+// limitedTransport truncates response bodies to maxResponseBytes.
 type limitedTransport struct{ http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
--- a/consul/trials_test.go
+++ b/consul/trials_test.go
@@ -11,90 +11,92 @@
 )
 
 var (
-	trials = flag.Int("trials", 6, "how often a node is taken away while it is under load")
-	delay  = flag.Duration("agent-delay", 0, "after how long the stand-in agent tells of a change")
-	calm   = flag.Duration("calm", 0, "pause between trials; without it some 20 changes a second wait for each other")
-	well   = flag.Bool("agent-well", false, "leave the agent alive in TestTheAgentIsDead, to compare with")
-	dead   = flag.Duration("dead", 2*time.Second, "for how long the agent is dead under load")
+	trialCount = flag.Int("trials", 6, "number of trials; each takes one node out of service under load")
+	agentDelay = flag.Duration("agent-delay", 0, "delay before the fake agent responds to a change")
+	trialPause = flag.Duration("calm", 0,
+		"pause between trials; without it, some 20 changes a second exceed the rate limit of queries")
+	agentStaysUp = flag.Bool("agent-well", false,
+		"keep the agent running in TestTheAgentIsDead, for a comparison without an outage")
+	outageDuration = flag.Duration("dead", 2*time.Second, "duration of the agent's outage under load")
 )
 
-// Measures the time from a node's deregistration, or its turning critical, to the last request that reaches
-// it, under load.
-// What is recorded is made by: go test ./consul -run TestLastRequest -v -trials 200 -calm 300ms
+// Measures, under load, the time from a node's deregistration or its first critical check to the last request
+// that reaches it. The figures in docs/measurements come from:
+// go test ./consul -run TestLastRequest -v -trials 200 -calm 300ms
 func TestLastRequest(t *testing.T) {
-	for name, take := range map[string]func(r *fixture, id string){
-		"deregistered": func(r *fixture, id string) { r.agent.Remove("n1", id) },
-		"critical": func(r *fixture, id string) {
-			r.agent.SetCheck("n1", id, fakes.Check{ID: "web", Status: "critical"})
+	for name, takeOut := range map[string]func(f *fixture, id string){
+		"deregistered": func(f *fixture, id string) { f.agent.Remove("n1", id) },
+		"critical": func(f *fixture, id string) {
+			f.agent.SetCheck("n1", id, fakes.Check{ID: "web", Status: "critical"})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newFixture(t, nil)
-			r.agent.SetDelay(*delay)
-			ids := []string{r.start(nil), r.start(nil), r.start(nil)}
-			d := r.gateway(3, func(c *pumicecroft.Config) { c.Settings.SlowStartWindow = 20 * time.Millisecond })
-			l := r.load(8, "pay", 500*time.Microsecond, d)
-			var took []time.Duration
-			for range *trials {
+			f := newFixture(t, nil)
+			f.agent.SetDelay(*agentDelay)
+			ids := []string{f.startBackend(nil), f.startBackend(nil), f.startBackend(nil)}
+			gateway := f.startGateway(3, func(c *pumicecroft.Config) { c.Settings.SlowStartWindow = 20 * time.Millisecond })
+			load := f.startLoad(8, "pay", 500*time.Microsecond, gateway)
+			var delays []time.Duration
+			for range *trialCount {
 				id := ids[0]
-				for n := r.ledger.Arrivals(id).Count; r.ledger.Arrivals(id).Count < n+20; { // it is in use
+				for n := f.ledger.Arrivals(id).Count; f.ledger.Arrivals(id).Count < n+20; { // until the node is in use
 					time.Sleep(time.Millisecond)
 				}
-				at := time.Now()
-				take(r, id)
-				r.await(d, id+" to be out", func(ms statuses) bool {
-					m, ok := ms[id]
+				takenOutAt := time.Now()
+				takeOut(f, id)
+				f.waitFor(gateway, id+" to be draining or gone", func(nodes statuses) bool {
+					m, ok := nodes[id]
 					return !ok || m.State == "draining"
 				})
-				time.Sleep(100 * time.Millisecond) // for what may come late
-				took = append(took, max(0, r.ledger.Arrivals(id).Last.Sub(at)))
-				r.agent.Remove("n1", id)
-				ids = append(ids[1:], r.start(nil))
-				r.wantState(d, id, "gone")
-				// A keyed request that is cut off may fail, as no other backend shares its deduplication.
-				l.awaitResponses()
-				r.backends[id].Kill()
-				time.Sleep(*calm)
+				time.Sleep(100 * time.Millisecond) // time for late requests to arrive
+				delays = append(delays, max(0, f.ledger.Arrivals(id).Last.Sub(takenOutAt)))
+				f.agent.Remove("n1", id)
+				ids = append(ids[1:], f.startBackend(nil))
+				f.waitForState(gateway, id, "gone")
+				// A keyed request may fail if the backend is killed while executing it.
+				load.waitForResponses()
+				f.backends[id].Kill()
+				time.Sleep(*trialPause)
 			}
-			l.stop()
-			if doubled := r.ledger.RepeatedEffects(); l.failed.Load() > 0 || len(doubled) > 0 {
-				t.Errorf("%v, doubled %q", l, doubled)
+			load.stop()
+			if repeated := f.ledger.RepeatedEffects(); load.failed.Load() > 0 || len(repeated) > 0 {
+				t.Errorf("%v, executed twice: %q; want no failed requests and none executed twice", load, repeated)
 			}
-			slices.Sort(took)
-			p50, most := took[len(took)/2], took[len(took)-1]
-			t.Logf("%s, %d trials, the agent's own delay %v: p50 %v, max %v; %v", name, len(took), *delay, p50, most, l)
-			if most > 2*time.Second {
-				t.Errorf("the last request came %v after", most)
+			slices.Sort(delays)
+			p50, longest := delays[len(delays)/2], delays[len(delays)-1]
+			t.Logf("%s, %d trials, agent delay %v: p50 %v, max %v; %v", name, len(delays), *agentDelay, p50, longest, load)
+			if longest > 2*time.Second {
+				t.Errorf("last request %v after the node was taken out, want at most 2s", longest)
 			}
 		})
 	}
 }
 
-// The agent is dead for a while under load. No request is lost for it.
-// What is recorded is made by: go test ./consul -run TestTheAgentIsDead -v -dead 60s
+// An outage of the agent under load must not lose a request. The figures in docs/measurements come from:
+// go test ./consul -run TestTheAgentIsDead -v -dead 60s
 func TestTheAgentIsDead(t *testing.T) {
 	t.Parallel()
-	r := newFixture(t, nil)
+	f := newFixture(t, nil)
 	for range 4 {
-		r.start(nil)
+		f.startBackend(nil)
 	}
-	d := r.gateway(4, nil)
-	l := r.load(8, "pay", 2*time.Millisecond, d)
+	gateway := f.startGateway(4, nil)
+	load := f.startLoad(8, "pay", 2*time.Millisecond, gateway)
 	fault := fakes.ConsulRefusesConnections
-	if *well {
+	if *agentStaysUp {
 		fault = fakes.ConsulHealthy
 	}
-	if err := r.agent.SetFault(fault); err != nil {
+	if err := f.agent.SetFault(fault); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(*dead)
-	if n := len(statusesOf(d)); n != 4 {
-		t.Errorf("%d nodes are known", n)
+	time.Sleep(*outageDuration)
+	if n := len(statusesOf(gateway)); n != 4 {
+		t.Errorf("the gateway knows %d nodes, want 4", n)
 	}
-	if err := r.agent.SetFault(fakes.ConsulHealthy); err != nil {
+	if err := f.agent.SetFault(fakes.ConsulHealthy); err != nil {
 		t.Fatal(err)
 	}
-	r.await(d, "the agent to be back", func(ms statuses) bool { return !ms["b1"].Stale })
-	r.wantNoLoss(l)
-	t.Logf("dead for %v: %v", *dead, l)
+	f.waitFor(gateway, "the agent to be back", func(nodes statuses) bool { return !nodes["b1"].Stale })
+	f.stopAndCheckNoLoss(load)
+	t.Logf("outage of %v: %v", *outageDuration, load)
 }
--- a/consul/watch.go
+++ b/consul/watch.go
@@ -18,24 +18,26 @@
 	"pumicecroft/membership"
 )
 
-// Watch follows one service. It is a pumicecroft.Source with Sync, under the name that SourceInfo gives.
+// Watch follows the instances of one service. It implements pumicecroft.Source and has Sync; the name of
+// the source is in SourceInfo.
 type Watch struct {
 	client  *Client
 	service Service
 
 	mu      sync.Mutex
-	queries []*queryState // those that run
+	queries []*queryState // of the queries that are running
 }
 
-// Service returns a source of a service's instances.
+// Service returns a Watch of a service's instances.
 func (c *Client) Service(s Service) *Watch { return &Watch{client: c, service: s} }
 
-// SourceInfo returns the name of the source. Two watches of one service are the same source.
+// SourceInfo returns the name of the source. All watches of one service have the same name.
 func (w *Watch) SourceInfo() membership.SourceInfo {
 	return membership.SourceInfo{Name: "consul:" + w.service.Name}
 }
 
-// Numbers of a watch's queries: their delays are random by seeds of their own.
+// Numbers of the queries of a watch. They are added to Config.Seed, so that each query has its own sequence of
+// random retry delays.
 const (
 	healthQuery   = 1
 	servicesQuery = 2
@@ -52,22 +54,22 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	if !w.service.HealthOnly {
-		running.Go(func() { w.follow(ctx, servicesQuery, r.queryServices, r.servicesFailed) })
+		running.Go(func() { w.runQueryLoop(ctx, servicesQuery, r.queryServices, r.servicesFailed) })
 	}
-	w.follow(ctx, healthQuery, r.queryHealth, r.healthFailed)
+	w.runQueryLoop(ctx, healthQuery, r.queryHealth, r.healthFailed)
 }
 
-// reporter turns the responses to a watch's queries into updates.
+// reporter turns the responses to a watch's queries into membership updates.
 type reporter struct {
 	service Service
 	client  *api.Client
 	update  func(membership.Update)
 
-	mu      sync.Mutex // guards catalog, and keeps updates in the order in which they were made
+	mu      sync.Mutex // guards catalog, and orders the calls of update
 	catalog *consulcatalog.Catalog
 }
 
-// report changes the catalog and reports what it comes to. An error of the change is reported last.
+// report changes the catalog and reports the resulting updates. An error of the change is reported last.
 func (r *reporter) report(indexReset bool, change func(now time.Time) error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +87,7 @@
 	}
 }
 
-// queryServices queries the catalog for the instances that exist. It is a queryFunc.
+// queryServices queries the catalog API for the instances that exist. It is a queryFunc.
 func (r *reporter) queryServices(options *api.QueryOptions) (head blockingquery.Response,
 	apply func(blockingquery.Verdict), err error) {
 	instances, meta, err := r.client.Catalog().ServiceMultipleTags(r.service.Name, r.service.Tags, options)
@@ -94,7 +96,7 @@
 	}
 	apply = func(verdict blockingquery.Verdict) {
 		if !verdict.Full {
-			return // the health query reports the same, and the catalog as it was is no update
+			return // the health query reports the error; an unchanged catalog needs no update
 		}
 		r.report(verdict.IndexReset, func(time.Time) error {
 			names := make([]string, 0, len(instances))
@@ -108,8 +110,8 @@
 	return responseHead(meta, len(instances)), apply, nil
 }
 
-// servicesFailed notes that the catalog can't be queried. The health query goes on alone, and reports an
-// error itself if it fails too.
+// servicesFailed records that the catalog API can't be queried. The health query continues alone. The error
+// is not reported here: if Consul fails altogether, the health query reports it.
 func (r *reporter) servicesFailed(error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// queryHealth queries the health of the service's instances. It is a queryFunc.
+// queryHealth queries the health API for the service's instances. It is a queryFunc.
 func (r *reporter) queryHealth(options *api.QueryOptions) (head blockingquery.Response,
 	apply func(blockingquery.Verdict), err error) {
 	options.Near, options.Filter = r.service.Near, r.service.Filter
@@ -153,8 +155,7 @@
 	}
 }
 
-// toEntries returns the entries of a response of the health API. Entries without a node or a service are left
-// out.
+// toEntries converts a response of the health API. Entries without a node or a service are skipped.
 func toEntries(found []*api.ServiceEntry) []consulcatalog.Entry {
 	var entries []consulcatalog.Entry
 	for _, f := range found {
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,7 +9,7 @@
 func TestExponential(t *testing.T) {
 	for name, c := range map[string]struct {
 		backoff Exponential
-		want    []time.Duration // by the number of failures before
+		want    []time.Duration // index: number of failures before
 	}{
 		"doubles up to the limit":       {Exponential{Initial: 1, Max: 9}, []time.Duration{1, 2, 4, 8, 9, 9}},
 		"limit reached exactly":         {Exponential{Initial: 2, Max: 8}, []time.Duration{2, 4, 8, 8}},
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,8 +1,9 @@
-// Package connpool decides about connections to backends: which idle one a request uses, whether another
-// is opened, how long a connection rests before it is reused, and which one is closed to make room.
+// Package connpool manages the pool of connections to backends: which idle connection a request reuses,
+// when to open a new one, how long a connection stays idle before it is reused, and which idle connection to
+// close when the pool is full.
 //
-// The package is pure: it holds no sockets and reads no clock. Its driver identifies each connection by
-// an Owner of its own, opens and closes connections as told, and serializes all calls.
+// The package is pure: it holds no sockets and reads no clock. The caller attaches its own connection as
+// Owner, opens and closes connections as told, and serializes all calls.
 package connpool
 
 import (
@@ -17,13 +18,13 @@
 
 // Limits bounds a Pool. There are no defaults.
 type Limits struct {
-	MaxConns    int           // to all destinations together: idle, in use, or being opened
-	IdleTimeout time.Duration // a connection that was idle for so long is closed
-	// ReuseDelay is how long a connection stays idle after a response before it is used again. Surplus bytes behind a response have
-	// mostly arrived by then, and show that the connection must not be used again.
+	MaxConns    int           // total for all destinations: idle, in use, or being opened
+	IdleTimeout time.Duration // a connection that has been idle for this long is closed
+	// ReuseDelay is how long a connection stays idle after a response before it is reused. Surplus bytes after
+	// a response have usually arrived by then; they show that the connection must not be reused.
 	ReuseDelay time.Duration
-	// MinReuseDelay takes the place of ReuseDelay when MaxConns connections exist: then the connection
-	// of the destination that was idle for longest is used.
+	// MinReuseDelay replaces ReuseDelay when MaxConns connections exist. The destination's connection that has
+	// been idle for longest is then reused.
 	MinReuseDelay time.Duration
 }
 
@@ -31,29 +32,29 @@
 // process or backend has a Destination of its own, even at the same address.
 type Destination struct {
 	Addr   string
-	idle   []*Conn // the one that was idle for longest first
+	idle   []*Conn // longest idle first
 	closed bool
 }
 
-// Conn is one connection, as the pool knows it.
+// Conn is the pool's state of one connection.
 type Conn struct {
-	Owner       any // the driver's connection
+	Owner       any // the caller's connection
 	destination *Destination
 	idleSince   time.Duration
-	idleElem    *list.Element // in Pool.idle; nil: in use
+	idleElem    *list.Element // element of Pool.idle; nil if in use
 	used        bool
 }
 
-// Used reports whether the connection has carried a response: the other side may have closed it since.
+// Used reports whether the connection has carried a response. The peer may have closed such a connection since.
 func (c *Conn) Used() bool { return c.used }
 
-// Pool bounds the connections to all destinations together and keeps idle ones for further requests.
+// Pool limits the total number of connections to all destinations and keeps idle connections for reuse.
 type Pool struct {
 	limits  Limits
 	count   int        // idle, in use or being opened
-	idle    *list.List // of *Conn, the one that was idle for longest first
+	idle    *list.List // of *Conn, longest idle first
 	closed  bool
-	toClose []*Conn
+	toClose []*Conn // discarded connections that the caller has not yet taken
 }
 
 // New returns an empty Pool.
@@ -65,12 +66,13 @@
 // Idle returns the number of idle connections.
 func (p *Pool) Idle() int { return p.idle.Len() }
 
-// Acquire returns an idle connection to a destination, the most recently used one that was idle for
-// ReuseDelay: it is the least likely to have been closed by the other side. Before use the driver must check that no byte has
-// arrived on it, and discard it otherwise: that byte would be read as the response to the next request.
+// Acquire returns an idle connection to a destination: the most recently used one that has been idle for
+// ReuseDelay, as it is the least likely to have been closed by the peer. Before use, the caller must check
+// that no byte has arrived on it, and discard it otherwise: that byte would be read as the response to the
+// next request.
 //
-// If Acquire returns neither a connection nor an error, the driver is to open one, and owes one call of
-// Opened or OpenFailed. fresh asks for a new connection. The error is ErrPoolFull.
+// If Acquire returns neither a connection nor an error, the caller must open a connection and call Opened or
+// OpenFailed once. fresh demands a new connection. The only error is ErrPoolFull.
 func (p *Pool) Acquire(now time.Duration, to *Destination, fresh bool) (*Conn, error) {
 	if !fresh {
 		if c := p.acquireReusable(now, to); c != nil {
@@ -92,8 +94,8 @@
 	return nil, nil
 }
 
-// acquireReusable takes the most recently used connection that was idle for ReuseDelay, and discards
-// those that it finds past IdleTimeout. It returns nil if there is none.
+// acquireReusable takes the most recently used connection that has been idle for ReuseDelay, or returns nil if
+// there is none. It discards connections past IdleTimeout that it meets.
 func (p *Pool) acquireReusable(now time.Duration, to *Destination) *Conn {
 	for i := len(to.idle) - 1; i >= 0; i-- {
 		c := to.idle[i]
@@ -109,13 +111,13 @@
 	return nil
 }
 
-// Opened returns the connection that Acquire asked for. It is in use.
+// Opened adds the connection that Acquire told the caller to open. It is in use.
 func (p *Pool) Opened(to *Destination, owner any) *Conn { return &Conn{Owner: owner, destination: to} }
 
-// OpenFailed says that the connection that Acquire asked for could not be opened.
+// OpenFailed records that the connection that Acquire told the caller to open could not be opened.
 func (p *Pool) OpenFailed() { p.count-- }
 
-// Put makes a connection idle. Its response must have been read to the end, with nothing behind it.
+// Put makes a connection idle. Its response must have been read to the end, with no surplus bytes after it.
 func (p *Pool) Put(now time.Duration, c *Conn) {
 	if p.closed || c.destination.closed {
 		p.Discard(c)
@@ -126,7 +128,7 @@
 	c.idleElem = p.idle.PushBack(c)
 }
 
-// Discard removes a connection that was in use.
+// Discard removes a connection in use from the pool. TakeDiscarded then returns it.
 func (p *Pool) Discard(c *Conn) {
 	p.toClose = append(p.toClose, c)
 	p.count--
@@ -159,7 +161,7 @@
 	}
 }
 
-// NextExpiry returns when CloseExpired is to be called. ok is false if no connection is idle.
+// NextExpiry returns when CloseExpired must be called next. ok is false if no connection is idle.
 func (p *Pool) NextExpiry() (at time.Duration, ok bool) {
 	if p.idle.Len() == 0 {
 		return 0, false
@@ -167,14 +169,14 @@
 	return p.longestIdle().idleSince + p.limits.IdleTimeout, true
 }
 
-// TakeDiscarded returns the connections that the driver must close, each once.
+// TakeDiscarded returns the connections that the caller must close, each once.
 func (p *Pool) TakeDiscarded() []*Conn {
 	discarded := p.toClose
 	p.toClose = nil
 	return discarded
 }
 
-// longestIdle returns the connection that was idle for longest. There must be an idle one.
+// longestIdle returns the connection that has been idle for longest. There must be at least one idle connection.
 func (p *Pool) longestIdle() *Conn { return p.idle.Front().Value.(*Conn) }
 
 func (p *Pool) removeIdle(c *Conn) {
@@ -183,7 +185,7 @@
 	c.destination.idle = slices.DeleteFunc(c.destination.idle, func(o *Conn) bool { return o == c })
 }
 
-// evict closes an idle connection.
+// evict discards an idle connection.
 func (p *Pool) evict(c *Conn) {
 	p.removeIdle(c)
 	p.Discard(c)
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is the simplest pool, beside the pool under test.
+// model is a simple reference implementation of the pool, run next to the pool under test.
 type model struct {
 	pool   *Pool
 	limits Limits
@@ -17,9 +17,9 @@
 	destinations []*Destination
 	opening      []*Destination // of the connections being opened
 	inUse        map[*Conn]*Destination
-	idle         []idleConn // the one that was idle for longest first
+	idle         []idleConn // longest idle first
 	closedDests  map[*Destination]bool
-	ended        bool
+	poolClosed   bool
 	closedConns  map[*Conn]bool
 	lastOwner    int
 }
@@ -53,18 +53,18 @@
 	slices.SortFunc(conns, func(a, b *Conn) int { return a.Owner.(int) - b.Owner.(int) })
 }
 
-// checkDiscarded compares the connections that the pool wants closed with those that it must.
+// checkDiscarded compares the connections that the pool tells its caller to close with the expected ones.
 func (m *model) checkDiscarded(t *rapid.T, want ...*Conn) {
 	t.Helper()
 	got := m.pool.TakeDiscarded()
 	sortByOwner(got)
 	sortByOwner(want)
 	if !slices.Equal(got, want) {
-		t.Fatalf("closes %d, want %d", len(got), len(want))
+		t.Fatalf("the pool closes %d connections, want %d: %v, want %v", len(got), len(want), got, want)
 	}
 	for _, c := range got {
 		if m.closedConns[c] {
-			t.Fatal("a connection is closed twice")
+			t.Fatalf("connection %v is closed twice", c.Owner)
 		}
 		m.closedConns[c] = true
 	}
@@ -83,8 +83,8 @@
 	return rapid.SampledFrom(conns).Draw(t, "connection")
 }
 
-// takeIdle removes idle connections as Acquire must: it returns the one to use, nil if there is none, and those
-// to close.
+// takeIdle removes the idle connections that Acquire must remove. It returns the connection to use, or nil if there is
+// none, and the expired ones to close.
 func (m *model) takeIdle(to *Destination) (conn *Conn, expired []*Conn) {
 	for i := len(m.idle) - 1; i >= 0; i-- {
 		idle := m.idle[i]
@@ -115,14 +115,14 @@
 	}
 	c, err := m.pool.Acquire(m.now, to, fresh)
 	if c != want {
-		t.Fatalf("returns %v, want %v", c, want)
+		t.Fatalf("Acquire returns %v, want %v", c, want)
 	}
 	switch full := m.count() >= m.limits.MaxConns; {
 	case want != nil:
 		m.inUse[c] = to
 	case full && len(m.idle) == 0:
 		if err == nil {
-			t.Fatal("over the limit")
+			t.Fatalf("Acquire returns no error with all %d connections in use, want %v", m.limits.MaxConns, ErrPoolFull)
 		}
 	default:
 		if full {
@@ -130,7 +130,7 @@
 			m.idle = m.idle[1:]
 		}
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Acquire: %v, want no error", err)
 		}
 		m.opening = append(m.opening, to)
 	}
@@ -156,13 +156,13 @@
 	to := m.inUse[c]
 	delete(m.inUse, c)
 	m.pool.Put(m.now, c)
-	if m.ended || m.closedDests[to] {
+	if m.poolClosed || m.closedDests[to] {
 		m.checkDiscarded(t, c)
 		return
 	}
 	m.idle = append(m.idle, idleConn{c, to, m.now})
 	if !c.Used() {
-		t.Fatal("a connection that carried a response is not used")
+		t.Fatalf("Used() of connection %v is false after a response, want true", c.Owner)
 	}
 }
 
@@ -200,11 +200,11 @@
 }
 
 func (m *model) close(t *rapid.T) {
-	if rapid.IntRange(0, 9).Draw(t, "really") > 0 {
-		t.Skip("not yet")
+	if rapid.IntRange(0, 9).Draw(t, "one in ten") > 0 {
+		t.Skip("the pool is closed in a tenth of the cases only")
 	}
 	m.pool.Close()
-	m.ended = true
+	m.poolClosed = true
 	var closed []*Conn
 	for _, idle := range m.idle {
 		closed = append(closed, idle.conn)
@@ -215,17 +215,18 @@
 
 func (m *model) checkCounts(t *rapid.T) {
 	if m.pool.Count() != m.count() || m.pool.Idle() != len(m.idle) || m.pool.Count() > m.limits.MaxConns {
-		t.Fatalf("%d connections, %d idle, want %d and %d", m.pool.Count(), m.pool.Idle(), m.count(), len(m.idle))
+		t.Fatalf("%d connections, %d idle; want %d and %d, at most %d", m.pool.Count(), m.pool.Idle(), m.count(),
+			len(m.idle), m.limits.MaxConns)
 	}
 	at, ok := m.pool.NextExpiry()
 	if ok != (len(m.idle) > 0) || ok && at != m.idle[0].since+m.limits.IdleTimeout {
-		t.Fatalf("next expiry at %v, %v", at, ok)
+		t.Fatalf("NextExpiry returns %v, %v; want IdleTimeout after the first of %d idle connections", at, ok, len(m.idle))
 	}
 }
 
-// The pool is used in any order. It must do as the model does: a connection that it returns is of the
-// destination, rested, not expired, and the most recently used; each is closed once and never returned again;
-// the limit holds.
+// Runs random operations on the pool and on the model, whose results must be equal. A connection that the pool returns
+// belongs to the destination, has been idle for the reuse delay, has not expired, and is the most recently used one.
+// Each connection is closed once and never returned after that. The limit on connections holds.
 func TestPool_AgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
--- a/internal/consulcatalog/catalog.go
+++ b/internal/consulcatalog/catalog.go
@@ -1,8 +1,8 @@
-// Package consulcatalog decides what the entries of Consul's catalog and health API mean: which nodes
-// exist, which may be sent requests, and which are new. It is pure: entries and times go in, a membership
-// update comes out.
+// Package consulcatalog interprets the entries of Consul's catalog and health APIs: which nodes exist,
+// which may receive requests, and which are new. It is pure: entries and times go in, and membership updates
+// come out.
 //
-// A Catalog owns what is known of one service.
+// A Catalog holds the state of one service.
 package consulcatalog
 
 import (
@@ -14,57 +14,58 @@
 	"pumicecroft/membership"
 )
 
-// Entry is one instance of a service, as the health API has it.
+// Entry is one instance of a service in a response of the health API.
 type Entry struct {
-	Node, ID      string // an ID is unique at its node
+	Node, ID      string // ID is the service ID, unique within its node
 	Host          string
 	Port          int
-	Addr          string // Host and Port as one connects to them
+	Addr          string // the address to connect to: Host and Port joined
 	Datacenter    string
 	Meta          map[string]string // of the service
 	NodeMeta      map[string]string
 	PassingWeight float64
 	WarningWeight float64
-	CreateIndex   uint64 // the index at which the instance was registered
+	CreateIndex   uint64 // Consul's index at the registration of the instance
 	Checks        []Check
-	Maintenance   bool // its node or service is in maintenance mode
+	Maintenance   bool // the node or the service is in maintenance mode
 }
 
-// Catalog is what is known of one service's instances. It is not safe for concurrent use.
+// Catalog holds the known instances of one service. It is not safe for concurrent use.
 type Catalog struct {
 	mapping Mapping
-	records map[string]*record // by name
-
-	awaitingServices bool            // the catalog is queried, and has not responded yet
-	registered       map[string]bool // instances by the catalog; nil if it is not queried, or has failed
-	inHealth         map[string]bool // instances by the health API's last full response
-	healthSeen       bool            // the health API has sent a full response
-	healthIsNewer    bool            // ... and has done so since the catalog has
-	full             bool            // the last response of either was full
-	epoch            int             // counts resets of the catalog
-	earlyDrains      []membership.Node
+	records map[string]*record // by instance name, as Name returns it
+
+	awaitingServices bool              // the catalog API is queried and has not responded yet
+	registered       map[string]bool   // instances in the catalog API; nil if it is not queried or has failed
+	inHealth         map[string]bool   // instances in the last full response of the health API
+	healthSeen       bool              // the health API has sent a full response
+	healthIsNewer    bool              // ... later than the last one of the catalog API
+	full             bool              // the last response of either API was full
+	epoch            int               // number of resets of Consul's catalog
+	earlyDrains      []membership.Node // draining nodes seen before the first full response
 }
 
-// record is what is kept of an instance.
+// record is the state of an instance.
 type record struct {
 	node          membership.Node
-	mappedName    string // by Mapping.Name
+	mappedName    string // the attribute that Mapping.Name selects
 	createIndex   uint64
-	processID     string // by Mapping.Started
+	processID     string // the attribute that Mapping.Started selects
 	epoch         int
-	absentSince   time.Time // when it was first listed nowhere; zero if it is listed
-	drainReported bool      // by UnlistedDrains
+	absentSince   time.Time // when updates began to leave the instance out; zero if present
+	drainReported bool      // UnlistedDrains has reported the current drain
 }
 
-// absentRetention is how long an instance that is listed nowhere is kept, so that it is known again when a
-// catalog that was reset lists it. At most maxAbsent are kept.
 const (
+	// absentRetention is how long an absent instance is kept, so that it is recognized when a catalog that was
+	// reset lists it again.
 	absentRetention = 5 * time.Minute
-	maxAbsent       = 20_000
+	// maxAbsent limits the number of absent instances that are kept.
+	maxAbsent = 20_000
 )
 
-// NewCatalog returns an empty catalog. withServices means that UpdateServices decides which instances exist;
-// Update then waits for both queries.
+// NewCatalog returns an empty catalog. withServices means that the catalog API is queried too, and that
+// UpdateServices decides which instances exist. Update then waits for responses of both APIs.
 func NewCatalog(mapping Mapping, withServices bool) *Catalog {
 	return &Catalog{
 		mapping:          mapping,
@@ -74,13 +75,14 @@
 	}
 }
 
-// Name returns the name of an instance. It is unique among services too, as an ID is unique at its node.
+// Name returns the name of an instance. As service IDs are unique within a node, it is also unique across
+// services.
 func Name(node, id string) string { return node + "/" + id }
 
-// UpdateHealth takes in a response of the health API. full means that an instance that it lacks does not
-// exist, and reset that the catalog was reset. A response that is not full may be older than what is known;
-// of it, only drains count. invalid holds the errors of single entries; the others count, and an instance
-// whose entry is invalid stays as it was.
+// UpdateHealth applies a response of the health API. full means that an instance missing from the response
+// does not exist, and reset that Consul's catalog was reset. A response that is not full may be older than the
+// known state, so only its drains are applied. invalid holds the errors of single entries: valid entries are
+// applied all the same, and an instance whose entry is invalid keeps its state.
 func (c *Catalog) UpdateHealth(now time.Time, entries []Entry, full, reset bool) (invalid []error) {
 	if reset {
 		c.epoch++
@@ -106,7 +108,7 @@
 	return invalid
 }
 
-// UpdateServices takes in a full response of the catalog: the names of the instances that exist.
+// UpdateServices applies a full response of the catalog API: the names of the instances that exist.
 func (c *Catalog) UpdateServices(names []string) {
 	c.awaitingServices = false
 	c.full, c.healthIsNewer = true, false
@@ -116,16 +118,16 @@
 	}
 }
 
-// ServicesFailed notes that the catalog can't be queried: until it can, the health API alone says which
-// instances exist. It reports whether Update was waiting for the catalog.
+// ServicesFailed records that the catalog API can't be queried. Until its next response, the health API alone
+// decides which instances exist. ServicesFailed reports whether Update was waiting for the catalog API.
 func (c *Catalog) ServicesFailed() (waited bool) {
 	waited = c.awaitingServices
 	c.awaitingServices, c.registered = false, nil
 	return waited
 }
 
-// applyDrain takes in an entry of a response that is not full, if its instance must not be sent requests.
-// Before the first full response such instances are kept as earlyDrains: a cached update may have them as
+// applyDrain applies an entry of a response that is not full, if its instance must not receive requests.
+// Before the first full response such instances are kept in earlyDrains, as a cached update may list them as
 // ready.
 func (c *Catalog) applyDrain(e Entry) {
 	state, weight, note := c.evaluateChecks(e)
@@ -145,8 +147,8 @@
 	}
 }
 
-// applyEntry takes in an entry of a full response. first means that it is the first one, whose instances
-// have existed before.
+// applyEntry applies an entry of a full response. first means that this is the first full response, whose
+// instances are not new.
 func (c *Catalog) applyEntry(now time.Time, name string, e Entry, first bool) error {
 	if e.Node == "" || e.ID == "" {
 		return fmt.Errorf("consulcatalog: entry without a node or an ID at %q", e.Addr)
@@ -157,12 +159,12 @@
 	processID := c.attribute(c.mapping.Started, e)
 	startedAt := parseStart(processID)
 	if startedAt.After(now) {
-		startedAt = now // its clock is ahead; a start in the future would prolong the node's slow start
+		startedAt = now // the node's clock is ahead; a start in the future would prolong its slow start
 	}
 	r := c.records[name]
 	if r == nil {
 		if !first && startedAt.Before(now) {
-			startedAt = now // it was registered just now, or at least was not here before
+			startedAt = now // the instance was not listed before, so it counts as started now
 		}
 		r = &record{}
 		c.records[name] = r
@@ -175,14 +177,14 @@
 	return nil
 }
 
-// isNewProcess reports whether an entry stands for another process, or another registration, than the record
-// of its instance. In a catalog that was reset all registrations are new, so that alone says nothing. An
-// instance that was away and is back under its old registration was never gone.
+// isNewProcess reports whether an entry belongs to another process or another registration than the record of
+// its instance. After a reset of Consul's catalog all registrations are new, so a new CreateIndex alone does
+// not count then. An absent instance that returns with its old registration is not new.
 func (c *Catalog) isNewProcess(r *record, e Entry, processID string) bool {
 	return r.processID != processID || r.node.Addr != e.Addr || r.createIndex != e.CreateIndex && r.epoch == c.epoch
 }
 
-// fillNode sets a record's node, but for its start, by an entry.
+// fillNode sets a record's node from an entry, except for its start time.
 func (c *Catalog) fillNode(r *record, name string, e Entry) {
 	r.mappedName = c.attribute(c.mapping.Name, e)
 	n := &r.node
--- a/internal/consulcatalog/checks.go
+++ b/internal/consulcatalog/checks.go
@@ -10,21 +10,21 @@
 // Check is the state of one health check.
 type Check struct{ ID, Status, Output string }
 
-// The statuses of checks at which a node may be sent requests. Any other one means that it must not:
-// critical, maintenance, and statuses that are not known.
+// Check statuses in which a node may receive requests. In any other status it must not: critical, maintenance,
+// and unknown statuses.
 const (
 	statusPassing = "passing"
 	statusWarning = "warning"
 )
 
 const (
-	// maxNoteBytes limits what is kept of a check's output.
+	// maxNoteBytes limits the length of a note, which includes the output of a check.
 	maxNoteBytes = 160
 	// maxWeight limits the weight of a node.
 	maxWeight = 1e6
 )
 
-// evaluateChecks returns what the checks of an entry come to: the state, the weight and the reason.
+// evaluateChecks returns the state and weight of a node by the checks of its entry, and a note with the reason.
 func (c *Catalog) evaluateChecks(e Entry) (state decision.BackendState, weight float64, note string) {
 	warning := ""
 	for _, check := range e.Checks {
@@ -48,7 +48,7 @@
 	return decision.Draining, validWeight(e.WarningWeight), warning
 }
 
-// note returns the check in words, of at most maxNoteBytes.
+// note describes the check in at most maxNoteBytes.
 func (k Check) note() string {
 	note := k.Status + ": " + k.ID
 	if k.Output != "" {
@@ -60,9 +60,9 @@
 	return note
 }
 
-// validWeight returns a weight that is above 0 and at most maxWeight; anything else counts as 1.
+// validWeight returns a weight limited to maxWeight, or 1 for a weight that is not above 0.
 func validWeight(weight float64) float64 {
-	if !(weight > 0) { // nor is NaN
+	if !(weight > 0) { // also true for NaN
 		return 1
 	}
 	return min(weight, maxWeight)
--- a/internal/consulcatalog/update.go
+++ b/internal/consulcatalog/update.go
@@ -10,13 +10,13 @@
 	"pumicecroft/membership"
 )
 
-// minMissingInHealth is how many instances the health API must lack, beside most of those in the catalog, to be
-// taken for failing itself.
+// minMissingInHealth is the least number of instances that must be missing from the health API for it to be
+// considered as failing. They must also be the majority of the instances in the catalog.
 const minMissingInHealth = 3
 
-// Update returns the service's nodes as they are known now. It returns false if too little is known yet.
-// Before both queries have sent a full response, the update is not full and has only nodes that must not be
-// sent requests: a cached update may have them as ready.
+// Update returns the nodes of the service. ok is false if there is nothing to report yet. Until each queried
+// API has sent a full response, the update is not full and contains only nodes that must not receive
+// requests, as a cached update may list them as ready.
 func (c *Catalog) Update(now time.Time) (update membership.Update, ok bool) {
 	if c.awaitingServices || !c.healthSeen {
 		update.Nodes, c.earlyDrains = c.earlyDrains, nil
@@ -46,8 +46,9 @@
 	return update, true
 }
 
-// isComplete reports whether a node that is missing does not exist. Of two responses that differ, the one
-// that came first may only be the older: what it lacks says nothing.
+// isComplete reports whether a node missing from the update is certain not to exist. The last response must
+// have been full. If the later of the two APIs' responses lists an instance that the earlier one lacks, the
+// earlier one may be out of date, so what it lacks is not certain.
 func (c *Catalog) isComplete() bool {
 	if !c.full || c.registered == nil {
 		return c.full
@@ -64,9 +65,9 @@
 	return true
 }
 
-// isHealthFailing reports whether the health API lacks all, or most, of the instances that the catalog
-// lists. It has more likely failed itself, so these instances are left out as if they were missing: the
-// membership table then weighs the update as a mass removal.
+// isHealthFailing reports whether all or most of the instances in the catalog are missing from the health API.
+// The health API is then more likely to have failed than the instances, so they are left out of the update
+// instead of drained, and the membership table handles the update as a mass removal.
 func (c *Catalog) isHealthFailing() bool {
 	present, missing := 0, 0
 	for name, r := range c.records {
@@ -81,8 +82,8 @@
 	return missing > 0 && (len(c.inHealth) == 0 || missing >= minMissingInHealth && 2*missing > present)
 }
 
-// isPresent reports whether an update names an instance. One that was absent is present again when all that
-// are queried list it.
+// isPresent reports whether an update includes an instance. An absent instance becomes present again when
+// every API that is queried lists it.
 func (c *Catalog) isPresent(name string, r *record, healthFailing bool) bool {
 	healthy := c.inHealth[name]
 	exists := c.registered[name] || c.registered == nil && healthy
@@ -92,7 +93,8 @@
 	return exists && r.absentSince.IsZero() && (healthy || !healthFailing)
 }
 
-// retainAbsent keeps an instance that is absent for absentRetention, if it is among the first maxAbsent.
+// retainAbsent marks an instance as absent, and deletes it after absentRetention or if it exceeds maxAbsent.
+// absent is the number of absent instances so far, this one included.
 func (c *Catalog) retainAbsent(name string, r *record, now time.Time, absent int) {
 	if r.absentSince.IsZero() {
 		r.absentSince = now
@@ -102,9 +104,10 @@
 	}
 }
 
-// UnlistedDrains returns the nodes that drain by the health API but that Update leaves out, as the catalog
-// lacks them: each once, until it is ready or listed again. A catalog that lacks everything may be doubted
-// as a whole, and a drain must not be missing with it, so this is reported before Update. It is not full.
+// UnlistedDrains returns the nodes that drain according to the health API but that Update leaves out because
+// the catalog lacks them. Each is returned once, until it is ready or listed again. The membership table may
+// disregard the removals of a catalog that lacks most nodes, which would hide the drains too; therefore they
+// are reported before Update. The update is not full.
 func (c *Catalog) UnlistedDrains() (update membership.Update) {
 	if c.awaitingServices || !c.healthSeen || c.registered == nil {
 		return update
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs a deployment on loopback for a short time: fake backends, discovery and counter, a gateway on a
-// socket, and clients. Meanwhile one backend drains, one crashes, one starts cold, and one customer sends far more than
-// its quota. The package counts the responses of the clients and the attempts that backends received.
+// Package demo runs a whole deployment on loopback for a short time: fake backends, discovery and counter, a gateway
+// that listens on a socket, and clients. Meanwhile one backend drains, one crashes, one starts cold, and one customer
+// sends far more than its quota. The package evaluates the responses to the clients and the attempts at the backends.
 package demo
 
 import (
@@ -25,18 +25,18 @@
 // Options configure Run.
 type Options struct {
 	Duration time.Duration
-	Addr     string    // of the gateway, such as 127.0.0.1:0
-	Out      io.Writer // gets a line a second, and one at the end
-	Seed     uint64    // of the clients' random numbers
+	Addr     string    // listen address of the gateway, such as 127.0.0.1:0
+	Out      io.Writer // receives events, a line of figures each second, and a summary
+	Seed     uint64    // seed of the clients' random numbers
 }
 
-// Counts are the results of the clients' tries.
+// Counts holds the results of the requests that clients sent, their retries included.
 type Counts struct {
 	Sent, Served, Rejected, WithRetryAfter, Failed, Lost int
 	Duplicates                                           int
 }
 
-// String returns the demo's last line.
+// String returns the last line of the demo's output.
 func (c Counts) String() string {
 	return fmt.Sprintf("served=%d refused=%d failed=%d lost=%d duplicates=%d",
 		c.Served, c.Rejected, c.Failed, c.Lost, c.Duplicates)
@@ -46,16 +46,16 @@
 func (c Counts) OK() bool { return c.Lost == 0 && c.Duplicates == 0 && c.Sent > 0 }
 
 const (
-	customerCount     = 24
-	customerRate      = 4.0  // requests a second of a customer within its quota
-	floodFactor       = 60.0 // times as many from the customer over its quota
-	discoveryLag      = 200 * time.Millisecond
-	crashDetectionLag = time.Second // until discovery notices a crash
-	slowStartWindow   = 4 * time.Second
+	customerCount       = 24
+	customerRate        = 4.0  // requests per second of a customer within its quota
+	overQuotaFactor     = 60.0 // multiple of customerRate that the customer over its quota sends
+	discoveryDelay      = 200 * time.Millisecond
+	crashDetectionDelay = time.Second // from a crash until discovery reports it
+	slowStartWindow     = 4 * time.Second
 )
 
-// Settings returns the settings of the demo: one gateway, three classes, a plan with a quota and one with a hard limit
-// as well.
+// Settings returns the settings of the demo: one gateway, three classes, a plan with a quota, and a plan with a quota
+// and a hard limit.
 func Settings() decision.Settings {
 	return decision.Settings{
 		GatewayCount: 1, MaxAttempts: 4, CanCancel: true, UsagePeriod: 500 * time.Millisecond, MaxCost: 6,
@@ -82,7 +82,7 @@
 	"id-check": 15 * time.Millisecond, "stock-lookup": 30 * time.Millisecond, "activate": 45 * time.Millisecond,
 }
 
-// deployment is everything that runs.
+// deployment holds the running parts of the demo and its figures.
 type deployment struct {
 	options   Options
 	settings  decision.Settings
@@ -101,105 +101,105 @@
 	thisSecond     Counts
 	latencies      []time.Duration // of the requests served in this second
 	drainedBackend string
-	drainedAt      time.Time       // when discovery reported it
-	floodingIDs    map[string]bool // request IDs of the customer over its quota
+	drainedAt      time.Time       // when discovery reported the drain
+	overQuotaIDs   map[string]bool // request IDs of the customer over its quota
 }
 
-// Run runs the demo. It returns an error if something could not be started, or if ctx ended first.
+// Run runs the demo. It returns an error if a part of the deployment could not be started, or if ctx ended first.
 func Run(ctx context.Context, o Options) (Counts, error) {
-	s := &deployment{
+	d := &deployment{
 		options: o, settings: Settings(), ledger: &fakes.Ledger{}, meter: &fakes.Meter{},
-		floodingIDs: map[string]bool{}, transport: &http.Transport{MaxIdleConnsPerHost: 256},
+		overQuotaIDs: map[string]bool{}, transport: &http.Transport{MaxIdleConnsPerHost: 256},
 	}
 	defer func() {
-		for _, closeOne := range slices.Backward(s.closers) {
+		for _, closeOne := range slices.Backward(d.closers) {
 			closeOne()
 		}
 	}()
-	if err := s.start(); err != nil {
+	if err := d.start(); err != nil {
 		return Counts{}, err
 	}
-	fmt.Fprintf(o.Out, "a door on %s, %d backends, discovery on %s, the counter on %s; %v\n", s.addr, len(s.backends),
-		s.discovery.Addr(), s.counter.Addr(), o.Duration)
+	fmt.Fprintf(o.Out, "gateway on %s, %d backends, discovery on %s, counter on %s; running for %v\n", d.addr,
+		len(d.backends), d.discovery.Addr(), d.counter.Addr(), o.Duration)
 	sending, stop := context.WithTimeout(ctx, o.Duration)
 	defer stop()
 	var clients sync.WaitGroup
 	for i := range customerCount {
-		clients.Go(func() { s.runCustomer(sending, ctx, i) })
+		clients.Go(func() { d.runCustomer(sending, ctx, i) })
 	}
 	eventsDone := make(chan struct{})
 	go func() {
 		defer close(eventsDone)
-		s.playEvents(sending)
+		d.runEvents(sending)
 	}()
-	s.report(sending)
+	d.report(sending)
 	clients.Wait()
 	<-eventsDone
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.counts.Duplicates = len(s.ledger.RepeatedEffects())
-	s.reportRules()
-	fmt.Fprintln(o.Out, s.counts)
-	return s.counts, ctx.Err()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.counts.Duplicates = len(d.ledger.RepeatedEffects())
+	d.reportInvariants()
+	fmt.Fprintln(o.Out, d.counts)
+	return d.counts, ctx.Err()
 }
 
-// startBackend starts backend i.
-func (s *deployment) startBackend(i int, cold bool) (*fakes.Backend, error) {
+// startBackend starts backend number i. A cold backend begins with a reduced capacity.
+func (d *deployment) startBackend(i int, cold bool) (*fakes.Backend, error) {
 	b, err := fakes.StartBackend(fakes.BackendConfig{
 		Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("floor-%d", i%2+2), InstanceType: "standard",
-		Cell: s.cells[i%2], Slots: 4, Queue: 40, WorkTime: func(class string) time.Duration { return workTimes[class] },
+		Cell: d.cells[i%2], Slots: 4, Queue: 40, WorkTime: func(class string) time.Duration { return workTimes[class] },
 		IdempotentByKey:      func(class string) bool { return class == "activate" },
 		SlowStartMinCapacity: 0.25, SlowStartWindow: slowStartWindow, OverloadFactor: 4, OverloadDuration: 2 * time.Second,
-		StartCold: cold, Ledger: s.ledger, Meter: s.meter,
+		StartCold: cold, Ledger: d.ledger, Meter: d.meter,
 	})
 	if err == nil {
-		s.backends = append(s.backends, b)
-		s.closers = append(s.closers, b.Kill)
+		d.backends = append(d.backends, b)
+		d.closers = append(d.closers, b.Kill)
 	}
 	return b, err
 }
 
-// start starts discovery, counter, backends and the gateway.
-func (s *deployment) start() (err error) {
-	if s.discovery, err = fakes.StartDiscovery(); err != nil {
+// start starts discovery, the counter, the backends and the gateway.
+func (d *deployment) start() (err error) {
+	if d.discovery, err = fakes.StartDiscovery(); err != nil {
 		return err
 	}
-	s.closers = append(s.closers, s.discovery.Close)
-	if s.counter, err = fakes.StartCounter(); err != nil {
+	d.closers = append(d.closers, d.discovery.Close)
+	if d.counter, err = fakes.StartCounter(); err != nil {
 		return err
 	}
-	s.closers = append(s.closers, s.counter.Close)
+	d.closers = append(d.closers, d.counter.Close)
 	for n := range 2 {
-		s.cells = append(s.cells, &fakes.Cell{Number: n, Window: 5 * time.Second})
+		d.cells = append(d.cells, &fakes.Cell{Number: n, Window: 5 * time.Second})
 	}
 	for i := range 6 {
-		b, err := s.startBackend(i, false)
+		b, err := d.startBackend(i, false)
 		if err != nil {
 			return err
 		}
-		s.discovery.Set(b.Endpoint())
+		d.discovery.Set(b.Endpoint())
 	}
-	return s.startGateway()
+	return d.startGateway()
 }
 
-// startGateway starts the gateway with its listener.
-func (s *deployment) startGateway() error {
-	list := s.discovery.List()
-	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: s.settings, InitialEndpoints: list.Membership()},
-		pumicecroft.WithSource(&platform.Discovery{Addr: s.discovery.Addr(), FromVersion: list.Seq}))
+// startGateway starts the gateway and its listener.
+func (d *deployment) startGateway() error {
+	list := d.discovery.List()
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: d.settings, InitialEndpoints: list.Membership()},
+		pumicecroft.WithSource(&platform.Discovery{Addr: d.discovery.Addr(), FromVersion: list.Seq}))
 	if err != nil {
 		return err
 	}
-	s.closers = append(s.closers, func() {
+	d.closers = append(d.closers, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		_ = gateway.Close(ctx)
 	})
-	ln, err := net.Listen("tcp", s.options.Addr)
+	ln, err := net.Listen("tcp", d.options.Addr)
 	if err != nil {
 		return err
 	}
-	s.addr = ln.Addr().String()
+	d.addr = ln.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
 	logger := slog.New(slog.DiscardHandler)
 	server := httplistener.NewServer(gateway, 512, 3*time.Second, logger, httplistener.Options{})
@@ -208,67 +208,67 @@
 		defer close(ended)
 		_ = server.Run(ctx, ln)
 	}()
-	s.closers = append(s.closers, func() {
-		s.transport.CloseIdleConnections()
+	d.closers = append(d.closers, func() {
+		d.transport.CloseIdleConnections()
 		stop()
 		<-ended
 	})
 	return nil
 }
 
-// playEvents plays what happens to the backends, at shares of the duration.
-func (s *deployment) playEvents(ctx context.Context) {
+// runEvents drains one backend, crashes one and starts one cold, at fixed shares of the duration.
+func (d *deployment) runEvents(ctx context.Context) {
 	after := func(share float64, event string, do func()) bool {
 		select {
-		case <-time.After(time.Duration(share * float64(s.options.Duration))):
+		case <-time.After(time.Duration(share * float64(d.options.Duration))):
 		case <-ctx.Done():
 			return false
 		}
-		fmt.Fprintln(s.options.Out, "  --", event)
+		fmt.Fprintln(d.options.Out, "  --", event)
 		do()
 		return true
 	}
-	later := func(d time.Duration, do func()) {
+	later := func(delay time.Duration, do func()) {
 		select {
-		case <-time.After(d):
+		case <-time.After(delay):
 			do()
 		case <-ctx.Done():
 		}
 	}
 	ok := after(0.2, "node-0 drains", func() {
-		s.backends[0].Drain()
-		later(discoveryLag, func() {
-			s.discovery.SetHealth("node-0", "Terminating")
-			s.mu.Lock()
-			s.drainedBackend, s.drainedAt = "node-0", time.Now()
-			s.mu.Unlock()
+		d.backends[0].Drain()
+		later(discoveryDelay, func() {
+			d.discovery.SetHealth("node-0", "Terminating")
+			d.mu.Lock()
+			d.drainedBackend, d.drainedAt = "node-0", time.Now()
+			d.mu.Unlock()
 		})
-	}) && after(0.2, "node-1 dies", func() {
-		s.backends[1].Kill()
-		later(crashDetectionLag, func() { s.discovery.SetHealth("node-1", "Gone") })
+	}) && after(0.2, "node-1 crashes", func() {
+		d.backends[1].Kill()
+		later(crashDetectionDelay, func() { d.discovery.SetHealth("node-1", "Gone") })
 	})
 	if ok {
 		after(0.15, "node-6 starts cold", func() {
-			if b, err := s.startBackend(6, true); err == nil {
-				later(discoveryLag, func() { s.discovery.Set(b.Endpoint()) })
+			if b, err := d.startBackend(6, true); err == nil {
+				later(discoveryDelay, func() { d.discovery.Set(b.Endpoint()) })
 			}
 		})
 	}
 }
 
 // runCustomer sends the requests of customer i until sending ends, and waits for their responses.
-func (s *deployment) runCustomer(sending, ctx context.Context, i int) {
-	rng := rand.New(rand.NewPCG(s.options.Seed, uint64(i)))
+func (d *deployment) runCustomer(sending, ctx context.Context, i int) {
+	rng := rand.New(rand.NewPCG(d.options.Seed, uint64(i)))
 	plan, rate, from, to := "shop", customerRate, 0.0, 1.0
 	if i == 0 {
-		plan, rate, from, to = "flagship", customerRate*floodFactor, 0.3, 0.7
+		plan, rate, from, to = "flagship", customerRate*overQuotaFactor, 0.3, 0.7
 	}
 	start := time.Now()
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	for n := uint64(0); ; n++ {
 		currentRate := rate
-		if share := float64(time.Since(start)) / float64(s.options.Duration); share < from || share > to {
+		if share := float64(time.Since(start)) / float64(d.options.Duration); share < from || share > to {
 			currentRate = customerRate
 		}
 		select {
@@ -276,34 +276,35 @@
 		case <-sending.Done():
 			return
 		}
-		ask := fakes.Request{Customer: uint64(i + 1), Plan: plan, Cost: 1, Timeout: 2 * time.Second}
+		request := fakes.Request{Customer: uint64(i + 1), Plan: plan, Cost: 1, Timeout: 2 * time.Second}
 		switch p := rng.Float64(); {
 		case p < 0.49:
-			ask.Class = "id-check"
+			request.Class = "id-check"
 		case p < 0.88:
-			ask.Class = "stock-lookup"
+			request.Class = "stock-lookup"
 		default:
-			ask.Class, ask.Key, ask.Body = "activate", fmt.Sprintf("%08x%016x", i, rng.Uint64()), "sim=1"
+			request.Class, request.Key, request.Body = "activate", fmt.Sprintf("%08x%016x", i, rng.Uint64()), "sim=1"
 		}
 		ids := [2]uint64{rng.Uint64(), rng.Uint64()}
-		requests.Go(func() { s.sendRequest(ctx, ask, ids) })
+		requests.Go(func() { d.sendRequest(ctx, request, ids) })
 	}
 }
 
-// sendRequest sends a request and, after a rejection with Retry-After, one retry.
-func (s *deployment) sendRequest(ctx context.Context, ask fakes.Request, ids [2]uint64) {
-	for try, id := range ids {
-		ask.ID = id
-		s.meter.Register(ask.RequestID(), ask.Customer, ask.Cost, s.planRate(ask.Plan))
-		if ask.Plan == "flagship" {
-			s.mu.Lock()
-			s.floodingIDs[ask.RequestID()] = true
-			s.mu.Unlock()
+// sendRequest sends a request and, if it is rejected with Retry-After, retries it once. ids holds the request ID of
+// the first send and that of the retry.
+func (d *deployment) sendRequest(ctx context.Context, request fakes.Request, ids [2]uint64) {
+	for i, id := range ids {
+		request.ID = id
+		d.meter.Register(request.RequestID(), request.Customer, request.Cost, d.planRate(request.Plan))
+		if request.Plan == "flagship" {
+			d.mu.Lock()
+			d.overQuotaIDs[request.RequestID()] = true
+			d.mu.Unlock()
 		}
-		reply := ask.Do(ctx, s.transport, s.addr)
-		s.meter.Forget(ask.RequestID())
-		s.record(reply)
-		if reply.String() != "refused" || reply.RetryAfter == "" || try > 0 {
+		reply := request.Do(ctx, d.transport, d.addr)
+		d.meter.Forget(request.RequestID())
+		d.record(reply)
+		if reply.String() != "refused" || reply.RetryAfter == "" || i > 0 {
 			return
 		}
 		wait, err := time.ParseDuration(reply.RetryAfter + "s")
@@ -319,8 +320,8 @@
 }
 
 // planRate returns the rate of a plan.
-func (s *deployment) planRate(plan string) float64 {
-	for _, p := range s.settings.Plans {
+func (d *deployment) planRate(plan string) float64 {
+	for _, p := range d.settings.Plans {
 		if p.Name == plan {
 			return p.Rate
 		}
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -10,11 +10,11 @@
 	"pumicecroft/internal/fakes"
 )
 
-// record counts a reply.
-func (s *deployment) record(r fakes.Reply) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range []*Counts{&s.counts, &s.thisSecond} {
+// record adds a reply to the figures.
+func (d *deployment) record(r fakes.Reply) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, c := range []*Counts{&d.counts, &d.thisSecond} {
 		c.Sent++
 		switch r.String() {
 		case "served":
@@ -31,15 +31,15 @@
 		}
 	}
 	if r.Status == http.StatusOK {
-		s.latencies = append(s.latencies, r.Latency)
+		d.latencies = append(d.latencies, r.Latency)
 	}
 	if r.Status == 0 {
-		fmt.Fprintln(s.options.Out, "  lost:", r.Err)
+		fmt.Fprintln(d.options.Out, "  lost:", r.Err)
 	}
 }
 
-// report prints a line a second until ctx ends.
-func (s *deployment) report(ctx context.Context) {
+// report prints a line of figures each second until ctx ends.
+func (d *deployment) report(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	start := time.Now()
@@ -49,18 +49,18 @@
 		case <-ctx.Done():
 			return
 		}
-		s.mu.Lock()
-		slices.Sort(s.latencies)
-		c := s.thisSecond
-		fmt.Fprintf(s.options.Out, "%3.0fs asked=%d served=%d refused=%d (with Retry-After %d) failed=%d p50=%v p99=%v\n",
+		d.mu.Lock()
+		slices.Sort(d.latencies)
+		c := d.thisSecond
+		fmt.Fprintf(d.options.Out, "%3.0fs asked=%d served=%d refused=%d (with Retry-After %d) failed=%d p50=%v p99=%v\n",
 			time.Since(start).Seconds(), c.Sent, c.Served, c.Rejected, c.WithRetryAfter, c.Failed,
-			quantile(s.latencies, 0.5), quantile(s.latencies, 0.99))
-		s.thisSecond, s.latencies = Counts{}, s.latencies[:0]
-		s.mu.Unlock()
+			quantile(d.latencies, 0.5), quantile(d.latencies, 0.99))
+		d.thisSecond, d.latencies = Counts{}, d.latencies[:0]
+		d.mu.Unlock()
 	}
 }
 
-// quantile returns a quantile of sorted latencies; 0 if there are none.
+// quantile returns the q-quantile of sorted latencies, or 0 if there are none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -68,34 +68,36 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))].Round(100 * time.Microsecond)
 }
 
-// reportRules prints how far the other rules were kept, as the backends saw it. s.mu must be held.
-func (s *deployment) reportRules() {
+// reportInvariants prints figures on drains, slow starts and the hard limit, as measured at the backends. d.mu must be
+// held.
+func (d *deployment) reportInvariants() {
 	late := 0
-	for _, a := range s.ledger.Attempts() {
-		if s.drainedBackend != "" && a.Backend == s.drainedBackend && a.At.After(s.drainedAt.Add(s.settings.DrainGrace)) {
+	for _, a := range d.ledger.Attempts() {
+		if d.drainedBackend != "" && a.Backend == d.drainedBackend && a.At.After(d.drainedAt.Add(d.settings.DrainGrace)) {
 			late++
 		}
 	}
 	overloaded := 0
-	for _, b := range s.backends {
+	for _, b := range d.backends {
 		if b.Overloaded() {
 			overloaded++
 		}
 	}
-	fmt.Fprintf(s.options.Out, "sent to the drained backend after its grace: %d; cold backends that fell: %d; "+
-		"lowest store of the flooding customer's hard ceiling: %.1f units (%.1f allowed)\n",
-		late, overloaded, s.lowestHardLimitTokens(), -s.settings.Plans[1].HardLimitOverdraft)
+	fmt.Fprintf(d.options.Out, "attempts at the drained backend after its grace period: %d; "+
+		"overloaded cold backends: %d; "+
+		"lowest token count of the hard limit of the customer over its quota: %.1f (at least %.1f allowed)\n",
+		late, overloaded, d.lowestHardLimitTokens(), -d.settings.Plans[1].HardLimitOverdraft)
 }
 
-// lowestHardLimitTokens replays the forwarded tries of the customer over its quota, each of them once, against the
-// token bucket of its hard limit, and returns the lowest number of tokens.
-func (s *deployment) lowestHardLimitTokens() float64 {
-	plan := s.settings.Plans[1]
+// lowestHardLimitTokens replays the forwarded requests of the customer over its quota against the token bucket of its
+// hard limit, each request once without its retries by the gateway, and returns the lowest number of tokens.
+func (d *deployment) lowestHardLimitTokens() float64 {
+	plan := d.settings.Plans[1]
 	tokens, lowest := plan.HardLimitBurst, plan.HardLimitBurst
 	var last time.Time
 	seen := map[string]bool{}
-	for _, a := range s.ledger.Attempts() {
-		if !s.floodingIDs[a.ID] || seen[a.ID] {
+	for _, a := range d.ledger.Attempts() {
+		if !d.overQuotaIDs[a.ID] || seen[a.ID] {
 			continue
 		}
 		seen[a.ID] = true
