--- a/internal/sim/attempt.go
+++ b/internal/sim/attempt.go
@@ -139,7 +139,7 @@
 		err = errCancelled
 	case errors.Is(c.readErr, errConnReset):
 		err = errConnReset
-	case c.backend.hitBy(ConnLostBeforeRequest, a.randKey()...):
+	case c.backend.affectedBy(ConnLostBeforeRequest, a.randKey()...):
 		rng := g.world.newRand(append(a.randKey(), 3)...)
 		c.sendToBackend(text[:rng.IntN(len(text))], 0)
 		c.deliver(&c.toBackend, 0, c.reset)
@@ -148,7 +148,7 @@
 		}
 	default:
 		rng := g.world.newRand(append(a.randKey(), 4)...)
-		sendInPieces(rng, text, c.backend.hitBy(SlowBytes, a.randKey()...), c.sendToBackend)
+		sendInPieces(rng, text, c.backend.affectedBy(SlowBytes, a.randKey()...), c.sendToBackend)
 	}
 	if err != nil {
 		exchange.Cancel(a.cancelCause)
@@ -242,7 +242,7 @@
 		g.enqueue(epoch, nil, func() {
 			delete(g.attempts, a)
 			request := a.request
-			if request.finalCount == 0 || g.runsForKey(request) {
+			if request.finalCount == 0 || g.isKeyLeader(request) {
 				request.response, request.responseAttempt = a.exchange.Response, a.number
 			}
 			result := a.exchange.Result
--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -21,7 +21,7 @@
 	number int
 	cell   int
 	zone   string
-	dedup  *dedupMemory
+	dedup  *dedupTable
 	conns  map[*conn]bool
 
 	// Of the process.
@@ -34,7 +34,7 @@
 	overloaded     bool
 
 	// Of the sources.
-	moves       int           // how often its address has changed
+	addrChanges int           // how often its address has changed
 	drainFaults int           // faults by which it drains now
 	listed      bool          // the sources name it
 	listedAt    time.Duration // since when, if it was removed before; 0: always
@@ -50,7 +50,7 @@
 
 // dedupMemory is what the backends of one deduplication scope remember: when each key was first
 // seen.
-type dedupMemory struct{ firstSeen map[uint64]time.Duration }
+type dedupTable struct{ firstSeen map[uint64]time.Duration }
 
 // receivedRequest is a request that a backend has received whole.
 type receivedRequest struct {
@@ -62,16 +62,16 @@
 }
 
 const (
-	concurrency     = 4  // requests that a backend executes at once
-	maxQueue        = 40 // a backend rejects what comes beyond that
-	meanServiceTime = 80 * time.Millisecond
-	capacity        = concurrency / 0.080 // requests a second, once warm
-	slowFactor      = 8                   // SlowExecution takes that much longer
+	backendConcurrency  = 4  // requests that a backend executes at once
+	maxQueueLength      = 40 // a backend rejects what comes beyond that
+	meanServiceTime     = 80 * time.Millisecond
+	backendCapacity     = backendConcurrency / 0.080 // requests a second, once warm
+	slowExecutionFactor = 8                          // SlowExecution takes that much longer
 )
 
 func (b *backend) name() string { return "b" + strconv.Itoa(b.number) }
 
-func (b *backend) addr() string { return fmt.Sprintf("b%d.%d", b.number, b.moves) }
+func (b *backend) addr() string { return fmt.Sprintf("b%d.%d", b.number, b.addrChanges) }
 
 // node is what discovery tells of a backend.
 func (b *backend) node() membership.Node {
@@ -97,7 +97,7 @@
 }
 
 // hitBy tells whether a fault meets something. The draw depends on the purpose alone.
-func (b *backend) hitBy(kind FaultKind, purpose ...uint64) bool {
+func (b *backend) affectedBy(kind FaultKind, purpose ...uint64) bool {
 	share := b.faultShares[kind]
 	return share > 0 && b.world.newRand(append(purpose, uint64(kind), uint64(b.number))...).Float64() < share
 }
@@ -172,10 +172,10 @@
 func (b *backend) onRequest(received *receivedRequest) {
 	b.recordArrival(received)
 	if action := b.runner.scriptedAction(received); action != "" {
-		b.perform(received, action)
+		b.performAction(received, action)
 		return
 	}
-	if b.overloaded || b.hitBy(BackendRejects, received.number) || len(b.queue) >= maxQueue {
+	if b.overloaded || b.affectedBy(BackendRejects, received.number) || len(b.queue) >= maxQueueLength {
 		b.respond(received, "503 Service Unavailable", "Not-Started: 1\r\n", "")
 		return
 	}
@@ -183,9 +183,9 @@
 		// A gateway does not answer for what the network holds beyond the grace that the settings
 		// state for it.
 		seen := min(b.world.now, received.conn.sentAt+responseGrace)
-		received.keyIsNew = b.dedup.remember(received.request.key, seen, b.runner.config.dedupWindow)
+		received.keyIsNew = b.dedup.insertIfNew(received.request.key, seen, b.runner.config.dedupWindow)
 	}
-	if b.busy < concurrency {
+	if b.busy < backendConcurrency {
 		b.execute(received)
 	} else {
 		b.queue = append(b.queue, received)
@@ -204,7 +204,7 @@
 	if b.countsTowardsOverload(received.conn.gateway) {
 		b.recentArrivals = append(b.recentArrivals, b.world.now)
 	}
-	limit := b.overloadFactor * fraction * capacity * b.overloadDuration.Seconds()
+	limit := b.overloadFactor * fraction * backendCapacity * b.overloadDuration.Seconds()
 	if b.world.now-b.startedAt > b.overloadDuration && float64(len(b.recentArrivals)) > limit && !b.overloaded {
 		b.overloaded = true
 		b.check.onOverload(b, len(b.recentArrivals))
@@ -239,7 +239,7 @@
 	factor := 0.5 + b.world.newRand(received.number, 77).Float64()
 	duration := time.Duration(factor * float64(meanServiceTime) / b.warmupFraction())
 	if b.faultShares[SlowExecution] > 0 {
-		duration *= slowFactor
+		duration *= slowExecutionFactor
 	}
 	b.world.scheduleAfter(duration, func() {
 		if epoch != b.epoch {
@@ -248,7 +248,7 @@
 		b.busy--
 		b.executeNext()
 		b.check.onExecuted(received, b)
-		b.finish(received)
+		b.respondAfterExecution(received)
 	})
 }
 
@@ -265,7 +265,7 @@
 }
 
 // remember tells whether a key is new within a window, and remembers it from now on.
-func (m *dedupMemory) remember(key uint64, now, window time.Duration) bool {
+func (m *dedupTable) insertIfNew(key uint64, now, window time.Duration) bool {
 	if at, known := m.firstSeen[key]; known && now-at < window {
 		return false
 	}
@@ -274,14 +274,14 @@
 }
 
 // start starts a new process, which warms up.
-func (b *backend) start() {
+func (b *backend) startProcess() {
 	b.up, b.startedAt, b.overloaded, b.recentArrivals = true, b.world.now, false, nil
 	b.epoch++
 	b.busy, b.queue = 0, nil
 }
 
 // stop ends the process: what it had is lost, and its connections are reset.
-func (b *backend) stop() {
+func (b *backend) stopProcess() {
 	b.up = false
 	b.epoch++
 	b.busy, b.queue = 0, nil
--- a/internal/sim/backendresponses.go
+++ b/internal/sim/backendresponses.go
@@ -9,22 +9,22 @@
 )
 
 // finish responds to a request that was executed, as the faults have it.
-func (b *backend) finish(received *receivedRequest) {
+func (b *backend) respondAfterExecution(received *receivedRequest) {
 	rng := b.world.newRand(received.number, 5)
 	switch {
-	case b.hitBy(NoResponse, received.number):
-	case b.hitBy(ConnLostAfterExecution, received.number):
+	case b.affectedBy(NoResponse, received.number):
+	case b.affectedBy(ConnLostAfterExecution, received.number):
 		text := b.responseBytes(received, "200 OK", "", received.request.expectedBody())
 		if cut := rng.IntN(2 * len(text)); cut < len(text) {
 			received.conn.sendToGateway(text[:cut], 0)
 		}
 		received.conn.reset()
-	case b.hitBy(InvalidResponse, received.number):
+	case b.affectedBy(InvalidResponse, received.number):
 		received.conn.sendToGateway([]byte(oneOf(rng, invalidResponses...)), 0)
 		if rng.IntN(2) == 0 {
 			received.conn.reset()
 		}
-	case b.hitBy(ErrorResponses, received.number):
+	case b.affectedBy(ErrorResponses, received.number):
 		b.respond(received, oneOf(rng, errorStatuses...), "", "no")
 	default:
 		b.respond(received, "200 OK", "", received.request.expectedBody())
@@ -89,13 +89,13 @@
 	}
 	text := b.responseBytes(received, status, fields, body)
 	delay := time.Duration(0)
-	if b.hitBy(DelayedResponse, received.number) {
+	if b.affectedBy(DelayedResponse, received.number) {
 		delay = randDuration(rng, 0, 3*time.Second)
 	}
-	sendInPieces(rng, text, b.hitBy(SlowBytes, received.number), func(part []byte, after time.Duration) {
+	sendInPieces(rng, text, b.affectedBy(SlowBytes, received.number), func(part []byte, after time.Duration) {
 		c.sendToGateway(part, delay+after)
 	})
-	if b.hitBy(TrailingBytes, received.number) {
+	if b.affectedBy(TrailingBytes, received.number) {
 		extra := text
 		if rng.IntN(2) == 0 {
 			extra = []byte(oneOf(rng, invalidResponses...))
@@ -105,8 +105,8 @@
 		c.sendTrailing(extra, delay+randDuration(rng, 0, 2500*time.Microsecond))
 	}
 	if bytes.Contains(text, []byte("Connection: close")) {
-		c.endToGateway(errConnClosed)
-		c.detachBackend()
+		c.sendReadError(errConnClosed)
+		c.closeByBackend()
 		return
 	}
 	c.startIdleTimer()
--- a/internal/sim/clients.go
+++ b/internal/sim/clients.go
@@ -15,15 +15,15 @@
 // clientRequest is one request of a client, and what became of it. A client's retry is another one
 // with the same key.
 type clientRequest struct {
-	number   int
-	id       uint64
-	class    string
-	key      uint64 // idempotency key, over the client's retries
-	customer int
-	cost     float64
-	timeout  time.Duration
-	bodySize int
-	digest   byte // tells requests of one key apart
+	number      int
+	id          uint64
+	class       string
+	key         uint64 // idempotency key, over the client's retries
+	customer    int
+	cost        float64
+	timeout     time.Duration
+	bodySize    int
+	fingerprint byte // tells requests of one key apart
 
 	idReused  bool // its id was used before
 	keyReused bool // its key was used by a client that was not told that this is harmless
@@ -47,13 +47,13 @@
 	streamedAttempt int    // the attempt whose response is being passed on, counted from 1; 0: none
 	responseBody    string // expectedBody's, once it was asked for
 
-	sentCount   int // attempts started for it
-	executions  int // by backends
-	effectCount int
+	attemptCount int // attempts started for it
+	executions   int // by backends
+	effectCount  int
 }
 
 // classes are what clients ask for, the idempotent "look" twice as often as the others.
-var classes = [...]string{"look", "look", "pay", "once", "feed"}
+var requestClasses = [...]string{"look", "look", "pay", "once", "feed"}
 
 // Bounds on how long clients wait.
 const (
@@ -80,14 +80,14 @@
 
 // dedupIdentity is dedupKey with what else tells requests apart at the gateway.
 func (q *clientRequest) dedupIdentity() string {
-	return fmt.Sprintf("%d-%s-%d", q.customer, q.dedupKey(), q.digest)
+	return fmt.Sprintf("%d-%s-%d", q.customer, q.dedupKey(), q.fingerprint)
 }
 
 // giveUpAfter is how long after its arrival the gateway gives up on the request.
-func (q *clientRequest) giveUpAfter() time.Duration { return q.timeout - lifecycle.ResponseMargin }
+func (q *clientRequest) responseTimeout() time.Duration { return q.timeout - lifecycle.ResponseMargin }
 
 // duplicateOf is the same request once more, by a client that presses twice.
-func (q *clientRequest) duplicateOf() *clientRequest {
+func (q *clientRequest) newDuplicate() *clientRequest {
 	return &clientRequest{
 		class: q.class, key: q.key, customer: q.customer, cost: q.cost, timeout: q.timeout, bodySize: q.bodySize,
 		duplicate: true, keyReused: true,
@@ -131,12 +131,12 @@
 		rate *= floodFactor
 	}
 	r.scheduleAfter(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		if r.stopped {
+		if r.clientsStopped {
 			return
 		}
 		r.lastKey++
 		request := &clientRequest{key: r.lastKey, customer: customer}
-		request.class = oneOf(rng, classes[:]...)
+		request.class = oneOf(rng, requestClasses[:]...)
 		request.cost = float64(1 + rng.IntN(2))
 		request.timeout = randDuration(rng, minClientTimeout, maxClientTimeout)
 		request.bodySize = oneOf(rng, 0, 0, 10, 3000)
@@ -209,15 +209,15 @@
 	if rng.Float64() >= share {
 		return
 	}
-	duplicate := request.duplicateOf()
+	duplicate := request.newDuplicate()
 	duplicate.timeout = randDuration(rng, minClientTimeout, maxClientTimeout)
 	request.keyReused = true
 	if rng.IntN(8) == 0 {
-		duplicate.digest = 1
+		duplicate.fingerprint = 1
 	}
 	delays := [...]time.Duration{0, 0, request.timeout, randDuration(rng, 0, 2*time.Second)}
 	r.scheduleAfter(oneOf(rng, delays[:]...), func() {
-		if !r.stopped {
+		if !r.clientsStopped {
 			r.submit(duplicate, index, len(r.gateways))
 		}
 	})
@@ -249,7 +249,7 @@
 // maybeRetry has a client that was told of a rejection try once more, in every second case, through
 // any gateway. The protocol allows clients one retry (BRIEF 6).
 func (r *runner) maybeRetry(request *clientRequest, verdict string, retryAfter time.Duration) {
-	if verdict != verdictRejected || r.stopped || request.retry {
+	if verdict != verdictRejected || r.clientsStopped || request.retry {
 		return
 	}
 	rng := r.newRand(5, uint64(request.number))
@@ -262,7 +262,7 @@
 	}
 	index := rng.IntN(r.config.gateways)
 	r.scheduleAfter(retryAfter+randDuration(rng, 0, 20*time.Millisecond), func() {
-		if !r.stopped {
+		if !r.clientsStopped {
 			r.submit(retry, index, 1)
 		}
 	})
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -42,7 +42,7 @@
 	maxOpenRequests int
 	maxAttempts     int
 	maxRequestIDs   int
-	forgetsIDs      bool // maxRequestIDs is so small that some are forgotten early
+	evictsIDs       bool // maxRequestIDs is so small that some are forgotten early
 
 	dedupBytes   int  // of memory for idempotency keys at a gateway; 0: it recognises none
 	journalsKeys bool // the keys are on disk as well
@@ -88,7 +88,7 @@
 	}
 	c.cachesCatalog = rng.IntN(2) == 0
 	if rng.IntN(4) == 0 {
-		c.maxRequestIDs, c.forgetsIDs = 8, true
+		c.maxRequestIDs, c.evictsIDs = 8, true
 	}
 	c.dedupBytes = oneOf(rng, 0, 0, 1<<20, 8<<10)
 	c.journalsKeys = c.dedupBytes > 0 && rng.IntN(2) == 0
@@ -96,7 +96,7 @@
 }
 
 // recognisesAllKeys tells whether a gateway has room for all keys of a run.
-func (c *runConfig) recognisesAllKeys() bool { return c.dedupBytes >= 1<<20 }
+func (c *runConfig) deduplicatesAllKeys() bool { return c.dedupBytes >= 1<<20 }
 
 // responseGrace is what the settings grant a backend's response on its way.
 const responseGrace = 50 * time.Millisecond
@@ -144,7 +144,7 @@
 }
 
 // planOf names a customer's plan.
-func planOf(customer int) string {
+func planName(customer int) string {
 	if customer == flagshipCustomer {
 		return "flagship"
 	}
--- a/internal/sim/conn.go
+++ b/internal/sim/conn.go
@@ -27,13 +27,13 @@
 	latency time.Duration // one way
 
 	// The gateway's end.
-	gateway    *gateway
-	epoch      int    // of the gateway's process
-	readBuffer []byte // kept for the next response
-	received   []byte // arrived and not read
-	readErr    error  // behind received; nil: the connection is up
-	onReadable func() // is called once when received or readErr changes; nil: nobody waits
-	closed     bool
+	gateway       *gateway
+	epoch         int    // of the gateway's process
+	readBuffer    []byte // kept for the next response
+	received      []byte // arrived and not read
+	readErr       error  // behind received; nil: the connection is up
+	onReadable    func() // is called once when received or readErr changes; nil: nobody waits
+	gatewayClosed bool
 
 	// The backend's end.
 	backend       *backend
@@ -73,7 +73,7 @@
 		})
 	}
 	cancel = func() { fail(0, errCancelled) }
-	backend := g.runner.byAddr[addr]
+	backend := g.runner.backendsByAddr[addr]
 	if g.openConns >= g.maxDescriptors {
 		fail(0, platformhttp.ErrNoDescriptors)
 		return cancel
@@ -90,13 +90,13 @@
 	}
 	upAfter := 2 * c.latency
 	switch {
-	case !backend.up || backend.hitBy(ConnRefused, c.number):
+	case !backend.up || backend.affectedBy(ConnRefused, c.number):
 		fail(c.latency, errConnRefused)
 		return cancel
-	case backend.hitBy(ConnHangs, c.number) || g.partitionedUntil[backend] > g.world.now:
+	case backend.affectedBy(ConnHangs, c.number) || g.partitionedUntil[backend] > g.world.now:
 		fail(connectTimeout, errConnTimeout)
 		return cancel
-	case backend.hitBy(ConnLate, c.number):
+	case backend.affectedBy(ConnLate, c.number):
 		if upAfter = randDuration(rng, upAfter, 2*connectTimeout); upAfter >= connectTimeout {
 			fail(connectTimeout, errConnTimeout)
 			return cancel
@@ -132,14 +132,14 @@
 	at := c.world.now
 	c.world.scheduleAfter(c.gateway.runner.config.idleTimeout, func() {
 		if c.idleSince == at && !c.backendClosed {
-			c.endToGateway(errConnClosed)
-			c.detachBackend()
+			c.sendReadError(errConnClosed)
+			c.closeByBackend()
 		}
 	})
 }
 
 // detachBackend closes the backend's end.
-func (c *conn) detachBackend() {
+func (c *conn) closeByBackend() {
 	c.backendClosed = true
 	delete(c.backend.conns, c)
 }
@@ -166,7 +166,7 @@
 func (c *conn) sendToBackend(text []byte, delay time.Duration) {
 	c.deliver(&c.toBackend, delay, func() {
 		if c.backendClosed || c.backendEpoch != c.backend.epoch {
-			c.endToGateway(errConnReset)
+			c.sendReadError(errConnReset)
 			return
 		}
 		c.requestBytes = append(c.requestBytes, text...)
@@ -177,7 +177,7 @@
 // sendToGateway sends bytes to the gateway.
 func (c *conn) sendToGateway(text []byte, delay time.Duration) {
 	c.deliver(&c.toGateway, delay, func() {
-		if c.closed || c.readErr != nil {
+		if c.gatewayClosed || c.readErr != nil {
 			return
 		}
 		c.received = append(c.received, text...)
@@ -192,7 +192,7 @@
 	var due time.Duration
 	c.deliver(&c.toGateway, delay, func() {
 		switch {
-		case c.closed || c.readErr != nil:
+		case c.gatewayClosed || c.readErr != nil:
 			return
 		case c.world.now > due:
 			c.readErr = errConnReset
@@ -205,7 +205,7 @@
 }
 
 // endToGateway has the gateway read an error behind what was sent.
-func (c *conn) endToGateway(err error) {
+func (c *conn) sendReadError(err error) {
 	c.deliver(&c.toGateway, 0, func() {
 		if c.readErr == nil {
 			c.readErr = err
@@ -216,8 +216,8 @@
 
 // reset ends the connection at both ends, for the backend at once.
 func (c *conn) reset() {
-	c.detachBackend()
-	c.endToGateway(errConnReset)
+	c.closeByBackend()
+	c.sendReadError(errConnReset)
 }
 
 // wakeReader calls whoever waits for something to read.
@@ -230,10 +230,10 @@
 
 // closeByGateway closes the gateway's end.
 func (c *conn) closeByGateway() {
-	if c.closed {
+	if c.gatewayClosed {
 		return
 	}
-	c.closed = true
+	c.gatewayClosed = true
 	c.gateway.openConns--
 	delete(c.gateway.conns, c)
 	c.deliver(&c.toBackend, 0, c.onGatewayClosed)
@@ -242,7 +242,7 @@
 // onGatewayClosed is told at the backend that the gateway has closed its end.
 func (c *conn) onGatewayClosed() {
 	if !c.backendClosed {
-		c.detachBackend()
+		c.closeByBackend()
 		c.backend.onConnClosed(c)
 	}
 }
--- a/internal/sim/consulagent.go
+++ b/internal/sim/consulagent.go
@@ -200,12 +200,12 @@
 		return b.number != listed[0] && (spared == 1 || b.number != listed[1])
 	}
 	// Little by little, once all gateways know what there was.
-	if variant > 0 && len(listed) > 4 && a.runner.now > start+time.Second {
+	if variant > 0 && len(listed) > 4 && a.runner.now > startTime+time.Second {
 		spared = 2
-		before := a.processSum()
+		before := a.processGeneration()
 		a.runner.scheduleAfter(300*time.Millisecond, func() {
 			// To a process that started since and knows two nodes, one of them is not most.
-			if a.processSum() == before {
+			if a.processGeneration() == before {
 				spared = 1
 				a.bumpIndex()
 			}
@@ -215,7 +215,7 @@
 }
 
 // processSum differs between sets of gateway processes.
-func (a *agent) processSum() (sum int) {
+func (a *agent) processGeneration() (sum int) {
 	for _, g := range a.runner.gateways {
 		if g.up {
 			sum += 1 + g.epoch
--- a/internal/sim/corpus.go
+++ b/internal/sim/corpus.go
@@ -21,15 +21,15 @@
 var errInvalidFault = errors.New("its kind or its times make no sense")
 
 // caseText is the stored form of a Case.
-type caseText struct {
+type caseTOML struct {
 	Seed  uint64      `toml:"seed"`
 	Cause string      `toml:"cause"`
 	Rule  string      `toml:"rule"`
-	Fault []faultText `toml:"fault,inline"`
+	Fault []faultTOML `toml:"fault,inline"`
 }
 
 // faultText is the stored form of a Fault.
-type faultText struct {
+type faultTOML struct {
 	At     string  `toml:"at"`
 	For    string  `toml:"for"`
 	Kind   string  `toml:"kind"`
@@ -40,22 +40,22 @@
 
 // MarshalTOML writes a case as an entry of a corpus.
 func (c Case) MarshalTOML() ([]byte, error) {
-	text := caseText{Seed: c.Seed, Cause: c.Cause, Rule: c.Rule}
+	text := caseTOML{Seed: c.Seed, Cause: c.Cause, Rule: c.Rule}
 	for _, fault := range c.Script {
-		text.Fault = append(text.Fault, faultText{
+		text.Fault = append(text.Fault, faultTOML{
 			At: fault.At.String(), For: fault.Duration.String(), Kind: fault.Kind.String(),
 			Target: fault.Target, Other: fault.Variant, Share: fault.Share,
 		})
 	}
 	return toml.Marshal(struct {
-		Case []caseText `toml:"case"`
-	}{[]caseText{text}})
+		Case []caseTOML `toml:"case"`
+	}{[]caseTOML{text}})
 }
 
 // ReadCorpus reads the cases of a corpus. Its errors name the line, or the case.
 func ReadCorpus(text []byte) (cases []Case, err error) {
 	var file struct {
-		Case []caseText `toml:"case"`
+		Case []caseTOML `toml:"case"`
 	}
 	if err := toml.Unmarshal(text, &file); err != nil {
 		if decodeErr, ok := errors.AsType[*toml.DecodeError](err); ok {
@@ -79,7 +79,7 @@
 }
 
 // fault reads a fault's stored form.
-func (t faultText) fault() (Fault, error) {
+func (t faultTOML) fault() (Fault, error) {
 	at, errAt := time.ParseDuration(t.At)
 	duration, errFor := time.ParseDuration(t.For)
 	kind := slices.Index(faultKindNames[:], t.Kind)
--- a/internal/sim/endpointsources.go
+++ b/internal/sim/endpointsources.go
@@ -36,7 +36,7 @@
 }
 
 // sinceEpoch gives the run's clock for a time of day; 0 for the zero time.
-func sinceEpoch(t time.Time) time.Duration {
+func simTime(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
@@ -85,7 +85,7 @@
 	g.onUpdate(discoverySource, cached)
 	epoch := g.epoch
 	g.world.scheduleAt(g.nextDiscoveryAt(), func() {
-		g.enqueue(epoch, discoverySource, func() { g.onDiscoveryUpdate(g.runner.fullUpdate()) })
+		g.enqueue(epoch, discoverySource, func() { g.onDiscoveryUpdate(g.runner.fullDiscoveryUpdate()) })
 	})
 }
 
@@ -166,7 +166,7 @@
 	g.recordReport(source, update)
 	g.world.tracef("door %d hears %d nodes of %s, %s", g.number, len(update.Nodes), source,
 		cmp.Or(errorText(update.Err), "well"))
-	changes, problems := g.table.Report(g.world.now, source, update, sinceEpoch)
+	changes, problems := g.table.Report(g.world.now, source, update, simTime)
 	if len(problems) > 0 {
 		g.world.violatef(ruleUpdatesValid, "%v", problems)
 	}
@@ -234,7 +234,7 @@
 // recordNode notes what a source tells of one node.
 func (g *gateway) recordNode(source string, node *membership.Node) {
 	sources, name := &g.endpoints, node.Name
-	sources.latestStart[name] = max(sources.latestStart[name], sinceEpoch(node.StartedAt))
+	sources.latestStart[name] = max(sources.latestStart[name], simTime(node.StartedAt))
 	if sources.lastFull[source] != nil {
 		sources.lastFull[source][name] = true
 	}
@@ -338,7 +338,7 @@
 }
 
 // fullUpdate is discovery's full update.
-func (r *runner) fullUpdate() membership.Update {
+func (r *runner) fullDiscoveryUpdate() membership.Update {
 	update := membership.Update{Full: true}
 	for _, b := range r.backends {
 		if b.listed {
--- a/internal/sim/faultinjection.go
+++ b/internal/sim/faultinjection.go
@@ -47,7 +47,7 @@
 	case KillAtAttemptEnd:
 		g.killPoints[atAttemptEnd] = func() { r.killGateway(fault) }
 	case ShutdownGateway:
-		g.shutdown(shutdownGraces[fault.Variant%len(shutdownGraces)], func() { r.bootLater(g, fault.Duration) })
+		g.shutdown(shutdownGraces[fault.Variant%len(shutdownGraces)], func() { r.startProcessLater(g, fault.Duration) })
 	case NoDescriptors:
 		g.maxDescriptors = fault.Variant % 3
 		r.scheduleEnd(fault, func() { g.maxDescriptors = r.config.maxDescriptors })
@@ -72,14 +72,14 @@
 	}
 	switch fault.Variant % 3 {
 	case 0:
-		keyJournal.fault = simdisk.ErrIO
+		keyJournal.injectedErr = simdisk.ErrIO
 	case 1:
 		keyJournal.disk.Capacity = keyJournal.disk.Bytes() + fault.Variant*100
 	default:
 		keyJournal.maxLatency = 2 * fault.Duration
 	}
 	r.scheduleEnd(fault, func() {
-		keyJournal.fault, keyJournal.disk.Capacity, keyJournal.maxLatency = nil, 0, 0
+		keyJournal.injectedErr, keyJournal.disk.Capacity, keyJournal.maxLatency = nil, 0, 0
 	})
 }
 
@@ -147,15 +147,15 @@
 	if !b.up || !b.listed {
 		return
 	}
-	b.stop()
+	b.stopProcess()
 	r.publishBackend(b)
 	r.scheduleEnd(fault, func() {
 		if fault.Kind == MoveBackend {
-			delete(r.byAddr, b.addr())
-			b.moves++
-			r.byAddr[b.addr()] = b
+			delete(r.backendsByAddr, b.addr())
+			b.addrChanges++
+			r.backendsByAddr[b.addr()] = b
 		}
-		b.start()
+		b.startProcess()
 		r.publishBackend(b)
 	})
 }
@@ -180,8 +180,8 @@
 	}
 	r.scheduleEnd(fault, func() {
 		for _, b := range removed {
-			b.stop()
-			b.start()
+			b.stopProcess()
+			b.startProcess()
 			b.listed, b.listedAt = true, r.now
 			b.createIndex = r.agent.index + 1
 			r.publishBackend(b)
@@ -203,17 +203,17 @@
 	r.resendUnanswered(g, fault.Duration)
 	g.kill()
 	if fault.Variant%2 == 1 {
-		g.crash()
+		g.crashHost()
 	}
-	r.bootLater(g, fault.Duration)
+	r.startProcessLater(g, fault.Duration)
 }
 
 // bootLater starts a gateway's next process, unless one runs by then.
-func (r *runner) bootLater(g *gateway, after time.Duration) {
+func (r *runner) startProcessLater(g *gateway, after time.Duration) {
 	r.scheduleAfter(after, func() {
 		if !g.up {
 			r.tracef("door %d is back", g.number)
-			g.boot()
+			g.startProcess()
 		}
 	})
 }
@@ -229,12 +229,12 @@
 		if !ofProcess || request.finalCount > 0 || request.idempotent() {
 			continue
 		}
-		duplicate := request.duplicateOf()
-		duplicate.digest = request.digest
+		duplicate := request.newDuplicate()
+		duplicate.fingerprint = request.fingerprint
 		request.keyReused = true
 		delay := after + randDuration(r.newRand(24, uint64(request.number)), 0, time.Second)
 		r.scheduleAfter(delay, func() {
-			if !r.stopped {
+			if !r.clientsStopped {
 				r.submit(duplicate, g.number, len(r.gateways))
 			}
 		})
--- a/internal/sim/gateway.go
+++ b/internal/sim/gateway.go
@@ -30,22 +30,22 @@
 	killPoints       [killPointCount]func()     // called once, at the next event of that kind
 
 	// Of the process.
-	epoch        int // counts processes and their ends
-	up           bool
-	closing      bool // it takes no new requests
-	pausedUntil  time.Duration
-	deferred     []deferredEvent       // arrived while it was paused
-	lastByOrder  map[any]time.Duration // when the last event of an order key is handled
-	wakeups      [wakeupCount]time.Duration
-	machine      *lifecycle.Machine
-	table        *membership.Table
-	httpPool     *platformhttp.BackendSet
-	attempts     map[*attempt]bool
-	conns        map[*conn]bool
-	openConns    int
-	dialCount    uint64
-	dedup        *idempotency.Store // nil: it recognises no keys
-	requestByKey map[idempotency.Entry]*clientRequest
+	epoch       int // counts processes and their ends
+	up          bool
+	closing     bool // it takes no new requests
+	pausedUntil time.Duration
+	deferred    []deferredEvent       // arrived while it was paused
+	lastByOrder map[any]time.Duration // when the last event of an order key is handled
+	wakeups     [wakeupCount]time.Duration
+	machine     *lifecycle.Machine
+	table       *membership.Table
+	httpPool    *platformhttp.BackendSet
+	attempts    map[*attempt]bool
+	conns       map[*conn]bool
+	openConns   int
+	dialCount   uint64
+	dedup       *idempotency.Store // nil: it recognises no keys
+	leaderByKey map[idempotency.Entry]*clientRequest
 }
 
 // deferredEvent is an event for a process that is paused.
@@ -83,7 +83,7 @@
 const resumeDelay = 20 * time.Millisecond
 
 // boot starts a process with the endpoints that its machine knew last.
-func (g *gateway) boot() {
+func (g *gateway) startProcess() {
 	g.up, g.closing, g.pausedUntil = true, false, 0
 	g.epoch++
 	config := &g.runner.config
@@ -96,7 +96,7 @@
 	}
 	if config.perturbsEngine {
 		rng := g.world.newRand(9, uint64(g.number), uint64(g.epoch))
-		engine = &perturbedEngine{engine, rng, len(g.runner.backends), &g.runner.stopped}
+		engine = &perturbedEngine{engine, rng, len(g.runner.backends), &g.runner.clientsStopped}
 	}
 	g.machine = lifecycle.New(engine, settings.Classes, lifecycle.Limits{
 		MaxOpenRequests: config.maxOpenRequests, MaxAttempts: config.maxAttempts,
@@ -106,7 +106,7 @@
 	g.httpPool = platformhttp.NewBackendSet(config.maxConns, config.idleTimeout, nil)
 	g.attempts, g.conns, g.openConns = map[*attempt]bool{}, map[*conn]bool{}, 0
 	g.deferred, g.wakeups = nil, [wakeupCount]time.Duration{}
-	g.requestByKey = map[idempotency.Entry]*clientRequest{}
+	g.leaderByKey = map[idempotency.Entry]*clientRequest{}
 	g.dedup, g.journal.log = nil, nil
 	if config.dedupBytes > 0 {
 		g.dedup = idempotency.New(idempotency.Limits{MaxBytes: config.dedupBytes, TTL: keyRetention}, g.world.now)
@@ -124,7 +124,7 @@
 	g.epoch++
 	g.deferred = nil
 	for _, c := range sortedConns(g.conns) {
-		c.closed = true
+		c.gatewayClosed = true
 		c.deliver(&c.toBackend, 0, c.onGatewayClosed)
 	}
 }
@@ -244,7 +244,7 @@
 		at, ok = g.dedup.Next()
 		g.scheduleWakeup(wakeupDedup, at, ok, func() { g.answerWaiters(g.dedup.Tick(g.world.now), verdictLate) })
 	}
-	g.pumpJournal()
+	g.startJournalOp()
 }
 
 // scheduleWakeup schedules a part's call, unless an earlier one is scheduled. ok tells whether the
--- a/internal/sim/gatewayjournal.go
+++ b/internal/sim/gatewayjournal.go
@@ -11,27 +11,27 @@
 // gatewayJournal is a gateway's journal of idempotency keys: the disk, which outlives processes,
 // and the process's state.
 type gatewayJournal struct {
-	disk       *simdisk.Disk
-	maxLatency time.Duration     // of an operation, while the disk is slow
-	fault      error             // that operations end with at random; nil: the disk works
-	mustReplay map[string]string // by dedupIdentity: bodies that every later process must replay
+	disk        *simdisk.Disk
+	maxLatency  time.Duration     // of an operation, while the disk is slow
+	injectedErr error             // that operations end with at random; nil: the disk works
+	mustReplay  map[string]string // by dedupIdentity: bodies that every later process must replay
 
 	log             *journal.Log[idempotency.Entry] // nil: the process has none
 	busy            bool                            // an operation is under way
-	awaitingDurable []recordWait
-	awaitingWritten []recordWait
+	awaitingDurable []recordWaiter
+	awaitingWritten []recordWaiter
 }
 
 // recordWait is a wait for a record to be durable or written.
-type recordWait struct {
+type recordWaiter struct {
 	seq  uint64
 	done func(ok bool) // false: the record is lost
 }
 
 const (
-	diskTimeout     = 300 * time.Millisecond // bounds the wait of requests for the disk
-	minDiskLatency  = 20 * time.Microsecond
-	usualMaxLatency = 3 * time.Millisecond
+	diskTimeout           = 300 * time.Millisecond // bounds the wait of requests for the disk
+	minDiskLatency        = 20 * time.Microsecond
+	defaultMaxDiskLatency = 3 * time.Millisecond
 	// recordOverhead is room in a record beside the response's body. A larger response is recorded
 	// as given, and not replayed.
 	recordOverhead = 300
@@ -49,8 +49,8 @@
 	rng := g.world.newRand(21, uint64(g.number), uint64(g.epoch))
 	j.disk.PartialWrite = func(n int) int { return rng.IntN(n + 1) }
 	j.disk.Fault = func(journal.Op) error {
-		if j.fault != nil && rng.IntN(3) > 0 {
-			return j.fault
+		if j.injectedErr != nil && rng.IntN(3) > 0 {
+			return j.injectedErr
 		}
 		return nil
 	}
@@ -73,7 +73,7 @@
 
 // pumpJournal begins the journal's next operation, if none is under way. The disk changes when the
 // operation ends: a process that is killed meanwhile leaves it done or not.
-func (g *gateway) pumpJournal() {
+func (g *gateway) startJournalOp() {
 	j := &g.journal
 	if j.log == nil || j.busy {
 		return
@@ -82,13 +82,13 @@
 	op := j.log.Next(g.world.now)
 	if op.Kind == journal.None {
 		at, ok := j.log.NextWake()
-		g.scheduleWakeup(wakeupJournal, at, ok, g.pumpJournal)
+		g.scheduleWakeup(wakeupJournal, at, ok, g.startJournalOp)
 		return
 	}
 	j.busy = true
 	epoch, log := g.epoch, j.log
 	rng := g.world.newRand(22, uint64(g.number), uint64(epoch), uint64(g.world.now), uint64(op.Kind))
-	latency := randDuration(rng, minDiskLatency, max(usualMaxLatency, j.maxLatency))
+	latency := randDuration(rng, minDiskLatency, max(defaultMaxDiskLatency, j.maxLatency))
 	g.world.scheduleAfter(latency, func() {
 		killed := epoch != g.epoch
 		if killed && rng.IntN(2) == 0 {
@@ -117,7 +117,7 @@
 
 // notifyUpTo ends the waits for records up to reached, and as lost those up to lost. It gives the
 // rest.
-func notifyUpTo(waiting []recordWait, reached, lost uint64) []recordWait {
+func notifyUpTo(waiting []recordWaiter, reached, lost uint64) []recordWaiter {
 	n := 0
 	for n < len(waiting) && waiting[n].seq <= max(reached, lost) {
 		n++
@@ -154,7 +154,7 @@
 		return
 	}
 	epoch := g.epoch
-	g.journal.awaitingDurable = append(g.journal.awaitingDurable, recordWait{seq, done})
+	g.journal.awaitingDurable = append(g.journal.awaitingDurable, recordWaiter{seq, done})
 	g.world.scheduleAfter(min(diskTimeout, request.timeout), func() { g.enqueue(epoch, nil, func() { done(false) }) })
 }
 
@@ -174,8 +174,8 @@
 		return
 	}
 	epoch := g.epoch
-	g.journal.awaitingWritten = append(g.journal.awaitingWritten, recordWait{seq, done})
-	patience := max(0, min(diskTimeout, request.arrivedAt+request.giveUpAfter()-g.world.now))
+	g.journal.awaitingWritten = append(g.journal.awaitingWritten, recordWaiter{seq, done})
+	patience := max(0, min(diskTimeout, request.arrivedAt+request.responseTimeout()-g.world.now))
 	g.world.scheduleAfter(patience, func() { g.enqueue(epoch, nil, func() { done(false) }) })
 	g.scheduleWakeups()
 }
@@ -200,7 +200,7 @@
 
 // crash stops the machine: what was not synced is on its disk or not, so no replay is certain any
 // more.
-func (g *gateway) crash() {
+func (g *gateway) crashHost() {
 	j := &g.journal
 	if j.disk != nil {
 		j.disk.Crash(g.world.newRand(23, uint64(g.number), uint64(g.epoch)))
--- a/internal/sim/gatewayrequests.go
+++ b/internal/sim/gatewayrequests.go
@@ -37,7 +37,7 @@
 	}
 	effects, err := g.machine.Submit(g.world.now, request, decision.Request{
 		ID: decision.RequestID(request.id), Customer: decision.CustomerID(request.customer),
-		Class: request.class, Plan: planOf(request.customer), Cost: request.cost,
+		Class: request.class, Plan: planName(request.customer), Cost: request.cost,
 		Timeout: remaining - lifecycle.TimeoutMargin, GatewaySpread: g.runner.config.gateways,
 		Protocol: membership.ProtocolHTTP,
 	}, remaining-lifecycle.ResponseMargin)
@@ -151,7 +151,7 @@
 	if request.finalCount > 0 {
 		return
 	}
-	leader := g.requestByKey[request.ticket.Entry()]
+	leader := g.leaderByKey[request.ticket.Entry()]
 	abandoned, completions := g.dedup.Abandon(g.world.now, request.ticket)
 	g.answerWaiters(completions, verdictLate)
 	if request.finalCount == 0 {
@@ -202,14 +202,14 @@
 func (g *gateway) checkKey(request *clientRequest) bool {
 	deadline := g.world.now + request.timeout - lifecycle.ResponseMargin
 	result, completions := g.dedup.Begin(g.world.now, decision.CustomerID(request.customer), request.dedupKey(),
-		idempotency.Fingerprint{request.digest}, request, deadline)
+		idempotency.Fingerprint{request.fingerprint}, request, deadline)
 	g.answerWaiters(completions, verdictLate)
 	request.ticket = result.Ticket
 	g.world.tracef("the key of %d: %v", request.number, result.Verdict.String())
 	g.checkReplay(request, &result)
 	switch result.Verdict {
 	case idempotency.Proceed:
-		g.requestByKey[result.Ticket.Entry()] = request
+		g.leaderByKey[result.Ticket.Entry()] = request
 		return true
 	case idempotency.Join:
 		g.scheduleWakeups()
@@ -229,7 +229,7 @@
 // by every later process.
 func (g *gateway) checkReplay(request *clientRequest, result *idempotency.Decision) {
 	body, known := g.journal.mustReplay[request.dedupIdentity()]
-	if !known || !g.runner.config.recognisesAllKeys() || g.journal.log == nil {
+	if !known || !g.runner.config.deduplicatesAllKeys() || g.journal.log == nil {
 		return
 	}
 	if result.Verdict != idempotency.Replay || string(result.Response.Body) != body {
@@ -240,18 +240,18 @@
 
 // runsForKey tells whether a request is the one that is executed for all that wait with its key,
 // whether or not its own client has disconnected.
-func (g *gateway) runsForKey(request *clientRequest) bool {
-	return request.ticket != nil && g.requestByKey[request.ticket.Entry()] == request
+func (g *gateway) isKeyLeader(request *clientRequest) bool {
+	return request.ticket != nil && g.leaderByKey[request.ticket.Entry()] == request
 }
 
 // completeKey gives a request's end to all that wait with its key. It tells whether the request ran
 // for a key; if not, nothing is done.
 func (g *gateway) completeKey(request *clientRequest, outcome idempotency.Outcome, verdict string) bool {
-	if !g.runsForKey(request) {
+	if !g.isKeyLeader(request) {
 		return false
 	}
 	finish := func() {
-		delete(g.requestByKey, request.ticket.Entry())
+		delete(g.leaderByKey, request.ticket.Entry())
 		var response idempotency.Response
 		if outcome == idempotency.Succeeded {
 			response.Body = request.response.Body
--- a/internal/sim/perturbedengine.go
+++ b/internal/sim/perturbedengine.go
@@ -13,9 +13,9 @@
 // probes.
 type perturbedEngine struct {
 	lifecycle.DecisionEngine
-	rng      *rand.Rand
-	backends int
-	stopped  *bool // clients send nothing any more, and no probes are made
+	rng            *rand.Rand
+	backends       int
+	clientsStopped *bool // clients send nothing any more, and no probes are made
 }
 
 // Handle passes an event on and changes the engine's actions.
@@ -27,7 +27,7 @@
 			actions[i] = attempt
 		}
 	}
-	if timer, ok := event.(decision.Timer); ok && timer.Token == 0 && !*e.stopped {
+	if timer, ok := event.(decision.Timer); ok && timer.Token == 0 && !*e.clientsStopped {
 		actions = append(actions, decision.Probe{Backend: decision.BackendID(1 + e.rng.IntN(e.backends))})
 	}
 	return actions
--- a/internal/sim/requestrules.go
+++ b/internal/sim/requestrules.go
@@ -45,7 +45,7 @@
 
 func (c *checker) checkRejection(request *clientRequest) {
 	switch {
-	case request.executions > 0 && c.harmfulIfExecuted(request):
+	case request.executions > 0 && c.rejectionImpliesNotExecuted(request):
 		c.world.violatef(ruleHarmlessRejection, "request %d of class %s was rejected and has been executed %d times",
 			request.number, request.class, request.executions)
 	case request.streamedAttempt > 0:
@@ -80,7 +80,7 @@
 	}
 	first := c.runner.requests[number]
 	return first.key == request.key && first.class == request.class && first.customer == request.customer &&
-		first.digest == request.digest && body == first.expectedBody()
+		first.fingerprint == request.fingerprint && body == first.expectedBody()
 }
 
 // onResponseStarted is told of a response that begins to be passed on.
@@ -98,14 +98,14 @@
 // counts as usage.
 func (c *checker) onAttemptStarted(g *gateway, attempt *attempt) {
 	request := attempt.request
-	request.sentCount++
-	first := request.sentCount == 1
+	request.attemptCount++
+	first := request.attemptCount == 1
 	if first {
 		c.runner.recordUsage(request)
 	}
 	c.attemptsStarted++
 	name := g.endpoints.nameByID[attempt.backend]
-	if request.finalCount > 0 && !g.runsForKey(request) {
+	if request.finalCount > 0 && !g.isKeyLeader(request) {
 		c.world.violatef(ruleNothingAfterFinal, "request %d is sent to %s after it was answered %s",
 			request.number, name, request.verdict)
 	}
@@ -128,7 +128,7 @@
 func (c *checker) onAttemptSent(g *gateway, attempt *attempt) {
 	c.checkDrain(g, attempt, sendTolerance)
 	request := attempt.request
-	if request == nil || !request.disconnected || g.runsForKey(request) {
+	if request == nil || !request.disconnected || g.isKeyLeader(request) {
 		return
 	}
 	noticedAt := request.disconnectedAt
@@ -155,7 +155,7 @@
 	if request.class == "pay" && received.keyIsNew && !request.keyReused {
 		c.countEffectOfRetries(request)
 	}
-	if !request.idempotent() && hasEffect && c.runner.config.recognisesAllKeys() {
+	if !request.idempotent() && hasEffect && c.runner.config.deduplicatesAllKeys() {
 		c.countEffectOfKey(request)
 	}
 	c.world.tracef("backend %d ran %d", b.number, request.number)
@@ -163,7 +163,7 @@
 		c.world.violatef(ruleSingleEffect, "request %d of class %s had its effect %d times",
 			request.number, request.class, request.effectCount)
 	}
-	if request.finalCount > 0 && request.verdict == verdictRejected && c.harmfulIfExecuted(request) {
+	if request.finalCount > 0 && request.verdict == verdictRejected && c.rejectionImpliesNotExecuted(request) {
 		c.world.violatef(ruleHarmlessRejection, "request %d of class %s is executed after its rejection",
 			request.number, request.class)
 	}
@@ -174,7 +174,7 @@
 func (c *checker) countEffectOfID(request *clientRequest) {
 	id := effectID{request.id, request.gateway, request.gatewayEpoch}
 	c.effectsByID[id]++
-	if n := c.effectsByID[id]; request.idReused && n > 1 && !c.runner.config.forgetsIDs {
+	if n := c.effectsByID[id]; request.idReused && n > 1 && !c.runner.config.evictsIDs {
 		c.world.violatef(ruleSingleEffect, "id %x has had its effect %d times, the last as request %d",
 			request.id, n, request.number)
 	}
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -83,18 +83,18 @@
 
 // tokenBucket is a hard limit's.
 type tokenBucket struct {
-	tokens  float64
-	at      time.Duration
-	started bool
+	tokens     float64
+	refilledAt time.Duration
+	started    bool
 }
 
 // take refills the bucket and takes a cost out of it, below zero if need be.
 func (b *tokenBucket) take(now time.Duration, cost float64) {
 	if !b.started {
-		b.started, b.tokens, b.at = true, hardLimitBurst, now
+		b.started, b.tokens, b.refilledAt = true, hardLimitBurst, now
 	}
-	b.tokens = min(hardLimitBurst, b.tokens+hardLimitRate*(now-b.at).Seconds()) - cost
-	b.at = now
+	b.tokens = min(hardLimitBurst, b.tokens+hardLimitRate*(now-b.refilledAt).Seconds()) - cost
+	b.refilledAt = now
 }
 
 // effectID names what must have its effect once: a request id, or a key, at a process that
@@ -107,7 +107,7 @@
 
 // harmfulIfExecuted tells whether a rejection of this request promises that it was not executed:
 // clients retry it, and a retry may reach a backend that does not know its key.
-func (c *checker) harmfulIfExecuted(request *clientRequest) bool {
+func (c *checker) rejectionImpliesNotExecuted(request *clientRequest) bool {
 	return request.class == "once" || request.class == "pay" && c.runner.config.dedupScope != decision.DedupScopeAll
 }
 
@@ -134,7 +134,7 @@
 // onBackendRemoved is told of a backend that a gateway's table removes. It must have been out of
 // the sources for good.
 func (c *checker) onBackendRemoved(g *gateway, name string) {
-	b := c.runner.byName[name]
+	b := c.runner.backendsByName[name]
 	if !b.listed {
 		return
 	}
@@ -182,12 +182,12 @@
 }
 
 // checkAtRest checks what is left once clients have stopped and everything has ended.
-func (c *checker) checkAtRest(gateways []*gateway) {
+func (c *checker) checkAtEnd(gateways []*gateway) {
 	for _, g := range gateways {
 		if g.up {
-			c.checkRequestsAtRest(g)
-			c.checkStoresAtRest(g)
-			c.checkEndpointsAtRest(g)
+			c.checkRequestsAtEnd(g)
+			c.checkStoresAtEnd(g)
+			c.checkEndpointsAtEnd(g)
 		}
 	}
 	if len(c.unanswered) > 0 {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (c *checker) checkRequestsAtRest(g *gateway) {
+func (c *checker) checkRequestsAtEnd(g *gateway) {
 	if n := g.machine.OpenRequests(); n > 0 || len(g.attempts) > 0 {
 		c.world.violatef(ruleReleased, "gateway %d keeps %d requests and %d attempts at rest",
 			g.number, n, len(g.attempts))
@@ -213,10 +213,10 @@
 	}
 }
 
-func (c *checker) checkStoresAtRest(g *gateway) {
-	if g.dedup != nil && (g.dedup.Waiting() > 0 || len(g.requestByKey) > 0) {
+func (c *checker) checkStoresAtEnd(g *gateway) {
+	if g.dedup != nil && (g.dedup.Waiting() > 0 || len(g.leaderByKey) > 0) {
 		c.world.violatef(ruleReleased, "at gateway %d %d requests wait with a key and %d run for one",
-			g.number, g.dedup.Waiting(), len(g.requestByKey))
+			g.number, g.dedup.Waiting(), len(g.leaderByKey))
 	}
 	log := g.journal.log
 	if log == nil {
@@ -229,11 +229,11 @@
 	}
 }
 
-func (c *checker) checkEndpointsAtRest(g *gateway) {
+func (c *checker) checkEndpointsAtEnd(g *gateway) {
 	known := map[string]bool{}
 	for _, status := range g.table.Statuses() {
 		known[status.Name] = true
-		addr := c.runner.byName[status.Name].addr()
+		addr := c.runner.backendsByName[status.Name].addr()
 		if status.EffectiveState == membership.Draining || status.Addr != addr {
 			c.world.violatef(ruleEndpointsConverge, "gateway %d takes %s to be %v at %s (%s), and it is ready at %s",
 				g.number, status.Name, status.EffectiveState, status.Addr, status.Reason, addr)
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -31,13 +31,13 @@
 // runner is one run: the world and all actors in it.
 type runner struct {
 	*world
-	check    checker
-	config   runConfig
-	gateways []*gateway
-	backends []*backend
-	byName   map[string]*backend
-	byAddr   map[string]*backend
-	agent    *agent
+	check          checker
+	config         runConfig
+	gateways       []*gateway
+	backends       []*backend
+	backendsByName map[string]*backend
+	backendsByAddr map[string]*backend
+	agent          *agent
 
 	usageMeters     map[int]*usageMeter // by customer
 	counterLoss     float64             // share of its additions that the counter of usage loses now
@@ -46,11 +46,11 @@
 	reuseShare      map[int]float64     // by customer, of its requests that reuse an earlier id now
 	duplicateShare  map[int]float64     // by customer, of its requests that are sent twice now
 
-	requests      []*clientRequest // by number
-	lastKey       uint64
-	receivedCount uint64 // requests that backends have received whole
-	stopped       bool   // clients send nothing any more
-	backendAction string // what a backend does with the first request, for RunSingleRequest; empty: nothing special
+	requests       []*clientRequest // by number
+	lastKey        uint64
+	receivedCount  uint64 // requests that backends have received whole
+	clientsStopped bool   // clients send nothing any more
+	backendAction  string // what a backend does with the first request, for RunSingleRequest; empty: nothing special
 }
 
 // settleTime is long enough after the last request for everything to end by itself: faults,
@@ -64,8 +64,8 @@
 func newRunner(seed uint64, options Options) *runner {
 	r := &runner{
 		world:           newWorld(seed, options.Trace),
-		byName:          map[string]*backend{},
-		byAddr:          map[string]*backend{},
+		backendsByName:  map[string]*backend{},
+		backendsByAddr:  map[string]*backend{},
 		usageMeters:     map[int]*usageMeter{},
 		flooding:        map[int]bool{},
 		disconnectShare: map[int]float64{},
@@ -97,15 +97,15 @@
 	for customer := range r.config.customers {
 		r.generateRequests(customer, r.newRand(3, uint64(customer)))
 	}
-	r.scheduleAfter(r.config.duration, func() { r.stopped = true })
+	r.scheduleAfter(r.config.duration, func() { r.clientsStopped = true })
 	maxSteps := options.MaxSteps
 	if maxSteps <= 0 {
 		maxSteps = defaultMaxSteps
 	}
 	r.checkPeriodically()
-	r.run(start+r.config.duration+settleTime, maxSteps)
+	r.run(startTime+r.config.duration+settleTime, maxSteps)
 	if len(r.violations) == 0 && r.steps < maxSteps {
-		r.check.checkAtRest(r.gateways)
+		r.check.checkAtEnd(r.gateways)
 	}
 	return r.result(script)
 }
@@ -113,7 +113,7 @@
 func (r *runner) result(script Script) Result {
 	return Result{
 		Seed: r.seed, Script: script, Violations: r.violations, Hash: r.hash.Sum64(),
-		Steps: r.steps, Simulated: r.now - start,
+		Steps: r.steps, Simulated: r.now - startTime,
 		Served: r.check.served, Rejected: r.check.rejected, Failed: r.check.failed,
 		LostWithGateway: r.check.lostWithGateway,
 		AttemptsStarted: r.check.attemptsStarted, AttemptsSent: r.check.attemptsSent,
@@ -123,7 +123,7 @@
 // populate starts backends, each in a cell, and gateways. Backends in one deduplication scope share
 // what they remember of keys.
 func (r *runner) populate(cellOf func(number int) int) {
-	dedupMemories := map[int]*dedupMemory{}
+	dedupMemories := map[int]*dedupTable{}
 	for number := range r.config.backends {
 		zone := number / 2 % 2
 		b := &backend{
@@ -134,18 +134,18 @@
 		}
 		scope := [...]int{0, zone, b.cell}[r.config.dedupScope]
 		if dedupMemories[scope] == nil {
-			dedupMemories[scope] = &dedupMemory{map[uint64]time.Duration{}}
+			dedupMemories[scope] = &dedupTable{map[uint64]time.Duration{}}
 		}
 		b.dedup = dedupMemories[scope]
-		r.backends, r.byName[b.name()], r.byAddr[b.addr()] = append(r.backends, b), b, b
+		r.backends, r.backendsByName[b.name()], r.backendsByAddr[b.addr()] = append(r.backends, b), b, b
 	}
 	for number := range r.config.gateways {
 		g := &gateway{
 			world: r.world, check: &r.check, runner: r, number: number,
 			partitionedUntil: map[*backend]time.Duration{}, maxDescriptors: r.config.maxDescriptors,
 		}
-		g.endpoints.lastDiscovery = r.fullUpdate()
-		g.boot()
+		g.endpoints.lastDiscovery = r.fullDiscoveryUpdate()
+		g.startProcess()
 		r.gateways = append(r.gateways, g)
 	}
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -122,7 +122,7 @@
 			for _, name := range []string{"a", "b", "c"} {
 				w.scheduleAfter(time.Second, func() { got += name })
 			}
-			w.run(start+time.Minute, 100)
+			w.run(startTime+time.Minute, 100)
 			return got
 		}
 		first := order()
@@ -137,7 +137,7 @@
 }
 
 // quietRunner is a world with one door and two backends, in which nothing happens by itself.
-func quietRunner(t *testing.T, trace *[]string) *runner {
+func newIdleRunner(t *testing.T, trace *[]string) *runner {
 	t.Helper()
 	r := newRunner(7, Options{Trace: func(l string) { *trace = append(*trace, l) }})
 	r.config = drawConfig(r.newRand(0))
@@ -151,11 +151,11 @@
 // when that ends; never after the connection has ended.
 func TestConn_OrderLatencyAndPartition(t *testing.T) {
 	var trace []string
-	r := quietRunner(t, &trace)
+	r := newIdleRunner(t, &trace)
 	g, b := r.gateways[0], r.backends[0]
 	var c *conn
 	g.dial(b.addr(), nil, func(opened *conn, _ error) { c = opened })
-	r.run(start+time.Second, 1000)
+	r.run(startTime+time.Second, 1000)
 	if c == nil || c.latency <= 0 {
 		t.Fatal("it does not come up")
 	}
@@ -237,7 +237,7 @@
 	} {
 		for _, past := range []bool{false, true} {
 			var trace []string
-			r := quietRunner(t, &trace)
+			r := newIdleRunner(t, &trace)
 			c.do(r, time.Duration(boolToInt(past)), 0.001*float64(boolToInt(past)))
 			if got := len(r.violations) > 0; got != past || got && r.violations[0].Rule != c.breaks {
 				t.Errorf("%s, past it: %v: %v", c.name, past, r.violations)
@@ -256,17 +256,17 @@
 // A key is new again at the exact end of its window, and a backend that warms up is overloaded by
 // one request more than it can take.
 func TestBackend_DedupWindowAndOverloadBoundaries(t *testing.T) {
-	m := dedupMemory{map[uint64]time.Duration{1: time.Second}}
-	if m.remember(1, 6*time.Second-1, 5*time.Second) || !m.remember(1, 6*time.Second, 5*time.Second) {
+	m := dedupTable{map[uint64]time.Duration{1: time.Second}}
+	if m.insertIfNew(1, 6*time.Second-1, 5*time.Second) || !m.insertIfNew(1, 6*time.Second, 5*time.Second) {
 		t.Error("a key's window")
 	}
 	for _, more := range []int{0, 1} {
 		var trace []string
-		r := quietRunner(t, &trace)
+		r := newIdleRunner(t, &trace)
 		b := r.backends[0]
 		b.startedAt, b.overloadFactor, b.overloadDuration = r.now, 4, 3*time.Second
 		r.now += 3*time.Second + 1
-		most := int(b.overloadFactor * b.warmupFraction() * capacity * b.overloadDuration.Seconds())
+		most := int(b.overloadFactor * b.warmupFraction() * backendCapacity * b.overloadDuration.Seconds())
 		for range most + more {
 			c := &conn{world: r.world, gateway: r.gateways[0], backend: b}
 			b.onRequest(&receivedRequest{request: &clientRequest{class: "look"}, conn: c})
@@ -281,15 +281,15 @@
 // timers are due at once, and requests have arrived meanwhile. Every request has one answer.
 func TestPauseOverDeadlines_EveryRequestAnsweredOnce(t *testing.T) {
 	var lines []string
-	r := quietRunner(t, &lines)
+	r := newIdleRunner(t, &lines)
 	for i := range 20 {
 		r.scheduleAfter(time.Duration(i)*100*time.Millisecond, func() {
-			request := &clientRequest{class: classes[i%5], key: uint64(i), customer: 1, cost: 1, timeout: 400 * time.Millisecond}
+			request := &clientRequest{class: requestClasses[i%5], key: uint64(i), customer: 1, cost: 1, timeout: 400 * time.Millisecond}
 			r.submit(request, 0, 1)
 		})
 	}
 	r.scheduleAfter(950*time.Millisecond, func() { r.gateways[0].pause(2 * time.Second) })
-	r.run(start+10*time.Second, 100_000)
+	r.run(startTime+10*time.Second, 100_000)
 	r.check.checkDeadlines()
 	for _, l := range lines {
 		if at := strings.TrimSpace(l[:10]); at > "0.9500" && at < "2.9500" && len(at) == 6 && strings.Contains(l, "door 0") {
--- a/internal/sim/singlerequest.go
+++ b/internal/sim/singlerequest.go
@@ -47,7 +47,7 @@
 		request.timeout = 1200 * time.Millisecond
 	}
 	r.scheduleAfter(time.Second, func() { r.submit(request, 0, 1) })
-	r.run(start+time.Minute, 1_000_000)
+	r.run(startTime+time.Minute, 1_000_000)
 	return request.verdict, int(r.receivedCount), request.effectCount
 }
 
@@ -60,7 +60,7 @@
 }
 
 // perform carries out one of BackendActions.
-func (b *backend) perform(received *receivedRequest, action string) {
+func (b *backend) performAction(received *receivedRequest, action string) {
 	switch action {
 	case actionReject:
 		b.respond(received, "503 Service Unavailable", "Not-Started: 1\r\n", "")
@@ -68,18 +68,18 @@
 	case actionReset:
 		received.conn.reset()
 	default:
-		received.keyIsNew = b.dedup.remember(received.request.key, b.world.now, b.runner.config.dedupWindow)
+		received.keyIsNew = b.dedup.insertIfNew(received.request.key, b.world.now, b.runner.config.dedupWindow)
 		b.check.onExecuted(received, b)
-		b.performExecuted(received, action)
+		b.performAfterExecution(received, action)
 	}
 }
 
 // performExecuted carries out an action that follows the execution.
-func (b *backend) performExecuted(received *receivedRequest, action string) {
+func (b *backend) performAfterExecution(received *receivedRequest, action string) {
 	endWith := func(text string) {
 		received.conn.sendToGateway([]byte(text), 0)
-		received.conn.endToGateway(errConnClosed)
-		received.conn.detachBackend()
+		received.conn.sendReadError(errConnClosed)
+		received.conn.closeByBackend()
 	}
 	switch action {
 	case actionError:
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -25,10 +25,10 @@
 }
 
 // start is where the clock begins: late enough for backends to have run for long.
-const start = time.Hour
+const startTime = time.Hour
 
 func newWorld(seed uint64, trace func(string)) *world {
-	w := &world{seed: seed, now: start, trace: trace}
+	w := &world{seed: seed, now: startTime, trace: trace}
 	w.hash.Reset()
 	return w
 }
@@ -73,7 +73,7 @@
 	w.scratch = line
 	_, _ = w.hash.Write(line)
 	if w.trace != nil {
-		w.trace(fmt.Sprintf("%10.4f ", (w.now-start).Seconds()) + fmt.Sprintf(format, args...))
+		w.trace(fmt.Sprintf("%10.4f ", (w.now-startTime).Seconds()) + fmt.Sprintf(format, args...))
 	}
 }
 
@@ -104,7 +104,7 @@
 
 // violatef records that a rule is broken. The run ends after the current step.
 func (w *world) violatef(rule, format string, args ...any) {
-	violation := Violation{rule, fmt.Sprintf(format, args...), w.now - start}
+	violation := Violation{rule, fmt.Sprintf(format, args...), w.now - startTime}
 	w.violations = append(w.violations, violation)
 	w.tracef("BROKEN %v", violation)
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -85,7 +85,7 @@
 
 // The wire's words for values.
 var (
-	results = map[string]decision.Result{
+	resultsByName = map[string]decision.Result{
 		"delivered":   decision.Succeeded,
 		"app_error":   decision.ErrorResponse,
 		"shed":        decision.Rejected,
@@ -95,12 +95,12 @@
 		"revoked":     decision.Cancelled,
 		"unused":      decision.NotSent,
 	}
-	states = map[string]decision.BackendState{
+	statesByName = map[string]decision.BackendState{
 		"healthy":      decision.Ready,
 		"cordoned":     decision.Draining,
 		"deregistered": decision.Removed,
 	}
-	updateKinds = map[string]decision.UpdateKind{
+	updateKindsByName = map[string]decision.UpdateKind{
 		"INCREMENTAL": decision.UpdateDelta,
 		"FULL":        decision.UpdateFull,
 		"SAVED":       decision.UpdateCached,
@@ -139,12 +139,12 @@
 		return m, fmt.Errorf("%s without an instance", raw.Type)
 	}
 	m.Instance = *raw.Instance
-	err := m.decodeFor(&raw)
+	err := m.decodeInstanceMessage(&raw)
 	return m, err
 }
 
 // decodeFor reads a message to an instance.
-func (m *Message) decodeFor(raw *rawMessage) (err error) {
+func (m *Message) decodeInstanceMessage(raw *rawMessage) (err error) {
 	switch raw.Type {
 	case "boot":
 		m.Start, err = decodeStart(raw)
@@ -186,8 +186,8 @@
 
 // resultOf gives an attempt's result for the wire's word, decision.Unknown for one it does not
 // know.
-func resultOf(word string) decision.Result {
-	if result, ok := results[word]; ok {
+func parseResult(word string) decision.Result {
+	if result, ok := resultsByName[word]; ok {
 		return result
 	}
 	return decision.Unknown
@@ -226,7 +226,7 @@
 	}
 	return decision.Outcome{
 		Request: id, Backend: decision.BackendID(*raw.Backend), Attempt: raw.Attempt,
-		Result: resultOf(raw.Result), Latency: microseconds(raw.Latency), Final: raw.Final,
+		Result: parseResult(raw.Result), Latency: microseconds(raw.Latency), Final: raw.Final,
 		HasUsage: raw.SeenUsage > 0, Usage: float64(raw.SeenUsage - 1), // the wire has 0 for no usage
 		SettledCost: raw.SettledCost, LoadReport: raw.LoadReport,
 	}, nil
@@ -237,19 +237,19 @@
 		return nil, errors.New("sampled without a backend")
 	}
 	return decision.ProbeResult{
-		Backend: decision.BackendID(*raw.Backend), Result: resultOf(raw.Result),
+		Backend: decision.BackendID(*raw.Backend), Result: parseResult(raw.Result),
 		Latency: microseconds(raw.Latency), LoadReport: raw.LoadReport,
 	}, nil
 }
 
 func decodeUpdate(raw *rawMessage) (decision.Event, error) {
-	kind, ok := updateKinds[raw.Mode]
+	kind, ok := updateKindsByName[raw.Mode]
 	if !ok {
 		return nil, fmt.Errorf("a list of unknown kind %q", raw.Mode)
 	}
 	update := decision.EndpointUpdate{Kind: kind}
 	for _, e := range raw.Endpoints {
-		state, ok := states[e.State]
+		state, ok := statesByName[e.State]
 		if !ok || e.Backend == nil {
 			return nil, fmt.Errorf("a list entry without a backend or with the state %q", e.State)
 		}
@@ -265,7 +265,7 @@
 	if raw.CounterKey == nil {
 		return CounterReply{}, errors.New("tally_back without a name")
 	}
-	result := decision.CounterResult{Result: resultOf(raw.Result), Total: raw.CounterTotal}
+	result := decision.CounterResult{Result: parseResult(raw.Result), Total: raw.CounterTotal}
 	return CounterReply{Present: true, Key: *raw.CounterKey, Result: result}, nil
 }
 
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -21,13 +21,13 @@
 
 // The settings' words for values. An empty word is the default.
 var (
-	idempotencies = map[string]decision.Idempotency{
+	idempotenciesByName = map[string]decision.Idempotency{
 		"":          decision.Idempotent,
 		"retryable": decision.Idempotent,
 		"dedup":     decision.IdempotentByKey,
 		"fragile":   decision.NonIdempotent,
 	}
-	dedupScopes = map[string]decision.DedupScope{
+	dedupScopesByName = map[string]decision.DedupScope{
 		"":     decision.DedupScopeAll,
 		"all":  decision.DedupScopeAll,
 		"zone": decision.DedupScopeZone,
@@ -146,8 +146,8 @@
 
 func (r *rawSettings) classes() (classes []decision.Class, err error) {
 	for _, c := range r.Classes {
-		idempotency, knownIdempotency := idempotencies[c.Idempotency]
-		scope, knownScope := dedupScopes[c.DedupScope]
+		idempotency, knownIdempotency := idempotenciesByName[c.Idempotency]
+		scope, knownScope := dedupScopesByName[c.DedupScope]
 		if !knownIdempotency || !knownScope {
 			return nil, fmt.Errorf("lanes: class %q has the effect %q and the group %q",
 				c.Name, c.Idempotency, c.DedupScope)
