--- a/internal/sim/attempt.go
+++ b/internal/sim/attempt.go
@@ -9,25 +9,26 @@
 )
 
 // attempt is one attempt of a request, or a probe, which has no request. Its state machine is
-// platformhttp.Exchange; the gateway carries out the operations that this asks for.
+// platformhttp.Exchange; the gateway executes the operations that the exchange asks for.
 type attempt struct {
 	exchange  platformhttp.Exchange
-	request   *clientRequest // nil: it is a probe
-	number    int
+	request   *clientRequest // nil: the attempt is a probe
+	number    int            // within the request, from 0
 	backend   decision.BackendID
 	deadline  time.Duration
-	notAfter  time.Duration // nothing of it may leave later; 0: no limit
-	decidedAt time.Duration
+	notAfter  time.Duration // the request must not be sent later; 0: no limit
+	decidedAt time.Duration // when the lifecycle machine started the attempt
 
 	cancelCause     platformhttp.CancelReason
-	cancelWait      func() // ends the wait for the current operation; nil: it waits for none
-	waitSerial      int    // of the operation that it waits for
-	sent            bool   // a byte of it has left
-	responseStarted bool   // its response is being passed on
+	cancelWait      func() // ends the wait for the pending operation; nil: no operation is pending
+	waitSerial      int    // number of the pending operation, by which outdated callbacks are ignored
+	sent            bool   // the request's first byte was sent
+	responseStarted bool   // the response is being streamed to the client
 	onEnd           func(*attempt)
 }
 
-// cancel ends the wait for an attempt.
+// cancel cancels the attempt with a cause and ends its wait for the pending operation. Only the first
+// call has an effect.
 func (a *attempt) cancel(cause platformhttp.CancelReason) {
 	if a.cancelCause != platformhttp.NotCancelled {
 		return
@@ -37,7 +38,7 @@
 	}
 }
 
-// randKey is what random draws for an attempt depend on.
+// randKey returns the key of the attempt's random draws, for world.newRand.
 func (a *attempt) randKey() []uint64 {
 	if a.request == nil {
 		return []uint64{uint64(a.backend), uint64(a.deadline)}
@@ -45,7 +46,7 @@
 	return []uint64{uint64(a.request.number), uint64(a.number)}
 }
 
-// startAttempt begins an attempt.
+// startAttempt starts an attempt, unless it has already been cancelled.
 func (g *gateway) startAttempt(a *attempt) {
 	if a.cancelCause != platformhttp.NotCancelled {
 		a.exchange.Result.Result = decision.NotSent
@@ -59,7 +60,7 @@
 	g.runAttempt(a, a.exchange.Start(g.httpPool, a.backend, message, a.deadline, a.notAfter, g.world.now))
 }
 
-// runAttempt carries out an attempt's operations until one has to be waited for.
+// runAttempt executes an attempt's operations until one of them has to wait.
 func (g *gateway) runAttempt(a *attempt, op platformhttp.Op) {
 	exchange := &a.exchange
 	for {
@@ -92,8 +93,9 @@
 	}
 }
 
-// resumeFunc gives what is called when the operation that an attempt waits for has ended. The
-// attempt then goes on by what next says, once, if its process still runs.
+// resumeFunc returns the callback for the end of an attempt's pending operation. The callback resumes
+// the attempt with the operation that next returns. It does nothing if it was called before, or if the
+// process has ended.
 func (g *gateway) resumeFunc(a *attempt, next func() platformhttp.Op) func() {
 	a.waitSerial++
 	serial, epoch := a.waitSerial, g.epoch
@@ -108,7 +110,7 @@
 	}
 }
 
-// dialForAttempt opens a connection, and has the attempt go on with it.
+// dialForAttempt opens a connection and then resumes the attempt with it, or with the error.
 func (g *gateway) dialForAttempt(a *attempt) {
 	exchange := &a.exchange
 	a.cancelWait = g.dial(exchange.Addr(), a.randKey(), func(c *conn, err error) {
@@ -124,7 +126,7 @@
 	})
 }
 
-// writeRequest sends a request on its connection.
+// writeRequest writes the attempt's request to its connection.
 func (g *gateway) writeRequest(a *attempt) platformhttp.Op {
 	exchange := &a.exchange
 	c := exchange.Conn.Owner.(*conn)
@@ -144,7 +146,7 @@
 		c.sendToBackend(text[:rng.IntN(len(text))], 0)
 		c.deliver(&c.toBackend, 0, c.reset)
 		if rng.IntN(2) == 0 {
-			err = errConnReset // noticed at once, else by the read
+			err = errConnReset // the write fails; otherwise the next read does
 		}
 	default:
 		rng := g.world.newRand(append(a.randKey(), 4)...)
@@ -158,8 +160,8 @@
 	return exchange.Wrote(g.world.now, c.readBuffer, nil)
 }
 
-// confirmSend asks the lifecycle machine whether an attempt may leave whose decision has become
-// old.
+// confirmSend reports whether an attempt may still be sent. It asks the lifecycle machine if the
+// decision to start the attempt is older than MaxDecisionAge.
 func (g *gateway) confirmSend(a *attempt) bool {
 	if a.request == nil || g.world.now-a.decidedAt <= g.machine.Deadlines().MaxDecisionAge {
 		return true
@@ -169,7 +171,7 @@
 	return allowed
 }
 
-// noteSent tells the checker of an attempt's first byte.
+// noteSent reports an attempt's first byte to the checker.
 func (g *gateway) noteSent(a *attempt, c *conn) {
 	if a.sent {
 		return
@@ -183,8 +185,8 @@
 	}
 }
 
-// waitForResponse has an attempt wait until there is something to read, and tells whether it has
-// to.
+// waitForResponse registers the attempt to be resumed by the next readable bytes, read error,
+// cancellation or read deadline. It returns false, and registers nothing, if the attempt need not wait.
 func (g *gateway) waitForResponse(a *attempt) bool {
 	c := a.exchange.Conn.Owner.(*conn)
 	if len(c.received) > 0 || c.readErr != nil || a.cancelCause != platformhttp.NotCancelled {
@@ -198,7 +200,8 @@
 	return true
 }
 
-// readResponse takes in what has arrived. A streamed response may be passed on from its head on.
+// readResponse reads the bytes that have arrived. The response of a streaming class is passed on to
+// the client as soon as it has begun.
 func (g *gateway) readResponse(a *attempt) platformhttp.Op {
 	exchange := &a.exchange
 	c := exchange.Conn.Owner.(*conn)
@@ -219,7 +222,8 @@
 	return op
 }
 
-// startResponse asks the lifecycle machine whether an attempt's response may be passed on, once.
+// startResponse asks the lifecycle machine whether the attempt's response may be streamed to the
+// client, and cancels the attempt if not. Once the response is being streamed it does nothing.
 func (g *gateway) startResponse(a *attempt) {
 	if a.responseStarted {
 		return
@@ -234,7 +238,8 @@
 	g.execute(effects)
 }
 
-// attemptEnded tells the lifecycle machine how an attempt ended, by an event of its own.
+// attemptEnded reports an attempt's result to the lifecycle machine in a separate event, so that a kill
+// can occur before it.
 func (g *gateway) attemptEnded(a *attempt) {
 	epoch := g.epoch
 	g.triggerKillPoint(atAttemptEnd)
@@ -252,7 +257,7 @@
 	})
 }
 
-// probeEnded tells the lifecycle machine of a probe's end.
+// probeEnded reports a probe's result to the lifecycle machine.
 func (g *gateway) probeEnded(a *attempt) {
 	delete(g.attempts, a)
 	result := decision.ProbeResult{Backend: a.backend, Result: a.exchange.Result.Result}
--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -11,9 +11,9 @@
 	"pumicecroft/membership"
 )
 
-// backend executes some requests at once and queues others. It shares a memory of idempotency keys
-// with the backends of its deduplication scope, and is overloaded for good if it is sent too much
-// during its warm-up.
+// backend simulates a backend that executes a limited number of requests concurrently and queues
+// others. It shares a table of idempotency keys with the other backends of its deduplication scope. If
+// it receives too many requests during its warm-up, it is overloaded until its process ends.
 type backend struct {
 	world  *world
 	check  *checker
@@ -24,56 +24,56 @@
 	dedup  *dedupTable
 	conns  map[*conn]bool
 
-	// Of the process.
-	epoch          int // counts processes and their ends
+	// State of the process.
+	epoch          int // incremented by every start and end of a process
 	up             bool
-	startedAt      time.Duration // 0: long ago, it is warm
-	busy           int           // requests that it executes
+	startedAt      time.Duration // 0: long ago, the warm-up is over
+	busy           int           // requests being executed
 	queue          []*receivedRequest
-	recentArrivals []time.Duration // during the warm-up, within overloadDuration
+	recentArrivals []time.Duration // of requests during the warm-up, within overloadDuration
 	overloaded     bool
 
-	// Of the sources.
+	// What the endpoint sources report.
 	addrChanges int           // how often its address has changed
-	drainFaults int           // faults by which it drains now
-	listed      bool          // the sources name it
-	listedAt    time.Duration // since when, if it was removed before; 0: always
-	createIndex uint64        // the catalog's index at its registration
+	drainFaults int           // active faults that drain it
+	listed      bool          // the sources list it
+	listedAt    time.Duration // when the sources listed it again after a removal; 0: it was never removed
+	createIndex uint64        // the catalog's index when it was registered
 
-	// During its warm-up it is overloaded by more than this multiple of its capacity, sent for this
-	// long.
+	// During its warm-up a backend becomes overloaded if it receives more than overloadFactor times its
+	// current capacity over overloadDuration.
 	overloadFactor   float64
 	overloadDuration time.Duration
 
-	faultShares [faultKindCount]float64 // share of what passes that each fault meets now
+	faultShares [faultKindCount]float64 // see Fault.Share; 0: there is no fault of this kind now
 }
 
-// dedupMemory is what the backends of one deduplication scope remember: when each key was first
-// seen.
+// dedupTable records when each idempotency key was first seen by the backends of one deduplication
+// scope.
 type dedupTable struct{ firstSeen map[uint64]time.Duration }
 
-// receivedRequest is a request that a backend has received whole.
+// receivedRequest is a request that a backend has received completely.
 type receivedRequest struct {
 	request   *clientRequest
 	conn      *conn
-	number    uint64 // among all that backends received
-	keyIsNew  bool   // its key was not known
-	abandoned bool   // its connection ended before it was executed
+	number    uint64 // counts the requests received by all backends
+	keyIsNew  bool   // its idempotency key was not in the deduplication table
+	abandoned bool   // its connection was closed before it was executed
 }
 
 const (
 	backendConcurrency  = 4  // requests that a backend executes at once
-	maxQueueLength      = 40 // a backend rejects what comes beyond that
+	maxQueueLength      = 40 // a backend rejects requests that do not fit into its queue
 	meanServiceTime     = 80 * time.Millisecond
-	backendCapacity     = backendConcurrency / 0.080 // requests a second, once warm
-	slowExecutionFactor = 8                          // SlowExecution takes that much longer
+	backendCapacity     = backendConcurrency / 0.080 // requests per second after the warm-up
+	slowExecutionFactor = 8                          // multiplies the execution time during SlowExecution
 )
 
 func (b *backend) name() string { return "b" + strconv.Itoa(b.number) }
 
 func (b *backend) addr() string { return fmt.Sprintf("b%d.%d", b.number, b.addrChanges) }
 
-// node is what discovery tells of a backend.
+// node returns the backend as the endpoint sources report it.
 func (b *backend) node() membership.Node {
 	node := membership.Node{
 		Name: b.name(), Addr: b.addr(), Zone: b.zone, Cell: b.cell, Weight: 1, StartedAt: wallTime(b.startedAt),
@@ -87,7 +87,7 @@
 	return node
 }
 
-// warmupFraction is the share of its capacity that a backend has, 0 to 1.
+// warmupFraction returns the share of its full capacity that the backend currently has, up to 1.
 func (b *backend) warmupFraction() float64 {
 	if b.startedAt == 0 {
 		return 1
@@ -96,13 +96,14 @@
 	return min(1, slowStartMinCapacity+(1-slowStartMinCapacity)*age/float64(slowStartWindow))
 }
 
-// hitBy tells whether a fault meets something. The draw depends on the purpose alone.
-func (b *backend) affectedBy(kind FaultKind, purpose ...uint64) bool {
+// affectedBy reports whether a fault of a kind affects what the key identifies, such as a request or a
+// connection. The draw depends only on the key, the kind and the backend.
+func (b *backend) affectedBy(kind FaultKind, key ...uint64) bool {
 	share := b.faultShares[kind]
-	return share > 0 && b.world.newRand(append(purpose, uint64(kind), uint64(b.number))...).Float64() < share
+	return share > 0 && b.world.newRand(append(key, uint64(kind), uint64(b.number))...).Float64() < share
 }
 
-// onBytes handles the requests that have arrived whole on a connection.
+// onBytes handles the requests that have arrived completely on a connection.
 func (b *backend) onBytes(c *conn) {
 	for {
 		headLength := bytes.Index(c.requestBytes, []byte("\r\n\r\n"))
@@ -132,7 +133,8 @@
 	}
 }
 
-// receive finds the client's request of a head, and checks that it was passed on unchanged.
+// receive finds the client request to which a request head belongs, and checks that the gateway
+// forwarded it unchanged.
 func (b *backend) receive(c *conn, head, path string, bodySize int) *receivedRequest {
 	b.runner.receivedCount++
 	number, _ := strconv.Atoi(path[strings.IndexByte(path, '=')+1 : strings.IndexByte(path, ' ')])
@@ -145,7 +147,8 @@
 	return &receivedRequest{request: request, conn: c, number: b.runner.receivedCount}
 }
 
-// headerValue finds a field in a head that platformhttp has written; empty: it has none.
+// headerValue returns the value of a header field in a head written by platformhttp, or "" if there is
+// none.
 func headerValue(head, name string) string {
 	_, rest, ok := strings.Cut(head, "\r\n"+name+": ")
 	if !ok {
@@ -155,8 +158,8 @@
 	return value
 }
 
-// onConnClosed is told that a gateway has closed a connection: in some runs its queued requests are
-// dropped.
+// onConnClosed handles a connection that its gateway has closed. If the run's configuration says so,
+// the connection's queued requests are dropped.
 func (b *backend) onConnClosed(c *conn) {
 	if !b.runner.config.dropsQueued {
 		return
@@ -180,8 +183,8 @@
 		return
 	}
 	if received.request.class == "pay" {
-		// A gateway does not answer for what the network holds beyond the grace that the settings
-		// state for it.
+		// Gateways are not responsible for network delays beyond responseGrace: a request that was
+		// delayed for longer counts as arrived after responseGrace.
 		seen := min(b.world.now, received.conn.sentAt+responseGrace)
 		received.keyIsNew = b.dedup.insertIfNew(received.request.key, seen, b.runner.config.dedupWindow)
 	}
@@ -192,7 +195,7 @@
 	}
 }
 
-// recordArrival counts a request during the warm-up, and finds whether they are too many.
+// recordArrival counts a request during the warm-up and detects an overload.
 func (b *backend) recordArrival(received *receivedRequest) {
 	fraction := b.warmupFraction()
 	if fraction >= 1 {
@@ -211,10 +214,10 @@
 	}
 }
 
-// countsTowardsOverload tells whether a gateway's request counts. Backends that are overloaded
-// sooner than the platform's don't count what comes from gateways that were not told of their
-// start, nor what comes right after a gateway's pause: the platform's figures, which the engine is
-// held to, leave room for both.
+// countsTowardsOverload reports whether a request of this gateway counts. With the platform's
+// overload factor, every request does: it is high enough to tolerate gateways that have not yet
+// learned of the backend's start, and requests right after a gateway's pause. Backends with a lower
+// factor do not count either of these.
 func (b *backend) countsTowardsOverload(g *gateway) bool {
 	if b.overloadFactor == platformOverloadFactor {
 		return true
@@ -222,7 +225,8 @@
 	return !b.gatewayPausedRecently() && g.endpoints.latestStart[b.name()] >= b.startedAt
 }
 
-// gatewayPausedRecently tells whether any gateway was paused within overloadDuration.
+// gatewayPausedRecently reports whether any gateway was paused, or was recovering from a pause, within
+// the last overloadDuration.
 func (b *backend) gatewayPausedRecently() bool {
 	for _, g := range b.runner.gateways {
 		if g.pausedDuring(b.world.now-b.overloadDuration, b.world.now) {
@@ -232,7 +236,7 @@
 	return false
 }
 
-// execute executes a request, and the next one of the queue behind it.
+// execute executes a request. When it ends, the next queued request is started.
 func (b *backend) execute(received *receivedRequest) {
 	b.busy++
 	epoch := b.epoch
@@ -243,7 +247,7 @@
 	}
 	b.world.scheduleAfter(duration, func() {
 		if epoch != b.epoch {
-			return // its process has ended
+			return // the process has ended meanwhile
 		}
 		b.busy--
 		b.executeNext()
@@ -252,7 +256,7 @@
 	})
 }
 
-// executeNext executes the first request of the queue whose client still waits.
+// executeNext starts the first queued request that was not abandoned, and removes those before it.
 func (b *backend) executeNext() {
 	for len(b.queue) > 0 {
 		next := b.queue[0]
@@ -264,7 +268,7 @@
 	}
 }
 
-// remember tells whether a key is new within a window, and remembers it from now on.
+// insertIfNew reports whether a key was not seen within the window, and if so records it as seen now.
 func (m *dedupTable) insertIfNew(key uint64, now, window time.Duration) bool {
 	if at, known := m.firstSeen[key]; known && now-at < window {
 		return false
@@ -273,14 +277,14 @@
 	return true
 }
 
-// start starts a new process, which warms up.
+// startProcess starts a new process, which begins its warm-up.
 func (b *backend) startProcess() {
 	b.up, b.startedAt, b.overloaded, b.recentArrivals = true, b.world.now, false, nil
 	b.epoch++
 	b.busy, b.queue = 0, nil
 }
 
-// stop ends the process: what it had is lost, and its connections are reset.
+// stopProcess ends the process: its requests are lost and its connections are reset.
 func (b *backend) stopProcess() {
 	b.up = false
 	b.epoch++
--- a/internal/sim/backendresponses.go
+++ b/internal/sim/backendresponses.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// finish responds to a request that was executed, as the faults have it.
+// respondAfterExecution responds to an executed request, unless a fault prevents or changes the
+// response.
 func (b *backend) respondAfterExecution(received *receivedRequest) {
 	rng := b.world.newRand(received.number, 5)
 	switch {
@@ -31,7 +32,7 @@
 	}
 }
 
-// invalidResponses are no HTTP, or no response that can be used.
+// invalidResponses are malformed HTTP, or responses that a gateway must not pass on.
 var invalidResponses = []string{
 	"\x00\xff\r\n\r\n",
 	"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nno",
@@ -45,13 +46,13 @@
 	"\r\n\r\n",
 }
 
-// errorStatuses are what ErrorResponses has a backend respond with.
+// errorStatuses are the statuses with which a backend responds under the fault ErrorResponses.
 var errorStatuses = []string{
 	"500 Internal Server Error", "503 Service Unavailable", "404 Not Found", "504 Gateway Timeout",
 }
 
-// responseBytes is a response on the wire, in one of several forms: chunked, behind an
-// informational one, the connection's last, or plain.
+// responseBytes encodes a response for the wire in one of several forms: chunked, preceded by an
+// informational response, with "Connection: close", or plain.
 func (b *backend) responseBytes(received *receivedRequest, status, fields, body string) []byte {
 	rng := b.world.newRand(received.number, 6)
 	head := "HTTP/1.1 " + status + "\r\n" + fields
@@ -72,8 +73,8 @@
 	return []byte(head + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body)
 }
 
-// chunk is a part of a body in the chunked coding; empty for an empty part, which would end the
-// body.
+// chunk encodes a part of a body as a chunk. An empty part is encoded as nothing, because an empty
+// chunk would end the body.
 func chunk(part string) string {
 	if part == "" {
 		return ""
@@ -81,7 +82,7 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
 }
 
-// respond sends a response, with the faults that meet it on its way.
+// respond sends a response, applying the faults that affect its delivery.
 func (b *backend) respond(received *receivedRequest, status, fields, body string) {
 	c, rng := received.conn, b.world.newRand(received.number, 7)
 	if c.backendClosed {
@@ -100,8 +101,8 @@
 		if rng.IntN(2) == 0 {
 			extra = []byte(oneOf(rng, invalidResponses...))
 		}
-		// No later than a connection rests in the pool: behind that, nobody could tell it from the
-		// next response.
+		// The delay does not exceed the pool's reuse delay: bytes that arrive later could not be told
+		// from the next response.
 		c.sendTrailing(extra, delay+randDuration(rng, 0, 2500*time.Microsecond))
 	}
 	if bytes.Contains(text, []byte("Connection: close")) {
@@ -112,14 +113,14 @@
 	c.startIdleTimer()
 }
 
-// Bounds on the time between two pieces of a text.
+// Upper bounds of the delay between two pieces of a message.
 const (
 	maxPieceDelay     = 300 * time.Microsecond
 	maxSlowPieceDelay = 250 * time.Millisecond
 )
 
-// sendInPieces cuts a text at random, mostly into one piece. With slow there are more pieces, and
-// some come too slowly.
+// sendInPieces sends a message in one piece, or cut into random pieces. With slow there are more pieces
+// with longer delays, so that some messages arrive too late.
 func sendInPieces(rng *rand.Rand, text []byte, slow bool, send func(part []byte, delay time.Duration)) {
 	count, maxDelay := 1, maxPieceDelay
 	if slow {
--- a/internal/sim/catalogwatch.go
+++ b/internal/sim/catalogwatch.go
@@ -10,14 +10,15 @@
 	"pumicecroft/membership"
 )
 
-// What becomes of queries without a usable response. The trace takes in these texts.
+// Errors of queries without a usable response. Their texts are part of the trace's hash.
 var (
 	errAgentUnreachable = errors.New("the agent can't be reached")
 	errAgentTimeout     = errors.New("the agent is silent")
 	errPartialResponse  = errors.New("an answer that is not believed in whole")
 )
 
-// catalogWatch is a process's watch of the catalog: two blocking queries that fill one catalog.
+// catalogWatch is a gateway process's watch of the Consul catalog: two blocking queries, repeated for
+// the life of the process, whose responses are combined in one catalog.
 type catalogWatch struct {
 	gateway *gateway
 	epoch   int
@@ -25,17 +26,17 @@
 	queries [queryKindCount]watchQuery
 }
 
-// watchQuery is the course of one of the two queries.
+// watchQuery is the state of one of the two queries.
 type watchQuery struct {
 	loop          *blockingquery.Loop
-	serial        int           // counts queries
-	arrivedSerial int           // the last query whose response has arrived
-	failingSince  time.Duration // 0: it does not fail
-	waiters       []func()      // are called at the end of a query that begins from now on
-	requery       bool          // the next query counts for the waiters, not the current one
+	serial        int           // number of the latest query
+	arrivedSerial int           // number of the last query whose response has arrived, handled or not
+	failingSince  time.Duration // 0: the last query did not fail
+	waiters       []func()      // called at the end of the next query that is sent after they were added
+	requery       bool          // the current query was sent before the waiters were added; they wait for the next one
 }
 
-// newCatalogWatch makes the watch of a gateway's current process.
+// newCatalogWatch creates the watch of a gateway's current process.
 func newCatalogWatch(g *gateway) *catalogWatch {
 	mapping := consulcatalog.Mapping{Name: "name", Cell: "cell", Zone: "zone", Started: "started"}
 	watch := &catalogWatch{gateway: g, epoch: g.epoch, catalog: consulcatalog.NewCatalog(mapping, true)}
@@ -46,8 +47,7 @@
 	return watch
 }
 
-// query sends a query when it is due, in place of one that is due already, and the next one when it
-// has ended.
+// query schedules the next query of a kind. It replaces one that is scheduled or still has no response.
 func (w *catalogWatch) query(kind queryKind) {
 	g, state := w.gateway, &w.queries[kind]
 	query := state.loop.Next()
@@ -62,7 +62,8 @@
 	})
 }
 
-// send sends a query to the agent.
+// send sends a query to the agent. Its response, error or timeout is handled once, unless another query
+// has replaced it by then.
 func (w *catalogWatch) send(kind queryKind, serial int, query blockingquery.Query) {
 	g, state := w.gateway, &w.queries[kind]
 	state.loop.Sent(g.world.now)
@@ -84,11 +85,12 @@
 	g.runner.agent.query(g, kind, query, end)
 }
 
-// next begins the next query and calls those that waited for the end of the one before it.
+// next schedules the next query after one has ended, and notifies the waiters unless they wait for
+// that next query.
 func (w *catalogWatch) next(kind queryKind) {
 	state := &w.queries[kind]
 	var waiters []func()
-	if state.requery { // the query began before they waited
+	if state.requery { // the query was sent before the waiters were added
 		state.loop.Refresh(w.gateway.world.now)
 	} else {
 		waiters, state.waiters = state.waiters, nil
@@ -100,8 +102,8 @@
 	}
 }
 
-// sync queries anew, and calls done when these queries have ended. Queries that have failed since
-// before a time are not waited for.
+// sync sends the queries again and calls done when they have ended. It skips a query that has been
+// failing since before the given time.
 func (w *catalogWatch) sync(since time.Duration, done func()) {
 	pending := 1
 	end := func() {
@@ -117,7 +119,8 @@
 		pending++
 		state.waiters = append(state.waiters, end)
 		if state.arrivedSerial == state.serial {
-			// A response has arrived, and is handled whatever the next query brings.
+			// A response has arrived and its handling is queued: it is handled first, and the waiters
+			// wait for the query after it.
 			state.requery = true
 			continue
 		}
@@ -127,7 +130,7 @@
 	end()
 }
 
-// onResponse takes in a query's response, or its failure.
+// onResponse handles the response to a query, or its failure.
 func (w *catalogWatch) onResponse(kind queryKind, response blockingquery.Response,
 	entries []consulcatalog.Entry, err error,
 ) {
@@ -146,7 +149,7 @@
 			g.world.violatef(ruleUpdatesValid, "%v", errs)
 		}
 	case !verdict.Full:
-		return // the health query says so too, and nothing has changed
+		return // the health query reports the partial response, and the catalog has not changed
 	default:
 		w.catalog.UpdateServices(nodeNames(entries))
 	}
@@ -156,7 +159,7 @@
 	}
 }
 
-// onFailure takes in that a query had no response.
+// onFailure handles a query that ended without a response.
 func (w *catalogWatch) onFailure(kind queryKind, err error) {
 	g, state := w.gateway, &w.queries[kind]
 	state.loop.Failed(g.world.now)
@@ -169,8 +172,8 @@
 	}
 }
 
-// report gives the table what the catalog has: drains at once, and a full update once both queries
-// had a response.
+// report passes the catalog's content to the membership table: drains at once, and a full update once
+// both queries have had a response.
 func (w *catalogWatch) report(reset bool) {
 	g := w.gateway
 	if update := w.catalog.UnlistedDrains(); len(update.Nodes) > 0 {
--- a/internal/sim/clients.go
+++ b/internal/sim/clients.go
@@ -12,62 +12,63 @@
 	"pumicecroft/internal/platformhttp"
 )
 
-// clientRequest is one request of a client, and what became of it. A client's retry is another one
+// clientRequest is one request of a client, with its outcome. A client's retry is another clientRequest
 // with the same key.
 type clientRequest struct {
 	number      int
 	id          uint64
 	class       string
-	key         uint64 // idempotency key, over the client's retries
+	key         uint64 // idempotency key, the same for the client's retries
 	customer    int
 	cost        float64
-	timeout     time.Duration
+	timeout     time.Duration // of the client, from the request's arrival at the gateway
 	bodySize    int
-	fingerprint byte // tells requests of one key apart
+	fingerprint byte // distinguishes different requests that were sent with the same key
 
-	idReused  bool // its id was used before
-	keyReused bool // its key was used by a client that was not told that this is harmless
-	duplicate bool // it is the second of a client that sends twice
-	retry     bool // of a rejected one
+	idReused  bool // another request had the same id before
+	keyReused bool // another request has the same key, without a rejection that allowed the retry
+	duplicate bool // it is the second request of a client that sends a request twice
+	retry     bool // it is the retry of a rejected request
 
 	gateway      *gateway
-	gatewayEpoch int // of the process that took it
+	gatewayEpoch int // of the process that received it
 	arrivedAt    time.Duration
-	ticket       *idempotency.Ticket // of its key at the gateway; nil: it has none there
+	ticket       *idempotency.Ticket // for its key in the gateway's deduplication store; nil: none
 	attempts     []*attempt
-	notAdmitted  bool
+	notAdmitted  bool // the lifecycle machine did not accept it
 
-	disconnected   bool // its client has gone
+	disconnected   bool // its client has disconnected
 	disconnectedAt time.Duration
 
-	finalCount      int
-	verdict         string
+	finalCount      int                    // final answers given; more than one is a violation
+	verdict         string                 // of the last final answer
 	response        *platformhttp.Response // of the attempt that ended last before the final answer
-	responseAttempt int
-	streamedAttempt int    // the attempt whose response is being passed on, counted from 1; 0: none
-	responseBody    string // expectedBody's, once it was asked for
+	responseAttempt int                    // number of the attempt with this response
+	streamedAttempt int                    // 1 + number of the attempt whose response is streamed to the client; 0: none
+	responseBody    string                 // cached result of expectedBody
 
-	attemptCount int // attempts started for it
+	attemptCount int // attempts started
 	executions   int // by backends
-	effectCount  int
+	effectCount  int // executions with an effect, for classes that are not idempotent
 }
 
-// classes are what clients ask for, the idempotent "look" twice as often as the others.
+// requestClasses are the classes from which clients draw: the idempotent "look" is drawn twice as often
+// as each of the others.
 var requestClasses = [...]string{"look", "look", "pay", "once", "feed"}
 
-// Bounds on how long clients wait.
+// Bounds of client timeouts.
 const (
 	minClientTimeout = 300 * time.Millisecond
 	maxClientTimeout = 2500 * time.Millisecond
 )
 
-// floodFactor is how many times its usual rate a flooding customer sends.
+// floodFactor multiplies the request rate of a flooding customer.
 const floodFactor = 12
 
-// idempotent tells whether executing a request twice is harmless.
+// idempotent reports whether executing the request more than once is harmless.
 func (q *clientRequest) idempotent() bool { return q.class == "look" || q.class == "feed" }
 
-// keyHeader is the request's Idempotency-Key for backends; empty: it has none.
+// keyHeader returns the Idempotency-Key that is sent to backends, or "" if the class has none.
 func (q *clientRequest) keyHeader() string {
 	if q.class != "pay" {
 		return ""
@@ -75,18 +76,20 @@
 	return fmt.Sprintf("key-%x", q.key)
 }
 
-// dedupKey is the key by which the gateway recognises the request.
+// dedupKey returns the idempotency key under which the gateway deduplicates the request.
 func (q *clientRequest) dedupKey() string { return fmt.Sprintf("%s-%x", q.class, q.key) }
 
-// dedupIdentity is dedupKey with what else tells requests apart at the gateway.
+// dedupIdentity returns a text that is equal for requests that the gateway treats as repeats of one
+// request: their customer, dedupKey and fingerprint are equal.
 func (q *clientRequest) dedupIdentity() string {
 	return fmt.Sprintf("%d-%s-%d", q.customer, q.dedupKey(), q.fingerprint)
 }
 
-// giveUpAfter is how long after its arrival the gateway gives up on the request.
+// responseTimeout returns how long after the request's arrival the gateway answers it at the latest.
 func (q *clientRequest) responseTimeout() time.Duration { return q.timeout - lifecycle.ResponseMargin }
 
-// duplicateOf is the same request once more, by a client that presses twice.
+// newDuplicate returns a second request with the same key, as sent by a client that sends its request
+// twice.
 func (q *clientRequest) newDuplicate() *clientRequest {
 	return &clientRequest{
 		class: q.class, key: q.key, customer: q.customer, cost: q.cost, timeout: q.timeout, bodySize: q.bodySize,
@@ -94,10 +97,10 @@
 	}
 }
 
-// padding is what bodies are made of.
+// padding fills bodies; its length bounds theirs.
 var padding = strings.Repeat("x", 40<<10)
 
-// httpRequest is the request as each attempt sends it.
+// httpRequest returns the HTTP request that each attempt sends.
 func (q *clientRequest) httpRequest() *platformhttp.Request {
 	method := "POST"
 	if q.bodySize == 0 {
@@ -109,8 +112,8 @@
 	}
 }
 
-// expectedBody is the body of a response to this request, of a length of its own: mostly short, and
-// sometimes long.
+// expectedBody returns the body of a correct response. It names the request; its length depends on the
+// request's id and is mostly short, sometimes long.
 func (q *clientRequest) expectedBody() string {
 	if q.responseBody != "" {
 		return q.responseBody
@@ -123,8 +126,8 @@
 	return q.responseBody
 }
 
-// generateRequests has a customer's clients send requests, at exponential intervals, until the run
-// stops.
+// generateRequests sends the requests of a customer's clients at exponentially distributed intervals
+// until the clients are stopped.
 func (r *runner) generateRequests(customer int, rng *rand.Rand) {
 	rate := r.config.requestRate
 	if r.flooding[customer] {
@@ -145,7 +148,9 @@
 	})
 }
 
-// submit sends a request to a gateway, or to the next one if that is down; tried counts gateways.
+// submit sends a request to the gateway at index, or to the next one if that gateway accepts no
+// requests. tried is the number of gateways tried so far, including this one; if all were tried, the
+// request is not sent.
 func (r *runner) submit(request *clientRequest, index, tried int) {
 	g := r.gateways[index]
 	if !g.up || g.closing {
@@ -165,8 +170,7 @@
 	r.maybeDisconnect(request, epoch)
 }
 
-// maybeReuseID gives a request the id and key of an earlier one, while its customer's clients do
-// that.
+// maybeReuseID gives a request the id and key of an earlier one if the fault ReusedIDs affects it.
 func (r *runner) maybeReuseID(request *clientRequest, g *gateway) {
 	share := r.reuseShare[request.customer]
 	if share <= 0 {
@@ -182,8 +186,8 @@
 	}
 }
 
-// findEarlier finds one of the last 60 requests of the same class at the same gateway; with
-// onlyFailed one that failed at the process that runs now.
+// findEarlier returns the latest of the last 60 requests that had the same class and gateway, or nil.
+// With onlyFailed it must have failed at the gateway's current process.
 func (r *runner) findEarlier(request *clientRequest, g *gateway, onlyFailed bool) *clientRequest {
 	for number := request.number - 1; number >= max(0, request.number-60); number-- {
 		earlier := r.requests[number]
@@ -197,9 +201,9 @@
 	return nil
 }
 
-// maybeDuplicate has the request sent once more to the same gateway, at once or later, while its
-// customer's clients do that. The second has a timeout of its own and is sometimes another request
-// of the same key.
+// maybeDuplicate sends a second request with the same key to the same gateway, at once or later, if the
+// fault DuplicateRequests affects the request. The duplicate has its own timeout and sometimes another
+// fingerprint, as if a client used one key for two different requests.
 func (r *runner) maybeDuplicate(request *clientRequest, index int) {
 	share := r.duplicateShare[request.customer]
 	if share <= 0 || request.duplicate {
@@ -223,8 +227,8 @@
 	})
 }
 
-// maybeDisconnect has a request's client go before its timeout, while its customer's clients do
-// that.
+// maybeDisconnect disconnects a request's client before its timeout if the fault ClientDisconnects
+// affects the request.
 func (r *runner) maybeDisconnect(request *clientRequest, epoch int) {
 	share := r.disconnectShare[request.customer]
 	if share <= 0 {
@@ -246,8 +250,8 @@
 	})
 }
 
-// maybeRetry has a client that was told of a rejection try once more, in every second case, through
-// any gateway. The protocol allows clients one retry (BRIEF 6).
+// maybeRetry retries half of the rejected requests, through any gateway, after the rejection's
+// retryAfter. The protocol allows clients one retry (BRIEF 6).
 func (r *runner) maybeRetry(request *clientRequest, verdict string, retryAfter time.Duration) {
 	if verdict != verdictRejected || r.clientsStopped || request.retry {
 		return
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -7,7 +7,7 @@
 	"pumicecroft/decision"
 )
 
-// runConfig is the size of a run and what its parts can do. A seed draws it.
+// runConfig is the size of a run and the features that are enabled in it, drawn from the seed.
 type runConfig struct {
 	gateways  int
 	backends  int
@@ -15,43 +15,44 @@
 	customers int
 	duration  time.Duration // clients send requests for this long
 
-	requestRate      float64       // requests a second of each customer
+	requestRate      float64       // of each customer, in requests per second
 	latencyObjective time.Duration // of every class
 	deadline         time.Duration // of every class
 
 	canCancel      bool
 	reportsUsage   bool // responses report the customer's usage
-	perturbsEngine bool // see perturbedEngine
+	perturbsEngine bool // gateways use perturbedEngine
 
 	overloadFactor   float64 // see decision.Settings
 	overloadDuration time.Duration
 	drainGrace       time.Duration
-	dropsQueued      bool // a backend drops a queued request when its connection ends
+	dropsQueued      bool // a backend drops queued requests whose connection was closed
 
 	dedupScope  decision.DedupScope // of the class "pay"
 	dedupWindow time.Duration       // of the class "pay"
 
 	usesDiscovery bool
 	usesCatalog   bool
-	cachesCatalog bool // a gateway keeps the catalog's nodes on disk
+	cachesCatalog bool // gateways cache the catalog's nodes on disk
 
-	maxConns       int           // of a gateway's connection pool
-	maxDescriptors int           // of a gateway's process
+	maxConns       int           // in a gateway's connection pool
+	maxDescriptors int           // that a gateway process may have open
 	idleTimeout    time.Duration // of connections, at both ends
 
 	maxOpenRequests int
 	maxAttempts     int
 	maxRequestIDs   int
-	evictsIDs       bool // maxRequestIDs is so small that some are forgotten early
+	evictsIDs       bool // maxRequestIDs is so small that ids are evicted before their retention ends
 
-	dedupBytes   int  // of memory for idempotency keys at a gateway; 0: it recognises none
-	journalsKeys bool // the keys are on disk as well
+	dedupBytes   int  // memory for idempotency keys at a gateway; 0: gateways do not deduplicate
+	journalsKeys bool // gateways also write the keys to a journal on disk
 }
 
-// oneOf draws one of some values.
+// oneOf draws one of the values with equal probability.
 func oneOf[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-// drawConfig draws the size of a run. The order of its draws is part of what a seed means.
+// drawConfig draws the configuration of a run. Changing the order of its draws changes the run of
+// every seed.
 func drawConfig(rng *rand.Rand) runConfig {
 	var c runConfig
 	c.gateways = 1 + rng.IntN(3)
@@ -75,7 +76,7 @@
 	c.maxAttempts = oneOf(rng, 16, 16, 2)
 	c.maxRequestIDs = 4096
 	c.drainGrace = oneOf(rng, defaultDrainGrace, defaultDrainGrace, time.Second, 500*time.Millisecond)
-	if rng.IntN(2) == 0 { // backends that are overloaded sooner than the platform's
+	if rng.IntN(2) == 0 { // backends become overloaded sooner than the platform's do
 		c.overloadFactor, c.overloadDuration = 2.5, time.Second
 	}
 	switch rng.IntN(4) {
@@ -95,19 +96,20 @@
 	return c
 }
 
-// recognisesAllKeys tells whether a gateway has room for all keys of a run.
+// deduplicatesAllKeys reports whether a gateway has memory for all idempotency keys of a run.
 func (c *runConfig) deduplicatesAllKeys() bool { return c.dedupBytes >= 1<<20 }
 
-// responseGrace is what the settings grant a backend's response on its way.
+// responseGrace is the engine's setting ResponseGrace. Backends also use it as the longest network
+// delay of a request that gateways have to allow for.
 const responseGrace = 50 * time.Millisecond
 
-// Rates of the plans, in cost a second.
+// Rates of the plans, in cost units per second.
 const (
 	shopRate     = 40.0
 	flagshipRate = 15.0
 )
 
-// engineSettings are the settings of a gateway's decision engine.
+// engineSettings returns the settings of a gateway's decision engine.
 func (r *runner) engineSettings(index int) decision.Settings {
 	c := &r.config
 	newClass := func(name string, idempotency decision.Idempotency) decision.Class {
@@ -143,7 +145,7 @@
 	return settings
 }
 
-// planOf names a customer's plan.
+// planName returns the name of a customer's plan.
 func planName(customer int) string {
 	if customer == flagshipCustomer {
 		return "flagship"
--- a/internal/sim/conn.go
+++ b/internal/sim/conn.go
@@ -9,18 +9,18 @@
 	"pumicecroft/internal/platformhttp"
 )
 
-// How operations on connections end.
+// Errors of operations on connections.
 var (
-	errConnRefused = errors.New("refused")
-	errConnTimeout = errors.New("not up in time")
-	errConnReset   = errors.New("reset")
-	errConnClosed  = errors.New("closed by the other side")
-	errCancelled   = errors.New("cut short") // by the cancellation of the operation's attempt
-	errReadTimeout = errors.New("not whole in time")
+	errConnRefused = errors.New("connection refused")
+	errConnTimeout = errors.New("connect timeout")
+	errConnReset   = errors.New("connection reset")
+	errConnClosed  = errors.New("connection closed by peer")
+	errCancelled   = errors.New("attempt cancelled")
+	errReadTimeout = errors.New("read timeout")
 )
 
-// conn is one connection between a gateway and a backend. Bytes arrive in the order in which they
-// were sent, after the connection's latency; connections don't order each other.
+// conn is a connection between a gateway and a backend. Bytes arrive in the order in which they were
+// sent, after the connection's latency. Different connections are independent of each other.
 type conn struct {
 	world   *world
 	number  uint64
@@ -29,20 +29,20 @@
 	// The gateway's end.
 	gateway       *gateway
 	epoch         int    // of the gateway's process
-	readBuffer    []byte // kept for the next response
-	received      []byte // arrived and not read
-	readErr       error  // behind received; nil: the connection is up
-	onReadable    func() // is called once when received or readErr changes; nil: nobody waits
+	readBuffer    []byte // reused for the next response
+	received      []byte // arrived but not yet read
+	readErr       error  // returned by a read once received is empty; nil: the connection is open
+	onReadable    func() // called once when received or readErr changes; nil: no attempt waits
 	gatewayClosed bool
 
 	// The backend's end.
 	backend       *backend
 	backendEpoch  int
-	requestBytes  []byte // arrived, and no whole request yet
-	requestCount  int    // received whole
+	requestBytes  []byte // arrived, but not yet a complete request
+	requestCount  int    // complete requests received
 	backendClosed bool
-	sentAt        time.Duration // when the last request began to leave the gateway
-	idleSince     time.Duration // 0: a request is being handled
+	sentAt        time.Duration // when the gateway began to write the last request
+	idleSince     time.Duration // 0: a request is in progress
 
 	toBackend direction
 	toGateway direction
@@ -50,18 +50,18 @@
 
 // direction is one direction of a connection.
 type direction struct {
-	lastArrival time.Duration
-	pending     []func() // in their order of arrival
+	lastArrival time.Duration // of everything sent so far
+	pending     []func()      // deliveries, in order of arrival
 }
 
-// sortedConns gives connections in the order of their numbers, as ranging over a map has none.
+// sortedConns returns connections in the order of their numbers, to make iteration deterministic.
 func sortedConns(conns map[*conn]bool) []*conn {
 	return slices.SortedFunc(maps.Keys(conns), func(a, b *conn) int { return int(a.number) - int(b.number) })
 }
 
-// dial opens a connection. done is called once, later, with the connection or an error. cancel ends
-// the wait with errCancelled.
-func (g *gateway) dial(addr string, purpose []uint64, done func(*conn, error)) (cancel func()) {
+// dial opens a connection. done is called once, in a later event, with the connection or an error.
+// cancel ends the wait with errCancelled. key is part of the key of its random draws.
+func (g *gateway) dial(addr string, key []uint64, done func(*conn, error)) (cancel func()) {
 	g.dialCount++
 	number, finished := g.dialCount, false
 	fail := func(after time.Duration, err error) {
@@ -78,11 +78,11 @@
 		fail(0, platformhttp.ErrNoDescriptors)
 		return cancel
 	}
-	if backend == nil { // it has moved
+	if backend == nil { // its address has changed
 		fail(time.Millisecond, errConnRefused)
 		return cancel
 	}
-	rng := g.world.newRand(append(purpose, 1, number)...)
+	rng := g.world.newRand(append(key, 1, number)...)
 	c := &conn{
 		world: g.world, gateway: g, epoch: g.epoch, backend: backend, backendEpoch: backend.epoch,
 		number:  uint64(g.number)<<40 | uint64(g.epoch)<<24 | number,
@@ -111,8 +111,9 @@
 	return cancel
 }
 
-// open ends a dial once the connection is up, unless its backend has restarted meanwhile. If the
-// gateway has, done belongs to the process before, and the system closes the connection.
+// open completes a dial. It fails if the backend has restarted since the dial. If the gateway's process
+// has ended since, done belongs to that process and is not called: the operating system has closed the
+// connection.
 func (c *conn) open(done func(*conn, error)) {
 	if c.gateway.epoch != c.epoch {
 		return
@@ -126,7 +127,7 @@
 	done(c, nil)
 }
 
-// startIdleTimer has the backend close the connection if no request comes within the idle timeout.
+// startIdleTimer makes the backend close the connection if no request arrives within the idle timeout.
 func (c *conn) startIdleTimer() {
 	c.idleSince = c.world.now
 	at := c.world.now
@@ -138,31 +139,32 @@
 	})
 }
 
-// detachBackend closes the backend's end.
+// closeByBackend closes the backend's end.
 func (c *conn) closeByBackend() {
 	c.backendClosed = true
 	delete(c.backend.conns, c)
 }
 
-// deliver has an event happen at the other end after the latency and at least a delay, in the order
-// of the calls. During a partition it waits for the partition's end.
+// deliver runs an event at the other end after the latency plus a delay, or later if an earlier
+// delivery in the same direction is still pending. During a partition it waits for the partition's end.
 func (c *conn) deliver(direction *direction, delay time.Duration, event func()) {
 	direction.pending = append(direction.pending, event)
 	direction.lastArrival = max(direction.lastArrival, c.world.now+c.latency+max(0, delay))
-	var land func()
-	land = func() {
+	var arrive func()
+	arrive = func() {
 		if until := c.gateway.partitionedUntil[c.backend]; until > c.world.now {
-			c.world.scheduleAt(until, land)
+			c.world.scheduleAt(until, arrive)
 			return
 		}
 		event := direction.pending[0]
 		direction.pending = direction.pending[1:]
 		event()
 	}
-	c.world.scheduleAt(direction.lastArrival, land)
+	c.world.scheduleAt(direction.lastArrival, arrive)
 }
 
-// sendToBackend sends bytes to the backend; a process that has ended answers with a reset.
+// sendToBackend sends bytes to the backend. If its end is closed or its process has ended, the
+// connection is reset.
 func (c *conn) sendToBackend(text []byte, delay time.Duration) {
 	c.deliver(&c.toBackend, delay, func() {
 		if c.backendClosed || c.backendEpoch != c.backend.epoch {
@@ -185,9 +187,9 @@
 	})
 }
 
-// sendTrailing sends bytes that stand behind a response. If a partition separates them from it, the
-// connection is reset in their place: they would arrive when the connection is in use again, and in
-// HTTP/1.1 a response does not name its request.
+// sendTrailing sends bytes that follow a response. If a partition delays them, the connection is reset
+// instead: they would arrive when the connection is in use for the next request, and as HTTP/1.1
+// responses do not identify their request, they would be taken for its response.
 func (c *conn) sendTrailing(text []byte, delay time.Duration) {
 	var due time.Duration
 	c.deliver(&c.toGateway, delay, func() {
@@ -204,7 +206,7 @@
 	due = c.toGateway.lastArrival
 }
 
-// endToGateway has the gateway read an error behind what was sent.
+// sendReadError makes the gateway's reads fail with an error after the bytes sent so far.
 func (c *conn) sendReadError(err error) {
 	c.deliver(&c.toGateway, 0, func() {
 		if c.readErr == nil {
@@ -214,13 +216,13 @@
 	})
 }
 
-// reset ends the connection at both ends, for the backend at once.
+// reset closes the connection at once for the backend; the gateway learns of it after the latency.
 func (c *conn) reset() {
 	c.closeByBackend()
 	c.sendReadError(errConnReset)
 }
 
-// wakeReader calls whoever waits for something to read.
+// wakeReader resumes the attempt that waits for bytes or a read error, if there is one.
 func (c *conn) wakeReader() {
 	if wake := c.onReadable; wake != nil {
 		c.onReadable = nil
@@ -239,7 +241,7 @@
 	c.deliver(&c.toBackend, 0, c.onGatewayClosed)
 }
 
-// onGatewayClosed is told at the backend that the gateway has closed its end.
+// onGatewayClosed handles at the backend's end that the gateway has closed its end.
 func (c *conn) onGatewayClosed() {
 	if !c.backendClosed {
 		c.closeByBackend()
--- a/internal/sim/consulagent.go
+++ b/internal/sim/consulagent.go
@@ -9,33 +9,34 @@
 	"pumicecroft/internal/consulcatalog"
 )
 
-// queryKind is one of the two blocking queries of a watch.
+// queryKind is the kind of a blocking query. A watch has one query of each kind.
 type queryKind int
 
 const (
-	healthQuery   queryKind = iota // instances with their checks
-	servicesQuery                  // which instances exist
+	healthQuery   queryKind = iota // instances with their health checks
+	servicesQuery                  // registered instances, without health checks
 	queryKindCount
 )
 
-// agentFailure is how the agent fails for a gateway.
+// agentFailure is a way in which the agent fails for a gateway.
 type agentFailure int
 
 const (
-	agentRefuses      agentFailure = 1 + iota // connections
-	agentSilent                               // queries have no response
-	agentNoLeader                             // responses are empty and say that there is no leader
-	agentStale                                // responses are a minute old
+	agentRefuses      agentFailure = 1 + iota // it refuses connections
+	agentSilent                               // it does not respond to queries
+	agentNoLeader                             // its responses are empty and report that there is no leader
+	agentStale                                // its last contact with the leader was a minute ago
 	agentFailureCount = iota
 )
 
-// agent is a Consul agent. It holds a blocking query until something has changed.
+// agent simulates a Consul agent. A blocking query is answered when the index has changed or the
+// query's wait time is over.
 type agent struct {
 	runner     *runner
 	index      uint64
 	waiting    []*pendingQuery
-	missing    [queryKindCount]func(*backend) bool // tells what responses lack now; nil: nothing
-	restoredAt time.Duration                       // when nothing was missing again, or deregistered backends were back
+	missing    [queryKindCount]func(*backend) bool // reports whether responses omit a backend now; nil: they omit none
+	restoredAt time.Duration                       // when lost entries, or deregistered backends, last came back
 	failures   map[*gateway]agentFailure
 }
 
@@ -47,20 +48,20 @@
 	respond func()
 }
 
-// responseFunc takes a query's response, or the error that it ended with.
+// responseFunc receives the response to a query, or the error with which the query ended.
 type responseFunc func(blockingquery.Response, []consulcatalog.Entry, error)
 
 func newAgent(r *runner) *agent {
 	return &agent{runner: r, index: 100, failures: map[*gateway]agentFailure{}}
 }
 
-// bumpIndex says that something has changed: queries that wait for that are answered.
+// bumpIndex records a change of the catalog and answers the queries that wait for one.
 func (a *agent) bumpIndex() {
 	a.index++
 	a.respondTo(func(query *pendingQuery) bool { return query.index < a.index })
 }
 
-// respondTo answers waiting queries of a kind.
+// respondTo answers the waiting queries that match.
 func (a *agent) respondTo(matches func(*pendingQuery) bool) {
 	waiting := a.waiting
 	a.waiting = nil
@@ -73,7 +74,7 @@
 	}
 }
 
-// query takes a gateway's query. onResponse is called at most once.
+// query handles a query of a gateway. onResponse is called at most once.
 func (a *agent) query(g *gateway, kind queryKind, query blockingquery.Query, onResponse responseFunc) {
 	world := a.runner.world
 	world.seq++
@@ -95,7 +96,7 @@
 	})
 }
 
-// respond answers a query as the agent's failure for the gateway has it.
+// respond answers a query, or fails as the gateway's agentFailure demands.
 func (a *agent) respond(g *gateway, kind queryKind, delay time.Duration, onResponse responseFunc) {
 	response := blockingquery.Response{Index: a.index, KnownLeader: true}
 	entries := a.entries(kind)
@@ -114,7 +115,7 @@
 	a.runner.scheduleAfter(delay, func() { onResponse(response, entries, nil) })
 }
 
-// entries is what a response lists.
+// entries returns the entries of a response to a query.
 func (a *agent) entries(kind queryKind) (entries []consulcatalog.Entry) {
 	for _, b := range a.runner.backends {
 		if !b.listed || a.missing[kind] != nil && a.missing[kind](b) {
@@ -137,26 +138,27 @@
 	return entries
 }
 
-// startFailure has the agent fail for a gateway. Its waiting queries break with that, or stay
-// without a response.
+// startFailure makes the agent fail for a gateway. The gateway's waiting queries fail in the same way
+// at once.
 func (a *agent) startFailure(g *gateway, variant int) {
 	a.failures[g] = agentRefuses + agentFailure(variant%agentFailureCount)
 	a.respondTo(func(query *pendingQuery) bool { return query.gateway == g })
 }
 
-// Variants of a catalog's loss.
+// Variants of the fault CatalogLoss.
 const (
 	loseMost       = iota // all entries but one
-	loseHealth            // all entries of the health query alone
-	loseAndRestart        // all entries, and the index begins anew
-	loseAll
+	loseHealth            // all entries of the health query, none of the services query
+	loseAndRestart        // all entries, and the index restarts at a low value
+	loseAll               // all entries
 	lossVariantCount
 )
 
-// minLossInterval is between two losses: closer ones look like one long loss.
+// minLossInterval is the minimum time from the end of one loss to the next: to a gateway, losses in
+// quicker succession look like one long loss.
 const minLossInterval = 2 * time.Second
 
-// startLoss has the catalog lose entries. restore puts them back.
+// startLoss makes the catalog lose entries. restore restores them.
 func (a *agent) startLoss(variant int) (restore func()) {
 	if a.missing[healthQuery] != nil || a.restoredAt > 0 && a.runner.now < a.restoredAt+minLossInterval {
 		return func() {}
@@ -183,8 +185,9 @@
 	}
 }
 
-// loseMost has the catalog lose all entries but the first, in most variants the second one a little
-// later. Of fewer than four entries nothing is lost: so few may be taken to be removed at once.
+// loseMost makes the catalog lose all entries but the first. In most variants the second entry is lost
+// a little later than the others. With fewer than four entries nothing is lost, because gateways may
+// treat the loss of so few as a removal at once.
 func (a *agent) loseMost(variant int) {
 	var listed []int
 	for _, b := range a.runner.backends {
@@ -195,18 +198,20 @@
 	if len(listed) < 4 {
 		return
 	}
-	spared := 1
+	kept := 1
 	isMissing := func(b *backend) bool {
-		return b.number != listed[0] && (spared == 1 || b.number != listed[1])
+		return b.number != listed[0] && (kept == 1 || b.number != listed[1])
 	}
-	// Little by little, once all gateways know what there was.
+	// A loss in two steps requires that all gateways know the entries: it does not occur in the run's
+	// first second.
 	if variant > 0 && len(listed) > 4 && a.runner.now > startTime+time.Second {
-		spared = 2
+		kept = 2
 		before := a.processGeneration()
 		a.runner.scheduleAfter(300*time.Millisecond, func() {
-			// To a process that started since and knows two nodes, one of them is not most.
+			// A process that has started since knows only two nodes. To it, losing one of them is not
+			// the loss of most, so the second entry stays.
 			if a.processGeneration() == before {
-				spared = 1
+				kept = 1
 				a.bumpIndex()
 			}
 		})
@@ -214,7 +219,7 @@
 	a.missing = [queryKindCount]func(*backend) bool{isMissing, isMissing}
 }
 
-// processSum differs between sets of gateway processes.
+// processGeneration returns a number that changes when a gateway process starts or ends.
 func (a *agent) processGeneration() (sum int) {
 	for _, g := range a.runner.gateways {
 		if g.up {
@@ -224,10 +229,10 @@
 	return sum
 }
 
-// isDraining tells whether an entry's check says that its backend drains.
+// isDraining reports whether an entry's health check marks its backend as draining.
 func isDraining(entry *consulcatalog.Entry) bool { return entry.Checks[0].Status != "passing" }
 
-// nodeNames gives the names under which a catalog knows entries.
+// nodeNames returns the node names that the catalog package gives to entries.
 func nodeNames(entries []consulcatalog.Entry) (names []string) {
 	for _, entry := range entries {
 		names = append(names, consulcatalog.Name(entry.Node, entry.ID))
--- a/internal/sim/corpus.go
+++ b/internal/sim/corpus.go
@@ -9,18 +9,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Case is a script that broke a rule once, with the seed of its run.
+// Case is a regression case: a script that broke a rule before a fix, with the seed of its run.
 type Case struct {
 	Seed   uint64
-	Cause  string // what was wrong, and what was done
-	Rule   string // that broke; the checker's name for it
+	Cause  string // what the fault was and how it was fixed
+	Rule   string // name of the rule that was broken
 	Script Script
 }
 
-// errInvalidFault is returned for a fault of no known kind, or with times that can't be read.
-var errInvalidFault = errors.New("its kind or its times make no sense")
+// errInvalidFault is returned for a fault of unknown kind, or with a time that can't be parsed.
+var errInvalidFault = errors.New("unknown kind or invalid duration")
 
-// caseText is the stored form of a Case.
+// caseTOML is the stored form of a Case.
 type caseTOML struct {
 	Seed  uint64      `toml:"seed"`
 	Cause string      `toml:"cause"`
@@ -28,7 +28,7 @@
 	Fault []faultTOML `toml:"fault,inline"`
 }
 
-// faultText is the stored form of a Fault.
+// faultTOML is the stored form of a Fault.
 type faultTOML struct {
 	At     string  `toml:"at"`
 	For    string  `toml:"for"`
@@ -38,7 +38,7 @@
 	Share  float64 `toml:"share"`
 }
 
-// MarshalTOML writes a case as an entry of a corpus.
+// MarshalTOML encodes a case as a corpus with one entry.
 func (c Case) MarshalTOML() ([]byte, error) {
 	text := caseTOML{Seed: c.Seed, Cause: c.Cause, Rule: c.Rule}
 	for _, fault := range c.Script {
@@ -52,7 +52,7 @@
 	}{[]caseTOML{text}})
 }
 
-// ReadCorpus reads the cases of a corpus. Its errors name the line, or the case.
+// ReadCorpus parses the cases of a corpus. Its errors contain the number of the line or of the case.
 func ReadCorpus(text []byte) (cases []Case, err error) {
 	var file struct {
 		Case []caseTOML `toml:"case"`
@@ -78,7 +78,7 @@
 	return cases, nil
 }
 
-// fault reads a fault's stored form.
+// fault parses a fault's stored form.
 func (t faultTOML) fault() (Fault, error) {
 	at, errAt := time.ParseDuration(t.At)
 	duration, errFor := time.ParseDuration(t.For)
--- a/internal/sim/doc.go
+++ b/internal/sim/doc.go
@@ -1,16 +1,17 @@
-// Package sim runs gateways in a simulated world that a seed decides: a clock of its own, a network
-// of connections that carry bytes, backends, clients, discovery, a Consul agent and the shared
-// counter of usage, with scripted faults. Each gateway runs what ships: the request lifecycle, the
-// decision engine, attempts over HTTP/1.1 and their connection pool, the membership table, and for
-// Consul its blocking queries and catalog. The platform's five rules, and that nothing is lost or
-// kept for good, are checked at each step. The same seed and script give the same trace, whatever
-// runs them.
+// Package sim is a deterministic simulator that tests gateways under injected faults. A seed
+// determines the whole run: the simulated clock, the connections and the bytes on them, backends,
+// clients, the discovery service, a Consul agent, the shared usage counter, and the script of faults.
+// Each gateway runs the production code: the request lifecycle, the decision engine, HTTP/1.1 attempts
+// with their connection pool, the membership table and, for Consul, blocking queries and the catalog.
+// After each event the checker verifies the platform's five rules, and that no request is lost and no
+// resource leaks. The same seed and script produce the same trace on every machine.
 //
-// world.go is the clock, the event queue, randomness and the trace; config.go draws a run's size,
-// faults.go its script; gateway*.go, attempt.go and endpointsources.go are a gateway; backend*.go,
-// clients.go, conn.go and consulagent.go the rest of the world; rules.go and requestrules.go check
-// the rules; run.go puts a run together and shrink.go shrinks a failing script.
+// world.go has the clock, the event queue, random numbers and the trace. config.go draws the size of a
+// run and faults.go its script. gateway*.go, attempt.go, catalogwatch.go and endpointsources.go
+// implement a gateway. backend*.go, clients.go, conn.go, consulagent.go and usage.go simulate its
+// environment. rules.go and requestrules.go check the rules. run.go sets up and executes a run, and
+// shrink.go minimizes a failing script.
 //
-// The package is pure: it reads no clock, opens nothing and starts no goroutine. A run owns all its
-// state, so callers may make many runs at once.
+// The package reads no system clock, does no I/O and starts no goroutine. Runs share no state, so
+// callers may execute many runs concurrently.
 package sim
--- a/internal/sim/endpointsources.go
+++ b/internal/sim/endpointsources.go
@@ -10,32 +10,37 @@
 	"pumicecroft/membership"
 )
 
-// Sources of endpoints, by the names that the membership table has for them.
+// Names of the endpoint sources. All but catalogRawSource are sources of the membership table.
 const (
-	discoverySource  = "discovery" // the platform's: it pushes updates, late
-	catalogSource    = "consul:backends"
-	catalogRawSource = catalogSource + ", raw" // what the catalog's entries say before the catalog package reads them
+	discoverySource = "discovery" // the platform's discovery service, which pushes updates with a delay
+	catalogSource   = "consul:backends"
+	// catalogRawSource stands for the catalog's entries before package consulcatalog interprets them.
+	// Only the checker uses it.
+	catalogRawSource = catalogSource + ", raw"
 )
 
-// endpointSources are a gateway's sources of endpoints: what is cached between processes, the
-// catalog's watch, and what the checker needs to know of what a process was told.
+// endpointSources is the state of a gateway's endpoint sources: the caches that outlive a process, the
+// watch of the catalog, and what the checker records of the reports to the current process.
 type endpointSources struct {
-	lastDiscovery   membership.Update // all nodes as discovery told of them last
-	lastDiscoveryAt time.Duration     // when its last update arrives
+	lastDiscovery   membership.Update // all nodes as last reported by discovery
+	lastDiscoveryAt time.Duration     // arrival time of the last update that discovery has sent
 	cachedCatalog   []membership.Node
-	cachedAt        time.Duration // 0: nothing is cached
+	cachedAt        time.Duration // 0: the catalog is not cached
 	startTimes      *membership.StartTimes
 	watch           *catalogWatch
 
-	reports         map[string]map[string]decision.BackendState // by node, then source: the last that was told
-	lastFull        map[string]map[string]bool                  // by source: the nodes that its last full update named
-	drainKnownSince map[string]time.Duration                    // by node: since when its drain or removal is known
-	drainArrivedAt  map[string]time.Duration                    // the same of what arrived during a pause
-	latestStart     map[string]time.Duration                    // by node: the latest start that was told
-	nameByID        map[decision.BackendID]string
+	reports  map[string]map[string]decision.BackendState // by node, then source: last reported state
+	lastFull map[string]map[string]bool                  // by source: nodes in its last full update
+
+	// By node:
+	drainKnownSince map[string]time.Duration // when the process learned of its drain or removal
+	drainArrivedAt  map[string]time.Duration // when its drain arrived during a pause, until it is handled
+	latestStart     map[string]time.Duration // latest start time that was reported
+
+	nameByID map[decision.BackendID]string
 }
 
-// sinceEpoch gives the run's clock for a time of day; 0 for the zero time.
+// simTime converts a wall-clock time to the run's clock; the zero time gives 0.
 func simTime(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
@@ -43,7 +48,7 @@
 	return max(0, t.Sub(time.Unix(0, 0)))
 }
 
-// wallTime gives a time of day for the run's clock; the zero time for 0.
+// wallTime converts a time of the run's clock to wall-clock time; 0 gives the zero time.
 func wallTime(d time.Duration) time.Time {
 	if d == 0 {
 		return time.Time{}
@@ -51,7 +56,8 @@
 	return time.Unix(0, 0).Add(d)
 }
 
-// startSources starts a process's table with what is cached, and its sources.
+// startSources creates a process's membership table and starts its sources, with cached endpoints if
+// there are any.
 func (g *gateway) startSources() {
 	sources, config := &g.endpoints, &g.runner.config
 	sources.reports = map[string]map[string]decision.BackendState{}
@@ -74,7 +80,7 @@
 	}
 }
 
-// startDiscovery gives the table discovery's cached endpoints, and schedules its first full update.
+// startDiscovery reports discovery's cached endpoints to the table and schedules the first full update.
 func (g *gateway) startDiscovery() {
 	cached := membership.Update{Full: true, Cached: true}
 	if !g.runner.config.usesDiscovery {
@@ -89,7 +95,7 @@
 	})
 }
 
-// startCatalog gives the table the catalog's cached endpoints, and starts the watch.
+// startCatalog reports the catalog's cached endpoints to the table and starts the watch.
 func (g *gateway) startCatalog() {
 	sources := &g.endpoints
 	sources.startTimes = nil
@@ -106,11 +112,11 @@
 	}
 }
 
-// catalogCacheInterval is how often the catalog's nodes are written to the cache, if they have
-// changed.
+// catalogCacheInterval is the interval at which changed catalog nodes are written to the cache.
 const catalogCacheInterval = time.Second
 
-// cacheCatalog keeps writing the catalog's nodes to the cache; version is what was written last.
+// cacheCatalog periodically writes the catalog's nodes to the cache if they have changed. version is
+// the version that was written last.
 func (g *gateway) cacheCatalog(epoch int, version uint64) {
 	g.world.scheduleAfter(catalogCacheInterval, func() {
 		g.enqueue(epoch, nil, func() {
@@ -123,8 +129,8 @@
 	})
 }
 
-// nextDiscoveryAt draws when discovery's next update arrives: late, and never before the one before
-// it.
+// nextDiscoveryAt draws the arrival time of discovery's next update. Updates arrive with a delay, in
+// the order in which they were sent.
 func (g *gateway) nextDiscoveryAt() time.Duration {
 	rng := g.world.newRand(6, uint64(g.number), uint64(g.world.now))
 	at := g.world.now + randDuration(rng, 5*time.Millisecond, 300*time.Millisecond) + g.discoveryLag
@@ -132,13 +138,13 @@
 	return g.endpoints.lastDiscoveryAt
 }
 
-// onDiscoveryUpdate takes an update of discovery's.
+// onDiscoveryUpdate handles an update from discovery.
 func (g *gateway) onDiscoveryUpdate(update membership.Update) {
 	g.endpoints.lastDiscovery = mergeNodes(g.endpoints.lastDiscovery, update)
 	g.onUpdate(discoverySource, update)
 }
 
-// mergeNodes gives all nodes after an update.
+// mergeNodes returns all nodes after an update was applied to them.
 func mergeNodes(all, update membership.Update) membership.Update {
 	var nodes []membership.Node
 	named := func(name string) func(membership.Node) bool {
@@ -157,8 +163,8 @@
 	return membership.Update{Nodes: nodes}
 }
 
-// onUpdate passes an update to the table, and what it changes to the connection pool and the
-// lifecycle machine.
+// onUpdate reports an update to the membership table, and passes the resulting changes to the
+// connection pool and the lifecycle machine.
 func (g *gateway) onUpdate(source string, update membership.Update) {
 	if source == catalogSource && g.endpoints.startTimes != nil {
 		g.endpoints.startTimes.FillIn(&update)
@@ -184,7 +190,7 @@
 	return err.Error()
 }
 
-// applyChanges passes the table's changes on.
+// applyChanges passes the table's changes to the connection pool and the lifecycle machine.
 func (g *gateway) applyChanges(kind decision.UpdateKind, changes []membership.Change) {
 	if len(changes) == 0 && kind != decision.UpdateCached {
 		g.scheduleWakeups()
@@ -202,7 +208,7 @@
 	g.execute(g.machine.UpdateEndpoints(g.world.now, update))
 }
 
-// recordChange notes a change of the table's for the checker.
+// recordChange records a change of the membership table for the checker.
 func (g *gateway) recordChange(change *membership.Change) {
 	sources := &g.endpoints
 	sources.nameByID[change.ID] = change.Name
@@ -218,7 +224,8 @@
 	}
 }
 
-// recordReport notes for the checker what a process was told, whatever its table makes of it.
+// recordReport records for the checker what a source reported to the process, independently of how the
+// membership table interprets it.
 func (g *gateway) recordReport(source string, update membership.Update) {
 	if update.Err != nil {
 		return
@@ -231,7 +238,7 @@
 	}
 }
 
-// recordNode notes what a source tells of one node.
+// recordNode records what a source reported about one node.
 func (g *gateway) recordNode(source string, node *membership.Node) {
 	sources, name := &g.endpoints, node.Name
 	sources.latestStart[name] = max(sources.latestStart[name], simTime(node.StartedAt))
@@ -254,12 +261,13 @@
 		sources.drainKnownSince[name] = arrived
 	}
 	if node.State == decision.Draining || !g.reportedDraining(name) {
-		// It is handled, or what was told since is.
+		// The drain that arrived during the pause has been handled, or was superseded by a later
+		// report.
 		delete(sources.drainArrivedAt, name)
 	}
 }
 
-// noteDrainArrived notes for the checker that a node's drain has arrived at a process that is
+// noteDrainArrived records for the checker that the drain of a node has arrived, if the process is
 // paused.
 func (g *gateway) noteDrainArrived(name string) {
 	if _, known := g.endpoints.drainArrivedAt[name]; !known && g.world.now < g.pausedUntil {
@@ -267,7 +275,7 @@
 	}
 }
 
-// noteHealthArrived is noteDrainArrived, of a response to a health query.
+// noteHealthArrived calls noteDrainArrived for the draining nodes in the response to a health query.
 func (g *gateway) noteHealthArrived(entries []consulcatalog.Entry) {
 	for i := range entries {
 		if name := entries[i].Meta["name"]; isDraining(&entries[i]) && g.inCatalog(name) {
@@ -276,19 +284,20 @@
 	}
 }
 
-// inCatalog tells whether the catalog's last full update named a node, or there was none yet. An
-// entry of another node may be older than the update that removed it.
+// inCatalog reports whether the catalog's last full update included a node, or there was none yet. An
+// entry for any other node may be older than the update that removed the node.
 func (g *gateway) inCatalog(name string) bool {
 	full := g.endpoints.lastFull[catalogSource]
 	return full == nil || full[name]
 }
 
-// recordCatalogEntries notes for the checker what a health response's entries say by themselves.
+// recordCatalogEntries records the entries of a health response for the checker, as the source
+// catalogRawSource. Of a partial response only drains of nodes in the catalog count.
 func (g *gateway) recordCatalogEntries(entries []consulcatalog.Entry, full bool) {
 	update := membership.Update{Full: full}
 	for i := range entries {
 		node := membership.Node{Name: entries[i].Meta["name"]}
-		node.StartedAt, _ = time.Parse(time.RFC3339Nano, entries[i].Meta["started"]) // the zero time is long ago
+		node.StartedAt, _ = time.Parse(time.RFC3339Nano, entries[i].Meta["started"]) // zero if absent: started long ago
 		if isDraining(&entries[i]) {
 			node.State = decision.Draining
 		}
@@ -299,9 +308,9 @@
 	g.recordReport(catalogRawSource, update)
 }
 
-// reportedDraining tells whether a source that knows a node says that it drains. A source whose
-// last full update left the node out does not know it any more, unless the table doubts that update
-// because it left out so much.
+// reportedDraining reports whether a source that knows a node last reported it as draining. A source
+// whose last full update omitted the node does not know it any more, unless the table has not accepted
+// the removal because the update omitted too many nodes.
 func (g *gateway) reportedDraining(name string) bool {
 	sources := &g.endpoints
 	missing := slices.ContainsFunc(g.table.Statuses(), func(status membership.NodeStatus) bool {
@@ -316,8 +325,8 @@
 	return false
 }
 
-// publishBackend has the sources tell of a backend: discovery a little later, and the catalog in
-// its next response.
+// publishBackend publishes a backend's current state: discovery sends an update that arrives after a
+// delay, and the catalog includes it in its next response.
 func (r *runner) publishBackend(b *backend) {
 	node := b.node()
 	for _, g := range r.gateways {
@@ -337,7 +346,7 @@
 	r.agent.bumpIndex()
 }
 
-// fullUpdate is discovery's full update.
+// fullDiscoveryUpdate returns a full update from discovery with all listed backends.
 func (r *runner) fullDiscoveryUpdate() membership.Update {
 	update := membership.Update{Full: true}
 	for _, b := range r.backends {
--- a/internal/sim/faultinjection.go
+++ b/internal/sim/faultinjection.go
@@ -7,8 +7,8 @@
 	"pumicecroft/internal/simdisk"
 )
 
-// startFault begins a fault and schedules its end. A target is taken modulo what there is, as a
-// script may be of a run of another size.
+// startFault starts a fault and schedules its end. The numbers of gateways and backends are taken
+// modulo their count, because a script may come from a run of another size.
 func (r *runner) startFault(fault Fault) {
 	r.tracef("fault: %v", fault)
 	switch fault.Kind.target() {
@@ -23,7 +23,7 @@
 	}
 }
 
-// scheduleEnd has a fault end after its time.
+// scheduleEnd schedules restore at the end of a fault's duration.
 func (r *runner) scheduleEnd(fault Fault, restore func()) {
 	r.scheduleAfter(fault.Duration, func() {
 		r.tracef("over: %v", fault)
@@ -31,11 +31,11 @@
 	})
 }
 
-// shutdownGraces are how long open requests have when a gateway is told to stop, by the fault's
-// variant.
+// shutdownGraces are the grace periods of open requests during the shutdown of a gateway, by the
+// fault's variant.
 var shutdownGraces = [...]time.Duration{0, 300 * time.Millisecond, 3 * time.Second}
 
-// startGatewayFault begins a fault of a gateway's process, its machine, or its sources.
+// startGatewayFault starts a fault of a gateway's process, its host, or its endpoint sources.
 func (r *runner) startGatewayFault(fault Fault, g *gateway) {
 	switch fault.Kind {
 	case PauseGateway:
@@ -65,7 +65,7 @@
 	}
 }
 
-// startDiskFault has a gateway's disk fail, be full, or be slow.
+// startDiskFault makes a gateway's disk return errors, run full, or be slow.
 func (r *runner) startDiskFault(fault Fault, keyJournal *gatewayJournal) {
 	if keyJournal.disk == nil {
 		return
@@ -83,12 +83,12 @@
 	})
 }
 
-// maxCatalogLoss bounds the loss of a part of the catalog: nodes that are missing for longer are
-// taken to be removed.
+// maxCatalogLoss bounds the duration of a loss of most entries: gateways treat nodes that are missing
+// for longer as removed.
 const maxCatalogLoss = 1200 * time.Millisecond
 
-// startBackendFault begins a fault of a backend, of connections to it, or of what the sources say
-// of backends.
+// startBackendFault starts a fault of a backend, of connections to it, or of what the endpoint sources
+// report about backends.
 func (r *runner) startBackendFault(fault Fault, b *backend) {
 	switch fault.Kind {
 	case DrainBackend:
@@ -116,7 +116,7 @@
 	}
 }
 
-// startClientFault begins a fault of a customer's clients, or of the shared counter of usage.
+// startClientFault starts a fault of a customer's clients, or of the shared usage counter.
 func (r *runner) startClientFault(fault Fault) {
 	customer := fault.Target
 	switch fault.Kind {
@@ -141,8 +141,8 @@
 	}
 }
 
-// restartBackend stops a backend's process and starts another one after a while, at another address
-// if it moves.
+// restartBackend stops a backend's process and starts a new one at the end of the fault, at a new
+// address if the fault is MoveBackend.
 func (r *runner) restartBackend(fault Fault, b *backend) {
 	if !b.up || !b.listed {
 		return
@@ -160,9 +160,9 @@
 	})
 }
 
-// deregisterBackends takes a backend out of all sources while its process goes on, and puts it in
-// again later as a new process. One variant takes out all backends but one, which looks like a
-// source's failure.
+// deregisterBackends removes a backend from all sources while its process keeps running, and adds it
+// again at the end of the fault as a new process. One variant in six removes all backends but one,
+// which gateways cannot tell from a failure of the source.
 func (r *runner) deregisterBackends(fault Fault, b *backend) {
 	if !b.up || !b.listed {
 		return
@@ -186,14 +186,14 @@
 			b.createIndex = r.agent.index + 1
 			r.publishBackend(b)
 		}
-		// A loss right behind it would look like one with it to a gateway that has not learnt of
-		// their return.
+		// A catalog loss right after this would look like part of the same loss to a gateway that has
+		// not yet learned of their return.
 		r.agent.restoredAt = r.now
 	})
 }
 
-// killGateway kills a gateway's process, with its machine in every second variant. It is back after
-// the fault's time.
+// killGateway kills a gateway's process, and in half of the variants crashes its host too. A new
+// process starts at the end of the fault.
 func (r *runner) killGateway(fault Fault) {
 	g := r.gateways[fault.Target]
 	if !g.up {
@@ -208,7 +208,7 @@
 	r.startProcessLater(g, fault.Duration)
 }
 
-// bootLater starts a gateway's next process, unless one runs by then.
+// startProcessLater starts a gateway's next process after a delay, unless one is running by then.
 func (r *runner) startProcessLater(g *gateway, after time.Duration) {
 	r.scheduleAfter(after, func() {
 		if !g.up {
@@ -218,8 +218,9 @@
 	})
 }
 
-// resendUnanswered has clients whose requests end with a gateway's process send them once more,
-// with the same key, to the next process: one that has the journal of the first may know of them.
+// resendUnanswered makes clients whose requests are lost with a gateway's process send them again, with
+// the same key, to the next process, which may know the keys from the journal. Only gateways with a
+// journal and classes that are not idempotent are affected.
 func (r *runner) resendUnanswered(g *gateway, after time.Duration) {
 	if g.journal.log == nil {
 		return
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -8,50 +8,50 @@
 	"time"
 )
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind uint8
 
-// The kinds of faults. Those of connections and of backends' responses hold for a while and meet a
-// share of what passes.
+// The kinds of faults. Faults of connections and of backends' responses last for their duration and
+// affect a share of the connections, requests or responses.
 const (
 	ConnRefused            FaultKind = iota // connections to a backend are refused
-	ConnHangs                               // connections to a backend never come up
-	ConnLostBeforeRequest                   // connections are reset before the backend has the whole request
-	ConnLostAfterExecution                  // connections are reset after execution, before the response or within it
-	NoResponse                              // responses never come
-	DelayedResponse                         // responses come late, and out of order
-	SlowBytes                               // requests and responses come in small pieces, some too slowly
-	InvalidResponse                         // responses are no HTTP, or not usable
-	TrailingBytes                           // bytes come behind a response: noise, or the response once more
-	ErrorResponses                          // the backend responds with an error
-	BackendRejects                          // the backend rejects requests unexecuted
-	SlowExecution                           // execution takes many times as long
-	Partition                               // nothing passes between a backend and a gateway until it ends
-	NoDescriptors                           // a gateway has no descriptors for further connections
-	DrainBackend                            // the sources say that a backend drains, and later that it is ready
-	RestartBackend                          // a backend's process ends, and a new one warms up
-	MoveBackend                             // the same, at another address
+	ConnHangs                               // connections to a backend are never established
+	ConnLostBeforeRequest                   // connections are reset before the backend has the complete request
+	ConnLostAfterExecution                  // connections are reset after the execution, before or during the response
+	NoResponse                              // no response is sent
+	DelayedResponse                         // responses are delayed, and so arrive out of order
+	SlowBytes                               // requests and responses arrive in small pieces, some of them too late
+	InvalidResponse                         // responses are malformed HTTP or unusable
+	TrailingBytes                           // a response is followed by garbage or by a copy of itself
+	ErrorResponses                          // the backend responds with an error status
+	BackendRejects                          // the backend rejects requests without executing them
+	SlowExecution                           // executions take slowExecutionFactor times as long
+	Partition                               // nothing arrives between a backend and a gateway until the partition ends
+	NoDescriptors                           // a gateway has too few file descriptors for further connections
+	DrainBackend                            // the sources report that a backend is draining, and later that it is ready
+	RestartBackend                          // a backend's process ends, and later a new one starts and warms up
+	MoveBackend                             // like RestartBackend, but the new process has another address
 	DeregisterBackend                       // a backend is removed from the sources, and added later as a new process
 	PauseGateway                            // a gateway's process is paused
-	KillGateway                             // a gateway's process is killed, and starts with its cached endpoints
-	KillAtAttemptStart                      // the same when its next attempt is counted
-	KillAtAttemptEnd                        // the same when its next attempt has ended
-	ShutdownGateway                         // a gateway is told to stop, and starts again
-	DiscoveryLag                            // discovery's updates come late to a gateway
-	CatalogUnreachable                      // the agent refuses a gateway, is silent, has no leader, or is stale
-	CatalogLoss                             // the catalog loses most entries, all of them, or begins anew
+	KillGateway                             // a gateway's process is killed; the next one starts with cached endpoints
+	KillAtAttemptStart                      // like KillGateway, when the process next starts an attempt
+	KillAtAttemptEnd                        // like KillGateway, when the process's next attempt ends
+	ShutdownGateway                         // a gateway is shut down, and later started again
+	DiscoveryLag                            // discovery's updates reach a gateway with an additional delay
+	CatalogUnreachable                      // the Consul agent fails for a gateway, see agentFailure
+	CatalogLoss                             // the catalog loses most or all entries, in one variant its index too
 	UsageLoss                               // responses through a gateway don't report usage
-	Flood                                   // a customer sends far beyond its plan
-	ClientDisconnects                       // clients disconnect early
-	CounterLoss                             // the counter of usage loses a share of what it has, and of what is added
-	DuplicateRequests                       // clients send the same key once more to the same gateway, at once or later
-	ReusedIDs                               // clients send a request id that they have used
-	DiskFault                               // the disk of a gateway's journal fails, is full, or is slow
-	ConnLate                                // connections come up late, some after their attempt was given up
+	Flood                                   // a customer sends far more than its plan allows
+	ClientDisconnects                       // clients disconnect before their timeout
+	CounterLoss                             // the usage counter loses a share of its value and of what is added to it
+	DuplicateRequests                       // clients send a second request with the same key, at once or later
+	ReusedIDs                               // clients reuse the id of an earlier request
+	DiskFault                               // the disk of a gateway's journal returns errors, is full, or is slow
+	ConnLate                                // connections are established late, some after the connect timeout
 	faultKindCount
 )
 
-// faultKindNames are the kinds' names in the corpus and in traces.
+// faultKindNames are the names of the kinds in the corpus and in traces.
 var faultKindNames = [faultKindCount]string{
 	"refuse-conn", "hang-conn", "break-unheard", "break-ran", "silence", "delay", "dribble", "spoil", "behind", "errors",
 	"turn-away", "slow", "partition", "descriptors", "drain", "restart", "move", "deregister", "pause", "kill",
@@ -59,10 +59,10 @@
 	"counter-loss", "press", "replay", "disk", "late-conn",
 }
 
-// String is the kind's name.
+// String returns the kind's name.
 func (k FaultKind) String() string { return faultKindNames[k] }
 
-// faultTarget is what a fault's Target numbers.
+// faultTarget is what Fault.Target refers to.
 type faultTarget uint8
 
 const (
@@ -86,26 +86,26 @@
 	}
 }
 
-// Fault is one line of a script.
+// Fault is one fault of a script.
 type Fault struct {
-	At       time.Duration // from the run's start
+	At       time.Duration // since the start of the run
 	Duration time.Duration
 	Kind     FaultKind
-	Target   int     // number of a backend, a gateway or a customer, by the kind; taken modulo their number
-	Variant  int     // of the kind; a partition's gateway
-	Share    float64 // of what passes that the fault meets, 0 to 1
+	Target   int     // number of a backend, gateway or customer, depending on the kind
+	Variant  int     // selects a variant of the kind; for Partition the gateway
+	Share    float64 // of the connections, requests or responses that the fault affects, 0 to 1
 }
 
-// String is the fault in a line.
+// String formats the fault on one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%.3f for %.3f: %v of %d, variant %d, share %.2f",
 		f.At.Seconds(), f.Duration.Seconds(), f.Kind, f.Target, f.Variant, f.Share)
 }
 
-// Script is all faults of a run.
+// Script is the list of all faults of a run.
 type Script []Fault
 
-// String is the script, a line each.
+// String formats the script with one fault per line.
 func (s Script) String() string {
 	var b strings.Builder
 	for _, fault := range s {
@@ -114,11 +114,12 @@
 	return b.String()
 }
 
-// faultVariants bounds Fault.Variant: kinds have 2, 3, 4, 6 or 12 variants.
+// faultVariants is the number of values of Fault.Variant. It is a multiple of the number of variants of
+// each kind: 2, 3, 4, 6 or 12.
 const faultVariants = 12
 
-// drawScript draws a script: about half of the kinds are off, so that those left meet each other
-// more often (swarm testing).
+// drawScript draws a script. About half of the kinds are disabled, so that the others coincide more
+// often (swarm testing).
 func drawScript(rng *rand.Rand, config *runConfig) Script {
 	var enabled []FaultKind
 	for kind := range faultKindCount {
@@ -151,7 +152,7 @@
 	return script
 }
 
-// randDuration draws a time from least to most.
-func randDuration(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Int64N(int64(most-least)+1))
+// randDuration draws a duration from shortest to longest, both included.
+func randDuration(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(rng.Int64N(int64(longest-shortest)+1))
 }
--- a/internal/sim/gateway.go
+++ b/internal/sim/gateway.go
@@ -10,32 +10,32 @@
 	"pumicecroft/membership"
 )
 
-// gateway is one gateway: its machine, which outlives processes, and the process that runs on it
-// now. What it does is decided by the shipped packages; here it is only carried out: bytes, timers,
-// and one event after another.
+// gateway simulates one gateway: its host, which outlives processes, and the process that currently
+// runs on it. The production packages make all decisions; this type executes them, delivers bytes and
+// timers, and serializes events.
 type gateway struct {
 	world  *world
 	check  *checker
 	runner *runner
 	number int
 
-	// Of the machine and its network.
+	// State of the host and its network.
 	journal          gatewayJournal
 	endpoints        endpointSources
 	maxDescriptors   int                        // connections that a process may have open
-	partitionedUntil map[*backend]time.Duration // nothing passes to or from a backend until then
-	discoveryLag     time.Duration              // added to the way of discovery's updates
+	partitionedUntil map[*backend]time.Duration // by backend: when the last partition from it ends
+	discoveryLag     time.Duration              // additional delay of discovery's updates
 	usageHidden      bool                       // responses don't report usage
-	pauses           [][2]time.Duration         // beginning and end of each
-	killPoints       [killPointCount]func()     // called once, at the next event of that kind
+	pauses           [][2]time.Duration         // start and end of each pause
+	killPoints       [killPointCount]func()     // called once when the kill point is next reached; nil: none
 
-	// Of the process.
-	epoch       int // counts processes and their ends
+	// State of the process.
+	epoch       int // incremented by every start and end of a process
 	up          bool
-	closing     bool // it takes no new requests
+	closing     bool // it accepts no new requests
 	pausedUntil time.Duration
-	deferred    []deferredEvent       // arrived while it was paused
-	lastByOrder map[any]time.Duration // when the last event of an order key is handled
+	deferred    []deferredEvent       // arrived during the current pause
+	lastByOrder map[any]time.Duration // by order key: when its last event is scheduled after a pause
 	wakeups     [wakeupCount]time.Duration
 	machine     *lifecycle.Machine
 	table       *membership.Table
@@ -44,24 +44,24 @@
 	conns       map[*conn]bool
 	openConns   int
 	dialCount   uint64
-	dedup       *idempotency.Store // nil: it recognises no keys
-	leaderByKey map[idempotency.Entry]*clientRequest
+	dedup       *idempotency.Store                   // nil: it does not deduplicate requests
+	leaderByKey map[idempotency.Entry]*clientRequest // the request that is executed for all requests with its key
 }
 
-// deferredEvent is an event for a process that is paused.
+// deferredEvent is an event that arrived at a paused process.
 type deferredEvent struct {
-	orderKey any // events of one key keep their order; nil: none
+	orderKey any // events with the same key are handled in order; nil: in any order
 	run      func()
 }
 
-// Instants at which a script may have a gateway killed.
+// Kill points: moments at which a fault can kill a gateway.
 const (
-	atAttemptStart = iota // the lifecycle machine has counted an attempt that has not left yet
-	atAttemptEnd          // an attempt's end has come and is not accounted for yet
+	atAttemptStart = iota // the lifecycle machine has counted an attempt that was not sent yet
+	atAttemptEnd          // an attempt has ended, and the lifecycle machine has not yet been told
 	killPointCount
 )
 
-// Parts of a process that ask to be called at a time.
+// Parts of a process that request wakeups.
 const (
 	wakeupMachine = iota
 	wakeupTable
@@ -74,15 +74,15 @@
 const (
 	connectTimeout = 250 * time.Millisecond
 	probeTimeout   = time.Second
-	idRetention    = 15 * time.Second // of request ids at a gateway
-	keyRetention   = time.Hour        // of idempotency keys at a gateway
+	idRetention    = 15 * time.Second // how long a gateway remembers request ids
+	keyRetention   = time.Hour        // how long a gateway remembers idempotency keys
 )
 
-// resumeDelay bounds how long a process needs after a pause until it has handled what arrived
-// meanwhile.
+// resumeDelay is the maximum time after a pause until the process has handled the events that arrived
+// during the pause.
 const resumeDelay = 20 * time.Millisecond
 
-// boot starts a process with the endpoints that its machine knew last.
+// startProcess starts a process with the endpoints and keys that the previous one has stored.
 func (g *gateway) startProcess() {
 	g.up, g.closing, g.pausedUntil = true, false, 0
 	g.epoch++
@@ -92,7 +92,7 @@
 	var engine lifecycle.DecisionEngine
 	engine, err := decision.New(settings, seed, g.world.now)
 	if err != nil {
-		panic(err) // the settings are the run's own
+		panic(err) // engineSettings returns valid settings
 	}
 	if config.perturbsEngine {
 		rng := g.world.newRand(9, uint64(g.number), uint64(g.epoch))
@@ -117,8 +117,8 @@
 	g.startSources()
 }
 
-// kill ends the process at once. Requests that it had are lost to their clients; what is on its way
-// to backends arrives.
+// kill ends the process at once. Its requests are lost, but what it has already sent to backends
+// arrives.
 func (g *gateway) kill() {
 	g.up = false
 	g.epoch++
@@ -129,8 +129,8 @@
 	}
 }
 
-// shutdown has the process end by itself: it takes no new requests, open ones have a grace, and the
-// rest is aborted. onStopped is called when it has ended.
+// shutdown stops the process gracefully: it accepts no new requests, open requests have a grace period,
+// and those still open after it are aborted. onStopped is called when the process has ended.
 func (g *gateway) shutdown(grace time.Duration, onStopped func()) {
 	if !g.up || g.closing {
 		return
@@ -153,9 +153,9 @@
 	})
 }
 
-// pause has the process stand still. Afterwards it handles what arrived meanwhile in a random order
-// that keeps only that of single connections and sources, as a process reads its sockets; its
-// timers are all due at once.
+// pause suspends the process. Afterwards the events that arrived during the pause are handled in random
+// order, except that events with the same order key, such as those of one source, stay in order: a
+// process reads its sockets in any order. Timers that became due fire then.
 func (g *gateway) pause(length time.Duration) {
 	if !g.up || g.world.now < g.pausedUntil {
 		return
@@ -170,7 +170,7 @@
 	})
 }
 
-// resume schedules what was deferred by a pause.
+// resume schedules the events that arrived during a pause.
 func (g *gateway) resume(epoch int) {
 	deferred := g.deferred
 	g.deferred, g.lastByOrder = nil, map[any]time.Duration{}
@@ -185,8 +185,8 @@
 	}
 }
 
-// pausedDuring tells whether the process was paused, or not over a pause yet, at any time of an
-// interval.
+// pausedDuring reports whether the process was paused, or was within resumeDelay after a pause, at any
+// time of an interval.
 func (g *gateway) pausedDuring(from, to time.Duration) bool {
 	for _, interval := range g.pauses {
 		if interval[0] <= to && interval[1]+resumeDelay >= from {
@@ -196,12 +196,13 @@
 	return false
 }
 
-// enqueue has a process handle an event now, or after its pause; a later process never handles it.
-// Events of one order key are handled in the order of the calls.
+// enqueue makes the process with this epoch handle an event now or, if it is paused, after its pause.
+// The event is dropped if that process has ended. Events with the same order key are handled in the
+// order of the calls.
 func (g *gateway) enqueue(epoch int, orderKey any, event func()) {
 	last := g.lastByOrder[orderKey]
 	if orderKey != nil && last >= g.world.now && g.up && g.world.now >= g.pausedUntil {
-		// The event before it is still to come, after a pause.
+		// An earlier event with this key was deferred by a pause and is still scheduled.
 		g.lastByOrder[orderKey] = last + 1
 		g.world.scheduleAt(last+1, func() { g.dispatch(epoch, orderKey, event) })
 		return
@@ -209,7 +210,7 @@
 	g.dispatch(epoch, orderKey, event)
 }
 
-// dispatch handles an event whose predecessors are handled.
+// dispatch handles an event, defers it if the process is paused, or drops it if the process has ended.
 func (g *gateway) dispatch(epoch int, orderKey any, event func()) {
 	switch {
 	case !g.up || epoch != g.epoch:
@@ -220,8 +221,8 @@
 	}
 }
 
-// triggerKillPoint has a kill that waits for this instant happen, in random order with the
-// instant's other events.
+// triggerKillPoint schedules the kill that waits for this kill point, if any, at the current time: it
+// occurs in random order with the other events of that time.
 func (g *gateway) triggerKillPoint(point int) {
 	if kill := g.killPoints[point]; kill != nil {
 		g.killPoints[point] = nil
@@ -229,7 +230,7 @@
 	}
 }
 
-// scheduleWakeups schedules the next call of each part of the process that asks for one.
+// scheduleWakeups schedules the next wakeup of each part of the process.
 func (g *gateway) scheduleWakeups() {
 	at, ok := g.machine.Next()
 	g.scheduleWakeup(wakeupMachine, at, ok, func() { g.execute(g.machine.Tick(g.world.now)) })
@@ -247,8 +248,8 @@
 	g.startJournalOp()
 }
 
-// scheduleWakeup schedules a part's call, unless an earlier one is scheduled. ok tells whether the
-// part asks for one.
+// scheduleWakeup schedules a part's wakeup, unless an earlier one is scheduled already. ok is false if
+// the part needs none.
 func (g *gateway) scheduleWakeup(part int, at time.Duration, ok bool, wake func()) {
 	if !ok || g.wakeups[part] > g.world.now && g.wakeups[part] <= at {
 		return
@@ -267,7 +268,7 @@
 	})
 }
 
-// closeDiscarded closes connections that the pool has let go of.
+// closeDiscarded closes the connections that the pool has discarded.
 func (g *gateway) closeDiscarded() {
 	for _, discarded := range g.httpPool.Pool.TakeDiscarded() {
 		discarded.Owner.(*conn).closeByGateway()
--- a/internal/sim/gatewayjournal.go
+++ b/internal/sim/gatewayjournal.go
@@ -8,38 +8,38 @@
 	"pumicecroft/internal/simdisk"
 )
 
-// gatewayJournal is a gateway's journal of idempotency keys: the disk, which outlives processes,
-// and the process's state.
+// gatewayJournal is a gateway's journal of idempotency keys: the disk, which outlives processes, and
+// the journal's state in the current process.
 type gatewayJournal struct {
 	disk        *simdisk.Disk
-	maxLatency  time.Duration     // of an operation, while the disk is slow
-	injectedErr error             // that operations end with at random; nil: the disk works
-	mustReplay  map[string]string // by dedupIdentity: bodies that every later process must replay
+	maxLatency  time.Duration     // of an operation while the disk is slow; 0: the disk is not slow
+	injectedErr error             // with which operations fail at random; nil: none fail
+	mustReplay  map[string]string // by dedupIdentity: response bodies that every later process must replay
 
-	log             *journal.Log[idempotency.Entry] // nil: the process has none
-	busy            bool                            // an operation is under way
+	log             *journal.Log[idempotency.Entry] // nil: the process has no journal
+	busy            bool                            // an operation is in progress
 	awaitingDurable []recordWaiter
 	awaitingWritten []recordWaiter
 }
 
-// recordWait is a wait for a record to be durable or written.
+// recordWaiter waits for a record to become durable or written.
 type recordWaiter struct {
 	seq  uint64
-	done func(ok bool) // false: the record is lost
+	done func(ok bool) // ok is false if the record is lost
 }
 
 const (
 	diskTimeout           = 300 * time.Millisecond // bounds the wait of requests for the disk
 	minDiskLatency        = 20 * time.Microsecond
 	defaultMaxDiskLatency = 3 * time.Millisecond
-	// recordOverhead is room in a record beside the response's body. A larger response is recorded
-	// as given, and not replayed.
+	// recordOverhead is an upper bound, in bytes, of a record's size without the response body. A
+	// response that does not fit into a record is recorded without its body and cannot be replayed.
 	recordOverhead = 300
 )
 
 var journalOptions = journal.Options{SegmentBytes: 8 << 10, MaxPending: 16 << 10, RetryDelay: 200 * time.Millisecond}
 
-// openJournal has a process read its journal.
+// openJournal recovers the journal from the disk for a new process.
 func (g *gateway) openJournal() {
 	j := &g.journal
 	if j.disk == nil {
@@ -71,8 +71,8 @@
 	g.dedup.AttachLog(j.log, 0)
 }
 
-// pumpJournal begins the journal's next operation, if none is under way. The disk changes when the
-// operation ends: a process that is killed meanwhile leaves it done or not.
+// startJournalOp starts the journal's next operation if none is in progress. The disk changes when the
+// operation ends: if the process is killed before that, the operation may or may not be executed.
 func (g *gateway) startJournalOp() {
 	j := &g.journal
 	if j.log == nil || j.busy {
@@ -92,17 +92,17 @@
 	g.world.scheduleAfter(latency, func() {
 		killed := epoch != g.epoch
 		if killed && rng.IntN(2) == 0 {
-			return // before the system took the operation
+			return // the operating system had not accepted the operation
 		}
 		if killed && g.up {
-			return // a later process has the disk: the operation was done or not before it read the journal
+			return // the next process has already read the journal, so the disk must not change under it
 		}
 		err := j.disk.Do(op)
 		g.enqueue(epoch, nil, func() { g.onDiskDone(log, err) })
 	})
 }
 
-// onDiskDone takes in the end of a journal's operation.
+// onDiskDone handles the end of a journal operation.
 func (g *gateway) onDiskDone(log *journal.Log[idempotency.Entry], err error) {
 	j := &g.journal
 	j.busy = false
@@ -115,8 +115,8 @@
 	g.scheduleWakeups()
 }
 
-// notifyUpTo ends the waits for records up to reached, and as lost those up to lost. It gives the
-// rest.
+// notifyUpTo notifies the waiters for records up to the number reached, and with ok false those up to
+// lost. It returns the remaining waiters.
 func notifyUpTo(waiting []recordWaiter, reached, lost uint64) []recordWaiter {
 	n := 0
 	for n < len(waiting) && waiting[n].seq <= max(reached, lost) {
@@ -128,7 +128,7 @@
 	return waiting[n:]
 }
 
-// once gives a function that calls f at its first call alone.
+// once returns a function that calls f only when it is first called.
 func once(f func(ok bool)) func(ok bool) {
 	called := false
 	return func(ok bool) {
@@ -139,8 +139,8 @@
 	}
 }
 
-// whenDurable calls next once the record of a request's key is durable, or after a timeout: the
-// request is then executed with its key in memory alone, as is documented.
+// whenDurable calls next once the record of a request's key is durable. If that fails or takes too long,
+// next is called too: as documented, the request is then executed with its key only in memory.
 func (g *gateway) whenDurable(request *clientRequest, next func()) {
 	done := once(func(ok bool) {
 		if !ok {
@@ -158,8 +158,8 @@
 	g.world.scheduleAfter(min(diskTimeout, request.timeout), func() { g.enqueue(epoch, nil, func() { done(false) }) })
 }
 
-// whenWritten calls next once a request's response is written, or when its client would wait for
-// too long.
+// whenWritten calls next once a request's response is written to the journal, or when that fails, takes
+// longer than diskTimeout, or would delay the response beyond responseTimeout.
 func (g *gateway) whenWritten(request *clientRequest, next func()) {
 	seq := g.dedup.RecordResponse(g.world.now, request.ticket, idempotency.Response{Body: request.response.Body})
 	done := once(func(ok bool) {
@@ -175,13 +175,13 @@
 	}
 	epoch := g.epoch
 	g.journal.awaitingWritten = append(g.journal.awaitingWritten, recordWaiter{seq, done})
-	patience := max(0, min(diskTimeout, request.arrivedAt+request.responseTimeout()-g.world.now))
-	g.world.scheduleAfter(patience, func() { g.enqueue(epoch, nil, func() { done(false) }) })
+	timeout := max(0, min(diskTimeout, request.arrivedAt+request.responseTimeout()-g.world.now))
+	g.world.scheduleAfter(timeout, func() { g.enqueue(epoch, nil, func() { done(false) }) })
 	g.scheduleWakeups()
 }
 
-// closeJournal writes what the log still has, for a process that stops by itself. Waits for the
-// disk end.
+// closeJournal writes the log's pending records during a graceful shutdown. Requests that wait for the
+// disk are notified as if their records were lost.
 func (g *gateway) closeJournal() {
 	j := &g.journal
 	for _, wait := range append(j.awaitingDurable, j.awaitingWritten...) {
@@ -198,8 +198,8 @@
 	j.log = nil
 }
 
-// crash stops the machine: what was not synced is on its disk or not, so no replay is certain any
-// more.
+// crashHost crashes the gateway's host. Data that was not synced may or may not be on the disk, so no
+// response is certain to be replayed any more.
 func (g *gateway) crashHost() {
 	j := &g.journal
 	if j.disk != nil {
--- a/internal/sim/gatewayrequests.go
+++ b/internal/sim/gatewayrequests.go
@@ -10,7 +10,7 @@
 	"pumicecroft/membership"
 )
 
-// onRequest takes a client's request.
+// onRequest handles a client's request.
 func (g *gateway) onRequest(request *clientRequest) {
 	request.gatewayEpoch, request.arrivedAt = g.epoch, g.world.now
 	g.check.unanswered = append(g.check.unanswered, request)
@@ -27,8 +27,8 @@
 	g.admit(request)
 }
 
-// admit submits a request to the lifecycle machine, with what is left of its time after waiting for
-// the disk.
+// admit submits a request to the lifecycle machine, with the part of its timeout that remains after the
+// wait for the disk.
 func (g *gateway) admit(request *clientRequest) {
 	remaining := request.timeout - (g.world.now - request.arrivedAt)
 	if request.ticket != nil && remaining <= lifecycle.TimeoutMargin {
@@ -50,8 +50,8 @@
 	}
 }
 
-// execute carries out what the lifecycle machine asks for. What leaves the process leaves it by an
-// event of its own, so that a kill can come between.
+// execute executes the effects that the lifecycle machine returns. Everything that leaves the process
+// is sent in a separate event, so that a kill can occur before it.
 func (g *gateway) execute(effects []lifecycle.Effect) {
 	for _, effect := range effects {
 		switch effect.Kind {
@@ -106,8 +106,7 @@
 	g.world.scheduleAfter(0, func() { g.enqueue(epoch, nil, func() { g.startAttempt(probe) }) })
 }
 
-// verdictNames are the ends of requests as the trace and the checker have them, by
-// lifecycle.Verdict.
+// verdictNames maps lifecycle.Verdict to the verdicts of the trace and the checker.
 var verdictNames = [...]string{
 	lifecycle.Served:             verdictServed,
 	lifecycle.Rejected:           verdictRejected,
@@ -117,7 +116,7 @@
 	lifecycle.Aborted:            verdictAborted,
 }
 
-// keyOutcome is what a request's end says about its idempotency key.
+// keyOutcome returns the outcome of an idempotency key for the verdict of its request.
 func keyOutcome(verdict lifecycle.Verdict) idempotency.Outcome {
 	switch verdict {
 	case lifecycle.Served:
@@ -129,7 +128,8 @@
 	}
 }
 
-// respond gives a request its final answer, or its key's waiters theirs.
+// respond gives a request its final answer. If the request was executed for an idempotency key, all
+// requests that wait for the key are answered instead.
 func (g *gateway) respond(effect lifecycle.Effect) {
 	request := effect.Tag.(*clientRequest)
 	verdict := verdictNames[effect.Verdict]
@@ -141,8 +141,8 @@
 	g.runner.maybeRetry(request, verdict, effect.RetryAfter)
 }
 
-// onDisconnect is told that a request's client has gone. An attempt with a key goes on for as long
-// as anybody waits for the key.
+// onDisconnect handles the disconnect of a request's client. A request with a key continues to be
+// executed as long as another client waits for the key.
 func (g *gateway) onDisconnect(request *clientRequest) {
 	if request.ticket == nil {
 		g.execute(g.machine.Disconnect(g.world.now, request, decision.RequestID(request.id)))
@@ -162,8 +162,10 @@
 	}
 }
 
-// syncSources has the sources take in what has arrived: discovery once its reader has handled all
-// of it, and the catalog by a new query. It waits for them as long as the executor does.
+// syncSources brings the endpoint sources up to date after a pause, and then reports SourcesSynced:
+// discovery is in sync once all updates that have arrived are handled, the catalog after a new query.
+// After the lifecycle machine's SyncTimeout it reports SourcesSynced in any case, like the executor of
+// a real gateway.
 func (g *gateway) syncSources(effect lifecycle.Effect) {
 	g.world.tracef("door %d stood still for %v", g.number, effect.PausedFor)
 	epoch, pending := g.epoch, 1
@@ -190,15 +192,15 @@
 	}
 	g.world.scheduleAfter(g.machine.Deadlines().SyncTimeout, func() {
 		g.enqueue(epoch, nil, func() {
-			pending = -1 // done never reaches 0 any more
+			pending = -1 // so that done does not call synced again
 			synced()
 		})
 	})
 	done()
 }
 
-// checkKey asks the deduplication store about a request's key. It tells whether the request is to
-// be executed; if not, it waits for another one with its key, or has its answer.
+// checkKey looks up a request's key in the deduplication store. It reports whether the request is to be
+// executed; otherwise the request waits for another one with its key, or has been answered.
 func (g *gateway) checkKey(request *clientRequest) bool {
 	deadline := g.world.now + request.timeout - lifecycle.ResponseMargin
 	result, completions := g.dedup.Begin(g.world.now, decision.CustomerID(request.customer), request.dedupKey(),
@@ -225,8 +227,8 @@
 	return false
 }
 
-// checkReplay checks that a key whose answer a client has, and that is on disk, is answered alike
-// by every later process.
+// checkReplay checks that a key is answered with the recorded response by every process, if that
+// response was written to the journal.
 func (g *gateway) checkReplay(request *clientRequest, result *idempotency.Decision) {
 	body, known := g.journal.mustReplay[request.dedupIdentity()]
 	if !known || !g.runner.config.deduplicatesAllKeys() || g.journal.log == nil {
@@ -238,14 +240,14 @@
 	}
 }
 
-// runsForKey tells whether a request is the one that is executed for all that wait with its key,
-// whether or not its own client has disconnected.
+// isKeyLeader reports whether a request is executed on behalf of all requests that wait for its key,
+// even if its own client has disconnected.
 func (g *gateway) isKeyLeader(request *clientRequest) bool {
 	return request.ticket != nil && g.leaderByKey[request.ticket.Entry()] == request
 }
 
-// completeKey gives a request's end to all that wait with its key. It tells whether the request ran
-// for a key; if not, nothing is done.
+// completeKey answers all requests that wait for the key of a request that has ended. It does nothing
+// and returns false if the request is not a key leader.
 func (g *gateway) completeKey(request *clientRequest, outcome idempotency.Outcome, verdict string) bool {
 	if !g.isKeyLeader(request) {
 		return false
@@ -266,8 +268,8 @@
 	return true
 }
 
-// answerWaiters answers requests that waited with a key. verdict is the end of the one they waited
-// for, where that has no response.
+// answerWaiters answers requests that waited for a key. verdict is that of the key leader; it applies
+// to completions without a response of their own.
 func (g *gateway) answerWaiters(completions []idempotency.Completion, verdict string) {
 	for _, completion := range slices.Clone(completions) {
 		request := completion.Tag.(*clientRequest)
--- a/internal/sim/golden_test.go
+++ b/internal/sim/golden_test.go
@@ -2,12 +2,13 @@
 
 import "testing"
 
-// What seeds do is fixed: a change that keeps behaviour keeps these traces, event by event. One
-// that means to change behaviour, or the wording of a trace's lines, sets them anew and says why.
+// TestTracesOfSeeds guards against unintended changes of behavior: the traces and results of some seeds
+// are fixed. A change that is meant to alter behavior, or the text of trace lines, updates the expected
+// values and gives the reason in its commit message.
 func TestTracesOfSeeds(t *testing.T) {
 	for _, want := range []struct {
-		seed, hash                                     uint64
-		steps, served, refused, failed, lost, attempts int
+		seed, hash                                      uint64
+		steps, served, rejected, failed, lost, attempts int
 	}{
 		{0, 0x2e4efa4449b68c44, 10859, 208, 344, 0, 2, 725},
 		{1, 0xeeeeb2c40f625ef1, 8314, 188, 4, 10, 0, 211},
@@ -23,9 +24,11 @@
 		{144, 0x36e335ef9a63720c, 18049, 555, 1890, 7, 8, 564},
 	} {
 		got := Run(want.seed, Options{})
-		if got.Hash != want.hash || got.Steps != want.steps || got.Served != want.served || got.Rejected != want.refused || got.Failed != want.failed ||
+		if got.Hash != want.hash || got.Steps != want.steps || got.Served != want.served ||
+			got.Rejected != want.rejected || got.Failed != want.failed ||
 			got.LostWithGateway != want.lost || got.AttemptsStarted != want.attempts {
-			t.Errorf("{%d, %#x, %d, %d, %d, %d, %d, %d}, want %+v", got.Seed, got.Hash, got.Steps, got.Served, got.Rejected, got.Failed, got.LostWithGateway, got.AttemptsStarted, want)
+			t.Errorf("got {%d, %#x, %d, %d, %d, %d, %d, %d}, want %+v", got.Seed, got.Hash, got.Steps,
+				got.Served, got.Rejected, got.Failed, got.LostWithGateway, got.AttemptsStarted, want)
 		}
 	}
 }
--- a/internal/sim/perturbedengine.go
+++ b/internal/sim/perturbedengine.go
@@ -8,9 +8,8 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// perturbedEngine changes a decision engine's actions within what its interface allows, so that
-// runs meet what the engine itself rarely asks for: attempts with a timeout of their own, and
-// probes.
+// perturbedEngine modifies a decision engine's actions within what its interface allows. Runs then
+// cover actions that the engine itself rarely emits: attempts with a timeout, and probes.
 type perturbedEngine struct {
 	lifecycle.DecisionEngine
 	rng            *rand.Rand
@@ -18,7 +17,7 @@
 	clientsStopped *bool // clients send nothing any more, and no probes are made
 }
 
-// Handle passes an event on and changes the engine's actions.
+// Handle passes an event to the engine and modifies the resulting actions.
 func (e *perturbedEngine) Handle(now time.Duration, event decision.Event, actions []decision.Action) []decision.Action {
 	actions = e.DecisionEngine.Handle(now, event, actions)
 	for i, action := range actions {
--- a/internal/sim/requestrules.go
+++ b/internal/sim/requestrules.go
@@ -7,8 +7,8 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// onFinal is told of a request's final answer. effect is nil if the lifecycle machine did not give
-// it.
+// onFinal records and checks a request's final answer. effect is nil if the answer does not come from
+// the lifecycle machine.
 func (c *checker) onFinal(request *clientRequest, verdict string, effect *lifecycle.Effect) {
 	request.finalCount++
 	request.verdict = verdict
@@ -23,7 +23,7 @@
 	}
 }
 
-// checkFinal checks a final answer; it reports the first rule that is broken.
+// checkFinal checks a final answer and reports only the first rule that it breaks.
 func (c *checker) checkFinal(request *clientRequest, verdict string, effect *lifecycle.Effect) {
 	overdue := c.world.now > request.arrivedAt+request.timeout
 	switch {
@@ -67,8 +67,8 @@
 	}
 }
 
-// isOwnResponse tells whether a body is of a response to this request. A response that is given by
-// the key is the one to the first request of that key.
+// isOwnResponse reports whether a body belongs to a response to this request. A response that was
+// replayed or shared by key belongs to the request that was executed for the key.
 func (c *checker) isOwnResponse(request *clientRequest, body string, byKey bool) bool {
 	if !byKey {
 		return body == request.expectedBody()
@@ -83,7 +83,7 @@
 		first.fingerprint == request.fingerprint && body == first.expectedBody()
 }
 
-// onResponseStarted is told of a response that begins to be passed on.
+// onResponseStarted records and checks that a response begins to be streamed to its client.
 func (c *checker) onResponseStarted(attempt *attempt) {
 	request := attempt.request
 	if request.finalCount > 0 || request.streamedAttempt > 0 {
@@ -94,8 +94,8 @@
 	c.world.tracef("the answer of %d/%d begins", request.number, attempt.number)
 }
 
-// onAttemptStarted is told of an attempt that the lifecycle machine starts. A request's first
-// counts as usage.
+// onAttemptStarted records and checks an attempt that the lifecycle machine starts. The first attempt
+// of a request counts as usage.
 func (c *checker) onAttemptStarted(g *gateway, attempt *attempt) {
 	request := attempt.request
 	request.attemptCount++
@@ -123,8 +123,8 @@
 	}
 }
 
-// onAttemptSent is told of an attempt's first byte that leaves a gateway. Nothing leaves for a
-// client that has disconnected; a process that is paused learns of that once it goes on.
+// onAttemptSent checks an attempt when a gateway sends its first byte. Nothing may be sent for a client
+// that has disconnected. A process that is paused notices a disconnect only after the pause.
 func (c *checker) onAttemptSent(g *gateway, attempt *attempt) {
 	c.checkDrain(g, attempt, sendTolerance)
 	request := attempt.request
@@ -143,7 +143,7 @@
 	}
 }
 
-// onExecuted is told of a request that a backend has executed.
+// onExecuted records and checks that a backend has executed a request.
 func (c *checker) onExecuted(received *receivedRequest, b *backend) {
 	request := received.request
 	request.executions++
@@ -169,8 +169,8 @@
 	}
 }
 
-// countEffectOfID counts an effect of a request id: a process remembers ids, and rejects one that
-// may have been executed.
+// countEffectOfID counts an effect by request id. A process remembers ids and rejects a reused id that
+// may have been executed, so there must be one effect per id and process, unless ids are evicted early.
 func (c *checker) countEffectOfID(request *clientRequest) {
 	id := effectID{request.id, request.gateway, request.gatewayEpoch}
 	c.effectsByID[id]++
@@ -180,8 +180,7 @@
 	}
 }
 
-// countEffectOfRetries counts an effect of a key whose clients retry what was rejected, and nothing
-// else.
+// countEffectOfRetries counts an effect by key, for keys whose client only retries after a rejection.
 func (c *checker) countEffectOfRetries(request *clientRequest) {
 	c.effectsByKey[request.key]++
 	if c.effectsByKey[request.key] > 1 && request.effectCount == 1 {
@@ -190,9 +189,9 @@
 	}
 }
 
-// countEffectOfKey counts an effect of a key at a gateway that recognises all keys: it has one,
-// whoever sends it how often. With a journal that holds over restarts, but for keys that were not
-// on disk in time.
+// countEffectOfKey counts an effect by key at a gateway that deduplicates all keys: there must be one,
+// however often the key is sent. With a journal this holds across restarts, except for keys that were
+// not durable in time.
 func (c *checker) countEffectOfKey(request *clientRequest) {
 	id := effectID{mix(request.key ^ uint64(request.customer)<<40), request.gateway, request.gatewayEpoch}
 	if c.runner.config.journalsKeys && !c.volatileKeys[request.key] {
@@ -205,8 +204,8 @@
 	}
 }
 
-// checkDeadlines looks for requests that have no answer in time, at gateways that could have given
-// one. What a gateway's process had when it was killed is left to its clients.
+// checkDeadlines checks that unanswered requests are within their timeout, unless their gateway was
+// paused. Requests whose gateway process has ended count as lost with it.
 func (c *checker) checkDeadlines() {
 	open := c.unanswered[:0]
 	for _, request := range c.unanswered {
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -7,19 +7,19 @@
 	"pumicecroft/membership"
 )
 
-// Figures of the platform (BRIEF 8, PROTOCOL).
+// Parameters of the platform (BRIEF 8, PROTOCOL).
 const (
 	defaultDrainGrace      = 2 * time.Second
-	slowStartMinCapacity   = 0.2 // share of a backend's capacity at its start
+	slowStartMinCapacity   = 0.2 // share of a backend's full capacity at its start
 	slowStartWindow        = 14 * time.Second
-	platformOverloadFactor = 4.0 // multiple of its capacity by which a backend is overloaded during its warm-up
+	platformOverloadFactor = 4.0 // multiple of its current capacity that overloads a backend during its warm-up
 	hardLimitRate          = 20.0
 	hardLimitBurst         = 30.0
 	hardLimitOverdraft     = 3.0
 	flagshipCustomer       = 0 // the customer whose plan has a hard limit
 )
 
-// The rules. The corpus and the planted bugs name them by these texts.
+// Names of the rules. The corpus and the mutants refer to rules by these texts.
 const (
 	ruleOneFinalAnswer      = "one final answer"
 	ruleAnswerInTime        = "answers in time"
@@ -43,7 +43,7 @@
 	ruleActionsMatchRequest = "every action fits"
 )
 
-// Ends of requests, as traces have them. verdictNames has those of the lifecycle machine.
+// Verdicts: how requests end, as written to traces. verdictNames maps the lifecycle machine's verdicts.
 const (
 	verdictServed       = "served"
 	verdictRejected     = "refused"
@@ -55,40 +55,40 @@
 )
 
 const (
-	// disconnectTolerance is how long after its client's disconnect a request may still leave.
+	// disconnectTolerance is how long after its client's disconnect a request may still be sent.
 	disconnectTolerance = 300 * time.Millisecond
-	// sendTolerance is what sockets add to the limit on sends to a draining backend.
+	// sendTolerance is added to the drain grace when an attempt's first byte is sent, which is later
+	// than the decision to send it.
 	sendTolerance = 50 * time.Millisecond
-	// listedTolerance is how long after a backend's return to the sources a gateway may still
-	// remove it.
+	// listedTolerance is how long after a backend was listed again a gateway may still remove it.
 	listedTolerance = 5 * time.Second
 )
 
-// checker checks the rules at each step: the platform's five, and that nothing is lost or kept for
-// good.
+// checker checks the rules during a run: the platform's five, and that no request is lost and no
+// resource leaks.
 type checker struct {
 	world      *world
 	runner     *runner
-	unanswered []*clientRequest // taken by a gateway, without a final answer
-	hardLimit  tokenBucket      // of the flagship customer, over all gateways
+	unanswered []*clientRequest // received by a gateway, without a final answer
+	hardLimit  tokenBucket      // of the flagship customer, across all gateways
 
 	effectsByID       map[effectID]int
-	effectsByKey      map[uint64]int   // by clients who retry what was rejected and nothing else
-	effectsPerProcess map[effectID]int // of each key at a process, or at a gateway with a journal
-	volatileKeys      map[uint64]bool  // keys that were executed without being on disk, which is allowed
+	effectsByKey      map[uint64]int   // for keys whose client only retries after a rejection
+	effectsPerProcess map[effectID]int // of each key, per process or, with a journal, per gateway
+	volatileKeys      map[uint64]bool  // keys executed without a durable record, which is allowed
 
-	served, rejected, failed, lostWithGateway int // requests by their ends
+	served, rejected, failed, lostWithGateway int // numbers of requests by outcome
 	attemptsStarted, attemptsSent             int
 }
 
-// tokenBucket is a hard limit's.
+// tokenBucket is the token bucket of a plan's hard limit.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
 	started    bool
 }
 
-// take refills the bucket and takes a cost out of it, below zero if need be.
+// take refills the bucket and takes a cost out of it. The number of tokens may become negative.
 func (b *tokenBucket) take(now time.Duration, cost float64) {
 	if !b.started {
 		b.started, b.tokens, b.refilledAt = true, hardLimitBurst, now
@@ -97,22 +97,23 @@
 	b.refilledAt = now
 }
 
-// effectID names what must have its effect once: a request id, or a key, at a process that
-// remembers it.
+// effectID identifies something that must have at most one effect: a request id or an idempotency key
+// at a gateway process.
 type effectID struct {
-	id      uint64
+	id      uint64 // request id, or hash of key and customer
 	gateway *gateway
-	epoch   int
+	epoch   int // of the process; 0: all processes of the gateway
 }
 
-// harmfulIfExecuted tells whether a rejection of this request promises that it was not executed:
-// clients retry it, and a retry may reach a backend that does not know its key.
+// rejectionImpliesNotExecuted reports whether a rejection of this request promises that it was not
+// executed and never will be: clients retry it, and the retry may reach a backend that does not know
+// its key.
 func (c *checker) rejectionImpliesNotExecuted(request *clientRequest) bool {
 	return request.class == "once" || request.class == "pay" && c.runner.config.dedupScope != decision.DedupScopeAll
 }
 
-// checkDrain checks that nothing is sent to a backend that the process has known to drain for
-// longer than the grace. What has arrived during a pause counts as known.
+// checkDrain checks that nothing is sent to a backend that the process has known to be draining or
+// removed for longer than the drain grace. Drains that arrived during a pause count as known.
 func (c *checker) checkDrain(g *gateway, attempt *attempt, tolerance time.Duration) {
 	name := g.endpoints.nameByID[attempt.backend]
 	knownSince, draining := g.endpoints.drainKnownSince[name]
@@ -125,14 +126,14 @@
 	}
 }
 
-// onOverload is told of a backend that was sent too much during its warm-up.
+// onOverload reports a backend that received too many requests during its warm-up.
 func (c *checker) onOverload(b *backend, requests int) {
 	c.world.violatef(ruleSlowStart, "backend %d, started %v ago, was sent %d requests in %v",
 		b.number, c.world.now-b.startedAt, requests, b.overloadDuration)
 }
 
-// onBackendRemoved is told of a backend that a gateway's table removes. It must have been out of
-// the sources for good.
+// onBackendRemoved checks that a backend that a gateway's membership table removes is no longer listed
+// by the sources, or was listed again only recently.
 func (c *checker) onBackendRemoved(g *gateway, name string) {
 	b := c.runner.backendsByName[name]
 	if !b.listed {
@@ -144,7 +145,7 @@
 	}
 }
 
-// checkBounds checks the bounds on what a gateway keeps.
+// checkBounds checks the limits on a gateway's connections, keys, request ids and open requests.
 func (c *checker) checkBounds(g *gateway) {
 	config := &c.runner.config
 	c.checkBound(g, "connections", g.httpPool.Pool.Count(), config.maxConns)
@@ -161,15 +162,16 @@
 	}
 }
 
-// checkTimers checks that a lifecycle machine keeps no timers of requests that have ended.
+// checkTimers checks that a lifecycle machine keeps no timers of ended requests: each open request has
+// at most two timers, and two per attempt, and the engine has one.
 func (c *checker) checkTimers(g *gateway) {
 	open := g.machine.OpenRequests()
 	perRequest := 2 * (1 + c.runner.config.maxAttempts)
 	c.checkBound(g, "timers", g.machine.PendingTimers(), 1+open*perRequest)
 }
 
-// onGatewayStopped is told of a gateway that has stopped by itself: every request has its answer,
-// and nothing is left open.
+// onGatewayStopped checks a gateway that has shut down gracefully: every request has an answer and no
+// connection is left idle.
 func (c *checker) onGatewayStopped(g *gateway) {
 	for _, request := range c.unanswered {
 		if request.gateway == g && request.gatewayEpoch == g.epoch && request.finalCount == 0 {
@@ -181,7 +183,7 @@
 	}
 }
 
-// checkAtRest checks what is left once clients have stopped and everything has ended.
+// checkAtEnd checks the state at the end of a run, settleTime after clients have stopped.
 func (c *checker) checkAtEnd(gateways []*gateway) {
 	for _, g := range gateways {
 		if g.up {
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -4,31 +4,32 @@
 	"time"
 )
 
-// Options of a run. The zero value is a run as its seed has it.
+// Options configure a run. With the zero value the seed alone determines the run.
 type Options struct {
-	Script   *Script      // in place of the seed's; nil: the seed's
-	Trace    func(string) // takes each line of the trace; nil: none is made
-	MaxSteps int          // bounds the run; 0: 200,000
+	Script   *Script      // replaces the script drawn from the seed; nil: not replaced
+	Trace    func(string) // receives each line of the trace; nil: lines are not formatted
+	MaxSteps int          // maximum number of events to execute; 0: 200,000
 }
 
 const defaultMaxSteps = 200_000
 
-// Result is what came of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Seed       uint64
 	Script     Script
-	Violations []Violation // of the step that broke a rule; none if no rule was broken
+	Violations []Violation // recorded by the event that broke a rule; empty if no rule was broken
 	Hash       uint64      // of the trace
-	Steps      int
+	Steps      int         // executed events
 	Simulated  time.Duration
 
-	// Requests by their ends. LostWithGateway are those that ended with their gateway's process.
+	// Numbers of requests by outcome. LostWithGateway counts those whose gateway process ended before
+	// it answered.
 	Served, Rejected, Failed, LostWithGateway int
-	AttemptsStarted                           int // by a gateway's lifecycle machine
-	AttemptsSent                              int // of which a byte has left the gateway
+	AttemptsStarted                           int // by the gateways' lifecycle machines
+	AttemptsSent                              int // of which the gateway sent at least one byte
 }
 
-// runner is one run: the world and all actors in it.
+// runner holds the state of one run: the world and everything simulated in it.
 type runner struct {
 	*world
 	check          checker
@@ -40,25 +41,25 @@
 	agent          *agent
 
 	usageMeters     map[int]*usageMeter // by customer
-	counterLoss     float64             // share of its additions that the counter of usage loses now
-	flooding        map[int]bool        // customers that send far beyond their plan now
-	disconnectShare map[int]float64     // by customer, of its clients that disconnect early now
-	reuseShare      map[int]float64     // by customer, of its requests that reuse an earlier id now
-	duplicateShare  map[int]float64     // by customer, of its requests that are sent twice now
+	counterLoss     float64             // share of additions that the usage counter currently loses
+	flooding        map[int]bool        // customers that currently send far more than their plan allows
+	disconnectShare map[int]float64     // by customer: share of clients that currently disconnect early
+	reuseShare      map[int]float64     // by customer: share of requests that currently reuse an earlier id
+	duplicateShare  map[int]float64     // by customer: share of requests that are currently sent twice
 
 	requests       []*clientRequest // by number
-	lastKey        uint64
-	receivedCount  uint64 // requests that backends have received whole
-	clientsStopped bool   // clients send nothing any more
-	backendAction  string // what a backend does with the first request, for RunSingleRequest; empty: nothing special
+	lastKey        uint64           // last idempotency key given to a new request
+	receivedCount  uint64           // requests that backends have received completely
+	clientsStopped bool             // clients send no more requests
+	backendAction  string           // for RunSingleRequest: how a backend handles the first request; empty: as usual
 }
 
-// settleTime is long enough after the last request for everything to end by itself: faults,
-// restarts, the longest deadline, and blocking queries to an agent that doesn't answer, which are
-// given up after 12.6 s, with the next ones.
+// settleTime is how long a run continues after clients have stopped. Within it everything ends that
+// ends by itself: faults, restarts, requests with the longest deadline, and blocking queries to an
+// agent that doesn't respond, which time out after 12.6 s, together with the queries that follow them.
 const settleTime = 25 * time.Second
 
-// checkInterval is how often rules are checked that no event checks.
+// checkInterval is the period of checks that no event triggers.
 const checkInterval = 5 * time.Millisecond
 
 func newRunner(seed uint64, options Options) *runner {
@@ -81,7 +82,7 @@
 	return r
 }
 
-// Run makes the run of a seed.
+// Run executes the run of a seed.
 func Run(seed uint64, options Options) Result {
 	r := newRunner(seed, options)
 	rng := r.newRand(0)
@@ -120,8 +121,8 @@
 	}
 }
 
-// populate starts backends, each in a cell, and gateways. Backends in one deduplication scope share
-// what they remember of keys.
+// populate creates and starts the backends and the gateways. cellOf returns a backend's cell. Backends
+// in one deduplication scope share a table of idempotency keys.
 func (r *runner) populate(cellOf func(number int) int) {
 	dedupMemories := map[int]*dedupTable{}
 	for number := range r.config.backends {
@@ -150,7 +151,7 @@
 	}
 }
 
-// checkPeriodically checks deadlines and timers for the rest of the run.
+// checkPeriodically checks deadlines and timers now, and every checkInterval for the rest of the run.
 func (r *runner) checkPeriodically() {
 	r.check.checkDeadlines()
 	for _, g := range r.gateways {
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Shrink takes faults out of a failing run's script, and shortens those left, as long as the same
-// rule breaks. It gives the run of the smallest script that it found; a run without a violation it
-// gives as it is.
+// Shrink minimizes the script of a failing run: it removes faults and shortens the others as long as
+// the same rule is broken. It returns the run with the smallest script found. A run without a violation
+// is returned unchanged.
 func Shrink(result Result, options Options) Result {
 	if len(result.Violations) == 0 {
 		return result
@@ -15,7 +15,7 @@
 	})
 }
 
-// shrink is Shrink with a function that runs a script.
+// shrink implements Shrink with a function that runs a script.
 func shrink(result Result, run func(Script) Result) Result {
 	rule, best := result.Violations[0].Rule, result
 	reproduces := func(candidate Script) bool {
@@ -44,7 +44,7 @@
 				i += size
 			}
 		}
-		if size > 1 || !removed { // at the end no single fault can be taken out
+		if size > 1 || !removed { // repeat with size 1 until no single fault can be removed
 			size /= 2
 		}
 	}
--- a/internal/sim/singlerequest.go
+++ b/internal/sim/singlerequest.go
@@ -7,29 +7,29 @@
 	"pumicecroft/decision"
 )
 
-// What a backend does with the first request in RunSingleRequest.
+// How a backend handles the first request in RunSingleRequest.
 const (
-	actionServe           = "served"
-	actionError           = "error"
-	actionReject          = "turned away"
-	actionExecuteAndReset = "ran and broke"
-	actionReset           = "broke unheard"
-	actionInvalid         = "spoilt"
-	actionTruncate        = "cut"
-	actionExecuteSilently = "hung"
-	actionIgnore          = "hung unrun"
+	actionServe           = "served"        // it executes the request and responds
+	actionError           = "error"         // it executes the request and responds with an error status
+	actionReject          = "turned away"   // it rejects the request without executing it
+	actionExecuteAndReset = "ran and broke" // it executes the request and resets the connection
+	actionReset           = "broke unheard" // it resets the connection without executing the request
+	actionInvalid         = "spoilt"        // it executes the request and responds with malformed HTTP
+	actionTruncate        = "cut"           // it executes the request and closes the connection within the response
+	actionExecuteSilently = "hung"          // it executes the request and does not respond
+	actionIgnore          = "hung unrun"    // it neither executes the request nor responds
 )
 
-// BackendActions are the actions that RunSingleRequest takes.
+// BackendActions are the actions that RunSingleRequest accepts.
 var BackendActions = []string{
 	actionServe, actionError, actionReject, actionExecuteAndReset, actionReset, actionInvalid, actionTruncate,
 	actionExecuteSilently, actionIgnore,
 }
 
-// RunSingleRequest runs a single request of a class without faults, with one backend in each of
-// cells. The first attempt ends by one of BackendActions. It gives the request's final verdict, how
-// many attempts a backend has received whole, and how many effects there were. The conformance
-// suite has the same cases on sockets, so that the simulated world can be compared with it.
+// RunSingleRequest runs a single request of a class without faults, with one backend in each of cells.
+// action, one of BackendActions, is how a backend handles the first attempt. It returns the request's
+// final verdict, the number of attempts that backends have received completely, and the number of
+// effects. The conformance suite runs the same cases over sockets and compares the results.
 func RunSingleRequest(class string, cells []int, action string) (verdict string, attempts, effects int) {
 	r := newRunner(1, Options{})
 	r.config = runConfig{
@@ -51,7 +51,8 @@
 	return request.verdict, int(r.receivedCount), request.effectCount
 }
 
-// scriptedAction is what RunSingleRequest has a backend do with a request; empty: nothing special.
+// scriptedAction returns how a backend handles a request in RunSingleRequest, or "" if it handles the
+// request as usual.
 func (r *runner) scriptedAction(received *receivedRequest) string {
 	if r.backendAction == "" || received.number > 1 || !slices.Contains(BackendActions, r.backendAction) {
 		return ""
@@ -59,7 +60,7 @@
 	return r.backendAction
 }
 
-// perform carries out one of BackendActions.
+// performAction handles a request by one of BackendActions.
 func (b *backend) performAction(received *receivedRequest, action string) {
 	switch action {
 	case actionReject:
@@ -74,7 +75,7 @@
 	}
 }
 
-// performExecuted carries out an action that follows the execution.
+// performAfterExecution responds to an executed request as the action demands.
 func (b *backend) performAfterExecution(received *receivedRequest, action string) {
 	endWith := func(text string) {
 		received.conn.sendToGateway([]byte(text), 0)
--- a/internal/sim/usage.go
+++ b/internal/sim/usage.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// usagePeriod is the period over which usage is summed and then reported.
+// usagePeriod is the period over which usage is summed before it is reported.
 const usagePeriod = 500 * time.Millisecond
 
-// usageMeter is the shared counter's sum of what a customer's requests cost.
+// usageMeter is the shared counter's sum of the cost of a customer's requests.
 type usageMeter struct {
-	period  int64 // number of the current one
-	current float64
-	last    float64 // of the period before
+	period  int64   // number of the current period
+	current float64 // sum of the current period
+	last    float64 // sum of the previous period
 }
 
-// reportedUsage is what a response reports of a customer's usage: the last period's, in percent of
-// its plan's rate.
+// reportedUsage returns a customer's usage as responses report it: that of the previous period, in
+// percent of its plan's rate.
 func (r *runner) reportedUsage(customer int) (percent float64, known bool) {
 	if !r.config.reportsUsage {
 		return 0, false
@@ -25,7 +25,7 @@
 	return 100 * r.meterOf(customer).last / (rate * usagePeriod.Seconds()), true
 }
 
-// meterOf gives a customer's meter, brought to the current period.
+// meterOf returns a customer's meter, advanced to the current period.
 func (r *runner) meterOf(customer int) *usageMeter {
 	meter := r.usageMeters[customer]
 	if meter == nil {
@@ -42,7 +42,7 @@
 	return meter
 }
 
-// recordUsage adds a request that was sent on to its customer's usage, unless the counter loses it.
+// recordUsage adds the cost of a request to its customer's usage, unless the counter loses it.
 func (r *runner) recordUsage(request *clientRequest) {
 	if r.counterLoss == 0 || r.newRand(13, uint64(request.number)).Float64() >= r.counterLoss {
 		r.meterOf(request.customer).current += request.cost
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -11,20 +11,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// world is the clock, the events to come, and the trace.
+// world holds the simulated clock, the queue of scheduled events and the trace.
 type world struct {
 	seed       uint64
 	now        time.Duration
 	queue      eventqueue.Queue[func()]
-	seq        uint64 // counts scheduled events
-	steps      int
+	seq        uint64        // number of scheduled events
+	steps      int           // number of executed events
 	hash       xxhash.Digest // of the trace
-	scratch    []byte        // room for what goes into hash
-	trace      func(string)  // takes each line; nil: nobody reads it
+	scratch    []byte        // reused buffer for the input of hash
+	trace      func(string)  // receives each line; nil: lines are hashed but not formatted
 	violations []Violation
 }
 
-// start is where the clock begins: late enough for backends to have run for long.
+// startTime is the clock's value at the start of a run, late enough for backends to have been running
+// for a long time.
 const startTime = time.Hour
 
 func newWorld(seed uint64, trace func(string)) *world {
@@ -33,26 +34,26 @@
 	return w
 }
 
-// newRand gives a generator that depends on the seed and the purpose alone: taking a fault out of a
-// script leaves all other draws as they were. Purposes begin with a number that is used in one
-// place.
-func (w *world) newRand(purpose ...uint64) *rand.Rand { return eventqueue.NewRand(w.seed, purpose...) }
+// newRand returns a generator that depends only on the seed and the key, so that removing a fault from
+// a script does not change any other draw. The first number of a key is unique to the call site.
+func (w *world) newRand(key ...uint64) *rand.Rand { return eventqueue.NewRand(w.seed, key...) }
 
-// mix hashes a number; it is a bijection.
+// mix hashes a number. It is a bijection, so distinct numbers have distinct hashes.
 func mix(z uint64) uint64 { return eventqueue.Mix(z) }
 
-// scheduleAfter has an event happen after a delay; of 0 or less: at this instant, once the current
-// event is over. Events of one instant happen in random order, so that seeds try every order.
+// scheduleAfter schedules an event after a delay. With a delay of 0 or less the event runs at the
+// current time, after the current event. Events scheduled for the same time run in random order, so
+// that different seeds test different orders.
 func (w *world) scheduleAfter(delay time.Duration, event func()) {
 	w.seq++
 	w.queue.Push(w.now+max(0, delay), mix(w.seed^w.seq), event)
 }
 
-// scheduleAt has an event happen at a time, or now if that has passed.
+// scheduleAt schedules an event at a time, or at the current time if that has passed.
 func (w *world) scheduleAt(at time.Duration, event func()) { w.scheduleAfter(at-w.now, event) }
 
-// tracef adds a line to the trace. The hash takes in the time, the format and the arguments; the
-// line is formatted only for who reads it.
+// tracef adds a line to the trace. The time, the format and the arguments are added to the hash; the
+// line is formatted only if the run has a trace function.
 func (w *world) tracef(format string, args ...any) {
 	line := binary.AppendVarint(w.scratch[:0], int64(w.now))
 	line = append(line, format...)
@@ -77,7 +78,8 @@
 	}
 }
 
-// run has events happen until a time, a number of steps, or a violation.
+// run executes events up to and including a time. It stops early at the maximum number of steps or at
+// a violation.
 func (w *world) run(until time.Duration, maxSteps int) {
 	for w.steps < maxSteps && len(w.violations) == 0 {
 		if at, ok := w.queue.Next(); !ok || at > until {
@@ -90,19 +92,19 @@
 	}
 }
 
-// Violation is a broken rule.
+// Violation reports that a rule was broken.
 type Violation struct {
-	Rule   string        // its name
-	Detail string        // with the numbers that the trace has
-	At     time.Duration // from the run's start
+	Rule   string        // name of the rule
+	Detail string        // what happened; requests, gateways and backends have the numbers of the trace
+	At     time.Duration // since the start of the run
 }
 
-// String is the violation in a line.
+// String formats the violation on one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.4f: %s", v.Rule, v.At.Seconds(), v.Detail)
 }
 
-// violatef records that a rule is broken. The run ends after the current step.
+// violatef records a violation. The run ends after the current event.
 func (w *world) violatef(rule, format string, args ...any) {
 	violation := Violation{rule, fmt.Sprintf(format, args...), w.now - startTime}
 	w.violations = append(w.violations, violation)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,6 +1,6 @@
-// Package simwire translates between the lines of the platform's simulator and the types of package
-// decision, and reads the settings that the simulator's lines and the configuration of a gateway on
-// sockets have in common. The wire's names stand in tags and tables here, and nowhere behind it.
+// Package simwire encodes and decodes the line protocol of the platform's simulator as types of package
+// decision. It also decodes the settings, which the simulator's protocol shares with the configuration
+// of a gateway on sockets. The protocol's names occur only in struct tags and tables of this package.
 // The package does no I/O and keeps no state.
 package simwire
 
@@ -15,34 +15,34 @@
 	"pumicecroft/decision"
 )
 
-// Message is one decoded line of the simulator. At most one of Start, Stop, Event and CounterReply
-// is set, beside the marks of a batch; a line that the engine has no use for sets none.
+// Message is one decoded line. It either marks the start or the end of a batch with Clock or End, or
+// sets one of Start, Stop, Event and CounterReply for an instance. A line of a type that the engine
+// does not use sets only Instance.
 type Message struct {
-	Clock        bool          // a batch begins at At
-	At           time.Duration // the batch's clock
+	Clock        bool          // a batch starts
+	At           time.Duration // the time of the batch
 	End          bool          // the batch ends
-	Instance     int           // that the message is for
-	Start        *Start        // the instance begins
-	Stop         bool          // the instance ends
+	Instance     int           // number of the instance that receives the message
+	Start        *Start        // the instance starts
+	Stop         bool          // the instance stops
 	Event        decision.Event
 	CounterReply CounterReply
 }
 
-// CounterReply is the shared counter's reply to a call: to the first one with this key that has
-// none.
+// CounterReply is the shared counter's reply to the earliest unanswered call with this key.
 type CounterReply struct {
-	Present bool // there is a reply
+	Present bool // the message is a reply
 	Key     uint64
-	Result  decision.CounterResult // without its Ref, which the wire does not carry
+	Result  decision.CounterResult // without Ref, which the protocol does not transmit
 }
 
-// Start begins an instance.
+// Start starts an instance.
 type Start struct {
 	Seed     uint64
 	Settings decision.Settings
 }
 
-// rawMessage is a line as it stands on the wire. Its type says which fields count.
+// rawMessage is the JSON form of a line. Type determines which fields are used.
 type rawMessage struct {
 	Type          string          `json:"m"`
 	At            *int64          `json:"at_time_us"`
@@ -83,7 +83,7 @@
 	Backend      *uint32 `json:"backend"`
 }
 
-// The wire's words for values.
+// Values by their names in the protocol.
 var (
 	resultsByName = map[string]decision.Result{
 		"delivered":   decision.Succeeded,
@@ -108,26 +108,26 @@
 	}
 )
 
-// microseconds gives a time of the wire's, within what a Duration holds.
+// microseconds converts a number of microseconds to a Duration, clamped to the range of a Duration.
 func microseconds(v int64) time.Duration {
-	const most, least = math.MaxInt64 / 1000, math.MinInt64 / 1000
-	return time.Duration(max(least, min(most, v))) * time.Microsecond
+	const highest, lowest = math.MaxInt64 / 1000, math.MinInt64 / 1000
+	return time.Duration(max(lowest, min(highest, v))) * time.Microsecond
 }
 
-// Decode reads one line. A malformed line is an error; of what it does not know it makes an empty
-// Message.
+// Decode decodes one line. It returns an error for a malformed line. For a line of unknown type it
+// returns a Message that sets only Instance.
 func Decode(text []byte) (Message, error) {
 	var raw rawMessage
 	var m Message
 	if err := json.Unmarshal(text, &raw); err != nil {
-		return m, fmt.Errorf("not a message: %w", err)
+		return m, fmt.Errorf("decode message: %w", err)
 	}
 	switch raw.Type {
 	case "":
-		return m, errors.New("a message without a name")
+		return m, errors.New("message without a type")
 	case "clock":
 		if raw.At == nil {
-			return m, errors.New("a clock line without a time")
+			return m, errors.New("clock without at_time_us")
 		}
 		m.Clock, m.At = true, microseconds(*raw.At)
 		return m, nil
@@ -136,14 +136,14 @@
 		return m, nil
 	}
 	if raw.Instance == nil {
-		return m, fmt.Errorf("%s without an instance", raw.Type)
+		return m, fmt.Errorf("%s without an instance number (door)", raw.Type)
 	}
 	m.Instance = *raw.Instance
 	err := m.decodeInstanceMessage(&raw)
 	return m, err
 }
 
-// decodeFor reads a message to an instance.
+// decodeInstanceMessage decodes a message to an instance.
 func (m *Message) decodeInstanceMessage(raw *rawMessage) (err error) {
 	switch raw.Type {
 	case "boot":
@@ -158,7 +158,7 @@
 	return err
 }
 
-// decodeEvent reads an event of the engine; nil: the engine has no use for it.
+// decodeEvent decodes an event for the engine. It returns nil for a type that the engine does not use.
 func decodeEvent(raw *rawMessage) (decision.Event, error) {
 	switch raw.Type {
 	case "targets":
@@ -184,27 +184,27 @@
 	return nil, nil
 }
 
-// resultOf gives an attempt's result for the wire's word, decision.Unknown for one it does not
-// know.
-func parseResult(word string) decision.Result {
-	if result, ok := resultsByName[word]; ok {
+// parseResult returns the result with a name, or decision.Unknown if the name is unknown.
+func parseResult(name string) decision.Result {
+	if result, ok := resultsByName[name]; ok {
 		return result
 	}
 	return decision.Unknown
 }
 
+// requestID parses the request id, which must be written exactly as formatID writes it.
 func requestID(raw *rawMessage) (decision.RequestID, error) {
 	if raw.RequestID == nil || len(*raw.RequestID) != 16 {
 		return 0, fmt.Errorf("%s without a request id of 16 hex digits", raw.Type)
 	}
 	id, err := strconv.ParseUint(*raw.RequestID, 16, 64)
 	if err != nil || formatID(decision.RequestID(id)) != *raw.RequestID {
-		return 0, fmt.Errorf("%s with the request id %q", raw.Type, *raw.RequestID)
+		return 0, fmt.Errorf("%s with request id %q, want 16 lower-case hex digits", raw.Type, *raw.RequestID)
 	}
 	return decision.RequestID(id), nil
 }
 
-// formatID writes a request id as the wire has it.
+// formatID formats a request id for the protocol.
 func formatID(id decision.RequestID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
 func decodeRequest(raw *rawMessage) (decision.Event, error) {
@@ -222,12 +222,12 @@
 		return nil, err
 	}
 	if raw.Backend == nil {
-		return nil, errors.New("an outcome without a backend")
+		return nil, errors.New("closed_attempt without a backend")
 	}
 	return decision.Outcome{
 		Request: id, Backend: decision.BackendID(*raw.Backend), Attempt: raw.Attempt,
 		Result: parseResult(raw.Result), Latency: microseconds(raw.Latency), Final: raw.Final,
-		HasUsage: raw.SeenUsage > 0, Usage: float64(raw.SeenUsage - 1), // the wire has 0 for no usage
+		HasUsage: raw.SeenUsage > 0, Usage: float64(raw.SeenUsage - 1), // seen_use is 1 + usage, or 0 for no usage
 		SettledCost: raw.SettledCost, LoadReport: raw.LoadReport,
 	}, nil
 }
@@ -245,13 +245,13 @@
 func decodeUpdate(raw *rawMessage) (decision.Event, error) {
 	kind, ok := updateKindsByName[raw.Mode]
 	if !ok {
-		return nil, fmt.Errorf("a list of unknown kind %q", raw.Mode)
+		return nil, fmt.Errorf("targets with unknown mode %q", raw.Mode)
 	}
 	update := decision.EndpointUpdate{Kind: kind}
 	for _, e := range raw.Endpoints {
 		state, ok := statesByName[e.State]
 		if !ok || e.Backend == nil {
-			return nil, fmt.Errorf("a list entry without a backend or with the state %q", e.State)
+			return nil, fmt.Errorf("targets with an entry without a backend or with unknown health %q", e.State)
 		}
 		update.Endpoints = append(update.Endpoints, decision.Endpoint{
 			ID: decision.BackendID(*e.Backend), State: state, Zone: e.Zone, InstanceType: e.InstanceType,
@@ -263,7 +263,7 @@
 
 func decodeCounterReply(raw *rawMessage) (CounterReply, error) {
 	if raw.CounterKey == nil {
-		return CounterReply{}, errors.New("tally_back without a name")
+		return CounterReply{}, errors.New("tally_back without a counter_key")
 	}
 	result := decision.CounterResult{Result: parseResult(raw.Result), Total: raw.CounterTotal}
 	return CounterReply{Present: true, Key: *raw.CounterKey, Result: result}, nil
@@ -271,7 +271,7 @@
 
 func decodeStart(raw *rawMessage) (*Start, error) {
 	if len(raw.Params) == 0 {
-		return nil, errors.New("boot without settings")
+		return nil, errors.New("boot without params")
 	}
 	settings, _, err := DecodeSettings(raw.Params)
 	if err != nil {
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,11 +8,11 @@
 	"pumicecroft/decision"
 )
 
-// MaxTimer is the longest timer that the wire takes; longer ones are shortened to it.
+// MaxTimer is the longest timer of the protocol. Longer timers are encoded as MaxTimer.
 const MaxTimer = 71 * time.Minute
 
-// AppendAction writes an action of an instance as a line; nothing for an action that the wire does
-// not have.
+// AppendAction appends an action of an instance as a line, or nothing if the protocol does not have the
+// action.
 func AppendAction(b *bytes.Buffer, instance int, action decision.Action) {
 	switch a := action.(type) {
 	case decision.StartAttempt:
@@ -41,5 +41,5 @@
 	b.WriteByte('\n')
 }
 
-// AppendEnd writes the end of a reply to a batch.
+// AppendEnd appends the line that ends the reply to a batch.
 func AppendEnd(b *bytes.Buffer) { b.WriteString("{\"m\":\"eor\"}\n") }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,18 +8,18 @@
 	"pumicecroft/decision"
 )
 
-// Connections are the settings of connections to backends, the shared counter and discovery. Only a
-// gateway on sockets needs them.
+// Connections holds the settings for connections to backends, the shared counter and discovery. Only
+// a gateway on sockets uses them.
 type Connections struct {
 	IdleTimeout    time.Duration // after which a backend closes an idle connection
-	ConnectTimeout time.Duration // after which a connection that is not up has failed
-	CounterTimeout time.Duration // after which a call of the counter without a reply is lost
-	// SubscribeWithin is the time in which a gateway must ask discovery, where that does not push
-	// without being asked; 0: it does.
+	ConnectTimeout time.Duration // after which a connection attempt has failed
+	CounterTimeout time.Duration // after which a call to the shared counter without a reply is lost
+	// SubscribeWithin is the time within which a gateway must subscribe to discovery. 0: discovery
+	// sends updates without a subscription.
 	SubscribeWithin time.Duration
 }
 
-// The settings' words for values. An empty word is the default.
+// Values by their names in the settings. An empty name stands for the default.
 var (
 	idempotenciesByName = map[string]decision.Idempotency{
 		"":          decision.Idempotent,
@@ -36,11 +36,11 @@
 )
 
 const (
-	discoveryOnRequest = "on_request" // discovery tells who has subscribed
+	discoveryOnRequest = "on_request" // discovery sends updates only to subscribers
 	reportsInResponses = "answers"    // responses carry load reports
 )
 
-// rawSettings are the settings as they stand on the wire. Times are in microseconds.
+// rawSettings is the JSON form of the settings. Times are in microseconds.
 type rawSettings struct {
 	GatewayCount int    `json:"balancers"`
 	GatewayIndex int    `json:"me"`
@@ -100,8 +100,8 @@
 	} `json:"stats"`
 }
 
-// DecodeSettings reads the settings of an instance, or of a gateway on sockets. Its errors name the
-// key that can't be taken.
+// DecodeSettings decodes and validates the settings of an instance, or of a gateway on sockets. Its
+// errors name the invalid key.
 func DecodeSettings(text []byte) (decision.Settings, Connections, error) {
 	var raw rawSettings
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -119,7 +119,7 @@
 	return settings, raw.connections(), nil
 }
 
-// settings gives the engine's settings without classes and plans.
+// settings returns the engine's settings without classes and plans.
 func (r *rawSettings) settings() decision.Settings {
 	limits, obligations := &r.Limits, &r.Obligations
 	settings := decision.Settings{
@@ -149,7 +149,7 @@
 		idempotency, knownIdempotency := idempotenciesByName[c.Idempotency]
 		scope, knownScope := dedupScopesByName[c.DedupScope]
 		if !knownIdempotency || !knownScope {
-			return nil, fmt.Errorf("lanes: class %q has the effect %q and the group %q",
+			return nil, fmt.Errorf("lanes: class %q: effect %q or group %q is unknown",
 				c.Name, c.Idempotency, c.DedupScope)
 		}
 		classes = append(classes, decision.Class{
@@ -184,16 +184,16 @@
 	return connections
 }
 
-// validate names a time that can't be, by its key.
+// validate returns an error with the key of the first duration that is out of range.
 func (r *rawSettings) validate() error {
 	for _, c := range r.Classes {
 		switch {
 		case c.Deadline <= 0:
-			return fmt.Errorf("lanes: class %q: deadline_us is %d, it has to be above 0", c.Name, c.Deadline)
+			return fmt.Errorf("lanes: class %q: deadline_us is %d, must be above 0", c.Name, c.Deadline)
 		case c.LatencyObjective <= 0:
-			return fmt.Errorf("lanes: class %q: goal_time_us is %d, it has to be above 0", c.Name, c.LatencyObjective)
+			return fmt.Errorf("lanes: class %q: goal_time_us is %d, must be above 0", c.Name, c.LatencyObjective)
 		case c.DedupWindow < 0:
-			return fmt.Errorf("lanes: class %q: key_ttl_us is %d, below 0", c.Name, c.DedupWindow)
+			return fmt.Errorf("lanes: class %q: key_ttl_us is %d, must not be negative", c.Name, c.DedupWindow)
 		}
 	}
 	obligations, limits := &r.Obligations, &r.Limits
@@ -213,7 +213,7 @@
 		{"family_info: count_limit_us", r.Usage.CounterTimeout},
 	} {
 		if t.value < 0 {
-			return fmt.Errorf("%s is %d, below 0", t.key, t.value)
+			return fmt.Errorf("%s is %d, must not be negative", t.key, t.value)
 		}
 	}
 	return nil
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -42,21 +42,23 @@
 	o, ok := m.Event.(decision.Outcome)
 	if err != nil || !ok || o.Result != decision.Succeeded || !o.HasUsage || o.Usage != 86 || !o.Final || o.Attempt != 1 ||
 		len(o.LoadReport) != 2 || o.Backend != 51530247 || o.Latency != 18500*time.Microsecond {
-		t.Errorf("%+v %v", m, err)
+		t.Errorf("got %+v (%v), want the final success of attempt 1 at backend 51530247 with usage 86 and 18.5ms",
+			m, err)
 	}
 	m, err = Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","backend":1,"rc":"odd"}`))
 	if o := m.Event.(decision.Outcome); err != nil || o.Result != decision.Unknown || o.HasUsage {
-		t.Errorf("an unknown outcome code: %+v %v", o, err)
+		t.Errorf("unknown result name: got %+v (%v), want result %v without usage", o, err, decision.Unknown)
 	}
 }
 
 func TestDecode_EndpointUpdate(t *testing.T) {
 	m, err := Decode([]byte(`{"m":"targets","door":3,"mode":"SAVED","elements":[{"health":"healthy","az":"a",` +
 		`"cell":4,"backend":5,"boot_time_us":6},{"health":"deregistered","backend":6}]}`))
-	l, ok := m.Event.(decision.EndpointUpdate)
-	if err != nil || !ok || l.Kind != decision.UpdateCached || len(l.Endpoints) != 2 || l.Endpoints[1].State != decision.Removed ||
-		l.Endpoints[0] != (decision.Endpoint{ID: 5, Zone: "a", Cell: 4, StartedAt: 6 * time.Microsecond}) {
-		t.Errorf("%+v %v", m, err)
+	update, ok := m.Event.(decision.EndpointUpdate)
+	if err != nil || !ok || update.Kind != decision.UpdateCached || len(update.Endpoints) != 2 ||
+		update.Endpoints[1].State != decision.Removed ||
+		update.Endpoints[0] != (decision.Endpoint{ID: 5, Zone: "a", Cell: 4, StartedAt: 6 * time.Microsecond}) {
+		t.Errorf("got %+v (%v), want a cached update with endpoint 5 ready and endpoint 6 removed", m, err)
 	}
 }
 
@@ -71,7 +73,7 @@
 		`{"m":"boot","door":1,"params":{"lanes":[{"effect":"?"}]}}`, `{"m":"reminder","door":1,"ref":-1}`,
 	} {
 		if m, err := Decode([]byte(text)); err == nil {
-			t.Errorf("%s: taken as %+v", text, m)
+			t.Errorf("%s: got %+v, want an error", text, m)
 		}
 	}
 }
@@ -79,8 +81,11 @@
 func TestAppendAction(t *testing.T) {
 	var b bytes.Buffer
 	for _, a := range []decision.Action{
-		decision.StartAttempt{Request: 255, Backend: 9, Timeout: time.Millisecond}, decision.Reject{Request: 1, RetryAfter: time.Second},
-		decision.Fail{Request: 2}, decision.CancelAttempt{Request: 3, Attempt: 1}, decision.SetTimer{After: 100 * time.Hour, Token: 4},
+		decision.StartAttempt{Request: 255, Backend: 9, Timeout: time.Millisecond},
+		decision.Reject{Request: 1, RetryAfter: time.Second},
+		decision.Fail{Request: 2},
+		decision.CancelAttempt{Request: 3, Attempt: 1},
+		decision.SetTimer{After: 100 * time.Hour, Token: 4},
 		decision.Probe{Backend: 5}, decision.Subscribe{},
 	} {
 		AppendAction(&b, 6, a)
@@ -96,7 +101,7 @@
 {"m":"eor"}
 `
 	if b.String() != want {
-		t.Errorf("got\n%s", b.String())
+		t.Errorf("got\n%s\nwant\n%s", b.String(), want)
 	}
 }
 
@@ -108,10 +113,10 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		m, err := Decode([]byte(text))
 		if err != nil && strings.TrimSpace(err.Error()) == "" {
-			t.Error("an error that says nothing")
+			t.Errorf("%q: got an error with the blank text %q", text, err.Error())
 		}
 		if err == nil && m.Start != nil {
-			_, _ = decision.New(m.Start.Settings, m.Start.Seed, 0) // it may refuse, it must not panic
+			_, _ = decision.New(m.Start.Settings, m.Start.Seed, 0) // may return an error, must not panic
 		}
 	})
 }
