--- a/internal/sim/endpointsources.go
+++ b/internal/sim/endpointsources.go
@@ -10,12 +10,12 @@
 	"pumicecroft/membership"
 )
 
-// Names of the endpoint sources. All but catalogRawSource are sources of the membership table.
+// Names of the endpoint sources.
 const (
 	discoverySource = "discovery" // the platform's discovery service, which pushes updates with a delay
 	catalogSource   = "consul:backends"
 	// catalogRawSource stands for the catalog's entries before package consulcatalog interprets them.
-	// Only the checker uses it.
+	// Only the checker uses it; the membership table does not know it.
 	catalogRawSource = catalogSource + ", raw"
 )
 
