--- a/internal/sim/perturbedengine.go
+++ b/internal/sim/perturbedengine.go
@@ -8,17 +8,16 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// perturbedEngine changes a decision engine's actions within what its interface allows, so that
-// runs meet what the engine itself rarely asks for: attempts with a timeout of their own, and
-// probes.
+// perturbedEngine modifies a decision engine's actions within what its interface allows. Runs then
+// cover actions that the engine itself rarely emits: attempts with a timeout, and probes.
 type perturbedEngine struct {
 	lifecycle.DecisionEngine
-	rng      *rand.Rand
-	backends int
-	stopped  *bool // clients send nothing any more, and no probes are made
+	rng            *rand.Rand
+	backends       int
+	clientsStopped *bool // clients send nothing any more, and no probes are made
 }
 
-// Handle passes an event on and changes the engine's actions.
+// Handle passes an event to the engine and modifies the resulting actions.
 func (e *perturbedEngine) Handle(now time.Duration, event decision.Event, actions []decision.Action) []decision.Action {
 	actions = e.DecisionEngine.Handle(now, event, actions)
 	for i, action := range actions {
@@ -27,7 +26,7 @@
 			actions[i] = attempt
 		}
 	}
-	if timer, ok := event.(decision.Timer); ok && timer.Token == 0 && !*e.stopped {
+	if timer, ok := event.(decision.Timer); ok && timer.Token == 0 && !*e.clientsStopped {
 		actions = append(actions, decision.Probe{Backend: decision.BackendID(1 + e.rng.IntN(e.backends))})
 	}
 	return actions
--- a/internal/sim/requestrules.go
+++ b/internal/sim/requestrules.go
@@ -7,8 +7,8 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// onFinal is told of a request's final answer. effect is nil if the lifecycle machine did not give
-// it.
+// onFinal records and checks a request's final answer. effect is nil if the answer does not come from
+// the lifecycle machine.
 func (c *checker) onFinal(request *clientRequest, verdict string, effect *lifecycle.Effect) {
 	request.finalCount++
 	request.verdict = verdict
@@ -23,7 +23,7 @@
 	}
 }
 
-// checkFinal checks a final answer; it reports the first rule that is broken.
+// checkFinal checks a final answer and reports only the first rule that it breaks.
 func (c *checker) checkFinal(request *clientRequest, verdict string, effect *lifecycle.Effect) {
 	overdue := c.world.now > request.arrivedAt+request.timeout
 	switch {
@@ -45,7 +45,7 @@
 
 func (c *checker) checkRejection(request *clientRequest) {
 	switch {
-	case request.executions > 0 && c.harmfulIfExecuted(request):
+	case request.executions > 0 && c.rejectionImpliesNotExecuted(request):
 		c.world.violatef(ruleHarmlessRejection, "request %d of class %s was rejected and has been executed %d times",
 			request.number, request.class, request.executions)
 	case request.streamedAttempt > 0:
@@ -67,8 +67,8 @@
 	}
 }
 
-// isOwnResponse tells whether a body is of a response to this request. A response that is given by
-// the key is the one to the first request of that key.
+// isOwnResponse reports whether a body belongs to a response to this request. A response that was
+// replayed or shared by key belongs to the request that was executed for the key.
 func (c *checker) isOwnResponse(request *clientRequest, body string, byKey bool) bool {
 	if !byKey {
 		return body == request.expectedBody()
@@ -80,10 +80,10 @@
 	}
 	first := c.runner.requests[number]
 	return first.key == request.key && first.class == request.class && first.customer == request.customer &&
-		first.digest == request.digest && body == first.expectedBody()
+		first.fingerprint == request.fingerprint && body == first.expectedBody()
 }
 
-// onResponseStarted is told of a response that begins to be passed on.
+// onResponseStarted records and checks that a response begins to be streamed to its client.
 func (c *checker) onResponseStarted(attempt *attempt) {
 	request := attempt.request
 	if request.finalCount > 0 || request.streamedAttempt > 0 {
@@ -94,18 +94,18 @@
 	c.world.tracef("the answer of %d/%d begins", request.number, attempt.number)
 }
 
-// onAttemptStarted is told of an attempt that the lifecycle machine starts. A request's first
-// counts as usage.
+// onAttemptStarted records and checks an attempt that the lifecycle machine starts. The first attempt
+// of a request counts as usage.
 func (c *checker) onAttemptStarted(g *gateway, attempt *attempt) {
 	request := attempt.request
-	request.sentCount++
-	first := request.sentCount == 1
+	request.attemptCount++
+	first := request.attemptCount == 1
 	if first {
 		c.runner.recordUsage(request)
 	}
 	c.attemptsStarted++
 	name := g.endpoints.nameByID[attempt.backend]
-	if request.finalCount > 0 && !g.runsForKey(request) {
+	if request.finalCount > 0 && !g.isKeyLeader(request) {
 		c.world.violatef(ruleNothingAfterFinal, "request %d is sent to %s after it was answered %s",
 			request.number, name, request.verdict)
 	}
@@ -123,12 +123,12 @@
 	}
 }
 
-// onAttemptSent is told of an attempt's first byte that leaves a gateway. Nothing leaves for a
-// client that has disconnected; a process that is paused learns of that once it goes on.
+// onAttemptSent checks an attempt when a gateway sends its first byte. Nothing may be sent for a client
+// that has disconnected. A process that is paused notices a disconnect only after the pause.
 func (c *checker) onAttemptSent(g *gateway, attempt *attempt) {
 	c.checkDrain(g, attempt, sendTolerance)
 	request := attempt.request
-	if request == nil || !request.disconnected || g.runsForKey(request) {
+	if request == nil || !request.disconnected || g.isKeyLeader(request) {
 		return
 	}
 	noticedAt := request.disconnectedAt
@@ -143,7 +143,7 @@
 	}
 }
 
-// onExecuted is told of a request that a backend has executed.
+// onExecuted records and checks that a backend has executed a request.
 func (c *checker) onExecuted(received *receivedRequest, b *backend) {
 	request := received.request
 	request.executions++
@@ -155,7 +155,7 @@
 	if request.class == "pay" && received.keyIsNew && !request.keyReused {
 		c.countEffectOfRetries(request)
 	}
-	if !request.idempotent() && hasEffect && c.runner.config.recognisesAllKeys() {
+	if !request.idempotent() && hasEffect && c.runner.config.deduplicatesAllKeys() {
 		c.countEffectOfKey(request)
 	}
 	c.world.tracef("backend %d ran %d", b.number, request.number)
@@ -163,25 +163,24 @@
 		c.world.violatef(ruleSingleEffect, "request %d of class %s had its effect %d times",
 			request.number, request.class, request.effectCount)
 	}
-	if request.finalCount > 0 && request.verdict == verdictRejected && c.harmfulIfExecuted(request) {
+	if request.finalCount > 0 && request.verdict == verdictRejected && c.rejectionImpliesNotExecuted(request) {
 		c.world.violatef(ruleHarmlessRejection, "request %d of class %s is executed after its rejection",
 			request.number, request.class)
 	}
 }
 
-// countEffectOfID counts an effect of a request id: a process remembers ids, and rejects one that
-// may have been executed.
+// countEffectOfID counts an effect by request id. A process remembers ids and rejects a reused id that
+// may have been executed, so there must be one effect per id and process, unless ids are evicted early.
 func (c *checker) countEffectOfID(request *clientRequest) {
 	id := effectID{request.id, request.gateway, request.gatewayEpoch}
 	c.effectsByID[id]++
-	if n := c.effectsByID[id]; request.idReused && n > 1 && !c.runner.config.forgetsIDs {
+	if n := c.effectsByID[id]; request.idReused && n > 1 && !c.runner.config.evictsIDs {
 		c.world.violatef(ruleSingleEffect, "id %x has had its effect %d times, the last as request %d",
 			request.id, n, request.number)
 	}
 }
 
-// countEffectOfRetries counts an effect of a key whose clients retry what was rejected, and nothing
-// else.
+// countEffectOfRetries counts an effect by key, for keys whose client only retries after a rejection.
 func (c *checker) countEffectOfRetries(request *clientRequest) {
 	c.effectsByKey[request.key]++
 	if c.effectsByKey[request.key] > 1 && request.effectCount == 1 {
@@ -190,9 +189,9 @@
 	}
 }
 
-// countEffectOfKey counts an effect of a key at a gateway that recognises all keys: it has one,
-// whoever sends it how often. With a journal that holds over restarts, but for keys that were not
-// on disk in time.
+// countEffectOfKey counts an effect by key at a gateway that deduplicates all keys: there must be one,
+// however often the key is sent. With a journal this holds across restarts, except for keys that were
+// not durable in time.
 func (c *checker) countEffectOfKey(request *clientRequest) {
 	id := effectID{mix(request.key ^ uint64(request.customer)<<40), request.gateway, request.gatewayEpoch}
 	if c.runner.config.journalsKeys && !c.volatileKeys[request.key] {
@@ -205,8 +204,8 @@
 	}
 }
 
-// checkDeadlines looks for requests that have no answer in time, at gateways that could have given
-// one. What a gateway's process had when it was killed is left to its clients.
+// checkDeadlines checks that unanswered requests are within their timeout, unless their gateway was
+// paused. Requests whose gateway process has ended count as lost with it.
 func (c *checker) checkDeadlines() {
 	open := c.unanswered[:0]
 	for _, request := range c.unanswered {
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -7,19 +7,19 @@
 	"pumicecroft/membership"
 )
 
-// Figures of the platform (BRIEF 8, PROTOCOL).
+// Parameters of the platform (BRIEF 8, PROTOCOL).
 const (
 	defaultDrainGrace      = 2 * time.Second
-	slowStartMinCapacity   = 0.2 // share of a backend's capacity at its start
+	slowStartMinCapacity   = 0.2 // share of a backend's full capacity at its start
 	slowStartWindow        = 14 * time.Second
-	platformOverloadFactor = 4.0 // multiple of its capacity by which a backend is overloaded during its warm-up
+	platformOverloadFactor = 4.0 // multiple of its current capacity that overloads a backend during its warm-up
 	hardLimitRate          = 20.0
 	hardLimitBurst         = 30.0
 	hardLimitOverdraft     = 3.0
 	flagshipCustomer       = 0 // the customer whose plan has a hard limit
 )
 
-// The rules. The corpus and the planted bugs name them by these texts.
+// Names of the rules. The corpus and the mutants refer to rules by these texts.
 const (
 	ruleOneFinalAnswer      = "one final answer"
 	ruleAnswerInTime        = "answers in time"
@@ -43,7 +43,7 @@
 	ruleActionsMatchRequest = "every action fits"
 )
 
-// Ends of requests, as traces have them. verdictNames has those of the lifecycle machine.
+// Verdicts: how requests end, as written to traces. verdictNames maps the lifecycle machine's verdicts.
 const (
 	verdictServed       = "served"
 	verdictRejected     = "refused"
@@ -55,64 +55,65 @@
 )
 
 const (
-	// disconnectTolerance is how long after its client's disconnect a request may still leave.
+	// disconnectTolerance is how long after its client's disconnect a request may still be sent.
 	disconnectTolerance = 300 * time.Millisecond
-	// sendTolerance is what sockets add to the limit on sends to a draining backend.
+	// sendTolerance is added to the drain grace when an attempt's first byte is sent, which is later
+	// than the decision to send it.
 	sendTolerance = 50 * time.Millisecond
-	// listedTolerance is how long after a backend's return to the sources a gateway may still
-	// remove it.
+	// listedTolerance is how long after a backend was listed again a gateway may still remove it.
 	listedTolerance = 5 * time.Second
 )
 
-// checker checks the rules at each step: the platform's five, and that nothing is lost or kept for
-// good.
+// checker checks the rules during a run: the platform's five, and that no request is lost and no
+// resource leaks.
 type checker struct {
 	world      *world
 	runner     *runner
-	unanswered []*clientRequest // taken by a gateway, without a final answer
-	hardLimit  tokenBucket      // of the flagship customer, over all gateways
+	unanswered []*clientRequest // received by a gateway, without a final answer
+	hardLimit  tokenBucket      // of the flagship customer, across all gateways
 
 	effectsByID       map[effectID]int
-	effectsByKey      map[uint64]int   // by clients who retry what was rejected and nothing else
-	effectsPerProcess map[effectID]int // of each key at a process, or at a gateway with a journal
-	volatileKeys      map[uint64]bool  // keys that were executed without being on disk, which is allowed
+	effectsByKey      map[uint64]int   // for keys whose client only retries after a rejection
+	effectsPerProcess map[effectID]int // of each key, per process or, with a journal, per gateway
+	volatileKeys      map[uint64]bool  // keys executed without a durable record, which is allowed
 
-	served, rejected, failed, lostWithGateway int // requests by their ends
+	served, rejected, failed, lostWithGateway int // numbers of requests by outcome
 	attemptsStarted, attemptsSent             int
 }
 
-// tokenBucket is a hard limit's.
+// tokenBucket is the token bucket of a plan's hard limit.
 type tokenBucket struct {
-	tokens  float64
-	at      time.Duration
-	started bool
+	tokens     float64
+	refilledAt time.Duration
+	started    bool
 }
 
-// take refills the bucket and takes a cost out of it, below zero if need be.
+// take refills the bucket and takes a cost out of it. The number of tokens may become negative.
 func (b *tokenBucket) take(now time.Duration, cost float64) {
 	if !b.started {
-		b.started, b.tokens, b.at = true, hardLimitBurst, now
+		b.started, b.tokens, b.refilledAt = true, hardLimitBurst, now
 	}
-	b.tokens = min(hardLimitBurst, b.tokens+hardLimitRate*(now-b.at).Seconds()) - cost
-	b.at = now
+	b.tokens = min(hardLimitBurst, b.tokens+hardLimitRate*(now-b.refilledAt).Seconds()) - cost
+	b.refilledAt = now
 }
 
-// effectID names what must have its effect once: a request id, or a key, at a process that
-// remembers it.
+// effectID identifies something that must have at most one effect: a request id or an idempotency key
+// at a gateway process.
 type effectID struct {
-	id      uint64
+	id      uint64 // request id, or hash of key and customer
 	gateway *gateway
-	epoch   int
+	epoch   int // of the process; 0: all processes of the gateway
 }
 
-// harmfulIfExecuted tells whether a rejection of this request promises that it was not executed:
-// clients retry it, and a retry may reach a backend that does not know its key.
-func (c *checker) harmfulIfExecuted(request *clientRequest) bool {
+// rejectionImpliesNotExecuted reports whether a rejection of this request promises that it was not
+// executed and never will be: clients retry it, and the retry may reach a backend that does not know
+// its key.
+func (c *checker) rejectionImpliesNotExecuted(request *clientRequest) bool {
 	return request.class == "once" || request.class == "pay" && c.runner.config.dedupScope != decision.DedupScopeAll
 }
 
-// checkDrain checks that nothing is sent to a backend that the process has known to drain for
-// longer than the grace. What has arrived during a pause counts as known.
+// checkDrain checks that nothing is sent to a backend that the process has known to be draining or
+// removed for longer than the drain grace. Drains that arrived during a pause count as known.
 func (c *checker) checkDrain(g *gateway, attempt *attempt, tolerance time.Duration) {
 	name := g.endpoints.nameByID[attempt.backend]
 	knownSince, draining := g.endpoints.drainKnownSince[name]
@@ -125,16 +126,16 @@
 	}
 }
 
-// onOverload is told of a backend that was sent too much during its warm-up.
+// onOverload reports a backend that received too many requests during its warm-up.
 func (c *checker) onOverload(b *backend, requests int) {
 	c.world.violatef(ruleSlowStart, "backend %d, started %v ago, was sent %d requests in %v",
 		b.number, c.world.now-b.startedAt, requests, b.overloadDuration)
 }
 
-// onBackendRemoved is told of a backend that a gateway's table removes. It must have been out of
-// the sources for good.
+// onBackendRemoved checks that a backend that a gateway's membership table removes is no longer listed
+// by the sources, or was listed again only recently.
 func (c *checker) onBackendRemoved(g *gateway, name string) {
-	b := c.runner.byName[name]
+	b := c.runner.backendsByName[name]
 	if !b.listed {
 		return
 	}
@@ -144,7 +145,7 @@
 	}
 }
 
-// checkBounds checks the bounds on what a gateway keeps.
+// checkBounds checks the limits on a gateway's connections, keys, request ids and open requests.
 func (c *checker) checkBounds(g *gateway) {
 	config := &c.runner.config
 	c.checkBound(g, "connections", g.httpPool.Pool.Count(), config.maxConns)
@@ -161,15 +162,16 @@
 	}
 }
 
-// checkTimers checks that a lifecycle machine keeps no timers of requests that have ended.
+// checkTimers checks that a lifecycle machine keeps no timers of ended requests: each open request has
+// at most two timers, and two per attempt, and the engine has one.
 func (c *checker) checkTimers(g *gateway) {
 	open := g.machine.OpenRequests()
 	perRequest := 2 * (1 + c.runner.config.maxAttempts)
 	c.checkBound(g, "timers", g.machine.PendingTimers(), 1+open*perRequest)
 }
 
-// onGatewayStopped is told of a gateway that has stopped by itself: every request has its answer,
-// and nothing is left open.
+// onGatewayStopped checks a gateway that has shut down gracefully: every request has an answer and no
+// connection is left idle.
 func (c *checker) onGatewayStopped(g *gateway) {
 	for _, request := range c.unanswered {
 		if request.gateway == g && request.gatewayEpoch == g.epoch && request.finalCount == 0 {
@@ -181,13 +183,13 @@
 	}
 }
 
-// checkAtRest checks what is left once clients have stopped and everything has ended.
-func (c *checker) checkAtRest(gateways []*gateway) {
+// checkAtEnd checks the state at the end of a run, settleTime after clients have stopped.
+func (c *checker) checkAtEnd(gateways []*gateway) {
 	for _, g := range gateways {
 		if g.up {
-			c.checkRequestsAtRest(g)
-			c.checkStoresAtRest(g)
-			c.checkEndpointsAtRest(g)
+			c.checkRequestsAtEnd(g)
+			c.checkStoresAtEnd(g)
+			c.checkEndpointsAtEnd(g)
 		}
 	}
 	if len(c.unanswered) > 0 {
@@ -195,7 +197,7 @@
 	}
 }
 
-func (c *checker) checkRequestsAtRest(g *gateway) {
+func (c *checker) checkRequestsAtEnd(g *gateway) {
 	if n := g.machine.OpenRequests(); n > 0 || len(g.attempts) > 0 {
 		c.world.violatef(ruleReleased, "gateway %d keeps %d requests and %d attempts at rest",
 			g.number, n, len(g.attempts))
@@ -213,10 +215,10 @@
 	}
 }
 
-func (c *checker) checkStoresAtRest(g *gateway) {
-	if g.dedup != nil && (g.dedup.Waiting() > 0 || len(g.requestByKey) > 0) {
+func (c *checker) checkStoresAtEnd(g *gateway) {
+	if g.dedup != nil && (g.dedup.Waiting() > 0 || len(g.leaderByKey) > 0) {
 		c.world.violatef(ruleReleased, "at gateway %d %d requests wait with a key and %d run for one",
-			g.number, g.dedup.Waiting(), len(g.requestByKey))
+			g.number, g.dedup.Waiting(), len(g.leaderByKey))
 	}
 	log := g.journal.log
 	if log == nil {
@@ -229,11 +231,11 @@
 	}
 }
 
-func (c *checker) checkEndpointsAtRest(g *gateway) {
+func (c *checker) checkEndpointsAtEnd(g *gateway) {
 	known := map[string]bool{}
 	for _, status := range g.table.Statuses() {
 		known[status.Name] = true
-		addr := c.runner.byName[status.Name].addr()
+		addr := c.runner.backendsByName[status.Name].addr()
 		if status.EffectiveState == membership.Draining || status.Addr != addr {
 			c.world.violatef(ruleEndpointsConverge, "gateway %d takes %s to be %v at %s (%s), and it is ready at %s",
 				g.number, status.Name, status.EffectiveState, status.Addr, status.Reason, addr)
--- a/internal/sim/singlerequest.go
+++ b/internal/sim/singlerequest.go
@@ -7,29 +7,29 @@
 	"pumicecroft/decision"
 )
 
-// What a backend does with the first request in RunSingleRequest.
+// How a backend handles the first request in RunSingleRequest.
 const (
-	actionServe           = "served"
-	actionError           = "error"
-	actionReject          = "turned away"
-	actionExecuteAndReset = "ran and broke"
-	actionReset           = "broke unheard"
-	actionInvalid         = "spoilt"
-	actionTruncate        = "cut"
-	actionExecuteSilently = "hung"
-	actionIgnore          = "hung unrun"
+	actionServe           = "served"        // it executes the request and responds
+	actionError           = "error"         // it executes the request and responds with an error status
+	actionReject          = "turned away"   // it rejects the request without executing it
+	actionExecuteAndReset = "ran and broke" // it executes the request and resets the connection
+	actionReset           = "broke unheard" // it resets the connection without executing the request
+	actionInvalid         = "spoilt"        // it executes the request and responds with malformed HTTP
+	actionTruncate        = "cut"           // it executes the request and closes the connection within the response
+	actionExecuteSilently = "hung"          // it executes the request and does not respond
+	actionIgnore          = "hung unrun"    // it neither executes the request nor responds
 )
 
-// BackendActions are the actions that RunSingleRequest takes.
+// BackendActions are the actions that RunSingleRequest accepts.
 var BackendActions = []string{
 	actionServe, actionError, actionReject, actionExecuteAndReset, actionReset, actionInvalid, actionTruncate,
 	actionExecuteSilently, actionIgnore,
 }
 
-// RunSingleRequest runs a single request of a class without faults, with one backend in each of
-// cells. The first attempt ends by one of BackendActions. It gives the request's final verdict, how
-// many attempts a backend has received whole, and how many effects there were. The conformance
-// suite has the same cases on sockets, so that the simulated world can be compared with it.
+// RunSingleRequest runs a single request of a class without faults, with one backend in each of cells.
+// action, one of BackendActions, is how a backend handles the first attempt. It returns the request's
+// final verdict, the number of attempts that backends have received completely, and the number of
+// effects. The conformance suite runs the same cases over sockets and compares the results.
 func RunSingleRequest(class string, cells []int, action string) (verdict string, attempts, effects int) {
 	r := newRunner(1, Options{})
 	r.config = runConfig{
@@ -47,11 +47,12 @@
 		request.timeout = 1200 * time.Millisecond
 	}
 	r.scheduleAfter(time.Second, func() { r.submit(request, 0, 1) })
-	r.run(start+time.Minute, 1_000_000)
+	r.run(startTime+time.Minute, 1_000_000)
 	return request.verdict, int(r.receivedCount), request.effectCount
 }
 
-// scriptedAction is what RunSingleRequest has a backend do with a request; empty: nothing special.
+// scriptedAction returns how a backend handles a request in RunSingleRequest, or "" if it handles the
+// request as usual.
 func (r *runner) scriptedAction(received *receivedRequest) string {
 	if r.backendAction == "" || received.number > 1 || !slices.Contains(BackendActions, r.backendAction) {
 		return ""
@@ -59,8 +60,8 @@
 	return r.backendAction
 }
 
-// perform carries out one of BackendActions.
-func (b *backend) perform(received *receivedRequest, action string) {
+// performAction handles a request by one of BackendActions.
+func (b *backend) performAction(received *receivedRequest, action string) {
 	switch action {
 	case actionReject:
 		b.respond(received, "503 Service Unavailable", "Not-Started: 1\r\n", "")
@@ -68,18 +69,18 @@
 	case actionReset:
 		received.conn.reset()
 	default:
-		received.keyIsNew = b.dedup.remember(received.request.key, b.world.now, b.runner.config.dedupWindow)
+		received.keyIsNew = b.dedup.insertIfNew(received.request.key, b.world.now, b.runner.config.dedupWindow)
 		b.check.onExecuted(received, b)
-		b.performExecuted(received, action)
+		b.performAfterExecution(received, action)
 	}
 }
 
-// performExecuted carries out an action that follows the execution.
-func (b *backend) performExecuted(received *receivedRequest, action string) {
+// performAfterExecution responds to an executed request as the action demands.
+func (b *backend) performAfterExecution(received *receivedRequest, action string) {
 	endWith := func(text string) {
 		received.conn.sendToGateway([]byte(text), 0)
-		received.conn.endToGateway(errConnClosed)
-		received.conn.detachBackend()
+		received.conn.sendReadError(errConnClosed)
+		received.conn.closeByBackend()
 	}
 	switch action {
 	case actionError:
