--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -10,10 +10,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Purposes of random draws. A draw depends on its purpose, and on the number of the call that it is
-// for: under another policy or with another setting the same clients send the same calls at the
-// same times, and these would take a backend as long. So differences between runs of one seed are
-// paired. Numbers stay as they are, as they are part of what a seed means.
+// Purposes of random draws. A draw is keyed by its purpose and, where it concerns one call, by the
+// call's number. Under any policy or setting, the same clients therefore send the same calls at the
+// same times, with the same service times (common random numbers), so that runs of the same seed
+// can be compared in pairs. The numbers must not change, as results of a seed depend on them.
 const (
 	purposeArrivals uint64 = 1
 	purposeBursts   uint64 = 2
@@ -25,17 +25,17 @@
 	purposeCounter  uint64 = 10
 )
 
-// defaultCutoff is a Pareto distribution's, in means.
+// defaultCutoff is the default of Distribution.Cutoff.
 const defaultCutoff = 100
 
-// maxQuantile keeps quantiles finite.
+// maxQuantile limits the arguments of quantile functions, so that their results are finite.
 const maxQuantile = 1 - 1e-12
 
 // sampler draws from a Distribution.
 type sampler struct {
 	distribution Distribution
-	cutoff       float64 // of Pareto, in means before the cutoff
-	scale        float64 // makes the mean after the cutoff the one that was asked for
+	cutoff       float64 // of Pareto, as a multiple of the mean before the cutoff
+	scale        float64 // corrects the mean for the cutoff
 }
 
 func newSampler(distribution Distribution) sampler {
@@ -44,7 +44,7 @@
 		if s.cutoff = distribution.Cutoff; s.cutoff == 0 {
 			s.cutoff = defaultCutoff
 		}
-		// The mean of min(x, cutoff), for x with the mean 1.
+		// The scale is 1 over the mean of min(x, cutoff), where x has the mean 1.
 		alpha := distribution.Spread
 		least := (alpha - 1) / alpha
 		s.scale = 1 / (alpha/(alpha-1)*least - math.Pow(least/s.cutoff, alpha)*s.cutoff/(alpha-1))
@@ -52,7 +52,7 @@
 	return s
 }
 
-// sample gives the quantile of u, from 0 to below 1.
+// sample returns the quantile u of the distribution, with u from 0 to below 1.
 func (s *sampler) sample(u float64) time.Duration {
 	x := 1.0
 	switch s.distribution.Shape {
@@ -69,7 +69,7 @@
 	return max(1, time.Duration(x*float64(s.distribution.Mean)))
 }
 
-// sharePicker picks among shares.
+// sharePicker returns a picker of indices in shares, by their weights.
 func sharePicker(shares []Share) eventqueue.WeightedPicker {
 	weights := make([]float64, len(shares))
 	for i, share := range shares {
@@ -78,10 +78,10 @@
 	return eventqueue.NewWeightedPicker(weights...)
 }
 
-// rateProfile is how the rate of arrivals changes. All streams share it.
+// rateProfile describes how the rate of arrivals changes over time. All streams share it.
 type rateProfile struct {
 	arrivals   *Arrivals
-	burstEdges []time.Duration // beginnings and ends of bursts, in turn
+	burstEdges []time.Duration // alternating starts and ends of bursts
 	peak       float64         // the highest rate, as a multiple of Arrivals.Rate
 }
 
@@ -94,7 +94,7 @@
 	profile.peak *= max(1, arrivals.BurstFactor)
 	rng := eventqueue.NewRand(seed, purposeBursts)
 	for at := time.Duration(0); at < config.Duration; {
-		for _, mean := range [2]time.Duration{arrivals.MeanCalm, arrivals.MeanBurst} {
+		for _, mean := range [2]time.Duration{arrivals.MeanBurstGap, arrivals.MeanBurst} {
 			at += max(1, time.Duration(rng.ExpFloat64()*float64(mean)))
 			profile.burstEdges = append(profile.burstEdges, at)
 		}
@@ -102,8 +102,8 @@
 	return profile
 }
 
-// factorAt is the rate at a time, as a multiple of Arrivals.Rate. edge counts the edges of bursts
-// that have passed; the caller keeps it between calls with times that don't decrease.
+// factorAt returns the rate at a time, as a multiple of Arrivals.Rate. edge is the number of burst
+// edges before that time; the caller keeps it between calls, whose times must not decrease.
 func (p *rateProfile) factorAt(at time.Duration, edge *int) float64 {
 	factor := 1.0
 	if p.arrivals.Period > 0 {
@@ -118,29 +118,30 @@
 	return factor
 }
 
-// arrivalStream is a part of all calls: those of a shard at a share of the rate, by thinning a
-// Poisson process at the highest rate; or those of a flood, or of a trace.
+// arrivalStream generates one shard's part of the calls: of the regular calls, by thinning a Poisson
+// process of the highest rate; of a flood; or of a trace.
 type arrivalStream struct {
 	config    *Config
 	profile   *rateProfile
-	flood     *Fault // nil: the usual calls
+	flood     *Fault // nil means regular calls
 	number    int
-	rate      float64 // calls a second, before thinning
+	rate      float64 // calls per second, before thinning
 	rng       *rand.Rand
-	zipf      *rand.Zipf // nil: customers are alike
+	zipf      *rand.Zipf // nil means that all customers are equally popular
 	classes   eventqueue.WeightedPicker
 	burstEdge int // see rateProfile.factorAt
 	at        time.Duration
 	count     uint64
 
-	traceIndex int // of the next call of the trace that is this stream's
-	traceStep  int
+	traceIndex int // index in the trace of this stream's next call
+	traceStep  int // number of streams that share the trace
 }
 
-// noFault has newArrivalStream make the usual stream.
+// noFault makes newArrivalStream return a stream of regular calls.
 const noFault = -1
 
-// newArrivalStream makes one of some streams. fault is the index of a flood, or noFault.
+// newArrivalStream returns one of several streams, which differ in number. fault is the index of a
+// flood in Config.Faults, or noFault.
 func newArrivalStream(config *Config, profile *rateProfile, seed uint64, number, streams, fault int) *arrivalStream {
 	stream := &arrivalStream{
 		config: config, profile: profile, number: number + (fault+1)*streams,
@@ -160,7 +161,7 @@
 	return stream
 }
 
-// next gives the stream's next call, if there is one.
+// next returns the stream's next call, if there is one.
 func (s *arrivalStream) next() (next call, ok bool) {
 	s.count++
 	next.number = uint64(s.number)<<40 | s.count
@@ -181,7 +182,7 @@
 	return next, s.at < end
 }
 
-// drawCustomer draws who sends a call.
+// drawCustomer draws the customer of a call.
 func (s *arrivalStream) drawCustomer() int32 {
 	customers := s.config.Clients.Customers
 	switch {
@@ -194,7 +195,7 @@
 	}
 }
 
-// nextOfTrace fills in the stream's next call of the trace.
+// nextOfTrace fills in next from the trace. It returns false at the trace's end.
 func (s *arrivalStream) nextOfTrace(next call) (call, bool) {
 	trace := s.config.Arrivals.Trace
 	if s.traceIndex >= len(trace) || trace[s.traceIndex].At >= s.config.Duration {
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -8,22 +8,22 @@
 	"pumicecroft/internal/eventqueue"
 )
 
-// backend executes some requests at once and queues others. During its warm-up it is slower, and
-// restarts if it is overloaded.
+// backend executes a limited number of requests at once, queues further ones and rejects those that
+// exceed the queue. During its warm-up it is slower, and restarts if it is overloaded.
 type backend struct {
 	region     *Region
 	number     int32
 	shard      *shard
 	zone, cell int32
-	capacity   float64 // requests a second, once warm
+	capacity   float64 // requests per second after the warm-up
 
-	epoch          int32 // counts the ends of processes
+	epoch          int32 // number of processes that have ended
 	up             bool
 	draining       bool
-	drainedAt      time.Duration
-	warm           bool          // it runs since before the region's start
-	startedAt      time.Duration // of a process that is not warm
-	running        []message     // attempts that it executes
+	drainedAt      time.Duration // when draining began
+	warm           bool          // true if the process has run since before the region's start
+	startedAt      time.Duration // of the process, unless it is warm
+	running        []message     // attempts that are being executed
 	queue          []message
 	recentArrivals []time.Duration // during the warm-up, within OverloadDuration
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// endpoint is what discovery tells of the backend.
+// endpoint returns the backend's endpoint as discovery publishes it.
 func (b *backend) endpoint() decision.Endpoint {
 	endpoint := decision.Endpoint{
 		ID: decision.BackendID(b.number), Zone: zoneName(b.zone), Cell: int(b.cell), Weight: 1,
@@ -51,10 +51,10 @@
 	return endpoint
 }
 
-// zoneName names a zone by two letters.
+// zoneName returns a zone's name, which has two letters.
 func zoneName(z int32) string { return string('a'+z%26) + string('a'+z/26%26) }
 
-// publish tells discovery of the backend.
+// publish sends the backend's endpoint to discovery.
 func (b *backend) publish() {
 	changed := []decision.Endpoint{b.endpoint()}
 	arrival := b.shard.now + b.region.config.Network.MinDelay
@@ -62,11 +62,10 @@
 		message{kind: msgBackendChanged, backend: b.number, endpoints: &changed})
 }
 
-// minWarmupFraction bounds the time that an execution takes, where a backend starts with no
-// capacity.
+// minWarmupFraction limits how long an execution takes if SlowStartMinCapacity is 0.
 const minWarmupFraction = 1e-3
 
-// warmupFraction is the share of its capacity that the backend has.
+// warmupFraction returns the share of its capacity that the backend has now.
 func (b *backend) warmupFraction() float64 {
 	settings := &b.region.config.Settings
 	if b.warm || settings.SlowStartWindow <= 0 {
@@ -80,8 +79,9 @@
 	return max(minWarmupFraction, least+(1-least)*age.Seconds()/settings.SlowStartWindow.Seconds())
 }
 
-// onAttempt executes, queues or rejects an attempt. In a lost zone nothing answers; connections
-// that were up are given up after a while, and new ones don't come up.
+// onAttempt executes, queues or rejects an attempt. In a lost zone the backend doesn't respond.
+// Attempts get no result as long as gateways use connections from before the loss, see
+// staleConnectionsFor; later ones fail to connect.
 func (b *backend) onAttempt(m *message) {
 	s := b.shard
 	if lost, since := b.region.zoneLost(b.zone, s.now); lost {
@@ -114,8 +114,9 @@
 	}
 }
 
-// overloaded records an arrival during the warm-up, and tells whether there were too many for too
-// long.
+// overloaded records an arrival during the warm-up, and reports whether the process has run for more
+// than OverloadDuration and, within that time, got more attempts than OverloadFactor times its
+// present capacity.
 func (b *backend) overloaded(fraction float64) bool {
 	settings := &b.region.config.Settings
 	if settings.OverloadFactor <= 0 || settings.OverloadDuration <= 0 {
@@ -130,8 +131,8 @@
 	return now-b.startedAt > settings.OverloadDuration && float64(len(b.recentArrivals)) > limit
 }
 
-// execute executes an attempt. How long that takes depends on its call and try, not on who sent it
-// when.
+// execute starts to execute an attempt. The random part of its duration is keyed by call, try and
+// attempt, not by the gateway or the time.
 func (b *backend) execute(m *message, fraction float64) {
 	s, r := b.shard, b.region
 	draw := eventqueue.RandFloat64(r.seed, purposeService, m.call.number, m.requestID&maxTryNumber, uint64(m.attempt))
@@ -149,12 +150,13 @@
 	}
 }
 
-// isAttempt tells whether a message is of the same attempt.
+// isAttempt reports whether two messages concern the same attempt.
 func (m *message) isAttempt(other *message) bool {
 	return m.requestID == other.requestID && m.attempt == other.attempt
 }
 
-// onDone ends an execution, and begins that of the next attempt in the queue.
+// onDone ends an execution and starts that of the next attempt in the queue. An execution of a
+// process that has ended is ignored.
 func (b *backend) onDone(m *message) {
 	if m.epoch != b.epoch {
 		return
@@ -170,12 +172,13 @@
 	}
 }
 
-// onCancel takes an attempt out of the queue. One that is executed goes on.
+// onCancel removes an attempt from the queue. An execution that has started continues.
 func (b *backend) onCancel(m *message) {
 	b.queue = slices.DeleteFunc(b.queue, func(queued message) bool { return queued.isAttempt(m) })
 }
 
-// respond sends an attempt's outcome to its gateway, unless the zone is lost.
+// respond sends an attempt's result to its gateway. In a lost zone only ConnectFailed is sent: the
+// gateway finds that out by itself.
 func (b *backend) respond(m *message, result decision.Result, at time.Duration) {
 	s, r := b.shard, b.region
 	if lost, _ := r.zoneLost(b.zone, s.now); lost && result != decision.ConnectFailed {
@@ -187,13 +190,13 @@
 	})
 }
 
-// drain announces that the backend is to be sent nothing new.
+// drain announces that the backend should get no new attempts.
 func (b *backend) drain() {
 	b.draining, b.drainedAt = true, b.shard.now
 	b.publish()
 }
 
-// stop ends the process, and with it all attempts that it has.
+// stop ends the process. Attempts that it executes or queues fail with ConnectionLost.
 func (b *backend) stop() {
 	if !b.up {
 		return
@@ -206,7 +209,7 @@
 	b.publish()
 }
 
-// start starts a new process, which warms up.
+// start starts a new process, which begins its warm-up.
 func (b *backend) start() {
 	b.up, b.draining, b.warm, b.startedAt = true, false, false, b.shard.now
 	b.publish()
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -8,7 +8,7 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// call is what a client wants, over all its tries.
+// call is one call of a client, over all its tries.
 type call struct {
 	number    uint64
 	startedAt time.Duration
@@ -18,27 +18,27 @@
 }
 
 const (
-	// maxTryNumber bounds a call's tries: a request id has 7 bits for them.
+	// maxTryNumber is the largest number of a try: a request ID has 7 bits for it.
 	maxTryNumber = 127
-	// stormBackoff bounds the wait of clients before their next try during a retry storm.
+	// stormBackoff is the longest wait before a retry during a retry storm.
 	stormBackoff = 50 * time.Millisecond
-	// maxBackoffDoublings bounds the growth of clients' usual wait.
+	// maxBackoffDoublings limits the exponential backoff.
 	maxBackoffDoublings = 20
 )
 
-// requestID names a client's try to the decision engine.
+// requestID returns the request ID of a client's try.
 func requestID(call *call, try uint8) decision.RequestID {
 	return decision.RequestID(call.number<<7 | uint64(try))
 }
 
-// scheduleArrival schedules a stream's next call, if it has one.
+// scheduleArrival schedules the next call of an arrival stream, if it has one.
 func (s *shard) scheduleArrival(stream *arrivalStream) {
 	if next, ok := stream.next(); ok {
 		s.schedule(next.startedAt, message{kind: msgArrival, call: next, stream: stream})
 	}
 }
 
-// sendTry sends a client's try to one of its customer's gateways.
+// sendTry sends a client's try to a random one of its customer's gateways.
 func (s *shard) sendTry(call *call, try uint8, at time.Duration) {
 	r := s.region
 	first, spread := r.gatewaysOf(call.customer)
@@ -48,13 +48,14 @@
 	s.send(g.shard, arrival, message{kind: msgRequest, gateway: g.number, call: *call, tryNumber: try})
 }
 
-// gatewaysOf gives the gateways that a customer uses: spread ones in a row.
+// gatewaysOf returns the gateways that a customer uses: spread of them with consecutive numbers,
+// which wrap around.
 func (r *Region) gatewaysOf(customer int32) (first, spread int) {
 	first = int(eventqueue.Mix(uint64(customer)+r.seed) % uint64(r.config.Gateways))
 	return first, min(r.config.Clients.GatewaySpread, r.config.Gateways)
 }
 
-// customerPlan gives a customer's plan.
+// customerPlan returns a customer's plan.
 func (r *Region) customerPlan(customer int32) *decision.Plan {
 	if r.planOf == nil {
 		return &r.config.Settings.Plans[r.config.planIndex[0]]
@@ -62,8 +63,7 @@
 	return &r.config.Settings.Plans[r.planOf[customer]]
 }
 
-// finishTry is what a client does at a try's end: it counts the call as served, tries again after a
-// wait, or gives up.
+// finishTry ends a try. The client counts the call as served, tries again after a wait, or gives up.
 func (g *gateway) finishTry(request *request, verdict lifecycle.Verdict, retryAfter time.Duration) {
 	s, r := g.shard, g.region
 	call := &request.call
@@ -82,8 +82,8 @@
 	s.sendTry(call, request.try+1, seenAt+wait)
 }
 
-// retryPolicy gives how many tries a call's client makes at most, and how long it waits before the
-// next one.
+// retryPolicy returns the largest number of tries for a call, and how long its client waits before
+// the next one.
 func (r *Region) retryPolicy(request *request, class *decision.Class, verdict lifecycle.Verdict,
 	retryAfter, seenAt time.Duration,
 ) (maxTries int, wait time.Duration) {
@@ -96,14 +96,14 @@
 	wait = time.Duration((0.5 + draw) * float64(clients.Backoff<<min(request.try, maxBackoffDoublings)))
 	switch {
 	case verdict != lifecycle.Rejected && class.Idempotency == decision.NonIdempotent:
-		return 0, wait // it may have been executed
+		return 0, wait // the request may have been executed
 	case retryAfter > 0 && r.followsRetryAfter(call.customer):
 		return maxTries, retryAfter
 	}
 	return maxTries, wait
 }
 
-// followsRetryAfter tells whether a customer's clients wait as Retry-After says.
+// followsRetryAfter reports whether a customer's clients wait as Retry-After says.
 func (r *Region) followsRetryAfter(customer int32) bool {
 	draw := eventqueue.RandFloat64(r.seed, purposeClient, uint64(customer))
 	return draw < r.config.Clients.FollowRetryAfter
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -7,101 +7,102 @@
 	"pumicecroft/decision"
 )
 
-// Config is a region: its gateways, backends, clients and faults. Times are from the region's
-// start.
+// Config describes a region: its gateways, backends, clients and faults. Times are relative to the
+// region's start.
 type Config struct {
 	Gateways       int
-	Policy         string // what decides at each gateway: one of Policies
+	Policy         string // load-balancing policy of each gateway: one of Policies
 	Settings       decision.Settings
-	Duration       time.Duration // clients send calls for this long
-	Warmup         time.Duration // calls that begin within it are not counted
+	Duration       time.Duration // for which clients send calls
+	Warmup         time.Duration // calls that begin during it are not counted
 	Network        Network
 	Backends       Backends
 	Clients        Clients
 	Arrivals       Arrivals
-	UpdateInterval time.Duration // between discovery's updates to gateways
-	CounterLoss    float64       // share of its calls, and of the usage it sums, that the counter loses
+	UpdateInterval time.Duration // between updates of endpoints to gateways
+	CounterLoss    float64       // share of counter calls and of reported usage that is lost, 0 to 1
 	Counter        Counter
-	RateLimit      float64 // of PolicyRateLimit: requests a second over all gateways
+	RateLimit      float64 // for PolicyRateLimit: requests per second, over all gateways
 	Faults         []Fault
-	Shards         int // 0: by the region's size
+	Shards         int // 0 means a number that suits the region's size
 
-	classIndex, planIndex []uint8 // indices in Settings of the shares in Clients
+	classIndex, planIndex []uint8 // indices in Settings of Clients.Classes and Clients.Plans
 }
 
-// Network is how long a message takes one way: MinDelay, and an exponential part on top.
+// Network configures how long a message takes one way: MinDelay plus an exponentially distributed
+// delay.
 type Network struct {
 	MinDelay       time.Duration
-	MeanExtraDelay time.Duration // of the exponential part; 0: there is none
+	MeanExtraDelay time.Duration // mean of the exponential part; 0 means none
 }
 
-// Backends are alike but for their zones, cells and faults.
+// Backends configures the backends, which differ only in zone, cell and faults.
 type Backends struct {
 	Count          int
-	Zones          int // the backends are spread over them in turn
-	Cells          int // as Zones
+	Zones          int // backends are assigned to zones round-robin
+	Cells          int // backends are assigned to cells round-robin
 	Concurrency    int // requests that a backend executes at once
-	MaxQueue       int // requests that wait at a backend; one more is rejected
+	MaxQueue       int // requests that wait at a backend; further ones are rejected
 	Service        Distribution
 	ConnectTimeout time.Duration // after which a gateway gives up connecting
-	RestartTime    time.Duration // that a backend is down for, by an overload or a deploy
+	RestartTime    time.Duration // for which a backend is down after an overload or in a deploy
 }
 
-// Shape is how service times are distributed.
+// Shape is the type of a distribution.
 type Shape uint8
 
 // The shapes.
 const (
 	Constant Shape = iota
 	Exponential
-	LogNormal // Spread is the standard deviation of the time's logarithm
-	Pareto    // Spread is the tail's exponent, above 1; times end at Cutoff means
+	LogNormal // Spread is the standard deviation of the logarithm
+	Pareto    // Spread is the exponent of the tail, above 1; values are limited to Cutoff
 )
 
 // Distribution is a distribution of times.
 type Distribution struct {
 	Shape  Shape
-	Mean   time.Duration // of what is drawn, after the cutoff
-	Spread float64       // by Shape
-	Cutoff float64       // of Pareto, in means before the cutoff; 0: 100
+	Mean   time.Duration // of the drawn times, with Cutoff applied
+	Spread float64       // depends on Shape
+	Cutoff float64       // of Pareto, as a multiple of the mean before the cutoff; 0 means 100
 }
 
-// Clients are who sends calls.
+// Clients configures the clients, which send calls.
 type Clients struct {
 	Customers        int
-	ZipfExponent     float64 // of customers' popularity, above 1; 0: all are alike
-	UniformShare     float64 // share of calls whose customer is drawn from all alike
-	GatewaySpread    int     // gateways that a customer uses
+	ZipfExponent     float64 // of customers' popularity, above 1; 0 means that all are equally popular
+	UniformShare     float64 // share of calls whose customer is drawn uniformly
+	GatewaySpread    int     // number of gateways that a customer uses
 	Classes          []Share // of calls
 	Plans            []Share // of customers
 	Cost             float64 // of a call
-	MaxTries         int     // of a client for a call
+	MaxTries         int     // that a client makes for a call, including the first
 	FollowRetryAfter float64 // share of customers whose clients wait as Retry-After says
 	Backoff          time.Duration
 }
 
-// Share is a share of something that Settings name. Shares of a list are relative to their sum.
+// Share is the share of a class or plan of Settings. Weights in a list are relative to their sum.
 type Share struct {
 	Name   string
 	Weight float64
 }
 
-// Arrivals are when calls begin, over all clients.
+// Arrivals configures when calls begin, over all clients.
 type Arrivals struct {
-	Rate float64 // calls a second, on average outside of bursts
+	Rate float64 // calls per second, on average outside bursts
 
-	// In bursts the rate is BurstFactor times as high. They begin after exponential times of the
-	// mean MeanCalm, and take exponential times of the mean MeanBurst. BurstFactor 0: there are
-	// none.
-	BurstFactor         float64
-	MeanBurst, MeanCalm time.Duration
+	// During bursts the rate is multiplied by BurstFactor; 0 means no bursts. The lengths of bursts
+	// and of the gaps between them are exponentially distributed, with means MeanBurst and
+	// MeanBurstGap.
+	BurstFactor             float64
+	MeanBurst, MeanBurstGap time.Duration
 
-	// The rate swings by Amplitude, a share of itself, with this period, and begins at its mean.
-	// Period 0: it does not swing.
+	// The rate follows a sine wave of this period, starting at its mean. Amplitude is a share of
+	// the mean rate, 0 to 1. Period 0 means a rate without the wave.
 	Period    time.Duration
 	Amplitude float64
 
-	// Trace is all calls, in their order, in place of those at a rate; empty: there is no trace.
+	// Trace lists all calls in order of time and replaces those at Rate; empty means no trace.
 	Trace []Arrival
 }
 
@@ -113,36 +114,37 @@
 	Cost     float64
 }
 
-// FaultKind is what a fault does.
+// FaultKind is a kind of fault.
 type FaultKind uint8
 
-// The kinds of faults. By is Fault.Magnitude.
+// The kinds of faults, with N for Fault.Magnitude.
 const (
-	ZoneLoss       FaultKind = iota // nothing reaches a zone's backends, and nothing comes from there
-	ZoneSlow                        // a zone's backends take By times as long
-	Deploy                          // all backends drain and restart, By at once
-	RetryStorm                      // clients that are not served try By times more, at once
-	Flood                           // the first By customers send Share of the usual rate more
-	GatewayRestart                  // all gateways restart without their state, By at once
-	CounterLoss                     // the counter loses Share of what it is told
+	ZoneLoss       FaultKind = iota // no messages reach or leave the backends of a zone
+	ZoneSlow                        // backends of a zone take N times as long
+	Deploy                          // all backends drain and restart, N at once
+	RetryStorm                      // clients that are not served make N more tries, with a short backoff
+	Flood                           // the first N customers send Share of the usual rate in addition
+	GatewayRestart                  // all gateways restart without their state, N at once
+	CounterLoss                     // the counter loses Share of calls and of reported usage
 )
 
-// FaultKindNames are the kinds' names in files.
+// FaultKindNames are the names of the kinds in experiment files.
 var FaultKindNames = []string{
 	"zone-loss", "zone-slow", "deploy", "retry-storm", "flood", "door-restart", "counter-loss",
 }
 
-// Fault is something that goes wrong for a while.
+// Fault is a fault from At on. For Deploy and GatewayRestart, Duration is that of one step: how long
+// backends drain, and how long gateways are down.
 type Fault struct {
 	Kind      FaultKind
 	At        time.Duration
 	Duration  time.Duration
-	Zone      int
-	Magnitude float64 // by Kind
-	Share     float64 // by Kind, 0 to 1
+	Zone      int     // of ZoneLoss and ZoneSlow
+	Magnitude float64 // depends on Kind
+	Share     float64 // depends on Kind; of Flood it may be above 1
 }
 
-// resolveShares finds the classes and plans that the shares name.
+// resolveShares sets the indices of the classes and plans that the shares name.
 func (c *Config) resolveShares() {
 	c.classIndex, c.planIndex = nil, nil
 	for _, share := range c.Clients.Classes {
--- a/internal/emulator/counter.go
+++ b/internal/emulator/counter.go
@@ -7,14 +7,15 @@
 	"pumicecroft/internal/eventqueue"
 )
 
-// Counter is the counter that gateways share: sums by key, with one call after another.
+// Counter configures the counter that gateways share. It keeps a sum for each key, and handles one
+// call at a time.
 type Counter struct {
-	Rate    float64       // calls that it takes a second; 0: there is no counter
-	MaxWait time.Duration // a call that would wait for longer is rejected
-	Timeout time.Duration // after which a gateway counts a call as lost
+	Rate    float64       // calls that it handles per second; 0 means no counter
+	MaxWait time.Duration // longest wait of a call; one that would wait longer is rejected
+	Timeout time.Duration // after which a gateway takes a call as failed
 }
 
-// counterCall is one call of the counter, on its way there and back.
+// counterCall is a call of the counter, with its result on the way back.
 type counterCall struct {
 	add    decision.CounterAdd
 	result decision.CounterResult
@@ -37,7 +38,7 @@
 	return c.Rate == 0 || c.Rate > 0 && c.Rate <= 1e9 && c.MaxWait >= 0 && c.Timeout > 0
 }
 
-// callCounter sends a gateway's call.
+// callCounter sends a gateway's call to the counter.
 func (g *gateway) callCounter(add decision.CounterAdd) {
 	s, r := g.shard, g.region
 	s.counts.CounterCalls++
@@ -48,12 +49,12 @@
 	})
 }
 
-// onCall takes a call. One half of the calls that are lost are lost on their way there, the other
-// half on their way back.
+// onCall handles a call. Of the lost calls, half are lost before they reach the counter and have no
+// effect. Of the other half, only the results are lost.
 func (c *counter) onCall(m *message) {
 	s, call := c.shard, m.counterCall
 	r := s.region
-	policy := &r.config.Counter
+	config := &r.config.Counter
 	call.result = decision.CounterResult{Ref: call.add.Ref, Result: decision.Succeeded}
 	at := s.now
 	draw := eventqueue.RandFloat64(r.seed, purposeCounter, uint64(m.gateway), call.add.Ref)
@@ -61,10 +62,10 @@
 	switch {
 	case draw < lossShare/2:
 		call.result.Result = decision.TimedOut
-	case c.busyUntil-s.now > policy.MaxWait:
+	case c.busyUntil-s.now > config.MaxWait:
 		call.result.Result = decision.Rejected
 	default:
-		c.busyUntil = max(c.busyUntil, s.now) + time.Duration(float64(time.Second)/policy.Rate)
+		c.busyUntil = max(c.busyUntil, s.now) + time.Duration(float64(time.Second)/config.Rate)
 		at = c.busyUntil
 		call.result.Total = c.add(call.add, at)
 		if draw < lossShare {
@@ -72,7 +73,7 @@
 		}
 	}
 	at += r.delay(uint64(m.gateway), call.add.Ref, delayCounterResult)
-	deadline := max(call.sentAt+policy.Timeout, s.now+r.config.Network.MinDelay)
+	deadline := max(call.sentAt+config.Timeout, s.now+r.config.Network.MinDelay)
 	if call.result.Result == decision.TimedOut || at > deadline {
 		at, call.result = deadline, decision.CounterResult{Ref: call.add.Ref, Result: decision.TimedOut}
 	}
@@ -80,7 +81,7 @@
 		message{kind: msgCounterResult, gateway: m.gateway, epoch: m.epoch, counterCall: call})
 }
 
-// add adds to a key's sum, which begins anew after its TTL, and gives the sum.
+// add adds to a key's sum and returns the sum. A sum starts at 0 again when its TTL has passed.
 func (c *counter) add(add decision.CounterAdd, now time.Duration) float64 {
 	value := c.values[add.Key]
 	if value == nil || now >= value.expiresAt {
@@ -91,7 +92,7 @@
 	return value.total
 }
 
-// onCounterResult takes the result of a call, unless its process has ended.
+// onCounterResult handles the result of a counter call, unless the process that made it has ended.
 func (g *gateway) onCounterResult(m *message) {
 	if !g.up || int32(g.epoch) != m.epoch {
 		return
@@ -99,5 +100,5 @@
 	if m.counterCall.result.Result != decision.Succeeded {
 		g.shard.counts.CounterCallsLost++
 	}
-	g.execute(g.machine.CounterAnswered(g.now(), m.counterCall.result))
+	g.applyEffects(g.machine.CounterAnswered(g.now(), m.counterCall.result))
 }
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,22 +1,23 @@
-// Package emulator emulates a region: up to hundreds of gateways, ten thousand backends and a
-// million customers, under load and failures that a seed decides, and counts what came of it. Where
-// package sim looks for broken rules byte by byte in small worlds, this one has one event for a
-// message, so that the effect of a change can be seen at large size. At each gateway runs what
-// ships: the request lifecycle and, unless another policy is to be compared with it, the decision
-// engine.
+// Package emulator is a discrete-event simulation of a region: up to hundreds of gateways, ten
+// thousand backends and a million customers, under load and faults that are determined by a seed.
+// It counts what happened to the calls. Package sim checks rules byte by byte in small worlds;
+// this package uses one event per message, so that the effect of a change can be measured at large
+// scale. Each gateway runs shipped code: the request lifecycle and, unless another policy is to be
+// compared with it, the decision engine.
 //
-// A region is divided into shards, by its size alone. A shard has its own event queue, and each
-// message between actors takes at least Network.MinDelay; so all shards can run for that long
-// without hearing of each other, on as many cores as there are (Fujimoto, Parallel Discrete Event
-// Simulation, 1990: a conservative, synchronous window). The result depends on Config and seed
-// alone, not on who runs the shards: events of one instant are ordered by who sent them.
+// A region is divided into shards; their number depends only on Config. Each shard has its own
+// event queue, and a message between actors takes at least Network.MinDelay. All shards can
+// therefore run independently for that long, on as many cores as there are: a conservative,
+// synchronous time window (Fujimoto, Parallel Discrete Event Simulation, 1990). The result depends
+// only on Config and the seed, not on which goroutine runs which shard: events of the same instant
+// are ordered by their sender.
 //
-// region.go is the whole and its windows, shard.go messages and their delivery, gateway.go a
-// gateway, clients.go what clients do, backend.go a backend, counter.go the shared counter,
-// faults.go faults and discovery, arrivals.go random draws, policy.go what the engine is compared
-// with, quota.go the account of quotas and result.go what is counted.
+// region.go has the region and its time windows, shard.go messages and their delivery, gateway.go
+// gateways, clients.go the behaviour of clients, backend.go backends, counter.go the shared counter,
+// faults.go faults and discovery, arrivals.go random draws, policy.go the policies that the engine
+// is compared with, quota.go quota accounting and result.go the counts.
 //
-// The package is pure. Its caller calls NextWindow, then RunShard for each shard, then DeliverTo
-// for each shard, until NextWindow gives false. Calls of RunShard may run at once, and so may those
-// of DeliverTo.
+// The package is pure: it starts no goroutines and does no I/O. Its caller calls NextWindow, then
+// RunShard for each shard, then DeliverTo for each shard, until NextWindow returns false. Calls of
+// RunShard may run concurrently, and so may calls of DeliverTo.
 package emulator
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -9,16 +9,16 @@
 	"pumicecroft/decision"
 )
 
-// staleConnectionsFor is how long after a zone's loss gateways still send on connections that were
-// up, without any answer. After that they open new ones, which don't come up.
+// staleConnectionsFor is how long after the loss of a zone gateways still use connections from before
+// it and get no response. After that they open new connections, which fail.
 const staleConnectionsFor = 2 * time.Second
 
-// holds tells whether the fault is of a kind and holds at a time.
+// holds reports whether the fault is of a kind and active at a time.
 func (f *Fault) holds(kind FaultKind, at time.Duration) bool {
 	return f.Kind == kind && at >= f.At && at < f.At+f.Duration
 }
 
-// zoneLost tells whether a zone is lost, and since when.
+// zoneLost reports whether a zone is lost at a time, and since when.
 func (r *Region) zoneLost(zone int32, at time.Duration) (lost bool, since time.Duration) {
 	for i := range r.config.Faults {
 		if fault := &r.config.Faults[i]; fault.holds(ZoneLoss, at) && fault.Zone == int(zone) {
@@ -28,7 +28,7 @@
 	return false, 0
 }
 
-// slowdown is how many times as long a zone's backends take.
+// slowdown returns the factor by which faults multiply the service times of a zone's backends.
 func (r *Region) slowdown(zone int32, at time.Duration) float64 {
 	factor := 1.0
 	for i := range r.config.Faults {
@@ -39,7 +39,7 @@
 	return factor
 }
 
-// retryStorm gives the retry storm at a time; nil: there is none.
+// retryStorm returns the retry storm at a time, or nil.
 func (r *Region) retryStorm(at time.Duration) *Fault {
 	for i := range r.config.Faults {
 		if fault := &r.config.Faults[i]; fault.holds(RetryStorm, at) {
@@ -49,8 +49,7 @@
 	return nil
 }
 
-// counterLoss is the share of its calls, and of the usage it sums, that the counter loses at a
-// time.
+// counterLoss returns the share of counter calls and of reported usage that is lost at a time.
 func (r *Region) counterLoss(at time.Duration) float64 {
 	kept := 1 - r.config.CounterLoss
 	for i := range r.config.Faults {
@@ -61,13 +60,13 @@
 	return 1 - kept
 }
 
-// gatewaysRestart tells whether a fault restarts gateways.
+// gatewaysRestart reports whether any fault restarts gateways.
 func (r *Region) gatewaysRestart() bool {
 	return slices.ContainsFunc(r.config.Faults, func(fault Fault) bool { return fault.Kind == GatewayRestart })
 }
 
-// scheduleFaults schedules what faults do to backends and gateways, each step at the shard of its
-// actor.
+// scheduleFaults schedules the drains, stops and starts that faults cause, each at the shard of its
+// backend or gateway. Other kinds of faults are looked up when they matter.
 func (r *Region) scheduleFaults() {
 	for _, fault := range r.config.Faults {
 		switch fault.Kind {
@@ -79,7 +78,8 @@
 	}
 }
 
-// scheduleDeploy has the backends drain, stop and start in groups, one group after another.
+// scheduleDeploy schedules that the backends drain, stop and start in groups, one group after
+// another.
 func (r *Region) scheduleDeploy(fault Fault) {
 	period := fault.Duration + r.config.Backends.RestartTime
 	for i, b := range r.backends {
@@ -90,7 +90,8 @@
 	}
 }
 
-// scheduleGatewayRestarts has the gateways stop and start in groups, one group after another.
+// scheduleGatewayRestarts schedules that the gateways stop and start in groups, one group after
+// another.
 func (r *Region) scheduleGatewayRestarts(fault Fault) {
 	for i, g := range r.gateways {
 		at := fault.At + time.Duration(i/int(fault.Magnitude))*fault.Duration
@@ -99,17 +100,17 @@
 	}
 }
 
-// discovery collects what has changed about backends, and tells all gateways at intervals. It is an
-// actor of the first shard.
+// discovery collects changes of backends' endpoints and sends them to all gateways at intervals. It
+// is an actor of the first shard.
 type discovery struct {
 	shard   *shard
-	changed map[int32]decision.Endpoint // since the last update, by backend
+	changed map[int32]decision.Endpoint // changes since the last update, by backend
 }
 
-// onChange takes a backend's change.
+// onChange records the changed endpoint of a backend.
 func (d *discovery) onChange(m *message) { d.changed[m.backend] = (*m.endpoints)[0] }
 
-// publish tells the gateways what has changed.
+// publish sends the changes since the last update to all gateways, and schedules the next update.
 func (d *discovery) publish() {
 	s, r := d.shard, d.shard.region
 	if len(d.changed) > 0 {
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -10,47 +10,47 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// clockStart is where gateways' clocks stand at the region's start: late enough for backends to
-// have run for long.
+// clockStart is the time on gateways' clocks at the region's start: late enough that backends started
+// at time 0 have finished their warm-up.
 const clockStart = time.Hour
 
-// maxOpenRequests bounds a gateway's open requests, which is never reached.
+// maxOpenRequests is the limit on a gateway's open requests. It is too high to be reached.
 const maxOpenRequests = 1 << 20
 
-// gateway is one gateway: the shipped lifecycle machine on a policy.
+// gateway is one gateway. It runs the shipped lifecycle machine with a policy.
 type gateway struct {
 	region *Region
 	number int32
 	shard  *shard
 
-	// Of the process.
-	epoch         int // counts the ends of processes
+	// State of the process.
+	epoch         int // number of processes that have ended
 	up            bool
 	machine       *lifecycle.Machine
-	wakeAt        time.Duration // when its next timer is scheduled; 0: none is
+	wakeAt        time.Duration // of the scheduled timer; 0 means that there is none
 	requests      map[decision.RequestID]*request
-	cancellations []cancellation // that execute has still to handle
+	cancellations []cancellation // to be handled by applyEffects
 
-	endpoints      []decision.Endpoint    // all, as told last; nil: gateways don't restart
-	executions     map[uint64][]execution // of requests that are not idempotent, by request id
-	executionOrder []uint64               // their ids, by their first execution
+	endpoints      []decision.Endpoint    // all endpoints as last updated; nil if no fault restarts gateways
+	executions     map[uint64][]execution // of requests that are not idempotent, by request ID
+	executionOrder []uint64               // the IDs, in the order of their first executions
 }
 
 // request is a client's try at a gateway.
 type request struct {
-	call     call
-	try      uint8
-	counted  bool    // as its customer's usage
-	backends []int32 // of its attempts by number; -1: there is no attempt of that number
+	call         call
+	try          uint8
+	usageCounted bool    // whether its cost was added to its customer's usage
+	backends     []int32 // backends of the attempts, by attempt number; -1 means no such attempt
 }
 
-// execution is where and when a request was executed.
+// execution tells when and where a request was executed.
 type execution struct {
 	at         time.Duration
 	cell, zone int32
 }
 
-// cancellation is an attempt that the lifecycle machine gives up.
+// cancellation is an attempt that the lifecycle machine has cancelled.
 type cancellation struct {
 	request  *request
 	id       decision.RequestID
@@ -58,10 +58,10 @@
 	timedOut bool
 }
 
-// now is the gateway's clock.
+// now returns the time on the gateway's clock.
 func (g *gateway) now() time.Duration { return clockStart + g.shard.now }
 
-// boot starts a process that knows endpoints and nothing else.
+// boot starts a process without state, except the endpoints.
 func (g *gateway) boot(endpoints []decision.Endpoint) error {
 	settings := g.region.config.Settings
 	settings.GatewayIndex = int(g.number)
@@ -81,11 +81,11 @@
 		g.endpoints = slices.Clone(endpoints)
 	}
 	update := decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: endpoints}
-	g.execute(g.machine.UpdateEndpoints(g.now(), update))
+	g.applyEffects(g.machine.UpdateEndpoints(g.now(), update))
 	return nil
 }
 
-// stop ends the process. Clients see their connections break.
+// stop ends the process. Its clients lose their connections, and its attempts are cancelled.
 func (g *gateway) stop() {
 	if !g.up {
 		return
@@ -102,7 +102,7 @@
 	clear(g.requests)
 }
 
-// restart starts a process, if none runs.
+// restart starts a process, unless one is running.
 func (g *gateway) restart() {
 	if !g.up {
 		_ = g.boot(g.endpoints) // the settings were valid at the first boot
@@ -127,7 +127,7 @@
 	}
 }
 
-// onRequest takes a client's try.
+// onRequest handles a client's try.
 func (g *gateway) onRequest(m *message) {
 	request := &request{call: m.call, try: m.tryNumber}
 	if !g.up {
@@ -153,19 +153,19 @@
 		g.finishTry(request, lifecycle.Rejected, 0)
 		return
 	}
-	g.execute(effects)
+	g.applyEffects(effects)
 }
 
-// onTimer calls the lifecycle machine, unless another call was scheduled since.
+// onTimer calls the lifecycle machine, unless the timer was replaced by an earlier one.
 func (g *gateway) onTimer(m *message) {
 	if !g.up || m.at != g.wakeAt {
 		return
 	}
 	g.wakeAt = 0
-	g.execute(g.machine.Tick(g.now()))
+	g.applyEffects(g.machine.Tick(g.now()))
 }
 
-// onUpdate takes changed endpoints.
+// onUpdate handles an update of changed endpoints.
 func (g *gateway) onUpdate(m *message) {
 	if g.endpoints != nil {
 		for _, endpoint := range *m.endpoints {
@@ -174,11 +174,11 @@
 	}
 	if g.up {
 		update := decision.EndpointUpdate{Kind: decision.UpdateDelta, Endpoints: *m.endpoints}
-		g.execute(g.machine.UpdateEndpoints(g.now(), update))
+		g.applyEffects(g.machine.UpdateEndpoints(g.now(), update))
 	}
 }
 
-// onOutcome takes the end of an attempt.
+// onOutcome handles the result of an attempt.
 func (g *gateway) onOutcome(m *message) {
 	if !g.up {
 		return
@@ -188,13 +188,13 @@
 	if request := g.requests[id]; request != nil && m.result == decision.Succeeded {
 		outcome.Usage, outcome.HasUsage = g.region.reportedUsage(request.call.customer)
 	}
-	g.execute(g.machine.AttemptEnded(g.now(), id, int(m.attempt), outcome))
+	g.applyEffects(g.machine.AttemptEnded(g.now(), id, int(m.attempt), outcome))
 }
 
-// execute carries out what the lifecycle machine asks for. The end of a cancelled attempt, of which
-// the machine hears at once, may ask for more.
-func (g *gateway) execute(effects []lifecycle.Effect) {
-	g.executeEach(effects)
+// applyEffects applies effects of the lifecycle machine. A cancelled attempt is reported to the
+// machine as ended at once, which can cause further effects and cancellations.
+func (g *gateway) applyEffects(effects []lifecycle.Effect) {
+	g.applyEach(effects)
 	for len(g.cancellations) > 0 {
 		cancelled := g.cancellations[0]
 		g.cancellations = g.cancellations[1:]
@@ -203,12 +203,12 @@
 			outcome.Result = decision.TimedOut
 		}
 		g.cancelAttempt(cancelled.id, cancelled.attempt, cancelled.request.backends[cancelled.attempt])
-		g.executeEach(g.machine.AttemptEnded(g.now(), cancelled.id, cancelled.attempt, outcome))
+		g.applyEach(g.machine.AttemptEnded(g.now(), cancelled.id, cancelled.attempt, outcome))
 	}
 	g.scheduleTimer()
 }
 
-func (g *gateway) executeEach(effects []lifecycle.Effect) {
+func (g *gateway) applyEach(effects []lifecycle.Effect) {
 	for i := range effects {
 		effect := &effects[i]
 		request, _ := effect.Tag.(*request)
@@ -229,7 +229,7 @@
 	}
 }
 
-// scheduleTimer schedules the lifecycle machine's next call, unless an earlier one is scheduled.
+// scheduleTimer schedules the lifecycle machine's next tick, unless an earlier timer is scheduled.
 func (g *gateway) scheduleTimer() {
 	at, ok := g.machine.Next()
 	at -= clockStart
@@ -242,15 +242,15 @@
 	}
 }
 
-// startAttempt sends an attempt. The first of a request counts as its customer's usage.
+// startAttempt sends an attempt. The first attempt of a request adds to its customer's usage.
 func (g *gateway) startAttempt(request *request, effect *lifecycle.Effect) {
 	s, r := g.shard, g.region
 	for len(request.backends) < effect.Attempt {
 		request.backends = append(request.backends, -1)
 	}
 	request.backends = append(request.backends, int32(effect.Backend))
-	if !request.counted {
-		request.counted = true
+	if !request.usageCounted {
+		request.usageCounted = true
 		s.recordUsage(&request.call)
 	}
 	s.counts.recordAttempt(r, &request.call)
@@ -261,7 +261,7 @@
 	})
 }
 
-// cancelAttempt tells an attempt's backend that nobody waits for it any more.
+// cancelAttempt sends a cancellation to an attempt's backend.
 func (g *gateway) cancelAttempt(id decision.RequestID, attempt int, backend int32) {
 	if backend < 0 {
 		return
@@ -273,8 +273,8 @@
 	})
 }
 
-// onExecution is told that an attempt of a request that is not idempotent is executed. A second
-// execution repeats the effect, unless its backend shares a memory of keys with the first one's.
+// onExecution records that a backend has started to execute a request that is not idempotent. A
+// further execution repeats the effect, unless it is deduplicated by an idempotency key.
 func (g *gateway) onExecution(m *message) {
 	backend := g.region.backends[m.backend]
 	class := &g.region.config.Settings.Classes[m.call.class]
@@ -292,8 +292,8 @@
 	g.forgetExecutions()
 }
 
-// deduplicated tells whether an execution has no effect, as its backend knows the key of an earlier
-// one.
+// deduplicated reports whether an execution has no effect because its backend deduplicates by
+// idempotency key and shares the keys with the backend of an earlier execution.
 func deduplicated(class *decision.Class, earlier, now execution) bool {
 	if class.Idempotency != decision.IdempotentByKey || now.at-earlier.at >= class.DedupWindow {
 		return false
@@ -308,7 +308,7 @@
 	}
 }
 
-// forgetExecutions forgets requests that can't be executed any more.
+// forgetExecutions drops the executions of requests that can't be executed any more.
 func (g *gateway) forgetExecutions() {
 	retention := 2 * g.region.config.Settings.LongestDeadline()
 	for len(g.executionOrder) > 0 && g.shard.now-g.executions[g.executionOrder[0]][0].at > retention {
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// What a seed's region comes to is fixed under each policy: a change that keeps behaviour keeps
-// these counts to the last digit. One that means to change behaviour sets them anew and says why.
-func TestCountsOfSeeds(t *testing.T) {
+// The results of a fixed seed must not change under any policy unless behaviour changes. A change
+// of behaviour updates these counts, and its commit message says why.
+func TestResultsOfFixedSeeds(t *testing.T) {
 	want := map[string]string{
 		"module":      `{"Offered":6848,"Served":3399,"InAim":3245,"Refused":3038,"Failed":411,"WorthOffered":17489,"WorthServed":8500,"Tries":3686,"Attempts":3806,"Cold":513,"Draining":0,"Doubled":0,"Falls":0,"Calls":784,"CallsLost":74,"Units":3686,"UnitsOver":10,"WorthOver":20,"Overshoot":0,"PastCeiling":0,"Last":{"Offered":762,"Served":351,"Refused":411,"Failed":0,"WorthOffered":1905,"WorthServed":970},"P50":67775,"P99":1190911,"Events":47309,"Latency":3399}`,
 		"round-robin": `{"Offered":6848,"Served":4785,"InAim":3955,"Refused":976,"Failed":1087,"WorthOffered":17489,"WorthServed":10032,"Tries":11735,"Attempts":11735,"Cold":6840,"Draining":0,"Doubled":0,"Falls":0,"Calls":0,"CallsLost":0,"Units":11735,"UnitsOver":1636,"WorthOver":4322,"Overshoot":485,"PastCeiling":9,"Last":{"Offered":762,"Served":710,"Refused":52,"Failed":0,"WorthOffered":1905,"WorthServed":1094},"P50":119103,"P99":1610751,"Events":61030,"Latency":4785}`,
@@ -23,14 +23,14 @@
 		c.Faults = []Fault{{Kind: Deploy, At: 2 * time.Second, Duration: time.Second, Magnitude: 6}, {Kind: GatewayRestart, At: 3 * time.Second, Duration: 500 * time.Millisecond, Magnitude: 2},
 			{Kind: ZoneLoss, At: 5 * time.Second, Duration: time.Second, Zone: 1}, {Kind: ZoneSlow, At: 6 * time.Second, Duration: 2 * time.Second, Magnitude: 6},
 			{Kind: Flood, At: 4 * time.Second, Duration: 3 * time.Second, Magnitude: 3, Share: 0.5}, {Kind: RetryStorm, At: 7 * time.Second, Duration: time.Second, Magnitude: 2}}
-		r := play(t, c, 3)
+		r := runRegion(t, c, 3)
 		got, err := json.Marshal(struct {
 			Counts
 			Last                      Second
 			P50, P99, Events, Latency int64
 		}{r.Counts, r.Seconds[8], r.Latency.ValueAtQuantile(50), r.Latency.ValueAtQuantile(99), int64(r.Events), r.Latency.TotalCount()})
 		if err != nil || string(got) != want[policy] {
-			t.Errorf("%v, %s:\n%s, want\n%s", err, policy, got, want[policy])
+			t.Errorf("%s: error %v, got\n%s, want\n%s", policy, err, got, want[policy])
 		}
 	}
 }
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -11,19 +11,19 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// The policies, by their names in files.
+// The policies, by their names in experiment files.
 const (
-	// PolicyEngine is the decision engine that ships.
+	// PolicyEngine is the shipped decision engine.
 	PolicyEngine = "module"
 	// PolicyRoundRobin sends each request once, to the next ready backend.
 	PolicyRoundRobin = "round-robin"
-	// PolicyTwoChoices sends to the less loaded of two random backends, and retries what was not
-	// executed.
+	// PolicyTwoChoices sends each attempt to the less loaded of two random backends, and retries
+	// attempts that were not executed.
 	PolicyTwoChoices = "two-choices"
-	// PolicyBlindRetry sends to random backends, with up to three retries of whatever did not
-	// succeed.
+	// PolicyBlindRetry sends each attempt to a random backend, and retries up to three times after
+	// any result but success.
 	PolicyBlindRetry = "blind"
-	// PolicyRateLimit is PolicyRoundRobin under a limit on requests a second at each gateway.
+	// PolicyRateLimit is PolicyRoundRobin with a limit on requests per second at each gateway.
 	PolicyRateLimit = "limit"
 )
 
@@ -32,14 +32,14 @@
 
 const (
 	blindRetries = 3
-	// rejectionRetryAfter is what PolicyRateLimit tells clients to wait, within
-	// Settings.MaxRetryAfter.
+	// rejectionRetryAfter is the Retry-After of requests that PolicyRateLimit rejects. It is limited
+	// to Settings.MaxRetryAfter.
 	rejectionRetryAfter = time.Second
 )
 
 func knownPolicy(policy string) bool { return slices.Contains(Policies, policy) }
 
-// newPolicy makes what decides at one gateway.
+// newPolicy returns the policy of one gateway.
 func newPolicy(config *Config, settings decision.Settings, seed uint64,
 	now time.Duration,
 ) (lifecycle.DecisionEngine, error) {
@@ -63,37 +63,37 @@
 		policy.rate = config.RateLimit / float64(config.Gateways)
 		policy.tokens, policy.tokensAt = max(1, policy.rate), now
 	default:
-		return nil, fmt.Errorf("there is no policy %q", config.Policy)
+		return nil, fmt.Errorf("unknown policy %q", config.Policy)
 	}
 	return policy, nil
 }
 
-// baseline is what the decision engine is compared with: simple ways to select and to retry, by the
-// same events and actions.
+// baseline implements the simple policies that the decision engine is compared with. It has the same
+// events and actions as the engine.
 type baseline struct {
 	settings  decision.Settings
 	deadlines map[string]time.Duration // by class
 	rng       *rand.Rand
-	ready     []decision.BackendID // in the order of their ids
+	ready     []decision.BackendID // sorted
 	inFlight  map[decision.BackendID]int
 	requests  map[decision.RequestID]*openRequest
 
 	cursor int        // of round-robin
-	pick   func() int // gives an index in ready, which is not empty
+	pick   func() int // returns an index in ready, which is not empty
 	retry  func(request *openRequest, result decision.Result) bool
-	// attemptsPerDeadline divides the deadline into the attempts' timeouts; 0: they have no
-	// timeout.
+	// attemptsPerDeadline is the number of attempts whose timeouts add up to the class's deadline; 0
+	// means attempts without a timeout.
 	attemptsPerDeadline int
 
-	rate     float64 // requests a second; 0: there is no limit
+	rate     float64 // requests per second; 0 means no limit
 	tokens   float64
 	tokensAt time.Duration
 }
 
-// openRequest is a request that has no end yet.
+// openRequest is a request that has not ended.
 type openRequest struct {
 	attempts int
-	timeout  time.Duration // of each attempt; 0: none
+	timeout  time.Duration // of each attempt; 0 means none
 	deadline time.Duration
 }
 
@@ -108,7 +108,7 @@
 	return p
 }
 
-// Handle handles an event as a lifecycle.DecisionEngine does.
+// Handle implements lifecycle.DecisionEngine.
 func (p *baseline) Handle(now time.Duration, event decision.Event, actions []decision.Action) []decision.Action {
 	switch event := event.(type) {
 	case decision.EndpointUpdate:
@@ -124,7 +124,7 @@
 }
 
 func (p *baseline) onRequest(now time.Duration, event *decision.Request, actions []decision.Action) []decision.Action {
-	if !p.withinRate(now) {
+	if !p.takeToken(now) {
 		retryAfter := min(rejectionRetryAfter, p.settings.MaxRetryAfter)
 		return append(actions, decision.Reject{Request: event.ID, RetryAfter: retryAfter, Reason: decision.Overloaded})
 	}
@@ -139,8 +139,9 @@
 	return p.startAttempt(event.ID, request, actions)
 }
 
-// withinRate takes a token of the rate limit, if there is one.
-func (p *baseline) withinRate(now time.Duration) bool {
+// takeToken takes a token from the rate limit's bucket, and reports whether there was one. Without a
+// rate limit it returns true.
+func (p *baseline) takeToken(now time.Duration) bool {
 	if p.rate <= 0 {
 		return true
 	}
@@ -181,7 +182,7 @@
 	return append(actions, decision.StartAttempt{Request: id, Backend: backend, Timeout: request.timeout})
 }
 
-// updateBackends keeps the backends that are ready.
+// updateBackends updates the list of ready backends.
 func (p *baseline) updateBackends(update decision.EndpointUpdate) {
 	if update.Kind != decision.UpdateDelta {
 		p.ready = nil
@@ -204,14 +205,14 @@
 	}
 }
 
-// useRoundRobin has each request sent once, to the backend after the last one's. Each gateway
-// begins at a random one.
+// useRoundRobin makes the policy send each request once, to the ready backends in turn, starting with
+// a random one.
 func (p *baseline) useRoundRobin() {
 	p.cursor = 1 + p.rng.IntN(1<<30)
 	p.pick, p.retry = p.pickNext, func(*openRequest, decision.Result) bool { return false }
 }
 
-// neverExecuted tells whether a result proves that the attempt was not executed.
+// neverExecuted reports whether a result proves that the attempt was not executed.
 func neverExecuted(result decision.Result) bool {
 	return result == decision.Rejected || result == decision.ConnectFailed || result == decision.NotSent
 }
--- a/internal/emulator/region.go
+++ b/internal/emulator/region.go
@@ -7,7 +7,7 @@
 	"pumicecroft/internal/eventqueue"
 )
 
-// Region is one run. The package's comment says which calls may run at once.
+// Region is one run of the emulation. The package comment says which calls may run concurrently.
 type Region struct {
 	config    Config
 	seed      uint64
@@ -18,17 +18,17 @@
 	counter   counter
 	service   sampler
 	profile   rateProfile
-	planOf    []uint8       // by customer; nil: all have the first
-	window    time.Duration // its end
-
-	period     int64     // counts usage periods that have ended
-	usage      []float32 // by customer, as the counter has it for the last period
-	lastUsed   []int32   // customers whose usage is not 0
-	quota      quotaAccounts
-	meanWeight float64 // of a unit of cost, over the classes as they are asked for
+	planOf    []uint8       // by customer; nil means that all have the first of Clients.Plans
+	windowEnd time.Duration // of the current time window
+
+	period            int64     // number of usage periods that have ended
+	usage             []float32 // reported usage of the last period, by customer
+	reportedCustomers []int32   // customers whose usage is not 0
+	quota             quotaBuckets
+	meanWeight        float64 // priority weight of a unit of cost, averaged over the classes
 }
 
-// New prepares a run. Its error says what does not make sense.
+// New prepares a run. It returns an error if config is invalid.
 func New(config Config, seed uint64) (*Region, error) {
 	if config.Settings.GatewayCount == 0 {
 		config.Settings.GatewayCount = config.Gateways
@@ -45,7 +45,7 @@
 	r := &Region{
 		config: config, seed: seed,
 		service: newSampler(config.Backends.Service), profile: newRateProfile(&config, seed),
-		usage: make([]float32, config.Clients.Customers), quota: newQuotaAccounts(&config),
+		usage: make([]float32, config.Clients.Customers), quota: newQuotaBuckets(&config),
 		meanWeight: config.meanWeight(),
 	}
 	shards := config.shardCount()
@@ -62,11 +62,11 @@
 	return r, nil
 }
 
-// maxShards bounds the shards that a region's size asks for.
+// maxShards is the largest number of shards that is chosen by the region's size.
 const maxShards = 16
 
-// shardCount is into how many shards a region is divided: a window should have some hundred events
-// in each, to be worth the synchronisation.
+// shardCount returns the number of shards. Without a configured number, each shard should have some
+// hundred events in a window, so that the work outweighs the synchronization.
 func (c *Config) shardCount() int {
 	switch {
 	case c.Shards > 0:
@@ -78,7 +78,8 @@
 	return max(1, min(maxShards, c.Gateways, byRate, c.Backends.Count))
 }
 
-// meanWeight is the priority weight of a unit of cost, over the classes as they are asked for.
+// meanWeight returns the priority weight of a unit of cost, averaged over the classes by their shares
+// of the calls.
 func (c *Config) meanWeight() float64 {
 	sum, total := 0.0, 0.0
 	for i, share := range c.Clients.Classes {
@@ -88,7 +89,7 @@
 	return sum / total
 }
 
-// drawPlans gives each customer a plan.
+// drawPlans draws a plan for each customer.
 func (r *Region) drawPlans() {
 	if len(r.config.Clients.Plans) < 2 {
 		return
@@ -101,7 +102,7 @@
 	}
 }
 
-// populate makes the backends, discovery, the counter and the gateways.
+// populate creates the backends, discovery, the counter and the gateways.
 func (r *Region) populate() error {
 	for number := range r.config.Backends.Count {
 		r.backends = append(r.backends, newBackend(r, number))
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// startArrivals starts each shard's streams: the usual one, and one for each flood.
+// startArrivals starts the arrival streams of each shard: the regular one, and one for each flood.
 func (r *Region) startArrivals() {
 	for number, s := range r.shards {
 		for fault := noFault; fault < len(r.config.Faults); fault++ {
@@ -133,11 +134,11 @@
 	}
 }
 
-// Shards is how many shards there are.
+// Shards returns the number of shards.
 func (r *Region) Shards() int { return len(r.shards) }
 
-// NextWindow opens the next window, or gives false if the run is over. No other call may run beside
-// it.
+// NextWindow opens the next time window, or returns false if the run is over. It must not run
+// concurrently with any other call.
 func (r *Region) NextWindow() bool {
 	first, found := time.Duration(0), false
 	for _, s := range r.shards {
@@ -148,22 +149,22 @@
 	if !found || first >= r.config.Duration+r.settleTime() {
 		return false
 	}
-	for period := int64(first / usagePeriod); r.period < period; { // also those in which nothing happened
+	for period := int64(first / usagePeriod); r.period < period; { // includes periods without events
 		r.closeUsagePeriod()
 	}
-	r.window = min(first+r.config.Network.MinDelay, time.Duration(r.period+1)*usagePeriod)
+	r.windowEnd = min(first+r.config.Network.MinDelay, time.Duration(r.period+1)*usagePeriod)
 	return true
 }
 
-// settleTime is how long a run goes on after its last call: all tries end meanwhile.
+// settleTime returns how long a run continues after Config.Duration, so that all tries end.
 func (r *Region) settleTime() time.Duration { return r.config.Settings.LongestDeadline() + time.Second }
 
-// RunShard has a shard handle its messages in the window.
+// RunShard handles the messages of a shard in the current window.
 func (r *Region) RunShard(number int) {
 	s := r.shards[number]
 	for {
 		at, ok := s.queue.Next()
-		if !ok || at >= r.window {
+		if !ok || at >= r.windowEnd {
 			return
 		}
 		var m message
@@ -173,15 +174,15 @@
 	}
 }
 
-// DeliverTo gives a shard what others have sent to it. It may begin once all calls of RunShard have
-// ended.
+// DeliverTo moves the messages that other shards have sent to a shard into its queue. It must be
+// called after all calls of RunShard have returned.
 func (r *Region) DeliverTo(number int) {
 	to := r.shards[number]
 	for _, from := range r.shards {
 		box := from.outbox[number]
 		for i := range box {
 			to.queue.Push(box[i].at, box[i].order, box[i].message)
-			box[i] = outgoing{} // lets go of what the message refers to
+			box[i] = outgoing{} // releases what the message refers to
 		}
 		from.outbox[number] = box[:0]
 	}
--- a/internal/emulator/region_test.go
+++ b/internal/emulator/region_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// smallConfig is a region that runs within a second.
+// smallConfig returns a region that is emulated within a second.
 func smallConfig() Config {
 	return Config{Gateways: 4, Policy: PolicyEngine, Duration: 20 * time.Second, Warmup: 2 * time.Second, UpdateInterval: 500 * time.Millisecond,
 		Settings: decision.Settings{MaxAttempts: 3, CanCancel: true, MaxRetryAfter: time.Second, UsagePeriod: 500 * time.Millisecond, DrainGrace: 2 * time.Second,
@@ -28,8 +28,8 @@
 		Arrivals: Arrivals{Rate: 800}}
 }
 
-// play runs a region on this goroutine.
-func play(t testing.TB, c Config, seed uint64) Result {
+// runRegion runs a region on the calling goroutine.
+func runRegion(t testing.TB, c Config, seed uint64) Result {
 	t.Helper()
 	r, err := New(c, seed)
 	if err != nil {
@@ -48,16 +48,16 @@
 	return r.Result()
 }
 
-// With any policy and size, each call has one end, and the result does not depend on the order in
-// which shards run.
-func TestRegion_SeedDecides(t *testing.T) {
+// With any policy and size, each call ends exactly once, and the result does not depend on the order
+// in which shards run.
+func TestRegion_ResultDependsOnlyOnSeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := smallConfig()
 		c.Policy = rapid.SampledFrom(Policies).Draw(t, "policy")
 		c.RateLimit = 500
 		c.Duration, c.Warmup = 2*time.Second, 200*time.Millisecond
 		c.Shards = rapid.IntRange(1, 7).Draw(t, "shards")
-		c.Gateways = rapid.IntRange(1, 6).Draw(t, "doors")
+		c.Gateways = rapid.IntRange(1, 6).Draw(t, "gateways")
 		c.Arrivals.Rate = rapid.SampledFrom([]float64{50, 300, 1000}).Draw(t, "rate")
 		c.Backends.Service = rapid.SampledFrom([]Distribution{{Constant, 30 * time.Millisecond, 0, 0}, {Exponential, 30 * time.Millisecond, 0, 0},
 			{LogNormal, 30 * time.Millisecond, 1, 0}, {Pareto, 30 * time.Millisecond, 1.5, 50}}).Draw(t, "service")
@@ -84,104 +84,108 @@
 					}
 				}
 			}
-			for _, g := range r.gateways { // all that it kept is given back
+			for _, g := range r.gateways {
 				if len(g.requests) > 0 || g.up && g.machine.OpenRequests() > 0 {
-					t.Fatalf("door %d keeps %d open, its core %d", g.number, len(g.requests), g.machine.OpenRequests())
+					t.Fatalf("gateway %d has %d open requests, its lifecycle machine %d, want 0",
+						g.number, len(g.requests), g.machine.OpenRequests())
 				}
 			}
 			return r.Result()
 		}
 		a, b := run(false), run(true)
 		if !reflect.DeepEqual(a.Counts, b.Counts) || a.Events != b.Events || !a.Latency.Equals(b.Latency) || !reflect.DeepEqual(a.Seconds, b.Seconds) {
-			t.Fatalf("%+v\n%+v", a.Counts, b.Counts)
+			t.Fatalf("results depend on the order of shards:\n%+v, %d events, forwards\n%+v, %d events, backwards",
+				a.Counts, a.Events, b.Counts, b.Events)
 		}
 		if a.Served+a.Rejected+a.Failed != a.Offered || a.InObjective > a.Served || a.Attempts < a.Tries || a.Latency.TotalCount()+int64(a.OutOfRange) != int64(a.Served) {
-			t.Fatalf("%+v", a.Counts)
+			t.Fatalf("inconsistent counts: %+v, %d latencies, %d out of range",
+				a.Counts, a.Latency.TotalCount(), a.OutOfRange)
 		}
 	})
 }
 
-// What clients send, and how long it takes a backend, is the same under any policy: runs of one seed
-// are paired.
-func TestRegion_RandomnessIsCommonToPolicies(t *testing.T) {
+// The calls of a seed and their service times are the same under any policy, so that runs of one
+// seed can be compared in pairs.
+func TestRegion_PoliciesShareRandomness(t *testing.T) {
 	offered := map[float64]bool{}
-	var calm []*hdrhistogram.Histogram
+	var latencies []*hdrhistogram.Histogram
 	for _, p := range []string{PolicyEngine, PolicyRoundRobin, PolicyTwoChoices} {
 		c := smallConfig()
 		c.Policy = p
-		c.Backends.Concurrency = 100 // nothing waits: a call takes what it takes
-		r := play(t, c, 5)
+		c.Backends.Concurrency = 100 // so that no attempt waits in a queue
+		r := runRegion(t, c, 5)
 		offered[r.WeightOffered] = true
-		calm = append(calm, r.Latency)
+		latencies = append(latencies, r.Latency)
 	}
 	if len(offered) != 1 {
-		t.Errorf("the same seed's clients asked for %v", offered)
+		t.Errorf("the weight of the offered calls differs between policies: %v", offered)
 	}
 	for _, q := range []float64{10, 50, 90, 99} {
-		a, b := float64(calm[1].ValueAtQuantile(q)), float64(calm[2].ValueAtQuantile(q))
+		a, b := float64(latencies[1].ValueAtQuantile(q)), float64(latencies[2].ValueAtQuantile(q))
 		if math.Abs(a-b) > 0.002*a+100 {
-			t.Errorf("where nothing waits, quantile %v is %v and %v us", q, a, b)
+			t.Errorf("latency quantile %v differs between policies without queues: %v and %v us", q, a, b)
 		}
 	}
 }
 
-// Draws have the mean that was asked for, for each shape, and are within the cutoff.
+// For each shape, samples have the configured mean and are within the cutoff.
 func TestSampler_MeanAndCutoff(t *testing.T) {
 	const n = 200_000
 	for _, d := range []Distribution{{Constant, time.Second, 0, 0}, {Exponential, time.Second, 0, 0}, {LogNormal, time.Second, 0.5, 0}, {LogNormal, time.Second, 1.5, 0},
 		{Pareto, time.Second, 1.5, 0}, {Pareto, time.Second, 1.1, 50}, {Pareto, time.Second, 3, 10}} {
 		s := newSampler(d)
-		sum, most := 0.0, 0.0
-		for i := range n { // even steps in place of chance
+		sum, largest := 0.0, 0.0
+		for i := range n { // evenly spaced quantiles instead of random ones
 			x := s.sample((float64(i) + 0.5) / n).Seconds()
-			sum, most = sum+x, max(most, x)
+			sum, largest = sum+x, max(largest, x)
 		}
 		if mean := sum / n; math.Abs(mean-1) > 0.01 {
-			t.Errorf("%+v has the mean %v", d, mean)
+			t.Errorf("%+v: got mean %v, want 1", d, mean)
 		}
-		if d.Shape == Pareto && most > s.cutoff*s.scale+1e-6 {
-			t.Errorf("%+v reaches %v", d, most)
+		if d.Shape == Pareto && largest > s.cutoff*s.scale+1e-6 {
+			t.Errorf("%+v: largest sample is %v, want at most %v", d, largest, s.cutoff*s.scale)
 		}
 	}
 }
 
-// Arrivals come at the rate that was asked for, with bursts and swings too, and customers by their
-// popularity.
+// Arrivals have the configured average rate, also with bursts and a periodic rate, and the most
+// popular customer has a plausible share of them.
 func TestArrivalStream_RateAndPopularity(t *testing.T) {
 	for name, c := range map[string]struct {
 		a    Arrivals
 		want float64
 	}{
-		"even":   {Arrivals{Rate: 1000}, 1},
-		"day":    {Arrivals{Rate: 1000, Period: 20 * time.Second, Amplitude: 0.9}, 1},
-		"bursts": {Arrivals{Rate: 1000, BurstFactor: 5, MeanBurst: 100 * time.Millisecond, MeanCalm: 300 * time.Millisecond}, 2},
+		"constant": {Arrivals{Rate: 1000}, 1},
+		"periodic": {Arrivals{Rate: 1000, Period: 20 * time.Second, Amplitude: 0.9}, 1},
+		"bursts":   {Arrivals{Rate: 1000, BurstFactor: 5, MeanBurst: 100 * time.Millisecond, MeanBurstGap: 300 * time.Millisecond}, 2},
 	} {
 		cfg := smallConfig()
 		cfg.Arrivals, cfg.Duration = c.a, 100*time.Second
 		cfg.Clients.ZipfExponent, cfg.Clients.UniformShare = 1.2, 0.1
 		cfg.resolveShares()
-		sw := newRateProfile(&cfg, 3)
+		profile := newRateProfile(&cfg, 3)
 		n, first := 0, 0
 		for i := range 2 {
-			stream := newArrivalStream(&cfg, &sw, 3, i, 2, -1)
-			for k, ok := stream.next(); ok; k, ok = stream.next() {
+			stream := newArrivalStream(&cfg, &profile, 3, i, 2, -1)
+			for call, ok := stream.next(); ok; call, ok = stream.next() {
 				n++
-				if k.customer == 0 {
+				if call.customer == 0 {
 					first++
 				}
 			}
 		}
 		if got := float64(n) / 100_000; math.Abs(got/c.want-1) > 0.1 {
-			t.Errorf("%s: %v of the rate, want %v", name, got, c.want)
+			t.Errorf("%s: got %v times the rate, want %v", name, got, c.want)
 		}
 		if part := float64(first) / float64(n); part < 0.15 || part > 0.4 {
-			t.Errorf("%s: the first customer asks for %v of all", name, part)
+			t.Errorf("%s: the first customer sends %v of all calls, want 0.15 to 0.4", name, part)
 		}
 	}
 }
 
-// Each fault does its harm, which is not there without it; the policies differ as they should.
-func TestFaults_HarmByPolicy(t *testing.T) {
+// Each fault has its effect, which a run without it doesn't show, and policies differ in how they
+// cope with it.
+func TestFaults_EffectByPolicy(t *testing.T) {
 	base := smallConfig()
 	base.Arrivals.Rate = 1200
 	at := func(f Fault) []Fault {
@@ -191,45 +195,45 @@
 	for name, c := range map[string]struct {
 		policy string
 		change func(c *Config)
-		harm   func(calm, r *Result) bool
+		effect func(healthy, r *Result) bool
 	}{
 		"a zone is lost, under round-robin": {PolicyRoundRobin, func(c *Config) { c.Faults = at(Fault{Kind: ZoneLoss, Zone: 1}) },
-			func(calm, r *Result) bool { return r.Failed > 1000 && calm.Failed == 0 }},
+			func(healthy, r *Result) bool { return r.Failed > 1000 && healthy.Failed == 0 }},
 		"a zone is lost": {PolicyEngine, func(c *Config) { c.Faults = at(Fault{Kind: ZoneLoss, Zone: 1}) },
-			func(calm, r *Result) bool {
-				return r.Served < calm.Served && float64(r.Served) > 0.85*float64(r.Offered)
+			func(healthy, r *Result) bool {
+				return r.Served < healthy.Served && float64(r.Served) > 0.85*float64(r.Offered)
 			}},
 		"a zone is slow": {PolicyRoundRobin, func(c *Config) { c.Faults = at(Fault{Kind: ZoneSlow, Magnitude: 5}) },
-			func(calm, r *Result) bool {
-				return r.Latency.ValueAtQuantile(95) > 2*calm.Latency.ValueAtQuantile(95)
+			func(healthy, r *Result) bool {
+				return r.Latency.ValueAtQuantile(95) > 2*healthy.Latency.ValueAtQuantile(95)
 			}},
-		"all are deployed anew": {PolicyEngine, func(c *Config) {
+		"all backends are deployed": {PolicyEngine, func(c *Config) {
 			c.Faults = []Fault{{Kind: Deploy, At: 3 * time.Second, Duration: 3 * time.Second, Magnitude: 4}}
 			c.Arrivals.Rate = 500
-		}, func(calm, r *Result) bool {
-			return r.ToWarming > 0 && calm.ToWarming == 0 && r.ToDraining == 0 && r.Overloads == 0 && float64(r.Served) > 0.97*float64(r.Offered)
+		}, func(healthy, r *Result) bool {
+			return r.ToWarming > 0 && healthy.ToWarming == 0 && r.ToDraining == 0 && r.Overloads == 0 && float64(r.Served) > 0.97*float64(r.Offered)
 		}},
-		"clients ask again and again": {PolicyRoundRobin, func(c *Config) {
+		"retry storm": {PolicyRoundRobin, func(c *Config) {
 			c.Arrivals.Rate = 3000
 			c.Faults = at(Fault{Kind: RetryStorm, Magnitude: 10})
 		}, func(_, r *Result) bool { return r.Tries > 3*r.Offered/2 }},
-		"a customer floods": {PolicyEngine, func(c *Config) { c.Faults = at(Fault{Kind: Flood, Magnitude: 1, Share: 1}) },
-			func(calm, r *Result) bool { return r.Offered > calm.Offered+5000 && r.Rejected > 4000 }},
-		"a customer floods, and nothing holds it": {PolicyTwoChoices, func(c *Config) { c.Faults = at(Fault{Kind: Flood, Magnitude: 1, Share: 1}) },
+		"flood by one customer": {PolicyEngine, func(c *Config) { c.Faults = at(Fault{Kind: Flood, Magnitude: 1, Share: 1}) },
+			func(healthy, r *Result) bool { return r.Offered > healthy.Offered+5000 && r.Rejected > 4000 }},
+		"flood by one customer, without quotas": {PolicyTwoChoices, func(c *Config) { c.Faults = at(Fault{Kind: Flood, Magnitude: 1, Share: 1}) },
 			func(_, r *Result) bool { return r.CostOverQuota > 4000 && r.Rejected < 2000 }},
-		"doors restart": {PolicyEngine, func(c *Config) {
+		"gateways restart": {PolicyEngine, func(c *Config) {
 			c.Faults = []Fault{{Kind: GatewayRestart, At: 5 * time.Second, Duration: time.Second, Magnitude: 1}}
 		},
-			func(calm, r *Result) bool {
-				return r.Events != calm.Events && float64(r.Served) > 0.97*float64(r.Offered)
+			func(healthy, r *Result) bool {
+				return r.Events != healthy.Events && float64(r.Served) > 0.97*float64(r.Offered)
 			}},
-		"the counter loses counts": {PolicyEngine, func(c *Config) {
+		"the counter loses usage": {PolicyEngine, func(c *Config) {
 			c.Arrivals.Rate, c.Clients.Customers = 1500, 40
 			c.Faults = at(Fault{Kind: CounterLoss, Share: 0.9, Duration: 15 * time.Second})
-		}, func(calm, r *Result) bool { return r.CostOverQuota > 2*calm.CostOverQuota+50 }},
-		"blind attempts double effects": {PolicyBlindRetry, func(c *Config) { c.Faults = at(Fault{Kind: ZoneSlow, Magnitude: 30}) },
-			func(calm, r *Result) bool { return r.RepeatedEffects > 20 && calm.RepeatedEffects == 0 }},
-		"the module's do not": {PolicyEngine, func(c *Config) { c.Faults = at(Fault{Kind: ZoneSlow, Magnitude: 30}) },
+		}, func(healthy, r *Result) bool { return r.CostOverQuota > 2*healthy.CostOverQuota+50 }},
+		"blind retries repeat effects": {PolicyBlindRetry, func(c *Config) { c.Faults = at(Fault{Kind: ZoneSlow, Magnitude: 30}) },
+			func(healthy, r *Result) bool { return r.RepeatedEffects > 20 && healthy.RepeatedEffects == 0 }},
+		"the engine's retries repeat no effect": {PolicyEngine, func(c *Config) { c.Faults = at(Fault{Kind: ZoneSlow, Magnitude: 30}) },
 			func(_, r *Result) bool { return r.RepeatedEffects == 0 && r.Attempts > r.Tries }},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -239,29 +243,32 @@
 			c.change(&with)
 			c.change(&without)
 			without.Faults = nil
-			calm, r := play(t, without, 9), play(t, with, 9)
-			if !c.harm(&calm, &r) {
-				t.Errorf("calm   %+v p95 %d\nfaulty %+v p95 %d", calm.Counts, calm.Latency.ValueAtQuantile(95), r.Counts, r.Latency.ValueAtQuantile(95))
+			healthy, r := runRegion(t, without, 9), runRegion(t, with, 9)
+			if !c.effect(&healthy, &r) {
+				t.Errorf("without the fault: %+v p95 %d\nwith the fault:    %+v p95 %d",
+					healthy.Counts, healthy.Latency.ValueAtQuantile(95), r.Counts, r.Latency.ValueAtQuantile(95))
 			}
 		})
 	}
 }
 
-// With a trace, its arrivals are the only calls, and come at their times.
+// With a trace, the calls are exactly its arrivals, at their times. An arrival after the run's end is
+// not sent.
 func TestArrivalStream_Trace(t *testing.T) {
 	c := smallConfig()
 	c.Warmup = 0
 	c.Arrivals.Trace = []Arrival{{0, 1, "look", 1}, {time.Second, 2, "pay", 2}, {time.Second, 2, "once", 1}, {time.Hour, 3, "look", 1}}
-	r := play(t, c, 1)
+	r := runRegion(t, c, 1)
 	if r.Offered != 3 || r.Served != 3 || r.Seconds[0].Offered != 1 || r.Seconds[1].Offered != 2 {
-		t.Errorf("%+v", r.Counts)
+		t.Errorf("%+v, %d and %d calls in the first seconds, want 3 offered and served, 1 and 2 in the first seconds",
+			r.Counts, r.Seconds[0].Offered, r.Seconds[1].Offered)
 	}
 }
 
-// The account of quotas against a plain sum: tokens that are full, used, and left alone.
-func TestAccountQuota(t *testing.T) {
+// chargeQuota agrees with plain arithmetic for buckets that are full, exceeded and idle.
+func TestChargeQuota(t *testing.T) {
 	c := smallConfig()
-	c.Clients.Plans = []Share{{"flagship", 1}} // 40 a second, a burst of 60; a hard limit of 50 and 60, and an overdraft of 5
+	c.Clients.Plans = []Share{{"flagship", 1}} // rate 40, burst 60; hard limit: rate 50, burst 60, overdraft 5
 	r, err := New(c, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -270,7 +277,7 @@
 		var t shardCounts
 		r.period++
 		r.usage[7] = cost
-		r.accountQuota(&t, 7, true)
+		r.chargeQuota(&t, 7, true)
 		const price = 2
 		if math.Abs(r.meanWeight-(2*1+1*3+1*3)/4.0) > 1e-9 {
 			panic(r.meanWeight)
@@ -281,24 +288,24 @@
 		return t.CostOverQuota, t.MaxOvershoot
 	}
 	for i, step := range []struct{ cost, over float64 }{
-		{80, 0},   // 60 and 20 of the refill
+		{80, 0},   // burst of 60 and the refill of 20
 		{20, 0},   // the refill
-		{21, 1},   // one more
-		{0, 0},    // 20 are there again
-		{45, 5},   // 20 and 20, and 5 over
-		{100, 80}, // far over
+		{21, 1},   // one more than the refill
+		{0, 0},    // idle: 20 tokens are left
+		{45, 5},   // 20 left and the refill of 20, and 5 over
+		{100, 80}, // the refill of 20, and 80 over
 	} {
 		over, overshoot := use(float32(step.cost))
 		if math.Abs(over-step.over) > 1e-3 {
-			t.Errorf("step %d: %v over, want %v", i, over, step.over)
+			t.Errorf("step %d: cost over quota is %v, want %v", i, over, step.over)
 		}
 		if want := max(0, -hardLimitLeft(i)-5); math.Abs(overshoot-want) > 1e-3 {
-			t.Errorf("step %d: %v beyond the hard limit, want %v", i, overshoot, want)
+			t.Errorf("step %d: overshoot of the hard limit is %v, want %v", i, overshoot, want)
 		}
 	}
 }
 
-// hardLimitLeft is what is left of the hard limit's tokens after so many of TestAccountQuota's steps.
+// hardLimitLeft returns the tokens of the hard limit that are left after a step of TestChargeQuota.
 func hardLimitLeft(step int) float64 {
 	left := 60.0
 	for i, used := range []float64{80, 20, 21, 0, 45, 100}[:step+1] {
@@ -310,68 +317,71 @@
 	return left
 }
 
-// Each configuration that can't be emulated is an error.
+// New returns an error for each invalid configuration.
 func TestNew_InvalidConfig(t *testing.T) {
 	for name, change := range map[string]func(c *Config){
-		"no doors":            func(c *Config) { c.Gateways = 0 },
+		"no gateways":         func(c *Config) { c.Gateways = 0 },
 		"an unknown policy":   func(c *Config) { c.Policy = "luck" },
-		"a limit without one": func(c *Config) { c.Policy = PolicyRateLimit },
-		"all is warm-up":      func(c *Config) { c.Warmup = c.Duration },
-		"no network":          func(c *Config) { c.Network.MinDelay = 0 },
+		"no rate limit":       func(c *Config) { c.Policy = PolicyRateLimit },
+		"warm-up to the end":  func(c *Config) { c.Warmup = c.Duration },
+		"no network delay":    func(c *Config) { c.Network.MinDelay = 0 },
 		"no backends":         func(c *Config) { c.Backends.Count = 0 },
 		"no customers":        func(c *Config) { c.Clients.Customers = 0 },
-		"a Zipf of 1":         func(c *Config) { c.Clients.ZipfExponent = 1 },
+		"Zipf exponent 1":     func(c *Config) { c.Clients.ZipfExponent = 1 },
 		"a share above 1":     func(c *Config) { c.Clients.FollowRetryAfter = 1.1 },
 		"no rate":             func(c *Config) { c.Arrivals.Rate = 0 },
-		"a rate that is none": func(c *Config) { c.Arrivals.Rate = math.NaN() },
+		"NaN as rate":         func(c *Config) { c.Arrivals.Rate = math.NaN() },
 		"an unknown class":    func(c *Config) { c.Clients.Classes[0].Name = "x" },
-		"no share":            func(c *Config) { c.Clients.Plans = []Share{{"shop", 0}} },
-		"a heavy tail":        func(c *Config) { c.Backends.Service = Distribution{Pareto, time.Second, 1, 0} },
-		"a trace backwards":   func(c *Config) { c.Arrivals.Trace = []Arrival{{2, 1, "look", 1}, {1, 1, "look", 1}} },
-		"no such zone":        func(c *Config) { c.Faults = []Fault{{Kind: ZoneLoss, Duration: 1, Zone: 2}} },
-		"a deploy of none":    func(c *Config) { c.Faults = []Fault{{Kind: Deploy, Duration: 1}} },
-		"no settings":         func(c *Config) { c.Settings.MaxAttempts = 0 },
+		"no plan has a share": func(c *Config) { c.Clients.Plans = []Share{{"shop", 0}} },
+		"Pareto exponent 1":   func(c *Config) { c.Backends.Service = Distribution{Pareto, time.Second, 1, 0} },
+		"an unordered trace":  func(c *Config) { c.Arrivals.Trace = []Arrival{{2, 1, "look", 1}, {1, 1, "look", 1}} },
+		"an unknown zone":     func(c *Config) { c.Faults = []Fault{{Kind: ZoneLoss, Duration: 1, Zone: 2}} },
+		"a deploy of 0":       func(c *Config) { c.Faults = []Fault{{Kind: Deploy, Duration: 1}} },
+		"invalid settings":    func(c *Config) { c.Settings.MaxAttempts = 0 },
 	} {
 		c := smallConfig()
 		change(&c)
 		if _, err := New(c, 1); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 	if _, err := New(smallConfig(), 1); err != nil {
-		t.Error(err)
+		t.Errorf("valid configuration: %v", err)
 	}
 }
 
-// A request costs more than a gateway's share of a hard limit. Gateways pass shares on by the shared
-// counter, so more is served within the limit, and the limit is not exceeded: also while the counter
-// loses half of its calls, is too small for them, or gateways restart with shares that they withdrew.
-func TestSharedCounter_PassesHardLimitSharesOn(t *testing.T) {
+// A request costs more than one gateway's share of a hard limit. Gateways transfer shares through the
+// shared counter, so more requests are served within the limit. The limit is never exceeded, even if
+// the counter loses half of its calls, is overloaded, or gateways restart after withdrawing shares.
+func TestSharedCounter_TransfersHardLimitShares(t *testing.T) {
 	base := smallConfig()
-	base.Gateways, base.Clients.GatewaySpread = 30, 30 // a door's part is 2 units, and a request's 3
+	base.Gateways, base.Clients.GatewaySpread = 30, 30 // a gateway's share is 2, and a request's cost 3
 	base.Clients.Customers, base.Clients.ZipfExponent, base.Clients.UniformShare = 12, 1.2, 0
 	base.Settings.Plans = []decision.Plan{{Name: "flagship", Rate: 100, Burst: 400, Price: 1, HardLimitRate: 30, HardLimitBurst: 60, HardLimitOverdraft: 5}}
 	base.Clients.Plans, base.Clients.Cost = []Share{{"flagship", 1}}, 3
-	base.Arrivals = Arrivals{Rate: 60, BurstFactor: 2, MeanBurst: time.Second, MeanCalm: 4 * time.Second}
-	without := play(t, base, 5)
+	base.Arrivals = Arrivals{Rate: 60, BurstFactor: 2, MeanBurst: time.Second, MeanBurstGap: 4 * time.Second}
+	without := runRegion(t, base, 5)
 	for name, change := range map[string]func(*Config){
-		"sound":   func(*Config) {},
-		"losing":  func(c *Config) { c.CounterLoss = 0.5 },
-		"crowded": func(c *Config) { c.Counter.Rate = 20 },
-		"doors restart": func(c *Config) {
+		"no fault":            func(*Config) {},
+		"half the calls lost": func(c *Config) { c.CounterLoss = 0.5 },
+		"overloaded counter":  func(c *Config) { c.Counter.Rate = 20 },
+		"gateways restart": func(c *Config) {
 			c.Faults = []Fault{{Kind: GatewayRestart, At: 5 * time.Second, Duration: time.Second, Magnitude: 3}}
 		},
 	} {
 		c := base
 		c.Counter = Counter{Rate: 600, MaxWait: 30 * time.Millisecond, Timeout: 100 * time.Millisecond}
 		change(&c)
-		r := play(t, c, 5)
+		r := runRegion(t, c, 5)
 		if r.PeriodsOverHardLimit > 0 || r.CounterCalls == 0 || r.CounterCallsLost > r.CounterCalls*3/4 {
-			t.Errorf("%s: %+v", name, r.Counts)
+			t.Errorf("%s: %d periods over the hard limit, want 0; %d of %d counter calls lost, "+
+				"want some calls and at most 3/4 lost: %+v", name, r.PeriodsOverHardLimit, r.CounterCallsLost, r.CounterCalls, r.Counts)
 		}
-		if name == "sound" && r.Served < without.Served+without.Offered/4 {
-			t.Errorf("served %d of %d with the counter, %d without", r.Served, r.Offered, without.Served)
+		if name == "no fault" && r.Served < without.Served+without.Offered/4 {
+			t.Errorf("served %d of %d with the counter and %d without, want %d or more with it",
+				r.Served, r.Offered, without.Served, without.Served+without.Offered/4)
 		}
-		t.Logf("%s: served %d (%d without a counter) of %d, %d calls, %d lost", name, r.Served, without.Served, r.Offered, r.CounterCalls, r.CounterCallsLost)
+		t.Logf("%s: served %d of %d (%d without a counter); counter: %d calls, %d lost",
+			name, r.Served, r.Offered, without.Served, r.CounterCalls, r.CounterCallsLost)
 	}
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -9,8 +9,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Second is what became of the calls that began in one second. Its tags are the stored form of
-// results.
+// Second counts the calls that began in one second, by how they ended. Its tags are the stored form
+// of results.
 type Second struct {
 	Offered       int     `json:"Offered"`
 	Served        int     `json:"Served"`
@@ -20,59 +20,59 @@
 	WeightServed  float64 `json:"WorthServed"`
 }
 
-// Counts are what a run counts. All but Overloads, CounterCalls and CounterCallsLost leave out what
-// began in the warm-up. Its tags are the stored form of results.
+// Counts are the counts of a run. All except Overloads, CounterCalls and CounterCallsLost omit what
+// began during the warm-up. The tags are the stored form of results.
 type Counts struct {
-	// Calls, by their ends. InObjective are those that were served within their class's latency
-	// objective.
+	// Calls by how they ended. InObjective counts those that were served within their class's
+	// latency objective.
 	Offered     int `json:"Offered"`
 	Served      int `json:"Served"`
 	InObjective int `json:"InAim"`
 	Rejected    int `json:"Refused"`
 	Failed      int `json:"Failed"`
 
-	WeightOffered float64 `json:"WorthOffered"` // priority weight times price and cost, over calls
-	WeightServed  float64 `json:"WorthServed"`
+	WeightOffered float64 `json:"WorthOffered"` // sum over calls of priority weight times price times cost
+	WeightServed  float64 `json:"WorthServed"`  // late calls are reduced by LateWeightFactor
 
-	Tries           int `json:"Tries"`    // of clients that were sent on to a backend
-	Attempts        int `json:"Attempts"` // that gateways have sent
-	ToWarming       int `json:"Cold"`     // attempts that came to a backend during its warm-up
-	ToDraining      int `json:"Draining"` // attempts that came to one past its drain grace
-	RepeatedEffects int `json:"Doubled"`  // effects that happened again
-	Overloads       int `json:"Falls"`    // restarts of backends that were sent too much during their warm-up
+	Tries           int `json:"Tries"`    // clients' tries that were forwarded to a backend
+	Attempts        int `json:"Attempts"` // sent by gateways
+	ToWarming       int `json:"Cold"`     // attempts that reached a backend during its warm-up
+	ToDraining      int `json:"Draining"` // attempts that reached a draining backend after its drain grace
+	RepeatedEffects int `json:"Doubled"`  // repeated effects of requests that are not idempotent
+	Overloads       int `json:"Falls"`    // restarts of backends that were overloaded during their warm-up
 
 	CounterCalls     int `json:"Calls"`
-	CounterCallsLost int `json:"CallsLost"` // rejected, or without an answer in time
+	CounterCallsLost int `json:"CallsLost"` // rejected, or without a response in time
 
-	Cost          float64 `json:"Units"` // of what was sent on
-	CostOverQuota float64 `json:"UnitsOver"`
-	// WeightOverQuota is what of WeightServed was earned beyond quotas and is not weight it, by the
-	// plans.
+	Cost          float64 `json:"Units"`     // of forwarded tries
+	CostOverQuota float64 `json:"UnitsOver"` // part of Cost beyond the customers' quotas
+	// WeightOverQuota is what CostOverQuota takes off WeightServed: its weight times
+	// 1 - OverQuotaWeightFactor + OverQuotaCostFactor of the plan.
 	WeightOverQuota float64 `json:"WorthOver"`
-	// MaxOvershoot is the most cost that a customer was beyond its hard limit and the overdraft.
+	// MaxOvershoot is the highest cost of a customer beyond its hard limit and overdraft.
 	MaxOvershoot         float64 `json:"Overshoot"`
-	PeriodsOverHardLimit int     `json:"PastCeiling"` // usage periods with an overshoot, over customers
+	PeriodsOverHardLimit int     `json:"PastCeiling"` // usage periods with an overshoot, over all customers
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Counts
-	Latency    *hdrhistogram.Histogram // of served calls, from their beginning, in microseconds
+	Latency    *hdrhistogram.Histogram // of served calls over all their tries, in microseconds
 	OutOfRange int                     // served calls above the histogram's range
 	Seconds    []Second
-	JainIndex  float64 // fairness of the served share over customers with 5 calls or more; 0: there was none
-	Events     uint64  // handled
+	JainIndex  float64 // fairness of the served share over customers with 5 calls or more; 0 if none was served
+	Events     uint64  // number of messages handled
 	Shards     int
 }
 
-// shardCounts is what one shard counts.
+// shardCounts are the counts of one shard.
 type shardCounts struct {
 	Counts
 	latency    *hdrhistogram.Histogram
 	outOfRange int
 	seconds    []Second
-	callsBy    []uint16 // by customer; no more than 65,535 each
-	servedBy   []uint16 // the same of served calls
+	callsBy    []uint16 // calls by customer, at most 65,535 each
+	servedBy   []uint16 // served calls by customer, at most 65,535 each
 }
 
 const (
@@ -84,28 +84,28 @@
 	return hdrhistogram.New(1, maxLatency.Microseconds(), histogramDigits)
 }
 
-// init makes room for a run.
+// init allocates the counts of a run.
 func (c *shardCounts) init(config *Config) {
 	c.latency = newHistogram()
 	c.seconds = make([]Second, int((config.Duration+time.Second-1)/time.Second))
 	c.callsBy, c.servedBy = make([]uint16, config.Clients.Customers), make([]uint16, config.Clients.Customers)
 }
 
-// isCounted tells whether a call began after the warm-up.
+// isCounted reports whether a call began after the warm-up.
 func (r *Region) isCounted(call *call) bool { return call.startedAt >= r.config.Warmup }
 
-// weightOf is what a call earns within its latency objective.
+// weightOf returns the weight of a call that is served within its latency objective.
 func (r *Region) weightOf(call *call) float64 {
 	weight := r.config.Settings.Classes[call.class].PriorityWeight
 	return weight * r.customerPlan(call.customer).Price * float64(call.cost)
 }
 
-// secondOf gives the counts of the second in which a call began.
+// secondOf returns the counts of the second in which a call began.
 func (c *shardCounts) secondOf(call *call) *Second {
 	return &c.seconds[int(call.startedAt/time.Second)]
 }
 
-// increment counts, up to what a counter can hold.
+// increment increments a counter, unless it has its largest value.
 func increment(counters []uint16, index int32) {
 	if counters[index] < math.MaxUint16 {
 		counters[index]++
@@ -126,7 +126,7 @@
 	increment(c.callsBy, call.customer)
 }
 
-// recordServed counts a call whose client saw its response at a time.
+// recordServed counts a call whose client got the response at seenAt.
 func (c *shardCounts) recordServed(r *Region, call *call, seenAt time.Duration) {
 	if !r.isCounted(call) {
 		return
@@ -183,10 +183,10 @@
 	}
 }
 
-// jainMinCalls is from how many calls on a customer counts in Result.JainIndex.
+// jainMinCalls is the number of calls that a customer needs to count in Result.JainIndex.
 const jainMinCalls = 5
 
-// Result adds up what the shards have counted. The run must be over.
+// Result adds up the counts of all shards. The run must be over.
 func (r *Region) Result() Result {
 	result := Result{
 		Latency: newHistogram(), Shards: len(r.shards),
@@ -212,7 +212,7 @@
 	return result
 }
 
-// jainIndex is Jain's fairness index of the served share over customers.
+// jainIndex returns Jain's fairness index of the served share over customers.
 func jainIndex(calls, served []int) float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 	for i := range calls {
--- a/internal/emulator/shard.go
+++ b/internal/emulator/shard.go
@@ -8,34 +8,34 @@
 	"pumicecroft/internal/eventqueue"
 )
 
-// messageKind is what a message tells, and to whom.
+// messageKind is the kind of a message, which determines its receiver.
 type messageKind uint8
 
 const (
-	msgArrival        messageKind = iota // to the shard: a client's next call
+	msgArrival        messageKind = iota // to the shard: a call of an arrival stream begins
 	msgRequest                           // to a gateway: a client's try
-	msgAttempt                           // to a backend
-	msgCancel                            // to a backend: nobody waits for an attempt any more
+	msgAttempt                           // to a backend: an attempt
+	msgCancel                            // to a backend: an attempt is cancelled
 	msgDone                              // to a backend: an execution ends
-	msgOutcome                           // to a gateway: how an attempt ended
-	msgExecution                         // to a gateway: an attempt that is not idempotent is executed
-	msgTimer                             // to a gateway: its lifecycle machine asked for a call
+	msgOutcome                           // to a gateway: the result of an attempt
+	msgExecution                         // to a gateway: execution of a request that is not idempotent has started
+	msgTimer                             // to a gateway: the timer of its lifecycle machine expires
 	msgUpdate                            // to a gateway: changed endpoints
-	msgBackendChanged                    // to discovery
-	msgPublish                           // to discovery: it is time to tell the gateways
-	msgCounterCall                       // to the counter
-	msgCounterResult                     // to a gateway: what became of its call
+	msgBackendChanged                    // to discovery: a backend's endpoint has changed
+	msgPublish                           // to discovery: the changes are due to be sent to gateways
+	msgCounterCall                       // to the counter: a call
+	msgCounterResult                     // to a gateway: the result of a counter call
 	msgFunc                              // to any actor: run is called
 )
 
-// message is one event, or one on its way to another shard. Its kind says which fields count.
+// message is an event of an actor. The kind determines which fields are used.
 type message struct {
 	kind        messageKind
 	result      decision.Result
 	tryNumber   uint8
 	gateway     int32
 	backend     int32
-	epoch       int32 // of the process that it is for
+	epoch       int32 // of the receiving process
 	requestID   uint64
 	attempt     int32
 	at          time.Duration
@@ -46,20 +46,20 @@
 	counterCall *counterCall
 }
 
-// shard is a part of the region, with its gateways, backends and streams of arrivals.
+// shard is a part of the region, with its own gateways, backends and arrival streams.
 type shard struct {
 	region *Region
 	number int
 	now    time.Duration
 	queue  eventqueue.Queue[message]
-	seq    uint64       // counts messages of this shard
-	outbox [][]outgoing // by the shard that they are for
+	seq    uint64       // number of messages sent by this shard
+	outbox [][]outgoing // messages for other shards, by shard
 	counts shardCounts
-	events uint64 // handled
+	events uint64 // number of messages handled
 
-	// Of the current usage period.
-	usage  []float32 // cost of what was sent on, by customer
-	usedBy []int32   // customers whose usage is not 0
+	// Fields of the current usage period.
+	usage           []float32 // cost of the tries that were forwarded, by customer
+	activeCustomers []int32   // customers whose usage is not 0
 }
 
 // outgoing is a message for another shard.
@@ -78,7 +78,7 @@
 	return s
 }
 
-// nextOrder gives a number that no other message has.
+// nextOrder returns a unique number, which orders messages of the same time.
 func (s *shard) nextOrder() uint64 {
 	s.seq++
 	return uint64(s.number)<<48 | s.seq
@@ -89,17 +89,18 @@
 	s.queue.Push(max(at, s.now), s.nextOrder(), m)
 }
 
-// send sends a message to an actor of any shard. To another shard it arrives after the window's
-// end: a message takes at least Network.MinDelay.
+// send sends a message to an actor of any shard. At another shard it arrives at the window's end or
+// later, as a message takes at least Network.MinDelay.
 func (s *shard) send(to *shard, at time.Duration, m message) {
 	if to == s {
 		s.queue.Push(at, s.nextOrder(), m)
 		return
 	}
-	s.outbox[to.number] = append(s.outbox[to.number], outgoing{max(at, s.region.window), s.nextOrder(), m})
+	s.outbox[to.number] = append(s.outbox[to.number], outgoing{max(at, s.region.windowEnd), s.nextOrder(), m})
 }
 
-// Purposes of delays. The delay of a client's try has the call and the try alone.
+// Purposes of delays, used as the last key of a random draw. The delay of a client's try is keyed by
+// its call and try only.
 const (
 	_ uint64 = iota
 	delayAttempt
@@ -113,7 +114,7 @@
 	delayCounterResult
 )
 
-// delay draws how long a message takes. It depends on the purpose alone.
+// delay draws how long a message takes. The result depends only on the seed and the purpose.
 func (r *Region) delay(purpose ...uint64) time.Duration {
 	network := r.config.Network
 	if network.MeanExtraDelay == 0 {
@@ -124,7 +125,7 @@
 	return network.MinDelay + time.Duration(-math.Log1p(-draw)*float64(network.MeanExtraDelay))
 }
 
-// handle has a message's receiver handle it.
+// handle dispatches a message to its receiver.
 func (s *shard) handle(m *message) {
 	r := s.region
 	switch m.kind {
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -12,27 +12,27 @@
 // Comparison compares one figure of B with that of A, in cells that are otherwise the same.
 type Comparison struct {
 	Where    string // levels of the other factors
-	A, B     string
+	A, B     string // names of levels, or of directories of results
 	Figure   *Figure
 	Result   paired.Comparison
-	Unpaired int   // runs of one side whose pair is missing or failed
-	Err      error // why there is no result
+	Unpaired int   // number of incomplete pairs: a run is missing, failed or lacks the figure
+	Err      error // set if there is no result
 }
 
 // Errors of comparisons.
 var (
-	ErrNoLevel              = errors.New("there is no such level")
-	ErrDifferentExperiments = errors.New("experiments that are not alike")
+	ErrUnknownLevel         = errors.New("unknown factor or level")
+	ErrDifferentExperiments = errors.New("results of different experiments")
 )
 
-// CompareLevels compares levels of a factor of one experiment: each other level, or only the one named with unless that
-// is empty, with the level named baseline. An empty baseline means the factor's first level.
+// CompareLevels compares levels of a factor of one experiment with the level baseline: the level other, or all other
+// levels if other is empty. An empty baseline means the factor's first level.
 func CompareLevels(
-	r *Results, factor, baseline, with string, figures []string, options paired.Options,
+	r *Results, factor, baseline, other string, figures []string, options paired.Options,
 ) ([]Comparison, error) {
 	i := slices.IndexFunc(r.Factors, func(f Factor) bool { return f.Name == factor })
 	if i < 0 {
-		return nil, fmt.Errorf("%w: no factor %q", ErrNoLevel, factor)
+		return nil, fmt.Errorf("%w: no factor %q", ErrUnknownLevel, factor)
 	}
 	levels := r.Factors[i].Levels
 	has := func(name string) bool {
@@ -41,12 +41,12 @@
 	if baseline == "" && len(levels) > 0 {
 		baseline = levels[0].Name
 	}
-	if !has(baseline) || with != "" && !has(with) {
-		return nil, fmt.Errorf("%w: %q has no %q or no %q", ErrNoLevel, factor, baseline, with)
+	if !has(baseline) || other != "" && !has(other) {
+		return nil, fmt.Errorf("%w: factor %q has no level %q or no level %q", ErrUnknownLevel, factor, baseline, other)
 	}
 	var out []Comparison
 	for _, l := range levels {
-		if l.Name == baseline || with != "" && l.Name != with {
+		if l.Name == baseline || other != "" && l.Name != other {
 			continue
 		}
 		a := selectRows(r.Rows, func(c []string) bool { return c[i] == baseline }, i)
@@ -61,7 +61,7 @@
 	a, b *Results, nameA, nameB string, figures []string, options paired.Options,
 ) ([]Comparison, error) {
 	if a.Digest != b.Digest {
-		return nil, fmt.Errorf("%w: %q and %q; what differs between them belongs into a factor",
+		return nil, fmt.Errorf("%w: %q and %q; to compare different settings, make them levels of a factor",
 			ErrDifferentExperiments, a.Name, b.Name)
 	}
 	all := func([]string) bool { return true }
@@ -69,13 +69,13 @@
 	return compare(a.Experiment, -1, rowsA, rowsB, nameA, nameB, figures, options), nil
 }
 
-// pairKey identifies the runs of both sides that are compared with each other.
+// pairKey identifies a pair of runs that are compared with each other.
 type pairKey struct {
-	where      string
+	label      string // of the cell, see cellLabel
 	repetition int
 }
 
-// cellLabel names a cell by its levels, without that of one factor; -1 omits none.
+// cellLabel returns a cell's levels as a text, without the level of the factor with index omit; -1 omits none.
 func cellLabel(cell []string, omit int) string {
 	rest := slices.Clone(cell)
 	if omit >= 0 {
@@ -84,7 +84,7 @@
 	return strings.Join(rest, " / ")
 }
 
-// selectRows returns the rows of cells that include accepts, by the key without one factor.
+// selectRows returns the rows of the cells that include accepts. Their keys omit the factor with index omit.
 func selectRows(rows []*Row, include func(cell []string) bool, omit int) map[pairKey]*Row {
 	out := map[pairKey]*Row{}
 	for _, r := range rows {
@@ -95,23 +95,23 @@
 	return out
 }
 
-// compare compares the rows of two sides in all cells, without one factor, and for all figures.
+// compare compares the rows of two sides for all figures, in each combination of levels of the factors except omit.
 func compare(
 	e *Experiment, omit int, a, b map[pairKey]*Row, nameA, nameB string, figures []string, options paired.Options,
 ) (out []Comparison) {
-	var wheres []string
+	var labels []string
 	for _, c := range e.Cells {
-		if w := cellLabel(c.Levels, omit); !slices.Contains(wheres, w) {
-			wheres = append(wheres, w)
+		if label := cellLabel(c.Levels, omit); !slices.Contains(labels, label) {
+			labels = append(labels, label)
 		}
 	}
-	for _, w := range wheres {
+	for _, label := range labels {
 		for _, name := range figures {
 			f := FigureByName(name)
-			c := Comparison{Where: w, A: nameA, B: nameB, Figure: f}
+			c := Comparison{Where: label, A: nameA, B: nameB, Figure: f}
 			var x, y []float64
 			for repetition := range e.Repetitions {
-				rowA, rowB := a[pairKey{w, repetition}], b[pairKey{w, repetition}]
+				rowA, rowB := a[pairKey{label, repetition}], b[pairKey{label, repetition}]
 				valueA, hasA := rowA.figure(name)
 				valueB, hasB := rowB.figure(name)
 				switch {
@@ -128,7 +128,7 @@
 	return out
 }
 
-// figure returns a figure of a run. Runs that failed have none, and those of an older build may lack it.
+// figure returns a figure of a run. It is missing in failed runs, and may be missing in runs of an older build.
 func (r *Row) figure(name string) (v float64, has bool) {
 	if r == nil || r.Failed != "" {
 		return 0, false
@@ -137,7 +137,7 @@
 	return v, has
 }
 
-// Verdict returns the verdict of a comparison in words.
+// Verdict returns the verdict as text, with the number of further pairs that would be needed if it is inconclusive.
 func (c *Comparison) Verdict() string {
 	if c.Err != nil {
 		return c.Err.Error()
@@ -146,9 +146,9 @@
 	switch {
 	case c.Result.Verdict != paired.Inconclusive:
 	case c.Result.MorePairs > 0:
-		v += fmt.Sprintf("; some %d more would", c.Result.MorePairs)
+		v += fmt.Sprintf("; about %d more pairs needed", c.Result.MorePairs)
 	case c.Result.MorePairs < 0:
-		v += "; nor would 100,000 more"
+		v += "; more than 100,000 pairs needed"
 	}
 	return v
 }
--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -9,21 +9,21 @@
 	"pumicecroft/internal/emulator"
 )
 
-// Emulate runs a region to its end, or until ctx ends, on up to workers goroutines. The result doesn't depend on their
-// number. A region can be run only once.
+// Emulate runs a region to its end, or until ctx is done, on up to workers goroutines. The result doesn't depend on
+// their number. A region can be run only once.
 func Emulate(ctx context.Context, r *emulator.Region, workers int) error {
 	processors := runtime.GOMAXPROCS(0)
 	workers = max(1, min(workers, r.Shards(), processors))
-	// A window is some hundred microseconds of work, so workers that are done spin until the others are.
+	// A window takes only some hundred microseconds, so a worker that has finished spins until the others have.
 	var b barrier
 	b.parties = int32(workers)
-	if 2*workers <= processors { // other processes have processors beside the spinning workers
+	if 2*workers <= processors { // spin only if that leaves processors for other goroutines and processes
 		b.spinLimit = spinLimit
 	}
 	var running sync.WaitGroup
-	var nextRun, nextDelivery atomic.Int32 // shards; a worker that is done takes the next one, as shards differ in load
+	var nextRun, nextDelivery atomic.Int32 // next shard to take; shards are taken one by one, as their load differs
 	shards := int32(r.Shards())
-	over := false // written by the first worker between two waits, read by all after the second
+	over := false // set by worker 0 before a wait, read by all workers after it
 	work := func(w int) {
 		for n := 0; ; n++ {
 			if w == 0 {
@@ -56,10 +56,10 @@
 }
 
 // spinLimit is the number of turns that a worker spins before it yields: some tens of microseconds, as long as most
-// windows. With much fewer, the scheduler would take a large part of the processor time.
+// windows. With far fewer turns, the scheduler would use a large part of the processor time.
 const spinLimit = 20_000
 
-// barrier lets a number of parties wait for each other, repeatedly.
+// barrier is a reusable barrier, at which a fixed number of goroutines wait for each other.
 type barrier struct {
 	parties    int32
 	spinLimit  int
@@ -67,7 +67,7 @@
 	generation atomic.Uint32
 }
 
-// wait returns once all parties have called it. What a party did before is visible to all after it.
+// wait returns once all parties have called it. Writes of a party before its call are visible to all after theirs.
 func (b *barrier) wait() {
 	generation := b.generation.Load()
 	if b.arrived.Add(1) == b.parties {
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -1,9 +1,9 @@
-// Package lab measures the effect of a change: it runs the experiments of a file on an emulated region
-// (internal/emulator), many at once, stores the result of each run, compares levels of a factor in pairs
-// (internal/paired), and reports with plots.
+// Package lab measures the effect of a change. It makes the runs of an experiment on an emulated region
+// (internal/emulator), several at once, stores the result of each run, compares the levels of a factor by paired runs
+// (internal/paired), and writes reports with plots.
 //
-// It reads and writes files in the directory of results that its caller names, which one Run at a time owns. The result
-// of a run depends only on its cell and seed.
+// Results are files in a directory that the caller chooses. Only one Run at a time may write there. The result of a run
+// depends only on its cell and seed.
 package lab
 
 import (
@@ -41,7 +41,7 @@
 	Config emulator.Config
 }
 
-// Experiment is the content of an experiment's file.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Name        string
 	Seed        uint64
@@ -52,7 +52,7 @@
 	Digest      string // of everything except the repetitions; identifies the experiment
 
 	text   []byte
-	traces map[string][]byte // contents, by the path in the file
+	traces map[string][]byte // contents of trace files, by their path in the experiment file
 }
 
 // maxCells is the largest number of cells of an experiment.
@@ -63,8 +63,8 @@
 	return eventqueue.Mix(e.Seed + uint64(repetition))
 }
 
-// Parse parses an experiment's file. trace returns the content of a trace's file. All problems are returned in one
-// error, settings.Problems.
+// Parse parses an experiment file. trace returns the content of a trace file. All problems are returned in one error of
+// type settings.Problems.
 func Parse(text []byte, trace func(path string) ([]byte, error)) (*Experiment, error) {
 	d, err := settings.Parse(text)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return cells, true
 }
 
-// parseFactor reads one factor. seen are the names of the factors before it.
+// parseFactor reads one factor. seen has the names of the factors before it.
 func parseFactor(d *settings.Document, section *settings.Section, seen map[string]bool) Factor {
 	factor := Factor{Name: section.Text("name", true)}
 	if seen[factor.Name] {
@@ -173,7 +173,7 @@
 	return arrivals, nil
 }
 
-// digest identifies an experiment by everything in its file except the repetitions, and by the content of its traces.
+// digest returns a checksum of everything in an experiment file except the repetitions, and of its traces.
 func digest(d *settings.Document, traces map[string][]byte) (string, error) {
 	sums := map[string]uint64{}
 	for path, text := range traces {
@@ -184,12 +184,12 @@
 	root["traces"] = sums
 	canonical, err := json.Marshal(root) // keys are sorted
 	if err != nil {
-		return "", fmt.Errorf("lab: experiment without a digest: %w", err)
+		return "", fmt.Errorf("lab: cannot compute the digest of the experiment: %w", err)
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64(canonical)), nil
 }
 
-// addCell adds the n-th combination of levels. Problems with what a level sets are reported at the level's line.
+// addCell adds the n-th combination of levels. Problems with values that a level sets are reported at the level's line.
 func (e *Experiment) addCell(text []byte, n int, trace func(path string) ([]emulator.Arrival, error)) error {
 	d, err := settings.Parse(text)
 	if err != nil {
@@ -232,7 +232,7 @@
 	return nil
 }
 
-// setPath sets a value in nested tables, and adds those that are missing.
+// setPath sets a value in nested tables, and creates missing tables.
 func setPath(table map[string]any, path []string, value any) error {
 	for i, name := range path[:len(path)-1] {
 		next, ok := table[name]
@@ -250,12 +250,12 @@
 	return nil
 }
 
-// ReadFile reads an experiment's file. Relative paths of traces start at the file's directory.
+// ReadFile reads an experiment file. Paths of traces are relative to the file's directory.
 func ReadFile(path string) (*Experiment, error) {
 	return read(path, readTraceBeside(filepath.Dir(path)))
 }
 
-// read reads an experiment's file, with its traces from trace.
+// read reads an experiment file, and its traces by the function trace.
 func read(path string, trace func(string) ([]byte, error)) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/figures.go
+++ b/internal/lab/figures.go
@@ -4,7 +4,7 @@
 	"pumicecroft/internal/emulator"
 )
 
-// Figure is one measure of a run. Its name and description are part of reports and stored rows.
+// Figure is one measure of a run. Its name is part of reports and stored rows, its description part of reports.
 type Figure struct {
 	Name           string
 	HigherIsBetter bool
@@ -25,12 +25,12 @@
 	return func(r *emulator.Result) float64 { return float64(r.Latency.ValueAtQuantile(q)) / 1e3 }
 }
 
-// perCall returns a count divided by that of all calls.
+// perCall returns a figure that divides a count by the number of calls.
 func perCall(count func(c *emulator.Counts) int) func(r *emulator.Result) float64 {
 	return func(r *emulator.Result) float64 { return ratio(float64(count(&r.Counts)), float64(r.Offered)) }
 }
 
-// perAttempt returns a count divided by that of all attempts.
+// perAttempt returns a figure that divides a count by the number of attempts.
 func perAttempt(count func(c *emulator.Counts) int) func(r *emulator.Result) float64 {
 	return func(r *emulator.Result) float64 { return ratio(float64(count(&r.Counts)), float64(r.Attempts)) }
 }
@@ -39,123 +39,124 @@
 var Figures = []Figure{
 	{
 		Name: "worth", HigherIsBetter: true,
-		Description: "the served share of the worth that clients offered, by aims",
+		Description: "served share of the offered worth (priority times price times cost); calls served later than their " +
+			"latency objective count less",
 		value: func(r *emulator.Result) float64 {
 			return ratio(r.WeightServed, r.WeightOffered)
 		},
 	},
 	{
 		Name: "net", HigherIsBetter: true,
-		Description: "the same less what was sent on beyond customers' quotas, by the plans' word on " +
-			"what that is worth",
+		Description: "worth minus the value of what was forwarded beyond customers' quotas, as the plans " +
+			"define it",
 		value: func(r *emulator.Result) float64 {
 			return ratio(r.WeightServed-r.WeightOverQuota, r.WeightOffered)
 		},
 	},
 	{
 		Name: "served", HigherIsBetter: true,
-		Description: "calls served, of all",
+		Description: "share of calls that were served",
 		value:       perCall(func(c *emulator.Counts) int { return c.Served }),
 	},
 	{
 		Name: "in_aim", HigherIsBetter: true,
-		Description: "calls served within their aim, of all",
+		Description: "share of calls that were served within their latency objective",
 		value:       perCall(func(c *emulator.Counts) int { return c.InObjective }),
 	},
 	{
 		Name:        "refused",
-		Description: "calls given up after a refusal, of all",
+		Description: "share of calls that clients gave up after a rejection",
 		value:       perCall(func(c *emulator.Counts) int { return c.Rejected }),
 	},
 	{
 		Name:        "failed",
-		Description: "calls that ended without knowing, of all",
+		Description: "share of calls that clients gave up after a failure, without knowing whether the request was executed",
 		value:       perCall(func(c *emulator.Counts) int { return c.Failed }),
 	},
 	{
 		Name:        "p50_ms",
-		Description: "median latency of served calls, over all their tries",
+		Description: "median latency of served calls in milliseconds, over all their tries",
 		value:       quantile(50),
 	},
 	{
 		Name:        "p99_ms",
-		Description: "99th percentile of it",
+		Description: "99th percentile of the latency",
 		value:       quantile(99),
 	},
 	{
 		Name:        "p999_ms",
-		Description: "99.9th percentile of it",
+		Description: "99.9th percentile of the latency",
 		value:       quantile(99.9),
 	},
 	{
 		Name:        "attempts",
-		Description: "attempts for a try that went on",
+		Description: "attempts per forwarded try",
 		value: func(r *emulator.Result) float64 {
 			return ratio(float64(r.Attempts), float64(r.Tries))
 		},
 	},
 	{
 		Name:        "cold",
-		Description: "attempts that came to a cold backend, of all",
+		Description: "share of attempts that reached a backend during its warm-up",
 		value:       perAttempt(func(c *emulator.Counts) int { return c.ToWarming }),
 	},
 	{
 		Name:        "draining",
-		Description: "attempts that came to a backend later than the grace after it was to drain, of all",
+		Description: "share of attempts that reached a draining backend after the drain grace",
 		value:       perAttempt(func(c *emulator.Counts) int { return c.ToDraining }),
 	},
 	{
 		Name:        "doubled",
-		Description: "effects that happened again",
+		Description: "number of repeated effects of requests that are not idempotent",
 		value: func(r *emulator.Result) float64 {
 			return float64(r.RepeatedEffects)
 		},
 	},
 	{
 		Name:        "falls",
-		Description: "cold backends that were sent so much that they fell",
+		Description: "number of restarts of backends that were overloaded during their warm-up",
 		value: func(r *emulator.Result) float64 {
 			return float64(r.Overloads)
 		},
 	},
 	{
 		Name:        "over",
-		Description: "units sent on beyond their customers' quotas, of all",
+		Description: "share of the forwarded cost that was beyond customers' quotas",
 		value: func(r *emulator.Result) float64 {
 			return ratio(r.CostOverQuota, r.Cost)
 		},
 	},
 	{
 		Name:        "overshoot",
-		Description: "the most units that a customer was beyond its ceiling and the slack",
+		Description: "highest cost of a customer beyond its hard limit and overdraft",
 		value: func(r *emulator.Result) float64 {
 			return r.MaxOvershoot
 		},
 	},
 	{
 		Name:        "calls",
-		Description: "calls of the shared counter for a try that went on",
+		Description: "calls of the shared counter per forwarded try",
 		value: func(r *emulator.Result) float64 {
 			return ratio(float64(r.CounterCalls), float64(r.Tries))
 		},
 	},
 	{
 		Name:        "calls_lost",
-		Description: "calls of the counter that were turned away or had no answer in time, of all",
+		Description: "share of calls of the shared counter that were rejected or had no response in time",
 		value: func(r *emulator.Result) float64 {
 			return ratio(float64(r.CounterCallsLost), float64(r.CounterCalls))
 		},
 	},
 	{
 		Name: "jain", HigherIsBetter: true,
-		Description: "Jain's fairness of the served share, over customers with 5 calls or more",
+		Description: "Jain's fairness index of the served share, over customers with 5 calls or more",
 		value: func(r *emulator.Result) float64 {
 			return r.JainIndex
 		},
 	},
 }
 
-// defaultFigures are shown where an experiment names none.
+// defaultFigures are shown if an experiment names no figures.
 var defaultFigures = []string{"worth", "net", "served", "refused", "failed", "p50_ms", "p99_ms", "attempts"}
 
 // FigureByName returns the figure with a name, or nil.
--- a/internal/lab/fuzz_test.go
+++ b/internal/lab/fuzz_test.go
@@ -9,7 +9,7 @@
 	"pumicecroft/internal/settings"
 )
 
-// Any experiment's file is either read, so that each cell can be emulated, or rejected with settings.Problems.
+// Any experiment file is either parsed into cells that can be emulated, or rejected with settings.Problems.
 func FuzzExperiment(f *testing.F) {
 	files, _ := filepath.Glob("../../lab/*.toml")
 	for _, path := range files {
@@ -25,14 +25,14 @@
 		e, err := Parse(text, func(string) ([]byte, error) { return []byte("0,1,look,1\n"), nil })
 		var problems settings.Problems
 		if err != nil && !errors.As(err, &problems) {
-			t.Fatalf("%T %v", err, err)
+			t.Fatalf("got error %v of type %T, want settings.Problems", err, err)
 		}
 		if err != nil {
 			return
 		}
 		for _, c := range e.Cells {
 			if err := c.Config.Validate(); err != nil {
-				t.Fatal(err)
+				t.Fatalf("cell %v of a file that was accepted: %v", c.Levels, err)
 			}
 		}
 	})
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -44,9 +44,9 @@
 	return row
 }
 
-// Results outlive the program that wrote them. A row of an earlier build must be read field by field and written
-// again with the same bytes. A field that was renamed or left out shows here.
-func TestRowAsWrittenByAnEarlierBuild(t *testing.T) {
+// Results are read by later builds than the one that wrote them. The row of an earlier build must be read completely,
+// and written again with the same bytes, so that no stored field is renamed or lost.
+func TestReadRow_EarlierBuild(t *testing.T) {
 	files, err := filepath.Glob("testdata/row/runs/*" + suffix)
 	if err != nil || len(files) != 1 {
 		t.Fatal(files, err)
@@ -57,13 +57,13 @@
 	}
 	want := goldenRow(t)
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v, want\n%+v", got, want)
+		t.Errorf("got\n%+v, want\n%+v", got, want)
 	}
-	each := reflect.ValueOf(*got)
-	for _, v := range []reflect.Value{each, reflect.ValueOf(got.Counts), reflect.ValueOf(got.Seconds[0])} {
+	row := reflect.ValueOf(*got)
+	for _, v := range []reflect.Value{row, reflect.ValueOf(got.Counts), reflect.ValueOf(got.Seconds[0])} {
 		for i := range v.NumField() {
 			if v.Field(i).IsZero() {
-				t.Errorf("%v has nothing in field %s", v.Type(), v.Type().Field(i).Name)
+				t.Errorf("%v: field %s is zero, want a value", v.Type(), v.Type().Field(i).Name)
 			}
 		}
 	}
@@ -80,6 +80,6 @@
 	}
 	after, err := os.ReadFile(filepath.Join(d.path, "runs", got.name()))
 	if err != nil || !bytes.Equal(before, after) {
-		t.Errorf("%v, or it is written as\n%s, was\n%s", err, after, before)
+		t.Errorf("error %v, rewritten row is\n%s, want\n%s", err, after, before)
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -18,7 +18,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-func TestProblems(t *testing.T) {
+// Parse returns all cells of an experiment, or all problems of its file with line and key.
+func TestParse(t *testing.T) {
 	traces := func(path string) ([]byte, error) {
 		if path == "odd.csv" {
 			return []byte("at,customer,class,units\n0,1,look,1\n1,x,look,1\n"), nil
@@ -39,7 +40,8 @@
 	})
 }
 
-const experiment = `name = "small"
+// experimentText is an experiment file, as a format with the number of repetitions.
+const experimentText = `name = "small"
 repetitions = %d
 figures = ["worth", "p99_ms", "doubled"]
 [region]
@@ -65,21 +67,22 @@
 set = { "backends.mean" = "44ms" }
 `
 
-// write writes the experiment's file with a number of repetitions, followed by more.
-func write(t *testing.T, dir string, repetitions int, more string) string {
+// writeExperiment writes the experiment file with a number of repetitions, followed by the text more, and returns its
+// path.
+func writeExperiment(t *testing.T, dir string, repetitions int, more string) string {
 	t.Helper()
 	path := filepath.Join(dir, "small.toml")
-	if err := os.WriteFile(path, []byte(fmt.Sprintf(experiment, repetitions)+more), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(fmt.Sprintf(experimentText, repetitions)+more), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// An experiment is ended early and continued, with more repetitions later. Levels that are the same must be told as
-// the same, and a level that is a tenth slower as worse.
+// An experiment is interrupted, continued, and later run with more repetitions. A level without a change must be
+// reported as the same, and a level that is a tenth slower as worse.
 func TestRunAndCompare(t *testing.T) {
 	dir := t.TempDir()
-	file, out := write(t, dir, 3, ""), filepath.Join(dir, "out")
+	file, out := writeExperiment(t, dir, 3, ""), filepath.Join(dir, "out")
 	ctx, stop := context.WithCancel(t.Context())
 	ran, err := Run(ctx, file, out, RunOptions{Jobs: 2, OnRun: func(done, _ int, _ *Row) {
 		if done == 4 {
@@ -87,30 +90,30 @@
 		}
 	}})
 	if !errors.Is(err, context.Canceled) || ran.Completed < 4 || ran.Completed > 5 {
-		t.Fatalf("ended early: %+v, %v", ran, err)
+		t.Fatalf("interrupted: got %+v, error %v, want 4 or 5 completed runs and %v", ran, err, context.Canceled)
 	}
-	// What it has by then is good as it is.
+	// A report of the results so far can be written.
 	if text, err := readAndReport(out); err != nil || !strings.Contains(text, "| as it is |") {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("report after the interruption: error %v, got %s, want a row \"as it is\"", err, text)
 	}
-	was := ran.Completed
+	completed := ran.Completed
 	ran, err = Run(t.Context(), file, out, RunOptions{Jobs: 3})
-	if err != nil || ran.Existing != was || ran.Completed != 9-was {
-		t.Fatalf("gone on with: %+v, %v", ran, err)
+	if err != nil || ran.Existing != completed || ran.Completed != 9-completed {
+		t.Fatalf("continued: got %+v, error %v, want %d existing and %d completed runs", ran, err, completed, 9-completed)
 	}
-	// More repetitions are the same experiment; and one run alone on many processors comes to the same.
-	file = write(t, dir, 8, "")
+	// More repetitions are the same experiment.
+	file = writeExperiment(t, dir, 8, "")
 	ran, err = Run(t.Context(), file, out, RunOptions{Jobs: 4})
 	if err != nil || ran.Existing != 9 || ran.Completed != 15 {
-		t.Fatalf("more repetitions: %+v, %v", ran, err)
+		t.Fatalf("more repetitions: got %+v, error %v, want 9 existing and 15 completed runs", ran, err)
 	}
 	r, err := Read(out)
 	if err != nil || len(r.Rows) != 24 {
-		t.Fatalf("%d rows, %v", len(r.Rows), err)
+		t.Fatalf("got %d rows, error %v, want 24 rows", len(r.Rows), err)
 	}
 	comparisons, err := CompareLevels(r, "service", "", "", r.Figures, paired.Options{})
 	if err != nil || len(comparisons) != 6 {
-		t.Fatalf("%+v, %v", comparisons, err)
+		t.Fatalf("got comparisons %+v, error %v, want 6 comparisons", comparisons, err)
 	}
 	for _, c := range comparisons {
 		want := paired.Same
@@ -118,15 +121,16 @@
 			want = paired.Worse
 		}
 		if c.B == "the same" && c.Result.Verdict != want || want == paired.Worse && c.Result.Verdict != want {
-			t.Errorf("%s against %s in %s: %s, %+v", c.B, c.A, c.Figure.Name, c.Verdict(), c.Result)
+			t.Errorf("%s compared with %s in %s: got %q, %+v, want %q", c.B, c.A, c.Figure.Name, c.Verdict(), c.Result, want)
 		}
 	}
-	if _, err := CompareLevels(r, "service", "x", "", r.Figures, paired.Options{}); !errors.Is(err, ErrNoLevel) {
-		t.Error(err)
+	if _, err := CompareLevels(r, "service", "x", "", r.Figures, paired.Options{}); !errors.Is(err, ErrUnknownLevel) {
+		t.Errorf("unknown baseline: got error %v, want %v", err, ErrUnknownLevel)
 	}
 	comparisons, err = CompareResults(r, r, "a", "b", r.Figures, paired.Options{})
 	if err != nil || len(comparisons) != 9 || comparisons[0].Result.Verdict != paired.Same {
-		t.Errorf("%+v, %v", comparisons, err)
+		t.Errorf("results compared with themselves: got %+v, error %v, want 9 comparisons, the first with verdict %q",
+			comparisons, err, paired.Same)
 	}
 	page, err := HTML(r, "", paired.Options{})
 	if err != nil {
@@ -136,12 +140,12 @@
 		"<svg", "Latency of served calls", "a tenth slower", `class="word worse"`, "24 runs, 0 failed",
 	} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("the page lacks %s", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
-	for _, outside := range []string{"src=", "href=\"http", "url("} {
-		if strings.Contains(string(page), outside) {
-			t.Errorf("the page wants %s from elsewhere", outside)
+	for _, reference := range []string{"src=", "href=\"http", "url("} {
+		if strings.Contains(string(page), reference) {
+			t.Errorf("the page contains the external reference %q", reference)
 		}
 	}
 }
@@ -155,10 +159,10 @@
 	return string(text), err
 }
 
-// A directory with results of another experiment or build, with a second writer, or with a torn result is noticed.
-func TestDirectories(t *testing.T) {
+// Run and Read detect results of another experiment or build, a second writer, and damaged results.
+func TestResultDirectory_Errors(t *testing.T) {
 	dir := t.TempDir()
-	file, out := write(t, dir, 1, ""), filepath.Join(dir, "out")
+	file, out := writeExperiment(t, dir, 1, ""), filepath.Join(dir, "out")
 	if _, err := Run(t.Context(), file, out, RunOptions{Jobs: 4}); err != nil {
 		t.Fatal(err)
 	}
@@ -175,45 +179,45 @@
 		t.Fatal(err)
 	}
 	if _, err := Run(t.Context(), file, out, RunOptions{Jobs: 1}); !errors.Is(err, ErrBusy) {
-		t.Errorf("two writers: %v", err)
+		t.Errorf("two writers: got error %v, want %v", err, ErrBusy)
 	}
 	d.Close()
-	other := write(t, t.TempDir(), 1, "[[factor.level]]\nname = \"one more\"\n")
+	other := writeExperiment(t, t.TempDir(), 1, "[[factor.level]]\nname = \"one more\"\n")
 	if _, err := Run(t.Context(), other, out, RunOptions{Jobs: 1}); !errors.Is(err, ErrOtherExperiment) {
-		t.Errorf("another experiment: %v", err)
+		t.Errorf("another experiment: got error %v, want %v", err, ErrOtherExperiment)
 	}
 
 	files, _ := filepath.Glob(filepath.Join(out, "runs", "*.json"))
-	whole, err := os.ReadFile(files[0])
+	original, err := os.ReadFile(files[0])
 	if err != nil || len(files) != 3 {
-		t.Fatal(files, err)
+		t.Fatalf("got files %v, error %v, want 3 files", files, err)
 	}
-	for name, torn := range map[string][]byte{
-		"cut":       whole[:len(whole)/2],
-		"empty":     nil,
-		"a bit off": append([]byte{whole[0], whole[1] ^ 1}, whole[2:]...),
-		"no sum":    whole[:len(whole)-18],
+	for name, damaged := range map[string][]byte{
+		"truncated":   original[:len(original)/2],
+		"empty":       nil,
+		"bit flipped": append([]byte{original[0], original[1] ^ 1}, original[2:]...),
+		"no checksum": original[:len(original)-18],
 	} {
-		if err := os.WriteFile(files[0], torn, 0o600); err != nil {
+		if err := os.WriteFile(files[0], damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if r, err := Read(out); err != nil || len(r.Rows) != 2 || len(r.Damaged) != 1 {
-			t.Errorf("%s: %d rows, %v, %v", name, len(r.Rows), r.Damaged, err)
+			t.Errorf("%s: got %d rows, damaged %v, error %v, want 2 rows and 1 damaged", name, len(r.Rows), r.Damaged, err)
 		}
 	}
 	ran, err := Run(t.Context(), file, out, RunOptions{Jobs: 1})
 	if err != nil || ran.Completed != 1 || len(ran.Damaged) != 1 {
-		t.Errorf("made again: %+v, %v", ran, err)
+		t.Errorf("damaged result: got %+v, error %v, want 1 completed run and 1 damaged", ran, err)
 	}
-	if again, err := os.ReadFile(files[0]); err != nil || string(again) != string(whole) {
-		t.Errorf("the same run came to something else: %v", err)
+	if again, err := os.ReadFile(files[0]); err != nil || string(again) != string(original) {
+		t.Errorf("repeated run: error %v, got result %s, want %s", err, again, original)
 	}
-	// One that is renamed is of another run than it says.
+	// A file whose name is that of another run counts as damaged.
 	if err := os.Rename(files[0], strings.Replace(files[0], "-00000", "-00007", 1)); err != nil {
 		t.Fatal(err)
 	}
 	if r, err := Read(out); err != nil || len(r.Damaged) != 1 {
-		t.Errorf("renamed: %v, %v", r.Damaged, err)
+		t.Errorf("renamed result: got damaged %v, error %v, want 1 damaged", r.Damaged, err)
 	}
 	row, err := readRow(files[1])
 	if err != nil {
@@ -224,14 +228,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Run(t.Context(), file, out, RunOptions{Jobs: 1}); !errors.Is(err, ErrOtherBuild) {
-		t.Errorf("another build: %v", err)
+		t.Errorf("another build: got error %v, want %v", err, ErrOtherBuild)
 	}
 }
 
-// Reports show levels whose runs all fail, that have a single run, or whose calls are all rejected.
-func TestOddLevels(t *testing.T) {
+// Reports can show levels whose runs all failed, that have a single run, or that serve no calls.
+func TestReport_FailedAndMissingRuns(t *testing.T) {
 	dir := t.TempDir()
-	file, out := write(t, dir, 2, `[[factor.level]]
+	file, out := writeExperiment(t, dir, 2, `[[factor.level]]
 name = "nobody is served"
 set = { "backends.mean" = "1h" }
 `), filepath.Join(dir, "out")
@@ -260,9 +264,9 @@
 	for _, want := range []string{
 		"the same: 2 runs failed: it panicked", "| the same | 0 | - | - | - |", "| as it is | 1 | 1.000 |",
 		"| nobody is served | 2 | 0.000 ± 0.000 |",
-		"| the same | worth | 0.000 | 0.000 to 0.000 | there is no pair |", "can't tell; some 4 more would"} {
+		"| the same | worth | 0.000 | 0.000 to 0.000 | no pairs to compare |", "can't tell; about 4 more pairs needed"} {
 		if err != nil || !strings.Contains(text, want) {
-			t.Errorf("%v: lacks %q\n%s", err, want, text)
+			t.Errorf("error %v, or the report does not contain %q:\n%s", err, want, text)
 		}
 	}
 	if r, err = Read(out); err != nil {
@@ -270,19 +274,19 @@
 	}
 	page, err := HTML(r, "", paired.Options{})
 	if err != nil || strings.Contains(string(page), "<x>") || strings.Contains(string(page), "NaN") {
-		t.Errorf("%v, or it holds what a level said, or a NaN", err)
+		t.Errorf("error %v, or the page contains an unescaped reason of a failure, or NaN:\n%s", err, page)
 	}
-	// Latencies beyond the histogram's range are counted.
+	// Latencies above the histogram's range are counted.
 	res := emulator.Result{Latency: hdrhistogram.New(1, 1000, 3), OutOfRange: 3}
 	var row Row
-	if err := row.setResult(&res); err != nil || row.Beyond != 3 || row.Figures["worth"] != 0 {
-		t.Errorf("%+v, %v", row, err)
+	if err := row.setResult(&res); err != nil || row.OutOfRange != 3 || row.Figures["worth"] != 0 {
+		t.Errorf("got %+v, error %v, want OutOfRange 3 and worth 0", row, err)
 	}
 }
 
 // The result of a run must not depend on the number of workers.
-func TestWorkers(t *testing.T) {
-	e, err := Parse(fmt.Appendf(nil, experiment, 1), nil)
+func TestEmulate_WorkersDoNotChangeResult(t *testing.T) {
+	e, err := Parse(fmt.Appendf(nil, experimentText, 1), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -314,18 +318,18 @@
 			err = Emulate(ctx, r, workers)
 		}
 		if !errors.Is(err, context.Canceled) {
-			t.Errorf("%d workers that were told to end: %v", workers, err)
+			t.Errorf("%d workers, context cancelled: got error %v, want %v", workers, err, context.Canceled)
 		}
 	}
 }
 
-// Runs of one cell with different seeds are compared with each other, ten by ten. At least 94 of 100 comparisons must
-// find no difference.
-func TestAgainstItself(t *testing.T) {
+// Comparisons of ten runs of a cell with ten other runs of the same cell must be inconclusive in at least 94 of 100
+// cases.
+func TestCompare_FalsePositives(t *testing.T) {
 	dir := t.TempDir()
 	file, out := filepath.Join(dir, "one.toml"), filepath.Join(dir, "out")
 	replacer := strings.NewReplacer(`length = "5s"`, `length = "3s"`, "rate = 200", "rate = 150")
-	text := replacer.Replace(fmt.Sprintf(experiment, 60))
+	text := replacer.Replace(fmt.Sprintf(experimentText, 60))
 	text, _, _ = strings.Cut(text, "[[factor]]")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -335,11 +339,11 @@
 	}
 	r, err := Read(out)
 	if err != nil || len(r.Rows) != 60 {
-		t.Fatal(len(r.Rows), err)
+		t.Fatalf("got %d rows, error %v, want 60 rows", len(r.Rows), err)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, figure := range []string{"p50_ms", "p99_ms", "attempts", "in_aim"} {
-		told := 0
+		falsePositives := 0
 		for i := range 100 {
 			order := rng.Perm(60)
 			a, b := make([]float64, 10), make([]float64, 10)
@@ -348,12 +352,13 @@
 			}
 			d, err := paired.Compare(a, b, true, paired.Options{Seed: uint64(i), Resamples: 1000})
 			if err != nil || d.Verdict == paired.Better || d.Verdict == paired.Worse {
-				told++
+				falsePositives++
 			}
 		}
-		t.Logf("%s: %d of 100 told", figure, told)
-		if told > 6 {
-			t.Errorf("%s: of 100 comparisons of the same %d were told", figure, told)
+		t.Logf("%s: %d of 100 comparisons called better or worse", figure, falsePositives)
+		if falsePositives > 6 {
+			t.Errorf("%s: %d of 100 comparisons of the same cell failed or got a verdict, want at most 6",
+				figure, falsePositives)
 		}
 	}
 }
--- a/internal/lab/plots.go
+++ b/internal/lab/plots.go
@@ -19,7 +19,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// palette is Okabe and Ito's, whose colors are distinguishable also with color blindness.
+// palette is that of Okabe and Ito, whose colors are distinguishable with color blindness.
 var palette = []color.Color{
 	color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255},
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	weight, err := s.lineChart("Worth served, of offered", "s", "share", func(l *levelSummary) plotter.XYs {
+	weight, err := s.lineChart("Served share of the offered worth", "s", "share", func(l *levelSummary) plotter.XYs {
 		return l.series(func(s secondMeans) float64 { return s.weightServed })
 	}, false)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// series returns a mean over time, without the warm-up.
+// series returns one of the means over time, without the warm-up.
 func (l *levelSummary) series(value func(secondMeans) float64) (out plotter.XYs) {
 	for i, s := range l.seconds {
 		if s.offered {
@@ -73,7 +73,7 @@
 	return out
 }
 
-// styleLine gives the i-th line of a plot a style that is visible where lines overlap.
+// styleLine styles the i-th line of a plot so that it is visible where lines overlap.
 func styleLine(line *plotter.Line, i int) {
 	line.Color, line.Dashes = palette[i%len(palette)], dashes[i%len(dashes)]
 	line.Width = vg.Points(1.6 - 0.1*float64(min(i, 6)))
@@ -95,11 +95,11 @@
 	return template.HTML(text), nil // names of levels are escaped by the canvas
 }
 
-// integerTicks label an axis without needless decimals.
-type integerTicks struct{ plot.DefaultTicks }
+// compactTicks labels an axis with at most four significant digits.
+type compactTicks struct{ plot.DefaultTicks }
 
 // Ticks implements plot.Ticker.
-func (t integerTicks) Ticks(low, high float64) []plot.Tick {
+func (t compactTicks) Ticks(low, high float64) []plot.Tick {
 	ticks := t.DefaultTicks.Ticks(low, high)
 	for i := range ticks {
 		if ticks[i].Label != "" {
@@ -109,13 +109,13 @@
 	return ticks
 }
 
-// lineChart draws one line for each level.
+// lineChart draws a plot with one line for each level.
 func (s *section) lineChart(
 	title, x, y string, values func(l *levelSummary) plotter.XYs, logarithmic bool,
 ) (template.HTML, error) {
 	c := plot.New()
 	c.Title.Text, c.X.Label.Text, c.Y.Label.Text = title, x, y
-	c.X.Tick.Marker = integerTicks{}
+	c.X.Tick.Marker = compactTicks{}
 	c.Add(plotter.NewGrid())
 	minX, maxX, minY, maxY := math.Inf(1), 0.0, 1.0, 0.0
 	for i := range s.Levels {
@@ -149,13 +149,13 @@
 	return renderSVG(c, 15*vg.Centimeter, 8*vg.Centimeter)
 }
 
-// overview draws each figure over the levels, one line for each section. Levels whose names are numbers are placed at
-// these, on a logarithmic axis.
+// overview draws one plot for each figure, over the levels, with one line for each section. If all levels' names are
+// numbers, they are positions on a logarithmic axis.
 func (r *report) overview() (out []template.HTML, err error) {
-	if len(r.Parts) == 0 || len(r.Parts[0].Levels) < 2 {
+	if len(r.Sections) == 0 || len(r.Sections[0].Levels) < 2 {
 		return nil, nil
 	}
-	ticks, numbers := levelTicks(r.Parts[0].Levels)
+	ticks, numbers := levelTicks(r.Sections[0].Levels)
 	for i, figure := range r.Figures {
 		c, err := r.figureChart(i, figure, ticks)
 		if err != nil {
@@ -175,7 +175,8 @@
 	return out, nil
 }
 
-// levelTicks returns the positions and labels of levels, and whether the positions are the numbers that name them.
+// levelTicks returns the positions and labels of levels. numbers is true if the levels' names are numbers, which are
+// their positions then.
 func levelTicks(levels []levelSummary) (ticks []plot.Tick, numbers bool) {
 	var sizes []float64
 	for _, l := range levels {
@@ -198,10 +199,10 @@
 // figureChart draws the i-th figure over the levels at ticks.
 func (r *report) figureChart(i int, figure *Figure, ticks []plot.Tick) (*plot.Plot, error) {
 	c := plot.New()
-	c.Title.Text, c.X.Label.Text = figure.Name, r.By
+	c.Title.Text, c.X.Label.Text = figure.Name, r.Factor
 	c.Add(plotter.NewGrid())
 	maxY := 0.0
-	for n, s := range r.Parts {
+	for n, s := range r.Sections {
 		var points meansWithErrors
 		for j, l := range s.Levels {
 			mean, stdDev := l.Means[i], l.StdDevs[i]
@@ -229,18 +230,18 @@
 		styleLine(line, n)
 		bars.Color = line.Color
 		c.Add(line, bars)
-		if s.Where != "" {
-			c.Legend.Add(s.Where, line)
+		if s.Label != "" {
+			c.Legend.Add(s.Label, line)
 		}
 	}
-	c.Y.Min, c.Y.Max = 0, max(1e-6, (1.1+0.09*float64(len(r.Parts)))*maxY) // with space for the legend
+	c.Y.Min, c.Y.Max = 0, max(1e-6, (1.1+0.09*float64(len(r.Sections)))*maxY) // leaves space for the legend
 	c.X.Tick.Marker = plot.ConstantTicks(ticks)
 	c.Legend.Top = true
 	c.Legend.ThumbnailWidth = vg.Points(24)
 	return c, nil
 }
 
-// wrapLabel breaks a label into lines of about width letters, between words.
+// wrapLabel breaks a label between words into lines of about width characters.
 func wrapLabel(label string, width int) string {
 	var lines []string
 	for _, word := range strings.Fields(label) {
@@ -271,7 +272,7 @@
 		return nil, err
 	}
 	if len(plots) == 0 {
-		return nil, fmt.Errorf("%w: a plot wants a factor with two levels", ErrNoLevel)
+		return nil, fmt.Errorf("%w: a plot requires a factor with at least two levels", ErrUnknownLevel)
 	}
 	return []byte(plots[0]), nil
 }
--- a/internal/lab/region.go
+++ b/internal/lab/region.go
@@ -105,12 +105,12 @@
 // readArrivals reads [region.arrivals], except its trace.
 func readArrivals(s *settings.Section) emulator.Arrivals {
 	return emulator.Arrivals{
-		Rate:        s.Float("rate", 1000, 1e-6, 1e7),
-		BurstFactor: s.Float("burst", 0, 0, 1000),
-		MeanBurst:   s.Duration("burst_for", time.Second, time.Millisecond, day),
-		MeanCalm:    s.Duration("calm", 10*time.Second, time.Millisecond, day),
-		Period:      s.Duration("day", 0, 0, day),
-		Amplitude:   s.Float("depth", 0, 0, 1),
+		Rate:         s.Float("rate", 1000, 1e-6, 1e7),
+		BurstFactor:  s.Float("burst", 0, 0, 1000),
+		MeanBurst:    s.Duration("burst_for", time.Second, time.Millisecond, day),
+		MeanBurstGap: s.Duration("calm", 10*time.Second, time.Millisecond, day),
+		Period:       s.Duration("day", 0, 0, day),
+		Amplitude:    s.Float("depth", 0, 0, 1),
 	}
 }
 
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -18,30 +18,31 @@
 //go:embed report.html
 var pageTemplate string
 
-// section is the part of a report on the cells that differ in one factor alone. The template uses its exported fields.
+// section is the part of a report on cells that differ only in the report's factor. The template uses its exported
+// fields.
 type section struct {
-	Where       string
+	Label       string
 	Levels      []levelSummary
 	Comparisons []Comparison
 	Plots       []template.HTML
 }
 
-// levelSummary summarizes the runs of one of these cells.
+// levelSummary summarizes the runs of one cell of a section.
 type levelSummary struct {
 	Name         string
 	Runs, Failed int
 	FirstFailure string // reason of the first run that failed
 	Means        []float64
 	StdDevs      []float64 // standard deviations; NaN for a single run
-	Beyond       int
+	OutOfRange   int
 	latency      *hdrhistogram.Histogram
 	seconds      []secondMeans
 }
 
-// secondMeans are means over the runs of one emulated second.
+// secondMeans are means over the runs for one emulated second.
 type secondMeans struct {
-	offered                 bool
-	weightServed, notServed float64
+	offered                 bool    // whether calls were offered in any run
+	weightServed, notServed float64 // shares of what was offered
 }
 
 // report is the content of a report. The template uses its exported fields.
@@ -50,14 +51,14 @@
 	Rows, Failed int
 	Builds       []string
 	Damaged      []error
-	By           string
-	Parts        []section
+	Factor       string
+	Sections     []section
 	Figures      []*Figure
 	Overview     []template.HTML
 }
 
-// buildReport collects the content of a report. by names the factor whose levels are shown side by side; empty means
-// the first one.
+// buildReport collects the content of a report. by is the name of the factor whose levels are compared; empty means the
+// first one.
 func buildReport(r *Results, by string, options paired.Options) (*report, error) {
 	out := &report{Experiment: r.Experiment, Rows: len(r.Rows), Damaged: r.Damaged}
 	for _, name := range r.Figures {
@@ -69,10 +70,10 @@
 			by = r.Factors[0].Name
 		}
 		if factor = slices.IndexFunc(r.Factors, func(f Factor) bool { return f.Name == by }); factor < 0 {
-			return nil, fmt.Errorf("%w: no factor %q", ErrNoLevel, by)
+			return nil, fmt.Errorf("%w: no factor %q", ErrUnknownLevel, by)
 		}
 	}
-	out.By = by
+	out.Factor = by
 	levels := levelNames(r.Experiment, factor)
 	var comparisons []Comparison
 	if len(levels) > 1 {
@@ -92,7 +93,7 @@
 	return out, out.addSections(r, factor, levels, comparisons)
 }
 
-// levelNames returns the names of a factor's levels; without a factor, the one name "all".
+// levelNames returns the names of a factor's levels, or only "all" if the experiment has no factor.
 func levelNames(e *Experiment, factor int) (names []string) {
 	if factor < 0 {
 		return []string{"all"}
@@ -107,10 +108,10 @@
 func (r *report) addSections(results *Results, factor int, levels []string, comparisons []Comparison) error {
 	for _, c := range results.Cells {
 		label := cellLabel(c.Levels, factor)
-		if slices.ContainsFunc(r.Parts, func(s section) bool { return s.Where == label }) {
+		if slices.ContainsFunc(r.Sections, func(s section) bool { return s.Label == label }) {
 			continue
 		}
-		s := section{Where: label}
+		s := section{Label: label}
 		for _, name := range levels {
 			summary, err := summarizeLevel(results, r.Figures, name, func(cell []string) bool {
 				return cellLabel(cell, factor) == label && (factor < 0 || cell[factor] == name)
@@ -125,7 +126,7 @@
 				s.Comparisons = append(s.Comparisons, comparison)
 			}
 		}
-		r.Parts = append(r.Parts, s)
+		r.Sections = append(r.Sections, s)
 	}
 	return nil
 }
@@ -176,7 +177,7 @@
 // add adds the latencies and seconds of a run.
 func (l *levelSummary) add(row *Row) error {
 	l.Runs++
-	l.Beyond += row.Beyond
+	l.OutOfRange += row.OutOfRange
 	histogram, err := row.Histogram()
 	if err != nil {
 		return fmt.Errorf("%s: %w", row.name(), err)
@@ -217,14 +218,14 @@
 	return fmt.Sprintf("%.2g", v)
 }
 
-// HTML returns a report with plots, as one file without references to others.
+// HTML returns a report with plots, as a page without references to other files.
 func HTML(r *Results, by string, options paired.Options) ([]byte, error) {
 	report, err := buildReport(r, by, options)
 	if err != nil {
 		return nil, err
 	}
-	for i := range report.Parts {
-		if err := report.Parts[i].plot(); err != nil {
+	for i := range report.Sections {
+		if err := report.Sections[i].plot(); err != nil {
 			return nil, err
 		}
 	}
@@ -241,7 +242,7 @@
 	return b.Bytes(), err
 }
 
-// formatSigned formats a difference, with its sign.
+// formatSigned formats a difference with its sign.
 func formatSigned(v float64) string {
 	if v > 0 {
 		return "+" + formatNumber(v)
@@ -259,22 +260,22 @@
 	fmt.Fprintf(&b, "# %s\n\n%d runs, %d failed, seed %d, %d repetitions, experiment %s, build %s.\n", report.Name,
 		report.Rows, report.Failed, report.Seed, report.Repetitions, report.Digest, strings.Join(report.Builds, ", "))
 	for _, err := range report.Damaged {
-		fmt.Fprintf(&b, "\nLeft out: %v.\n", err)
+		fmt.Fprintf(&b, "\nNot included: %v.\n", err)
 	}
-	for _, s := range report.Parts {
-		if s.Where != "" {
-			fmt.Fprintf(&b, "\n## %s\n", s.Where)
+	for _, s := range report.Sections {
+		if s.Label != "" {
+			fmt.Fprintf(&b, "\n## %s\n", s.Label)
 		}
-		s.writeLevels(&b, report.By, report.Figures)
+		s.writeLevels(&b, report.Factor, report.Figures)
 		s.writeComparisons(&b)
 	}
 	return b.Bytes(), nil
 }
 
-// markdownCell escapes the text of a table's cell.
+// markdownCell escapes a text for a cell of a Markdown table.
 func markdownCell(text string) string { return strings.ReplaceAll(text, "|", "\\|") }
 
-// writeLevels writes the table of the levels' figures, and notes on runs that aren't in it.
+// writeLevels writes the table of the levels' figures, and notes on failed runs and latencies that aren't in it.
 func (s *section) writeLevels(b *bytes.Buffer, by string, figures []*Figure) {
 	fmt.Fprintf(b, "\n| %s | runs |", markdownCell(by))
 	for _, f := range figures {
@@ -296,8 +297,9 @@
 		if l.Failed > 0 {
 			fmt.Fprintf(b, "\n%s: %d runs failed: %s\n", l.Name, l.Failed, l.FirstFailure)
 		}
-		if l.Beyond > 0 {
-			fmt.Fprintf(b, "\n%s: %d latencies are beyond the histogram's range, and in no quantile.\n", l.Name, l.Beyond)
+		if l.OutOfRange > 0 {
+			fmt.Fprintf(b, "\n%s: %d latencies exceed the histogram's range and are not in the quantiles.\n",
+				l.Name, l.OutOfRange)
 		}
 	}
 }
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -18,25 +18,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Row is the result of one run. Its tags are the form of the stored file.
+// Row is the result of one run. Its tags define the stored file.
 type Row struct {
 	Experiment string             `json:"experiment"` // digest of the experiment
-	Build      string             `json:"build"`      // checksum of the program that made the run
+	Build      string             `json:"build"`      // checksum of the executable that made the run
 	Cell       []string           `json:"cell"`       // name of each factor's level
 	Repetition int                `json:"repetition"`
 	Seed       uint64             `json:"seed"`
-	Failed     string             `json:"failed,omitempty"` // reason; the fields below are empty then
+	Failed     string             `json:"failed,omitempty"` // reason if the run failed; then the fields below are empty
 	Figures    map[string]float64 `json:"figures,omitempty"`
 	Counts     emulator.Counts    `json:"counts"`
 	Latency    []byte             `json:"latency,omitempty"` // compressed HDR histogram, in microseconds
-	Beyond     int                `json:"beyond"`            // latencies above the histogram's range
+	OutOfRange int                `json:"beyond"`            // latencies above the histogram's range
 	Seconds    []emulator.Second  `json:"seconds,omitempty"`
 	Events     uint64             `json:"events"`
 }
 
 // setResult sets the fields that come from the run's result.
 func (r *Row) setResult(result *emulator.Result) (err error) {
-	r.Figures, r.Counts, r.Beyond = map[string]float64{}, result.Counts, result.OutOfRange
+	r.Figures, r.Counts, r.OutOfRange = map[string]float64{}, result.Counts, result.OutOfRange
 	r.Seconds, r.Events = result.Seconds, result.Events
 	for _, f := range Figures {
 		r.Figures[f.Name] = f.value(result)
@@ -50,15 +50,15 @@
 
 // Errors of a directory of results.
 var (
-	ErrBusy            = errors.New("another run writes there")
+	ErrBusy            = errors.New("another process is writing results to this directory")
 	ErrOtherExperiment = errors.New("results of another experiment")
 	ErrOtherBuild      = errors.New("results of another build")
-	ErrDamaged         = errors.New("a result is damaged")
+	ErrDamaged         = errors.New("damaged result")
 )
 
-// Dir is a directory of results of one experiment by one build. One process at a time writes it. Each result is a file
-// of its own with its checksum, and gets its name only when it is complete and on disk: a torn file is never read as a
-// result.
+// Dir is a directory of results of one experiment by one build. Only one process at a time may write it. Each result is
+// a separate file with a checksum, which gets its name only after it is completely on disk, so that a partial file is
+// never read as a result.
 type Dir struct {
 	path string
 	lock *atomicfile.Lock
@@ -71,8 +71,8 @@
 )
 
 // Open opens the directory of an experiment's results for writing, and creates it if it is missing. It returns ErrBusy
-// if another process writes there, and ErrOtherExperiment if results of another experiment are there. The number of
-// repetitions may differ.
+// if another process is writing to it, and ErrOtherExperiment if it has results of another experiment. Experiments that
+// differ only in the number of repetitions count as the same.
 func Open(path string, e *Experiment) (*Dir, error) {
 	if err := os.MkdirAll(filepath.Join(path, "runs"), 0o755); err != nil {
 		return nil, err
@@ -92,7 +92,8 @@
 	return d, nil
 }
 
-// bindExperiment stores the experiment and its traces with the results, unless those are of another experiment.
+// bindExperiment stores the experiment and its traces in the directory. It returns ErrOtherExperiment if the directory
+// has another one.
 func (d *Dir) bindExperiment(e *Experiment) error {
 	stored, err := readExperiment(d.path)
 	switch {
@@ -115,7 +116,7 @@
 	return read(filepath.Join(dir, experimentFile), readTraceFrom(dir))
 }
 
-// readTraceBeside returns a function that reads traces, whose relative paths start at dir.
+// readTraceBeside returns a function that reads traces whose paths are relative to dir.
 func readTraceBeside(dir string) func(string) ([]byte, error) {
 	return func(path string) ([]byte, error) {
 		if !filepath.IsAbs(path) {
@@ -125,12 +126,12 @@
 	}
 }
 
-// tracePath returns the file of a directory of results that holds a trace of its experiment.
+// tracePath returns the path of a trace's copy in a directory of results.
 func tracePath(dir, name string) string {
 	return filepath.Join(dir, fmt.Sprintf("trace-%016x.csv", xxhash.Sum64String(name)))
 }
 
-// readTraceFrom returns a function that reads the traces that are stored in a directory of results.
+// readTraceFrom returns a function that reads the copies of traces in a directory of results.
 func readTraceFrom(dir string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) { return os.ReadFile(tracePath(dir, name)) }
 }
@@ -138,7 +139,7 @@
 // Close allows other processes to write the directory.
 func (d *Dir) Close() { _ = d.lock.Close() }
 
-// writeAtomic writes a file so that it is there completely or not at all, also after a crash.
+// writeAtomic writes a file so that it exists completely or not at all, even after a crash.
 func writeAtomic(path string, text []byte) error {
 	return atomicfile.Replace(path, text, atomicfile.Options{TempPattern: ".new-*", Perm: 0o644, Sync: true})
 }
@@ -167,26 +168,26 @@
 	body, sum, _ := bytes.Cut(text, []byte("\n"))
 	var row Row
 	if want := fmt.Appendf(nil, "%016x\n", xxhash.Sum64(body)); !bytes.Equal(sum, want) {
-		return nil, fmt.Errorf("%s: %w: its checksum is another", path, ErrDamaged)
+		return nil, fmt.Errorf("%s: %w: checksum mismatch", path, ErrDamaged)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if err := decoder.Decode(&row); err != nil {
 		return nil, fmt.Errorf("%s: %w: %w", path, ErrDamaged, err)
 	}
 	if row.name() != filepath.Base(path) {
-		return nil, fmt.Errorf("%s: %w: it is of another run", path, ErrDamaged)
+		return nil, fmt.Errorf("%s: %w: its name does not match its content", path, ErrDamaged)
 	}
 	return &row, nil
 }
 
-// Results are an experiment and its rows.
+// Results is an experiment with the results of its runs.
 type Results struct {
 	*Experiment
-	Rows    []*Row // sorted by cell, then repetition
-	Damaged []error
+	Rows    []*Row  // sorted by cell, then repetition
+	Damaged []error // one for each damaged result, which is not in Rows
 }
 
-// Read reads a directory of results. Damaged results are reported in Damaged and aren't among the rows.
+// Read reads a directory of results.
 func Read(path string) (*Results, error) {
 	e, err := readExperiment(path)
 	if err != nil {
@@ -223,10 +224,10 @@
 	return out, nil
 }
 
-// cellKey returns a key of the cell with these levels.
+// cellKey returns a string that identifies the cell with these levels.
 func cellKey(levels []string) string { return strings.Join(levels, "\x00") }
 
-// executableDigest returns the checksum of the running program, which identifies the build.
+// executableDigest returns the checksum of the running executable, which identifies the build.
 func executableDigest() (string, error) {
 	path, err := os.Executable()
 	if err != nil {
@@ -236,7 +237,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = f.Close() }() // it was opened for reading only
+	defer func() { _ = f.Close() }() // safe to ignore, as the file is only read
 	hash := xxhash.New()
 	if _, err := io.Copy(hash, f); err != nil {
 		return "", err
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -12,27 +12,28 @@
 
 // RunOptions configure Run.
 type RunOptions struct {
-	Jobs  int                         // processors to use; values below 1 mean 1
-	OnRun func(done, all int, r *Row) // called after each run, one at a time; nil means no call
+	Jobs  int                         // number of processors to use; values below 1 mean 1
+	OnRun func(done, all int, r *Row) // called after each run, never concurrently; may be nil
 }
 
 // RunSummary counts what Run did.
 type RunSummary struct {
 	Total     int // runs of the experiment
-	Existing  int // runs whose results were there before
-	Completed int // runs that were made
-	Failed    int // of those that were made
+	Existing  int // runs whose results were stored before
+	Completed int // runs that were made now, including failed ones
+	Failed    int // runs that were made now and failed
 	Damaged   []error
 }
 
-// ErrAllFailed is returned if every run that was made failed.
+// ErrAllFailed is returned if all runs failed and there are no results of earlier ones.
 var ErrAllFailed = errors.New("all runs failed")
 
-// gcPercent is the garbage collector's target while runs are made: a run drops almost all that it allocates.
+// gcPercent is the garbage collector's target during runs. It is higher than the default, as almost everything that a
+// run allocates is garbage soon.
 const gcPercent = 400
 
-// Run makes all runs of the experiment in a file whose results dir lacks. When ctx ends, the results so far are kept,
-// and a later Run continues from there. A run that fails is stored with its reason, and made again by the next Run.
+// Run makes those runs of an experiment file whose results are missing in dir. When ctx is done, the results so far are
+// kept, and a later Run continues from there. A failed run is stored with its reason, and repeated by the next Run.
 func Run(ctx context.Context, file, dir string, o RunOptions) (RunSummary, error) {
 	e, err := ReadFile(file)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return r.summary, err
 }
 
-// existingRuns returns the names of the successful runs in dir. They must be of this build.
+// existingRuns returns the file names of the successful runs in dir, which must be of this build.
 func existingRuns(results *Results, dir, build string) (map[string]bool, error) {
 	existing := map[string]bool{}
 	for _, r := range results.Rows {
@@ -71,7 +72,7 @@
 			continue
 		}
 		if r.Build != build {
-			return nil, fmt.Errorf("%s: %w (%s, this is %s): runs by both could not be compared",
+			return nil, fmt.Errorf("%s: %w (%s, not %s): runs of different builds cannot be compared",
 				dir, ErrOtherBuild, r.Build, build)
 		}
 		existing[r.name()] = true
@@ -97,7 +98,8 @@
 	summary RunSummary
 }
 
-// schedule collects the runs that are missing, by repetition: if they are ended early, the cells can be compared.
+// schedule collects the runs that are missing, one repetition of all cells after the other, so that cells can be
+// compared even if Run ends early.
 func (r *runner) schedule(e *Experiment, build string, existing map[string]bool) {
 	for repetition := range e.Repetitions {
 		for _, c := range e.Cells {
@@ -113,7 +115,7 @@
 	}
 }
 
-// run makes all scheduled runs. Each of them gets several workers if there are more processors than runs.
+// run makes all scheduled runs. Each run gets several workers if there are more processors than runs.
 func (r *runner) run(ctx context.Context) error {
 	concurrency := max(1, min(r.options.Jobs, len(r.jobs)))
 	workers := max(1, r.options.Jobs/concurrency)
@@ -134,7 +136,7 @@
 	return r.err
 }
 
-// runNext makes the next run and stores its result. It returns false if there is none, or no more is to be made.
+// runNext makes the next run and stores its result. It returns false if there is none, or if Run is to end.
 func (r *runner) runNext(ctx context.Context, workers int) bool {
 	r.mu.Lock()
 	if r.next >= len(r.jobs) || r.err != nil || ctx.Err() != nil {
@@ -167,7 +169,7 @@
 	return true
 }
 
-// runOne makes one run. With one worker, a panic is the failure of that run alone.
+// runOne makes one run and sets the row's result. With one worker, a panic fails only this run.
 func runOne(ctx context.Context, c emulator.Config, row *Row, workers int) (err error) {
 	if workers == 1 {
 		defer func() {
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -15,8 +15,8 @@
 // maxTraceArrivals is the largest number of arrivals of a trace.
 const maxTraceArrivals = 50_000_000
 
-// ReadTrace reads arrivals from CSV with one arrival a line: seconds from the start, customer (a number from 0), class,
-// cost. A first line of column names is skipped. Errors name the line.
+// ReadTrace parses arrivals in CSV. Each line has the time in seconds from the start, the customer's number (from 0),
+// the class and the cost. A header line is skipped. Errors include the line number.
 func ReadTrace(text []byte) ([]emulator.Arrival, error) {
 	r := csv.NewReader(bytes.NewReader(text))
 	r.FieldsPerRecord = 4
@@ -40,18 +40,18 @@
 			return nil, fmt.Errorf("line %d: %w", line, err)
 		}
 		if !(at >= 0 && at < 1e6) {
-			return nil, fmt.Errorf("line %d: %v seconds", line, at)
+			return nil, fmt.Errorf("line %d: invalid time of %v seconds", line, at)
 		}
 		if len(out) == maxTraceArrivals {
 			return nil, fmt.Errorf("line %d: more than %d arrivals", line, maxTraceArrivals)
 		}
 		out = append(out, emulator.Arrival{
 			At: time.Duration(at * float64(time.Second)), Customer: customer,
-			Class: string([]byte(fields[2])), Cost: cost, // a copy: the record is reused
+			Class: string([]byte(fields[2])), Cost: cost, // copied, as the record is reused
 		})
 	}
 	if len(out) == 0 {
-		return nil, errors.New("it holds no arrival")
+		return nil, errors.New("the trace has no arrivals")
 	}
 	return out, nil
 }
--- a/internal/paired/paired.go
+++ b/internal/paired/paired.go
@@ -1,11 +1,13 @@
-// Package paired compares two ways by runs of both under the same randomness: the mean of the
-// pairs' differences, its confidence interval by the studentized bootstrap, a verdict, and how many
-// more pairs would give one. It is pure and keeps no state; randomness is by seed.
+// Package paired compares two variants by pairs of runs, each pair with the same randomness. It
+// computes the mean of the differences, its confidence interval by the studentized bootstrap, a
+// verdict, and how many more pairs a verdict would need. The package is pure and keeps no state. Its
+// randomness is determined by a seed.
 //
 // The studentized bootstrap (Efron and Tibshirani, An Introduction to the Bootstrap, 1993, 12.5) is
-// used because pairs are few, 5 to 30: there the percentile bootstrap's intervals are too narrow by
-// some 5 in 100, so that of two equal ways one is called better twice as often as was asked for.
-// Resampled t statistics keep the confidence that was asked for, also for skewed differences.
+// used because there are only 5 to 30 pairs. With so few, the intervals of the percentile bootstrap
+// are too narrow: they miss the true mean in about 5 more of 100 cases, so that one of two equal
+// variants is called better twice as often as the confidence allows. Resampled t statistics keep the
+// confidence, also for skewed differences.
 package paired
 
 import (
@@ -20,38 +22,38 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Verdict is what the pairs say of way b against way a.
+// Verdict is the result of comparing variant b with variant a.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Inconclusive Verdict = iota // the interval includes no difference, or there are too few pairs
+	Inconclusive Verdict = iota // the interval includes insignificant differences, or there are too few pairs
 	Better
 	Worse
-	Same // all pairs are equal
+	Same // the two values of each pair are equal
 )
 
-// String is the verdict as reports have it.
+// String returns the verdict as it is shown in reports.
 func (v Verdict) String() string {
 	return [...]string{"can't tell", "better", "worse", "the same"}[min(v, Same)]
 }
 
-// Samples that can't be compared. Reports print these texts.
+// Errors of samples that can't be compared. Reports show these texts.
 var (
-	ErrEmpty    = errors.New("there is no pair")
-	ErrNaN      = errors.New("a sample is no number")
-	ErrUnpaired = errors.New("samples that are not paired")
+	ErrEmpty     = errors.New("no pairs to compare")
+	ErrNotFinite = errors.New("a value or difference is not a finite number")
+	ErrUnpaired  = errors.New("samples differ in length")
 )
 
-// Options say how sure a verdict must be. A field that is 0 has its default.
+// Options configure a comparison. Fields that are 0 have their defaults.
 type Options struct {
 	Confidence float64 // of the interval, above 0 and below 1; default 0.95
-	MinPairs   int     // that a verdict needs, 2 or more; default 5
+	MinPairs   int     // required for a verdict, 2 or more; default 5
 	Resamples  int     // of the bootstrap; default 4,000
-	Power      float64 // probability of a verdict after MorePairs, if the difference is as it looks; default 0.8
+	Power      float64 // probability of a verdict after MorePairs, for a difference as observed; default 0.8
 	Seed       uint64
-	// MinDifference is a difference that does not matter, in the samples' unit: a verdict needs an
-	// interval that lies beyond it.
+	// MinDifference is the largest difference that is insignificant, in the samples' unit. A verdict
+	// requires that the whole interval lies beyond it.
 	MinDifference float64
 }
 
@@ -62,19 +64,20 @@
 	defaultPower      = 0.8
 )
 
-// Comparison is what the pairs say.
+// Comparison is the result of Compare.
 type Comparison struct {
 	Pairs        int
 	MeanA, MeanB float64
 	Mean         float64 // of b - a
-	Low, High    float64 // the mean's confidence interval; infinite with fewer than 2 pairs
+	Low, High    float64 // confidence interval of Mean; infinite with fewer than 2 pairs
 	Verdict      Verdict
-	// MorePairs is how many further pairs would give a verdict; 0: there is one; -1: more than
-	// 100,000.
+	// MorePairs is how many further pairs a verdict would need, 0 if there is a verdict, and -1 if
+	// more than 100,000 pairs would be needed.
 	MorePairs int
 }
 
-// Compare compares way b with way a, pair by pair. Its errors are ErrEmpty, ErrNaN and ErrUnpaired.
+// Compare compares variant b with variant a, pair by pair. Its errors are ErrEmpty, ErrNotFinite and
+// ErrUnpaired.
 func Compare(a, b []float64, higherIsBetter bool, options Options) (Comparison, error) {
 	if len(a) != len(b) {
 		return Comparison{}, fmt.Errorf("%w: %d and %d", ErrUnpaired, len(a), len(b))
@@ -85,7 +88,7 @@
 	diffs := make([]float64, len(a))
 	for i := range a {
 		if diffs[i] = b[i] - a[i]; math.IsNaN(diffs[i]) || math.IsInf(diffs[i], 0) {
-			return Comparison{}, fmt.Errorf("%w: pair %d is %v and %v", ErrNaN, i, a[i], b[i])
+			return Comparison{}, fmt.Errorf("%w: pair %d is %v and %v", ErrNotFinite, i, a[i], b[i])
 		}
 	}
 	options = options.withDefaults()
@@ -116,7 +119,7 @@
 	return c, nil
 }
 
-// verdictOf is the verdict on a difference that is told.
+// verdictOf returns the verdict on a significant difference.
 func verdictOf(better bool) Verdict {
 	if better {
 		return Better
@@ -124,7 +127,7 @@
 	return Worse
 }
 
-// withDefaults puts the defaults in place of what is unset or out of range.
+// withDefaults replaces options that are unset or out of range by their defaults.
 func (o Options) withDefaults() Options {
 	if o.Confidence <= 0 || o.Confidence >= 1 {
 		o.Confidence = defaultConfidence
@@ -141,12 +144,14 @@
 	return o
 }
 
-// noDeviation is the share of the samples' deviation below which a resample has none.
-const noDeviation = 1e-9
+// minRelativeDeviation is the deviation of a resample, relative to that of the samples, up to which it
+// counts as 0.
+const minRelativeDeviation = 1e-9
 
-// confidenceInterval is the mean's, by resampled t statistics. A resample without deviation has no
-// such statistic, and counts as one far out, on both sides in turn: few pairs have many such
-// resamples, and leaving them out would make the interval too narrow.
+// confidenceInterval returns the confidence interval of the mean, by resampled t statistics. The
+// statistic of a resample without deviation is undefined. It counts as infinite, alternately positive
+// and negative: with few pairs such resamples are frequent, and omitting them would make the interval
+// too narrow.
 func confidenceInterval(diffs []float64, mean, deviation float64, options Options) (low, high float64) {
 	pairs := len(diffs)
 	rng := eventqueue.NewRand(options.Seed, uint64(pairs))
@@ -158,7 +163,7 @@
 			resample[j] = diffs[rng.IntN(pairs)]
 		}
 		m, s := stat.MeanStdDev(resample, nil)
-		if s > noDeviation*deviation {
+		if s > minRelativeDeviation*deviation {
 			statistics[i] = (m - mean) * root / s
 		} else {
 			statistics[i] = math.Inf(1 - 2*(i%2))
@@ -176,11 +181,12 @@
 	return low, high
 }
 
-// maxPairs bounds the search of morePairs.
+// maxPairs is the largest number of pairs that morePairs considers.
 const maxPairs = 100_000
 
-// morePairs is how many further pairs would give a verdict on a difference of this size, by the t
-// distribution, within some 5 in 100; -1: more than maxPairs in all.
+// morePairs returns how many further pairs a verdict on a difference of this size would need, by the t
+// distribution and with an error of about 5%. It returns -1 if more than maxPairs would be needed in
+// all.
 func morePairs(pairs int, size, deviation float64, options Options) int {
 	if !(size > 0) {
 		return -1
--- a/internal/paired/paired_test.go
+++ b/internal/paired/paired_test.go
@@ -10,31 +10,32 @@
 	"pgregory.net/rapid"
 )
 
-// Of two ways that are the same, 94 in 100 comparisons or more must say that they can't tell,
-// whatever the chance looks like. A true difference of one standard deviation is told by 20 pairs
-// nearly always, the right way round.
+// Of comparisons of two equal variants, at least 94 in 100 must be inconclusive, for any distribution.
+// A variant that is worse by two standard deviations of the difference must almost always be called
+// worse with 10 or more pairs, and almost never better.
 func TestCompare_Verdicts(t *testing.T) {
 	shapes := map[string]func(r *rand.Rand) float64{
 		"normal":      (*rand.Rand).NormFloat64,
 		"uniform":     func(r *rand.Rand) float64 { return r.Float64() },
-		"leaning":     func(r *rand.Rand) float64 { return math.Exp(r.NormFloat64() / 2) },
+		"skewed":      func(r *rand.Rand) float64 { return math.Exp(r.NormFloat64() / 2) },
 		"many ties":   func(r *rand.Rand) float64 { return float64(r.IntN(4)) },
-		"seldom much": func(r *rand.Rand) float64 { return r.NormFloat64() * math.Exp(r.NormFloat64()) },
+		"heavy tails": func(r *rand.Rand) float64 { return r.NormFloat64() * math.Exp(r.NormFloat64()) },
 	}
 	for name, draw := range shapes {
 		for _, n := range []int{5, 10, 30} {
 			t.Run(fmt.Sprintf("%s/%d", name, n), func(t *testing.T) {
 				t.Parallel()
-				verdicts(t, n, draw)
+				checkVerdicts(t, n, draw)
 			})
 		}
 	}
 }
 
-func verdicts(t *testing.T, n int, draw func(r *rand.Rand) float64) {
+// checkVerdicts compares samples of n pairs, of equal variants and of variants with a difference.
+func checkVerdicts(t *testing.T, n int, draw func(r *rand.Rand) float64) {
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	const tries = 400
-	told, wrong := 0, 0
+	falsePositives, wrong := 0, 0
 	for i := range tries {
 		a, b, c := make([]float64, n), make([]float64, n), make([]float64, n)
 		for j := range a {
@@ -42,21 +43,23 @@
 			c[j] = a[j] + 1.5*(1+0.5*rng.NormFloat64())
 		}
 		if d, err := Compare(a, b, true, Options{Seed: uint64(i), Resamples: 400}); err != nil || d.Verdict == Better || d.Verdict == Worse {
-			told++
+			falsePositives++
 		}
 		if d, err := Compare(a, c, false, Options{Seed: uint64(i), Resamples: 400}); err != nil || n > 5 && d.Verdict != Worse || d.Verdict == Better {
 			wrong++
 		}
 	}
-	if told > tries*6/100 {
-		t.Errorf("of %d comparisons of the same %d were told", tries, told)
+	if falsePositives > tries*6/100 {
+		t.Errorf("%d of %d comparisons of equal variants failed or got a verdict, want at most %d",
+			falsePositives, tries, tries*6/100)
 	}
 	if wrong > tries*2/100 {
-		t.Errorf("of %d comparisons of what is worse %d said otherwise", tries, wrong)
+		t.Errorf("%d of %d comparisons with a worse variant failed or got a wrong verdict, want at most %d",
+			wrong, tries, tries*2/100)
 	}
 }
 
-func TestCompare_Edges(t *testing.T) {
+func TestCompare_EdgeCases(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	for _, c := range []struct {
 		name string
@@ -65,28 +68,33 @@
 		want Verdict
 		more func(int) bool
 	}{
-		{"none", nil, nil, ErrEmpty, 0, nil},
-		{"not paired", []float64{1}, []float64{1, 2}, ErrUnpaired, 0, nil},
-		{"no number", []float64{1, nan}, []float64{1, 2}, ErrNaN, 0, nil},
-		{"no end", []float64{1, 3}, []float64{1, inf}, ErrNaN, 0, nil},
-		{"one", []float64{1}, []float64{2}, nil, Inconclusive, func(n int) bool { return n == 4 }},
-		{"too few", []float64{1, 1, 1}, []float64{2, 2.1, 2}, nil, Inconclusive, func(n int) bool { return n == 2 }},
-		{"ties", []float64{1, 2, 3, 4, 5}, []float64{1, 2, 3, 4, 5}, nil, Same, func(n int) bool { return n == 0 }},
-		{"the same difference", []float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6}, nil, Better, func(n int) bool { return n == 0 }},
-		{"no difference in the mean", []float64{0, 0, 0, 0, 0, 0}, []float64{1, -1, 1, -1, 1, -1}, nil, Inconclusive, func(n int) bool { return n == -1 }},
-		{"a little", []float64{0, 0, 0, 0, 0, 0}, []float64{1, -1, 1.5, -1, 1.5, -1}, nil, Inconclusive, func(n int) bool { return n > 100 && n < 1000 }},
+		{"no pairs", nil, nil, ErrEmpty, 0, nil},
+		{"different lengths", []float64{1}, []float64{1, 2}, ErrUnpaired, 0, nil},
+		{"NaN", []float64{1, nan}, []float64{1, 2}, ErrNotFinite, 0, nil},
+		{"infinity", []float64{1, 3}, []float64{1, inf}, ErrNotFinite, 0, nil},
+		{"one pair", []float64{1}, []float64{2}, nil, Inconclusive, func(n int) bool { return n == 4 }},
+		{"too few pairs", []float64{1, 1, 1}, []float64{2, 2.1, 2}, nil, Inconclusive, func(n int) bool { return n == 2 }},
+		{"equal pairs", []float64{1, 2, 3, 4, 5}, []float64{1, 2, 3, 4, 5}, nil, Same, func(n int) bool { return n == 0 }},
+		{"the same difference in all pairs", []float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6}, nil, Better,
+			func(n int) bool { return n == 0 }},
+		{"no difference in the mean", []float64{0, 0, 0, 0, 0, 0}, []float64{1, -1, 1, -1, 1, -1}, nil, Inconclusive,
+			func(n int) bool { return n == -1 }},
+		{"a small difference", []float64{0, 0, 0, 0, 0, 0}, []float64{1, -1, 1.5, -1, 1.5, -1}, nil, Inconclusive,
+			func(n int) bool { return n > 100 && n < 1000 }},
 	} {
 		d, err := Compare(c.a, c.b, true, Options{})
 		if !errors.Is(err, c.err) || err == nil && (d.Verdict != c.want || !c.more(d.MorePairs)) {
-			t.Errorf("%s: %+v, %v", c.name, d, err)
+			t.Errorf("%s: got %+v with an unexpected verdict or MorePairs, or error %v; want verdict %q, error %v",
+				c.name, d, err, c.want, c.err)
 		}
 	}
 	if d, _ := Compare([]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6.1}, true, Options{MinDifference: 2}); d.Verdict != Inconclusive {
-		t.Errorf("below the floor: %+v", d)
+		t.Errorf("difference below MinDifference: got %+v, want verdict %q", d, Inconclusive)
 	}
 }
 
-// Turned round, a comparison says the opposite of the same size; and scaled, the same.
+// With the variants swapped and the lower value being better, the mean difference has the opposite
+// sign and the same size.
 func TestCompare_Symmetry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "n")
@@ -95,7 +103,7 @@
 		d, err := Compare(a, b, true, Options{Resamples: 200})
 		e, err2 := Compare(b, a, false, Options{Resamples: 200})
 		if err != nil || err2 != nil || d.Mean != -e.Mean || !(d.Low <= d.Mean && d.Mean <= d.High) || d.Pairs != e.Pairs || d.MeanA != e.MeanB {
-			t.Fatalf("%+v %+v %v %v", d, e, err, err2)
+			t.Fatalf("a and b: %+v, error %v; b and a: %+v, error %v", d, err, e, err2)
 		}
 	})
 }
