--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -44,7 +44,7 @@
 	backends     []int32 // backends of the attempts, by attempt number; -1 means no such attempt
 }
 
-// execution tells when and where a request was executed.
+// execution is one execution of a request: its time, and the cell and zone of its backend.
 type execution struct {
 	at         time.Duration
 	cell, zone int32
--- a/internal/emulator/region_test.go
+++ b/internal/emulator/region_test.go
@@ -274,18 +274,18 @@
 		t.Fatal(err)
 	}
 	use := func(cost float32) (over, overshoot float64) {
-		var t shardCounts
+		var counts shardCounts
 		r.period++
 		r.usage[7] = cost
-		r.chargeQuota(&t, 7, true)
+		r.chargeQuota(&counts, 7, true)
 		const price = 2
 		if math.Abs(r.meanWeight-(2*1+1*3+1*3)/4.0) > 1e-9 {
-			panic(r.meanWeight)
+			t.Fatalf("mean weight of the classes is %v, want %v", r.meanWeight, (2*1+1*3+1*3)/4.0)
 		}
-		if weight := t.CostOverQuota * r.meanWeight * price; math.Abs(t.WeightOverQuota-weight) > 1e-6 {
-			panic(weight)
+		if weight := counts.CostOverQuota * r.meanWeight * price; math.Abs(counts.WeightOverQuota-weight) > 1e-6 {
+			t.Fatalf("weight over quota is %v, want %v", counts.WeightOverQuota, weight)
 		}
-		return t.CostOverQuota, t.MaxOvershoot
+		return counts.CostOverQuota, counts.MaxOvershoot
 	}
 	for i, step := range []struct{ cost, over float64 }{
 		{80, 0},   // burst of 60 and the refill of 20
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -49,7 +49,7 @@
 func TestReadRow_EarlierBuild(t *testing.T) {
 	files, err := filepath.Glob("testdata/row/runs/*" + suffix)
 	if err != nil || len(files) != 1 {
-		t.Fatal(files, err)
+		t.Fatalf("got files %v, error %v, want 1 file", files, err)
 	}
 	got, err := readRow(files[0])
 	if err != nil {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -274,7 +274,8 @@
 	}
 	page, err := HTML(r, "", paired.Options{})
 	if err != nil || strings.Contains(string(page), "<x>") || strings.Contains(string(page), "NaN") {
-		t.Errorf("error %v, or the page contains an unescaped reason of a failure, or NaN:\n%s", err, page)
+		t.Errorf("error %v, the page has an unescaped reason of a failure: %t, it has NaN: %t, want neither",
+			err, strings.Contains(string(page), "<x>"), strings.Contains(string(page), "NaN"))
 	}
 	// Latencies above the histogram's range are counted.
 	res := emulator.Result{Latency: hdrhistogram.New(1, 1000, 3), OutOfRange: 3}
@@ -305,7 +306,8 @@
 		if i == 0 {
 			first = got
 		} else if got.Counts != first.Counts || got.Events != first.Events || !got.Latency.Equals(first.Latency) {
-			t.Errorf("%d workers: %+v, want %+v", workers, got.Counts, first.Counts)
+			t.Errorf("%d workers: got %+v, %d events, want %+v, %d events", workers, got.Counts, got.Events,
+				first.Counts, first.Events)
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/lab/plots.go
+++ b/internal/lab/plots.go
@@ -149,8 +149,8 @@
 	return renderSVG(c, 15*vg.Centimeter, 8*vg.Centimeter)
 }
 
-// overview draws one plot for each figure, over the levels, with one line for each section. If all levels' names are
-// numbers, they are positions on a logarithmic axis.
+// overview draws one plot for each figure, over the levels, with one line for each section. If the names of all levels
+// are positive numbers, these are their positions on a logarithmic axis.
 func (r *report) overview() (out []template.HTML, err error) {
 	if len(r.Sections) == 0 || len(r.Sections[0].Levels) < 2 {
 		return nil, nil
@@ -175,8 +175,8 @@
 	return out, nil
 }
 
-// levelTicks returns the positions and labels of levels. numbers is true if the levels' names are numbers, which are
-// their positions then.
+// levelTicks returns the positions and labels of levels. numbers is true if the names of all levels are positive
+// numbers, which are then their positions.
 func levelTicks(levels []levelSummary) (ticks []plot.Tick, numbers bool) {
 	var sizes []float64
 	for _, l := range levels {
