--- a/deployment.go
+++ b/deployment.go
@@ -5,22 +5,22 @@
 	"sync"
 )
 
-// Deployment is a set of gateways in one process that share backends and quotas. Each has an index of its own
-// (Settings.GatewayIndex), which its share of every quota depends on: two gateways of one index would each take the
-// same share. The zero value is ready, and a Deployment is safe for concurrent use. Gateways in different processes
-// do not know of each other; there the operator assigns the indexes.
+// Deployment is a set of gateways in one process that share backends and quotas. Each has its own index
+// (Settings.GatewayIndex), which determines its share of every quota: two gateways with the same index would both
+// use the same share. The zero value is ready to use, and a Deployment is safe for concurrent use. It cannot check
+// gateways in other processes; their indexes are assigned by the operator.
 type Deployment struct {
 	mu           sync.Mutex
-	gatewayCount int // of all settings, once an index is claimed
+	gatewayCount int // Settings.GatewayCount of all gateways; valid while an index is claimed
 	claimed      map[int]bool
 }
 
-// claim takes an index for a Gateway until release. The error is an ErrConfig or an ErrGatewayIndexTaken.
+// claim reserves an index for a Gateway until release. The error is an ErrConfig or an ErrGatewayIndexTaken.
 func (d *Deployment) claim(index, count int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.claimed) > 0 && d.gatewayCount != count {
-		return fmt.Errorf("%w: GatewayCount is %d, and %d in others of the deployment",
+		return fmt.Errorf("%w: GatewayCount is %d, but %d in the other gateways of the deployment",
 			ErrConfig, count, d.gatewayCount)
 	}
 	if d.claimed[index] {
--- a/endpointcache.go
+++ b/endpointcache.go
@@ -10,19 +10,19 @@
 	"pumicecroft/membership"
 )
 
-// endpointCacheInterval is how often a source's endpoints are written at the most.
+// endpointCacheInterval is the shortest time between two writes of a source's endpoints.
 const endpointCacheInterval = time.Second
 
-// endpointCache keeps the endpoints of one source on disk, for a later process to begin with. Its fields are guarded
-// by Gateway.updateMu.
+// endpointCache keeps the endpoints of one source on disk, so that a later process can start with them. Its fields
+// are guarded by Gateway.updateMu.
 type endpointCache struct {
 	gateway    *Gateway
 	source     string
-	version    uint64                 // of what is on disk
-	startTimes *membership.StartTimes // from what was on disk; nil: there was nothing
+	version    uint64                 // the source's version in membershipTable when it was last written or loaded
+	startTimes *membership.StartTimes // backends' start times in the cache that was loaded; nil: none was loaded
 }
 
-// newEndpointCache begins with what is on disk, if that can be read.
+// newEndpointCache loads the source's cache from disk, if it can be read, and applies it as a cached update.
 func newEndpointCache(g *Gateway, source string) *endpointCache {
 	cache := &endpointCache{gateway: g, source: source}
 	nodes, writtenAt, err := endpointcache.Read(g.config.StateDir, source)
@@ -41,12 +41,12 @@
 	return cache
 }
 
-// run writes what has changed until ctx ends, and once more then.
+// run writes the endpoints periodically, if they have changed, until ctx ends, and a last time when it ends.
 func (c *endpointCache) run(ctx context.Context) {
 	runPeriodically(ctx, endpointCacheInterval, c.write)
 }
 
-// write writes the source's endpoints if they have changed. What fails is written the next time.
+// write writes the source's endpoints if they have changed. If that fails, the next call tries again.
 func (c *endpointCache) write() {
 	g := c.gateway
 	nodes, version, changed := c.changedNodes()
@@ -62,8 +62,8 @@
 	g.updateMu.Unlock()
 }
 
-// changedNodes returns the source's endpoints if they have changed since they were written. It waits for an update
-// that is being taken in, as half of one must not be written.
+// changedNodes returns the source's endpoints if they have changed since they were last written. It waits for an
+// update that is being applied, as a partly applied update must not be written.
 func (c *endpointCache) changedNodes() (nodes []membership.Node, version uint64, changed bool) {
 	g := c.gateway
 	lock := g.reportLocks[c.source]
--- a/endpoints.go
+++ b/endpoints.go
@@ -9,22 +9,23 @@
 	"pumicecroft/membership"
 )
 
-// An update is merged in steps of entriesPerStep entries, and published in steps of changesPerStep changes: the
-// executor's lock is held for one step at a time, for well under a millisecond. Between two steps the update sleeps
-// for stepPause: with one processor, sockets are polled once all goroutines wait, so requests would be read late if
-// it only yielded. An update of one step does not sleep.
+// An update is merged in steps of entriesPerStep entries and published in steps of changesPerStep changes, so that the
+// executor's lock is held for well under a millisecond at a time. Between two merge steps applyUpdate sleeps for
+// stepPause. Yielding would not be enough: with a single processor, sockets are polled only when all goroutines are
+// blocked, and requests would be read late. An update that takes one step does not sleep.
 const (
 	entriesPerStep = 256
 	changesPerStep = 128
 	stepPause      = 50 * time.Microsecond
 )
 
-// Update takes in an update of the backends, as a trusted source. It holds for every attempt that begins after it
-// returns. Invalid entries are ignored.
+// Update applies an update of the backends, as a trusted source. It is in effect for every attempt that begins after
+// Update returns. Invalid entries are ignored.
 func (g *Gateway) Update(update membership.Update) { g.applyUpdate(ownSource, update) }
 
-// applyUpdate takes in an update of a source. Other sources' updates may be taken in between two of its steps; what
-// holds meanwhile, membership.Merge says. What is left of it when the Gateway is closed is not taken in.
+// applyUpdate applies an update of a source in steps. Updates of other sources may be applied between two steps;
+// membership.Merge documents the state between steps. If the Gateway is closed meanwhile, the remaining steps are
+// skipped.
 func (g *Gateway) applyUpdate(source string, update membership.Update) {
 	lock := g.reportLocks[source]
 	lock.Lock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// beginMerge begins to merge an update, and releases its nodes. The caller holds updateMu.
+// beginMerge starts the merge of an update, and drops the update's reference to its nodes. The caller holds updateMu.
 func (g *Gateway) beginMerge(source string, update *membership.Update) *membership.Merge {
 	if cache := g.endpointCaches[source]; cache != nil && cache.startTimes != nil {
 		cache.startTimes.FillIn(update)
@@ -58,7 +59,7 @@
 	return merge
 }
 
-// applyStep takes one step of a merge and tells whether there is more. The caller holds updateMu.
+// applyStep performs one step of a merge and reports whether more steps remain. The caller holds updateMu.
 func (g *Gateway) applyStep(merge *membership.Merge, source string) (more bool) {
 	if g.closed {
 		return false
@@ -75,8 +76,8 @@
 	return more
 }
 
-// syncSources makes every source that is a Syncer apply what it has received, after a pause of the process. It
-// returns when they have, or ctx ends.
+// syncSources calls Sync of every source that is a Syncer, after a pause of the process. It returns when all calls
+// have returned; they end with ctx at the latest.
 func (g *Gateway) syncSources(ctx context.Context, pausedFor time.Duration) {
 	g.pauseLog.Do(func() { g.log.Info("process paused", "paused_for", pausedFor) })
 	var syncs sync.WaitGroup
@@ -98,7 +99,7 @@
 	syncs.Wait()
 }
 
-// onMembershipTimer publishes what the membership table has delayed until now.
+// onMembershipTimer publishes the changes that the membership table has delayed and that are now due.
 func (g *Gateway) onMembershipTimer() {
 	g.updateMu.Lock()
 	defer g.updateMu.Unlock()
@@ -107,8 +108,8 @@
 	}
 }
 
-// publishChanges tells the transports and then the executor of changes, and sets the timer for delayed ones. An
-// UpdateCached is published even if it is empty. The caller holds updateMu.
+// publishChanges passes changes to the transports and then to the executor, and sets the timer for delayed changes.
+// An UpdateCached is published even if it is empty. The caller holds updateMu.
 func (g *Gateway) publishChanges(kind decision.UpdateKind, changes []membership.Change, invalid []error) {
 	for _, err := range invalid {
 		g.endpointLog.Do(func() { g.log.Warn("invalid endpoint ignored", "err", err) })
@@ -117,7 +118,7 @@
 		step := changes[:min(len(changes), changesPerStep)]
 		changes = changes[len(step):]
 		g.publishStep(kind, step)
-		kind = decision.UpdateDelta // a further UpdateCached would say that there is nothing else
+		kind = decision.UpdateDelta // a second UpdateCached would replace the endpoints of the first
 	}
 	if g.membershipTimer != nil {
 		g.membershipTimer.Stop()
@@ -139,7 +140,7 @@
 	g.executor.UpdateEndpoints(update)
 }
 
-// BackendStatus is what a Gateway knows of a backend, and why.
+// BackendStatus describes a backend as the Gateway sees it, with the source and the reason of its state.
 type BackendStatus struct {
 	Name         string    `json:"name"`
 	Addr         string    `json:"address"`
@@ -148,14 +149,14 @@
 	Cell         int       `json:"cell"`
 	Weight       float64   `json:"weight"`
 	State        string    `json:"state"`          // cold, ready, suspect or draining
-	Since        time.Time `json:"since"`          // of State
-	Until        time.Time `json:"until,omitzero"` // a suspect is ready then, if it stays well
-	Source       string    `json:"source"`         // whose report decided
-	Stale        bool      `json:"old,omitempty"`  // the source has been unreachable since
-	Explanation  string    `json:"why"`            // for people
+	Since        time.Time `json:"since"`          // when the backend entered State
+	Until        time.Time `json:"until,omitzero"` // when a suspect backend becomes ready, if it stays healthy
+	Source       string    `json:"source"`         // the source whose report determines State
+	Stale        bool      `json:"old,omitempty"`  // Source has been unreachable since its report
+	Explanation  string    `json:"why"`            // human-readable reason for State
 }
 
-// Backends is what the Gateway knows of each backend, by name.
+// Backends returns the status of each backend, sorted by name.
 func (g *Gateway) Backends() []BackendStatus {
 	g.updateMu.Lock()
 	defer g.updateMu.Unlock()
--- a/gateway.go
+++ b/gateway.go
@@ -1,13 +1,14 @@
-// Package pumicecroft is a gateway that holds every customer of a shared set of backends to its plan, as a library.
-// A Gateway takes requests (Do in the same process, ServeHTTP over HTTP), has its decision engine say which backend
-// each goes to, whether it is retried and which are rejected, and gives each one final answer before its timeout.
+// Package pumicecroft is a gateway library that enforces each customer's plan on a shared set of backends. A Gateway
+// accepts requests (by Do in the same process, by ServeHTTP over HTTP). Its decision engine selects the backend of
+// each request and decides which requests are retried or rejected. Each request gets one final answer before its
+// timeout.
 //
-// Five rules hold whatever happens: one final answer in time; what may have executed is repeated only where its
-// class permits that; a draining backend is sent nothing new; a backend that has just started is sent little; hard
-// limits hold over all gateways together.
+// Five rules always hold: each request gets one final answer in time; a request that may have executed is retried
+// only if its class permits that; a draining backend gets no new requests; a backend that has just started gets few;
+// hard limits hold across all gateways.
 //
-// Packages middleware/nethttp and middleware/gin put a Gateway into a host's own server. Package decision is the
-// decision engine, package membership the form in which backends are reported.
+// Packages middleware/nethttp and middleware/gin add a Gateway to the server of a host program. Package decision
+// contains the decision engine, and package membership the types that report backends.
 package pumicecroft
 
 import (
@@ -32,15 +33,15 @@
 	"golang.org/x/time/rate"
 )
 
-// Gateway is one gateway. It is safe for concurrent use. A process may hold several; they share nothing, unless
-// they are given the same Deployment.
+// Gateway forwards requests to backends as its decision engine decides. It is safe for concurrent use. A process may
+// have several Gateways; they share nothing, unless they are given the same Deployment.
 type Gateway struct {
 	config       Config
 	classes      map[string]decision.Class // by name
 	plans        map[string]bool           // by name
 	executor     *executor.Executor
 	transports   map[string]executor.BackendTransport // by protocol
-	transport    executor.BackendTransport            // all of them
+	transport    executor.BackendTransport            // dispatches to transports by protocol
 	mapper       Mapper
 	log          *slog.Logger
 	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -49,14 +50,14 @@
 	counter      executor.Counter           // nil: none
 	deduplicator *deduplicator.Deduplicator // nil: idempotency keys are not recognised
 
-	// Each limits one kind of log message, so that a flood of one does not hide another. endpointLog is shared by
-	// everything about endpoints and by snapshots.
+	// Each limits the rate of one kind of log message, so that a flood of one kind does not suppress the others.
+	// endpointLog is shared by all messages about endpoints and snapshots.
 	badRequestLog, deadlineLog, endpointLog, pauseLog rate.Sometimes
 
-	// reportLocks lets in one update of a source at a time, by its name. One is locked before updateMu.
+	// reportLocks, by source name, serialize the updates of each source. They are locked before updateMu.
 	reportLocks map[string]*sync.Mutex
-	// updateMu has changes reach the executor in the order in which they reached the transports. It guards
-	// membershipTable, membershipTimer, endpointCaches' fields and closed.
+	// updateMu ensures that changes reach the executor in the order in which they reached the transports. It guards
+	// membershipTable, membershipTimer, the fields of endpointCaches, and closed.
 	updateMu        sync.Mutex
 	membershipTable *membership.Table
 	membershipTimer *time.Timer // calls onMembershipTimer
@@ -65,15 +66,15 @@
 
 	ctx        context.Context // ends when Close has waited for the open requests
 	cancel     context.CancelFunc
-	background sync.WaitGroup // of sources, caches and snapshots
+	background sync.WaitGroup // the goroutines of sources, endpoint caches and snapshots
 	closing    atomic.Bool
 }
 
-// New returns a Gateway that serves at once; until it is told of backends it rejects everything. The error is an
-// ErrConfig, an ErrJournal or an ErrGatewayIndexTaken.
+// New returns a Gateway that accepts requests at once. It rejects them all until it knows of a backend. The error is
+// an ErrConfig, an ErrJournal or an ErrGatewayIndexTaken.
 func New(config Config, options ...Option) (*Gateway, error) { return newGateway(config, nil, options) }
 
-// newGateway is New with a decision engine of the caller's; nil: the one in use.
+// newGateway is New with the given decision engine; nil selects package decision's.
 func newGateway(config Config, engine lifecycle.DecisionEngine, options []Option) (_ *Gateway, err error) {
 	if config, err = config.withDefaults(); err != nil {
 		return nil, err
@@ -118,7 +119,7 @@
 	return g, nil
 }
 
-// allocateGateway returns a Gateway with its options applied, and with nothing opened.
+// allocateGateway returns a Gateway with its options applied, before any of its parts are opened or started.
 func allocateGateway(config Config, options []Option) *Gateway {
 	g := &Gateway{
 		config:         config,
@@ -146,11 +147,11 @@
 	return g
 }
 
-// newLogLimit lets through the first ten lines, then one a second.
+// newLogLimit permits the first ten lines, then one a second.
 func newLogLimit() rate.Sometimes { return rate.Sometimes{First: 10, Interval: time.Second} }
 
-// openEngine returns the decision engine with what an earlier process left it, and what keeps it for a later one;
-// nil where Config.StateDir is empty.
+// openEngine returns the decision engine, restored from the snapshot of an earlier process, and the snapshotter that
+// writes snapshots for a later one. The snapshotter is nil if Config.StateDir is empty.
 func (g *Gateway) openEngine(settings decision.Settings, clock executor.Clock) (*decision.Engine, *snapshotter, error) {
 	var snapshots *snapshotter
 	var customers []decision.CustomerState
@@ -171,7 +172,7 @@
 	return engine, snapshots, nil
 }
 
-// openTransports adds the transport of HTTP/1.1 to those of the options.
+// openTransports creates the HTTP/1.1 transport, in addition to those that options have added.
 func (g *Gateway) openTransports(settings decision.Settings) error {
 	g.transports[membership.ProtocolHTTP] = platformtransport.New(platformtransport.Config{
 		MaxConns:         g.config.MaxBackendConns,
@@ -182,13 +183,13 @@
 		Dial:             g.dial,
 	})
 	if g.transports[g.config.Protocol] == nil {
-		return fmt.Errorf("%w: Protocol is %q, which no option names", ErrConfig, g.config.Protocol)
+		return fmt.Errorf("%w: no option adds a transport for Protocol %q", ErrConfig, g.config.Protocol)
 	}
 	g.transport = executor.NewTransportMux(g.transports)
 	return nil
 }
 
-// openExecutor starts the executor with a state machine of the requests.
+// openExecutor starts the executor with a new state machine for requests.
 func (g *Gateway) openExecutor(settings decision.Settings, engine lifecycle.DecisionEngine, clock executor.Clock) {
 	machine := lifecycle.New(engine, settings.Classes, lifecycle.Limits{
 		MaxOpenRequests: g.config.MaxOpenRequests,
@@ -204,7 +205,8 @@
 	}
 }
 
-// idRetention is how long a repeat of a request may come, and backends would still drop it.
+// idRetention returns how long request IDs are remembered: the longest sum of deadline and dedup window of any class.
+// Until then a repeat may arrive, and backends would still drop it.
 func idRetention(classes []decision.Class) time.Duration {
 	longest := time.Duration(0)
 	for i := range classes {
@@ -213,7 +215,7 @@
 	return longest
 }
 
-// claimIndex claims the Gateway's index in its deployment, if it has one.
+// claimIndex claims the Gateway's index in its deployment, if the Gateway belongs to one.
 func (g *Gateway) claimIndex() error {
 	if g.deployment == nil {
 		return nil
@@ -227,7 +229,7 @@
 	}
 }
 
-// openMembership begins with the endpoints of the configuration.
+// openMembership creates the membership table and publishes the endpoints of the configuration.
 func (g *Gateway) openMembership(sources []membership.SourceInfo, clock executor.Clock) {
 	for _, source := range sources {
 		g.reportLocks[source.Name] = &sync.Mutex{}
@@ -241,8 +243,8 @@
 	g.publishChanges(decision.UpdateCached, changes, invalid)
 }
 
-// startBackground starts what runs until Close: snapshots, the endpoint caches of sources that need one, and the
-// sources themselves, which are heard after their caches are read.
+// startBackground starts the goroutines that run until Close: snapshots, the endpoint caches of sources that are not
+// trusted, and the sources. Sources start after their caches have been read.
 func (g *Gateway) startBackground(sources []membership.SourceInfo, snapshots *snapshotter) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.ctx, g.cancel = ctx, cancel
@@ -269,16 +271,16 @@
 	g.background.Go(func() { cache.run(g.ctx) })
 }
 
-// namedSource is a Source and what the membership table calls it.
+// namedSource is a Source with its name and trust in the membership table.
 type namedSource struct {
 	membership.SourceInfo
 	source Source
 }
 
-// ownSource names the source of Config.InitialEndpoints, Update and WithSource.
+// ownSource is the source name of the endpoints of Config.InitialEndpoints, Update and WithSource.
 const ownSource = "own"
 
-// sourceInfos returns the sources by precedence. Those of one name are one source.
+// sourceInfos returns the sources in order of precedence. Sources with the same name are returned once.
 func (g *Gateway) sourceInfos() ([]membership.SourceInfo, error) {
 	var infos []membership.SourceInfo
 	own := namedSource{SourceInfo: membership.SourceInfo{Name: ownSource, Trusted: true}}
@@ -286,7 +288,8 @@
 		i := slices.IndexFunc(infos, func(info membership.SourceInfo) bool { return info.Name == source.Name })
 		switch {
 		case source.Name == "" || i >= 0 && infos[i] != source.SourceInfo:
-			return nil, fmt.Errorf("%w: source %q has no name, or is both trusted and not", ErrConfig, source.Name)
+			return nil, fmt.Errorf("%w: source %q has no name, or is both trusted and untrusted",
+				ErrConfig, source.Name)
 		case i < 0:
 			infos = append(infos, source.SourceInfo)
 		}
@@ -294,10 +297,10 @@
 	return infos, nil
 }
 
-// Settings are those of the Config, with their defaults.
+// Settings returns the Settings of the Config, with defaults set.
 func (g *Gateway) Settings() decision.Settings { return g.config.Settings }
 
-// ClassNames are the names of the Settings' classes, in their order.
+// ClassNames returns the names of the classes, in the order of the Settings.
 func (g *Gateway) ClassNames() []string {
 	var names []string
 	for i := range g.config.Settings.Classes {
@@ -306,15 +309,15 @@
 	return names
 }
 
-// SupportsProtocol tells whether the Gateway reaches backends over a protocol.
+// SupportsProtocol reports whether the Gateway has a transport for a protocol.
 func (g *Gateway) SupportsProtocol(protocol string) bool { return g.transports[protocol] != nil }
 
-// OpenRequests is how many requests are not answered, or have an attempt that is being cancelled.
+// OpenRequests returns the number of requests that are unanswered or have an attempt that is being cancelled.
 func (g *Gateway) OpenRequests() int { return g.executor.OpenRequests() }
 
-// Close has new requests end as ErrClosed, waits until all open ones are answered, and releases what the Gateway
-// holds. When ctx ends first, the rest is answered as ErrAborted at once, and the error is an ErrAborted that tells
-// how many these were. Further calls do nothing.
+// Close ends new requests with ErrClosed, waits until all open ones are answered, and releases the Gateway's
+// resources. If ctx ends first, the unanswered requests end with ErrAborted at once, and Close returns an ErrAborted
+// that gives their number. Further calls do nothing.
 func (g *Gateway) Close(ctx context.Context) error {
 	if g.closing.Swap(true) {
 		return nil
@@ -335,7 +338,7 @@
 	return nil
 }
 
-// closeMembership ends updates, and releases what they reach.
+// closeMembership stops updates, closes the transports and releases the Gateway's index.
 func (g *Gateway) closeMembership() {
 	g.updateMu.Lock()
 	defer g.updateMu.Unlock()
--- a/http.go
+++ b/http.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Identity is who makes a request, as the host knows it.
+// Identity is the customer that makes a request, and its plan, as authenticated by the host.
 type Identity struct {
 	Customer uint64
 	Plan     string
@@ -17,30 +17,30 @@
 
 type identityKey struct{}
 
-// WithIdentity lets an earlier middleware of the host say who makes a request. PlatformRequest takes the customer and
-// the plan from there, and ignores headers that claim another.
+// WithIdentity returns a context that carries an identity, for a middleware of the host that runs before the Gateway.
+// PlatformRequest takes the customer and the plan from it, and ignores the headers that name them.
 func WithIdentity(ctx context.Context, identity Identity) context.Context {
 	return context.WithValue(ctx, identityKey{}, identity)
 }
 
-// IdentityFrom returns what WithIdentity put into a context; !ok: nothing.
+// IdentityFrom returns the identity that WithIdentity stored in a context; ok is false if there is none.
 func IdentityFrom(ctx context.Context) (identity Identity, ok bool) {
 	identity, ok = ctx.Value(identityKey{}).(Identity)
 	return identity, ok
 }
 
-// ServeHTTP takes one request and writes its one final answer: 200 and the backend's body; 503 with Retry-After (in
-// seconds, with decimals) if it is rejected; 502 if it failed; 504 if its timeout was over; 409 if it is a replay, or
-// its key's request may have executed; 422 if its key belongs to another request; 400 or 413 if it is invalid. The
-// request is read by the Gateway's Mapper.
+// ServeHTTP serves one request and writes its final answer: 200 and the backend's body; 503 with Retry-After (in
+// seconds, with decimals) if it was rejected; 502 if it failed; 504 if its timeout elapsed; 409 if it is a replay, or
+// an earlier request with its key may have executed; 422 if its key belongs to another request; 400 or 413 if it is
+// invalid. The request is read by the Gateway's Mapper.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) { g.Handle(w, r, g.mapper) }
 
-// Handle is ServeHTTP with a Mapper of the caller's; nil: the Gateway's own. Middleware is built on it.
+// Handle is ServeHTTP with the given Mapper; nil selects the Gateway's own. Middleware is built on it.
 //
-// When the host ends the request's context first, for instance by a timeout of its own, the request ends as if its
-// client had disconnected: its attempts are cancelled. The host's answer counts then: where the host has written it
-// (http.TimeoutHandler has), nothing is written after it; where it has not, 504 is, as the server answers 200 for a
-// handler that returns without writing.
+// If the host ends the request's context first, for instance by its own timeout, the request ends as if its client
+// had disconnected, and its attempts are cancelled. An answer that the host has already written, as
+// http.TimeoutHandler does, takes precedence, and nothing is written after it. Otherwise Handle writes 504, because
+// the server would answer 200 for a handler that returns without writing.
 func (g *Gateway) Handle(w http.ResponseWriter, r *http.Request, mapper Mapper) {
 	response, err := g.DoHTTP(w, r, mapper)
 	if errors.Is(err, context.DeadlineExceeded) && r.Context().Err() != nil {
@@ -50,8 +50,8 @@
 	WriteResponse(w, response, err)
 }
 
-// DoHTTP is Handle without the answer written, for hosts that write answers in a form of their own. w bounds the time
-// and size of the request's body, and is not written to.
+// DoHTTP is Handle without writing the answer, for hosts that write answers in their own format. It does not write to
+// w, but uses it to limit the time in which the request's body is read.
 func (g *Gateway) DoHTTP(w http.ResponseWriter, r *http.Request, mapper Mapper) (*Response, error) {
 	arrived := time.Now()
 	if mapper == nil {
@@ -67,7 +67,7 @@
 	if class, ok := g.classes[request.Class]; ok && (request.Timeout == 0 || request.Timeout > class.Deadline) {
 		request.Timeout = class.Deadline
 	}
-	if request.Timeout > 0 { // reading the body took some of it
+	if request.Timeout > 0 { // deduct the time spent on reading the body
 		request.Timeout = max(1, request.Timeout-time.Since(arrived))
 	}
 	response, err := g.Do(r.Context(), request)
@@ -79,7 +79,8 @@
 	return response, err
 }
 
-// readError is the error of a request that could not be read.
+// readError logs and returns the error of a request that could not be read. An error that is none of ErrBadRequest,
+// ErrRejected and ErrFailed is wrapped in an ErrBadRequest.
 func (g *Gateway) readError(r *http.Request, err error) error {
 	if errors.Is(r.Context().Err(), context.DeadlineExceeded) { // the host's own timeout
 		return disconnectedError(r.Context())
@@ -108,7 +109,7 @@
 		return errTruncatedBody
 	}
 	control := http.NewResponseController(w)
-	// A writer that the host has wrapped may not support a deadline; then the host's own must do.
+	// A writer that the host has wrapped may not support deadlines; then only the host's own timeouts apply.
 	timed := control.SetReadDeadline(time.Now().Add(g.config.BodyReadTimeout)) == nil
 	body, err := readAll(r)
 	request.Body = body
@@ -116,14 +117,14 @@
 		return bodyError(err)
 	}
 	if timed {
-		// From here on the connection is read only to notice that the client disconnects. A deadline that passed
-		// meanwhile would look as if it had.
+		// From here on the connection is read only to detect that the client disconnects. A read deadline that
+		// expired meanwhile would be mistaken for a disconnect.
 		return control.SetReadDeadline(time.Time{})
 	}
 	return nil
 }
 
-// readAll reads a body of at most MaxBody bytes, with a known length or without.
+// readAll reads a body of known or unknown length. A body of more than MaxBody bytes is an ErrBodyTooLarge.
 func readAll(r *http.Request) ([]byte, error) {
 	if r.ContentLength > 0 {
 		body := make([]byte, r.ContentLength)
@@ -137,7 +138,7 @@
 	return body, err
 }
 
-// bodyError is the error of a body that could not be read.
+// bodyError translates the error of a body that could not be read.
 func bodyError(err error) error {
 	var limited *http.MaxBytesError
 	if errors.As(err, &limited) {
--- a/httpresponse.go
+++ b/httpresponse.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// WriteResponse writes what Do returned, with the status that ServeHTTP documents.
+// WriteResponse writes a response or an error returned by Do, with the status that ServeHTTP documents.
 func WriteResponse(w http.ResponseWriter, response *Response, err error) {
 	if err == nil {
 		writeSuccess(w, response)
@@ -38,21 +38,21 @@
 	case errors.Is(err, ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
-		// An ErrFailed, or the client has disconnected. It may have ended only its sending, and would read an empty
-		// 200 if nothing were written.
+		// An ErrFailed, or the client has disconnected. A client that has closed only its sending side would read an
+		// empty 200 if nothing were written.
 		w.WriteHeader(http.StatusBadGateway)
 	}
 }
 
 func writeSuccess(w http.ResponseWriter, response *Response) {
 	header := w.Header()
-	header["Content-Type"] = nil // net/http must not guess one
+	header["Content-Type"] = nil // net/http must not detect one
 	if response.ContentType != "" {
 		header["Content-Type"] = []string{response.ContentType}
 	}
 	header["Content-Length"] = []string{strconv.Itoa(len(response.Body))}
-	w.WriteHeader(http.StatusOK)  // explicitly: a framework may have set another status
-	_, _ = w.Write(response.Body) // if it fails, the connection is closed: the client sees a truncated response
+	w.WriteHeader(http.StatusOK)  // explicitly, as a framework may have set another status
+	_, _ = w.Write(response.Body) // if it fails, the connection is closed, and the client sees a truncated response
 }
 
 // setRetryAfter sets Retry-After, in seconds with decimals.
@@ -61,19 +61,19 @@
 }
 
 func writeErrorAndClose(w http.ResponseWriter, err error, status int) {
-	w.Header().Set("Connection", "close") // the rest of the request is not read
+	w.Header().Set("Connection", "close") // the rest of the request has not been read
 	http.Error(w, err.Error(), status)
 }
 
 const (
-	hostResponseWait = 250 * time.Millisecond // for the host's own answer after its own timeout
+	hostResponseWait = 250 * time.Millisecond // for the host's answer, after the host's timeout
 	hostPollInterval = time.Millisecond
 )
 
-// WriteGatewayTimeout ends a handler after the host's own timeout. The host may be about to answer, and a handler
-// that returns too soon would take that from it; http.TimeoutHandler even takes an empty 200 for the handler's answer
-// then. So 504 is written: where it can be flushed it is the answer; where a writer that the host has wrapped holds it
-// back, the handler waits up to 250 ms for the host to have answered, which shows by a write that fails.
+// WriteGatewayTimeout ends a handler after the host's own timeout. The host may be about to answer, which a handler
+// that returns too early would prevent; http.TimeoutHandler would even send an empty 200 as the handler's answer. So
+// WriteGatewayTimeout writes 504. If that can be flushed, it is the answer. If a writer that the host has wrapped
+// buffers it, WriteGatewayTimeout waits up to 250 ms for the host to answer, which it detects by a write that fails.
 func WriteGatewayTimeout(w http.ResponseWriter) {
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(http.StatusGatewayTimeout)
--- a/idempotency.go
+++ b/idempotency.go
@@ -16,23 +16,23 @@
 	"pumicecroft/internal/platformtransport"
 )
 
-// ReplayablePayload is a payload whose response can be stored for its idempotency key, and given again.
+// ReplayablePayload is a payload whose response can be stored under its idempotency key and returned for repeats.
 type ReplayablePayload interface {
 	executor.Payload
-	// DigestParts tell the payload apart from others of the same key. nil: its response cannot be stored, and its
-	// key is ignored.
+	// DigestParts returns the data whose digest distinguishes the payload from others with the same key. nil: its
+	// response cannot be stored, and its key is ignored.
 	DigestParts() [][]byte
 	// EncodeResponse encodes a response of the payload's transport for storage.
 	EncodeResponse(response any) (idempotency.Response, error)
-	// DecodeResponse is the reverse of EncodeResponse.
+	// DecodeResponse is the inverse of EncodeResponse.
 	DecodeResponse(idempotency.Response) (response any, err error)
 }
 
-// IdempotencyEnabled tells whether the Gateway recognises idempotency keys.
+// IdempotencyEnabled reports whether the Gateway recognises idempotency keys.
 func (g *Gateway) IdempotencyEnabled() bool { return g.deduplicator != nil }
 
-// IdempotencyStats tells how many bytes the idempotency keys take, how many keys are held, and how many requests
-// wait with them. All are zero if Config.Idempotency is nil.
+// IdempotencyStats returns the memory used by idempotency keys in bytes, the number of keys held, and the number of
+// requests that wait for the result of a key. All are zero if Config.Idempotency is nil.
 func (g *Gateway) IdempotencyStats() (bytes, held, waiting int) {
 	if g.deduplicator == nil {
 		return 0, 0, 0
@@ -40,7 +40,7 @@
 	return g.deduplicator.Stats()
 }
 
-// openDeduplicator has the Gateway recognise idempotency keys, as configured. The error is an ErrJournal.
+// openDeduplicator creates the deduplicator, with its journal, if they are configured. The error is an ErrJournal.
 func (g *Gateway) openDeduplicator() (err error) {
 	limits, journal := g.config.Idempotency, g.config.IdempotencyJournal
 	switch {
@@ -64,18 +64,18 @@
 	return nil
 }
 
-// deduplicates tells whether a request's key is recognised.
+// deduplicates reports whether the request has an idempotency key that is recognised.
 func (g *Gateway) deduplicates(request *Request) bool {
 	return g.deduplicator != nil && request.IdempotencyKey != "" &&
 		g.classes[request.Class].Idempotency != decision.Idempotent
 }
 
-// doIdempotent is sendHTTP for a request with a key: one that repeats an earlier request waits for its end, or is
-// given its response, and is neither counted nor sent.
+// doIdempotent is sendHTTP for a request with a key. A repeat of an earlier request waits for its result or receives
+// its stored response, and is neither counted nor sent.
 func (g *Gateway) doIdempotent(ctx context.Context, request *Request,
 	message *platformtransport.Request) (*Response, error) {
 	attempts := 0
-	// The request may go on after its caller has left, who may then change the body.
+	// The request may continue after its caller has returned, and the caller may then change the body.
 	message.Body = slices.Clone(message.Body)
 	parts := [][]byte{
 		[]byte(request.Class), []byte(message.Method), []byte(message.Target), []byte(message.ContentType), message.Body,
@@ -102,12 +102,12 @@
 // forwardIdempotent is execute for a request with a key.
 func (g *Gateway) forwardIdempotent(ctx context.Context, request *Request,
 	payload ReplayablePayload) (response any, err error) {
-	var failed any // the response of a request that failed by it
+	var errorResponse any // if the request failed with one
 	parts := append(payload.DigestParts(), []byte(request.Class))
 	send := func(ctx context.Context, request *Request) (idempotency.Response, error) {
 		response, _, err := g.execute(ctx, request, payload)
 		if err != nil {
-			failed = response
+			errorResponse = response
 			return idempotency.Response{}, err
 		}
 		return payload.EncodeResponse(response)
@@ -116,20 +116,20 @@
 	switch {
 	case err == nil:
 		return payload.DecodeResponse(stored)
-	case ctx.Err() != nil: // send may still be running, and must be the only one to use failed
+	case ctx.Err() != nil: // send may still be running and may write errorResponse
 		return nil, err
 	}
-	return failed, err
+	return errorResponse, err
 }
 
-// deduplicate settles a request with a key; parts tell it apart from others of the same key. send executes it, if it
-// is to be executed, in a goroutine of its own that may outlive ctx. What send has written elsewhere may be read
-// when deduplicate returns, unless ctx has ended.
+// deduplicate returns the result of a request with a key. The digest of parts distinguishes the request from others
+// with the same key. If the request has to be executed, send is called in a separate goroutine that may outlive ctx.
+// Unless ctx has ended, variables that send has written may be read after deduplicate returns.
 func (g *Gateway) deduplicate(ctx context.Context, request *Request, parts [][]byte,
 	send func(context.Context, *Request) (idempotency.Response, error)) (idempotency.Response, error) {
 	arrived := time.Now()
 	execute := func(ctx context.Context) deduplicator.Result {
-		remaining := *request // it may have waited for the disk
+		remaining := *request // less the time that the request has waited for the disk
 		remaining.Timeout -= time.Since(arrived)
 		if remaining.Timeout <= MinTimeout {
 			err := &RejectedError{RetryAfter: g.config.Idempotency.RetryAfter}
@@ -163,7 +163,7 @@
 	return idempotency.Response{}, keyError(request.IdempotencyKey, result.Verdict, result.RetryAfter)
 }
 
-// keyError is the error of a request whose key has a verdict without a response.
+// keyError returns the error of a request whose key has a verdict without a response.
 func keyError(key string, verdict idempotency.Verdict, retryAfter time.Duration) error {
 	switch verdict {
 	case idempotency.ResponseNotStored:
--- a/platformrequest.go
+++ b/platformrequest.go
@@ -12,8 +12,9 @@
 	"pumicecroft/internal/requestmeta"
 )
 
-// PlatformRequest reads the headers of the platform's protocol; it is the default Mapper. It reads all of a request
-// but its body. The customer and the plan come from WithIdentity, if the host has set it. Errors are ErrBadRequests.
+// PlatformRequest is the default Mapper. It reads a request with the headers of the platform's protocol, except for
+// its body. The customer and the plan are those of WithIdentity, if the host has called it. The error is an
+// ErrBadRequest.
 func (g *Gateway) PlatformRequest(r *http.Request) (Request, error) {
 	if ambiguousFraming(r) {
 		return Request{}, badRequest("framing", r.Proto+" "+strings.Join(r.TransferEncoding, ", "))
@@ -66,9 +67,10 @@
 	return request, nil
 }
 
-// ambiguousFraming tells whether a request may end elsewhere than Content-Length says. The server drops a
-// Content-Length beside a Transfer-Encoding (in HTTP/1.0 the latter), and a proxy that goes by the other one finds a
-// second request in the body. The platform's clients send a Content-Length and HTTP/1.1; HTTP/2 has frames.
+// ambiguousFraming reports whether the end of a request may differ from its Content-Length, which permits request
+// smuggling. If a request has both Content-Length and Transfer-Encoding, the server drops the former (in HTTP/1.0 the
+// latter), and a proxy that uses the other one finds a second request in the body. The platform's clients send
+// HTTP/1.1 with a Content-Length. HTTP/2 has its own framing.
 func ambiguousFraming(r *http.Request) bool {
 	if r.ProtoMajor == 2 {
 		return false
@@ -76,7 +78,7 @@
 	return len(r.TransferEncoding) > 0 || r.ContentLength < 0 || r.ProtoMajor != 1 || r.ProtoMinor != 1
 }
 
-// checkClass returns what of a request does not fit its class.
+// checkClass checks that the path, the method, the body and the key of a request are valid for its class.
 func checkClass(r *http.Request, class decision.Class, key string) error {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// platformIdentity is who makes a request: as WithIdentity says, else as the headers do.
+// platformIdentity returns the identity of WithIdentity if there is one, else that of the headers.
 func (g *Gateway) platformIdentity(r *http.Request, header *platformHeader) (Identity, error) {
 	identity, known := IdentityFrom(r.Context())
 	if !known {
@@ -108,10 +110,10 @@
 	return identity, nil
 }
 
-// parseTimeout reads a timeout in seconds, which is cut to the class's deadline.
+// parseTimeout parses a timeout in seconds and limits it to the class's deadline.
 func parseTimeout(value string, deadline time.Duration) (timeout time.Duration, ok bool) {
 	seconds, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) { // also NaN
+	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) { // !(seconds > 0) also rejects NaN
 		return 0, false
 	}
 	return max(1, time.Duration(min(seconds, deadline.Seconds())*float64(time.Second))), true
@@ -120,7 +122,8 @@
 // platformHeader holds the values of the platform's headers.
 type platformHeader struct{ id, class, plan, customer, timeout, terms, key string }
 
-// readPlatformHeader reads the platform's headers. It names one that is there twice, as backends may read the other.
+// readPlatformHeader reads the platform's headers. repeated names a header that occurs more than once: such a request
+// is invalid, as a backend may read another of the values.
 func readPlatformHeader(header http.Header) (values platformHeader, repeated string) {
 	single := func(name string) string {
 		all := header[name]
--- a/request.go
+++ b/request.go
@@ -17,56 +17,55 @@
 // MaxBody is the largest body of a request or a response, in bytes.
 const MaxBody = platformtransport.MaxBody
 
-// MinTimeout is the least time that a caller must have left for an attempt to be made for it; a request with less is
-// rejected.
+// MinTimeout is the shortest timeout that leaves time for an attempt. A request with less time left is rejected.
 const MinTimeout = lifecycle.TimeoutMargin
 
-// Request is what a caller asks of the backends.
+// Request is a caller's request to the backends.
 type Request struct {
-	// ID names this request of the caller. A retry by the caller has a new one. Zero: a random one, unless WithID
-	// set it.
+	// ID identifies the request. If the caller retries, the retry has a new ID. Zero: a random ID, unless WithID was
+	// used.
 	ID uint64
 	// Class and Plan are names from the Settings.
 	Class string
 	Plan  string
-	// Customer is whom the plan's quota counts for.
+	// Customer identifies the customer whose quota the request uses.
 	Customer uint64
-	// Cost is how many units of the quota the request uses, up to Settings.MaxCost. Zero: 1.
+	// Cost is the number of quota units that the request uses, up to Settings.MaxCost. Zero: 1.
 	Cost float64
 	// Timeout is how long the caller waits for the answer. Zero, or more than the class's deadline: that deadline.
 	Timeout time.Duration
-	// FirstGateway and GatewaySpread say which gateways the customer uses: GatewaySpread in a row from index
-	// FirstGateway on, wrapping around. GatewaySpread zero: all of them.
+	// FirstGateway and GatewaySpread specify the gateways that the customer uses: GatewaySpread consecutive ones,
+	// starting at index FirstGateway and wrapping around. GatewaySpread zero: all of them.
 	FirstGateway, GatewaySpread int
-	// IdempotencyKey names what the request does; classes that are idempotent by key need one.
+	// IdempotencyKey identifies the operation across retries. It is required for classes that are idempotent by key.
 	IdempotencyKey string
 
-	// Method, Target (path and query as in the request line) and Host are forwarded unchanged. Unset: GET for a
-	// class that is idempotent and POST for others; "/" and the class's name; "pumicecroft".
+	// Method, Target (path and query as in the request line) and Host are forwarded unchanged. Defaults: GET for a
+	// class that is idempotent, else POST; "/" followed by the class's name; "pumicecroft".
 	Method, Target, Host string
 	ContentType          string
-	// Body is forwarded unchanged, and must not be changed until Do returns. It has MaxBody bytes at the most.
+	// Body is forwarded unchanged, and must not be modified until Do returns. It has at most MaxBody bytes.
 	Body []byte
 
-	hasID bool // ID was given, even if it is 0
+	hasID bool // ID was set explicitly, possibly to 0
 }
 
-// WithID gives the request an ID that may be 0.
+// WithID returns a copy of the request with an ID, which may be 0.
 func (r Request) WithID(id uint64) Request {
 	r.ID, r.hasID = id, true
 	return r
 }
 
-// Response is what a backend answered to this request, unchanged.
+// Response is a backend's response to a request, unchanged.
 type Response struct {
 	Body        []byte
 	ContentType string
-	Attempts    int // that were made for the request
+	Attempts    int // made for the request; 0 if the response is that of an earlier request with the same key
 }
 
-// Do forwards a request to the backends and returns the one final answer: a Response, or an error that is an
-// ErrRejected, an ErrFailed or an ErrBadRequest, or wraps ctx's cause when ctx ends first. The attempts of a request
-// whose ctx has ended are cancelled at once.
+// Do forwards a request to the backends and returns its final answer: a Response, or an error that is an ErrRejected,
+// an ErrFailed or an ErrBadRequest, or wraps ctx's cause if ctx ends first. When ctx ends, the attempts of the request
+// are cancelled at once.
 func (g *Gateway) Do(ctx context.Context, request Request) (*Response, error) {
 	message, err := g.prepareHTTP(&request)
 	if err != nil {
@@ -78,9 +77,9 @@
 	return g.sendHTTP(ctx, &request, message)
 }
 
-// Forward is Do for a payload of another protocol than HTTP/1.1, which only packages of this module make: the
-// request's fields for HTTP are not used. It returns what the payload's transport did, also beside an error if the
-// request failed by an error response.
+// Forward is Do for a payload of another protocol than HTTP/1.1. Only packages of this module create such payloads.
+// The HTTP fields of the request are not used. Forward returns the response of the payload's transport; if the request
+// failed with an error response, it returns that response together with the error.
 func (g *Gateway) Forward(ctx context.Context, request Request, payload executor.Payload) (response any, err error) {
 	if err := g.normalize(&request); err != nil {
 		return nil, err
@@ -93,7 +92,7 @@
 	return response, err
 }
 
-// sendHTTP forwards a request that prepareHTTP has made ready.
+// sendHTTP forwards a request that prepareHTTP has prepared.
 func (g *Gateway) sendHTTP(ctx context.Context, request *Request,
 	message *platformtransport.Request) (*Response, error) {
 	body, attempts, err := g.execute(ctx, request, message)
@@ -104,7 +103,7 @@
 	return &Response{Body: response.Body, ContentType: response.ContentType, Attempts: attempts}, nil
 }
 
-// execute has a normalized request served, and translates its verdict.
+// execute passes a normalized request to the executor, waits for its result and translates the verdict.
 func (g *Gateway) execute(ctx context.Context, request *Request,
 	payload executor.Payload) (response any, attempts int, err error) {
 	if ctx.Err() != nil {
@@ -128,7 +127,7 @@
 	return result.Response.Body, result.Attempts, g.verdictError(ctx, request, &result)
 }
 
-// verdictError is the error of a request that ended with a verdict; nil: it was served.
+// verdictError translates the verdict of a request to an error; nil if the request was served.
 func (g *Gateway) verdictError(ctx context.Context, request *Request, result *executor.Result) error {
 	switch result.Verdict {
 	case lifecycle.Served:
@@ -150,8 +149,8 @@
 	}
 }
 
-// normalize sets a request's defaults and returns what is wrong with it. A request without an error is safe to pass
-// to the decision engine.
+// normalize sets the defaults of a request and validates it. A request that passes is safe to pass to the decision
+// engine.
 func (g *Gateway) normalize(request *Request) error {
 	class, ok := g.classes[request.Class]
 	if !ok {
@@ -186,7 +185,8 @@
 		request.Cost = 1
 	}
 	maxCost := g.config.Settings.MaxCost
-	if !(request.Cost > 0) || math.IsInf(request.Cost, 0) || maxCost > 0 && request.Cost > maxCost { // also NaN
+	// !(request.Cost > 0) also rejects NaN.
+	if !(request.Cost > 0) || math.IsInf(request.Cost, 0) || maxCost > 0 && request.Cost > maxCost {
 		return badRequest("cost", request.Cost)
 	}
 	return nil
@@ -204,8 +204,8 @@
 	return nil
 }
 
-// prepareHTTP normalizes a request and returns what is sent of it over HTTP/1.1. A request without an error is safe
-// to send to backends.
+// prepareHTTP normalizes a request and returns the HTTP/1.1 request to send. A request that passes is safe to send to
+// backends.
 func (g *Gateway) prepareHTTP(request *Request) (*platformtransport.Request, error) {
 	if err := g.normalize(request); err != nil {
 		return nil, err
@@ -242,7 +242,7 @@
 	return message, nil
 }
 
-// platformMethod is the method that a class's requests have on the platform.
+// platformMethod returns the HTTP method that the platform uses for requests of a class.
 func platformMethod(class decision.Class) string {
 	if class.Idempotency == decision.Idempotent {
 		return http.MethodGet
@@ -250,5 +250,5 @@
 	return http.MethodPost
 }
 
-// formatID is a request's id as clients send it.
+// formatID formats a request's ID as clients send it.
 func formatID(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/snapshots.go
+++ b/snapshots.go
@@ -15,22 +15,22 @@
 // snapshotInterval is how often a snapshot is written.
 const snapshotInterval = time.Second
 
-// customersPerStep is how many customers are read while the executor's lock is held, for about 0.1 ms.
+// customersPerStep is how many customers are read each time the executor's lock is held; it is held for about 0.1 ms.
 const customersPerStep = 500
 
-// snapshotter writes snapshots of what the decisions rest on: the customers that have used up their quota or are
-// throttled. What a later process makes of one is up to package recovery.
+// snapshotter writes snapshots of the decision engine's state: the customers that have used up their quota or are
+// throttled. Package recovery determines what a later process restores from a snapshot.
 type snapshotter struct {
 	gateway           *Gateway
-	file              *snapshotfile.File // nil: another process has it, or StateDir cannot be used
+	file              *snapshotfile.File // nil: it is in use by another process, or StateDir cannot be used
 	engine            *decision.Engine
 	bootID            uint64
 	settingsDigest    uint64
 	startedAt         time.Time
-	assumedQuotaSpent bool // it began with customers of which nothing is known
+	assumedQuotaSpent bool // customers that were not restored are assumed to have used up their quota
 }
 
-// restoreSnapshot opens the snapshot file for this process, and returns what an earlier one left there.
+// restoreSnapshot opens the snapshot file for this process, and returns the state that an earlier process saved in it.
 func (g *Gateway) restoreSnapshot(bootID uint64) (*snapshotter, recovery.Restored) {
 	s := &snapshotter{
 		gateway:        g,
@@ -79,11 +79,11 @@
 // close releases the snapshot file. s may be nil.
 func (s *snapshotter) close() {
 	if s != nil && s.file != nil {
-		_ = s.file.Close() // it only releases the lock, which ends with the process at the latest
+		_ = s.file.Close() // only releases the lock, which is released at process exit in any case
 	}
 }
 
-// run writes snapshots until ctx ends, and a last one then.
+// run writes snapshots periodically until ctx ends, and a last one when it ends.
 func (s *snapshotter) run(ctx context.Context) {
 	defer s.close()
 	runPeriodically(ctx, snapshotInterval, func() {
@@ -105,7 +105,8 @@
 	debts := s.collectDebts()
 	snapshot.TakenAt = time.Now().Round(0)
 	snapshot.Customers, snapshot.Complete = debts.Largest()
-	// A gateway that began with unknown customers knows those who are not in the snapshot once all had time to refill.
+	// A gateway that started without knowing all customers cannot write a complete snapshot until every token bucket
+	// has had time to refill: until then, a customer that is not in the snapshot may still have a debt.
 	if s.assumedQuotaSpent && snapshot.TakenAt.Sub(s.startedAt) < recovery.RefillTime(settings.Plans) {
 		snapshot.Complete = false
 	}
@@ -116,7 +117,7 @@
 	return s.file.Write(encoded)
 }
 
-// collectDebts goes through all customers in steps, so that requests are served between them.
+// collectDebts reads all customers in steps, so that requests are served between the steps.
 func (s *snapshotter) collectDebts() *recovery.QuotaDebts {
 	debts := recovery.NewQuotaDebts(s.gateway.config.Settings.Plans, recovery.MaxCustomers)
 	next, stop := iter.Pull2(s.engine.Customers())
@@ -135,7 +136,7 @@
 	return debts
 }
 
-// runPeriodically calls write every interval until ctx ends, and once more then.
+// runPeriodically calls write at every interval until ctx ends, and once more when it ends.
 func runPeriodically(ctx context.Context, interval time.Duration, write func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
