--- a/bench_test.go
+++ b/bench_test.go
@@ -25,7 +25,7 @@
 	"pumicecroft/middleware/nethttp"
 )
 
-// processCPU is the user and system time of this process.
+// processCPU returns the user and system time of this process.
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -34,13 +34,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// accessPath is one way to a backend.
+// accessPath is one path from a client to a backend.
 type accessPath struct {
 	name    string
 	request func() error
 }
 
-// requestOnce makes one request, and reads the response.
+// requestOnce sends one request and reads the response.
 func requestOnce(client http.RoundTripper, req *http.Request) error {
 	res, err := client.RoundTrip(req)
 	if err != nil {
@@ -53,17 +53,20 @@
 	return nil
 }
 
-// accessPaths are direct, through net/http/httputil.ReverseProxy, through the daemon's server, through the middleware, and
-// by Do. All of it, clients and the backend too, runs in this process, so the cost of a path is its figure less that of
-// "direct".
+// accessPaths returns paths to a backend: direct, through net/http/httputil.ReverseProxy, through the daemon's server,
+// through the middleware, and by Do. Clients and the backend run in this process too, so the overhead of a path is its
+// figure less that of "direct".
 func accessPaths(b *testing.B) []accessPath {
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		io.WriteString(w, "ok")
+	}))
 	b.Cleanup(backend.Close)
 	addr := strings.TrimPrefix(backend.URL, "http://")
 	gateway, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true,
-			Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
-			Plans:   []decision.Plan{{Name: "basic", Rate: 1e6, Burst: 1e6, Price: 1}}},
+			Classes: []decision.Class{
+				{Name: "look", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
+			Plans: []decision.Plan{{Name: "basic", Rate: 1e6, Burst: 1e6, Price: 1}}},
 		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "one", Addr: addr}}}})
 	if err != nil {
 		b.Fatal(err)
@@ -86,7 +89,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	b.Cleanup(stop)
 	go func() {
-		_ = httplistener.NewServer(gateway, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{}).Run(ctx, ln)
+		_ = httplistener.NewServer(gateway, 400, time.Minute, slog.New(slog.DiscardHandler),
+			httplistener.Options{}).Run(ctx, ln)
 	}()
 
 	next := uint64(0)
@@ -104,7 +108,8 @@
 			return requestOnce(client, req)
 		}}
 	}
-	return []accessPath{overHTTP("direct", addr), overHTTP("ReverseProxy", serve(proxy)), overHTTP("daemon", ln.Addr().String()),
+	return []accessPath{
+		overHTTP("direct", addr), overHTTP("ReverseProxy", serve(proxy)), overHTTP("daemon", ln.Addr().String()),
 		overHTTP("middleware", serve(nethttp.New(gateway)(http.NotFoundHandler()))),
 		{"Do", func() error {
 			next++
@@ -113,16 +118,16 @@
 		}}}
 }
 
-// BenchmarkFronts times each way by itself. cpu-us/op is user and system time of the whole process.
+// BenchmarkFronts times each access path separately. cpu-us/op is user and system time of the whole process.
 //
 //	go test -run xxx -bench Fronts -benchtime 3s -cpu 1 .
 func BenchmarkFronts(b *testing.B) {
-	for _, w := range accessPaths(b) {
-		b.Run(w.name, func(b *testing.B) {
+	for _, path := range accessPaths(b) {
+		b.Run(path.name, func(b *testing.B) {
 			b.ReportAllocs()
 			start := processCPU()
 			for b.Loop() {
-				if err := w.request(); err != nil {
+				if err := path.request(); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -131,40 +136,43 @@
 	}
 }
 
-// BenchmarkOwnPart asks by all ways in turn, a short round each, so that a machine whose speed drifts does so for
-// all alike, and reports each way's CPU, the median over the rounds, and from these its own part (its figure less
-// that of "direct") as a share of ReverseProxy's own part.
+// BenchmarkOwnPart sends requests by all access paths in turn, in short rounds, so that changes of the machine's speed
+// affect all of them equally. It reports the CPU time of each path, as the median over the rounds, and the overhead of
+// the daemon's server and of the middleware (their figures less that of "direct") relative to that of ReverseProxy.
 //
 //	go test -run xxx -bench OwnPart -benchtime 100x -cpu 1 .
 func BenchmarkOwnPart(b *testing.B) {
 	ownPart(b, accessPaths(b), func(i int) bool { return i == 2 || i == 3 })
 }
 
-// ownPart times ways in turn; the first is the direct one and the second ReverseProxy. shares tells whose are reported.
-func ownPart(b *testing.B, all []accessPath, shares func(i int) bool) {
-	const round = 400
-	took := make([][]float64, len(all))
+// ownPart times access paths in turn. The first must be the direct one and the second ReverseProxy. reportsOverhead
+// selects the paths whose overhead, relative to that of ReverseProxy, is reported.
+func ownPart(b *testing.B, paths []accessPath, reportsOverhead func(i int) bool) {
+	const requestsPerRound = 400
+	cpuTimes := make([][]float64, len(paths)) // per request in microseconds, by path and round
 	rng := rand.New(rand.NewPCG(1, 1))
 	for b.Loop() {
-		for _, i := range rng.Perm(len(all)) { // a round pays for collecting some of what the one before it left: in one order, the same way always did
+		// A round pays for part of the garbage of the round before it. In a fixed order, that would always be the same
+		// path's.
+		for _, i := range rng.Perm(len(paths)) {
 			start := processCPU()
-			for range round {
-				if err := all[i].request(); err != nil {
+			for range requestsPerRound {
+				if err := paths[i].request(); err != nil {
 					b.Fatal(err)
 				}
 			}
-			took[i] = append(took[i], float64((processCPU()-start).Nanoseconds())/1e3/round)
+			cpuTimes[i] = append(cpuTimes[i], float64((processCPU()-start).Nanoseconds())/1e3/requestsPerRound)
 		}
 	}
 	median := func(i int) float64 {
-		slices.Sort(took[i])
-		return took[i][len(took[i])/2]
+		slices.Sort(cpuTimes[i])
+		return cpuTimes[i][len(cpuTimes[i])/2]
 	}
 	direct, proxy := median(0), median(1)
-	for i, w := range all {
-		b.ReportMetric(median(i), w.name+"-cpu-us")
-		if shares(i) {
-			b.ReportMetric((median(i)-direct)/(proxy-direct), w.name+"-of-proxy")
+	for i, path := range paths {
+		b.ReportMetric(median(i), path.name+"-cpu-us")
+		if reportsOverhead(i) {
+			b.ReportMetric((median(i)-direct)/(proxy-direct), path.name+"-of-proxy")
 		}
 	}
 }
--- a/bench_web_test.go
+++ b/bench_web_test.go
@@ -26,46 +26,52 @@
 	"pumicecroft/routes"
 )
 
-// webAccessPaths are direct, through httputil.ReverseProxy, and through the HTTP proxy with one route and with 10,000.
+// webAccessPaths returns paths to a backend: direct, through httputil.ReverseProxy, and through the HTTP proxy with one
+// route and with 10,000.
 func webAccessPaths(b *testing.B, secure bool) []accessPath {
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		io.WriteString(w, "ok")
+	}))
 	b.Cleanup(backend.Close)
 	addr := strings.TrimPrefix(backend.URL, "http://")
 	gateway, err := pumicecroft.New(pumicecroft.Config{
 		Settings: decision.Settings{CanCancel: true,
-			Classes: []decision.Class{{Name: "look", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
-			Plans:   []decision.Plan{{Name: "basic", Rate: 1e6, Burst: 1e6, Price: 1}}},
-		InitialEndpoints: membership.Update{Nodes: []membership.Node{{Name: "one", Addr: addr, Protocol: httpproxy.Protocol("shop")}}}},
+			Classes: []decision.Class{
+				{Name: "look", LatencyObjective: time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}},
+			Plans: []decision.Plan{{Name: "basic", Rate: 1e6, Burst: 1e6, Price: 1}}},
+		InitialEndpoints: membership.Update{Nodes: []membership.Node{
+			{Name: "one", Addr: addr, Protocol: httpproxy.Protocol("shop")}}}},
 		httpproxy.WithService(httpproxy.ServiceConfig{Name: "shop"}))
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = gateway.Close(context.Background()) })
-	front := func(n int) http.Handler {
-		to := &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Idempotent: "look"}}
-		rules := []routes.Rule[*httpproxy.Route]{{Name: "all", Path: "/{rest...}", Target: to}}
-		for i := range n - 1 {
-			rules = append(rules, routes.Rule[*httpproxy.Route]{Name: fmt.Sprint(i), Line: i, Path: fmt.Sprintf("/v%d/items-%d/{id}", i%10, i), Target: to})
+	newHTTPProxy := func(routeCount int) http.Handler {
+		route := &httpproxy.Route{Service: "shop", Class: httpproxy.Classes{Idempotent: "look"}}
+		rules := []routes.Rule[*httpproxy.Route]{{Name: "all", Path: "/{rest...}", Target: route}}
+		for i := range routeCount - 1 {
+			rules = append(rules, routes.Rule[*httpproxy.Route]{Name: fmt.Sprint(i), Line: i,
+				Path: fmt.Sprintf("/v%d/items-%d/{id}", i%10, i), Target: route})
 		}
 		table, err := routes.New(rules)
 		if err != nil {
 			b.Fatal(err)
 		}
-		f, err := httpproxy.New(gateway, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
+		httpProxy, err := httpproxy.New(gateway, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
 			Resolver: identity.New(nil, identity.NamedRule{Name: "address", Rule: &identity.AddressRule{Plan: "basic"}})}})
 		if err != nil {
 			b.Fatal(err)
 		}
-		return f
+		return httpProxy
 	}
 	target, _ := url.Parse(backend.URL)
 	proxy := httputil.NewSingleHostReverseProxy(target)
 	proxy.Transport = &http.Transport{MaxIdleConnsPerHost: 100, DisableCompression: true}
 	proxy.ErrorLog = log.New(io.Discard, "", 0)
-	a := testcerts.New(b)
+	authority := testcerts.New(b)
 	var config *tls.Config
 	if secure {
-		pair, err := tls.X509KeyPair(a.Issue(nil, "shop.example"))
+		pair, err := tls.X509KeyPair(authority.Issue(nil, "shop.example"))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -73,41 +79,53 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	b.Cleanup(stop)
-	over := func(name string, h http.Handler, to string) accessPath {
+	// newPath returns a path to a server of handler, or to serverAddr if handler is nil.
+	newPath := func(name string, handler http.Handler, serverAddr string) accessPath {
 		scheme := "http"
-		if h != nil {
+		if handler != nil {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
 			}
-			to = ln.Addr().String()
+			serverAddr = ln.Addr().String()
 			go func() {
-				_ = httplistener.NewServer(h, 400, time.Minute, slog.New(slog.DiscardHandler), httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
+				_ = httplistener.NewServer(handler, 400, time.Minute, slog.New(slog.DiscardHandler),
+					httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
 			}()
 			if secure {
 				scheme = "https"
 			}
 		}
-		client := &http.Transport{DisableCompression: true, TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: "shop.example"}}
+		client := &http.Transport{DisableCompression: true,
+			TLSClientConfig: &tls.Config{RootCAs: authority.Pool(), ServerName: "shop.example"}}
 		b.Cleanup(client.CloseIdleConnections)
 		return accessPath{name, func() error {
-			req, err := http.NewRequest(http.MethodGet, scheme+"://"+to+"/v7/items-4567/9", nil)
+			req, err := http.NewRequest(http.MethodGet, scheme+"://"+serverAddr+"/v7/items-4567/9", nil)
 			if err != nil {
 				return err
 			}
-			req.Header = http.Header{"Accept": {"application/json"}, "User-Agent": {"bench"}, "Authorization": {"Bearer abc"}, "Cookie": {"a=b; c=d"}}
+			req.Header = http.Header{"Accept": {"application/json"}, "User-Agent": {"bench"},
+				"Authorization": {"Bearer abc"}, "Cookie": {"a=b; c=d"}}
 			return requestOnce(client, req)
 		}}
 	}
-	direct := over("direct", nil, addr)
-	if secure { // straight to the backend there is no TLS: what it costs is both proxies' own
-		direct = over("direct-over-TLS", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }), "")
+	direct := newPath("direct", nil, addr)
+	if secure { // the backend itself has no TLS, whose cost would count as overhead of both proxies
+		direct = newPath("direct-over-TLS", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			io.WriteString(w, "ok")
+		}), "")
+	}
+	return []accessPath{
+		direct,
+		newPath("ReverseProxy", proxy, ""),
+		newPath("httpproxy", newHTTPProxy(1), ""),
+		newPath("httpproxy-10000", newHTTPProxy(10_000), ""),
 	}
-	return []accessPath{direct, over("ReverseProxy", proxy, ""), over("front", front(1), ""), over("front-10000", front(10_000), "")}
 }
 
-// BenchmarkWebOwnPart is BenchmarkOwnPart for ordinary HTTP: the proxy's own part with 1 route and with 10,000 as a share
-// of ReverseProxy's, over plain connections and over TLS 1.3 (where the direct path is a server with TLS).
+// BenchmarkWebOwnPart is BenchmarkOwnPart for ordinary HTTP: it reports the overhead of the HTTP proxy with 1 route and
+// with 10,000, relative to that of ReverseProxy, over plain connections and over TLS 1.3 (where the direct path is a
+// server with TLS).
 //
 //	go test -run xxx -bench WebOwnPart -benchtime 100x -cpu 1 .
 func BenchmarkWebOwnPart(b *testing.B) {
--- a/deploy_test.go
+++ b/deploy_test.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// deployFile is what the platform reads of deploy/balancer.toml.
+// deployFile holds the commands that the platform reads from deploy/balancer.toml.
 type deployFile struct{ Build, Run, Sim string }
 
 func readDeployFile(t *testing.T) deployFile {
@@ -30,18 +30,18 @@
 	return deploy
 }
 
-// The platform's bench controls a gateway's sockets, clocks and waits through a library that it loads
-// into the process. A statically linked program would escape it, so both programs are linked to the C
-// library by the very line that builds them.
+// The platform's bench controls the sockets, clocks and waits of a gateway through a library that it
+// preloads into the process, which has no effect on a statically linked program. So the deployed build
+// command must link both programs to the C library.
 func TestDeployBuildLinksCLibrary(t *testing.T) {
 	deploy := readDeployFile(t)
-	// SIGHUP ends a process that has not installed its handler yet: until then it has to be ignored, as
-	// the file has not been read either.
+	// SIGHUP would kill a process that has not installed its handler yet. Until then it must be ignored,
+	// which loses no reload, as the process has not read its file yet either.
 	if deploy.Run != "trap '' HUP; exec bin/pumicecroft" || deploy.Sim != "exec bin/adapter" {
-		t.Errorf("run %q and sim %q are not one process each", deploy.Run, deploy.Sim)
+		t.Errorf("run = %q, sim = %q; want each to replace the shell by one process", deploy.Run, deploy.Sim)
 	}
 	if !strings.Contains(deploy.Build, "-o bin/ ./cmd/...") {
-		t.Fatalf("build %q leaves no programs in bin", deploy.Build)
+		t.Fatalf("build = %q, want it to write all programs of cmd to bin", deploy.Build)
 	}
 	dir := t.TempDir()
 	build := strings.ReplaceAll(deploy.Build, "-o bin/", "-o "+dir+"/")
@@ -59,8 +59,8 @@
 	checkStaticProgramIsFound(t, dir)
 }
 
-// checkStartsAsOrdinaryUser starts a program as a user who may write nowhere but in $TMPDIR. It must
-// fail with an output that holds want, or succeed if want is empty.
+// checkStartsAsOrdinaryUser starts a program as a user who can write only to $TMPDIR. The program must
+// fail with an output that contains want, or succeed if want is empty.
 func checkStartsAsOrdinaryUser(t *testing.T, dir, name, want string) {
 	t.Helper()
 	cmd := exec.Command(filepath.Join(dir, name))
@@ -76,11 +76,12 @@
 	out, err := cmd.CombinedOutput()
 	var exit *exec.ExitError
 	if failed := errors.As(err, &exit); !strings.Contains(string(out), want) || failed != (want != "") {
-		t.Errorf("%s as an ordinary user: %v\n%s", name, err, out)
+		t.Errorf("%s as an ordinary user: error %v, want output with %q (if empty: no error); output:\n%s",
+			name, err, want, out)
 	}
 }
 
-// checkStaticProgramIsFound checks linkProblem itself: a program that Go links statically must not pass.
+// checkStaticProgramIsFound checks that linkProblem reports a statically linked program.
 func checkStaticProgramIsFound(t *testing.T, dir string) {
 	t.Helper()
 	static := filepath.Join(dir, "static")
@@ -90,11 +91,12 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	if linkProblem(static) == "" {
-		t.Error("a static program passes for one that is linked to the C library")
+		t.Error("linkProblem of a statically linked program = \"\", want a problem")
 	}
 }
 
-// linkProblem returns what keeps the dynamic loader from a program, or "".
+// linkProblem returns why the dynamic loader would not load the C library into a program, or "" if it
+// would.
 func linkProblem(path string) string {
 	f, err := elf.Open(path)
 	if err != nil {
@@ -102,11 +104,11 @@
 	}
 	defer f.Close() //nolint:errcheck // it was only read
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		return "names no interpreter"
+		return "has no program interpreter"
 	}
 	libs, err := f.ImportedLibraries()
 	if err != nil || !slices.ContainsFunc(libs, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		return "needs " + strings.Join(libs, ", ") + ", not the C library"
+		return "is linked to [" + strings.Join(libs, ", ") + "], not to the C library"
 	}
 	return ""
 }
--- a/disconnect_test.go
+++ b/disconnect_test.go
@@ -13,36 +13,38 @@
 	"pumicecroft/internal/testkit"
 )
 
-// disconnectObserver is a decision engine that tells when it hears that a client has disconnected.
+// disconnectObserver is a decision engine that signals each ClientDisconnected event that it has handled.
 type disconnectObserver struct {
 	lifecycle.DecisionEngine
 	disconnected chan bool
 }
 
-func (n disconnectObserver) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
-	as = n.DecisionEngine.Handle(now, ev, as)
+func (o disconnectObserver) Handle(now time.Duration, ev decision.Event, as []decision.Action) []decision.Action {
+	as = o.DecisionEngine.Handle(now, ev, as)
 	if _, ok := ev.(decision.ClientDisconnected); ok {
-		n.disconnected <- true
+		o.disconnected <- true
 	}
 	return as
 }
 
-// startObservedGateway starts a Gateway behind the daemon's server whose engine tells of clients that disconnect; nil: the
-// one in use.
-func startObservedGateway(t *testing.T, config Config, decider lifecycle.DecisionEngine, options ...Option) (*servedGateway, chan bool) {
+// startObservedGateway starts a Gateway behind the daemon's server and returns a channel that signals each client that
+// disconnects. A nil engine selects package decision's.
+func startObservedGateway(
+	t *testing.T, config Config, engine lifecycle.DecisionEngine, options ...Option,
+) (*servedGateway, chan bool) {
 	t.Helper()
-	if decider == nil {
-		g, err := decision.New(config.Settings, config.Seed, 24*time.Hour)
+	if engine == nil {
+		e, err := decision.New(config.Settings, config.Seed, 24*time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
-		decider = g
+		engine = e
 	}
-	left := make(chan bool, 10)
-	return startServedGateway(t, config, disconnectObserver{decider, left}, options...), left
+	disconnected := make(chan bool, 10)
+	return startServedGateway(t, config, disconnectObserver{engine, disconnected}, options...), disconnected
 }
 
-// heldCounter is a counter that answers when the test says so.
+// heldCounter is a shared counter whose calls are answered by the test.
 type heldCounter struct {
 	calls chan func(decision.CounterResult)
 }
@@ -51,68 +53,75 @@
 	h.calls <- func(a decision.CounterResult) { a.Ref = c.Ref; done(a) }
 }
 
-// A request waits for a connection, the counter or an earlier attempt, and its client disconnects meanwhile. When what it
-// waited for is there, it must not be sent, whatever the client had sent behind it.
+// A client disconnects while its request waits for a connection, the counter or an earlier attempt. When that wait
+// ends, the request must not be sent, whatever further bytes the client had sent before it disconnected.
 func TestDisconnectWhileWaitingSendsNothing(t *testing.T) {
-	const late, further, beside = "a connection that comes up late", "a further attempt's connection", "a connection of an attempt beside another"
-	for _, wait := range []string{late, further, beside, "the counter", "the end of its first attempt"} {
-		for _, behind := range []string{"", "x"} {
-			t.Run(fmt.Sprintf("%s, %d bytes behind", wait, len(behind)), func(t *testing.T) {
-				came, waiting, goOn := make(chan string, 10), make(chan bool, 10), make(chan bool)
+	const (
+		firstConnection    = "the connection of the first attempt"
+		retryConnection    = "the connection of a retry"
+		parallelConnection = "the connection of a parallel attempt"
+		counter            = "the counter"
+		firstAttempt       = "the result of the first attempt"
+	)
+	for _, wait := range []string{firstConnection, retryConnection, parallelConnection, counter, firstAttempt} {
+		for _, trailing := range []string{"", "x"} {
+			t.Run(fmt.Sprintf("%s, %d trailing bytes", wait, len(trailing)), func(t *testing.T) {
+				received, waiting, proceed := make(chan string, 10), make(chan bool, 10), make(chan bool)
 				addr := testkit.Accept(t, func(conn net.Conn) {
 					text, _ := io.ReadAll(conn)
-					came <- string(text)
+					received <- string(text)
 				})
 				config, options := testConfig(), []Option(nil)
 				config.InitialEndpoints = readyBackends(addr)
-				var decider lifecycle.DecisionEngine
-				slow := WithDialer(func(_ context.Context, network, to string) (net.Conn, error) {
+				var engine lifecycle.DecisionEngine
+				slowDialer := WithDialer(func(_ context.Context, network, to string) (net.Conn, error) {
 					if to == addr {
 						waiting <- true
-						<-goOn // it comes up all the same, after the attempt was called off
+						<-proceed // the connection is established even though the attempt has been cancelled
 					}
 					return net.Dial(network, to)
 				})
 				switch wait {
-				case late:
-					options = append(options, slow)
-				case further, beside:
-					options = append(options, slow)
+				case firstConnection:
+					options = append(options, slowDialer)
+				case retryConnection, parallelConnection:
+					options = append(options, slowDialer)
 					first := testkit.ServeRaw(t, func(_ int, conn net.Conn) {
-						if wait == further {
+						if wait == retryConnection {
 							io.WriteString(conn, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 						}
 					})
 					config.InitialEndpoints = readyBackends(first, addr)
-					decider = testkit.NewScriptedEngine(func(ev decision.Event) []decision.Action {
+					engine = testkit.NewScriptedEngine(func(ev decision.Event) []decision.Action {
 						var as []decision.Action
 						if ev, ok := ev.(decision.Request); ok {
 							as = append(as, decision.StartAttempt{Request: ev.ID, Backend: 1})
-							if wait == beside {
+							if wait == parallelConnection {
 								as = append(as, decision.StartAttempt{Request: ev.ID, Backend: 2})
 							}
 						}
 						if ev, ok := ev.(decision.Outcome); ok && ev.Attempt == 0 && !ev.Final {
 							as = append(as, decision.StartAttempt{Request: ev.Request, Backend: 2})
 						}
-						if ev, ok := ev.(decision.ClientDisconnected); ok { // as the module that ships does
-							as = append(as, decision.CancelAttempt{Request: ev.Request, Attempt: 0}, decision.CancelAttempt{Request: ev.Request, Attempt: 1})
+						if ev, ok := ev.(decision.ClientDisconnected); ok { // as decision.Engine does
+							as = append(as, decision.CancelAttempt{Request: ev.Request, Attempt: 0},
+								decision.CancelAttempt{Request: ev.Request, Attempt: 1})
 						}
 						return as
 					})
-				case "the counter":
+				case counter:
 					h := heldCounter{make(chan func(decision.CounterResult), 10)}
 					config.Settings.HasSharedCounter = true
 					p := &config.Settings.Plans[0]
-					p.HardLimitRate, p.HardLimitBurst = 1, 60 // of which this gateway has nothing right after its start
+					p.HardLimitRate, p.HardLimitBurst = 1, 60 // this gateway has no share of it right after its start
 					options = append(options, WithCounter(h))
 					go func() {
 						select {
 						case answer := <-h.calls:
 							waiting <- true
-							<-goOn
+							<-proceed
 							answer(decision.CounterResult{Result: decision.Succeeded, Total: 20})
-							for { // what is put back
+							for { // units that the gateway returns to the counter
 								select {
 								case answer := <-h.calls:
 									answer(decision.CounterResult{Result: decision.Succeeded, Total: 20})
@@ -126,11 +135,12 @@
 				default:
 					first := testkit.ServeRaw(t, func(_ int, conn net.Conn) {
 						waiting <- true
-						<-goOn
+						<-proceed
 						io.WriteString(conn, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 					})
 					config.InitialEndpoints = readyBackends(first, addr)
-					decider = testkit.NewScriptedEngine(func(ev decision.Event) []decision.Action { // it is sent once more, whatever became of it
+					// This engine retries after the first attempt, whatever its outcome.
+					engine = testkit.NewScriptedEngine(func(ev decision.Event) []decision.Action {
 						switch ev := ev.(type) {
 						case decision.Request:
 							return []decision.Action{decision.StartAttempt{Request: ev.ID, Backend: 1}}
@@ -142,30 +152,30 @@
 						return nil
 					})
 				}
-				d, left := startObservedGateway(t, config, decider, options...)
-				conn := dial(t, d.addr)
-				if err := d.newRequest(t, "look", nil).Write(conn); err != nil {
+				server, disconnected := startObservedGateway(t, config, engine, options...)
+				conn := dial(t, server.addr)
+				if err := server.newRequest(t, "look", nil).Write(conn); err != nil {
 					t.Fatal(err)
 				}
-				testkit.Await(t, waiting, "it to wait")
-				io.WriteString(conn, behind)
+				testkit.Await(t, waiting, "the request to wait for "+wait)
+				io.WriteString(conn, trailing)
 				conn.Close()
-				testkit.Await(t, left, "it to be seen that its client has left")
-				d.gateway.OpenRequests() // and what comes of that is done: it is one step
-				close(goOn)
-				patient, stop := context.WithTimeout(t.Context(), testkit.WaitTimeout)
-				defer stop()
-				if err := d.gateway.Close(patient); err != nil { // what was to leave has left
-					t.Error(err)
+				testkit.Await(t, disconnected, "the engine to handle the disconnect")
+				server.gateway.OpenRequests() // takes the executor's lock: the step that handled the disconnect has ended
+				close(proceed)
+				ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
+				defer cancel()
+				if err := server.gateway.Close(ctx); err != nil { // anything that would be sent has been sent by then
+					t.Errorf("Close: %v", err)
 				}
-				if wait == late || wait == further || wait == beside {
-					if text := testkit.Await(t, came, "the connection's end"); text != "" {
-						t.Errorf("sent on: %q", text)
+				if wait == firstConnection || wait == retryConnection || wait == parallelConnection {
+					if text := testkit.Await(t, received, "the end of the backend's connection"); text != "" {
+						t.Errorf("the backend received %q, want nothing", text)
 					}
 				}
 				select {
-				case text := <-came:
-					t.Errorf("sent on: %q", text)
+				case text := <-received:
+					t.Errorf("the backend received %q, want nothing", text)
 				default:
 				}
 			})
--- a/docs_test.go
+++ b/docs_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Programs in the page for embedders are those in examples, which are compiled with everything else.
-// A copy that is edited alone would stop compiling without notice.
+// The programs in the library page must equal those in examples, which are compiled with everything else.
+// Otherwise a program in the page could stop compiling without anyone noticing.
 func TestLibraryPageHoldsExamples(t *testing.T) {
 	page, err := os.ReadFile("docs/operate/library.md")
 	if err != nil {
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		if !strings.Contains(string(page), "```go\n"+string(program)+"```\n") {
-			t.Errorf("docs/operate/library.md does not hold examples/%s/main.go as it is", name)
+			t.Errorf("docs/operate/library.md does not contain an exact copy of examples/%s/main.go", name)
 		}
 	}
 }
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -10,38 +10,39 @@
 	"pumicecroft/membership"
 )
 
-// manyNodes is an update with n ready backends.
+// manyNodes returns a full update with n ready backends.
 func manyNodes(n int) membership.Update {
-	l := membership.Update{Full: true}
+	update := membership.Update{Full: true}
 	for i := range n {
-		l.Nodes = append(l.Nodes, membership.Node{Name: fmt.Sprintf("n-%04d", i), Addr: "h:1", Weight: 1})
+		update.Nodes = append(update.Nodes, membership.Node{Name: fmt.Sprintf("n-%04d", i), Addr: "h:1", Weight: 1})
 	}
-	return l
+	return update
 }
 
-// recordUpdates is an engine that passes on the endpoint updates that it handles.
-func recordUpdates(on func(decision.EndpointUpdate)) *testkit.ScriptedEngine {
-	return &testkit.ScriptedEngine{Events: make(chan decision.Event, 1000), Respond: func(ev decision.Event) []decision.Action {
-		if l, ok := ev.(decision.EndpointUpdate); ok {
-			on(l)
+// recordUpdates returns an engine that calls record with each endpoint update that it handles.
+func recordUpdates(record func(decision.EndpointUpdate)) *testkit.ScriptedEngine {
+	respond := func(ev decision.Event) []decision.Action {
+		if update, ok := ev.(decision.EndpointUpdate); ok {
+			record(update)
 		}
 		return nil
-	}}
+	}
+	return &testkit.ScriptedEngine{Events: make(chan decision.Event, 1000), Respond: respond}
 }
 
-// However long an update is, a cached one and what the table removes at once too, the engine gets it in steps.
+// The engine must get a long update in steps, also a cached one and removals that the table makes all at once.
 func TestLongUpdateIsPublishedInSteps(t *testing.T) {
 	const n = 10*entriesPerStep + 7
-	steps, most, total := 0, 0, map[decision.BackendID]decision.BackendState{}
+	steps, longestStep, states := 0, 0, map[decision.BackendID]decision.BackendState{}
 	config := testConfig()
 	config.InitialEndpoints = manyNodes(n)
-	gateway, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
-		if saved := l.Kind == decision.UpdateCached; saved != (steps == 0) {
-			t.Errorf("step %d is of kind %v", steps, l.Kind)
+	gateway, err := newGateway(config, recordUpdates(func(update decision.EndpointUpdate) {
+		if cached := update.Kind == decision.UpdateCached; cached != (steps == 0) {
+			t.Errorf("step %d has kind %v, want UpdateCached (%v) for step 0 alone", steps, update.Kind, decision.UpdateCached)
 		}
-		steps, most = steps+1, max(most, len(l.Endpoints))
-		for _, b := range l.Endpoints {
-			total[b.ID] = b.State
+		steps, longestStep = steps+1, max(longestStep, len(update.Endpoints))
+		for _, b := range update.Endpoints {
+			states[b.ID] = b.State
 		}
 	}), nil)
 	if err != nil {
@@ -52,39 +53,40 @@
 			t.Error(err)
 		}
 	}()
-	want := func(what string, leastSteps, known int, state decision.BackendState) {
+	check := func(name string, minSteps, wantNodes int, state decision.BackendState) {
 		t.Helper()
-		in := 0
-		for _, s := range total {
+		nodes := 0
+		for _, s := range states {
 			if s == state {
-				in++
+				nodes++
 			}
 		}
-		if most > changesPerStep || steps < leastSteps || in != known {
-			t.Errorf("%s: %d steps of %d at the most, %d nodes are so", what, steps, most, in)
+		if longestStep > changesPerStep || steps < minSteps || nodes != wantNodes {
+			t.Errorf("%s: %d steps of up to %d changes, %d nodes in state %v; want at least %d steps of up to %d, and %d nodes",
+				name, steps, longestStep, nodes, state, minSteps, changesPerStep, wantNodes)
 		}
-		steps, most = 1, 0
+		steps, longestStep = 1, 0
 	}
-	want("saved", 11, n, decision.Ready)
-	l := manyNodes(n)
-	for i := range l.Nodes {
-		l.Nodes[i].Addr = "h:2"
+	check("cached", 11, n, decision.Ready)
+	update := manyNodes(n)
+	for i := range update.Nodes {
+		update.Nodes[i].Addr = "h:2"
 	}
-	gateway.Update(l)
-	want("moved", 12, n, decision.Ready)
+	gateway.Update(update)
+	check("new addresses", 12, n, decision.Ready)
 	gateway.Update(membership.Update{Full: true})
-	want("gone", 12, n, decision.Removed)
+	check("removed", 12, n, decision.Removed)
 }
 
-// A drain by another source must not wait for a long update: it is taken in between two of its steps.
+// A drain reported by another source must not wait for a long update: it is applied between two steps of that update.
 func TestDrainBetweenTwoSteps(t *testing.T) {
 	const n = 4 * entriesPerStep
-	var order []string
+	var published []string
 	config := testConfig()
 	config.InitialEndpoints = membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", Weight: 1}}}
-	gateway, err := newGateway(config, recordUpdates(func(l decision.EndpointUpdate) {
-		for _, b := range l.Endpoints {
-			order = append(order, fmt.Sprint(b.ID, b.State))
+	gateway, err := newGateway(config, recordUpdates(func(update decision.EndpointUpdate) {
+		for _, b := range update.Endpoints {
+			published = append(published, fmt.Sprint(b.ID, b.State))
 		}
 	}), []Option{WithNamedSource(membership.SourceInfo{Name: "other", Trusted: true}, silentSource{})})
 	if err != nil {
@@ -95,26 +97,30 @@
 			t.Error(err)
 		}
 	}()
-	list := manyNodes(n)
-	list.Full = false
-	steps := gateway.membershipTable.BeginMerge(ownSource, list, gateway.executor.Clock().FromWallTime)
+	update := manyNodes(n)
+	update.Full = false
+	merge := gateway.membershipTable.BeginMerge(ownSource, update, gateway.executor.Clock().FromWallTime)
 	gateway.updateMu.Lock()
-	more := gateway.applyStep(steps, ownSource)
+	more := gateway.applyStep(merge, ownSource)
 	gateway.updateMu.Unlock()
-	if !more || len(order) != 1+entriesPerStep {
-		t.Fatalf("%d of %d nodes after one step", len(order), n)
+	if !more || len(published) != 1+entriesPerStep {
+		t.Fatalf("after one step: %d changes published, want %d; more steps: %v, want true",
+			len(published), 1+entriesPerStep, more)
 	}
-	gateway.applyUpdate("other", membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", State: decision.Draining}}})
-	if last := order[len(order)-1]; len(order) != 2+entriesPerStep || last != fmt.Sprint(1, decision.Draining) {
-		t.Errorf("%d nodes, the last of them %s", len(order), last)
+	gateway.applyUpdate("other", membership.Update{
+		Nodes: []membership.Node{{Name: "old", Addr: "h:1", State: decision.Draining}}})
+	last := published[len(published)-1]
+	if want := fmt.Sprint(1, decision.Draining); len(published) != 2+entriesPerStep || last != want {
+		t.Errorf("after the drain: %d changes published, the last is %q; want %d, the last %q",
+			len(published), last, 2+entriesPerStep, want)
 	}
 	for more {
 		gateway.updateMu.Lock()
-		more = gateway.applyStep(steps, ownSource)
+		more = gateway.applyStep(merge, ownSource)
 		gateway.updateMu.Unlock()
 	}
-	if len(order) != 2+n {
-		t.Errorf("%d nodes in the end", len(order))
+	if len(published) != 2+n {
+		t.Errorf("after all steps: %d changes published, want %d", len(published), 2+n)
 	}
 }
 
@@ -123,11 +129,11 @@
 
 func (silentSource) Run(ctx context.Context, _ func(membership.Update)) { <-ctx.Done() }
 
-// A Gateway that is closed in the middle of an update does not take in the rest of it.
+// A Gateway that is closed during an update must not apply the remaining steps, nor later updates.
 func TestCloseDuringUpdate(t *testing.T) {
-	heard, gateway := 0, (*Gateway)(nil)
-	gateway, err := newGateway(testConfig(), recordUpdates(func(l decision.EndpointUpdate) {
-		if heard += len(l.Endpoints); heard > 0 {
+	applied, gateway := 0, (*Gateway)(nil)
+	gateway, err := newGateway(testConfig(), recordUpdates(func(update decision.EndpointUpdate) {
+		if applied += len(update.Endpoints); applied > 0 {
 			gateway.cancel()
 		}
 	}), nil)
@@ -135,14 +141,14 @@
 		t.Fatal(err)
 	}
 	gateway.Update(manyNodes(4 * entriesPerStep))
-	if heard != entriesPerStep {
-		t.Errorf("%d nodes were taken", heard)
+	if applied != entriesPerStep {
+		t.Errorf("%d nodes were applied, want %d", applied, entriesPerStep)
 	}
 	if err := gateway.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
 	gateway.Update(manyNodes(1))
-	if heard != entriesPerStep {
-		t.Errorf("%d nodes were taken after the end", heard)
+	if applied != entriesPerStep {
+		t.Errorf("%d nodes were applied in all after Close, want still %d", applied, entriesPerStep)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -19,12 +19,13 @@
 	return decision.Settings{
 		CanCancel:     true,
 		MaxRetryAfter: time.Second,
-		Classes:       []decision.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
-		Plans:         []decision.Plan{{Name: "shop", Rate: 0.1, Burst: 2, Price: 1}},
+		Classes: []decision.Class{
+			{Name: "lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Plans: []decision.Plan{{Name: "shop", Rate: 0.1, Burst: 2, Price: 1}},
 	}
 }
 
-// A caller in the same process makes requests with Do.
+// Requests are made in the same process with Do.
 func ExampleGateway_Do() {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "looked up %s", r.URL.RequestURI())
@@ -38,14 +39,14 @@
 	}
 	defer func() { _ = gateway.Close(context.Background()) }()
 	for range 3 {
-		answer, err := gateway.Do(context.Background(), pumicecroft.Request{Class: "lookup", Plan: "shop", Customer: 7,
+		response, err := gateway.Do(context.Background(), pumicecroft.Request{Class: "lookup", Plan: "shop", Customer: 7,
 			Target: "/lookup?serial=3"})
-		var refused *pumicecroft.RejectedError
+		var rejected *pumicecroft.RejectedError
 		switch {
 		case err == nil:
-			fmt.Println(string(answer.Body))
-		case errors.As(err, &refused):
-			fmt.Println("over the quota: come back in", refused.RetryAfter)
+			fmt.Println(string(response.Body))
+		case errors.As(err, &rejected):
+			fmt.Println("over the quota: come back in", rejected.RetryAfter)
 		default:
 			fmt.Println(err)
 		}
@@ -64,9 +65,9 @@
 		return
 	}
 	defer func() { _ = gateway.Close(context.Background()) }()
-	front := httptest.NewServer(gateway)
-	defer front.Close()
-	req, _ := http.NewRequest("GET", front.URL+"/lookup", nil)
+	server := httptest.NewServer(gateway)
+	defer server.Close()
+	req, _ := http.NewRequest("GET", server.URL+"/lookup", nil)
 	req.Header = http.Header{"Request-Id": {"9b1f03aa5c7e2d41"}, "Request-Class": {"lookup"}, "X-Tier": {"shop"},
 		"X-Api-Key": {"00000000b4d65521"}, "Request-Timeout": {"0.480"}, "X-Call-Terms": {"units=1,spread=1,first=0"}}
 	res, err := http.DefaultClient.Do(req)
@@ -76,6 +77,6 @@
 	}
 	defer res.Body.Close()
 	io.Copy(io.Discard, res.Body)
-	fmt.Println(res.StatusCode, "Retry-After", res.Header.Get("Retry-After")) // it knows of no backend
+	fmt.Println(res.StatusCode, "Retry-After", res.Header.Get("Retry-After")) // rejected: there is no backend
 	// Output: 503 Retry-After 0.250
 }
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -29,26 +29,29 @@
 func TestDo(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
 	for _, class := range []string{"look", "pay", "once"} {
-		a, err := r.Gateway.Do(t.Context(), newRequest(class))
-		if err != nil || !strings.HasPrefix(string(a.Body), "done ") || a.Attempts != 1 || a.ContentType == "" {
-			t.Errorf("%s: %+v, %v", class, a, err)
+		response, err := r.Gateway.Do(t.Context(), newRequest(class))
+		if err != nil || !strings.HasPrefix(string(response.Body), "done ") || response.Attempts != 1 ||
+			response.ContentType == "" {
+			t.Errorf(`%s: response %+v, error %v; want a body "done ...", a content type, 1 attempt and no error`,
+				class, response, err)
 		}
 	}
 	req := newRequest("pay")
 	req.ID, req.Target, req.Host, req.ContentType = 0xabc, "/pay/x?y=1", "h", "text/plain"
 	if _, err := r.Gateway.Do(t.Context(), req); err != nil {
-		t.Error(err)
+		t.Errorf("Do with target, host and content type: %v", err)
 	}
-	seen := r.Ledger.ForRequest("0000000000000abc")
-	if len(seen) != 1 || seen[0].Body != "amount=3" || seen[0].Key != "k" {
-		t.Errorf("%+v", seen)
+	attempts := r.Ledger.ForRequest("0000000000000abc")
+	if len(attempts) != 1 || attempts[0].Body != "amount=3" || attempts[0].Key != "k" {
+		t.Errorf("attempts = %+v, want one with body %q and key %q", attempts, "amount=3", "k")
 	}
 }
 
-// Each end of a request is an error of its own, and one of the general ones.
+// Each way in which a request ends without a response has its own error, which wraps exactly one of ErrRejected,
+// ErrFailed and ErrBadRequest.
 func TestErrors(t *testing.T) {
 	r := hosttest.New(t, 1, nil, nil)
-	bad := func(change func(*pumicecroft.Request)) error {
+	doChanged := func(change func(*pumicecroft.Request)) error {
 		req := newRequest("pay")
 		change(&req)
 		_, err := r.Gateway.Do(t.Context(), req)
@@ -59,7 +62,7 @@
 		"plan":          func(q *pumicecroft.Request) { q.Plan = "gold" },
 		"units":         func(q *pumicecroft.Request) { q.Cost = -1 },
 		"units NaN":     func(q *pumicecroft.Request) { q.Cost = math.NaN() },
-		"units without": func(q *pumicecroft.Request) { q.Cost = math.Inf(1) },
+		"units +Inf":    func(q *pumicecroft.Request) { q.Cost = math.Inf(1) },
 		"spread":        func(q *pumicecroft.Request) { q.GatewaySpread = 2 },
 		"first":         func(q *pumicecroft.Request) { q.FirstGateway = 1 },
 		"timeout":       func(q *pumicecroft.Request) { q.Timeout = -1 },
@@ -72,46 +75,51 @@
 		"content type":  func(q *pumicecroft.Request) { q.ContentType = "a\nb" },
 		"GET with body": func(q *pumicecroft.Request) { q.Method = "GET" },
 	} {
-		if err := bad(change); !errors.Is(err, pumicecroft.ErrBadRequest) || errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
-			t.Errorf("%s: %v", name, err)
+		if err := doChanged(change); !errors.Is(err, pumicecroft.ErrBadRequest) ||
+			errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
+			t.Errorf("invalid %s: error %v, want ErrBadRequest alone", name, err)
 		}
 	}
-	if err := bad(func(q *pumicecroft.Request) { q.Body = make([]byte, pumicecroft.MaxBody+1) }); !errors.Is(err, pumicecroft.ErrBodyTooLarge) || !errors.Is(err, pumicecroft.ErrBadRequest) {
-		t.Errorf("too large: %v", err)
+	err := doChanged(func(q *pumicecroft.Request) { q.Body = make([]byte, pumicecroft.MaxBody+1) })
+	if !errors.Is(err, pumicecroft.ErrBodyTooLarge) || !errors.Is(err, pumicecroft.ErrBadRequest) {
+		t.Errorf("body over MaxBody: error %v, want ErrBodyTooLarge and ErrBadRequest", err)
 	}
 	if n := len(r.Ledger.Attempts()); n > 0 {
-		t.Errorf("%d were sent", n)
+		t.Errorf("invalid requests: %d attempts were sent, want 0", n)
 	}
 	ctx, cancel := context.WithCancelCause(t.Context())
-	why := errors.New("the shop has closed")
-	cancel(why)
-	if _, err := r.Gateway.Do(ctx, newRequest("look")); !errors.Is(err, why) {
-		t.Errorf("a context that has ended: %v", err)
+	cause := errors.New("test cause")
+	cancel(cause)
+	if _, err := r.Gateway.Do(ctx, newRequest("look")); !errors.Is(err, cause) {
+		t.Errorf("cancelled context: error %v, want its cause %v", err, cause)
 	}
 
 	empty := hosttest.New(t, 0, nil, nil)
-	_, err := empty.Gateway.Do(t.Context(), newRequest("look"))
-	var refused *pumicecroft.RejectedError
-	if !errors.Is(err, pumicecroft.ErrRejected) || !errors.As(err, &refused) || refused.RetryAfter <= 0 || errors.Is(err, pumicecroft.ErrFailed) {
-		t.Errorf("nobody there: %v", err)
+	_, err = empty.Gateway.Do(t.Context(), newRequest("look"))
+	var rejected *pumicecroft.RejectedError
+	if !errors.Is(err, pumicecroft.ErrRejected) || !errors.As(err, &rejected) || rejected.RetryAfter <= 0 ||
+		errors.Is(err, pumicecroft.ErrFailed) {
+		t.Errorf("no backend: error %v, want a RejectedError with RetryAfter > 0", err)
 	}
 
 	broken := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { return fakes.ExecuteThenError }, nil)
-	if _, err := broken.Gateway.Do(t.Context(), newRequest("once")); !errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
-		t.Errorf("failed: %v", err)
+	_, err = broken.Gateway.Do(t.Context(), newRequest("once"))
+	if !errors.Is(err, pumicecroft.ErrFailed) || errors.Is(err, pumicecroft.ErrRejected) {
+		t.Errorf("backend executes, then fails: error %v, want ErrFailed alone", err)
 	}
 	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { return fakes.ExecuteThenHang }, nil)
 	req := newRequest("once")
 	req.Timeout = 200 * time.Millisecond
 	start := time.Now()
-	if _, err := hung.Gateway.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrFailed) || time.Since(start) > 15*time.Second {
-		t.Errorf("hung: %v after %v", err, time.Since(start))
+	_, err = hung.Gateway.Do(t.Context(), req)
+	if !errors.Is(err, pumicecroft.ErrFailed) || time.Since(start) > 15*time.Second {
+		t.Errorf("backend executes, then hangs: error %v after %v, want ErrFailed within 15 s", err, time.Since(start))
 	}
 }
 
 func TestDo_DuplicateAndReplayedID(t *testing.T) {
-	goOn := make(chan bool)
-	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { <-goOn; return fakes.ServeNormally }, nil)
+	proceed := make(chan bool)
+	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { <-proceed; return fakes.ServeNormally }, nil)
 	req := newRequest("pay")
 	req.ID = 5
 	first := make(chan error, 1)
@@ -120,44 +128,48 @@
 		first <- err
 	}()
 	r.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 })
-	if _, err := r.Gateway.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrDuplicateID) || !errors.Is(err, pumicecroft.ErrBadRequest) {
-		t.Errorf("open: %v", err)
+	_, err := r.Gateway.Do(t.Context(), req)
+	if !errors.Is(err, pumicecroft.ErrDuplicateID) || !errors.Is(err, pumicecroft.ErrBadRequest) {
+		t.Errorf("same ID while the first request is open: error %v, want ErrDuplicateID and ErrBadRequest", err)
 	}
-	close(goOn)
+	close(proceed)
 	if err := <-first; err != nil {
-		t.Error(err)
+		t.Errorf("first request: %v", err)
 	}
-	if _, err := r.Gateway.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrReplayed) || !errors.Is(err, pumicecroft.ErrFailed) {
-		t.Errorf("again: %v", err)
+	_, err = r.Gateway.Do(t.Context(), req)
+	if !errors.Is(err, pumicecroft.ErrReplayed) || !errors.Is(err, pumicecroft.ErrFailed) {
+		t.Errorf("same ID after the first request: error %v, want ErrReplayed and ErrFailed", err)
 	}
 	if n := len(r.Ledger.Attempts()); n != 1 {
-		t.Errorf("%d were sent", n)
+		t.Errorf("%d attempts were sent, want 1", n)
 	}
 }
 
 func TestMaxOpenRequests(t *testing.T) {
-	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { return fakes.ExecuteThenHang }, func(c *pumicecroft.Config) { c.MaxOpenRequests = 3 })
-	ctx, leave := context.WithCancel(t.Context())
-	var asking sync.WaitGroup
+	r := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { return fakes.ExecuteThenHang },
+		func(c *pumicecroft.Config) { c.MaxOpenRequests = 3 })
+	ctx, cancel := context.WithCancel(t.Context())
+	var requests sync.WaitGroup
 	for range 3 {
-		asking.Go(func() { _, _ = r.Gateway.Do(ctx, newRequest("look")) })
+		requests.Go(func() { _, _ = r.Gateway.Do(ctx, newRequest("look")) })
 	}
 	r.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 3 })
-	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrTooManyRequests) || !errors.Is(err, pumicecroft.ErrRejected) {
-		t.Errorf("one too many: %v", err)
+	_, err := r.Gateway.Do(t.Context(), newRequest("look"))
+	if !errors.Is(err, pumicecroft.ErrTooManyRequests) || !errors.Is(err, pumicecroft.ErrRejected) {
+		t.Errorf("one request over MaxOpenRequests: error %v, want ErrTooManyRequests and ErrRejected", err)
 	}
-	leave()
-	asking.Wait()
+	cancel()
+	requests.Wait()
 	r.AwaitIdle()
 }
 
-// Close loses no request: open ones are answered before it returns, new ones are rejected, and when its own context ends
-// the rest ends as ErrAborted at once.
+// Close loses no request: open requests are answered before it returns, and new ones are rejected. If its context ends
+// first, the open requests end with ErrAborted at once.
 func TestClose(t *testing.T) {
-	goOn := make(chan bool)
+	proceed := make(chan bool)
 	r := hosttest.New(t, 1, func(a fakes.Attempt) fakes.Behavior {
 		if a.Class == "pay" {
-			<-goOn
+			<-proceed
 		}
 		return fakes.ServeNormally
 	}, nil)
@@ -170,29 +182,30 @@
 	closed := make(chan error, 1)
 	go func() { closed <- r.Gateway.Close(context.Background()) }()
 	for end := time.Now().Add(hosttest.WaitTimeout); ; time.Sleep(time.Millisecond) {
-		if _, err := r.Gateway.Do(t.Context(), newRequest("look")); errors.Is(err, pumicecroft.ErrClosed) && errors.Is(err, pumicecroft.ErrRejected) {
+		_, err := r.Gateway.Do(t.Context(), newRequest("look"))
+		if errors.Is(err, pumicecroft.ErrClosed) && errors.Is(err, pumicecroft.ErrRejected) {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("requests are taken while it closes")
+			t.Fatalf("new request during Close: error %v, want ErrClosed and ErrRejected", err)
 		}
 	}
 	select {
 	case err := <-closed:
-		t.Errorf("it closed with a request open: %v", err)
+		t.Errorf("Close returned %v while a request was open", err)
 	default:
 	}
-	close(goOn)
+	close(proceed)
 	if err := <-first; err != nil {
-		t.Errorf("what was taken: %v", err)
+		t.Errorf("request that was open when Close was called: %v", err)
 	}
 	if err := <-closed; err != nil {
-		t.Error(err)
+		t.Errorf("Close: %v", err)
 	}
 	if err := r.Gateway.Close(context.Background()); err != nil {
-		t.Errorf("once more: %v", err)
+		t.Errorf("second Close: %v", err)
 	}
-	r.Gateway.Update(membership.Update{Full: true}) // does nothing, and no harm
+	r.Gateway.Update(membership.Update{Full: true}) // must not panic
 
 	hung := hosttest.New(t, 1, func(fakes.Attempt) fakes.Behavior { return fakes.ExecuteThenHang }, nil)
 	go func() {
@@ -202,27 +215,28 @@
 	hung.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 })
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if err := hung.Gateway.Close(ctx); !errors.Is(err, pumicecroft.ErrAborted) || !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a close that is given no time: %v", err)
+	err := hung.Gateway.Close(ctx)
+	if !errors.Is(err, pumicecroft.ErrAborted) || !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("Close whose context ends: error %v, want ErrAborted and context.DeadlineExceeded", err)
 	}
 	if err := <-first; !errors.Is(err, pumicecroft.ErrAborted) || !errors.Is(err, pumicecroft.ErrFailed) {
-		t.Errorf("what it held: %v", err)
+		t.Errorf("request that was open when the context ended: error %v, want ErrAborted and ErrFailed", err)
 	}
 }
 
-// pushedSource is a source whose updates the test pushes.
+// pushedSource is a source whose updates the test pushes. It sends an empty update back once one has been applied.
 type pushedSource struct {
-	lists chan membership.Update
-	ended chan bool
+	updates chan membership.Update
+	ended   chan bool
 }
 
 func (s pushedSource) Run(ctx context.Context, update func(membership.Update)) {
 	defer close(s.ended)
 	for {
 		select {
-		case l := <-s.lists:
-			update(l)
-			s.lists <- membership.Update{} // it has counted
+		case u := <-s.updates:
+			update(u)
+			s.updates <- membership.Update{} // u has been applied
 		case <-ctx.Done():
 			return
 		}
@@ -232,50 +246,50 @@
 func TestSource(t *testing.T) {
 	s := pushedSource{make(chan membership.Update), make(chan bool)}
 	r := hosttest.New(t, 1, nil, nil, pumicecroft.WithSource(s))
-	push := func(l membership.Update) { s.lists <- l; <-s.lists }
+	push := func(u membership.Update) { s.updates <- u; <-s.updates }
 	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); err != nil {
-		t.Error(err)
+		t.Errorf("with a ready backend: %v", err)
 	}
 	push(membership.Update{Nodes: []membership.Node{{Name: "b0", Addr: r.Backends[0].Addr(), State: decision.Draining}}})
 	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); !errors.Is(err, pumicecroft.ErrRejected) {
-		t.Errorf("while the one backend drains: %v", err)
+		t.Errorf("while the only backend drains: error %v, want ErrRejected", err)
 	}
 	push(membership.Update{Full: true, Nodes: []membership.Node{{Name: ""}, {Name: "bad", State: 9}, {Name: "none"},
-		{Name: "new", Addr: r.Backends[0].Addr()}}}) // three make no sense
+		{Name: "new", Addr: r.Backends[0].Addr()}}}) // the first three are invalid
 	if _, err := r.Gateway.Do(t.Context(), newRequest("look")); err != nil {
-		t.Errorf("a new one: %v", err)
+		t.Errorf("with a new backend: %v", err)
 	}
 	if err := r.Gateway.Close(t.Context()); err != nil {
-		t.Error(err)
+		t.Errorf("Close: %v", err)
 	}
 	select {
 	case <-s.ended:
 	case <-time.After(hosttest.WaitTimeout):
-		t.Error("the source outlives the gateway")
+		t.Errorf("the source is still running %v after Close", hosttest.WaitTimeout)
 	}
 }
 
 func TestConfig(t *testing.T) {
 	if _, err := pumicecroft.New(pumicecroft.Config{}); !errors.Is(err, pumicecroft.ErrConfig) {
-		t.Errorf("nothing at all: %v", err)
+		t.Errorf("empty configuration: error %v, want ErrConfig", err)
 	}
 	for name, change := range map[string]func(*pumicecroft.Config){
-		"a time below 0":     func(c *pumicecroft.Config) { c.IdleTimeout = -1 },
-		"a count below 0":    func(c *pumicecroft.Config) { c.MaxOpenRequests = -1 },
-		"a number too high":  func(c *pumicecroft.Config) { c.Settings.GatewayIndex = 1 },
-		"a number below 0":   func(c *pumicecroft.Config) { c.Settings.GatewayIndex = -1 },
-		"a plan that is odd": func(c *pumicecroft.Config) { c.Settings.Plans[0].Rate = math.NaN() },
-		"no class":           func(c *pumicecroft.Config) { c.Settings.Classes = nil },
+		"negative duration":      func(c *pumicecroft.Config) { c.IdleTimeout = -1 },
+		"negative count":         func(c *pumicecroft.Config) { c.MaxOpenRequests = -1 },
+		"gateway index too high": func(c *pumicecroft.Config) { c.Settings.GatewayIndex = 1 },
+		"negative gateway index": func(c *pumicecroft.Config) { c.Settings.GatewayIndex = -1 },
+		"plan rate NaN":          func(c *pumicecroft.Config) { c.Settings.Plans[0].Rate = math.NaN() },
+		"no class":               func(c *pumicecroft.Config) { c.Settings.Classes = nil },
 	} {
 		c := hosttest.Config()
 		change(&c)
 		if _, err := pumicecroft.New(c); !errors.Is(err, pumicecroft.ErrConfig) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrConfig", name, err)
 		}
 	}
 }
 
-// Gateways come and go in one process: Close leaves no goroutine, and several Gateways share nothing.
+// Close must end all goroutines of a Gateway, and several Gateways in one process must share nothing.
 func TestCloseLeavesNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for range 20 {
@@ -283,28 +297,28 @@
 		for i := range 3 {
 			c := hosttest.Config()
 			c.InitialEndpoints.Nodes = []membership.Node{{Name: "one", Addr: "127.0.0.1:1"}}
-			d, err := pumicecroft.New(c, pumicecroft.WithDialer(func(context.Context, string, string) (net.Conn, error) {
-				return nil, errors.New("no way")
+			g, err := pumicecroft.New(c, pumicecroft.WithDialer(func(context.Context, string, string) (net.Conn, error) {
+				return nil, errors.New("dial refused by the test")
 			}))
 			if err != nil {
 				t.Fatal(err)
 			}
 			req := newRequest("once")
-			req.ID = 77 // the same at each: they do not know of one another
-			if _, err := d.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrRejected) {
-				t.Errorf("gateway %d: %v", i, err)
+			req.ID = 77 // the same at each gateway: they do not share IDs
+			if _, err := g.Do(t.Context(), req); !errors.Is(err, pumicecroft.ErrRejected) {
+				t.Errorf("gateway %d: error %v, want ErrRejected", i, err)
 			}
-			gateways = append(gateways, d)
+			gateways = append(gateways, g)
 		}
-		for _, d := range gateways {
-			if err := d.Close(t.Context()); err != nil {
-				t.Error(err)
+		for _, g := range gateways {
+			if err := g.Close(t.Context()); err != nil {
+				t.Errorf("Close: %v", err)
 			}
 		}
 	}
 	for end := time.Now().Add(hosttest.WaitTimeout); runtime.NumGoroutine() > before+2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+			t.Fatalf("%d goroutines after Close, want at most %d", runtime.NumGoroutine(), before+2)
 		}
 	}
 }
@@ -313,15 +327,15 @@
 
 func (idleSource) Run(context.Context, func(membership.Update)) {}
 
-// A source without a name, or of a name that is trusted here and not there, is an ErrConfig.
+// A source without a name, or two sources of one name of which only one is trusted, are an ErrConfig.
 func TestInvalidSources(t *testing.T) {
-	for _, os := range [][]membership.SourceInfo{{{}}, {{Name: "x"}, {Name: "x", Trusted: true}}, {{Name: "own"}}} {
+	for _, infos := range [][]membership.SourceInfo{{{}}, {{Name: "x"}, {Name: "x", Trusted: true}}, {{Name: "own"}}} {
 		var options []pumicecroft.Option
-		for _, o := range os {
-			options = append(options, pumicecroft.WithNamedSource(o, idleSource{}))
+		for _, info := range infos {
+			options = append(options, pumicecroft.WithNamedSource(info, idleSource{}))
 		}
 		if _, err := pumicecroft.New(hosttest.Config(), options...); !errors.Is(err, pumicecroft.ErrConfig) {
-			t.Errorf("%+v: %v", os, err)
+			t.Errorf("sources %+v: error %v, want ErrConfig", infos, err)
 		}
 	}
 }
--- a/purity_test.go
+++ b/purity_test.go
@@ -25,21 +25,28 @@
 
 var impureImports = []string{"net", "os", "sync", "log", "syscall", "context", "io", "runtime", "testing", "unsafe"}
 
-var pureTime = []string{"Duration", "Time", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour", "Unix",
-	"UnixMilli", "Month", "Weekday", "UTC", "Date", "ParseDuration", "Parse", "RFC3339", "RFC3339Nano"}
+// pureTime lists the identifiers of package time that do not read a clock.
+var pureTime = []string{
+	"Duration", "Time", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour", "Unix",
+	"UnixMilli", "Month", "Weekday", "UTC", "Date", "ParseDuration", "Parse", "RFC3339", "RFC3339Nano",
+}
 
+// pureRand lists the identifiers of package rand that do not use the global generator, which is seeded randomly.
 var pureRand = []string{"New", "NewPCG", "Rand", "Source", "PCG", "NewZipf", "Zipf"}
 
-// pureOf lists what pure packages may use of packages that also do I/O: identifiers that work on values alone.
+// pureOf lists, for packages that also do I/O, the identifiers that pure packages may use: those that only work on the
+// values that they are given.
 var pureOf = map[string][]string{
-	"net/http":      {"Request", "Response", "ReadResponse", "ReadRequest", "NoBody", "MethodGet", "MethodPost", "StatusSwitchingProtocols"},
+	"net/http": {
+		"Request", "Response", "ReadResponse", "ReadRequest", "NoBody", "MethodGet", "MethodPost", "StatusSwitchingProtocols",
+	},
 	"net/url":       {"PathUnescape"},
 	"net/textproto": {"CanonicalMIMEHeaderKey"},
 	"net/netip":     {"ParseAddr"},
 	"io":            {"EOF", "ErrUnexpectedEOF", "ReadFull", "ReadAll", "LimitReader"},
 }
 
-// impurities returns what a file does that a pure package must not, each with its position.
+// impurities returns the violations of purity in a file, each with its position.
 func impurities(name string, src any) ([]string, error) {
 	fset := token.NewFileSet()
 	file, err := parser.ParseFile(fset, name, src, 0)
@@ -47,30 +54,33 @@
 		return nil, err
 	}
 	var found []string
-	bad := func(pos token.Pos, what string) { found = append(found, fset.Position(pos).String()+": "+what) }
+	report := func(pos token.Pos, violation string) {
+		found = append(found, fset.Position(pos).String()+": "+violation)
+	}
 	for _, im := range file.Imports {
 		path, _ := strconv.Unquote(im.Path.Value)
 		first, _, _ := strings.Cut(path, "/")
 		if slices.Contains(impureImports, first) && pureOf[path] == nil || path == "math/rand" || im.Name != nil {
-			bad(im.Pos(), "imports "+path)
+			report(im.Pos(), "imports "+path)
 		}
 		if rest, ok := strings.CutPrefix(path, "pumicecroft"); ok &&
 			(rest == "" || !slices.Contains(purePackages, strings.TrimPrefix(rest, "/"))) {
-			bad(im.Pos(), "imports "+path+", which is not pure")
+			report(im.Pos(), "imports "+path+", which is not pure")
 		}
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.GoStmt:
-			bad(n.Pos(), "starts a goroutine")
+			report(n.Pos(), "starts a goroutine")
 		case *ast.ChanType, *ast.SelectStmt:
-			bad(n.Pos(), "uses channels")
+			report(n.Pos(), "uses channels")
 		case *ast.SelectorExpr:
 			pkg, ok := n.X.(*ast.Ident)
 			if ok && pkg.Obj == nil && (pkg.Name == "time" && !slices.Contains(pureTime, n.Sel.Name) ||
-				pkg.Name == "rand" && !slices.Contains(pureRand, n.Sel.Name) || pkg.Name == "io" && !slices.Contains(pureOf["io"], n.Sel.Name) ||
+				pkg.Name == "rand" && !slices.Contains(pureRand, n.Sel.Name) ||
+				pkg.Name == "io" && !slices.Contains(pureOf["io"], n.Sel.Name) ||
 				pkg.Name == "http" && !slices.Contains(pureOf["net/http"], n.Sel.Name)) {
-				bad(n.Pos(), "uses "+pkg.Name+"."+n.Sel.Name)
+				report(n.Pos(), "uses "+pkg.Name+"."+n.Sel.Name)
 			}
 		}
 		return true
@@ -82,7 +92,7 @@
 	for _, dir := range purePackages {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(files) == 0 {
-			t.Fatalf("%s: %v, %v", dir, files, err)
+			t.Fatalf("%s: Go files = %v, error %v; want at least one file", dir, files, err)
 		}
 		for _, name := range files {
 			if strings.HasSuffix(name, "_test.go") {
@@ -103,7 +113,7 @@
 	}
 }
 
-// A check that finds nothing anywhere would pass as well.
+// TestPurePackages would also pass if impurities never found anything. It must report each of these sources.
 func TestImpuritiesAreSeen(t *testing.T) {
 	for name, src := range map[string]string{
 		"net":        `import "net"`,
@@ -111,21 +121,21 @@
 		"pipe":       `import "io"; var f = io.Pipe`,
 		"renamed io": `import x "io"`,
 		"lock":       `import "sync"`,
-		"own driver": `import "pumicecroft/internal/executor"`,
-		"the root":   `import "pumicecroft"`,
+		"executor":   `import "pumicecroft/internal/executor"`,
+		"root":       `import "pumicecroft"`,
 		"clock":      `import "time"; func f() time.Time { return time.Now() }`,
 		"timer":      `import "time"; var f = time.AfterFunc`,
-		"chance":     `import "math/rand/v2"; var x = rand.IntN(3)`,
+		"random":     `import "math/rand/v2"; var x = rand.IntN(3)`,
 		"renamed":    `import x "time"`,
 		"goroutine":  `func f() { go f() }`,
 		"channel":    `var c chan int`,
 	} {
 		if found, err := impurities(name, "package p; "+src); err != nil || len(found) == 0 {
-			t.Errorf("%s: %v, %v", name, found, err)
+			t.Errorf("%s: impurities = %v, error %v; want at least one and no error", name, found, err)
 		}
 	}
 	if found, err := impurities("good", `package p; import ("time"; "math/rand/v2"; "pumicecroft/decision")
 		var r = rand.New(rand.NewPCG(1, 2)); var d time.Duration; var x decision.Request`); err != nil || len(found) > 0 {
-		t.Errorf("what is pure: %v, %v", found, err)
+		t.Errorf("pure source: impurities = %v, error %v; want none", found, err)
 	}
 }
