--- a/bench_test.go
+++ b/bench_test.go
@@ -118,10 +118,10 @@
 		}}}
 }
 
-// BenchmarkFronts times each access path separately. cpu-us/op is user and system time of the whole process.
+// BenchmarkAccessPaths times each access path separately. cpu-us/op is user and system time of the whole process.
 //
-//	go test -run xxx -bench Fronts -benchtime 3s -cpu 1 .
-func BenchmarkFronts(b *testing.B) {
+//	go test -run xxx -bench AccessPaths -benchtime 3s -cpu 1 .
+func BenchmarkAccessPaths(b *testing.B) {
 	for _, path := range accessPaths(b) {
 		b.Run(path.name, func(b *testing.B) {
 			b.ReportAllocs()
@@ -136,18 +136,18 @@
 	}
 }
 
-// BenchmarkOwnPart sends requests by all access paths in turn, in short rounds, so that changes of the machine's speed
+// BenchmarkOverhead sends requests by all access paths in turn, in short rounds, so that changes of the machine's speed
 // affect all of them equally. It reports the CPU time of each path, as the median over the rounds, and the overhead of
 // the daemon's server and of the middleware (their figures less that of "direct") relative to that of ReverseProxy.
 //
-//	go test -run xxx -bench OwnPart -benchtime 100x -cpu 1 .
-func BenchmarkOwnPart(b *testing.B) {
-	ownPart(b, accessPaths(b), func(i int) bool { return i == 2 || i == 3 })
+//	go test -run xxx -bench BenchmarkOverhead -benchtime 100x -cpu 1 .
+func BenchmarkOverhead(b *testing.B) {
+	measureOverhead(b, accessPaths(b), func(i int) bool { return i == 2 || i == 3 })
 }
 
-// ownPart times access paths in turn. The first must be the direct one and the second ReverseProxy. reportsOverhead
-// selects the paths whose overhead, relative to that of ReverseProxy, is reported.
-func ownPart(b *testing.B, paths []accessPath, reportsOverhead func(i int) bool) {
+// measureOverhead times access paths in turn. The first must be the direct one and the second ReverseProxy.
+// reportsOverhead selects the paths whose overhead, relative to that of ReverseProxy, is reported.
+func measureOverhead(b *testing.B, paths []accessPath, reportsOverhead func(i int) bool) {
 	const requestsPerRound = 400
 	cpuTimes := make([][]float64, len(paths)) // per request in microseconds, by path and round
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/bench_web_test.go
+++ b/bench_web_test.go
@@ -26,9 +26,9 @@
 	"pumicecroft/routes"
 )
 
-// webAccessPaths returns paths to a backend: direct, through httputil.ReverseProxy, and through the HTTP proxy with one
-// route and with 10,000.
-func webAccessPaths(b *testing.B, secure bool) []accessPath {
+// httpProxyAccessPaths returns paths to a backend: direct, through httputil.ReverseProxy, and through the HTTP proxy
+// with one route and with 10,000.
+func httpProxyAccessPaths(b *testing.B, secure bool) []accessPath {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "ok")
 	}))
@@ -123,15 +123,15 @@
 	}
 }
 
-// BenchmarkWebOwnPart is BenchmarkOwnPart for ordinary HTTP: it reports the overhead of the HTTP proxy with 1 route and
-// with 10,000, relative to that of ReverseProxy, over plain connections and over TLS 1.3 (where the direct path is a
-// server with TLS).
+// BenchmarkHTTPProxyOverhead is BenchmarkOverhead for ordinary HTTP: it reports the overhead of the HTTP proxy with 1
+// route and with 10,000, relative to that of ReverseProxy, over plain connections and over TLS 1.3 (where the direct
+// path is a server with TLS).
 //
-//	go test -run xxx -bench WebOwnPart -benchtime 100x -cpu 1 .
-func BenchmarkWebOwnPart(b *testing.B) {
+//	go test -run xxx -bench HTTPProxyOverhead -benchtime 100x -cpu 1 .
+func BenchmarkHTTPProxyOverhead(b *testing.B) {
 	for name, secure := range map[string]bool{"plain": false, "TLS": true} {
 		b.Run(name, func(b *testing.B) {
-			ownPart(b, webAccessPaths(b, secure), func(i int) bool { return i >= 2 })
+			measureOverhead(b, httpProxyAccessPaths(b, secure), func(i int) bool { return i >= 2 })
 		})
 	}
 }
--- a/deploy_test.go
+++ b/deploy_test.go
@@ -56,7 +56,7 @@
 	}
 	checkStartsAsOrdinaryUser(t, dir, "pumicecroft", "NODE_CONFIG names no file")
 	checkStartsAsOrdinaryUser(t, dir, "adapter", "")
-	checkStaticProgramIsFound(t, dir)
+	checkStaticProgramIsReported(t, dir)
 }
 
 // checkStartsAsOrdinaryUser starts a program as a user who can write only to $TMPDIR. The program must
@@ -81,8 +81,8 @@
 	}
 }
 
-// checkStaticProgramIsFound checks that linkProblem reports a statically linked program.
-func checkStaticProgramIsFound(t *testing.T, dir string) {
+// checkStaticProgramIsReported checks that linkProblem reports a statically linked program.
+func checkStaticProgramIsReported(t *testing.T, dir string) {
 	t.Helper()
 	static := filepath.Join(dir, "static")
 	cmd := exec.Command("go", "build", "-o", static, "./cmd/adapter")
--- a/docs_test.go
+++ b/docs_test.go
@@ -8,7 +8,7 @@
 
 // The programs in the library page must equal those in examples, which are compiled with everything else.
 // Otherwise a program in the page could stop compiling without anyone noticing.
-func TestLibraryPageHoldsExamples(t *testing.T) {
+func TestLibraryPageContainsExamples(t *testing.T) {
 	page, err := os.ReadFile("docs/operate/library.md")
 	if err != nil {
 		t.Fatal(err)
--- a/endpointcache.go
+++ b/endpointcache.go
@@ -66,7 +66,7 @@
 // update that is being applied, as a partly applied update must not be written.
 func (c *endpointCache) changedNodes() (nodes []membership.Node, version uint64, changed bool) {
 	g := c.gateway
-	lock := g.reportLocks[c.source]
+	lock := g.sourceLocks[c.source]
 	lock.Lock()
 	defer lock.Unlock()
 	g.updateMu.Lock()
--- a/endpoints.go
+++ b/endpoints.go
@@ -27,7 +27,7 @@
 // membership.Merge documents the state between steps. If the Gateway is closed meanwhile, the remaining steps are
 // skipped.
 func (g *Gateway) applyUpdate(source string, update membership.Update) {
-	lock := g.reportLocks[source]
+	lock := g.sourceLocks[source]
 	lock.Lock()
 	defer lock.Unlock()
 	var merge *membership.Merge
--- a/gateway.go
+++ b/gateway.go
@@ -54,8 +54,8 @@
 	// endpointLog is shared by all messages about endpoints and snapshots.
 	badRequestLog, deadlineLog, endpointLog, pauseLog rate.Sometimes
 
-	// reportLocks, by source name, serialize the updates of each source. They are locked before updateMu.
-	reportLocks map[string]*sync.Mutex
+	// sourceLocks, by source name, serialize the updates of each source. They are locked before updateMu.
+	sourceLocks map[string]*sync.Mutex
 	// updateMu ensures that changes reach the executor in the order in which they reached the transports. It guards
 	// membershipTable, membershipTimer, the fields of endpointCaches, and closed.
 	updateMu        sync.Mutex
@@ -127,7 +127,7 @@
 		plans:          map[string]bool{},
 		transports:     map[string]executor.BackendTransport{},
 		endpointCaches: map[string]*endpointCache{},
-		reportLocks:    map[string]*sync.Mutex{},
+		sourceLocks:    map[string]*sync.Mutex{},
 		log:            slog.New(slog.DiscardHandler),
 		badRequestLog:  newLogLimit(),
 		deadlineLog:    newLogLimit(),
@@ -232,7 +232,7 @@
 // openMembership creates the membership table and publishes the endpoints of the configuration.
 func (g *Gateway) openMembership(sources []membership.SourceInfo, clock executor.Clock) {
 	for _, source := range sources {
-		g.reportLocks[source.Name] = &sync.Mutex{}
+		g.sourceLocks[source.Name] = &sync.Mutex{}
 	}
 	g.membershipTable = membership.NewTable(g.config.Membership, sources...)
 	initial := g.config.InitialEndpoints
--- a/http_test.go
+++ b/http_test.go
@@ -119,8 +119,9 @@
 	return req
 }
 
-// startOn returns the actions of an engine that starts every request on one backend and ignores all other events.
-func startOn(id decision.BackendID) func(decision.Event) []decision.Action {
+// startAttemptsOn returns the actions of an engine that starts every request on one backend and ignores all other
+// events.
+func startAttemptsOn(id decision.BackendID) func(decision.Event) []decision.Action {
 	return func(ev decision.Event) []decision.Action {
 		if r, ok := ev.(decision.Request); ok {
 			return []decision.Action{decision.StartAttempt{Request: r.ID, Backend: id}}
@@ -195,7 +196,7 @@
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", MaxBody+1))), -1
 		}, 400},
 	} {
-		engine := testkit.NewScriptedEngine(startOn(1))
+		engine := testkit.NewScriptedEngine(startAttemptsOn(1))
 		server := startGateway(t, engine, "127.0.0.1:1")
 		testkit.Next[decision.EndpointUpdate](t, engine)
 		if res, _ := testkit.Do(t, server.newRequest(t, c.class, c.change)); res.StatusCode != c.status {
@@ -568,7 +569,7 @@
 
 // If responses arrive out of order, the usage of one period is reported more than once, with different readings. A
 // customer that is within its quota, by the gateway's count and by every reading, must not be rejected for that.
-func TestUsageOutOfOrderRejectsNobody(t *testing.T) {
+func TestOutOfOrderUsageRejectsNoRequest(t *testing.T) {
 	t.Parallel()
 	var attempts atomic.Int64
 	server := startGateway(t, nil, testkit.Serve(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/idempotency_test.go
+++ b/idempotency_test.go
@@ -21,8 +21,8 @@
 	"pumicecroft/membership"
 )
 
-// newDeduplicatingRig starts a gateway that recognises idempotency keys, with n backends.
-func newDeduplicatingRig(
+// newDeduplicatingFixture starts a gateway that recognises idempotency keys, with n backends.
+func newDeduplicatingFixture(
 	t *testing.T, n int, behavior func(fakes.Attempt) fakes.Behavior, limits idempotency.Limits,
 ) *hosttest.Fixture {
 	t.Helper()
@@ -50,7 +50,7 @@
 // get the stored response. Each pair must be sent and executed only once.
 func TestRepeatedKeyIsExecutedOnce(t *testing.T) {
 	const pairs = 200
-	r := newDeduplicatingRig(t, 2, nil, idempotency.Limits{})
+	r := newDeduplicatingFixture(t, 2, nil, idempotency.Limits{})
 	var requests sync.WaitGroup
 	for i := range pairs {
 		requests.Go(func() {
@@ -105,7 +105,7 @@
 		{"not started", "pay", fakes.RejectNotStarted, nil, 503, 503, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newDeduplicatingRig(t, 1, fakes.OnFirstAttempt(c.behavior), idempotency.Limits{UnknownTTL: time.Minute})
+			r := newDeduplicatingFixture(t, 1, fakes.OnFirstAttempt(c.behavior), idempotency.Limits{UnknownTTL: time.Minute})
 			addr := hosttest.Serve(t, r.Gateway, nil)
 			first := r.NewRequest(c.class)
 			repeat := first
@@ -143,7 +143,7 @@
 // If the first client disconnects while a second one waits for the same key, the request must continue for the second.
 func TestDisconnectWhileRepeatWaits(t *testing.T) {
 	hold := make(chan bool)
-	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Behavior {
+	r := newDeduplicatingFixture(t, 1, func(a fakes.Attempt) fakes.Behavior {
 		if a.Body == "hold" {
 			<-hold
 		}
@@ -182,7 +182,7 @@
 
 // A request with an invalid key is a bad request. If a response is too large to be stored, its key is kept without it.
 func TestInvalidKeys(t *testing.T) {
-	r := newDeduplicatingRig(t, 1, nil, idempotency.Limits{MaxResponseBytes: 3})
+	r := newDeduplicatingFixture(t, 1, nil, idempotency.Limits{MaxResponseBytes: 3})
 	for _, key := range []string{strings.Repeat("k", 64<<10), "a\tb", "ü"} {
 		if _, err := r.Gateway.Do(t.Context(), keyedRequest("pay", key, "b")); !errors.Is(err, pumicecroft.ErrBadRequest) {
 			t.Errorf("key %.10q: error %v, want ErrBadRequest", key, err)
@@ -206,7 +206,7 @@
 // must not keep another customer's request from being served.
 func TestTooManyKeysInFlight(t *testing.T) {
 	hold := make(chan bool)
-	r := newDeduplicatingRig(t, 1, func(a fakes.Attempt) fakes.Behavior {
+	r := newDeduplicatingFixture(t, 1, func(a fakes.Attempt) fakes.Behavior {
 		if a.Body == "hold" {
 			<-hold
 		}
@@ -358,7 +358,7 @@
 // A body that arrives in differently sized pieces must have the same digest. A body of 60 MB must be rejected without
 // using up its key.
 func TestBodyInPiecesHasSameDigest(t *testing.T) {
-	r := newDeduplicatingRig(t, 1, nil, idempotency.Limits{})
+	r := newDeduplicatingFixture(t, 1, nil, idempotency.Limits{})
 	addr := hosttest.Serve(t, r.Gateway, nil)
 	first := r.NewRequest("pay")
 	send := func(body io.Reader, size int64) (status int) {
--- a/purity_test.go
+++ b/purity_test.go
@@ -25,18 +25,19 @@
 
 var impureImports = []string{"net", "os", "sync", "log", "syscall", "context", "io", "runtime", "testing", "unsafe"}
 
-// pureTime lists the identifiers of package time that do not read a clock.
-var pureTime = []string{
+// pureTimeIdentifiers lists the identifiers of package time that do not read a clock.
+var pureTimeIdentifiers = []string{
 	"Duration", "Time", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour", "Unix",
 	"UnixMilli", "Month", "Weekday", "UTC", "Date", "ParseDuration", "Parse", "RFC3339", "RFC3339Nano",
 }
 
-// pureRand lists the identifiers of package rand that do not use the global generator, which is seeded randomly.
-var pureRand = []string{"New", "NewPCG", "Rand", "Source", "PCG", "NewZipf", "Zipf"}
+// pureRandIdentifiers lists the identifiers of package rand that do not use the global generator, which is seeded
+// randomly.
+var pureRandIdentifiers = []string{"New", "NewPCG", "Rand", "Source", "PCG", "NewZipf", "Zipf"}
 
-// pureOf lists, for packages that also do I/O, the identifiers that pure packages may use: those that only work on the
-// values that they are given.
-var pureOf = map[string][]string{
+// pureIdentifiers lists, for packages that also do I/O, the identifiers that pure packages may use: those that only
+// work on the values that they are given.
+var pureIdentifiers = map[string][]string{
 	"net/http": {
 		"Request", "Response", "ReadResponse", "ReadRequest", "NoBody", "MethodGet", "MethodPost", "StatusSwitchingProtocols",
 	},
@@ -46,8 +47,8 @@
 	"io":            {"EOF", "ErrUnexpectedEOF", "ReadFull", "ReadAll", "LimitReader"},
 }
 
-// impurities returns the violations of purity in a file, each with its position.
-func impurities(name string, src any) ([]string, error) {
+// findImpurities returns the violations of purity in a file, each with its position.
+func findImpurities(name string, src any) ([]string, error) {
 	fset := token.NewFileSet()
 	file, err := parser.ParseFile(fset, name, src, 0)
 	if err != nil {
@@ -60,7 +61,7 @@
 	for _, im := range file.Imports {
 		path, _ := strconv.Unquote(im.Path.Value)
 		first, _, _ := strings.Cut(path, "/")
-		if slices.Contains(impureImports, first) && pureOf[path] == nil || path == "math/rand" || im.Name != nil {
+		if slices.Contains(impureImports, first) && pureIdentifiers[path] == nil || path == "math/rand" || im.Name != nil {
 			report(im.Pos(), "imports "+path)
 		}
 		if rest, ok := strings.CutPrefix(path, "pumicecroft"); ok &&
@@ -76,10 +77,10 @@
 			report(n.Pos(), "uses channels")
 		case *ast.SelectorExpr:
 			pkg, ok := n.X.(*ast.Ident)
-			if ok && pkg.Obj == nil && (pkg.Name == "time" && !slices.Contains(pureTime, n.Sel.Name) ||
-				pkg.Name == "rand" && !slices.Contains(pureRand, n.Sel.Name) ||
-				pkg.Name == "io" && !slices.Contains(pureOf["io"], n.Sel.Name) ||
-				pkg.Name == "http" && !slices.Contains(pureOf["net/http"], n.Sel.Name)) {
+			if ok && pkg.Obj == nil && (pkg.Name == "time" && !slices.Contains(pureTimeIdentifiers, n.Sel.Name) ||
+				pkg.Name == "rand" && !slices.Contains(pureRandIdentifiers, n.Sel.Name) ||
+				pkg.Name == "io" && !slices.Contains(pureIdentifiers["io"], n.Sel.Name) ||
+				pkg.Name == "http" && !slices.Contains(pureIdentifiers["net/http"], n.Sel.Name)) {
 				report(n.Pos(), "uses "+pkg.Name+"."+n.Sel.Name)
 			}
 		}
@@ -102,7 +103,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			found, err := impurities(name, text)
+			found, err := findImpurities(name, text)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -113,8 +114,8 @@
 	}
 }
 
-// TestPurePackages would also pass if impurities never found anything. It must report each of these sources.
-func TestImpuritiesAreSeen(t *testing.T) {
+// TestPurePackages would also pass if findImpurities never found anything. It must report each of these sources.
+func TestFindImpurities(t *testing.T) {
 	for name, src := range map[string]string{
 		"net":        `import "net"`,
 		"client":     `import "net/http"; var c = http.DefaultClient`,
@@ -130,12 +131,12 @@
 		"goroutine":  `func f() { go f() }`,
 		"channel":    `var c chan int`,
 	} {
-		if found, err := impurities(name, "package p; "+src); err != nil || len(found) == 0 {
-			t.Errorf("%s: impurities = %v, error %v; want at least one and no error", name, found, err)
+		if found, err := findImpurities(name, "package p; "+src); err != nil || len(found) == 0 {
+			t.Errorf("%s: findImpurities = %v, error %v; want at least one and no error", name, found, err)
 		}
 	}
-	if found, err := impurities("good", `package p; import ("time"; "math/rand/v2"; "pumicecroft/decision")
+	if found, err := findImpurities("good", `package p; import ("time"; "math/rand/v2"; "pumicecroft/decision")
 		var r = rand.New(rand.NewPCG(1, 2)); var d time.Duration; var x decision.Request`); err != nil || len(found) > 0 {
-		t.Errorf("pure source: impurities = %v, error %v; want none", found, err)
+		t.Errorf("pure source: findImpurities = %v, error %v; want none", found, err)
 	}
 }
