--- a/http.go
+++ b/http.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// readAll reads a body of known or unknown length. A body of more than MaxBody bytes is an ErrBodyTooLarge.
+// readAll reads a body of at most MaxBody bytes, of known or unknown length.
 func readAll(r *http.Request) ([]byte, error) {
 	if r.ContentLength > 0 {
 		body := make([]byte, r.ContentLength)
