--- a/identity/address.go
+++ b/identity/address.go
@@ -1,13 +1,14 @@
 package identity
 
-// defaultIPv6PrefixBits is how much of an IPv6 address identifies a customer.
+// defaultIPv6PrefixBits is the default of AddressRule.IPv6PrefixBits.
 const defaultIPv6PrefixBits = 64
 
-// AddressRule identifies customers by their address. As everyone has one, it is the last rule.
+// AddressRule identifies customers by the client's address. It must be the last rule: later rules are only
+// reached if the address is unknown.
 type AddressRule struct {
 	Plan string
-	// IPv6PrefixBits is how much of an IPv6 address identifies a customer, as one customer has a whole
-	// prefix. 0 means 64.
+	// IPv6PrefixBits is the length of the IPv6 prefix that identifies a customer, as a customer has a
+	// whole prefix and not a single address. 0 means 64.
 	IPv6PrefixBits int
 }
 
@@ -31,7 +32,7 @@
 	return Caller{Customer: customerID("address", name), Name: name, Plan: a.Plan}, true, nil
 }
 
-// HeaderNames returns none.
+// HeaderNames returns nil, as the rule reads no headers.
 func (a *AddressRule) HeaderNames() []string { return nil }
 
 // Plans returns the rule's plan.
--- a/identity/apikey.go
+++ b/identity/apikey.go
@@ -13,24 +13,24 @@
 	"strings"
 )
 
-// Key is an API key. It is known by its hash alone.
+// Key is an API key, of which only the hash is stored.
 type Key struct {
-	// Hash is the SHA-256 of the key. Keys are random, of 128 bits or more: a slow hash, which would
-	// protect weaker ones, would only cost time in each request.
+	// Hash is the SHA-256 of the key. Keys are random and have at least 128 bits. A slow hash protects
+	// weaker secrets; here it would only add time to each request.
 	Hash     [sha256.Size]byte
 	Customer string
 	Plan     string
-	Line     int // in the file of keys, from 1
+	Line     int // line in the key file, from 1
 }
 
-// maxKeys limits a file of keys.
+// maxKeys limits the number of keys in a key file.
 const maxKeys = 1 << 20
 
-// ParseKeys reads a file of keys. Each line has the SHA-256 of a key in hex, the customer's name and
-// the plan, separated by spaces; "#" begins a comment. A customer may have several keys, of one plan.
-// Errors name the line, and nothing of a hash.
+// ParseKeys parses a key file. Each line has the SHA-256 of a key in hex, the customer's name and the
+// plan, separated by spaces; "#" starts a comment. A customer may have several keys, all with the same
+// plan. Errors name the line and contain no part of a hash.
 func ParseKeys(text []byte, plans []string) ([]Key, error) {
-	p := keyParser{plans: plans, lineOf: map[[sha256.Size]byte]int{}, keyOf: map[string]Key{}}
+	p := keyParser{plans: plans, lineByHash: map[[sha256.Size]byte]int{}, lastKeyByCustomer: map[string]Key{}}
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for number := 1; lines.Scan(); number++ {
 		line, _, _ := strings.Cut(lines.Text(), "#")
@@ -51,28 +51,29 @@
 	return p.keys, nil
 }
 
-// keyParser is a file of keys that is being read.
+// keyParser is the state of parsing a key file.
 type keyParser struct {
-	plans    []string
-	keys     []Key
-	lineOf   map[[sha256.Size]byte]int // by hash
-	keyOf    map[string]Key            // the last one of a customer
-	problems []error
+	plans             []string
+	keys              []Key
+	lineByHash        map[[sha256.Size]byte]int
+	lastKeyByCustomer map[string]Key
+	problems          []error
 }
 
+// problem adds a problem with a line.
 func (p *keyParser) problem(line int, format string, args ...any) {
 	p.problems = append(p.problems, fmt.Errorf("line %d: %s", line, fmt.Sprintf(format, args...)))
 }
 
-// parseLine takes in one line. It returns false if there are too many keys to go on.
+// parseLine parses the words of one line. It returns false if there are too many keys to continue.
 func (p *keyParser) parseLine(number int, words []string) bool {
 	if len(words) != 3 {
-		p.problem(number, "a hash, a customer and a plan stand in a line, and there are %d words", len(words))
+		p.problem(number, "a line must have a hash, a customer and a plan, but has %d words", len(words))
 		return true
 	}
 	hash, err := hex.DecodeString(words[0])
 	if err != nil || len(hash) != sha256.Size {
-		p.problem(number, "the first word is no SHA-256 of 64 hex digits")
+		p.problem(number, "the first word is not a SHA-256 hash of 64 hex digits")
 		return true
 	}
 	key := Key{Hash: [sha256.Size]byte(hash), Customer: words[1], Plan: words[2], Line: number}
@@ -84,27 +85,27 @@
 		p.problem(number, "there are more than %d keys", maxKeys)
 		return false
 	}
-	if other, ok := p.lineOf[key.Hash]; ok {
-		p.problem(number, "the key is there twice (line %d)", other)
+	if other, ok := p.lineByHash[key.Hash]; ok {
+		p.problem(number, "the key is already in line %d", other)
 	}
-	if other, ok := p.keyOf[key.Customer]; ok && other.Plan != key.Plan {
+	if other, ok := p.lastKeyByCustomer[key.Customer]; ok && other.Plan != key.Plan {
 		p.problem(number, "customer %q has plan %q in line %d", key.Customer, other.Plan, other.Line)
 	}
-	p.lineOf[key.Hash], p.keyOf[key.Customer] = number, key
+	p.lineByHash[key.Hash], p.lastKeyByCustomer[key.Customer] = number, key
 	p.keys = append(p.keys, key)
 	return true
 }
 
 // APIKeyRule identifies customers by API keys.
 type APIKeyRule struct {
-	Header string // the canonical name of the field that has the key
-	Scheme string // before the key, such as "Bearer"; empty: the field is the key
+	Header string // canonical name of the header that has the key
+	Scheme string // authentication scheme before the key, such as "Bearer"; empty: the value is the key
 
 	byHashPrefix map[uint64][]Key
 	plans        []string
 }
 
-// NewAPIKeyRule returns a rule for keys.
+// NewAPIKeyRule returns a rule that accepts the given keys.
 func NewAPIKeyRule(header, scheme string, keys []Key) *APIKeyRule {
 	a := &APIKeyRule{Header: header, Scheme: scheme, byHashPrefix: make(map[uint64][]Key, len(keys))}
 	for _, key := range keys {
@@ -119,8 +120,8 @@
 
 var errUnknownKey = errors.New("the key is not known")
 
-// Identify looks a key up by its hash. Neither its time nor its error tells anything of the keys that
-// there are: the whole hash is compared in constant time.
+// Identify looks up the customer of a key by the key's hash. It compares the whole hash in constant time,
+// so that neither its duration nor its error reveals anything about the existing keys.
 func (a *APIKeyRule) Identify(r *Request) (Caller, bool, error) {
 	value, found, err := singleValue(r.Header, a.Header)
 	if !found || err != nil {
@@ -147,7 +148,7 @@
 	return Caller{Customer: customerID("key", key.Customer), Name: key.Customer, Plan: key.Plan}, true, nil
 }
 
-// HeaderNames returns the field that has the key.
+// HeaderNames returns the header that has the key.
 func (a *APIKeyRule) HeaderNames() []string { return []string{a.Header} }
 
 // Plans returns the plans of the keys.
--- a/identity/asserted.go
+++ b/identity/asserted.go
@@ -8,27 +8,28 @@
 	"pumicecroft/internal/requestmeta"
 )
 
-// AssertedRule believes fields that a trusted peer sets. It does not look at those of other peers.
+// AssertedRule identifies customers by headers that a trusted peer sets. It ignores these headers in
+// requests of other peers.
 type AssertedRule struct {
-	// CustomerHeader is the canonical name of the field that names the customer.
+	// CustomerHeader is the canonical name of the header that names the customer.
 	CustomerHeader string
-	// PlanHeader is the field that names the plan. Empty means that all requests have DefaultPlan.
+	// PlanHeader is the header that names the plan. If it is empty, all requests have DefaultPlan.
 	PlanHeader string
-	// DefaultPlan is the plan where PlanHeader is empty or missing. If it is empty, too, such a
-	// request is rejected.
+	// DefaultPlan is the plan of requests in which PlanHeader is empty or missing. If DefaultPlan is
+	// empty as well, such requests are rejected.
 	DefaultPlan string
 	// AllowedPlans are the plans that PlanHeader may name.
 	AllowedPlans []string
-	// CostHeader is the field that tells the request's cost. Empty means that there is none.
+	// CostHeader is the header that declares the cost of the request. If it is empty, there is none.
 	CostHeader string
-	// HexCustomers says that customers are numbers of 16 hex digits, as on the platform, and not
-	// names.
+	// HexCustomers means that CustomerHeader has a customer ID of 16 hex digits, as on the platform,
+	// instead of a name.
 	HexCustomers bool
-	// TrustedPeers are the peers that are believed.
+	// TrustedPeers are the addresses of the trusted peers.
 	TrustedPeers []netip.Prefix
 }
 
-// Identify returns whom a trusted peer names.
+// Identify returns the customer that a trusted peer names.
 func (a *AssertedRule) Identify(r *Request) (Caller, bool, error) {
 	if !containsAddr(a.TrustedPeers, r.PeerAddr) {
 		return Caller{}, false, nil
@@ -52,7 +53,7 @@
 	return caller, true, nil
 }
 
-// customer returns the number of a customer.
+// customer returns the ID of the customer that CustomerHeader names.
 func (a *AssertedRule) customer(name string) (uint64, error) {
 	if a.HexCustomers {
 		id, err := requestmeta.ParseCustomer(name)
@@ -67,7 +68,7 @@
 	return customerID("asserted", name), nil
 }
 
-// plan returns the plan that a request's fields name.
+// plan returns the plan that PlanHeader names, or the default.
 func (a *AssertedRule) plan(h map[string][]string) (string, error) {
 	if a.PlanHeader == "" {
 		return a.DefaultPlan, nil
@@ -87,7 +88,7 @@
 	return a.DefaultPlan, nil
 }
 
-// HeaderNames returns the fields that the rule reads.
+// HeaderNames returns the headers that the rule reads.
 func (a *AssertedRule) HeaderNames() (names []string) {
 	for _, name := range []string{a.CustomerHeader, a.PlanHeader, a.CostHeader} {
 		if name != "" {
@@ -97,7 +98,7 @@
 	return names
 }
 
-// Plans returns all plans that a peer may name.
+// Plans returns the default plan and all plans that a peer may name.
 func (a *AssertedRule) Plans() []string {
 	if a.DefaultPlan == "" {
 		return a.AllowedPlans
--- a/identity/certificate.go
+++ b/identity/certificate.go
@@ -8,22 +8,22 @@
 	"strings"
 )
 
-// CertNameSource says which part of a client's certificate names the customer.
+// CertNameSource is the part of a client certificate that names the customer.
 type CertNameSource uint8
 
-// The parts.
+// The sources of names.
 const (
 	CommonName  CertNameSource = iota
-	DNSName                    // the first
-	URIName                    // the first, as SPIFFE has it
-	Fingerprint                // SHA-256 of the public key
+	DNSName                    // the first DNS name
+	URIName                    // the first URI, such as a SPIFFE ID
+	Fingerprint                // SHA-256 of the public key, in hex
 )
 
 // ClientCertRule identifies customers by client certificates, which the listener has verified.
 type ClientCertRule struct {
 	NameSource     CertNameSource
-	DefaultPlan    string            // of customers that PlanByCustomer does not have; empty: they are rejected
-	PlanByCustomer map[string]string // by the customer's name
+	DefaultPlan    string            // for customers that are not in PlanByCustomer; empty: they are rejected
+	PlanByCustomer map[string]string // by customer name
 }
 
 // Identify returns the customer that a certificate names.
@@ -45,7 +45,7 @@
 	return Caller{Customer: customerID("certificate", name), Name: name, Plan: plan}, true, nil
 }
 
-// nameIn returns the name in a certificate; empty means that it has none.
+// nameIn returns the customer's name in a certificate, or "" if there is none.
 func (s CertNameSource) nameIn(cert *x509.Certificate) string {
 	switch {
 	case s == CommonName:
@@ -61,10 +61,10 @@
 	return ""
 }
 
-// HeaderNames returns none.
+// HeaderNames returns nil, as the rule reads no headers.
 func (c *ClientCertRule) HeaderNames() []string { return nil }
 
-// Plans returns all plans that the rule may give.
+// Plans returns all plans that the rule can assign.
 func (c *ClientCertRule) Plans() (plans []string) {
 	if c.DefaultPlan != "" {
 		plans = append(plans, c.DefaultPlan)
--- a/identity/identity.go
+++ b/identity/identity.go
@@ -1,11 +1,11 @@
-// Package identity finds out who sent a request. An installation's rules say which credentials there
-// are (API keys, JSON Web Tokens, client certificates, fields that a trusted peer sets, addresses),
-// and a Resolver finds the customer and plan of a request by them. The first rule whose credential
-// is there decides. An invalid credential is rejected and never falls through to a later rule, so
-// that nobody gets an anonymous plan by a key that has been revoked.
+// Package identity determines the customer and plan of a request from its credentials. The configured
+// rules define which credentials are accepted: API keys, JSON Web Tokens, client certificates, headers
+// set by a trusted peer, and client addresses. A Resolver applies the rules in order, and the first rule
+// whose credential is present decides. An invalid credential is rejected and never falls through to a
+// later rule; otherwise a client with a revoked key would get the anonymous plan.
 //
 // The package is pure: it does no I/O, reads no clock, takes no lock and starts no goroutine. A
-// Resolver is safe for concurrent use, as nothing changes it: it is made anew when its files change.
+// Resolver is immutable and safe for concurrent use; a new one is created when its files change.
 package identity
 
 import (
@@ -20,41 +20,41 @@
 	"time"
 )
 
-// Request is what is known of a request.
+// Request holds the parts of a request that the rules use.
 type Request struct {
 	Header     map[string][]string // by canonical name
-	PeerAddr   netip.Addr          // of the connection; invalid: unknown
-	ClientAddr netip.Addr          // whom a trusted peer speaks for, else PeerAddr: see Resolver.ClientAddr
-	ClientCert *x509.Certificate   // verified; nil: there is none
+	PeerAddr   netip.Addr          // remote address of the connection; invalid: unknown
+	ClientAddr netip.Addr          // address of the client, as Resolver.ClientAddr returns it
+	ClientCert *x509.Certificate   // verified client certificate; nil: there is none
 	Now        time.Time
 }
 
-// Caller is who sent a request.
+// Caller is the identified sender of a request.
 type Caller struct {
 	Customer     uint64
-	Name         string // the customer's, for people; never a secret
+	Name         string // display name of the customer; never a secret
 	Plan         string
-	Rule         string // the name of the rule that decided
-	TrustedPeer  bool   // the peer may speak for others
-	DeclaredCost string // what a trusted peer says of the request's cost: see AssertedRule.CostHeader
+	Rule         string // name of the rule that identified the caller
+	TrustedPeer  bool   // the peer is trusted: see Resolver.IsTrusted
+	DeclaredCost string // the request's cost as declared by a trusted peer: see AssertedRule.CostHeader
 }
 
-// Errors of Resolve. Their texts go out to clients, and hold nothing of a credential.
+// Errors of Resolve. Their texts are sent to clients and contain no part of a credential.
 var (
-	// ErrNoCredential: no rule finds its credential.
+	// ErrNoCredential means that no rule found its credential.
 	ErrNoCredential = errors.New("no credential")
-	// ErrInvalidCredential: a credential is there and invalid.
+	// ErrInvalidCredential means that a credential is present but invalid.
 	ErrInvalidCredential = errors.New("invalid credential")
 )
 
-// Rule finds one kind of credential.
+// Rule identifies callers by one kind of credential.
 type Rule interface {
-	// Identify returns who sent a request. found is false if the credential is not there. The error
-	// says what is wrong with it, and nothing of what it holds.
+	// Identify returns the caller of a request. found is false if the credential is missing. The error
+	// says why the credential is invalid, and contains no part of it.
 	Identify(r *Request) (caller Caller, found bool, err error)
-	// HeaderNames returns the fields that the rule reads.
+	// HeaderNames returns the names of the headers that the rule reads.
 	HeaderNames() []string
-	// Plans returns the plans that the rule may give.
+	// Plans returns the plans that the rule can assign.
 	Plans() []string
 }
 
@@ -64,19 +64,19 @@
 	Rule
 }
 
-// Resolver holds the rules of an installation.
+// Resolver identifies callers by a list of rules.
 type Resolver struct {
 	rules   []NamedRule
 	trusted []netip.Prefix
 }
 
-// New returns a Resolver. rules are in their order of precedence, trusted are peers that may speak
-// for others.
+// New returns a Resolver. rules are in order of precedence. trusted are the addresses of peers, such as
+// proxies, whose headers about the client are accepted.
 func New(trusted []netip.Prefix, rules ...NamedRule) *Resolver {
 	return &Resolver{rules: rules, trusted: trusted}
 }
 
-// IsTrusted reports whether a peer may speak for others.
+// IsTrusted reports whether a peer's headers about the client are accepted.
 func (r *Resolver) IsTrusted(peer netip.Addr) bool { return containsAddr(r.trusted, peer) }
 
 // containsAddr reports whether one of the prefixes contains an address.
@@ -85,8 +85,9 @@
 	return slices.ContainsFunc(prefixes, func(p netip.Prefix) bool { return p.Contains(addr) })
 }
 
-// ClientAddr returns the address that a request came from: the peer's, or of a trusted peer the last
-// one in X-Forwarded-For that is not trusted.
+// ClientAddr returns the address of the client that sent a request. That is the peer's address or, if the
+// peer is trusted, the last address in X-Forwarded-For that is not trusted. If all addresses are trusted up
+// to the start of the list or an invalid element, the address just before that is returned.
 func (r *Resolver) ClientAddr(peer netip.Addr, h map[string][]string) netip.Addr {
 	chain := h["X-Forwarded-For"]
 	for addr := peer; ; {
@@ -97,13 +98,14 @@
 		last, chain = cutLast(chain)
 		next, err := netip.ParseAddr(last)
 		if err != nil {
-			return addr // the trusted peer named no valid address: the request counts as its own
+			return addr // the trusted peer gave no valid address, so it is the client itself
 		}
 		addr = next
 	}
 }
 
-// cutLast returns the last element of a list field that is not empty, and the values before it.
+// cutLast returns the last element that is not empty of a comma-separated list field, and the field's
+// values without it and what follows it.
 func cutLast(values []string) (last string, rest []string) {
 	for len(values) > 0 {
 		end := len(values) - 1
@@ -123,7 +125,7 @@
 	return "", nil
 }
 
-// Resolve returns who sent a request. The error is an ErrNoCredential or ErrInvalidCredential.
+// Resolve returns the caller of a request. The error is an ErrNoCredential or ErrInvalidCredential.
 func (r *Resolver) Resolve(request *Request) (Caller, error) {
 	for _, rule := range r.rules {
 		caller, found, err := rule.Identify(request)
@@ -138,8 +140,8 @@
 	return Caller{}, ErrNoCredential
 }
 
-// AssertedHeaders returns the fields by which trusted peers speak for others. Those of other peers
-// must not be forwarded.
+// AssertedHeaders returns the names of the headers by which trusted peers identify customers. If any
+// other peer sends these headers, they must not be forwarded.
 func (r *Resolver) AssertedHeaders() (names []string) {
 	for _, rule := range r.rules {
 		if asserted, ok := rule.Rule.(*AssertedRule); ok {
@@ -149,7 +151,7 @@
 	return names
 }
 
-// Plans returns all plans that the rules may give.
+// Plans returns all plans that the rules can assign.
 func (r *Resolver) Plans() (plans []string) {
 	for _, rule := range r.rules {
 		plans = append(plans, rule.Plans()...)
@@ -157,16 +159,16 @@
 	return plans
 }
 
-// customerID returns the number of a customer, by a hash that is the same in all gateways. kind keeps
-// an address from being the owner of a key.
+// customerID returns the ID of a customer: a hash, so that it is the same on all gateways. kind is the kind
+// of credential; it separates equal names of different kinds, such as an address and the owner of a key.
 func customerID(kind, name string) uint64 {
-	var room [128]byte // keeps short names off the heap
-	sum := sha256.Sum256(append(append(append(room[:0], kind...), 0), name...))
+	var buf [128]byte // avoids a heap allocation for short names
+	sum := sha256.Sum256(append(append(append(buf[:0], kind...), 0), name...))
 	return binary.BigEndian.Uint64(sum[:8])
 }
 
-// singleValue returns the value of a field that may be there only once: of two, backends could take
-// the other one.
+// singleValue returns the value of a header that must not be repeated: if there were several values, a
+// backend could use a different one than the gateway.
 func singleValue(h map[string][]string, name string) (value string, found bool, err error) {
 	switch values := h[name]; len(values) {
 	case 0:
@@ -177,8 +179,8 @@
 	return "", true, fmt.Errorf("%s is there twice", name)
 }
 
-// cutScheme removes a scheme such as "Bearer" from a field's value. ok is false if the value has
-// another scheme, and is another rule's, or is empty.
+// cutScheme removes an authentication scheme such as "Bearer" from a header value. ok is false if the
+// value has another scheme, so that it is for another rule, or if the credential is empty.
 func cutScheme(value, scheme string) (credential string, ok bool) {
 	if scheme == "" {
 		return value, value != ""
--- a/identity/jwt.go
+++ b/identity/jwt.go
@@ -16,24 +16,25 @@
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// JWTRule identifies customers by JSON Web Tokens (RFC 7519), as RFC 8725 advises: the algorithms are
-// pinned, and each key serves only the algorithms of its type. A token that was valid when its
-// request arrived is valid for the whole request.
+// JWTRule identifies customers by JSON Web Tokens (RFC 7519). It follows RFC 8725: only the configured
+// algorithms are accepted, and each key is used only with algorithms of its type. A token that is valid
+// when its request arrives is valid for the whole request.
 type JWTRule struct {
-	// Header is the canonical name of the field that has the token, such as Authorization, and Scheme
-	// what is before it, such as Bearer.
+	// Header is the canonical name of the header that has the token, such as Authorization. Scheme is
+	// the authentication scheme before the token, such as Bearer.
 	Header, Scheme string
-	// Issuer and Audience are what a token must name. An empty Issuer is not checked.
+	// Issuer and Audience are the values that a token must have. If one is empty, it is not checked.
 	Issuer, Audience string
-	// CustomerClaim is the claim that names the customer. Default "sub".
+	// CustomerClaim is the claim that names the customer. The default is "sub".
 	CustomerClaim string
-	// PlanClaim is the claim that names the plan. Empty means that all tokens have DefaultPlan.
+	// PlanClaim is the claim that names the plan. If it is empty, all tokens have DefaultPlan.
 	PlanClaim string
-	// DefaultPlan is the plan of tokens without PlanClaim. If it is empty, too, these are rejected.
+	// DefaultPlan is the plan of tokens without PlanClaim. If DefaultPlan is empty as well, such tokens
+	// are rejected.
 	DefaultPlan string
 	// AllowedPlans are the plans that PlanClaim may name.
 	AllowedPlans []string
-	// Leeway is how far the issuer's clock may differ.
+	// Leeway is the tolerated clock difference between the issuer and the gateway.
 	Leeway time.Duration
 
 	algorithms []string
@@ -41,19 +42,20 @@
 	parser     *jwt.Parser
 }
 
-// TokenKey is a public key or a shared secret.
+// TokenKey is a public key or a shared secret that verifies tokens.
 type TokenKey struct {
-	ID  string // kid; empty: of any token
-	Key any    // *rsa.PublicKey, *ecdsa.PublicKey, ed25519.PublicKey, or []byte
+	ID  string // key ID (kid); empty: used for tokens with any kid
+	Key any    // *rsa.PublicKey, *ecdsa.PublicKey, ed25519.PublicKey, or []byte for a shared secret
 }
 
 // maxTokenBytes limits the length of a token.
 const maxTokenBytes = 8 << 10
 
-// minSecretBytes is the least length of a shared secret.
+// minSecretBytes is the minimum length of a shared secret.
 const minSecretBytes = sha256.Size
 
-// keyTypeChecks has, by algorithm, what reports whether a key is of its type. There is no "none".
+// keyTypeChecks maps each supported algorithm to a function that reports whether a key has the type that
+// the algorithm needs. The algorithm "none" is not supported.
 var keyTypeChecks = map[string]func(key any) bool{
 	"RS256": isRSA, "RS384": isRSA, "RS512": isRSA,
 	"PS256": isRSA, "PS384": isRSA, "PS512": isRSA,
@@ -84,7 +86,7 @@
 	}
 }
 
-// CheckAlgorithm returns an error unless tokens may be signed by an algorithm.
+// CheckAlgorithm returns an error unless the named signature algorithm is supported.
 func CheckAlgorithm(name string) error {
 	if keyTypeChecks[name] == nil {
 		return fmt.Errorf("%q is no algorithm that signs tokens", name)
@@ -92,11 +94,11 @@
 	return nil
 }
 
-// NewJWTRule returns a rule with the configuration of r, the algorithms that tokens may have, and
-// keys. Each key must be of the type of an algorithm.
+// NewJWTRule returns a rule with the configuration of r that accepts tokens signed with one of the
+// algorithms and one of the keys. Each key must have the type that one of the algorithms needs.
 func NewJWTRule(r JWTRule, algorithms []string, keys []TokenKey) (*JWTRule, error) {
 	if len(algorithms) == 0 || len(keys) == 0 {
-		return nil, errors.New("tokens need algorithms and keys")
+		return nil, errors.New("token verification needs at least one algorithm and one key")
 	}
 	for _, algorithm := range algorithms {
 		if err := CheckAlgorithm(algorithm); err != nil {
@@ -105,10 +107,10 @@
 	}
 	for i, key := range keys {
 		if secret, ok := key.Key.([]byte); ok && len(secret) < minSecretBytes {
-			return nil, fmt.Errorf("a shared secret of %d bytes: it needs %d", len(secret), minSecretBytes)
+			return nil, fmt.Errorf("the shared secret has %d bytes, but needs at least %d", len(secret), minSecretBytes)
 		}
 		if !slices.ContainsFunc(algorithms, func(a string) bool { return keyTypeChecks[a](key.Key) }) {
-			return nil, fmt.Errorf("key %d is for none of %s", i+1, strings.Join(algorithms, ", "))
+			return nil, fmt.Errorf("key %d fits none of the algorithms %s", i+1, strings.Join(algorithms, ", "))
 		}
 	}
 	if r.CustomerClaim == "" {
@@ -119,7 +121,8 @@
 	return &r, nil
 }
 
-// ParseTokenKeys reads public keys or certificates in PEM. A block's header "kid" is the key's ID.
+// ParseTokenKeys parses PEM blocks with public keys or certificates. The "kid" header of a block is the ID
+// of its key.
 func ParseTokenKeys(text []byte) (keys []TokenKey, err error) {
 	for number := 1; ; number++ {
 		var block *pem.Block
@@ -131,19 +134,20 @@
 			return nil, fmt.Errorf("block %d is neither a public key nor a certificate", number)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("block %d can't be read as what it says it is", number)
+			return nil, fmt.Errorf("block %d can't be parsed as the type in its header", number)
 		}
 		keys = append(keys, TokenKey{ID: block.Headers["kid"], Key: key})
 	}
 	if len(keys) == 0 {
-		return nil, errors.New("there is no key in PEM")
+		return nil, errors.New("there are no keys in PEM format")
 	}
 	return keys, nil
 }
 
-// errNoPublicKey says that a block is of another type, such as a private key.
+// errNoPublicKey means that a PEM block has another type, such as a private key.
 var errNoPublicKey = errors.New("no public key")
 
+// parsePublicKey returns the public key in a PEM block.
 func parsePublicKey(block *pem.Block) (any, error) {
 	switch block.Type {
 	case "PUBLIC KEY":
@@ -186,7 +190,7 @@
 	return caller, true, err
 }
 
-// validate returns an error unless a token is valid at now.
+// validate returns an error unless the claims of a token are valid at now.
 func (j *JWTRule) validate(claims jwt.MapClaims, now time.Time) error {
 	options := []jwt.ParserOption{
 		jwt.WithTimeFunc(func() time.Time { return now }),
@@ -203,7 +207,7 @@
 	return jwt.NewValidator(options...).Validate(claims)
 }
 
-// caller returns whom the claims of a valid token name.
+// caller returns the customer and plan that the claims of a valid token name.
 func (j *JWTRule) caller(claims jwt.MapClaims) (Caller, error) {
 	name, _ := claims[j.CustomerClaim].(string)
 	if name == "" {
@@ -222,10 +226,10 @@
 	return caller, nil
 }
 
-// verificationKeys returns the keys that may have signed a token: of its algorithm's type, and of its
-// kid where both have one.
+// verificationKeys returns the keys that may have signed a token. A key must have the type that the
+// token's algorithm needs and, if both have a key ID, the token's kid.
 func (j *JWTRule) verificationKeys(t *jwt.Token) (any, error) {
-	isOfType, kid := keyTypeChecks[t.Method.Alg()], ""
+	hasKeyType, kid := keyTypeChecks[t.Method.Alg()], ""
 	if value, ok := t.Header["kid"]; ok {
 		if kid, _ = value.(string); kid == "" {
 			return nil, errors.New("invalid kid")
@@ -233,24 +237,24 @@
 	}
 	var set jwt.VerificationKeySet
 	for _, key := range j.keys {
-		if isOfType != nil && isOfType(key.Key) && (key.ID == "" || kid == "" || key.ID == kid) {
+		if hasKeyType != nil && hasKeyType(key.Key) && (key.ID == "" || kid == "" || key.ID == kid) {
 			set.Keys = append(set.Keys, key.Key)
 		}
 	}
 	if len(set.Keys) == 0 {
-		return nil, errors.New("no key")
+		return nil, errors.New("no key for the token's algorithm and kid")
 	}
 	return set, nil
 }
 
-// tokenErrors are the errors that clients are told, in their order of precedence.
+// tokenErrors are the errors that are reported to clients, in order of precedence.
 var tokenErrors = []error{
 	jwt.ErrTokenExpired, jwt.ErrTokenNotValidYet, jwt.ErrTokenUsedBeforeIssued, jwt.ErrTokenInvalidIssuer,
 	jwt.ErrTokenInvalidAudience, jwt.ErrTokenRequiredClaimMissing, jwt.ErrTokenSignatureInvalid, jwt.ErrTokenUnverifiable,
 	jwt.ErrTokenMalformed,
 }
 
-// redactTokenError returns what is wrong with a token, without anything of what it holds.
+// redactTokenError returns the reason why a token is invalid, without any of the token's contents.
 func redactTokenError(err error) error {
 	for _, known := range tokenErrors {
 		if errors.Is(err, known) {
@@ -260,10 +264,10 @@
 	return jwt.ErrTokenMalformed
 }
 
-// HeaderNames returns the field that has the token.
+// HeaderNames returns the header that has the token.
 func (j *JWTRule) HeaderNames() []string { return []string{j.Header} }
 
-// Plans returns all plans that a token may name.
+// Plans returns the default plan and all plans that a token may name.
 func (j *JWTRule) Plans() []string {
 	if j.DefaultPlan == "" {
 		return j.AllowedPlans
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,8 +1,8 @@
-// Package certs serves a listener's certificates by the name that a client asks for, and reads them
-// again when their files change. An invalid pair is reported and leaves the one before in force;
-// connections keep the certificate that they began with. Nothing of a key is ever in an error or log.
+// Package certs provides a TLS listener's certificates by server name and reloads them when their files
+// change. An invalid pair is reported, and the previous one stays in use. Open connections keep the
+// certificate of their handshake. Errors and log lines never contain key material.
 //
-// certs.go reads files, set.go selects certificates and does no I/O.
+// certs.go reads files; set.go selects certificates and does no I/O.
 package certs
 
 import (
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Pair names the files of a certificate and its key, in PEM.
+// Pair names the PEM files of a certificate and its private key.
 type Pair struct{ CertFile, KeyFile string }
 
 // ReadFile reads a file, as os.ReadFile does.
@@ -35,24 +35,26 @@
 	pairs []trackedPair
 }
 
+// trackedPair is a pair with the state of its last reload.
 type trackedPair struct {
 	Pair
-	digest [sha256.Size]byte // of what was read last, valid or not
-	cert   *tls.Certificate
+	digest [sha256.Size]byte // of the last content that was read, valid or not
+	cert   *tls.Certificate  // the last valid certificate; nil: there is none
 }
 
-// PairError says what is wrong with a pair.
+// PairError describes an invalid pair.
 type PairError struct {
-	Index int // from 0
+	Index int // index in the pairs that New was given, from 0
 	Err   error
 }
 
 func (e *PairError) Error() string { return fmt.Sprintf("certificate %d: %v", e.Index+1, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *PairError) Unwrap() error { return e.Err }
 
-// New reads pairs. All must be valid; the error joins a PairError for each that is not.
+// New returns a Store with the certificates of the given pairs. All pairs must be valid; the error joins
+// a PairError for each that is not.
 func New(pairs []Pair, read ReadFile, now func() time.Time, log *slog.Logger) (*Store, error) {
 	s := &Store{readFile: read, logger: log, now: now}
 	for _, p := range pairs {
@@ -64,8 +66,8 @@
 	return s, nil
 }
 
-// Reload reads the files again, and puts in force what has changed and is valid. The error joins a
-// PairError for each pair that is not, once for each content that its files have.
+// Reload reads the files again and replaces the certificates that have changed and are valid. The error
+// joins a PairError for each invalid pair. An invalid pair is reported again only when its files change.
 func (s *Store) Reload() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +95,7 @@
 	return errors.Join(errs...)
 }
 
-// readPair returns a pair's certificate, or nil if its files have not changed.
+// readPair returns the certificate of a pair, or nil if its files have not changed since the last read.
 func (s *Store) readPair(p *trackedPair) (*tls.Certificate, error) {
 	certText, err := s.readFile(p.CertFile)
 	var keyText []byte
@@ -111,7 +113,7 @@
 	return Parse(certText, keyText, s.now())
 }
 
-// Watch reads the files again at each interval until ctx ends.
+// Watch reloads the files once per interval until ctx is done.
 func (s *Store) Watch(ctx context.Context, interval time.Duration) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -127,10 +129,10 @@
 	}
 }
 
-// Set returns the certificates in force.
+// Set returns the certificates currently in use.
 func (s *Store) Set() *Set { return s.current.Load() }
 
-// GetCertificate is for a tls.Config.
+// GetCertificate selects the certificate for a handshake. It is meant for tls.Config.GetCertificate.
 func (s *Store) GetCertificate(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	return s.current.Load().Select(hello)
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -13,8 +13,8 @@
 	"pumicecroft/internal/testcerts"
 )
 
-// Each pair is independent of the others: an invalid pair, and one that has not changed, leave its
-// certificate in force. Each invalid content is reported once.
+// Pairs are reloaded independently of each other. A pair that is invalid or unchanged keeps its current
+// certificate. Each invalid content is reported only once.
 func TestPairErrorsAreIndependent(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
@@ -26,8 +26,8 @@
 	c2, k2 := pair(nil, "*.b.example", "b.example")
 	write("1", c1, k1)
 	write("2", c2, k2)
-	at := func(n string) Pair { return Pair{dir + "/" + n + "c", dir + "/" + n + "k"} }
-	s, err := New([]Pair{at("1"), at("2")}, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
+	files := func(n string) Pair { return Pair{dir + "/" + n + "c", dir + "/" + n + "k"} }
+	s, err := New([]Pair{files("1"), files("2")}, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,54 +36,56 @@
 			SignatureSchemes: []tls.SignatureScheme{tls.ECDSAWithP256AndSHA256},
 			SupportedCurves:  []tls.CurveID{tls.CurveP256}}
 	}
-	serial := func(name string) string {
+	served := func(name string) string { // the serial number of the certificate for a server name
 		c, err := s.GetCertificate(hello(name))
 		if err != nil {
 			return err.Error()
 		}
 		return c.Leaf.SerialNumber.String()
 	}
-	of := func(cert []byte) string {
+	serial := func(cert []byte) string {
 		c, err := tls.X509KeyPair(cert, map[bool][]byte{true: k1, false: k2}[string(cert) == string(c1)])
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c.Leaf.SerialNumber.String()
 	}
-	one, two := of(c1), of(c2)
-	for name, want := range map[string]string{"a.example": one, "A.Example.": one, "x.b.example": two,
-		"b.example": two, "x.y.b.example": one, "": one, "else": one} {
-		if got := serial(name); got != want {
-			t.Errorf("%q: %s, want %s", name, got, want)
+	first, second := serial(c1), serial(c2)
+	for name, want := range map[string]string{"a.example": first, "A.Example.": first, "x.b.example": second,
+		"b.example": second, "x.y.b.example": first, "": first, "else": first} {
+		if got := served(name); got != want {
+			t.Errorf("%q: got serial number %s, want %s", name, got, want)
 		}
 	}
 	c3, k3 := pair(nil, "a.example")
 	write("1", c3, k3)
-	expired, ek := pair(func(c *x509.Certificate) { c.NotAfter = time.Now().Add(-time.Minute) }, "b.example")
-	write("2", expired, ek)
+	expired, expiredKey := pair(func(c *x509.Certificate) { c.NotAfter = time.Now().Add(-time.Minute) }, "b.example")
+	write("2", expired, expiredKey)
 	err = s.Reload()
-	if p, ok := errors.AsType[*PairError](err); !ok || p.Index != 1 || !strings.Contains(err.Error(), "ended on") {
-		t.Errorf("an ended one: %v", err)
+	if p, ok := errors.AsType[*PairError](err); !ok || p.Index != 1 || !strings.Contains(err.Error(), "expired on") {
+		t.Errorf("Reload of an expired certificate: got error %v, want a PairError of index 1 with \"expired on\"", err)
 	}
-	if serial("a.example") == one || serial("b.example") != two {
-		t.Errorf("%s and %s", serial("a.example"), serial("b.example"))
+	if served("a.example") == first || served("b.example") != second {
+		t.Errorf("after Reload: got %s for a.example and %s for b.example, want not %s and %s", served("a.example"),
+			served("b.example"), first, second)
 	}
-	was := serial("a.example")
-	if err := s.Reload(); err != nil || serial("a.example") != was || serial("b.example") != two {
-		t.Errorf("again: %v", err)
+	reloaded := served("a.example")
+	if err := s.Reload(); err != nil || served("a.example") != reloaded || served("b.example") != second {
+		t.Errorf("Reload without a change: got error %v, %s for a.example and %s for b.example; want nil, %s and %s",
+			err, served("a.example"), served("b.example"), reloaded, second)
 	}
-	later, lk := pair(func(c *x509.Certificate) { c.NotBefore = time.Now().Add(time.Minute) }, "b.example")
-	write("2", later, lk)
-	if err := s.Reload(); err == nil || !strings.Contains(err.Error(), "begins on") {
-		t.Errorf("one that is not yet: %v", err)
+	future, futureKey := pair(func(c *x509.Certificate) { c.NotBefore = time.Now().Add(time.Minute) }, "b.example")
+	write("2", future, futureKey)
+	if err := s.Reload(); err == nil || !strings.Contains(err.Error(), "not valid before") {
+		t.Errorf("Reload of a certificate that is not yet valid: got error %v, want \"not valid before\"", err)
 	}
 	if h := hello("a.example"); true {
 		h.SignatureSchemes = []tls.SignatureScheme{tls.PSSWithSHA256}
 		if _, err := s.GetCertificate(h); !errors.Is(err, ErrNoCertificate) {
-			t.Errorf("a client that can't use any: %v", err)
+			t.Errorf("client that supports no certificate: got error %v, want %v", err, ErrNoCertificate)
 		}
 	}
 	if unused := s.Set().Unused([]string{"a.example", "*.b.example"}); len(unused) != 1 || unused[0] != "b.example" {
-		t.Errorf("unused: %v", unused)
+		t.Errorf("Unused: got %v, want [b.example]", unused)
 	}
 }
--- a/internal/certs/set.go
+++ b/internal/certs/set.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Set holds certificates by the names that they are for. It does not change.
+// Set is an immutable set of certificates, indexed by name.
 type Set struct {
 	all    []*tls.Certificate
-	byName map[string][]*tls.Certificate // in lower case; wildcards as "*.example.org"
+	byName map[string][]*tls.Certificate // names in lower case; wildcards as "*.example.org"
 }
 
-// NewSet returns a set. The first certificate is for clients that ask for no name, or one that no
-// certificate is for.
+// NewSet returns a set of certificates. The first one is the default, for clients that send no server
+// name or one that no certificate covers.
 func NewSet(all []*tls.Certificate) *Set {
 	s := &Set{all: all, byName: map[string][]*tls.Certificate{}}
 	for _, c := range all {
@@ -27,7 +27,7 @@
 	return s
 }
 
-// Names returns the names that a certificate is for, in lower case.
+// Names returns the DNS names and IP addresses of a certificate, in lower case.
 func Names(c *tls.Certificate) (out []string) {
 	for _, n := range c.Leaf.DNSNames {
 		out = append(out, strings.ToLower(n))
@@ -38,11 +38,11 @@
 	return out
 }
 
-// ErrNoCertificate says that the client supports none of the certificates.
+// ErrNoCertificate means that the client supports none of the certificates.
 var ErrNoCertificate = errors.New("certs: no certificate that the client supports")
 
-// Select returns the certificate for a client: one for its server name, else one for all names of the
-// domain, else the first. Of several, it is one that the client supports.
+// Select returns the first certificate that the client supports, in this order: those for its server name,
+// those for the wildcard of its domain, all others.
 func (s *Set) Select(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	name := strings.ToLower(strings.TrimSuffix(hello.ServerName, "."))
 	_, domain, _ := strings.Cut(name, ".")
@@ -56,33 +56,35 @@
 	return nil, ErrNoCertificate
 }
 
-// supportsIgnoringName reports whether a client supports a certificate apart from its name. A client
-// that asks for a name that no certificate is for gets the first one that it can use, and decides
-// itself what to make of it.
+// supportsIgnoringName reports whether a client supports a certificate, whatever its server name is. A
+// client that asks for a name that no certificate covers gets the first one that it supports, and decides
+// itself whether to accept it.
 func supportsIgnoringName(hello *tls.ClientHelloInfo, c *tls.Certificate) bool {
 	h := *hello
 	h.ServerName = ""
 	return h.SupportsCertificate(c) == nil
 }
 
-// Covers reports whether a certificate is for a host, which may be a wildcard such as "*.example.org".
+// Covers reports whether there is a certificate for a host, which may be a wildcard such as
+// "*.example.org".
 func (s *Set) Covers(host string) bool {
 	host = strings.ToLower(host)
 	_, domain, _ := strings.Cut(host, ".")
 	return len(s.byName[host]) > 0 || len(s.byName["*."+domain]) > 0
 }
 
-// Unused returns the names of certificates that none of the hosts needs, sorted.
+// Unused returns the certificate names that match none of the hosts, sorted. Hosts may be wildcards; ""
+// stands for any host.
 func (s *Set) Unused(hosts []string) (out []string) {
-	if slices.Contains(hosts, "") { // any host
+	if slices.Contains(hosts, "") {
 		return nil
 	}
 	for name := range s.byName {
 		used := slices.ContainsFunc(hosts, func(h string) bool {
 			h = strings.ToLower(h)
 			_, domain, _ := strings.Cut(h, ".")
-			_, below, _ := strings.Cut(name, ".")
-			return h == name || name == "*."+domain || h == "*."+below
+			_, nameDomain, _ := strings.Cut(name, ".")
+			return h == name || name == "*."+domain || h == "*."+nameDomain
 		})
 		if !used {
 			out = append(out, name)
@@ -99,20 +101,21 @@
 	})
 }
 
-// Parse returns the certificate in texts in PEM, if it is valid at now. Errors tell nothing of the key.
+// Parse returns the certificate of a PEM certificate and private key if it is valid at now. Errors contain
+// no key material.
 func Parse(certText, keyText []byte, now time.Time) (*tls.Certificate, error) {
 	c, err := tls.X509KeyPair(certText, keyText)
 	if err != nil {
 		if strings.Contains(err.Error(), "private key does not match public key") {
 			return nil, errors.New("the key is not the certificate's")
 		}
-		return nil, errors.New("it can't be read: no certificate or no key in PEM, or one of a kind that is not known")
+		return nil, errors.New("it can't be read: there is no certificate or no key in PEM, or its type is unsupported")
 	}
 	if now.After(c.Leaf.NotAfter) {
-		return nil, fmt.Errorf("it ended on %s", c.Leaf.NotAfter.Format(time.DateOnly))
+		return nil, fmt.Errorf("it expired on %s", c.Leaf.NotAfter.Format(time.DateOnly))
 	}
 	if now.Before(c.Leaf.NotBefore) {
-		return nil, fmt.Errorf("it begins on %s", c.Leaf.NotBefore.Format(time.DateOnly))
+		return nil, fmt.Errorf("it is not valid before %s", c.Leaf.NotBefore.Format(time.DateOnly))
 	}
 	return &c, nil
 }
--- a/internal/httplistener/conntable.go
+++ b/internal/httplistener/conntable.go
@@ -10,30 +10,32 @@
 	"sync"
 )
 
-// connTable bounds the connections of clients. When there is one too many, the one that was idle for
-// longest is closed, be it between requests or before its first one. A connection with an open request is
-// never closed. It is safe for concurrent use.
+// connTable limits the number of client connections. When a new connection exceeds the limit, the one
+// that has been idle for longest is closed, whether it is waiting for its first or a later request; see
+// evictionCandidate. A connection with an open request is never closed. A connTable is safe for
+// concurrent use.
 type connTable struct {
 	maxConns int
 
 	mu      sync.Mutex
-	changed chan struct{} // closed at the next change; nil: nobody waits for it
+	changed chan struct{} // closed at the next state change; nil: nothing waits for it
 	open    map[net.Conn]*list.Element
-	order   *list.List // of *trackedConn; the idle ones by the time since which they are
+	order   *list.List // of *trackedConn; idle ones are ordered by when they became idle, oldest first
 }
 
-// trackedConn is one connection of a client.
+// trackedConn is an entry of a connTable.
 type trackedConn struct {
 	conn net.Conn
 	busy bool // a request is open
-	used bool // it has had a request
+	used bool // a request header has been read on it
 }
 
 func newConnTable(maxConns int) *connTable {
 	return &connTable{maxConns: maxConns, open: map[net.Conn]*list.Element{}, order: list.New()}
 }
 
-// onStateChange is http.Server's ConnState hook. It is called for a new connection before that is served.
+// onStateChange is the ConnState hook of http.Server, which calls it with StateNew before it serves the
+// connection.
 func (t *connTable) onStateChange(c net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,7 +48,7 @@
 		t.open[c] = t.order.PushBack(&trackedConn{conn: c})
 		if len(t.open) > t.maxConns {
 			t.mu.Unlock()
-			runtime.Gosched() // lets what has arrived on other new connections be read first
+			runtime.Gosched() // let goroutines of other new connections read requests that have arrived
 			t.mu.Lock()
 			t.evictIdle(c)
 		}
@@ -62,7 +64,7 @@
 	}
 }
 
-// setIdle takes in that the request of a connection has been answered.
+// setIdle marks a connection as idle after its response.
 func (t *connTable) setIdle(c net.Conn) {
 	e := t.open[c]
 	if e == nil {
@@ -76,7 +78,7 @@
 	t.order.MoveToBack(e)
 }
 
-// setBusy takes in that a request's header was read on a connection.
+// setBusy marks a connection as busy after the header of a request was read.
 func (t *connTable) setBusy(c net.Conn) {
 	if cc, ok := underlyingConn(c).(*clientConn); ok {
 		cc.busy.Store(true)
@@ -87,29 +89,33 @@
 	}
 }
 
-// evictIdle closes idle connections until at most maxConns are left, or all have a request open. The
-// caller holds the lock.
+// evictIdle closes idle connections until at most maxConns are left or all have an open request. The
+// caller holds t.mu.
 func (t *connTable) evictIdle(newest net.Conn) {
 	for over := len(t.open) - t.maxConns; over > 0; over-- {
-		victim := t.victim(newest)
-		if victim == nil {
+		candidate := t.evictionCandidate(newest)
+		if candidate == nil {
 			return
 		}
-		c := t.order.Remove(victim).(*trackedConn).conn
+		c := t.order.Remove(candidate).(*trackedConn).conn
 		delete(t.open, c)
 		_ = c.Close()
 	}
 }
 
-// victim returns the connection to close, nil if all have a request open: the one that was idle for
-// longest. A connection on which bytes have arrived since its last response, read or not, is spared if
-// there is another: closing it would lose the request that has begun there. If there is no other but the
-// newest, the one goes whose request header has been incomplete for longest. Otherwise clients that begin
-// requests and never complete them would keep all others out, whose first bytes come right behind their
-// connections.
-func (t *connTable) victim(newest net.Conn) *list.Element {
-	var shortestIdle, slowest *list.Element
-	var slowestStart int64
+// evictionCandidate returns the connection to close, or nil if all have an open request. In order of
+// preference:
+//
+//  1. The connection other than newest that has been idle for longest and on which nothing has arrived
+//     since its last response. Bytes that have arrived, read or not, are the start of a request, which
+//     closing the connection would lose.
+//  2. The connection whose request header has been incomplete for longest. Otherwise clients that start
+//     requests and never complete them could lock out new clients, whose first bytes arrive just after
+//     they have connected.
+//  3. The connection that has been idle for the shortest time.
+func (t *connTable) evictionCandidate(newest net.Conn) *list.Element {
+	var shortestIdle, oldestPartial *list.Element
+	var oldestStart int64
 	for e := t.order.Front(); e != nil; e = e.Next() {
 		tracked := e.Value.(*trackedConn)
 		if tracked.busy {
@@ -123,16 +129,16 @@
 			continue
 		}
 		cc, ok := underlyingConn(tracked.conn).(*clientConn)
-		if ok && cc.requestStarted.Load() && (slowest == nil || cc.startedAt.Load() < slowestStart) {
-			slowest, slowestStart = e, cc.startedAt.Load()
+		if ok && cc.requestStarted.Load() && (oldestPartial == nil || cc.startedAt.Load() < oldestStart) {
+			oldestPartial, oldestStart = e, cc.startedAt.Load()
 		}
 	}
-	return cmp.Or(slowest, shortestIdle)
+	return cmp.Or(oldestPartial, shortestIdle)
 }
 
-// closeIdle closes connections that are between requests, until each that is left has a request open, or
-// ctx ends. A connection on which bytes have arrived since its last response is spared: closing it would
-// lose a request that its client has sent. So is a new one until it has sent a request or timed out.
+// closeIdle closes idle connections until all remaining ones have an open request, or ctx is done. It
+// does not close a connection on which bytes have arrived since its last response, as that would lose a
+// request that the client has sent, nor a new connection before it has had a request or timed out.
 func (t *connTable) closeIdle(ctx context.Context) {
 	for {
 		waiting, changed := t.closeIdleNow()
@@ -147,8 +153,8 @@
 	}
 }
 
-// closeIdleNow closes the connections that may be closed, and returns how many others have no request
-// open, and a channel that is closed at the next change.
+// closeIdleNow closes the connections that closeIdle may close now. It returns how many of the others
+// have no open request, and a channel that is closed at the next state change.
 func (t *connTable) closeIdleNow() (waiting int, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/httplistener/conntable_test.go
+++ b/internal/httplistener/conntable_test.go
@@ -11,27 +11,27 @@
 	"pumicecroft/internal/testkit"
 )
 
-// fewConns is how many connections the tests' small servers allow.
-const fewConns = 5
+// smallMaxConns is the connection limit of the servers in tests that exceed it.
+const smallMaxConns = 5
 
 // rejectAll answers each request with 503.
 func rejectAll(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 
-// checkRejected reads the response of rejectAll.
+// checkRejected reads a response and checks that it is rejectAll's.
 func checkRejected(t *testing.T, in *bufio.Reader) {
 	t.Helper()
 	res, err := http.ReadResponse(in, nil)
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable {
-		t.Fatalf("answered %v, %v", res, err)
+		t.Fatalf("got response %v, error %v; want status %d", res, err, http.StatusServiceUnavailable)
 	}
 	_ = res.Body.Close()
 }
 
-// Clients connect and send nothing, so that descriptors run out. Beyond the limit the connection that was idle for
-// longest must be closed, and never one with an open request.
-func TestConnTable_IdleConnectionsMakeRoom(t *testing.T) {
+// Clients connect and send nothing, which without a limit exhausts the file descriptors. Beyond the limit the
+// connection that has been idle for longest must be closed, and never one with an open request.
+func TestConnTable_EvictsIdleConnections(t *testing.T) {
 	started, proceed := make(chan bool, 1), make(chan bool)
-	s := startServer(t, fewConns, Options{}, func(w http.ResponseWriter, _ *http.Request) {
+	s := startServer(t, smallMaxConns, Options{}, func(w http.ResponseWriter, _ *http.Request) {
 		started <- true
 		<-proceed
 		w.WriteHeader(http.StatusBadGateway)
@@ -41,31 +41,33 @@
 	testkit.Await(t, started, "the request")
 	dialAll(t, s.addr, 20)
 	s.conns.mu.Lock()
-	if n := len(s.conns.open); n > fewConns+1 { // one may just have come
-		t.Errorf("%d connections are open, %d may be", n, fewConns)
+	if n := len(s.conns.open); n > smallMaxConns+1 { // one may be new, with no other evicted for it yet
+		t.Errorf("%d connections are open, want at most %d", n, smallMaxConns+1)
 	}
 	s.conns.mu.Unlock()
 	close(proceed)
 	res, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	if err != nil || res.StatusCode != http.StatusBadGateway {
-		t.Fatalf("the connection with an open request: %v, %v", res, err)
+		t.Fatalf("connection with an open request: got response %v, error %v; want status %d", res, err,
+			http.StatusBadGateway)
 	}
 	_ = res.Body.Close()
 }
 
-// A request comes in pieces, while its connection still counts as idle for net/http. Closing the connection to make
-// room would lose the request, be it the connection's first or not.
-func TestConnTable_RequestInPiecesIsNotIdle(t *testing.T) {
+// A request header arrives in pieces, while net/http still considers its connection idle. Evicting the connection
+// would lose the request, whether it is the first of its connection or a later one.
+func TestConnTable_PartialRequestIsNotIdle(t *testing.T) {
 	for name, earlierRequests := range map[string]int{"new connection": 0, "used connection": 1} {
 		t.Run(name, func(t *testing.T) {
-			s := startServer(t, fewConns, Options{}, rejectAll)
+			s := startServer(t, smallMaxConns, Options{}, rejectAll)
 			conn := dialAll(t, s.addr, 1)[0]
 			responses := bufio.NewReader(conn)
 			for range earlierRequests {
 				io.WriteString(conn, getRequest)
 				checkRejected(t, responses)
 			}
-			idle := func(requestStarted bool) bool { // it counts as idle, with or without something read
+			// idle reports whether the connection is marked idle, with the given requestStarted.
+			idle := func(requestStarted bool) bool {
 				s.conns.mu.Lock()
 				defer s.conns.mu.Unlock()
 				e := s.conns.order.Front()
@@ -77,9 +79,9 @@
 			}
 			poll(t, "the connection to be idle", func() bool { return idle(false) })
 			io.WriteString(conn, getRequest[:40])
-			poll(t, "the piece to be read", func() bool { return idle(true) })
-			for _, c := range dialAll(t, s.addr, fewConns+1)[:2] {
-				testkit.ReadUntilClosed(t, c) // others make room
+			poll(t, "the partial header to be read", func() bool { return idle(true) })
+			for _, c := range dialAll(t, s.addr, smallMaxConns+1)[:2] {
+				testkit.ReadUntilClosed(t, c) // evicted instead of conn
 			}
 			io.WriteString(conn, getRequest[40:])
 			checkRejected(t, responses)
@@ -87,10 +89,10 @@
 	}
 }
 
-// Clients begin requests on all connections and never complete them. A new client must get the place of the one
-// whose header has been incomplete for longest, and an answer.
-func TestConnTable_IncompleteRequestsKeepNobodyOut(t *testing.T) {
-	s := startServer(t, fewConns, Options{}, rejectAll)
+// Clients start requests on all connections and never complete them. For a new client, the connection whose header has
+// been incomplete for longest must be evicted, and the new client must get a response.
+func TestConnTable_IncompleteRequestsDoNotBlockNewClients(t *testing.T) {
+	s := startServer(t, smallMaxConns, Options{}, rejectAll)
 	incomplete := func() (n int) {
 		s.conns.mu.Lock()
 		defer s.conns.mu.Unlock()
@@ -101,7 +103,7 @@
 		}
 		return n
 	}
-	slow := dialAll(t, s.addr, fewConns)
+	slow := dialAll(t, s.addr, smallMaxConns)
 	for i, c := range slow {
 		io.WriteString(c, "G")
 		poll(t, "a first byte to be read", func() bool { return incomplete() > i })
@@ -112,15 +114,15 @@
 		io.WriteString(c, getRequest)
 		checkRejected(t, bufio.NewReader(c))
 		slow = append(slow, c)
-		poll(t, "the answered connection to be idle", func() bool { return incomplete() < fewConns })
-		io.WriteString(c, "G") // and now it is one of them
-		poll(t, "its byte to be read", func() bool { return incomplete() >= fewConns })
+		poll(t, "the connection to be idle after its response", func() bool { return incomplete() < smallMaxConns })
+		io.WriteString(c, "G") // the new connection becomes incomplete as well
+		poll(t, "its byte to be read", func() bool { return incomplete() >= smallMaxConns })
 	}
 }
 
-// A table has one connection too many. The one that was idle for longest must be closed, unless bytes have arrived on
-// it that were not read yet.
-func TestConnTable_Victim(t *testing.T) {
+// A table exceeds its limit by one connection. The connection that has been idle for longest must be closed, unless it
+// has unread bytes.
+func TestConnTable_EvictsLongestIdle(t *testing.T) {
 	ln := listen(t)
 	defer func() { _ = ln.Close() }()
 	table := newConnTable(3)
@@ -142,14 +144,14 @@
 	poll(t, "the byte to arrive", func() bool { return socketpeek.Peek(conns[1]) == socketpeek.Readable })
 	table.onStateChange(conns[3], http.StateNew)
 	testkit.ReadUntilClosed(t, clients[2])
-	table.onStateChange(conns[0], http.StateIdle) // it is idle for the shortest time now
+	table.onStateChange(conns[0], http.StateIdle) // now the one that has been idle for the shortest time
 	table.onStateChange(conns[4], http.StateNew)
 	testkit.ReadUntilClosed(t, clients[3])
 }
 
-// Idle connections are closed at the end. One on which bytes have arrived that were not read yet must be spared, and
-// waited for.
-func TestConnTable_CloseIdleSparesBegunRequests(t *testing.T) {
+// Shutdown closes idle connections. A connection with unread bytes must stay open, and closeIdle must wait for its
+// request.
+func TestConnTable_CloseIdleKeepsPartialRequests(t *testing.T) {
 	ln := listen(t)
 	defer func() { _ = ln.Close() }()
 	table := newConnTable(10)
@@ -178,19 +180,20 @@
 	}()
 	testkit.Await(t, arrived, "the byte")
 	table.onStateChange(conns[2], http.StateActive)
-	ended := make(chan bool)
-	go func() { table.closeIdle(t.Context()); close(ended) }()
+	returned := make(chan bool)
+	go func() { table.closeIdle(t.Context()); close(returned) }()
 	testkit.ReadUntilClosed(t, clients[0])
 	table.mu.Lock()
 	if len(table.open) != 2 || table.open[conns[1]] == nil || table.open[conns[2]] == nil {
-		t.Errorf("%d connections are left", len(table.open))
+		t.Errorf("%d connections are open (partial request %t, open request %t), want only these two",
+			len(table.open), table.open[conns[1]] != nil, table.open[conns[2]] != nil)
 	}
 	table.mu.Unlock()
 	select {
-	case <-ended:
-		t.Error("it does not wait for the begun request")
+	case <-returned:
+		t.Error("closeIdle returned before the partial request was complete")
 	default:
 	}
 	table.onStateChange(conns[1], http.StateActive)
-	testkit.Await(t, ended, "all others to have a request open")
+	testkit.Await(t, returned, "closeIdle to return")
 }
--- a/internal/httplistener/harness_test.go
+++ b/internal/httplistener/harness_test.go
@@ -43,11 +43,11 @@
 	return ln
 }
 
-// response is a response that was read to its end.
+// response is a completely read response.
 type response struct {
 	status int
 	header http.Header
-	closes bool // it says that its connection ends with it
+	closes bool // it has "Connection: close"
 }
 
 // readResponse reads one response.
@@ -69,12 +69,12 @@
 	t.Helper()
 	for end := time.Now().Add(testkit.WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out after %v waiting for %s", testkit.WaitTimeout, what)
 		}
 	}
 }
 
-// observedListener reports that it was closed.
+// observedListener closes its channel when Close is called.
 type observedListener struct {
 	net.Listener
 	once   sync.Once
@@ -92,11 +92,11 @@
 	*Server
 	addr     string
 	shutDown context.CancelFunc
-	closed   chan bool  // closed when it listens no more
+	closed   chan bool  // closed when the listener has been closed
 	done     chan error // Run's result
 }
 
-// startServer starts a Server that allows so many connections.
+// startServer starts a Server that allows maxConns connections.
 func startServer(t *testing.T, maxConns int, o Options, h http.HandlerFunc) *testServer {
 	t.Helper()
 	ln := listen(t)
@@ -113,7 +113,7 @@
 	return s
 }
 
-// awaitConns waits until the table of connections is as it should be.
+// awaitConns waits until a condition holds for the table of connections.
 func (s *testServer) awaitConns(t *testing.T, what string, condition func(*connTable) bool) {
 	t.Helper()
 	for {
--- a/internal/httplistener/responsewriter.go
+++ b/internal/httplistener/responsewriter.go
@@ -2,9 +2,8 @@
 
 import "net/http"
 
-// responseWriter is the writer of one response. Once the server drains, each response says that its
-// connection ends with it. Its handler may have been called long before, so it is the start of the
-// response that counts.
+// responseWriter adds "Connection: close" to a response that starts while the server is draining. It
+// checks when the response starts, as the handler may have been called long before shutdown began.
 type responseWriter struct {
 	http.ResponseWriter
 	server  *Server
@@ -19,13 +18,13 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write starts the response if that has not been done, as that of http.ResponseWriter does.
+// Write starts the response if it has not started, as http.ResponseWriter.Write does.
 func (w *responseWriter) Write(b []byte) (int, error) {
 	w.start()
 	return w.ResponseWriter.Write(b)
 }
 
-// FlushError is called by http.ResponseController's Flush. It starts the response.
+// FlushError starts the response and flushes it. http.ResponseController.Flush calls it.
 func (w *responseWriter) FlushError() error {
 	w.start()
 	return http.NewResponseController(w.ResponseWriter).Flush()
@@ -34,7 +33,7 @@
 // Unwrap returns the original writer, for http.ResponseController.
 func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// start sets the header's fields that depend on the server's state, once.
+// start marks the response as started, and sets "Connection: close" if the server is draining.
 func (w *responseWriter) start() {
 	if w.started {
 		return
--- a/internal/httplistener/server.go
+++ b/internal/httplistener/server.go
@@ -1,7 +1,7 @@
-// Package httplistener is the daemon's listener for clients: HTTP/1.1 on a socket, with bounds on the
-// connections of clients and on the time they may take to send a request, and a graceful shutdown that
-// loses no request. It serves a handler and decides nothing about requests. conntable.go bounds the
-// connections.
+// Package httplistener serves HTTP clients of the daemon: HTTP/1.1 and, optionally, HTTP/2. It limits
+// the number of client connections and the time that a client may take to send a request, and shuts
+// down gracefully without losing a request. Requests are passed to a handler; the package makes no
+// decisions about them. conntable.go limits the connections.
 package httplistener
 
 import (
@@ -17,56 +17,56 @@
 )
 
 const (
-	// defaultHeaderTimeout is how long a client may take to send a request's header; on a new connection
-	// it counts from the accept.
+	// defaultHeaderTimeout limits the time in which a client must send a request header. On a new
+	// connection it starts when the connection is accepted.
 	defaultHeaderTimeout  = 1500 * time.Millisecond
 	defaultMaxHeaderBytes = 16 << 10
-	// idleTimeout is how long a client may keep a connection without a request.
+	// idleTimeout is how long a connection may stay open without a request.
 	idleTimeout = 15 * time.Second
-	// writeGrace is the time to write a response after the longest request.
+	// writeGrace is the time left to write the response of a request that took maxRequestTimeout.
 	writeGrace = 10 * time.Second
 )
 
-// When the server is told to end it goes on accepting connections for at least minDrain, then until none
-// has come for drainQuiet, but for no longer than maxDrain. The platform kills the process no sooner than
-// maxDrain after the longest deadline.
+// When shutdown begins, the server keeps accepting connections for at least minDrain, then until no
+// connection has been accepted for drainQuietPeriod, but for at most maxDrain. The platform kills the
+// process no earlier than the longest request deadline plus maxDrain after the start of the shutdown.
 const (
 	minDrain          = 500 * time.Millisecond
-	drainQuiet        = 150 * time.Millisecond
+	drainQuietPeriod  = 150 * time.Millisecond
 	maxDrain          = 700 * time.Millisecond
 	drainPollInterval = 10 * time.Millisecond
 )
 
-// Server serves the gateway's clients.
+// Server serves the gateway's clients over HTTP.
 type Server struct {
 	handler           http.Handler
 	maxRequestTimeout time.Duration
 	options           Options
 	log               *slog.Logger
 	conns             *connTable
-	draining          atomic.Bool  // it was told to end
-	stopped           atomic.Bool  // it takes no new requests
+	draining          atomic.Bool  // shutdown has begun
+	stopped           atomic.Bool  // new requests are rejected
 	lastAccept        atomic.Int64 // Unix time in nanoseconds
 }
 
-// Options configures a Server for clients other than the platform's, for which the zero value is.
+// Options configures a Server. The zero value is for the platform's clients.
 type Options struct {
-	TLS            *tls.Config   // nil: plain connections
-	GeneralPurpose bool          // serves HTTP/2 too, and all paths go to the handler
-	HeaderTimeout  time.Duration // for a complete request header; default 1.5 s
+	TLS            *tls.Config   // nil: connections are not encrypted
+	GeneralPurpose bool          // also serve HTTP/2, and pass every path, /ready included, to the handler
+	HeaderTimeout  time.Duration // limit for reading a complete request header; default 1.5 s
 	MaxHeaderBytes int           // default 16 KiB
 }
 
-// NewServer returns a Server for a handler. maxConns bounds the connections of clients, maxRequestTimeout
-// is the longest deadline of a request.
+// NewServer returns a Server that passes requests to handler. maxConns limits the client connections,
+// maxRequestTimeout is the longest deadline that a request can have.
 func NewServer(handler http.Handler, maxConns int, maxRequestTimeout time.Duration, log *slog.Logger,
 	o Options) *Server {
 	return &Server{handler: handler, maxRequestTimeout: maxRequestTimeout, log: log,
 		conns: newConnTable(maxConns), options: o}
 }
 
-// Run serves clients on a listener until ctx ends, and then until no request is lost: it goes on
-// accepting while clients still connect, stops listening, and returns when no request is open.
+// Run serves clients on a listener until ctx is done, then shuts down without losing a request: it keeps
+// accepting while clients still connect, closes the listener, and returns when no request is open.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
 	server := s.httpServer()
 	served := make(chan error, 1)
@@ -79,12 +79,13 @@
 	s.draining.Store(true)
 	s.log.Info("told to end")
 	s.drain()
-	// What is accepted from here on might not be answered before the platform kills the process.
+	// A request accepted from here on might not complete before the platform kills the process.
 	s.stopped.Store(true)
 	stop, cancel := context.WithTimeout(context.Background(), s.maxRequestTimeout)
 	defer cancel()
 	_ = listener.Close()
-	// Serve must have let go of the listener: Shutdown would close it again and return that error.
+	// Wait until Serve has released the listener. Otherwise Shutdown closes the listener a second time
+	// and returns the error of that close.
 	if err := <-served; !errors.Is(err, net.ErrClosed) {
 		s.log.Warn("listener failed", "err", err)
 	}
@@ -92,13 +93,13 @@
 	return server.Shutdown(stop)
 }
 
-// httpServer returns the http.Server with the bounds of this one.
+// httpServer returns an http.Server with the configured limits and hooks.
 func (s *Server) httpServer() *http.Server {
 	server := &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: cmp.Or(s.options.HeaderTimeout, defaultHeaderTimeout),
-		// There is no ReadTimeout: it would run while a request waits for its response, and a read that
-		// times out then looks as if the client had disconnected. Bodies have a limit of their own.
+		// ReadTimeout is not set: it also runs while a request waits for its response, and a read that
+		// times out then looks like a client disconnect. Request bodies have a timeout of their own.
 		WriteTimeout:   s.maxRequestTimeout + writeGrace,
 		IdleTimeout:    idleTimeout,
 		MaxHeaderBytes: cmp.Or(s.options.MaxHeaderBytes, defaultMaxHeaderBytes),
@@ -130,22 +131,23 @@
 	return server.Serve(clientListener{listener})
 }
 
-// drain waits while clients still connect.
+// drain waits until clients have stopped connecting, between minDrain and maxDrain.
 func (s *Server) drain() {
 	start := time.Now()
 	for time.Since(start) < minDrain ||
-		time.Since(start) < maxDrain && time.Since(time.Unix(0, s.lastAccept.Load())) < drainQuiet {
+		time.Since(start) < maxDrain && time.Since(time.Unix(0, s.lastAccept.Load())) < drainQuietPeriod {
 		time.Sleep(drainPollInterval)
 	}
 }
 
-// ServeHTTP answers /ready itself and passes all else to the handler. Once the server drains, each
-// response says that its connection ends with it; once it has stopped, requests are rejected.
+// ServeHTTP answers /ready itself, unless Options.GeneralPurpose is set, and passes all other requests to
+// the handler. Responses that start while the server is draining close their connection. Once the
+// server has stopped, requests get status 503.
 func (s *Server) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w := &responseWriter{ResponseWriter: rw, server: s}
 	if c, ok := r.Context().Value(connContextKey{}).(net.Conn); ok && clientDisconnected(c) {
-		// The request was read late. net/http notices the disconnect only while the handler runs, which
-		// must not forward the request meanwhile.
+		// The client disconnected before its request was read. net/http would detect this only while
+		// the handler is running, and by then the handler could have forwarded the request.
 		ctx, cancel := context.WithCancel(r.Context())
 		cancel()
 		r = r.WithContext(ctx)
@@ -161,9 +163,9 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		s.handler.ServeHTTP(w, r)
-		w.start() // if the handler wrote nothing, net/http makes a response
+		w.start() // if the handler wrote nothing, net/http writes an empty response
 	}
 }
 
-// connContextKey is the context key of a request's connection.
+// connContextKey is the context key under which a request's net.Conn is stored.
 type connContextKey struct{}
--- a/internal/httplistener/shutdown_test.go
+++ b/internal/httplistener/shutdown_test.go
@@ -13,10 +13,10 @@
 	"pumicecroft/internal/testkit"
 )
 
-// The server is told to end while one request is open, and half a request header has arrived on another connection. The
-// response to the first must say that the connection ends with it, so that its client sends nothing more there. The
-// second must be answered, and not cut off.
-func TestShutdown_NothingIsCutOff(t *testing.T) {
+// Shutdown begins while one request is open and another connection has sent half a request header. The response to the
+// open request must have "Connection: close", so that its client sends nothing more there. The other request must get
+// a response instead of a closed connection.
+func TestShutdown_CompletesOpenRequests(t *testing.T) {
 	for name, earlierRequests := range map[string]int{
 		"half a header on a used connection": 1,
 		"half a header on a new connection":  0,
@@ -38,35 +38,37 @@
 	open := dialAll(t, s.addr, 1)[0]
 	io.WriteString(open, getRequest)
 	testkit.Await(t, started, "the request")
-	half := dialAll(t, s.addr, 1)[0]
-	responses := bufio.NewReader(half)
+	partial := dialAll(t, s.addr, 1)[0]
+	responses := bufio.NewReader(partial)
 	for range earlierRequests {
-		io.WriteString(half, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+		io.WriteString(partial, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		readResponse(t, responses)
 	}
 	s.shutDown()
-	io.WriteString(half, getRequest[:40])
-	testkit.Await(t, s.closed, "the listener's end")
-	io.WriteString(half, getRequest[40:])
+	io.WriteString(partial, getRequest[:40])
+	testkit.Await(t, s.closed, "the listener to be closed")
+	io.WriteString(partial, getRequest[40:])
 	if res := readResponse(t, responses); res.status != http.StatusServiceUnavailable || !res.closes {
-		t.Errorf("the request that began before the end: %d, closes %t", res.status, res.closes)
+		t.Errorf("partial request: got status %d, Connection: close %t; want %d, true", res.status, res.closes,
+			http.StatusServiceUnavailable)
 	}
 	close(proceed)
 	if res := readResponse(t, bufio.NewReader(open)); res.status != http.StatusOK || !res.closes {
-		t.Errorf("the request that was open: %d, closes %t", res.status, res.closes)
+		t.Errorf("open request: got status %d, Connection: close %t; want %d, true", res.status, res.closes,
+			http.StatusOK)
 	}
-	if err := testkit.Await(t, s.done, "the server's end"); err != nil {
-		t.Error(err)
+	if err := testkit.Await(t, s.done, "Run to return"); err != nil {
+		t.Errorf("Run returned %v, want nil", err)
 	}
 }
 
-// lingeringListener is a listener whose Accept returns some time after its close.
-type lingeringListener struct {
+// slowClosingListener is a listener whose Accept returns an error only when release is closed, after Close.
+type slowClosingListener struct {
 	net.Listener
 	closed, release chan bool
 }
 
-func (l lingeringListener) Accept() (net.Conn, error) {
+func (l slowClosingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		close(l.closed)
@@ -75,21 +77,21 @@
 	return c, err
 }
 
-// The listener's Accept notices late that it was closed. Run must wait for it, and return no error.
-func TestShutdown_ListenerThatEndsLate(t *testing.T) {
-	l, done := lingeringListener{listen(t), make(chan bool), make(chan bool)}, make(chan error, 1)
+// The listener's Accept returns late after Close. Run must wait for it and return no error.
+func TestShutdown_WaitsForListener(t *testing.T) {
+	l, done := slowClosingListener{listen(t), make(chan bool), make(chan bool)}, make(chan error, 1)
 	ctx, shutDown := context.WithCancel(t.Context())
 	shutDown()
 	s := NewServer(http.NotFoundHandler(), 5, 10*time.Second, slog.New(slog.DiscardHandler), Options{})
 	go func() { done <- s.Run(ctx, l) }()
-	testkit.Await(t, l.closed, "the listener's close")
+	testkit.Await(t, l.closed, "the listener to be closed")
 	select {
 	case err := <-done:
-		t.Fatalf("it ended before its listener: %v", err)
+		t.Fatalf("Run returned %v before Accept did", err)
 	case <-time.After(100 * time.Millisecond):
 	}
 	close(l.release)
-	if err := testkit.Await(t, done, "the server's end"); err != nil {
-		t.Error(err)
+	if err := testkit.Await(t, done, "Run to return"); err != nil {
+		t.Errorf("Run returned %v, want nil", err)
 	}
 }
--- a/internal/requestmeta/requestmeta.go
+++ b/internal/requestmeta/requestmeta.go
@@ -1,5 +1,6 @@
-// Package requestmeta parses what the platform's clients send with a request, in the forms that HTTP
-// and gRPC share: numbers as 16 hex digits, and terms such as "units=2,spread=3,first=1". It is pure.
+// Package requestmeta parses the metadata that the platform's clients send with a request, in the
+// formats that HTTP and gRPC share: IDs of 16 hex digits, and terms such as "units=2,spread=3,first=1".
+// The package is pure: it does no I/O.
 package requestmeta
 
 import (
@@ -10,18 +11,19 @@
 	"pumicecroft/decision"
 )
 
-// maxCustomerID is above all customers' numbers on the platform.
+// maxCustomerID is greater than every customer ID on the platform.
 const maxCustomerID = 1 << 33
 
-// Terms are a request's cost, and the gateways that its customer uses.
+// Terms are the cost of a request and the gateways that its customer uses: GatewaySpread gateways with
+// consecutive indices, starting at FirstGateway.
 type Terms struct {
-	Cost                        float64 // the cost
-	GatewaySpread, FirstGateway int     // the customer uses Spread gateways in a row, from the index First
+	Cost                        float64
+	GatewaySpread, FirstGateway int
 }
 
-// ParseTerms parses terms. ok is false unless each is there once, and in the range of the settings.
-// Unknown terms are ignored.
-func ParseTerms(text string, set *decision.Settings) (t Terms, ok bool) {
+// ParseTerms parses terms. ok is false unless each term is present exactly once and in the range that the
+// settings allow. Unknown terms are ignored.
+func ParseTerms(text string, settings *decision.Settings) (t Terms, ok bool) {
 	var hasUnits, hasSpread, hasFirst bool
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -42,16 +44,17 @@
 			return Terms{}, false
 		}
 	}
-	return t, hasUnits && hasSpread && hasFirst && t.inRange(set)
+	return t, hasUnits && hasSpread && hasFirst && t.inRange(settings)
 }
 
-// inRange reports whether terms are in the range of the settings.
-func (t *Terms) inRange(set *decision.Settings) bool {
-	return t.Cost > 0 && !math.IsInf(t.Cost, 0) && (set.MaxCost <= 0 || t.Cost <= set.MaxCost) &&
-		t.GatewaySpread >= 1 && t.GatewaySpread <= set.GatewayCount && t.FirstGateway >= 0 && t.FirstGateway < set.GatewayCount
+// inRange reports whether the terms are in the range that the settings allow.
+func (t *Terms) inRange(settings *decision.Settings) bool {
+	return t.Cost > 0 && !math.IsInf(t.Cost, 0) && (settings.MaxCost <= 0 || t.Cost <= settings.MaxCost) &&
+		t.GatewaySpread >= 1 && t.GatewaySpread <= settings.GatewayCount &&
+		t.FirstGateway >= 0 && t.FirstGateway < settings.GatewayCount
 }
 
-// ParseHexID parses a number of 16 hex digits. The error is of package strconv.
+// ParseHexID parses an ID of 16 hex digits. The error is of package strconv.
 func ParseHexID(s string) (uint64, error) {
 	if len(s) != 16 {
 		return 0, strconv.ErrSyntax
@@ -59,7 +62,7 @@
 	return strconv.ParseUint(s, 16, 64)
 }
 
-// ParseCustomer parses a customer's number of 16 hex digits. The error is of package strconv.
+// ParseCustomer parses a customer ID of 16 hex digits. The error is of package strconv.
 func ParseCustomer(s string) (uint64, error) {
 	n, err := ParseHexID(s)
 	if err == nil && n >= maxCustomerID {
--- a/internal/socketpeek/socketpeek.go
+++ b/internal/socketpeek/socketpeek.go
@@ -1,5 +1,5 @@
-// Package socketpeek tells whether something has arrived on a connection, without reading it. It asks
-// the operating system, and keeps no state.
+// Package socketpeek reports whether unread bytes have arrived on a connection, without reading them. It
+// asks the operating system each time and keeps no state.
 package socketpeek
 
 import (
@@ -9,28 +9,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what has arrived on a connection.
+// State is the read state of a connection.
 type State uint8
 
 // The states of a connection.
 const (
-	Idle     State = iota // nothing has arrived
-	Readable              // bytes have arrived
-	Closed                // the peer has closed it, it is broken, or it can't be seen
+	Idle     State = iota // no unread bytes
+	Readable              // unread bytes
+	Closed                // the peer has closed the connection, it has failed, or its state is unknown
 )
 
-// Peek returns what has arrived on a connection and was not read. It never blocks.
+// Peek returns the state of a connection. It never blocks.
 func Peek(c net.Conn) State { return New(c).Peek() }
 
-// Peeker looks at one connection repeatedly without allocating. It is not safe for concurrent use.
+// Peeker returns the state of one connection repeatedly without allocating. It is not safe for
+// concurrent use.
 type Peeker struct {
-	raw     syscall.RawConn // nil: the connection has no descriptor
+	raw     syscall.RawConn // nil: the connection has no file descriptor
 	control func(fd uintptr)
 	state   State
 	buffer  [1]byte
 }
 
-// New returns a Peeker.
+// New returns a Peeker for a connection.
 func New(c net.Conn) *Peeker {
 	p := &Peeker{}
 	if sc, ok := c.(syscall.Conn); ok {
@@ -41,7 +42,7 @@
 	return p
 }
 
-// Peek returns what has arrived and was not read. It never blocks.
+// Peek returns the current state of the connection. It never blocks.
 func (p *Peeker) Peek() State {
 	p.state = Closed
 	if p.raw == nil || p.raw.Control(p.control) != nil {
@@ -59,10 +60,10 @@
 	}
 }
 
-// PeerClosed reports whether the peer of a descriptor has ended its sending or broken the connection,
-// whether or not bytes from before are unread. It never blocks.
+// PeerClosed reports whether the peer of a socket has closed its sending side or the connection has
+// failed, even if bytes that arrived before are still unread. It never blocks.
 func PeerClosed(fd uintptr) bool {
-	look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(look, 0)
-	return err == nil && n > 0 && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	pollFds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(pollFds, 0)
+	return err == nil && n > 0 && pollFds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
--- a/internal/socketpeek/socketpeek_test.go
+++ b/internal/socketpeek/socketpeek_test.go
@@ -10,37 +10,37 @@
 	"pumicecroft/internal/testkit"
 )
 
-// Peeking shows what has arrived on a connection and does not read it.
+// Peek must return the state of a connection without reading from it.
 func TestPeek(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	far, err := net.Dial("tcp", ln.Addr().String())
+	peer, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	near, err := ln.Accept()
+	defer peer.Close()
+	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
-	seen := []State{Peek(near)}
-	io.WriteString(far, "x")
-	_, _ = near.Read(nil)
-	for deadline := time.Now().Add(testkit.WaitTimeout); Peek(near) == Idle && time.Now().Before(deadline); {
+	defer conn.Close()
+	got := []State{Peek(conn)}
+	io.WriteString(peer, "x")
+	_, _ = conn.Read(nil)
+	for deadline := time.Now().Add(testkit.WaitTimeout); Peek(conn) == Idle && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	seen = append(seen, Peek(near), Peek(near))
-	_, _ = near.Read(make([]byte, 1))
-	far.Close()
-	for deadline := time.Now().Add(testkit.WaitTimeout); Peek(near) == Idle && time.Now().Before(deadline); {
+	got = append(got, Peek(conn), Peek(conn))
+	_, _ = conn.Read(make([]byte, 1))
+	peer.Close()
+	for deadline := time.Now().Add(testkit.WaitTimeout); Peek(conn) == Idle && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	seen = append(seen, Peek(near))
-	if want := []State{Idle, Readable, Readable, Closed}; !slices.Equal(seen, want) {
-		t.Errorf("seen %v, want %v", seen, want)
+	got = append(got, Peek(conn))
+	if want := []State{Idle, Readable, Readable, Closed}; !slices.Equal(got, want) {
+		t.Errorf("got states %v, want %v", got, want)
 	}
 }
--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -1,5 +1,6 @@
-// Package unread has connections that know whether all that has arrived on them was read. After a
-// process pause this tells whether something that the peer sent meanwhile is still to be handled.
+// Package unread wraps connections to report whether all bytes that have arrived on them were read.
+// After a pause of this process, that shows whether bytes that the peer sent meanwhile are still to be
+// handled.
 package unread
 
 import (
@@ -12,45 +13,45 @@
 	"pumicecroft/internal/socketpeek"
 )
 
-// Conn is a connection that knows whether all that has arrived was read. One goroutine at a time may
-// read it; its other methods are safe for concurrent use.
+// Conn is a connection that records whether all bytes that have arrived were read. Only one goroutine at
+// a time may call Read; the other methods are safe for concurrent use.
 type Conn struct {
 	net.Conn
-	raw    syscall.RawConn // nil: it can't be known
+	raw    syscall.RawConn // nil: unread bytes can't be detected
 	peeker *socketpeek.Peeker
-	onWait func() // called each time that the reader finds nothing, and at the end
+	onWait func() // called each time that Read finds nothing to read, and by Close; may be nil
 
-	mu        sync.Mutex // held during a read, so that nothing is read and not yet counted
-	waiting   bool       // the reader has found nothing, and waits
+	mu        sync.Mutex // held during the read system call, so that FullyRead sees no uncounted bytes
+	waiting   bool       // Read has found nothing to read and is waiting
 	closed    bool
-	bytesRead uint64 // bytes that were read
+	bytesRead uint64
 }
 
-// New returns a Conn. tell, unless it is nil, is called by the reading goroutine each time that it
-// finds nothing to read, and by Close; no lock is held.
-func New(c net.Conn, tell func()) *Conn {
-	u := &Conn{Conn: c, onWait: tell, peeker: socketpeek.New(c)}
+// New returns a Conn. Unless onWait is nil, the reading goroutine calls it each time that there is nothing
+// to read, and Close calls it. No lock is held during the call.
+func New(c net.Conn, onWait func()) *Conn {
+	u := &Conn{Conn: c, onWait: onWait, peeker: socketpeek.New(c)}
 	if sc, ok := c.(syscall.Conn); ok {
 		u.raw, _ = sc.SyscallConn()
 	}
 	return u
 }
 
-// Read reads as the connection does.
+// Read reads from the connection and records whether it has to wait for bytes.
 func (c *Conn) Read(p []byte) (n int, err error) {
 	if c.raw == nil || len(p) == 0 {
 		return c.Conn.Read(p)
 	}
-	var failed error
+	var readErr error
 	err = c.raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
 		for {
-			n, failed = syscall.Read(int(fd), p)
-			if failed != syscall.EINTR {
+			n, readErr = syscall.Read(int(fd), p)
+			if readErr != syscall.EINTR {
 				break
 			}
 		}
-		c.waiting = failed == syscall.EAGAIN
+		c.waiting = readErr == syscall.EAGAIN
 		c.bytesRead += uint64(max(0, n))
 		empty := c.waiting
 		c.mu.Unlock()
@@ -60,17 +61,17 @@
 		return !empty
 	})
 	switch {
-	case err != nil: // closed, or a deadline
+	case err != nil: // the connection was closed here, or a deadline expired
 		return 0, err
-	case failed != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: failed}
+	case readErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: readErr}
 	case n == 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// Close closes the connection.
+// Close closes the connection and calls onWait.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.closed, c.waiting = true, false
@@ -82,8 +83,8 @@
 	return err
 }
 
-// FullyRead reports whether all that has arrived was read and handled: the reader waits for more, and
-// there is no more. It returns false where that can't be known.
+// FullyRead reports whether all bytes that have arrived were read and handled: Read is waiting for more,
+// and the socket has none. It returns false if unread bytes can't be detected.
 func (c *Conn) FullyRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,28 +94,28 @@
 	return c.peeker.Peek() == socketpeek.Idle
 }
 
-// BytesRead returns how many bytes were read.
+// BytesRead returns the number of bytes read so far.
 func (c *Conn) BytesRead() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bytesRead
 }
 
-// AfterSilence calls silent when nothing was heard for the duration after, unless longer returns that there is
-// more to wait for, and for how long. Guards against an alarm by this process's own pause: what the
-// peer said meanwhile has arrived and is unread, and longer sees that. The timer may be stopped and
-// reset as any other.
-func AfterSilence(after time.Duration, longer func() time.Duration, silent func()) *time.Timer {
+// AfterSilence returns a timer that calls onTimeout after the given timeout. When the timer expires, it
+// first calls extension; if that returns a positive duration, the timer is reset to it instead. This
+// avoids a false timeout after a pause of this process: extension can detect that the peer sent something
+// meanwhile that has arrived and is still unread. The caller may stop and reset the timer like any other.
+func AfterSilence(timeout time.Duration, extension func() time.Duration, onTimeout func()) *time.Timer {
 	var t *time.Timer
-	armed := make(chan struct{})
-	t = time.AfterFunc(after, func() {
-		<-armed
-		if more := longer(); more > 0 {
+	timerSet := make(chan struct{}) // closed when t is assigned
+	t = time.AfterFunc(timeout, func() {
+		<-timerSet
+		if more := extension(); more > 0 {
 			t.Reset(more)
 		} else {
-			silent()
+			onTimeout()
 		}
 	})
-	close(armed)
+	close(timerSet)
 	return t
 }
--- a/internal/unread/unread_test.go
+++ b/internal/unread/unread_test.go
@@ -9,29 +9,29 @@
 	"pumicecroft/internal/testkit"
 )
 
-// Nothing returns true while the reader waits, false from the arrival of bytes until it waits
-// again, and false after the end.
+// FullyRead must return true while the reader waits for bytes, and false before the first read, from the
+// arrival of bytes until the reader waits again, and after Close.
 func TestFullyRead(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	far, err := net.Dial("tcp", ln.Addr().String())
+	peer, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	near, err := ln.Accept()
+	defer peer.Close()
+	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan bool, 100)
-	c := New(near, func() { told <- true })
+	waiting := make(chan bool, 100)
+	c := New(conn, func() { waiting <- true })
 	if c.FullyRead() {
-		t.Error("nobody reads, and nothing is unread")
+		t.Error("before the first read: FullyRead returned true, want false")
 	}
-	got, deal := make(chan string), make(chan bool)
+	got, handled := make(chan string), make(chan bool)
 	ended := make(chan error, 1)
 	go func() {
 		b := make([]byte, 10)
@@ -42,30 +42,30 @@
 				return
 			}
 			got <- string(b[:n])
-			<-deal
+			<-handled
 		}
 	}()
 	for range 3 {
-		testkit.Await(t, told, "the reader to wait")
+		testkit.Await(t, waiting, "the reader to wait")
 		if !c.FullyRead() {
-			t.Error("the reader waits for more, and something is unread")
+			t.Error("while the reader waits: FullyRead returned false, want true")
 		}
-		io.WriteString(far, "x")
-		if s := testkit.Await(t, got, "what was written"); s != "x" {
-			t.Errorf("read %q", s)
+		io.WriteString(peer, "x")
+		if s := testkit.Await(t, got, "the written byte"); s != "x" {
+			t.Errorf("read %q, want \"x\"", s)
 		}
 		if c.FullyRead() {
-			t.Error("what was read is not dealt with, and nothing is unread")
+			t.Error("while the read byte is handled: FullyRead returned true, want false")
 		}
-		deal <- true
+		handled <- true
 	}
-	testkit.Await(t, told, "the reader to wait")
-	far.Close()
-	if err := testkit.Await(t, ended, "the end"); !errors.Is(err, io.EOF) {
-		t.Errorf("it ended with %v", err)
+	testkit.Await(t, waiting, "the reader to wait")
+	peer.Close()
+	if err := testkit.Await(t, ended, "the reader to end"); !errors.Is(err, io.EOF) {
+		t.Errorf("Read ended with error %v, want %v", err, io.EOF)
 	}
 	_ = c.Close()
 	if c.FullyRead() {
-		t.Error("it is closed, and nothing is unread")
+		t.Error("after Close: FullyRead returned true, want false")
 	}
 }
--- a/routes/match.go
+++ b/routes/match.go
@@ -29,7 +29,7 @@
 	return Match[T]{}, ErrNoRoute
 }
 
-// candidateTrees returns the trees of the rules that match a host, by precedence.
+// candidateTrees returns the trees of all rules that match a host, in order of precedence.
 func (t *Table[T]) candidateTrees(host string) (trees []*node[T]) {
 	if n := t.byHost[host]; n != nil {
 		trees = append(trees, n)
@@ -46,17 +46,18 @@
 	return append(trees, t.anyHost)
 }
 
-// search is the search of one request. There is one way to each node of a tree, so that none is
-// visited twice.
+// search is the state of one Match. Each node of a tree is visited at most once, as only one path leads
+// to it.
 type search[T any] struct {
 	request     *Request
-	rawSegments []string // as they came
-	segments    []string // decoded
+	rawSegments []string // as received
+	segments    []string // percent-decoded
 	found       *compiledRule[T]
-	allowed     []string // methods of rules that would match by another method
+	allowed     []string // methods of rules that match except for the request's method
 }
 
-// walk searches a tree from a node, which is reached after depth segments.
+// walk searches the subtree of n, which is depth segments below the root, and reports whether it found a
+// rule.
 func (s *search[T]) walk(n *node[T], depth int) bool {
 	if depth == len(s.segments) {
 		return s.selectRule(n.rules)
@@ -71,7 +72,7 @@
 	return s.selectRule(n.restRules)
 }
 
-// selectRule takes the first of the rules that matches.
+// selectRule sets found to the first of the rules that matches, and reports whether there is one.
 func (s *search[T]) selectRule(rules []*compiledRule[T]) bool {
 	for _, c := range rules {
 		if !conditionsHold(c.Headers, s.request.Header) || !conditionsHold(c.Query, s.request.Query) {
@@ -87,7 +88,8 @@
 	return false
 }
 
-// conditionsHold reports whether all conditions hold. values returns a field's values.
+// conditionsHold reports whether all conditions hold. values returns the values of a field; nil means
+// that there are no fields.
 func conditionsHold(conditions []Condition, values func(name string) []string) bool {
 	for _, c := range conditions {
 		var present []string
@@ -101,7 +103,7 @@
 	return true
 }
 
-// params returns the parameters of the rule that was found.
+// params returns the path parameters of the found rule.
 func (s *search[T]) params() (params []Param) {
 	for i, segment := range s.found.segments {
 		switch segment.kind {
--- a/routes/parse.go
+++ b/routes/parse.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// maxHostBytes is the longest name that DNS has.
+// maxHostBytes is the maximum length of a DNS name.
 const maxHostBytes = 253
 
-// normalizeHost returns a request's host as rules name it: without a port and a final dot, in lower
-// case. The error is an ErrInvalidHost.
+// normalizeHost returns a request's host in lower case, without a port or a trailing dot. The error is
+// an ErrInvalidHost.
 func normalizeHost(host string) (string, error) {
 	if rest, ok := strings.CutPrefix(host, "["); ok { // an IPv6 address
 		addr, port, closed := strings.Cut(rest, "]")
@@ -36,7 +36,7 @@
 	return strings.ToLower(name), nil
 }
 
-// isHostName reports whether a text can be a host's name; the empty one can.
+// isHostName reports whether name is empty or has the form of a host name.
 func isHostName(name string) bool {
 	invalid := func(c rune) bool {
 		return (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '-' && c != '.' && c != '_'
@@ -45,14 +45,14 @@
 		!strings.Contains(name, "..") && !strings.HasPrefix(name, ".")
 }
 
-// isPort reports whether a text is a port with its colon.
+// isPort reports whether text is a colon followed by at most five digits.
 func isPort(text string) bool {
 	digits, ok := strings.CutPrefix(text, ":")
 	return ok && len(digits) <= 5 && strings.Trim(digits, "0123456789") == ""
 }
 
-// splitPath returns a path's segments, as they came and decoded. An encoded slash is no separator. The
-// error is an ErrInvalidPath.
+// splitPath returns the segments of a path, as received and percent-decoded. An encoded slash does not
+// separate segments. The error is an ErrInvalidPath.
 func splitPath(path string) (raw, decoded []string, err error) {
 	rest, ok := strings.CutPrefix(path, "/")
 	if !ok {
@@ -76,7 +76,7 @@
 	return raw, decoded, nil
 }
 
-// compile parses a rule.
+// compile validates a rule and parses its host and path.
 func compile[T any](rule Rule[T]) (*compiledRule[T], error) {
 	c := &compiledRule[T]{Rule: rule}
 	var err error
@@ -106,7 +106,7 @@
 	}
 	normalized, err := normalizeHost(name)
 	if err != nil || strings.ContainsAny(name, "[:") {
-		return "", fmt.Errorf("host %q is no name, nor *. and a name", host)
+		return "", fmt.Errorf(`host %q is neither a host name nor "*." followed by one`, host)
 	}
 	return wildcard + normalized, nil
 }
@@ -125,7 +125,7 @@
 			return nil, fmt.Errorf("path %q: %w", path, err)
 		}
 		if s.kind != literalSegment && names[s.text] {
-			return nil, fmt.Errorf("path %q: %w", path, unnamedSegment(text))
+			return nil, fmt.Errorf("path %q: %w", path, invalidParamError(text))
 		}
 		names[s.text] = names[s.text] || s.kind != literalSegment
 		segments = append(segments, s)
@@ -133,16 +133,17 @@
 	return segments, nil
 }
 
-func unnamedSegment(text string) error {
-	return fmt.Errorf("segment %q has no name of its own in braces", text)
+// invalidParamError returns the error for a parameter whose name is invalid or repeated.
+func invalidParamError(text string) error {
+	return fmt.Errorf("segment %q must be a unique parameter name in braces", text)
 }
 
-// parseSegment parses a segment of a rule's path. last says that it is the last one.
+// parseSegment parses a segment of a rule's path. last reports whether it is the last segment.
 func parseSegment(text, decoded string, last bool) (segment, error) {
 	name, ok := strings.CutPrefix(text, "{")
 	if !ok {
 		if strings.ContainsAny(text, "{}?#") {
-			return segment{}, fmt.Errorf("segment %q is neither literal nor {name}", text)
+			return segment{}, fmt.Errorf("segment %q is neither a literal nor {name}", text)
 		}
 		return segment{literalSegment, decoded}, nil
 	}
@@ -151,11 +152,11 @@
 	if rest, ok := strings.CutSuffix(name, "..."); ok {
 		s = segment{restSegment, rest}
 		if !last {
-			return segment{}, fmt.Errorf("%q may only be the last segment", text)
+			return segment{}, fmt.Errorf("%q is only allowed as the last segment", text)
 		}
 	}
 	if !closed || s.text == "" || strings.ContainsAny(s.text, "{}.%") {
-		return segment{}, unnamedSegment(text)
+		return segment{}, invalidParamError(text)
 	}
 	return s, nil
 }
@@ -164,10 +165,10 @@
 	invalid := func(c rune) bool { return c <= ' ' || c > '~' || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, c) }
 	for i, method := range methods {
 		if method == "" || strings.ContainsFunc(method, invalid) {
-			return fmt.Errorf("method %q is none", method)
+			return fmt.Errorf("%q is not a valid method", method)
 		}
 		if slices.Contains(methods[:i], method) {
-			return fmt.Errorf("method %q is there twice", method)
+			return fmt.Errorf("method %q is repeated", method)
 		}
 	}
 	return nil
@@ -179,7 +180,7 @@
 			return errors.New("a condition has no name")
 		}
 		if slices.Contains(conditions[:i], c) {
-			return fmt.Errorf("the condition on %q is there twice", c.Name)
+			return fmt.Errorf("the condition on %q is repeated", c.Name)
 		}
 	}
 	return nil
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -1,11 +1,11 @@
-// Package routes finds the route of an HTTP request: by host, path with parameters, method, header
-// and query. The most specific route wins, in an order that Rule states. Rules that are ambiguous or
-// can never match are errors when the table is made. A Table is made once and never changes.
+// Package routes finds the route of an HTTP request by its host, path (with parameters), method,
+// headers and query. The most specific route wins, in the order of precedence that Rule documents. New
+// rejects rules that are ambiguous or can never match.
 //
 // The package is pure: it does no I/O, reads no clock, takes no lock and starts no goroutine. A Table
-// is safe for concurrent use, as nothing changes it.
+// is immutable and safe for concurrent use.
 //
-// The files: routes.go has what callers give and get, parse.go parses rules, hosts and paths, table.go
+// routes.go has the types of the API and the errors, parse.go parses rules, hosts and paths, table.go
 // builds a Table and match.go searches it.
 package routes
 
@@ -15,41 +15,45 @@
 	"strings"
 )
 
-// Rule is one route. Of two that match a request, this decides, in this order:
+// Rule is one route. If several rules match a request, the first of these criteria in which they differ
+// selects one:
 //
-//  1. the host: a name before "*.example.org", the longer of such before the shorter, before any;
-//  2. the path, segment by segment from the left: a literal before {name} before {name...};
-//  3. the methods: named ones before any, and fewer before more;
-//  4. the conditions: more of them (headers and query together) before fewer.
+//  1. Host: an exact name precedes a wildcard such as "*.example.org", a longer wildcard precedes a
+//     shorter one, and both precede a rule for any host.
+//  2. Path, segment by segment from the left: a literal precedes {name}, which precedes {name...}.
+//  3. Methods: a list of methods precedes any method, and a shorter list precedes a longer one.
+//  4. Conditions: more conditions, headers and query together, precede fewer.
 //
-// Two that are equal in all of these and can match one request are ambiguous: New rejects them.
+// Two rules that are equal in all of these and can match the same request are ambiguous, and New
+// rejects them.
 type Rule[T any] struct {
-	Name string // for people
-	Line int    // in the configuration, for errors; from 1
-	// Host is a name without a port, in any case. "*.example.org" is all names below it, at any depth;
-	// "" is any host.
+	Name string // for display
+	Line int    // line in the configuration, from 1, for error messages
+	// Host is a host name without a port, in upper or lower case. "*.example.org" matches all its
+	// subdomains, at any depth. "" matches any host.
 	Host string
-	// Path begins with "/". A segment {name} stands for one that is not empty, and {name...}, which
-	// may only be the last, for all that follows, be it only an empty segment. Everything else is
-	// literal, compared when decoded. Slashes count: "/a" and "/a/" are two paths.
+	// Path begins with "/". A segment {name} matches one segment that is not empty. {name...} is
+	// allowed only as the last segment and matches the rest of the path: one or more segments, which
+	// may be empty. All other segments are literals, which are compared after percent-decoding. A
+	// trailing slash is significant: "/a" and "/a/" are different paths.
 	Path string
-	// Methods are those that match. None means all.
+	// Methods are the methods that match. If it is empty, all methods match.
 	Methods []string
-	// Headers and Query must all hold.
+	// Headers and Query are conditions, all of which must hold.
 	Headers, Query []Condition
-	// Target is what the caller gets for a request that matches.
+	// Target is the caller's data, which Match returns with the rule.
 	Target T
 }
 
-// Condition holds if a field is there, and has Value if that is not empty.
+// Condition holds if the field Name is present and, unless Value is empty, one of its values is Value.
 type Condition struct{ Name, Value string }
 
-// Request is what a Table matches. Nothing of it is kept.
+// Request describes the request to match. Match keeps no reference to it.
 type Request struct {
 	Method string
 	Host   string // as in Host or :authority, with or without a port
-	Path   string // as it came, percent-encoded, without the query
-	// Header and Query return the values of a field. nil means that there are none.
+	Path   string // percent-encoded, as received, without the query
+	// Header and Query return the values of a field. A nil function means that there are no fields.
 	Header func(name string) []string
 	Query  func(name string) []string
 }
@@ -57,27 +61,28 @@
 // Match is the route of a request.
 type Match[T any] struct {
 	Rule   *Rule[T]
-	Params []Param // in their order in the path
+	Params []Param // in the order of the path
 }
 
-// Param is a parameter of a path. Its value is decoded, except that of {name...}: decoding it would
-// make other paths of it.
+// Param is a path parameter. Its value is percent-decoded, except that of {name...}: decoding that could
+// turn it into a different path.
 type Param struct{ Name, Value string }
 
-// Errors of Match. Their texts go out to clients.
+// Errors of Match. Their texts are sent to clients.
 var (
-	// ErrNoRoute: no route matches.
+	// ErrNoRoute means that no route matches.
 	ErrNoRoute = errors.New("no route")
-	// ErrMethodNotAllowed: a route would match, by another method. The error is a *MethodError.
+	// ErrMethodNotAllowed means that a route matches except for its methods. The error is a
+	// *MethodError.
 	ErrMethodNotAllowed = errors.New("no route takes this method")
-	// ErrInvalidPath: the path has no meaning that everyone agrees on. It does not begin with "/", has
-	// "." or ".." as a segment, however encoded, or a percent sign that encodes nothing.
+	// ErrInvalidPath means that the path does not begin with "/", has a segment "." or "..", encoded or
+	// not, or an invalid percent-encoding. Servers interpret such paths differently.
 	ErrInvalidPath = errors.New("invalid path")
-	// ErrInvalidHost: the host is no name, address or port.
+	// ErrInvalidHost means that the host is not a valid name or address with an optional port.
 	ErrInvalidHost = errors.New("invalid host")
 )
 
-// MethodError is an ErrMethodNotAllowed with the methods that are allowed.
+// MethodError is an ErrMethodNotAllowed that lists the allowed methods.
 type MethodError struct{ Allowed []string }
 
 func (e *MethodError) Error() string {
@@ -87,10 +92,10 @@
 // Unwrap returns ErrMethodNotAllowed.
 func (e *MethodError) Unwrap() error { return ErrMethodNotAllowed }
 
-// Problem is what is wrong with a rule.
+// Problem describes an invalid rule.
 type Problem struct {
 	Line      int
-	OtherLine int // of the rule that it conflicts with; 0: there is none
+	OtherLine int // line of the conflicting rule; 0: none
 	Message   string
 }
 
@@ -101,7 +106,7 @@
 	return fmt.Sprintf("line %d: %s", p.Line, p.Message)
 }
 
-// Problems are all that is wrong with a set of rules, by line.
+// Problems are the problems of a set of rules, sorted by line.
 type Problems []Problem
 
 func (ps Problems) Error() string {
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// referenceMatch is the order that Rule states, without a tree: of all rules that match, it returns
-// the first.
+// referenceMatch implements the order of precedence that Rule documents by comparing all rules that
+// match, without a tree.
 func referenceMatch(rules []Rule[int], r *Request) (best *Rule[int], err error) {
 	host, err := normalizeHost(r.Host)
 	if err != nil {
@@ -34,7 +34,8 @@
 		}
 		segments = append(segments, d)
 	}
-	kinds := func(rule *Rule[int]) (out []int) { // of the path's segments; nil: it does not match
+	// kinds returns the precedence of each segment of the rule's path, or nil if the path does not match.
+	kinds := func(rule *Rule[int]) (out []int) {
 		parts := strings.Split(rule.Path[1:], "/")
 		for i, p := range parts {
 			switch {
@@ -62,7 +63,8 @@
 		}
 		return out
 	}
-	hostRank := func(rule *Rule[int]) int { // -1: it does not match
+	// hostRank returns the precedence of the rule's host, lowest first, or -1 if the host does not match.
+	hostRank := func(rule *Rule[int]) int {
 		name := strings.ToLower(rule.Host)
 		switch suffix, below := strings.CutPrefix(name, "*"); {
 		case name == "":
@@ -108,7 +110,7 @@
 	return nil, ErrNoRoute
 }
 
-// errorKind returns the error of this package that an error is.
+// errorKind returns the error of this package that err wraps, or err itself if there is none.
 func errorKind(err error) error {
 	for _, kind := range []error{ErrNoRoute, ErrMethodNotAllowed, ErrInvalidPath, ErrInvalidHost} {
 		if errors.Is(err, kind) {
@@ -120,7 +122,7 @@
 
 func pick[T any](rng *rand.Rand, of ...T) T { return of[rng.IntN(len(of))] }
 
-// randomRule draws from so few words that rules overlap.
+// randomRule draws names from a small set, so that rules overlap.
 func randomRule(rng *rand.Rand, line int) Rule[int] {
 	r := Rule[int]{Name: fmt.Sprint("r", line), Line: line, Target: line,
 		Host: pick(rng, "", "", "a.org", "*.a.org", "*.b.a.org", "b.a.org")}
@@ -167,10 +169,10 @@
 		Header: header.Values, Query: func(name string) []string { return query[name] }}
 }
 
-// The tree must find what the reference finds, for any table that is accepted; and a table must be
-// rejected only for two rules that some request matches both of, or for one that none would take.
+// Match must find the same rule as the reference, for any table that New accepts. If New rejects a table,
+// it must accept the table without the rules that it named.
 func TestMatchAgreesWithReference(t *testing.T) {
-	refused, matched := 0, 0
+	rejected, matched := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var rules []Rule[int]
@@ -180,12 +182,12 @@
 		table, err := New(rules)
 		var problems Problems
 		if errors.As(err, &problems) {
-			refused++
-			for _, p := range problems { // without the ones that are blamed, it is good
+			rejected++
+			for _, p := range problems { // the table must be valid without the rules that were named
 				rules = slices.DeleteFunc(rules, func(r Rule[int]) bool { return r.Line == p.Line })
 			}
 			if table, err = New(rules); err != nil {
-				t.Fatalf("after those that were named are gone: %v", err)
+				t.Fatalf("New without the rules of %v returned %v, want nil", problems, err)
 			}
 		}
 		for range 40 {
@@ -194,25 +196,25 @@
 			got, err := table.Match(r)
 			if (err == nil) != (wantErr == nil) || !errors.Is(errorKind(err), errorKind(wantErr)) || err == nil &&
 				got.Rule.Line != want.Line {
-				t.Fatalf("%s %q %q: %+v, %v, and by the rule %+v, %v, of\n%+v", r.Method, r.Host, r.Path, got.Rule,
-					err, want, wantErr, rules)
+				t.Fatalf("%s %q %q: got %+v, %v; want %+v, %v; rules:\n%+v", r.Method, r.Host, r.Path, got.Rule, err,
+					want, wantErr, rules)
 			}
 			if err == nil {
 				matched++
 				for _, p := range got.Params {
 					if p.Name != "rest" && p.Value == "" {
-						t.Fatalf("%q of %q is empty", p.Name, r.Path)
+						t.Fatalf("%q: got an empty parameter %q, want a value", r.Path, p.Name)
 					}
 				}
 			}
 		}
 	})
-	if refused == 0 || matched == 0 {
-		t.Errorf("%d tables refused, %d requests matched", refused, matched)
+	if rejected == 0 || matched == 0 {
+		t.Errorf("got %d rejected tables and %d matched requests, want at least one of each", rejected, matched)
 	}
 }
 
-// Invalid tables are rejected, and the problem names both lines.
+// New must reject invalid tables, and name both lines of a conflict.
 func TestInvalidTables(t *testing.T) {
 	for _, c := range []struct {
 		want  string
@@ -224,23 +226,26 @@
 			[]Rule[int]{
 				{Name: "a", Line: 1, Path: "/x", Headers: []Condition{{"H", "1"}}},
 				{Name: "b", Line: 2, Path: "/x", Query: []Condition{{"q", ""}}}}},
-		{`line 3: route "c" is never taken: more specific ones take all that it would (line 2)`,
+		{`line 3: route "c" can never match: more specific routes match all its requests (line 2)`,
 			[]Rule[int]{{Name: "a", Line: 1, Path: "/x", Methods: []string{"GET"}},
 				{Name: "b", Line: 2, Path: "/x", Methods: []string{"PUT"}},
 				{Name: "c", Line: 3, Path: "/x", Methods: []string{"GET", "PUT"}}}},
 		{`line 1: path "x": invalid path: "x" does not begin with a slash`, []Rule[int]{{Line: 1, Path: "x"}}},
 		{`line 1: path "/a/../b": invalid path: a segment ".."`, []Rule[int]{{Line: 1, Path: "/a/../b"}}},
-		{`line 1: path "/{a...}/b": "{a...}" may only be the last segment`, []Rule[int]{{Line: 1, Path: "/{a...}/b"}}},
-		{`line 1: path "/{a}/{a}": segment "{a}" has no name of its own in braces`,
+		{`line 1: path "/{a...}/b": "{a...}" is only allowed as the last segment`,
+			[]Rule[int]{{Line: 1, Path: "/{a...}/b"}}},
+		{`line 1: path "/{a}/{a}": segment "{a}" must be a unique parameter name in braces`,
 			[]Rule[int]{{Line: 1, Path: "/{a}/{a}"}}},
-		{`line 1: path "/x{a}": segment "x{a}" is neither literal nor {name}`, []Rule[int]{{Line: 1, Path: "/x{a}"}}},
-		{`line 1: host "a.org:80" is no name, nor *. and a name`, []Rule[int]{{Line: 1, Host: "a.org:80", Path: "/"}}},
-		{`line 1: host "*" is no name, nor *. and a name`, []Rule[int]{{Line: 1, Host: "*", Path: "/"}}},
-		{`line 1: method "GET PUT" is none`, []Rule[int]{{Line: 1, Path: "/", Methods: []string{"GET PUT"}}}},
-		{`line 1: method "GET" is there twice`, []Rule[int]{{Line: 1, Path: "/", Methods: []string{"GET", "GET"}}}},
+		{`line 1: path "/x{a}": segment "x{a}" is neither a literal nor {name}`, []Rule[int]{{Line: 1, Path: "/x{a}"}}},
+		{`line 1: host "a.org:80" is neither a host name nor "*." followed by one`,
+			[]Rule[int]{{Line: 1, Host: "a.org:80", Path: "/"}}},
+		{`line 1: host "*" is neither a host name nor "*." followed by one`,
+			[]Rule[int]{{Line: 1, Host: "*", Path: "/"}}},
+		{`line 1: "GET PUT" is not a valid method`, []Rule[int]{{Line: 1, Path: "/", Methods: []string{"GET PUT"}}}},
+		{`line 1: method "GET" is repeated`, []Rule[int]{{Line: 1, Path: "/", Methods: []string{"GET", "GET"}}}},
 	} {
 		if _, err := New(c.rules); err == nil || err.Error() != c.want {
-			t.Errorf("%v\nwant %s", err, c.want)
+			t.Errorf("got error  %v\nwant error %s", err, c.want)
 		}
 	}
 	good := []Rule[int]{{Line: 1, Path: "/x"}, {Line: 2, Path: "/x/"},
@@ -248,11 +253,12 @@
 		{Line: 5, Path: "/x", Headers: []Condition{{"H", ""}}}, {Line: 6, Host: "a.org", Path: "/x"},
 		{Line: 7, Path: "/{all...}"}, {Line: 8, Path: "/{one}"}}
 	if _, err := New(good); err != nil {
-		t.Error(err)
+		t.Errorf("New of a valid table returned %v, want nil", err)
 	}
 }
 
-// Unusual paths and hosts match or are rejected as stated.
+// Match must handle unusual paths and hosts as Rule and the errors document: encoded slashes, empty
+// segments, dot segments, ports, letter case and IPv6 addresses.
 func TestUnusualRequests(t *testing.T) {
 	table, err := New([]Rule[int]{{Target: 1, Path: "/items/{id}"}, {Target: 2, Path: "/items/{id}/{rest...}"},
 		{Target: 3, Path: "/a%2Fb"}, {Target: 4, Path: "/"},
@@ -266,7 +272,7 @@
 	long := strings.Repeat("/x", 32<<10)
 	for _, c := range []struct {
 		host, path string
-		to         int
+		target     int
 		params     []Param
 		err        error
 	}{
@@ -279,7 +285,7 @@
 		{"", "//items/7", 0, nil, ErrNoRoute},
 		{"", "/a%2fb", 3, nil, nil},
 		{"", "/a/b", 0, nil, ErrNoRoute},
-		{"", "/items/new", 1, []Param{{"id", "new"}}, nil}, // its own route does not take GET
+		{"", "/items/new", 1, []Param{{"id", "new"}}, nil}, // the literal route does not allow GET
 		{"", "/%69tems/7", 1, []Param{{"id", "7"}}, nil},
 		{"", "/items/..", 0, nil, ErrInvalidPath},
 		{"", "/items/%2e%2e/x", 0, nil, ErrInvalidPath},
@@ -302,18 +308,20 @@
 		{".", "/", 0, nil, ErrInvalidHost},
 	} {
 		m, err := table.Match(&Request{Method: "GET", Host: c.host, Path: c.path})
-		if !errors.Is(err, c.err) || err == nil && (m.Rule.Target != c.to || !reflect.DeepEqual(m.Params, c.params)) {
-			t.Errorf("%q %.40q: %+v, %v", c.host, c.path, m, err)
+		if !errors.Is(err, c.err) ||
+			err == nil && (m.Rule.Target != c.target || !reflect.DeepEqual(m.Params, c.params)) {
+			t.Errorf("%q %.40q: got %+v, error %v; want target %d, params %v, error %v", c.host, c.path, m, err,
+				c.target, c.params, c.err)
 		}
 	}
 	var method *MethodError
 	if _, err := table.Match(&Request{Method: "PUT", Path: "/only"}); !errors.As(err, &method) ||
 		!slices.Equal(method.Allowed, []string{"GET", "HEAD"}) {
-		t.Errorf("%v", err)
+		t.Errorf("PUT /only: got error %v, want a *MethodError that allows GET and HEAD", err)
 	}
 }
 
-// FuzzMatch compares the tree with the reference for any path and host.
+// FuzzMatch compares Match with the reference for arbitrary paths and hosts.
 func FuzzMatch(f *testing.F) {
 	rules := []Rule[int]{{Line: 1, Path: "/x/{a}"}, {Line: 2, Path: "/x/y"}, {Line: 3, Path: "/{all...}"},
 		{Line: 4, Host: "*.a.org", Path: "/x/{a}/{b...}"}, {Line: 5, Host: "a.org", Path: "/%2F"}}
@@ -329,13 +337,13 @@
 		got, err := table.Match(r)
 		if (err == nil) != (wantErr == nil) || !errors.Is(errorKind(err), errorKind(wantErr)) || err == nil &&
 			got.Rule.Line != want.Line {
-			t.Fatalf("%q %q: %+v, %v, and by the rule %+v, %v", host, path, got.Rule, err, want, wantErr)
+			t.Fatalf("%q %q: got %+v, %v; want %+v, %v", host, path, got.Rule, err, want, wantErr)
 		}
 	})
 }
 
-// BenchmarkMatch measures a match in tables of n routes, against searching all of them, and against
-// net/http's ServeMux, which has no conditions.
+// BenchmarkMatch measures Match with n routes, and for comparison a linear search and net/http's
+// ServeMux, which has no conditions on headers or the query.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{1, 100, 10_000} {
 		var rules []Rule[int]
@@ -371,7 +379,7 @@
 			req := &http.Request{Method: "GET", Host: "a.org", URL: &url.URL{Path: path}}
 			for b.Loop() {
 				if _, pattern := mux.Handler(req); pattern == "" {
-					b.Fatal("none")
+					b.Fatalf("ServeMux found no pattern for %s", path)
 				}
 			}
 		})
--- a/routes/table.go
+++ b/routes/table.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// Table is a set of routes. The cost of a match depends on the request's segments and the routes that
-// share them, not on the number of routes.
+// Table is an immutable set of routes. The cost of a match depends on the segments of the request's path
+// and the routes that share them, not on the total number of routes.
 type Table[T any] struct {
-	byHost          map[string]*node[T] // of names
-	byDomain        map[string]*node[T] // of "*.example.org", by "example.org"
+	byHost          map[string]*node[T] // rules for an exact host name
+	byDomain        map[string]*node[T] // rules for "*.example.org", under "example.org"
 	anyHost         *node[T]
-	maxDomainLabels int // of the longest name in byDomain
+	maxDomainLabels int // most labels of a name in byDomain; 0: byDomain is empty
 }
 
-// node is a place in the tree of one host's paths.
+// node is a node in the tree of the paths of one host. Each edge is a path segment.
 type node[T any] struct {
 	literal   map[string]*node[T]
 	param     *node[T]
-	rules     []*compiledRule[T] // that end here, by precedence
-	restRules []*compiledRule[T] // that match all that follows, by precedence
+	rules     []*compiledRule[T] // rules whose path ends here, in order of precedence
+	restRules []*compiledRule[T] // rules with {name...} as the next segment, in order of precedence
 }
 
 // compiledRule is a rule with its parsed host and path.
@@ -43,10 +43,10 @@
 
 type segment struct {
 	kind segmentKind
-	text string // the literal, decoded, or the parameter's name
+	text string // the percent-decoded literal, or the name of the parameter
 }
 
-// New returns a table of rules. The error is a Problems.
+// New returns a table of the given rules. The error is a Problems.
 func New[T any](rules []Rule[T]) (*Table[T], error) {
 	t := &Table[T]{byHost: map[string]*node[T]{}, byDomain: map[string]*node[T]{}, anyHost: &node[T]{}}
 	var problems Problems
@@ -73,7 +73,7 @@
 	return t, nil
 }
 
-// add puts a rule into the tree of its host.
+// add inserts a rule into the tree of its host.
 func (t *Table[T]) add(c *compiledRule[T]) {
 	n := t.hostTree(c.host)
 	for _, s := range c.segments {
@@ -86,7 +86,7 @@
 	n.rules = append(n.rules, c)
 }
 
-// hostTree returns the tree of a host's paths, which it makes if there is none.
+// hostTree returns the tree for a rule's host, and creates it if it does not exist.
 func (t *Table[T]) hostTree(host string) *node[T] {
 	if host == "" {
 		return t.anyHost
@@ -102,7 +102,7 @@
 	return trees[host]
 }
 
-// child returns the node behind a segment, which it makes if there is none.
+// child returns the child node for a segment, and creates it if it does not exist.
 func (n *node[T]) child(s segment) *node[T] {
 	if s.kind == paramSegment {
 		if n.param == nil {
@@ -119,7 +119,7 @@
 	return n.literal[s.text]
 }
 
-// compare orders the rules of one host and path by precedence.
+// compare orders rules with the same host and path by precedence.
 func (c *compiledRule[T]) compare(o *compiledRule[T]) int {
 	return cmp.Or(cmp.Compare(c.methodCount(), o.methodCount()), cmp.Compare(o.conditionCount(), c.conditionCount()))
 }
@@ -133,7 +133,7 @@
 
 func (c *compiledRule[T]) conditionCount() int { return len(c.Headers) + len(c.Query) }
 
-// conflicts returns the problems among rules of one host and path, which are in their order.
+// conflicts returns the problems among rules with the same host and path, which are sorted by precedence.
 func conflicts[T any](list []*compiledRule[T]) (problems Problems) {
 	for i, rule := range list {
 		for _, earlier := range list[:i] {
@@ -145,18 +145,18 @@
 		}
 		if line := rule.coveredBy(list[:i]); line > 0 {
 			problems = append(problems, Problem{rule.Line, line, fmt.Sprintf(
-				"route %q is never taken: more specific ones take all that it would", rule.Name)})
+				"route %q can never match: more specific routes match all its requests", rule.Name)})
 		}
 	}
 	return problems
 }
 
-// coveredBy returns the line of an earlier rule if the earlier ones match all that a rule does; 0
-// means that they don't.
+// coveredBy returns the line of one of the earlier rules if these match every request that c matches, and
+// 0 otherwise. earlier must precede c.
 func (c *compiledRule[T]) coveredBy(earlier []*compiledRule[T]) (line int) {
 	methods := c.Methods
 	if len(methods) == 0 {
-		methods = []string{""} // a method that no rule names
+		methods = []string{""} // stands for a method that no rule lists
 	}
 	for _, method := range methods {
 		i := slices.IndexFunc(earlier, func(e *compiledRule[T]) bool {
@@ -170,17 +170,17 @@
 	return line
 }
 
-// matchesMethod reports whether a rule matches a method.
+// matchesMethod reports whether a rule allows a method.
 func (c *compiledRule[T]) matchesMethod(method string) bool {
 	return len(c.Methods) == 0 || slices.Contains(c.Methods, method)
 }
 
-// impliedBy reports whether a rule's conditions all hold wherever those of another do.
+// impliedBy reports whether the conditions of c hold for every request for which those of o hold.
 func (c *compiledRule[T]) impliedBy(o *compiledRule[T]) bool {
 	return allImplied(c.Headers, o.Headers) && allImplied(c.Query, o.Query)
 }
 
-// allImplied reports whether all conditions hold wherever the given ones do.
+// allImplied reports whether all conditions hold for every request for which the given ones hold.
 func allImplied(conditions, given []Condition) bool {
 	for _, c := range conditions {
 		implied := slices.ContainsFunc(given, func(g Condition) bool {
@@ -193,13 +193,13 @@
 	return true
 }
 
-// sharesMethod reports whether two rules have a method in common. Their conditions can always hold
-// together, as a field may be there twice.
+// sharesMethod reports whether two rules have a method in common. Their conditions can always hold for
+// the same request, as a field may have several values.
 func (c *compiledRule[T]) sharesMethod(o *compiledRule[T]) bool {
 	return len(c.Methods) == 0 || len(o.Methods) == 0 || slices.ContainsFunc(c.Methods, o.matchesMethod)
 }
 
-// forEachNode calls visit with all nodes, in no order.
+// forEachNode calls visit with every node, in no particular order.
 func (t *Table[T]) forEachNode(visit func(*node[T])) {
 	t.anyHost.forEach(visit)
 	for _, trees := range []map[string]*node[T]{t.byHost, t.byDomain} {
@@ -219,7 +219,7 @@
 	}
 }
 
-// Rules returns all rules of the table, in no order.
+// Rules returns all rules of the table, in no particular order.
 func (t *Table[T]) Rules() iter.Seq[*Rule[T]] {
 	return func(yield func(*Rule[T]) bool) {
 		more := true
