--- a/grpcproxy/bench_test.go
+++ b/grpcproxy/bench_test.go
@@ -42,7 +42,7 @@
 	return ln.Addr().String()
 }
 
-func dialTo(b *testing.B, addr string) *grpc.ClientConn {
+func newClient(b *testing.B, addr string) *grpc.ClientConn {
 	c, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDisableRetry(),
 		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(Codec())))
@@ -73,7 +73,7 @@
 	}
 	backend := listenServe(b, grpc.NewServer(grpc.ForceServerCodecV2(Codec()), grpc.UnknownServiceHandler(echo),
 		grpc.MaxConcurrentStreams(1000)))
-	onward := dialTo(b, backend)
+	onward := newClient(b, backend)
 	proxy := func(_ any, ss grpc.ServerStream) error {
 		method, _ := grpc.MethodFromServerStream(ss)
 		md, _ := metadata.FromIncomingContext(ss.Context())
@@ -105,8 +105,8 @@
 		b.Fatal(err)
 	}
 	plain := grpc.NewServer(append(front.ServerOptions(), grpc.UnknownServiceHandler(proxy))...)
-	return []benchmarkPath{{"direct", dialTo(b, backend)}, {"proxy", dialTo(b, listenServe(b, plain))},
-		{"door", dialTo(b, listenServe(b, grpc.NewServer(front.ServerOptions()...)))}}
+	return []benchmarkPath{{"direct", newClient(b, backend)}, {"proxy", newClient(b, listenServe(b, plain))},
+		{"door", newClient(b, listenServe(b, grpc.NewServer(front.ServerOptions()...)))}}
 }
 
 // BenchmarkOverhead sends calls by all paths in turn, a round each, with 1 and with 64 concurrent
@@ -140,12 +140,12 @@
 									md: metadata.Pairs("x-api-key", "0000000000000007",
 										"x-tier", "shop", "request-id", fmt.Sprintf("%016x", base+uint64(n)))}
 								begun := time.Now()
-								res := c.on(context.Background(), w.conn)
+								res := c.invoke(context.Background(), w.conn)
 								for res.st.Code() == codes.ResourceExhausted { // it comes back when it is told to
 									refused.Add(1)
 									ms, _ := strconv.Atoi(res.pushback)
 									time.Sleep(time.Duration(ms) * time.Millisecond)
-									res = c.on(context.Background(), w.conn)
+									res = c.invoke(context.Background(), w.conn)
 								}
 								if res.text != "amount=3" {
 									b.Errorf("%s: %v %q", w.name, res.st, res.text)
--- a/grpcproxy/disconnect_test.go
+++ b/grpcproxy/disconnect_test.go
@@ -19,11 +19,11 @@
 	for _, further := range []bool{false, true} {
 		t.Run(fmt.Sprintf("further %t", further), func(t *testing.T) {
 			dials, waiting, release := atomic.Int32{}, make(chan bool, 10), make(chan bool)
-			r := newRig(t, func(o *options) {
+			r := newFixture(t, func(o *options) {
 				if further {
-					o.act = once(fakes.GRPCRetryPushback, fakes.GRPCServe)
+					o.behavior = firstThen(fakes.GRPCRetryPushback, fakes.GRPCServe)
 				}
-				o.back.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				o.backendConfig.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if n := dials.Add(1); n == 1 && !further || n == 2 && further {
 						waiting <- true
 						<-release
@@ -33,7 +33,7 @@
 			})
 			ctx, leave := context.WithCancel(t.Context())
 			c, ended := r.call("Look"), make(chan result, 1)
-			go func() { ended <- c.on(ctx, r.client) }()
+			go func() { ended <- c.invoke(ctx, r.client) }()
 			testkit.Await(t, waiting, "it to wait")
 			leave()
 			if res := testkit.Await(t, ended, "its client to have left"); res.st.Code() != codes.Canceled {
--- a/grpcproxy/fixture_test.go
+++ b/grpcproxy/fixture_test.go
@@ -62,36 +62,36 @@
 
 // options are what a test may change.
 type options struct {
-	cells    []int // of the backends; two of one cell
-	act      func(fakes.Attempt) fakes.GRPCBehavior
-	work     time.Duration
-	between  func(fakes.Attempt)
-	settings decision.Settings
-	config   Config
-	back     BackendConfig
-	more     []membership.Node // of other protocols
-	ledger   *fakes.Ledger
-	server   func(*Proxy) *grpc.Server
-	gateway  func(*pumicecroft.Config)
+	cells            []int // of the backends; two of one cell
+	behavior         func(fakes.Attempt) fakes.GRPCBehavior
+	workTime         time.Duration
+	afterMessage     func(fakes.Attempt)
+	settings         decision.Settings
+	config           Config
+	backendConfig    BackendConfig
+	otherNodes       []membership.Node // of other protocols
+	ledger           *fakes.Ledger
+	newServer        func(*Proxy) *grpc.Server
+	configureGateway func(*pumicecroft.Config)
 }
 
-func newRig(t testing.TB, change func(*options)) *fixture {
+func newFixture(t testing.TB, change func(*options)) *fixture {
 	t.Helper()
 	before := runtime.NumGoroutine()
 	o := options{cells: []int{0, 0}, settings: deskSettings(), config: Config{Methods: deskMethods},
-		back: BackendConfig{ConnectTimeout: testkit.WaitTimeout}}
+		backendConfig: BackendConfig{ConnectTimeout: testkit.WaitTimeout}}
 	if change != nil {
 		change(&o)
 	}
 	r := &fixture{t: t, ledger: cmp.Or(o.ledger, &fakes.Ledger{}), served: make(chan error, 1)}
-	known := membership.Update{Nodes: o.more}
+	known := membership.Update{Nodes: o.otherNodes}
 	memories := map[int]*fakes.Cell{}
 	for i, cell := range o.cells {
 		if memories[cell] == nil {
 			memories[cell] = &fakes.Cell{Number: cell, Window: 5 * time.Second}
 		}
 		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell],
-			Ledger: r.ledger, Behavior: o.act, WorkTime: o.work, AfterMessage: o.between,
+			Ledger: r.ledger, Behavior: o.behavior, WorkTime: o.workTime, AfterMessage: o.afterMessage,
 			IdempotentByKey: func(m string) bool { return m != "/shop.Desk/Look" && m != "/shop.Desk/Watch" }})
 		if err != nil {
 			t.Fatal(err)
@@ -102,10 +102,10 @@
 	}
 	var err error
 	gateway := pumicecroft.Config{Settings: o.settings, InitialEndpoints: known, MaxOpenRequests: 1 << 15}
-	if o.gateway != nil {
-		o.gateway(&gateway)
+	if o.configureGateway != nil {
+		o.configureGateway(&gateway)
 	}
-	r.gateway, err = pumicecroft.New(gateway, WithBackends(o.back))
+	r.gateway, err = pumicecroft.New(gateway, WithBackends(o.backendConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,8 +119,8 @@
 	r.addr = ln.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
-	if o.server != nil {
-		s := o.server(r.proxy)
+	if o.newServer != nil {
+		s := o.newServer(r.proxy)
 		go func() { r.served <- s.Serve(ln) }()
 		go func() { <-ctx.Done(); s.Stop() }()
 	} else {
@@ -202,9 +202,9 @@
 }
 
 // do makes a unary call.
-func (r *fixture) do(c call) result { return c.on(r.t.Context(), r.client) }
+func (r *fixture) do(c call) result { return c.invoke(r.t.Context(), r.client) }
 
-func (c call) on(ctx context.Context, conn grpc.ClientConnInterface) result {
+func (c call) invoke(ctx context.Context, conn grpc.ClientConnInterface) result {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
 	var out framedMessage
@@ -218,19 +218,19 @@
 	return res
 }
 
-var watching = &grpc.StreamDesc{ServerStreams: true}
+var serverStreamDesc = &grpc.StreamDesc{ServerStreams: true}
 
-var grpcBidi = grpc.StreamDesc{ServerStreams: true, ClientStreams: true}
+var bidiStreamDesc = grpc.StreamDesc{ServerStreams: true, ClientStreams: true}
 
 func codeOf(err error) codes.Code { return status.Code(err) }
 
 // watch makes a server-streaming call and reads it to its end. seen, if it is not nil, is called
 // after each message.
-func (r *fixture) watch(c call, seen func(n int)) result {
+func (r *fixture) doStreaming(c call, seen func(n int)) result {
 	ctx, cancel := c.context(r.t.Context())
 	defer cancel()
 	var res result
-	s, err := r.client.NewStream(ctx, watching, c.method)
+	s, err := r.client.NewStream(ctx, serverStreamDesc, c.method)
 	if err == nil {
 		if err = s.SendMsg(frame(c.text)); err == nil {
 			err = s.CloseSend()
@@ -257,7 +257,7 @@
 }
 
 // once returns an act for the first of all attempts, and another for the rest.
-func once(first, rest fakes.GRPCBehavior) func(fakes.Attempt) fakes.GRPCBehavior {
+func firstThen(first, rest fakes.GRPCBehavior) func(fakes.Attempt) fakes.GRPCBehavior {
 	var done sync.Once
 	return func(fakes.Attempt) fakes.GRPCBehavior {
 		act := rest
--- a/grpcproxy/frames_test.go
+++ b/grpcproxy/frames_test.go
@@ -22,17 +22,17 @@
 
 // rawClient is a client that handles HTTP/2 frames itself.
 type rawClient struct {
-	t    *testing.T
-	conn net.Conn
-	f    *http2.Framer
-	head bytes.Buffer
-	enc  *hpack.Encoder
-	next uint32
-	mu   sync.Mutex    // of writes, where end runs beside them
-	over atomic.Uint32 // the last stream that end has seen ended by the other side
+	t            *testing.T
+	conn         net.Conn
+	framer       *http2.Framer
+	headerBlock  bytes.Buffer
+	encoder      *hpack.Encoder
+	nextStreamID uint32
+	writeMu      sync.Mutex    // of writes, where end runs beside them
+	lastEnded    atomic.Uint32 // the last stream that end has seen ended by the other side
 }
 
-func (r *fixture) raw(t *testing.T) *rawClient {
+func (r *fixture) newRawClient(t *testing.T) *rawClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -40,11 +40,11 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
-	w := &rawClient{t: t, conn: conn, f: http2.NewFramer(conn, conn), next: 1}
-	w.enc = hpack.NewEncoder(&w.head)
-	w.f.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	w := &rawClient{t: t, conn: conn, framer: http2.NewFramer(conn, conn), nextStreamID: 1}
+	w.encoder = hpack.NewEncoder(&w.headerBlock)
+	w.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	_, err = io.WriteString(conn, http2.ClientPreface)
-	if err = errors.Join(err, w.f.WriteSettings()); err != nil {
+	if err = errors.Join(err, w.framer.WriteSettings()); err != nil {
 		t.Fatal(err)
 	}
 	return w
@@ -52,8 +52,8 @@
 
 // open opens a stream for a call, with more fields. The error is the connection's.
 func (w *rawClient) open(c call, more ...string) (id uint32, err error) {
-	id = w.next
-	w.next += 2
+	id = w.nextStreamID
+	w.nextStreamID += 2
 	fields := []string{":method", "POST", ":scheme", "http", ":path", c.method, ":authority", "desk", "content-type",
 		"application/grpc", "te", "trailers"}
 	for name, vs := range c.md {
@@ -61,54 +61,54 @@
 			fields = append(fields, name, v)
 		}
 	}
-	w.head.Reset()
+	w.headerBlock.Reset()
 	for fields = append(fields, more...); len(fields) > 1; fields = fields[2:] {
-		_ = w.enc.WriteField(hpack.HeaderField{Name: fields[0], Value: fields[1]})
+		_ = w.encoder.WriteField(hpack.HeaderField{Name: fields[0], Value: fields[1]})
 	}
-	block := w.head.Bytes()
+	block := w.headerBlock.Bytes()
 	first := block[:min(len(block), 16<<10)]
 	block = block[len(first):]
-	err = w.f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: first, EndHeaders: len(block) == 0})
+	err = w.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: first, EndHeaders: len(block) == 0})
 	for err == nil && len(block) > 0 {
 		n := min(len(block), 16<<10)
-		err = w.f.WriteContinuation(id, n == len(block), block[:n])
+		err = w.framer.WriteContinuation(id, n == len(block), block[:n])
 		block = block[n:]
 	}
 	return id, err
 }
 
 // ask makes a call and returns the last header's status, or how the stream ended.
-func (w *rawClient) ask(c call, more ...string) string {
+func (w *rawClient) do(c call, more ...string) string {
 	w.t.Helper()
 	id, err := w.open(c, more...)
 	if err == nil {
-		err = w.f.WriteData(id, true, frame(c.text))
+		err = w.framer.WriteData(id, true, frame(c.text))
 	}
 	if err != nil {
 		return err.Error()
 	}
-	return w.end(id)
+	return w.readUntilEnd(id)
 }
 
 // end reads until a stream ends.
-func (w *rawClient) end(id uint32) string {
+func (w *rawClient) readUntilEnd(id uint32) string {
 	for {
-		f, err := w.f.ReadFrame()
+		f, err := w.framer.ReadFrame()
 		if err != nil {
 			return err.Error()
 		}
 		switch f := f.(type) {
 		case *http2.SettingsFrame:
 			if !f.IsAck() {
-				w.mu.Lock()
-				_ = w.f.WriteSettingsAck()
-				w.mu.Unlock()
+				w.writeMu.Lock()
+				_ = w.framer.WriteSettingsAck()
+				w.writeMu.Unlock()
 			}
 		case *http2.PingFrame:
 			if !f.IsAck() {
-				w.mu.Lock()
-				_ = w.f.WritePing(true, f.Data)
-				w.mu.Unlock()
+				w.writeMu.Lock()
+				_ = w.framer.WritePing(true, f.Data)
+				w.writeMu.Unlock()
 			}
 		case *http2.GoAwayFrame:
 			return fmt.Sprintf("goaway %v %s", f.ErrCode, f.DebugData())
@@ -118,7 +118,7 @@
 			}
 		case *http2.MetaHeadersFrame:
 			if f.StreamEnded() {
-				w.over.Store(f.StreamID)
+				w.lastEnded.Store(f.StreamID)
 			}
 			if f.StreamID == id && f.StreamEnded() {
 				for _, h := range f.RegularFields() {
@@ -134,17 +134,17 @@
 
 // Clients send timeouts of 0, negative, malformed and beyond any duration.
 func TestUnusualTimeouts(t *testing.T) {
-	r := newRig(t, nil)
-	w := r.raw(t)
+	r := newFixture(t, nil)
+	w := r.newRawClient(t)
 	for timeout, want := range map[string]string{"0S": "status 4", "0n": "status 4", "-1S": "status 13",
 		"soon": "status 13", "": "status 13",
 		"123456789S": "status 13", "5x": "status 13", "99999999H": "status 0", "99999999M": "status 0",
 		"5S": "status 0"} {
-		if got := w.ask(r.call("Look"), "grpc-timeout", timeout); got != want {
+		if got := w.do(r.call("Look"), "grpc-timeout", timeout); got != want {
 			t.Errorf("grpc-timeout %q: %s, want %s", timeout, got, want)
 		}
 	}
-	if got := w.ask(r.call("Look")); got != "status 0" { // the class's
+	if got := w.do(r.call("Look")); got != "status 0" { // the class's
 		t.Errorf("without a deadline: %s", got)
 	}
 	for _, a := range r.ledger.Attempts() { // the class's is 15 s
@@ -161,9 +161,9 @@
 
 // The timeout that a backend sees must be less than what the client gave.
 func TestRemainingTimeoutIsForwarded(t *testing.T) {
-	r := newRig(t, nil)
-	w := r.raw(t)
-	if got := w.ask(r.call("Look"), "grpc-timeout", "2S"); got != "status 0" {
+	r := newFixture(t, nil)
+	w := r.newRawClient(t)
+	if got := w.do(r.call("Look"), "grpc-timeout", "2S"); got != "status 0" {
 		t.Fatal(got)
 	}
 	got := r.ledger.Attempts()[0].Timeout
@@ -175,9 +175,9 @@
 
 // A call has metadata over the limit: it is rejected, and other calls on the connection go on.
 func TestHeaderListOverLimit(t *testing.T) {
-	r := newRig(t, nil)
-	w := r.raw(t)
-	if got := w.ask(r.call("Look"), "x-much", strings.Repeat("m", 40<<10)); got == "status 0" {
+	r := newFixture(t, nil)
+	w := r.newRawClient(t)
+	if got := w.do(r.call("Look"), "x-much", strings.Repeat("m", 40<<10)); got == "status 0" {
 		t.Errorf("%s", got)
 	}
 	if n := len(r.ledger.Attempts()); n != 0 {
@@ -190,22 +190,22 @@
 
 // A client floods the server with pings: its connection is closed, and others do not notice.
 func TestPingFlood(t *testing.T) {
-	r := newRig(t, nil)
-	w := r.raw(t)
-	if got := w.ask(r.call("Look")); got != "status 0" {
+	r := newFixture(t, nil)
+	w := r.newRawClient(t)
+	if got := w.do(r.call("Look")); got != "status 0" {
 		t.Fatal(got)
 	}
 	go func() {
 		for range 100_000 {
-			w.mu.Lock()
-			err := w.f.WritePing(false, [8]byte{1})
-			w.mu.Unlock()
+			w.writeMu.Lock()
+			err := w.framer.WritePing(false, [8]byte{1})
+			w.writeMu.Unlock()
 			if err != nil {
 				return
 			}
 		}
 	}()
-	if got := w.end(99); !strings.HasPrefix(got, "goaway ENHANCE_YOUR_CALM") {
+	if got := w.readUntilEnd(99); !strings.HasPrefix(got, "goaway ENHANCE_YOUR_CALM") {
 		t.Errorf("the flooder: %s", got)
 	}
 	if res := r.do(r.call("Look")); res.st.Code() != codes.OK {
@@ -217,40 +217,40 @@
 // more attempts are open than the client may have streams, no effect happens twice, and another
 // client is served.
 func TestRapidReset(t *testing.T) {
-	r := newRig(t, func(o *options) {
-		o.act = func(a fakes.Attempt) fakes.GRPCBehavior {
+	r := newFixture(t, func(o *options) {
+		o.behavior = func(a fakes.Attempt) fakes.GRPCBehavior {
 			if a.Class == "/shop.Desk/Once" {
 				return fakes.GRPCHang
 			}
 			return fakes.GRPCServe
 		}
 		o.config.MaxStreamsPerConn = 20
-		o.back.MaxConnsPerBackend = 10
+		o.backendConfig.MaxConnsPerBackend = 10
 	})
-	w := r.raw(t)
+	w := r.newRawClient(t)
 	var reading sync.WaitGroup
-	reading.Go(func() { w.end(1 << 30) })
+	reading.Go(func() { w.readUntilEnd(1 << 30) })
 	most := 0
 	const n = 2000
 	for i := range n {
 		c := r.call("Once")
-		w.mu.Lock()
+		w.writeMu.Lock()
 		id, err := w.open(c)
 		if err == nil {
-			err = w.f.WriteData(id, true, frame(c.text))
+			err = w.framer.WriteData(id, true, frame(c.text))
 		}
-		w.mu.Unlock()
+		w.writeMu.Unlock()
 		if err == nil && i%10 == 0 { // it has become an attempt; the others are mostly gone before they are looked at
 			await(t, "an attempt, or a refusal", func() bool {
 				return len(r.ledger.ForRequest(c.id)) > 0 ||
-					w.over.Load() == id
+					w.lastEnded.Load() == id
 			})
 			most = max(most, r.gateway.OpenRequests())
 		}
 		if err == nil {
-			w.mu.Lock()
-			err = w.f.WriteRSTStream(id, http2.ErrCodeCancel)
-			w.mu.Unlock()
+			w.writeMu.Lock()
+			err = w.framer.WriteRSTStream(id, http2.ErrCodeCancel)
+			w.writeMu.Unlock()
 		}
 		if err != nil {
 			t.Fatalf("after %d calls: %v", i, err)
@@ -276,7 +276,7 @@
 
 // A connection without HTTP/2 is closed.
 func TestClientWithoutHTTP2(t *testing.T) {
-	r := newRig(t, nil)
+	r := newFixture(t, nil)
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
--- a/grpcproxy/host_test.go
+++ b/grpcproxy/host_test.go
@@ -21,17 +21,17 @@
 )
 
 // known is an earlier interceptor of the host, which authenticates the client.
-func known(_ any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) error {
+func authenticate(_ any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) error {
 	ctx := pumicecroft.WithIdentity(ss.Context(), pumicecroft.Identity{Customer: 9, Plan: "shop"})
-	return next(nil, identified{ss, ctx})
+	return next(nil, streamWithIdentity{ss, ctx})
 }
 
-type identified struct {
+type streamWithIdentity struct {
 	grpc.ServerStream
 	ctx context.Context
 }
 
-func (i identified) Context() context.Context { return i.ctx }
+func (i streamWithIdentity) Context() context.Context { return i.ctx }
 
 // In a host's own server the proxy takes its methods, by its interceptor or as the handler of
 // unknown services, and the host's services work beside it, with messages of their own.
@@ -50,18 +50,18 @@
 		nobody  codes.Code // of a call that does not say who asks
 	}{
 		"interceptor": {func(f *Proxy) *grpc.Server {
-			return own(grpc.ChainStreamInterceptor(known, f.Interceptor()), grpc.UnknownServiceHandler(nothing))
+			return own(grpc.ChainStreamInterceptor(authenticate, f.Interceptor()), grpc.UnknownServiceHandler(nothing))
 		}, codes.DataLoss, codes.OK},
 		"handler": {func(f *Proxy) *grpc.Server { return own(grpc.UnknownServiceHandler(f.Handle)) },
 			codes.Unimplemented, codes.InvalidArgument},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, func(o *options) { o.server = c.server })
+			r := newFixture(t, func(o *options) { o.newServer = c.server })
 			k := r.call("Pay")
 			if res := r.do(k); res.st.Code() != codes.OK || res.text != "done "+k.id {
 				t.Errorf("%v %q", res.st, res.text)
 			}
-			if res := r.watch(r.call("Watch"), nil); res.st.Code() != codes.OK || len(res.texts) != 1 {
+			if res := r.doStreaming(r.call("Watch"), nil); res.st.Code() != codes.OK || len(res.texts) != 1 {
 				t.Errorf("%v %q", res.st, res.texts)
 			}
 			k = r.call("Nap")
--- a/grpcproxy/idempotency_test.go
+++ b/grpcproxy/idempotency_test.go
@@ -17,7 +17,7 @@
 
 // again returns a call once more, as a client does that was pressed twice: with the same key and
 // another ID.
-func (r *fixture) again(c call) call {
+func (r *fixture) repeatCall(c call) call {
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
 	c.md = c.md.Copy()
 	c.md.Set("request-id", id)
@@ -53,16 +53,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			r := newRig(t, func(o *options) {
+			r := newFixture(t, func(o *options) {
 				o.cells = []int{1, 2} // only the edge drops a repeat
-				o.act = func(fakes.Attempt) fakes.GRPCBehavior { return c.act }
-				o.gateway = func(d *pumicecroft.Config) {
+				o.behavior = func(fakes.Attempt) fakes.GRPCBehavior { return c.act }
+				o.configureGateway = func(d *pumicecroft.Config) {
 					d.Idempotency, d.IdempotencyJournal = &idempotency.Limits{},
 						&pumicecroft.IdempotencyJournal{Dir: dir}
 				}
 			})
 			one := r.call(c.method)
-			two := r.again(one)
+			two := r.repeatCall(one)
 			if c.change != nil {
 				c.change(&two)
 			}
@@ -89,10 +89,10 @@
 
 // Two calls with one key arrive at once: one is sent to a backend, both get its response, and quota
 // and backend see one.
-func TestPairsOverGRPC(t *testing.T) {
-	r := newRig(t, func(o *options) {
-		o.cells, o.work = []int{1, 2}, 2*time.Millisecond
-		o.gateway = func(d *pumicecroft.Config) { d.Idempotency = &idempotency.Limits{} }
+func TestConcurrentCallsWithOneKey(t *testing.T) {
+	r := newFixture(t, func(o *options) {
+		o.cells, o.workTime = []int{1, 2}, 2*time.Millisecond
+		o.configureGateway = func(d *pumicecroft.Config) { d.Idempotency = &idempotency.Limits{} }
 	})
 	const pairs = 200
 	var pressing sync.WaitGroup
@@ -101,13 +101,13 @@
 			one := r.call("Pay")
 			var texts [2]string
 			var pair sync.WaitGroup
-			for j, c := range []call{one, r.again(one)} {
+			for j, c := range []call{one, r.repeatCall(one)} {
 				pair.Go(func() {
 					for { // a door before two nodes may refuse, which is harmless
 						res := r.do(c)
 						if res.st.Code() == codes.ResourceExhausted {
 							time.Sleep(time.Millisecond)
-							c = r.again(c)
+							c = r.repeatCall(c)
 							continue
 						}
 						if texts[j] = res.text; res.st.Code() != codes.OK {
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -26,10 +26,10 @@
 
 // runAsGateway names the variable that makes the test's binary a gateway, for the backend at the
 // address that it holds.
-const runAsGateway = "PUMICECROFT_GRPC_DOOR"
+const gatewayModeEnv = "PUMICECROFT_GRPC_DOOR"
 
 func TestMain(m *testing.M) {
-	if addr := os.Getenv(runAsGateway); addr != "" {
+	if addr := os.Getenv(gatewayModeEnv); addr != "" {
 		if err := serveGateway(addr); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -81,7 +81,7 @@
 }
 
 // residentBytes returns a process's resident memory, in KiB.
-func residentBytes(t testing.TB, pid int) int {
+func residentKiB(t testing.TB, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -112,7 +112,7 @@
 	}
 	defer backend.Kill()
 	gateway := exec.Command(os.Args[0])
-	gateway.Env = append(os.Environ(), runAsGateway+"="+backend.Addr())
+	gateway.Env = append(os.Environ(), gatewayModeEnv+"="+backend.Addr())
 	out, err := gateway.StdoutPipe()
 	if err = errors.Join(err, gateway.Start()); err != nil {
 		t.Fatal(err)
@@ -133,9 +133,9 @@
 		conns = append(conns, c)
 		k := r.call("Look")
 		k.timeout = 50 * time.Millisecond
-		k.on(context.Background(), c) // so that it is connected
+		k.invoke(context.Background(), c) // so that it is connected
 	}
-	before := residentBytes(t, gateway.Process.Pid)
+	before := residentKiB(t, gateway.Process.Pid)
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
 	first := make(chan error, n)
@@ -146,7 +146,7 @@
 			k := r.call("Watch")
 			k.timeout = time.Hour
 			cctx, cancel := k.context(ctx)
-			s, err := conns[i%len(conns)].NewStream(cctx, watching, k.method)
+			s, err := conns[i%len(conns)].NewStream(cctx, serverStreamDesc, k.method)
 			if err == nil {
 				if err = errors.Join(s.SendMsg(frame(k.text)), s.CloseSend()); err == nil {
 					var m framedMessage
@@ -166,11 +166,11 @@
 	}
 	last := 0
 	// by more than 1% in a second
-	for now := residentBytes(t, gateway.Process.Pid); now > last+last/100; now = residentBytes(t, gateway.Process.Pid) {
+	for now := residentKiB(t, gateway.Process.Pid); now > last+last/100; now = residentKiB(t, gateway.Process.Pid) {
 		last = now
 		time.Sleep(time.Second)
 	}
-	return float64(residentBytes(t, gateway.Process.Pid)-before) / float64(n)
+	return float64(residentKiB(t, gateway.Process.Pid)-before) / float64(n)
 }
 
 // Clients hold many streams open that are slow or idle: each must cost the gateway bounded memory.
--- a/grpcproxy/metadata.go
+++ b/grpcproxy/metadata.go
@@ -10,7 +10,7 @@
 )
 
 // hopByHop reports whether metadata is meant for the next neighbour alone, and so not forwarded.
-func hopByHop(name string) bool {
+func isHopByHop(name string) bool {
 	switch name {
 	case "content-type", "user-agent", "te", "host", "connection", "proxy-connection", "keep-alive",
 		"transfer-encoding", "upgrade", "trailer":
@@ -28,7 +28,7 @@
 func toMetadata(fields []grpctransport.Field) metadata.MD {
 	md := metadata.MD{}
 	for _, f := range fields {
-		if hopByHop(f.Name) {
+		if isHopByHop(f.Name) {
 			continue
 		}
 		if !strings.HasSuffix(f.Name, binarySuffix) {
@@ -48,7 +48,7 @@
 func toFields(md metadata.MD) []grpctransport.Field {
 	fields := make([]grpctransport.Field, 0, len(md)+1)
 	for name, values := range md {
-		if hopByHop(name) {
+		if isHopByHop(name) {
 			continue
 		}
 		for _, value := range values {
--- a/grpcproxy/proxy.go
+++ b/grpcproxy/proxy.go
@@ -228,7 +228,7 @@
 	invalid := strings.ContainsFunc(name, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '-' && r != '_' && r != '.'
 	})
-	if invalid || strings.HasPrefix(name, "grpc-") || strings.HasSuffix(name, "-bin") || hopByHop(name) {
+	if invalid || strings.HasPrefix(name, "grpc-") || strings.HasSuffix(name, "-bin") || isHopByHop(name) {
 		return fmt.Errorf("%q can't name metadata here: lower-case letters, digits, - _ and ., not gRPC's own and not -bin", name)
 	}
 	return nil
--- a/grpcproxy/proxy_test.go
+++ b/grpcproxy/proxy_test.go
@@ -51,7 +51,7 @@
 	for act, row := range rows {
 		for method, want := range map[string]end{"Look": row.look, "Pay": row.pay, "Once": row.once} {
 			t.Run(fmt.Sprintf("%d %s", act, method), func(t *testing.T) {
-				r := newRig(t, func(o *options) { o.act = once(act, fakes.GRPCServe) })
+				r := newFixture(t, func(o *options) { o.behavior = firstThen(act, fakes.GRPCServe) })
 				c := r.call(method)
 				res := r.do(c)
 				seen := r.ledger.ForRequest(c.id)
@@ -72,7 +72,7 @@
 // A rejection says when to retry, in the trailer that clients' retry policies follow and in the
 // status's details.
 func TestRejections(t *testing.T) {
-	r := newRig(t, func(o *options) { o.cells = nil })
+	r := newFixture(t, func(o *options) { o.cells = nil })
 	for _, method := range []string{"Look", "Pay", "Once"} {
 		res := r.do(r.call(method))
 		var info *errdetails.RetryInfo
@@ -91,7 +91,7 @@
 
 // A closed gateway rejects calls with a status by which clients go to another gateway.
 func TestClosedGateway(t *testing.T) {
-	r := newRig(t, nil)
+	r := newFixture(t, nil)
 	_ = r.gateway.Close(t.Context())
 	if res := r.do(r.call("Pay")); res.st.Code() != codes.Unavailable || res.pushback != "" {
 		t.Errorf("%v, pushback %q", res.st, res.pushback)
@@ -108,9 +108,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(backend.Kill)
-	r = newRig(t, func(o *options) {
+	r = newFixture(t, func(o *options) {
 		o.settings = deskSettings(plan)
-		o.more = []membership.Node{{Name: "h", Addr: backend.Addr()}}
+		o.otherNodes = []membership.Node{{Name: "h", Addr: backend.Addr()}}
 		o.ledger = ledger
 	})
 	addr, transport := testkit.Serve(t, r.gateway.ServeHTTP), &http.Transport{}
@@ -130,9 +130,9 @@
 			c.md.Set("x-tier", "tiny")
 			switch {
 			case asks[i%len(asks)]:
-				served += b2i(overHTTP(i).String() == "served")
+				served += boolToInt(overHTTP(i).String() == "served")
 			default:
-				served += b2i(r.do(c).st.Code() == codes.OK)
+				served += boolToInt(r.do(c).st.Code() == codes.OK)
 			}
 		}
 		if n := len(r.ledger.Attempts()); n != served {
@@ -192,8 +192,8 @@
 			if method == "Buy" {
 				act = fakes.GRPCStreamHang
 			}
-			r := newRig(t, func(o *options) {
-				o.act = once(act, fakes.GRPCServe)
+			r := newFixture(t, func(o *options) {
+				o.behavior = firstThen(act, fakes.GRPCServe)
 				o.settings = deskSettings(decision.Plan{Name: "narrow", MaxInFlight: 1, Price: 1})
 			})
 			c := r.call(method)
@@ -203,7 +203,7 @@
 			go func() {
 				cctx, cancel := c.context(ctx)
 				defer cancel()
-				s, err := r.client.NewStream(cctx, watching, c.method)
+				s, err := r.client.NewStream(cctx, serverStreamDesc, c.method)
 				if err != nil {
 					gone <- err
 					return
@@ -250,8 +250,8 @@
 // A backend sends headers and then nothing. An idempotent call is served by another backend or
 // rejected; one that is idempotent by key fails by its deadline if no other backend drops its
 // repeat; and no client is told to retry.
-func TestHeadThenNothing(t *testing.T) {
-	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCHeadersThenHang), []int{0, 1} })
+func TestHeadersThenNoResponse(t *testing.T) {
+	r := newFixture(t, func(o *options) { o.behavior, o.cells = always(fakes.GRPCHeadersThenHang), []int{0, 1} })
 	var calls sync.WaitGroup
 	for _, method := range []string{"Look", "Pay", "Once", "Watch", "Buy"} {
 		calls.Go(func() {
@@ -260,7 +260,7 @@
 			begun := time.Now()
 			var res result
 			if method == "Watch" || method == "Buy" {
-				res = r.watch(c, nil)
+				res = r.doStreaming(c, nil)
 			} else {
 				res = r.do(c)
 			}
@@ -283,9 +283,9 @@
 func TestGoAwayDuringCalls(t *testing.T) {
 	hold := make(chan bool)
 	var held sync.Map
-	r := newRig(t, func(o *options) {
+	r := newFixture(t, func(o *options) {
 		o.cells = []int{0, 1}
-		o.act = func(a fakes.Attempt) fakes.GRPCBehavior {
+		o.behavior = func(a fakes.Attempt) fakes.GRPCBehavior {
 			if _, again := held.LoadOrStore(a.ID, true); !again {
 				<-hold
 			}
@@ -306,7 +306,7 @@
 	b := r.backends[0]
 	onFirst := 0
 	for _, a := range r.ledger.Attempts() {
-		onFirst += b2i(a.Backend == "g0")
+		onFirst += boolToInt(a.Backend == "g0")
 	}
 	// The upper half of the first backend's streams was not looked at; what the test holds of them is let go as unrun.
 	b.DropAbove(uint32(onFirst))
@@ -325,7 +325,7 @@
 	}
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -354,12 +354,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			first := make(chan bool) // the client has its first message: had it not, the call could be made again
-			r := newRig(t, func(o *options) {
-				o.act = once(c.first, fakes.GRPCStream)
-				o.between = func(fakes.Attempt) { <-first }
+			r := newFixture(t, func(o *options) {
+				o.behavior = firstThen(c.first, fakes.GRPCStream)
+				o.afterMessage = func(fakes.Attempt) { <-first }
 			})
 			k := r.call(c.method)
-			res := r.watch(k, func(n int) {
+			res := r.doStreaming(k, func(n int) {
 				if n == 1 {
 					close(first)
 				}
@@ -383,13 +383,13 @@
 // A long response, far more than any window, arrives completely and in order at a client that reads
 // slowly at times.
 func TestLongStream(t *testing.T) {
-	r := newRig(t, func(o *options) { o.act = always(fakes.GRPCEndless) })
+	r := newFixture(t, func(o *options) { o.behavior = always(fakes.GRPCEndless) })
 	ctx, leave := context.WithCancel(t.Context())
 	defer leave()
 	c := r.call("Watch")
 	cctx, cancel := c.context(ctx)
 	defer cancel()
-	s, err := r.client.NewStream(cctx, watching, c.method)
+	s, err := r.client.NewStream(cctx, serverStreamDesc, c.method)
 	if err == nil {
 		err = errors.Join(s.SendMsg(frame(c.text)), s.CloseSend())
 	}
@@ -416,11 +416,11 @@
 // told before its own deadline.
 func TestStreamPastDeadline(t *testing.T) {
 	for _, act := range []fakes.GRPCBehavior{fakes.GRPCStreamHang, fakes.GRPCEndless} {
-		r := newRig(t, func(o *options) { o.act = always(act) })
+		r := newFixture(t, func(o *options) { o.behavior = always(act) })
 		c := r.call("Watch")
 		c.timeout = 600 * time.Millisecond
 		begun := time.Now()
-		res := r.watch(c, nil)
+		res := r.doStreaming(c, nil)
 		if took := time.Since(begun); res.st.Code() != codes.DeadlineExceeded || res.pushback != "-1" ||
 			took > c.timeout || len(res.texts) == 0 {
 			t.Errorf("act %d: %v after %v with %d messages, pushback %q", act, res.st, took, len(res.texts),
@@ -432,12 +432,12 @@
 // A client does not read its stream: flow control must hold up the backend, so that what is on its
 // way stays bounded, and the call ends by its deadline.
 func TestSlowStreamReader(t *testing.T) {
-	r := newRig(t, func(o *options) { o.act, o.cells = always(fakes.GRPCEndless), []int{0} })
+	r := newFixture(t, func(o *options) { o.behavior, o.cells = always(fakes.GRPCEndless), []int{0} })
 	c := r.call("Watch")
 	c.timeout = 1500 * time.Millisecond
 	ctx, cancel := c.context(t.Context())
 	defer cancel()
-	s, err := r.client.NewStream(ctx, watching, c.method)
+	s, err := r.client.NewStream(ctx, serverStreamDesc, c.method)
 	if err == nil {
 		err = errors.Join(s.SendMsg(frame(c.text)), s.CloseSend())
 	}
@@ -469,7 +469,7 @@
 // Status, message, details and metadata, with binary values, are forwarded unchanged both ways;
 // hop-by-hop metadata is not.
 func TestMetadataIsForwardedUnchanged(t *testing.T) {
-	r := newRig(t, func(o *options) { o.cells = []int{0} })
+	r := newFixture(t, func(o *options) { o.cells = []int{0} })
 	c := r.call("Look")
 	c.md.Set("x-trace", "a", "b")
 	c.md.Set("x-raw-bin", "\x00\xff,\x01")
@@ -491,7 +491,7 @@
 
 // A call without an ID gets one, which the backend sees.
 func TestMissingRequestIDIsGenerated(t *testing.T) {
-	r := newRig(t, nil)
+	r := newFixture(t, nil)
 	c := r.call("Look")
 	c.md.Delete("request-id")
 	if res := r.do(c); res.st.Code() != codes.OK {
@@ -504,7 +504,7 @@
 
 // Invalid calls are rejected at once, and no backend gets them.
 func TestInvalidCalls(t *testing.T) {
-	r := newRig(t, func(o *options) {
+	r := newFixture(t, func(o *options) {
 		o.config.Names = PlatformNames
 		o.config.Names.Cost = "x-units"
 		o.config.MaxMessageBytes = 1 << 10
@@ -556,12 +556,12 @@
 // Client streaming is rejected by a clear status: at once when a second message arrives, and after
 // the read timeout if the client does not half-close.
 func TestClientStreaming(t *testing.T) {
-	r := newRig(t, func(o *options) { o.config.ReadTimeout = 200 * time.Millisecond })
+	r := newFixture(t, func(o *options) { o.config.ReadTimeout = 200 * time.Millisecond })
 	for name, send := range map[string]int{"a second message": 2, "no end": 1, "nothing": 0} {
 		c := r.call("Look")
 		ctx, cancel := c.context(t.Context())
 		defer cancel()
-		s, err := r.client.NewStream(ctx, &grpcBidi, c.method)
+		s, err := r.client.NewStream(ctx, &bidiStreamDesc, c.method)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -583,12 +583,12 @@
 // A client of a bidirectional method sends one message and waits for the response before it
 // half-closes: it gets the response. A second message ends the call by a clear status.
 func TestBidirectional(t *testing.T) {
-	r := newRig(t, func(o *options) { o.act = once(fakes.GRPCStream, fakes.GRPCStreamHang) })
+	r := newFixture(t, func(o *options) { o.behavior = firstThen(fakes.GRPCStream, fakes.GRPCStreamHang) })
 	for _, more := range []bool{false, true} {
 		c := r.call("Buy")
 		ctx, cancel := c.context(t.Context())
 		defer cancel()
-		s, err := r.client.NewStream(ctx, &grpcBidi, c.method)
+		s, err := r.client.NewStream(ctx, &bidiStreamDesc, c.method)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -615,21 +615,21 @@
 
 // One of 1,000 calls on a client's connection is stuck: the others must be served.
 func TestManyCallsOnOneConnection(t *testing.T) {
-	r := newRig(t, func(o *options) {
-		o.act = func(a fakes.Attempt) fakes.GRPCBehavior {
+	r := newFixture(t, func(o *options) {
+		o.behavior = func(a fakes.Attempt) fakes.GRPCBehavior {
 			if a.Body == "stuck" {
 				return fakes.GRPCHang
 			}
 			return fakes.GRPCServe
 		}
-		o.work = 20 * time.Millisecond
-		o.back.MaxConnsPerBackend = 10
+		o.workTime = 20 * time.Millisecond
+		o.backendConfig.MaxConnsPerBackend = 10
 	})
 	stuck := r.call("Once")
 	stuck.text = "stuck"
 	ctx, leave := context.WithCancel(t.Context())
 	gone := make(chan result, 1)
-	go func() { gone <- stuck.on(ctx, r.client) }()
+	go func() { gone <- stuck.invoke(ctx, r.client) }()
 	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
 		t.Fatal("it never came")
 	}
@@ -661,8 +661,8 @@
 // SIGTERM arrives: open calls must succeed, a stream too, and later ones are not accepted.
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
-	r := newRig(t, func(o *options) {
-		o.act = func(fakes.Attempt) fakes.GRPCBehavior {
+	r := newFixture(t, func(o *options) {
+		o.behavior = func(fakes.Attempt) fakes.GRPCBehavior {
 			<-hold
 			return fakes.GRPCStream
 		}
@@ -670,7 +670,7 @@
 	const n = 10
 	results := make(chan result, n)
 	for range n {
-		go func() { results <- r.watch(r.call("Buy"), nil) }()
+		go func() { results <- r.doStreaming(r.call("Buy"), nil) }()
 	}
 	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == n }) {
 		t.Fatal("not all came")
@@ -681,7 +681,7 @@
 		defer func() { _ = late.Close() }()
 		c := r.call("Look")
 		c.timeout = time.Second
-		return c.on(t.Context(), late).st.Code() == codes.Unavailable
+		return c.invoke(t.Context(), late).st.Code() == codes.Unavailable
 	})
 	close(hold)
 	for range n {
@@ -697,7 +697,7 @@
 
 // The number of a customer by text is the same for the same text; an empty text is none.
 func TestCustomerText(t *testing.T) {
-	r := newRig(t, func(o *options) { o.config.CustomerText = true })
+	r := newFixture(t, func(o *options) { o.config.CustomerText = true })
 	a, err := r.proxy.customerID("shop-7")
 	b, err2 := r.proxy.customerID("shop-8")
 	again, _ := r.proxy.customerID("shop-7")
--- a/internal/grpcproto/call.go
+++ b/internal/grpcproto/call.go
@@ -1,10 +1,9 @@
-// Package grpcproto has the rules of gRPC over HTTP/2 for a reverse proxy, after the protocol's own
-// description (grpc/grpc doc/PROTOCOL-HTTP2.md, gRFC A6) and RFC 9113: timeouts, the framing of
-// messages, and what the end of an attempt proves, namely that it never ran, that it may have, or
-// that it did.
+// Package grpcproto implements the parts of gRPC over HTTP/2 that a reverse proxy needs, as specified
+// in grpc/grpc doc/PROTOCOL-HTTP2.md, gRFC A6 and RFC 9113: timeouts, message framing, and whether the
+// backend has executed an attempt, may have executed it or never did.
 //
-// The package is pure: what was seen on a stream goes in, the outcome comes out. Frames are the
-// transport's.
+// The package does no I/O: the transport reads and writes the frames and reports what it sees on a
+// stream, and the package returns the outcome.
 package grpcproto
 
 import (
@@ -17,7 +16,7 @@
 // Code is a gRPC status code.
 type Code uint32
 
-// The codes.
+// The codes, in the order of their numbers in the gRPC specification.
 const (
 	OK Code = iota
 	Canceled
@@ -39,67 +38,70 @@
 	codeCount // the number of codes
 )
 
-// Proof is what the end of an attempt proves about the call.
+// Proof says whether the backend has executed an attempt, as far as the way in which it ended proves it.
 type Proof uint8
 
-// The proofs.
+// The values of Proof.
 const (
-	MayHaveRun Proof = iota
-	NeverRan
-	Ran
+	MayHaveRun Proof = iota // nothing is proved
+	NeverRan                // the call was not executed, and retrying it is safe
+	Ran                     // the call was executed
 )
 
-// String returns the proof's name, for logs.
+// String returns the text that is logged for the proof.
 func (p Proof) String() string { return [...]string{"may have run", "never ran", "ran"}[p] }
 
-// refusedStream is HTTP/2's error code that proves that a stream was not processed.
+// refusedStream is the HTTP/2 error code REFUSED_STREAM, which guarantees that the backend has not
+// processed the stream.
 const refusedStream = 0x7
 
-// Trailer is what the last header of a stream says.
+// Trailer holds the gRPC fields of a response's trailers, unparsed. A missing field is empty.
 type Trailer struct {
-	Status   string // grpc-status as it came; empty: there was none
-	Pushback string // grpc-retry-pushback-ms as it came; empty: there was none
+	Status   string // grpc-status
+	Pushback string // grpc-retry-pushback-ms
 }
 
-// Outcome is how an attempt ended.
+// Outcome describes how an attempt ended.
 type Outcome struct {
 	Result decision.Result
 	Proof  Proof
-	Code   Code   // of a response that is forwarded
-	Reason string // for people
+	Code   Code   // the status code of a response that is forwarded
+	Reason string // explanation for logs
 }
 
-// Call is what was seen of one attempt of a unary or server-streaming call. The zero value is a call
-// that has not begun. Events are reported in their order; after the end they change nothing. It is
-// not safe for concurrent use.
+// Call tracks one attempt of a unary or server-streaming call and determines its outcome. The transport
+// reports events by the On methods, in the order in which they occur. The first event that decides the
+// outcome ends the call, and later events have no effect. The zero value is a call that has not been
+// sent. A Call is not safe for concurrent use.
 type Call struct {
 	Streaming       bool // the response may have any number of messages
-	MaxMessageBytes int  // 0: no limit
+	MaxMessageBytes int  // limit for each message of the response; 0 means no limit
 
 	requestSent     bool // the last byte of the request may have been written
-	headersReceived bool // the response's header has arrived
-	messages        Messages
+	headersReceived bool // the response headers have arrived
+	parser          MessageParser
 	ended           bool
 	outcome         Outcome
 }
 
-// Sent says that the last frame of the request is about to be written. Before it the backend can't
-// have the complete message, without which no unary or server-streaming method begins.
-func (c *Call) Sent() { c.requestSent = true }
+// OnRequestSent must be called just before the last frame of the request is written. Until then the
+// backend cannot have the complete request message, without which it does not execute a unary or
+// server-streaming method.
+func (c *Call) OnRequestSent() { c.requestSent = true }
 
 // RequestSent reports whether the last frame of the request may have been written.
 func (c *Call) RequestSent() bool { return c.requestSent }
 
-// MalformedResponse says that what has arrived is invalid.
-func (c *Call) MalformedResponse(what string) { c.end(decision.Unknown, MayHaveRun, "%s", what) }
+// OnMalformedResponse ends the call because the backend has sent something invalid, which what names.
+func (c *Call) OnMalformedResponse(what string) { c.end(decision.Unknown, MayHaveRun, "%s", what) }
 
-// ResponseStarted reports whether the response's header has arrived.
+// ResponseStarted reports whether the response headers have arrived.
 func (c *Call) ResponseStarted() bool { return c.headersReceived }
 
-// Ended returns the outcome, and whether there is one.
+// Ended returns the outcome, and whether the call has ended. The outcome is valid only if it has.
 func (c *Call) Ended() (Outcome, bool) { return c.outcome, c.ended }
 
-// end sets the outcome, unless there is one.
+// end sets the outcome, unless the call has already ended.
 func (c *Call) end(r decision.Result, p Proof, format string, args ...any) {
 	if !c.ended {
 		c.ended = true
@@ -107,7 +109,8 @@
 	}
 }
 
-// endIfUnsent ends an attempt whose request was not sent completely. It reports whether it did.
+// endIfUnsent ends the call as not sent if the request was not sent completely, and reports whether
+// that was so.
 func (c *Call) endIfUnsent(what string) bool {
 	if !c.requestSent {
 		c.end(decision.NotSent, NeverRan, "%s before the request was whole", what)
@@ -115,18 +118,18 @@
 	return !c.requestSent
 }
 
-// ConnectFailed says that there was no connection.
-func (c *Call) ConnectFailed() { c.end(decision.ConnectFailed, NeverRan, "no connection") }
+// OnConnectFailed ends the call because no connection could be opened.
+func (c *Call) OnConnectFailed() { c.end(decision.ConnectFailed, NeverRan, "no connection") }
 
-// ConnectionLost says that the connection broke.
-func (c *Call) ConnectionLost() {
+// OnConnectionLost ends the call because the connection broke.
+func (c *Call) OnConnectionLost() {
 	if !c.endIfUnsent("the connection broke") {
 		c.end(decision.ConnectionLost, MayHaveRun, "the connection broke")
 	}
 }
 
-// TimedOut says that the attempt's deadline passed, and that this side resets the stream.
-func (c *Call) TimedOut() {
+// OnTimeout ends the call because the attempt's deadline has passed. The transport resets the stream.
+func (c *Call) OnTimeout() {
 	switch {
 	case c.endIfUnsent("the time was up"):
 	case c.headersReceived:
@@ -136,53 +139,53 @@
 	}
 }
 
-// Cancelled says that this side cancelled the attempt.
-func (c *Call) Cancelled() {
+// OnCancel ends the call because the proxy has cancelled the attempt.
+func (c *Call) OnCancel() {
 	if !c.endIfUnsent("called off") {
 		c.end(decision.Cancelled, MayHaveRun, "called off")
 	}
 }
 
-// GoAway says that a GOAWAY has arrived that names last, on a connection where this stream is own. If
-// last is below own, the backend has not processed the stream and never will (RFC 9113, 6.8);
-// otherwise the response may still arrive.
-func (c *Call) GoAway(last, own uint32) {
+// OnGoAway handles a GOAWAY frame with last stream ID last, on the connection on which own is the ID of
+// this call's stream. If own is above last, the backend has not processed the stream and never will
+// (RFC 9113, 6.8). Otherwise the response may still arrive.
+func (c *Call) OnGoAway(last, own uint32) {
 	if own > last && !c.headersReceived {
 		c.end(decision.Rejected, NeverRan, "GOAWAY with last stream %d, this is %d", last, own)
 	}
 }
 
-// Reset says that the backend has sent RST_STREAM.
-func (c *Call) Reset(code uint32) {
+// OnReset ends the call because the backend has sent RST_STREAM with this error code.
+func (c *Call) OnReset(code uint32) {
 	switch {
 	case code == refusedStream && !c.headersReceived: // RFC 9113, 8.7
 		c.end(decision.Rejected, NeverRan, "REFUSED_STREAM")
 	case c.endIfUnsent("RST_STREAM"):
-	case c.messages.Complete > 0:
+	case c.parser.CompleteCount > 0:
 		c.end(decision.ConnectionLost, Ran, "RST_STREAM (%d) after a message and before the status", code)
 	default:
 		c.end(decision.ConnectionLost, MayHaveRun, "RST_STREAM (%d)", code)
 	}
 }
 
-// ResponseHeaders says that a header has arrived that does not end the stream.
-func (c *Call) ResponseHeaders(status, contentType string) {
+// OnHeaders handles a header block that does not end the stream.
+func (c *Call) OnHeaders(status, contentType string) {
 	if c.headersReceived {
 		c.end(decision.Unknown, MayHaveRun, "a second head")
 		return
 	}
 	c.headersReceived = true
 	switch {
-	case status != "200": // from a proxy or a server without gRPC (see http-grpc-status-mapping.md)
+	case status != "200": // from a proxy, or from a server that does not speak gRPC (see http-grpc-status-mapping.md)
 		c.end(decision.ErrorResponse, MayHaveRun, "HTTP status %.10q", status)
 	case !IsContentType(contentType):
 		c.end(decision.Unknown, MayHaveRun, "content type %.40q", contentType)
 	}
 }
 
-// Data says that bytes of the response's body have arrived. last means that the stream ends with them,
-// without a status.
-func (c *Call) Data(p []byte, last bool) {
+// OnData handles bytes of the response body. last means that the stream ends with them, and so without
+// a status.
+func (c *Call) OnData(p []byte, last bool) {
 	if c.ended {
 		return
 	}
@@ -190,19 +193,19 @@
 		c.end(decision.Unknown, MayHaveRun, "data before a head")
 		return
 	}
-	c.messages.MaxMessageBytes = c.MaxMessageBytes
-	if err := c.messages.Add(p); err != nil {
+	c.parser.MaxMessageBytes = c.MaxMessageBytes
+	if err := c.parser.Parse(p); err != nil {
 		c.end(decision.Unknown, Ran, "%v", err)
-	} else if !c.Streaming && c.messages.Complete > 1 {
-		c.end(decision.Unknown, Ran, "%d messages in a unary answer", c.messages.Complete)
+	} else if !c.Streaming && c.parser.CompleteCount > 1 {
+		c.end(decision.Unknown, Ran, "%d messages in a unary answer", c.parser.CompleteCount)
 	} else if last {
 		c.end(decision.Unknown, MayHaveRun, "the stream ended without a status")
 	}
 }
 
-// Trailers says that the header has arrived that ends the stream, after ResponseHeaders or in its
-// place (a trailers-only response).
-func (c *Call) Trailers(t Trailer) {
+// OnTrailers handles the header block that ends the stream. In a trailers-only response it is the only
+// one, and OnHeaders was not called.
+func (c *Call) OnTrailers(t Trailer) {
 	if c.ended {
 		return
 	}
@@ -212,20 +215,20 @@
 		c.end(decision.Unknown, MayHaveRun, "grpc-status %.10q", t.Status)
 		return
 	case n >= uint64(codeCount):
-		n = uint64(Unknown) // as the protocol asks
+		n = uint64(Unknown) // the protocol says to treat unknown codes as UNKNOWN
 	}
 	code := Code(n)
-	alone := !c.headersReceived || c.messages.Complete == 0 && c.messages.PartialBytes() == 0
+	withoutMessage := !c.headersReceived || c.parser.CompleteCount == 0 && c.parser.PartialBytes() == 0
 	switch {
-	case code == OK && c.messages.PartialBytes() > 0:
+	case code == OK && c.parser.PartialBytes() > 0:
 		c.end(decision.Unknown, Ran, "the last message was cut off")
-	case code == OK && !c.Streaming && c.messages.Complete == 0:
+	case code == OK && !c.Streaming && c.parser.CompleteCount == 0:
 		c.end(decision.Unknown, Ran, "a good status without a message")
 	case code == OK, isFinalStatus(code):
 		c.outcome.Code = code
 		c.end(decision.Succeeded, Ran, "status %d", code)
-	case (code == Unavailable || code == ResourceExhausted) && alone && allowsRetry(t.Pushback):
-		// gRFC A6: the backend itself asks for a retry, which is safe only if the call did not run.
+	case (code == Unavailable || code == ResourceExhausted) && withoutMessage && allowsRetry(t.Pushback):
+		// gRFC A6: the backend asks for a retry, which it may do only for a call that it has not executed.
 		c.end(decision.Rejected, NeverRan, "status %d with a pushback of %s ms", code, t.Pushback)
 	default:
 		c.outcome.Code = code
@@ -233,8 +236,9 @@
 	}
 }
 
-// isFinalStatus reports whether a status is the service's answer to the request, which is forwarded,
-// and not one of a failure on the way.
+// isFinalStatus reports whether a status is an error that the service itself returned for the request.
+// Such a status is forwarded to the client, while the others may stand for a failure of the transport
+// or the backend.
 func isFinalStatus(c Code) bool {
 	switch c {
 	case InvalidArgument, NotFound, AlreadyExists, PermissionDenied, FailedPrecondition, Aborted, OutOfRange,
@@ -244,7 +248,8 @@
 	return false
 }
 
-// allowsRetry reports whether a pushback asks for a retry. A negative or invalid one forbids it.
+// allowsRetry reports whether a grpc-retry-pushback-ms value permits a retry. A negative or invalid
+// value forbids it (gRFC A6).
 func allowsRetry(ms string) bool {
 	n, err := strconv.ParseInt(ms, 10, 32)
 	return err == nil && n >= 0
--- a/internal/grpcproto/frame.go
+++ b/internal/grpcproto/frame.go
@@ -9,27 +9,29 @@
 	"time"
 )
 
-// Messages follows the framing of a body: before each message there are a byte that says whether it
-// is compressed, and its length in four. A compressed message is an error, as no attempt offers an
-// encoding. It keeps no messages. The zero value is ready.
-type Messages struct {
-	MaxMessageBytes int // 0: no limit
-	Complete        int // messages that have arrived completely
+// MessageParser checks the length-prefixed framing of a response body and counts its messages. Each
+// message has a prefix of a compression flag (1 byte) and its length (4 bytes, big-endian). A compressed
+// message is an error because attempts do not offer an encoding. The parser does not store the
+// messages. The zero value is ready to use.
+type MessageParser struct {
+	MaxMessageBytes int // limit for each message, without its prefix; 0 means no limit
+	CompleteCount   int // messages that have arrived completely
 
 	prefix      [5]byte
 	prefixBytes int   // bytes of prefix that have arrived
-	remaining   int64 // bytes of the message that have not arrived
+	remaining   int64 // bytes of the current message that have not arrived
 	err         error
 }
 
-// Errors of Messages. They are part of an Outcome's Reason.
+// Errors of MessageParser. Their texts become part of Outcome.Reason.
 var (
 	ErrMessageTooLarge = errors.New("message over the limit")
 	ErrCompressed      = errors.New("compressed message or unknown flag")
 )
 
-// Add takes in the next bytes. After an error it takes no more, and returns the error again.
-func (m *Messages) Add(p []byte) error {
+// Parse parses the next bytes of the body. After an error it ignores its input and returns the same
+// error again.
+func (m *MessageParser) Parse(p []byte) error {
 	for len(p) > 0 && m.err == nil {
 		if m.prefixBytes < len(m.prefix) {
 			n := copy(m.prefix[m.prefixBytes:], p)
@@ -51,41 +53,44 @@
 			p = p[n:]
 		}
 		if m.err == nil && m.prefixBytes == len(m.prefix) && m.remaining == 0 {
-			m.Complete++
+			m.CompleteCount++
 			m.prefixBytes = 0
 		}
 	}
 	return m.err
 }
 
-// PartialBytes returns how many bytes of an incomplete message have arrived, prefix included; 0 means
-// that the last message is complete.
-func (m *Messages) PartialBytes() int64 {
+// PartialBytes returns how many bytes of an incomplete message have arrived, including the prefix. It
+// returns 0 between messages.
+func (m *MessageParser) PartialBytes() int64 {
 	if m.prefixBytes < len(m.prefix) {
 		return int64(m.prefixBytes)
 	}
 	return int64(len(m.prefix)) + int64(binary.BigEndian.Uint32(m.prefix[1:])) - m.remaining
 }
 
-// IsContentType reports whether a content type is gRPC's: application/grpc, alone or with a suffix.
+// IsContentType reports whether s is a gRPC content type: application/grpc, optionally followed by a
+// subtype suffix such as +proto or by parameters.
 func IsContentType(s string) bool {
 	rest, ok := strings.CutPrefix(strings.ToLower(s), "application/grpc")
 	return ok && (rest == "" || rest[0] == '+' || rest[0] == ';')
 }
 
-// ErrInvalidTimeout says that a grpc-timeout is invalid.
+// ErrInvalidTimeout is returned for an invalid grpc-timeout value.
 var ErrInvalidTimeout = errors.New("grpc-timeout")
 
+// timeoutUnits are the units of grpc-timeout, from the longest to the shortest.
 var timeoutUnits = []struct {
 	name byte
 	unit time.Duration
 }{{'H', time.Hour}, {'M', time.Minute}, {'S', time.Second}, {'m', time.Millisecond}, {'u', time.Microsecond},
 	{'n', time.Nanosecond}}
 
-// maxTimeout stands for timeouts that exceed a time.Duration.
+// maxTimeout is the longest time.Duration. It replaces longer timeouts.
 const maxTimeout = time.Duration(1<<63 - 1)
 
-// ParseTimeout parses a grpc-timeout: up to eight digits and a unit. 0 is a deadline that has passed.
+// ParseTimeout parses a grpc-timeout value: up to eight digits and a unit. It accepts 0, which means
+// that the deadline has passed.
 func ParseTimeout(s string) (time.Duration, error) {
 	if len(s) < 2 || len(s) > 9 {
 		return 0, fmt.Errorf("%w: %.20q", ErrInvalidTimeout, s)
@@ -108,8 +113,8 @@
 	return 0, fmt.Errorf("%w: %.20q", ErrInvalidTimeout, s)
 }
 
-// FormatTimeout returns a grpc-timeout that is not longer than d, in the finest unit that holds it. A
-// negative d is 0.
+// FormatTimeout formats d as a grpc-timeout value, rounded down, in the smallest unit in which it has
+// at most eight digits. A negative d becomes 0.
 func FormatTimeout(d time.Duration) string {
 	d = max(0, d)
 	for i := len(timeoutUnits) - 1; ; i-- {
--- a/internal/grpctransport/conn.go
+++ b/internal/grpctransport/conn.go
@@ -17,48 +17,50 @@
 )
 
 const (
-	// streamWindow is how many bytes of a stream may be unread, and so about what a stream holds
-	// beside its message.
+	// streamWindow is the flow-control window of a stream, in bytes. A stream buffers about as much
+	// in addition to its current message.
 	streamWindow = 64 << 10
-	// connWindow is the same for a connection. It is returned as bytes arrive, so that a stream that
-	// is not read delays no other.
+	// connWindow is the flow-control window of a connection, in bytes. Its credit is returned as
+	// bytes arrive, so that a stream that nobody reads does not delay the others.
 	connWindow = 1 << 20
-	// maxHeaderBytes limits a header, as HPACK counts it.
+	// maxHeaderBytes limits a header list that the backend sends, as HPACK counts its size.
 	maxHeaderBytes = 16 << 10
 	// maxFrameBytes limits a frame that the backend sends.
 	maxFrameBytes = 16 << 10
-	// maxSendFrameBytes limits a frame that is sent, in addition to the backend's own limit.
+	// maxSendFrameBytes limits a frame that is sent to the backend, in addition to the backend's own
+	// limit.
 	maxSendFrameBytes = 64 << 10
-	// writeTimeout ends a connection on which a write makes no progress: nothing after it could be
-	// sent either.
+	// writeTimeout limits each write to a connection. The connection is closed when it passes, as
+	// frames behind a blocked write could not be sent either.
 	writeTimeout = time.Second
-	// maxIdleFrames is how many frames without content (pings, settings, empty data) a backend may
-	// send for each stream that it ends.
-	maxIdleFrames = 1000
-	// maxStreamID is the stream after which a connection takes no new ones. HTTP/2 has 2^31.
+	// maxEmptyFrames is the number of frames without content that a backend may send between the ends
+	// of two streams. All frames count (such as pings, settings and empty data) but WINDOW_UPDATE and
+	// DATA with content.
+	maxEmptyFrames = 1000
+	// maxStreamID is the highest stream ID that a connection uses. HTTP/2 allows IDs up to 2^31-1.
 	maxStreamID = 1 << 30
 )
 
-// Values that hold until the backend's settings arrive (RFC 9113, 6.5.2 and 6.9.2). HTTP/2 has no
-// limit of streams then.
+// Values that apply until the backend's settings arrive (RFC 9113, 6.5.2 and 6.9.2). HTTP/2 itself does
+// not limit the number of streams until then.
 const (
 	initialPeerStreams = 100
-	initialWindow      = 65535
-	initialPeerFrame   = 16384
+	initialWindow      = 65535 // bytes
+	initialPeerFrame   = 16384 // bytes
 )
 
 var (
-	errFlood        = errors.New("grpctransport: too many frames without content")
-	errNoFreeStream = errors.New("grpctransport: no free stream")
-	errGoAway       = errors.New("grpctransport: connection is draining")
+	errEmptyFrameFlood = errors.New("grpctransport: too many frames without content")
+	errNoFreeStream    = errors.New("grpctransport: no free stream")
+	errGoAway          = errors.New("grpctransport: connection is draining")
 )
 
-// conn is one HTTP/2 connection to a backend. A goroutine of its own reads it; whoever has something
-// to write writes it, with writeMu held. mu is never held while something waits for the network, and
-// is taken after writeMu.
+// conn is an HTTP/2 connection to a backend. One goroutine reads from it; any goroutine may write to it
+// while it holds writeMu. A goroutine that needs both locks takes writeMu before mu. mu is never held
+// during network I/O.
 type conn struct {
 	netConn     net.Conn
-	maxStreams  int // open at once, by Config
+	maxStreams  int // limit of concurrent streams from Config
 	onClose     func(*conn)
 	frameReader *http2.Framer
 
@@ -69,21 +71,21 @@
 	encoder     *hpack.Encoder
 
 	mu                sync.Mutex
-	changed           *sync.Cond // a window has grown, a stream has ended, or the connection has
+	changed           *sync.Cond // signals that a send window has grown, or a stream or the connection has ended
 	streams           map[uint32]*stream
-	reserved          int // streams that are about to be opened
+	reserved          int // streams that are reserved and not opened yet
 	nextStreamID      uint32
-	peerMaxStreams    uint32    // open at once, by the backend's settings
-	peerInitialWindow int64     // send window of a new stream, by the backend's settings
-	peerMaxFrame      int       // largest frame that the backend takes, in bytes
-	sendWindow        int64     // bytes that may be sent on all streams
+	peerMaxStreams    uint32    // the backend's limit of concurrent streams
+	peerInitialWindow int64     // the backend's initial window for each stream, in bytes
+	peerMaxFrame      int       // largest frame that may be sent, in bytes
+	sendWindow        int64     // bytes that may be sent on all streams together
 	draining          bool      // no new streams: the backend has sent GOAWAY, or drain was called
-	err               error     // why the connection has ended; nil: it has not
-	emptyFrames       int       // frames without content since a stream ended
-	idleSince         time.Time // valid while there are no streams
+	err               error     // why the connection has ended, or nil while it is open
+	emptyFrames       int       // frames without content since the last stream ended
+	idleSince         time.Time // valid while no streams are open or reserved
 }
 
-// newConn starts HTTP/2 on a connection. onClose is called once, when the connection has ended.
+// newConn starts HTTP/2 on netConn. onClose is called once, when the connection has ended.
 func newConn(netConn net.Conn, maxStreams int, onClose func(*conn)) (*conn, error) {
 	c := &conn{
 		netConn:           netConn,
@@ -113,7 +115,7 @@
 	return c, nil
 }
 
-// writePreface writes the client's preface and settings.
+// writePreface writes the HTTP/2 client preface, the settings and the connection's window.
 func (c *conn) writePreface() error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -127,7 +129,7 @@
 		c.writeBuffer.Flush())
 }
 
-// deadlineWriter gives each write writeTimeout.
+// deadlineWriter limits each write to writeTimeout.
 type deadlineWriter struct{ net.Conn }
 
 func (w deadlineWriter) Write(p []byte) (int, error) {
@@ -135,7 +137,8 @@
 	return w.Conn.Write(p)
 }
 
-// reserve takes one of the connection's streams, if one is free.
+// reserve reserves a stream for openStream. It fails if the connection has no free stream, drains or
+// has ended.
 func (c *conn) reserve() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,13 +154,13 @@
 	return nil
 }
 
-// connState says what a connection takes.
+// connState is the state of a connection.
 type connState int
 
 const (
-	stateOpen     connState = iota // new streams
-	stateDraining                  // none, and its streams end
-	stateClosed                    // it has ended
+	stateOpen     connState = iota // accepts new streams
+	stateDraining                  // accepts no new streams; open ones may finish
+	stateClosed                    // has ended
 )
 
 func (c *conn) state() connState {
@@ -172,8 +175,8 @@
 	return stateOpen
 }
 
-// openStream opens the stream that was reserved and writes its header. If it returns an error and
-// s.conn is nil, nothing was written.
+// openStream opens a reserved stream and writes the request headers. If it returns an error and s.conn
+// is nil, nothing was written.
 func (c *conn) openStream(s *stream, fields []Field) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -184,7 +187,7 @@
 		err = errGoAway
 	}
 	if err != nil {
-		c.noteIdle()
+		c.updateIdle()
 		c.mu.Unlock()
 		return err
 	}
@@ -196,11 +199,11 @@
 	return c.checkWrite(c.writeHeader(s.id, fields, maxFrame))
 }
 
-// writeHeader writes a header in frames of maxFrame bytes at most. The caller holds writeMu.
+// writeHeader writes a header block in frames of at most maxFrame bytes. The caller holds writeMu.
 func (c *conn) writeHeader(id uint32, fields []Field, maxFrame int) error {
 	c.headerBlock.Reset()
 	for _, f := range fields {
-		_ = c.encoder.WriteField(hpack.HeaderField{Name: f.Name, Value: f.Value}) // into memory
+		_ = c.encoder.WriteField(hpack.HeaderField{Name: f.Name, Value: f.Value}) // writing to a buffer cannot fail
 	}
 	block := c.headerBlock.Bytes()
 	first := block[:min(len(block), maxFrame)]
@@ -215,7 +218,8 @@
 	return err
 }
 
-// checkWrite ends the connection if a write has failed. The caller holds writeMu.
+// checkWrite ends the connection if err, the result of a write, is not nil. It returns err. The caller
+// holds writeMu.
 func (c *conn) checkWrite(err error) error {
 	if err != nil {
 		c.fail(fmt.Errorf("grpctransport: write: %w", err))
@@ -223,8 +227,8 @@
 	return err
 }
 
-// sendBody writes a request's body. It blocks while the windows are closed, and returns when the body
-// is written or the stream has ended.
+// sendBody writes a request body. It blocks while the send windows are exhausted, and returns when the
+// body is written or the stream has ended.
 func (c *conn) sendBody(s *stream, body []byte) {
 	for {
 		n, ok := c.takeSendWindow(s, len(body))
@@ -235,8 +239,8 @@
 	}
 }
 
-// takeSendWindow takes up to n bytes of the windows, and blocks until there is one unless n is 0. It
-// returns false if the stream has ended.
+// takeSendWindow takes up to n bytes from the send windows of the connection and the stream. Unless n is
+// 0, it blocks until at least one byte is available. It returns false if the stream has ended.
 func (c *conn) takeSendWindow(s *stream, n int) (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -254,27 +258,27 @@
 	}
 }
 
-// writeData writes a part of a request's body. It reports whether more is to be written.
+// writeData writes a part of a request body. It reports whether the caller should write more.
 func (c *conn) writeData(s *stream, data []byte, last bool) bool {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	c.mu.Lock()
 	ended := s.ended
 	if last && !ended {
-		s.call.Sent()
+		s.call.OnRequestSent()
 	}
 	c.mu.Unlock()
 	if ended {
 		return false
 	}
 	err := c.frameWriter.WriteData(s.id, last, data)
-	if err == nil { // a part is flushed too: the backend may open the window only when it has it
+	if err == nil { // parts are flushed too, as the backend may wait for them before it extends the window
 		err = c.writeBuffer.Flush()
 	}
 	return c.checkWrite(err) == nil && !last
 }
 
-// resetStream ends a stream from this side. event tells its call why.
+// resetStream resets a stream that has not ended. event reports the reason to its call.
 func (c *conn) resetStream(s *stream, event func(*grpcproto.Call)) {
 	c.mu.Lock()
 	if s.ended {
@@ -287,15 +291,15 @@
 	c.sendReset(s.id)
 }
 
-// sendReset tells the backend that a stream is not waited for.
+// sendReset sends RST_STREAM with the code CANCEL.
 func (c *conn) sendReset(id uint32) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	// the connection knows
+	// checkWrite handles the error by closing the connection.
 	_ = c.checkWrite(errors.Join(c.frameWriter.WriteRSTStream(id, http2.ErrCodeCancel), c.writeBuffer.Flush()))
 }
 
-// finishStream removes a stream that has ended. The caller holds mu.
+// finishStream marks a stream as ended and removes it from the connection. The caller holds mu.
 func (c *conn) finishStream(s *stream) {
 	if s.ended {
 		return
@@ -305,24 +309,24 @@
 	s.notify()
 	delete(c.streams, s.id)
 	c.emptyFrames = 0
-	c.noteIdle()
+	c.updateIdle()
 	c.changed.Broadcast()
 }
 
-// finishIfEnded removes a stream whose call has ended. The caller holds mu.
+// finishIfEnded finishes a stream if its call has ended. The caller holds mu.
 func (c *conn) finishIfEnded(s *stream) {
 	if _, ended := s.call.Ended(); !ended || s.ended {
 		return
 	}
-	if !s.response.complete || !s.call.RequestSent() { // the backend may still be sending, in vain
+	if !s.response.complete || !s.call.RequestSent() { // the backend may still be sending or waiting for data
 		go c.sendReset(s.id)
 	}
 	c.finishStream(s)
 }
 
-// noteIdle notes if the connection has no streams, and closes it then if it is draining. The caller
-// holds mu.
-func (c *conn) noteIdle() {
+// updateIdle sets idleSince if the connection has no streams, and then closes the connection if it is
+// draining. The caller holds mu.
+func (c *conn) updateIdle() {
 	if len(c.streams)+c.reserved > 0 {
 		return
 	}
@@ -333,7 +337,7 @@
 	}
 }
 
-// idleFor returns for how long the connection has had no stream; 0 means that it has one.
+// idleFor returns for how long the connection has had no streams, or 0 if it has any.
 func (c *conn) idleFor(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -343,22 +347,22 @@
 	return now.Sub(c.idleSince)
 }
 
-// drain lets no new stream onto the connection, and closes it when its streams have ended.
+// drain stops new streams on the connection, and closes it when its open streams have ended.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining = true
-	c.noteIdle()
+	c.updateIdle()
 }
 
-// fail ends the connection and all streams on it. writeMu may be held, mu may not.
+// fail closes the connection and ends all its streams. The caller may hold writeMu but not mu.
 func (c *conn) fail(err error) {
 	c.mu.Lock()
 	if c.err == nil {
 		c.err = err
 	}
 	for _, s := range c.streams {
-		s.call.ConnectionLost()
+		s.call.OnConnectionLost()
 		c.finishStream(s)
 	}
 	c.changed.Broadcast()
--- a/internal/grpctransport/frames.go
+++ b/internal/grpctransport/frames.go
@@ -15,7 +15,7 @@
 	for {
 		f, err := c.frameReader.ReadFrame()
 		var streamErr http2.StreamError
-		if errors.As(err, &streamErr) { // such as a malformed header
+		if errors.As(err, &streamErr) { // for example malformed headers
 			c.failStream(streamErr.StreamID)
 			continue
 		}
@@ -29,17 +29,17 @@
 	}
 }
 
-// failStream ends a stream on which a malformed header has arrived.
+// failStream resets a stream on which malformed headers have arrived.
 func (c *conn) failStream(id uint32) {
 	c.mu.Lock()
 	s := c.streams[id]
 	c.mu.Unlock()
 	if s != nil {
-		c.resetStream(s, func(call *grpcproto.Call) { call.MalformedResponse("malformed header") })
+		c.resetStream(s, func(call *grpcproto.Call) { call.OnMalformedResponse("malformed header") })
 	}
 }
 
-// handleFrame takes in one frame and writes what it is to be answered with. An error ends the
+// handleFrame processes a frame and writes the reply to it, if there is one. An error ends the
 // connection.
 func (c *conn) handleFrame(f http2.Frame) error {
 	c.mu.Lock()
@@ -47,13 +47,13 @@
 	if err == nil && !hasContent {
 		c.emptyFrames++
 	}
-	flood := c.emptyFrames > maxIdleFrames
+	tooManyEmpty := c.emptyFrames > maxEmptyFrames
 	c.mu.Unlock()
 	switch {
 	case err != nil:
 		return err
-	case flood:
-		return errFlood
+	case tooManyEmpty:
+		return errEmptyFrameFlood
 	case reply == nil:
 		return nil
 	}
@@ -62,9 +62,9 @@
 	return errors.Join(reply(), c.writeBuffer.Flush())
 }
 
-// applyFrame takes in one frame. reply writes the answer to it, with writeMu held and mu not; nil
-// means that there is none. hasContent is false of frames that count against maxIdleFrames. The
-// caller holds mu.
+// applyFrame updates the connection's state for a frame. reply, unless nil, writes the frames that must
+// be sent in reply, and must be called with writeMu held and mu released. hasContent is false if the
+// frame counts towards maxEmptyFrames. The caller holds mu.
 func (c *conn) applyFrame(f http2.Frame) (reply func() error, hasContent bool, err error) {
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
@@ -84,13 +84,13 @@
 	case *http2.GoAwayFrame:
 		c.draining = true
 		for _, s := range c.streams {
-			s.call.GoAway(f.LastStreamID, s.id)
+			s.call.OnGoAway(f.LastStreamID, s.id)
 			c.finishIfEnded(s)
 		}
-		c.noteIdle()
+		c.updateIdle()
 	case *http2.RSTStreamFrame:
 		if s := c.streams[f.StreamID]; s != nil {
-			s.call.Reset(uint32(f.ErrCode))
+			s.call.OnReset(uint32(f.ErrCode))
 			c.finishIfEnded(s)
 		}
 	case *http2.MetaHeadersFrame:
@@ -104,7 +104,7 @@
 	return nil, false, nil
 }
 
-// applyWindowUpdate takes in a window that has grown. The caller holds mu.
+// applyWindowUpdate extends a send window. The caller holds mu.
 func (c *conn) applyWindowUpdate(f *http2.WindowUpdateFrame) {
 	if f.StreamID == 0 {
 		c.sendWindow += int64(f.Increment)
@@ -114,8 +114,9 @@
 	c.changed.Broadcast()
 }
 
-// applyData takes in a part of a response's body. reply returns the windows that it has taken, the
-// stream's as far as takeWindowCredit says. The caller holds mu.
+// applyData processes a part of a response body. reply returns flow-control credit to the backend: for
+// the connection all that the frame has used, for the stream what takeWindowCredit returns. The caller
+// holds mu.
 func (c *conn) applyData(f *http2.DataFrame) (reply func() error) {
 	s := c.streams[f.StreamID]
 	if s != nil {
@@ -140,7 +141,7 @@
 	}
 }
 
-// applySetting takes in one of the backend's settings. The caller holds mu.
+// applySetting applies one of the backend's settings. The caller holds mu.
 func (c *conn) applySetting(setting http2.Setting) error {
 	if err := setting.Valid(); err != nil {
 		return err
--- a/internal/grpctransport/messages.go
+++ b/internal/grpctransport/messages.go
@@ -3,21 +3,22 @@
 import "encoding/binary"
 
 const (
-	// prefixBytes is the length of a message's prefix: a flag and the length of the message.
+	// prefixBytes is the length of a message's prefix: a compression flag and the length of the
+	// message.
 	prefixBytes = 5
-	// maxInitialBuffer is how much memory a message gets before it has arrived, in bytes: its prefix
-	// may promise more than follows.
+	// maxInitialBuffer limits the memory that is allocated for a message before it has arrived, in
+	// bytes, as the length in the prefix may be larger than what the backend sends.
 	maxInitialBuffer = 64 << 10
 )
 
-// messageBuffer holds the messages of a response that have arrived, each in memory of its own with
-// its prefix. The zero value is empty.
+// messageBuffer splits a response body into messages and holds them until they are read. Each message
+// has a buffer of its own, which includes the prefix. The zero value is empty.
 type messageBuffer struct {
 	complete [][]byte
-	partial  []byte // the message that is arriving
+	partial  []byte // the message that has not arrived completely, or nil
 }
 
-// add takes in the next bytes, whose framing grpcproto.Call has checked.
+// add appends the next bytes of the body, whose framing grpcproto.Call has already checked.
 func (m *messageBuffer) add(data []byte) {
 	for len(data) > 0 {
 		if m.partial == nil {
@@ -43,10 +44,10 @@
 	}
 }
 
-// messageBytes returns the length of a message with its prefix, which p begins with.
+// messageBytes returns the length of the message that p begins with, including its prefix.
 func messageBytes(p []byte) int { return prefixBytes + int(binary.BigEndian.Uint32(p[1:])) }
 
-// next removes and returns the first complete message; nil means that there is none.
+// next removes and returns the first complete message, or nil if there is none.
 func (m *messageBuffer) next() []byte {
 	if len(m.complete) == 0 {
 		return nil
--- a/internal/grpctransport/request.go
+++ b/internal/grpctransport/request.go
@@ -10,50 +10,51 @@
 	"pumicecroft/membership"
 )
 
-// Field is one field of metadata, with its name in lower case.
+// Field is one metadata field. Its name is in lower case.
 type Field struct{ Name, Value string }
 
-// Request is the payload of an executor.Attempt: one client's call, for all of its attempts.
+// Request is a client's call. It is the payload of all executor.Attempts of the call.
 type Request struct {
-	// Method is the full name, such as /package.Service/Method.
+	// Method is the full name of the method, such as /package.Service/Method.
 	Method string
-	// Metadata is forwarded metadata, without the fields that gRPC itself uses.
+	// Metadata is sent to the backend in addition to the fields that gRPC itself uses.
 	Metadata []Field
-	// Body is the call's message with its prefix.
+	// Body is the request message with its prefix.
 	Body []byte
 	// Sink receives the response of a server-streaming call. nil means a unary call.
 	Sink Sink
 }
 
-// Sink receives a streamed response as it arrives. It is called by one goroutine at a time, after
-// Attempt.StartResponse allowed the response to begin, so by one attempt of a request alone.
+// Sink receives a streamed response as it arrives. It is called by one goroutine at a time, and only
+// after Attempt.StartResponse has allowed the response to begin. So only one attempt of a request uses
+// it.
 type Sink interface {
 	// WriteHeader is called once, before the first message.
 	WriteHeader(fields []Field)
-	// WriteMessage takes a message with its prefix, and may keep it. It blocks while the client does
-	// not read, until ctx ends; what the backend may send meanwhile is limited by the stream's
-	// window. An error ends the attempt.
+	// WriteMessage sends a message, which includes its prefix, and may retain it. It blocks while the
+	// client does not read, until ctx ends. Meanwhile the stream's window limits what the backend may
+	// send. An error ends the attempt.
 	WriteMessage(ctx context.Context, message []byte) error
 }
 
 // Response is a backend's response.
 type Response struct {
 	Code            grpcproto.Code
-	Message         string // grpc-message as it came, percent-encoded
+	Message         string // grpc-message, still percent-encoded
 	Header, Trailer []Field
 	Body            []byte // the message of a unary call, with its prefix
 
 	complete   bool   // the backend has ended the stream
-	usage      string // the customer's usage, as the backend reported it; empty: it did not
-	loadReport string // the backend's load, as it reported it; empty: it did not
+	usage      string // the customer's usage as reported by the backend, or empty
+	loadReport string // the backend's load as reported by the backend, or empty
 }
 
-// Protocol returns the protocol of the backends that the call may go to.
+// Protocol returns the protocol that a backend must speak to receive the call.
 func (r *Request) Protocol() string { return membership.ProtocolGRPC }
 
-// DigestParts returns what tells a unary call apart from others with its idempotency key, and nil for
-// a streaming call, whose response is not retained. Metadata is not part of it: a client's retry has
-// other metadata.
+// DigestParts returns the parts of a unary call by which the gateway detects a different call with the
+// same idempotency key. It returns nil for a streaming call, whose response is not retained. Metadata is
+// not included because it differs between a client's retries.
 func (r *Request) DigestParts() [][]byte {
 	if r.Sink != nil {
 		return nil
@@ -61,14 +62,14 @@
 	return [][]byte{[]byte(r.Method), r.Body}
 }
 
-// EncodeResponse returns the stored form of a backend's response.
+// EncodeResponse encodes a backend's response, a *Response, for storage.
 func (r *Request) EncodeResponse(reply any) (idempotency.Response, error) {
 	response := reply.(*Response)
 	body, err := encodeStored(response)
 	return idempotency.Response{Status: int(response.Code), ContentType: "application/grpc", Body: body}, err
 }
 
-// DecodeResponse returns the response of which EncodeResponse made the stored form.
+// DecodeResponse decodes a response that EncodeResponse has encoded.
 func (r *Request) DecodeResponse(stored idempotency.Response) (any, error) {
 	response, err := decodeStored(stored.Body)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return response, nil
 }
 
-// headerFields returns the header of the request's stream.
+// headerFields returns the request headers, with timeout as the backend's deadline.
 func (r *Request) headerFields(timeout time.Duration) []Field {
 	return append([]Field{
 		{":method", "POST"},
--- a/internal/grpctransport/stored.go
+++ b/internal/grpctransport/stored.go
@@ -7,15 +7,15 @@
 	"pumicecroft/internal/grpcproto"
 )
 
-// The stored form of a response is gob, which names a struct and its fields by their Go identifiers
-// and has no tags. The types in this file hold these names: a rename elsewhere leaves journals of
-// idempotency keys that were written before readable.
+// Responses are stored in the idempotency journal as gob. Gob identifies types and fields by their Go
+// names and has no tags, so the types in this file must keep their names: otherwise journals written by
+// earlier releases could not be read. Other types may be renamed.
 
-// encodeStored returns the stored form of a response.
+// encodeStored encodes a response as gob.
 func encodeStored(response *Response) ([]byte, error) {
 	type transportField = Field
-	type Field struct{ Name, Value string } // the name is stored
-	type Answer struct {                    // the name is stored
+	type Field struct{ Name, Value string } // the type's name is stored
+	type Answer struct {                    // the type's name is stored
 		Code    uint32
 		Message string
 		Header  []Field
@@ -40,7 +40,8 @@
 	return b.Bytes(), err
 }
 
-// decodeStored returns the response that encodeStored has stored. Only complete responses are stored.
+// decodeStored decodes a response that encodeStored has encoded. It sets complete, as only complete
+// responses are stored.
 func decodeStored(data []byte) (*Response, error) {
 	type storedField struct{ Name, Value string }
 	var stored struct {
--- a/internal/grpctransport/stream.go
+++ b/internal/grpctransport/stream.go
@@ -11,18 +11,18 @@
 	"pumicecroft/internal/grpcproto"
 )
 
-// stream is one attempt on a connection. Its fields are guarded by conn.mu, except those that do not
-// change after the stream was opened.
+// stream is an HTTP/2 stream, which carries one attempt. Its fields are guarded by conn.mu, except those
+// that do not change after the stream was opened.
 type stream struct {
 	conn             *conn // nil until the stream is opened
 	id               uint32
 	call             grpcproto.Call
-	sendWindow       int64 // bytes that may be sent on it
+	sendWindow       int64 // bytes that may be sent on the stream
 	response         Response
-	messages         messageBuffer // that have arrived and were not forwarded
-	changed          chan struct{} // holds a value when a streamed response has gone on; nil of a unary call
-	unreturnedWindow uint32        // bytes that have arrived and whose window was not returned
-	done             chan struct{} // closed when call has ended
+	messages         messageBuffer // messages that have arrived and were not forwarded
+	changed          chan struct{} // signals nextMessage that data has arrived or the stream has ended; nil if unary
+	unreturnedWindow uint32        // bytes that have arrived and whose flow-control credit was not returned
+	done             chan struct{} // closed when the stream has ended
 	ended            bool          // done is closed
 }
 
@@ -36,35 +36,37 @@
 	return s
 }
 
-// handleHeaders takes in a header of the response. The caller holds conn.mu.
+// handleHeaders processes the response's headers or trailers. The caller holds conn.mu.
 func (s *stream) handleHeaders(f *http2.MetaHeadersFrame) {
 	if f.Truncated {
-		s.call.MalformedResponse("header over the limit")
+		s.call.OnMalformedResponse("header over the limit")
 		return
 	}
 	trailer, contentType, metadata := s.readFields(f)
 	if !s.call.ResponseStarted() {
 		if !f.StreamEnded() {
 			s.response.Header = metadata
-			s.call.ResponseHeaders(f.PseudoValue("status"), contentType)
+			s.call.OnHeaders(f.PseudoValue("status"), contentType)
 			return
 		}
 		if status := f.PseudoValue("status"); status != "200" {
-			s.call.ResponseHeaders(status, contentType)
+			s.call.OnHeaders(status, contentType)
 			return
 		}
 	} else if !f.StreamEnded() {
-		s.call.ResponseHeaders("", "") // a second header, which is an error
+		s.call.OnHeaders("", "") // a second header block without END_STREAM, which ends the call as invalid
 		return
 	}
 	s.response.complete = true
 	s.response.Trailer = metadata
-	s.call.Trailers(trailer)
+	s.call.OnTrailers(trailer)
 }
 
-// readFields returns the fields of a header that end the call, its content type and the metadata
-// for the client. What is for the proxy is kept in response.
-func (s *stream) readFields(f *http2.MetaHeadersFrame) (trailer grpcproto.Trailer, contentType string, metadata []Field) {
+// readFields splits the fields of a header block into the trailer fields that determine the call's end,
+// the content type and the metadata for the client. It stores grpc-message and the fields that are meant
+// for the gateway in s.response.
+func (s *stream) readFields(f *http2.MetaHeadersFrame) (trailer grpcproto.Trailer, contentType string,
+	metadata []Field) {
 	for _, h := range f.RegularFields() {
 		switch h.Name {
 		case "grpc-status":
@@ -86,19 +88,19 @@
 	return trailer, contentType, metadata
 }
 
-// handleData takes in a part of the response's body. The caller holds conn.mu.
+// handleData processes a part of the response body. The caller holds conn.mu.
 func (s *stream) handleData(data []byte, last bool) {
-	s.call.Data(data, last)
+	s.call.OnData(data, last)
 	if _, ended := s.call.Ended(); !ended {
 		s.messages.add(data)
 		s.notify()
 	}
 }
 
-// takeWindowCredit returns how much of the stream's window is to be returned to the backend now: all
-// that has arrived, unless it is a streamed response whose client reads slower than it arrives. A
-// message that has not arrived completely is waited for, as its length is limited. The caller holds
-// conn.mu.
+// takeWindowCredit returns how much flow-control credit for the stream to return to the backend now: 0
+// while complete messages of a streamed response wait to be forwarded, so that a slow client slows the
+// backend down, and otherwise all credit for the bytes that have arrived. Credit for a partial message
+// is returned too, as the length of a message is limited. The caller holds conn.mu.
 func (s *stream) takeWindowCredit() uint32 {
 	if s.changed != nil && len(s.messages.complete) > 0 {
 		return 0
@@ -108,7 +110,7 @@
 	return n
 }
 
-// notify wakes nextMessage.
+// notify wakes nextMessage, if the response is streamed.
 func (s *stream) notify() {
 	if s.changed == nil {
 		return
@@ -119,8 +121,9 @@
 	}
 }
 
-// nextMessage returns the next message of a streamed response, or nil when the stream has ended. All
-// messages before a successful end are returned, those before an error need not be. It blocks.
+// nextMessage blocks until it can return the next message of a streamed response, or nil after the
+// stream has ended. It returns all messages that precede a successful end, but may drop messages that
+// precede an error.
 func (s *stream) nextMessage() []byte {
 	for {
 		s.conn.mu.Lock()
@@ -138,7 +141,7 @@
 	}
 }
 
-// returnWindow returns the backend's window for a message that was forwarded.
+// returnWindow returns flow-control credit to the backend after a message was forwarded.
 func (s *stream) returnWindow() {
 	c := s.conn
 	c.mu.Lock()
@@ -152,12 +155,12 @@
 	}
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	// the connection knows
+	// checkWrite handles the error by closing the connection.
 	_ = c.checkWrite(errors.Join(c.frameWriter.WriteWindowUpdate(s.id, credit), c.writeBuffer.Flush()))
 }
 
-// forwardTo forwards a streamed response. It returns decision.Succeeded, or why the client did not
-// get all of it.
+// forwardTo forwards the messages of a streamed response to sink until the stream ends. It returns
+// decision.Succeeded, or the result of the attempt if the client could not take all of the response.
 func (s *stream) forwardTo(ctx context.Context, a *executor.Attempt, sink Sink) decision.Result {
 	for started := false; ; started = true {
 		message := s.nextMessage()
@@ -166,7 +169,7 @@
 		}
 		if !started {
 			if !a.StartResponse() {
-				s.conn.resetStream(s, (*grpcproto.Call).Cancelled)
+				s.conn.resetStream(s, (*grpcproto.Call).OnCancel)
 				return decision.Cancelled
 			}
 			s.conn.mu.Lock()
@@ -181,12 +184,13 @@
 	}
 }
 
-// forwardFailed ends a stream whose client does not take its response.
+// forwardFailed resets a stream whose response could not be written to the client, and returns the
+// attempt's result.
 func (s *stream) forwardFailed(ctx context.Context, a *executor.Attempt) decision.Result {
 	if errors.Is(a.CancelCause(), executor.ErrCancelled) || ctx.Err() == nil {
-		s.conn.resetStream(s, (*grpcproto.Call).Cancelled)
+		s.conn.resetStream(s, (*grpcproto.Call).OnCancel)
 		return decision.Cancelled
 	}
-	s.conn.resetStream(s, (*grpcproto.Call).TimedOut)
+	s.conn.resetStream(s, (*grpcproto.Call).OnTimeout)
 	return decision.TimedOut
 }
--- a/internal/grpctransport/transport.go
+++ b/internal/grpctransport/transport.go
@@ -1,13 +1,19 @@
-// Package grpctransport makes attempts at backends over gRPC. It sends each attempt once and never
-// retries by itself, over a limited number of HTTP/2 connections and streams, and reports no more
-// than what was seen proves (internal/grpcproto has the rules).
+// Package grpctransport sends attempts to backends over gRPC, on a limited number of HTTP/2 connections
+// and streams. It sends each attempt once and never retries. The result that it reports claims no more
+// than the observed end of the stream proves, by the rules of internal/grpcproto.
 //
-// It is written on HTTP/2 frames, because the ends of a stream must be told apart: the clients of
-// grpc-go and net/http retry by themselves when a stream was refused, and do not say so.
+// The package reads and writes HTTP/2 frames itself because it must distinguish the ways in which a
+// stream can end: the clients of grpc-go and net/http silently retry a refused stream.
 //
-// The files: transport.go has the backends and selects connections, conn.go is one connection,
-// frames.go its reading side, stream.go one attempt on it, messages.go the messages of a response,
-// request.go the payload of an attempt. The package decides nothing about requests.
+// The package makes no decisions about requests. Its files:
+//
+//   - transport.go: the backends, and the choice of a connection
+//   - conn.go: a connection, and its writing side
+//   - frames.go: the reading side of a connection
+//   - stream.go: a stream, which carries one attempt
+//   - messages.go: the messages of a response
+//   - request.go: the payload of an attempt, and the response
+//   - stored.go: the encoding of responses in the idempotency journal
 package grpctransport
 
 import (
@@ -29,23 +35,25 @@
 	"pumicecroft/membership"
 )
 
-// Config says how backends are reached. A zero field takes its default.
+// Config configures a Transport. A zero field takes its default.
 type Config struct {
-	// MaxConnsPerBackend limits the connections to one backend. As many again may be draining.
-	// Default 2.
+	// MaxConnsPerBackend limits the connections to one backend. Connections that are draining do not
+	// count, but with them there are at most twice as many. Default 2.
 	MaxConnsPerBackend int
 	// MaxStreamsPerConn limits the streams on one connection, in addition to the backend's own limit.
 	// Default 100.
 	MaxStreamsPerConn int
-	// ConnectTimeout limits connecting. Default 250 ms.
+	// ConnectTimeout limits the time to open a connection. Default 250 ms.
 	ConnectTimeout time.Duration
-	// IdleTimeout is the time after which a backend may close an idle connection. Default 15 s.
+	// IdleTimeout is the time after which a backend may close an idle connection. A connection that
+	// has been idle for 60% of it is not used any more. Default 15 s.
 	IdleTimeout time.Duration
-	// MaxMessageBytes limits a message of a response. Default 4 MiB.
+	// MaxMessageBytes limits each message of a response. Default 4 MiB.
 	MaxMessageBytes int
-	// LoadReportFields are the names of load figures. None means that there are no load reports.
+	// LoadReportFields are the names of the fields in load reports. Empty means that backends do not
+	// report their load.
 	LoadReportFields []string
-	// Log receives failed attempts at level debug. nil discards them.
+	// Log receives failed attempts at debug level. nil discards them.
 	Log *slog.Logger
 	// Dial opens connections. nil means a net.Dialer without keep-alive probes.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -60,33 +68,33 @@
 	defaultMaxMessageBytes    = 4 << 20
 )
 
-// Transport makes attempts at the backends that Apply has told it of. It is safe for concurrent use.
+// Transport sends attempts to the backends that Apply has added. It is safe for concurrent use.
 type Transport struct {
 	config          Config
-	loadReader      loadreport.Reader
+	loadParser      loadreport.Reader
 	failureLogLimit rate.Sometimes
 
 	mu        sync.Mutex
 	byID      map[decision.BackendID]*backend
-	readLoops sync.WaitGroup // dials and read loops of connections
+	readLoops sync.WaitGroup // running dials, and read loops of connections
 }
 
 var _ executor.BackendTransport = (*Transport)(nil)
 
-// backend is one backend. Its fields are guarded by Transport.mu.
+// backend holds the connections to a backend. Its fields are guarded by Transport.mu.
 type backend struct {
-	addr    string
-	state   decision.BackendState
-	conns   []*conn
-	dialing []*pendingDial
-	removed bool // connections that are being dialed are closed
+	addr         string
+	state        decision.BackendState
+	conns        []*conn
+	pendingDials []*pendingDial
+	removed      bool // connections whose dial completes later are closed
 }
 
 // pendingDial is a connection that is being dialed.
 type pendingDial struct {
-	waiters int           // attempts that wait for it; guarded by Transport.mu
-	done    chan struct{} // closed when the dial ends
-	failed  bool          // valid after done
+	waiters int           // attempts that wait for the connection; guarded by Transport.mu
+	done    chan struct{} // closed when the dial has ended
+	failed  bool          // may be read after done is closed
 }
 
 // New returns a Transport without backends.
@@ -104,24 +112,25 @@
 	}
 	return &Transport{
 		config:          c,
-		loadReader:      loadreport.New(c.LoadReportFields),
+		loadParser:      loadreport.New(c.LoadReportFields),
 		failureLogLimit: rate.Sometimes{First: 10, Interval: time.Second},
 		byID:            map[decision.BackendID]*backend{},
 	}
 }
 
-// setDefault sets a limit that is not positive.
+// setDefault sets limit to value if it is not positive.
 func setDefault[T int | time.Duration](limit *T, value T) {
 	if *limit <= 0 {
 		*limit = value
 	}
 }
 
-// maxIdle returns how long a connection may be idle and still be used. It is below the time after
-// which the backend may close it.
+// maxIdle returns how long a connection may be idle and still be used. It is well below idleTimeout, so
+// that an attempt is not sent while the backend closes the connection.
 func maxIdle(idleTimeout time.Duration) time.Duration { return idleTimeout * 6 / 10 }
 
-// Apply takes in changes of the backends. They hold for every attempt that begins after it returns.
+// Apply applies changes to the set of backends. Every attempt that begins after it returns uses the new
+// set.
 func (t *Transport) Apply(changes []membership.Change) {
 	var discarded []*conn
 	t.mu.Lock()
@@ -147,14 +156,14 @@
 	}
 }
 
-// remove returns the connections of a backend that is removed. The caller holds Transport.mu.
+// remove marks a backend as removed and returns its connections. The caller holds Transport.mu.
 func (be *backend) remove() []*conn {
 	conns := be.conns
 	be.removed, be.conns = true, nil
 	return conns
 }
 
-// Close closes all connections and waits until nothing of them runs.
+// Close closes all connections and waits until their goroutines have ended.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	var conns []*conn
@@ -169,13 +178,13 @@
 	t.readLoops.Wait()
 }
 
-// Probe returns decision.NotSent: there are no load reports to ask for over gRPC.
+// Probe returns decision.NotSent, as load reports cannot be requested over gRPC.
 func (t *Transport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
 	return decision.ProbeResult{Backend: id, Result: decision.NotSent}
 }
 
-// RoundTrip makes an attempt and blocks until it ends. The Body of its result is a *Response if the
-// backend responded, with an error status too.
+// RoundTrip sends an attempt and blocks until it has ended. The Body of its result is a *Response if the
+// backend has responded, even with an error status.
 func (t *Transport) RoundTrip(a *executor.Attempt) executor.Response {
 	request := a.Payload.(*Request)
 	s := newStream(request.Sink != nil, t.config.MaxMessageBytes)
@@ -188,18 +197,18 @@
 	if c == nil {
 		return responseWith(result)
 	}
-	if a.SendForbidden() { // connecting may have taken long, or this process was paused
+	if a.SendForbidden() { // after a slow dial or a pause of this process it may be too late to send
 		return responseWith(decision.NotSent)
 	}
 	err := c.openStream(s, request.headerFields(time.Until(a.Deadline)))
-	if err != nil && s.conn == nil { // the connection has ended or is draining since it was picked
+	if err != nil && s.conn == nil { // the connection has ended or begun to drain since it was picked
 		return responseWith(decision.NotSent)
 	}
 	stop := context.AfterFunc(ctx, func() {
 		if errors.Is(a.CancelCause(), executor.ErrCancelled) {
-			c.resetStream(s, (*grpcproto.Call).Cancelled)
+			c.resetStream(s, (*grpcproto.Call).OnCancel)
 		} else {
-			c.resetStream(s, (*grpcproto.Call).TimedOut)
+			c.resetStream(s, (*grpcproto.Call).OnTimeout)
 		}
 	})
 	defer stop()
@@ -212,8 +221,8 @@
 	return t.result(s, request, forwarded)
 }
 
-// result returns the result of an attempt whose stream has ended. forwarded is how the forwarding of
-// a streamed response ended.
+// result returns the result of an attempt whose stream has ended. forwarded is what forwardTo returned
+// for a streamed response, and otherwise decision.Succeeded.
 func (t *Transport) result(s *stream, request *Request, forwarded decision.Result) executor.Response {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
@@ -226,10 +235,10 @@
 		s.response.Code, s.response.Body = outcome.Code, s.messages.next()
 		out.Body = &s.response
 	}
-	if usage, ok := t.loadReader.Use(s.response.usage); ok {
+	if usage, ok := t.loadParser.Use(s.response.usage); ok {
 		out.Usage, out.HasUsage = usage, true
 	}
-	out.LoadReport = t.loadReader.Load(s.response.loadReport)
+	out.LoadReport = t.loadParser.Load(s.response.loadReport)
 	if outcome.Result != decision.Succeeded {
 		t.failureLogLimit.Do(func() {
 			t.config.Log.Debug("attempt failed", "method", request.Method, "reason", outcome.Reason, "proof", outcome.Proof)
@@ -238,27 +247,27 @@
 	return out
 }
 
-// responseWith is the result of an attempt without a backend's response.
+// responseWith returns the response of an attempt that has result r and no response body.
 func responseWith(r decision.Result) executor.Response {
 	return executor.Response{Outcome: lifecycle.Outcome{Result: r}}
 }
 
-// acquire returns a connection with a reserved stream, or nil and the attempt's result. It blocks
-// while a connection is dialed, at most until ctx ends.
+// acquire returns a connection with a reserved stream, or nil and the attempt's result. It may wait for
+// a dial, at most until ctx ends.
 func (t *Transport) acquire(ctx context.Context, id decision.BackendID) (*conn, decision.Result) {
 	for {
 		p := t.pick(id)
 		switch {
 		case p.conn != nil:
 			return p.conn, 0
-		case p.dialing == nil: // no free stream, or the backend drains: the attempt may go to another backend
+		case p.pendingDial == nil: // no free stream, or the backend accepts no attempts: another backend may
 			return nil, decision.NotSent
-		case p.dial:
-			go t.dial(p.backend, p.dialing)
+		case p.startDial:
+			go t.dial(p.backend, p.pendingDial)
 		}
 		select {
-		case <-p.dialing.done:
-			if p.dialing.failed {
+		case <-p.pendingDial.done:
+			if p.pendingDial.failed {
 				return nil, decision.ConnectFailed
 			}
 		case <-ctx.Done():
@@ -267,16 +276,17 @@
 	}
 }
 
-// streamPick is what Transport.pick has found for an attempt.
-type streamPick struct {
-	backend *backend
-	conn    *conn        // with a reserved stream; nil: there is none
-	dialing *pendingDial // the dial to wait for; nil: no connection may be dialed
-	dial    bool         // the caller is to make that dial
+// pickResult is the result of Transport.pick.
+type pickResult struct {
+	backend     *backend
+	conn        *conn        // connection with a reserved stream, or nil
+	pendingDial *pendingDial // dial to wait for if conn is nil; nil if there is none and none may be started
+	startDial   bool         // the caller must start the dial
 }
 
-// pick finds a free stream, or a connection that is being dialed and will have one.
-func (t *Transport) pick(id decision.BackendID) streamPick {
+// pick reserves a stream on an open connection, or else joins or registers a dial. It first drains
+// connections that have been idle for too long.
+func (t *Transport) pick(id decision.BackendID) pickResult {
 	now := time.Now()
 	var expired []*conn
 	defer func() {
@@ -288,37 +298,38 @@
 	defer t.mu.Unlock()
 	be := t.byID[id]
 	if be == nil || be.state != decision.Ready {
-		return streamPick{}
+		return pickResult{}
 	}
 	be.conns = slices.DeleteFunc(be.conns, func(c *conn) bool {
-		old := c.idleFor(now) > maxIdle(t.config.IdleTimeout)
-		if old {
+		isExpired := c.idleFor(now) > maxIdle(t.config.IdleTimeout)
+		if isExpired {
 			expired = append(expired, c)
 		}
-		return old
+		return isExpired
 	})
 	for _, c := range be.conns {
 		if c.reserve() == nil {
-			return streamPick{backend: be, conn: c}
+			return pickResult{backend: be, conn: c}
 		}
 	}
-	for _, d := range be.dialing {
+	for _, d := range be.pendingDials {
 		if d.waiters < t.config.MaxStreamsPerConn {
 			d.waiters++
-			return streamPick{backend: be, dialing: d}
+			return pickResult{backend: be, pendingDial: d}
 		}
 	}
 	if !t.mayDial(be) {
-		return streamPick{backend: be}
+		return pickResult{backend: be}
 	}
 	d := &pendingDial{waiters: 1, done: make(chan struct{})}
-	be.dialing = append(be.dialing, d)
+	be.pendingDials = append(be.pendingDials, d)
 	t.readLoops.Add(1)
-	return streamPick{backend: be, dialing: d, dial: true}
+	return pickResult{backend: be, pendingDial: d, startDial: true}
 }
 
-// mayDial reports whether a backend may have another connection. A draining one does not count while
-// its last streams end, up to a limit. The caller holds Transport.mu.
+// mayDial reports whether another connection to a backend may be dialed. Draining connections do not
+// count towards MaxConnsPerBackend, but the total is limited to twice as many. The caller holds
+// Transport.mu.
 func (t *Transport) mayDial(be *backend) bool {
 	open := 0
 	for _, c := range be.conns {
@@ -326,12 +337,12 @@
 			open++
 		}
 	}
-	return open+len(be.dialing) < t.config.MaxConnsPerBackend &&
-		len(be.conns)+len(be.dialing) < 2*t.config.MaxConnsPerBackend
+	return open+len(be.pendingDials) < t.config.MaxConnsPerBackend &&
+		len(be.conns)+len(be.pendingDials) < 2*t.config.MaxConnsPerBackend
 }
 
-// dial opens a connection. It goes on when the attempt that began it is cancelled, as others may
-// wait for it.
+// dial opens a connection. It is not interrupted when the attempt that started it is cancelled, as other
+// attempts may wait for the connection.
 func (t *Transport) dial(be *backend, d *pendingDial) {
 	ctx, cancel := context.WithTimeout(context.Background(), t.config.ConnectTimeout)
 	defer cancel()
@@ -347,7 +358,7 @@
 		t.readLoops.Done()
 	}
 	t.mu.Lock()
-	be.dialing = slices.DeleteFunc(be.dialing, func(o *pendingDial) bool { return o == d })
+	be.pendingDials = slices.DeleteFunc(be.pendingDials, func(o *pendingDial) bool { return o == d })
 	removed := be.removed
 	if err == nil && !removed && c.state() != stateClosed {
 		be.conns = append(be.conns, c)
@@ -360,7 +371,7 @@
 	close(d.done)
 }
 
-// removeConn removes a connection that has ended.
+// removeConn removes a closed connection from its backend.
 func (t *Transport) removeConn(be *backend, c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
