--- a/grpcproxy/fixture_test.go
+++ b/grpcproxy/fixture_test.go
@@ -26,14 +26,16 @@
 	"pumicecroft/membership"
 )
 
-// deskMethods are the methods of the test's service: Look is idempotent, Pay idempotent by key
-// within a cell, Once not idempotent, Watch idempotent and streaming, Buy idempotent by key and
+// deskMethods are the methods of the test service: Look is idempotent, Pay is idempotent by key within a
+// cell, Once is not idempotent, Watch is idempotent and streaming, and Buy is idempotent by key and
 // streaming.
 var deskMethods = map[string]Method{"/shop.Desk/Look": {Class: "look"}, "/shop.Desk/Pay": {Class: "pay"},
 	"/shop.Desk/Once":  {Class: "once"},
 	"/shop.Desk/Watch": {Class: "look", Streaming: true}, "/shop.Desk/Buy": {Class: "pay", Streaming: true},
 	"/shop.More/*": {Class: "look"}}
 
+// deskSettings returns settings with the classes of deskMethods, the given plans and a plan "shop" that
+// is practically unlimited.
 func deskSettings(plans ...decision.Plan) decision.Settings {
 	class := func(name string, e decision.Idempotency) decision.Class {
 		return decision.Class{Name: name, Idempotency: e, DedupScope: decision.DedupScopeCell,
@@ -60,21 +62,23 @@
 	lastID   atomic.Uint64
 }
 
-// options are what a test may change.
+// options are the settings of a fixture that a test may change.
 type options struct {
-	cells            []int // of the backends; two of one cell
+	cells            []int // cell of each backend; by default two backends in one cell
 	behavior         func(fakes.Attempt) fakes.GRPCBehavior
 	workTime         time.Duration
 	afterMessage     func(fakes.Attempt)
 	settings         decision.Settings
 	config           Config
 	backendConfig    BackendConfig
-	otherNodes       []membership.Node // of other protocols
+	otherNodes       []membership.Node // backends that speak another protocol
 	ledger           *fakes.Ledger
 	newServer        func(*Proxy) *grpc.Server
 	configureGateway func(*pumicecroft.Config)
 }
 
+// newFixture starts a fixture with the options that change, unless nil, has changed. At the end of the
+// test it checks that all goroutines have ended.
 func newFixture(t testing.TB, change func(*options)) *fixture {
 	t.Helper()
 	before := runtime.NumGoroutine()
@@ -84,28 +88,28 @@
 		change(&o)
 	}
 	r := &fixture{t: t, ledger: cmp.Or(o.ledger, &fakes.Ledger{}), served: make(chan error, 1)}
-	known := membership.Update{Nodes: o.otherNodes}
-	memories := map[int]*fakes.Cell{}
+	endpoints := membership.Update{Nodes: o.otherNodes}
+	cells := map[int]*fakes.Cell{}
 	for i, cell := range o.cells {
-		if memories[cell] == nil {
-			memories[cell] = &fakes.Cell{Number: cell, Window: 5 * time.Second}
+		if cells[cell] == nil {
+			cells[cell] = &fakes.Cell{Number: cell, Window: 5 * time.Second}
 		}
-		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: memories[cell],
+		b, err := fakes.StartGRPC(fakes.GRPCConfig{Name: fmt.Sprintf("g%d", i), Cell: cells[cell],
 			Ledger: r.ledger, Behavior: o.behavior, WorkTime: o.workTime, AfterMessage: o.afterMessage,
 			IdempotentByKey: func(m string) bool { return m != "/shop.Desk/Look" && m != "/shop.Desk/Watch" }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.backends = append(r.backends, b)
-		known.Nodes = append(known.Nodes, membership.Node{Name: fmt.Sprintf("g%d", i), Addr: b.Addr(), Cell: cell,
+		endpoints.Nodes = append(endpoints.Nodes, membership.Node{Name: fmt.Sprintf("g%d", i), Addr: b.Addr(), Cell: cell,
 			Protocol: membership.ProtocolGRPC})
 	}
 	var err error
-	gateway := pumicecroft.Config{Settings: o.settings, InitialEndpoints: known, MaxOpenRequests: 1 << 15}
+	config := pumicecroft.Config{Settings: o.settings, InitialEndpoints: endpoints, MaxOpenRequests: 1 << 15}
 	if o.configureGateway != nil {
-		o.configureGateway(&gateway)
+		o.configureGateway(&config)
 	}
-	r.gateway, err = pumicecroft.New(gateway, WithBackends(o.backendConfig))
+	r.gateway, err = pumicecroft.New(config, WithBackends(o.backendConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +144,8 @@
 		for end := time.Now().Add(testkit.WaitTimeout); runtime.NumGoroutine() > before; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				buf := make([]byte, 1<<20)
-				t.Errorf("%d goroutines, %d before:\n%s", runtime.NumGoroutine(), before,
+				t.Errorf("%d goroutines are running, want at most the %d from before the test:\n%s",
+					runtime.NumGoroutine(), before,
 					buf[:runtime.Stack(buf, true)])
 				return
 			}
@@ -149,7 +154,7 @@
 	return r
 }
 
-// connect returns a client with a connection of its own.
+// connect returns a new client, which has a connection of its own.
 func (r *fixture) connect() *grpc.ClientConn {
 	c, err := grpc.NewClient("passthrough:///"+r.addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDisableRetry(),
@@ -161,11 +166,12 @@
 	return c
 }
 
+// frame returns text as a message with its prefix.
 func frame(text string) framedMessage {
 	return append(binary.BigEndian.AppendUint32([]byte{0}, uint32(len(text))), text...)
 }
 
-// call is a client's call.
+// call is a call that a client makes.
 type call struct {
 	id      string
 	key     string
@@ -175,7 +181,8 @@
 	timeout time.Duration
 }
 
-// call makes one of a method with an id and a key of its own.
+// call returns a call of a method, with an ID of its own and, for methods that are not idempotent, an
+// idempotency key of its own.
 func (r *fixture) call(method string) call {
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
 	c := call{id: id, method: "/shop.Desk/" + method, text: "amount=3", timeout: 15 * time.Second,
@@ -187,16 +194,17 @@
 	return c
 }
 
-// result is how a call ended at its client.
+// result is how a call ended for its client.
 type result struct {
 	st       *status.Status
-	text     string   // of a unary call
-	texts    []string // of a streamed one
+	text     string   // message of a unary call
+	texts    []string // messages of a streaming call
 	header   metadata.MD
 	trailer  metadata.MD
 	pushback string
 }
 
+// context returns a context with the call's metadata and timeout.
 func (c call) context(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(metadata.NewOutgoingContext(ctx, c.md), c.timeout)
 }
@@ -204,6 +212,7 @@
 // do makes a unary call.
 func (r *fixture) do(c call) result { return c.invoke(r.t.Context(), r.client) }
 
+// invoke makes a unary call on conn.
 func (c call) invoke(ctx context.Context, conn grpc.ClientConnInterface) result {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
@@ -224,8 +233,8 @@
 
 func codeOf(err error) codes.Code { return status.Code(err) }
 
-// watch makes a server-streaming call and reads it to its end. seen, if it is not nil, is called
-// after each message.
+// doStreaming makes a server-streaming call and reads the response to its end. It calls seen, unless nil,
+// after each message with the number of messages so far.
 func (r *fixture) doStreaming(c call, seen func(n int)) result {
 	ctx, cancel := c.context(r.t.Context())
 	defer cancel()
@@ -256,18 +265,19 @@
 	return res
 }
 
-// once returns an act for the first of all attempts, and another for the rest.
+// firstThen returns a Behavior that is first for the first of all attempts, and rest for all others.
 func firstThen(first, rest fakes.GRPCBehavior) func(fakes.Attempt) fakes.GRPCBehavior {
 	var done sync.Once
 	return func(fakes.Attempt) fakes.GRPCBehavior {
-		act := rest
-		done.Do(func() { act = first })
-		return act
+		behavior := rest
+		done.Do(func() { behavior = first })
+		return behavior
 	}
 }
 
-func always(act fakes.GRPCBehavior) func(fakes.Attempt) fakes.GRPCBehavior {
-	return func(fakes.Attempt) fakes.GRPCBehavior { return act }
+// always returns a Behavior that is the same for all attempts.
+func always(behavior fakes.GRPCBehavior) func(fakes.Attempt) fakes.GRPCBehavior {
+	return func(fakes.Attempt) fakes.GRPCBehavior { return behavior }
 }
 
 // await waits until ok returns true.
@@ -275,7 +285,7 @@
 	t.Helper()
 	for end := time.Now().Add(testkit.WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out after %v while waiting for %s", testkit.WaitTimeout, what)
 		}
 	}
 }
--- a/grpcproxy/frames_test.go
+++ b/grpcproxy/frames_test.go
@@ -28,10 +28,11 @@
 	headerBlock  bytes.Buffer
 	encoder      *hpack.Encoder
 	nextStreamID uint32
-	writeMu      sync.Mutex    // of writes, where end runs beside them
-	lastEnded    atomic.Uint32 // the last stream that end has seen ended by the other side
+	writeMu      sync.Mutex    // guards writes in tests that run readUntilEnd in a goroutine
+	lastEnded    atomic.Uint32 // last stream whose trailers readUntilEnd has read
 }
 
+// newRawClient connects a rawClient and writes the HTTP/2 preface and settings.
 func (r *fixture) newRawClient(t *testing.T) *rawClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.addr)
@@ -50,7 +51,8 @@
 	return w
 }
 
-// open opens a stream for a call, with more fields. The error is the connection's.
+// open writes the request headers of a call, with more as additional names and values, and returns the
+// ID of its stream.
 func (w *rawClient) open(c call, more ...string) (id uint32, err error) {
 	id = w.nextStreamID
 	w.nextStreamID += 2
@@ -77,7 +79,7 @@
 	return id, err
 }
 
-// ask makes a call and returns the last header's status, or how the stream ended.
+// do makes a call and returns how it ended, as readUntilEnd does.
 func (w *rawClient) do(c call, more ...string) string {
 	w.t.Helper()
 	id, err := w.open(c, more...)
@@ -90,7 +92,8 @@
 	return w.readUntilEnd(id)
 }
 
-// end reads until a stream ends.
+// readUntilEnd reads frames until a stream or the connection ends. It returns the grpc-status of the
+// stream as "status N", or a description of another end.
 func (w *rawClient) readUntilEnd(id uint32) string {
 	for {
 		f, err := w.framer.ReadFrame()
@@ -132,7 +135,8 @@
 	}
 }
 
-// Clients send timeouts of 0, negative, malformed and beyond any duration.
+// Clients send a grpc-timeout that is 0, negative, malformed or longer than any duration. Calls with an
+// invalid one must be rejected, and backends must never get more time than the class's deadline.
 func TestUnusualTimeouts(t *testing.T) {
 	r := newFixture(t, nil)
 	w := r.newRawClient(t)
@@ -141,59 +145,61 @@
 		"123456789S": "status 13", "5x": "status 13", "99999999H": "status 0", "99999999M": "status 0",
 		"5S": "status 0"} {
 		if got := w.do(r.call("Look"), "grpc-timeout", timeout); got != want {
-			t.Errorf("grpc-timeout %q: %s, want %s", timeout, got, want)
+			t.Errorf("grpc-timeout %q: got %s, want %s", timeout, got, want)
 		}
 	}
-	if got := w.do(r.call("Look")); got != "status 0" { // the class's
-		t.Errorf("without a deadline: %s", got)
+	if got := w.do(r.call("Look")); got != "status 0" { // the class's deadline is used
+		t.Errorf("without grpc-timeout: got %s, want status 0", got)
 	}
-	for _, a := range r.ledger.Attempts() { // the class's is 15 s
+	for _, a := range r.ledger.Attempts() { // the class's deadline is 15 s
 		if d, err := time.ParseDuration(a.Timeout[:len(a.Timeout)-1] +
 			map[byte]string{'u': "us", 'n': "ns", 'm': "ms", 'S': "s"}[a.Timeout[len(a.Timeout)-1]]); err != nil ||
 			d > 15*time.Second {
-			t.Errorf("a backend was given %q, %v", a.Timeout, err)
+			t.Errorf("a backend got the timeout %q (%v, %v), want at most 15 s", a.Timeout, d, err)
 		}
 	}
 	if n := len(r.ledger.Attempts()); n != 4 {
-		t.Errorf("%d attempts, want those of the four good deadlines", n)
+		t.Errorf("got %d attempts, want 4: three valid timeouts and a call without one", n)
 	}
 }
 
-// The timeout that a backend sees must be less than what the client gave.
+// The timeout that a backend receives must be shorter than the client's.
 func TestRemainingTimeoutIsForwarded(t *testing.T) {
 	r := newFixture(t, nil)
 	w := r.newRawClient(t)
 	if got := w.do(r.call("Look"), "grpc-timeout", "2S"); got != "status 0" {
-		t.Fatal(got)
+		t.Fatalf("got %s, want status 0", got)
 	}
 	got := r.ledger.Attempts()[0].Timeout
 	if d, err := time.ParseDuration(strings.TrimSuffix(got, "u") + "us"); err != nil || d >= 2*time.Second ||
 		d < time.Second {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("the backend got the timeout %q (%v, %v), want 1 s or more and less than 2 s", got, d, err)
 	}
 }
 
-// A call has metadata over the limit: it is rejected, and other calls on the connection go on.
+// A call has more metadata than the limit allows: it must be rejected, and other clients must still be
+// served.
 func TestHeaderListOverLimit(t *testing.T) {
 	r := newFixture(t, nil)
 	w := r.newRawClient(t)
 	if got := w.do(r.call("Look"), "x-much", strings.Repeat("m", 40<<10)); got == "status 0" {
-		t.Errorf("%s", got)
+		t.Errorf("metadata of 40 KiB: got %s, want an error", got)
 	}
 	if n := len(r.ledger.Attempts()); n != 0 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("the backends received %d attempts, want 0", n)
 	}
 	if res := r.do(r.call("Look")); res.st.Code() != codes.OK {
-		t.Errorf("another client: %v", res.st)
+		t.Errorf("another client: got %v, want %v", res.st, codes.OK)
 	}
 }
 
-// A client floods the server with pings: its connection is closed, and others do not notice.
+// A client floods the server with pings: its connection must be closed, and other clients must still be
+// served.
 func TestPingFlood(t *testing.T) {
 	r := newFixture(t, nil)
 	w := r.newRawClient(t)
 	if got := w.do(r.call("Look")); got != "status 0" {
-		t.Fatal(got)
+		t.Fatalf("got %s, want status 0", got)
 	}
 	go func() {
 		for range 100_000 {
@@ -206,16 +212,16 @@
 		}
 	}()
 	if got := w.readUntilEnd(99); !strings.HasPrefix(got, "goaway ENHANCE_YOUR_CALM") {
-		t.Errorf("the flooder: %s", got)
+		t.Errorf("the flooding client's connection: got %s, want goaway ENHANCE_YOUR_CALM", got)
 	}
 	if res := r.do(r.call("Look")); res.st.Code() != codes.OK {
-		t.Errorf("another client: %v", res.st)
+		t.Errorf("another client: got %v, want %v", res.st, codes.OK)
 	}
 }
 
-// A client opens calls and cancels them in a loop (CVE-2023-44487). The work must stay bounded: no
-// more attempts are open than the client may have streams, no effect happens twice, and another
-// client is served.
+// A client opens calls and resets them in a loop (HTTP/2 rapid reset, CVE-2023-44487). The number of open
+// requests must stay bounded by the client's stream limit, no effect may happen twice, and other clients
+// must be served.
 func TestRapidReset(t *testing.T) {
 	r := newFixture(t, func(o *options) {
 		o.behavior = func(a fakes.Attempt) fakes.GRPCBehavior {
@@ -240,8 +246,9 @@
 			err = w.framer.WriteData(id, true, frame(c.text))
 		}
 		w.writeMu.Unlock()
-		if err == nil && i%10 == 0 { // it has become an attempt; the others are mostly gone before they are looked at
-			await(t, "an attempt, or a refusal", func() bool {
+		// Every tenth call is reset only after it has become an attempt. Most others are reset before they do.
+		if err == nil && i%10 == 0 {
+			await(t, "an attempt or a rejection", func() bool {
 				return len(r.ledger.ForRequest(c.id)) > 0 ||
 					w.lastEnded.Load() == id
 			})
@@ -257,24 +264,25 @@
 		}
 		if i%100 == 0 {
 			if res := r.do(r.call("Look")); res.st.Code() != codes.OK {
-				t.Errorf("another client: %v", res.st)
+				t.Errorf("another client, after %d calls: got %v, want %v", i, res.st, codes.OK)
 			}
 		}
 		most = max(most, r.gateway.OpenRequests())
 	}
-	await(t, "the end of all that was open", func() bool { return r.gateway.OpenRequests() == 0 })
+	await(t, "the end of all open requests", func() bool { return r.gateway.OpenRequests() == 0 })
 	w.conn.Close()
 	reading.Wait()
-	if most == 0 || most > 2*20+2 { // twice, as one that is called off is open until its attempt has ended
-		t.Errorf("%d calls of it were open at once", most)
+	// A cancelled request stays open until its attempt has ended, so twice the stream limit may be open.
+	if most == 0 || most > 2*20+2 {
+		t.Errorf("%d requests were open at once, want 1 to %d", most, 2*20+2)
 	}
-	if doubled := r.ledger.RepeatedEffects(); len(doubled) > 0 {
-		t.Errorf("effects twice: %v", doubled)
+	if repeated := r.ledger.RepeatedEffects(); len(repeated) > 0 {
+		t.Errorf("repeated effects: got %v, want none", repeated)
 	}
 	t.Logf("%d calls, %d attempts, at most %d open", n, len(r.ledger.Attempts()), most)
 }
 
-// A connection without HTTP/2 is closed.
+// A connection on which the client does not speak HTTP/2 must be closed.
 func TestClientWithoutHTTP2(t *testing.T) {
 	r := newFixture(t, nil)
 	conn, err := net.Dial("tcp", r.addr)
@@ -285,6 +293,6 @@
 	io.WriteString(conn, "GET /shop.Desk/Look HTTP/1.1\r\nHost: desk\r\n\r\n")
 	testkit.ReadUntilClosed(t, conn)
 	if res := r.do(r.call("Look")); res.st.Code() != codes.OK {
-		t.Errorf("another client: %v", res.st)
+		t.Errorf("another client: got %v, want %v", res.st, codes.OK)
 	}
 }
--- a/grpcproxy/host_test.go
+++ b/grpcproxy/host_test.go
@@ -20,12 +20,13 @@
 	"pumicecroft/internal/grpctransport"
 )
 
-// known is an earlier interceptor of the host, which authenticates the client.
+// authenticate is an interceptor of the host that sets the client's identity.
 func authenticate(_ any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) error {
 	ctx := pumicecroft.WithIdentity(ss.Context(), pumicecroft.Identity{Customer: 9, Plan: "shop"})
 	return next(nil, streamWithIdentity{ss, ctx})
 }
 
+// streamWithIdentity is a ServerStream with another context.
 type streamWithIdentity struct {
 	grpc.ServerStream
 	ctx context.Context
@@ -33,59 +34,63 @@
 
 func (i streamWithIdentity) Context() context.Context { return i.ctx }
 
-// In a host's own server the proxy takes its methods, by its interceptor or as the handler of
-// unknown services, and the host's services work beside it, with messages of their own.
+// In a host's own server the proxy must serve its methods, by its interceptor or as the handler for
+// unknown services. The host's own services must still work, with decoded messages.
 func TestProxyInHostServer(t *testing.T) {
-	own := func(o ...grpc.ServerOption) *grpc.Server {
+	newHostServer := func(o ...grpc.ServerOption) *grpc.Server {
 		s := grpc.NewServer(append(o, grpc.ForceServerCodecV2(Codec()))...)
 		h := health.NewServer()
 		h.SetServingStatus("mine", healthpb.HealthCheckResponse_SERVING)
 		healthpb.RegisterHealthServer(s, h)
 		return s
 	}
-	nothing := func(_ any, _ grpc.ServerStream) error { return status.Error(codes.DataLoss, "the host's own answer") }
+	unknownHandler := func(_ any, _ grpc.ServerStream) error {
+		return status.Error(codes.DataLoss, "the host's handler for unknown services")
+	}
 	for name, c := range map[string]struct {
-		server  func(f *Proxy) *grpc.Server
-		unknown codes.Code // of a method that nobody has
-		nobody  codes.Code // of a call that does not say who asks
+		server     func(p *Proxy) *grpc.Server
+		unknown    codes.Code // for a method that neither the proxy nor the host has
+		noIdentity codes.Code // for a call without a customer in its metadata
 	}{
-		"interceptor": {func(f *Proxy) *grpc.Server {
-			return own(grpc.ChainStreamInterceptor(authenticate, f.Interceptor()), grpc.UnknownServiceHandler(nothing))
+		"interceptor": {func(p *Proxy) *grpc.Server {
+			return newHostServer(grpc.ChainStreamInterceptor(authenticate, p.Interceptor()),
+				grpc.UnknownServiceHandler(unknownHandler))
 		}, codes.DataLoss, codes.OK},
-		"handler": {func(f *Proxy) *grpc.Server { return own(grpc.UnknownServiceHandler(f.Handle)) },
+		"handler": {func(p *Proxy) *grpc.Server { return newHostServer(grpc.UnknownServiceHandler(p.Handle)) },
 			codes.Unimplemented, codes.InvalidArgument},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newFixture(t, func(o *options) { o.newServer = c.server })
 			k := r.call("Pay")
 			if res := r.do(k); res.st.Code() != codes.OK || res.text != "done "+k.id {
-				t.Errorf("%v %q", res.st, res.text)
+				t.Errorf("unary call: got %v, message %q, want %q", res.st, res.text, "done "+k.id)
 			}
 			if res := r.doStreaming(r.call("Watch"), nil); res.st.Code() != codes.OK || len(res.texts) != 1 {
-				t.Errorf("%v %q", res.st, res.texts)
+				t.Errorf("streaming call: got %v, messages %q, want one message", res.st, res.texts)
 			}
 			k = r.call("Nap")
 			if res := r.do(k); res.st.Code() != c.unknown {
-				t.Errorf("a method that nobody has: %v", res.st)
+				t.Errorf("unknown method: got %v, want %v", res.st, c.unknown)
 			}
 			k = r.call("Look")
 			k.md.Delete("x-api-key")
-			if res := r.do(k); res.st.Code() != c.nobody {
-				t.Errorf("without a customer: %v", res.st)
+			if res := r.do(k); res.st.Code() != c.noIdentity {
+				t.Errorf("call without a customer: got %v, want %v", res.st, c.noIdentity)
 			}
-			mine, err := healthpb.NewHealthClient(r.client).Check(t.Context(),
+			check, err := healthpb.NewHealthClient(r.client).Check(t.Context(),
 				&healthpb.HealthCheckRequest{Service: "mine"}, grpc.ForceCodecV2(Codec()))
-			if err != nil || mine.Status != healthpb.HealthCheckResponse_SERVING {
-				t.Errorf("the host's own service: %v, %v", mine, err)
+			if err != nil || check.Status != healthpb.HealthCheckResponse_SERVING {
+				t.Errorf("the host's health service: got %v, %v; want %v", check, err,
+					healthpb.HealthCheckResponse_SERVING)
 			}
 		})
 	}
 }
 
-// Each error of the Gateway has a status and a pushback that do not make clients retry what may
-// have run.
+// Each error of the Gateway must have its status and pushback, by which clients do not retry a call that
+// may have been executed.
 func TestStatusFor(t *testing.T) {
-	answer := func(code grpcproto.Code, message string) *grpctransport.Response {
+	response := func(code grpcproto.Code, message string) *grpctransport.Response {
 		return &grpctransport.Response{Code: code, Message: message,
 			Trailer: []grpctransport.Field{{Name: "x-more", Value: "1"},
 				{Name: "grpc-encoding", Value: "gzip"}, {Name: "grpc-status-details-bin", Value: "CA0="}}}
@@ -96,62 +101,64 @@
 		effect   decision.Idempotency
 		code     codes.Code
 		pushback string
-		message  string // part of it
+		message  string // a part of the status message
 	}{
-		"refused": {&pumicecroft.RejectedError{RetryAfter: 1500 * time.Microsecond}, nil,
+		"rejected": {&pumicecroft.RejectedError{RetryAfter: 1500 * time.Microsecond}, nil,
 			decision.IdempotentByKey, codes.ResourceExhausted, "2", "rejected"},
-		"refused without advice": {&pumicecroft.RejectedError{}, nil, decision.IdempotentByKey,
+		"rejected without retry time": {&pumicecroft.RejectedError{}, nil, decision.IdempotentByKey,
 			codes.ResourceExhausted, "", "rejected"},
-		"refused after an error": {&pumicecroft.RejectedError{RetryAfter: time.Second},
-			answer(13, "disk%20full"), decision.Idempotent, codes.ResourceExhausted, "1000", "status 13: disk full"},
+		"rejected after an error": {&pumicecroft.RejectedError{RetryAfter: time.Second},
+			response(13, "disk%20full"), decision.Idempotent, codes.ResourceExhausted, "1000", "status 13: disk full"},
 		"closed": {pumicecroft.ErrClosed, nil, decision.IdempotentByKey, codes.Unavailable, "",
 			"closed"},
-		"full": {pumicecroft.ErrTooManyRequests, nil, decision.IdempotentByKey,
+		"too many requests": {pumicecroft.ErrTooManyRequests, nil, decision.IdempotentByKey,
 			codes.Unavailable, "", "open"},
-		"too long": {pumicecroft.ErrBodyTooLarge, nil, decision.IdempotentByKey,
+		"message too large": {pumicecroft.ErrBodyTooLarge, nil, decision.IdempotentByKey,
 			codes.ResourceExhausted, "-1", ""},
-		"makes no sense": {pumicecroft.ErrDuplicateID, nil, decision.IdempotentByKey,
+		"duplicate ID": {pumicecroft.ErrDuplicateID, nil, decision.IdempotentByKey,
 			codes.InvalidArgument, "-1", "open"},
 		"replayed": {pumicecroft.ErrReplayed, nil, decision.IdempotentByKey, codes.AlreadyExists,
 			"-1", "executed already"},
-		"late": {pumicecroft.ErrDeadlineExceeded, nil, decision.Idempotent,
+		"deadline exceeded": {pumicecroft.ErrDeadlineExceeded, nil, decision.Idempotent,
 			codes.DeadlineExceeded, "-1", "deadline exceeded"},
-		"left": {fmt.Errorf("left: %w", context.Canceled), nil, decision.Idempotent,
-			codes.Canceled, "-1", "left"},
+		"cancelled": {fmt.Errorf("disconnected: %w", context.Canceled), nil, decision.Idempotent,
+			codes.Canceled, "-1", "disconnected"},
 		"failed": {pumicecroft.ErrFailed, nil, decision.NonIdempotent, codes.Unknown, "-1",
 			"failed"},
 		"aborted": {pumicecroft.ErrAborted, nil, decision.NonIdempotent, codes.Unknown, "-1",
 			"closed"},
-		"anything else": {errors.New("odd"), nil, decision.NonIdempotent, codes.Unknown, "-1", "odd"},
-		"failed by an error": {pumicecroft.ErrFailed, answer(2, "50%25 done, %zz"), decision.NonIdempotent,
+		"other error": {errors.New("odd"), nil, decision.NonIdempotent, codes.Unknown, "-1", "odd"},
+		"failed with a backend's error": {pumicecroft.ErrFailed, response(2, "50%25 done, %zz"), decision.NonIdempotent,
 			codes.Unknown, "-1", "50% done, %zz"},
-		"failed by one that is tried": {pumicecroft.ErrFailed, answer(14, "away"), decision.IdempotentByKey,
-			codes.Unknown, "-1", "away"},
-		"the same of a safe one": {pumicecroft.ErrFailed, answer(14, "away"), decision.Idempotent,
-			codes.Unavailable, "-1", "away"},
+		"failed with an error that clients retry, idempotent by key": {pumicecroft.ErrFailed, response(14, "away"),
+			decision.IdempotentByKey, codes.Unknown, "-1", "away"},
+		"failed with an error that clients retry, idempotent": {pumicecroft.ErrFailed, response(14, "away"),
+			decision.Idempotent, codes.Unavailable, "-1", "away"},
 	} {
 		st, md := statusFor(c.err, c.reply, c.effect)
 		if st.Code() != c.code || strings.Join(md[PushbackTrailer], ",") != c.pushback ||
 			!strings.Contains(st.Message(), c.message) {
-			t.Errorf("%s: %v, pushback %q", name, st, md[PushbackTrailer])
+			t.Errorf("%s: got %v, pushback %q; want %v with %q in its message, pushback %q", name, st,
+				md[PushbackTrailer], c.code, c.message, c.pushback)
 		}
 		if c.effect != decision.Idempotent && c.pushback == "-1" && clientsRetry(st.Code()) &&
 			!errors.Is(c.err, pumicecroft.ErrBodyTooLarge) && !errors.Is(c.err, pumicecroft.ErrDeadlineExceeded) {
-			t.Errorf("%s: clients make it again by %v", name, st.Code())
+			t.Errorf("%s: got %v, which clients retry although the call may have been executed", name, st.Code())
 		}
 		if c.reply != nil && !errors.Is(c.err, pumicecroft.ErrRejected) {
 			if md["grpc-encoding"] != nil || len(md["x-more"]) != 1 ||
 				(md["grpc-status-details-bin"] == nil) != (uint32(st.Code()) != uint32(c.reply.Code)) {
-				t.Errorf("%s: trailers %q", name, md)
+				t.Errorf("%s: got trailers %q, want x-more, and grpc-status-details-bin only with the backend's status",
+					name, md)
 			}
 		}
 	}
 }
 
-// An invalid configuration is an error that says why.
+// An invalid configuration must be rejected with an error that gives the reason.
 func TestInvalidConfig(t *testing.T) {
-	set := deskSettings()
-	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: set}, WithBackends(BackendConfig{}))
+	settings := deskSettings()
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: settings}, WithBackends(BackendConfig{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,20 +169,20 @@
 	}{
 		"no methods":    {Config{}, "no methods"},
 		"unknown class": {Config{Methods: map[string]Method{"/a.B/C": {Class: "nap"}}}, `"nap"`},
-		"no method":     {Config{Methods: map[string]Method{"a.B/C": {Class: "look"}}}, `"a.B/C" is no method`},
+		"not a method":  {Config{Methods: map[string]Method{"a.B/C": {Class: "look"}}}, `"a.B/C" is no method`},
 		"wildcard":      {Config{Methods: map[string]Method{"/a.*/C": {Class: "look"}}}, `"/a.*/C" is no method`},
-		"a name twice": {Config{Methods: deskMethods, Names: MetadataNames{Customer: "x", Plan: "x"}},
+		"repeated name": {Config{Methods: deskMethods, Names: MetadataNames{Customer: "x", Plan: "x"}},
 			`"x" is used twice`},
-		"gRPC's name": {Config{Methods: deskMethods, Names: MetadataNames{Customer: "grpc-status"}}, `"grpc-status"`},
-		"below 0":     {Config{Methods: deskMethods, MaxMessageBytes: -1}, "negative"},
+		"reserved name":  {Config{Methods: deskMethods, Names: MetadataNames{Customer: "grpc-status"}}, `"grpc-status"`},
+		"negative limit": {Config{Methods: deskMethods, MaxMessageBytes: -1}, "negative"},
 	} {
 		if _, err := New(gateway, c.config); !errors.Is(err, pumicecroft.ErrConfig) ||
 			!strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want %v with %s", name, err, pumicecroft.ErrConfig, c.want)
 		}
 	}
-	if _, err := pumicecroft.New(pumicecroft.Config{Settings: set, Protocol: "grpc"}); !errors.Is(err,
+	if _, err := pumicecroft.New(pumicecroft.Config{Settings: settings, Protocol: "grpc"}); !errors.Is(err,
 		pumicecroft.ErrConfig) {
-		t.Errorf("a protocol that nothing speaks: %v", err)
+		t.Errorf("a protocol without a transport: got error %v, want %v", err, pumicecroft.ErrConfig)
 	}
 }
--- a/grpcproxy/memory_test.go
+++ b/grpcproxy/memory_test.go
@@ -24,9 +24,9 @@
 	"pumicecroft/membership"
 )
 
-// runAsGateway names the variable that makes the test's binary a gateway, for the backend at the
-// address that it holds.
-const gatewayModeEnv = "PUMICECROFT_GRPC_DOOR"
+// gatewayModeEnv is the environment variable that makes the test binary run as a gateway. Its value is
+// the address of the backend.
+const gatewayModeEnv = "PUMICECROFT_GRPC_GATEWAY"
 
 func TestMain(m *testing.M) {
 	if addr := os.Getenv(gatewayModeEnv); addr != "" {
@@ -39,7 +39,7 @@
 	os.Exit(m.Run())
 }
 
-// longSettings are settings by which calls may be open for an hour.
+// longSettings returns settings that allow calls to be open for an hour.
 func longSettings() decision.Settings {
 	s := deskSettings()
 	for i := range s.Classes {
@@ -48,12 +48,12 @@
 	return s
 }
 
-// serveGateway serves gRPC until SIGTERM.
+// serveGateway runs a gateway for one backend until SIGTERM. It prints its address to standard output.
 func serveGateway(backend string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	set := longSettings()
-	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: set, MaxOpenRequests: 1 << 15,
+	settings := longSettings()
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: settings, MaxOpenRequests: 1 << 15,
 		InitialEndpoints: membership.Update{Nodes: []membership.Node{
 			{Name: "one", Addr: backend, Protocol: membership.ProtocolGRPC}}}},
 		WithBackends(BackendConfig{MaxConnsPerBackend: 20, MaxStreamsPerConn: 1000,
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	front, err := New(gateway, Config{Methods: deskMethods})
+	proxy, err := New(gateway, Config{Methods: deskMethods})
 	if err != nil {
 		return err
 	}
@@ -71,21 +71,21 @@
 	}
 	fmt.Println(ln.Addr())
 	ended := make(chan error, 1)
-	go func() { ended <- front.Serve(ctx, ln) }()
+	go func() { ended <- proxy.Serve(ctx, ln) }()
 	select {
 	case err := <-ended:
 		return err
-	case <-ctx.Done(): // what is open need not end
+	case <-ctx.Done(): // open calls need not end first
 		return nil
 	}
 }
 
-// residentBytes returns a process's resident memory, in KiB.
+// residentKiB returns a process's resident memory, in KiB.
 func residentKiB(t testing.TB, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		t.Skip("it needs /proc")
+		t.Skip("needs /proc")
 	}
 	for line := range strings.Lines(string(text)) {
 		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
@@ -96,16 +96,16 @@
 			return n
 		}
 	}
-	t.Fatal("no VmRSS")
+	t.Fatalf("/proc/%d/status has no line VmRSS", pid)
 	return 0
 }
 
-// memoryPerStream opens n streams over ten connections at a gateway in a process of its own, reads
-// one message of each, and returns how much its memory grew, in KiB for each, once it no longer
-// grows.
-func memoryPerStream(t testing.TB, act fakes.GRPCBehavior, n int) float64 {
+// memoryPerStream starts a gateway in a process of its own, opens n streams to it over ten connections
+// and reads one message of each. It returns the growth of the process's memory for each stream, in KiB,
+// once the memory has stopped growing.
+func memoryPerStream(t testing.TB, behavior fakes.GRPCBehavior, n int) float64 {
 	t.Helper()
-	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Behavior: always(act),
+	backend, err := fakes.StartGRPC(fakes.GRPCConfig{Name: "one", Ledger: &fakes.Ledger{}, Behavior: always(behavior),
 		MaxStreams: 1000})
 	if err != nil {
 		t.Fatal(err)
@@ -133,11 +133,11 @@
 		conns = append(conns, c)
 		k := r.call("Look")
 		k.timeout = 50 * time.Millisecond
-		k.invoke(context.Background(), c) // so that it is connected
+		k.invoke(context.Background(), c) // the first call establishes the connection
 	}
 	before := residentKiB(t, gateway.Process.Pid)
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
+	ctx, cancelAll := context.WithCancel(context.Background())
+	defer cancelAll()
 	first := make(chan error, n)
 	open := make(chan bool, 50)
 	for i := range n {
@@ -145,8 +145,8 @@
 		go func() {
 			k := r.call("Watch")
 			k.timeout = time.Hour
-			cctx, cancel := k.context(ctx)
-			s, err := conns[i%len(conns)].NewStream(cctx, serverStreamDesc, k.method)
+			callCtx, cancel := k.context(ctx)
+			s, err := conns[i%len(conns)].NewStream(callCtx, serverStreamDesc, k.method)
 			if err == nil {
 				if err = errors.Join(s.SendMsg(frame(k.text)), s.CloseSend()); err == nil {
 					var m framedMessage
@@ -165,7 +165,7 @@
 		}
 	}
 	last := 0
-	// by more than 1% in a second
+	// Wait until the memory grows by at most 1% in a second.
 	for now := residentKiB(t, gateway.Process.Pid); now > last+last/100; now = residentKiB(t, gateway.Process.Pid) {
 		last = now
 		time.Sleep(time.Second)
@@ -173,18 +173,18 @@
 	return float64(residentKiB(t, gateway.Process.Pid)-before) / float64(n)
 }
 
-// Clients hold many streams open that are slow or idle: each must cost the gateway bounded memory.
+// Each stream whose client does not read must cost the gateway a bounded amount of memory.
 func TestMemoryOfSlowStreams(t *testing.T) {
 	if raceEnabled {
-		t.Skip("the race detector's own memory counts too")
+		t.Skip("the memory of the race detector would count too")
 	}
 	if got := memoryPerStream(t, fakes.GRPCEndless, 100); got > 512 {
-		t.Errorf("%.0f KiB for each stream of a client that does not read", got)
+		t.Errorf("got %.0f KiB for each stream of a client that does not read, want at most 512", got)
 	}
 }
 
-// BenchmarkMemory reports what each of 10,000 idle streams, and each of 1,000 streams whose clients
-// do not read, costs a gateway, in KiB of its process.
+// BenchmarkMemory reports the memory of a gateway's process, in KiB, for each of 10,000 idle streams and
+// for each of 1,000 streams whose clients do not read.
 //
 //	go test -run xxx -bench Memory -benchtime 1x ./grpcproxy
 func BenchmarkMemory(b *testing.B) {
--- a/grpcproxy/message.go
+++ b/grpcproxy/message.go
@@ -15,27 +15,27 @@
 	"pumicecroft/internal/grpctransport"
 )
 
-// framedMessage is a message with its prefix, as it is on the wire. See Codec.
+// framedMessage is a message with its length prefix, as it is sent on the wire. Codec leaves it encoded.
 type framedMessage []byte
 
-// errClientStreaming rejects calls whose clients stream.
+// errClientStreaming rejects calls in which the client sends more than one message.
 var errClientStreaming = fmt.Errorf("%w: a second message: only unary and server-streaming calls are carried",
 	pumicecroft.ErrBadRequest)
 
-// receivedMessage is what receiveMessages has received.
+// receivedMessage is the result of receiveMessages.
 type receivedMessage struct {
 	message framedMessage
 	err     error
 }
 
-// receiveMessage receives a call's one message within Config.ReadTimeout. A client that sends
-// another, or does not half-close, is rejected; but of a streaming method the first message is
-// enough, as clients of a bidirectional method wait for the response before they half-close. A
-// second message ends the call by cancel then.
+// receiveMessage receives the request message of a call within Config.ReadTimeout. A call of a unary
+// method is rejected if the client sends a second message or does not half-close. A streaming method
+// needs only the first message, as clients of bidirectional methods wait for the response before they
+// half-close. There, a second message cancels the call by cancel.
 func (p *Proxy) receiveMessage(stream grpc.ServerStream, streaming bool,
 	cancel context.CancelCauseFunc) (framedMessage, error) {
 	received := make(chan receivedMessage, 1)
-	go receiveMessages(stream, streaming, received, cancel) // it ends with the call at the latest
+	go receiveMessages(stream, streaming, received, cancel) // returns when the call ends at the latest
 	timeout := time.NewTimer(p.config.ReadTimeout)
 	defer timeout.Stop()
 	select {
@@ -47,7 +47,7 @@
 	}
 }
 
-// receiveMessages receives until the client half-closes, or a second message.
+// receiveMessages receives messages until the client half-closes or sends a second message.
 func receiveMessages(stream grpc.ServerStream, streaming bool, received chan<- receivedMessage,
 	cancel context.CancelCauseFunc) {
 	var first, second framedMessage
@@ -76,14 +76,14 @@
 	received <- receivedMessage{first, err}
 }
 
-// receiveError converts an error of RecvMsg.
+// receiveError converts an error of RecvMsg to an error of the root package.
 func receiveError(stream grpc.ServerStream, err error) error {
 	st, ok := status.FromError(err)
 	if err == nil || !ok {
 		return err
 	}
 	switch st.Code() {
-	case codes.ResourceExhausted: // over Config.MaxMessageBytes
+	case codes.ResourceExhausted: // the message is larger than Config.MaxMessageBytes
 		return fmt.Errorf("%w: %s", pumicecroft.ErrBodyTooLarge, st.Message())
 	case codes.Canceled, codes.DeadlineExceeded:
 		return fmt.Errorf("grpcproxy: client disconnected: %w", context.Cause(stream.Context()))
@@ -92,15 +92,15 @@
 }
 
 // responseSink streams a response to the client. SendMsg blocks while the client does not read and
-// can't be cancelled, so a goroutine of its own calls it, which ends with the call.
+// cannot be cancelled, so it is called in a goroutine of its own. That goroutine ends with the call.
 type responseSink struct {
 	stream   grpc.ServerStream
 	started  bool
 	messages chan framedMessage
-	results  chan error // of SendMsg, one for each message
+	results  chan error // results of SendMsg, one for each message
 }
 
-// WriteHeader begins the response.
+// WriteHeader sets the response headers and starts the goroutine that sends messages.
 func (s *responseSink) WriteHeader(fields []grpctransport.Field) {
 	s.started = true
 	s.messages, s.results = make(chan framedMessage), make(chan error, 1)
@@ -115,7 +115,7 @@
 	}()
 }
 
-// WriteMessage sends a message. It blocks until the connection has taken it, or ctx ends.
+// WriteMessage sends a message. It blocks until the connection has accepted it or ctx ends.
 func (s *responseSink) WriteMessage(ctx context.Context, message []byte) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -129,7 +129,7 @@
 	}
 }
 
-// close ends the goroutine that sends.
+// close stops the goroutine that sends messages.
 func (s *responseSink) close() {
 	if s.started {
 		close(s.messages)
--- a/grpcproxy/metadata.go
+++ b/grpcproxy/metadata.go
@@ -9,7 +9,7 @@
 	"pumicecroft/internal/grpctransport"
 )
 
-// hopByHop reports whether metadata is meant for the next neighbour alone, and so not forwarded.
+// isHopByHop reports whether metadata applies to a single hop only, and so must not be forwarded.
 func isHopByHop(name string) bool {
 	switch name {
 	case "content-type", "user-agent", "te", "host", "connection", "proxy-connection", "keep-alive",
@@ -21,10 +21,10 @@
 	return strings.HasPrefix(name, ":") || strings.HasPrefix(name, "grpc-")
 }
 
-// binarySuffix ends the names of metadata with binary values, which are sent in base64.
+// binarySuffix ends the names of metadata with binary values, which are base64-encoded on the wire.
 const binarySuffix = "-bin"
 
-// toMetadata converts a backend's fields to metadata, without hop-by-hop ones.
+// toMetadata converts fields from a backend to metadata for the client, without hop-by-hop fields.
 func toMetadata(fields []grpctransport.Field) metadata.MD {
 	md := metadata.MD{}
 	for _, f := range fields {
@@ -35,7 +35,7 @@
 			md.Append(f.Name, f.Value)
 			continue
 		}
-		for value := range strings.SplitSeq(f.Value, ",") { // several values may come in one field
+		for value := range strings.SplitSeq(f.Value, ",") { // a field may hold several values
 			if data, err := base64.RawStdEncoding.DecodeString(strings.TrimRight(value, "=")); err == nil {
 				md.Append(f.Name, string(data))
 			}
@@ -44,7 +44,7 @@
 	return md
 }
 
-// toFields converts a call's metadata to the fields for backends, without hop-by-hop ones.
+// toFields converts metadata from the client to fields for the backend, without hop-by-hop metadata.
 func toFields(md metadata.MD) []grpctransport.Field {
 	fields := make([]grpctransport.Field, 0, len(md)+1)
 	for name, values := range md {
--- a/grpcproxy/proxy.go
+++ b/grpcproxy/proxy.go
@@ -1,16 +1,22 @@
-// Package grpcproxy is the reverse proxy for gRPC: a Gateway takes unary and server-streaming calls
-// and makes its attempts at backends that speak gRPC, by the same decisions and out of the same
-// quotas as its requests over HTTP. It knows no message types: any service is carried, by the names
-// of its methods.
+// Package grpcproxy is a reverse proxy for unary and server-streaming gRPC calls. It passes calls
+// through a Gateway, which sends their attempts to backends that speak gRPC, with the same decisions
+// and the same quotas as for requests over HTTP. The proxy does not decode messages, so it can forward
+// the calls of any service; it is configured with the names of the methods.
 //
-// WithBackends, an option of the Gateway, is how attempts are made. A Proxy answers calls: as the
-// handler of unknown services or as an interceptor in a host's own grpc.Server, or by Serve in a
-// server of its own. There is no translation between HTTP and gRPC: a call goes to backends that
-// speak gRPC alone.
+// WithBackends is the option that lets a Gateway send attempts to gRPC backends. A Proxy serves the
+// calls of clients: as the handler for unknown services or as an interceptor in the host program's own
+// grpc.Server, or by Serve in a server of its own. The proxy does not translate between HTTP and gRPC:
+// gRPC calls go to gRPC backends only.
 //
-// The files: proxy.go has the configuration, request.go reads a call's metadata, serve.go carries
-// one call, status.go has what clients are told, metadata.go converts metadata, server.go is a server
-// with its limits. The package decides nothing about calls, and holds no state but grpc's.
+// The package makes no decisions about calls, and keeps no state between them. Its files:
+//
+//   - proxy.go: the configuration
+//   - request.go: reading a call's metadata
+//   - serve.go: the handling of one call
+//   - message.go: receiving and sending messages
+//   - status.go: the statuses that clients receive
+//   - metadata.go: the conversion of metadata
+//   - server.go: the codec, and a server with its limits
 package grpcproxy
 
 import (
@@ -31,32 +37,32 @@
 	"pumicecroft/membership"
 )
 
-// BackendConfig says how backends are reached over gRPC. A zero field takes its default.
+// BackendConfig configures the connections to backends. A zero field takes its default.
 type BackendConfig struct {
-	// MaxConnsPerBackend limits the connections to one backend. As many again may be draining.
-	// Default 2.
+	// MaxConnsPerBackend limits the connections to one backend. Connections that are draining do not
+	// count, but with them there are at most twice as many. Default 2.
 	MaxConnsPerBackend int
-	// MaxStreamsPerConn limits the calls on one connection, in addition to the backend's own limit.
-	// Default 100.
+	// MaxStreamsPerConn limits the concurrent calls on one connection, in addition to the backend's
+	// own limit. Default 100.
 	MaxStreamsPerConn int
-	// ConnectTimeout limits connecting. Default 250 ms.
+	// ConnectTimeout limits the time to open a connection. Default 250 ms.
 	ConnectTimeout time.Duration
-	// IdleTimeout is the time after which a backend may close an idle connection. A connection is
-	// not used any more when it has been idle for 60% of it. Default 15 s.
+	// IdleTimeout is the time after which a backend may close an idle connection. A connection that
+	// has been idle for 60% of it is not used any more. Default 15 s.
 	IdleTimeout time.Duration
-	// MaxMessageBytes limits a message of a response. Default 4 MiB.
+	// MaxMessageBytes limits each message of a response. Default 4 MiB.
 	MaxMessageBytes int
-	// LoadReportFields are the names of the load figures, where backends report their load in the
-	// metadata "server-load". None means that they don't.
+	// LoadReportFields are the names of the fields in the load reports that backends send in the
+	// metadata "server-load". Empty means that backends do not report their load.
 	LoadReportFields []string
-	// Log receives failed attempts at level debug. nil discards them.
+	// Log receives failed attempts at debug level. nil discards them.
 	Log *slog.Logger
 	// Dial opens connections. nil means a net.Dialer without keep-alive probes.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// WithBackends lets a Gateway reach backends that speak gRPC. An attempt is sent once and never
-// retried below the Gateway.
+// WithBackends lets a Gateway send attempts to backends that speak gRPC. Each attempt is sent once;
+// only the Gateway retries.
 func WithBackends(c BackendConfig) pumicecroft.Option {
 	transport := grpctransport.New(grpctransport.Config{
 		MaxConnsPerBackend: c.MaxConnsPerBackend,
@@ -71,24 +77,24 @@
 	return pumicecroft.WithProtocol(membership.ProtocolGRPC, transport)
 }
 
-// Method says how calls of a method are carried.
+// Method configures how calls of a method are handled.
 type Method struct {
-	Class     string // the request class, of the Gateway's settings
+	Class     string // the request class, one of those in the Gateway's settings
 	Streaming bool   // the method is server-streaming, or bidirectional with a single request message
 }
 
-// MetadataNames are the names of the metadata by which calls describe themselves. Metadata whose
-// name is empty is not read.
+// MetadataNames are the names of the metadata from which the proxy reads the properties of a call. The
+// comments give the format of the values. Metadata with an empty name is not read.
 type MetadataNames struct {
-	Customer       string // 16 hex digits, or any text: see Config.CustomerText
-	Plan           string
-	Cost           string // a number
-	ID             string // 16 hex digits, new in each retry; it is generated for a call without one, and sent to backends
-	IdempotencyKey string
-	Terms          string // cost and gateways as the platform writes them: "units=2,spread=3,first=1"
+	Customer       string // 16 hex digits, or any text if Config.CustomerText is set
+	Plan           string // name of a plan
+	Cost           string // a positive number
+	ID             string // 16 hex digits, new for each retry; generated and sent to the backend if missing
+	IdempotencyKey string // any text
+	Terms          string // cost and gateways in the platform's format: "units=2,spread=3,first=1"
 }
 
-// PlatformNames are the names of the platform's own headers.
+// PlatformNames are the metadata names that the platform's clients use.
 var PlatformNames = MetadataNames{
 	Customer:       "x-api-key",
 	Plan:           "x-tier",
@@ -99,29 +105,31 @@
 
 // Config configures a Proxy. A zero field takes its default.
 type Config struct {
-	// Methods are the methods that are carried, by full names such as "/shop.Desk/Activate".
-	// "/shop.Desk/*" stands for all methods of a service that are not named. It is required.
+	// Methods maps the full names of the proxied methods, such as "/shop.Desk/Activate", to their
+	// configuration. "/shop.Desk/*" matches all methods of a service that have no entry of their own.
+	// It must not be empty.
 	Methods map[string]Method
-	// Names are the names of metadata. Default PlatformNames, if all of them are empty.
+	// Names are the metadata names to read. If all are empty, PlatformNames is used.
 	Names MetadataNames
-	// Strict requires what the platform's clients send: an ID, a deadline, the terms if they have a
-	// name, and an idempotency key only if the class is not idempotent. Otherwise an ID is
-	// generated, the class's deadline holds, and a call costs 1 and may use all gateways.
+	// Strict requires calls to have what the platform's clients send: an ID, a deadline, the terms if
+	// Names.Terms is set, and no idempotency key if the class is idempotent. If Strict is not set, an
+	// ID is generated for a call without one, the class's deadline replaces a missing one, and a call
+	// without cost or terms costs 1 and may use all gateways.
 	Strict bool
-	// CustomerText takes any text as a customer's name. The customer's number is the beginning of
-	// its SHA-256.
+	// CustomerText accepts any text as a customer. The customer's ID is then the first 8 bytes of the
+	// text's SHA-256.
 	CustomerText bool
-	// ReadTimeout limits receiving a call's message. Default 1 s.
+	// ReadTimeout limits the time to receive the request message of a call. Default 1 s.
 	ReadTimeout time.Duration
-	// MaxMessageBytes limits a call's message. Default 4 MiB.
+	// MaxMessageBytes limits the request message of a call. Default 4 MiB.
 	MaxMessageBytes int
-	// Log receives calls that are not accepted at level debug. nil discards them.
+	// Log receives invalid calls at debug level. nil discards them.
 	Log *slog.Logger
 
-	// MaxClientConns limits the connections of clients, for Serve. Further ones wait to be accepted.
+	// MaxClientConns limits the client connections of Serve. Further connections wait to be accepted.
 	// Default 400.
 	MaxClientConns int
-	// MaxStreamsPerConn limits the open calls on one connection of a client, for Serve and
+	// MaxStreamsPerConn limits the concurrent calls on one client connection, for Serve and
 	// ServerOptions. Default 1000.
 	MaxStreamsPerConn int
 }
@@ -134,16 +142,16 @@
 	defaultMaxStreamsPerConn = 1000
 )
 
-// Proxy carries calls through a Gateway. It is safe for concurrent use.
+// Proxy passes gRPC calls through a Gateway. It is safe for concurrent use.
 type Proxy struct {
 	gateway     *pumicecroft.Gateway
 	config      Config
-	settings    decision.Settings               // the Gateway's
-	idempotency map[string]decision.Idempotency // by class
+	settings    decision.Settings               // settings of the Gateway
+	idempotency map[string]decision.Idempotency // idempotency of each class, by its name
 	logger      *slog.Logger
 }
 
-// New returns a Proxy for a Gateway that was made with WithBackends. The error is a
+// New returns a Proxy for a Gateway that was created with the option WithBackends. The error wraps
 // pumicecroft.ErrConfig.
 func New(gateway *pumicecroft.Gateway, c Config) (*Proxy, error) {
 	if err := setDefaults(&c); err != nil {
@@ -169,11 +177,11 @@
 	return fmt.Errorf("%w: grpcproxy: %w", pumicecroft.ErrConfig, err)
 }
 
-// setDefaults sets the defaults. The error names a limit that is out of range.
+// setDefaults replaces zero fields by their defaults. It returns an error if a limit is out of range.
 func setDefaults(c *Config) error {
 	if c.ReadTimeout < 0 || c.MaxMessageBytes < 0 || c.MaxClientConns < 0 || c.MaxStreamsPerConn < 0 ||
 		c.MaxMessageBytes > math.MaxInt32 || c.MaxStreamsPerConn > math.MaxInt32 {
-		return errors.New("a limit is negative, or over 2 GiB")
+		return errors.New("a timeout or limit is negative, or a limit exceeds 2147483647")
 	}
 	c.ReadTimeout = cmp.Or(c.ReadTimeout, defaultReadTimeout)
 	c.MaxMessageBytes = cmp.Or(c.MaxMessageBytes, defaultMaxMessageBytes)
@@ -186,10 +194,11 @@
 	return nil
 }
 
-// Validate returns an error if a method or name is invalid, given the classes that there are.
+// Validate returns an error if a method or metadata name is invalid. classes are the names of the
+// classes that methods may have.
 func (c Config) Validate(classes []string) error {
 	if len(c.Methods) == 0 {
-		return errors.New("no methods")
+		return errors.New("no methods are configured")
 	}
 	for name, method := range c.Methods {
 		if err := ValidateMethod(name); err != nil {
@@ -205,14 +214,14 @@
 			return err
 		}
 		if name != "" && seen[name] {
-			return fmt.Errorf("the metadata name %q is used twice", name)
+			return fmt.Errorf("metadata name %q is used twice", name)
 		}
 		seen[name] = true
 	}
 	return nil
 }
 
-// ValidateMethod returns an error unless name is the full name of a method, or of all methods of a
+// ValidateMethod returns an error unless name is the full name of a method, or matches all methods of a
 // service.
 func ValidateMethod(name string) error {
 	service, method, ok := strings.Cut(strings.TrimPrefix(name, "/"), "/")
@@ -223,13 +232,13 @@
 	return nil
 }
 
-// ValidateMetadataName returns an error unless name is empty or may name metadata.
+// ValidateMetadataName returns an error unless name is empty or a valid entry of MetadataNames.
 func ValidateMetadataName(name string) error {
 	invalid := strings.ContainsFunc(name, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '-' && r != '_' && r != '.'
 	})
 	if invalid || strings.HasPrefix(name, "grpc-") || strings.HasSuffix(name, "-bin") || isHopByHop(name) {
-		return fmt.Errorf("%q can't name metadata here: lower-case letters, digits, - _ and ., not gRPC's own and not -bin", name)
+		return fmt.Errorf("%q can't name metadata here: use a-z, 0-9, -, _ and ., no reserved name and no suffix -bin", name)
 	}
 	return nil
 }
@@ -239,7 +248,7 @@
 	return []string{n.Customer, n.Plan, n.Cost, n.ID, n.IdempotencyKey, n.Terms}
 }
 
-// methodFor returns how calls of a method are carried; false means that they are not.
+// methodFor returns the configuration of a method, and whether calls of it are proxied.
 func (p *Proxy) methodFor(fullName string) (Method, bool) {
 	method, ok := p.config.Methods[fullName]
 	if !ok {
--- a/grpcproxy/proxy_test.go
+++ b/grpcproxy/proxy_test.go
@@ -21,56 +21,56 @@
 	"pumicecroft/membership"
 )
 
-// Backends end attempts in all ways, with each class, with and without another backend in the cell.
-// The client must get the status that the class allows, and no call may run twice that must not.
+// Backends end the first attempt in all possible ways, for each class. The client must get the status
+// that the class allows, and no call may have its effect twice.
 func TestCallOutcomes(t *testing.T) {
 	type end struct {
 		code     codes.Code
-		pushback string // "+": 0 or more
+		pushback string
 		attempts int
 	}
-	served, never := end{codes.OK, "", 1}, func(c codes.Code) end { return end{c, "-1", 1} }
-	again := func(e end) end { e.attempts++; return e }
-	type row struct{ look, pay, once end } // with two backends of one cell; the first attempt alone ends so
+	served, failed := end{codes.OK, "", 1}, func(c codes.Code) end { return end{c, "-1", 1} }
+	afterRetry := func(e end) end { e.attempts++; return e }
+	type row struct{ look, pay, once end } // with two backends in one cell; later attempts are served
 	rows := map[fakes.GRPCBehavior]row{
 		fakes.GRPCServe:             {served, served, served},
-		fakes.GRPCNotFound:          {never(codes.NotFound), never(codes.NotFound), never(codes.NotFound)},
-		fakes.GRPCRefuseStream:      {again(served), again(served), again(served)},
-		fakes.GRPCGoAwayBelow:       {again(served), again(served), again(served)},
-		fakes.GRPCRetryPushback:     {again(served), again(served), again(served)},
-		fakes.GRPCInternal:          {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCResetCancel:       {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCResetAfterMessage: {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCClose:             {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCCloseMidMessage:   {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCNoMessage:         {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCTwoMessages:       {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCMissingTrailers:   {again(served), again(served), never(codes.Unknown)},
-		fakes.GRPCMessageTooLarge:   {again(served), again(served), never(codes.Unknown)},
-	}
-	for act, row := range rows {
+		fakes.GRPCNotFound:          {failed(codes.NotFound), failed(codes.NotFound), failed(codes.NotFound)},
+		fakes.GRPCRefuseStream:      {afterRetry(served), afterRetry(served), afterRetry(served)},
+		fakes.GRPCGoAwayBelow:       {afterRetry(served), afterRetry(served), afterRetry(served)},
+		fakes.GRPCRetryPushback:     {afterRetry(served), afterRetry(served), afterRetry(served)},
+		fakes.GRPCInternal:          {afterRetry(served), afterRetry(served), failed(codes.Unknown)},
+		fakes.GRPCResetCancel:       {afterRetry(served), afterRetry(served), failed(codes.Unknown)},
+		fakes.GRPCResetAfterMessage: {afterRetry(served), afterRetry(served), failed(codes.Unknown)},
+		fakes.GRPCClose:             {afterRetry(served), afterRetry(served), failed(codes.Unknown)},
+		fakes.GRPCCloseMidMessage:   {afterRetry(served), afterRetry(served), failed(codes.Unknown)},
+		fakes.GRPCNoMessage:         {afterRetry(served), afterRetry(served), failed(codes.Unknown)},
+		fakes.GRPCTwoMessages:       {afterRetry(served), afterRetry(served), failed(codes.Unknown)},
+		fakes.GRPCMissingTrailers:   {afterRetry(served), afterRetry(served), failed(codes.Unknown)},
+		fakes.GRPCMessageTooLarge:   {afterRetry(served), afterRetry(served), failed(codes.Unknown)},
+	}
+	for behavior, row := range rows {
 		for method, want := range map[string]end{"Look": row.look, "Pay": row.pay, "Once": row.once} {
-			t.Run(fmt.Sprintf("%d %s", act, method), func(t *testing.T) {
-				r := newFixture(t, func(o *options) { o.behavior = firstThen(act, fakes.GRPCServe) })
+			t.Run(fmt.Sprintf("%d %s", behavior, method), func(t *testing.T) {
+				r := newFixture(t, func(o *options) { o.behavior = firstThen(behavior, fakes.GRPCServe) })
 				c := r.call(method)
 				res := r.do(c)
 				seen := r.ledger.ForRequest(c.id)
 				if res.st.Code() != want.code || res.pushback != want.pushback || len(seen) != want.attempts {
-					t.Errorf("%v, pushback %q, %d attempts; want %+v", res.st, res.pushback, len(seen), want)
+					t.Errorf("got %v, pushback %q, %d attempts; want %+v", res.st, res.pushback, len(seen), want)
 				}
 				if want.code == codes.OK && res.text != "done "+c.id {
-					t.Errorf("answered %q", res.text)
+					t.Errorf("got message %q, want %q", res.text, "done "+c.id)
 				}
 				if c.key != "" && r.ledger.Effects(c.key) > 1 {
-					t.Errorf("its effect happened %d times", r.ledger.Effects(c.key))
+					t.Errorf("got %d effects, want at most 1", r.ledger.Effects(c.key))
 				}
 			})
 		}
 	}
 }
 
-// A rejection says when to retry, in the trailer that clients' retry policies follow and in the
-// status's details.
+// A rejection must say when to retry, both in the pushback trailer, which clients' retry policies follow,
+// and in the details of the status.
 func TestRejections(t *testing.T) {
 	r := newFixture(t, func(o *options) { o.cells = nil })
 	for _, method := range []string{"Look", "Pay", "Once"} {
@@ -81,25 +81,26 @@
 		}
 		if res.st.Code() != codes.ResourceExhausted || info == nil || info.RetryDelay.AsDuration() <= 0 ||
 			res.pushback != fmt.Sprint((info.RetryDelay.AsDuration()+time.Millisecond-1).Milliseconds()) {
-			t.Errorf("%s: %v, pushback %q, details %v", method, res.st, res.pushback, info)
+			t.Errorf("%s: got %v, pushback %q, details %v; want %v, and the same retry time in both", method, res.st,
+				res.pushback, info, codes.ResourceExhausted)
 		}
 	}
 	if len(r.ledger.Attempts()) != 0 {
-		t.Error("backends heard of it")
+		t.Errorf("the backends received %d attempts, want 0", len(r.ledger.Attempts()))
 	}
 }
 
-// A closed gateway rejects calls with a status by which clients go to another gateway.
+// A closed gateway must reject calls with a status by which clients try another gateway.
 func TestClosedGateway(t *testing.T) {
 	r := newFixture(t, nil)
 	_ = r.gateway.Close(t.Context())
 	if res := r.do(r.call("Pay")); res.st.Code() != codes.Unavailable || res.pushback != "" {
-		t.Errorf("%v, pushback %q", res.st, res.pushback)
+		t.Errorf("got %v, pushback %q; want %v without pushback", res.st, res.pushback, codes.Unavailable)
 	}
 }
 
-// startMixedProtocols returns a fixture with a backend over HTTP/1.1 beside those over gRPC, and
-// what sends a request over HTTP.
+// startMixedProtocols returns a fixture that also has a backend over HTTP/1.1, and a function that sends
+// a request over HTTP.
 func startMixedProtocols(t *testing.T, plan decision.Plan) (r *fixture, overHTTP func(id int) fakes.Reply) {
 	t.Helper()
 	ledger := &fakes.Ledger{}
@@ -121,36 +122,39 @@
 	}
 }
 
-// One customer asks over HTTP and gRPC at once: it must get no more than over one of them.
+// A customer sends requests over both HTTP and gRPC: it must get no more quota than over one of them.
 func TestQuotaSharedByHTTPAndGRPC(t *testing.T) {
-	count := func(asks ...bool) (served int) { // over HTTP or not, in turn
+	// Each element of useHTTP says whether a request is sent over HTTP; they are used in turn.
+	count := func(useHTTP ...bool) (served int) {
 		r, overHTTP := startMixedProtocols(t, decision.Plan{Name: "tiny", Rate: 0.001, Burst: 16, Price: 1})
 		for i := range 60 {
 			c := r.call("Look")
 			c.md.Set("x-tier", "tiny")
 			switch {
-			case asks[i%len(asks)]:
+			case useHTTP[i%len(useHTTP)]:
 				served += boolToInt(overHTTP(i).String() == "served")
 			default:
 				served += boolToInt(r.do(c).st.Code() == codes.OK)
 			}
 		}
 		if n := len(r.ledger.Attempts()); n != served {
-			t.Errorf("%d attempts, %d served", n, served)
+			t.Errorf("the backends received %d attempts, but %d requests were served", n, served)
 		}
 		return served
 	}
-	alone, grpcAlone, both := count(true), count(false), count(true, false, false)
-	if alone == 0 || alone > 16 || both != alone || grpcAlone != alone {
-		t.Errorf("%d served over HTTP, %d over gRPC, %d over both", alone, grpcAlone, both)
+	httpOnly, grpcOnly, both := count(true), count(false), count(true, false, false)
+	if httpOnly == 0 || httpOnly > 16 || both != httpOnly || grpcOnly != httpOnly {
+		t.Errorf("got %d served over HTTP, %d over gRPC, %d over both; want equal numbers from 1 to 16", httpOnly,
+			grpcOnly, both)
 	}
 }
 
-// One customer floods the gateway over HTTP and gRPC at once: it must stay within its hard limit.
+// A customer floods the gateway over HTTP and gRPC at once: the attempts that are sent must stay within
+// the plan's hard limit.
 func TestHardLimitSharedByHTTPAndGRPC(t *testing.T) {
-	const rate, burst, slack = 40.0, 16.0, 1.0
+	const rate, burst, overdraft = 40.0, 16.0, 1.0
 	r, overHTTP := startMixedProtocols(t, decision.Plan{Name: "capped", Rate: 1e5, Burst: 1e5, Price: 1,
-		HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: slack})
+		HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: overdraft})
 	var clients sync.WaitGroup
 	var ids atomic.Int64
 	end := time.Now().Add(1200 * time.Millisecond)
@@ -168,44 +172,44 @@
 		})
 	}
 	clients.Wait()
-	store, least, last, kinds := burst, burst, time.Time{}, map[bool]int{}
+	tokens, least, last, attempts := burst, burst, time.Time{}, map[bool]int{}
 	for _, a := range r.ledger.Attempts() {
 		if !last.IsZero() {
-			store = min(burst, store+rate*a.At.Sub(last).Seconds())
+			tokens = min(burst, tokens+rate*a.At.Sub(last).Seconds())
 		}
-		store, last = store-1, a.At
-		least = min(least, store)
-		kinds[a.Backend == "h"]++
+		tokens, last = tokens-1, a.At
+		least = min(least, tokens)
+		attempts[a.Backend == "h"]++
 	}
-	if least < -slack || kinds[true] == 0 || kinds[false] == 0 {
-		t.Errorf("%d sent on over HTTP, %d over gRPC, the ceiling's store went to %.1f", kinds[true], kinds[false],
-			least)
+	if least < -overdraft || attempts[true] == 0 || attempts[false] == 0 {
+		t.Errorf("got %d attempts over HTTP, %d over gRPC, and a token bucket at %.1f; want both above 0, and %.1f or more",
+			attempts[true], attempts[false], least, -overdraft)
 	}
 }
 
-// A client cancels a call that is running at a backend: the attempt ends, the effect is not
-// repeated, and the place is free.
+// A client cancels a call that is running at a backend: the attempt must end, the effect must not be
+// repeated, and the call must no longer count towards the plan's MaxInFlight.
 func TestCancelDuringCall(t *testing.T) {
 	for _, method := range []string{"Pay", "Buy"} {
 		t.Run(method, func(t *testing.T) {
-			act := fakes.GRPCHang
+			behavior := fakes.GRPCHang
 			if method == "Buy" {
-				act = fakes.GRPCStreamHang
+				behavior = fakes.GRPCStreamHang
 			}
 			r := newFixture(t, func(o *options) {
-				o.behavior = firstThen(act, fakes.GRPCServe)
+				o.behavior = firstThen(behavior, fakes.GRPCServe)
 				o.settings = deskSettings(decision.Plan{Name: "narrow", MaxInFlight: 1, Price: 1})
 			})
 			c := r.call(method)
 			c.md.Set("x-tier", "narrow")
-			ctx, leave := context.WithCancel(t.Context())
-			begun, gone := make(chan bool), make(chan error, 1)
+			ctx, cancelCall := context.WithCancel(t.Context())
+			started, ended := make(chan bool), make(chan error, 1)
 			go func() {
-				cctx, cancel := c.context(ctx)
+				callCtx, cancel := c.context(ctx)
 				defer cancel()
-				s, err := r.client.NewStream(cctx, serverStreamDesc, c.method)
+				s, err := r.client.NewStream(callCtx, serverStreamDesc, c.method)
 				if err != nil {
-					gone <- err
+					ended <- err
 					return
 				}
 				err = errors.Join(s.SendMsg(frame(c.text)), s.CloseSend())
@@ -213,43 +217,44 @@
 					var first framedMessage
 					err = s.RecvMsg(&first)
 				}
-				close(begun)
+				close(started)
 				var m framedMessage
-				gone <- errors.Join(err, s.RecvMsg(&m))
+				ended <- errors.Join(err, s.RecvMsg(&m))
 			}()
-			if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool {
-				return len(as) == 1 &&
-					as[0].Outcome != ""
+			if !r.ledger.Await(testkit.WaitTimeout, func(attempts []fakes.Attempt) bool {
+				return len(attempts) == 1 &&
+					attempts[0].Outcome != ""
 			}) {
-				t.Fatal("it never came")
+				t.Fatalf("got attempts %+v, want one with an outcome", r.ledger.Attempts())
 			}
-			testkit.Await(t, begun, "the call's beginning")
-			narrow := func() codes.Code {
+			testkit.Await(t, started, "the first message")
+			otherCall := func() codes.Code {
 				c := r.call("Look")
 				c.md.Set("x-tier", "narrow")
 				return r.do(c).st.Code()
 			}
-			if got := narrow(); got != codes.ResourceExhausted {
-				t.Errorf("while its place is taken: %v", got)
+			if got := otherCall(); got != codes.ResourceExhausted {
+				t.Errorf("another call while the first is open: got %v, want %v", got, codes.ResourceExhausted)
 			}
-			leave()
-			if err := <-gone; err == nil {
-				t.Error("the call ended well")
+			cancelCall()
+			if err := <-ended; err == nil {
+				t.Error("the cancelled call succeeded")
 			}
-			await(t, "its place", func() bool { return narrow() == codes.OK })
+			await(t, "another call to be accepted", func() bool { return otherCall() == codes.OK })
 			if n := len(r.ledger.ForRequest(c.id)); n != 1 || r.ledger.Effects(c.key) != 1 {
-				t.Errorf("%d attempts, %d effects", n, r.ledger.Effects(c.key))
+				t.Errorf("got %d attempts and %d effects of the cancelled call, want 1 of each", n,
+					r.ledger.Effects(c.key))
 			}
-			await(t, "the backend to hear of it",
+			await(t, "a backend to receive RST_STREAM",
 				func() bool { return r.backends[0].Resets()+r.backends[1].Resets() == 1 })
-			await(t, "the end of all that was open", func() bool { return r.gateway.OpenRequests() == 0 })
+			await(t, "the end of all open requests", func() bool { return r.gateway.OpenRequests() == 0 })
 		})
 	}
 }
 
-// A backend sends headers and then nothing. An idempotent call is served by another backend or
-// rejected; one that is idempotent by key fails by its deadline if no other backend drops its
-// repeat; and no client is told to retry.
+// All backends send headers and then nothing. Every call must end with an error before its deadline. A
+// call that is not idempotent must be sent only once, and its client must be told not to retry: no other
+// backend in its cell could drop the repeat. Clients of idempotent calls may retry.
 func TestHeadersThenNoResponse(t *testing.T) {
 	r := newFixture(t, func(o *options) { o.behavior, o.cells = always(fakes.GRPCHeadersThenHang), []int{0, 1} })
 	var calls sync.WaitGroup
@@ -257,29 +262,30 @@
 		calls.Go(func() {
 			c := r.call(method)
 			c.timeout = 700 * time.Millisecond
-			begun := time.Now()
+			start := time.Now()
 			var res result
 			if method == "Watch" || method == "Buy" {
 				res = r.doStreaming(c, nil)
 			} else {
 				res = r.do(c)
 			}
-			// A safe one may be made again.
-			harmless := method == "Look" || method == "Watch"
-			if took := time.Since(begun); took >= c.timeout || res.pushback == "" ||
-				harmless == (res.pushback == "-1") || res.st.Code() == codes.OK {
-				t.Errorf("%s: %v after %v, pushback %q", method, res.st, took, res.pushback)
+			idempotent := method == "Look" || method == "Watch"
+			if took := time.Since(start); took >= c.timeout || res.pushback == "" ||
+				idempotent == (res.pushback == "-1") || res.st.Code() == codes.OK {
+				t.Errorf("%s: got %v after %v, pushback %q; want an error before %v, and pushback -1 only if not idempotent",
+					method, res.st, took, res.pushback, c.timeout)
 			}
-			if n := len(r.ledger.ForRequest(c.id)); !harmless && n != 1 {
-				t.Errorf("%s: %d attempts", method, n)
+			if n := len(r.ledger.ForRequest(c.id)); !idempotent && n != 1 {
+				t.Errorf("%s: got %d attempts, want 1", method, n)
 			}
 		})
 	}
 	calls.Wait()
 }
 
-// A backend sends GOAWAY while 100 calls are open, half of them above the last stream: those did
-// not run and go to another backend, the others succeed, and each effect happens once.
+// A backend sends GOAWAY while 100 calls are open on two backends, and about half of its own are above
+// the last stream ID: those were not executed and must be retried, the others must succeed, and each
+// effect must happen once.
 func TestGoAwayDuringCalls(t *testing.T) {
 	hold := make(chan bool)
 	var held sync.Map
@@ -299,8 +305,8 @@
 	for range n {
 		go func() { results <- r.do(r.call("Once")) }()
 	}
-	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == n }) {
-		t.Fatal("not all came")
+	if !r.ledger.Await(testkit.WaitTimeout, func(attempts []fakes.Attempt) bool { return len(attempts) == n }) {
+		t.Fatalf("the backends received %d attempts, want %d", len(r.ledger.Attempts()), n)
 	}
 	before := len(r.ledger.Attempts())
 	b := r.backends[0]
@@ -308,20 +314,23 @@
 	for _, a := range r.ledger.Attempts() {
 		onFirst += boolToInt(a.Backend == "g0")
 	}
-	// The upper half of the first backend's streams was not looked at; what the test holds of them is let go as unrun.
+	// Stream IDs are odd, so about half of the first backend's streams are above onFirst. DropAbove makes
+	// the backend drop them without executing them, as GOAWAY promises.
 	b.DropAbove(uint32(onFirst))
 	b.GoAway(uint32(onFirst))
-	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) >= before+onFirst/2-1 }) {
-		t.Errorf("%d attempts were made again of %d", len(r.ledger.Attempts())-before, onFirst/2)
+	if !r.ledger.Await(testkit.WaitTimeout, func(attempts []fakes.Attempt) bool {
+		return len(attempts) >= before+onFirst/2-1
+	}) {
+		t.Errorf("%d attempts were retried, want at least %d", len(r.ledger.Attempts())-before, onFirst/2-1)
 	}
 	release()
 	for range n {
 		if res := <-results; res.st.Code() != codes.OK {
-			t.Errorf("%v", res.st)
+			t.Errorf("got %v, want %v", res.st, codes.OK)
 		}
 	}
-	if doubled := r.ledger.RepeatedEffects(); len(doubled) > 0 {
-		t.Errorf("effects twice: %v", doubled)
+	if repeated := r.ledger.RepeatedEffects(); len(repeated) > 0 {
+		t.Errorf("repeated effects: got %v, want none", repeated)
 	}
 }
 
@@ -332,7 +341,8 @@
 	return 0
 }
 
-// An attempt may be retried until the first message; what comes after it is the client's.
+// A streaming call may be retried until its first message. An error after that must end the call,
+// because the client has already received a part of the response.
 func TestServerStreaming(t *testing.T) {
 	for name, c := range map[string]struct {
 		first    fakes.GRPCBehavior
@@ -341,19 +351,20 @@
 		texts    int
 		attempts int
 	}{
-		"three messages":         {fakes.GRPCStream, "Watch", codes.OK, 3, 1},
-		"none":                   {fakes.GRPCNoMessage, "Watch", codes.OK, 0, 1},
-		"refused":                {fakes.GRPCRefuseStream, "Buy", codes.OK, 3, 2},
-		"broke before":           {fakes.GRPCClose, "Watch", codes.OK, 3, 2},
-		"broke within the first": {fakes.GRPCCloseMidMessage, "Buy", codes.OK, 3, 2},
-		"broke after":            {fakes.GRPCStreamClose, "Watch", codes.Unknown, 1, 1},
-		"an error after":         {fakes.GRPCStreamInternal, "Watch", codes.Internal, 1, 1},
-		"an error after, keyed":  {fakes.GRPCStreamInternal, "Buy", codes.Unknown, 1, 1},
-		"a word of the service":  {fakes.GRPCNotFound, "Watch", codes.NotFound, 0, 1},
-		"reset after":            {fakes.GRPCResetAfterMessage, "Buy", codes.Unknown, 1, 1},
+		"three messages":                                {fakes.GRPCStream, "Watch", codes.OK, 3, 1},
+		"no message":                                    {fakes.GRPCNoMessage, "Watch", codes.OK, 0, 1},
+		"stream refused":                                {fakes.GRPCRefuseStream, "Buy", codes.OK, 3, 2},
+		"connection lost before a message":              {fakes.GRPCClose, "Watch", codes.OK, 3, 2},
+		"connection lost in the first message":          {fakes.GRPCCloseMidMessage, "Buy", codes.OK, 3, 2},
+		"connection lost after a message":               {fakes.GRPCStreamClose, "Watch", codes.Unknown, 1, 1},
+		"error after a message":                         {fakes.GRPCStreamInternal, "Watch", codes.Internal, 1, 1},
+		"error after a message, idempotent by key only": {fakes.GRPCStreamInternal, "Buy", codes.Unknown, 1, 1},
+		"error of the service":                          {fakes.GRPCNotFound, "Watch", codes.NotFound, 0, 1},
+		"reset after a message":                         {fakes.GRPCResetAfterMessage, "Buy", codes.Unknown, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			first := make(chan bool) // the client has its first message: had it not, the call could be made again
+			// Closed when the client has its first message. A failure before that would be retried.
+			first := make(chan bool)
 			r := newFixture(t, func(o *options) {
 				o.behavior = firstThen(c.first, fakes.GRPCStream)
 				o.afterMessage = func(fakes.Attempt) { <-first }
@@ -365,72 +376,74 @@
 				}
 			})
 			if res.st.Code() != c.code || len(res.texts) != c.texts || len(r.ledger.ForRequest(k.id)) != c.attempts {
-				t.Errorf("%v, %q, %d attempts; want %+v", res.st, res.texts, len(r.ledger.ForRequest(k.id)), c)
+				t.Errorf("got %v, messages %q, %d attempts; want %+v", res.st, res.texts,
+					len(r.ledger.ForRequest(k.id)), c)
 			}
 			if c.code != codes.OK && res.pushback != "-1" {
-				t.Errorf("pushback %q", res.pushback)
+				t.Errorf("got pushback %q, want -1", res.pushback)
 			}
 			if c.code == codes.OK && c.texts == 3 && res.texts[2] != "done "+k.id+" 2" {
-				t.Errorf("%q", res.texts)
+				t.Errorf("got messages %q, want the last to be %q", res.texts, "done "+k.id+" 2")
 			}
 			if k.key != "" && r.ledger.Effects(k.key) != 1 {
-				t.Errorf("%d effects", r.ledger.Effects(k.key))
+				t.Errorf("got %d effects, want 1", r.ledger.Effects(k.key))
 			}
 		})
 	}
 }
 
-// A long response, far more than any window, arrives completely and in order at a client that reads
-// slowly at times.
+// A client that sometimes pauses must get a streamed response that is much larger than the flow-control
+// windows, and the backend must not run ahead of it by more than the buffers hold.
 func TestLongStream(t *testing.T) {
 	r := newFixture(t, func(o *options) { o.behavior = always(fakes.GRPCEndless) })
-	ctx, leave := context.WithCancel(t.Context())
-	defer leave()
+	ctx, cancelCall := context.WithCancel(t.Context())
+	defer cancelCall()
 	c := r.call("Watch")
-	cctx, cancel := c.context(ctx)
+	callCtx, cancel := c.context(ctx)
 	defer cancel()
-	s, err := r.client.NewStream(cctx, serverStreamDesc, c.method)
+	s, err := r.client.NewStream(callCtx, serverStreamDesc, c.method)
 	if err == nil {
 		err = errors.Join(s.SendMsg(frame(c.text)), s.CloseSend())
 	}
 	for n := 0; err == nil && n < 1000; n++ {
 		var m framedMessage
 		if err = s.RecvMsg(&m); err == nil && len(m) != 5+fakes.GRPCEndlessBytes {
-			t.Fatalf("message %d has %d bytes", n, len(m))
+			t.Fatalf("message %d has %d bytes, want %d", n, len(m), 5+fakes.GRPCEndlessBytes)
 		}
 		if n%200 == 0 {
-			time.Sleep(20 * time.Millisecond) // so that windows close
+			time.Sleep(20 * time.Millisecond) // long enough for the windows to be exhausted
 		}
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := r.backends[0].Sent() + r.backends[1].Sent(); got > 1000*(5+fakes.GRPCEndlessBytes)+2<<20 {
-		t.Errorf("%d bytes were sent of which 1000 messages were read", got)
+		t.Errorf("the backends sent %d bytes when the client had read 1000 messages, want at most %d", got,
+			1000*(5+fakes.GRPCEndlessBytes)+2<<20)
 	}
-	leave()
-	await(t, "the end of it", func() bool { return r.gateway.OpenRequests() == 0 })
+	cancelCall()
+	await(t, "the end of the call", func() bool { return r.gateway.OpenRequests() == 0 })
 }
 
-// A backend goes on streaming past the deadline: the call must end by it, and the client must be
-// told before its own deadline.
+// A backend streams past the deadline, or stops without an end: the call must end with DEADLINE_EXCEEDED
+// and without a retry, before the client's own deadline.
 func TestStreamPastDeadline(t *testing.T) {
-	for _, act := range []fakes.GRPCBehavior{fakes.GRPCStreamHang, fakes.GRPCEndless} {
-		r := newFixture(t, func(o *options) { o.behavior = always(act) })
+	for _, behavior := range []fakes.GRPCBehavior{fakes.GRPCStreamHang, fakes.GRPCEndless} {
+		r := newFixture(t, func(o *options) { o.behavior = always(behavior) })
 		c := r.call("Watch")
 		c.timeout = 600 * time.Millisecond
-		begun := time.Now()
+		start := time.Now()
 		res := r.doStreaming(c, nil)
-		if took := time.Since(begun); res.st.Code() != codes.DeadlineExceeded || res.pushback != "-1" ||
+		if took := time.Since(start); res.st.Code() != codes.DeadlineExceeded || res.pushback != "-1" ||
 			took > c.timeout || len(res.texts) == 0 {
-			t.Errorf("act %d: %v after %v with %d messages, pushback %q", act, res.st, took, len(res.texts),
-				res.pushback)
+			t.Errorf("behavior %d: got %v after %v, %d messages, pushback %q; want %v within %v, some messages, pushback -1",
+				behavior, res.st, took, len(res.texts), res.pushback, codes.DeadlineExceeded, c.timeout)
 		}
 	}
 }
 
-// A client does not read its stream: flow control must hold up the backend, so that what is on its
-// way stays bounded, and the call ends by its deadline.
+// A client does not read its stream: flow control must stop the backend, so that the bytes in transit stay
+// bounded, and the call must end by its deadline.
 func TestSlowStreamReader(t *testing.T) {
 	r := newFixture(t, func(o *options) { o.behavior, o.cells = always(fakes.GRPCEndless), []int{0} })
 	c := r.call("Watch")
@@ -446,63 +459,63 @@
 	}
 	await(t, "messages", func() bool { return r.backends[0].Sent() > 0 })
 	last := int64(-1)
-	await(t, "the backend to be held up", func() bool { // it no longer sends
+	await(t, "flow control to stop the backend", func() bool {
 		time.Sleep(50 * time.Millisecond)
 		now := r.backends[0].Sent()
 		held := now == last
 		last = now
 		return held
 	})
-	// The stream's window to us, what grpc takes for a client that does not read, the client's window and its buffers.
+	// The limit covers the stream's window at the gateway, what grpc buffers for a client that does not
+	// read, and the client's window and buffers.
 	if last > 1<<20 {
-		t.Errorf("%d bytes are on their way to a client that does not read", last)
+		t.Errorf("%d bytes are in transit to a client that does not read, want at most %d", last, 1<<20)
 	}
-	t.Logf("%d bytes on their way", last)
-	// Another call goes on meanwhile.
+	t.Logf("%d bytes in transit", last)
 	r.backends[0].GoAway(0)
 	await(t, "the end of the call", func() bool { return r.gateway.OpenRequests() == 0 })
 	if r.backends[0].Sent() > last+64<<10 {
-		t.Errorf("the backend sent on: %d, then %d", last, r.backends[0].Sent())
+		t.Errorf("the backend has sent %d bytes, want at most 64 KiB more than %d", r.backends[0].Sent(), last)
 	}
 }
 
-// Status, message, details and metadata, with binary values, are forwarded unchanged both ways;
-// hop-by-hop metadata is not.
+// Metadata, also with binary values, must be forwarded to the backend unchanged, but not hop-by-hop
+// metadata. The backend's timeout must not be longer than the client's.
 func TestMetadataIsForwardedUnchanged(t *testing.T) {
 	r := newFixture(t, func(o *options) { o.cells = []int{0} })
 	c := r.call("Look")
 	c.md.Set("x-trace", "a", "b")
 	c.md.Set("x-raw-bin", "\x00\xff,\x01")
 	if res := r.do(c); res.st.Code() != codes.OK {
-		t.Fatalf("%v", res.st)
+		t.Fatalf("got %v, want %v", res.st, codes.OK)
 	}
 	seen := r.ledger.Attempts()[0].Metadata
 	if !slices.Equal(seen["x-trace"], []string{"a", "b"}) || !slices.Equal(seen["x-raw-bin"], []string{"AP8sAQ"}) ||
 		!slices.Equal(seen["request-id"], []string{c.id}) {
-		t.Errorf("the backend saw %q", seen)
+		t.Errorf("the backend got metadata %q, want that of the client: %q", seen, c.md)
 	}
 	if seen["user-agent"] != nil || len(seen["grpc-timeout"]) != 1 || len(seen["content-type"]) != 1 {
-		t.Errorf("the backend saw %q", seen)
+		t.Errorf("the backend got metadata %q, want one grpc-timeout, one content-type and no user-agent", seen)
 	}
-	if ms, err := time.ParseDuration(seen["grpc-timeout"][0] + "s"); err == nil && ms > c.timeout {
-		t.Errorf("the time-out grew: %q", seen["grpc-timeout"])
+	if timeout, err := time.ParseDuration(seen["grpc-timeout"][0] + "s"); err == nil && timeout > c.timeout {
+		t.Errorf("the backend got the timeout %q, want at most %v", seen["grpc-timeout"], c.timeout)
 	}
 }
 
-// A call without an ID gets one, which the backend sees.
+// For a call without an ID the gateway must generate one and send it to the backend.
 func TestMissingRequestIDIsGenerated(t *testing.T) {
 	r := newFixture(t, nil)
 	c := r.call("Look")
 	c.md.Delete("request-id")
 	if res := r.do(c); res.st.Code() != codes.OK {
-		t.Fatalf("%v", res.st)
+		t.Fatalf("got %v, want %v", res.st, codes.OK)
 	}
 	if id := r.ledger.Attempts()[0].ID; len(id) != 16 {
-		t.Errorf("the backend saw the id %q", id)
+		t.Errorf("the backend got the ID %q, want 16 characters", id)
 	}
 }
 
-// Invalid calls are rejected at once, and no backend gets them.
+// Invalid calls must be rejected at once, and must not reach a backend.
 func TestInvalidCalls(t *testing.T) {
 	r := newFixture(t, func(o *options) {
 		o.config.Names = PlatformNames
@@ -516,48 +529,50 @@
 	}{
 		"unknown method": {"Nap", nil, codes.Unimplemented},
 		"no customer":    {"Look", func(c *call) { c.md.Delete("x-api-key") }, codes.InvalidArgument},
-		"customer twice": {"Look", func(c *call) { c.md.Append("x-api-key", "0000000000000008") },
+		"two customers": {"Look", func(c *call) { c.md.Append("x-api-key", "0000000000000008") },
+			codes.InvalidArgument},
+		"customer in text":   {"Look", func(c *call) { c.md.Set("x-api-key", "shop-7") }, codes.InvalidArgument},
+		"no plan":            {"Look", func(c *call) { c.md.Delete("x-tier") }, codes.InvalidArgument},
+		"cost not a number":  {"Look", func(c *call) { c.md.Set("x-units", "lots") }, codes.InvalidArgument},
+		"negative cost":      {"Look", func(c *call) { c.md.Set("x-units", "-1") }, codes.InvalidArgument},
+		"infinite cost":      {"Look", func(c *call) { c.md.Set("x-units", "+Inf") }, codes.InvalidArgument},
+		"cost NaN":           {"Look", func(c *call) { c.md.Set("x-units", "NaN") }, codes.InvalidArgument},
+		"malformed terms":    {"Look", func(c *call) { c.md.Set("x-call-terms", "units") }, codes.InvalidArgument},
+		"malformed ID":       {"Look", func(c *call) { c.md.Set("request-id", "7") }, codes.InvalidArgument},
+		"no idempotency key": {"Pay", func(c *call) { c.md.Delete("idempotency-key") }, codes.InvalidArgument},
+		"two idempotency keys": {"Pay", func(c *call) { c.md.Append("idempotency-key", "another") },
 			codes.InvalidArgument},
-		"customer in text": {"Look", func(c *call) { c.md.Set("x-api-key", "shop-7") }, codes.InvalidArgument},
-		"no plan":          {"Look", func(c *call) { c.md.Delete("x-tier") }, codes.InvalidArgument},
-		"units of noise":   {"Look", func(c *call) { c.md.Set("x-units", "lots") }, codes.InvalidArgument},
-		"units below 0":    {"Look", func(c *call) { c.md.Set("x-units", "-1") }, codes.InvalidArgument},
-		"units infinite":   {"Look", func(c *call) { c.md.Set("x-units", "+Inf") }, codes.InvalidArgument},
-		"units NaN":        {"Look", func(c *call) { c.md.Set("x-units", "NaN") }, codes.InvalidArgument},
-		"terms of noise":   {"Look", func(c *call) { c.md.Set("x-call-terms", "units") }, codes.InvalidArgument},
-		"an id of noise":   {"Look", func(c *call) { c.md.Set("request-id", "7") }, codes.InvalidArgument},
-		"no key":           {"Pay", func(c *call) { c.md.Delete("idempotency-key") }, codes.InvalidArgument},
-		"keys twice":       {"Pay", func(c *call) { c.md.Append("idempotency-key", "another") }, codes.InvalidArgument},
-		"too long":         {"Look", func(c *call) { c.text = string(make([]byte, 2<<10)) }, codes.ResourceExhausted},
+		"message too large": {"Look", func(c *call) { c.text = string(make([]byte, 2<<10)) }, codes.ResourceExhausted},
 	} {
 		k := r.call(c.method)
 		if c.change != nil {
 			c.change(&k)
 		}
-		begun := time.Now()
-		if res := r.do(k); res.st.Code() != c.want || time.Since(begun) > 5*time.Second || name != "too long" &&
-			res.pushback != "-1" {
-			t.Errorf("%s: %v, pushback %q, want %v", name, res.st, res.pushback, c.want)
+		start := time.Now()
+		if res := r.do(k); res.st.Code() != c.want || time.Since(start) > 5*time.Second ||
+			name != "message too large" && res.pushback != "-1" {
+			t.Errorf("%s: got %v after %v, pushback %q; want %v within 5 s, pushback -1", name, res.st,
+				time.Since(start), res.pushback, c.want)
 		}
 	}
-	if as := r.ledger.Attempts(); len(as) > 0 {
-		t.Errorf("backends heard of %d", len(as))
+	if attempts := r.ledger.Attempts(); len(attempts) > 0 {
+		t.Errorf("the backends received %d attempts of invalid calls, want 0", len(attempts))
 	}
 	if res := r.do(r.call("Pay")); res.st.Code() != codes.OK {
-		t.Errorf("a good one afterwards: %v", res.st)
+		t.Errorf("a valid call afterwards: got %v, want %v", res.st, codes.OK)
 	}
-	more := r.call("Look")
-	more.method = "/shop.More/Anything"
-	if res := r.do(more); res.st.Code() != codes.OK {
-		t.Errorf("a method that a service's wildcard has: %v", res.st)
+	wildcardCall := r.call("Look")
+	wildcardCall.method = "/shop.More/Anything"
+	if res := r.do(wildcardCall); res.st.Code() != codes.OK {
+		t.Errorf("a method that matches a wildcard: got %v, want %v", res.st, codes.OK)
 	}
 }
 
-// Client streaming is rejected by a clear status: at once when a second message arrives, and after
-// the read timeout if the client does not half-close.
+// Client streaming must be rejected with INVALID_ARGUMENT: at once when a second message arrives, and
+// after the read timeout if the client does not half-close.
 func TestClientStreaming(t *testing.T) {
 	r := newFixture(t, func(o *options) { o.config.ReadTimeout = 200 * time.Millisecond })
-	for name, send := range map[string]int{"a second message": 2, "no end": 1, "nothing": 0} {
+	for name, send := range map[string]int{"second message": 2, "no half-close": 1, "no message": 0} {
 		c := r.call("Look")
 		ctx, cancel := c.context(t.Context())
 		defer cancel()
@@ -572,16 +587,16 @@
 		}
 		var out framedMessage
 		if err := s.RecvMsg(&out); codeOf(err) != codes.InvalidArgument {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want %v", name, err, codes.InvalidArgument)
 		}
 	}
-	if as := r.ledger.Attempts(); len(as) > 0 {
-		t.Errorf("backends heard of %d", len(as))
+	if attempts := r.ledger.Attempts(); len(attempts) > 0 {
+		t.Errorf("the backends received %d attempts, want 0", len(attempts))
 	}
 }
 
-// A client of a bidirectional method sends one message and waits for the response before it
-// half-closes: it gets the response. A second message ends the call by a clear status.
+// A client of a bidirectional method sends one message and waits for the response before it half-closes:
+// it must get the response. A second message must end the call with INVALID_ARGUMENT.
 func TestBidirectional(t *testing.T) {
 	r := newFixture(t, func(o *options) { o.behavior = firstThen(fakes.GRPCStream, fakes.GRPCStreamHang) })
 	for _, more := range []bool{false, true} {
@@ -601,19 +616,21 @@
 				err = s.RecvMsg(&out)
 			}
 			if codeOf(err) != codes.InvalidArgument || len(s.Trailer()[PushbackTrailer]) != 1 {
-				t.Errorf("a second message: %v", err)
+				t.Errorf("second message: got %v, pushback %q; want %v with a pushback", err,
+					s.Trailer()[PushbackTrailer], codes.InvalidArgument)
 			}
 		} else if err := errors.Join(s.RecvMsg(&out), s.RecvMsg(&out), s.CloseSend()); err != nil ||
 			!errors.Is(s.RecvMsg(&out), io.EOF) {
-			t.Errorf("one message: %v", err)
+			t.Errorf("one message: got %v, want three messages and the end of the stream", err)
 		}
 		if n := len(r.ledger.ForRequest(c.id)); n != 1 || r.ledger.Effects(c.key) != 1 {
-			t.Errorf("%d attempts, %d effects", n, r.ledger.Effects(c.key))
+			t.Errorf("got %d attempts and %d effects, want 1 of each", n, r.ledger.Effects(c.key))
 		}
 	}
 }
 
-// One of 1,000 calls on a client's connection is stuck: the others must be served.
+// One of 1,000 calls on a client's connection gets no response: the others must be served. Some of them
+// may be rejected.
 func TestManyCallsOnOneConnection(t *testing.T) {
 	r := newFixture(t, func(o *options) {
 		o.behavior = func(a fakes.Attempt) fakes.GRPCBehavior {
@@ -627,38 +644,39 @@
 	})
 	stuck := r.call("Once")
 	stuck.text = "stuck"
-	ctx, leave := context.WithCancel(t.Context())
-	gone := make(chan result, 1)
-	go func() { gone <- stuck.invoke(ctx, r.client) }()
-	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
-		t.Fatal("it never came")
+	ctx, cancelCall := context.WithCancel(t.Context())
+	ended := make(chan result, 1)
+	go func() { ended <- stuck.invoke(ctx, r.client) }()
+	if !r.ledger.Await(testkit.WaitTimeout, func(attempts []fakes.Attempt) bool { return len(attempts) == 1 }) {
+		t.Fatalf("the backends received %d attempts, want 1", len(r.ledger.Attempts()))
 	}
 	var calls sync.WaitGroup
-	kinds := map[codes.Code]int{}
+	codeCounts := map[codes.Code]int{}
 	var mu sync.Mutex
 	for range 999 {
 		calls.Go(func() {
 			c := r.call("Look")
 			res := r.do(c)
 			if res.st.Code() == codes.OK && res.text != "done "+c.id {
-				t.Errorf("%q for %s", res.text, c.id)
+				t.Errorf("got message %q, want %q", res.text, "done "+c.id)
 			}
 			mu.Lock()
-			kinds[res.st.Code()]++
+			codeCounts[res.st.Code()]++
 			mu.Unlock()
 		})
 	}
 	calls.Wait()
-	if kinds[codes.OK]+kinds[codes.ResourceExhausted] != 999 || kinds[codes.OK] < 700 {
-		t.Errorf("%v", kinds)
+	if codeCounts[codes.OK]+codeCounts[codes.ResourceExhausted] != 999 || codeCounts[codes.OK] < 700 {
+		t.Errorf("got codes %v, want at least 700 %v and otherwise %v", codeCounts, codes.OK, codes.ResourceExhausted)
 	}
-	leave()
-	if res := <-gone; res.st.Code() != codes.Canceled {
-		t.Errorf("the stuck one: %v", res.st)
+	cancelCall()
+	if res := <-ended; res.st.Code() != codes.Canceled {
+		t.Errorf("call without a response: got %v, want %v", res.st, codes.Canceled)
 	}
 }
 
-// SIGTERM arrives: open calls must succeed, a stream too, and later ones are not accepted.
+// The context of Serve ends while streaming calls are open: these must succeed, and later calls must not
+// be accepted.
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
 	r := newFixture(t, func(o *options) {
@@ -672,11 +690,11 @@
 	for range n {
 		go func() { results <- r.doStreaming(r.call("Buy"), nil) }()
 	}
-	if !r.ledger.Await(testkit.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == n }) {
-		t.Fatal("not all came")
+	if !r.ledger.Await(testkit.WaitTimeout, func(attempts []fakes.Attempt) bool { return len(attempts) == n }) {
+		t.Fatalf("the backends received %d attempts, want %d", len(r.ledger.Attempts()), n)
 	}
 	r.stop()
-	await(t, "the listener's end", func() bool {
+	await(t, "the listener to be closed", func() bool {
 		late := r.connect()
 		defer func() { _ = late.Close() }()
 		c := r.call("Look")
@@ -686,7 +704,7 @@
 	close(hold)
 	for range n {
 		if res := <-results; res.st.Code() != codes.OK || len(res.texts) != 3 {
-			t.Errorf("%v %q", res.st, res.texts)
+			t.Errorf("open call: got %v, messages %q; want %v and 3 messages", res.st, res.texts, codes.OK)
 		}
 	}
 	if err := <-r.served; err != nil {
@@ -695,21 +713,22 @@
 	r.served <- nil
 }
 
-// The number of a customer by text is the same for the same text; an empty text is none.
+// A customer given as text must get the same ID for the same text and another ID for another text. Empty
+// text must be rejected.
 func TestCustomerText(t *testing.T) {
 	r := newFixture(t, func(o *options) { o.config.CustomerText = true })
 	a, err := r.proxy.customerID("shop-7")
 	b, err2 := r.proxy.customerID("shop-8")
-	again, _ := r.proxy.customerID("shop-7")
-	if err != nil || err2 != nil || a == b || a != again {
-		t.Errorf("%x %v, %x %v, %x", a, err, b, err2, again)
+	repeated, _ := r.proxy.customerID("shop-7")
+	if err != nil || err2 != nil || a == b || a != repeated {
+		t.Errorf("shop-7: got ID %x, %v, then %x; shop-8: got ID %x, %v", a, err, repeated, b, err2)
 	}
 	if _, err := r.proxy.customerID(""); err == nil {
-		t.Error("nobody is a customer")
+		t.Error("empty text was accepted as a customer")
 	}
 	c := r.call("Look")
 	c.md.Set("x-api-key", "any shop")
 	if res := r.do(c); res.st.Code() != codes.OK {
-		t.Errorf("%v", res.st)
+		t.Errorf("call with a customer in text: got %v, want %v", res.st, codes.OK)
 	}
 }
--- a/grpcproxy/request.go
+++ b/grpcproxy/request.go
@@ -16,11 +16,12 @@
 	"pumicecroft/internal/requestmeta"
 )
 
-// timeoutMetadata is the metadata by which gRPC sends a deadline. The server has read it.
+// timeoutMetadata is the metadata that holds a call's timeout. It only names the timeout in errors, as
+// the server turns it into the deadline of the call's context.
 const timeoutMetadata = "grpc-timeout"
 
-// newRequest returns the request that a call's metadata and deadline describe. ctx is the call's.
-// The error is a pumicecroft.ErrBadRequest.
+// newRequest returns the request that a call's metadata and deadline describe. ctx is the call's
+// context. The error wraps pumicecroft.ErrBadRequest.
 func (p *Proxy) newRequest(ctx context.Context, method Method, md metadata.MD) (pumicecroft.Request, error) {
 	r := pumicecroft.Request{Class: method.Class}
 	values, err := p.readNames(md)
@@ -52,8 +53,8 @@
 	return fmt.Errorf("%w: %s: %.40q", pumicecroft.ErrBadRequest, name, value)
 }
 
-// readNames returns the values of the metadata that Config.Names names. Metadata that is there twice
-// is an error: backends could take the other value.
+// readNames returns the values of the metadata that Config.Names names. Repeated metadata is an error,
+// as a backend might use another value than the proxy.
 func (p *Proxy) readNames(md metadata.MD) (values MetadataNames, err error) {
 	names := &p.config.Names
 	for _, field := range []struct {
@@ -78,7 +79,8 @@
 	return values, nil
 }
 
-// readCaller sets the customer and plan: as the host knows them, or as the metadata says.
+// readCaller sets the customer and plan from the identity in ctx, if the host has set one, and otherwise
+// from the metadata.
 func (p *Proxy) readCaller(ctx context.Context, r *pumicecroft.Request, values MetadataNames) error {
 	if id, ok := pumicecroft.IdentityFrom(ctx); ok {
 		r.Customer, r.Plan = id.Customer, id.Plan
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// customerID returns the number of a customer.
+// customerID parses a customer, or hashes its text if Config.CustomerText is set.
 func (p *Proxy) customerID(text string) (uint64, error) {
 	if !p.config.CustomerText {
 		return requestmeta.ParseCustomer(text)
@@ -104,7 +106,7 @@
 	return binary.BigEndian.Uint64(sum[:8]), nil
 }
 
-// readCost sets the cost, and by the platform's terms the gateways that the customer uses.
+// readCost sets the cost, and from the platform's terms the gateways that the customer uses.
 func (p *Proxy) readCost(r *pumicecroft.Request, values MetadataNames) error {
 	if values.Cost != "" {
 		cost, err := strconv.ParseFloat(values.Cost, 64)
@@ -124,7 +126,8 @@
 	return nil
 }
 
-// readDeadline sets the timeout by the call's deadline; 0 means that the class's holds.
+// readDeadline sets the timeout from the call's deadline. Without a deadline the timeout stays 0, which
+// means the class's deadline.
 func (p *Proxy) readDeadline(ctx context.Context, r *pumicecroft.Request) error {
 	deadline, ok := ctx.Deadline()
 	switch {
--- a/grpcproxy/serve.go
+++ b/grpcproxy/serve.go
@@ -16,8 +16,8 @@
 	"pumicecroft/internal/grpctransport"
 )
 
-// Handle is a grpc.StreamHandler: it carries the calls of all methods in Config.Methods, and ends
-// others with UNIMPLEMENTED. The server needs the Codec.
+// Handle is a grpc.StreamHandler that proxies calls of the methods in Config.Methods, and ends other
+// calls with UNIMPLEMENTED. The server must use Codec.
 func (p *Proxy) Handle(_ any, stream grpc.ServerStream) error {
 	fullName, _ := grpc.MethodFromServerStream(stream)
 	method, ok := p.methodFor(fullName)
@@ -28,10 +28,10 @@
 	return p.serve(stream, fullName, method)
 }
 
-// Interceptor returns an interceptor that carries the calls of the methods in Config.Methods, and
-// leaves others to the host's handlers. It goes last in a chain, after interceptors that authenticate
-// (pumicecroft.WithIdentity). It does not see unary methods that the host has registered itself: the
-// host's server calls these without stream interceptors.
+// Interceptor returns an interceptor that proxies calls of the methods in Config.Methods, and leaves
+// other calls to the host's handlers. It must be last in a chain, after interceptors that authenticate
+// clients (see pumicecroft.WithIdentity). It does not intercept unary methods that the host has
+// registered itself, as grpc.Server does not call stream interceptors for these.
 func (p *Proxy) Interceptor() grpc.StreamServerInterceptor {
 	return func(srv any, stream grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
 		if method, ok := p.methodFor(info.FullMethod); ok {
@@ -41,7 +41,7 @@
 	}
 }
 
-// serve carries one call.
+// serve handles one call.
 func (p *Proxy) serve(stream grpc.ServerStream, fullName string, method Method) error {
 	arrived := time.Now()
 	ctx, cancel := context.WithCancelCause(stream.Context())
@@ -56,7 +56,7 @@
 	if err != nil {
 		return p.fail(stream, method, nil, err)
 	}
-	if request.Timeout > 0 { // receiving counts against the client's time
+	if request.Timeout > 0 { // receiving the message counts towards the timeout
 		request.Timeout -= time.Since(arrived)
 		if request.Timeout <= pumicecroft.MinTimeout {
 			return p.fail(stream, method, nil, pumicecroft.ErrDeadlineExceeded)
@@ -70,7 +70,7 @@
 	return p.forward(ctx, stream, method, payload, request)
 }
 
-// forward sends a call to the Gateway and its response to the client.
+// forward passes a call to the Gateway and sends the response to the client.
 func (p *Proxy) forward(ctx context.Context, stream grpc.ServerStream, method Method, payload *grpctransport.Request,
 	request pumicecroft.Request) error {
 	var sink *responseSink
@@ -95,14 +95,15 @@
 		}
 	}
 	trailer := toMetadata(response.Trailer)
-	if response.Code != 0 { // the service's own error, which a retry would not change
+	if response.Code != 0 { // the service itself rejected the request, so a retry would fail again
 		trailer.Set(PushbackTrailer, noRetry)
 	}
 	stream.SetTrailer(trailer)
 	return status.Error(codes.Code(response.Code), decodeMessage(response.Message))
 }
 
-// fail ends a call that has no response to forward.
+// fail ends a call for which the Gateway returned err, or which was invalid. reply is the last backend's
+// error response, or nil.
 func (p *Proxy) fail(stream grpc.ServerStream, method Method, reply *grpctransport.Response, err error) error {
 	if errors.Is(err, pumicecroft.ErrBadRequest) {
 		p.logger.Debug("call not accepted", "err", err)
--- a/grpcproxy/server.go
+++ b/grpcproxy/server.go
@@ -11,35 +11,36 @@
 	"golang.org/x/net/netutil"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/encoding"
-	_ "google.golang.org/grpc/encoding/proto" // the codec for calls that the Proxy does not carry
+	_ "google.golang.org/grpc/encoding/proto" // registers the codec for messages of the host's own services
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/mem"
 )
 
-// Limits of a server's connections.
+// Limits of client connections.
 const (
-	// maxHeaderListBytes limits a call's metadata, as HPACK counts it.
+	// maxHeaderListBytes limits a call's metadata, as HPACK counts its size.
 	maxHeaderListBytes = 16 << 10
-	// streamWindow is how many bytes of a call may be unread, connWindow of all calls on a connection.
+	// streamWindow is the flow-control window of a call, and connWindow that of a connection, in bytes.
 	streamWindow = 64 << 10
 	connWindow   = 1 << 20
-	// A connection that was silent for keepaliveTime is pinged, and closed if it stays silent for
-	// keepaliveTimeout.
+	// The server pings a connection on which nothing has arrived for keepaliveTime, and closes it if
+	// nothing arrives within keepaliveTimeout after that.
 	keepaliveTime    = time.Minute
 	keepaliveTimeout = 20 * time.Second
-	// minPingInterval is how often a client may ping. One that does so more often is sent GOAWAY
-	// with ENHANCE_YOUR_CALM.
+	// minPingInterval is the shortest interval between a client's pings. A client that pings more
+	// often receives GOAWAY with ENHANCE_YOUR_CALM.
 	minPingInterval = 5 * time.Second
-	// handshakeTimeout limits the HTTP/2 handshake.
+	// handshakeTimeout limits the time to establish an HTTP/2 connection.
 	handshakeTimeout = 1500 * time.Millisecond
 )
 
-// messagePrefixBytes is the length of a message's prefix: a flag and the length of the message.
+// messagePrefixBytes is the length of a message's prefix: a compression flag and the length of the
+// message.
 const messagePrefixBytes = 5
 
-// Codec returns a codec that leaves the messages of a Proxy's calls as they are, and all others to
-// the codec of their types, so that a host's own services work as before. It is for
-// grpc.ForceServerCodecV2.
+// Codec returns the codec that a server with a Proxy must use, by grpc.ForceServerCodecV2. It does not
+// decode messages of proxied calls. All other messages are encoded as protocol buffers, so that the
+// host's own services work as usual.
 func Codec() encoding.CodecV2 { return codec{} }
 
 type codec struct{}
@@ -69,9 +70,9 @@
 	return nil
 }
 
-// ServerOptions returns the options of a server whose calls are all the Proxy's, with its limits. A
-// host that has services of its own takes Codec and Handle or Interceptor instead, and sets limits
-// as it sees fit.
+// ServerOptions returns the options, including limits, for a server that only serves the Proxy's calls.
+// A host that has services of its own uses Codec with Handle or Interceptor instead, and chooses its own
+// limits.
 func (p *Proxy) ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{
 		grpc.ForceServerCodecV2(Codec()),
@@ -87,9 +88,9 @@
 	}
 }
 
-// Serve serves clients on a listener until ctx ends. Then it sends GOAWAY, takes nothing new, and
-// returns when every call has its response and its client has received it, or after the longest
-// deadline that a call may have.
+// Serve serves clients on a listener until ctx ends. Then it sends GOAWAY, accepts no new connections
+// and calls, and returns when all open calls have ended and their responses were sent, or 1 s after the
+// longest deadline that a call may have.
 func (p *Proxy) Serve(ctx context.Context, ln net.Listener) error {
 	server := grpc.NewServer(p.ServerOptions()...)
 	ended := make(chan error, 1)
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// shutdown stops a server gracefully, and at once after the longest deadline that a call may have:
-// clients that do not read their responses would else keep it.
+// shutdown stops a server gracefully. It stops the server by force 1 s after the longest deadline that a
+// call may have, because clients that do not read their responses would block a graceful stop for ever.
 func (p *Proxy) shutdown(server *grpc.Server) {
 	stopped := make(chan struct{})
 	go func() {
--- a/grpcproxy/status.go
+++ b/grpcproxy/status.go
@@ -19,43 +19,47 @@
 	"pumicecroft/internal/grpctransport"
 )
 
-// PushbackTrailer is the trailer by which a server says when to retry a call, in whole milliseconds.
-// A negative number says not to (gRFC A6).
+// PushbackTrailer is the trailer that tells a client how many milliseconds to wait before it retries a
+// call. A negative value means that the client must not retry (gRFC A6).
 const PushbackTrailer = "grpc-retry-pushback-ms"
 
-// noRetry is the value of PushbackTrailer that says not to retry.
+// noRetry is the value of PushbackTrailer that forbids retries.
 const noRetry = "-1"
 
-// statusFor returns the status and trailers of a call that the Gateway ended by err. reply is the
-// backend's response in the attempt that the call failed by, or nil.
+// statusFor returns the status and trailers of a call for which the Gateway returned err. reply is the
+// backend's error response in the attempt with which the call failed, or nil.
 //
-// RESOURCE_EXHAUSTED with a pushback of 0 or more: the decision engine rejected the call; retrying
-// it then is safe. UNAVAILABLE: this gateway takes no calls now, another may; retrying at once is
-// safe. Everything else has a pushback of -1: the call may have run, or can never succeed. A call
-// that failed by a backend's error has that error's status, unless clients' usual retry policies
-// would repeat a call by it that is not idempotent.
-func statusFor(err error, reply *grpctransport.Response, idempotency decision.Idempotency) (*status.Status, metadata.MD) {
+//   - RESOURCE_EXHAUSTED without a negative pushback: the decision engine rejected the call. Retrying it
+//     is safe, after the pushback if there is one.
+//   - UNAVAILABLE without a pushback: this gateway accepts no calls now, but another may. Retrying at
+//     once is safe.
+//   - All others have a pushback of -1: the call may have been executed, or cannot succeed.
+//
+// A call that failed with a backend's error gets the status of that error. The status becomes UNKNOWN if
+// the class is not decision.Idempotent and clients' usual retry policies would retry the original status.
+func statusFor(err error, reply *grpctransport.Response, idempotency decision.Idempotency) (*status.Status,
+	metadata.MD) {
 	var rejected *pumicecroft.RejectedError
-	never := metadata.Pairs(PushbackTrailer, noRetry)
+	noRetryTrailer := metadata.Pairs(PushbackTrailer, noRetry)
 	switch {
 	case errors.As(err, &rejected):
 		return rejectionStatus(rejected, err, reply)
-	case errors.Is(err, pumicecroft.ErrRejected): // the gateway is closed, or has too many open requests
+	case errors.Is(err, pumicecroft.ErrRejected): // the Gateway is closed or has too many open requests
 		return status.New(codes.Unavailable, err.Error()), nil
 	case errors.Is(err, pumicecroft.ErrBodyTooLarge):
-		return status.New(codes.ResourceExhausted, err.Error()), never
+		return status.New(codes.ResourceExhausted, err.Error()), noRetryTrailer
 	case errors.Is(err, pumicecroft.ErrBadRequest):
-		return status.New(codes.InvalidArgument, err.Error()), never
+		return status.New(codes.InvalidArgument, err.Error()), noRetryTrailer
 	case errors.Is(err, pumicecroft.ErrReplayed):
-		return status.New(codes.AlreadyExists, err.Error()), never
+		return status.New(codes.AlreadyExists, err.Error()), noRetryTrailer
 	case errors.Is(err, pumicecroft.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
-		return status.New(codes.DeadlineExceeded, err.Error()), never
+		return status.New(codes.DeadlineExceeded, err.Error()), noRetryTrailer
 	case errors.Is(err, context.Canceled):
-		return status.New(codes.Canceled, err.Error()), never
+		return status.New(codes.Canceled, err.Error()), noRetryTrailer
 	case reply != nil:
 		return backendErrorStatus(reply, idempotency)
 	}
-	return status.New(codes.Unknown, err.Error()), never
+	return status.New(codes.Unknown, err.Error()), noRetryTrailer
 }
 
 // rejectionStatus returns the status of a call that the decision engine rejected.
@@ -77,18 +81,19 @@
 	return st, metadata.Pairs(PushbackTrailer, strconv.FormatInt(ms, 10))
 }
 
-// backendErrorStatus returns the status of a call that failed by a backend's error.
-func backendErrorStatus(reply *grpctransport.Response, idempotency decision.Idempotency) (*status.Status, metadata.MD) {
+// backendErrorStatus returns the status and trailers of a call that failed with a backend's error.
+func backendErrorStatus(reply *grpctransport.Response, idempotency decision.Idempotency) (*status.Status,
+	metadata.MD) {
 	code, md := codes.Code(reply.Code), toMetadata(reply.Trailer)
 	if idempotency != decision.Idempotent && clientsRetry(code) {
 		code = codes.Unknown
-		delete(md, "grpc-status-details-bin") // it has the code, too
+		delete(md, "grpc-status-details-bin") // it contains the original status code
 	}
 	md.Set(PushbackTrailer, noRetry)
 	return status.New(code, decodeMessage(reply.Message)), md
 }
 
-// clientsRetry reports whether clients' usual retry policies repeat a call that ended with a code.
+// clientsRetry reports whether clients' usual retry policies retry a call that ended with code c.
 func clientsRetry(c codes.Code) bool {
 	switch c {
 	case codes.Unavailable, codes.ResourceExhausted, codes.Aborted, codes.Internal, codes.DeadlineExceeded:
@@ -97,8 +102,8 @@
 	return false
 }
 
-// decodeMessage decodes a grpc-message, which is percent-encoded. What can't be decoded stays as it
-// is, as the protocol asks.
+// decodeMessage decodes a percent-encoded grpc-message. It keeps invalid escapes as they are, as the
+// protocol requires, and replaces invalid UTF-8.
 func decodeMessage(text string) string {
 	if !strings.Contains(text, "%") {
 		return strings.ToValidUTF8(text, "\ufffd")
--- a/internal/grpctransport/transport_test.go
+++ b/internal/grpctransport/transport_test.go
@@ -475,8 +475,8 @@
 	t.Parallel()
 	r := startRawBackend(t, func(_ net.Conn, f *http2.Framer) {
 		_ = f.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 10})
-		var head bytes.Buffer
-		encoder := hpack.NewEncoder(&head)
+		var headerBlock bytes.Buffer
+		encoder := hpack.NewEncoder(&headerBlock)
 		got := map[uint32]int{}
 		for {
 			frame, err := f.ReadFrame()
@@ -493,12 +493,12 @@
 			if !d.StreamEnded() {
 				continue
 			}
-			head.Reset()
+			headerBlock.Reset()
 			for _, h := range [][2]string{{":status", "200"}, {"content-type", "application/grpc"},
 				{"grpc-status", "5"}} {
 				_ = encoder.WriteField(hpack.HeaderField{Name: h[0], Value: h[1]})
 			}
-			_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: d.StreamID, BlockFragment: head.Bytes(),
+			_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: d.StreamID, BlockFragment: headerBlock.Bytes(),
 				EndHeaders: true, EndStream: true})
 		}
 	})
