--- a/conformance/clients.go
+++ b/conformance/clients.go
@@ -10,62 +10,64 @@
 	"pumicecroft/internal/fakes"
 )
 
-// testClientDisconnect has a client that disconnects: its attempt is cancelled, and its place is free
-// at once, so that with a plan of one request in flight the next one is served.
-func testClientDisconnect(t *testing.T, starter Starter, tr *Transcript) {
-	r := newTestCase(t, starter)
-	r.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Behavior = fakes.OnFirstAttempt(fakes.ExecuteThenHang) })
-	r.startGateway(caseConfig{plans: `{"name":"shop","parallel":1,"value_factor":1}`})
-	ctx, leave := context.WithCancel(t.Context())
-	a := r.newRequest("pay")
-	gone := make(chan fakes.Reply, 1)
-	go func() { gone <- r.sendTo(ctx, a, r.gateway) }()
-	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].Outcome == "hung" }) {
-		t.Fatal("the request never came")
+// testClientDisconnect checks that a client's disconnect cancels its attempt and frees its slot: the
+// plan allows one request in flight, and the next one is served.
+func testClientDisconnect(t *testing.T, starter Starter, transcript *Transcript) {
+	tc := newTestCase(t, starter)
+	tc.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Behavior = fakes.OnFirstAttempt(fakes.ExecuteThenHang) })
+	tc.startGateway(caseConfig{plans: `{"name":"shop","parallel":1,"value_factor":1}`})
+	ctx, disconnect := context.WithCancel(t.Context())
+	request := tc.newRequest("pay")
+	result := make(chan fakes.Reply, 1)
+	go func() { result <- tc.sendTo(ctx, request, tc.gateway) }()
+	if !tc.ledger.Await(waitTimeout, func(attempts []fakes.Attempt) bool {
+		return len(attempts) == 1 && attempts[0].Outcome == "hung"
+	}) {
+		t.Fatalf("attempts after %v: %+v, want one that hangs", waitTimeout, tc.ledger.Attempts())
 	}
-	if reply := r.send(r.newRequest("look")); reply.String() != "refused" {
-		t.Errorf("while the plan's one place is taken: %v", reply)
+	if reply := tc.send(tc.newRequest("look")); reply.String() != "refused" {
+		t.Errorf("while the plan's one slot is taken: got %v, want refused", reply)
 	}
-	leave()
-	<-gone
+	disconnect()
+	<-result
 	var reply fakes.Reply
-	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if reply = r.send(r.newRequest("look")); reply.String() == "served" {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if reply = tc.send(tc.newRequest("look")); reply.String() == "served" {
 			break
 		}
 	}
 	if reply.String() != "served" {
-		t.Errorf("after the client left: %v", reply)
+		t.Errorf("after the client disconnected: got %v, want served", reply)
 	}
-	if n := len(r.ledger.ForRequest(a.RequestID())); n != 1 {
-		t.Errorf("%d attempts of the request whose client left", n)
+	if n := len(tc.ledger.ForRequest(request.RequestID())); n != 1 {
+		t.Errorf("%d attempts of the request whose client disconnected, want 1", n)
 	}
-	tr.add("leaving", "place taken: refused; after: %v; attempts 1", reply)
+	transcript.add("leaving", "place taken: refused; after: %v; attempts 1", reply)
 }
 
-// testShutdown checks rule 1 at a planned restart: all accepted requests have their response before
-// the gateway ends.
-func testShutdown(t *testing.T, starter Starter, tr *Transcript) {
-	r := newTestCase(t, starter)
+// testShutdown checks rule 1 during a planned restart: the gateway answers all accepted requests before
+// it stops.
+func testShutdown(t *testing.T, starter Starter, transcript *Transcript) {
+	tc := newTestCase(t, starter)
 	release := make(chan bool)
-	r.startBackend(newCell(0), func(c *fakes.BackendConfig) {
+	tc.startBackend(newCell(0), func(c *fakes.BackendConfig) {
 		c.Behavior = func(fakes.Attempt) fakes.Behavior { <-release; return fakes.ServeNormally }
 	})
-	r.startGateway(caseConfig{})
+	tc.startGateway(caseConfig{})
 	const n = 10
 	replies := make(chan fakes.Reply, n)
 	for i := range n {
-		a := r.newRequest([]string{"look", "pay", "once"}[i%3])
-		go func() { replies <- r.send(a) }()
+		request := tc.newRequest([]string{"look", "pay", "once"}[i%3])
+		go func() { replies <- tc.send(request) }()
 	}
-	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == n }) {
-		t.Fatal("not all requests came")
+	if !tc.ledger.Await(waitTimeout, func(attempts []fakes.Attempt) bool { return len(attempts) == n }) {
+		t.Fatalf("%d attempts after %v, want %d", len(tc.ledger.Attempts()), waitTimeout, n)
 	}
 	stopped := make(chan error, 1)
-	go func() { stopped <- r.gateway.Stop() }()
+	go func() { stopped <- tc.gateway.Stop() }()
 	select {
 	case err := <-stopped:
-		t.Errorf("it ended with %d requests open: %v", n, err)
+		t.Errorf("the gateway stopped with %d requests open: %v", n, err)
 	case <-time.After(900 * time.Millisecond):
 	}
 	close(release)
@@ -74,28 +76,27 @@
 		if reply := <-replies; reply.String() == "served" {
 			served++
 		} else {
-			t.Errorf("%v %v", reply, reply.Err)
+			t.Errorf("got %v (%v), want served", reply, reply.Err)
 		}
 	}
 	select {
 	case err := <-stopped:
 		if err != nil {
-			t.Error(err)
+			t.Errorf("stopping the gateway: %v", err)
 		}
-	case <-time.After(waitLimit):
-		t.Error("it never ended")
+	case <-time.After(waitTimeout):
+		t.Errorf("the gateway did not stop within %v", waitTimeout)
 	}
-	tr.add("ending", "%d of %d served", served, n)
+	transcript.add("ending", "%d of %d served", served, n)
 }
 
-// testMalformedRequests checks that malformed requests are rejected at once, and that no backend gets
-// them.
-func testMalformedRequests(t *testing.T, starter Starter, tr *Transcript) {
-	r := newTestCase(t, starter)
-	r.startBackend(newCell(0), nil)
-	r.startGateway(caseConfig{})
-	header := func(name string, v ...string) func(*fakes.Request) {
-		return func(a *fakes.Request) { a.Header = http.Header{name: v} }
+// testMalformedRequests checks that malformed requests are rejected at once and reach no backend.
+func testMalformedRequests(t *testing.T, starter Starter, transcript *Transcript) {
+	tc := newTestCase(t, starter)
+	tc.startBackend(newCell(0), nil)
+	tc.startGateway(caseConfig{})
+	header := func(name string, values ...string) func(*fakes.Request) {
+		return func(request *fakes.Request) { request.Header = http.Header{name: values} }
 	}
 	for _, c := range []struct {
 		name, class string
@@ -120,49 +121,50 @@
 		{"a set too wide", "look", header("X-Call-Terms", "units=1,spread=2,first=0")},
 		{"terms twice", "look", header("X-Call-Terms", "units=1,units=1,spread=1,first=0")},
 		{"a keyed class without a key", "pay", header("Idempotency-Key")},
-		{"a body over the limit", "pay", func(a *fakes.Request) { a.Body = strings.Repeat("x", 64<<10+1) }},
-		{"a GET of a keyed class", "pay", func(a *fakes.Request) { a.Key = "" }},
-		{"a POST of a safe class", "look", func(a *fakes.Request) { a.Key = "k" }},
+		{"a body over the limit", "pay", func(request *fakes.Request) { request.Body = strings.Repeat("x", 64<<10+1) }},
+		{"a GET of a keyed class", "pay", func(request *fakes.Request) { request.Key = "" }},
+		{"a POST of a safe class", "look", func(request *fakes.Request) { request.Key = "k" }},
 	} {
-		a := r.newRequest(c.class)
+		request := tc.newRequest(c.class)
 		if c.change != nil {
-			c.change(&a)
+			c.change(&request)
 		}
-		reply := r.send(a)
+		reply := tc.send(request)
 		if reply.Latency > clientTimeout/20 {
-			t.Errorf("%s: answered after %v", c.name, reply.Latency)
+			t.Errorf("%s: response after %v, want within %v", c.name, reply.Latency, clientTimeout/20)
 		}
 		if reply.Status < 400 || reply.Status > 499 {
-			t.Errorf("%s: %v %v", c.name, reply, reply.Err)
+			t.Errorf("%s: got %v with status %d (%v), want 400 to 499", c.name, reply, reply.Status, reply.Err)
 		}
-		tr.add("malformed", "%s: %d", c.name, reply.Status)
+		transcript.add("malformed", "%s: %d", c.name, reply.Status)
 	}
-	if as := r.ledger.Attempts(); len(as) > 0 {
-		t.Errorf("backends heard of %+v", as)
+	if attempts := tc.ledger.Attempts(); len(attempts) > 0 {
+		t.Errorf("%d attempts reached backends, want 0: %+v", len(attempts), attempts)
 	}
-	if reply := r.send(r.newRequest("pay")); reply.String() != "served" {
-		t.Errorf("a good one afterwards: %v", reply)
+	if reply := tc.send(tc.newRequest("pay")); reply.String() != "served" {
+		t.Errorf("a valid request afterwards: got %v, want served", reply)
 	}
 }
 
 // testBodies checks that bodies are forwarded unchanged, up to the limit.
-func testBodies(t *testing.T, starter Starter, tr *Transcript) {
-	r := newTestCase(t, starter)
-	r.startBackend(newCell(0), nil)
-	r.startGateway(caseConfig{})
+func testBodies(t *testing.T, starter Starter, transcript *Transcript) {
+	tc := newTestCase(t, starter)
+	tc.startBackend(newCell(0), nil)
+	tc.startGateway(caseConfig{})
 	for name, body := range map[string]string{
 		"empty":   "",
 		"small":   "a=1&b=\x00\xff\r\n\r\nGET / HTTP/1.1",
 		"largest": strings.Repeat("y", 64<<10),
 	} {
-		a := r.newRequest("pay")
-		a.Body = body
-		reply := r.send(a)
-		seen := r.ledger.ForRequest(a.RequestID())
-		if reply.String() != "served" || len(seen) != 1 || seen[0].Body != body || seen[0].Key != a.Key ||
-			seen[0].Timeout == "" {
-			t.Errorf("%s: %v, %d attempts", name, reply, len(seen))
+		request := tc.newRequest("pay")
+		request.Body = body
+		reply := tc.send(request)
+		attempts := tc.ledger.ForRequest(request.RequestID())
+		if reply.String() != "served" || len(attempts) != 1 || attempts[0].Body != body || attempts[0].Key != request.Key ||
+			attempts[0].Timeout == "" {
+			t.Errorf("%s: got %v after %d attempts, want served after 1 with the same body, the key and a timeout",
+				name, reply, len(attempts))
 		}
 	}
-	tr.add("bodies", "unchanged")
+	transcript.add("bodies", "unchanged")
 }
--- a/conformance/gateways_test.go
+++ b/conformance/gateways_test.go
@@ -33,29 +33,30 @@
 	"pumicecroft/middleware/nethttp"
 )
 
-// TestMain lets the test's binary be the daemon, as a process.
+// TestMain runs the daemon instead of the tests if startDaemon has started this binary.
 func TestMain(m *testing.M) {
 	path, file := os.Getenv("PUMICECROFT_AS_DAEMON"), os.Getenv("PUMICECROFT_BY_FILE")
 	if path != "" || file != "" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-		err := serve(ctx, path, file)
+		err := runDaemon(ctx, path, file)
 		stop()
 		if err != nil {
-			slog.Error("the daemon ended", "err", err)
+			slog.Error("daemon failed", "err", err)
 			os.Exit(1)
 		}
 		return
 	}
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	gin.SetMode(gin.ReleaseMode)
-	if err := flag.Set("test.parallel", "16"); err != nil { // the cases mostly wait
+	if err := flag.Set("test.parallel", "16"); err != nil { // the cases spend most of their time waiting
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// serve runs the daemon, by the platform's configuration or an operator's file.
-func serve(ctx context.Context, path, file string) error {
+// runDaemon runs the daemon until ctx ends. path is the file of a platform's configuration; if it is
+// empty, file is an operator's file.
+func runDaemon(ctx context.Context, path, file string) error {
 	if path != "" {
 		return daemon.Serve(ctx, path, nil)
 	}
@@ -63,38 +64,42 @@
 	if err != nil {
 		return err
 	}
-	f, err := parseFile(string(text))
+	f, err := parseOperatorFile(string(text))
 	if err != nil {
 		return err
 	}
 	return daemon.ServeFile(ctx, f, nil, nil)
 }
 
-func parseFile(text string) (operatorconfig.File, error) { return operatorconfig.Parse([]byte(text)) }
+func parseOperatorFile(text string) (operatorconfig.File, error) {
+	return operatorconfig.Parse([]byte(text))
+}
 
-// process is the daemon as a process.
+// process is the daemon as a process of its own.
 type process struct {
-	cmd     *exec.Cmd
-	addr    string
-	members string // where it tells of its members
-	grpc    string // where it takes calls over gRPC
-	once    sync.Once
-	err     error
+	cmd         *exec.Cmd
+	addr        string // where clients reach it
+	membersAddr string // where it serves the status of its backends
+	grpcAddr    string // where it accepts gRPC calls
+	stopOnce    sync.Once
+	stopErr     error
 }
 
-var listens = regexp.MustCompile(`(serving|members|grpc) .*listen=(\S+)`)
+// listenLine matches the log lines in which the daemon reports its addresses.
+var listenLine = regexp.MustCompile(`(serving|members|grpc) .*listen=(\S+)`)
 
+// startProcess starts the daemon with a platform's configuration.
 func startProcess(t testing.TB, config string) Gateway {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return startAs(t, "PUMICECROFT_AS_DAEMON="+path)
+	return startDaemon(t, "PUMICECROFT_AS_DAEMON="+path)
 }
 
-// startAs starts this binary as the daemon that a variable names.
-func startAs(t testing.TB, variable string) *process {
+// startDaemon starts this binary as the daemon, with an environment variable that TestMain reads.
+func startDaemon(t testing.TB, variable string) *process {
 	t.Helper()
 	p := &process{cmd: exec.Command(os.Args[0])}
 	p.cmd.Env = append(os.Environ(), variable)
@@ -109,21 +114,21 @@
 		p.cmd.Process.Kill()
 		_ = p.Stop()
 	})
-	var said strings.Builder
+	var output strings.Builder
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
-		said.WriteString(lines.Text() + "\n")
-		if m := listens.FindStringSubmatch(lines.Text()); m != nil && m[1] == "serving" {
+		output.WriteString(lines.Text() + "\n")
+		if m := listenLine.FindStringSubmatch(lines.Text()); m != nil && m[1] == "serving" {
 			p.addr = m[2]
 			break
 		} else if m != nil && m[1] == "grpc" {
-			p.grpc = m[2]
+			p.grpcAddr = m[2]
 		} else if m != nil {
-			p.members = m[2]
+			p.membersAddr = m[2]
 		}
 	}
 	if p.addr == "" {
-		t.Fatalf("the daemon did not say where it listens:\n%s", said.String())
+		t.Fatalf("the daemon's log has no address for clients:\n%s", output.String())
 	}
 	go io.Copy(io.Discard, log)
 	return p
@@ -132,29 +137,29 @@
 func (p *process) Addr() string { return p.addr }
 
 func (p *process) Stop() error {
-	p.once.Do(func() {
+	p.stopOnce.Do(func() {
 		p.cmd.Process.Signal(syscall.SIGTERM)
-		p.err = p.cmd.Wait()
+		p.stopErr = p.cmd.Wait()
 	})
-	return p.err
+	return p.stopErr
 }
 
-// hostedGateway is a Gateway in a host's server in this process.
+// hostedGateway is a Gateway behind a host's HTTP server in this process.
 type hostedGateway struct {
-	gateway *pumicecroft.Gateway
-	server  *http.Server
-	addr    string
-	once    sync.Once
-	err     error
+	gateway  *pumicecroft.Gateway
+	server   *http.Server
+	addr     string
+	stopOnce sync.Once
+	stopErr  error
 }
 
-// startInHost returns a Starter of gateways behind a host's handler.
+// startInHost returns a Starter that serves each gateway behind a host's handler.
 func startInHost(handler func(*pumicecroft.Gateway) http.Handler) Starter {
 	return startInHostWith(handler, nil)
 }
 
-// startWithKeys is startInHost with idempotency keys, retained on disk.
-func startWithKeys(handler func(*pumicecroft.Gateway) http.Handler) Starter {
+// startInHostWithKeys is startInHost with idempotency keys, whose records are kept on disk.
+func startInHostWithKeys(handler func(*pumicecroft.Gateway) http.Handler) Starter {
 	s := startInHostWith(handler, func(t testing.TB, c *pumicecroft.Config) {
 		c.Idempotency, c.IdempotencyJournal = &idempotency.Limits{}, &pumicecroft.IdempotencyJournal{Dir: t.TempDir()}
 	})
@@ -162,6 +167,7 @@
 	return s
 }
 
+// startInHostWith is startInHost with a change of the configuration, which may be nil.
 func startInHostWith(handler func(*pumicecroft.Gateway) http.Handler,
 	change func(testing.TB, *pumicecroft.Config)) Starter {
 	return Starter{Start: func(t testing.TB, config string) Gateway {
@@ -170,11 +176,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		dc := daemon.GatewayConfig(c)
+		gatewayConfig := daemon.GatewayConfig(c)
 		if change != nil {
-			change(t, &dc)
+			change(t, &gatewayConfig)
 		}
-		gateway, err := pumicecroft.New(dc,
+		gateway, err := pumicecroft.New(gatewayConfig,
 			pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
 		if err != nil {
 			t.Fatal(err)
@@ -199,40 +205,41 @@
 func (h *hostedGateway) Addr() string { return h.addr }
 
 func (h *hostedGateway) Stop() error {
-	h.once.Do(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	h.stopOnce.Do(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
-		h.err = errors.Join(h.server.Shutdown(ctx), h.gateway.Close(ctx))
+		h.stopErr = errors.Join(h.server.Shutdown(ctx), h.gateway.Close(ctx))
 	})
-	return h.err
+	return h.stopErr
 }
 
-func notFound(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }
+// hostHandler is a host's own handler. Its status shows that a request did not go through the gateway.
+func hostHandler(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }
 
-// starters are all kinds of gateways that the suite runs against.
+// starters holds all kinds of gateways that the suite runs against.
 var starters = map[string]Starter{
 	"daemon":              {Start: startProcess},
 	"daemon with Consul":  {Start: daemonWithConsul},
 	"library with Consul": {Start: libraryWithConsul},
 	"daemon with HTTP":    {Start: daemonWithHTTP, PassesBackendErrors: true},
-	"ordinary HTTP":       {Start: libraryWithHTTP, PassesBackendErrors: true},
+	"library with HTTP":   {Start: libraryWithHTTP, PassesBackendErrors: true},
 	"daemon with gRPC":    {Start: daemonWithGRPC, GRPC: true},
-	"gRPC":                {Start: overGRPC, GRPC: true},
-	"library with keys":   startWithKeys(func(d *pumicecroft.Gateway) http.Handler { return d }),
-	"nethttp with keys": startWithKeys(func(d *pumicecroft.Gateway) http.Handler {
-		return nethttp.New(d)(http.HandlerFunc(notFound))
+	"library with gRPC":   {Start: libraryWithGRPC, GRPC: true},
+	"library with keys":   startInHostWithKeys(func(gateway *pumicecroft.Gateway) http.Handler { return gateway }),
+	"nethttp with keys": startInHostWithKeys(func(gateway *pumicecroft.Gateway) http.Handler {
+		return nethttp.New(gateway)(http.HandlerFunc(hostHandler))
 	}),
-	"library": startInHost(func(d *pumicecroft.Gateway) http.Handler { return d }),
-	"nethttp under chi": startInHost(func(d *pumicecroft.Gateway) http.Handler {
+	"library": startInHost(func(gateway *pumicecroft.Gateway) http.Handler { return gateway }),
+	"nethttp under chi": startInHost(func(gateway *pumicecroft.Gateway) http.Handler {
 		r := chi.NewRouter()
-		r.Use(chimiddleware.RequestID, chimiddleware.Recoverer, chimiddleware.Timeout(time.Minute), nethttp.New(d))
-		r.NotFound(notFound)
-		r.Get("/own", notFound) // without a route of its own chi runs no middleware
+		r.Use(chimiddleware.RequestID, chimiddleware.Recoverer, chimiddleware.Timeout(time.Minute), nethttp.New(gateway))
+		r.NotFound(hostHandler)
+		r.Get("/own", hostHandler) // chi runs no middleware on a router without routes
 		return r
 	}),
-	"gin": startInHost(func(d *pumicecroft.Gateway) http.Handler {
+	"gin": startInHost(func(gateway *pumicecroft.Gateway) http.Handler {
 		e := gin.New()
-		e.Use(gin.Recovery(), pumicegin.New(d))
+		e.Use(gin.Recovery(), pumicegin.New(gateway))
 		e.NoRoute(func(c *gin.Context) { c.Status(http.StatusTeapot) })
 		return e
 	}),
@@ -248,39 +255,39 @@
 	return transcript[:from] + transcript[to:]
 }
 
-// Every kind of gateway obeys the rules, and all of them give the same responses and the same
-// counts.
+// Every kind of gateway obeys the rules, and all of them have the same transcript, which is also what
+// the simulation predicts.
 func TestConformance(t *testing.T) {
 	var mu sync.Mutex
-	told := map[string]string{}
-	t.Run("fronts", func(t *testing.T) {
+	transcripts := map[string]string{}
+	t.Run("gateways", func(t *testing.T) {
 		for name, start := range starters {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				tr := Run(t, start).String()
+				transcript := Run(t, start).String()
 				mu.Lock()
-				told[name] = tr
+				transcripts[name] = transcript
 				mu.Unlock()
 			})
 		}
 	})
-	if t.Failed() || flag.Lookup("test.run").Value.String() != "" { // one of the cases alone has nothing to compare
+	if t.Failed() || flag.Lookup("test.run").Value.String() != "" { // a selection of cases has no whole transcript
 		return
 	}
-	want := told["daemon"]
-	if want == "" || len(told) != len(starters) {
-		t.Fatalf("%d fronts told something", len(told))
+	want := transcripts["daemon"]
+	if want == "" || len(transcripts) != len(starters) {
+		t.Fatalf("%d transcripts, want %d, among them the daemon's", len(transcripts), len(starters))
 	}
-	for name, got := range told {
+	for name, got := range transcripts {
 		want := want
-		// ids that come again have answers of their own there, which the case looks at
+		// With idempotency keys, repeated IDs get other responses, which testReplays itself checks.
 		if starters[name].IdempotencyKeys {
 			want = withoutCase(want, "replays")
 		}
 		if starters[name].PassesBackendErrors {
 			want, got = withoutCase(want, "malformed"), withoutCase(got, "malformed")
 			name := ""
-			// a backend's own error is its own: the daemon says 502, or 503 of what may be repeated
+			// Where a backend's 500 is forwarded, the daemon responds 502, or 503 if the request may be retried.
 			for line := range strings.Lines(got) {
 				if !strings.HasPrefix(line, " ") {
 					name = strings.TrimSpace(line)
@@ -293,11 +300,11 @@
 			t.Errorf("%s differs from the daemon:\n%s", name, diff(want, got))
 		}
 	}
-	compareWithWorld(t, want)
-	t.Logf("all fronts:\n%s", want)
+	compareWithSimulation(t, want)
+	t.Logf("transcript of all gateways:\n%s", want)
 }
 
-// diff returns the lines that differ.
+// diff returns the lines that differ between the daemon's transcript and another gateway's.
 func diff(want, got string) string {
 	a, b := strings.Split(want, "\n"), strings.Split(got, "\n")
 	var out strings.Builder
--- a/conformance/grpc_test.go
+++ b/conformance/grpc_test.go
@@ -19,21 +19,21 @@
 	"pumicecroft/membership"
 )
 
-// overGRPC starts a Gateway in this process behind a gRPC server, with backends that speak gRPC.
-func overGRPC(t testing.TB, config string) Gateway {
+// libraryWithGRPC starts a Gateway behind a gRPC server in this process, with backends that speak gRPC.
+func libraryWithGRPC(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	dc := daemon.GatewayConfig(c)
-	dc.Protocol = membership.ProtocolGRPC
-	gateway, err := pumicecroft.New(dc, grpcproxy.WithBackends(grpcproxy.BackendConfig{}),
+	gatewayConfig := daemon.GatewayConfig(c)
+	gatewayConfig.Protocol = membership.ProtocolGRPC
+	gateway, err := pumicecroft.New(gatewayConfig, grpcproxy.WithBackends(grpcproxy.BackendConfig{}),
 		pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := grpcproxy.New(gateway, grpcproxy.Config{Methods: deskMethods(gateway), Strict: true,
+	proxy, err := grpcproxy.New(gateway, grpcproxy.Config{Methods: grpcMethods(gateway), Strict: true,
 		MaxMessageBytes: pumicecroft.MaxBody})
 	if err != nil {
 		t.Fatal(err)
@@ -44,38 +44,38 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	g := &hostedGRPC{gateway: gateway, addr: ln.Addr().String(), stop: stop, served: make(chan error, 1)}
-	go func() { g.served <- front.Serve(ctx, ln) }()
+	go func() { g.served <- proxy.Serve(ctx, ln) }()
 	t.Cleanup(func() { _ = g.Stop() })
 	return g
 }
 
-// daemonWithGRPC starts the daemon by an operator's file, for clients and backends that speak gRPC.
+// daemonWithGRPC starts the daemon with an operator's file for clients and backends that speak gRPC.
 func daemonWithGRPC(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := fileWith(c, `protocol = "grpc"`) + fmt.Sprintf("[discovery]\naddress = %q\n", c.Discovery)
+	text := operatorFileWithoutSources(c, `protocol = "grpc"`) + fmt.Sprintf("[discovery]\naddress = %q\n", c.Discovery)
 	text += fmt.Sprintf("[grpc]\nlisten = \"127.0.0.1:0\"\nstrict = true\nmax_message = %d\n", pumicecroft.MaxBody)
 	for _, class := range c.Settings.Classes {
 		text += fmt.Sprintf("[[grpc.method]]\nname = \"/%s/%s\"\nclass = %q\n", fakes.GRPCService, class.Name,
 			class.Name)
 	}
-	p := startByFile(t, text, c)
-	p.addr = p.grpc
+	p := startDaemonWithFile(t, text, c)
+	p.addr = p.grpcAddr
 	return p
 }
 
-// startByFile starts the daemon by an operator's file, and waits until it knows all backends that
-// the configuration lists, and more.
-func startByFile(t testing.TB, text string, c platform.Config, more ...string) *process {
+// startDaemonWithFile starts the daemon with an operator's file, and waits until its backends are those
+// of the configuration's endpoint list and those named in more.
+func startDaemonWithFile(t testing.TB, text string, c platform.Config, more ...string) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "pumicecroft.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := startAs(t, "PUMICECROFT_BY_FILE="+path)
+	p := startDaemon(t, "PUMICECROFT_BY_FILE="+path)
 	names := more
 	for _, n := range c.Known.Membership().Nodes {
 		names = append(names, n.Name)
@@ -83,13 +83,13 @@
 	slices.Sort(names)
 	waitForNames(t, names, func() ([]pumicecroft.BackendStatus,
 		error) {
-		return daemon.FetchBackendStatus(t.Context(), p.members)
+		return daemon.FetchBackendStatus(t.Context(), p.membersAddr)
 	})
 	return p
 }
 
-// deskMethods are the methods of the fakes' service: one for each class.
-func deskMethods(gateway *pumicecroft.Gateway) map[string]grpcproxy.Method {
+// grpcMethods returns the methods of the fake service, one for each class.
+func grpcMethods(gateway *pumicecroft.Gateway) map[string]grpcproxy.Method {
 	methods := map[string]grpcproxy.Method{}
 	for _, class := range gateway.ClassNames() {
 		methods["/"+fakes.GRPCService+"/"+class] = grpcproxy.Method{Class: class}
@@ -97,23 +97,24 @@
 	return methods
 }
 
+// hostedGRPC is a Gateway behind a gRPC server in this process.
 type hostedGRPC struct {
-	gateway *pumicecroft.Gateway
-	addr    string
-	stop    func()
-	served  chan error
-	once    sync.Once
-	err     error
+	gateway  *pumicecroft.Gateway
+	addr     string
+	stop     func()
+	served   chan error
+	stopOnce sync.Once
+	stopErr  error
 }
 
 func (g *hostedGRPC) Addr() string { return g.addr }
 
 func (g *hostedGRPC) Stop() error {
-	g.once.Do(func() {
+	g.stopOnce.Do(func() {
 		g.stop()
-		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
-		g.err = errors.Join(<-g.served, g.gateway.Close(ctx))
+		g.stopErr = errors.Join(<-g.served, g.gateway.Close(ctx))
 	})
-	return g.err
+	return g.stopErr
 }
--- a/conformance/http_test.go
+++ b/conformance/http_test.go
@@ -16,11 +16,13 @@
 	"pumicecroft/membership"
 )
 
-// webFile returns an operator's file by which ordinary HTTP does what the platform's dialect does.
-func webFile(c platform.Config) string {
+// httpOperatorFile returns an operator's file for HTTP backends that means the same as the platform's
+// configuration c. Its routes and identity read the platform's headers.
+func httpOperatorFile(c platform.Config) string {
 	var b strings.Builder
-	b.WriteString(fileWith(c, ""))
-	fmt.Fprintf(&b, "[[service]]\nname = \"desk\"\nbackend_connections = %d\nconnect_timeout = %q\nidle_timeout = %q\n", c.Limits.BackendConns(), c.Conns.ConnectTimeout, c.Conns.IdleTimeout)
+	b.WriteString(operatorFileWithoutSources(c, ""))
+	fmt.Fprintf(&b, "[[service]]\nname = \"desk\"\nbackend_connections = %d\nconnect_timeout = %q\nidle_timeout = %q\n",
+		c.Limits.BackendConns(), c.Conns.ConnectTimeout, c.Conns.IdleTimeout)
 	fmt.Fprintf(&b, "[discovery]\naddress = %q\nservice = \"desk\"\n", c.Discovery)
 	b.WriteString(`[http]
 trusted = ["127.0.0.1"]
@@ -37,95 +39,96 @@
 [[route]]
 refuse = 400
 `)
-	for _, k := range c.Settings.Classes {
+	for _, class := range c.Settings.Classes {
 		method := "POST"
-		if k.Idempotency == 0 {
+		if class.Idempotency == 0 {
 			method = "GET"
 		}
-		fmt.Fprintf(&b, "[[route]]\npath = \"/%[1]s\"\nmethods = [%[2]q]\nheaders = [\"Request-Class=%[1]s\"]\nservice = \"desk\"\nclass = %[1]q\nmax_body = %[3]d\n", k.Name, method, pumicecroft.MaxBody)
+		fmt.Fprintf(&b, "[[route]]\npath = \"/%[1]s\"\nmethods = [%[2]q]\nheaders = [\"Request-Class=%[1]s\"]\n"+
+			"service = \"desk\"\nclass = %[1]q\nmax_body = %[3]d\n",
+			class.Name, method, pumicecroft.MaxBody)
 	}
 	return b.String()
 }
 
-// daemonWithHTTP starts the daemon by an operator's file, for ordinary HTTP.
+// daemonWithHTTP starts the daemon with an operator's file for HTTP backends.
 func daemonWithHTTP(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startByFile(t, webFile(c), c)
+	return startDaemonWithFile(t, httpOperatorFile(c), c)
 }
 
-// libraryWithHTTP starts an httpproxy.Proxy in a host's server in this process.
+// libraryWithHTTP starts an httpproxy.Proxy on a host's server in this process.
 func libraryWithHTTP(t testing.TB, config string) Gateway {
 	t.Helper()
 	c, err := platform.ParseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := parseFile(webFile(c))
+	f, err := parseOperatorFile(httpOperatorFile(c))
 	if err != nil {
 		t.Fatal(err)
 	}
-	dc := f.Gateway
-	dc.InitialEndpoints = c.Known.Membership()
-	for i := range dc.InitialEndpoints.Nodes {
-		dc.InitialEndpoints.Nodes[i].Protocol = httpproxy.Protocol("desk")
+	gatewayConfig := f.Gateway
+	gatewayConfig.InitialEndpoints = c.Known.Membership()
+	for i := range gatewayConfig.InitialEndpoints.Nodes {
+		gatewayConfig.InitialEndpoints.Nodes[i].Protocol = httpproxy.Protocol("desk")
 	}
 	s, err := httpproxyconfig.Service(f.HTTP.Services[0], os.ReadFile, slog.Default())
 	if err != nil {
 		t.Fatal(err)
 	}
-	gateway, err := pumicecroft.New(dc, httpproxy.WithService(s))
+	gateway, err := pumicecroft.New(gatewayConfig, httpproxy.WithService(s))
 	if err != nil {
 		t.Fatal(err)
 	}
 	followDiscovery(t, gateway, c, httpproxy.Protocol("desk"))
-	fc := f.HTTP.Proxy
-	if fc.Rules, err = httpproxyconfig.Rules(&f, os.ReadFile); err != nil {
+	proxyConfig := f.HTTP.Proxy
+	if proxyConfig.Rules, err = httpproxyconfig.Rules(&f, os.ReadFile); err != nil {
 		t.Fatal(err)
 	}
-	front, err := httpproxy.New(gateway, fc)
+	proxy, err := httpproxy.New(gateway, proxyConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startHost(t, gateway, front)
+	return startHost(t, gateway, proxy)
 }
 
-// followDiscovery keeps a gateway's backends equal to discovery's, with the protocol that they
-// speak.
+// followDiscovery passes each update of discovery on to a gateway, with protocol set on all backends.
 func followDiscovery(t testing.TB, gateway *pumicecroft.Gateway, c platform.Config, protocol string) {
-	d := &platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}
-	go d.Run(t.Context(), func(l membership.Update) {
-		for i := range l.Nodes {
-			l.Nodes[i].Protocol = protocol
+	discovery := &platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}
+	go discovery.Run(t.Context(), func(update membership.Update) {
+		for i := range update.Nodes {
+			update.Nodes[i].Protocol = protocol
 		}
-		gateway.Update(l)
+		gateway.Update(update)
 	})
 }
 
-// One customer asks two services over HTTP and a third over gRPC: it must get no more than of one
-// of them.
+// One quota holds over services and protocols: a customer that sends its requests to two services over
+// HTTP and to a third over gRPC has as many served as one that sends all of them to one service.
 func TestOneQuotaOverServicesAndProtocols(t *testing.T) {
-	count := func(t *testing.T, ways ...string) (served int) {
-		r := newTestCase(t, Starter{})
-		r.startBackend(newCell(0), nil)
-		beside := map[string]*fakes.Backend{}
+	count := func(t *testing.T, routes ...string) (served int) {
+		tc := newTestCase(t, Starter{})
+		tc.startBackend(newCell(0), nil)
+		otherBackends := map[string]*fakes.Backend{}
 		for _, name := range []string{"two", "grpc"} {
-			b, err := fakes.StartBackend(fakes.BackendConfig{Name: name, Ledger: r.ledger, GRPC: name == "grpc"})
+			b, err := fakes.StartBackend(fakes.BackendConfig{Name: name, Ledger: tc.ledger, GRPC: name == "grpc"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(b.Kill)
-			beside[name] = b
+			otherBackends[name] = b
 		}
-		c, err := platform.ParseConfig([]byte(r.configText(caseConfig{plans: defaultPlans +
+		c, err := platform.ParseConfig([]byte(tc.configText(caseConfig{plans: defaultPlans +
 			`,{"name":"tiny","units_per_s":0.001,"burst":16,"value_factor":1}`})))
 		if err != nil {
 			t.Fatal(err)
 		}
-		text := webFile(c) + fmt.Sprintf(`[[service]]
+		text := httpOperatorFile(c) + fmt.Sprintf(`[[service]]
 name = "two"
 backends = [%q]
 [[route]]
@@ -144,38 +147,38 @@
 [[grpc.method]]
 name = "/%s/look"
 class = "look"
-`, beside["two"].Addr(), beside["grpc"].Addr(), fakes.GRPCService)
-		p := startByFile(t, text, c, "grpc", "two/"+beside["two"].Addr())
+`, otherBackends["two"].Addr(), otherBackends["grpc"].Addr(), fakes.GRPCService)
+		p := startDaemonWithFile(t, text, c, "grpc", "two/"+otherBackends["two"].Addr())
 		overGRPC := fakes.GRPCTransport()
 		t.Cleanup(overGRPC.CloseIdleConnections)
 		for i := range 60 {
-			a := r.newRequest("look")
-			a.Plan = "tiny"
+			request := tc.newRequest("look")
+			request.Plan = "tiny"
 			reply := fakes.Reply{}
-			switch ways[i%len(ways)] {
+			switch routes[i%len(routes)] {
 			case "two":
-				a.Header = http.Header{"X-Two": {"1"}}
+				request.Header = http.Header{"X-Two": {"1"}}
 				fallthrough
 			case "one":
-				reply = a.Do(t.Context(), r.transport, p.Addr())
+				reply = request.Do(t.Context(), tc.transport, p.Addr())
 			case "grpc":
-				reply = a.DoGRPC(t.Context(), overGRPC, p.grpc)
+				reply = request.DoGRPC(t.Context(), overGRPC, p.grpcAddr)
 			}
 			switch reply.String() {
 			case "served":
 				served++
 			case "refused":
 			default:
-				t.Errorf("%s: %v %v", ways[i%len(ways)], reply, reply.Err)
+				t.Errorf("%s: got %v (%v), want served or refused", routes[i%len(routes)], reply, reply.Err)
 			}
 		}
-		if n := len(r.ledger.Attempts()); n != served {
-			t.Errorf("%v: %d attempts, %d served", ways, n, served)
+		if n := len(tc.ledger.Attempts()); n != served {
+			t.Errorf("%v: %d attempts, want %d, as many as were served", routes, n, served)
 		}
 		return served
 	}
-	alone, all := count(t, "one"), count(t, "one", "two", "grpc")
-	if alone == 0 || alone > 16 || all != alone {
-		t.Errorf("%d served of one service, %d of three", alone, all)
+	servedByOne, servedByAll := count(t, "one"), count(t, "one", "two", "grpc")
+	if servedByOne == 0 || servedByOne > 16 || servedByAll != servedByOne {
+		t.Errorf("%d served by one service, want 1 to 16; %d by three services, want the same", servedByOne, servedByAll)
 	}
 }
--- a/conformance/interop_test.go
+++ b/conformance/interop_test.go
@@ -22,7 +22,7 @@
 	"pumicecroft/membership"
 )
 
-// testService is the service of gRPC's interop tests, after their description.
+// testService implements the service of the gRPC interop tests, as their description defines it.
 type testService struct {
 	testpb.UnimplementedTestServiceServer
 }
@@ -31,8 +31,8 @@
 	return &testpb.Empty{}, nil
 }
 
-// echo sends back the metadata that the tests expect.
-func echo(ctx context.Context, head, trail func(metadata.MD) error) error {
+// echoMetadata sends back the metadata that the tests expect.
+func echoMetadata(ctx context.Context, head, trail func(metadata.MD) error) error {
 	md, _ := metadata.FromIncomingContext(ctx)
 	var err error
 	if v := md["x-grpc-test-echo-initial"]; len(v) > 0 {
@@ -47,7 +47,7 @@
 func payload(n int32) *testpb.Payload { return &testpb.Payload{Body: make([]byte, n)} }
 
 func (testService) UnaryCall(ctx context.Context, in *testpb.SimpleRequest) (*testpb.SimpleResponse, error) {
-	err := echo(ctx, func(md metadata.MD) error { return grpc.SetHeader(ctx, md) },
+	err := echoMetadata(ctx, func(md metadata.MD) error { return grpc.SetHeader(ctx, md) },
 		func(md metadata.MD) error { return grpc.SetTrailer(ctx, md) })
 	if s := in.GetResponseStatus(); err == nil && s.GetCode() != 0 {
 		err = status.Error(codes.Code(s.GetCode()), s.GetMessage())
@@ -67,7 +67,7 @@
 
 func (testService) FullDuplexCall(s grpc.BidiStreamingServer[testpb.StreamingOutputCallRequest,
 	testpb.StreamingOutputCallResponse]) error {
-	err := echo(s.Context(), s.SetHeader, func(md metadata.MD) error { s.SetTrailer(md); return nil })
+	err := echoMetadata(s.Context(), s.SetHeader, func(md metadata.MD) error { s.SetTrailer(md); return nil })
 	for err == nil {
 		var in *testpb.StreamingOutputCallRequest
 		if in, err = s.Recv(); err != nil {
@@ -88,8 +88,8 @@
 	return err
 }
 
-// The cases of the public interop client for unary and server-streaming calls work through the
-// gateway. A case that fails ends the test's process itself, and says which.
+// The unary and server-streaming cases of gRPC's own interop client pass through the gateway. A case
+// that fails logs the failed call and ends the whole test process.
 func TestInterop(t *testing.T) {
 	serve := func(s *grpc.Server) string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,13 +102,13 @@
 	}
 	service := grpc.NewServer()
 	testpb.RegisterTestServiceServer(service, testService{})
-	set := decision.Settings{CanCancel: true, MaxRetryAfter: time.Second,
+	settings := decision.Settings{CanCancel: true, MaxRetryAfter: time.Second,
 		Plans: []decision.Plan{{Name: "shop", Rate: 1e6, Burst: 1e6, Price: 1}},
 		Classes: []decision.Class{{Name: "safe", LatencyObjective: time.Second, Deadline: 20 * time.Second,
 			PriorityWeight: 1},
 			{Name: "unsafe", Idempotency: decision.NonIdempotent, LatencyObjective: time.Second,
 				Deadline: 20 * time.Second, PriorityWeight: 1}}}
-	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: set,
+	gateway, err := pumicecroft.New(pumicecroft.Config{Settings: settings,
 		InitialEndpoints: membership.Update{Nodes: []membership.Node{
 			{Name: "service", Addr: serve(service), Protocol: membership.ProtocolGRPC}}}},
 		grpcproxy.WithBackends(grpcproxy.BackendConfig{}))
@@ -117,25 +117,25 @@
 	}
 	defer func() { _ = gateway.Close(t.Context()) }()
 	const name = "/grpc.testing.TestService/"
-	front, err := grpcproxy.New(gateway, grpcproxy.Config{Methods: map[string]grpcproxy.Method{name +
+	proxy, err := grpcproxy.New(gateway, grpcproxy.Config{Methods: map[string]grpcproxy.Method{name +
 		"EmptyCall": {Class: "safe"},
 		name + "UnaryCall": {Class: "unsafe"}, name + "StreamingOutputCall": {Class: "safe", Streaming: true},
 		name + "FullDuplexCall": {Class: "unsafe", Streaming: true}, name + "StreamingInputCall": {Class: "safe"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	who := func(ctx context.Context) context.Context {
+	withIdentity := func(ctx context.Context) context.Context {
 		return metadata.AppendToOutgoingContext(ctx, "x-api-key", "0000000000000007", "x-tier", "shop")
 	}
-	conn, err := grpc.NewClient("passthrough:///"+serve(grpc.NewServer(front.ServerOptions()...)),
+	conn, err := grpc.NewClient("passthrough:///"+serve(grpc.NewServer(proxy.ServerOptions()...)),
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithUnaryInterceptor(func(ctx context.Context, m string, in, out any, cc *grpc.ClientConn,
 			next grpc.UnaryInvoker, o ...grpc.CallOption) error {
-			return next(who(ctx), m, in, out, cc, o...)
+			return next(withIdentity(ctx), m, in, out, cc, o...)
 		}),
 		grpc.WithStreamInterceptor(func(ctx context.Context, d *grpc.StreamDesc, cc *grpc.ClientConn, m string,
 			next grpc.Streamer, o ...grpc.CallOption) (grpc.ClientStream, error) {
-			return next(who(ctx), d, cc, m, o...)
+			return next(withIdentity(ctx), d, cc, m, o...)
 		}))
 	if err != nil {
 		t.Fatal(err)
--- a/conformance/outcomes.go
+++ b/conformance/outcomes.go
@@ -9,187 +9,202 @@
 	"pumicecroft/internal/fakes"
 )
 
-// testOutcomes checks rules 1 and 2: one final response, and no effect twice. It tries each way in
-// which a first attempt can end, with each class, on sets of backends where a retry may or may not go
-// elsewhere.
-func testOutcomes(t *testing.T, starter Starter, tr *Transcript) {
-	acts := map[string]fakes.Behavior{"served": fakes.ServeNormally, "error": fakes.ExecuteThenError, "turned away": fakes.RejectNotStarted,
-		"ran and broke": fakes.ExecuteThenReset, "broke unheard": fakes.ResetWithoutExecution, "spoilt": fakes.ExecuteThenGarble,
+// testOutcomes checks rules 1 and 2: each request gets one final response, and no effect happens
+// twice. It tries each way in which a first attempt can end, with each class, on one backend, on two
+// backends of one cell and on two of different cells, since only backends of one cell drop repeats.
+//
+// The names of behaviors, of fleets and in the transcript are those that sim.RunSingleRequest takes
+// and that compareWithSimulation compares.
+func testOutcomes(t *testing.T, starter Starter, transcript *Transcript) {
+	behaviors := map[string]fakes.Behavior{"served": fakes.ServeNormally, "error": fakes.ExecuteThenError,
+		"turned away": fakes.RejectNotStarted, "ran and broke": fakes.ExecuteThenReset,
+		"broke unheard": fakes.ResetWithoutExecution, "spoilt": fakes.ExecuteThenGarble,
 		"cut": fakes.ExecuteThenTruncate, "hung": fakes.ExecuteThenHang, "hung unrun": fakes.HangWithoutExecution}
 	fleets := map[string][]int{"one backend": {0}, "two of one cell": {0, 0}, "two of two cells": {0, 1}}
-	for what, act := range acts {
+	for description, behavior := range behaviors {
 		for fleet, cells := range fleets {
 			for _, class := range []string{"look", "pay", "once"} {
-				name := fmt.Sprintf("%s, %s, %s", what, fleet, class)
+				name := fmt.Sprintf("%s, %s, %s", description, fleet, class)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					testOutcome(t, starter, tr, name, act, cells, class)
+					testOutcome(t, starter, transcript, name, behavior, cells, class)
 				})
 			}
 		}
 	}
 }
 
-func testOutcome(t *testing.T, starter Starter, tr *Transcript, name string, act fakes.Behavior, cells []int, class string) {
-	r := newTestCase(t, starter)
-	memories := []*fakes.Cell{newCell(0), newCell(1)}
-	once := fakes.OnFirstAttempt(act)
+// testOutcome sends one request of a class whose first attempt ends by behavior. cells holds the cell
+// number of each backend.
+func testOutcome(t *testing.T, starter Starter, transcript *Transcript, name string, behavior fakes.Behavior,
+	cells []int, class string) {
+	tc := newTestCase(t, starter)
+	dedupCells := []*fakes.Cell{newCell(0), newCell(1)}
+	once := fakes.OnFirstAttempt(behavior)
 	for _, n := range cells {
-		r.startBackend(memories[n], func(c *fakes.BackendConfig) { c.Behavior = once })
-	}
-	r.startGateway(caseConfig{})
-	a := r.newRequest(class)
-	if act == fakes.ExecuteThenHang || act == fakes.HangWithoutExecution {
-		a.Timeout, a.ClientTimeout = shortTimeout, waitLimit
-	}
-	reply := r.send(a)
-	// On a busy machine the answer is seen later than it was given, by how late this goroutine is run.
-	if reply.Status == 0 || reply.Latency > a.Timeout+schedulingSlack {
-		t.Fatalf("no answer in %v, but after %v: %v", a.Timeout, reply.Latency, reply.Err)
-	}
-	seen := r.ledger.ForRequest(a.RequestID())
-	effects := r.ledger.Effects(a.Key)
-	hung := act == fakes.ExecuteThenHang || act == fakes.HangWithoutExecution
-	mayHaveRun := act != fakes.ServeNormally && act != fakes.RejectNotStarted
-	sameCell := len(cells) == 1 || cells[0] == cells[1] // where a repeat can go
-	mayRepeat := class == "look" || class == "pay" && sameCell
+		tc.startBackend(dedupCells[n], func(c *fakes.BackendConfig) { c.Behavior = once })
+	}
+	tc.startGateway(caseConfig{})
+	request := tc.newRequest(class)
+	if behavior == fakes.ExecuteThenHang || behavior == fakes.HangWithoutExecution {
+		request.Timeout, request.ClientTimeout = shortTimeout, waitTimeout
+	}
+	reply := tc.send(request)
+	// On a busy machine this goroutine may be scheduled some time after the response has arrived.
+	if reply.Status == 0 || reply.Latency > request.Timeout+schedulingSlack {
+		t.Fatalf("got %v after %v (%v), want a response within the timeout of %v",
+			reply, reply.Latency, reply.Err, request.Timeout)
+	}
+	attempts := tc.ledger.ForRequest(request.RequestID())
+	effects := tc.ledger.Effects(request.Key)
+	hung := behavior == fakes.ExecuteThenHang || behavior == fakes.HangWithoutExecution
+	mayHaveExecuted := behavior != fakes.ServeNormally && behavior != fakes.RejectNotStarted
+	sameCell := len(cells) == 1 || cells[0] == cells[1] // a retry reaches a backend that drops repeats
+	mayRetry := class == "look" || class == "pay" && sameCell
 	if effects > 1 {
-		t.Errorf("its effect happened %d times", effects)
+		t.Errorf("the effect happened %d times, want at most 1", effects)
 	}
-	if len(seen) > 1 && mayHaveRun && !mayRepeat {
-		t.Errorf("sent again though it may have run: %+v", seen)
+	if len(attempts) > 1 && mayHaveExecuted && !mayRetry {
+		t.Errorf("%d attempts, want 1, as the first may have been executed: %+v", len(attempts), attempts)
 	}
-	if reply.String() == "refused" && class != "look" && mayHaveRun {
-		t.Errorf("refused though it may have run")
+	if reply.String() == "refused" && class != "look" && mayHaveExecuted {
+		t.Errorf("class %s got %v with status %d, want a failure, as the request may have been executed",
+			class, reply, reply.Status)
 	}
 	if reply.String() == "refused" && reply.RetryAfter == "" {
-		t.Error("refused without a word on when to come back")
+		t.Errorf("status %d with Retry-After %q, want a time", reply.Status, reply.RetryAfter)
 	}
-	wantServed := act == fakes.ServeNormally || act == fakes.RejectNotStarted && len(cells) > 1 || mayHaveRun && !hung && mayRepeat
+	wantServed := behavior == fakes.ServeNormally || behavior == fakes.RejectNotStarted && len(cells) > 1 ||
+		mayHaveExecuted && !hung && mayRetry
 	if got := reply.String() == "served"; got != wantServed {
-		t.Errorf("answered %v, served: want %v", reply, wantServed)
+		t.Errorf("got %v, want served: %v", reply, wantServed)
 	}
-	tr.add("outcome "+name, "%v, %d attempts, %d effects", reply, len(seen), effects)
+	transcript.add("outcome "+name, "%v, %d attempts, %d effects", reply, len(attempts), effects)
 }
 
-// testReplays repeats request IDs: one that is open is rejected; one that may have run, of a class
-// whose effect must not happen twice, is not sent again.
-func testReplays(t *testing.T, starter Starter, tr *Transcript) {
-	r := newTestCase(t, starter)
+// testReplays repeats request IDs. A repeat of an open request is rejected. A request that may have
+// been executed is not sent again if its class is not idempotent. With idempotency keys, each repeat
+// gets the response to the first request.
+func testReplays(t *testing.T, starter Starter, transcript *Transcript) {
+	tc := newTestCase(t, starter)
 	release := make(chan bool)
-	r.startBackend(nil, func(c *fakes.BackendConfig) { // it drops no repeats
-		c.Behavior = func(a fakes.Attempt) fakes.Behavior {
-			if a.Body == "hold" {
+	tc.startBackend(nil, func(c *fakes.BackendConfig) { // without a cell it drops no repeats
+		c.Behavior = func(attempt fakes.Attempt) fakes.Behavior {
+			if attempt.Body == "hold" {
 				<-release
 			}
 			return fakes.ServeNormally
 		}
 	})
-	r.startGateway(caseConfig{})
-	held := r.newRequest("pay")
+	tc.startGateway(caseConfig{})
+	held := tc.newRequest("pay")
 	held.Body = "hold"
 	first := make(chan fakes.Reply, 1)
-	go func() { first <- r.send(held) }()
-	if !r.ledger.Await(waitLimit, func(as []fakes.Attempt) bool { return len(as) == 1 }) {
-		t.Fatal("the request never came")
+	go func() { first <- tc.send(held) }()
+	if !tc.ledger.Await(waitTimeout, func(attempts []fakes.Attempt) bool { return len(attempts) == 1 }) {
+		t.Fatalf("the request that the backend holds: %d attempts after %v, want 1", len(tc.ledger.Attempts()), waitTimeout)
 	}
-	if starter.IdempotencyKeys { // repeats are recognised by their keys, and get the response to the first
+	if starter.IdempotencyKeys {
 		second := make(chan fakes.Reply, 1)
-		go func() { second <- r.send(held) }()
+		go func() { second <- tc.send(held) }()
 		close(release)
-		once := r.newRequest("once")
+		once := tc.newRequest("once")
 		replies := map[string]fakes.Reply{
 			"the first":        <-first,
 			"while it is open": <-second,
-			"later":            r.send(held),
-			"once":             r.send(once),
-			"once more":        r.send(once),
+			"later":            tc.send(held),
+			"once":             tc.send(once),
+			"once more":        tc.send(once),
 		}
-		for what, reply := range replies {
+		for description, reply := range replies {
 			if reply.String() != "served" {
-				t.Errorf("%s: %v", what, reply)
+				t.Errorf("%s: got %v, want served", description, reply)
 			}
 		}
-		if n := len(r.ledger.Attempts()); n != 2 {
-			t.Errorf("%d attempts", n)
+		if n := len(tc.ledger.Attempts()); n != 2 {
+			t.Errorf("%d attempts, want 2", n)
 		}
 		return
 	}
-	open := r.send(held)
+	open := tc.send(held)
 	close(release)
-	tr.add("replays", "open: %v, the first: %v, again: %v", open, <-first, r.send(held))
+	transcript.add("replays", "open: %v, the first: %v, again: %v", open, <-first, tc.send(held))
 	for _, class := range []string{"look", "once"} {
-		a := r.newRequest(class)
-		tr.add("replays", "%s: %v, again: %v", class, r.send(a), r.send(a))
-		if class == "once" && len(r.ledger.ForRequest(a.RequestID())) != 1 {
-			t.Errorf("%s: %d attempts", class, len(r.ledger.ForRequest(a.RequestID())))
+		request := tc.newRequest(class)
+		transcript.add("replays", "%s: %v, again: %v", class, tc.send(request), tc.send(request))
+		if class == "once" && len(tc.ledger.ForRequest(request.RequestID())) != 1 {
+			t.Errorf("%s: %d attempts, want 1", class, len(tc.ledger.ForRequest(request.RequestID())))
 		}
 	}
-	if n := r.ledger.Effects(held.Key); n != 1 || len(r.ledger.ForRequest(held.RequestID())) != 1 {
-		t.Errorf("its effect happened %d times in %d attempts", n, len(r.ledger.ForRequest(held.RequestID())))
+	if n := tc.ledger.Effects(held.Key); n != 1 || len(tc.ledger.ForRequest(held.RequestID())) != 1 {
+		t.Errorf("the effect happened %d times in %d attempts, want 1 in 1", n,
+			len(tc.ledger.ForRequest(held.RequestID())))
 	}
 }
 
-// testNoBackend has no backends: all requests are rejected at once, with advice on when to retry.
-func testNoBackend(t *testing.T, starter Starter, tr *Transcript) {
-	r := newTestCase(t, starter)
-	r.startGateway(caseConfig{})
+// testNoBackend checks that without backends all requests are rejected at once, with a Retry-After.
+func testNoBackend(t *testing.T, starter Starter, transcript *Transcript) {
+	tc := newTestCase(t, starter)
+	tc.startGateway(caseConfig{})
 	for _, class := range []string{"look", "pay", "once"} {
-		reply := r.send(r.newRequest(class))
+		reply := tc.send(tc.newRequest(class))
 		if reply.String() != "refused" || reply.RetryAfter == "" || reply.Latency > clientTimeout/2 {
-			t.Errorf("%s: %v after %v, Retry-After %q", class, reply, reply.Latency, reply.RetryAfter)
+			t.Errorf("%s: %v after %v, Retry-After %q, want refused within %v and a Retry-After", class, reply,
+				reply.Latency, reply.RetryAfter, clientTimeout/2)
 		}
-		tr.add("nobody", "%s: %v", class, reply)
+		transcript.add("nobody", "%s: %v", class, reply)
 	}
 }
 
-// testManyRequests has backends that end attempts in every way: each of many concurrent requests has
-// one response in time, and no effect happens twice.
-func testManyRequests(t *testing.T, starter Starter, tr *Transcript) {
-	r := newTestCase(t, starter)
-	acts := []fakes.Behavior{fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally,
-		fakes.ExecuteThenError, fakes.RejectNotStarted, fakes.ExecuteThenReset, fakes.ResetWithoutExecution, fakes.ExecuteThenGarble, fakes.ExecuteThenTruncate,
-		fakes.ExecuteThenHang}
-	memories := []*fakes.Cell{newCell(0), newCell(1)}
+// testManyRequests sends many concurrent requests to backends that fail in every way. Each request must
+// get a response, and no effect may happen twice.
+func testManyRequests(t *testing.T, starter Starter, transcript *Transcript) {
+	tc := newTestCase(t, starter)
+	behaviors := []fakes.Behavior{fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally,
+		fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally,
+		fakes.ExecuteThenError, fakes.RejectNotStarted, fakes.ExecuteThenReset, fakes.ResetWithoutExecution,
+		fakes.ExecuteThenGarble, fakes.ExecuteThenTruncate, fakes.ExecuteThenHang}
+	dedupCells := []*fakes.Cell{newCell(0), newCell(1)}
 	for i := range 4 {
 		var mu sync.Mutex
 		n := i
-		r.startBackend(memories[i%2], func(c *fakes.BackendConfig) {
+		tc.startBackend(dedupCells[i%2], func(c *fakes.BackendConfig) {
 			c.Slots, c.WorkTime = 8, func(string) time.Duration { return 2 * time.Millisecond }
 			c.Behavior = func(fakes.Attempt) fakes.Behavior {
 				mu.Lock()
 				defer mu.Unlock()
 				n++
-				return acts[n%len(acts)]
+				return behaviors[n%len(behaviors)]
 			}
 		})
 	}
-	r.startGateway(caseConfig{objectiveMS: 300, deadlineMS: 2500})
+	tc.startGateway(caseConfig{objectiveMS: 300, deadlineMS: 2500})
 	var mu sync.Mutex
-	kinds := map[string]int{}
+	outcomes := map[string]int{}
 	var clients sync.WaitGroup
 	for i := range 16 {
 		clients.Go(func() {
 			for n := range 20 {
-				a := r.newRequest([]string{"look", "pay", "once"}[(i+n)%3])
-				// The client waits for longer than it says: on a busy machine it sees the response late.
-				a.Timeout, a.ClientTimeout = 1500*time.Millisecond, waitLimit
-				reply := r.send(a)
+				request := tc.newRequest([]string{"look", "pay", "once"}[(i+n)%3])
+				// The client waits longer than the timeout that it announces: on a busy machine it
+				// reads the response late.
+				request.Timeout, request.ClientTimeout = 1500*time.Millisecond, waitTimeout
+				reply := tc.send(request)
 				if reply.Status == 0 {
-					t.Errorf("lost after %v: %v", reply.Latency, reply.Err)
+					t.Errorf("no response after %v: %v", reply.Latency, reply.Err)
 				}
 				mu.Lock()
-				kinds[reply.String()]++
+				outcomes[reply.String()]++
 				mu.Unlock()
 			}
 		})
 	}
 	clients.Wait()
-	if doubled := r.ledger.RepeatedEffects(); len(doubled) > 0 {
-		t.Errorf("effects that happened twice: %v", doubled)
+	if repeated := tc.ledger.RepeatedEffects(); len(repeated) > 0 {
+		t.Errorf("%d effects happened more than once, want 0: %v", len(repeated), repeated)
 	}
-	if kinds["served"] == 0 {
-		t.Errorf("%v", kinds)
+	if outcomes["served"] == 0 {
+		t.Errorf("no request was served, outcomes: %v", outcomes)
 	}
-	tr.add("many", "lost %d, doubled %d", kinds["lost"], len(r.ledger.RepeatedEffects()))
+	transcript.add("many", "lost %d, doubled %d", outcomes["lost"], len(tc.ledger.RepeatedEffects()))
 }
--- a/conformance/quota.go
+++ b/conformance/quota.go
@@ -10,32 +10,33 @@
 	"pumicecroft/internal/fakes"
 )
 
-// testQuota checks that requests beyond a customer's plan are rejected at once, with advice on when
-// to retry, and cost no backend anything.
-func testQuota(t *testing.T, starter Starter, tr *Transcript) {
-	r := newTestCase(t, starter)
-	r.startBackend(newCell(0), nil)
-	r.startGateway(caseConfig{plans: defaultPlans + `,{"name":"tiny","units_per_s":0.01,"burst":10,"value_factor":1}`})
-	kinds := ""
+// testQuota checks that requests beyond a customer's plan are rejected at once, with a Retry-After,
+// and that they reach no backend.
+func testQuota(t *testing.T, starter Starter, transcript *Transcript) {
+	tc := newTestCase(t, starter)
+	tc.startBackend(newCell(0), nil)
+	tc.startGateway(caseConfig{plans: defaultPlans + `,{"name":"tiny","units_per_s":0.01,"burst":10,"value_factor":1}`})
+	outcomes := ""
 	for range 20 {
-		a := r.newRequest("look")
-		a.Plan = "tiny"
-		reply := r.send(a)
-		kinds += reply.String()[:1]
+		request := tc.newRequest("look")
+		request.Plan = "tiny"
+		reply := tc.send(request)
+		outcomes += reply.String()[:1]
 		if reply.String() == "refused" && (reply.RetryAfter != "0.900" || reply.Latency > clientTimeout/2) {
-			t.Errorf("refused after %v with Retry-After %q", reply.Latency, reply.RetryAfter)
+			t.Errorf("refused after %v with Retry-After %q, want within %v and 0.900", reply.Latency,
+				reply.RetryAfter, clientTimeout/2)
 		}
-		if n := len(r.ledger.ForRequest(a.RequestID())); n != boolToInt(reply.String() == "served") {
-			t.Errorf("%v, and %d attempts", reply, n)
+		if n := len(tc.ledger.ForRequest(request.RequestID())); n != boolToInt(reply.String() == "served") {
+			t.Errorf("%v with %d attempts, want 1 attempt if served, else 0", reply, n)
 		}
 	}
-	if served := strings.Count(kinds, "s"); served < 1 || served > 10 {
-		t.Errorf("%d requests of a quota of 10 were served", served)
+	if served := strings.Count(outcomes, "s"); served < 1 || served > 10 {
+		t.Errorf("%d requests were served, want 1 to 10", served)
 	}
-	if reply := r.send(r.newRequest("look")); reply.String() != "refused" && reply.String() != "served" {
-		t.Errorf("another customer: %v", reply)
+	if reply := tc.send(tc.newRequest("look")); reply.String() != "refused" && reply.String() != "served" {
+		t.Errorf("the same customer on plan shop: got %v, want refused or served", reply)
 	}
-	tr.add("quota", "%s", kinds)
+	transcript.add("quota", "%s", outcomes)
 }
 
 func boolToInt(b bool) int {
@@ -45,29 +46,30 @@
 	return 0
 }
 
-// testHardLimit checks rule 5: two gateways together stay within a hard limit, whatever they are asked.
-func testHardLimit(t *testing.T, starter Starter, tr *Transcript) {
+// testHardLimit checks rule 5: two gateways together stay within a hard limit under any load. It
+// replays the attempts against a token bucket with the limit's rate and burst.
+func testHardLimit(t *testing.T, starter Starter, transcript *Transcript) {
 	const rate, burst, slack = 20.0, 30.0, 3.0
 	plans := fmt.Sprintf(`{"name":"shop","units_per_s":%v,"burst":%v,"value_factor":1,`+
 		`"ceiling_rate":%v,"never_over_depth":%v,"cap_slack":%v}`, 1000, 1000, rate, burst, slack)
-	r := newTestCase(t, starter)
+	tc := newTestCase(t, starter)
 	for range 2 {
-		r.startBackend(newCell(0), nil)
+		tc.startBackend(newCell(0), nil)
 	}
 	var gateways []Gateway
 	for index := range 2 {
-		gateways = append(gateways, r.startAnother(caseConfig{gatewayCount: 2, gatewayIndex: index, plans: plans}))
+		gateways = append(gateways, tc.newGateway(caseConfig{gatewayCount: 2, gatewayIndex: index, plans: plans}))
 	}
-	time.Sleep(300 * time.Millisecond) // so that the buckets of the hard limit have something
+	time.Sleep(300 * time.Millisecond) // lets the hard-limit buckets fill a little
 	var clients sync.WaitGroup
 	end := time.Now().Add(1500 * time.Millisecond)
 	for i := range 8 {
 		clients.Go(func() {
 			for time.Now().Before(end) {
-				a := r.newRequest("look")
-				a.GatewaySpread, a.Timeout = 2, 5*time.Second
-				if reply := r.sendTo(t.Context(), a, gateways[i%2]); reply.Status == 0 {
-					t.Errorf("lost: %v", reply.Err)
+				request := tc.newRequest("look")
+				request.GatewaySpread, request.Timeout = 2, 5*time.Second
+				if reply := tc.sendTo(t.Context(), request, gateways[i%2]); reply.Status == 0 {
+					t.Errorf("no response after %v: %v", reply.Latency, reply.Err)
 				} else if reply.String() == "refused" {
 					time.Sleep(2 * time.Millisecond)
 				}
@@ -76,59 +78,60 @@
 	}
 	clients.Wait()
 	bucket, least, last := burst, burst, time.Time{}
-	for _, a := range r.ledger.Attempts() {
+	for _, attempt := range tc.ledger.Attempts() {
 		if !last.IsZero() {
-			bucket = min(burst, bucket+rate*a.At.Sub(last).Seconds())
+			bucket = min(burst, bucket+rate*attempt.At.Sub(last).Seconds())
 		}
-		last = a.At
+		last = attempt.At
 		bucket--
 		least = min(least, bucket)
 	}
-	n := len(r.ledger.Attempts())
+	n := len(tc.ledger.Attempts())
 	if least < -slack || n == 0 {
-		t.Errorf("%d units were sent on, the hard limit's bucket went to %.1f", n, least)
+		t.Errorf("%d units were forwarded, the hard limit's bucket went down to %.1f, want at least %.1f", n, least, -slack)
 	}
-	tr.add("ceiling", "held: %v", least >= -slack)
+	transcript.add("ceiling", "held: %v", least >= -slack)
 }
 
-// testSharedQuota has two gateways that can't talk to each other: by the backends' usage reports, they
-// hold a customer to one quota. What the other gateway uses is unseen while a report is late, so the
-// bound is the burst, the rate, and what the rate gives in 1.5 s.
-func testSharedQuota(t *testing.T, starter Starter, tr *Transcript) {
+// testSharedQuota checks that two gateways without a connection to each other hold a customer to one
+// quota, by the usage reports of backends. A gateway does not see what the other one uses until the
+// next report, so the bound is the burst, the rate, and what the rate gives in 1.5 s.
+func testSharedQuota(t *testing.T, starter Starter, transcript *Transcript) {
 	const rate, burst, unseen = 40.0, 40.0, 1.5
-	r := newTestCase(t, starter)
+	tc := newTestCase(t, starter)
 	meter := &fakes.Meter{}
 	for range 2 {
-		r.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Meter = meter })
+		tc.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Meter = meter })
 	}
 	plans := fmt.Sprintf(`{"name":"shop","units_per_s":%v,"burst":%v,"value_factor":1}`, rate, burst)
 	var gateways []Gateway
 	for index := range 2 {
-		gateways = append(gateways, r.startAnother(caseConfig{gatewayCount: 2, gatewayIndex: index, plans: plans,
+		gateways = append(gateways, tc.newGateway(caseConfig{gatewayCount: 2, gatewayIndex: index, plans: plans,
 			usageReports: true}))
 	}
-	begun := time.Now()
+	start := time.Now()
 	var clients sync.WaitGroup
 	for i := range 4 {
 		clients.Go(func() {
-			for time.Since(begun) < 4*time.Second {
-				a := r.newRequest("look")
-				a.GatewaySpread = 2
-				meter.Register(a.RequestID(), a.Customer, 1, rate)
-				if reply := r.sendTo(t.Context(), a, gateways[i%2]); reply.Status == 0 {
-					t.Errorf("lost: %v", reply.Err)
+			for time.Since(start) < 4*time.Second {
+				request := tc.newRequest("look")
+				request.GatewaySpread = 2
+				meter.Register(request.RequestID(), request.Customer, 1, rate)
+				if reply := tc.sendTo(t.Context(), request, gateways[i%2]); reply.Status == 0 {
+					t.Errorf("no response after %v: %v", reply.Latency, reply.Err)
 				}
-				meter.Forget(a.RequestID())
+				meter.Forget(request.RequestID())
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
 	}
 	clients.Wait()
-	sent := float64(len(r.ledger.Attempts()))
-	seconds := time.Since(begun).Seconds()
+	sent := float64(len(tc.ledger.Attempts()))
+	seconds := time.Since(start).Seconds()
 	if most := burst + rate*(seconds+unseen); sent > most || sent < rate*seconds/2 {
-		t.Errorf("%.0f units were sent on in %.1f s, the bound is %.0f", sent, seconds, most)
+		t.Errorf("%.0f units were forwarded in %.1f s, want %.0f to %.0f", sent, seconds, rate*seconds/2, most)
 	}
-	t.Logf("%.0f units in %.1f s, of a quota of %.0f and %.0f a second", sent, seconds, burst, rate)
-	tr.add("quota of two", "held")
+	t.Logf("%.0f units were forwarded in %.1f s, with a burst of %.0f and a rate of %.0f a second",
+		sent, seconds, burst, rate)
+	transcript.add("quota of two", "held")
 }
--- a/conformance/testcase.go
+++ b/conformance/testcase.go
@@ -12,17 +12,17 @@
 	"pumicecroft/internal/fakes"
 )
 
-// caseConfig is what a case may set in the configuration. A zero field has a default.
+// caseConfig holds the settings that a case may change. Zero fields get defaults.
 type caseConfig struct {
 	gatewayCount, gatewayIndex int
-	plans                      string // JSON; default: defaultPlans
+	plans                      string // JSON; empty means defaultPlans
 	usageReports               bool   // backends report usage
 	noCancel                   bool
 	objectiveMS                int
 	deadlineMS                 int
 }
 
-// defaultPlans is a plan without a quota that matters.
+// defaultPlans is a plan whose quota no case reaches.
 const defaultPlans = `{"name":"shop","units_per_s":100000,"burst":100000,"value_factor":1}`
 
 // testCase is the deployment of one case.
@@ -40,68 +40,68 @@
 
 func newTestCase(t *testing.T, starter Starter) *testCase {
 	t.Helper()
-	d, err := fakes.StartDiscovery()
+	discovery, err := fakes.StartDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testCase{t: t, starter: starter, ledger: &fakes.Ledger{}, discovery: d, lastID: 0x5ca1ab1e00000000,
+	tc := &testCase{t: t, starter: starter, ledger: &fakes.Ledger{}, discovery: discovery, lastID: 0x5ca1ab1e00000000,
 		transport: &http.Transport{MaxIdleConnsPerHost: 100, DisableCompression: true}}
 	if starter.GRPC {
-		r.transport = fakes.GRPCTransport()
+		tc.transport = fakes.GRPCTransport()
 	}
 	t.Cleanup(func() {
-		r.transport.CloseIdleConnections()
-		for _, b := range r.backends {
+		tc.transport.CloseIdleConnections()
+		for _, b := range tc.backends {
 			b.Kill()
 		}
-		d.Close()
+		discovery.Close()
 	})
-	return r
+	return tc
 }
 
 // startBackend starts a backend in a cell and adds it to discovery's list.
-func (r *testCase) startBackend(cell *fakes.Cell, change func(*fakes.BackendConfig)) *fakes.Backend {
-	r.t.Helper()
-	c := fakes.BackendConfig{Name: fmt.Sprintf("b%d", len(r.backends)), Zone: "z", InstanceType: "k", Cell: cell,
-		Ledger: r.ledger, IdempotentByKey: func(class string) bool { return class != "look" }, GRPC: r.starter.GRPC}
+func (tc *testCase) startBackend(cell *fakes.Cell, change func(*fakes.BackendConfig)) *fakes.Backend {
+	tc.t.Helper()
+	c := fakes.BackendConfig{Name: fmt.Sprintf("b%d", len(tc.backends)), Zone: "z", InstanceType: "k", Cell: cell,
+		Ledger: tc.ledger, IdempotentByKey: func(class string) bool { return class != "look" }, GRPC: tc.starter.GRPC}
 	if change != nil {
 		change(&c)
 	}
 	b, err := fakes.StartBackend(c)
 	if err != nil {
-		r.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	r.backends = append(r.backends, b)
-	r.discovery.Set(b.Endpoint())
+	tc.backends = append(tc.backends, b)
+	tc.discovery.Set(b.Endpoint())
 	return b
 }
 
-// newCell returns a cell, in which backends drop repeated requests.
+// newCell returns a cell, whose backends together drop repeated requests.
 func newCell(n int) *fakes.Cell { return &fakes.Cell{Number: n, Window: 5 * time.Second} }
 
-// configText returns a configuration as the platform writes it, with discovery's present list.
-func (r *testCase) configText(f caseConfig) string {
-	known, err := json.Marshal(r.discovery.List())
+// configText returns a configuration as the platform writes it, with discovery's current endpoint list.
+func (tc *testCase) configText(config caseConfig) string {
+	known, err := json.Marshal(tc.discovery.List())
 	if err != nil {
-		r.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	if f.plans == "" {
-		f.plans = defaultPlans
+	if config.plans == "" {
+		config.plans = defaultPlans
 	}
-	if f.objectiveMS == 0 {
-		f.objectiveMS = 10_000
+	if config.objectiveMS == 0 {
+		config.objectiveMS = 10_000
 	}
-	if f.deadlineMS == 0 {
-		f.deadlineMS = 15_000
+	if config.deadlineMS == 0 {
+		config.deadlineMS = 15_000
 	}
 	meter := 0
-	if f.usageReports {
+	if config.usageReports {
 		meter = 500_000
 	}
 	class := func(name, effect string, gain int) string {
 		return fmt.Sprintf(`{"name":%q,"effect":%q,"group":"cell","key_ttl_us":5000000,`+
 			`"goal_time_us":%d,"deadline_us":%d,"gain":%d}`,
-			name, effect, f.objectiveMS*1000, f.deadlineMS*1000, gain)
+			name, effect, config.objectiveMS*1000, config.deadlineMS*1000, gain)
 	}
 	return fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"cores":2.0,"memory_mb":256,"sockets":1024},"known":%s,
@@ -110,42 +110,46 @@
   "policy_limits":{"cancel":%v,"max_attempts":3,"max_retry_after_us":900000,"retry_after":true,
    "conn_idle_us":15000000,"connect_timeout_us":250000},
   "obligations":{"grace_to_answer_us":50000,"stop_sending_within_us":2000000,"cold_from":0.2,"warm_within_us":6000000,
-   "fall_multiple":4,"fall_us":1000000}}}`, f.gatewayIndex, r.discovery.Addr(), known, max(f.gatewayCount, 1), f.gatewayIndex,
-		class("look", "retryable", 1)+","+class("pay", "dedup", 5)+","+class("once", "fragile", 3), f.plans, meter,
-		!f.noCancel)
+   "fall_multiple":4,"fall_us":1000000}}}`, config.gatewayIndex, tc.discovery.Addr(), known,
+		max(config.gatewayCount, 1), config.gatewayIndex,
+		class("look", "retryable", 1)+","+class("pay", "dedup", 5)+","+class("once", "fragile", 3), config.plans, meter,
+		!config.noCancel)
 }
 
 // startGateway starts the case's gateway.
-func (r *testCase) startGateway(f caseConfig) {
-	r.t.Helper()
-	r.gateway = r.startAnother(f)
+func (tc *testCase) startGateway(config caseConfig) {
+	tc.t.Helper()
+	tc.gateway = tc.newGateway(config)
 }
 
-// startAnother starts a further gateway.
-func (r *testCase) startAnother(f caseConfig) Gateway {
-	r.t.Helper()
-	return r.starter.Start(r.t, r.configText(f))
+// newGateway starts a gateway and returns it, for cases with several of them.
+func (tc *testCase) newGateway(config caseConfig) Gateway {
+	tc.t.Helper()
+	return tc.starter.Start(tc.t, tc.configText(config))
 }
 
-// newRequest returns a request of a class with an ID of its own. It has a key unless the class is "look".
-func (r *testCase) newRequest(class string) fakes.Request {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lastID++
-	a := fakes.Request{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: clientTimeout}
+// newRequest returns a request of a class with a unique ID, and with an idempotency key and a body unless
+// the class is "look".
+func (tc *testCase) newRequest(class string) fakes.Request {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	tc.lastID++
+	request := fakes.Request{ID: tc.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: clientTimeout}
 	if class != "look" {
-		a.Key, a.Body = fmt.Sprintf("key-%x", r.lastID), "amount=3"
+		request.Key, request.Body = fmt.Sprintf("key-%x", tc.lastID), "amount=3"
 	}
-	return a
+	return request
 }
 
 // send sends a request to the case's gateway.
-func (r *testCase) send(a fakes.Request) fakes.Reply { return r.sendTo(r.t.Context(), a, r.gateway) }
+func (tc *testCase) send(request fakes.Request) fakes.Reply {
+	return tc.sendTo(tc.t.Context(), request, tc.gateway)
+}
 
-// sendTo sends a request to one of several gateways.
-func (r *testCase) sendTo(ctx context.Context, a fakes.Request, f Gateway) fakes.Reply {
-	if r.starter.GRPC {
-		return a.DoGRPC(ctx, r.transport, f.Addr())
+// sendTo sends a request to a gateway.
+func (tc *testCase) sendTo(ctx context.Context, request fakes.Request, gateway Gateway) fakes.Reply {
+	if tc.starter.GRPC {
+		return request.DoGRPC(ctx, tc.transport, gateway.Addr())
 	}
-	return a.Do(ctx, r.transport, f.Addr())
+	return request.Do(ctx, tc.transport, gateway.Addr())
 }
--- a/examples/grpc/main.go
+++ b/examples/grpc/main.go
@@ -1,5 +1,5 @@
-// Command grpc is a host's own gRPC server, with a service of its own, that sends the calls of two
-// methods through a Gateway to backends that speak gRPC.
+// Command grpc is a gRPC server with a service of its own, the host of a Gateway: calls of two methods go through the
+// Gateway to backends that speak gRPC.
 package main
 
 import (
@@ -27,8 +27,8 @@
 			MaxRetryAfter: time.Second,
 			Classes: []decision.Class{
 				{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
-				{Name: "activate", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second,
-					LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 5},
+				{Name: "activate", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeCell,
+					DedupWindow: 5 * time.Second, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 5},
 			},
 			Plans: []decision.Plan{{Name: "shop", Rate: 10, Burst: 20, Price: 1}},
 		},
@@ -61,10 +61,10 @@
 		log.Fatal(err)
 	}
 
-	stop, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
+	interrupted, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	go func() {
-		<-stop.Done()
-		// First the server, so that nothing new comes and what is in flight ends; then the gateway.
+		<-interrupted.Done()
+		// The server stops first, so that no new calls arrive and open ones finish. The gateway is closed after it.
 		server.GracefulStop()
 	}()
 	err = server.Serve(listener)
@@ -72,9 +72,9 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	ending, done := context.WithTimeout(context.Background(), 5*time.Second)
-	defer done()
-	if err := gateway.Close(ending); err != nil {
+	closing, cancelClosing := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancelClosing()
+	if err := gateway.Close(closing); err != nil {
 		log.Print(err)
 	}
 }
--- a/examples/nethttp/main.go
+++ b/examples/nethttp/main.go
@@ -1,4 +1,5 @@
-// Command nethttp is a host that sends two of its paths through a Gateway and serves the rest itself.
+// Command nethttp is a server on net/http, the host of a Gateway: requests for two of its paths go through the Gateway
+// to backends, and it serves all others itself.
 package main
 
 import (
@@ -25,8 +26,8 @@
 			MaxRetryAfter: time.Second,
 			Classes: []decision.Class{
 				{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
-				{Name: "activate", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeCell, DedupWindow: 5 * time.Second,
-					LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 5},
+				{Name: "activate", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeCell,
+					DedupWindow: 5 * time.Second, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 5},
 			},
 			Plans: []decision.Plan{{Name: "shop", Rate: 10, Burst: 20, Price: 1}},
 		},
@@ -44,10 +45,10 @@
 	server := &http.Server{Addr: "127.0.0.1:8080",
 		Handler: nethttp.New(gateway, middleware.Routes("/stock-lookup", "/activate"))(mux)}
 
-	stop, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
+	interrupted, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	go func() {
-		<-stop.Done()
-		// First the server, so that nothing new comes; then the gateway.
+		<-interrupted.Done()
+		// The server stops first, so that no new requests arrive. The gateway is closed after it.
 		_ = server.Shutdown(context.Background())
 	}()
 	err = server.ListenAndServe()
@@ -55,9 +56,9 @@
 	if !errors.Is(err, http.ErrServerClosed) {
 		log.Fatal(err)
 	}
-	ending, done := context.WithTimeout(context.Background(), 5*time.Second)
-	defer done()
-	if err := gateway.Close(ending); err != nil {
+	closing, cancelClosing := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancelClosing()
+	if err := gateway.Close(closing); err != nil {
 		log.Print(err)
 	}
 }
--- a/internal/hosttest/hosttest.go
+++ b/internal/hosttest/hosttest.go
@@ -62,19 +62,19 @@
 	options ...pumicecroft.Option,
 ) *Fixture {
 	t.Helper()
-	r := &Fixture{t: t, Ledger: &fakes.Ledger{}, lastID: 0xab0000}
+	f := &Fixture{t: t, Ledger: &fakes.Ledger{}, lastID: 0xab0000}
 	list := platform.EndpointUpdate{Full: true}
 	cell := &fakes.Cell{Window: 5 * time.Second}
 	for i := range n {
 		b, err := fakes.StartBackend(fakes.BackendConfig{
-			Name: fmt.Sprintf("b%d", i), Ledger: r.Ledger, Behavior: behavior, Cell: cell,
+			Name: fmt.Sprintf("b%d", i), Ledger: f.Ledger, Behavior: behavior, Cell: cell,
 			IdempotentByKey: func(class string) bool { return class != "look" },
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(b.Kill)
-		r.Backends = append(r.Backends, b)
+		f.Backends = append(f.Backends, b)
 		list.Endpoints = append(list.Endpoints, b.Endpoint())
 	}
 	c := Config()
@@ -82,31 +82,31 @@
 	if change != nil {
 		change(&c)
 	}
-	d, err := pumicecroft.New(c, options...)
+	gateway, err := pumicecroft.New(c, options...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Gateway = d
+	f.Gateway = gateway
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), WaitTimeout)
 		defer cancel()
-		if err := d.Close(ctx); err != nil {
+		if err := gateway.Close(ctx); err != nil {
 			t.Errorf("closing the gateway: %v", err)
 		}
 	})
-	return r
+	return f
 }
 
 // NewRequest returns a request with an ID of its own, and with a key and a body unless it is idempotent.
-func (r *Fixture) NewRequest(class string) fakes.Request {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lastID++
-	a := fakes.Request{ID: r.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: 15 * time.Second}
+func (f *Fixture) NewRequest(class string) fakes.Request {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lastID++
+	request := fakes.Request{ID: f.lastID, Class: class, Customer: 7, Plan: "shop", Timeout: 15 * time.Second}
 	if class != "look" {
-		a.Key, a.Body = fmt.Sprintf("key-%x", r.lastID), "amount=3"
+		request.Key, request.Body = fmt.Sprintf("key-%x", f.lastID), "amount=3"
 	}
-	return a
+	return request
 }
 
 // Serve serves a handler on a free loopback port and returns the address. change, which edits the server, may be nil.
@@ -134,20 +134,20 @@
 }
 
 // AwaitIdle waits until the gateway has no open request.
-func (r *Fixture) AwaitIdle() {
-	r.t.Helper()
-	for end := time.Now().Add(WaitTimeout); r.Gateway.OpenRequests() > 0; time.Sleep(time.Millisecond) {
+func (f *Fixture) AwaitIdle() {
+	f.t.Helper()
+	for end := time.Now().Add(WaitTimeout); f.Gateway.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%d requests are open", r.Gateway.OpenRequests())
+			f.t.Fatalf("%d requests are open", f.Gateway.OpenRequests())
 		}
 	}
 }
 
 // RequireFreeSlot fails the test unless the one slot of plan "one" is free, so that a request is served at once.
-func (r *Fixture) RequireFreeSlot() {
-	r.t.Helper()
-	response, err := r.Gateway.Do(r.t.Context(), pumicecroft.Request{Class: "look", Plan: "one", Customer: 7})
+func (f *Fixture) RequireFreeSlot() {
+	f.t.Helper()
+	response, err := f.Gateway.Do(f.t.Context(), pumicecroft.Request{Class: "look", Plan: "one", Customer: 7})
 	if err != nil || !strings.HasPrefix(string(response.Body), "done ") {
-		r.t.Errorf("the plan's one slot is not free: %v", err)
+		f.t.Errorf("the plan's one slot is not free: %v", err)
 	}
 }
--- a/internal/processtest/idleclients_test.go
+++ b/internal/processtest/idleclients_test.go
@@ -41,11 +41,11 @@
 
 // prober sends requests to all gateways of a fleet, each on a connection of its own, and counts what became of them.
 type prober struct {
-	fleet  *Fleet
-	ctx    context.Context
-	lastID atomic.Int64 // number of requests
-	retry  atomic.Int64 // requests whose connection was closed before they were read, and that were sent again
-	closed atomic.Int64 // retries that were closed unread as well
+	fleet       *Fleet
+	ctx         context.Context
+	lastID      atomic.Int64 // number of requests
+	retried     atomic.Int64 // requests whose connection was closed before they were read, and that were sent again
+	closedTwice atomic.Int64 // retries that were closed unread as well
 }
 
 // Requests to each gateway in one call of probe, and how many of them at once.
@@ -70,7 +70,7 @@
 	}
 	probing.Wait()
 	if all := int64(probeRequests * len(p.fleet.Gateways)); served.Load() < all*9/10 {
-		t.Errorf("%s: %d of %d are served, %d were closed unread until then", phase, served.Load(), all, p.retry.Load())
+		t.Errorf("%s: %d of %d are served, %d were closed unread until then", phase, served.Load(), all, p.retried.Load())
 	}
 }
 
@@ -86,14 +86,14 @@
 	}
 	reply := request.Do(p.ctx, transport, g.Addr)
 	if unread(reply) {
-		p.retry.Add(1)
+		p.retried.Add(1)
 		reply = request.Do(p.ctx, transport, g.Addr)
 	}
 	switch {
 	case reply.Status == http.StatusOK:
 		served.Add(1)
 	case unread(reply):
-		p.closed.Add(1)
+		p.closedTwice.Add(1)
 	case reply.String() != "refused":
 		attempts := len(p.fleet.Ledger.ForRequest(request.RequestID()))
 		t.Errorf("%s: %s: %v after %v: %v, %d attempts", phase, g.Name, reply, reply.Latency, reply.Err, attempts)
@@ -173,12 +173,12 @@
 	}
 	requireNoStaleAttempts(t, f)
 	t.Logf("of %d requests %d were closed before they were read, %d at the retry too",
-		p.lastID.Load(), p.retry.Load(), p.closed.Load())
+		p.lastID.Load(), p.retried.Load(), p.closedTwice.Load())
 	// A connection whose client writes slowly may be closed to make room for the next, so this depends on the machine:
 	// about 1 in 100 requests on two busy cores. Were the newest connection closed instead of the slowest, it would be
 	// about 1 in 4.
-	if p.retry.Load() > p.lastID.Load()/10 || p.closed.Load() > p.lastID.Load()/50 {
+	if p.retried.Load() > p.lastID.Load()/10 || p.closedTwice.Load() > p.lastID.Load()/50 {
 		t.Errorf("of %d requests %d were closed before they were read, %d at the retry too",
-			p.lastID.Load(), p.retry.Load(), p.closed.Load())
+			p.lastID.Load(), p.retried.Load(), p.closedTwice.Load())
 	}
 }
--- a/middleware/gin/gin.go
+++ b/middleware/gin/gin.go
@@ -1,8 +1,8 @@
-// Package gin puts a Door into a host that is built on gin: requests for the routes that are named go through the
-// Door to the backends and end there (the rest of the chain is aborted), all others go on.
+// Package gin is a middleware that adds a Gateway to a host built on gin. Requests that match its routes go through
+// the Gateway to the backends, and the rest of the handler chain is aborted. All others continue along the chain.
 //
-// A body that an earlier handler has read with ShouldBindBodyWith is passed on from gin's copy. What the Door
-// has to say of a request that it did not serve is in c.Errors, for the host's own middleware.
+// If an earlier handler has read the body with ShouldBindBodyWith, gin's copy of it is forwarded. The error of a
+// request that was not served is added to c.Errors, for the host's own middleware.
 package gin
 
 import (
@@ -16,43 +16,44 @@
 	"github.com/gin-gonic/gin"
 )
 
-// New makes the middleware; add it with Use, to the engine or to a group. For gin to run it on paths that have no
-// handler of their own, use it on the engine or give those paths a route: Serve is a handler for that.
-func New(d *pumicecroft.Gateway, options ...middleware.Option) gin.HandlerFunc {
-	c := middleware.New(d, options...)
-	return func(g *gin.Context) {
-		if c.Takes(g.Request.URL.Path) {
-			serve(d, g, c.Mapper)
+// New returns a middleware. Add it with Use, to the engine or to a group. gin runs the middleware of a group only for
+// paths that have a route: for other paths, add it to the engine, or give them a route with Serve as its handler.
+func New(gateway *pumicecroft.Gateway, options ...middleware.Option) gin.HandlerFunc {
+	config := middleware.New(gateway, options...)
+	return func(c *gin.Context) {
+		if config.Matches(c.Request.URL.Path) {
+			serve(gateway, c, config.Mapper)
 		}
 	}
 }
 
-// Serve is a handler that passes whatever it is given through the Door.
-func Serve(d *pumicecroft.Gateway, options ...middleware.Option) gin.HandlerFunc {
-	c := middleware.New(d, options...)
-	return func(g *gin.Context) { serve(d, g, c.Mapper) }
+// Serve returns a handler that sends every request through the Gateway, whatever its path.
+func Serve(gateway *pumicecroft.Gateway, options ...middleware.Option) gin.HandlerFunc {
+	config := middleware.New(gateway, options...)
+	return func(c *gin.Context) { serve(gateway, c, config.Mapper) }
 }
 
-func serve(d *pumicecroft.Gateway, g *gin.Context, m pumicecroft.Mapper) {
-	g.Abort()
-	if m == nil {
-		m = d.PlatformRequest
+// serve sends a request through the Gateway and aborts the handler chain.
+func serve(gateway *pumicecroft.Gateway, c *gin.Context, mapper pumicecroft.Mapper) {
+	c.Abort()
+	if mapper == nil {
+		mapper = gateway.PlatformRequest
 	}
-	answer, err := d.DoHTTP(g.Writer, g.Request, func(r *http.Request) (pumicecroft.Request, error) {
-		req, err := m(r)
-		if body, ok := g.Get(gin.BodyBytesKey); ok && req.Body == nil {
+	response, err := gateway.DoHTTP(c.Writer, c.Request, func(r *http.Request) (pumicecroft.Request, error) {
+		req, err := mapper(r)
+		if body, ok := c.Get(gin.BodyBytesKey); ok && req.Body == nil {
 			req.Body, _ = body.([]byte)
 		}
 		return req, err
 	})
 	if err != nil {
-		_ = g.Error(err)
+		_ = c.Error(err)
 	}
-	if errors.Is(err, context.DeadlineExceeded) && g.Request.Context().Err() != nil {
-		// The host's own time is up. The status is only noted: a handler of the host's that answers by itself
-		// comes before it, and if none does gin writes it.
-		g.Status(http.StatusGatewayTimeout)
+	if errors.Is(err, context.DeadlineExceeded) && c.Request.Context().Err() != nil {
+		// The host's own timeout has expired. The status is set but not written, so that a handler of the host may
+		// still write its own response. If none does, gin writes this one.
+		c.Status(http.StatusGatewayTimeout)
 		return
 	}
-	pumicecroft.WriteResponse(g.Writer, answer, err)
+	pumicecroft.WriteResponse(c.Writer, response, err)
 }
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,5 +1,5 @@
-// Package middleware holds what the middlewares for different frameworks share: which requests go through the
-// Door, and how they are read.
+// Package middleware holds the options that the middlewares for different frameworks share: which requests go
+// through the Gateway, and how they are read.
 package middleware
 
 import (
@@ -8,34 +8,35 @@
 	"pumicecroft"
 )
 
-// Config is what the options set.
+// Config is the configuration of a middleware, as its options set it.
 type Config struct {
 	Prefixes []string           // see Routes
-	Mapper   pumicecroft.Mapper // nil: the Door's own
+	Mapper   pumicecroft.Mapper // nil means the default, see Mapper
 }
 
-// Option changes a middleware.
+// Option configures a middleware.
 type Option func(*Config)
 
-// Routes names the paths that go through the Door: each as it is and with all that lies below it, so "/pay" takes
-// /pay and /pay/1 but not /payment. Everything else goes to the host's next handler. The default is the names of
-// the Door's classes.
+// Routes adds paths that go through the Gateway, each with all paths below it: "/pay" matches /pay and /pay/1 but
+// not /payment. All other requests go to the host's next handler. The default is one path for each of the Gateway's
+// classes, by its name.
 func Routes(prefixes ...string) Option {
 	return func(c *Config) { c.Prefixes = append(c.Prefixes, prefixes...) }
 }
 
-// Mapper says how a host's request becomes a Request; the default is the Door's own, which reads the platform's
-// headers. The body is read by the Door, unless the Mapper sets one.
+// Mapper sets how a host's request becomes a Request. The default under net/http is the Gateway's own Mapper, which
+// reads the platform's headers unless pumicecroft.WithMapper has replaced it; under gin it is PlatformRequest. The
+// Gateway reads the body, unless the Mapper sets one.
 func Mapper(m pumicecroft.Mapper) Option { return func(c *Config) { c.Mapper = m } }
 
-// New collects options for a Door.
-func New(d *pumicecroft.Gateway, options ...Option) Config {
+// New returns the configuration that options set, with the defaults for a Gateway.
+func New(gateway *pumicecroft.Gateway, options ...Option) Config {
 	var c Config
 	for _, o := range options {
 		o(&c)
 	}
 	if len(c.Prefixes) == 0 {
-		for _, name := range d.ClassNames() {
+		for _, name := range gateway.ClassNames() {
 			c.Prefixes = append(c.Prefixes, "/"+name)
 		}
 	}
@@ -45,8 +46,8 @@
 	return c
 }
 
-// Takes tells whether a path goes through the Door.
-func (c *Config) Takes(path string) bool {
+// Matches reports whether a path goes through the Gateway.
+func (c *Config) Matches(path string) bool {
 	for _, p := range c.Prefixes {
 		if rest, ok := strings.CutPrefix(path, p); ok && (p == "/" || rest == "" || rest[0] == '/') {
 			return true
--- a/middleware/nethttp/nethttp.go
+++ b/middleware/nethttp/nethttp.go
@@ -1,10 +1,11 @@
-// Package nethttp puts a Door into a host that is built on net/http, and so under chi and the like: requests for
-// the routes that are named go through the Door to the backends, all others to the host's next handler.
+// Package nethttp is a middleware that adds a Gateway to a host built on net/http, or on a router that is compatible
+// with it, such as chi. Requests that match its routes go through the Gateway to the backends, all others to the
+// host's next handler.
 //
-// It works over HTTP/1.1 and HTTP/2, behind writers that the host has wrapped, and under time-outs of the host's
-// own: see Door.Handle for whose answer counts then. Requests that chunk their bodies over HTTP/1.1 are turned
-// away as the daemon does it. Any number of instances may share a Door; each request is taken by the first one
-// whose routes it fits, and counted once.
+// It works over HTTP/1.1 and HTTP/2, with response writers that the host has wrapped, and with timeouts of the host's
+// own: Gateway.Handle documents whose response the client gets then. The platform's Mapper, which is the default,
+// rejects HTTP/1.1 requests with chunked bodies, as the daemon does. Any number of middlewares may share a Gateway: a
+// request is handled by the first one whose routes it matches, and counted once.
 package nethttp
 
 import (
@@ -14,13 +15,13 @@
 	"pumicecroft/middleware"
 )
 
-// New makes the middleware. The Door stays the caller's: close it when the host's server has shut down.
-func New(d *pumicecroft.Gateway, options ...middleware.Option) func(http.Handler) http.Handler {
-	c := middleware.New(d, options...)
+// New returns a middleware. It does not close the Gateway: the caller does, after the host's server has shut down.
+func New(gateway *pumicecroft.Gateway, options ...middleware.Option) func(http.Handler) http.Handler {
+	config := middleware.New(gateway, options...)
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if c.Takes(r.URL.Path) {
-				d.Handle(w, r, c.Mapper)
+			if config.Matches(r.URL.Path) {
+				gateway.Handle(w, r, config.Mapper)
 			} else {
 				next.ServeHTTP(w, r)
 			}
--- a/middleware/nethttp/nethttp_test.go
+++ b/middleware/nethttp/nethttp_test.go
@@ -24,223 +24,235 @@
 	"pumicecroft/middleware/nethttp"
 )
 
-func own(w http.ResponseWriter, _ *http.Request) {
+// hostHandler is a host's own handler. Its status shows that a request did not go through the Gateway.
+func hostHandler(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusTeapot)
-	io.WriteString(w, "the host's own")
+	io.WriteString(w, "served by the host")
 }
 
-func quiet(s *http.Server) { s.ErrorLog = log.New(io.Discard, "", 0) }
+func discardErrorLog(s *http.Server) { s.ErrorLog = log.New(io.Discard, "", 0) }
 
+// Routes match by whole path segments.
 func TestRoutes(t *testing.T) {
-	r := hosttest.New(t, 1, nil, nil)
+	fixture := hosttest.New(t, 1, nil, nil)
 	for name, c := range map[string]struct {
-		options []middleware.Option
-		path    string
-		through bool
+		options    []middleware.Option
+		path       string
+		viaGateway bool
 	}{
-		"a class":             {nil, "/look", true},
+		"class":               {nil, "/look", true},
 		"below a class":       {nil, "/look/at?x=1", true},
-		"only begins alike":   {nil, "/lookout", false},
-		"the host's":          {nil, "/", false},
-		"not named":           {[]middleware.Option{middleware.Routes("/pay")}, "/look", false},
-		"named with slashes":  {[]middleware.Option{middleware.Routes("look/")}, "/look/x", true},
+		"longer name":         {nil, "/lookout", false},
+		"root":                {nil, "/", false},
+		"other route":         {[]middleware.Option{middleware.Routes("/pay")}, "/look", false},
+		"trailing slash":      {[]middleware.Option{middleware.Routes("look/")}, "/look/x", true},
 		"all":                 {[]middleware.Option{middleware.Routes("/")}, "/look", true},
 		"two calls of Routes": {[]middleware.Option{middleware.Routes("/a"), middleware.Routes("/look")}, "/look", true},
 	} {
-		addr := hosttest.Serve(t, nethttp.New(r.Gateway, c.options...)(http.HandlerFunc(own)), nil)
-		a := r.NewRequest("look")
-		req, err := a.HTTPRequest(t.Context(), addr)
+		addr := hosttest.Serve(t, nethttp.New(fixture.Gateway, c.options...)(http.HandlerFunc(hostHandler)), nil)
+		request := fixture.NewRequest("look")
+		httpRequest, err := request.HTTPRequest(t.Context(), addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		req.URL.Path, req.URL.RawQuery, _ = strings.Cut(c.path, "?")
-		res, err := http.DefaultTransport.RoundTrip(req)
+		httpRequest.URL.Path, httpRequest.URL.RawQuery, _ = strings.Cut(c.path, "?")
+		res, err := http.DefaultTransport.RoundTrip(httpRequest)
 		if err != nil {
 			t.Fatal(err)
 		}
 		res.Body.Close()
-		if want := map[bool]int{true: 200, false: http.StatusTeapot}[c.through]; res.StatusCode != want {
-			t.Errorf("%s: %d, want %d", name, res.StatusCode, want)
+		if want := map[bool]int{true: 200, false: http.StatusTeapot}[c.viaGateway]; res.StatusCode != want {
+			t.Errorf("%s: status %d, want %d", name, res.StatusCode, want)
 		}
 	}
 }
 
-// The host's own time-out fires before ours. The client gets the host's one answer, the attempt is called off, and
-// slot and open place are free again at once.
-func TestTheHostsTimeoutFiresFirst(t *testing.T) {
+// The host's timeout expires before the class's deadline. The client gets the host's response and no other, the
+// attempt is cancelled, and the plan's slot and the open request are released at once.
+func TestHostTimeoutFirst(t *testing.T) {
 	for name, c := range map[string]struct {
 		host   func(http.Handler) http.Handler
 		status int
 		body   string
 	}{
 		"http.TimeoutHandler": {func(h http.Handler) http.Handler {
-			return http.TimeoutHandler(h, 100*time.Millisecond, "the host says no")
+			return http.TimeoutHandler(h, 100*time.Millisecond, "host timeout")
 		},
-			503, "the host says no"},
+			503, "host timeout"},
 		"chi": {chimiddleware.Timeout(100 * time.Millisecond), 504, ""},
-		"a deadline that nobody answers for": {func(h http.Handler) http.Handler {
+		"deadline without a host response": {func(h http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				ctx, cancel := context.WithTimeout(r.Context(), 100*time.Millisecond)
 				defer cancel()
 				h.ServeHTTP(w, r.WithContext(ctx))
 			})
 		}, 504, ""},
-		"a deadline behind a writer without Flush": {func(h http.Handler) http.Handler {
+		"deadline with a writer without Flush": {func(h http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				ctx, cancel := context.WithTimeout(r.Context(), 100*time.Millisecond)
 				defer cancel()
-				h.ServeHTTP(plain{w}, r.WithContext(ctx))
+				h.ServeHTTP(noFlushWriter{w}, r.WithContext(ctx))
 			})
 		}, 504, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var hang atomic.Bool
-			r := hosttest.New(t, 2, func(fakes.Attempt) fakes.Behavior {
+			fixture := hosttest.New(t, 2, func(fakes.Attempt) fakes.Behavior {
 				if hang.Load() {
 					return fakes.ExecuteThenHang
 				}
 				return fakes.ServeNormally
 			}, nil)
-			addr := hosttest.Serve(t, c.host(nethttp.New(r.Gateway)(http.HandlerFunc(own))), quiet)
-			for range 10 { // TimeoutHandler picks by chance if the handler returns too soon
+			addr := hosttest.Serve(t, c.host(nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler))), discardErrorLog)
+			for range 10 { // if the handler returned too early, TimeoutHandler would choose a response at random
 				hang.Store(true)
-				a := r.NewRequest("pay")
-				a.Plan = "one"
-				reply := hosttest.Do(t, a, addr)
+				request := fixture.NewRequest("pay")
+				request.Plan = "one"
+				reply := hosttest.Do(t, request, addr)
 				if reply.Status != c.status || reply.Body != c.body {
-					t.Errorf("%d %q, want %d %q", reply.Status, reply.Body, c.status, c.body)
+					t.Errorf("got %d %q, want %d %q", reply.Status, reply.Body, c.status, c.body)
 				}
-				if n := len(r.Ledger.ForRequest(a.RequestID())); n != 1 {
-					t.Errorf("%d attempts", n)
+				if n := len(fixture.Ledger.ForRequest(request.RequestID())); n != 1 {
+					t.Errorf("%d attempts, want 1", n)
 				}
 				hang.Store(false)
-				r.AwaitIdle()
-				r.RequireFreeSlot()
+				fixture.AwaitIdle()
+				fixture.RequireFreeSlot()
 			}
 		})
 	}
 }
 
-// A request that reaches the Door when the host's time is up already is given back at once, maybe before
-// http.TimeoutHandler has begun to look, which then picks by chance whose answer counts. It must be the host's.
-func TestTheHostsTimeIsUpOnArrival(t *testing.T) {
-	r := hosttest.New(t, 1, nil, nil)
-	h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
-	addr := hosttest.Serve(t, http.TimeoutHandler(h, time.Nanosecond, "the host says no"), quiet)
+// A request that reaches the Gateway after the host's timeout has expired ends at once, maybe before
+// http.TimeoutHandler waits for either of the two. It would then choose between both responses at random. The client
+// must get the host's.
+func TestHostTimeoutExpiredOnArrival(t *testing.T) {
+	fixture := hosttest.New(t, 1, nil, nil)
+	h := nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler))
+	addr := hosttest.Serve(t, http.TimeoutHandler(h, time.Nanosecond, "host timeout"), discardErrorLog)
 	for range 500 {
-		if reply := hosttest.Do(t, r.NewRequest("look"), addr); reply.Status != 503 || reply.Body != "the host says no" {
-			t.Fatalf("%d %q", reply.Status, reply.Body)
+		if reply := hosttest.Do(t, fixture.NewRequest("look"), addr); reply.Status != 503 || reply.Body != "host timeout" {
+			t.Fatalf("got %d %q, want 503 %q", reply.Status, reply.Body, "host timeout")
 		}
 	}
-	if as := r.Ledger.Attempts(); len(as) > 0 {
-		t.Errorf("%d were sent", len(as))
+	if attempts := fixture.Ledger.Attempts(); len(attempts) > 0 {
+		t.Errorf("%d attempts, want 0", len(attempts))
 	}
 }
 
-// claimed is a writer that holds an answer back, as http.TimeoutHandler's does, until the host claims it.
-type claimed struct {
-	mu     sync.Mutex
-	header http.Header
-	status int
-	host   bool
+// timeoutWriter is a response writer like that of http.TimeoutHandler: it buffers the handler's response, and its
+// writes fail once the host has responded itself.
+type timeoutWriter struct {
+	mu            sync.Mutex
+	header        http.Header
+	status        int
+	hostResponded bool
 }
 
-func (c *claimed) Header() http.Header { return c.header }
+func (w *timeoutWriter) Header() http.Header { return w.header }
 
-func (c *claimed) WriteHeader(status int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.status == 0 {
-		c.status = status
+func (w *timeoutWriter) WriteHeader(status int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.status == 0 {
+		w.status = status
 	}
 }
 
-func (c *claimed) Write(b []byte) (int, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.host {
+func (w *timeoutWriter) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.hostResponded {
 		return 0, http.ErrHandlerTimeout
 	}
 	return len(b), nil
 }
 
-// A handler that returns has its answer taken, so one whose host is about to answer must not return before.
-func TestTheDoorWaitsForTheHostsAnswer(t *testing.T) {
-	r := hosttest.New(t, 1, nil, nil)
+// Once a handler returns, the host sends the handler's response. So after the host's timeout the Gateway must not
+// return before the host has responded.
+func TestGatewayWaitsForHostResponse(t *testing.T) {
+	fixture := hosttest.New(t, 1, nil, nil)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 	defer cancel()
-	req, err := r.NewRequest("look").HTTPRequest(ctx, "h")
+	req, err := fixture.NewRequest("look").HTTPRequest(ctx, "h")
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.RequestURI = "/look"
-	w := &claimed{header: http.Header{}}
+	w := &timeoutWriter{header: http.Header{}}
 	go func() {
 		time.Sleep(30 * time.Millisecond)
 		w.mu.Lock()
-		w.host = true
+		w.hostResponded = true
 		w.mu.Unlock()
 	}()
-	r.Gateway.ServeHTTP(w, req)
+	fixture.Gateway.ServeHTTP(w, req)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.host || w.status != 504 {
-		t.Errorf("it returned before the host had answered: %v, status %d", w.host, w.status)
+	if !w.hostResponded || w.status != 504 {
+		t.Errorf("host responded before the Gateway returned: %v, want true; status %d, want 504", w.hostResponded, w.status)
 	}
 }
 
-// plain is a writer that a host has wrapped without a thought for Flusher.
-type plain struct{ w http.ResponseWriter }
+// noFlushWriter is a response writer that a host has wrapped, and that does not implement http.Flusher.
+type noFlushWriter struct{ w http.ResponseWriter }
 
-func (p plain) Header() http.Header         { return p.w.Header() }
-func (p plain) Write(b []byte) (int, error) { return p.w.Write(b) }
-func (p plain) WriteHeader(status int)      { p.w.WriteHeader(status) }
+func (p noFlushWriter) Header() http.Header         { return p.w.Header() }
+func (p noFlushWriter) Write(b []byte) (int, error) { return p.w.Write(b) }
+func (p noFlushWriter) WriteHeader(status int)      { p.w.WriteHeader(status) }
 
-func TestAWrappedWriter(t *testing.T) {
-	r := hosttest.New(t, 1, nil, nil)
-	h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
-	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { h.ServeHTTP(plain{w}, req) }), nil)
+func TestResponseWriterWithoutFlusher(t *testing.T) {
+	fixture := hosttest.New(t, 1, nil, nil)
+	h := nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler))
+	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		h.ServeHTTP(noFlushWriter{w}, req)
+	}), nil)
 	for _, class := range []string{"look", "pay"} {
-		if reply := hosttest.Do(t, r.NewRequest(class), addr); reply.String() != "served" {
-			t.Errorf("%s: %v %v", class, reply, reply.Err)
+		if reply := hosttest.Do(t, fixture.NewRequest(class), addr); reply.String() != "served" {
+			t.Errorf("%s: got %v (%v), want served", class, reply, reply.Err)
 		}
 	}
 }
 
-// What the host did to the body before: what is not whole is not sent on.
-func TestTheHostAndTheBody(t *testing.T) {
-	r := hosttest.New(t, 1, nil, nil)
+// The host's earlier handlers may have read, replaced or limited the body. A body that is not complete any more is
+// not forwarded.
+func TestBodyHandledByHost(t *testing.T) {
+	fixture := hosttest.New(t, 1, nil, nil)
 	for name, c := range map[string]struct {
 		before func(w http.ResponseWriter, r *http.Request)
 		status int
 	}{
-		"left alone": {func(http.ResponseWriter, *http.Request) {}, 200},
-		"read":       {func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) }, 400},
-		"half read":  {func(_ http.ResponseWriter, r *http.Request) { _, _ = r.Body.Read(make([]byte, 3)) }, 400},
-		"read and put back": {func(_ http.ResponseWriter, r *http.Request) {
+		"unread":    {func(http.ResponseWriter, *http.Request) {}, 200},
+		"read":      {func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) }, 400},
+		"half read": {func(_ http.ResponseWriter, r *http.Request) { _, _ = r.Body.Read(make([]byte, 3)) }, 400},
+		"read and replaced": {func(_ http.ResponseWriter, r *http.Request) {
 			text, _ := io.ReadAll(r.Body)
 			r.Body = io.NopCloser(strings.NewReader(string(text)))
 		}, 200},
 		"limited to less": {func(w http.ResponseWriter, r *http.Request) { r.Body = http.MaxBytesReader(w, r.Body, 4) }, 413},
-		"limited to more": {func(w http.ResponseWriter, r *http.Request) { r.Body = http.MaxBytesReader(w, r.Body, 1<<20) }, 200},
-		"taken away":      {func(_ http.ResponseWriter, r *http.Request) { r.Body = nil }, 400},
+		"limited to more": {func(w http.ResponseWriter, r *http.Request) {
+			r.Body = http.MaxBytesReader(w, r.Body, 1<<20)
+		}, 200},
+		"removed": {func(_ http.ResponseWriter, r *http.Request) { r.Body = nil }, 400},
 	} {
-		h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
+		h := nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler))
 		addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			c.before(w, req)
 			h.ServeHTTP(w, req)
 		}), nil)
-		a := r.NewRequest("pay")
-		reply := hosttest.Do(t, a, addr)
-		seen := r.Ledger.ForRequest(a.RequestID())
-		if reply.Status != c.status || (len(seen) > 0) != (c.status == 200) || len(seen) > 0 && seen[0].Body != a.Body {
-			t.Errorf("%s: %d, %d attempts", name, reply.Status, len(seen))
+		request := fixture.NewRequest("pay")
+		reply := hosttest.Do(t, request, addr)
+		attempts := fixture.Ledger.ForRequest(request.RequestID())
+		if reply.Status != c.status || (len(attempts) > 0) != (c.status == 200) ||
+			len(attempts) > 0 && attempts[0].Body != request.Body {
+			t.Errorf("%s: got status %d and attempts %+v, want status %d, and with 200 an attempt with body %q",
+				name, reply.Status, attempts, c.status, request.Body)
 		}
 	}
 }
 
-// recoverer is what chi's is, without the stack on standard error.
+// recoverer does what chi's Recoverer does, without printing the stack to standard error.
 func recoverer(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
@@ -252,156 +264,163 @@
 	})
 }
 
-// A handler that panics below the host's recovery leaves nothing behind at the Door.
-func TestAPanicInTheHost(t *testing.T) {
-	r := hosttest.New(t, 1, nil, nil)
+// A panic in the host's Mapper, from which the host recovers, leaves no open request in the Gateway.
+func TestPanicInMapper(t *testing.T) {
+	fixture := hosttest.New(t, 1, nil, nil)
 	router := chi.NewRouter()
 	router.Use(recoverer)
 	panics := true
-	router.Use(nethttp.New(r.Gateway, middleware.Mapper(func(req *http.Request) (pumicecroft.Request, error) {
+	router.Use(nethttp.New(fixture.Gateway, middleware.Mapper(func(req *http.Request) (pumicecroft.Request, error) {
 		if panics {
 			panic(http.ErrBodyNotAllowed)
 		}
-		return r.Gateway.PlatformRequest(req)
+		return fixture.Gateway.PlatformRequest(req)
 	})))
-	router.Get("/own", own)
-	addr := hosttest.Serve(t, router, quiet)
-	if reply := hosttest.Do(t, r.NewRequest("look"), addr); reply.Status != 500 {
-		t.Errorf("%v", reply)
+	router.Get("/own", hostHandler)
+	addr := hosttest.Serve(t, router, discardErrorLog)
+	if reply := hosttest.Do(t, fixture.NewRequest("look"), addr); reply.Status != 500 {
+		t.Errorf("during the panic: got %v with status %d, want 500", reply, reply.Status)
 	}
-	if r.Gateway.OpenRequests() != 0 {
-		t.Error("the panic left a request open")
+	if fixture.Gateway.OpenRequests() != 0 {
+		t.Errorf("%d requests are open after the panic, want 0", fixture.Gateway.OpenRequests())
 	}
 	panics = false
-	if reply := hosttest.Do(t, r.NewRequest("look"), addr); reply.String() != "served" {
-		t.Errorf("afterwards: %v", reply)
+	if reply := hosttest.Do(t, fixture.NewRequest("look"), addr); reply.String() != "served" {
+		t.Errorf("after the panic: got %v, want served", reply)
 	}
 }
 
-// A host that runs its handlers again, as retry middleware does, must not make an effect happen twice, on whatever
-// backend the repeat would end.
-func TestAHostThatReplaysHandlers(t *testing.T) {
-	for _, act := range []fakes.Behavior{fakes.ExecuteThenReset, fakes.ExecuteThenError, fakes.ServeNormally} {
+// A host that runs its handlers several times, as retry middleware does, must not make an effect happen twice,
+// whichever backend a repeat would reach.
+func TestHostReplaysHandler(t *testing.T) {
+	for _, behavior := range []fakes.Behavior{fakes.ExecuteThenReset, fakes.ExecuteThenError, fakes.ServeNormally} {
 		for _, class := range []string{"pay", "once"} {
-			r := hosttest.New(t, 1, fakes.OnFirstAttempt(act), nil)
-			h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
+			fixture := hosttest.New(t, 1, fakes.OnFirstAttempt(behavior), nil)
+			h := nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler))
 			addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 				body, _ := io.ReadAll(req.Body)
 				for range 3 {
 					req.Body = io.NopCloser(strings.NewReader(string(body)))
-					h.ServeHTTP(discard{}, req)
+					h.ServeHTTP(discardWriter{}, req)
 				}
 				req.Body = io.NopCloser(strings.NewReader(string(body)))
 				h.ServeHTTP(w, req)
 			}), nil)
-			a := r.NewRequest(class)
-			reply := hosttest.Do(t, a, addr)
-			if n := r.Ledger.Effects(a.Key); n != 1 || reply.Status != http.StatusConflict {
-				t.Errorf("%s after act %d: %d effects, the last answer %v", class, act, n, reply)
+			request := fixture.NewRequest(class)
+			reply := hosttest.Do(t, request, addr)
+			if n := fixture.Ledger.Effects(request.Key); n != 1 || reply.Status != http.StatusConflict {
+				t.Errorf("%s with behavior %d: %d effects, want 1; last response %v with status %d, want %d",
+					class, behavior, n, reply, reply.Status, http.StatusConflict)
 			}
 		}
 	}
 }
 
-// discard is a writer whose answer the host throws away.
-type discard struct{}
+// discardWriter is a response writer that discards the response.
+type discardWriter struct{}
 
-func (discard) Header() http.Header         { return http.Header{} }
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
-func (discard) WriteHeader(int)             {}
+func (discardWriter) Header() http.Header         { return http.Header{} }
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) WriteHeader(int)             {}
 
-// Two instances on one Door share its quota, whichever route a request came by, and one that meets both is sent
-// and counted once.
-func TestTwoInstancesShareOneQuota(t *testing.T) {
-	alone := 0 // what one instance serves
+// Two middlewares of one Gateway share its quotas, whichever of their routes a request matches. A request that matches
+// both is sent and counted once.
+func TestTwoMiddlewaresShareQuota(t *testing.T) {
+	servedByOne := 0 // requests that one middleware serves
 	for _, n := range []int{1, 2} {
-		r := hosttest.New(t, 1, nil, nil)
+		fixture := hosttest.New(t, 1, nil, nil)
 		mux := http.NewServeMux()
-		first := nethttp.New(r.Gateway, middleware.Routes("/look"))
-		second := nethttp.New(r.Gateway, middleware.Routes("/look", "/pay"))
-		h := first(http.HandlerFunc(own))
+		first := nethttp.New(fixture.Gateway, middleware.Routes("/look"))
+		second := nethttp.New(fixture.Gateway, middleware.Routes("/look", "/pay"))
+		h := first(http.HandlerFunc(hostHandler))
 		if n == 2 {
-			h = first(second(http.HandlerFunc(own))) // /look meets both, /pay the second
+			h = first(second(http.HandlerFunc(hostHandler))) // /look matches both, /pay only the second
 		}
 		mux.Handle("/", h)
 		addr := hosttest.Serve(t, mux, nil)
 		served := 0
 		for i := range 30 {
-			a := r.NewRequest([]string{"look", "pay"}[i%2*(n-1)])
-			a.Plan = "tiny"
-			reply := hosttest.Do(t, a, addr)
+			request := fixture.NewRequest([]string{"look", "pay"}[i%2*(n-1)])
+			request.Plan = "tiny"
+			reply := hosttest.Do(t, request, addr)
 			if reply.String() == "served" {
 				served++
 			}
-			if got := len(r.Ledger.ForRequest(a.RequestID())); got > 1 || (got == 1) != (reply.String() == "served") {
-				t.Errorf("%v, sent %d times", reply, got)
+			attempts := len(fixture.Ledger.ForRequest(request.RequestID()))
+			if attempts > 1 || (attempts == 1) != (reply.String() == "served") {
+				t.Errorf("got %v with %d attempts, want 1 attempt if served, else 0", reply, attempts)
 			}
 		}
 		if n == 1 {
-			alone = served
+			servedByOne = served
 		}
-		if served != alone || served == 0 || served > 10 {
-			t.Errorf("%d instances served %d of a quota of 10, one serves %d", n, served, alone)
+		if served != servedByOne || served == 0 || served > 10 {
+			t.Errorf("%d middlewares served %d requests, want 1 to 10 and as many as one middleware, %d",
+				n, served, servedByOne)
 		}
 	}
 }
 
-// Two Doors of one deployment are two front doors: together they stay in the quota.
-func TestTwoDoorsOfADeployment(t *testing.T) {
-	dep := &pumicecroft.Deployment{}
+// Two Gateways of one deployment in the same process divide a hard limit between them, so that together they stay
+// within it.
+func TestTwoGatewaysOfOneDeployment(t *testing.T) {
+	deployment := &pumicecroft.Deployment{}
 	const burst, rate = 40.0, 20.0
-	var rigs []*hosttest.Fixture
+	var fixtures []*hosttest.Fixture
 	var addrs []string
-	for me := range 2 {
-		r := hosttest.New(t, 1, nil, func(c *pumicecroft.Config) {
-			c.Settings.GatewayCount, c.Settings.GatewayIndex = 2, me
-			c.Settings.Plans = []decision.Plan{{Name: "shop", Rate: 1000, Burst: 1000, Price: 1, HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: 4}}
-		}, pumicecroft.WithDeployment(dep))
-		rigs = append(rigs, r)
-		addrs = append(addrs, hosttest.Serve(t, nethttp.New(r.Gateway)(http.HandlerFunc(own)), nil))
+	for index := range 2 {
+		fixture := hosttest.New(t, 1, nil, func(c *pumicecroft.Config) {
+			c.Settings.GatewayCount, c.Settings.GatewayIndex = 2, index
+			c.Settings.Plans = []decision.Plan{{Name: "shop", Rate: 1000, Burst: 1000, Price: 1,
+				HardLimitRate: rate, HardLimitBurst: burst, HardLimitOverdraft: 4}}
+		}, pumicecroft.WithDeployment(deployment))
+		fixtures = append(fixtures, fixture)
+		addrs = append(addrs, hosttest.Serve(t, nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler)), nil))
 	}
 	start := time.Now()
-	var asking sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 8 {
-		asking.Go(func() {
+		clients.Go(func() {
 			for time.Since(start) < time.Second {
-				a := rigs[i%2].NewRequest("look")
-				a.GatewaySpread = 2
-				hosttest.Do(t, a, addrs[i%2])
+				request := fixtures[i%2].NewRequest("look")
+				request.GatewaySpread = 2
+				hosttest.Do(t, request, addrs[i%2])
 			}
 		})
 	}
-	asking.Wait()
-	sent := len(rigs[0].Ledger.Attempts()) + len(rigs[1].Ledger.Attempts())
+	clients.Wait()
+	sent := len(fixtures[0].Ledger.Attempts()) + len(fixtures[1].Ledger.Attempts())
 	if most := burst + rate*time.Since(start).Seconds() + 4; float64(sent) > most || sent == 0 {
-		t.Errorf("%d units were sent on, the ceiling allows %.0f", sent, most)
+		t.Errorf("%d units were forwarded, want 1 to %.0f, which the hard limit allows", sent, most)
 	}
 
 	config := hosttest.Config()
 	config.Settings.GatewayCount, config.Settings.GatewayIndex = 2, 1
-	if _, err := pumicecroft.New(config, pumicecroft.WithDeployment(dep)); !errors.Is(err, pumicecroft.ErrGatewayIndexTaken) {
-		t.Errorf("a number that is taken: %v", err)
+	_, err := pumicecroft.New(config, pumicecroft.WithDeployment(deployment))
+	if !errors.Is(err, pumicecroft.ErrGatewayIndexTaken) {
+		t.Errorf("index of another open Gateway: got %v, want %v", err, pumicecroft.ErrGatewayIndexTaken)
 	}
 	config.Settings.GatewayCount, config.Settings.GatewayIndex = 3, 2
-	if _, err := pumicecroft.New(config, pumicecroft.WithDeployment(dep)); !errors.Is(err, pumicecroft.ErrConfig) {
-		t.Errorf("another count of front doors: %v", err)
+	if _, err := pumicecroft.New(config, pumicecroft.WithDeployment(deployment)); !errors.Is(err, pumicecroft.ErrConfig) {
+		t.Errorf("other gateway count: got %v, want %v", err, pumicecroft.ErrConfig)
 	}
-	if err := rigs[1].Gateway.Close(t.Context()); err != nil {
+	if err := fixtures[1].Gateway.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
 	config.Settings.GatewayCount, config.Settings.GatewayIndex = 2, 1
-	again, err := pumicecroft.New(config, pumicecroft.WithDeployment(dep))
+	again, err := pumicecroft.New(config, pumicecroft.WithDeployment(deployment))
 	if err != nil {
-		t.Fatalf("a number that was given back: %v", err)
+		t.Fatalf("index of a closed Gateway: got %v, want no error", err)
 	}
 	_ = again.Close(t.Context())
 }
 
-// Over HTTP/2 the host's server frames bodies by itself, and many requests share a connection.
+// Requests over HTTP/2 share a connection. Their bodies are framed by HTTP/2 itself, so a body of unknown length is
+// accepted up to the limit.
 func TestHTTP2(t *testing.T) {
-	r := hosttest.New(t, 2, nil, nil)
+	fixture := hosttest.New(t, 2, nil, nil)
 	var proto atomic.Value
-	h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
+	h := nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler))
 	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		proto.Store(req.Proto)
 		h.ServeHTTP(w, req)
@@ -412,145 +431,157 @@
 	tr := &http.Transport{Protocols: new(http.Protocols)}
 	tr.Protocols.SetUnencryptedHTTP2(true)
 	defer tr.CloseIdleConnections()
-	var asking sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 40 {
-		asking.Go(func() {
-			a := r.NewRequest([]string{"look", "pay", "once"}[i%3])
-			if reply := a.Do(t.Context(), tr, addr); reply.String() != "served" {
-				t.Errorf("%s: %v %v", a.Class, reply, reply.Err)
+		clients.Go(func() {
+			request := fixture.NewRequest([]string{"look", "pay", "once"}[i%3])
+			if reply := request.Do(t.Context(), tr, addr); reply.String() != "served" {
+				t.Errorf("%s: got %v (%v), want served", request.Class, reply, reply.Err)
 			}
-			if seen := r.Ledger.ForRequest(a.RequestID()); len(seen) != 1 || seen[0].Body != a.Body {
-				t.Errorf("%s: %+v", a.Class, seen)
+			attempts := fixture.Ledger.ForRequest(request.RequestID())
+			if len(attempts) != 1 || attempts[0].Body != request.Body {
+				t.Errorf("%s: attempts %+v, want one with body %q", request.Class, attempts, request.Body)
 			}
 		})
 	}
-	asking.Wait()
+	clients.Wait()
 	if proto.Load() != "HTTP/2.0" {
-		t.Errorf("it was %v", proto.Load())
+		t.Errorf("protocol %v, want HTTP/2.0", proto.Load())
 	}
-	// A body whose length is not told beforehand is as good here.
-	a := r.NewRequest("pay")
-	req, err := a.HTTPRequest(t.Context(), addr)
+	// A body of unknown length, without a Content-Length.
+	request := fixture.NewRequest("pay")
+	httpRequest, err := request.HTTPRequest(t.Context(), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Body, req.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader("amount"), strings.NewReader("=3"))), -1
-	res, err := tr.RoundTrip(req)
+	httpRequest.Body = io.NopCloser(io.MultiReader(strings.NewReader("amount"), strings.NewReader("=3")))
+	httpRequest.ContentLength = -1
+	res, err := tr.RoundTrip(httpRequest)
 	if err != nil || res.StatusCode != 200 {
-		t.Fatal(res, err)
+		t.Fatalf("body of unknown length: got %v (%v), want status 200", res, err)
 	}
 	res.Body.Close()
-	if seen := r.Ledger.ForRequest(a.RequestID()); len(seen) != 1 || seen[0].Body != "amount=3" {
-		t.Errorf("%+v", seen)
+	attempts := fixture.Ledger.ForRequest(request.RequestID())
+	if len(attempts) != 1 || attempts[0].Body != "amount=3" {
+		t.Errorf("attempts %+v, want one with body %q", attempts, "amount=3")
 	}
 	for name, body := range map[string]string{"over the limit": strings.Repeat("x", pumicecroft.MaxBody+1)} {
-		a := r.NewRequest("pay")
-		req, _ := a.HTTPRequest(t.Context(), addr)
-		req.Body, req.ContentLength = io.NopCloser(strings.NewReader(body)), -1
-		res, err := tr.RoundTrip(req)
+		request := fixture.NewRequest("pay")
+		httpRequest, _ := request.HTTPRequest(t.Context(), addr)
+		httpRequest.Body, httpRequest.ContentLength = io.NopCloser(strings.NewReader(body)), -1
+		res, err := tr.RoundTrip(httpRequest)
 		if err != nil {
 			t.Fatal(err)
 		}
 		res.Body.Close()
-		if res.StatusCode != 413 || len(r.Ledger.ForRequest(a.RequestID())) > 0 {
-			t.Errorf("%s: %s", name, res.Status)
+		if res.StatusCode != 413 || len(fixture.Ledger.ForRequest(request.RequestID())) > 0 {
+			t.Errorf("%s: got status %s and %d attempts, want 413 and 0", name, res.Status,
+				len(fixture.Ledger.ForRequest(request.RequestID())))
 		}
 	}
 }
 
-// A client that resets its stream has left, and its neighbours on the connection have not.
-func TestHTTP2ClientLeaves(t *testing.T) {
-	r := hosttest.New(t, 1, fakes.OnFirstAttempt(fakes.ExecuteThenHang), nil)
-	addr := hosttest.Serve(t, nethttp.New(r.Gateway)(http.HandlerFunc(own)), func(s *http.Server) {
+// A client that resets its HTTP/2 stream ends only that request, not others on the same connection.
+func TestHTTP2ClientDisconnects(t *testing.T) {
+	fixture := hosttest.New(t, 1, fakes.OnFirstAttempt(fakes.ExecuteThenHang), nil)
+	addr := hosttest.Serve(t, nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler)), func(s *http.Server) {
 		s.Protocols = new(http.Protocols)
 		s.Protocols.SetUnencryptedHTTP2(true)
 	})
 	tr := &http.Transport{Protocols: new(http.Protocols)}
 	tr.Protocols.SetUnencryptedHTTP2(true)
 	defer tr.CloseIdleConnections()
-	ctx, leave := context.WithCancel(t.Context())
-	a := r.NewRequest("pay")
-	a.Plan = "one"
-	gone := make(chan fakes.Reply, 1)
-	go func() { gone <- a.Do(ctx, tr, addr) }()
-	if !r.Ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 1 && as[0].Outcome == "hung" }) {
-		t.Fatal("the request never came")
-	}
-	if reply := r.NewRequest("look").Do(t.Context(), tr, addr); reply.String() != "served" {
-		t.Errorf("its neighbour: %v %v", reply, reply.Err)
-	}
-	leave()
-	<-gone
-	r.AwaitIdle()
-	r.RequireFreeSlot()
+	ctx, disconnect := context.WithCancel(t.Context())
+	request := fixture.NewRequest("pay")
+	request.Plan = "one"
+	result := make(chan fakes.Reply, 1)
+	go func() { result <- request.Do(ctx, tr, addr) }()
+	if !fixture.Ledger.Await(hosttest.WaitTimeout, func(attempts []fakes.Attempt) bool {
+		return len(attempts) == 1 && attempts[0].Outcome == "hung"
+	}) {
+		t.Fatalf("attempts after %v: %+v, want one that hangs", hosttest.WaitTimeout, fixture.Ledger.Attempts())
+	}
+	if reply := fixture.NewRequest("look").Do(t.Context(), tr, addr); reply.String() != "served" {
+		t.Errorf("other request on the connection: got %v (%v), want served", reply, reply.Err)
+	}
+	disconnect()
+	<-result
+	fixture.AwaitIdle()
+	fixture.RequireFreeSlot()
 }
 
-// Who asks may be known to the host; then headers that claim another count for nothing.
+// An identity that the host has set with WithIdentity takes precedence over the request's headers.
 func TestIdentity(t *testing.T) {
-	r := hosttest.New(t, 1, nil, nil)
-	h := nethttp.New(r.Gateway)(http.HandlerFunc(own))
+	fixture := hosttest.New(t, 1, nil, nil)
+	h := nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler))
 	addr := hosttest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		ctx := pumicecroft.WithIdentity(req.Context(), pumicecroft.Identity{Customer: 99, Plan: "tiny"})
 		h.ServeHTTP(w, req.WithContext(ctx))
 	}), nil)
 	served := 0
 	for i := range 20 {
-		a := r.NewRequest("look")
-		a.Customer, a.Plan = uint64(i), "shop" // each claims to be somebody else, without bounds
-		a.Header = http.Header{"X-Api-Key": {"nonsense"}}
-		if hosttest.Do(t, a, addr).String() == "served" {
+		request := fixture.NewRequest("look")
+		request.Customer, request.Plan = uint64(i), "shop" // each claims another customer, and a plan without limits
+		request.Header = http.Header{"X-Api-Key": {"nonsense"}}
+		if hosttest.Do(t, request, addr).String() == "served" {
 			served++
 		}
 	}
 	if served == 0 || served > 10 {
-		t.Errorf("%d served, the identity's quota is 10", served)
+		t.Errorf("%d requests were served, want 1 to 10, the identity's quota", served)
 	}
 }
 
-// A Mapper of the host's decides what a request is, without the platform's headers.
-func TestAMapperOfTheHosts(t *testing.T) {
-	r := hosttest.New(t, 1, nil, nil)
-	errNoShop := errors.New("no shop is named")
-	addr := hosttest.Serve(t, nethttp.New(r.Gateway, middleware.Routes("/api"), middleware.Mapper(func(req *http.Request) (pumicecroft.Request, error) {
-		if req.FormValue("shop") == "" {
-			return pumicecroft.Request{}, errNoShop
-		}
-		if req.FormValue("shop") == "closed" {
-			return pumicecroft.Request{}, &pumicecroft.RejectedError{RetryAfter: 2 * time.Second}
-		}
-		return pumicecroft.Request{Class: "look", Plan: "shop", Customer: 4, Target: "/look"}, nil
-	}))(http.HandlerFunc(own)), nil)
-	for path, want := range map[string]string{"/api?shop=7": "200 ", "/api": "400 ", "/api?shop=closed": "503 2.000", "/other": "418 "} {
+// A Mapper of the host's replaces the platform's headers: it chooses the class, the plan and the customer, or rejects
+// the request.
+func TestCustomMapper(t *testing.T) {
+	fixture := hosttest.New(t, 1, nil, nil)
+	errNoShop := errors.New("parameter shop is missing")
+	addr := hosttest.Serve(t, nethttp.New(fixture.Gateway, middleware.Routes("/api"), middleware.Mapper(
+		func(req *http.Request) (pumicecroft.Request, error) {
+			if req.FormValue("shop") == "" {
+				return pumicecroft.Request{}, errNoShop
+			}
+			if req.FormValue("shop") == "closed" {
+				return pumicecroft.Request{}, &pumicecroft.RejectedError{RetryAfter: 2 * time.Second}
+			}
+			return pumicecroft.Request{Class: "look", Plan: "shop", Customer: 4, Target: "/look"}, nil
+		}))(http.HandlerFunc(hostHandler)), nil)
+	for path, want := range map[string]string{
+		"/api?shop=7": "200 ", "/api": "400 ", "/api?shop=closed": "503 2.000", "/other": "418 ",
+	} {
 		res, err := http.Get("http://" + addr + path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		res.Body.Close()
 		if got := fmt.Sprintf("%d %s", res.StatusCode, res.Header.Get("Retry-After")); got != want {
-			t.Errorf("%s: %q, want %q", path, got, want)
+			t.Errorf("%s: status and Retry-After %q, want %q", path, got, want)
 		}
 	}
-	if as := r.Ledger.Attempts(); len(as) != 1 || as[0].Class != "look" || len(as[0].ID) != 16 {
-		t.Errorf("%+v", as)
+	attempts := fixture.Ledger.Attempts()
+	if len(attempts) != 1 || attempts[0].Class != "look" || len(attempts[0].ID) != 16 {
+		t.Errorf("attempts %+v, want one of class look with an ID of 16 digits", attempts)
 	}
 }
 
-// A host that strips a prefix has its backends asked for what is left.
+// With http.StripPrefix, backends get the path without the prefix.
 func TestStripPrefix(t *testing.T) {
-	r := hosttest.New(t, 1, nil, nil)
-	addr := hosttest.Serve(t, http.StripPrefix("/v1", nethttp.New(r.Gateway)(http.HandlerFunc(own))), nil)
-	a := r.NewRequest("look")
-	req, err := a.HTTPRequest(t.Context(), addr)
+	fixture := hosttest.New(t, 1, nil, nil)
+	addr := hosttest.Serve(t, http.StripPrefix("/v1", nethttp.New(fixture.Gateway)(http.HandlerFunc(hostHandler))), nil)
+	request := fixture.NewRequest("look")
+	httpRequest, err := request.HTTPRequest(t.Context(), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.URL.Path = "/v1/look"
-	res, err := http.DefaultTransport.RoundTrip(req)
+	httpRequest.URL.Path = "/v1/look"
+	res, err := http.DefaultTransport.RoundTrip(httpRequest)
 	if err != nil {
 		t.Fatal(err)
 	}
 	res.Body.Close()
-	if seen := r.Ledger.ForRequest(a.RequestID()); res.StatusCode != 200 || len(seen) != 1 || seen[0].Class != "look" {
-		t.Errorf("%s %+v", res.Status, seen)
+	attempts := fixture.Ledger.ForRequest(request.RequestID())
+	if res.StatusCode != 200 || len(attempts) != 1 || attempts[0].Class != "look" {
+		t.Errorf("got status %s and attempts %+v, want 200 and one of class look", res.Status, attempts)
 	}
 }
