--- a/internal/hosttest/hosttest.go
+++ b/internal/hosttest/hosttest.go
@@ -1,5 +1,5 @@
-// Package hosttest holds the fixture of tests that serve a gateway: a Gateway over fake backends, in the test's own
-// process. It listens on loopback only. Everything that it starts is stopped when the test ends.
+// Package hosttest holds the fixture of tests that act as the host of a Gateway: a Gateway with fake backends, in the
+// test's own process. It listens on loopback only. Everything that it starts is stopped when the test ends.
 package hosttest
 
 import (
@@ -21,7 +21,7 @@
 // WaitTimeout is how long a test waits for something that must happen.
 const WaitTimeout = 20 * time.Second
 
-// Fixture is a gateway over fake backends.
+// Fixture is a Gateway with fake backends.
 type Fixture struct {
 	Gateway  *pumicecroft.Gateway
 	Ledger   *fakes.Ledger
@@ -97,7 +97,7 @@
 	return f
 }
 
-// NewRequest returns a request with an ID of its own, and with a key and a body unless it is idempotent.
+// NewRequest returns a request with a unique ID, and with an idempotency key and a body unless the class is idempotent.
 func (f *Fixture) NewRequest(class string) fakes.Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,7 +138,7 @@
 	f.t.Helper()
 	for end := time.Now().Add(WaitTimeout); f.Gateway.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("%d requests are open", f.Gateway.OpenRequests())
+			f.t.Fatalf("%d requests are open after %v, want 0", f.Gateway.OpenRequests(), WaitTimeout)
 		}
 	}
 }
--- a/internal/processtest/clients.go
+++ b/internal/processtest/clients.go
@@ -10,7 +10,8 @@
 	"pumicecroft/internal/load"
 )
 
-// ClientGroup is a group of clients: customers of one plan. Each request goes to any gateway that clients are sent to.
+// ClientGroup is a group of clients: customers of one plan. Each request goes to any gateway that has been started and
+// not been killed or terminated since.
 type ClientGroup struct {
 	Name             string
 	Plan             string
@@ -18,7 +19,7 @@
 	Rate             float64 // requests a second, of all customers
 	Customers        int
 	FirstCustomer    int           // number of the first customer
-	FollowRetryAfter float64       // share of clients that retry when a rejection says
+	FollowRetryAfter float64       // share of clients that retry after the Retry-After of a rejection
 	RetryImmediately float64       // share of clients that retry at once
 	MaxTries         int           // of a client that retries; 0 means 1
 	Timeout          time.Duration // 0 means Config.Deadline
@@ -29,11 +30,11 @@
 	maxRequests    = 1_000_000
 	maxConnections = 512
 	maxOpen        = 4096
-	maxLength      = time.Hour
+	maxDuration    = time.Hour
 )
 
-// RunClients sends requests in open loop until ctx ends, and returns when each has an outcome. Each group of a fleet
-// must have a number of its own.
+// RunClients sends requests at the group's rate, without waiting for responses, until ctx ends. It returns when each
+// request has an outcome. Each group of a fleet must have a different number.
 func (f *Fleet) RunClients(ctx context.Context, number int, group ClientGroup) error {
 	_, err := load.Run(ctx, f.loadPlan(number, group), load.Options{
 		Route: f.route,
@@ -51,7 +52,7 @@
 	return err
 }
 
-// loadPlan returns the load of a client group.
+// loadPlan returns the load plan of a client group.
 func (f *Fleet) loadPlan(number int, group ClientGroup) *load.Plan {
 	timeout := group.Timeout
 	if timeout == 0 {
@@ -73,7 +74,7 @@
 	}
 	return &load.Plan{
 		Name: group.Name, Seed: eventqueue.Mix(f.Config.Seed + uint64(number)), Rate: group.Rate,
-		Duration: maxLength, MaxRequests: maxRequests, Connections: maxConnections, MaxOpen: maxOpen, Timeout: timeout,
+		Duration: maxDuration, MaxRequests: maxRequests, Connections: maxConnections, MaxOpen: maxOpen, Timeout: timeout,
 		FollowRetryAfter: group.FollowRetryAfter, RetryImmediately: group.RetryImmediately, MaxTries: max(1, group.MaxTries),
 		Customers: max(1, group.Customers), FirstCustomer: group.FirstCustomer,
 		Plans:       []load.Share{{Name: group.Plan, Weight: 1}},
@@ -81,7 +82,7 @@
 	}
 }
 
-// route selects one of the gateways that clients are sent to, or any gateway if there is none.
+// route selects one of the gateways that clients are sent to, or one of all gateways if there is none.
 func (f *Fleet) route(r *load.Request, try int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/processtest/config.go
+++ b/internal/processtest/config.go
@@ -12,8 +12,8 @@
 // MaxProcesses is the largest number of gateway processes that a fleet starts.
 const MaxProcesses = 64
 
-// DrainGrace is how long attempts may go to a draining backend after its gateway was notified, and SocketSlack what
-// sockets add to it.
+// DrainGrace is how long attempts may go to a draining backend after its gateway was notified. SocketSlack is the delay
+// on sockets that tests allow in addition.
 const (
 	DrainGrace  = 2 * time.Second
 	SocketSlack = 50 * time.Millisecond
--- a/internal/processtest/fleet.go
+++ b/internal/processtest/fleet.go
@@ -1,7 +1,7 @@
-// Package processtest runs deployments of real processes of the program on loopback, with faults between them, for
-// tests: gateways, each with a discovery agent of its own; fake backends that share one ledger; the shared counter;
-// relays between any two of them; and clients in open loop. What happens is a Script; what tests judge are counts,
-// rules and ratios within one run.
+// Package processtest runs deployments of real gateway processes on loopback, with faults between them, for tests. A
+// deployment has gateways, each with a discovery agent of its own; fake backends that share one ledger; the shared
+// counter; relays between any two of them; and open-loop clients. A Script says what happens. Tests check counts, rules
+// and ratios within one run.
 //
 // The package starts processes, listens on loopback, and writes only into Config.Dir and a temporary directory for the
 // program. A Fleet owns all processes and servers of a deployment.
--- a/internal/processtest/gateway.go
+++ b/internal/processtest/gateway.go
@@ -13,7 +13,7 @@
 	"pumicecroft/internal/fakes"
 )
 
-// Gateway is one gateway of a fleet, over all processes that it has had.
+// Gateway is one gateway of a fleet. It may have had several processes, one after another.
 type Gateway struct {
 	Number         int
 	Name           string
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", 20+g.Zone, 1+g.Number/200, 2+g.Number%200)
 }
 
-// freeAddr returns an address with a free port at a host that nobody else uses.
+// freeAddr returns an address with a free port of a loopback host that no other gateway uses.
 func freeAddr(host string) (string, error) {
 	ln, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -114,7 +114,7 @@
 	return err
 }
 
-// startGateway starts a process for a gateway and routes clients to it once it is ready.
+// startGateway starts a process for a gateway and waits until it is ready. From then on clients are sent to it.
 func (f *Fleet) startGateway(g *Gateway) error {
 	env, args, err := f.writeConfig(g)
 	if err != nil {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// writeConfig writes a gateway's file and returns what its process is started with.
+// writeConfig writes a gateway's configuration file and returns the environment and the arguments of its process.
 func (f *Fleet) writeConfig(g *Gateway) (env, args []string, err error) {
 	write := f.platformConfig
 	if f.Config.PersistState {
@@ -184,7 +184,7 @@
 	}
 }
 
-// stopRouting sends no more clients to gateways.
+// stopRouting stops sending clients to gateways.
 func (f *Fleet) stopRouting(gateways ...*Gateway) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/processtest/idleclients_test.go
+++ b/internal/processtest/idleclients_test.go
@@ -15,7 +15,7 @@
 	"pumicecroft/internal/fakes"
 )
 
-// holdConnections makes clients hold connections to a gateway until ctx ends. Each client writes data, keeps the
+// holdConnections starts clients that hold connections to a gateway until ctx ends. Each client writes data, keeps the
 // connection idle until the gateway closes it, and connects again at the next tick.
 func holdConnections(ctx context.Context, clients int, addr, data string, tick time.Duration, running *sync.WaitGroup) {
 	for range clients {
@@ -39,13 +39,13 @@
 	}
 }
 
-// prober sends requests to all gateways of a fleet, each on a connection of its own, and counts what became of them.
+// prober sends requests to all gateways of a fleet, each on a connection of its own, and counts the results.
 type prober struct {
 	fleet       *Fleet
 	ctx         context.Context
 	lastID      atomic.Int64 // number of requests
 	retried     atomic.Int64 // requests whose connection was closed before they were read, and that were sent again
-	closedTwice atomic.Int64 // retries that were closed unread as well
+	closedTwice atomic.Int64 // those whose second connection was closed before they were read as well
 }
 
 // Requests to each gateway in one call of probe, and how many of them at once.
@@ -54,7 +54,8 @@
 	probeConcurrency = 4
 )
 
-// probe sends requests and fails the test if one was lost after its gateway read it, or less than 9 of 10 were served.
+// probe sends requests and fails the test if one was lost after its gateway had read it, or if less than 9 of 10 were
+// served.
 func (p *prober) probe(t *testing.T, phase string) {
 	t.Helper()
 	var probing sync.WaitGroup
@@ -70,7 +71,8 @@
 	}
 	probing.Wait()
 	if all := int64(probeRequests * len(p.fleet.Gateways)); served.Load() < all*9/10 {
-		t.Errorf("%s: %d of %d are served, %d were closed unread until then", phase, served.Load(), all, p.retried.Load())
+		t.Errorf("%s: %d of %d requests were served, want at least 9 of 10; %d connections were closed unread so far",
+			phase, served.Load(), all, p.retried.Load())
 	}
 }
 
@@ -100,7 +102,7 @@
 	}
 }
 
-// requireNoticed fails the test unless every gateway takes in the current endpoint list of its agent.
+// requireNoticed fails the test unless every gateway receives the current endpoint list of its agent.
 func requireNoticed(t *testing.T, f *Fleet) {
 	t.Helper()
 	for _, g := range f.Gateways {
@@ -110,13 +112,14 @@
 	}
 }
 
-// Clients hold every descriptor that they may at gateways with 96, and connect again when they are closed, some since
-// before discovery was lost and some since then. The gateways must notice the return of discovery all the same, both
-// on a watch that stayed open and on a new one. The update needs new connections to backends at that moment, and these
-// must be established. No request that was read may be lost, whether or not discovery is reachable.
+// Gateways are limited to 96 descriptors, and idle clients hold as many connections as a gateway leaves them. They
+// connect again whenever one is closed. Half of the clients start before discovery is lost, half after. The gateways
+// must notice when discovery is back, both on a watch that stayed open and on a new one. The update then needs new
+// connections to backends, which must be established. No request that was read may be lost, whether or not discovery is
+// reachable.
 func TestIdleClientsAndDiscoveryLost(t *testing.T) {
 	const descriptors, clients = 96, 48
-	forms := []struct {
+	behaviors := []struct {
 		data string
 		tick time.Duration
 	}{
@@ -126,7 +129,7 @@
 		{"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 20 * time.Millisecond}, // many new connections
 	}
 	f := deploy(t, Config{
-		Gateways: len(forms), Backends: 6, WorkTime: 5 * time.Millisecond, Slots: 16, Queue: 64,
+		Gateways: len(behaviors), Backends: 6, WorkTime: 5 * time.Millisecond, Slots: 16, Queue: 64,
 		Relayed: true, Descriptors: descriptors, MemoryMB: 192,
 	})
 	f.SetHealth("Gone", 3, 4, 5)
@@ -137,7 +140,7 @@
 	defer stop()
 	p := &prober{fleet: f, ctx: ctx}
 	for i, g := range f.Gateways {
-		holdConnections(ctx, clients, g.Addr, forms[i].data, forms[i].tick, &holding)
+		holdConnections(ctx, clients, g.Addr, behaviors[i].data, behaviors[i].tick, &holding)
 	}
 	p.probe(t, "before")
 	for i, g := range f.Gateways {
@@ -146,14 +149,14 @@
 			g.DiscoveryRelay.Refuse()
 			g.DiscoveryRelay.Reset()
 		}
-		holdConnections(ctx, clients, g.Addr, forms[i].data, forms[i].tick, &holding)
+		holdConnections(ctx, clients, g.Addr, behaviors[i].data, behaviors[i].tick, &holding)
 	}
-	for lost := time.Now(); time.Since(lost) < 3500*time.Millisecond; { // longer than a watch may be silent
+	for lostAt := time.Now(); time.Since(lostAt) < 3500*time.Millisecond; { // longer than a watch may be silent
 		p.probe(t, "meanwhile")
 	}
 	f.SetHealth("Terminating", 0, 1, 2)
 	f.SetHealth("Ready", 3, 4, 5)
-	back := time.Now()
+	restoredAt := time.Now()
 	for _, g := range f.Gateways {
 		g.DiscoveryRelay.Heal()
 		g.Agent.SetDown(false)
@@ -163,22 +166,22 @@
 		files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.Process.cmd.Process.Pid))
 		t.Logf("%s has %d open descriptors (%v)", g.Name, len(files), err)
 	}
-	if delay := time.Since(back); delay > 6*time.Second {
-		t.Errorf("the return was noticed after %v", delay)
+	if delay := time.Since(restoredAt); delay > 6*time.Second {
+		t.Errorf("the return of discovery was noticed after %v, want within 6s", delay)
 	} else {
-		t.Logf("the return was noticed after %v", delay)
+		t.Logf("the return of discovery was noticed after %v", delay)
 	}
-	for time.Since(back) < DrainGrace+500*time.Millisecond {
+	for time.Since(restoredAt) < DrainGrace+500*time.Millisecond {
 		p.probe(t, "after")
 	}
 	requireNoStaleAttempts(t, f)
 	t.Logf("of %d requests %d were closed before they were read, %d at the retry too",
 		p.lastID.Load(), p.retried.Load(), p.closedTwice.Load())
-	// A connection whose client writes slowly may be closed to make room for the next, so this depends on the machine:
-	// about 1 in 100 requests on two busy cores. Were the newest connection closed instead of the slowest, it would be
-	// about 1 in 4.
+	// A gateway may close a connection whose client writes slowly to make room for a new one, so the number depends on
+	// the machine: about 1 in 100 requests on two busy cores. If the newest connection were closed instead of the
+	// slowest, it would be about 1 in 4.
 	if p.retried.Load() > p.lastID.Load()/10 || p.closedTwice.Load() > p.lastID.Load()/50 {
-		t.Errorf("of %d requests %d were closed before they were read, %d at the retry too",
-			p.lastID.Load(), p.retried.Load(), p.closedTwice.Load())
+		t.Errorf("of %d requests %d were closed before they were read, want at most 1 in 10, %d at the retry too, "+
+			"want at most 1 in 50", p.lastID.Load(), p.retried.Load(), p.closedTwice.Load())
 	}
 }
--- a/internal/processtest/pause_test.go
+++ b/internal/processtest/pause_test.go
@@ -13,7 +13,8 @@
 	"pumicecroft/internal/load"
 )
 
-// TestMain runs at most two cases at once, so that no more than eight gateway processes run.
+// TestMain runs at most two cases at once, which limits the number of gateway processes: there are 20 in
+// TestReadyAgainWithoutDiscovery and at most 8 in the other tests, except for TestSeededPauses.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("test.parallel", "2"); err != nil {
@@ -54,7 +55,8 @@
 	return f
 }
 
-// playWithClients plays a script while clients send requests, until some time after its last event.
+// playWithClients runs a script while clients send requests. The clients stop when the time after has passed since the
+// script's last event.
 func playWithClients(t *testing.T, f *Fleet, script Script, after time.Duration, groups ...ClientGroup) {
 	t.Helper()
 	t.Logf("seed %d\n%s", f.Config.Seed, script)
@@ -92,19 +94,21 @@
 		counts[fmt.Sprint(a.Backend, " at ", a.At.Sub(f.startedAt).Round(10*time.Millisecond))]++
 	}
 	if len(stale) > 0 {
-		t.Errorf("%d of %d attempts went to draining backends: %v", len(stale), len(f.Ledger.Attempts()), counts)
+		t.Errorf("%d of %d attempts went to draining backends after the grace period, want 0: %v", len(stale),
+			len(f.Ledger.Attempts()), counts)
 	}
 	late := f.Outcomes(f.startedAt, time.Now(), func(o load.Outcome) bool {
 		return o.Good && o.Latency > f.Config.Deadline+time.Second
 	})
 	if len(late) > 0 {
-		t.Errorf("%d responses arrived long after their deadline", len(late))
+		t.Errorf("%d responses arrived more than a second after their deadline, want 0", len(late))
 	}
 }
 
-// Half of the gateways are paused while backends start to drain. When they run again, requests and the endpoint update
-// wait in their sockets, and they read them in any order. No attempt may leave by the older endpoint list. In the first
-// case the update waits in the socket; in the second the watch is reset meanwhile, and only the next watch has it.
+// Half of the gateways are paused while backends start to drain. When they resume, requests and the endpoint update
+// wait in their sockets, and they may read them in any order. No attempt may be sent based on the old endpoint list. In
+// the first case the update waits in the socket; in the second the watch is reset during the pause, and only the next
+// watch receives the update.
 func TestPausedGateways_UseNoStaleEndpoints(t *testing.T) {
 	for name, more := range map[string]Script{
 		"update waits in the socket": nil,
@@ -123,20 +127,20 @@
 			requireNoStaleAttempts(t, f)
 			after := f.Outcomes(f.scriptStartedAt.Add(4300*time.Millisecond), time.Now(), nil)
 			if good := CountGood(after); 10*good < 9*len(after) || good == 0 {
-				t.Errorf("%d of %d are served from 0.3 s after the pause", good, len(after))
+				t.Errorf("%d of %d requests were served from 0.3 s after the pause on, want at least 9 of 10", good, len(after))
 			}
 		})
 	}
 }
 
 var (
-	pauses    = flag.Int("pauses", 0, "how many gateways TestSeededPauses pauses, one after another or many at once")
-	fleetSize = flag.Int("fleet", 24, "how many gateways TestSeededPauses runs")
+	pauses    = flag.Int("pauses", 0, "number of pauses of gateways in TestSeededPauses, consecutive or concurrent")
+	fleetSize = flag.Int("fleet", 24, "number of gateways in TestSeededPauses")
 	seed      = flag.Uint64("seed", 1, "seed of TestSeededPauses")
 )
 
-// Gateways are paused for 1, 3 or 6 s at random moments while backends drain and return. This is a measurement for an
-// idle machine:
+// Gateways are paused for 1, 3 or 6 s at random times while backends drain and become ready again. This is a
+// measurement that needs an idle machine:
 //
 //	go test ./internal/processtest -run TestSeededPauses -pauses 1000 -fleet 48 -timeout 20m -v
 func TestSeededPauses(t *testing.T) {
@@ -167,7 +171,8 @@
 		Name: "look", Plan: "big", Class: "look", Rate: 300, Customers: 50, Timeout: 2 * time.Second,
 	})
 	outcomes := f.Outcomes(f.startedAt, time.Now(), nil)
-	t.Logf("%d gateways were paused in %d rounds, of %d; %d attempts, %d of %d served, %d attempts to draining backends",
+	t.Logf("%d pauses in %d rounds with %d gateways; %d attempts; %d of %d requests served; "+
+		"%d attempts to draining backends",
 		paused, rounds, *fleetSize, len(f.Ledger.Attempts()), CountGood(outcomes), len(outcomes), len(f.StaleAttempts()))
 	requireNoStaleAttempts(t, f)
 }
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -56,8 +56,8 @@
 	err     error         // how the process ended
 }
 
-// startProcess starts the program with arguments and an environment in addition to this one's. The process can't open
-// more than descriptors files.
+// startProcess starts the program with arguments, and with env added to this process's environment. The process can't
+// have more than descriptors open files.
 func startProcess(descriptors int, env []string, args ...string) (*Process, error) {
 	path, err := BuildProgram()
 	if err != nil {
@@ -168,7 +168,7 @@
 	}
 }
 
-// Pause stops the process and returns once the system doesn't run it any more.
+// Pause sends SIGSTOP and returns once the process has stopped.
 func (p *Process) Pause() error {
 	p.Signal(syscall.SIGSTOP)
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
@@ -181,7 +181,7 @@
 		}
 		runtime.Gosched()
 	}
-	return errors.New("processtest: process does not stop")
+	return errors.New("processtest: process did not stop after SIGSTOP")
 }
 
 // Resume lets a paused process run again.
--- a/internal/processtest/ready_test.go
+++ b/internal/processtest/ready_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// readyWithin is the time within which nine of ten gateways that were started again must be ready.
+// readyWithin is the time within which nine of ten restarted gateways must be ready.
 const readyWithin = 10 * time.Second
 
-// serveSlowly is a discovery that answers with one byte a second.
+// serveSlowly responds as discovery does, but at one byte a second.
 func serveSlowly(w http.ResponseWriter, r *http.Request) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -56,8 +56,8 @@
 	}
 }
 
-// restartTimed kills gateways, starts them again, and returns how many weren't ready in time, and the longest time of
-// the others.
+// restartTimed kills gateways and starts them again. It returns how many weren't ready within readyWithin, and the
+// longest time that one of the others took.
 func restartTimed(t *testing.T, f *Fleet, gateways []*Gateway) (late int, longest time.Duration) {
 	t.Helper()
 	f.Kill(gateways...)
@@ -102,10 +102,11 @@
 	return res.StatusCode
 }
 
-// Ten gateways are killed under load, half of them at a time, and come back while discovery answers nothing, one byte a
-// second, 503, or refuses connections. Nine of ten must be ready within 10 s, with or without state: readiness means
-// that requests are accepted, and waits for nobody. With the platform's file a gateway serves at once by the last known
-// endpoint list. With an operator's file that has no other source than discovery, it rejects until discovery answers.
+// Ten gateways are killed under load, half of them at a time, and restarted while discovery does not respond, responds
+// with one byte a second or with 503, or refuses connections. Nine of ten must be ready within 10 s, with or without
+// state: a gateway is ready when it accepts requests, and does not wait for discovery. With the platform's file it
+// serves at once with the endpoint list in that file. With an operator's file whose only source is discovery, it
+// rejects requests until discovery responds.
 func TestReadyAgainWithoutDiscovery(t *testing.T) {
 	const count = 10
 	for name, persistState := range map[string]bool{"platform's file": false, "operator's file, with state": true} {
@@ -133,7 +134,7 @@
 			}
 			t.Logf("ready after %v at most, except %d of %d", longest, late, count)
 			if late > count/10 {
-				t.Errorf("%d of %d are not ready within %v", late, count, readyWithin)
+				t.Errorf("%d of %d gateways were not ready within %v, want at most %d", late, count, readyWithin, count/10)
 			}
 			want := http.StatusOK
 			if persistState {
@@ -147,7 +148,7 @@
 			stop()
 			clients.Wait()
 			outcomes := f.Outcomes(f.startedAt, f.lastStartedAt(), nil)
-			t.Logf("%d of %d served meanwhile", CountGood(outcomes), len(outcomes))
+			t.Logf("%d of %d requests were served until the last gateway was ready", CountGood(outcomes), len(outcomes))
 		})
 	}
 }
--- a/internal/processtest/relay.go
+++ b/internal/processtest/relay.go
@@ -86,19 +86,19 @@
 	r.changed = make(chan struct{})
 }
 
-// Stall forwards nothing in a direction, or both. New connections are accepted, and stalled as well.
+// Stall stops forwarding in one direction or both. New connections are accepted, and stalled as well.
 func (r *Relay) Stall(direction Direction) { r.update(func() { r.stalled |= direction }) }
 
-// Delay delays what passes, in each direction.
+// Delay delays data in each direction.
 func (r *Relay) Delay(delay time.Duration) { r.update(func() { r.delay = delay }) }
 
 // Refuse resets new connections.
 func (r *Relay) Refuse() { r.update(func() { r.refuse = true }) }
 
-// SetSilentShare accepts a share of new connections without ever forwarding them, also after Heal.
+// SetSilentShare makes the relay accept a share of new connections without ever forwarding them, not even after Heal.
 func (r *Relay) SetSilentShare(share float64) { r.update(func() { r.silentShare = share }) }
 
-// Heal ends all faults. What was stalled passes now.
+// Heal ends all faults. Stalled data is forwarded then.
 func (r *Relay) Heal() {
 	r.update(func() { r.stalled, r.delay, r.refuse, r.silentShare = 0, 0, false, 0 })
 }
@@ -107,8 +107,8 @@
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.conns {
-		p.reset()
+	for c := range r.conns {
+		c.reset()
 	}
 }
 
@@ -116,9 +116,9 @@
 func (r *Relay) HalfOpen() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.conns {
-		if p.server != nil {
-			p.server.Close()
+	for c := range r.conns {
+		if c.server != nil {
+			c.server.Close()
 		}
 	}
 }
@@ -128,8 +128,8 @@
 	r.ln.Close()
 	r.update(func() {
 		r.closed = true
-		for p := range r.conns {
-			p.reset()
+		for c := range r.conns {
+			c.reset()
 		}
 	})
 	r.running.Wait()
@@ -144,7 +144,7 @@
 		}
 		r.mu.Lock()
 		r.opened++
-		refused, silent := r.refuse || r.closed, r.silentShare > 0 && r.rng.Float64() < r.silentShare
+		refused, requireNothing := r.refuse || r.closed, r.silentShare > 0 && r.rng.Float64() < r.silentShare
 		c := &relayConn{client: conn, done: make(chan struct{})}
 		if !refused {
 			r.conns[c] = true
@@ -153,7 +153,7 @@
 		switch {
 		case refused:
 			c.reset()
-		case silent: // it stays open until it is reset
+		case requireNothing: // it stays open until it is reset
 		default:
 			r.running.Go(func() { r.forward(c) })
 		}
@@ -209,7 +209,7 @@
 	}
 }
 
-// waitPassable waits until data may pass in a direction, with its delay. It returns false if the connection is over.
+// waitPassable waits until data may pass in a direction, with its delay. It returns false if the connection was reset.
 func (r *Relay) waitPassable(c *relayConn, direction Direction) bool {
 	for {
 		r.mu.Lock()
--- a/internal/processtest/relay_test.go
+++ b/internal/processtest/relay_test.go
@@ -45,64 +45,64 @@
 		n, err := c.Read(b)
 		return string(b[:n]), err
 	}
-	silent := func(what string, c net.Conn) {
+	requireNothing := func(description string, c net.Conn) {
 		t.Helper()
 		if s, err := read(c, 30*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: %q, %v", what, s, err)
+			t.Errorf("%s: read %q (%v), want nothing until the deadline", description, s, err)
 		}
 	}
-	arrives := func(what string, c net.Conn, want string) {
+	requireData := func(description string, c net.Conn, want string) {
 		t.Helper()
 		if s, err := read(c, waitTimeout); s != want || err != nil {
-			t.Errorf("%s: %q, %v, want %q", what, s, err, want)
+			t.Errorf("%s: read %q (%v), want %q", description, s, err, want)
 		}
 	}
-	ends := func(what string, c net.Conn) {
+	requireClosed := func(description string, c net.Conn) {
 		t.Helper()
 		if s, err := read(c, waitTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: %q, %v", what, s, err)
+			t.Errorf("%s: read %q (%v), want a closed connection", description, s, err)
 		}
 	}
 	c := dial()
 	io.WriteString(c, "a")
-	arrives("it passes", c, "a")
+	requireData("without faults", c, "a")
 	for _, direction := range []Direction{Upstream, Downstream, BothDirections} {
 		r.Stall(direction)
 		io.WriteString(c, "b")
-		silent("stalled", c)
+		requireNothing("stalled", c)
 		r.Heal()
-		arrives("healed", c, "b")
+		requireData("healed", c, "b")
 	}
 	r.Delay(20 * time.Millisecond)
 	start := time.Now()
 	io.WriteString(c, "c")
-	arrives("delayed", c, "c")
+	requireData("delayed", c, "c")
 	if d := time.Since(start); d < 40*time.Millisecond {
-		t.Errorf("delayed both ways by %v", d)
+		t.Errorf("delay of both directions together %v, want at least 40ms", d)
 	}
 	r.Heal()
 	r.Stall(BothDirections)
-	late := dial()
-	io.WriteString(late, "d")
-	silent("opened while stalled", late)
+	lateConn := dial()
+	io.WriteString(lateConn, "d")
+	requireNothing("opened while stalled", lateConn)
 	r.Heal()
-	arrives("it passes then", late, "d")
+	requireData("opened while stalled, after Heal", lateConn, "d")
 	r.Refuse()
-	ends("refused", dial())
+	requireClosed("refused", dial())
 	r.Heal()
 	r.SetSilentShare(1)
-	lost := dial()
-	io.WriteString(lost, "e")
-	silent("lost", lost)
+	silentConn := dial()
+	io.WriteString(silentConn, "e")
+	requireNothing("silent", silentConn)
 	r.Heal()
-	silent("for good", lost)
+	requireNothing("silent, after Heal", silentConn)
 	r.HalfOpen()
-	silent("half open", c)
+	requireNothing("half open", c)
 	io.WriteString(c, "f")
-	ends("half open, written to", c)
+	requireClosed("half open, written to", c)
 	r.Reset()
-	ends("reset", lost)
+	requireClosed("reset", silentConn)
 	if n := r.Opened(); n != 4 {
-		t.Errorf("%d connections, want 4", n)
+		t.Errorf("%d connections were opened, want 4", n)
 	}
 }
--- a/internal/processtest/restart_test.go
+++ b/internal/processtest/restart_test.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// replaceByOldSnapshot replaces a snapshot by one of the day before, in which no customer has a debt.
+// replaceByOldSnapshot replaces a snapshot by one that is a day older and in which no customer has a debt.
 func replaceByOldSnapshot(_ *Gateway, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -38,21 +38,21 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// All gateways are killed at the same moment and come back with snapshots, without them, with old copies, or where
-// none can be used. Customers that send far more than their plans allow must get no fresh burst by that, and those
-// within their plans must be served as before from the second second on.
+// All gateways are killed at the same moment and restarted: with their snapshots, without them, with old ones, or with
+// unusable ones. Customers that send far more than their plans allow must not get a new burst from the restart, and
+// those within their plans must be served as before from one second after the restart on.
 func TestRestart_GrantsNoFreshBurst(t *testing.T) {
 	const (
-		killAt        = 4 * time.Second
-		downtime      = time.Second
-		window        = 2 * time.Second // in which customers are compared before and after
-		floods        = 4               // customers that send five times their rate
-		within        = 20              // customers that send half of their rate
-		firstWithin   = 100
-		rate          = 4.0
-		gateways      = 4
-		burstShare    = 1.25 // how far the customers over their plans may exceed what they had before
-		minimumServed = 0.95 // share of the customers within their plans
+		killAt          = 4 * time.Second
+		downtime        = time.Second
+		window          = 2 * time.Second // in which customers are compared before and after
+		customersOver   = 4               // customers that send five times their rate
+		customersWithin = 20              // customers that send half of their rate
+		firstWithin     = 100             // number of the first of customersWithin
+		rate            = 4.0             // of a customer's plan, in units a second
+		gateways        = 4
+		maxIncrease     = 1.25 // how far customersOver may exceed what they got before, as a factor
+		minimumServed   = 0.95 // share of the requests of customersWithin
 	)
 	for name, whileStopped := range map[string]func(f *Fleet) error{
 		"with snapshots": nil,
@@ -83,9 +83,9 @@
 			f.WhileStopped = whileStopped
 			script := Script{{At: killAt, Duration: downtime, Action: ActionKill, Gateways: Range(0, gateways)}}
 			playWithClients(t, f, script, 4*time.Second,
-				ClientGroup{Name: "floods", Plan: "shop", Class: "look", Rate: floods * rate * 5, Customers: floods},
+				ClientGroup{Name: "floods", Plan: "shop", Class: "look", Rate: customersOver * rate * 5, Customers: customersOver},
 				ClientGroup{
-					Name: "within", Plan: "shop", Class: "look", Rate: within * rate * 0.5, Customers: within,
+					Name: "within", Plan: "shop", Class: "look", Rate: customersWithin * rate * 0.5, Customers: customersWithin,
 					FirstCustomer: firstWithin,
 				})
 			served := func(from time.Time, length time.Duration, within bool) (good, sent float64) {
@@ -96,16 +96,18 @@
 			}
 			before, _ := served(f.scriptStartedAt.Add(killAt-window), window, false)
 			after, _ := served(f.lastStartedAt(), window, false)
-			plan, downtimePlan := floods*rate*window.Seconds(), floods*rate*downtime.Seconds()
-			t.Logf("floods: %.0f in two seconds before, %.0f in the two after, their plan is %.0f and %.0f for the downtime",
-				before, after, plan, downtimePlan)
-			// What their plans give during the downtime is theirs; the burst is 96 for all of them.
-			if limit := burstShare*max(before, plan) + downtimePlan; after > limit {
-				t.Errorf("%.0f were served in the two seconds after the restart, more than %.0f", after, limit)
+			plan, downtimePlan := customersOver*rate*window.Seconds(), customersOver*rate*downtime.Seconds()
+			t.Logf("customers over their plans: %.0f served in the two seconds before, %.0f in the two seconds after; "+
+				"their plans allow %.0f, and %.0f for the downtime", before, after, plan, downtimePlan)
+			// Customers may use what their plans give them during the downtime. A new burst would be 96 for all of them.
+			if limit := maxIncrease*max(before, plan) + downtimePlan; after > limit {
+				t.Errorf("customers over their plans: %.0f served in the two seconds after the restart, want at most %.0f",
+					after, limit)
 			}
 			good, sent := served(f.lastStartedAt().Add(time.Second), 3*time.Second, true)
 			if good < minimumServed*sent {
-				t.Errorf("%.0f of %.0f within their plans are served from the second second on", good, sent)
+				t.Errorf("customers within their plans: %.0f of %.0f served from one second after the restart on, "+
+					"want at least %.0f%%", good, sent, minimumServed*100)
 			}
 		})
 	}
--- a/internal/processtest/script.go
+++ b/internal/processtest/script.go
@@ -13,7 +13,8 @@
 // Action is what a step of a script does.
 type Action string
 
-// The actions. Each takes the step's Gateways, Backends or both; "for Duration" ones are undone after that.
+// The actions. Each applies to the step's Gateways, Backends or both. An action that lasts for Duration is undone after
+// that time.
 const (
 	ActionPause            Action = "stop"    // pause the processes of gateways, for Duration
 	ActionKill             Action = "kill"    // kill gateways at the same moment, and start them again after Duration
@@ -23,9 +24,9 @@
 	ActionUndrain          Action = "ready"   // all agents report backends as ready
 	ActionRestartBackends  Action = "die"     // kill backends, and start them cold after Duration
 	ActionSilenceDiscovery Action = "deaf"    // the agents of gateways send nothing, for Duration
-	ActionStallDiscovery   Action = "unheard" // what the agents of gateways send doesn't arrive, for Duration
+	ActionStallDiscovery   Action = "unheard" // no data passes between gateways and their agents, for Duration
 	ActionResetDiscovery   Action = "broken"  // the watches of gateways are reset
-	ActionStallBackends    Action = "cut"     // nothing passes between gateways and backends, for Duration
+	ActionStallBackends    Action = "cut"     // no data passes between gateways and backends, for Duration
 	ActionResetBackends    Action = "reset"   // the connections between gateways and backends are reset
 	ActionResetCounter     Action = "emptied" // the counter loses all numbers
 )
@@ -41,7 +42,7 @@
 
 // String returns the step as one line.
 func (s Step) String() string {
-	return fmt.Sprintf("%.3f for %.3f: %s doors %v backends %v",
+	return fmt.Sprintf("%.3f for %.3f: %s gateways %v backends %v",
 		s.At.Seconds(), s.Duration.Seconds(), s.Action, s.Gateways, s.Backends)
 }
 
@@ -57,7 +58,7 @@
 	return b.String()
 }
 
-// Range returns the numbers from from to below to.
+// Range returns the integers in [from, to).
 func Range(from, to int) (out []int) {
 	for i := from; i < to; i++ {
 		out = append(out, i)
@@ -65,7 +66,7 @@
 	return out
 }
 
-// Sample draws count of the numbers below n, sorted.
+// Sample returns count different random integers in [0, n), sorted, or all of them if there are fewer.
 func Sample(rng *rand.Rand, n, count int) []int {
 	out := rng.Perm(n)[:min(count, n)]
 	slices.Sort(out)
@@ -79,21 +80,21 @@
 	run  func() error
 }
 
-// events returns the events of a script, in order of time.
+// events returns the events of a script, ordered by time.
 func (f *Fleet) events(script Script) []event {
 	var events []event
 	for _, s := range script {
 		begin, end := f.stepFuncs(s)
 		events = append(events, event{s.At, s.String(), begin})
 		if end != nil && s.Duration > 0 {
-			events = append(events, event{s.At + s.Duration, "over: " + s.String(), end})
+			events = append(events, event{s.At + s.Duration, "end of " + s.String(), end})
 		}
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	return events
 }
 
-// Play plays a script. It returns when the last event is over, or with the error of the first event that failed.
+// Play runs a script. It returns after the last event, or with the error of the first event that failed.
 func (f *Fleet) Play(ctx context.Context, script Script) error {
 	events := f.events(script)
 	start := time.Now()
--- a/internal/testcerts/testcerts.go
+++ b/internal/testcerts/testcerts.go
@@ -1,4 +1,4 @@
-// Package testcerts issues certificates for tests, by an authority that exists as long as the test. It writes files
+// Package testcerts issues certificates for tests, signed by an authority that is created for one test. It writes files
 // only into directories that its caller names.
 package testcerts
 
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit holds helpers that tests of several packages share: backends on bare connections, a scripted decision
-// engine, and waits that time out only if something is wrong.
+// Package testkit holds helpers that tests of several packages share: backends on raw TCP connections, a scripted
+// decision engine, and waits whose timeout is so long that it expires only if something is wrong.
 package testkit
 
 import (
@@ -68,9 +68,9 @@
 	return ln.Addr().String()
 }
 
-// ServeRaw starts a backend on bare connections and returns its address. It reads complete requests and calls answer
-// for each, with the number of the request, from 1.
-func ServeRaw(t testing.TB, answer func(n int, conn net.Conn)) string {
+// ServeRaw starts a backend on raw TCP connections and returns its address. It reads complete requests and calls
+// respond for each, with the number of the request, from 1.
+func ServeRaw(t testing.TB, respond func(n int, conn net.Conn)) string {
 	t.Helper()
 	numbers := make(chan int)
 	go func() {
@@ -92,7 +92,7 @@
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return
 			}
-			answer(<-numbers, conn)
+			respond(<-numbers, conn)
 		}
 	})
 }
@@ -108,8 +108,8 @@
 	return v
 }
 
-// ScriptedEngine is a decision engine whose actions the test decides. Events gets each event; Respond, unless nil,
-// returns the actions.
+// ScriptedEngine is a decision engine whose actions are chosen by the test. Events receives each event; Respond, unless
+// nil, returns the actions.
 type ScriptedEngine struct {
 	Events  chan decision.Event
 	Respond func(decision.Event) []decision.Action
@@ -126,7 +126,7 @@
 	return actions
 }
 
-// NewScriptedEngine returns an engine; respond may be nil.
+// NewScriptedEngine returns an engine that responds to each event with the actions of respond, which may be nil.
 func NewScriptedEngine(respond func(decision.Event) []decision.Action) *ScriptedEngine {
 	return &ScriptedEngine{Events: make(chan decision.Event, 100), Respond: respond}
 }
@@ -142,18 +142,18 @@
 				return wanted
 			}
 		case <-timeout:
-			t.Fatalf("no %T arrived", *new(E))
+			t.Fatalf("timed out waiting for a %T", *new(E))
 		}
 	}
 }
 
-// ReadUntilClosed reads until the other side closes a connection, and returns what it read.
+// ReadUntilClosed reads until the peer closes the connection, and returns what it read.
 func ReadUntilClosed(t testing.TB, conn net.Conn) string {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(WaitTimeout))
 	received, err := io.ReadAll(conn)
 	if netError, ok := errors.AsType[net.Error](err); ok && netError.Timeout() {
-		t.Errorf("the connection was not closed after %q", received)
+		t.Errorf("the peer did not close the connection within %v, received %q", WaitTimeout, received)
 	}
 	return string(received)
 }
