--- a/conformance/http_test.go
+++ b/conformance/http_test.go
@@ -149,8 +149,8 @@
 class = "look"
 `, otherBackends["two"].Addr(), otherBackends["grpc"].Addr(), fakes.GRPCService)
 		p := startDaemonWithFile(t, text, c, "grpc", "two/"+otherBackends["two"].Addr())
-		overGRPC := fakes.GRPCTransport()
-		t.Cleanup(overGRPC.CloseIdleConnections)
+		grpcTransport := fakes.GRPCTransport()
+		t.Cleanup(grpcTransport.CloseIdleConnections)
 		for i := range 60 {
 			request := tc.newRequest("look")
 			request.Plan = "tiny"
@@ -162,7 +162,7 @@
 			case "one":
 				reply = request.Do(t.Context(), tc.transport, p.Addr())
 			case "grpc":
-				reply = request.DoGRPC(t.Context(), overGRPC, p.grpcAddr)
+				reply = request.DoGRPC(t.Context(), grpcTransport, p.grpcAddr)
 			}
 			switch reply.String() {
 			case "served":
