--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -19,30 +19,31 @@
 	"google.golang.org/grpc/status"
 )
 
-// reply is the result of one try.
+// reply is the result of one try of a request.
 type reply struct {
-	status     string        // such as 200, OK, 503; without a response, the reason
-	good       bool          // a successful response
-	rejected   bool          // a retry is safe
-	retryAfter time.Duration // 0 means that it was not sent
-	bytes      int64
+	status     string        // such as 200, OK or 503; without a response, the reason (see errorName)
+	good       bool          // the response is successful
+	rejected   bool          // the response says that the request was rejected, so that a retry is safe
+	retryAfter time.Duration // the delay before a retry that a rejection asks for; 0 if it has none
+	bytes      int64         // length of the response body
 }
 
 // client sends requests in one protocol. It is safe for concurrent use.
 type client interface {
-	// send sends one try of a request and blocks until its result. left is the timeout that the request carries.
-	send(ctx context.Context, target string, kind *RequestKind, r *Request, try int, left time.Duration) reply
+	// send sends one try of a request and blocks until its result. timeout is the value that is sent as the request's
+	// timeout; ctx ends the try.
+	send(ctx context.Context, target string, kind *RequestKind, r *Request, try int, timeout time.Duration) reply
 	close()
 }
 
-// ErrNotLoopback is returned for a target on another machine.
-var ErrNotLoopback = errors.New("the target is not on this machine")
+// ErrNotLoopback is returned for a target that is not on this machine.
+var ErrNotLoopback = errors.New("target is not a loopback address")
 
-// requireLoopback returns an error unless a target is on this machine. The only name allowed is localhost.
+// requireLoopback returns an error unless a target is on this machine. The only host name allowed is localhost.
 func requireLoopback(target string) error {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
-		return fmt.Errorf("%q is no host:port: %w", target, err)
+		return fmt.Errorf("target %q is not of the form host:port: %w", target, err)
 	}
 	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
 		return fmt.Errorf("%w: %s", ErrNotLoopback, target)
@@ -63,15 +64,16 @@
 func (c *httpClient) close() { c.transport.CloseIdleConnections() }
 
 func (c *httpClient) send(
-	ctx context.Context, target string, kind *RequestKind, r *Request, try int, left time.Duration,
+	ctx context.Context, target string, kind *RequestKind, r *Request, try int, timeout time.Duration,
 ) reply {
-	url, body := "http://"+target+expand(kind.Path, r, try, left), strings.NewReader(expand(kind.Body, r, try, left))
+	url, body := "http://"+target+expand(kind.Path, r, try, timeout),
+		strings.NewReader(expand(kind.Body, r, try, timeout))
 	req, err := http.NewRequestWithContext(ctx, kind.Method, url, body)
 	if err != nil {
 		return reply{status: "no request"}
 	}
 	for _, h := range kind.Headers {
-		req.Header.Add(h.Name, expand(h.Value, r, try, left))
+		req.Header.Add(h.Name, expand(h.Value, r, try, timeout))
 	}
 	res, err := c.transport.RoundTrip(req)
 	if err != nil {
@@ -93,7 +95,7 @@
 	return out
 }
 
-// errorName classifies an error, so that errors of one class are counted together.
+// errorName returns the outcome that an error is counted as.
 func errorName(err error) string {
 	var opError *net.OpError
 	switch {
@@ -109,7 +111,7 @@
 	return "broken"
 }
 
-// rawCodec passes gRPC messages as bytes.
+// rawCodec is a gRPC codec that passes messages as bytes, without encoding them.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
@@ -119,10 +121,11 @@
 }
 func (rawCodec) Name() string { return "proto" }
 
-// maxGRPCConns is the largest number of connections of a grpcClient: each of them carries many calls at once.
+// maxGRPCConns is the largest number of connections of a grpcClient. Few are enough, as each carries many concurrent
+// calls.
 const maxGRPCConns = 16
 
-// grpcClient makes unary calls, on its connections in turn.
+// grpcClient makes unary calls and distributes them over its connections in turn.
 type grpcClient struct{ conns []*grpc.ClientConn }
 
 func newGRPCClient(target string, conns int) (*grpcClient, error) {
@@ -147,13 +150,13 @@
 }
 
 func (c *grpcClient) send(
-	ctx context.Context, _ string, kind *RequestKind, r *Request, try int, left time.Duration,
+	ctx context.Context, _ string, kind *RequestKind, r *Request, try int, timeout time.Duration,
 ) reply {
 	var pairs []string
 	for _, h := range kind.Headers {
-		pairs = append(pairs, strings.ToLower(h.Name), expand(h.Value, r, try, left))
+		pairs = append(pairs, strings.ToLower(h.Name), expand(h.Value, r, try, timeout))
 	}
-	in, out := []byte(expand(kind.Body, r, try, left)), []byte(nil)
+	in, out := []byte(expand(kind.Body, r, try, timeout)), []byte(nil)
 	var trailer metadata.MD
 	conn := c.conns[r.Number%uint64(len(c.conns))]
 	callContext := metadata.AppendToOutgoingContext(ctx, pairs...)
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -7,29 +7,29 @@
 	"pumicecroft/internal/eventqueue"
 )
 
-// Streams of random numbers, so that the times of requests don't depend on what else is drawn.
+// Independent streams of random numbers: the arrival times don't depend on how many numbers are drawn for the requests.
 const (
 	streamArrivals uint64 = iota + 1
 	streamRequests
 )
 
-// maxRecentKeys is the number of recent idempotency keys of a kind from which repeated ones are drawn.
+// maxRecentKeys is the number of recent idempotency keys per kind of request that may be repeated.
 const maxRecentKeys = 1000
 
 // Generator generates a plan's requests, in order of time. The same plan gives the same requests.
 type Generator struct {
 	plan     *Plan
-	times    *rand.Rand
-	requests *rand.Rand
-	zipf     *rand.Zipf
+	times    *rand.Rand // for the times between requests
+	requests *rand.Rand // for all other properties of requests
+	zipf     *rand.Zipf // picks customers; nil if all are equally popular
 	plans    eventqueue.WeightedPicker
 	kinds    eventqueue.WeightedPicker
-	at       time.Duration
-	number   uint64
-	recent   [][]uint64 // recent idempotency keys, by kind
+	at       time.Duration // when the last request is due
+	number   uint64        // requests generated so far
+	recent   [][]uint64    // recent idempotency keys, by kind
 }
 
-// NewGenerator returns a generator at the start of a plan.
+// NewGenerator returns a generator that starts with a plan's first request.
 func NewGenerator(p *Plan) *Generator {
 	g := &Generator{
 		plan: p, times: eventqueue.NewRand(p.Seed, streamArrivals), requests: eventqueue.NewRand(p.Seed, streamRequests),
--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Scripts read the keys of result files. A key that follows the rename of a Go field would break them.
+// The renaming of a Go field must not change the keys of the result file, as scripts read it.
 func TestKeysOfResultFile(t *testing.T) {
-	figures := func(n time.Duration) LatencySummary {
+	summary := func(n time.Duration) LatencySummary {
 		return LatencySummary{
 			Count: int64(n), Beyond: int64(n + 1), Mean: n + 2, P50: n + 3, P90: n + 4, P99: n + 5, P999: n + 6,
 			Max: n + 7, Histogram: []byte{byte(n), 8},
 		}
 	}
-	kind := figures(10)
+	kind := summary(10)
 	r := &Result{
 		Plan: "plan", Target: "target", Seed: 1, Duration: 2, Partial: true, Sent: 3, Dropped: 4, Retries: 5,
 		Good: 6, Bytes: 7, Outcomes: map[string]int{"200": 8}, Kinds: map[string]*LatencySummary{"kind": &kind},
-		All: figures(20), Served: figures(30), LagP99: 9, Invalid: "why",
+		All: summary(20), Served: summary(30), LagP99: 9, Invalid: "why",
 	}
 	got, err := json.Marshal(r)
 	want := `{"Plan":"plan","Target":"target","Seed":1,"Took":2,"Partial":true,"Asked":3,"Lost":4,` +
@@ -29,6 +29,6 @@
 		`"Served":{"Count":30,"Beyond":31,"Mean":32,"P50":33,"P90":34,"P99":35,"P999":36,"Max":37,"Histogram":"Hgg="},` +
 		`"LagP99":9,"Invalid":"why"}`
 	if err != nil || string(got) != want {
-		t.Errorf("%v\n%s, want\n%s", err, got, want)
+		t.Errorf("got %s, %v\nwant %s", got, err, want)
 	}
 }
--- a/internal/load/json_test.go
+++ b/internal/load/json_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Readers of earlier results know the keys of the result file. A key that follows the rename of a Go field shows here.
+// The renaming of a Go field must not change the keys of the result file, as scripts read it, also results of earlier
+// versions. Unlike TestKeysOfResultFile, this test calls Result.JSON, which indents the file.
 func TestResultFileKeepsItsKeys(t *testing.T) {
-	figures := LatencySummary{
+	summary := LatencySummary{
 		Count: 1, Beyond: 2, Mean: 3, P50: 4, P90: 5, P99: 6, P999: 7, Max: 8, Histogram: []byte("h"),
 	}
 	r := &Result{
 		Plan: "desk", Target: "127.0.0.1:1", Seed: 9, Duration: time.Second, Partial: true, Sent: 10, Dropped: 11,
 		Retries: 12, Good: 13, Bytes: 14, Outcomes: map[string]int{"200": 15},
-		Kinds: map[string]*LatencySummary{"look": &figures}, All: LatencySummary{Count: 16},
+		Kinds: map[string]*LatencySummary{"look": &summary}, All: LatencySummary{Count: 16},
 		Served: LatencySummary{Count: 17}, LagP99: 18, Invalid: "late",
 	}
 	const want = `{
@@ -70,6 +71,6 @@
 }
 `
 	if got, err := r.JSON(); err != nil || string(got) != want {
-		t.Errorf("%v:\n%s", err, got)
+		t.Errorf("got %s, %v\nwant %s", got, err, want)
 	}
 }
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -1,9 +1,10 @@
-// Package load sends requests to a gateway or a backend in open loop: the time of each request is drawn ahead, and its
-// latency counts from that time, whatever became of the request before it. (A closed loop omits the requests that it
-// can't send while it waits: coordinated omission.)
+// Package load is a load generator. It sends requests to a gateway or a backend in open loop: the time at which each
+// request is due is independent of earlier responses, and its latency counts from that time. (A closed loop, which
+// sends a request after the response to the one before, doesn't measure the requests that it should have sent while it
+// waited; this error is known as coordinated omission.)
 //
-// It opens connections to one target, which must be on this machine unless its caller says otherwise. A run is bounded
-// in time, requests and connections.
+// The target must be on this machine unless the caller allows another one. A run is bounded in time, requests and
+// connections.
 package load
 
 import (
@@ -17,30 +18,30 @@
 	"pumicecroft/internal/settings"
 )
 
-// Plan is the load of a run.
+// Plan describes the requests of a run.
 type Plan struct {
 	Name             string
 	Seed             uint64
-	Rate             float64 // requests a second
-	EvenArrivals     bool    // requests arrive at even intervals; otherwise as a Poisson process
-	Duration         time.Duration
-	MaxRequests      int           // the run ends after so many
-	Connections      int           // open at once
-	MaxOpen          int           // requests that wait for a connection or a response; one more is dropped
-	Timeout          time.Duration // of a request with its retries, from when it is due
-	FollowRetryAfter float64       // share of clients that retry a rejected request when the rejection says
+	Rate             float64       // requests per second
+	EvenArrivals     bool          // requests are due at even intervals; otherwise as a Poisson process
+	Duration         time.Duration // the run ends after this time
+	MaxRequests      int           // the run ends after this number of requests
+	Connections      int           // largest number of open connections to a target, per protocol
+	MaxOpen          int           // largest number of requests in flight; requests due beyond that are dropped
+	Timeout          time.Duration // of a request including its retries, from when it is due
+	FollowRetryAfter float64       // share of clients that retry a rejected request after the delay that it asks for
 	RetryImmediately float64       // share of clients that retry a rejected request at once instead
-	MaxTries         int           // of a client that retries
-	Customers        int
-	FirstCustomer    int     // number of the first customer
-	FirstNumber      uint64  // requests are numbered from here, so that the IDs of two plans differ
-	ZipfExponent     float64 // of the customers' popularity, above 1; 0 means that all are equally popular
-	Plans            []Share
+	MaxTries         int           // largest number of tries of a request, including the first
+	Customers        int           // number of customers
+	FirstCustomer    int           // number of the first customer
+	FirstNumber      uint64        // added to the requests' numbers, so that the request IDs of two plans differ
+	ZipfExponent     float64       // of the customers' popularity, above 1; 0 means that all are equally popular
+	Plans            []Share       // the customers' plans
 	Kinds            []RequestKind
 	MaxLag           time.Duration // a run whose 99th percentile of the sending lag exceeds it is invalid
 }
 
-// Share is a name with its weight among others.
+// Share is a name with its weight relative to those of others.
 type Share struct {
 	Name   string
 	Weight float64
@@ -56,22 +57,22 @@
 	Path           string
 	Headers        []Header
 	Body           string
-	RepeatKeyShare float64 // share of requests with the idempotency key of an earlier one
+	RepeatKeyShare float64 // share of requests that have the idempotency key of an earlier one
 }
 
-// Header is one field of a request's head.
+// Header is one header field of a request.
 type Header struct{ Name, Value string }
 
 // Request is one generated request.
 type Request struct {
 	At                 time.Duration // when it is due, from the start of the run
-	Number             uint64
-	Kind               int // index in Plan.Kinds
+	Number             uint64        // position in the run, counted from Plan.FirstNumber + 1
+	Kind               int           // index in Plan.Kinds
 	Customer           int
 	Plan               string
-	Key                uint64
-	FollowsRetryAfter  bool
-	RetriesImmediately bool
+	Key                uint64 // idempotency key
+	FollowsRetryAfter  bool   // see Plan.FollowRetryAfter
+	RetriesImmediately bool   // see Plan.RetryImmediately
 }
 
 // expand replaces the placeholders in a text by a request's values.
@@ -83,12 +84,12 @@
 		"{key}", fmt.Sprintf("%016x", r.Key), "{timeout}", fmt.Sprintf("%.3f", timeout.Seconds())).Replace(text)
 }
 
-// requestID returns the ID of a try.
+// requestID returns the ID of one try of a request. Each try has an ID of its own.
 func requestID(r *Request, try int) string {
 	return fmt.Sprintf("%016x", eventqueue.Mix(r.Number<<8|uint64(try)))
 }
 
-// platformHeaders returns the headers of a class's requests in the platform's protocol.
+// platformHeaders returns the headers of requests of a class in the platform's protocol.
 func platformHeaders(class string) []Header {
 	return []Header{
 		{"Request-Id", "{id}"}, {"Request-Class", class}, {"X-Tier", "{plan}"}, {"X-Api-Key", "{customer}"},
@@ -96,7 +97,7 @@
 	}
 }
 
-// Parse parses a plan's file. All problems are returned in one error, settings.Problems.
+// Parse parses the file of a plan. If it is invalid, the error is a settings.Problems with all problems.
 func Parse(text []byte) (*Plan, error) {
 	d, err := settings.Parse(text)
 	if err != nil {
@@ -105,7 +106,7 @@
 	s := d.Top()
 	p := parsePlan(s)
 	if p.ZipfExponent > 0 && p.ZipfExponent <= 1 {
-		s.Problemf("zipf", "%v is not above 1, nor 0 for customers that are alike", p.ZipfExponent)
+		s.Problemf("zipf", "%v is not above 1, and not 0 for equally popular customers", p.ZipfExponent)
 	}
 	for _, e := range s.List("plan") {
 		p.Plans = append(p.Plans, Share{e.Text("name", true), e.Float("share", 1, 0, 1e6)})
@@ -121,7 +122,7 @@
 		sum += kind.Weight
 	}
 	if len(p.Kinds) == 0 || sum <= 0 {
-		d.Problemf("", "request", "there is none with a share: [[request]] with a name and a path")
+		d.Problemf("", "request", "there is none with a share above 0; add [[request]] with a name and a path")
 	}
 	s.RejectUnknownKeys()
 	if err := d.Err(); err != nil {
@@ -130,7 +131,7 @@
 	return p, nil
 }
 
-// parsePlan reads the plan's own keys.
+// parsePlan reads the keys at the top level of the file.
 func parsePlan(s *settings.Section) *Plan {
 	return &Plan{
 		Name:             s.Text("name", true),
@@ -151,7 +152,7 @@
 	}
 }
 
-// parseKind reads one [[request]].
+// parseKind reads one [[request]] table.
 func parseKind(e *settings.Section) RequestKind {
 	k := RequestKind{
 		Name:           e.Text("name", true),
@@ -171,7 +172,7 @@
 		e.Problemf("path", "%q does not begin with /", k.Path)
 	}
 	if k.GRPC && strings.Count(k.Path, "/") != 2 {
-		e.Problemf("path", "%q is no method such as /shop.Desk/Pay", k.Path)
+		e.Problemf("path", "%q is not a gRPC method such as /shop.Desk/Pay", k.Path)
 	}
 	if e.OneOf("dialect", "plain", "plain", "platform") == 1 {
 		k.Headers = platformHeaders(k.Name)
@@ -182,7 +183,7 @@
 	for _, field := range e.Texts("headers") {
 		name, value, ok := strings.Cut(field, ":")
 		if !ok || strings.TrimSpace(name) == "" {
-			e.Problemf("headers", "%q is no NAME: VALUE", field)
+			e.Problemf("headers", "%q is not of the form NAME: VALUE", field)
 		}
 		k.Headers = append(k.Headers, Header{strings.TrimSpace(name), strings.TrimSpace(value)})
 	}
@@ -190,11 +191,11 @@
 	return k
 }
 
-// Override replaces the rate and the duration of a plan, unless they are 0 or empty.
+// Override replaces the rate and the duration of a plan. A rate of 0 and an empty duration replace nothing.
 func (p *Plan) Override(rate float64, duration string) error {
 	if rate != 0 {
 		if !(rate >= 1e-3 && rate <= 1e6) {
-			return fmt.Errorf("a rate of %v a second: 0.001 to 1e6", rate)
+			return fmt.Errorf("a rate of %v requests per second is not from 0.001 to 1e6", rate)
 		}
 		p.Rate = rate
 	}
@@ -204,7 +205,7 @@
 			return err
 		}
 		if d < time.Millisecond || d > 24*time.Hour {
-			return fmt.Errorf("a duration of %v: 1ms to 24h", d)
+			return fmt.Errorf("a duration of %v is not from 1ms to 24h", d)
 		}
 		p.Duration = d
 	}
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -12,37 +12,37 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is the result of a run. Latencies count from the time at which a request was due. Its tags are the form of the
+// Result is the result of a run. Latencies count from the time at which a request was due. The tags are the keys of the
 // result file.
 type Result struct {
 	Plan     string                     `json:"Plan"`
 	Target   string                     `json:"Target"`
 	Seed     uint64                     `json:"Seed"`
 	Duration time.Duration              `json:"Took"`
-	Partial  bool                       `json:"Partial"` // the run was ended early
-	Sent     int                        `json:"Asked"`   // requests that were due, with the dropped ones
-	Dropped  int                        `json:"Lost"`    // because too many were open; counted in All with the timeout
+	Partial  bool                       `json:"Partial"` // the run was ended before its plan was done
+	Sent     int                        `json:"Asked"`   // requests that were due, including the dropped ones
+	Dropped  int                        `json:"Lost"`    // not sent, as MaxOpen were in flight; in All with the timeout
 	Retries  int                        `json:"Retries"`
-	Good     int                        `json:"Good"`
-	Bytes    int64                      `json:"Bytes"`
+	Good     int                        `json:"Good"`    // requests with a successful response
+	Bytes    int64                      `json:"Bytes"`   // length of the bodies of final responses
 	Outcomes map[string]int             `json:"By"`      // requests by final status or error
-	Kinds    map[string]*LatencySummary `json:"Kinds"`   // by name of the kind
+	Kinds    map[string]*LatencySummary `json:"Kinds"`   // by RequestKind.Name
 	All      LatencySummary             `json:"All"`     // of all requests
-	Served   LatencySummary             `json:"Served"`  // of the good ones
+	Served   LatencySummary             `json:"Served"`  // of the requests that Good counts
 	LagP99   time.Duration              `json:"LagP99"`  // 99th percentile of how late requests were sent
 	Invalid  string                     `json:"Invalid"` // why the run says nothing about its target; empty if it is valid
 
-	mu         sync.Mutex
-	plan       *Plan
-	lag        *hdrhistogram.Histogram
-	second     struct{ sent, ended, good int } // since the last report
-	lastReport time.Time
+	mu          sync.Mutex
+	plan        *Plan
+	lag         *hdrhistogram.Histogram         // how late requests were sent, in microseconds
+	sinceReport struct{ sent, ended, good int } // requests since the last progress line
+	lastReport  time.Time                       // when that line was written
 }
 
-// LatencySummary summarizes latencies. Its tags are the form of the result file.
+// LatencySummary summarizes latencies. The tags are keys of the result file.
 type LatencySummary struct {
-	Count     int64         `json:"Count"`
-	Beyond    int64         `json:"Beyond"` // above the histogram's range, in no quantile
+	Count     int64         `json:"Count"`  // including Beyond
+	Beyond    int64         `json:"Beyond"` // latencies above the histogram's range, which no quantile includes
 	Mean      time.Duration `json:"Mean"`
 	P50       time.Duration `json:"P50"`
 	P90       time.Duration `json:"P90"`
@@ -54,7 +54,7 @@
 	histogram *hdrhistogram.Histogram
 }
 
-// newLatencySummary returns an empty summary for requests with a timeout.
+// newLatencySummary returns an empty summary. The range of its histogram is twice the requests' timeout.
 func newLatencySummary(timeout time.Duration) LatencySummary {
 	return LatencySummary{histogram: hdrhistogram.New(1, max(2, 2*timeout.Microseconds()), 3)}
 }
@@ -90,16 +90,16 @@
 	return r
 }
 
-// recordSent counts a request that is due, sent with a lag.
+// recordSent counts a request that is due. lag is how late it is sent.
 func (r *Result) recordSent(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Sent++
-	r.second.sent++
-	_ = r.lag.RecordValue(max(1, lag.Microseconds())) // the range ends at an hour, which is invalid anyway
+	r.sinceReport.sent++
+	_ = r.lag.RecordValue(max(1, lag.Microseconds())) // fails above an hour, which exceeds any MaxLag
 }
 
-// recordDropped counts a request that is due and was not sent.
+// recordDropped counts a request that was due and is not sent.
 func (r *Result) recordDropped(request *Request, lag time.Duration) {
 	r.recordSent(lag)
 	r.mu.Lock()
@@ -117,43 +117,44 @@
 	r.Retries++
 }
 
-// recordOutcome counts the final outcome of a request.
+// recordOutcome counts the result of the last try of a request. latency counts from the time at which it was due.
 func (r *Result) recordOutcome(request *Request, latency time.Duration, reply *reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Outcomes[reply.status]++
 	r.Bytes += reply.bytes
-	r.second.ended++
+	r.sinceReport.ended++
 	r.All.add(latency)
 	r.Kinds[r.plan.Kinds[request.Kind].Name].add(latency)
 	if reply.good {
 		r.Good++
-		r.second.good++
+		r.sinceReport.good++
 		r.Served.add(latency)
 	}
 }
 
-// progressLine returns the rates since the last report and the latencies so far, as one line.
+// progressLine returns a line with the rates since the last one and the latencies of the whole run so far.
 func (r *Result) progressLine() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.second
-	r.second.sent, r.second.ended, r.second.good = 0, 0, 0
+	s := r.sinceReport
+	r.sinceReport.sent, r.sinceReport.ended, r.sinceReport.good = 0, 0, 0
 	since := time.Since(r.lastReport).Seconds()
 	r.lastReport = time.Now()
 	ended := r.All.histogram.TotalCount() + r.All.Beyond - int64(r.Dropped)
 	open := int64(r.Sent-r.Dropped) - ended
-	return fmt.Sprintf("asked %.0f/s  ended %.0f/s  good %.0f/s  out %d  lost %d  p50 %v  p99 %v  lag p99 %v",
+	return fmt.Sprintf("due %.0f/s  completed %.0f/s  good %.0f/s  in flight %d  dropped %d  p50 %v  p99 %v  lag p99 %v",
 		float64(s.sent)/since, float64(s.ended)/since, float64(s.good)/since, open, r.Dropped,
 		quantile(r.All.histogram, 50), quantile(r.All.histogram, 99), quantile(r.lag, 99))
 }
 
-// quantile returns a quantile, in percent, of a histogram in microseconds.
-func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
-	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
+// quantile returns a quantile of a histogram in microseconds.
+func quantile(h *hdrhistogram.Histogram, percent float64) time.Duration {
+	return time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// finish sets the summaries. A run that could not keep its schedule is invalid: it measured itself, not its target.
+// finish sets the summaries and Invalid. A run that could not keep its schedule is invalid, as it measured the load
+// generator instead of the target.
 func (r *Result) finish(duration time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,44 +171,44 @@
 	}
 	switch {
 	case r.Sent == 0:
-		r.Invalid = "nothing was asked"
+		r.Invalid = "no request was due"
 	case r.LagP99 > r.plan.MaxLag:
-		r.Invalid = fmt.Sprintf("it could not keep its schedule: one request in a hundred was asked %v late or more, "+
-			"%v at the most is allowed", r.LagP99, r.plan.MaxLag)
+		r.Invalid = fmt.Sprintf("the load generator could not keep its schedule: the 99th percentile of the sending lag "+
+			"is %v, at most %v is allowed (most_lag)", r.LagP99, r.plan.MaxLag)
 	}
 }
 
-// JSON returns the content of the result file.
+// JSON returns the content of the result file, indented.
 func (r *Result) JSON() ([]byte, error) {
 	text, err := json.MarshalIndent(r, "", "  ")
 	return append(text, '\n'), err
 }
 
-// String returns the result as text.
+// String returns the result as text of several lines.
 func (r *Result) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s at %s: %d asked in %.1f s, %d good, %d retries, %d lost\n",
+	fmt.Fprintf(&b, "plan %s, target %s: %d requests in %.1f s, %d good, %d retries, %d dropped\n",
 		r.Plan, r.Target, r.Sent, r.Duration.Seconds(), r.Good, r.Retries, r.Dropped)
 	for _, status := range slices.Sorted(maps.Keys(r.Outcomes)) {
 		fmt.Fprintf(&b, "  %-16s %d\n", status, r.Outcomes[status])
 	}
-	show := func(name string, f *LatencySummary) {
-		fmt.Fprintf(&b, "  %-16s p50 %v  p90 %v  p99 %v  p99.9 %v  most %v",
-			name, f.P50, f.P90, f.P99, f.P999, f.Max)
-		if f.Beyond > 0 {
-			fmt.Fprintf(&b, "  (%d beyond)", f.Beyond)
+	writeSummary := func(name string, s *LatencySummary) {
+		fmt.Fprintf(&b, "  %-16s p50 %v  p90 %v  p99 %v  p99.9 %v  max %v",
+			name, s.P50, s.P90, s.P99, s.P999, s.Max)
+		if s.Beyond > 0 {
+			fmt.Fprintf(&b, "  (%d above the histogram's range)", s.Beyond)
 		}
 		b.WriteString("\n")
 	}
-	show("all", &r.All)
-	show("good ones", &r.Served)
+	writeSummary("all", &r.All)
+	writeSummary("good", &r.Served)
 	if len(r.Kinds) > 1 {
 		for _, name := range slices.Sorted(maps.Keys(r.Kinds)) {
-			show(name, r.Kinds[name])
+			writeSummary(name, r.Kinds[name])
 		}
 	}
 	if r.Partial {
-		b.WriteString("  it was ended early\n")
+		b.WriteString("  the run was ended early\n")
 	}
 	if r.Invalid != "" {
 		fmt.Fprintf(&b, "NOT VALID: %s\n", r.Invalid)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,15 +10,16 @@
 	"time"
 )
 
-// Options say where a plan's requests are sent, and who is notified of them.
+// Options configure where the requests of a run are sent, and callbacks for them.
 type Options struct {
 	Target      string    // host:port
 	AllowRemote bool      // Target may be on another machine
-	Progress    io.Writer // gets a line a second; nil means none
-	// Route returns the target of each try over HTTP, on this machine; nil means Target.
+	Progress    io.Writer // gets a progress line every second; nil means none
+	// Route returns the target of each try over HTTP. It must be on this machine, which is not checked. nil means
+	// Target.
 	Route func(r *Request, try int) (target string)
-	// BeforeTry is called before each try with its ID, and OnOutcome after it. Both may be called concurrently. nil
-	// means no call.
+	// BeforeTry is called before each try, with the ID of the try. OnOutcome is called after each try. Both may be called
+	// concurrently, and both may be nil.
 	BeforeTry func(r *Request, try int, id string)
 	OnOutcome func(outcome Outcome)
 }
@@ -26,19 +27,19 @@
 // Outcome is the result of one try of a request.
 type Outcome struct {
 	Request    *Request
-	Kind       string
-	Try        int
+	Kind       string // RequestKind.Name
+	Try        int    // 0 is the first
 	Target     string
 	SentAt     time.Time
-	Latency    time.Duration
-	Status     string // such as 200 or 503; without a response, the reason
-	Good       bool
-	Rejected   bool // a retry is safe
-	RetryAfter time.Duration
+	Latency    time.Duration // of this try, from SentAt
+	Status     string        // such as 200 or 503; without a response, the reason
+	Good       bool          // the response is successful
+	Rejected   bool          // the response says that the request was rejected, so that a retry is safe
+	RetryAfter time.Duration // the delay before a retry that a rejection asks for; 0 if it has none
 }
 
-// Run sends a plan's requests. When ctx ends, it sends no more, waits for the open requests until their timeouts, and
-// returns the results so far. An error means that nothing was sent.
+// Run sends a plan's requests and returns their result. When ctx ends, it sends no further requests, waits for those in
+// flight until their timeouts, and returns the result so far. An error means that nothing was sent.
 func Run(ctx context.Context, p *Plan, o Options) (*Result, error) {
 	if err := requireLoopback(o.Target); err != nil && !o.AllowRemote && o.Route == nil {
 		return nil, err
@@ -62,15 +63,15 @@
 	return r.result, nil
 }
 
-// runner is a run.
+// runner is the state of a run.
 type runner struct {
 	plan    *Plan
 	options *Options
 	result  *Result
 	start   time.Time
-	slots   chan bool // one for each open request
+	slots   chan bool // has an element for each request in flight
 	http    client
-	grpc    client // nil if no kind needs it
+	grpc    client // nil if no kind of request uses gRPC
 }
 
 // run sends all requests and waits for their outcomes.
@@ -89,7 +90,7 @@
 		lag := time.Since(r.start) - request.At
 		select {
 		case r.slots <- true:
-		default: // too many requests are open: this one is dropped and counted as such
+		default: // Plan.MaxOpen requests are in flight
 			r.result.recordDropped(&request, lag)
 			continue
 		}
@@ -103,11 +104,12 @@
 	r.result.finish(time.Since(r.start))
 }
 
-// spinWindow is how long before a time waitUntil stops sleeping: the system wakes a sleeper up to a millisecond late.
+// spinWindow is the time before the end of a wait in which waitUntil polls the clock instead of sleeping, because the
+// operating system wakes a sleeping thread up to a millisecond late.
 const spinWindow = 1500 * time.Microsecond
 
-// waitUntil waits for a time more precisely than timers do: it polls the clock in the end, which takes up to a
-// processor at high rates. It returns false if ctx has ended.
+// waitUntil waits for a time more precisely than a timer, as it polls the clock at the end. This uses up to a full core
+// at high rates. It returns false if ctx has ended.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	if !sleep(ctx, time.Until(at)-spinWindow) {
 		return false
@@ -118,7 +120,7 @@
 	return ctx.Err() == nil
 }
 
-// sleep waits and reports whether ctx has not ended.
+// sleep waits for d and returns true, or returns false once ctx has ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -133,7 +135,8 @@
 	}
 }
 
-// runRequest sends one request with its retries. Its latency counts from the time at which it was due.
+// runRequest sends one request with its retries and records its outcome. The latency counts from the time at which the
+// request was due.
 func (r *runner) runRequest(request *Request) {
 	kind := &r.plan.Kinds[request.Kind]
 	deadline := r.start.Add(request.At + r.plan.Timeout)
@@ -180,7 +183,7 @@
 	return reply
 }
 
-// reportProgress writes a line a second until stop is called.
+// reportProgress writes a progress line every second until stop is called. out may be nil.
 func (r *runner) reportProgress(out io.Writer) (stop func()) {
 	if out == nil {
 		return func() {}
