--- a/internal/capacitytest/agent.go
+++ b/internal/capacitytest/agent.go
@@ -1,6 +1,7 @@
-// Package capacitytest measures the cost of large deployments: a discovery agent that reports any number of backends in
-// chunks, and a process with one gateway that reports its processor time, memory and latencies. docs/CAPACITY.md is
-// based on what its tests print. The package listens on loopback and starts processes of the test's own program.
+// Package capacitytest measures the costs of large deployments. It has a fake discovery agent that reports any number
+// of backends in chunks, and a process with one gateway that reports its CPU time, memory and latencies. The figures of
+// docs/CAPACITY.md are from the output of its tests. The package listens on loopback only, and the processes that it
+// starts run the test's own executable.
 package capacitytest
 
 import (
@@ -31,13 +32,13 @@
 }
 
 // Agent is a fake discovery agent on loopback. It writes its responses in chunks, whose bounds are independent of
-// lines, and pauses between them.
+// line ends, and pauses between them.
 type Agent struct {
 	ChunkBytes int           // 0 means that a response is written at once
 	ChunkPause time.Duration // between two chunks
-	Padding    int           // spaces after each entry, as in an indented list
+	Padding    int           // spaces after each endpoint, as in an indented list
 
-	Silent atomic.Bool // calls are accepted and not answered
+	Silent atomic.Bool // new calls are accepted and not answered, and open watches get no heartbeats
 
 	Calls        atomic.Int64
 	BytesWritten atomic.Int64
@@ -45,10 +46,10 @@
 	ln        net.Listener
 	running   sync.WaitGroup
 	mu        sync.Mutex
-	seq       int64
+	seq       int64 // version of the endpoint list
 	endpoints []platform.Endpoint
-	position  map[string]int
-	watches   map[net.Conn]chan []byte // open watches that have been sent everything up to seq
+	position  map[string]int           // index in endpoints, by name
+	watches   map[net.Conn]chan []byte // updates to be written to each open connection
 }
 
 // Start starts the agent with an endpoint list on a free loopback port.
@@ -77,7 +78,7 @@
 // Addr returns the address that the agent listens on.
 func (a *Agent) Addr() string { return a.ln.Addr().String() }
 
-// Close stops the agent and its watches.
+// Close stops the agent, closes its connections and waits for its goroutines.
 func (a *Agent) Close() {
 	a.ln.Close()
 	a.mu.Lock()
@@ -89,35 +90,35 @@
 }
 
 // Update sends changed endpoints to all watches, in one update or, with single, in one for each endpoint.
-func (a *Agent) Update(hosts []platform.Endpoint, single bool) {
+func (a *Agent) Update(endpoints []platform.Endpoint, single bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var text bytes.Buffer
-	for _, h := range hosts {
-		a.endpoints[a.position[h.Name]] = h
+	for _, e := range endpoints {
+		a.endpoints[a.position[e.Name]] = e
 		if single {
 			a.seq++
-			text.Write(a.encodeUpdate(false, []platform.Endpoint{h}))
+			text.Write(a.encodeUpdate(false, []platform.Endpoint{e}))
 		}
 	}
 	if !single {
 		a.seq++
-		text.Write(a.encodeUpdate(false, hosts))
+		text.Write(a.encodeUpdate(false, endpoints))
 	}
 	for _, updates := range a.watches {
 		updates <- text.Bytes()
 	}
 }
 
-// encodeUpdate returns a line with an update. a.mu must be held.
-func (a *Agent) encodeUpdate(whole bool, hosts []platform.Endpoint) []byte {
+// encodeUpdate returns the line of a full or delta update in the platform's format. a.mu must be held.
+func (a *Agent) encodeUpdate(whole bool, endpoints []platform.Endpoint) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"seq":%d,"whole":%t,"hosts":[`, a.seq, whole)
-	for i, h := range hosts {
+	for i, e := range endpoints {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		text, err := json.Marshal(h)
+		text, err := json.Marshal(e)
 		if err != nil {
 			panic(err) // the endpoint comes from a test
 		}
@@ -135,7 +136,7 @@
 	return a.encodeUpdate(true, a.endpoints)
 }
 
-// serve answers the one call of a connection.
+// serve answers the only call of a connection.
 func (a *Agent) serve(c net.Conn) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
@@ -147,7 +148,7 @@
 	gone := make(chan struct{})
 	a.running.Go(func() {
 		defer close(gone)
-		_, _ = c.Read(make([]byte, 1)) // a connection has only one call
+		_, _ = c.Read(make([]byte, 1)) // returns when the client closes the connection, as it sends only one call
 	})
 	if a.Silent.Load() {
 		<-gone
--- a/internal/capacitytest/engine_test.go
+++ b/internal/capacitytest/engine_test.go
@@ -10,7 +10,7 @@
 	"pumicecroft/internal/platform"
 )
 
-// engineFixture is a decision engine alone, with a clock that the test advances.
+// engineFixture is a decision engine without a gateway around it, on a clock that the test advances.
 type engineFixture struct {
 	*decision.Engine
 	now     time.Duration
@@ -18,7 +18,7 @@
 	id      decision.RequestID
 }
 
-// newEngineFixture creates an engine; change, which edits its settings, may be nil.
+// newEngineFixture creates an engine. change, unless nil, edits its settings.
 func newEngineFixture(t *testing.T, change func(*decision.Settings)) *engineFixture {
 	t.Helper()
 	config, err := platform.ParseConfig([]byte(platformConfig("127.0.0.1:1")))
@@ -38,13 +38,14 @@
 
 // handle handles an event and returns the time that it took.
 func (m *engineFixture) handle(ev decision.Event) time.Duration {
-	began := time.Now()
+	start := time.Now()
 	m.actions = m.Handle(m.now, ev, m.actions[:0])
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// ask handles a request of a customer and its response at once, and returns the time that the two events took.
-func (m *engineFixture) ask(customer int, plan, protocol string) time.Duration {
+// handleRequest handles a request of a customer and then, if an attempt was started, its response. It returns the time
+// that these events took.
+func (m *engineFixture) handleRequest(customer int, plan, protocol string) time.Duration {
 	m.id++
 	spent := m.handle(decision.Request{
 		ID: m.id, Customer: decision.CustomerID(customer), Class: "look", Plan: plan, Cost: 1,
@@ -60,7 +61,7 @@
 	return spent
 }
 
-// heapInUse returns the bytes in use on the heap.
+// heapInUse returns the bytes in use on the heap after a garbage collection.
 func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -69,7 +70,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// engineEndpoints returns n backends of a number of services.
+// engineEndpoints returns a full update with n backends, which belong to a number of services in turn.
 func engineEndpoints(n, services int) decision.EndpointUpdate {
 	list := decision.EndpointUpdate{Kind: decision.UpdateFull, Endpoints: make([]decision.Endpoint, n)}
 	for i := range list.Endpoints {
@@ -81,8 +82,9 @@
 	return list
 }
 
-// More and more customers send requests to one gateway within a minute. This measures the memory for each of them, and
-// the tick of a second, in which one of ten may deposit a part of its hard limit in the shared counter.
+// Measures the decision engine with an increasing number of customers within a minute: the memory per customer, and the
+// tick, which runs once a second and in which one customer of ten may deposit a part of its hard limit in the shared
+// counter.
 func TestTenants(t *testing.T) {
 	for _, n := range sizesFor(t, []int{1000, 20_000}, []int{1000, 10_000, 17_160, 100_000, 820_000}) {
 		m := newEngineFixture(t, func(s *decision.Settings) {
@@ -97,11 +99,11 @@
 			if i%10 == 0 {
 				plan = "flagship"
 			}
-			return m.ask(i+1, plan, "service-0")
+			return m.handleRequest(i+1, plan, "service-0")
 		}
 		worst := time.Duration(0)
 		for i := range n {
-			m.now += 30 * time.Second / time.Duration(n) // nobody is forgotten
+			m.now += 30 * time.Second / time.Duration(n) // fast enough that no customer is forgotten
 			worst = max(worst, one(i))
 		}
 		bytes := (heapInUse() - empty) / float64(n)
@@ -110,78 +112,81 @@
 			m.now += time.Second
 			ticks = append(ticks, m.handle(decision.Timer{}))
 		}
-		gifts := 0
+		deposits := 0
 		for _, a := range m.actions {
 			if _, ok := a.(decision.CounterAdd); ok {
-				gifts++
+				deposits++
 			}
 		}
 		tick := median(len(ticks), func(i int) time.Duration { return ticks[i] })
 		request := median(200, func(i int) time.Duration { return one(i * 7 % n) })
-		plain := newEngineFixture(t, nil)
-		plain.handle(engineEndpoints(100, 1))
+		withoutCounter := newEngineFixture(t, nil)
+		withoutCounter.handle(engineEndpoints(100, 1))
 		for i := range n {
-			plain.ask(i+1, "big", "service-0")
+			withoutCounter.handleRequest(i+1, "big", "service-0")
 		}
-		without := median(5, func(int) time.Duration {
-			plain.now += time.Second
-			return plain.handle(decision.Timer{})
+		tickWithoutCounter := median(5, func(int) time.Duration {
+			withoutCounter.now += time.Second
+			return withoutCounter.handle(decision.Timer{})
 		})
 		m.now += 2 * time.Minute
 		forget := m.handle(decision.Timer{})
-		t.Logf("%d tenants: %.0f bytes each; the tick %v, at most %v, %d gifts in the last; without a counter %v; "+
-			"a request %v, at most %v at its first; all forgotten in %v",
-			n, bytes, tick, max(ticks[0], ticks[1], ticks[2], ticks[3], ticks[4]), gifts, without, request, worst, forget)
+		t.Logf("%d customers: %.0f bytes each; a tick %v, max %v, with %d deposits in the last one; "+
+			"a tick without a shared counter %v; a request %v, max %v for a customer's first one; "+
+			"the tick that removes all customers %v", n, bytes, tick, max(ticks[0], ticks[1], ticks[2], ticks[3], ticks[4]),
+			deposits, tickWithoutCounter, request, worst, forget)
 		if bytes > 600 {
-			t.Errorf("%d tenants hold %.0f bytes each", n, bytes)
+			t.Errorf("%d customers: %.0f bytes each, want at most 600", n, bytes)
 		}
-		if n >= 10_000 && ratio(without, request) < 10 { // the tick without a counter is a walk over all
-			t.Errorf("%d tenants: a request takes %v, and a walk over all %v", n, request, without)
+		if n >= 10_000 && ratio(tickWithoutCounter, request) < 10 { // without a counter, a tick is a scan of all customers
+			t.Errorf("%d customers: a request takes %v, want at most a tenth of a scan of all customers, %v",
+				n, request, tickWithoutCounter)
 		}
 		runtime.KeepAlive(m)
 	}
 }
 
-// One gateway knows the backends of more and more services. A request selects among those of its own service.
+// Measures the decision engine with backends of an increasing number of services. A request selects among the backends
+// of its own service.
 func TestServices(t *testing.T) {
 	backends := 10_000
-	if *full {
+	if *fullSize {
 		backends = 110_000
 	}
 	for _, n := range sizesFor(t, []int{1, 230}, []int{1, 10, 230, 2300}) {
 		m := newEngineFixture(t, nil)
 		list := engineEndpoints(backends, n)
 		m.handle(list)
-		for range 10 { // until the assumptions of the start have expired
+		for range 10 { // until what the engine assumes after its start has expired
 			m.now += time.Second
 			m.handle(decision.Timer{})
 		}
 		var all []time.Duration
 		request := median(500, func(i int) time.Duration {
 			m.now += 3 * time.Millisecond
-			spent := m.ask(7, "big", fmt.Sprint("service-", i%n))
-			all = append(all, spent)
-			return spent
+			elapsed := m.handleRequest(7, "big", fmt.Sprint("service-", i%n))
+			all = append(all, elapsed)
+			return elapsed
 		})
-		out := decision.EndpointUpdate{} // none of a service is ready
+		drain := decision.EndpointUpdate{} // drains all backends of service-0
 		for _, b := range list.Endpoints {
 			if b.Protocol == "service-0" {
 				b.State = decision.Draining
-				out.Endpoints = append(out.Endpoints, b)
+				drain.Endpoints = append(drain.Endpoints, b)
 			}
 		}
-		m.handle(out)
-		refused := median(100, func(int) time.Duration {
+		m.handle(drain)
+		rejected := median(100, func(int) time.Duration {
 			m.now += 3 * time.Millisecond
-			return m.ask(7, "big", "service-0")
+			return m.handleRequest(7, "big", "service-0")
 		})
 		m.now += time.Second
 		tick := m.handle(decision.Timer{})
 		worst := time.Duration(0)
-		for _, spent := range all {
-			worst = max(worst, spent)
+		for _, elapsed := range all {
+			worst = max(worst, elapsed)
 		}
-		t.Logf("%d backends of %d services: a request %v, at most %v; one of a service without a ready backend %v; "+
-			"the tick %v", backends, n, request, worst, refused, tick)
+		t.Logf("%d backends of %d services: a request %v, max %v; a request to a service without a ready backend %v; "+
+			"a tick %v", backends, n, request, worst, rejected, tick)
 	}
 }
--- a/internal/capacitytest/flags_test.go
+++ b/internal/capacitytest/flags_test.go
@@ -9,19 +9,20 @@
 )
 
 var (
-	full     = flag.Bool("full", false, "the sizes of docs/CAPACITY.md, not the small ones")
-	sizes    = flag.String("sizes", "", "these sizes alone, with commas between")
-	piece    = flag.Int("piece", 64<<10, "bytes that the agent writes at once; 0: a whole list")
-	maxNodes = flag.Int("most", 0, "backends that a door's table keeps; 0: as the program has it")
-	rate     = flag.Float64("rate", 60, "requests a second of an emulated gateway; with -full 6 at most, "+
-		"unless -sizes are given: at 286 the largest size would take an hour")
-	memoryMB = flag.Int("mem", 192, "memory_mb of a door")
+	fullSize    = flag.Bool("full", false, "use the sizes of docs/CAPACITY.md instead of the small ones")
+	sizes       = flag.String("sizes", "", "use only these sizes, separated by commas")
+	chunkBytes  = flag.Int("piece", 64<<10, "bytes that the agent writes per chunk; 0 means that a response is one chunk")
+	maxNodes    = flag.Int("most", 0, "largest number of nodes in a gateway's membership table; 0 means the default")
+	gatewayRate = flag.Float64("rate", 60, "requests per second to each emulated gateway; at most 6 with -full "+
+		"and without -sizes, as the largest size would take an hour at 286")
+	memoryMB = flag.Int("mem", 192, "memory_mb in a gateway's node configuration")
 )
 
 func TestMain(m *testing.M) { Main(m.Run) }
 
-// sizesFor returns the sizes of a test: small ones, or large ones with -full, or those of -sizes.
-func sizesFor(t *testing.T, small, fully []int) (out []int) {
+// sizesFor returns the sizes that a test runs with: those of -sizes if it is set, otherwise large with -full and small
+// without.
+func sizesFor(t *testing.T, small, large []int) (out []int) {
 	t.Helper()
 	switch {
 	case *sizes != "":
@@ -33,13 +34,13 @@
 			out = append(out, n)
 		}
 		return out
-	case *full:
-		return fully
+	case *fullSize:
+		return large
 	}
 	return small
 }
 
-// object is a part of a file in JSON.
+// object is a JSON object.
 type object = map[string]any
 
 // platformConfig returns the node configuration of one of 2,800 gateways, as the platform writes it.
--- a/internal/capacitytest/gateway.go
+++ b/internal/capacitytest/gateway.go
@@ -26,37 +26,39 @@
 	"pumicecroft/membership"
 )
 
-// Plan configures a gateway's process. It is passed to the process as JSON.
+// Plan configures a gateway process, which receives it as JSON.
 type Plan struct {
 	Config    string  // the platform's node configuration
-	Backend   string  // address to which all connections to backends go
-	PerSecond float64 // requests a second
-	Customers int     // which send the requests in turn
-	Most      int     // largest number of backends of the membership table; 0 means the program's default
+	Backend   string  // address that all connections to backends are opened to
+	PerSecond float64 // requests per second; 0 means that none are sent
+	Customers int     // number of customers, which send the requests in turn
+	Most      int     // largest number of nodes in the membership table; 0 means the default of package membership
 }
 
-// Report is what a gateway's process reports about the time since the report before. It is passed as JSON.
+// Report is a report of a gateway process, which sends it as JSON. Totals count from the start of the process;
+// requests, errors and latencies count from the last full report.
 type Report struct {
-	CPU      time.Duration // total
-	Resident int64         // bytes
-	Peak     int64         // largest Resident
-	Nodes    int64         // total endpoints in the updates that the gateway has processed
-	At       time.Time     // when the last of them was processed
-	Files    int           // open descriptors
-	Dialled  int64         // total connections to backends
-	Asked    int           // completed requests
-	Served   int
-	P50, P99 time.Duration // of served requests, from when they were due
-	Worst    time.Duration
+	CPU      time.Duration  // total CPU time
+	Resident int64          // resident memory in bytes
+	Peak     int64          // largest Resident so far
+	Nodes    int64          // total endpoints in the updates that the gateway has processed
+	At       time.Time      // when the last of these updates was processed
+	Files    int            // open file descriptors
+	Dialled  int64          // total connections opened to backends
+	Asked    int            // completed requests
+	Served   int            // successful requests
+	P50, P99 time.Duration  // latencies of the served requests, from when they were due
+	Worst    time.Duration  // largest latency of a served request
 	Ready    int            // backends that are ready to the gateway, if the query asked for it
 	First    time.Time      // when the first request was served
-	Errors   map[string]int // requests that were not served, by error
+	Errors   map[string]int // failed requests by error message
 }
 
-// processEnv is the environment variable that makes a test's program a gateway's process.
+// processEnv is the environment variable that makes a test's executable run as a gateway process.
 const processEnv = "PUMICECROFT_SCALE_DOOR"
 
-// Main is the TestMain of a program that calls StartGateway. It doesn't return.
+// Main is the body of TestMain in a package whose tests call StartGateway. It runs a gateway process if it was started
+// as one, and the tests otherwise. It doesn't return.
 func Main(run func() int) {
 	if os.Getenv(processEnv) != "" {
 		if err := runGateway(os.Stdin, os.Stdout); err != nil {
@@ -68,22 +70,22 @@
 	os.Exit(run())
 }
 
-// instrumentedGateway is the gateway of a process with its measurements.
+// instrumentedGateway is a gateway with the measurements of its process.
 type instrumentedGateway struct {
 	*pumicecroft.Gateway
 	mu        sync.Mutex
 	updated   chan struct{} // closed and replaced at each endpoint update
 	report    Report
-	latencies []time.Duration
+	latencies []time.Duration // of served requests, since the last full report
 }
 
-// countingSource is discovery that counts the endpoints that the gateway has processed.
+// countingSource is a discovery source that counts the endpoints that the gateway has processed.
 type countingSource struct {
 	*platform.Discovery
 	gateway *instrumentedGateway
 }
 
-// Run implements the source of endpoint updates.
+// Run implements pumicecroft.Source.
 func (s countingSource) Run(ctx context.Context, update func(membership.Update)) {
 	s.Discovery.Run(ctx, func(l membership.Update) {
 		update(l)
@@ -96,8 +98,8 @@
 	})
 }
 
-// runGateway is the main function of a gateway's process: a gateway as the daemon creates it, with requests in open
-// loop. It answers each query that it reads with a report.
+// runGateway is the main function of a gateway process. It reads a Plan from in, creates a gateway as the daemon does,
+// sends requests to it in open loop, and then answers each query from in with a Report on out.
 func runGateway(in io.Reader, out io.Writer) error {
 	lines, write := bufio.NewScanner(in), json.NewEncoder(out)
 	lines.Buffer(nil, 64<<20)
@@ -114,9 +116,9 @@
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
 	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3) // as the daemon does
-	d := &instrumentedGateway{updated: make(chan struct{})}
-	d.report.Errors = map[string]int{}
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil)) // logging is part of the cost
+	g := &instrumentedGateway{updated: make(chan struct{})}
+	g.report.Errors = map[string]int{}
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil)) // logging is part of the measured costs
 	slog.SetDefault(log)
 	set := daemon.GatewayConfig(config)
 	if p.Most > 0 {
@@ -126,14 +128,14 @@
 		Addr: config.Discovery, FromVersion: config.Known.Seq, PollWithin: config.Conns.SubscribeWithin,
 		Seed: config.Seed, DrainGrace: config.Settings.DrainGrace, MaxEntries: config.Limits.MaxBackends(),
 	}
-	d.Gateway, err = pumicecroft.New(set, pumicecroft.WithLogger(log),
+	g.Gateway, err = pumicecroft.New(set, pumicecroft.WithLogger(log),
 		pumicecroft.WithDialer(func(ctx context.Context, network, _ string) (net.Conn, error) {
-			d.mu.Lock()
-			d.report.Dialled++
-			d.mu.Unlock()
+			g.mu.Lock()
+			g.report.Dialled++
+			g.mu.Unlock()
 			return new(net.Dialer).DialContext(ctx, network, p.Backend)
 		}),
-		pumicecroft.WithSource(countingSource{discovery, d}))
+		pumicecroft.WithSource(countingSource{discovery, g}))
 	if err != nil {
 		return err
 	}
@@ -141,7 +143,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	if p.PerSecond > 0 {
-		go d.sendRequests(ctx, p)
+		go g.sendRequests(ctx, p)
 	}
 	if err := write.Encode(Report{At: time.Now()}); err != nil {
 		return err
@@ -152,36 +154,36 @@
 			return err
 		}
 		if q.Nodes > 0 {
-			d.awaitNodes(q.Nodes, q.Within)
+			g.awaitNodes(q.Nodes, q.Within)
 		}
-		if err := write.Encode(d.buildReport(q)); err != nil {
+		if err := write.Encode(g.buildReport(q)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// query asks a gateway's process for a report. It is passed as JSON.
+// query requests a report from a gateway process, which receives it as JSON.
 type query struct {
-	Nodes  int64         // wait until so many endpoints were processed in total ...
-	Within time.Duration // ... or until this time is over
-	All    bool          // with the expensive fields; the requests are counted from 0 then
-	Ready  bool          // with Report.Ready, which is very expensive
+	Nodes  int64         // report when this total number of endpoints was processed; 0 means at once
+	Within time.Duration // longest time to wait for Nodes
+	All    bool          // include the expensive fields, and restart the counts of requests
+	Ready  bool          // include Report.Ready, which is very expensive
 }
 
-// awaitNodes waits until so many endpoints were processed in total, or the time is over.
-func (d *instrumentedGateway) awaitNodes(nodes int64, within time.Duration) {
+// awaitNodes waits until a total number of endpoints was processed, at most for within.
+func (g *instrumentedGateway) awaitNodes(nodes int64, within time.Duration) {
 	end := time.NewTimer(within)
 	defer end.Stop()
 	for {
-		d.mu.Lock()
-		enough, news := d.report.Nodes >= nodes, d.updated
-		d.mu.Unlock()
-		if enough {
+		g.mu.Lock()
+		reached, updated := g.report.Nodes >= nodes, g.updated
+		g.mu.Unlock()
+		if reached {
 			return
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-end.C:
 			return
 		}
@@ -189,25 +191,25 @@
 }
 
 // sendRequests sends requests to the gateway in open loop.
-func (d *instrumentedGateway) sendRequests(ctx context.Context, p Plan) {
+func (g *instrumentedGateway) sendRequests(ctx context.Context, p Plan) {
 	gap := time.Duration(float64(time.Second) / p.PerSecond)
 	due := time.Now()
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(time.Until(due))
 		at, customer := due, uint64(1+i%max(1, p.Customers))
 		go func() {
-			_, err := d.Do(ctx, pumicecroft.Request{Class: "look", Plan: "big", Customer: customer, GatewaySpread: 1})
+			_, err := g.Do(ctx, pumicecroft.Request{Class: "look", Plan: "big", Customer: customer, GatewaySpread: 1})
 			now := time.Now()
-			d.mu.Lock()
-			defer d.mu.Unlock()
-			d.report.Asked++
+			g.mu.Lock()
+			defer g.mu.Unlock()
+			g.report.Asked++
 			if err != nil {
-				d.report.Errors[err.Error()]++
+				g.report.Errors[err.Error()]++
 			} else {
-				if d.report.Served++; d.report.First.IsZero() {
-					d.report.First = now
+				if g.report.Served++; g.report.First.IsZero() {
+					g.report.First = now
 				}
-				d.latencies = append(d.latencies, now.Sub(at))
+				g.latencies = append(g.latencies, now.Sub(at))
 			}
 		}()
 		due = due.Add(gap)
@@ -215,39 +217,39 @@
 }
 
 // buildReport answers a query.
-func (d *instrumentedGateway) buildReport(q query) Report {
-	cpu := CPU()
+func (g *instrumentedGateway) buildReport(q query) Report {
+	cpu := CPUTime()
 	ready := 0
 	if q.Ready {
-		for _, m := range d.Backends() {
+		for _, m := range g.Backends() {
 			if m.State == "ready" || m.State == "cold" {
 				ready++
 			}
 		}
 	}
-	d.mu.Lock()
-	out, took := d.report, d.latencies
+	g.mu.Lock()
+	out, latencies := g.report, g.latencies
 	if q.All {
-		d.report.Asked, d.report.Served, d.report.Errors, d.latencies = 0, 0, map[string]int{}, nil
+		g.report.Asked, g.report.Served, g.report.Errors, g.latencies = 0, 0, map[string]int{}, nil
 	}
-	d.mu.Unlock()
+	g.mu.Unlock()
 	if out.CPU, out.Ready = cpu, ready; !q.All {
-		out.Errors = nil // it is still being changed
+		out.Errors = nil // requests are still being counted in this map
 		return out
 	}
 	out.Resident, out.Peak = procStatus("VmRSS:"), procStatus("VmHWM:")
 	if files, err := os.ReadDir("/proc/self/fd"); err == nil {
 		out.Files = len(files)
 	}
-	if n := len(took); n > 0 {
-		slices.Sort(took)
-		out.P50, out.P99, out.Worst = took[n/2], took[n*99/100], took[n-1]
+	if n := len(latencies); n > 0 {
+		slices.Sort(latencies)
+		out.P50, out.P99, out.Worst = latencies[n/2], latencies[n*99/100], latencies[n-1]
 	}
 	return out
 }
 
-// CPU returns the processor time that this process has used.
-func CPU() time.Duration {
+// CPUTime returns the CPU time that this process has used.
+func CPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -255,7 +257,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// procStatus returns a value of /proc/self/status that is in kB, as bytes; 0 if it is missing.
+// procStatus returns a field of /proc/self/status, which has it in kB, in bytes; 0 if it is missing.
 func procStatus(name string) (bytes int64) {
 	text, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(text)) {
@@ -266,90 +268,91 @@
 	return bytes << 10
 }
 
-// GatewayProcess is a process with one gateway.
+// GatewayProcess is a child process with one gateway.
 type GatewayProcess struct {
 	cmd         *exec.Cmd
-	in          io.WriteCloser
-	lines       *bufio.Scanner
-	StartedAt   time.Time // when it got its plan
-	FirstReport Report    // its first report
+	stdin       io.WriteCloser
+	reports     *bufio.Scanner
+	StartedAt   time.Time // when the process was started, just before its plan is sent
+	FirstReport Report    // sent when the gateway has been created
 	Log         *logTail  // the end of its log
 }
 
-// StartGateway starts a gateway's process from this test's program, and waits for its first report.
+// StartGateway starts a gateway process from this test's executable, and waits for its first report.
 func StartGateway(p Plan) (*GatewayProcess, error) {
-	d := &GatewayProcess{cmd: exec.Command(os.Args[0]), Log: &logTail{}}
-	d.cmd.Env = append(os.Environ(), processEnv+"=1")
-	d.cmd.Stderr = d.Log
-	d.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	g := &GatewayProcess{cmd: exec.Command(os.Args[0]), Log: &logTail{}}
+	g.cmd.Env = append(os.Environ(), processEnv+"=1")
+	g.cmd.Stderr = g.Log
+	g.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	var err error
-	if d.in, err = d.cmd.StdinPipe(); err != nil {
+	if g.stdin, err = g.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := d.cmd.StdoutPipe()
+	out, err := g.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	d.lines = bufio.NewScanner(out)
-	if err := d.cmd.Start(); err != nil {
+	g.reports = bufio.NewScanner(out)
+	if err := g.cmd.Start(); err != nil {
 		return nil, err
 	}
-	d.StartedAt = time.Now()
-	if err := json.NewEncoder(d.in).Encode(p); err != nil {
-		return nil, errors.Join(err, d.Stop())
+	g.StartedAt = time.Now()
+	if err := json.NewEncoder(g.stdin).Encode(p); err != nil {
+		return nil, errors.Join(err, g.Stop())
 	}
-	if d.FirstReport, err = d.read(); err != nil {
-		return nil, errors.Join(err, d.Stop())
+	if g.FirstReport, err = g.readReport(); err != nil {
+		return nil, errors.Join(err, g.Stop())
 	}
-	return d, nil
+	return g, nil
 }
 
-// read reads a report.
-func (d *GatewayProcess) read() (t Report, err error) {
-	if !d.lines.Scan() {
-		return t, fmt.Errorf("capacitytest: the gateway's process has ended: %s", d.Log)
+// readReport reads the next report.
+func (g *GatewayProcess) readReport() (report Report, err error) {
+	if !g.reports.Scan() {
+		return report, fmt.Errorf("capacitytest: gateway process ended; its log: %s", g.Log)
 	}
-	return t, json.Unmarshal(d.lines.Bytes(), &t)
+	return report, json.Unmarshal(g.reports.Bytes(), &report)
 }
 
 // query sends a query and reads its report.
-func (d *GatewayProcess) query(q query) (Report, error) {
-	if err := json.NewEncoder(d.in).Encode(q); err != nil {
+func (g *GatewayProcess) query(q query) (Report, error) {
+	if err := json.NewEncoder(g.stdin).Encode(q); err != nil {
 		return Report{}, err
 	}
-	return d.read()
+	return g.readReport()
 }
 
-// Await waits until the gateway has processed so many endpoints in total, or the time is over.
-func (d *GatewayProcess) Await(nodes int64, within time.Duration) (Report, error) {
-	return d.query(query{Nodes: nodes, Within: within})
+// AwaitNodes waits until the gateway has processed a total number of endpoints, at most for within, and returns a
+// report without the expensive fields.
+func (g *GatewayProcess) AwaitNodes(nodes int64, within time.Duration) (Report, error) {
+	return g.query(query{Nodes: nodes, Within: within})
 }
 
-// Quick returns a report without the expensive fields.
-func (d *GatewayProcess) Quick() (Report, error) { return d.query(query{}) }
+// QuickReport returns a report without the expensive fields.
+func (g *GatewayProcess) QuickReport() (Report, error) { return g.query(query{}) }
 
-// Full returns a complete report, except Ready, on the requests since the last call of Full.
-func (d *GatewayProcess) Full() (Report, error) { return d.query(query{All: true}) }
+// FullReport returns a report with all fields but Ready, on the requests since the last call of FullReport.
+func (g *GatewayProcess) FullReport() (Report, error) { return g.query(query{All: true}) }
 
 // ReadyBackends returns the number of backends that are ready to the gateway.
-func (d *GatewayProcess) ReadyBackends() (int, error) {
-	t, err := d.query(query{Ready: true})
-	return t.Ready, err
+func (g *GatewayProcess) ReadyBackends() (int, error) {
+	report, err := g.query(query{Ready: true})
+	return report.Ready, err
 }
 
-// Stop closes the process's input, which ends it, and waits for that.
-func (d *GatewayProcess) Stop() error {
-	_ = d.in.Close()
-	return d.cmd.Wait()
+// Stop closes the process's standard input, which ends the process, and waits for its end.
+func (g *GatewayProcess) Stop() error {
+	_ = g.stdin.Close()
+	return g.cmd.Wait()
 }
 
-// tailBytes is the length of the output that a logTail keeps.
+// tailBytes is the number of bytes that a logTail keeps.
 const tailBytes = 512
 
-// logTail keeps the last bytes that were written to it, and counts the lines.
+// logTail keeps the last bytes that were written to it, and counts all lines.
 type logTail struct {
 	mu    sync.Mutex
-	last  []byte
+	tail  []byte
 	lines int
 }
 
@@ -361,14 +364,14 @@
 			t.lines++
 		}
 	}
-	t.last = append(t.last, p...)
-	if over := len(t.last) - tailBytes; over > 0 {
-		t.last = append(t.last[:0], t.last[over:]...)
+	t.tail = append(t.tail, p...)
+	if over := len(t.tail) - tailBytes; over > 0 {
+		t.tail = append(t.tail[:0], t.tail[over:]...)
 	}
 	return len(p), nil
 }
 
-// Lines returns the number of lines.
+// Lines returns the number of lines that were written.
 func (t *logTail) Lines() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -378,5 +381,5 @@
 func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return string(t.last)
+	return string(t.tail)
 }
