--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -17,30 +17,30 @@
 // Behavior is what a backend does with one attempt.
 type Behavior int
 
-// The behaviors. ServeNormally is the default.
+// The behaviors of a backend. The zero value is ServeNormally.
 const (
-	ServeNormally         Behavior = iota // wait for a slot, work, respond
-	ExecuteThenHang                       // execute and never respond, until the connection ends
+	ServeNormally         Behavior = iota // wait for a slot, execute and respond
+	ExecuteThenHang                       // execute and don't respond, until the connection ends
 	HangWithoutExecution                  // neither execute nor respond, until the connection ends
-	ExecuteThenReset                      // execute and reset the connection instead of a response
+	ExecuteThenReset                      // execute and reset the connection instead of responding
 	ExecuteThenError                      // execute and respond 500
-	RejectNotStarted                      // 503 with Not-Started, which proves that it was not executed
-	ExecuteThenGarble                     // execute and respond with bytes that are no HTTP
-	ExecuteThenTruncate                   // execute and close the connection within the response
+	RejectNotStarted                      // respond 503 with Not-Started, which proves that it was not executed
+	ExecuteThenGarble                     // execute and respond with bytes that are not HTTP
+	ExecuteThenTruncate                   // execute and close the connection in the middle of the response
 	ResetWithoutExecution                 // reset the connection; the gateway can't know that it was not executed
 )
 
-// outcomes are the values of Attempt.Outcome, by behavior.
+// outcomes are the values of Attempt.Outcome, by behavior; RejectNotStarted is handled separately.
 var outcomes = map[Behavior]string{
 	ServeNormally: "served", ExecuteThenError: "error", ExecuteThenHang: "hung", HangWithoutExecution: "hung",
 	ExecuteThenReset: "broken", ResetWithoutExecution: "broken", ExecuteThenGarble: "spoilt", ExecuteThenTruncate: "cut",
 }
 
-// executes reports whether an attempt is executed under a behavior.
+// executes reports whether a behavior other than RejectNotStarted executes the attempt.
 func (b Behavior) executes() bool { return b != HangWithoutExecution && b != ResetWithoutExecution }
 
-// OnFirstAttempt returns a function that returns behavior for the first attempt and ServeNormally for later ones.
-// Several backends may share it.
+// OnFirstAttempt returns a function for BackendConfig.Behavior that returns behavior for the first attempt and
+// ServeNormally for later ones. Several backends may share it; then it counts the attempts of all of them.
 func OnFirstAttempt(behavior Behavior) func(Attempt) Behavior {
 	var once sync.Once
 	return func(Attempt) Behavior {
@@ -55,31 +55,31 @@
 	Name         string
 	Zone         string
 	InstanceType string
-	Cell         *Cell // nil means that no repeat is dropped
-	// Slots is the number of attempts that are executed at once, Queue that of attempts that wait. Attempts beyond
-	// that are rejected. 0 means no limit for either.
+	Cell         *Cell // nil means that repeated idempotency keys are not dropped
+	// Slots is the number of attempts that are executed concurrently, Queue the number of attempts that wait for a slot.
+	// Attempts beyond both are rejected. Slots 0 means no limit of concurrency, Queue 0 that no attempt is rejected.
 	Slots, Queue int
-	// WorkTime returns the service time of a class on a warm backend; nil means none.
+	// WorkTime returns the time that a warm backend takes to execute an attempt of a class; nil means none.
 	WorkTime func(class string) time.Duration
-	// Behavior selects what happens with an attempt; nil means ServeNormally.
+	// Behavior selects the behavior for an attempt; nil means ServeNormally.
 	Behavior func(attempt Attempt) Behavior
-	// IdempotentByKey reports whether repeats of a class are dropped by key; nil means those of all classes.
+	// IdempotentByKey reports whether Cell drops repeated keys of a class; nil means those of all classes.
 	IdempotentByKey func(class string) bool
-	// A backend that has just started has the share SlowStartMinCapacity of its capacity, growing to all of it within
-	// SlowStartWindow. Sent more than OverloadFactor times what it can do for OverloadDuration, it is overloaded and
-	// rejects everything from then on. OverloadFactor 0 means that it can't be overloaded.
+	// A backend in slow start begins with the share SlowStartMinCapacity of its capacity, which grows to 1 within
+	// SlowStartWindow. If it gets more than OverloadFactor times its current capacity during OverloadDuration, it is
+	// overloaded and rejects all attempts from then on. OverloadFactor 0 means that it can't be overloaded.
 	SlowStartMinCapacity float64
 	SlowStartWindow      time.Duration
 	OverloadFactor       float64
 	OverloadDuration     time.Duration
-	// Capacity of the warm backend, in requests a second; 0 means Slots divided by the work time. If it is set, work
-	// takes as long on a cold backend as on a warm one, so that only an overload shows that the backend is cold.
+	// Capacity is that of the warm backend, in requests per second; 0 means Slots divided by the work time. If it is
+	// set, an attempt takes as long on a warming backend as on a warm one, so that only an overload shows the difference.
 	Capacity float64
-	// StartCold begins slow start now; otherwise the backend is warm.
+	// StartCold makes the backend begin its slow start when it is started; otherwise it is warm.
 	StartCold bool
 	Ledger    *Ledger
 	Meter     *Meter // nil means that responses don't report usage
-	GRPC      bool   // the backend speaks gRPC; classes are the last part of its methods' names
+	GRPC      bool   // the backend speaks gRPC; the class is the last part of the method's name
 }
 
 // Backend is a fake backend over HTTP/1.1 or gRPC. It is safe for concurrent use.
@@ -94,8 +94,8 @@
 	mu             sync.Mutex
 	draining       bool
 	overloaded     bool
-	admitted       int
-	recentArrivals []time.Time // arrivals within FallFor, while cold
+	admitted       int         // attempts that are executed or wait for a slot
+	recentArrivals []time.Time // arrivals during slow start, within the last OverloadDuration
 }
 
 // StartBackend starts a backend on a free loopback port.
@@ -147,14 +147,14 @@
 	return e
 }
 
-// Drain makes the backend reject new attempts and finish those that it has.
+// Drain makes the backend reject new attempts and complete those that it has admitted.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = true
 }
 
-// Kill stops the backend at once: its connections are closed, new ones refused.
+// Kill stops the backend at once: open connections are closed and new ones are refused.
 func (b *Backend) Kill() {
 	if b.grpc != nil {
 		b.grpc.Kill()
@@ -163,14 +163,14 @@
 	b.server.Close()
 }
 
-// Overloaded reports whether the backend was sent too much while it was cold.
+// Overloaded reports whether the backend got too many attempts during its slow start.
 func (b *Backend) Overloaded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.overloaded
 }
 
-// capacityShare is the share of its capacity that the backend has.
+// capacityShare returns the share of its capacity that the backend has at a time: below 1 during slow start.
 func (b *Backend) capacityShare(now time.Time) float64 {
 	if b.startedAt.IsZero() || b.config.SlowStartWindow <= 0 {
 		return 1
@@ -179,11 +179,12 @@
 	return min(1, b.config.SlowStartMinCapacity+(1-b.config.SlowStartMinCapacity)*age)
 }
 
-// admit counts an arrival and reports whether the attempt is admitted.
+// admit admits an attempt that has arrived, or returns false if it must be rejected. The caller of an admitted attempt
+// must call release.
 func (b *Backend) admit(now time.Time, workTime time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.checkOverload(now, workTime)
+	b.recordArrival(now, workTime)
 	full := b.config.Queue > 0 && b.admitted >= b.config.Queue+b.config.Slots
 	if b.overloaded || b.draining || full {
 		return false
@@ -192,8 +193,8 @@
 	return true
 }
 
-// checkOverload records an arrival at a cold backend, which may overload it. b.mu must be held.
-func (b *Backend) checkOverload(now time.Time, workTime time.Duration) {
+// recordArrival records an arrival during slow start, which may overload the backend. b.mu must be held.
+func (b *Backend) recordArrival(now time.Time, workTime time.Duration) {
 	capacity := b.config.Capacity
 	if capacity == 0 && workTime > 0 {
 		capacity = float64(b.config.Slots) / workTime.Seconds()
@@ -212,14 +213,14 @@
 	}
 }
 
-// release ends an admitted attempt.
+// release gives back the place of an admitted attempt.
 func (b *Backend) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.admitted--
 }
 
-// maxBodyBytes is the length of a request body up to which a backend reads it.
+// maxBodyBytes is the length up to which a backend reads a request body; it ignores the rest.
 const maxBodyBytes = 1 << 20
 
 // ServeHTTP handles one attempt over HTTP.
@@ -231,7 +232,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		return // the attempt has not arrived completely
+		return // the request was not received completely, so it is no attempt
 	}
 	attempt := &Attempt{
 		Class: class, ID: r.Header.Get("Request-Id"), Key: r.Header.Get("Idempotency-Key"),
@@ -259,8 +260,9 @@
 	}
 }
 
-// execute handles an attempt that has arrived completely, up to its response. It returns how to respond and the usage
-// to report, empty for none. ok is false if the client has left, which ends ctx.
+// execute handles an attempt that was received completely, up to its response. It returns the behavior by which the
+// caller must respond, and the usage to report, empty for none. ok is false if the client has disconnected, which
+// ends ctx.
 func (b *Backend) execute(ctx context.Context, attempt *Attempt) (behavior Behavior, usage string, ok bool) {
 	config := &b.config
 	now := time.Now()
@@ -277,7 +279,7 @@
 		workTime = config.WorkTime(attempt.Class)
 	}
 	if behavior == RejectNotStarted || behavior == ServeNormally && !b.admit(now, workTime) {
-		config.Ledger.finish(attempt, "turned away", false)
+		config.Ledger.finish(attempt, "rejected", false)
 		return RejectNotStarted, "", true
 	}
 	if behavior == ServeNormally {
@@ -286,7 +288,7 @@
 			workTime = time.Duration(float64(workTime) / b.capacityShare(now))
 		}
 		if !b.process(ctx, workTime) {
-			config.Ledger.finish(attempt, "given up", false)
+			config.Ledger.finish(attempt, "canceled", false)
 			return behavior, "", false
 		}
 	}
@@ -301,10 +303,10 @@
 	return behavior, usage, true
 }
 
-// responseBody is the body of the response to a request, which no other response has.
+// responseBody returns the body of the response to a request. It is unique to the request.
 func responseBody(id string) string { return "done " + id + "\n" }
 
-// process waits for a slot and works. It returns false if the client left meanwhile.
+// process waits for a slot and then for workTime. It returns false if the client has disconnected, which ends ctx.
 func (b *Backend) process(ctx context.Context, workTime time.Duration) bool {
 	if b.slots != nil {
 		select {
@@ -327,7 +329,7 @@
 	}
 }
 
-// breakResponse ends an attempt on the bare connection.
+// breakResponse responds by a behavior that net/http can't express: it writes to the connection itself and closes it.
 func (b *Backend) breakResponse(w http.ResponseWriter, behavior Behavior) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/fakes/consul.go
+++ b/internal/fakes/consul.go
@@ -22,18 +22,18 @@
 const (
 	ConsulHealthy            ConsulFault = iota
 	ConsulRefusesConnections             // nothing listens, and open connections are closed
-	ConsulSilent                         // requests are accepted and never answered
-	ConsulServerError                    // 500 to everything
-	ConsulTruncates                      // half a response, and the connection ends
-	ConsulNoLeader                       // no leader: stale queries get what is known, others 500
-	ConsulEmptyNoLeader                  // an empty list at once, and no known leader
-	ConsulACLFiltered                    // lists are emptied by ACLs, with the header that tells it
-	ConsulZeroIndex                      // answers at once, with index 0
-	ConsulImmediate                      // answers at once, whatever index is queried
-	ConsulGarbled                        // 200 with a body that is no JSON
+	ConsulSilent                         // requests are accepted and not answered
+	ConsulServerError                    // all requests get 500
+	ConsulTruncates                      // the connection is closed in the middle of the response
+	ConsulNoLeader                       // no leader is known: stale queries get the list, others get 500
+	ConsulEmptyNoLeader                  // no leader is known: queries get an empty list at once
+	ConsulACLFiltered                    // ACLs filter out all instances, which a response header says
+	ConsulZeroIndex                      // queries are answered at once, with index 0
+	ConsulImmediate                      // queries are answered at once, whatever their index is
+	ConsulGarbled                        // all requests get 200 with a body that is not JSON
 )
 
-// Instance is a service's registration with its checks, as a Consul agent holds it.
+// Instance is an instance of a service with its checks, as registered with a Consul agent.
 type Instance struct {
 	Node, NodeAddr       string
 	NodeMeta             map[string]string
@@ -57,8 +57,8 @@
 	ttlChecks                map[string]*ttlCheck // by check ID
 }
 
-// ttlCheck turns critical when it is not renewed within interval. deregisterAfter is the time from then until
-// the instance is deregistered; 0 means never.
+// ttlCheck becomes critical when it is not renewed within interval. deregisterAfter is the time from then until the
+// instance is deregistered; 0 means never.
 type ttlCheck struct {
 	interval, deregisterAfter time.Duration
 	expiry, deregistration    *time.Timer
@@ -72,7 +72,7 @@
 	At     time.Time
 }
 
-// maxQueries is the number of queries that are recorded; later ones are not.
+// maxQueries is the number of requests that Consul.queries records; later ones are omitted.
 const maxQueries = 20_000
 
 // Consul is a fake Consul agent, written from the public API documentation: health and catalog endpoints with
@@ -82,22 +82,22 @@
 	tls  *tls.Config
 	addr string
 
-	mu        sync.Mutex
-	server    *http.Server
-	index     uint64
-	lastIndex map[string]uint64 // modify index of the last change, by service
-	instances map[string]*instance
-	changed   chan struct{} // closed and replaced at each change, also of the fault
-	fault     ConsulFault
-	delay     time.Duration
-	token     string
-	queries   []ConsulQuery
+	mu             sync.Mutex
+	server         *http.Server
+	index          uint64
+	serviceIndexes map[string]uint64 // modify index of the last change, by service
+	instances      map[string]*instance
+	changed        chan struct{} // closed and replaced at each change, also of the fault
+	fault          ConsulFault
+	delay          time.Duration
+	token          string
+	queries        []ConsulQuery
 }
 
 // StartConsul starts a fake agent on a free loopback port. With a TLS configuration, it speaks TLS.
 func StartConsul(config *tls.Config) (*Consul, error) {
 	c := &Consul{
-		tls: config, index: 10, lastIndex: map[string]uint64{}, instances: map[string]*instance{},
+		tls: config, index: 10, serviceIndexes: map[string]uint64{}, instances: map[string]*instance{},
 		changed: make(chan struct{}),
 	}
 	return c, c.listen("127.0.0.1:0")
@@ -176,7 +176,7 @@
 	return slices.Clone(c.queries)
 }
 
-// parseFilter parses a filter expression. An empty one selects all instances.
+// parseFilter parses a filter expression into a function that matches instances. An empty expression matches all.
 func parseFilter(text string) (func(*instance) bool, error) {
 	if text == "" {
 		return func(*instance) bool { return true }, nil
--- a/internal/fakes/consulagent.go
+++ b/internal/fakes/consulagent.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// agentNode is the node of services that are registered with the agent.
+// agentNode is the agent's own node, to which services that are registered over HTTP belong.
 const agentNode = "agent"
 
-// checkDefinition is a check in a registration, with Consul's own field names.
+// checkDefinition is a check in a registration, with Consul's field names.
 type checkDefinition struct{ CheckID, Name, TTL, Status, DeregisterCriticalServiceAfter string }
 
-// serviceDefinition is the body of a registration, with Consul's own field names.
+// serviceDefinition is the body of a registration, with Consul's field names.
 type serviceDefinition struct {
 	ID, Name, Address string
 	Port              int
@@ -26,7 +26,7 @@
 	Checks            []checkDefinition
 }
 
-// handleRegister registers a service at the agent's own node.
+// handleRegister registers a service on the agent's own node.
 func (c *Consul) handleRegister(w http.ResponseWriter, r *http.Request) {
 	var service serviceDefinition
 	if err := json.NewDecoder(r.Body).Decode(&service); err != nil || service.Name == "" {
@@ -57,7 +57,7 @@
 	c.startTTLChecks(c.registerInstance(i), definitions)
 }
 
-// checkDefinitions returns the checks with their IDs. Checks without an ID get Consul's default for the service's.
+// checkDefinitions returns the checks of a service, with Consul's default IDs for those without one.
 func (s *serviceDefinition) checkDefinitions(serviceID string) ([]checkDefinition, error) {
 	var definitions []checkDefinition
 	for n, d := range s.Checks {
@@ -89,7 +89,8 @@
 	}
 }
 
-// expireCheck makes a TTL check critical that was not renewed in time.
+// expireCheck makes a TTL check critical and starts the time until its instance is deregistered. It does nothing if the
+// check has been removed or replaced.
 func (c *Consul) expireCheck(id, checkID string, check *ttlCheck) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// handleDeregister removes a service of the agent's own node.
+// handleDeregister deregisters a service of the agent's own node.
 func (c *Consul) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +113,7 @@
 	}
 }
 
-// handleMaintenance switches maintenance mode of a service of the agent's own node.
+// handleMaintenance switches the maintenance mode of a service of the agent's own node.
 func (c *Consul) handleMaintenance(w http.ResponseWriter, r *http.Request) {
 	on, err := strconv.ParseBool(r.URL.Query().Get("enable"))
 	if err != nil {
@@ -122,7 +123,7 @@
 	c.SetMaintenance(agentNode, r.PathValue("id"), on, r.URL.Query().Get("reason"))
 }
 
-// handleCheckUpdate renews a TTL check.
+// handleCheckUpdate renews a TTL check and sets its status.
 func (c *Consul) handleCheckUpdate(w http.ResponseWriter, r *http.Request) {
 	var update struct{ Status, Output string }
 	statuses := []string{"passing", "warning", "critical"}
--- a/internal/fakes/consulinstances.go
+++ b/internal/fakes/consulinstances.go
@@ -11,10 +11,11 @@
 	c.changed = make(chan struct{})
 }
 
-// recordChange counts a change of a service and returns its index. c.mu must be held.
+// recordChange increments the index for a change of a service, wakes blocking queries and returns the new index. c.mu
+// must be held.
 func (c *Consul) recordChange(service string) uint64 {
 	c.index++
-	c.lastIndex[service] = c.index
+	c.serviceIndexes[service] = c.index
 	c.notifyWatchers()
 	return c.index
 }
@@ -31,7 +32,7 @@
 	}
 }
 
-// registerInstance is Register for one instance. c.mu must be held.
+// registerInstance registers an instance or changes it. c.mu must be held.
 func (c *Consul) registerInstance(i Instance) *instance {
 	i.Passing, i.Warning = cmp.Or(i.Passing, 1), cmp.Or(i.Warning, 1)
 	index := c.recordChange(i.Service)
@@ -52,7 +53,7 @@
 	c.removeInstance(node, id)
 }
 
-// removeInstance is Remove, and reports whether the instance was registered. c.mu must be held.
+// removeInstance deregisters an instance and reports whether it was registered. c.mu must be held.
 func (c *Consul) removeInstance(node, id string) bool {
 	in := c.instances[instanceKey(node, id)]
 	if in == nil {
@@ -74,14 +75,15 @@
 	}
 }
 
-// SetCheck sets a check of an instance to a status (passing, warning or critical), and adds it if it is new.
+// SetCheck adds a check to an instance, or replaces the one with the same ID. Its status is passing, warning or
+// critical.
 func (c *Consul) SetCheck(node, id string, check Check) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.setCheck(node, id, check)
 }
 
-// setCheck is SetCheck. c.mu must be held.
+// setCheck is SetCheck with c.mu held.
 func (c *Consul) setCheck(node, id string, check Check) {
 	in := c.instances[instanceKey(node, id)]
 	if in == nil {
@@ -103,7 +105,7 @@
 	c.recordChange(in.Service)
 }
 
-// SetMaintenance switches maintenance mode of an instance on or off. An empty id means the whole node.
+// SetMaintenance switches the maintenance mode of an instance on or off. An empty id means the whole node.
 func (c *Consul) SetMaintenance(node, id string, on bool, reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +126,7 @@
 	}
 }
 
-// Reset removes all instances and restarts the index, as a server with an empty data directory does.
+// Reset removes all instances and restarts the index at a low value, like a server whose data directory was emptied.
 func (c *Consul) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,8 +134,8 @@
 		in.stopTimers()
 	}
 	c.instances, c.index = map[string]*instance{}, 2
-	for service := range c.lastIndex {
-		c.lastIndex[service] = c.index
+	for service := range c.serviceIndexes {
+		c.serviceIndexes[service] = c.index
 	}
 	c.notifyWatchers()
 }
@@ -151,7 +153,7 @@
 	return out
 }
 
-// status is the worst status of the instance's checks.
+// status returns the worst status of the instance's checks.
 func (i *instance) status() string {
 	worst := "passing"
 	for _, check := range i.Checks {
--- a/internal/fakes/consulquery.go
+++ b/internal/fakes/consulquery.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// withFaults records each request, applies the fault and checks the token before next answers it.
+// withFaults returns a handler that records each request, applies the current fault and checks the token, and passes
+// the remaining requests to next.
 func (c *Consul) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
@@ -35,7 +36,7 @@
 	})
 }
 
-// applyFault answers by the current fault and reports true if that fault doesn't depend on the request.
+// applyFault handles a request if the current fault is the same for all requests, and reports whether it did.
 func (c *Consul) applyFault(w http.ResponseWriter, r *http.Request) bool {
 	for {
 		c.mu.Lock()
@@ -63,7 +64,7 @@
 	}
 }
 
-// truncateResponse writes the head and the beginning of a response and closes the connection.
+// truncateResponse writes the headers and the beginning of the body of a response, and closes the connection.
 func truncateResponse(w http.ResponseWriter) {
 	conn, buffer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -96,7 +97,7 @@
 // maxWait is the longest time that a blocking query waits.
 const maxWait = 10 * time.Minute
 
-// handleQuery answers a query for the health or the catalog of a service, at once or after its next change.
+// handleQuery answers a query for the health or the catalog of a service. A blocking query waits for its next change.
 func (c *Consul) handleQuery(w http.ResponseWriter, r *http.Request) {
 	parameters, service := r.URL.Query(), r.PathValue("service")
 	from, err := strconv.ParseUint(cmp.Or(parameters.Get("index"), "0"), 10, 64)
@@ -126,14 +127,14 @@
 	w.Write(body)
 }
 
-// waitForChange waits until the service's index differs from the one that a query has, or the wait is over. It
-// returns false if the request has been answered or its client has left.
+// waitForChange waits until the service's index differs from the one that a query has, or the wait is over. It returns
+// false if the request has been answered or its client has disconnected.
 func (c *Consul) waitForChange(
 	w http.ResponseWriter, r *http.Request, service string, from uint64, wait time.Duration,
 ) bool {
 	c.mu.Lock()
-	if c.lastIndex[service] == 0 {
-		c.lastIndex[service] = c.index
+	if c.serviceIndexes[service] == 0 {
+		c.serviceIndexes[service] = c.index
 	}
 	c.mu.Unlock()
 	end := time.NewTimer(min(wait, maxWait))
@@ -141,13 +142,13 @@
 	waited := false
 	for {
 		c.mu.Lock()
-		index, changed, fault, delay := c.lastIndex[service], c.changed, c.fault, c.delay
+		index, changed, fault, delay := c.serviceIndexes[service], c.changed, c.fault, c.delay
 		c.mu.Unlock()
 		if fault == ConsulNoLeader && !r.URL.Query().Has("stale") {
 			http.Error(w, "No cluster leader", http.StatusInternalServerError)
 			return false
 		}
-		if from == 0 || index != from || fault.answersAtOnce() {
+		if from == 0 || index != from || fault.respondsImmediately() {
 			if waited && delay > 0 {
 				time.Sleep(delay)
 			}
@@ -167,12 +168,12 @@
 	}
 }
 
-// answersAtOnce reports whether blocking queries don't wait under this fault.
-func (f ConsulFault) answersAtOnce() bool {
+// respondsImmediately reports whether blocking queries are answered at once with this fault.
+func (f ConsulFault) respondsImmediately() bool {
 	return f == ConsulZeroIndex || f == ConsulImmediate || f == ConsulEmptyNoLeader || f == ConsulACLFiltered
 }
 
-// queryResult returns the service's index and the JSON of its instances that a query selects.
+// queryResult returns the index of a service and the JSON list of those of its instances that a query selects.
 func (c *Consul) queryResult(
 	path string, parameters url.Values, service string, match func(*instance) bool,
 ) (uint64, []byte, error) {
@@ -201,7 +202,7 @@
 		}
 	}
 	body, err := json.Marshal(out)
-	return c.lastIndex[service], body, err
+	return c.serviceIndexes[service], body, err
 }
 
 // selectedBy reports whether a query's tags, namespace, partition and passing parameters select the instance.
@@ -224,7 +225,7 @@
 // object is a JSON object.
 type object = map[string]any
 
-// healthEntry is the instance as /v1/health/service lists it.
+// healthEntry returns the instance as /v1/health/service lists it.
 func (i *instance) healthEntry() object {
 	checks := []object{}
 	for _, check := range i.Checks {
@@ -246,7 +247,7 @@
 	}
 }
 
-// catalogEntry is the instance as /v1/catalog/service lists it.
+// catalogEntry returns the instance as /v1/catalog/service lists it.
 func (i *instance) catalogEntry() object {
 	return object{
 		"ID": "", "Node": i.Node, "Address": i.NodeAddr, "Datacenter": "dc1", "TaggedAddresses": object{},
--- a/internal/fakes/counter.go
+++ b/internal/fakes/counter.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// Counter is a fake of the platform's shared counter: it adds amounts to named numbers and returns the totals.
+// Counter is a fake of the platform's shared counter: it adds amounts to named totals and returns them. It is safe for
+// concurrent use.
 type Counter struct {
 	addr   string
 	server *http.Server
 
 	mu          sync.Mutex
-	totals      map[string]total
-	unavailable bool // all calls get 503
-	calls       int
+	totals      map[string]total // by name
+	unavailable bool             // valid calls get 503
+	calls       int              // calls that were answered with a total
 }
 
-// total is one number, until it expires.
+// total is the sum of the amounts of one name, until it expires.
 type total struct {
 	sum     float64
 	expires time.Time
@@ -42,14 +43,14 @@
 // Close stops the counter.
 func (c *Counter) Close() { c.server.Close() }
 
-// Reset removes all numbers, as a restart does.
+// Reset removes all totals, as a restart of the counter does.
 func (c *Counter) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.totals)
 }
 
-// SetUnavailable makes the counter answer 503, or answer normally again.
+// SetUnavailable makes the counter respond 503, or respond normally again.
 func (c *Counter) SetUnavailable(unavailable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,14 +64,15 @@
 	return c.calls
 }
 
-// Limits of a call, as the platform has them.
+// Limits of a call, as the platform's counter has them. A longer TTL is reduced to maxTTLMillis; an amount or a name
+// beyond its limit is rejected.
 const (
 	maxAmount     = 1e9
 	maxTTLMillis  = 60_000
 	maxNameLength = 64
 )
 
-// handleAdd adds an amount and answers with the total.
+// handleAdd adds an amount to a total and responds with the total.
 func (c *Counter) handleAdd(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	amount, err := strconv.ParseFloat(r.URL.Query().Get("n"), 64)
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -12,25 +12,25 @@
 	"pumicecroft/internal/platform"
 )
 
-// Discovery is a fake of the platform's discovery. It is safe for concurrent use.
+// Discovery is a fake of the platform's discovery service. It is safe for concurrent use.
 type Discovery struct {
 	addr   string
 	server *http.Server
 
 	mu        sync.Mutex
-	seq       int64
-	endpoints map[string]entry
-	changed   chan struct{} // closed and replaced at each change
+	seq       int64            // version of the endpoint list
+	endpoints map[string]entry // by name
+	changed   chan struct{}    // closed and replaced at each change, also of down
 	down      bool
 }
 
-// entry is an endpoint with the version of its last change.
+// entry is an endpoint with the version of the endpoint list at its last change.
 type entry struct {
 	platform.Endpoint
 	seq int64
 }
 
-// StartDiscovery starts a discovery with an empty endpoint list on a free loopback port.
+// StartDiscovery starts a discovery service with an empty endpoint list on a free loopback port.
 func StartDiscovery() (*Discovery, error) {
 	d := &Discovery{endpoints: map[string]entry{}, changed: make(chan struct{}), seq: 1}
 	mux := http.NewServeMux()
@@ -46,7 +46,7 @@
 // Close stops discovery.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Set adds endpoints to the list, or changes them, in one version.
+// Set adds endpoints to the list, or changes them, in one new version.
 func (d *Discovery) Set(endpoints ...platform.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +67,7 @@
 	d.Set(e)
 }
 
-// SetDown makes discovery send nothing, also on open watches, until it is up again.
+// SetDown makes watches, open and new ones, send nothing until discovery is up again. Other calls are answered.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,7 +76,7 @@
 	d.changed = make(chan struct{})
 }
 
-// List returns the full endpoint list, as a gateway would get it.
+// List returns a full update with the current endpoint list, as a gateway gets it.
 func (d *Discovery) List() platform.EndpointUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,13 +101,13 @@
 	return update
 }
 
-// watchHeartbeat is the time between two empty lines of a watch.
+// watchHeartbeat is the time between the empty lines that a watch sends as heartbeats.
 const watchHeartbeat = 2 * time.Second
 
-// handleEndpoints answers with the full list, or with a watch from a version on.
+// handleEndpoints responds with the full endpoint list, or with a watch of the changes after a version.
 func (d *Discovery) handleEndpoints(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") != "1" {
-		_ = json.NewEncoder(w).Encode(d.List()) // the client has gone
+		_ = json.NewEncoder(w).Encode(d.List()) // fails only if the client has disconnected
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -40,8 +40,8 @@
 	return a.Do(t.Context(), &http.Transport{DisableKeepAlives: true}, addr)
 }
 
-// A client repeats an idempotency key at several backends. Those of one cell drop the repeat, those of another one
-// don't, and after the window the key counts as new.
+// A client repeats an idempotency key at several backends. The backends of the same cell must drop the repeat, those of
+// another cell must not, and after the window the key must count as new.
 func TestCell_DropsRepeatedKeys(t *testing.T) {
 	l := &Ledger{}
 	one, two := &Cell{Number: 1, Window: 200 * time.Millisecond}, &Cell{Number: 2, Window: time.Hour}
@@ -57,13 +57,15 @@
 			t.Errorf("step %d: %v, %d effects, want %d", i, r, l.Effects("k"), step.want)
 		}
 	}
-	time.Sleep(210 * time.Millisecond) // the window is over
+	time.Sleep(210 * time.Millisecond) // longer than the window
 	sendRequest(t, a.Addr(), "k", waitTimeout)
-	if l.Effects("k") != 3 || len(l.RepeatedEffects()) != 1 || len(one.keys) != 1 || len(one.order) != 1 {
-		t.Errorf("%d effects, %v, %d keys kept", l.Effects("k"), l.RepeatedEffects(), len(one.keys))
+	if l.Effects("k") != 3 || len(l.RepeatedEffects()) != 1 || len(one.firstUses) != 1 || len(one.keysByAge) != 1 {
+		t.Errorf("after the window: %d effects, want 3; repeated effects %v, want 1; %d keys stored, %d in order, want 1",
+			l.Effects("k"), l.RepeatedEffects(), len(one.firstUses), len(one.keysByAge))
 	}
 }
 
+// A backend must reject attempts beyond its slots and its queue, and all new ones while it drains.
 func TestBackend_SlotsQueueAndDrain(t *testing.T) {
 	l := &Ledger{}
 	b := startBackend(t, BackendConfig{
@@ -82,20 +84,21 @@
 		kinds[(<-replies).String()]++
 	}
 	if kinds["served"] != 2 || kinds["refused"] != 1 {
-		t.Errorf("of three at once, with one slot and a queue of one: %v", kinds)
+		t.Errorf("three concurrent requests with one slot and a queue of one: got %v, want 2 served and 1 refused", kinds)
 	}
 	b.Drain()
 	if r := sendRequest(t, b.Addr(), "", waitTimeout); r.Status != 503 {
-		t.Errorf("draining: %v", r)
+		t.Errorf("a draining backend: got %v with status %d, want 503", r, r.Status)
 	}
 	b.Kill()
 	if r := sendRequest(t, b.Addr(), "", waitTimeout); r.Status != 0 || r.Err == nil {
-		t.Errorf("dead: %v", r)
+		t.Errorf("a killed backend: got status %d, error %v; want an error and no status", r.Status, r.Err)
 	}
 }
 
+// Each behavior must give the client its reply, and must execute the request or not as its name says.
 func TestBackend_Behaviors(t *testing.T) {
-	for act, want := range map[Behavior]struct {
+	for behavior, want := range map[Behavior]struct {
 		reply  string
 		effect int
 	}{
@@ -110,19 +113,22 @@
 		HangWithoutExecution:  {"lost", 0},
 	} {
 		l := &Ledger{}
-		b := startBackend(t, BackendConfig{Ledger: l, Behavior: func(Attempt) Behavior { return act }})
+		b := startBackend(t, BackendConfig{Ledger: l, Behavior: func(Attempt) Behavior { return behavior }})
 		timeout := waitTimeout
-		if act == ExecuteThenHang || act == HangWithoutExecution {
+		if behavior == ExecuteThenHang || behavior == HangWithoutExecution {
 			timeout = 300 * time.Millisecond
 		}
 		r := sendRequest(t, b.Addr(), "k", timeout)
 		ended := l.Await(waitTimeout, func(as []Attempt) bool { return len(as) == 1 && as[0].Outcome != "" })
 		if r.String() != want.reply || !ended || l.Effects("k") != want.effect {
-			t.Errorf("act %d: %v (%v), %d effects, want %v", act, r, r.Err, l.Effects("k"), want)
+			t.Errorf("behavior %d: %v (%v), one attempt with an outcome: %t, %d effects; want %v, true, %d",
+				behavior, r, r.Err, ended, l.Effects("k"), want.reply, want.effect)
 		}
 	}
 }
 
+// A backend in slow start that gets too many attempts must become overloaded and reject all later ones; a warm one with
+// the same configuration must not.
 func TestBackend_OverloadedWhileCold(t *testing.T) {
 	cold := BackendConfig{
 		Capacity: 1000, SlowStartMinCapacity: 0.01, SlowStartWindow: time.Hour,
@@ -132,11 +138,11 @@
 	for end := time.Now().Add(waitTimeout); !b.Overloaded(); {
 		sendRequest(t, b.Addr(), "", waitTimeout)
 		if time.Now().After(end) {
-			t.Fatal("it does not fall")
+			t.Fatalf("the backend is not overloaded after %v of requests", waitTimeout)
 		}
 	}
 	if r := sendRequest(t, b.Addr(), "", waitTimeout); r.Status != 503 {
-		t.Errorf("fallen: %v", r)
+		t.Errorf("an overloaded backend: got %v with status %d, want 503", r, r.Status)
 	}
 	cold.StartCold = false
 	b = startBackend(t, cold)
@@ -144,10 +150,11 @@
 		sendRequest(t, b.Addr(), "", waitTimeout)
 	}
 	if b.Overloaded() {
-		t.Error("a warm one fell")
+		t.Error("a warm backend is overloaded after 200 requests")
 	}
 }
 
+// The usage is that of the last complete period: each request counts once, and an idle period resets it.
 func TestMeter(t *testing.T) {
 	m := &Meter{Period: time.Second}
 	m.Register("a", 1, 3, 2)
@@ -159,15 +166,16 @@
 		want float64
 	}{{"a", 0, 0}, {"a", 1, 0}, {"b", 2, 0}, {"b", time.Second, 200}, {"b", 3 * time.Second, 0}} {
 		if got, ok := m.recordAttempt(step.id, at.Add(step.at)); !ok || got != step.want {
-			t.Errorf("step %d: %v %v, want %v", i, got, ok, step.want)
+			t.Errorf("step %d: got %v%%, %t, want %v%%, true", i, got, ok, step.want)
 		}
 	}
 	m.Forget("a")
-	if _, ok := m.recordAttempt("a", at); ok {
-		t.Error("a request that was forgotten counts")
+	if percent, ok := m.recordAttempt("a", at); ok {
+		t.Errorf("a forgotten request: got a usage of %v%%, want none", percent)
 	}
 }
 
+// A watch must send the changes after its version, and nothing while discovery is down.
 func TestDiscovery(t *testing.T) {
 	d, err := StartDiscovery()
 	if err != nil {
@@ -178,7 +186,7 @@
 		platform.Endpoint{Name: "b", Addr: "x:2", Health: "Ready"})
 	list := d.List()
 	if !list.Full || len(list.Endpoints) != 2 || list.Endpoints[0].Name != "a" {
-		t.Fatalf("%+v", list)
+		t.Fatalf("got %+v, want a full update with a and b", list)
 	}
 	res, err := http.Get(fmt.Sprintf("http://%s/v1/endpoints?watch=1&from=%d", d.Addr(), list.Seq))
 	if err != nil {
@@ -203,21 +211,21 @@
 		}
 	}
 	if l := next(); l.Full || len(l.Endpoints) != 0 || l.Seq != list.Seq {
-		t.Errorf("nothing has changed: %+v", l)
+		t.Errorf("without a change: got %+v, want an empty delta update of version %d", l, list.Seq)
 	}
 	d.SetHealth("b", "Terminating")
 	if l := next(); len(l.Endpoints) != 1 || l.Endpoints[0].Name != "b" ||
 		l.Endpoints[0].Health != "Terminating" || l.Seq <= list.Seq {
-		t.Errorf("%+v", l)
+		t.Errorf("got %+v, want b Terminating and a version above %d", l, list.Seq)
 	}
 	d.SetDown(true)
 	d.SetHealth("a", "Gone")
 	d.SetDown(false)
 	if l := next(); len(l.Endpoints) != 1 || l.Endpoints[0].Health != "Gone" {
-		t.Errorf("%+v", l)
+		t.Errorf("after discovery was down: got %+v, want one endpoint, Gone", l)
 	}
 	if l := d.List(); len(l.Endpoints) != 1 {
-		t.Errorf("what is gone is listed: %+v", l)
+		t.Errorf("the full list has %d endpoints, want 1 without the one that is Gone: %+v", len(l.Endpoints), l)
 	}
 	res, err = http.Get("http://" + d.Addr() + "/v1/endpoints?watch=1&from=x")
 	if err != nil {
@@ -225,10 +233,11 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != 400 {
-		t.Error(res)
+		t.Errorf("an invalid version: got status %d, want 400", res.StatusCode)
 	}
 }
 
+// The counter must add up valid amounts, reject invalid calls, and lose its totals in a reset.
 func TestCounter(t *testing.T) {
 	c, err := StartCounter()
 	if err != nil {
@@ -255,15 +264,15 @@
 	}
 	c.Reset()
 	if got := call("/tally/a?n=1&keep_ms=60000"); got != "200 1" {
-		t.Errorf("after a loss: %q", got)
+		t.Errorf("after a reset: got %q, want %q", got, "200 1")
 	}
 	c.SetUnavailable(true)
 	if got := call("/tally/a?n=1&keep_ms=60000"); got != "503 " || c.Calls() != 4 {
-		t.Errorf("turned away: %q, %d calls", got, c.Calls())
+		t.Errorf("while unavailable: got %q, want %q; %d calls answered, want 4", got, "503 ", c.Calls())
 	}
 }
 
-// A gateway mixes up two responses. The client must notice that the response belongs to another request.
+// A gateway could confuse two responses. The client must detect a response that belongs to another request.
 func TestRequest_WrongResponseCountsAsLost(t *testing.T) {
 	l := &Ledger{}
 	b := startBackend(t, BackendConfig{Ledger: l})
@@ -272,6 +281,6 @@
 		Header: http.Header{"Request-Id": {"0000000000000006"}},
 	}
 	if r := a.Do(context.Background(), &http.Transport{DisableKeepAlives: true}, b.Addr()); r.String() != "lost" {
-		t.Errorf("%v", r)
+		t.Errorf("got %v with status %d, error %v; want lost", r, r.Status, r.Err)
 	}
 }
--- a/internal/fakes/grpc.go
+++ b/internal/fakes/grpc.go
@@ -10,27 +10,27 @@
 	"golang.org/x/net/http2"
 )
 
-// GRPCBehavior is what a gRPC backend does with one attempt, down to the frames.
+// GRPCBehavior is the HTTP/2 frames with which a gRPC backend responds to one attempt.
 type GRPCBehavior int
 
-// The behaviors. The request has been executed before, except where "not executed" is said.
+// The behaviors of a gRPC backend. It executes the request before its response, unless "not executed" is said.
 const (
 	GRPCServe             GRPCBehavior = iota // headers, one message, status 0
 	GRPCStream                                // headers, three messages, status 0
 	GRPCHeadersThenHang                       // headers, then nothing
 	GRPCHang                                  // nothing
 	GRPCRefuseStream                          // RST_STREAM with REFUSED_STREAM; not executed
-	GRPCGoAwayBelow                           // GOAWAY with a last stream below this one; not executed
+	GRPCGoAwayBelow                           // GOAWAY whose last stream ID is below this stream's; not executed
 	GRPCResetCancel                           // RST_STREAM with CANCEL
-	GRPCResetAfterMessage                     // headers and message, then RST_STREAM in place of the status
+	GRPCResetAfterMessage                     // headers and one message, then RST_STREAM instead of the status
 	GRPCClose                                 // the connection is closed
-	GRPCCloseMidMessage                       // headers and half a message, then the connection is closed
+	GRPCCloseMidMessage                       // headers and a part of a message, then the connection is closed
 	GRPCInternal                              // trailers only: status 13
 	GRPCNotFound                              // trailers only: status 5
 	GRPCRetryPushback                         // trailers only: status 14 with grpc-retry-pushback-ms; not executed
 	GRPCNoMessage                             // status 0 without a message
 	GRPCTwoMessages                           // status 0 with two messages
-	GRPCMissingTrailers                       // the stream ends with its data, without trailers
+	GRPCMissingTrailers                       // headers and one message, which ends the stream without trailers
 	GRPCMessageTooLarge                       // a message of GRPCLargeMessageBytes
 	GRPCStreamClose                           // headers, one message, then the connection is closed
 	GRPCStreamHang                            // headers, one message, then nothing
@@ -44,34 +44,37 @@
 // GRPCLargeMessageBytes is the length of the message of GRPCMessageTooLarge.
 const GRPCLargeMessageBytes = 8 << 20
 
-// notExecuted reports whether a behavior leaves the request unexecuted.
+// notExecuted reports whether the request is not executed with a behavior.
 func (b GRPCBehavior) notExecuted() bool {
 	return b == GRPCRefuseStream || b == GRPCGoAwayBelow || b == GRPCRetryPushback
 }
 
 // GRPCConfig configures a GRPCBackend.
 type GRPCConfig struct {
-	Name            string
-	Cell            *Cell
-	IdempotentByKey func(method string) bool   // methods whose repeats the cell drops; nil means none
+	Name string
+	Cell *Cell
+	// IdempotentByKey reports whether the effects of a method are recorded. Those of repeated keys, which Cell drops, are
+	// not. nil means that no effects are recorded.
+	IdempotentByKey func(method string) bool
 	Behavior        func(Attempt) GRPCBehavior // nil means GRPCServe
-	WorkTime        time.Duration
+	WorkTime        time.Duration              // before the response
 	Ledger          *Ledger
 	// MaxStreams is sent as SETTINGS_MAX_CONCURRENT_STREAMS. 0 means that the setting is not sent.
 	MaxStreams uint32
-	// Window, in bytes, is sent as SETTINGS_INITIAL_WINDOW_SIZE, and no window is updated after that: a longer
-	// message stalls. 0 means HTTP/2's default window, updated as it is used.
+	// Window, in bytes, is sent as SETTINGS_INITIAL_WINDOW_SIZE, and no WINDOW_UPDATE is sent later, so that a longer
+	// message stalls. 0 means HTTP/2's default window, which is updated when data arrives.
 	Window uint32
-	// AfterMessage, unless nil, is called after the message of GRPCResetAfterMessage and of the GRPCStream behaviors
-	// that fail after one.
+	// AfterMessage, unless nil, is called after the message of GRPCResetAfterMessage, GRPCStreamClose, GRPCStreamHang
+	// and GRPCStreamInternal.
 	AfterMessage func(Attempt)
 
-	// execute, unless nil, makes the backend behave as a Backend does. All but MaxStreams and Window is ignored then.
+	// execute, unless nil, makes the backend respond like a Backend. All other fields but MaxStreams and Window are
+	// ignored then.
 	execute func(ctx context.Context, attempt *Attempt) (behavior Behavior, usage string, ok bool)
 }
 
-// GRPCBackend is a fake backend that speaks gRPC. It is written on HTTP/2 frames, so that it can fail in each way
-// that HTTP/2 has. The names of its methods are the classes. A unary response is "done " and the request ID.
+// GRPCBackend is a fake backend that speaks gRPC. It writes HTTP/2 frames itself, so that it can fail in every way that
+// HTTP/2 allows. The class of an attempt is its full method name. A unary response is "done " and the request ID.
 type GRPCBackend struct {
 	config  GRPCConfig
 	ln      net.Listener
@@ -80,9 +83,9 @@
 	mu         sync.Mutex
 	conns      map[*grpcConn]bool
 	closed     bool
-	totalConns int // connections accepted so far
-	sentBytes  atomic.Int64
-	resets     atomic.Int64
+	totalConns int          // connections accepted so far
+	sentBytes  atomic.Int64 // length of all DATA frames written
+	resets     atomic.Int64 // open streams that clients have reset
 }
 
 // StartGRPC starts a gRPC backend on a free loopback port.
@@ -99,20 +102,20 @@
 // Addr returns the address that the backend listens on.
 func (b *GRPCBackend) Addr() string { return b.ln.Addr().String() }
 
-// Conns returns the number of open connections, and of all connections so far.
+// Conns returns the number of open connections and the number of connections accepted so far.
 func (b *GRPCBackend) Conns() (open, total int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.conns), b.totalConns
 }
 
-// Resets returns the number of open streams that clients have reset.
+// Resets returns the number of streams that clients reset while they were open.
 func (b *GRPCBackend) Resets() int64 { return b.resets.Load() }
 
-// Sent returns the number of bytes of response bodies that have been sent.
+// Sent returns the total length of the response bodies sent so far, in bytes.
 func (b *GRPCBackend) Sent() int64 { return b.sentBytes.Load() }
 
-// Kill closes the listener and all connections, and waits for the backend's goroutines.
+// Kill closes the listener and all connections, and waits until the backend's goroutines have ended.
 func (b *GRPCBackend) Kill() {
 	b.ln.Close()
 	b.mu.Lock()
@@ -124,8 +127,8 @@
 	b.running.Wait()
 }
 
-// GoAway sends GOAWAY on all connections. The last stream is the highest one so far minus less: the streams above it
-// count as not executed, and their attempts must not have been executed.
+// GoAway sends GOAWAY on all connections. The last stream ID in it is the highest one so far minus less. To the client,
+// streams above it were not executed, so the caller must make sure that they are not; see DropAbove.
 func (b *GRPCBackend) GoAway(less uint32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,8 +139,8 @@
 	}
 }
 
-// DropAbove drops the streams above the highest one minus less on each connection, as GoAway counts them: they are
-// not executed, whatever their behaviors wait for.
+// DropAbove drops the streams of each connection whose ID is above the highest one minus less, as in GoAway: they are
+// not executed and get no response, whatever their behavior is.
 func (b *GRPCBackend) DropAbove(less uint32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fakes/grpc_test.go
+++ b/internal/fakes/grpc_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// bytesCodec passes messages as they are.
+// bytesCodec is a gRPC codec that passes messages as bytes, without encoding them.
 type bytesCodec struct{}
 
 func (bytesCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
@@ -24,20 +24,20 @@
 }
 func (bytesCodec) Name() string { return "proto" }
 
-// The fake backend must fail in the ways that gRPC's own client expects. That client retries a call whose stream was
-// refused by itself, also with retries disabled, which is why gateways don't use it.
+// The failures of the fake backend must have the status codes that grpc-go's client gives them. That client retries a
+// call whose stream was refused, even with retries disabled, which is why gateways don't use it.
 func TestGRPCBackend_AgainstGRPCClient(t *testing.T) {
 	t.Parallel()
 	ledger := &Ledger{}
-	var act atomic.Int64
-	var times atomic.Int64
+	var behavior atomic.Int64
+	var refusals atomic.Int64
 	b, err := StartGRPC(GRPCConfig{Name: "g", Ledger: ledger, Cell: &Cell{Window: 5 * time.Second},
 		IdempotentByKey: func(string) bool { return true },
 		Behavior: func(Attempt) GRPCBehavior {
-			if GRPCBehavior(act.Load()) == GRPCRefuseStream && times.Add(1) > 1 {
+			if GRPCBehavior(behavior.Load()) == GRPCRefuseStream && refusals.Add(1) > 1 {
 				return GRPCServe
 			}
-			return GRPCBehavior(act.Load())
+			return GRPCBehavior(behavior.Load())
 		}})
 	if err != nil {
 		t.Fatal(err)
@@ -50,8 +50,8 @@
 	}
 	t.Cleanup(func() { _ = client.Close() })
 	for i, c := range []struct {
-		act  GRPCBehavior
-		code codes.Code
+		behavior GRPCBehavior
+		code     codes.Code
 	}{
 		{GRPCServe, codes.OK},
 		{GRPCNotFound, codes.NotFound},
@@ -66,26 +66,28 @@
 		{GRPCRefuseStream, codes.OK},
 		{GRPCServe, codes.OK},
 	} {
-		act.Store(int64(c.act))
+		behavior.Store(int64(c.behavior))
 		id := fmt.Sprintf("id-%d", i)
 		ctx := metadata.AppendToOutgoingContext(t.Context(), "request-id", id, "idempotency-key", "key-"+id)
 		ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
-		if c.act == GRPCHang {
+		if c.behavior == GRPCHang {
 			ctx, cancel = context.WithTimeout(ctx, 100*time.Millisecond)
 		}
 		in, out := []byte("amount=3"), []byte(nil)
 		err := client.Invoke(ctx, "/shop.Desk/Pay", &in, &out, grpc.ForceCodec(bytesCodec{}))
 		cancel()
 		if status.Code(err) != c.code || err == nil && string(out) != "done "+id {
-			t.Errorf("act %d: %v, %q; want %v", c.act, err, out, c.code)
+			t.Errorf("behavior %d: got %v, %q; want %v, and %q if it is OK", c.behavior, err, out, c.code, "done "+id)
 		}
-		as := ledger.ForRequest(id)
+		attempts := ledger.ForRequest(id)
 		want := 1
-		if c.act == GRPCRefuseStream {
+		if c.behavior == GRPCRefuseStream {
 			want = 2
 		}
-		if len(as) != want || as[0].Body != "amount=3" || as[0].Timeout == "" || as[0].Key != "key-"+id {
-			t.Errorf("act %d: it reached the backend as %+v", c.act, as)
+		if len(attempts) != want || attempts[0].Body != "amount=3" || attempts[0].Timeout == "" ||
+			attempts[0].Key != "key-"+id {
+			t.Errorf("behavior %d: the backend got %+v; want %d attempts with body amount=3, a timeout and key %q",
+				c.behavior, attempts, want, "key-"+id)
 		}
 	}
 	stream, err := client.NewStream(t.Context(), &grpc.StreamDesc{ServerStreams: true}, "/shop.Desk/List",
@@ -93,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	act.Store(int64(GRPCStream))
+	behavior.Store(int64(GRPCStream))
 	in := []byte("all")
 	if err := stream.SendMsg(&in); err != nil {
 		t.Fatal(err)
@@ -103,6 +105,6 @@
 	for out := []byte(nil); stream.RecvMsg(&out) == nil; n++ {
 	}
 	if n != 3 {
-		t.Errorf("%d messages of a stream", n)
+		t.Errorf("got %d messages of the stream, want 3", n)
 	}
 }
--- a/internal/fakes/grpcconn.go
+++ b/internal/fakes/grpcconn.go
@@ -21,15 +21,15 @@
 	backend *GRPCBackend
 	conn    net.Conn
 
-	mu            sync.Mutex // guards what follows, and writing
+	mu            sync.Mutex // guards the fields below and writes to conn
 	framer        *http2.Framer
-	headerBuffer  bytes.Buffer
+	headerBuffer  bytes.Buffer // output of encoder
 	encoder       *hpack.Encoder
-	streams       map[uint32]*grpcStream
-	highestStream uint32
-	window        int64 // for what the backend sends, of the connection
-	initialWindow int64
-	windowChanged *sync.Cond // a window has grown, or a stream or the connection has ended
+	streams       map[uint32]*grpcStream // open streams by ID
+	highestStream uint32                 // largest stream ID so far
+	window        int64                  // the connection's flow-control window for sending
+	initialWindow int64                  // initial size of a stream's window, as set by the client
+	windowChanged *sync.Cond             // a window has grown, or a stream or the connection has ended
 	closed        bool
 }
 
@@ -45,20 +45,20 @@
 	return c
 }
 
-// grpcStream is one call.
+// grpcStream is the HTTP/2 stream of one call.
 type grpcStream struct {
 	id          uint32
-	fields      map[string]string
-	metadata    map[string][]string
+	fields      map[string]string   // header fields by name, the last value of each
+	metadata    map[string][]string // header fields by name, all values
 	body        []byte
-	window      int64
-	resetByPeer bool // by the other side
-	dropped     bool // it must not be executed
+	window      int64 // flow-control window for sending
+	resetByPeer bool  // the client has sent RST_STREAM
+	dropped     bool  // the call must not be executed; see GRPCBackend.DropAbove
 	ctx         context.Context
 	cancel      context.CancelFunc
 }
 
-// serve reads frames until the connection ends.
+// serve reads and handles frames until the connection ends.
 func (c *grpcConn) serve() {
 	defer c.end()
 	preface := make([]byte, len(http2.ClientPreface))
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// handleSettings applies the client's initial window and acknowledges its settings. c.mu must be held.
+// handleSettings applies the client's initial window size and acknowledges its settings. c.mu must be held.
 func (c *grpcConn) handleSettings(f *http2.SettingsFrame) error {
 	if f.IsAck() {
 		return nil
@@ -146,7 +146,7 @@
 	return c.framer.WriteSettingsAck()
 }
 
-// handleHeaders opens a stream. c.mu must be held.
+// handleHeaders opens a stream, and handles its request if that has no body. c.mu must be held.
 func (c *grpcConn) handleHeaders(f *http2.MetaHeadersFrame) {
 	s := &grpcStream{
 		id: f.StreamID, fields: map[string]string{}, metadata: map[string][]string{}, window: c.initialWindow,
@@ -163,7 +163,8 @@
 	}
 }
 
-// handleData adds to a stream's request body and opens the windows again by its length. c.mu must be held.
+// handleData appends to a stream's request body and updates the flow-control windows by its length, unless
+// GRPCConfig.Window is set. c.mu must be held.
 func (c *grpcConn) handleData(f *http2.DataFrame) error {
 	s := c.streams[f.StreamID]
 	if s == nil {
@@ -186,10 +187,12 @@
 	return nil
 }
 
-// grpcPrefixBytes is the length of the prefix of a gRPC message: a flag for compression and the message's length.
+// grpcPrefixBytes is the length of the prefix of a gRPC message: a compression flag of one byte and the length of the
+// message in four.
 const grpcPrefixBytes = 5
 
-// handleRequest starts the response to a request that has arrived completely. c.mu must be held.
+// handleRequest records a request that was received completely as an attempt, and answers it on a new goroutine. c.mu
+// must be held.
 func (c *grpcConn) handleRequest(s *grpcStream) {
 	config := &c.backend.config
 	attempt := &Attempt{
@@ -211,7 +214,7 @@
 	c.backend.running.Go(func() { c.answer(s, attempt) })
 }
 
-// removeStream removes a stream that has been answered.
+// removeStream removes a stream whose response is complete.
 func (c *grpcConn) removeStream(s *grpcStream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/grpcrequest.go
+++ b/internal/fakes/grpcrequest.go
@@ -18,15 +18,15 @@
 // GRPCService is the service that DoGRPC calls. Its methods are the classes.
 const GRPCService = "standin.Desk"
 
-// GRPCTransport returns a transport for DoGRPC: HTTP/2 without TLS.
+// GRPCTransport returns a transport for DoGRPC, which uses HTTP/2 without TLS.
 func GRPCTransport() *http.Transport {
 	t := &http.Transport{DisableCompression: true, Protocols: &http.Protocols{}}
 	t.Protocols.SetUnencryptedHTTP2(true)
 	return t
 }
 
-// DoGRPC is Do over gRPC: the class is the method, the headers are metadata, and the timeout is grpc-timeout. Invalid
-// values are sent unchanged. The reply has the status that the HTTP listener has for the same result; see grpcStatus.
+// DoGRPC is Do over gRPC: the class is sent as the method, the headers as metadata, and the timeout as grpc-timeout.
+// Invalid values are sent unchanged. The reply has the HTTP status that corresponds to the gRPC status; see grpcStatus.
 func (q Request) DoGRPC(ctx context.Context, rt http.RoundTripper, addr string) Reply {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(q.ClientTimeout, q.Timeout))
 	defer cancel()
@@ -47,7 +47,7 @@
 	if err != nil {
 		return timed(Reply{Err: err})
 	}
-	req.GetBody = nil // the transport must not retry
+	req.GetBody = nil // so that the transport can't retry the request
 	for name, values := range httpRequest.Header {
 		switch name {
 		case "Request-Class":
@@ -72,7 +72,7 @@
 	return timed(q.readGRPCReply(res, responseMessage))
 }
 
-// grpcTimeout converts a time in seconds into a grpc-timeout. Text that is no number stays as it is.
+// grpcTimeout converts a time in seconds into a value of grpc-timeout. A text that is not a number stays unchanged.
 func grpcTimeout(seconds string) string {
 	v, err := strconv.ParseFloat(seconds, 64)
 	if err != nil || math.IsNaN(v) {
@@ -81,8 +81,8 @@
 	return strconv.FormatInt(int64(v*1000), 10) + "m"
 }
 
-// errInvalidGRPCResponse is a response that doesn't follow gRPC's protocol.
-var errInvalidGRPCResponse = errors.New("no answer as gRPC has it")
+// errInvalidGRPCResponse is the error of a response that violates the gRPC protocol.
+var errInvalidGRPCResponse = errors.New("invalid gRPC response")
 
 // readGRPCReply reads the reply from a response and its body.
 func (q Request) readGRPCReply(res *http.Response, body []byte) Reply {
@@ -90,7 +90,7 @@
 		if v := res.Trailer.Get(name); v != "" {
 			return v
 		}
-		return res.Header.Get(name) // a response of trailers alone
+		return res.Header.Get(name) // a trailers-only response
 	}
 	if res.StatusCode != http.StatusOK {
 		return Reply{Status: res.StatusCode}
@@ -104,7 +104,8 @@
 	switch r.Status {
 	case http.StatusOK:
 		if !isOneMessage(body) {
-			return Reply{Err: fmt.Errorf("%w: a good status and %d bytes", errInvalidGRPCResponse, len(body))}
+			return Reply{Err: fmt.Errorf("%w: status 0 with a body of %d bytes, which is not one uncompressed message",
+				errInvalidGRPCResponse, len(body))}
 		}
 		if r.Body = string(body[grpcPrefixBytes:]); r.Body != responseBody(q.RequestID()) {
 			return Reply{Err: errWrongResponse}
@@ -123,17 +124,17 @@
 		int(binary.BigEndian.Uint32(body[1:])) == len(body)-grpcPrefixBytes
 }
 
-// grpcStatus returns the HTTP status that means the same as a gRPC status with its pushback in ms. A gateway that ends
-// a call sends a pushback; grpc's rejection of an expired timeout has none.
-func grpcStatus(code int, pushed bool, ms int) int {
+// grpcStatus returns the HTTP status that corresponds to a gRPC status code with its pushback in ms. hasPushback tells
+// apart status 4 of a gateway, which sends a pushback, and that of grpc's server for an expired timeout, which doesn't.
+func grpcStatus(code int, hasPushback bool, ms int) int {
 	switch {
 	case code == 0:
 		return http.StatusOK
-	case code == 8 && (!pushed || ms < 0): // without a pushback, grpc's server rejected a long message
+	case code == 8 && (!hasPushback || ms < 0): // without a pushback, grpc's server rejected a message that is too long
 		return http.StatusRequestEntityTooLarge
 	case code == 8, code == 14:
 		return http.StatusServiceUnavailable
-	case code == 4 && pushed:
+	case code == 4 && hasPushback:
 		return http.StatusGatewayTimeout
 	case code == 3, code == 4, code == 12:
 		return http.StatusBadRequest
--- a/internal/fakes/grpcresponse.go
+++ b/internal/fakes/grpcresponse.go
@@ -9,13 +9,13 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// statusOK are the trailers of a successful call.
+// statusOK has the trailers of a successful call.
 var statusOK = [][2]string{{"grpc-status", "0"}}
 
-// truncatedMessage is the beginning of a message of 99 bytes.
+// truncatedMessage is the prefix and the first two bytes of a message of 99 bytes.
 var truncatedMessage = []byte{0, 0, 0, 0, 99, 1, 2}
 
-// answerAsBackend answers an attempt as a Backend does.
+// answerAsBackend answers an attempt by the Behavior of a Backend.
 func (c *grpcConn) answerAsBackend(s *grpcStream, attempt *Attempt) {
 	defer c.removeStream(s)
 	behavior, usage, ok := c.backend.config.execute(s.ctx, attempt)
@@ -50,7 +50,7 @@
 	}
 }
 
-// answer answers an attempt by GRPCConfig.Behavior.
+// answer answers an attempt by the GRPCBehavior that GRPCConfig.Behavior selects.
 func (c *grpcConn) answer(s *grpcStream, attempt *Attempt) {
 	config := c.backend.config
 	behavior := GRPCServe
@@ -72,7 +72,7 @@
 		config.Cell.firstUse(attempt.Key, time.Now())
 	outcome := "served"
 	if behavior != GRPCServe && behavior != GRPCStream && behavior != GRPCEndless {
-		outcome = "act " + strconv.Itoa(int(behavior))
+		outcome = "behavior " + strconv.Itoa(int(behavior))
 	}
 	config.Ledger.finish(attempt, outcome, effect)
 	if behavior == GRPCHeadersThenHang || behavior == GRPCHang {
@@ -87,7 +87,7 @@
 	c.removeStream(s)
 }
 
-// writeFailure answers a call whose behavior ends the stream without a complete message, and reports whether it did.
+// writeFailure answers a call if its behavior ends the stream without a complete message, and reports whether it did.
 func (c *grpcConn) writeFailure(s *grpcStream, behavior GRPCBehavior) bool {
 	switch behavior {
 	case GRPCRefuseStream:
@@ -116,7 +116,7 @@
 	return true
 }
 
-// writeMessages answers an attempt whose behavior sends headers and any number of messages.
+// writeMessages answers an attempt whose behavior begins with headers, followed by complete messages or a status.
 func (c *grpcConn) writeMessages(s *grpcStream, attempt *Attempt, behavior GRPCBehavior) {
 	done := "done " + attempt.ID
 	c.writeHeaders(s, false, nil)
@@ -153,7 +153,7 @@
 	}
 }
 
-// failAfterMessage sends one message of a stream and then fails by the behavior.
+// failAfterMessage sends one message of a response stream and then fails by the behavior.
 func (c *grpcConn) failAfterMessage(s *grpcStream, attempt *Attempt, behavior GRPCBehavior) {
 	c.writeMessage(s, "done "+attempt.ID, false)
 	c.afterMessage(attempt)
@@ -167,7 +167,7 @@
 	}
 }
 
-// afterMessage calls GRPCConfig.AfterMessage.
+// afterMessage calls GRPCConfig.AfterMessage unless it is nil.
 func (c *grpcConn) afterMessage(a *Attempt) {
 	if f := c.backend.config.AfterMessage; f != nil {
 		f(*a)
@@ -182,7 +182,7 @@
 	c.writeHeaderFields(s, last, fields)
 }
 
-// writeTrailersOnly writes a response that consists of trailers alone. An empty pushback is not sent.
+// writeTrailersOnly writes a trailers-only response. An empty pushback is not sent.
 func (c *grpcConn) writeTrailersOnly(s *grpcStream, status, pushback string) {
 	fields := [][2]string{
 		{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-status", status}, {"grpc-message", "as scripted"},
@@ -224,10 +224,11 @@
 	c.writeData(s, append(prefix, message...), last)
 }
 
-// maxFrameBytes is the length of the largest DATA frame that the backend writes.
+// maxFrameBytes is the length of the largest DATA frame that the backend writes: HTTP/2's default limit.
 const maxFrameBytes = 16384
 
-// writeData writes bytes in DATA frames, and waits while a window is used up.
+// writeData writes DATA frames, and waits while a flow-control window is exhausted. last ends the stream. It returns
+// early if the stream or the connection has ended.
 func (c *grpcConn) writeData(s *grpcStream, p []byte, last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/ledger.go
+++ b/internal/fakes/ledger.go
@@ -1,7 +1,8 @@
-// Package fakes holds fake servers and clients around a gateway, for tests and the demo: backends with concurrency
-// limits, queues, draining, slow start and deduplication; discovery with its watch; a Consul agent; the shared counter;
-// and the requests of clients. The servers listen on loopback only. A Ledger records what reached them, so that a test
-// can compare what a gateway did with what it reported. Each fake owns its state and is safe for concurrent use.
+// Package fakes has fake servers and clients of a gateway, for tests and the demo: backends with concurrency limits,
+// queues, draining, slow start and deduplication; discovery with its watch; a Consul agent; the shared counter; and the
+// requests of clients. The servers listen on loopback only. A Ledger records the attempts that reached the backends, so
+// that a test can compare what a gateway did with what it reported. Each fake has its own state and is safe for
+// concurrent use.
 package fakes
 
 import (
@@ -16,13 +17,13 @@
 	Backend    string
 	Cell       int
 	Class      string
-	ID         string // Request-Id as received
-	Key        string
-	At         time.Time
+	ID         string    // Request-Id as received
+	Key        string    // idempotency key as received
+	At         time.Time // when it arrived
 	RemoteAddr string
 	Body       string
-	Timeout    string
-	Outcome    string // "served", "error", "turned away", "hung", "broken", "spoilt", ...; empty until then
+	Timeout    string // as received
+	Outcome    string // such as "served", "error", "rejected", "hung", "broken" or "spoilt"; empty until it is known
 	// Metadata is all metadata of a call over gRPC, by name, as received.
 	Metadata map[string][]string
 	Effect   bool // it was executed, and not dropped as a repeat
@@ -34,8 +35,8 @@
 	mu       sync.Mutex
 	attempts []*Attempt
 	arrivals map[string]BackendArrivals
-	effects  map[string]int // by effectKey
-	changed  chan struct{}  // closed at the next change; nil while nobody waits
+	effects  map[string]int // number of effects, by effectKey
+	changed  chan struct{}  // closed at the next change; nil while no goroutine waits
 }
 
 // add records an attempt that has arrived.
@@ -50,20 +51,20 @@
 	l.notifyChanged()
 }
 
-// BackendArrivals are the attempts that reached one backend.
+// BackendArrivals summarizes the attempts that reached one backend.
 type BackendArrivals struct {
 	Count int
-	Last  time.Time
+	Last  time.Time // of the last arrival
 }
 
-// Arrivals returns what has reached a backend so far, in constant time.
+// Arrivals returns a summary of the attempts that have reached a backend so far, in constant time.
 func (l *Ledger) Arrivals(backend string) BackendArrivals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.arrivals[backend]
 }
 
-// notifyChanged wakes those who wait for a change. l.mu must be held.
+// notifyChanged wakes the goroutines that wait for a change. l.mu must be held.
 func (l *Ledger) notifyChanged() {
 	if l.changed != nil {
 		close(l.changed)
@@ -86,7 +87,7 @@
 	l.notifyChanged()
 }
 
-// effectKey identifies the effect of an attempt: by its idempotency key, or by its request ID without one.
+// effectKey identifies the effect of an attempt: by its idempotency key, or by its request ID if it has no key.
 func (a *Attempt) effectKey() string {
 	if a.Key != "" {
 		return "key " + a.Key
@@ -110,7 +111,8 @@
 	return slices.DeleteFunc(l.Attempts(), func(a Attempt) bool { return a.ID != id })
 }
 
-// RepeatedEffects returns the keys (request IDs without one) whose effect happened more than once, sorted.
+// RepeatedEffects returns the effects that happened more than once, sorted: "key " with the idempotency key, or "id "
+// with the request ID of requests without a key.
 func (l *Ledger) RepeatedEffects() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,7 +132,7 @@
 	return l.effects["key "+key]
 }
 
-// Await waits until condition holds for the attempts, and reports whether it did before the timeout.
+// Await waits until condition holds for the attempts, and reports whether it held before the timeout.
 func (l *Ledger) Await(timeout time.Duration, condition func([]Attempt) bool) bool {
 	end := time.NewTimer(timeout)
 	defer end.Stop()
@@ -152,35 +154,35 @@
 	}
 }
 
-// Cell is the deduplication state that the backends of one cell share: a repeat of an idempotency key within the
-// window is dropped, that is, answered as the first one was, without a second effect. It is safe for concurrent use.
+// Cell is the deduplication state that the backends of one cell share. A repeat of an idempotency key within Window is
+// dropped: it is answered like the first request, without a second effect. It is safe for concurrent use.
 type Cell struct {
 	Number int
 	Window time.Duration
 
-	mu    sync.Mutex
-	keys  map[string]time.Time // time of first use
-	order []string             // keys by time of first use
+	mu        sync.Mutex
+	firstUses map[string]time.Time // time of first use
+	keysByAge []string             // keys by time of first use
 }
 
-// firstUse reports whether a key is new to the cell, and records it. Without a cell or key, each use is the first.
+// firstUse reports whether a key is new to the cell, and records it. If c is nil or the key is empty, it is always new.
 func (c *Cell) firstUse(key string, now time.Time) bool {
 	if c == nil || key == "" {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.order) > 0 && now.Sub(c.keys[c.order[0]]) >= c.Window {
-		delete(c.keys, c.order[0])
-		c.order = c.order[1:]
+	for len(c.keysByAge) > 0 && now.Sub(c.firstUses[c.keysByAge[0]]) >= c.Window {
+		delete(c.firstUses, c.keysByAge[0])
+		c.keysByAge = c.keysByAge[1:]
 	}
-	if _, known := c.keys[key]; known {
+	if _, known := c.firstUses[key]; known {
 		return false
 	}
-	if c.keys == nil {
-		c.keys = map[string]time.Time{}
+	if c.firstUses == nil {
+		c.firstUses = map[string]time.Time{}
 	}
-	c.keys[key] = now
-	c.order = append(c.order, key)
+	c.firstUses[key] = now
+	c.keysByAge = append(c.keysByAge, key)
 	return true
 }
--- a/internal/fakes/meter.go
+++ b/internal/fakes/meter.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Meter measures the usage of customers over all backends, each request once, and reports that of the last complete
-// period. Backends don't learn a request's customer, so clients register their requests. It is safe for concurrent use.
+// Meter measures the usage of each customer over all backends and reports that of the last complete period. A request
+// counts once, however many attempts it has. Requests to backends don't name the customer, so clients must register
+// their requests. It is safe for concurrent use.
 type Meter struct {
 	Period time.Duration // 0 means 500 ms
 
@@ -20,7 +21,7 @@
 	customer uint64
 	cost     float64
 	rate     float64
-	counted  bool // a backend has received it
+	counted  bool // a backend has received it, and usage includes it
 }
 
 // customerUsage is the usage of one customer, in units of cost.
@@ -29,7 +30,7 @@
 	current, previous float64
 }
 
-// Register tells the meter a request's customer, its cost, and the rate of the customer's plan in units a second.
+// Register registers a request with its customer, its cost, and the rate of the customer's plan in units per second.
 func (m *Meter) Register(id string, customer uint64, cost, rate float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,7 +47,7 @@
 	delete(m.requests, id)
 }
 
-// defaultPeriod is the Meter's period where none is set.
+// defaultPeriod is used if Meter.Period is 0.
 const defaultPeriod = 500 * time.Millisecond
 
 func (m *Meter) period() time.Duration {
@@ -56,8 +57,9 @@
 	return m.Period
 }
 
-// recordAttempt counts an attempt and returns its customer's usage in the last complete period, in percent of the
-// plan's rate. ok is false for a request that isn't registered, or whose plan has no rate.
+// recordAttempt counts the request of an attempt, unless it was counted before, and returns its customer's usage in the
+// last complete period, in percent of the plan's rate. ok is false for a request that isn't registered or whose plan
+// has no rate.
 func (m *Meter) recordAttempt(id string, now time.Time) (percent float64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,7 +81,7 @@
 	return 100 * usage.previous / (request.rate * m.period().Seconds()), true
 }
 
-// advance begins a period, unless it is the current one.
+// advance starts a period, unless it is the current one.
 func (u *customerUsage) advance(period int64) {
 	if period == u.period {
 		return
--- a/internal/fakes/request.go
+++ b/internal/fakes/request.go
@@ -22,16 +22,16 @@
 	GatewaySpread int     // 0 means 1
 	FirstGateway  int
 	Timeout       time.Duration
-	ClientTimeout time.Duration // how long the client really waits; 0 means Timeout
-	Key           string        // idempotency key; a request with one is a POST
-	Body          string
-	Header        http.Header // overrides other headers
+	ClientTimeout time.Duration // how long the client waits, whatever Timeout says; 0 means Timeout
+	Key           string        // idempotency key; requests with a key are POST, others GET
+	Body          string        // sent only with a Key
+	Header        http.Header   // overrides the headers that are made of the other fields
 }
 
-// RequestID returns the ID as it is in headers.
+// RequestID returns the ID in the form of the Request-Id header.
 func (q Request) RequestID() string { return fmt.Sprintf("%016x", q.ID) }
 
-// HTTPRequest returns the HTTP request to a gateway.
+// HTTPRequest returns the request as an HTTP request to a gateway.
 func (q Request) HTTPRequest(ctx context.Context, addr string) (*http.Request, error) {
 	method, body := http.MethodGet, io.Reader(nil)
 	if q.Key != "" {
@@ -60,7 +60,7 @@
 	return r, nil
 }
 
-// Reply is the response to a Request, or its failure.
+// Reply is the response to a Request, or the error in its place.
 type Reply struct {
 	Status     int // 0 means no complete response
 	Body       string
@@ -82,11 +82,11 @@
 	return "failed " + strconv.Itoa(r.Status)
 }
 
-// errWrongResponse is a response to another request.
-var errWrongResponse = errors.New("served with what no backend made for it")
+// errWrongResponse is the error of a successful response that no backend made for the request.
+var errWrongResponse = errors.New("response body does not belong to the request")
 
-// Do sends the request to a gateway, waits as long as the client does, and reads the complete response. The response
-// to another request counts as lost.
+// Do sends the request to a gateway, waits at most for ClientTimeout, and reads the complete response. A response that
+// belongs to another request counts as lost.
 func (q Request) Do(ctx context.Context, rt http.RoundTripper, addr string) Reply {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(q.ClientTimeout, q.Timeout))
 	defer cancel()
