--- a/httpproxy/body.go
+++ b/httpproxy/body.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Errors of readBody. Their texts go out as the detail of a Problem.
+// Errors of readBody. Clients receive their texts as the detail of a Problem.
 var (
 	errTruncatedBody   = fmt.Errorf("%w: incomplete body", errMalformedRequest)
 	errBodyReadTimeout = errors.New("the body was not received in time")
@@ -20,8 +20,8 @@
 const firstBodyBuffer = 4 << 10
 
 // readBody reads a request's body, of maxBytes at most, within Config.BodyReadTimeout and
-// Config.MaxBodyMemory. reserved is the memory taken from the latter, which the caller must give
-// back, also after an error.
+// Config.MaxBodyMemory. reserved is the number of bytes added to bodyMemoryUsed, which the caller
+// must subtract again when it no longer needs the body, also after an error.
 func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) (body []byte, reserved int64, err error) {
 	if r.ContentLength > maxBytes {
 		return nil, 0, errBodyTooLarge
@@ -41,7 +41,7 @@
 	return body, reserved, nil
 }
 
-// readAll reads the body into memory that it reserves as it grows.
+// readAll reads the body into a buffer, and reserves memory whenever the buffer grows.
 func (p *Proxy) readAll(r *http.Request, maxBytes int64) (body []byte, reserved int64, err error) {
 	grow := int64(firstBodyBuffer)
 	if r.ContentLength > 0 {
@@ -58,7 +58,7 @@
 			body = append(make([]byte, 0, size+grow), body...)
 		}
 		free := body[len(body):cap(body)]
-		if len(free) == 0 { // the body has its length: what is read next is its end, perhaps with trailers
+		if len(free) == 0 { // the body is complete: the next read returns io.EOF and sets the trailers
 			free = make([]byte, 1)
 		}
 		var n int
--- a/httpproxy/disconnect_test.go
+++ b/httpproxy/disconnect_test.go
@@ -19,10 +19,10 @@
 		for _, backs := range []string{"", "speaks = \"h2\"\n"} {
 			for _, further := range []bool{false, true} {
 				t.Run(fmt.Sprintf("HTTP/2 %t, backends %q, further %t", h2, backs, further), func(t *testing.T) {
-					came := make(chan string, 10)
+					received := make(chan string, 10)
 					backend := func() string {
 						return startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-							came <- r.URL.Path
+							received <- r.URL.Path
 							if r.URL.Path == "/left" && further {
 								w.WriteHeader(http.StatusServiceUnavailable)
 							}
@@ -30,7 +30,7 @@
 					}
 					first, second := backend(), backend()
 					dials, waiting, release := atomic.Int32{}, make(chan bool, 10), make(chan bool)
-					r := startProxyWithDialer(t, serviceSection("shop", first, second)+backs,
+					fx := startProxyWithDialer(t, serviceSection("shop", first, second)+backs,
 						func(_ context.Context, network, addr string) (net.Conn, error) {
 							if n := dials.Add(1); n == 1 && !further || n == 2 && further {
 								waiting <- true
@@ -41,7 +41,7 @@
 					left := make(chan bool, 1)
 					addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 						context.AfterFunc(req.Context(), func() { left <- true })
-						r.proxy.ServeHTTP(w, req)
+						fx.proxy.ServeHTTP(w, req)
 					}), nil)
 					tr := &http.Transport{Protocols: new(http.Protocols)}
 					tr.Protocols.SetUnencryptedHTTP2(h2)
@@ -59,7 +59,7 @@
 					}()
 					testkit.Await(t, waiting, "it to wait")
 					if further {
-						testkit.Await(t, came, "its first attempt")
+						testkit.Await(t, received, "its first attempt")
 					}
 					leave()
 					if err := testkit.Await(t, ended, "its client to have left"); err == nil {
@@ -69,11 +69,11 @@
 					close(release)
 					patient, stop := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 					defer stop()
-					if err := r.gateway.Close(patient); err != nil { // what was to leave has left
+					if err := fx.gateway.Close(patient); err != nil { // what was to leave has left
 						t.Error(err)
 					}
 					select {
-					case path := <-came:
+					case path := <-received:
 						t.Errorf("%s was sent on", path)
 					default:
 					}
--- a/httpproxy/fixture_test.go
+++ b/httpproxy/fixture_test.go
@@ -50,8 +50,8 @@
 func startProxyWithDialer(t testing.TB, text string, dial func(context.Context, string, string) (net.Conn, error),
 	options ...pumicecroft.Option) *fixture {
 	t.Helper()
-	r := &fixture{t: t, file: parseFile(t, text)}
-	for _, s := range r.file.HTTP.Services {
+	fx := &fixture{t: t, file: parseFile(t, text)}
+	for _, s := range fx.file.HTTP.Services {
 		c, err := httpproxyconfig.Service(s, os.ReadFile, slog.Default())
 		if err != nil {
 			t.Fatal(err)
@@ -60,31 +60,31 @@
 		options = append(options, httpproxy.WithService(c))
 	}
 	var err error
-	if r.gateway, err = pumicecroft.New(r.file.Gateway, options...); err != nil {
+	if fx.gateway, err = pumicecroft.New(fx.file.Gateway, options...); err != nil {
 		t.Fatal(err)
 	}
-	r.gateway.Update(r.file.Backends)
+	fx.gateway.Update(fx.file.Backends)
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
-		if err := r.gateway.Close(ctx); err != nil {
+		if err := fx.gateway.Close(ctx); err != nil {
 			t.Error(err)
 		}
 	})
-	c := r.file.HTTP.Proxy
-	c.Rules = r.rules(r.file)
-	if r.proxy, err = httpproxy.New(r.gateway, c); err != nil {
+	c := fx.file.HTTP.Proxy
+	c.Rules = fx.rules(fx.file)
+	if fx.proxy, err = httpproxy.New(fx.gateway, c); err != nil {
 		t.Fatal(err)
 	}
-	r.addr = startServer(t, r.proxy, nil)
-	return r
+	fx.addr = startServer(t, fx.proxy, nil)
+	return fx
 }
 
-func (r *fixture) rules(f operatorconfig.File) httpproxy.Rules {
-	r.t.Helper()
+func (fx *fixture) rules(f operatorconfig.File) httpproxy.Rules {
+	fx.t.Helper()
 	rules, err := httpproxyconfig.Rules(&f, os.ReadFile)
 	if err != nil {
-		r.t.Fatal(err)
+		fx.t.Fatal(err)
 	}
 	return rules
 }
@@ -112,7 +112,7 @@
 
 // sendRaw sends bytes and returns all that arrives until the connection ends or nothing arrives for
 // a while.
-func sendRaw(t testing.TB, addr, text string, patience time.Duration) string {
+func sendRaw(t testing.TB, addr, text string, timeout time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -120,7 +120,7 @@
 	}
 	defer c.Close()
 	go io.WriteString(c, text)
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(timeout))
 	b, _ := io.ReadAll(c)
 	return string(b)
 }
--- a/httpproxy/hostile_test.go
+++ b/httpproxy/hostile_test.go
@@ -148,9 +148,9 @@
 	t.Logf("seed %d", *seed)
 	var next, answered, closed atomic.Int64
 	var slowest atomic.Int64
-	var ran sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 32 {
-		ran.Go(func() {
+		wg.Go(func() {
 			for {
 				i := next.Add(1)
 				if i > int64(*heads) || t.Failed() {
@@ -188,7 +188,7 @@
 			}
 		})
 	}
-	ran.Wait()
+	wg.Wait()
 	t.Logf("%d heads: %d answered, %d ended without, %d requests at the backend, slowest %v", *heads, answered.Load(),
 		closed.Load(), arrived.Load(), time.Duration(slowest.Load()))
 	if arrived.Load() < int64(*heads)/20 || smuggled.Load() > 0 || gateway.OpenRequests() > 0 {
--- a/httpproxy/http2_test.go
+++ b/httpproxy/http2_test.go
@@ -18,14 +18,14 @@
 // startFrameBackend starts a backend that handles HTTP/2 frames itself: act ends each stream, and
 // the backend answers if it is nil.
 func startFrameBackend(t testing.TB, act func(n int64, f *http2.Framer, stream uint32) (answered bool)) (addr string,
-	came *atomic.Int64) {
+	requests *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	came = &atomic.Int64{}
+	requests = &atomic.Int64{}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -48,7 +48,7 @@
 					if !is {
 						continue
 					}
-					if act != nil && act(came.Add(1), f, h.StreamID) {
+					if act != nil && act(requests.Add(1), f, h.StreamID) {
 						continue
 					}
 					var b bytes.Buffer
@@ -59,7 +59,7 @@
 			}()
 		}
 	}()
-	return ln.Addr().String(), came
+	return ln.Addr().String(), requests
 }
 
 // An HTTP/2 backend ends streams in various ways. A stream that was refused or is beyond a GOAWAY
@@ -87,15 +87,15 @@
 		for _, method := range []string{"POST", "GET"} {
 			t.Run(name+" "+method, func(t *testing.T) {
 				t.Parallel()
-				addr, came := startFrameBackend(t, func(n int64, f *http2.Framer, s uint32) bool {
+				addr, requests := startFrameBackend(t, func(n int64, f *http2.Framer, s uint32) bool {
 					if n == 1 {
 						c.act(f, s)
 					}
 					return n == 1
 				})
-				r := startProxy(t, serviceSection("shop", addr,
+				fx := startProxy(t, serviceSection("shop", addr,
 					strings.Replace(addr, "127.0.0.1", "localhost", 1))+"speaks = \"h2\"\n")
-				req, _ := http.NewRequest(method, "http://"+r.addr+"/", nil)
+				req, _ := http.NewRequest(method, "http://"+fx.addr+"/", nil)
 				res, err := http.DefaultClient.Do(req)
 				if err != nil {
 					t.Fatal(err)
@@ -107,8 +107,8 @@
 						attempts = 1
 					}
 				}
-				if res.StatusCode != want || came.Load() != attempts {
-					t.Errorf("%d after %d attempts, want %d after %d", res.StatusCode, came.Load(), want, attempts)
+				if res.StatusCode != want || requests.Load() != attempts {
+					t.Errorf("%d after %d attempts, want %d after %d", res.StatusCode, requests.Load(), want, attempts)
 				}
 			})
 		}
@@ -127,14 +127,14 @@
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s", r.Proto, body)
 	}), nil)
-	r := startProxy(t, serviceSection("shop", backend)+"speaks = \"h2\"\n")
-	var ran sync.WaitGroup
+	fx := startProxy(t, serviceSection("shop", backend)+"speaks = \"h2\"\n")
+	var wg sync.WaitGroup
 	var bad atomic.Int64
 	for i := range 64 {
-		ran.Go(func() {
+		wg.Go(func() {
 			for n := range 20 {
 				want := fmt.Sprint(i, " ", n)
-				res, err := http.Post("http://"+r.addr+"/", "text/plain", strings.NewReader(want))
+				res, err := http.Post("http://"+fx.addr+"/", "text/plain", strings.NewReader(want))
 				if err != nil {
 					bad.Add(1)
 					continue
@@ -148,7 +148,7 @@
 			}
 		})
 	}
-	ran.Wait()
+	wg.Wait()
 	if bad.Load() > 0 || len(conns) > 2 {
 		t.Errorf("%d bad, over %d connections", bad.Load(), len(conns))
 	}
--- a/httpproxy/problem.go
+++ b/httpproxy/problem.go
@@ -18,30 +18,30 @@
 	"pumicecroft/routes"
 )
 
-// Problem is the body of a response of the proxy's own (RFC 9457).
+// Problem is the body of a response that the proxy itself creates (RFC 9457).
 type Problem struct {
-	Type   string `json:"type"` // problemType and a name that does not change between versions
+	Type   string `json:"type"` // problemType followed by a name that is stable between versions
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// RetryAfter is the time after which to retry, in seconds with decimals. The Retry-After field
-	// has it rounded up. 0 means no advice.
+	// RetryAfter is the number of seconds after which to retry, with decimals. The Retry-After header
+	// has it rounded up to whole seconds, or in strict mode with three decimals. 0 means no advice.
 	RetryAfter float64 `json:"retry_after,omitempty"`
 }
 
 const problemType = "urn:pumicecroft:problem:"
 
-// problemResponse is a response of the proxy's own.
+// problemResponse is a response that the proxy itself creates.
 type problemResponse struct {
 	status     int
 	name       string
 	title      string
 	detail     string
 	retryAfter time.Duration // 0: no advice
-	closeConn  bool          // the rest of what the client sends is not read
+	closeConn  bool          // the rest of the request is not read, so the connection can't be reused
 }
 
-// problemFor returns the response to a request that is not forwarded, or has no response.
+// problemFor returns the response to a request that is not forwarded, or that no backend responded to.
 func (p *Proxy) problemFor(resolved *ResolvedRequest, err error) problemResponse {
 	if problem, ok := resolveProblem(resolved, err); ok {
 		return problem
@@ -52,56 +52,57 @@
 	return forwardProblem(err)
 }
 
-// detailed returns a response whose detail is the error's text.
-func detailed(status int, name, title string, err error) problemResponse {
+// problemWithDetail returns a response whose detail is the error's text.
+func problemWithDetail(status int, name, title string, err error) problemResponse {
 	return problemResponse{status: status, name: name, title: title, detail: err.Error()}
 }
 
-// closing is detailed for a request whose rest is not read.
-func closing(status int, name, title string, err error) problemResponse {
-	problem := detailed(status, name, title, err)
+// problemClosingConn is problemWithDetail for a request whose rest is not read.
+func problemClosingConn(status int, name, title string, err error) problemResponse {
+	problem := problemWithDetail(status, name, title, err)
 	problem.closeConn = true
 	return problem
 }
 
-// resolveProblem returns the response to a request that Resolve or newBackendRequest does not accept.
+// resolveProblem returns the response to a request that Resolve or newBackendRequest rejects.
 func resolveProblem(resolved *ResolvedRequest, err error) (problemResponse, bool) {
 	var method *routes.MethodError
 	switch {
 	case errors.As(err, &method):
-		return detailed(http.StatusMethodNotAllowed, "method", "No route takes this method", err), true
+		return problemWithDetail(http.StatusMethodNotAllowed, "method", "No route takes this method", err), true
 	case errors.Is(err, routes.ErrNoRoute):
 		return problemResponse{status: http.StatusNotFound, name: "no-route", title: "No route takes such a request"}, true
 	case errors.Is(err, routes.ErrInvalidPath), errors.Is(err, routes.ErrInvalidHost),
 		errors.Is(err, http1proxy.ErrInvalidTarget),
 		errors.Is(err, http1proxy.ErrInvalidField), errors.Is(err, errMalformedRequest):
-		return closing(http.StatusBadRequest, "bad-request", "The request makes no sense", err), true
+		return problemClosingConn(http.StatusBadRequest, "bad-request", "The request makes no sense", err), true
 	case errors.Is(err, http1proxy.ErrLoop):
-		return detailed(http.StatusLoopDetected, "loop", "The request goes in a circle", err), true
+		return problemWithDetail(http.StatusLoopDetected, "loop", "The request goes in a circle", err), true
 	case errors.Is(err, errRouteRejects):
 		return problemResponse{status: resolved.Rule.Target.RejectStatus, name: "route-refuses",
 			title: "The route refuses"}, true
 	case errors.Is(err, errUpgradeUnsupported):
-		return detailed(http.StatusNotImplemented, "upgrade", "Connections are not upgraded here", err), true
+		return problemWithDetail(http.StatusNotImplemented, "upgrade", "Connections are not upgraded here", err), true
 	case errors.Is(err, identity.ErrNoCredential):
 		return problemResponse{status: http.StatusUnauthorized, name: "nobody", title: "Nothing says who asks"}, true
 	case errors.Is(err, identity.ErrInvalidCredential):
-		return detailed(http.StatusUnauthorized, "credential", "A credential is not good", err), true
+		return problemWithDetail(http.StatusUnauthorized, "credential", "A credential is not good", err), true
 	}
 	return problemResponse{}, false
 }
 
-// noBodyMemoryRetryAfter is the advice to a client whose body found no memory.
+// noBodyMemoryRetryAfter is the Retry-After of a request that would exceed Config.MaxBodyMemory.
 const noBodyMemoryRetryAfter = time.Second
 
-// bodyProblem returns the response to a request whose body readBody does not accept.
+// bodyProblem returns the response to a request whose body readBody rejects.
 func bodyProblem(err error) (problemResponse, bool) {
 	switch {
 	case errors.Is(err, errBodyTooLarge):
-		return closing(http.StatusRequestEntityTooLarge, "body-too-large", "The body is larger than the route takes",
-			err), true
+		return problemClosingConn(http.StatusRequestEntityTooLarge, "body-too-large",
+			"The body is larger than the route takes", err), true
 	case errors.Is(err, errBodyReadTimeout):
-		return closing(http.StatusRequestTimeout, "body-too-slow", "The body did not come in its time", err), true
+		return problemClosingConn(http.StatusRequestTimeout, "body-too-slow", "The body did not come in its time",
+			err), true
 	case errors.Is(err, errNoBodyMemory):
 		return problemResponse{status: http.StatusServiceUnavailable, name: "no-memory",
 			title:      "There is no room for the body now",
@@ -110,37 +111,36 @@
 	return problemResponse{}, false
 }
 
-// forwardProblem returns the response to a request that the Gateway has rejected or has no response
-// for.
+// forwardProblem returns the response to a request for which the Gateway returned an error.
 func forwardProblem(err error) problemResponse {
 	var rejected *pumicecroft.RejectedError
 	var unknown *pumicecroft.OutcomeUnknownError
 	switch {
 	case errors.As(err, &unknown):
-		problem := detailed(http.StatusConflict, "undecided", "A request with this key may have run", err)
+		problem := problemWithDetail(http.StatusConflict, "undecided", "A request with this key may have run", err)
 		problem.retryAfter = unknown.RetryAfter
 		return problem
 	case errors.As(err, &rejected):
 		return rejectionProblem(rejected)
 	case errors.Is(err, pumicecroft.ErrRejected):
-		return detailed(http.StatusServiceUnavailable, "busy", "The door takes nothing more now", err)
+		return problemWithDetail(http.StatusServiceUnavailable, "busy", "The door takes nothing more now", err)
 	case errors.Is(err, pumicecroft.ErrKeyConflict):
-		return detailed(http.StatusUnprocessableEntity, "key-conflict", "The key belongs to another request", err)
+		return problemWithDetail(http.StatusUnprocessableEntity, "key-conflict", "The key belongs to another request", err)
 	case errors.Is(err, pumicecroft.ErrDuplicateID), errors.Is(err, pumicecroft.ErrBadRequest):
-		return detailed(http.StatusBadRequest, "bad-request", "The request makes no sense", err)
+		return problemWithDetail(http.StatusBadRequest, "bad-request", "The request makes no sense", err)
 	case errors.Is(err, pumicecroft.ErrReplayed), errors.Is(err, pumicecroft.ErrResponseNotRetained):
-		return detailed(http.StatusConflict, "replayed", "The request was here before", err)
+		return problemWithDetail(http.StatusConflict, "replayed", "The request was here before", err)
 	case errors.Is(err, pumicecroft.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
 		return problemResponse{status: http.StatusGatewayTimeout, name: "late",
 			title: "There was no answer in time; it may have run"}
 	}
-	// ErrFailed, or the client has disconnected. One that has ended its sending alone still reads this.
+	// ErrFailed, or the client has disconnected. A client that closed only its sending side still reads this.
 	return problemResponse{status: http.StatusBadGateway, name: "failed",
 		title: "There is no answer to pass on; it may have run"}
 }
 
-// rejectionProblem returns the response to a request that the decision engine has rejected: nothing
-// has run, or running it again is harmless.
+// rejectionProblem returns the response to a request that the decision engine has rejected: the
+// request has not run, or running it again is safe.
 func rejectionProblem(rejected *pumicecroft.RejectedError) problemResponse {
 	problem := problemResponse{status: http.StatusServiceUnavailable, retryAfter: rejected.RetryAfter}
 	switch rejected.Reason {
@@ -159,8 +159,7 @@
 	return problem
 }
 
-// RejectionStatus returns the status by which a request whose Err is not nil is rejected, and the
-// reason.
+// RejectionStatus returns the response status for a request whose Err is not nil, and the reason.
 func (p *Proxy) RejectionStatus(resolved ResolvedRequest) (status int, reason string) {
 	problem := p.problemFor(&resolved, resolved.Err)
 	if problem.detail != "" {
@@ -191,7 +190,7 @@
 	if errors.As(err, &method) {
 		h["Allow"] = []string{strings.Join(method.Allowed, ", ")}
 	}
-	if problem.status == http.StatusUnauthorized { // RFC 9110, 15.5.2
+	if problem.status == http.StatusUnauthorized { // required by RFC 9110, 15.5.2
 		h["Www-Authenticate"] = []string{`Bearer realm="` + p.config.Via + `"`}
 	}
 	p.setRetryAfter(h, problem.retryAfter)
@@ -199,7 +198,7 @@
 	if problem.closeConn {
 		h["Connection"] = []string{"close"}
 	}
-	body, _ := json.Marshal(Problem{ // text and numbers always encode
+	body, _ := json.Marshal(Problem{ // strings and finite numbers can always be encoded
 		Type:       problemType + problem.name,
 		Title:      problem.title,
 		Status:     problem.status,
--- a/httpproxy/proxy.go
+++ b/httpproxy/proxy.go
@@ -1,15 +1,16 @@
-// Package httpproxy is the reverse proxy for ordinary HTTP. A Proxy is an http.Handler for HTTP/1.1
-// and HTTP/2 in any server: it passes each request to the backends of a service through a Gateway,
-// which selects the backend, retries, and rejects.
+// Package httpproxy is a reverse proxy for ordinary HTTP. A Proxy is an http.Handler for HTTP/1.1
+// and HTTP/2 in any server. It forwards each request to the backends of a service through a Gateway,
+// which selects the backend, retries failed attempts and rejects requests over a limit.
 //
-// Routes say which service a request is for and what it costs, an identity.Resolver says who sent
-// it, and the method says whether a retry is safe. Fields that a client may not set for itself are
-// removed. Path, other fields, body and trailers are forwarded unchanged, and so is the response.
+// A route determines the service and the cost of a request, an identity.Resolver determines its
+// customer, and its method determines whether a retry is safe. Header fields that clients are not
+// allowed to set are removed. The path, all other header fields, the body, the trailers and the
+// response are forwarded unchanged.
 //
-// The files: proxy.go has the configuration, resolve.go decides what becomes of a request, request.go
-// makes the request to the backend, body.go reads the client's body, serve.go answers, response.go
-// writes a backend's response and problem.go the proxy's own. The package holds no state about
-// backends or customers: that is the Gateway's.
+// The files: proxy.go has the configuration, resolve.go finds the route, customer and class of a
+// request, request.go creates the request to the backend, body.go reads the client's body, serve.go
+// is the HTTP handler, response.go writes responses of backends and problem.go writes those of the
+// proxy itself. The package keeps no state about backends or customers; the Gateway does.
 package httpproxy
 
 import (
@@ -34,55 +35,57 @@
 	"pumicecroft/routes"
 )
 
-// Statuses say what a route's backends mean by their statuses: Succeeded, Rejected (not processed,
-// so that any other backend may be tried) or Failed (it may have run). The zero value has the usual
-// meaning, which docs/operate/http.md lists.
+// Statuses classify the response statuses of a route's backends as Succeeded, Rejected (the request
+// was not processed, so another backend may be tried) or Failed (the request may have run). The zero
+// value selects the default classification, which docs/operate/http.md lists.
 type Statuses = http1proxy.Statuses
 
-// ForwardedStyle selects the header by which backends are told where a request came from.
+// ForwardedStyle selects the header fields that tell backends where a request came from.
 type ForwardedStyle = http1proxy.ForwardedStyle
 
-// The styles. The default is XForwarded.
+// Values of ForwardedStyle. The default is XForwarded.
 const (
 	XForwarded    = http1proxy.XForwarded    // X-Forwarded-For, X-Forwarded-Proto and X-Forwarded-Host
 	Forwarded     = http1proxy.Forwarded     // Forwarded (RFC 7239)
-	ForwardedNone = http1proxy.ForwardedNone // no header; what the client sent of them is removed
+	ForwardedNone = http1proxy.ForwardedNone // none; those that the client sent are removed too
 )
 
-// ServiceConfig says how the backends of one service are reached. A zero field takes its default.
+// ServiceConfig configures the connections to the backends of one service. A zero field takes its
+// default.
 type ServiceConfig struct {
-	// Name is the service's name, as routes and discovery have it. It is required.
+	// Name is the service's name in routes and discovery. It is required.
 	Name string
 	// MaxConns limits the connections to all backends of the service together. Default 256.
 	MaxConns int
-	// ConnectTimeout limits connecting, TLS handshake included. Default 250 ms, with TLS 1 s.
+	// ConnectTimeout limits the time to connect, including the TLS handshake. Default 250 ms, or 1 s
+	// with TLS.
 	ConnectTimeout time.Duration
-	// IdleTimeout is the time after which a backend may close an idle connection. A connection is
-	// not used any more when it has been idle for 60% of it. Default 15 s.
+	// IdleTimeout is the time after which a backend may close an idle connection. The proxy stops
+	// using a connection that has been idle for 60% of it. Default 15 s.
 	IdleTimeout time.Duration
 	// ResponseBufferBytes is the largest response of known length that is read completely before
-	// any of it is forwarded, so that the request can be retried if the response is cut off.
+	// any of it is forwarded, so that the request can be retried if the response is truncated.
 	// Default 64 KiB; negative means that no response is buffered.
 	ResponseBufferBytes int
 	// TLS configures connections to backends. nil means plain text.
 	TLS *tls.Config
-	// HTTP2 says that backends speak HTTP/2: by ALPN over TLS, by prior knowledge without.
+	// HTTP2 selects HTTP/2 for connections to backends: by ALPN with TLS, by prior knowledge without.
 	HTTP2 bool
 	// MaxHTTP2Conns limits the HTTP/2 connections to one backend. Default 2.
 	MaxHTTP2Conns int
-	// RewriteHost returns the Host for a backend's address. nil forwards the client's.
+	// RewriteHost returns the Host header for a backend's address. nil forwards the client's Host.
 	RewriteHost func(addr string) string
-	// Log receives failed connections and attempts at level debug. nil discards them.
+	// Log receives failed connections and attempts at debug level. nil discards them.
 	Log *slog.Logger
 	// Dial opens connections. nil means a net.Dialer without keep-alive probes.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Protocol returns the protocol name of a service's backends, as membership.Node.Protocol has it.
+// Protocol returns the value of membership.Node.Protocol for the backends of a service.
 func Protocol(service string) string { return httpproxytransport.Protocol(service) }
 
-// WithService lets a Gateway reach the backends of a service: those whose Protocol is that of its
-// name.
+// WithService enables a Gateway to forward to the backends of a service, which are the nodes whose
+// Protocol is Protocol(c.Name).
 func WithService(c ServiceConfig) pumicecroft.Option {
 	transport := httpproxytransport.New(httpproxytransport.Config{
 		Service:             c.Name,
@@ -100,12 +103,15 @@
 	return pumicecroft.WithProtocol(Protocol(c.Name), transport)
 }
 
-// Classes name the request classes of one kind of traffic by idempotency. A request whose class is
-// empty takes the next of IdempotentByKey, NonIdempotent and Idempotent that is not, in this order,
-// so that nothing is retried more freely than it may be.
+// Classes are the names of the request classes of a route, by idempotency. If the class for a request
+// is empty, the request takes the class of the next stricter idempotency that has one, in the order
+// Idempotent, IdempotentByKey, NonIdempotent. A request with no stricter class takes IdempotentByKey
+// or, if that is empty too, Idempotent. Stricter classes come first so that a request is not retried
+// more freely than its idempotency allows.
 type Classes struct{ Idempotent, IdempotentByKey, NonIdempotent string }
 
-// forIdempotency returns the class for requests of an idempotency. It is empty only if all are.
+// forIdempotency returns the class for requests of the given idempotency. It is empty only if all
+// classes are empty.
 func (c *Classes) forIdempotency(i decision.Idempotency) string {
 	switch {
 	case i == decision.Idempotent && c.Idempotent != "":
@@ -120,67 +126,70 @@
 	return c.Idempotent
 }
 
-// Route says what becomes of the requests that match it.
+// Route configures how the requests that match it are forwarded or rejected.
 type Route struct {
-	// Service is the name of the service whose backends get the requests.
+	// Service is the name of the service that the requests are forwarded to.
 	Service string
-	// Class names the classes of the requests.
+	// Class has the names of the requests' classes.
 	Class Classes
-	// Idempotency overrides what the methods of requests say. nil means by method.
+	// Idempotency overrides the idempotency of the request's method. nil means no override.
 	Idempotency *decision.Idempotency
-	// Cost is what a request takes of its customer's quota. 0 means 1.
+	// Cost is the amount that a request takes from its customer's quota. 0 means 1.
 	Cost float64
-	// Timeout bounds a request, in addition to its class's deadline. 0 means the deadline alone.
+	// Timeout limits a request, in addition to its class's deadline. 0 means the deadline alone.
 	Timeout time.Duration
 	// MaxBodyBytes limits a request's body. 0 means 1 MiB.
 	MaxBodyBytes int64
-	// Statuses are the meanings of its backends' statuses.
+	// Statuses classify the response statuses of the service's backends.
 	Statuses Statuses
-	// RejectStatus is the status by which requests are rejected. 0 means that they are forwarded.
+	// RejectStatus is the response status for requests if the route rejects them. 0 means that they
+	// are forwarded.
 	RejectStatus int
 }
 
-// Rules are the routes and identities of a Proxy. They are replaced as a whole by SetRules; a
-// request goes by the ones that were in force when it arrived.
+// Rules are the routes and identity rules of a Proxy. SetRules replaces them as a whole; a request
+// keeps the rules that were in effect when it arrived.
 type Rules struct {
 	Routes   *routes.Table[*Route]
 	Resolver *identity.Resolver
-	// RemoveHeaders are canonical names of fields that are never forwarded, such as an API key's.
+	// RemoveHeaders are the canonical names of header fields that are never forwarded, such as the
+	// field of an API key.
 	RemoveHeaders []string
 }
 
 // Config configures a Proxy. A zero field takes its default.
 type Config struct {
-	// Rules are the first rules. They are required.
+	// Rules are the initial rules. They are required.
 	Rules Rules
-	// BodyReadTimeout limits reading a request's body. Default 10 s.
+	// BodyReadTimeout limits the time to read a request's body. Default 10 s.
 	BodyReadTimeout time.Duration
 	// MaxBodyMemory limits the memory for the bodies of all open requests together, in bytes.
 	// A request that exceeds it is rejected. Default 64 MiB.
 	MaxBodyMemory int64
-	// ForwardedStyle selects the header that tells where a request came from. Default XForwarded.
+	// ForwardedStyle selects the fields that tell backends where a request came from. Default
+	// XForwarded.
 	ForwardedStyle ForwardedStyle
 	// Via is the proxy's name in the Via field. Default "pumicecroft".
 	Via string
-	// TimeoutHeader names the field in which clients may say how long they wait, in seconds or as
-	// "250ms". Empty means that none is read.
+	// TimeoutHeader is the name of the field in which clients may send their timeout, in seconds or
+	// with a unit such as "250ms". Empty means that no field is read.
 	TimeoutHeader string
-	// RemainingTimeoutHeader names the field in which backends are told how many seconds their
-	// client still waits. Empty means that they are not told.
+	// RemainingTimeoutHeader is the name of the field in which backends receive the seconds that are
+	// left of the client's timeout. Empty means that none is sent.
 	RemainingTimeoutHeader string
-	// RequestIDHeader names the field of the request's ID. An ID is generated if the client sends
+	// RequestIDHeader is the name of the request ID's field. An ID is generated if the client sends
 	// none. Default "X-Request-Id".
 	RequestIDHeader string
-	// Strict requires what the platform's clients send: an ID of 16 hex digits in each request, new
-	// in each retry, so that one that was seen before is a replay; a timeout; and from a trusted
-	// peer the cost. Retry-After may have decimals then.
+	// Strict enforces the conventions of the platform's clients: each request has a timeout and an ID
+	// of 16 hex digits, a trusted peer also declares the cost, and a retry has a new ID, so that a
+	// repeated ID identifies a replay. Retry-After has decimals in this mode.
 	Strict bool
-	// IdempotencyKeyHeader names the field of the idempotency key. Default "Idempotency-Key".
+	// IdempotencyKeyHeader is the name of the idempotency key's field. Default "Idempotency-Key".
 	IdempotencyKeyHeader string
 	// MaxIdempotentResponseBytes limits the response to a request with an idempotency key, which is
 	// read completely before it is forwarded. Default 1 MiB.
 	MaxIdempotentResponseBytes int
-	// Log receives requests that are not accepted. nil discards them.
+	// Log receives malformed and unauthenticated requests. nil discards them.
 	Log *slog.Logger
 }
 
@@ -195,8 +204,8 @@
 	defaultIdempotencyKeyHeader       = "Idempotency-Key"
 )
 
-// maxViaEntries is how often a request may have passed proxies of this name before it is taken to
-// go in a loop.
+// maxViaEntries is the number of occurrences of the proxy's name in Via at which a request is
+// rejected as a loop.
 const maxViaEntries = 8
 
 // Proxy is an http.Handler that forwards requests through a Gateway. It is safe for concurrent use.
@@ -215,17 +224,18 @@
 
 var _ http.Handler = (*Proxy)(nil)
 
-// compiledRules are Rules with the header forwarding that follows from them.
+// compiledRules are Rules with the header forwarder that is derived from them.
 type compiledRules struct {
 	Rules
 	headers http1proxy.HeaderForwarder
 }
 
-// ErrInvalidRules says that rules name a class, plan or service that the Gateway does not have.
+// ErrInvalidRules means that rules are incomplete, have invalid statuses, or name a class, plan or
+// service that the Gateway does not have.
 var ErrInvalidRules = errors.New("httpproxy: invalid rules")
 
-// New returns a Proxy for a Gateway that was made with WithService for each of its services. The
-// error is an ErrInvalidRules.
+// New returns a Proxy for a Gateway that was created with WithService for each service in c.Rules.
+// The error is an ErrInvalidRules.
 func New(gateway *pumicecroft.Gateway, c Config) (*Proxy, error) {
 	setDefaults(&c)
 	p := &Proxy{
@@ -269,11 +279,11 @@
 	}
 }
 
-// SetRules puts rules in force for requests that arrive from now on. On an error, which joins an
-// ErrInvalidRules for each problem, the earlier ones stay in force.
+// SetRules replaces the rules for requests that arrive from now on. If the rules are invalid, the
+// earlier ones stay in effect, and the error joins an ErrInvalidRules for each problem.
 func (p *Proxy) SetRules(r Rules) error {
 	if r.Routes == nil || r.Resolver == nil {
-		return fmt.Errorf("%w: no routes or no identities", ErrInvalidRules)
+		return fmt.Errorf("%w: Routes and Resolver are required", ErrInvalidRules)
 	}
 	var problems []error
 	for rule := range r.Routes.Rules() {
@@ -281,7 +291,7 @@
 	}
 	for _, plan := range r.Resolver.Plans() {
 		if p.plans[plan] == nil {
-			problems = append(problems, fmt.Errorf("%w: identities have unknown plan %q", ErrInvalidRules, plan))
+			problems = append(problems, fmt.Errorf("%w: identity rules have unknown plan %q", ErrInvalidRules, plan))
 		}
 	}
 	if len(problems) > 0 {
@@ -300,7 +310,7 @@
 	return nil
 }
 
-// checkRoute returns an ErrInvalidRules for each name in a route that the Gateway does not have.
+// checkRoute returns an ErrInvalidRules for each invalid part of a route.
 func (p *Proxy) checkRoute(rule *routes.Rule[*Route]) (problems []error) {
 	target := rule.Target
 	if target.RejectStatus != 0 {
--- a/httpproxy/proxy_test.go
+++ b/httpproxy/proxy_test.go
@@ -107,20 +107,20 @@
 }
 
 // exchangeRaw reads one response, and the 1xx responses before it.
-func exchangeRaw(t testing.TB, method, text string) (infos []int, res *http.Response, body string, err error) {
+func exchangeRaw(t testing.TB, method, text string) (informational []int, res *http.Response, body string, err error) {
 	t.Helper()
 	in := bufio.NewReader(strings.NewReader(text))
 	for {
 		if res, err = http.ReadResponse(in, &http.Request{Method: method}); err != nil {
-			return infos, nil, "", err
+			return informational, nil, "", err
 		}
 		if res.StatusCode >= 200 {
 			break
 		}
-		infos = append(infos, res.StatusCode)
+		informational = append(informational, res.StatusCode)
 	}
 	b, err := io.ReadAll(res.Body)
-	return infos, res, string(b), err
+	return informational, res, string(b), err
 }
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -194,12 +194,12 @@
 			t.Parallel()
 			b := startScriptedBackend(t, c.answers...)
 			// Two names of one backend: a repeat may go to the other.
-			r := startProxy(t, serviceSection("shop", b.addr(),
+			fx := startProxy(t, serviceSection("shop", b.addr(),
 				strings.Replace(b.addr(), "127.0.0.1", "localhost", 1))+"hold = 65536\n")
 			text := fmt.Sprintf("%s /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s",
 				c.method, len(c.body), c.body)
-			got := sendRaw(t, r.addr, text, testTimeout)
-			infos, res, body, err := exchangeRaw(t, c.method, got)
+			got := sendRaw(t, fx.addr, text, testTimeout)
+			informational, res, body, err := exchangeRaw(t, c.method, got)
 			if res == nil {
 				t.Fatalf("%v: %.200q", err, got)
 			}
@@ -209,10 +209,10 @@
 			if n := len(b.requests()); n != c.attempts {
 				t.Errorf("%d attempts: %.80q", n, b.requests())
 			}
-			if strings.HasPrefix(c.name, "hints") && len(infos) == 0 {
+			if strings.HasPrefix(c.name, "hints") && len(informational) == 0 {
 				t.Error("no hints came")
 			}
-			if open := r.gateway.OpenRequests(); open != 0 {
+			if open := fx.gateway.OpenRequests(); open != 0 {
 				t.Errorf("%d requests are open", open)
 			}
 		})
@@ -230,7 +230,7 @@
 		got = r
 		w.WriteHeader(http.StatusEarlyHints)
 	}), nil)
-	r := startProxy(t, serviceSection("shop", backend)+`
+	fx := startProxy(t, serviceSection("shop", backend)+`
 [http]
 trusted = ["10.0.0.0/8"]
 [[identity]]
@@ -313,10 +313,10 @@
 			if !strings.Contains(text, "\nConnection:") {
 				text = strings.Replace(text, "\r\n", "\r\nConnection: close\r\n", 1)
 			}
-			all := sendRaw(t, r.addr, text, 2*time.Second)
-			infos, res, body, _ := exchangeRaw(t, "GET", all)
-			if strings.Contains(text, "HTTP/1.0") && len(infos) > 0 {
-				t.Errorf("%v to a client of HTTP/1.0", infos)
+			all := sendRaw(t, fx.addr, text, 2*time.Second)
+			informational, res, body, _ := exchangeRaw(t, "GET", all)
+			if strings.Contains(text, "HTTP/1.0") && len(informational) > 0 {
+				t.Errorf("%v to a client of HTTP/1.0", informational)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -368,8 +368,8 @@
 				<-more
 				io.WriteString(w, strings.Repeat("x", 99995))
 			}), nil)
-			r := startProxy(t, serviceSection("shop", backend))
-			res, err := http.Get("http://" + r.addr + "/")
+			fx := startProxy(t, serviceSection("shop", backend))
+			res, err := http.Get("http://" + fx.addr + "/")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -399,10 +399,10 @@
 			}
 		}
 	}), nil)
-	r := startProxy(t, serviceSection("shop", backend)+"deadline = \"700ms\"\n")
+	fx := startProxy(t, serviceSection("shop", backend)+"deadline = \"700ms\"\n")
 	for _, leaves := range []bool{false, true} {
 		for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-			c, err := net.Dial("tcp", r.addr)
+			c, err := net.Dial("tcp", fx.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -424,7 +424,7 @@
 		case <-time.After(testTimeout):
 			t.Fatal("the backend is still asked")
 		}
-		for end := time.Now().Add(testTimeout); r.gateway.OpenRequests() > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); fx.gateway.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the request is still open")
 			}
@@ -441,19 +441,19 @@
 		<-release
 		io.WriteString(w, "done")
 	}), nil)
-	r := startProxy(t, serviceSection("shop", backend))
+	fx := startProxy(t, serviceSection("shop", backend))
 	old := make(chan string)
 	go func() {
-		_, res, body, _ := exchangeRaw(t, "GET", sendRaw(t, r.addr,
+		_, res, body, _ := exchangeRaw(t, "GET", sendRaw(t, fx.addr,
 			"GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
 		old <- fmt.Sprint(res.StatusCode, body)
 	}()
 	<-came
-	if err := r.proxy.SetRules(r.rules(parseFile(t, serviceSection("shop",
+	if err := fx.proxy.SetRules(fx.rules(parseFile(t, serviceSection("shop",
 		backend)+"[[route]]\nrefuse = 403\n"))); err != nil {
 		t.Fatal(err)
 	}
-	res, err := http.Get("http://" + r.addr + "/a")
+	res, err := http.Get("http://" + fx.addr + "/a")
 	if err != nil || res.StatusCode != 403 {
 		t.Errorf("%v %v", res, err)
 	}
@@ -462,11 +462,11 @@
 	if got := <-old; got != "200done" {
 		t.Error(got)
 	}
-	err = r.proxy.SetRules(r.rules(parseFile(t, serviceSection("other", backend))))
+	err = fx.proxy.SetRules(fx.rules(parseFile(t, serviceSection("other", backend))))
 	if !errors.Is(err, httpproxy.ErrInvalidRules) {
 		t.Errorf("rules of another service: %v", err)
 	}
-	res, err = http.Get("http://" + r.addr + "/a")
+	res, err = http.Get("http://" + fx.addr + "/a")
 	if err != nil {
 		t.Fatalf("after a bad swap: %v", err)
 	}
@@ -481,7 +481,7 @@
 func TestOneQuotaOverServices(t *testing.T) {
 	var n atomic.Int64
 	count := http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { n.Add(1) })
-	r := startProxy(t, serviceSection("a", startServer(t, count, nil))+serviceSection("b", startServer(t, count, nil))+`
+	fx := startProxy(t, serviceSection("a", startServer(t, count, nil))+serviceSection("b", startServer(t, count, nil))+`
 [[plan]]
 name = "small"
 rate = 0.01
@@ -496,7 +496,7 @@
 `)
 	served := 0
 	for i := range 20 {
-		res, err := http.Get("http://" + r.addr + []string{"/a/", "/b/"}[i%2])
+		res, err := http.Get("http://" + fx.addr + []string{"/a/", "/b/"}[i%2])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -526,7 +526,7 @@
 		w.WriteHeader(201)
 		fmt.Fprintf(w, "order %d", n.Add(1))
 	}), nil)
-	r := startProxy(t, serviceSection("shop", backend)+"[keys]\n")
+	fx := startProxy(t, serviceSection("shop", backend)+"[keys]\n")
 	for i, want := range []string{"201 order 1 a", "201 order 1 a", "422", "201 order 2 a"} {
 		key, body := "k", "a"
 		switch i {
@@ -535,7 +535,7 @@
 		case 3:
 			key = "other"
 		}
-		req, _ := http.NewRequest("POST", "http://"+r.addr+"/orders", bytes.NewReader([]byte(body)))
+		req, _ := http.NewRequest("POST", "http://"+fx.addr+"/orders", bytes.NewReader([]byte(body)))
 		req.Header.Set("Idempotency-Key", key)
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
@@ -559,9 +559,9 @@
 		io.Copy(io.Discard, r.Body)
 		<-release
 	}), nil)
-	r := startProxy(t, serviceSection("shop", backend)+"[http]\nbody_memory = 100000\nbody_timeout = \"300ms\"\n")
+	fx := startProxy(t, serviceSection("shop", backend)+"[http]\nbody_memory = 100000\nbody_timeout = \"300ms\"\n")
 	post := func(size int) int {
-		res, err := http.Post("http://"+r.addr+"/", "text/plain", io.LimitReader(zeroReader{}, int64(size)))
+		res, err := http.Post("http://"+fx.addr+"/", "text/plain", io.LimitReader(zeroReader{}, int64(size)))
 		if err != nil {
 			t.Error(err)
 			return 0
@@ -571,7 +571,7 @@
 	}
 	first := make(chan int)
 	go func() { first <- post(60_000) }()
-	for end := time.Now().Add(testTimeout); r.gateway.OpenRequests() == 0 &&
+	for end := time.Now().Add(testTimeout); fx.gateway.OpenRequests() == 0 &&
 		time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	if got := post(60_000); got != 503 {
@@ -584,7 +584,7 @@
 	if got := post(60_000); got != 200 {
 		t.Errorf("with room again: %d", got)
 	}
-	_, res, _, _ := exchangeRaw(t, "POST", sendRaw(t, r.addr,
+	_, res, _, _ := exchangeRaw(t, "POST", sendRaw(t, fx.addr,
 		"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf", testTimeout))
 	if res == nil || res.StatusCode != 408 {
 		t.Errorf("a body that does not come: %v", res)
@@ -607,9 +607,9 @@
 			<-r.Context().Done()
 		}
 	}), nil)
-	r := startProxy(t, serviceSection("shop",
+	fx := startProxy(t, serviceSection("shop",
 		backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n")
-	host := http.StripPrefix("/api", http.TimeoutHandler(r.proxy, time.Second, "host's"))
+	host := http.StripPrefix("/api", http.TimeoutHandler(fx.proxy, time.Second, "host's"))
 	ask := func(target string, who bool) *httptest.ResponseRecorder {
 		req := httptest.NewRequest("GET", target, nil)
 		if who {
@@ -627,15 +627,15 @@
 		t.Errorf("nobody: %d", w.Code)
 	}
 	for target, want := range map[string]int{"/a": 200, "/own": 418} {
-		swap := r.rules(parseFile(t, serviceSection("shop",
+		swap := fx.rules(parseFile(t, serviceSection("shop",
 			backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n[[route]]\npath = \"/a\"\n[[route]]\npath = \"/own\"\nmethods = [\"PUT\"]\n"))
-		if err := r.proxy.SetRules(swap); err != nil {
+		if err := fx.proxy.SetRules(swap); err != nil {
 			t.Fatal(err)
 		}
 		w := httptest.NewRecorder()
 		req := httptest.NewRequest("GET", target, nil).WithContext(pumicecroft.WithIdentity(context.Background(),
 			pumicecroft.Identity{Customer: 7, Plan: "p"}))
-		r.proxy.WithFallback(http.HandlerFunc(func(w http.ResponseWriter,
+		fx.proxy.WithFallback(http.HandlerFunc(func(w http.ResponseWriter,
 			_ *http.Request) {
 			w.WriteHeader(418)
 		})).ServeHTTP(w, req)
@@ -643,7 +643,7 @@
 			t.Errorf("%s beside a host's own: %d", target, w.Code)
 		}
 	}
-	if err := r.proxy.SetRules(r.rules(r.file)); err != nil {
+	if err := fx.proxy.SetRules(fx.rules(fx.file)); err != nil {
 		t.Fatal(err)
 	}
 	if w := ask("/api/slow", true); w.Code != 503 || w.Body.String() != "host's" {
@@ -665,7 +665,7 @@
 			w.WriteHeader(500) // and it is made again, after the token's end
 		}
 	}), nil)
-	r := startProxy(t, serviceSection("shop", b, strings.Replace(b, "127.0.0.1", "localhost", 1))+fmt.Sprintf(`
+	fx := startProxy(t, serviceSection("shop", b, strings.Replace(b, "127.0.0.1", "localhost", 1))+fmt.Sprintf(`
 [[identity]]
 kind = "token"
 algorithms = ["HS256"]
@@ -681,7 +681,7 @@
 		t.Fatal(err)
 	}
 	for i, want := range []int{200, 401} {
-		req, _ := http.NewRequest("GET", "http://"+r.addr+"/", nil)
+		req, _ := http.NewRequest("GET", "http://"+fx.addr+"/", nil)
 		req.Header.Set("Authorization", "Bearer "+text)
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
@@ -699,12 +699,12 @@
 func TestBytesBehindResponseCloseConnection(t *testing.T) {
 	evil := strings.Replace(okResponse, "ok", "no", 1)
 	b := startScriptedBackend(t, okResponse+evil, okResponse, okResponse+"\r\n", "late:"+okResponse, okResponse)
-	r := startProxy(t, serviceSection("shop", b.addr()))
+	fx := startProxy(t, serviceSection("shop", b.addr()))
 	for i := range 5 {
 		if i == 4 {
 			time.Sleep(100 * time.Millisecond) // what comes late has come
 		}
-		_, res, body, err := exchangeRaw(t, "GET", sendRaw(t, r.addr,
+		_, res, body, err := exchangeRaw(t, "GET", sendRaw(t, fx.addr,
 			"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
 		if err != nil || res.StatusCode != 200 || body != "ok" {
 			t.Errorf("answer %d: %v %q %v", i, res, body, err)
@@ -716,8 +716,8 @@
 // end of the body.
 func TestBodyReadTimeCountsAgainstTimeout(t *testing.T) {
 	t.Parallel()
-	r := startProxy(t, serviceSection("shop", startScriptedBackend(t, "hang").addr())+"deadline = \"2s\"\n")
-	c, err := net.Dial("tcp", r.addr)
+	fx := startProxy(t, serviceSection("shop", startScriptedBackend(t, "hang").addr())+"deadline = \"2s\"\n")
+	c, err := net.Dial("tcp", fx.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/httpproxy/request.go
+++ b/httpproxy/request.go
@@ -15,8 +15,8 @@
 	"pumicecroft/internal/requestmeta"
 )
 
-// newBackendRequest returns the request for backends, without its body, and the request as the
-// Gateway decides on it. The error is an errMalformedRequest or one of http1proxy.
+// newBackendRequest returns the request to send to backends, without its body, and the request that
+// the Gateway makes decisions on. The error is an errMalformedRequest or one of http1proxy.
 func (p *Proxy) newBackendRequest(rules *compiledRules, res *ResolvedRequest, r *http.Request, origin http1proxy.Origin) (
 	*httpproxytransport.Request, pumicecroft.Request, error) {
 	target := res.Rule.Target
@@ -58,7 +58,7 @@
 	return payload, request, err
 }
 
-// readTimeout bounds a request by what its client says that it waits.
+// readTimeout limits a request's timeout to the one that its client has sent.
 func (p *Proxy) readTimeout(request *pumicecroft.Request, h http.Header) error {
 	name := p.config.TimeoutHeader
 	if name == "" || len(h[name]) == 0 && !p.config.Strict {
@@ -66,44 +66,44 @@
 	}
 	timeout, ok := parseTimeout(h[name])
 	if !ok {
-		return malformed(name)
+		return malformedError(name)
 	}
 	request.Timeout = min(request.Timeout, timeout)
 	return nil
 }
 
-// readCost sets a request's cost, and the gateways that its customer uses, as a trusted peer
-// declares them: a number, or terms as the platform writes them.
+// readCost sets a request's cost from the declaration of a trusted peer: a number, or terms in the
+// platform's format, which also have the gateways that the customer uses.
 func (p *Proxy) readCost(request *pumicecroft.Request, res *ResolvedRequest) error {
 	declared := res.Caller.DeclaredCost
 	switch {
 	case declared == "" && res.Caller.TrustedPeer && p.config.Strict:
-		return malformed("units")
+		return malformedError("units")
 	case declared == "":
 		return nil
 	case strings.Contains(declared, "="):
 		terms, ok := requestmeta.ParseTerms(declared, &p.settings)
 		if !ok {
-			return malformed("terms")
+			return malformedError("terms")
 		}
 		request.Cost, request.GatewaySpread, request.FirstGateway = terms.Cost, terms.GatewaySpread, terms.FirstGateway
 		return nil
 	}
 	cost, err := strconv.ParseFloat(declared, 64)
 	if err != nil || !(cost > 0) || math.IsInf(cost, 0) {
-		return malformed("units")
+		return malformedError("units")
 	}
 	request.Cost = cost
 	return nil
 }
 
-// readRequestID sets a request's ID. It returns the field to add, as name and value, where the ID is
-// generated.
+// readRequestID sets a request's ID. If the ID is generated, it returns the header field to add, as
+// name and value.
 func (p *Proxy) readRequestID(request *pumicecroft.Request, h http.Header) (added []string, err error) {
 	name := p.config.RequestIDHeader
 	ids := h[name]
 	if !p.config.Strict && len(ids) > 0 {
-		return nil, nil // the client's own ID is forwarded, and is no ID to decide by
+		return nil, nil // the client's ID is forwarded, but the Gateway does not use it
 	}
 	if !p.config.Strict {
 		id := rand.Uint64()
@@ -111,17 +111,17 @@
 		return []string{name, formatRequestID(id)}, nil
 	}
 	if len(ids) != 1 {
-		return nil, malformed(name)
+		return nil, malformedError(name)
 	}
 	id, err := requestmeta.ParseHexID(ids[0])
 	if err != nil {
-		return nil, malformed(name)
+		return nil, malformedError(name)
 	}
 	*request = request.WithID(id)
 	return nil, nil
 }
 
-func malformed(name string) error { return fmt.Errorf("%w: %s", errMalformedRequest, name) }
+func malformedError(name string) error { return fmt.Errorf("%w: %s", errMalformedRequest, name) }
 
 // formatRequestID returns an ID as 16 hex digits.
 func formatRequestID(id uint64) string {
@@ -138,7 +138,8 @@
 	return h
 }
 
-// maxTimeoutSeconds bounds a timeout in seconds, so that it fits a time.Duration.
+// maxTimeoutSeconds limits a timeout in seconds, so that its conversion to a time.Duration can't
+// overflow.
 const maxTimeoutSeconds = 3600
 
 // parseTimeout parses a timeout in seconds, or with a unit such as "250ms".
--- a/httpproxy/resolve.go
+++ b/httpproxy/resolve.go
@@ -19,33 +19,34 @@
 	"pumicecroft/routes"
 )
 
-// ResolvedRequest says what becomes of a request, as far as it is known before the Gateway is asked.
+// ResolvedRequest has the route, caller and class of a request, or the reason why it is rejected
+// before it reaches the Gateway.
 type ResolvedRequest struct {
 	Rule        *routes.Rule[*Route] // nil: no route matches
 	Params      []routes.Param
 	Caller      identity.Caller
 	Idempotency decision.Idempotency
 	Class       string
-	Target      string // path and query as they came
-	Err         error  // why the request is not forwarded; nil: it is
+	Target      string // path and query as received
+	Err         error  // why the request is rejected; nil: it is passed to the Gateway
 }
 
-// Errors beside those of packages routes and identity by which a request is not forwarded. Their
-// texts go out as the detail of a Problem.
+// Reasons for rejecting a request, in addition to the errors of the packages routes and identity.
+// Clients receive their texts as the detail of a Problem.
 var (
 	errRouteRejects       = errors.New("the route rejects its requests")
 	errUpgradeUnsupported = errors.New("connection upgrades are not supported")
 	errMalformedRequest   = errors.New("malformed or ambiguous request")
 )
 
-// Resolve says what would become of a request that arrived at now. It asks no backend and does not
-// read the body.
+// Resolve returns how the Proxy would treat a request that arrives at now. It contacts no backend and
+// does not read the body.
 func (p *Proxy) Resolve(r *http.Request, now time.Time) ResolvedRequest {
 	resolved, _ := p.resolve(p.rules.Load(), r, now)
 	return resolved
 }
 
-// resolve is Resolve by the given rules. origin is valid if the request is to be forwarded.
+// resolve is Resolve with the given rules. The origin is only valid if ResolvedRequest.Err is nil.
 func (p *Proxy) resolve(rules *compiledRules, r *http.Request, now time.Time) (ResolvedRequest, http1proxy.Origin) {
 	resolved := ResolvedRequest{Target: reqtarget.Of(r)}
 	if resolved.Err = resolved.matchRoute(rules, r); resolved.Err != nil {
@@ -81,10 +82,10 @@
 		Header: func(name string) []string { return r.Header[http1proxy.CanonicalHeaderName(name)] },
 	}
 	if hasQuery {
-		var values url.Values // parsed at the first condition on it
+		var values url.Values // parsed when a condition first uses it
 		request.Query = func(name string) []string {
 			if values == nil {
-				values, _ = url.ParseQuery(query) // what can't be parsed meets no condition
+				values, _ = url.ParseQuery(query) // parts that can't be parsed match no condition
 			}
 			return values[name]
 		}
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// isUpgrade reports whether a request asks for a WebSocket, over HTTP/1.1 or HTTP/2 (RFC 8441).
+// isUpgrade reports whether a request opens a WebSocket, over HTTP/1.1 or HTTP/2 (RFC 8441).
 func isUpgrade(r *http.Request) bool {
 	if r.ProtoMajor == 2 && len(r.Header[":protocol"]) > 0 {
 		return true
@@ -109,7 +110,7 @@
 		httpguts.HeaderValuesContainsToken(r.Header["Upgrade"], "websocket")
 }
 
-// credentialsOf collects what a request says about who sent it.
+// credentialsOf collects the parts of a request that identify its sender.
 func credentialsOf(resolver *identity.Resolver, r *http.Request, now time.Time) identity.Request {
 	credentials := identity.Request{Header: r.Header, Now: now}
 	if peer, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
@@ -122,8 +123,8 @@
 	return credentials
 }
 
-// identify returns who sent a request: the identity that the host has put into its context, or what
-// the resolver finds.
+// identify returns the caller of a request: the identity that the embedding program has put into the
+// request's context or, without one, the result of the resolver.
 func identify(resolver *identity.Resolver, r *http.Request, credentials *identity.Request) (identity.Caller, error) {
 	if id, ok := pumicecroft.IdentityFrom(r.Context()); ok {
 		return identity.Caller{Customer: id.Customer, Plan: id.Plan, Rule: "host"}, nil
@@ -131,7 +132,7 @@
 	return resolver.Resolve(credentials)
 }
 
-// classify sets the class and idempotency of a request, by its route, method and idempotency key.
+// classify sets the class and idempotency of a request from its route, method and idempotency key.
 func (p *Proxy) classify(res *ResolvedRequest, r *http.Request) error {
 	keys := r.Header[p.config.IdempotencyKeyHeader]
 	if len(keys) > 1 {
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// originOf says where a request came from, as backends are told.
+// originOf returns where a request came from, for the Forwarded, X-Forwarded-* and Via fields.
 func originOf(r *http.Request, peer netip.Addr, trusted bool) http1proxy.Origin {
 	origin := http1proxy.Origin{Host: r.Host, TLS: r.TLS != nil, TrustedPeer: trusted, Addr: "unknown", Proto: "1.1"}
 	if peer.IsValid() {
--- a/httpproxy/response.go
+++ b/httpproxy/response.go
@@ -11,8 +11,8 @@
 	"pumicecroft/internal/httpproxytransport"
 )
 
-// responseSink streams a backend's response to the client. An attempt may outlive its request by a
-// little: after close nothing is written any more. It is safe for concurrent use.
+// responseSink streams a backend's response to the client. An attempt may end shortly after its
+// request, so nothing is written any more after close. It is safe for concurrent use.
 type responseSink struct {
 	w      http.ResponseWriter
 	http10 bool // the client speaks HTTP/1.0, which has no 1xx responses (RFC 9110, 15.2)
@@ -55,8 +55,9 @@
 		return
 	}
 	s.started = true
-	// A client that does not read is given up a little after the attempt's end. A writer that the host
-	// has wrapped may not support deadlines: then the host's own limit holds.
+	// A client that does not read its response is disconnected writeGrace after the attempt's deadline.
+	// A ResponseWriter wrapped by the embedding program may not support deadlines: then only that
+	// program's own timeout applies.
 	_ = http.NewResponseController(s.w).SetWriteDeadline(deadline.Add(writeGrace))
 	setResponseHeader(s.w, response)
 	s.w.WriteHeader(response.Status)
@@ -103,7 +104,7 @@
 	return s.complete
 }
 
-// close lets nothing more be written. It waits for a write in progress, which ends by its deadline.
+// close prevents any further writes. It waits for a write in progress, which the write deadline limits.
 func (s *responseSink) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +120,7 @@
 		h["Connection"] = connection
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // keeps net/http from guessing one
+		h["Content-Type"] = nil // keeps net/http from detecting one
 	}
 	if len(response.Trailer) > 0 {
 		var names []string
@@ -147,10 +148,10 @@
 	setResponseHeader(w, response)
 	w.WriteHeader(response.Status)
 	if len(response.Body) > 0 {
-		_, _ = w.Write(response.Body) // a failure closes the connection, by which the client sees it
+		_, _ = w.Write(response.Body) // on an error, net/http closes the connection, and the client notices
 	}
 	if len(response.Trailer) > 0 {
-		// Without a flush the server would send Content-Length, beside which there are no trailers.
+		// Without a flush, net/http would send a Content-Length instead of chunks, and no trailers.
 		_ = http.NewResponseController(w).Flush()
 		setTrailers(w, response.Trailer)
 	}
--- a/httpproxy/reverseproxy_test.go
+++ b/httpproxy/reverseproxy_test.go
@@ -38,7 +38,7 @@
 	trailer        http.Header
 
 	status          int
-	infos           []int
+	informational   []int
 	responseHeader  http.Header
 	responseBody    []byte
 	responseChunked bool
@@ -47,16 +47,16 @@
 
 // observedMessage is a message as it arrived.
 type observedMessage struct {
-	line    string
-	header  http.Header
-	body    string
-	trailer http.Header
-	infos   []string
+	line          string
+	header        http.Header
+	body          string
+	trailer       http.Header
+	informational []string
 }
 
 func (s observedMessage) String() string {
 	return fmt.Sprintf("%s\n%v\n%d bytes %.60q\ntrailer %v\ninfos %v", s.line, s.header, len(s.body), s.body,
-		s.trailer, s.infos)
+		s.trailer, s.informational)
 }
 
 var headerNames = []string{"X-A", "X-B", "Accept", "Cookie", "X-Empty", "Authorization", "Forwarded",
@@ -112,7 +112,7 @@
 	x.status = rapid.SampledFrom([]int{200, 200, 201, 204, 206, 301, 304, 400, 404, 409, 418, 429, 500, 501, 502, 503,
 		599, 799}).Draw(t, "status")
 	if rapid.IntRange(0, 5).Draw(t, "info") == 0 {
-		x.infos = []int{103}
+		x.informational = []int{103}
 	}
 	if x.status != 204 && x.status != 304 {
 		x.responseBody = bytes.Repeat([]byte("a"), rapid.SampledFrom([]int{0, 1, 300, 5000, 100_000}).Draw(t,
@@ -139,7 +139,7 @@
 	e.received = append(e.received, observedMessage{line: r.Method + " " + r.RequestURI + " " + r.Host,
 		header: r.Header, body: string(body), trailer: r.Trailer})
 	x := e.exchange
-	for _, status := range x.infos {
+	for _, status := range x.informational {
 		w.Header()["Link"] = []string{"</s.css>"}
 		w.WriteHeader(status)
 		delete(w.Header(), "Link")
@@ -172,7 +172,7 @@
 	var s observedMessage
 	ctx := httptrace.WithClientTrace(context.Background(),
 		&httptrace.ClientTrace{Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
-			s.infos = append(s.infos, fmt.Sprint(code, http.Header(h)))
+			s.informational = append(s.informational, fmt.Sprint(code, http.Header(h)))
 			return nil
 		}})
 	req := (&http.Request{Method: x.method, URL: &url.URL{Scheme: "http", Host: addr, Opaque: x.target},
@@ -210,7 +210,7 @@
 	e := &echoBackend{}
 	backend := startServer(t, e, nil)
 	// it is believed what came before it, as ReverseProxy is told to
-	r := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("aim = \"4ms\"\nspeaks = %q\n",
+	fx := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("aim = \"4ms\"\nspeaks = %q\n",
 		speaks)+"[http]\ntrusted = [\"127.0.0.1\"]\n")
 	proxy := &httputil.ReverseProxy{ErrorLog: log.New(io.Discard, "", 0),
 		Transport: &http.Transport{DisableCompression: true},
@@ -244,7 +244,7 @@
 			return e.received[len(e.received)-1], back
 		}
 		wantAt, want := through(other)
-		gotAt, got := through(r.addr)
+		gotAt, got := through(fx.addr)
 		for name := range intendedDifferences {
 			delete(wantAt.header, name)
 			delete(gotAt.header, name)
@@ -278,8 +278,8 @@
 			delete(got.header, "Content-Length")
 			delete(want.header, "Content-Length")
 		}
-		if len(want.infos) > 0 { // a request that is tried again has its 1xx answers again
-			got.infos = got.infos[:min(1, len(got.infos))]
+		if len(want.informational) > 0 { // a request that is tried again has its 1xx answers again
+			got.informational = got.informational[:min(1, len(got.informational))]
 		}
 		// what came in chunks may have had another length: its connection ends
 		if len(got.header["Connection"]) > 0 || x.chunked {
--- a/httpproxy/serve.go
+++ b/httpproxy/serve.go
@@ -14,17 +14,18 @@
 	"pumicecroft/routes"
 )
 
-// WithFallback returns a handler for hosts with routes of their own: a request that no route of the
-// Proxy matches goes to next, unchanged. All others, rejections included, are the Proxy's.
+// WithFallback returns a handler for programs that also have handlers of their own. It passes a
+// request that no route of the Proxy matches to next, unchanged. The Proxy handles, or rejects, all
+// others.
 func (p *Proxy) WithFallback(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { p.serve(w, r, next) })
 }
 
-// ServeHTTP gives a request its one final response. If a response that has begun is cut off, it
-// panics with http.ErrAbortHandler, which ends the client's connection.
+// ServeHTTP forwards a request and writes the response. If a response is truncated after its header
+// has been sent, it panics with http.ErrAbortHandler, which aborts the response to the client.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.serve(w, r, nil) }
 
-// serve is ServeHTTP; next is nil, or gets the requests that no route matches.
+// serve is ServeHTTP. If next is not nil, it handles the requests that no route matches.
 func (p *Proxy) serve(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	arrived := time.Now()
 	rules := p.rules.Load()
@@ -33,9 +34,10 @@
 		next.ServeHTTP(w, r)
 		return
 	}
-	// Guards against request smuggling: the server drops a Content-Length beside a Transfer-Encoding
-	// unseen. A neighbour that goes by the one that was dropped sees another request where this body
-	// ends, or the reverse. Nothing is read from the connection after such a request.
+	// Guards against request smuggling: net/http silently drops the Content-Length of a request that
+	// also has a Transfer-Encoding, and the Transfer-Encoding of an HTTP/1.0 request. Another proxy on
+	// the path may use the dropped field and see this body end, and the next request begin, elsewhere.
+	// Therefore no further request is read from the connection.
 	if r.ProtoMajor == 1 && (len(r.TransferEncoding) > 0 || r.ProtoMinor == 0) {
 		w.Header()["Connection"] = []string{"close"}
 	}
@@ -62,7 +64,7 @@
 		p.writeProblem(w, r, &resolved, err)
 		return
 	}
-	request.Timeout = max(1, request.Timeout-time.Since(arrived)) // reading counts against the client's time
+	request.Timeout = max(1, request.Timeout-time.Since(arrived)) // reading the body counts against the timeout
 	p.forward(w, r, &resolved, payload, request)
 }
 
@@ -73,8 +75,8 @@
 	return route.MaxBodyBytes
 }
 
-// forward sends a request to the Gateway and writes its response. The response to a request with an
-// idempotency key that is retained for its repeats is read completely first; others are streamed.
+// forward sends a request through the Gateway and writes the response. A response that is retained
+// for repeats of an idempotency key is read completely before it is written; others are streamed.
 func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, resolved *ResolvedRequest,
 	payload *httpproxytransport.Request,
 	request pumicecroft.Request) {
@@ -91,8 +93,8 @@
 	}
 	reply, err := p.gateway.Forward(r.Context(), request, payload)
 	if sink != nil && sink.hasStarted() {
-		if !sink.isComplete() { // the client must see that the response was cut off
-			_ = sink.WriteBody(nil, true) // flushes what there is of it
+		if !sink.isComplete() { // the client must see that the response is truncated
+			_ = sink.WriteBody(nil, true) // flushes the part that has arrived
 			sink.close()
 			panic(http.ErrAbortHandler)
 		}
@@ -100,24 +102,24 @@
 	}
 	response, _ := reply.(*httpproxytransport.Response)
 	switch {
-	case response != nil && (err == nil || errors.Is(err, pumicecroft.ErrFailed)): // a backend's own error, too
+	case response != nil && (err == nil || errors.Is(err, pumicecroft.ErrFailed)): // or a backend's error response
 		writeResponse(w, response)
 	case err != nil && payload.LastErrorResponse() != nil && errors.Is(err, pumicecroft.ErrRejected):
-		// A backend's rejection tells the client more than the proxy could, but the proxy's advice on
-		// when to retry takes the place of the backend's.
+		// A backend's error response is more informative than the proxy's own, but its Retry-After is
+		// replaced by the proxy's.
 		lastError := payload.LastErrorResponse()
 		if rejected, ok := errors.AsType[*pumicecroft.RejectedError](err); ok && advisesRetry(lastError.Status) {
 			p.setRetryAfter(w.Header(), rejected.RetryAfter)
 		}
 		writeResponse(w, lastError)
-	case errors.Is(err, context.DeadlineExceeded) && r.Context().Err() != nil: // the host's timeout
+	case errors.Is(err, context.DeadlineExceeded) && r.Context().Err() != nil: // a timeout of the embedding program
 		pumicecroft.WriteGatewayTimeout(w)
 	default:
 		p.writeProblem(w, r, resolved, err)
 	}
 }
 
-// advisesRetry reports whether responses with a status say when to retry.
+// advisesRetry reports whether a response with this status may have a Retry-After.
 func advisesRetry(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -25,9 +25,9 @@
 )
 
 // startTLSListener serves a fixture's proxy as the daemon does, by the [tls] of its file.
-func startTLSListener(t testing.TB, r *fixture) (addr string, store *certs.Store) {
+func startTLSListener(t testing.TB, fx *fixture) (addr string, store *certs.Store) {
 	t.Helper()
-	config, store, err := httpproxyconfig.Listener(&r.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
+	config, store, err := httpproxyconfig.Listener(&fx.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- httplistener.NewServer(r.proxy, 2000, 5*time.Second, slog.New(slog.DiscardHandler),
+		ended <- httplistener.NewServer(fx.proxy, 2000, 5*time.Second, slog.New(slog.DiscardHandler),
 			httplistener.Options{TLS: config, GeneralPurpose: true}).Run(ctx, ln)
 	}()
 	t.Cleanup(func() {
@@ -70,9 +70,9 @@
 		}
 		io.WriteString(w, r.Proto)
 	}), nil)
-	r := startProxy(t, serviceSection("shop",
+	fx := startProxy(t, serviceSection("shop",
 		backend)+"backend_connections = 2000\nconnect_timeout = \"20s\"\ndeadline = \"1h\"\naim = \"1h\"\n"+fmt.Sprintf("[tls]\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("c"), path("k")))
-	addr, store := startTLSListener(t, r)
+	addr, store := startTLSListener(t, fx)
 	get := func(c *http.Client, path string) error {
 		res, err := c.Get("https://" + addr + path)
 		if err != nil {
@@ -86,7 +86,7 @@
 	}
 	waiting := newTLSClient(a, "shop.example", true)
 	defer waiting.CloseIdleConnections()
-	var ran sync.WaitGroup
+	var wg sync.WaitGroup
 	var failed atomic.Int64
 	var first atomic.Value
 	fail := func(err error) {
@@ -96,21 +96,21 @@
 		}
 	}
 	for range 1000 {
-		ran.Go(func() { fail(get(waiting, "/held")) })
+		wg.Go(func() { fail(get(waiting, "/held")) })
 	}
 	for range 1000 {
 		select {
 		case <-held:
 		case <-time.After(3 * testTimeout):
 			close(release)
-			ran.Wait()
-			t.Fatalf("not all came: %d failed, first: %v", failed.Load(), first.Load())
+			wg.Wait()
+			t.Fatalf("not all requests: %d failed, first: %v", failed.Load(), first.Load())
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var asked atomic.Int64
 	for i := range 4 {
-		ran.Go(func() {
+		wg.Go(func() {
 			for ctx.Err() == nil {
 				c := newTLSClient(a, []string{"shop.example", "x.wild.example"}[i%2], i < 2)
 				fail(get(c, "/"))
@@ -153,7 +153,7 @@
 	}
 	stop()
 	close(release)
-	ran.Wait()
+	wg.Wait()
 	t.Logf("100 swaps and %d that were bad, over 1,000 held and %d other requests", bad, asked.Load())
 	if failed.Load() > 0 || asked.Load() == 0 {
 		t.Errorf("%d of %d failed, first: %v", failed.Load(), asked.Load(), first.Load())
@@ -171,9 +171,9 @@
 	}
 	own, ownKey := a.Issue(nil, "door.example")
 	path := testcerts.WriteFiles(t, t.TempDir(), map[string][]byte{"ca": a.PEM, "other": other.PEM, "c": own, "k": ownKey})
-	var resumed, came atomic.Int64
+	var resumed, requests atomic.Int64
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		came.Add(1)
+		requests.Add(1)
 		if r.TLS.DidResume {
 			resumed.Add(1)
 		}
@@ -199,10 +199,10 @@
 		"without a certificate": {fmt.Sprintf("ca_file = %q\n", path("ca")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startProxy(t, serviceSection("shop", backend)+"[service.tls]\n"+c.text)
-			before := came.Load()
+			fx := startProxy(t, serviceSection("shop", backend)+"[service.tls]\n"+c.text)
+			before := requests.Load()
 			for range 3 {
-				res, err := http.Get("http://" + r.addr + "/")
+				res, err := http.Get("http://" + fx.addr + "/")
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -212,8 +212,8 @@
 					t.Errorf("%d %s", res.StatusCode, body)
 				}
 			}
-			if (came.Load() > before) != c.good {
-				t.Errorf("%d came", came.Load()-before)
+			if (requests.Load() > before) != c.good {
+				t.Errorf("%d requests", requests.Load()-before)
 			}
 		})
 	}
@@ -228,7 +228,7 @@
 	cert, key := a.Issue(nil, "shop.example")
 	path := testcerts.WriteFiles(t, t.TempDir(), map[string][]byte{"c": cert, "k": key, "ca": a.PEM})
 	backend := startServer(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), nil)
-	r := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("[tls]\nclient_ca_file = %q\nclient_auth = \"ask\"\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("ca"), path("c"), path("k"))+`
+	fx := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("[tls]\nclient_ca_file = %q\nclient_auth = \"ask\"\n[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", path("ca"), path("c"), path("k"))+`
 [[identity]]
 kind = "certificate"
 customer = "uri"
@@ -236,7 +236,7 @@
 [[plan]]
 name = "p"
 `)
-	addr, _ := startTLSListener(t, r)
+	addr, _ := startTLSListener(t, fx)
 	load := func(a *testcerts.Authority, names ...string) tls.Certificate {
 		c, err := tls.X509KeyPair(a.Issue(nil, names...))
 		if err != nil {
--- a/internal/http1proxy/header.go
+++ b/internal/http1proxy/header.go
@@ -8,8 +8,8 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// hopByHop reports whether a field is meant for the next neighbour alone (RFC 9110, 7.6.1, and what
-// was common before it). Te and Trailer are among them: the proxy writes its own.
+// hopByHop reports whether a field applies to a single connection and must not be forwarded (RFC
+// 9110, 7.6.1, and older usage). They include Te and Trailer: the proxy writes its own.
 func hopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
@@ -19,8 +19,8 @@
 	return false
 }
 
-// ConnectionOptions returns the canonical names of the fields that Connection names: these are
-// hop-by-hop, too.
+// ConnectionOptions returns the canonical names of the fields that are listed in Connection, which
+// makes them hop-by-hop, too.
 func ConnectionOptions(h Header) (names []string) {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -32,11 +32,11 @@
 	return names
 }
 
-// IsHeaderName reports whether a text can be a field's name.
+// IsHeaderName reports whether a string is a valid field name.
 func IsHeaderName(name string) bool { return httpguts.ValidHeaderFieldName(name) }
 
-// CanonicalHeaderName returns a field's name as net/http writes it. An invalid name is returned
-// unchanged.
+// CanonicalHeaderName returns a field's name in the canonical form of net/http. An invalid name is
+// returned unchanged.
 func CanonicalHeaderName(name string) string {
 	if !httpguts.ValidHeaderFieldName(name) {
 		return name
@@ -54,8 +54,8 @@
 	return string(b)
 }
 
-// CopyResponseHeader copies the fields of a backend's response to the client's, without hop-by-hop
-// ones.
+// CopyResponseHeader copies the fields of a backend's response to the client's response, except
+// hop-by-hop fields.
 func CopyResponseHeader(to, from Header) {
 	options := ConnectionOptions(from)
 	for name, values := range from {
@@ -65,8 +65,9 @@
 	}
 }
 
-// ForwardableTrailer returns the fields of a trailer that may be forwarded: none that frames, routes
-// or changes the message (RFC 9110, 6.5.1). It is nil if there are none.
+// ForwardableTrailer returns the fields of a trailer that may be forwarded. Fields for framing,
+// routing, authentication, content format or control of the message may not (RFC 9110, 6.5.1). It
+// returns nil if there are none.
 func ForwardableTrailer(from Header) Header {
 	var out Header
 	for name, values := range from {
@@ -90,59 +91,59 @@
 	return false
 }
 
-// ForwardedStyle selects the header by which backends are told where a request came from.
+// ForwardedStyle selects the header fields that tell backends where a request came from.
 type ForwardedStyle uint8
 
-// The styles.
+// Values of ForwardedStyle.
 const (
 	XForwarded    ForwardedStyle = iota // X-Forwarded-For, X-Forwarded-Proto and X-Forwarded-Host
 	Forwarded                           // Forwarded (RFC 7239)
-	ForwardedNone                       // none; what the client sent of them is removed all the same
+	ForwardedNone                       // none; those that the client sent are removed too
 )
 
 // Origin is where a request came from.
 type Origin struct {
 	Addr        string // the peer's address, without a port
-	Host        string // the request's
-	TLS         bool
-	TrustedPeer bool   // what the peer says of its clients is believed, and forwarded
+	Host        string // the request's Host
+	TLS         bool   // the request arrived over TLS
+	TrustedPeer bool   // the peer's X-Forwarded-*, Forwarded and TrustedOnly fields are kept
 	Proto       string // the HTTP version, such as "1.1" or "2.0"
 }
 
-// HeaderForwarder makes the header of requests to backends.
+// HeaderForwarder creates the header of requests to backends.
 type HeaderForwarder struct {
 	ForwardedStyle ForwardedStyle
 	// ViaName is the proxy's name in Via. Empty means that Via is forwarded unchanged.
 	ViaName string
-	// MaxViaEntries is how often ViaName may be in Via before the request is taken to go in a loop.
-	// 0 means any number.
+	// MaxViaEntries is the number of occurrences of ViaName in Via at which a request is rejected as
+	// a loop. 0 means no limit.
 	MaxViaEntries int
-	// Remove are canonical names of fields that are never forwarded.
+	// Remove has the canonical names of fields that are never forwarded.
 	Remove []string
-	// TrustedOnly are canonical names of fields that are forwarded for a trusted peer alone.
+	// TrustedOnly has the canonical names of fields that are forwarded from trusted peers only.
 	TrustedOnly []string
 }
 
 // headerField is a field that the proxy adds.
 type headerField struct{ name, value string }
 
-// Append appends the fields of a request as they are on the wire after the request line, without
-// those that frame the message. added are further fields, as pairs of a name and a value, which
-// replace the client's. The error is an ErrInvalidField or ErrLoop.
+// Append appends the header fields of a request in wire format, without Host and the framing fields.
+// added are additional fields, as alternating names and values, which replace the client's fields of
+// the same names. The error is an ErrInvalidField or ErrLoop.
 func (f *HeaderForwarder) Append(b []byte, h Header, origin Origin, added ...string) ([]byte, error) {
-	var room [4]headerField // keeps the proxy's fields off the heap
-	own := room[:0]
+	var buffer [4]headerField // keeps the proxy's fields off the heap
+	proxyFields := buffer[:0]
 	if f.ViaName != "" {
 		via := strings.Join(h["Via"], ", ")
 		if via != "" && f.MaxViaEntries > 0 && strings.Count(via, f.ViaName) >= f.MaxViaEntries {
 			return b, ErrLoop
 		}
-		own = append(own, headerField{"Via", chain(via, origin.Proto+" "+f.ViaName)})
+		proxyFields = append(proxyFields, headerField{"Via", appendListElement(via, origin.Proto+" "+f.ViaName)})
 	}
-	own = f.appendForwarded(own, h, origin)
+	proxyFields = f.appendForwarded(proxyFields, h, origin)
 	b, err := f.appendClientFields(b, h, origin.TrustedPeer, added)
-	for i := 0; i < len(own) && err == nil; i++ {
-		b, err = appendField(b, own[i].name, own[i].value)
+	for i := 0; i < len(proxyFields) && err == nil; i++ {
+		b, err = appendField(b, proxyFields[i].name, proxyFields[i].value)
 	}
 	for i := 0; i+1 < len(added) && err == nil; i += 2 {
 		b, err = appendField(b, added[i], added[i+1])
@@ -156,13 +157,13 @@
 	return b, nil
 }
 
-// appendClientFields appends the client's fields that are forwarded.
+// appendClientFields appends those of the client's fields that may be forwarded.
 func (f *HeaderForwarder) appendClientFields(b []byte, h Header, trustedPeer bool, added []string) ([]byte, error) {
 	options := ConnectionOptions(h)
 	for name, values := range h {
 		switch {
 		case hopByHop(name), slices.Contains(options, name), slices.Contains(f.Remove, name),
-			!trustedPeer && slices.Contains(f.TrustedOnly, name), f.isOwn(name), isReplaced(name, added):
+			!trustedPeer && slices.Contains(f.TrustedOnly, name), f.isSetByProxy(name), isReplaced(name, added):
 			continue
 		}
 		for _, value := range values {
@@ -175,8 +176,9 @@
 	return b, nil
 }
 
-// isOwn reports whether the proxy writes a field itself, or leaves it to the framing of the message.
-func (f *HeaderForwarder) isOwn(name string) bool {
+// isSetByProxy reports whether the proxy sets or removes a field itself instead of forwarding the
+// client's.
+func (f *HeaderForwarder) isSetByProxy(name string) bool {
 	switch name {
 	case "Host", "Content-Length", "Expect", "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "Forwarded":
 		return true
@@ -186,7 +188,7 @@
 	return false
 }
 
-// isReplaced reports whether a field's name is in added, pairs of a name and a value.
+// isReplaced reports whether a field's name is in added, which has alternating names and values.
 func isReplaced(name string, added []string) bool {
 	for i := 0; i+1 < len(added); i += 2 {
 		if added[i] == name {
@@ -202,7 +204,7 @@
 	if origin.TLS {
 		proto = "https"
 	}
-	earlier := func(name string) string { // what a trusted peer says
+	earlier := func(name string) string { // the value that a trusted peer has sent
 		if !origin.TrustedPeer {
 			return ""
 		}
@@ -210,7 +212,7 @@
 	}
 	switch f.ForwardedStyle {
 	case XForwarded:
-		fields = append(fields, headerField{"X-Forwarded-For", chain(earlier("X-Forwarded-For"), origin.Addr)})
+		fields = append(fields, headerField{"X-Forwarded-For", appendListElement(earlier("X-Forwarded-For"), origin.Addr)})
 		host, earlierProto := earlier("X-Forwarded-Host"), earlier("X-Forwarded-Proto")
 		if host == "" {
 			host = origin.Host
@@ -231,20 +233,21 @@
 		if origin.Host != "" {
 			element += ";host=" + quoteForwardedValue(origin.Host)
 		}
-		fields = append(fields, headerField{"Forwarded", chain(earlier("Forwarded"), element)})
+		fields = append(fields, headerField{"Forwarded", appendListElement(earlier("Forwarded"), element)})
 	}
 	return fields
 }
 
-// chain adds an element to a list field's value.
-func chain(list, element string) string {
+// appendListElement appends an element to the value of a comma-separated list field.
+func appendListElement(list, element string) string {
 	if list == "" {
 		return element
 	}
 	return list + ", " + element
 }
 
-// quoteForwardedValue returns a parameter's value as a token or quoted string (RFC 7239, 4).
+// quoteForwardedValue returns the value of a Forwarded parameter as a token or quoted string (RFC
+// 7239, 4).
 func quoteForwardedValue(s string) string {
 	if httpguts.ValidHeaderFieldName(s) { // a token
 		return s
--- a/internal/http1proxy/outcome.go
+++ b/internal/http1proxy/outcome.go
@@ -2,29 +2,29 @@
 
 import "pumicecroft/decision"
 
-// EndReason says why an attempt ended without a response, as the transport saw it.
+// EndReason is why an attempt ended without a complete response, as the transport observed it.
 type EndReason uint8
 
-// The reasons.
+// Values of EndReason.
 const (
-	ConnectionLost    EndReason = iota // the connection broke or was closed
-	MalformedResponse                  // what arrived can't be forwarded
+	ConnectionLost    EndReason = iota // the connection failed or was closed
+	MalformedResponse                  // the response can't be forwarded
 	AttemptCancelled                   // the decision engine cancelled the attempt
 	DeadlineExceeded                   // the attempt's deadline passed
-	ClientWriteFailed                  // the client does not take its response
+	ClientWriteFailed                  // writing the response to the client failed
 )
 
-// Progress is how far an attempt has got.
+// Progress is how much of an attempt's request has been sent.
 type Progress struct {
 	HeadBytes    int // the length of the request's head
-	WrittenBytes int // how much of the request the connection has taken
+	WrittenBytes int // bytes of the request that were written to the connection
 }
 
-// MayHaveRun reports whether the backend may have run the request. It can't have before the whole
-// head was written, as there is no request then. From there on it may begin before it has the body.
+// MayHaveRun reports whether the backend may have run the request. A backend can't run a request
+// whose head is incomplete, but may run one before it has received the body.
 func (p Progress) MayHaveRun() bool { return p.WrittenBytes >= p.HeadBytes }
 
-// Result returns what the end of an attempt without a response proves.
+// Result returns the result of an attempt that ended for the given reason.
 //
 //	                  | did not run   | may have run
 //	ConnectionLost    | ConnectFailed | ConnectionLost
@@ -33,8 +33,8 @@
 //	DeadlineExceeded  | NotSent       | TimedOut
 //	ClientWriteFailed | -             | Cancelled
 //
-// A deadline that passed before the head was written tells nothing about the backend: the network or
-// this process was slow.
+// A deadline that passed before the head was written is not the backend's fault: the network or this
+// process was slow.
 func (p Progress) Result(reason EndReason) decision.Result {
 	switch reason {
 	case AttemptCancelled, ClientWriteFailed:
--- a/internal/http1proxy/request.go
+++ b/internal/http1proxy/request.go
@@ -9,22 +9,22 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Request is a client's request as it is sent to a backend, in each attempt. It is not changed once
-// it is made.
+// Request is a client's request in the form that each attempt sends to a backend. It is immutable
+// after construction.
 type Request struct {
 	Method      string
-	Target      string // path and query as they came
+	Target      string // path and query as received
 	Host        string
-	HeaderBlock []byte // as HeaderForwarder.Append made it
-	// RemainingTimeoutHeader names the field in which a backend is told how many seconds its client
-	// still waits. Empty means that it is not told.
+	HeaderBlock []byte // the result of HeaderForwarder.Append
+	// RemainingTimeoutHeader is the name of the field in which backends receive the seconds that are
+	// left of the client's timeout. Empty means that none is sent.
 	RemainingTimeoutHeader string
 	Body                   []byte
-	Trailer                Header // makes the body chunked, unless it is empty
+	Trailer                Header // if not empty, the body is sent chunked
 }
 
-// CheckTarget returns an ErrInvalidTarget unless a target can be in a request line as it is: an
-// absolute path without a fragment.
+// CheckTarget returns an ErrInvalidTarget unless a target is an absolute path that can be sent in a
+// request line unchanged: without a fragment, spaces and control characters.
 func CheckTarget(target string) error {
 	invalid := func(r rune) bool { return r <= ' ' || r == 0x7f || r == '#' }
 	if !strings.HasPrefix(target, "/") || strings.ContainsFunc(target, invalid) {
@@ -33,11 +33,10 @@
 	return nil
 }
 
-// FormatSeconds returns a duration as RemainingTimeoutHeader has it: in seconds with three decimals.
+// FormatSeconds formats the value of the RemainingTimeoutHeader field: seconds with three decimals.
 func FormatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// Validate returns an error if a part of the request can't be on the wire as it is. The error is an
-// ErrInvalidTarget or ErrInvalidField.
+// Validate returns an ErrInvalidTarget or ErrInvalidField if the request can't be sent unchanged.
 func (r *Request) Validate() error {
 	switch {
 	case r.Method == "" || !httpguts.ValidHeaderFieldName(r.Method):
@@ -55,7 +54,8 @@
 	return CheckTarget(r.Target)
 }
 
-// AppendHead appends the head of one attempt. remaining is the time that its client still waits.
+// AppendHead appends the request line and header of one attempt. remaining is the time that is left
+// of the client's timeout.
 func (r *Request) AppendHead(b []byte, remaining time.Duration) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
@@ -89,7 +89,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendBody appends what follows the head.
+// AppendBody appends the body and the trailer, in chunked encoding if there is a trailer.
 func (r *Request) AppendBody(b []byte) []byte {
 	if len(r.Trailer) == 0 {
 		return append(b, r.Body...)
@@ -103,7 +103,7 @@
 	b = append(b, "0\r\n"...)
 	for name, values := range r.Trailer {
 		for _, value := range values {
-			b, _ = appendField(b, name, value) // Validate has checked it
+			b, _ = appendField(b, name, value) // Validate has checked the field
 		}
 	}
 	return append(b, "\r\n"...)
--- a/internal/http1proxy/response.go
+++ b/internal/http1proxy/response.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// ParseSimpleResponseHead parses the head of a response that is as simple as nearly all are: it has
-// arrived completely, is HTTP/1.1 with one Content-Length, has only letters, digits and hyphens in
-// names and printable ASCII in values, and nothing about the connection or other framing. ok is
-// false of all others, which net/http has to parse: it knows all of HTTP, and allocates more.
-// FuzzParseSimpleResponseHead compares the two. size is the length of the head in raw.
+// ParseSimpleResponseHead parses the head of a response in its most common form: it has arrived
+// completely, is HTTP/1.1 with one Content-Length, has only letters, digits and hyphens in names and
+// printable ASCII in values, and no fields about the connection or other framing. For all others ok
+// is false, and net/http must parse them, which supports all of HTTP but allocates more.
+// FuzzParseSimpleResponseHead checks that both return the same. size is the length of the head in raw.
 func ParseSimpleResponseHead(raw []byte) (status int, h Header, length int64, size int, ok bool) {
 	const proto = "HTTP/1.1 "
 	end := bytes.Index(raw, []byte("\r\n\r\n"))
--- a/internal/httpproxyconfig/httpproxyconfig.go
+++ b/internal/httpproxyconfig/httpproxyconfig.go
@@ -1,6 +1,6 @@
-// Package httpproxyconfig makes the parts of an HTTP proxy that an operator's file and the files that
-// it names describe: its rules, the listener's TLS and how backends are reached. It reads files, and
-// does no other I/O.
+// Package httpproxyconfig creates the configuration of an HTTP proxy from a parsed configuration file
+// and the files that it refers to: the proxy's rules, the listener's TLS configuration and the
+// connections to backends. It reads files, and does no other I/O.
 package httpproxyconfig
 
 import (
@@ -21,10 +21,10 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// expiryWarningPeriod is how long before a certificate expires Warnings tells of it.
+// expiryWarningPeriod is how long before its expiry Warnings reports a certificate.
 const expiryWarningPeriod = 14 * 24 * time.Hour
 
-// Rules returns the rules of a file, with the identities in the files that it names. The error is an
+// Rules returns the proxy's rules, and reads the files of API keys and token keys. The error is an
 // operatorconfig.Problems.
 func Rules(f *operatorconfig.File, read certs.ReadFile) (httpproxy.Rules, error) {
 	var plans []string
@@ -51,7 +51,7 @@
 	}, nil
 }
 
-// newIdentityRule returns the rule of an identity. plans are the plans that it may name.
+// newIdentityRule returns the rule for an [[identity]] section. plans are the names of all plans.
 func newIdentityRule(h *operatorconfig.HTTP, id *operatorconfig.Identity, plans []string,
 	read certs.ReadFile) (identity.Rule, error) {
 	switch id.Kind {
@@ -112,8 +112,8 @@
 	}, id.Algorithms, keys)
 }
 
-// Listener returns the TLS configuration of the listener, and the store of its certificates; nil, nil
-// if it is plain text. The error is an operatorconfig.Problems.
+// Listener returns the TLS configuration of the listener and the store of its certificates, or nil and
+// nil if the listener has no TLS. The error is an operatorconfig.Problems.
 func Listener(f *operatorconfig.File, read certs.ReadFile, now func() time.Time,
 	log *slog.Logger) (*tls.Config, *certs.Store, error) {
 	t := f.HTTP.TLS
@@ -152,7 +152,7 @@
 	return tls.VersionTLS13
 }
 
-// certificateProblems returns the problems in an error of certs.New, with their places in the file.
+// certificateProblems converts an error of certs.New to problems with their lines in the file.
 func certificateProblems(t *operatorconfig.TLS, err error) (problems operatorconfig.Problems) {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		for _, e := range joined.Unwrap() {
@@ -166,7 +166,7 @@
 	return operatorconfig.Problems{t.Location.Problem("certificate", err)}
 }
 
-// loadCertPool reads a file of authorities' certificates.
+// loadCertPool reads a PEM file with the certificates of certificate authorities.
 func loadCertPool(file string, read certs.ReadFile) (*x509.CertPool, error) {
 	text, err := read(file)
 	if err != nil {
@@ -174,12 +174,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("%s: there is no certificate in PEM", file)
+		return nil, fmt.Errorf("%s: no PEM certificate found", file)
 	}
 	return pool, nil
 }
 
-// Service returns how a service's backends are reached. The error is an operatorconfig.Problems.
+// Service returns the configuration of the connections to a service's backends. The error is an
+// operatorconfig.Problems.
 func Service(s operatorconfig.Service, read certs.ReadFile, log *slog.Logger) (httpproxy.ServiceConfig, error) {
 	c := s.ServiceConfig
 	c.Log = log
@@ -197,8 +198,8 @@
 	return c, nil
 }
 
-// backendTLS returns the TLS configuration of connections to backends. An error has the key of the
-// section that it is about.
+// backendTLS returns the TLS configuration of connections to backends. With an error, key is the
+// setting in the section that caused it.
 func backendTLS(t *operatorconfig.ServiceTLS, read certs.ReadFile) (config *tls.Config, key string, err error) {
 	config = &tls.Config{ServerName: t.ServerName, MinVersion: minVersion(t.AllowTLS12)}
 	if t.CAFile != "" {
@@ -217,15 +218,15 @@
 	if err != nil {
 		return nil, "pins", err
 	}
-	config.InsecureSkipVerify = t.PinsOnly // the pins verify the backend
+	config.InsecureSkipVerify = t.PinsOnly // VerifyConnection checks the pins instead
 	if len(pins) > 0 {
 		config.VerifyConnection = verifyPins(pins)
 	}
 	return config, "", nil
 }
 
-// loadCertificate reads a certificate and its key. An error has the key of the section that it is
-// about.
+// loadCertificate reads a certificate and its private key. With an error, key is the setting in the
+// section that caused it.
 func loadCertificate(certFile, keyFile string, read certs.ReadFile) (cert *tls.Certificate, key string, err error) {
 	certText, err := read(certFile)
 	if err != nil {
@@ -239,22 +240,22 @@
 	return cert, "cert_file", err
 }
 
-// parsePins parses SHA-256 hashes in base64.
+// parsePins parses base64-encoded SHA-256 hashes of public keys.
 func parsePins(texts []string) (pins [][]byte, err error) {
 	for _, text := range texts {
 		pin, err := base64.StdEncoding.DecodeString(text)
 		if err != nil || len(pin) != sha256.Size {
-			return nil, fmt.Errorf("%q is no SHA-256 in base64", text)
+			return nil, fmt.Errorf("%q is not a base64-encoded SHA-256 hash", text)
 		}
 		pins = append(pins, pin)
 	}
 	return pins, nil
 }
 
-// errPinMismatch says that a backend's public key is none of those that are pinned.
-var errPinMismatch = errors.New("httpproxyconfig: the backend's key is not pinned")
+// errPinMismatch means that a backend's public key matches no pin.
+var errPinMismatch = errors.New("httpproxyconfig: the backend's public key matches no pin")
 
-// verifyPins returns what verifies that a backend's public key is pinned.
+// verifyPins returns a tls.Config.VerifyConnection that requires the backend's public key to match a pin.
 func verifyPins(pins [][]byte) func(tls.ConnectionState) error {
 	return func(state tls.ConnectionState) error {
 		sum := sha256.Sum256(state.PeerCertificates[0].RawSubjectPublicKeyInfo)
@@ -265,15 +266,15 @@
 	}
 }
 
-// Warnings returns what an operator should know of a valid file: certificates that expire soon, names
-// of certificates that no route uses, and hosts of routes that no certificate is for.
+// Warnings returns warnings about a valid file: certificates that expire soon, names in certificates
+// that no route uses, and hosts of routes without a certificate.
 func Warnings(f *operatorconfig.File, store *certs.Store, now time.Time) (warnings []string) {
 	if store == nil {
 		return nil
 	}
 	set := store.Set()
 	if c := set.SoonestExpiry(); c.Leaf.NotAfter.Sub(now) < expiryWarningPeriod {
-		warnings = append(warnings, fmt.Sprintf("the certificate for %v ends on %s", certs.Names(c),
+		warnings = append(warnings, fmt.Sprintf("the certificate for %v expires on %s", certs.Names(c),
 			c.Leaf.NotAfter.Format(time.DateOnly)))
 	}
 	var hosts []string
--- a/internal/httpproxytransport/body.go
+++ b/internal/httpproxytransport/body.go
@@ -36,7 +36,8 @@
 
 func (b *lengthBody) Close() error { return nil }
 
-// readBody reads a body completely. The error is errResponseTooLarge if it exceeds maxBytes.
+// readBody reads a response's body completely. The error is errResponseTooLarge if the body exceeds
+// maxBytes.
 func readBody(res *http.Response, response *Response, maxBytes int64) error {
 	if res.ContentLength > maxBytes {
 		return errResponseTooLarge
@@ -58,8 +59,8 @@
 	return err
 }
 
-// readBodyPrefix reads up to maxBytes, and a byte more, of a body of unknown length. It reports
-// whether that was all of it.
+// readBodyPrefix reads up to maxBytes+1 bytes of a body of unknown length. It reports whether the body
+// is complete, which means that it has maxBytes at most.
 func readBodyPrefix(res *http.Response, response *Response, maxBytes int64) (complete bool, err error) {
 	response.Body, err = io.ReadAll(io.LimitReader(res.Body, maxBytes+1))
 	if err != nil || int64(len(response.Body)) > maxBytes {
@@ -69,7 +70,7 @@
 	return true, nil
 }
 
-// streamBody forwards a response as it arrives, if the machine allows it to begin. It returns out
+// streamBody forwards a response as it arrives, if Attempt.StartResponse allows it. It returns out
 // when the response is complete.
 func (x *exchange) streamBody(res *http.Response, response *Response, out executor.Response) (executor.Response, bool) {
 	if !x.attempt.StartResponse() {
@@ -104,7 +105,8 @@
 	}
 }
 
-// writePrefix forwards what readBodyPrefix has read, and flushes the head if nothing else has arrived.
+// writePrefix forwards the part of the body that readBodyPrefix has read, and flushes the head if no
+// more of the body has arrived.
 func (x *exchange) writePrefix(response *Response) error {
 	sink := x.request.Sink
 	if !x.hasBuffered() {
@@ -120,7 +122,7 @@
 	return err
 }
 
-// clientFailed returns the result of an attempt whose client does not take its response.
+// clientFailed returns the result of an attempt whose response could not be written to the client.
 func (x *exchange) clientFailed() executor.Response {
 	return responseWith(x.progress.Result(http1proxy.ClientWriteFailed))
 }
--- a/internal/httpproxytransport/conn.go
+++ b/internal/httpproxytransport/conn.go
@@ -13,20 +13,20 @@
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 4 << 10
 
-// errHeadTooLarge says that a response's head exceeds Config.MaxHeadBytes.
+// errHeadTooLarge means that a response's head exceeds Config.MaxHeadBytes.
 var errHeadTooLarge = errors.New("httpproxytransport: response head too large")
 
 // conn is one HTTP/1.1 connection. One attempt at a time uses it.
 type conn struct {
 	netConn   net.Conn
-	addr      string // the backend's
+	addr      string // the backend's address
 	peeker    *socketpeek.Peeker
 	pooled    *connpool.Conn
 	reader    *bufio.Reader
 	readLimit int // bytes that may still be read from netConn; negative: no limit
 }
 
-// newConn returns a conn. raw is the connection below netConn that the system knows.
+// newConn returns a conn. raw is netConn itself or, with TLS, the network connection below it.
 func newConn(netConn, raw net.Conn) *conn {
 	c := &conn{netConn: netConn, peeker: socketpeek.New(raw), readLimit: -1}
 	c.reader = bufio.NewReaderSize((*limitedReader)(c), readBufferBytes)
@@ -50,10 +50,10 @@
 	return n, err
 }
 
-// expiredDeadline is a deadline that ends every wait.
+// expiredDeadline is a deadline in the past. It makes pending and later reads and writes fail.
 var expiredDeadline = time.Unix(1, 0)
 
-// abort ends every read and write on the connection, for good.
+// abort makes all pending and later reads and writes on the connection fail.
 func (c *conn) abort() { c.netConn.SetDeadline(expiredDeadline) }
 
 func (c *conn) close() { c.netConn.Close() }
--- a/internal/httpproxytransport/exchange.go
+++ b/internal/httpproxytransport/exchange.go
@@ -15,24 +15,24 @@
 // Errors of responses that can't be forwarded.
 var (
 	errInvalidStatus        = errors.New("httpproxytransport: invalid status")
-	errUnexpectedUpgrade    = errors.New("httpproxytransport: the backend switches protocols unasked")
+	errUnexpectedUpgrade    = errors.New("httpproxytransport: response 101 to a request without an upgrade")
 	errTooManyInformational = errors.New("httpproxytransport: too many 1xx responses")
 	errResponseTooLarge     = errors.New("httpproxytransport: response to a request with an idempotency key too large")
 )
 
 const (
-	// maxInformational is how many 1xx responses may precede a response.
+	// maxInformational is the maximum number of 1xx responses before the final response.
 	maxInformational = 8
 	// maxInlineBodyBytes is the largest request body that is written before the response is read.
-	// A longer one is written concurrently, as a backend may respond before it has it.
+	// A longer body is written concurrently, as a backend may respond before it has received all of it.
 	maxInlineBodyBytes = 64 << 10
 )
 
-// requestBuffers holds buffers for the heads and short bodies of requests.
+// requestBuffers has buffers for the heads and short bodies of requests.
 var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// RoundTrip makes an attempt and blocks until it ends. The Body of its result is a *Response if the
-// backend responded, with an error status too.
+// RoundTrip makes an attempt and blocks until it ends. The Body of its result is a *Response if a
+// complete response was read or streamed, whatever its status.
 func (t *Transport) RoundTrip(a *executor.Attempt) executor.Response {
 	request := a.Payload.(*Request)
 	if request.LastErrorResponse() != nil {
@@ -58,7 +58,7 @@
 		if !retry {
 			return response
 		}
-		// The reused connection was dead before it took the request's head: nothing has run.
+		// The reused connection failed before the request's head was written: nothing has run.
 		c, result = t.acquire(a, true)
 	}
 }
@@ -71,11 +71,12 @@
 	conn        *conn // nil over HTTP/2
 	addr        string
 	progress    http1proxy.Progress
-	bodyWritten chan error  // the result of a body that is written concurrently; nil: there is none
-	hasBuffered func() bool // reports whether more of the response has arrived already
+	bodyWritten chan error  // receives the result of writing the body concurrently; nil: written inline
+	hasBuffered func() bool // reports whether more of the response is already buffered
 }
 
-// run makes the exchange. retry means that nothing has run and that a new connection may do better.
+// run makes the exchange. retry means that the request has not run because the reused connection was
+// closed, and that it should be sent on a new connection.
 func (x *exchange) run() (response executor.Response, retry bool) {
 	c := x.conn
 	if x.attempt.OnCancel(c.abort) != nil || x.attempt.SendForbidden() {
@@ -100,15 +101,15 @@
 	return response, false
 }
 
-// awaitBody ends the concurrent write of the request's body. It reports whether the backend has
-// taken all of it: if the response came first, the rest is not written.
+// awaitBody ends the concurrent write of the request's body, and reports whether all of it was
+// written. If the response was complete first, the rest is not written.
 func (x *exchange) awaitBody() bool {
 	select {
 	case err := <-x.bodyWritten:
 		return err == nil
 	default:
 		x.conn.abort()
-		<-x.bodyWritten //nolint:errcheck // the write was cut short, which the result says already
+		<-x.bodyWritten //nolint:errcheck // the write was aborted, which the result reports already
 		return false
 	}
 }
@@ -139,7 +140,7 @@
 	return http1proxy.MalformedResponse
 }
 
-// isNetError reports whether an error comes from the connection, not from what was read on it.
+// isNetError reports whether an error comes from the connection, and not from parsing the response.
 func isNetError(err error) bool {
 	_, ok := errors.AsType[interface {
 		error
@@ -148,7 +149,8 @@
 	return ok
 }
 
-// writeRequest writes the request. A long body is written concurrently, see bodyWritten.
+// writeRequest writes the request. A body over maxInlineBodyBytes is written concurrently, and
+// bodyWritten receives the result.
 func (x *exchange) writeRequest() error {
 	buffer := requestBuffers.Get().(*[]byte)
 	defer requestBuffers.Put(buffer)
@@ -218,8 +220,8 @@
 	}
 }
 
-// readSimpleHead returns the response if its head is simple and has arrived completely with the
-// first bytes; nil means that net/http has to read it.
+// readSimpleHead returns the response if http1proxy.ParseSimpleResponseHead can parse the bytes that
+// arrived first; nil means that net/http must read the head.
 func (x *exchange) readSimpleHead() *http.Response {
 	reader := x.conn.reader
 	if _, err := reader.Peek(1); err != nil || x.request.Method == http.MethodHead {
@@ -256,7 +258,7 @@
 	case res.ContentLength >= 0 && res.ContentLength <= bufferLimit:
 		err = readBody(res, response, bufferLimit)
 	case out.Result == decision.Rejected && res.ContentLength > bufferLimit:
-		out.Body = nil // too large to be kept: the request may be tried elsewhere without it
+		out.Body = nil // too large to keep; the request can be retried at another backend without it
 		return out, false
 	case out.Result != decision.Succeeded && res.ContentLength < 0:
 		var complete bool
@@ -280,7 +282,7 @@
 	return out, !res.Close
 }
 
-// outcome returns the result and the usage that the head of a response tells.
+// outcome returns the result and the usage that the head of a response reports.
 func (x *exchange) outcome(res *http.Response) executor.Response {
 	h := res.Header
 	notStarted := len(h["Not-Started"]) == 1 && h["Not-Started"][0] == "1"
@@ -292,7 +294,7 @@
 	return out
 }
 
-// failure returns the result of an attempt that ended by an error.
+// failure logs an error that ended an attempt, and returns the attempt's result.
 func (x *exchange) failure(err error) executor.Response {
 	result := x.progress.Result(x.endReason(err))
 	config := &x.transport.config
--- a/internal/httpproxytransport/http2.go
+++ b/internal/httpproxytransport/http2.go
@@ -22,9 +22,9 @@
 	"pumicecroft/internal/http1proxy"
 )
 
-// http2Transport returns the configuration of HTTP/2 connections. Its RoundTrip is not used, as that
-// would retry some requests by itself: a ClientConn sends each request once, and this package
-// decides which connection carries it and what its end proves.
+// http2Transport returns the configuration of HTTP/2 connections. Its RoundTrip is not used because
+// it would retry some requests by itself. Requests go directly to a ClientConn, which sends each one
+// once; this package selects the connection and determines the result.
 func (t *Transport) http2Transport() *http2.Transport {
 	return &http2.Transport{
 		AllowHTTP:                  true,
@@ -43,7 +43,7 @@
 	be.http2Conns = nil
 }
 
-// shutdownConn lets no new stream onto a connection, and closes it when its streams have ended.
+// shutdownConn prevents new streams on a connection, and closes it when its streams have ended.
 func shutdownConn(cc *http2.ClientConn) { _ = cc.Shutdown(context.Background()) }
 
 // isExpired reports whether a connection has been idle for so long that the backend may be closing
@@ -53,15 +53,15 @@
 	return streams == 0 && !state.LastIdle.IsZero() && time.Since(state.LastIdle) > maxIdle(t.config.IdleTimeout)
 }
 
-// http2Pick is what pickHTTP2 has found for an attempt.
+// http2Pick is the result of pickHTTP2: a connection, a dial to wait for, or neither.
 type http2Pick struct {
 	backend *backend
-	conn    *http2.ClientConn // with a reserved stream; nil: there is none
-	dialing chan struct{}     // closed when the dial to wait for ends; nil: no connection may be dialed
-	dial    bool              // the caller is to make that dial
+	conn    *http2.ClientConn // with a reserved stream; nil: no connection has a free stream
+	dialing chan struct{}     // closed when the dial in progress ends; nil: no connection may be dialed
+	dial    bool              // the caller must start that dial
 }
 
-// pickHTTP2 finds a connection with a free stream, or the dial of one.
+// pickHTTP2 reserves a stream on a connection, or returns the dial of a new connection.
 func (t *Transport) pickHTTP2(id decision.BackendID) http2Pick {
 	t.mu.Lock()
 	defer t.unlock()
@@ -92,7 +92,7 @@
 	return http2Pick{backend: be, dialing: be.dialing, dial: true}
 }
 
-// dialHTTP2 opens a connection for all attempts that wait for be.dialing.
+// dialHTTP2 opens a connection for all attempts that wait on be.dialing.
 func (t *Transport) dialHTTP2(id decision.BackendID, be *backend) {
 	ctx, cancel := context.WithTimeout(context.Background(), t.config.ConnectTimeout)
 	defer cancel()
@@ -108,15 +108,15 @@
 	if err == nil && current {
 		be.http2Conns = append(be.http2Conns, cc)
 	}
-	be.dialEnded()
+	be.finishDial()
 	t.unlock()
 	if err == nil && !current {
 		_ = cc.Close()
 	}
 }
 
-// dialEnded ends the wait for a dial. The caller holds Transport.mu.
-func (be *backend) dialEnded() {
+// finishDial wakes the attempts that wait on be.dialing. The caller holds Transport.mu.
+func (be *backend) finishDial() {
 	close(be.dialing)
 	be.dialing = nil
 }
@@ -129,11 +129,11 @@
 		switch {
 		case pick.conn != nil:
 			return pick.conn, pick.backend.destination.Addr, 0
-		case pick.dialing == nil: // no free stream, or the backend drains: the attempt may go to another backend
+		case pick.dialing == nil: // no free stream, or the backend is not Ready: another one may be tried
 			return nil, "", decision.NotSent
-		case waited && pick.dial: // the dial that this attempt has waited for failed
+		case waited && pick.dial: // the dial that this attempt waited for has failed
 			t.mu.Lock()
-			pick.backend.dialEnded()
+			pick.backend.finishDial()
 			t.unlock()
 			return nil, "", decision.ConnectFailed
 		case pick.dial:
@@ -165,11 +165,11 @@
 		request:     request,
 		addr:        addr,
 		hasBuffered: func() bool { return false },
-		progress:    http1proxy.Progress{HeadBytes: 1}, // WrittenBytes is 1 when any of the head was written
+		progress:    http1proxy.Progress{HeadBytes: 1}, // WrittenBytes becomes 1 when any of the head is written
 	}
 	httpRequest, err := x.newHTTP2Request(ctx)
 	if err != nil || a.SendForbidden() {
-		go shutdownConn(cc) // nothing else gives back the reserved stream
+		go shutdownConn(cc) // a ClientConn has no other way to release a reserved stream
 		return responseWith(decision.NotSent)
 	}
 	var wrote atomic.Bool
@@ -183,13 +183,13 @@
 	}
 	defer res.Body.Close()
 	if hasNoBody(request.Method, res.StatusCode) {
-		res.Body = http.NoBody // x/net sets a value of its own
+		res.Body = http.NoBody // golang.org/x/net uses another value, which handleResponse does not know
 	}
 	out, _ := x.handleResponse(res)
 	return out
 }
 
-// http2Trace returns hooks that note whether any of the request was written, and forward 1xx
+// http2Trace returns hooks that record whether any of the request was written, and that forward 1xx
 // responses.
 func (x *exchange) http2Trace(wrote *atomic.Bool) *httptrace.ClientTrace {
 	informational := 0
@@ -208,12 +208,13 @@
 	}
 }
 
-// hasNoBody reports whether a response has no body by its request's method or its status.
+// hasNoBody reports whether a response can't have a body because of the request's method or the
+// response's status.
 func hasNoBody(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// newHTTP2Request returns the request as x/net takes it.
+// newHTTP2Request returns the request as an http.Request.
 func (x *exchange) newHTTP2Request(ctx context.Context) (*http.Request, error) {
 	request, config := x.request, &x.transport.config
 	h, err := parseHeaderBlock(request.HeaderBlock)
@@ -225,7 +226,7 @@
 		h.Set(name, http1proxy.FormatSeconds(time.Until(x.attempt.Deadline)))
 	}
 	if _, ok := h["User-Agent"]; !ok {
-		h["User-Agent"] = []string{""} // keeps x/net from adding its own
+		h["User-Agent"] = []string{""} // keeps golang.org/x/net from adding its own
 	}
 	host, scheme := request.Host, "http"
 	if config.RewriteHost != nil {
@@ -255,15 +256,16 @@
 	return r.WithContext(ctx), nil
 }
 
-// parseHeaderBlock parses the fields of a request as http1proxy writes them.
+// parseHeaderBlock parses the header block of an http1proxy.Request.
 func parseHeaderBlock(block []byte) (textproto.MIMEHeader, error) {
 	text := io.MultiReader(bytes.NewReader(block), strings.NewReader("\r\n"))
 	return textproto.NewReader(bufio.NewReader(text)).ReadMIMEHeader()
 }
 
-// failureHTTP2 returns the result of an attempt whose stream ended by an error. A stream that the
-// backend refused, or that is beyond the last one that its GOAWAY names, was not processed (RFC
-// 9113, 8.7). What x/net has no error value for counts as a lost connection.
+// failureHTTP2 returns the result of an attempt whose stream ended with an error. A stream that the
+// backend refused, or whose ID is higher than the last stream ID of its GOAWAY, was not processed
+// (RFC 9113, 8.7). Other errors count as a lost connection, as golang.org/x/net does not export values
+// for them.
 func (x *exchange) failureHTTP2(err error) executor.Response {
 	if x.attempt.CancelCause() != nil {
 		return x.failure(err)
--- a/internal/httpproxytransport/request.go
+++ b/internal/httpproxytransport/request.go
@@ -10,20 +10,20 @@
 	"pumicecroft/internal/http1proxy"
 )
 
-// Request is the payload of an executor.Attempt: one client's request, for all of its attempts.
+// Request is the payload of an executor.Attempt. All attempts of a client's request share it.
 type Request struct {
 	http1proxy.Request
-	// Service is the service whose backends get the request.
+	// Service is the name of the service that the request is forwarded to.
 	Service string
-	// Statuses are the meanings of the backends' statuses.
+	// Statuses classify the response statuses of the service's backends.
 	Statuses *http1proxy.Statuses
-	// Sink receives a streamed response. nil means that the response is read completely, of
+	// Sink receives a streamed response. nil means that the response is read completely, and has
 	// MaxResponseBytes at most.
 	Sink Sink
-	// MaxResponseBytes limits a response that is read completely. It is unused beside a Sink.
+	// MaxResponseBytes limits a response that is read completely. It is unused if there is a Sink.
 	MaxResponseBytes int
-	// Digest tells the request apart from others with its idempotency key. nil means that its
-	// response is not retained.
+	// Digest has the parts of the request that must be equal in repeats with the same idempotency key.
+	// nil means that the response is not retained.
 	Digest [][]byte
 
 	mu                sync.Mutex
@@ -41,7 +41,7 @@
 	// WriteBody forwards a part of the body. flush means that the next part has not arrived yet. An
 	// error ends the attempt.
 	WriteBody(data []byte, flush bool) error
-	// WriteTrailer ends the response, with the fields after its body.
+	// WriteTrailer ends the response with the trailer fields, if there are any.
 	WriteTrailer(h http.Header)
 }
 
@@ -51,24 +51,24 @@
 	Header   http.Header
 	Trailer  http.Header // in a Sink's WriteHeader, the announced names without values
 	Body     []byte
-	Streamed bool // the body went to the Sink
+	Streamed bool // the body was written to the Sink
 }
 
-// Protocol returns the protocol of the backends that the request may go to.
+// Protocol returns the protocol of the backends that the request may be sent to.
 func (r *Request) Protocol() string { return Protocol(r.Service) }
 
-// DigestParts returns what tells the request apart from others with its idempotency key; nil means
-// that its response is not retained.
+// DigestParts returns the parts of the request that must be equal in repeats with the same idempotency
+// key; nil means that the response is not retained.
 func (r *Request) DigestParts() [][]byte { return r.Digest }
 
-// EncodeResponse returns the stored form of a backend's response.
+// EncodeResponse encodes a backend's response for storage.
 func (r *Request) EncodeResponse(reply any) (idempotency.Response, error) {
 	response := reply.(*Response)
 	body, err := encodeStored(response)
 	return idempotency.Response{Status: response.Status, ContentType: "application/http", Body: body}, err
 }
 
-// DecodeResponse returns the response of which EncodeResponse made the stored form.
+// DecodeResponse decodes a response that EncodeResponse has encoded.
 func (r *Request) DecodeResponse(stored idempotency.Response) (any, error) {
 	response, err := decodeStored(stored.Body)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return response, nil
 }
 
-// LastErrorResponse returns the response by which a backend rejected the request or failed at it, if
-// the last attempt ended with one; otherwise nil.
+// LastErrorResponse returns the last attempt's response if a backend rejected the request, or failed
+// to process it, with one; otherwise nil.
 func (r *Request) LastErrorResponse() *Response {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/httpproxytransport/stored.go
+++ b/internal/httpproxytransport/stored.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-// The stored form of a response is gob, which names a struct and its fields by their Go identifiers
-// and has no tags. The types in this file hold these names: a rename elsewhere leaves journals of
-// idempotency keys that were written before readable.
+// Responses are stored in gob encoding, which includes the Go identifiers of a struct and its fields
+// and has no tags to override them. The types in this file fix these names, so that journals of
+// idempotency keys stay readable when Response or its fields are renamed.
 
-// encodeStored returns the stored form of a response.
+// encodeStored encodes a response for storage.
 func encodeStored(response *Response) ([]byte, error) {
-	type Answer struct { // the name is stored too
+	type Answer struct { // gob stores this name too
 		Status   int
 		Header   http.Header
 		Trailer  http.Header
@@ -31,7 +31,7 @@
 	return b.Bytes(), err
 }
 
-// decodeStored returns the response that encodeStored has stored.
+// decodeStored decodes a response that encodeStored has encoded.
 func decodeStored(data []byte) (*Response, error) {
 	var stored struct {
 		Status   int
--- a/internal/httpproxytransport/transport.go
+++ b/internal/httpproxytransport/transport.go
@@ -1,14 +1,17 @@
-// Package httpproxytransport makes attempts at the backends of one service over ordinary HTTP, with
-// or without TLS. It sends each attempt once and never retries by itself, over a limited number of
-// connections, and reports no more than what was seen proves (internal/http1proxy has the rules).
+// Package httpproxytransport makes attempts at the backends of one service over HTTP/1.1 or HTTP/2,
+// with or without TLS and over a limited number of connections. It sends each attempt once and does
+// not retry. Only if a reused connection fails before the request's head was written, it sends the
+// request again on a new one. A result never claims more about the request than was observed
+// (internal/http1proxy has the rules).
 //
 // A short response of known length is read completely before any of it is forwarded, so that the
-// request can be retried if the response is cut off; others are streamed, once the machine allows
-// the response to begin.
+// request can be retried if the response is truncated. Others are streamed, once
+// Attempt.StartResponse allows it.
 //
-// The files: transport.go has the backends and the HTTP/1.1 connections to them, conn.go one of
-// these, http2.go the HTTP/2 connections, request.go the payload of an attempt, exchange.go one
-// attempt and body.go its response's body. The package decides nothing about requests.
+// The files: transport.go has the backends and their HTTP/1.1 connections, conn.go a single HTTP/1.1
+// connection, http2.go the HTTP/2 connections, request.go the payload of an attempt, exchange.go a
+// single attempt, body.go the body of its response and stored.go the encoding of stored responses.
+// The package makes no decisions about requests.
 package httpproxytransport
 
 import (
@@ -31,36 +34,36 @@
 	"pumicecroft/membership"
 )
 
-// Config says how the backends of a service are reached. A zero field takes its default.
+// Config configures the connections to the backends of a service. A zero field takes its default.
 type Config struct {
 	// Service is the service's name, for logs.
 	Service string
 	// MaxConns limits the connections to all backends together. Default 256.
 	MaxConns int
-	// ConnectTimeout limits connecting, TLS handshake included. Default 250 ms, with TLS 1 s.
+	// ConnectTimeout limits the time to connect, including the TLS handshake. Default 250 ms, or 1 s
+	// with TLS.
 	ConnectTimeout time.Duration
 	// IdleTimeout is the time after which a backend may close an idle connection. Default 15 s.
 	IdleTimeout time.Duration
 	// ResponseBufferBytes is the largest response of known length that is read completely before it
 	// is forwarded. Default 64 KiB; negative means that none is.
 	ResponseBufferBytes int
-	// MaxHeadBytes limits the head of a response, 1xx responses before it included. Default 64 KiB.
+	// MaxHeadBytes limits the head of a response, including 1xx responses before it. Default 64 KiB.
 	MaxHeadBytes int
-	// MaxErrorBodyBytes is the largest body of an error response that is kept for the client in case
-	// no attempt does better. A longer one is streamed, and the request is not retried. Default
-	// 256 KiB.
+	// MaxErrorBodyBytes is the largest body of an error response that is kept, to be forwarded if no
+	// later attempt succeeds. A longer one is dropped if its result is decision.Rejected; otherwise it
+	// is streamed, and the request is not retried. Default 256 KiB.
 	MaxErrorBodyBytes int
 	// TLS configures connections. nil means plain text. An empty ServerName means the host of the
 	// backend's address.
 	TLS *tls.Config
-	// HTTP2 says that backends speak HTTP/2: by ALPN over TLS, by prior knowledge without (RFC 9113,
-	// 3.3).
+	// HTTP2 selects HTTP/2: by ALPN with TLS, by prior knowledge without (RFC 9113, 3.3).
 	HTTP2 bool
 	// MaxHTTP2Conns limits the HTTP/2 connections to one backend. Default 2.
 	MaxHTTP2Conns int
-	// RewriteHost returns the Host for a backend's address. nil forwards the request's.
+	// RewriteHost returns the Host header for a backend's address. nil forwards the request's Host.
 	RewriteHost func(addr string) string
-	// Log receives failed connections and attempts at level debug. nil discards them.
+	// Log receives failed connections and attempts at debug level. nil discards them.
 	Log *slog.Logger
 	// Dial opens connections. nil means a net.Dialer without keep-alive probes.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -78,14 +81,14 @@
 	defaultIdleTimeout         = 15 * time.Second
 )
 
-// reuseDelay is how long a connection is not reused after a response. Bytes that a faulty backend
-// sends after a response have mostly arrived by then, and are seen before the next request.
+// reuseDelay is how long a connection is not reused after a response. Most bytes that a faulty
+// backend sends after a response arrive within this time, so they are detected before the next request.
 const reuseDelay = 50 * time.Microsecond
 
-// Protocol returns the protocol name of a service's backends, as membership.Node.Protocol has it.
+// Protocol returns the value of membership.Node.Protocol for the backends of a service.
 func Protocol(service string) string { return "web/" + service }
 
-// Transport makes attempts at the backends that Apply has told it of. It is safe for concurrent use.
+// Transport makes attempts at the backends that were added by Apply. It is safe for concurrent use.
 type Transport struct {
 	config          Config
 	failureLogLimit rate.Sometimes
@@ -159,18 +162,19 @@
 	}
 }
 
-// setDefault sets a limit that is not positive.
+// setDefault sets a limit to value if the limit is not positive.
 func setDefault[T int | time.Duration](limit *T, value T) {
 	if *limit <= 0 {
 		*limit = value
 	}
 }
 
-// maxIdle returns how long a connection may be idle and still be used. It is below the time after
-// which the backend may close it: a request on a connection that is being closed would be lost.
+// maxIdle returns how long a connection may be idle and still be reused. It is less than idleTimeout,
+// after which the backend may close it, as a request on a connection that is being closed would be lost.
 func maxIdle(idleTimeout time.Duration) time.Duration { return idleTimeout * 6 / 10 }
 
-// Apply takes in changes of the backends. They hold for every attempt that begins after it returns.
+// Apply applies changes of the backends. They are in effect for every attempt that begins after it
+// returns.
 func (t *Transport) Apply(changes []membership.Change) {
 	t.mu.Lock()
 	defer t.unlock()
@@ -193,7 +197,7 @@
 	}
 }
 
-// Close closes idle connections, and others when the attempts on them end.
+// Close closes idle connections immediately, and all others when the attempts on them end.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	defer t.unlock()
@@ -214,12 +218,12 @@
 	return t.pool.Count()
 }
 
-// Probe returns decision.NotSent: ordinary backends have no load reports to ask for.
+// Probe returns decision.NotSent: ordinary HTTP backends have no load report to request.
 func (t *Transport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
 	return decision.ProbeResult{Backend: id, Result: decision.NotSent}
 }
 
-// unlock unlocks mu, after it has set the expiry timer, and closes the connections that the pool has
+// unlock starts the expiry timer if needed, unlocks mu, and closes the connections that the pool has
 // discarded.
 func (t *Transport) unlock() {
 	discarded := t.pool.TakeDiscarded()
@@ -232,7 +236,7 @@
 	}
 }
 
-// closeExpired closes connections that were idle for too long.
+// closeExpired closes connections that have been idle for too long.
 func (t *Transport) closeExpired() {
 	t.mu.Lock()
 	defer t.unlock()
@@ -240,8 +244,8 @@
 	t.pool.CloseExpired(time.Since(t.start))
 }
 
-// acquire returns a connection for an attempt, or nil and the attempt's result. fresh asks for a new
-// connection. It blocks while one is dialed.
+// acquire returns a connection for an attempt, or nil and the attempt's result. fresh requires a new
+// connection. It blocks while a connection is dialed.
 func (t *Transport) acquire(a *executor.Attempt, fresh bool) (*conn, decision.Result) {
 	for {
 		t.mu.Lock()
@@ -267,7 +271,7 @@
 	}
 }
 
-// dial opens a connection, for which the pool has reserved the place.
+// dial opens a connection that the pool has already counted.
 func (t *Transport) dial(a *executor.Attempt, destination *connpool.Destination) (*conn, decision.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), t.config.ConnectTimeout)
 	defer cancel()
@@ -281,7 +285,7 @@
 		return fail(decision.NotSent)
 	}
 	netConn, raw, err := t.connect(ctx, destination.Addr)
-	if err != nil && a.OnCancel(nil) != nil { // it ended with the attempt, and proves nothing about the backend
+	if err != nil && a.OnCancel(nil) != nil { // the attempt was cancelled: the backend may be healthy
 		return fail(decision.NotSent)
 	}
 	if err != nil {
@@ -295,7 +299,7 @@
 	return c, 0
 }
 
-// connect opens a connection, with TLS if it is configured. raw is the connection below TLS.
+// connect opens a connection, with TLS if configured. raw is the network connection below TLS.
 func (t *Transport) connect(ctx context.Context, addr string) (netConn, raw net.Conn, err error) {
 	raw, err = t.config.Dial(ctx, "tcp", addr)
 	netConn = raw
@@ -310,7 +314,7 @@
 	return netConn, raw, err
 }
 
-// handshake starts TLS on a connection. It closes the connection on an error.
+// handshake makes the TLS handshake on a connection. It closes the connection on an error.
 func (t *Transport) handshake(ctx context.Context, raw net.Conn, addr string) (net.Conn, error) {
 	config := t.config.TLS
 	if config.ServerName == "" {
@@ -339,7 +343,7 @@
 	t.pool.Discard(c.pooled)
 }
 
-// responseWith is the response of an attempt without a backend's response.
+// responseWith returns the response of an attempt that has a result but no response of a backend.
 func responseWith(r decision.Result) executor.Response {
 	return executor.Response{Outcome: lifecycle.Outcome{Result: r}}
 }
--- a/internal/httpproxytransport/transport_test.go
+++ b/internal/httpproxytransport/transport_test.go
@@ -89,10 +89,10 @@
 				IdleTimeout: 100 * time.Millisecond, Dial: dials.dial})
 			defer b.Close()
 			b.Apply(changes)
-			var ran sync.WaitGroup
+			var wg sync.WaitGroup
 			var answered, notSent, other atomic.Int64
 			for i := range 40 {
-				ran.Go(func() {
+				wg.Go(func() {
 					for range 20 {
 						req := &Request{Request: http1proxy.Request{Method: "GET", Target: "/", Host: "x"},
 							Service: "shop", Statuses: &http1proxy.Statuses{}, MaxResponseBytes: 100}
@@ -108,7 +108,7 @@
 					}
 				})
 			}
-			ran.Wait()
+			wg.Wait()
 			if most := dials.maxOpen(); answered.Load() == 0 || other.Load() > 0 || b.Conns() > 4 || h2 &&
 				(notSent.Load() > 0 || most > 3) || !h2 && (notSent.Load() == 0 || most > 4) {
 				t.Errorf("%d answered, %d not sent, %d other; %d connections, %d at most", answered.Load(),
