--- a/httpproxy/body.go
+++ b/httpproxy/body.go
@@ -22,7 +22,8 @@
 // readBody reads a request's body, of maxBytes at most, within Config.BodyReadTimeout and
 // Config.MaxBodyMemory. reserved is the number of bytes added to bodyMemoryUsed, which the caller
 // must subtract again when it no longer needs the body, also after an error.
-func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) (body []byte, reserved int64, err error) {
+func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) (
+	body []byte, reserved int64, err error) {
 	if r.ContentLength > maxBytes {
 		return nil, 0, errBodyTooLarge
 	}
--- a/httpproxy/example_test.go
+++ b/httpproxy/example_test.go
@@ -17,7 +17,7 @@
 	"pumicecroft/routes"
 )
 
-// An ordinary server behind a Gateway in a program, beside handlers of its own.
+// A program serves its own handlers, and forwards the requests of a route to an HTTP backend.
 func Example() {
 	shop := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter,
 		r *http.Request) {
@@ -45,14 +45,14 @@
 	if err != nil {
 		panic(err)
 	}
-	front, err := httpproxy.New(gateway, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
+	proxy, err := httpproxy.New(gateway, httpproxy.Config{Rules: httpproxy.Rules{Routes: table,
 		Resolver: identity.New(nil, identity.NamedRule{Name: "address",
 			Rule: &identity.AddressRule{Plan: "everyone"}})}})
 	if err != nil {
 		panic(err)
 	}
-	own := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "the host's own") })
-	server := httptest.NewServer(front.WithFallback(own))
+	fallback := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "the host's own") })
+	server := httptest.NewServer(proxy.WithFallback(fallback))
 	defer server.Close()
 
 	for _, path := range []string{"/items/7", "/about"} {
--- a/httpproxy/fixture_test.go
+++ b/httpproxy/fixture_test.go
@@ -21,7 +21,7 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// fixture is a proxy by an operator's file, in a server, with backends.
+// fixture is a proxy in an HTTP server, configured by the text of a configuration file.
 type fixture struct {
 	t       testing.TB
 	file    operatorconfig.File
@@ -30,7 +30,7 @@
 	addr    string
 }
 
-// parseFile parses a file's text without its "listen".
+// parseFile parses the text of a configuration file, and adds the "listen" setting.
 func parseFile(t testing.TB, text string) operatorconfig.File {
 	t.Helper()
 	f, err := operatorconfig.Parse([]byte("listen = \"127.0.0.1:0\"\n" + text))
@@ -40,13 +40,13 @@
 	return f
 }
 
-// startProxy serves by a file's text.
+// startProxy starts a proxy with the text of a configuration file.
 func startProxy(t testing.TB, text string) *fixture {
 	t.Helper()
 	return startProxyWithDialer(t, text, nil)
 }
 
-// startProxyWithDialer is startProxy with a way to open connections to backends.
+// startProxyWithDialer is startProxy with a function that opens the connections to backends.
 func startProxyWithDialer(t testing.TB, text string, dial func(context.Context, string, string) (net.Conn, error),
 	options ...pumicecroft.Option) *fixture {
 	t.Helper()
@@ -89,7 +89,7 @@
 	return rules
 }
 
-// startServer serves a handler on a free port. It returns the address.
+// startServer serves a handler on a free port, with TLS if config is not nil. It returns the address.
 func startServer(t testing.TB, h http.Handler, config *tls.Config) string {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
@@ -110,8 +110,8 @@
 	return strings.TrimPrefix(strings.TrimPrefix(s.URL, "http://"), "https://")
 }
 
-// sendRaw sends bytes and returns all that arrives until the connection ends or nothing arrives for
-// a while.
+// sendRaw sends text on a new connection and returns all that is received until the connection is
+// closed or timeout has passed.
 func sendRaw(t testing.TB, addr, text string, timeout time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -125,6 +125,7 @@
 	return string(b)
 }
 
+// serviceSection returns the [[service]] section of a configuration file.
 func serviceSection(name string, addrs ...string) string {
 	quoted := make([]string, len(addrs))
 	for i, a := range addrs {
--- a/httpproxy/http2_test.go
+++ b/httpproxy/http2_test.go
@@ -15,10 +15,10 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// startFrameBackend starts a backend that handles HTTP/2 frames itself: act ends each stream, and
-// the backend answers if it is nil.
-func startFrameBackend(t testing.TB, act func(n int64, f *http2.Framer, stream uint32) (answered bool)) (addr string,
-	requests *atomic.Int64) {
+// startFrameBackend starts a backend that reads and writes HTTP/2 frames itself. It calls respond, if
+// not nil, with the number of the request, and responds with 200 if respond returns false.
+func startFrameBackend(t testing.TB, respond func(n int64, f *http2.Framer, stream uint32) (responded bool)) (
+	addr string, requests *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,11 +44,11 @@
 					if err != nil {
 						return
 					}
-					h, is := frame.(*http2.HeadersFrame)
-					if !is {
+					h, ok := frame.(*http2.HeadersFrame)
+					if !ok {
 						continue
 					}
-					if act != nil && act(requests.Add(1), f, h.StreamID) {
+					if respond != nil && respond(requests.Add(1), f, h.StreamID) {
 						continue
 					}
 					var b bytes.Buffer
@@ -62,25 +62,26 @@
 	return ln.Addr().String(), requests
 }
 
-// An HTTP/2 backend ends streams in various ways. A stream that was refused or is beyond a GOAWAY
-// did not run: its request goes to another backend whatever its method. Otherwise a request that is
-// not idempotent must not be retried.
+// An HTTP/2 backend ends the first stream in various ways. A request whose stream was refused, or
+// follows the last stream of a GOAWAY, did not run and must be retried whatever its method. After any
+// other end of its stream, a non-idempotent request must not be retried.
 func TestHTTP2BackendBehaviours(t *testing.T) {
 	for name, c := range map[string]struct {
-		act       func(f *http2.Framer, stream uint32)
-		post, get int // statuses
-		again     bool
+		endStream func(f *http2.Framer, stream uint32)
+		post, get int  // expected statuses
+		retryPost bool // a POST must be retried
 	}{
-		"refused": {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream) }, 200,
+		"REFUSED_STREAM": {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream) }, 200,
 			200, true},
-		"leaving": {func(f *http2.Framer, s uint32) { _ = f.WriteGoAway(s-1, http2.ErrCodeNo, nil) }, 200, 200, true},
-		"an error": {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeInternal) }, 502, 200,
+		"GOAWAY before the stream": {func(f *http2.Framer, s uint32) { _ = f.WriteGoAway(s-1, http2.ErrCodeNo, nil) },
+			200, 200, true},
+		"INTERNAL_ERROR": {func(f *http2.Framer, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeInternal) }, 502, 200,
 			false},
-		"leaving badly": {func(f *http2.Framer, s uint32) {
+		"GOAWAY including the stream": {func(f *http2.Framer, s uint32) {
 			_ = f.WriteGoAway(s, http2.ErrCodeInternal, nil)
 			_ = f.WriteRSTStream(s, http2.ErrCodeCancel)
 		}, 502, 200, false},
-		"noise": {func(f *http2.Framer, s uint32) {
+		"DATA before HEADERS": {func(f *http2.Framer, s uint32) {
 			_ = f.WriteRawFrame(http2.FrameData, 0, s, []byte("data before a head"))
 		}, 502, 200, false},
 	} {
@@ -89,7 +90,7 @@
 				t.Parallel()
 				addr, requests := startFrameBackend(t, func(n int64, f *http2.Framer, s uint32) bool {
 					if n == 1 {
-						c.act(f, s)
+						c.endStream(f, s)
 					}
 					return n == 1
 				})
@@ -103,20 +104,20 @@
 				res.Body.Close()
 				want, attempts := c.get, int64(2)
 				if method == "POST" {
-					if want = c.post; !c.again {
+					if want = c.post; !c.retryPost {
 						attempts = 1
 					}
 				}
 				if res.StatusCode != want || requests.Load() != attempts {
-					t.Errorf("%d after %d attempts, want %d after %d", res.StatusCode, requests.Load(), want, attempts)
+					t.Errorf("status %d after %d attempts, want %d after %d", res.StatusCode, requests.Load(), want, attempts)
 				}
 			})
 		}
 	}
 }
 
-// Many concurrent requests share few connections, with and without TLS. Streams beyond the
-// backend's limit are not queued behind others.
+// Concurrent requests over HTTP/2 must share the connections to a backend, two at most, and each must
+// get its own response.
 func TestManyRequestsOverHTTP2(t *testing.T) {
 	var mu sync.Mutex
 	conns := map[string]bool{}
@@ -129,27 +130,27 @@
 	}), nil)
 	fx := startProxy(t, serviceSection("shop", backend)+"speaks = \"h2\"\n")
 	var wg sync.WaitGroup
-	var bad atomic.Int64
+	var failed atomic.Int64
 	for i := range 64 {
 		wg.Go(func() {
 			for n := range 20 {
 				want := fmt.Sprint(i, " ", n)
 				res, err := http.Post("http://"+fx.addr+"/", "text/plain", strings.NewReader(want))
 				if err != nil {
-					bad.Add(1)
+					failed.Add(1)
 					continue
 				}
 				body, _ := io.ReadAll(res.Body)
 				res.Body.Close()
 				if res.StatusCode != 200 || string(body) != "HTTP/2.0 "+want {
-					bad.Add(1)
-					t.Logf("%d %s", res.StatusCode, body)
+					failed.Add(1)
+					t.Logf("status %d, body %q, want 200 and %q", res.StatusCode, body, "HTTP/2.0 "+want)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	if bad.Load() > 0 || len(conns) > 2 {
-		t.Errorf("%d bad, over %d connections", bad.Load(), len(conns))
+	if failed.Load() > 0 || len(conns) > 2 {
+		t.Errorf("%d requests failed over %d connections, want 0 over at most 2", failed.Load(), len(conns))
 	}
 }
--- a/httpproxy/proxy_test.go
+++ b/httpproxy/proxy_test.go
@@ -26,16 +26,22 @@
 
 const testTimeout = 20 * time.Second
 
-// scriptedBackend is a backend without an HTTP server: it answers the requests of each connection
-// with the given texts in turn; "close" resets the connection.
+// scriptedBackend is a backend that responds to successive requests with given texts, the last of
+// which is repeated. Some texts have a special meaning:
+//
+//   - "close" resets the connection without a response.
+//   - "hang" never responds.
+//   - A text that starts with "early:" is sent before the request's body is read.
+//   - A text that starts with "late:" is followed, after 20 ms, by a second response.
+//   - After a text that ends with "cut", the connection is closed.
 type scriptedBackend struct {
-	ln   net.Listener
-	mu   sync.Mutex
-	next int
-	got  []string // heads, and bodies of known length
+	ln       net.Listener
+	mu       sync.Mutex
+	next     int      // index of the next response
+	received []string // method, target and body of each request
 }
 
-func startScriptedBackend(t testing.TB, answers ...string) *scriptedBackend {
+func startScriptedBackend(t testing.TB, responses ...string) *scriptedBackend {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,13 +55,13 @@
 			if err != nil {
 				return
 			}
-			go s.serve(c, answers)
+			go s.serve(c, responses)
 		}
 	}()
 	return s
 }
 
-func (s *scriptedBackend) serve(c net.Conn, answers []string) {
+func (s *scriptedBackend) serve(c net.Conn, responses []string) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -64,18 +70,18 @@
 			return
 		}
 		s.mu.Lock()
-		answer := answers[min(s.next, len(answers)-1)]
+		response := responses[min(s.next, len(responses)-1)]
 		s.next++
 		s.mu.Unlock()
-		early := strings.HasPrefix(answer, "early:")
+		early := strings.HasPrefix(response, "early:")
 		var body []byte
 		if !early {
 			body, _ = io.ReadAll(req.Body)
 		}
 		s.mu.Lock()
-		s.got = append(s.got, req.Method+" "+req.RequestURI+" "+string(body))
+		s.received = append(s.received, req.Method+" "+req.RequestURI+" "+string(body))
 		s.mu.Unlock()
-		switch answer {
+		switch response {
 		case "close":
 			c.(*net.TCPConn).SetLinger(0)
 			return
@@ -83,16 +89,16 @@
 			io.Copy(io.Discard, in)
 			return
 		}
-		if rest, late := strings.CutPrefix(answer, "late:"); late {
+		if rest, late := strings.CutPrefix(response, "late:"); late {
 			io.WriteString(c, rest)
 			time.Sleep(20 * time.Millisecond)
-			answer = strings.Replace(okResponse, "ok", "no", 1) // that nobody asked for
+			response = strings.Replace(okResponse, "ok", "no", 1) // a response without a request
 		}
-		if _, err := io.WriteString(c, strings.TrimPrefix(answer, "early:")); err != nil || early {
+		if _, err := io.WriteString(c, strings.TrimPrefix(response, "early:")); err != nil || early {
 			time.Sleep(50 * time.Millisecond)
 			return
 		}
-		if strings.HasSuffix(answer, "cut") {
+		if strings.HasSuffix(response, "cut") {
 			return
 		}
 	}
@@ -103,11 +109,13 @@
 func (s *scriptedBackend) requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string{}, s.got...)
+	return append([]string{}, s.received...)
 }
 
-// exchangeRaw reads one response, and the 1xx responses before it.
-func exchangeRaw(t testing.TB, method, text string) (informational []int, res *http.Response, body string, err error) {
+// exchangeRaw parses the response to a request with the given method, and the 1xx responses before
+// it.
+func exchangeRaw(t testing.TB, method, text string) (informational []int, res *http.Response, body string,
+	err error) {
 	t.Helper()
 	in := bufio.NewReader(strings.NewReader(text))
 	for {
@@ -125,75 +133,79 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// Backends respond, fail and break in all ways, to requests that may be retried and to others. The
-// client must get the response, or the proxy's own error, after no more attempts than the method
-// allows.
+// Backends send valid, faulty, truncated and error responses, or reset the connection, after idempotent
+// and non-idempotent requests. The client must get the response, or the proxy's own error, after no
+// more attempts than the method allows.
 func TestBackendBehaviours(t *testing.T) {
 	const get, post, put = "GET", "POST", "PUT"
 	for _, c := range []struct {
 		name, method, body string
-		answers            []string
+		responses          []string
 		status, attempts   int
 		want               string // the body, or a part of the problem's type
-		cut                bool
+		truncated          bool   // the client receives an incomplete body
 	}{
-		{"broken, of an idempotent method", put, "x", []string{"close", okResponse}, 200, 2, "ok", false},
-		{"broken, of one that is not", post, "x", []string{"close", okResponse}, 502, 1, "problem:failed", false},
-		{"503 that says when", post, "x", []string{"HTTP/1.1 503 X\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n",
+		{"connection reset, idempotent method", put, "x", []string{"close", okResponse}, 200, 2, "ok", false},
+		{"connection reset, non-idempotent method", post, "x", []string{"close", okResponse}, 502, 1, "problem:failed",
+			false},
+		{"503 with Retry-After", post, "x", []string{"HTTP/1.1 503 X\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n",
 			okResponse}, 200, 2, "ok", false},
-		{"503 that does not", post, "x", []string{"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy", okResponse}, 503,
-			1, "busy", false},
-		{"503 that does not, to be repeated at will", get, "",
+		{"503 without Retry-After, non-idempotent method", post, "x",
+			[]string{"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy", okResponse}, 503, 1, "busy", false},
+		{"503 without Retry-After, idempotent method", get, "",
 			[]string{"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2, "ok", false},
 		{"429", post, "x", []string{"HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2, "ok", false},
 		{"500", post, "x", []string{"HTTP/1.1 500 X\r\nContent-Length: 3\r\n\r\nbad"}, 500, 1, "bad", false},
-		{"500 in chunks", post, "x",
+		{"chunked 500", post, "x",
 			[]string{"HTTP/1.1 500 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbad\r\n0\r\n\r\n"}, 500, 1, "bad",
 			false},
-		{"a large 500, to be repeated at will", get, "",
+		{"large 500, idempotent method", get, "",
 			[]string{"HTTP/1.1 500 X\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("e", 70000), okResponse}, 200,
 			2, "ok", false},
-		{"500 too large to be held", post, "x", []string{"HTTP/1.1 500 X\r\nContent-Length: 300000\r\n\r\n" +
+		{"500 too large to be kept", post, "x", []string{"HTTP/1.1 500 X\r\nContent-Length: 300000\r\n\r\n" +
 			strings.Repeat("e", 300000)}, 500, 1, strings.Repeat("e", 300000), false},
-		{"a refusal too large to be held", post, "x",
+		{"503 with Retry-After too large to be kept", post, "x",
 			[]string{"HTTP/1.1 503 X\r\nRetry-After: 1\r\nContent-Length: 300000\r\n\r\n" +
 				strings.Repeat("e", 300000), okResponse}, 200, 2, "ok", false},
-		{"a refusal too large to be held, in chunks", post, "x",
+		{"chunked 429 too large to be kept", post, "x",
 			[]string{"HTTP/1.1 429 X\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n" + strings.Repeat("e", 300000) +
 				"\r\n0\r\n\r\n", okResponse}, 200, 2, "ok", false},
 		{"501", get, "", []string{"HTTP/1.1 501 X\r\nContent-Length: 0\r\n\r\n"}, 501, 1, "", false},
-		{"a status line of its own making", get, "",
+		{"unregistered status and reason", get, "",
 			[]string{"HTTP/1.1 299 All Quite Fine\r\nContent-Length: 2\r\n\r\nok"}, 299, 1, "ok", false},
-		{"a status that is none", post, "", []string{"HTTP/1.1 042 X\r\nContent-Length: 0\r\n\r\n"}, 502, 1,
+		{"invalid status", post, "", []string{"HTTP/1.1 042 X\r\nContent-Length: 0\r\n\r\n"}, 502, 1,
 			"problem:failed", false},
-		{"noise", post, "", []string{"\x00\x01noise\r\n\r\n"}, 502, 1, "problem:failed", false},
-		{"HTTP/1.0 to the end", get, "", []string{"HTTP/1.0 200 OK\r\n\r\nold cut"}, 200, 1, "old cut", false},
-		{"a short answer cut, then whole", get, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut",
-			okResponse}, 200, 2, "ok", false},
-		{"a short answer cut, not to be repeated", post, "",
+		{"not HTTP", post, "", []string{"\x00\x01noise\r\n\r\n"}, 502, 1, "problem:failed", false},
+		{"HTTP/1.0 body until close", get, "", []string{"HTTP/1.0 200 OK\r\n\r\nold cut"}, 200, 1, "old cut", false},
+		{"truncated short response, idempotent method", get, "",
+			[]string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut", okResponse}, 200, 2, "ok", false},
+		{"truncated short response, non-idempotent method", post, "",
 			[]string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf cut"}, 502, 1, "problem:failed", false},
-		{"chunks cut", get, "", []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\ncut",
-			okResponse}, 200, 1, "hello", true},
-		{"a body to HEAD", "HEAD", "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"}, 200, 1, "", false},
-		{"a switch that nobody asked for", post, "",
+		{"truncated chunked response", get, "",
+			[]string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\ncut", okResponse}, 200, 1,
+			"hello", true},
+		{"body in a response to HEAD", "HEAD", "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"}, 200, 1, "",
+			false},
+		{"unrequested 101", post, "",
 			[]string{"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"}, 502, 1,
 			"problem:failed", false},
-		{"two lengths", post, "", []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"},
-			502, 1, "problem:failed", false},
-		{"a head without an end", post, "", []string{"HTTP/1.1 200 OK\r\n" +
+		{"two values of Content-Length", post, "",
+			[]string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"}, 502, 1, "problem:failed",
+			false},
+		{"head over the limit", post, "", []string{"HTTP/1.1 200 OK\r\n" +
 			strings.Repeat("X-A: "+strings.Repeat("a", 1000)+"\r\n", 100)}, 502, 1, "problem:failed", false},
-		{"before it has the request", post, strings.Repeat("b", 900_000),
+		{"response before the request's body", post, strings.Repeat("b", 900_000),
 			[]string{"early:HTTP/1.1 413 X\r\nContent-Length: 3\r\n\r\nbig"}, 413, 1, "big", false},
 		{"204", "DELETE", "", []string{"HTTP/1.1 204 X\r\n\r\n"}, 204, 1, "", false},
-		{"hints", get, "", []string{"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + okResponse}, 200, 1, "ok",
-			false},
-		{"hints without an end", post, "", []string{strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) +
+		{"hints before the response", get, "",
+			[]string{"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + okResponse}, 200, 1, "ok", false},
+		{"hints over the limit", post, "", []string{strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) +
 			okResponse}, 502, 1, "problem:failed", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := startScriptedBackend(t, c.answers...)
-			// Two names of one backend: a repeat may go to the other.
+			b := startScriptedBackend(t, c.responses...)
+			// The backend is configured under two names, so that a retry can be sent to the other one.
 			fx := startProxy(t, serviceSection("shop", b.addr(),
 				strings.Replace(b.addr(), "127.0.0.1", "localhost", 1))+"hold = 65536\n")
 			text := fmt.Sprintf("%s /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s",
@@ -203,27 +215,28 @@
 			if res == nil {
 				t.Fatalf("%v: %.200q", err, got)
 			}
-			if res.StatusCode != c.status || !strings.Contains(body, c.want) || (err != nil) != c.cut {
-				t.Errorf("%d %.80q %v", res.StatusCode, body, err)
+			if res.StatusCode != c.status || !strings.Contains(body, c.want) || (err != nil) != c.truncated {
+				t.Errorf("status %d, body %.80q, error %v; want status %d, %.80q in the body, truncated %t", res.StatusCode,
+					body, err, c.status, c.want, c.truncated)
 			}
 			if n := len(b.requests()); n != c.attempts {
-				t.Errorf("%d attempts: %.80q", n, b.requests())
+				t.Errorf("%d attempts, want %d: %.80q", n, c.attempts, b.requests())
 			}
 			if strings.HasPrefix(c.name, "hints") && len(informational) == 0 {
-				t.Error("no hints came")
+				t.Error("the client received 0 responses with status 103, want at least 1")
 			}
 			if open := fx.gateway.OpenRequests(); open != 0 {
-				t.Errorf("%d requests are open", open)
+				t.Errorf("%d requests are open, want 0", open)
 			}
 		})
 	}
 }
 
-// Clients send valid and invalid requests. Each is accepted or rejected by a stated rule, and
-// fields that clients may not set for themselves do not reach backends.
+// Clients send valid and invalid requests. Each must be forwarded, or rejected with the expected status,
+// and backends must not receive header fields that clients are not allowed to set.
 func TestClientRequests(t *testing.T) {
 	var mu sync.Mutex
-	var got *http.Request
+	var got *http.Request // as the backend received it
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -264,43 +277,45 @@
 	long := "/items/" + strings.Repeat("p", 64<<10)
 	many := strings.Repeat("X-A: b\r\n", 10_000)
 	for _, c := range []struct {
-		name, text, want string // a status, and a part of the answer or "METHOD target" as it arrived
+		name, text, want string // a status, and a part of the response or "METHOD target" as forwarded
 	}{
-		{"a host with port, case and dot", "GET /items/7?q=2 HTTP/1.1\r\nHost: SHOP.example.:8080\r\n",
+		{"host with upper case, trailing dot and port", "GET /items/7?q=2 HTTP/1.1\r\nHost: SHOP.example.:8080\r\n",
 			"200 GET /items/7?q=2"},
-		{"an encoded slash", "GET /items/a%2Fb HTTP/1.1\r\nHost: shop.example\r\n", "200 GET /items/a%2Fb"},
-		{"an empty segment", "GET //items/7 HTTP/1.1\r\nHost: shop.example\r\n", "404 no-route"},
-		{"a parameter that is empty", "GET /items/ HTTP/1.1\r\nHost: shop.example\r\n", "404 no-route"},
-		{"dots", "GET /items/../old HTTP/1.1\r\nHost: shop.example\r\n", "400 a segment"},
-		{"encoded dots", "GET /items/%2e%2E HTTP/1.1\r\nHost: shop.example\r\n", "400 a segment"},
-		{"a bad escape", "GET /items/%zz HTTP/1.1\r\nHost: shop.example\r\n", "400 "},
-		{"a path of 64 KiB", "GET " + long + " HTTP/1.1\r\nHost: shop.example\r\n", "200 GET " + long},
-		{"a deep name", "GET /x HTTP/1.1\r\nHost: a.b.shop.example\r\n", "200 GET /x"},
-		{"a host that is none", "GET /x HTTP/1.1\r\nHost: a/b\r\n", "400 "},
-		{"another host", "GET /items/7 HTTP/1.1\r\nHost: other.example\r\n", "404 no-route"},
-		{"a route that refuses", "GET /old HTTP/1.1\r\nHost: z\r\n", "410 route-refuses"},
-		{"another method", "GET /only HTTP/1.1\r\nHost: z\r\n", "405 POST, PUT"},
-		{"a target of a proxy", "GET http://shop.example/items/7 HTTP/1.1\r\nHost: shop.example\r\n", "400 "},
+		{"encoded slash", "GET /items/a%2Fb HTTP/1.1\r\nHost: shop.example\r\n", "200 GET /items/a%2Fb"},
+		{"empty segment", "GET //items/7 HTTP/1.1\r\nHost: shop.example\r\n", "404 no-route"},
+		{"empty parameter", "GET /items/ HTTP/1.1\r\nHost: shop.example\r\n", "404 no-route"},
+		{"dot segment", "GET /items/../old HTTP/1.1\r\nHost: shop.example\r\n", "400 a segment"},
+		{"encoded dot segment", "GET /items/%2e%2E HTTP/1.1\r\nHost: shop.example\r\n", "400 a segment"},
+		{"invalid escape", "GET /items/%zz HTTP/1.1\r\nHost: shop.example\r\n", "400 "},
+		{"path of 64 KiB", "GET " + long + " HTTP/1.1\r\nHost: shop.example\r\n", "200 GET " + long},
+		{"subdomain of two labels", "GET /x HTTP/1.1\r\nHost: a.b.shop.example\r\n", "200 GET /x"},
+		{"invalid host", "GET /x HTTP/1.1\r\nHost: a/b\r\n", "400 "},
+		{"host without a route", "GET /items/7 HTTP/1.1\r\nHost: other.example\r\n", "404 no-route"},
+		{"rejecting route", "GET /old HTTP/1.1\r\nHost: z\r\n", "410 route-refuses"},
+		{"method not allowed", "GET /only HTTP/1.1\r\nHost: z\r\n", "405 POST, PUT"},
+		{"absolute-form target", "GET http://shop.example/items/7 HTTP/1.1\r\nHost: shop.example\r\n", "400 "},
 		{"CONNECT", "CONNECT shop.example:80 HTTP/1.1\r\nHost: shop.example:80\r\n", "400 "},
-		{"an upgrade", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n",
+		{"WebSocket upgrade",
+			"GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n",
 			"501 upgrade"},
-		{"a fragment", "GET /items/7#x HTTP/1.1\r\nHost: shop.example\r\n", "400 "},
-		{"two keys", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nIdempotency-Key: a\r\nIdempotency-Key: b\r\nContent-Length: 0\r\n", "400 twice"},
+		{"fragment", "GET /items/7#x HTTP/1.1\r\nHost: shop.example\r\n", "400 "},
+		{"two idempotency keys", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nIdempotency-Key: a\r\nIdempotency-Key: b\r\nContent-Length: 0\r\n", "400 twice"},
 		{"10,000 fields", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\n" + many, "200 GET /items/7"},
 		{"100,000 fields", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\n" + strings.Repeat(many, 10), "431 "},
 		{"NUL in a field", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-A: a\x00b\r\n", "400 "},
-		{"a bare CR", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-A: a\rTransfer-Encoding: chunked\r\n", "400 "},
-		{"a fold", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-A: a\r\n b\r\n", "200 X-A: a b"},
-		{"two lengths", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 0\r\nContent-Length: 1\r\n",
-			"400 "},
-		{"a length beside chunks",
+		{"bare CR", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-A: a\rTransfer-Encoding: chunked\r\n", "400 "},
+		{"folded line", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-A: a\r\n b\r\n", "200 X-A: a b"},
+		{"two values of Content-Length",
+			"POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 0\r\nContent-Length: 1\r\n", "400 "},
+		{"Content-Length and Transfer-Encoding",
 			"POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /items/smuggled HTTP/1.1\r\nHost: shop.example\r\n", "200 POST /items/7"},
-		{"a body over the limit", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 1048577\r\n",
+		{"body over the limit", "POST /items/7 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 1048577\r\n",
 			"413 body-too-large"},
-		{"a customer that it says itself",
+		{"forged customer and origin",
 			"GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-Customer: boss\r\nX-Forwarded-For: 10.1.1.1\r\nForwarded: for=10.1.1.1\r\n", "200 X-Forwarded-For: 127.0.0.1"},
-		{"nominated", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-Customer: boss\r\nConnection: X-Forwarded-For, X-Customer, Via, X-Request-Id\r\n", "200 X-Forwarded-For: 127.0.0.1"},
-		{"a circle", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nVia: " + strings.Repeat("1.1 pumicecroft, ", 8) +
+		{"protected fields in Connection",
+			"GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nX-Customer: boss\r\nConnection: X-Forwarded-For, X-Customer, Via, X-Request-Id\r\n", "200 X-Forwarded-For: 127.0.0.1"},
+		{"loop", "GET /items/7 HTTP/1.1\r\nHost: shop.example\r\nVia: " + strings.Repeat("1.1 pumicecroft, ", 8) +
 			"\r\n", "508 loop"},
 		{"HTTP/1.0", "GET /x HTTP/1.0\r\n", "404 no-route"},
 		{"HTTP/1.0 with a host", "GET /items/7 HTTP/1.0\r\nHost: shop.example\r\n", "200 GET /items/7"},
@@ -316,56 +331,57 @@
 			all := sendRaw(t, fx.addr, text, 2*time.Second)
 			informational, res, body, _ := exchangeRaw(t, "GET", all)
 			if strings.Contains(text, "HTTP/1.0") && len(informational) > 0 {
-				t.Errorf("%v to a client of HTTP/1.0", informational)
+				t.Errorf("an HTTP/1.0 client received 1xx responses %v, want none", informational)
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			if res == nil {
 				t.Fatalf("%.200q", all)
 			}
-			what := fmt.Sprint(res.StatusCode, " ", body, res.Header["Allow"])
+			summary := fmt.Sprint(res.StatusCode, " ", body, res.Header["Allow"])
 			if got != nil {
-				what += got.Method + " " + got.RequestURI + " "
+				summary += got.Method + " " + got.RequestURI + " "
 				for name, vs := range got.Header {
 					for _, v := range vs {
-						what += name + ": " + v + "\n"
+						summary += name + ": " + v + "\n"
 					}
 				}
 				if got.Header["X-Customer"] != nil || got.Header["Forwarded"] != nil ||
 					len(got.Header["X-Request-Id"]) != 1 || len(got.Header["Via"]) != 1 ||
 					strings.Contains(got.RequestURI, "smuggled") {
-					t.Errorf("what it said for itself arrived: %v", got.Header)
+					t.Errorf("the backend received %s with %v, want no X-Customer, no Forwarded, one X-Request-Id, one Via "+
+						"and no smuggled request", got.RequestURI, got.Header)
 				}
 			}
 			status, part, _ := strings.Cut(c.want, " ")
-			if !strings.HasPrefix(what, status+" ") || !strings.Contains(what, part) ||
+			if !strings.HasPrefix(summary, status+" ") || !strings.Contains(summary, part) ||
 				(got != nil) != (status == "200") {
-				t.Errorf("%.400s", what)
+				t.Errorf("got %.400s, want status %s and %.80q, forwarded only with 200", summary, status, part)
 			}
 			if ct := res.Header.Get("Content-Type"); got == nil && res.StatusCode != 431 &&
 				ct != "application/problem+json" && !strings.Contains(body, "Bad Request") {
-				t.Errorf("no problem document, but %q: %.200q", ct, body)
+				t.Errorf("Content-Type %q, want application/problem+json: %.200q", ct, body)
 			}
 		})
 	}
 }
 
-// A backend sends a response slowly: what it has sent must arrive at the client before the rest is
-// there.
+// A backend sends a response slowly: the client must receive the part that was sent before the backend
+// sends the rest.
 func TestResponseIsStreamedAsItArrives(t *testing.T) {
-	for name, length := range map[string]string{"chunks": "", "a long one of known length": "100000"} {
+	for name, length := range map[string]string{"chunked": "", "long with Content-Length": "100000"} {
 		t.Run(name, func(t *testing.T) {
-			more := make(chan bool)
+			sendNext := make(chan bool)
 			backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				if length != "" {
 					w.Header().Set("Content-Length", length)
 				}
 				w.WriteHeader(200)
 				w.(http.Flusher).Flush()
-				<-more
+				<-sendNext
 				io.WriteString(w, "first")
 				w.(http.Flusher).Flush()
-				<-more
+				<-sendNext
 				io.WriteString(w, strings.Repeat("x", 99995))
 			}), nil)
 			fx := startProxy(t, serviceSection("shop", backend))
@@ -374,25 +390,25 @@
 				t.Fatal(err)
 			}
 			defer res.Body.Close()
-			more <- true
+			sendNext <- true
 			p := make([]byte, 5)
 			if _, err := io.ReadFull(res.Body, p); err != nil || string(p) != "first" {
-				t.Errorf("%q %v", p, err)
+				t.Errorf("read %q, error %v, want \"first\"", p, err)
 			}
-			more <- true
+			sendNext <- true
 			if rest, err := io.ReadAll(res.Body); err != nil || len(rest) != 99995 {
-				t.Errorf("%d bytes, %v", len(rest), err)
+				t.Errorf("read %d more bytes, error %v, want 99995", len(rest), err)
 			}
 		})
 	}
 }
 
-// A client does not read its response, or disconnects during it. The request must end by its
-// deadline or at once, and hold nothing afterwards.
+// A client does not read its response, or disconnects while it is sent. The request must end at the
+// backend and in the gateway.
 func TestClientThatDoesNotReadIsBounded(t *testing.T) {
-	gone := make(chan bool, 10)
+	ended := make(chan bool, 10)
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		defer func() { gone <- true }()
+		defer func() { ended <- true }()
 		for r.Context().Err() == nil {
 			if _, err := w.Write(make([]byte, 32<<10)); err != nil {
 				return
@@ -400,85 +416,87 @@
 		}
 	}), nil)
 	fx := startProxy(t, serviceSection("shop", backend)+"deadline = \"700ms\"\n")
-	for _, leaves := range []bool{false, true} {
-		for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+	for _, disconnects := range []bool{false, true} {
+		for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 			c, err := net.Dial("tcp", fx.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
 			io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-			if !leaves {
+			if !disconnects {
 				break
 			}
 			head := make([]byte, 100)
 			_, _ = io.ReadFull(c, head)
 			c.Close()
-			// an attempt that took all of its time may have the next one refused for a moment
-			if !strings.HasPrefix(string(head), "HTTP/1.1 503") || time.Since(begun) > testTimeout {
+			// After an attempt that exceeded its deadline, the next request may be rejected for a short time.
+			if !strings.HasPrefix(string(head), "HTTP/1.1 503") || time.Since(start) > testTimeout {
 				break
 			}
 		}
 		select {
-		case <-gone:
+		case <-ended:
 		case <-time.After(testTimeout):
-			t.Fatal("the backend is still asked")
+			t.Fatalf("client that disconnects %t: the request at the backend is still open after %v", disconnects,
+				testTimeout)
 		}
 		for end := time.Now().Add(testTimeout); fx.gateway.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("the request is still open")
+				t.Fatalf("client that disconnects %t: %d requests are open after %v, want 0", disconnects,
+					fx.gateway.OpenRequests(), testTimeout)
 			}
 		}
 	}
 }
 
-// Rules are replaced while a request is open: it goes on by its own rules, and later requests by
-// the new ones.
+// Rules are replaced while a request is open: the request must keep its rules, and later requests must
+// use the new ones. Invalid rules must not replace valid ones.
 func TestSetRulesDuringOpenRequest(t *testing.T) {
-	came, release := make(chan bool), make(chan bool)
+	arrived, release := make(chan bool), make(chan bool)
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
+		arrived <- true
 		<-release
 		io.WriteString(w, "done")
 	}), nil)
 	fx := startProxy(t, serviceSection("shop", backend))
-	old := make(chan string)
+	openResponse := make(chan string)
 	go func() {
 		_, res, body, _ := exchangeRaw(t, "GET", sendRaw(t, fx.addr,
 			"GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
-		old <- fmt.Sprint(res.StatusCode, body)
+		openResponse <- fmt.Sprint(res.StatusCode, body)
 	}()
-	<-came
+	<-arrived
 	if err := fx.proxy.SetRules(fx.rules(parseFile(t, serviceSection("shop",
 		backend)+"[[route]]\nrefuse = 403\n"))); err != nil {
 		t.Fatal(err)
 	}
 	res, err := http.Get("http://" + fx.addr + "/a")
 	if err != nil || res.StatusCode != 403 {
-		t.Errorf("%v %v", res, err)
+		t.Errorf("request after new rules: response %v, error %v, want status 403", res, err)
 	}
 	res.Body.Close()
 	release <- true
-	if got := <-old; got != "200done" {
-		t.Error(got)
+	if got := <-openResponse; got != "200done" {
+		t.Errorf("response to the open request %q, want \"200done\"", got)
 	}
 	err = fx.proxy.SetRules(fx.rules(parseFile(t, serviceSection("other", backend))))
 	if !errors.Is(err, httpproxy.ErrInvalidRules) {
-		t.Errorf("rules of another service: %v", err)
+		t.Errorf("rules with an unknown service: error %v, want ErrInvalidRules", err)
 	}
 	res, err = http.Get("http://" + fx.addr + "/a")
 	if err != nil {
-		t.Fatalf("after a bad swap: %v", err)
+		t.Fatalf("request after invalid rules: %v", err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != 403 {
-		t.Errorf("after a bad swap: %v", res)
+		t.Errorf("request after invalid rules: status %d, want 403", res.StatusCode)
 	}
 }
 
-// A customer's quota spans services, and rejections say the reason, the time to retry and what is
-// left.
-func TestOneQuotaOverServices(t *testing.T) {
+// A customer's quota must apply to all services together, and rejections must have the reason, the
+// time to retry and the remaining quota.
+func TestQuotaSpansServices(t *testing.T) {
 	var n atomic.Int64
 	count := http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { n.Add(1) })
 	fx := startProxy(t, serviceSection("a", startServer(t, count, nil))+serviceSection("b", startServer(t, count, nil))+`
@@ -507,17 +525,18 @@
 			p.Status != 429 || p.Type != "urn:pumicecroft:problem:over-quota" ||
 			res.Header.Get("Retry-After") == "" || res.Header.Get("RateLimit-Policy") != `"small";q=10;w=1000` ||
 			res.Header.Get("RateLimit") != `"small";r=0;t=1` {
-			t.Errorf("%d %+v %v %v", res.StatusCode, p, res.Header, err)
+			t.Errorf("status %d, problem %+v, header %v, error %v; want status 429, problem over-quota and the "+
+				"rate limit headers", res.StatusCode, p, res.Header, err)
 		}
 		res.Body.Close()
 	}
 	if served < 6 || served > 10 {
-		t.Errorf("%d units of 10 were served", served)
+		t.Errorf("%d units of a quota of 10 were served, want 6 to 10", served)
 	}
 }
 
-// A request is repeated with its idempotency key, on any connection: it must get the first one's
-// complete response. Another request with the key is rejected.
+// A request is repeated with its idempotency key: it must get the complete response of the first one.
+// A different request with the same key must be rejected.
 func TestIdempotencyKeys(t *testing.T) {
 	var n atomic.Int64
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -545,13 +564,13 @@
 		res.Body.Close()
 		if got := fmt.Sprint(res.StatusCode, " ", string(text), " ",
 			res.Header.Get("X-Order")); !strings.HasPrefix(got, want) {
-			t.Errorf("%d: %s", i, got)
+			t.Errorf("request %d: got %q, want it to start with %q", i, got, want)
 		}
 	}
 }
 
-// Bodies of many requests exceed the memory for bodies: it must stay limited over all requests, and
-// be given back.
+// The bodies of two requests together exceed the body memory: the second request must be rejected, and
+// the memory must be available again when the first one ends, or when a body is not received in time.
 func TestRequestBodyLimits(t *testing.T) {
 	release := make(chan bool)
 	backend := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter,
@@ -575,34 +594,37 @@
 		time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	if got := post(60_000); got != 503 {
-		t.Errorf("without room: %d", got)
+		t.Errorf("request over the body memory: status %d, want 503", got)
 	}
 	close(release)
 	if got := <-first; got != 200 {
-		t.Errorf("the first: %d", got)
+		t.Errorf("first request: status %d, want 200", got)
 	}
 	if got := post(60_000); got != 200 {
-		t.Errorf("with room again: %d", got)
+		t.Errorf("request after the first one has ended: status %d, want 200", got)
 	}
 	_, res, _, _ := exchangeRaw(t, "POST", sendRaw(t, fx.addr,
 		"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf", testTimeout))
 	if res == nil || res.StatusCode != 408 {
-		t.Errorf("a body that does not come: %v", res)
+		t.Errorf("request with an incomplete body: response %v, want status 408", res)
 	}
 	if got := post(60_000); got != 200 {
-		t.Errorf("after a body that did not come: %d", got)
+		t.Errorf("request after one with an incomplete body: status %d, want 200", got)
 	}
 }
 
+// zeroReader is an endless reader.
 type zeroReader struct{}
 
 func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// In a host's server the host's identity precedes all rules, and its timeout has its own response.
+// The proxy runs inside another program's server. The identity that the program sets must take
+// precedence over the identity rules, handlers that wrap the proxy (StripPrefix, TimeoutHandler) must
+// work, and requests that no route matches must reach the program's own handler.
 func TestProxyInHostServer(t *testing.T) {
-	var seen atomic.Value
+	var forwardedTarget atomic.Value
 	backend := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		seen.Store(r.RequestURI)
+		forwardedTarget.Store(r.RequestURI)
 		if r.URL.Path == "/slow" {
 			<-r.Context().Done()
 		}
@@ -610,9 +632,9 @@
 	fx := startProxy(t, serviceSection("shop",
 		backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n")
 	host := http.StripPrefix("/api", http.TimeoutHandler(fx.proxy, time.Second, "host's"))
-	ask := func(target string, who bool) *httptest.ResponseRecorder {
+	get := func(target string, identified bool) *httptest.ResponseRecorder {
 		req := httptest.NewRequest("GET", target, nil)
-		if who {
+		if identified {
 			req = req.WithContext(pumicecroft.WithIdentity(context.Background(),
 				pumicecroft.Identity{Customer: 7, Plan: "p"}))
 		}
@@ -620,16 +642,17 @@
 		host.ServeHTTP(w, req)
 		return w
 	}
-	if w := ask("/api/a%2Fb?x=1", true); w.Code != 200 || seen.Load() != "/a%2Fb?x=1" {
-		t.Errorf("%d, arrived as %v", w.Code, seen.Load())
+	if w := get("/api/a%2Fb?x=1", true); w.Code != 200 || forwardedTarget.Load() != "/a%2Fb?x=1" {
+		t.Errorf("status %d, target %v at the backend, want 200 and /a%%2Fb?x=1", w.Code, forwardedTarget.Load())
 	}
-	if w := ask("/api/a", false); w.Code != 401 || w.Header().Get("WWW-Authenticate") == "" {
-		t.Errorf("nobody: %d", w.Code)
+	if w := get("/api/a", false); w.Code != 401 || w.Header().Get("WWW-Authenticate") == "" {
+		t.Errorf("request without an identity: status %d, WWW-Authenticate %q, want 401 and a value", w.Code,
+			w.Header().Get("WWW-Authenticate"))
 	}
 	for target, want := range map[string]int{"/a": 200, "/own": 418} {
-		swap := fx.rules(parseFile(t, serviceSection("shop",
+		rules := fx.rules(parseFile(t, serviceSection("shop",
 			backend)+"[[identity]]\nkind = \"key\"\nfile = \"/dev/null\"\n[[plan]]\nname = \"p\"\n[[route]]\npath = \"/a\"\n[[route]]\npath = \"/own\"\nmethods = [\"PUT\"]\n"))
-		if err := fx.proxy.SetRules(swap); err != nil {
+		if err := fx.proxy.SetRules(rules); err != nil {
 			t.Fatal(err)
 		}
 		w := httptest.NewRecorder()
@@ -640,29 +663,29 @@
 			w.WriteHeader(418)
 		})).ServeHTTP(w, req)
 		if w.Code != want {
-			t.Errorf("%s beside a host's own: %d", target, w.Code)
+			t.Errorf("%s with a fallback: status %d, want %d", target, w.Code, want)
 		}
 	}
 	if err := fx.proxy.SetRules(fx.rules(fx.file)); err != nil {
 		t.Fatal(err)
 	}
-	if w := ask("/api/slow", true); w.Code != 503 || w.Body.String() != "host's" {
-		t.Errorf("%d %q", w.Code, w.Body)
+	if w := get("/api/slow", true); w.Code != 503 || w.Body.String() != "host's" {
+		t.Errorf("request over the program's timeout: status %d, body %q, want 503 and \"host's\"", w.Code, w.Body)
 	}
 }
 
-// A token expires during a request: it is valid for the whole request with its retries, and the
-// next request is rejected.
+// A token expires during a request: the request and its retries must succeed, and the next request
+// must be rejected.
 func TestTokenExpiresDuringRequest(t *testing.T) {
 	t.Parallel()
 	secret := strings.Repeat("s", 32)
 	path := testcerts.WriteFiles(t, t.TempDir(), map[string][]byte{"secret": []byte(secret)})
-	ends := time.Now().Truncate(time.Second).Add(2 * time.Second)
+	expiry := time.Now().Truncate(time.Second).Add(2 * time.Second)
 	var n atomic.Int64
 	b := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if n.Add(1) == 1 {
-			time.Sleep(time.Until(ends.Add(100 * time.Millisecond)))
-			w.WriteHeader(500) // and it is made again, after the token's end
+			time.Sleep(time.Until(expiry.Add(100 * time.Millisecond)))
+			w.WriteHeader(500) // the request is retried, after the token has expired
 		}
 	}), nil)
 	fx := startProxy(t, serviceSection("shop", b, strings.Replace(b, "127.0.0.1", "localhost", 1))+fmt.Sprintf(`
@@ -676,7 +699,7 @@
 name = "p"
 `, path("secret")))
 	text, err := jwt.NewWithClaims(jwt.SigningMethodHS256,
-		jwt.MapClaims{"sub": "u", "aud": "shop", "exp": ends.Unix()}).SignedString([]byte(secret))
+		jwt.MapClaims{"sub": "u", "aud": "shop", "exp": expiry.Unix()}).SignedString([]byte(secret))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -689,31 +712,31 @@
 		}
 		res.Body.Close()
 		if res.StatusCode != want || n.Load() != 2 {
-			t.Errorf("request %d: %d after %d attempts", i, res.StatusCode, n.Load())
+			t.Errorf("request %d: status %d, %d attempts in total; want %d, 2 in total", i, res.StatusCode, n.Load(), want)
 		}
 	}
 }
 
-// A faulty backend sends bytes behind a response: they must not be taken for the next request's
-// response.
-func TestBytesBehindResponseCloseConnection(t *testing.T) {
-	evil := strings.Replace(okResponse, "ok", "no", 1)
-	b := startScriptedBackend(t, okResponse+evil, okResponse, okResponse+"\r\n", "late:"+okResponse, okResponse)
+// A faulty backend sends bytes after the end of a response: they must not be read as the response to
+// the next request.
+func TestBytesAfterResponseCloseConnection(t *testing.T) {
+	extraResponse := strings.Replace(okResponse, "ok", "no", 1)
+	b := startScriptedBackend(t, okResponse+extraResponse, okResponse, okResponse+"\r\n", "late:"+okResponse, okResponse)
 	fx := startProxy(t, serviceSection("shop", b.addr()))
 	for i := range 5 {
 		if i == 4 {
-			time.Sleep(100 * time.Millisecond) // what comes late has come
+			time.Sleep(100 * time.Millisecond) // until the late response has arrived
 		}
 		_, res, body, err := exchangeRaw(t, "GET", sendRaw(t, fx.addr,
 			"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", testTimeout))
 		if err != nil || res.StatusCode != 200 || body != "ok" {
-			t.Errorf("answer %d: %v %q %v", i, res, body, err)
+			t.Errorf("request %d: response %v, body %q, error %v; want status 200 and \"ok\"", i, res, body, err)
 		}
 	}
 }
 
-// A client sends its body slowly: its timeout counts from the start of the request, not from the
-// end of the body.
+// A client sends its body slowly: the request's timeout must count from the arrival of the head, not
+// from the end of the body.
 func TestBodyReadTimeCountsAgainstTimeout(t *testing.T) {
 	t.Parallel()
 	fx := startProxy(t, serviceSection("shop", startScriptedBackend(t, "hang").addr())+"deadline = \"2s\"\n")
@@ -722,17 +745,17 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	begun := time.Now()
+	start := time.Now()
 	io.WriteString(c, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n")
 	time.Sleep(1200 * time.Millisecond)
 	io.WriteString(c, "ab")
-	c.SetReadDeadline(begun.Add(testTimeout))
+	c.SetReadDeadline(start.Add(testTimeout))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("%v after %v", err, time.Since(begun))
+		t.Fatalf("no response after %v: %v", time.Since(start), err)
 	}
 	defer res.Body.Close()
-	if took := time.Since(begun); res.StatusCode/100 != 5 || took > 2800*time.Millisecond {
-		t.Errorf("%v after %v", res, took)
+	if duration := time.Since(start); res.StatusCode/100 != 5 || duration > 2800*time.Millisecond {
+		t.Errorf("status %d after %v, want 5xx after at most 2.8s", res.StatusCode, duration)
 	}
 }
--- a/httpproxy/request.go
+++ b/httpproxy/request.go
@@ -17,8 +17,8 @@
 
 // newBackendRequest returns the request to send to backends, without its body, and the request that
 // the Gateway makes decisions on. The error is an errMalformedRequest or one of http1proxy.
-func (p *Proxy) newBackendRequest(rules *compiledRules, res *ResolvedRequest, r *http.Request, origin http1proxy.Origin) (
-	*httpproxytransport.Request, pumicecroft.Request, error) {
+func (p *Proxy) newBackendRequest(rules *compiledRules, res *ResolvedRequest, r *http.Request,
+	origin http1proxy.Origin) (*httpproxytransport.Request, pumicecroft.Request, error) {
 	target := res.Rule.Target
 	request := pumicecroft.Request{
 		Class:    res.Class,
--- a/httpproxy/reverseproxy_test.go
+++ b/httpproxy/reverseproxy_test.go
@@ -21,15 +21,15 @@
 	"pgregory.net/rapid"
 )
 
-// intendedDifferences are the fields that differ from httputil.ReverseProxy by intent, with the
-// reason.
+// intendedDifferences has the header fields that intentionally differ from httputil.ReverseProxy, with
+// the reasons.
 var intendedDifferences = map[string]string{
-	"Via":          "a gateway must say that it was there (RFC 9110, 7.6.3)",
-	"X-Request-Id": "made where the client brings none",
-	"Connection":   "TE goes on with the Connection that it needs (RFC 9110, 10.1.4)",
+	"Via":          "a gateway must add itself to Via (RFC 9110, 7.6.3)",
+	"X-Request-Id": "generated if the client sends none",
+	"Connection":   "a forwarded TE requires Connection: te (RFC 9110, 10.1.4)",
 }
 
-// proxiedExchange is a request and the response to it.
+// proxiedExchange is a client's request and the backend's response to it.
 type proxiedExchange struct {
 	method, target string
 	header         http.Header
@@ -45,7 +45,7 @@
 	responseTrailer http.Header
 }
 
-// observedMessage is a message as it arrived.
+// observedMessage is a request as the backend received it, or a response as the client received it.
 type observedMessage struct {
 	line          string
 	header        http.Header
@@ -55,7 +55,7 @@
 }
 
 func (s observedMessage) String() string {
-	return fmt.Sprintf("%s\n%v\n%d bytes %.60q\ntrailer %v\ninfos %v", s.line, s.header, len(s.body), s.body,
+	return fmt.Sprintf("%s\n%v\n%d bytes %.60q\ntrailer %v\n1xx %v", s.line, s.header, len(s.body), s.body,
 		s.trailer, s.informational)
 }
 
@@ -72,10 +72,10 @@
 }
 
 func drawExchange(t *rapid.T) *proxiedExchange {
-	x := &proxiedExchange{header: drawHeader(t, "fields", headerNames),
-		responseHeader: drawHeader(t, "answer", []string{"X-C", "Set-Cookie", "Content-Type", "Etag", "Retry-After",
+	x := &proxiedExchange{header: drawHeader(t, "request fields", headerNames),
+		responseHeader: drawHeader(t, "response fields", []string{"X-C", "Set-Cookie", "Content-Type", "Etag", "Retry-After",
 			"Keep-Alive", "Warning"})}
-	if x.responseHeader["Content-Type"] == nil { // behind ReverseProxy the server guesses one
+	if x.responseHeader["Content-Type"] == nil { // with ReverseProxy, net/http would detect one
 		x.responseHeader["Content-Type"] = []string{"text/x"}
 	}
 	x.method = rapid.SampledFrom([]string{"GET", "GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH",
@@ -88,15 +88,15 @@
 	if x.target == "/" || strings.HasPrefix(x.target, "//") {
 		x.target = "/r" + x.target
 	}
-	if strings.Contains(x.target, "?") { // ReverseProxy drops what it can't parse of a query, which we leave as it is
+	if strings.Contains(x.target, "?") { // ReverseProxy drops invalid parts of a query, this proxy forwards them
 		_, q, _ := strings.Cut(x.target, "?")
 		if _, err := url.ParseQuery(q); err != nil {
 			x.target, _, _ = strings.Cut(x.target, "?")
 		}
 	}
-	if nominate := rapid.SampledFrom([]string{"", "", "X-A", "x-b, close-not", "X-A,Accept"}).Draw(t,
-		"nominated"); nominate != "" {
-		x.header["Connection"] = []string{nominate}
+	if options := rapid.SampledFrom([]string{"", "", "X-A", "x-b, close-not", "X-A,Accept"}).Draw(t,
+		"connection options"); options != "" {
+		x.header["Connection"] = []string{options}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "te") == 0 {
 		x.header["Te"] = []string{"trailers"}
@@ -116,16 +116,16 @@
 	}
 	if x.status != 204 && x.status != 304 {
 		x.responseBody = bytes.Repeat([]byte("a"), rapid.SampledFrom([]int{0, 1, 300, 5000, 100_000}).Draw(t,
-			"answer body"))
-		x.responseChunked = rapid.Bool().Draw(t, "answer chunked")
-		if x.responseChunked && x.method != "HEAD" && rapid.Bool().Draw(t, "answer trailer") {
+			"response body"))
+		x.responseChunked = rapid.Bool().Draw(t, "response chunked")
+		if x.responseChunked && x.method != "HEAD" && rapid.Bool().Draw(t, "response trailer") {
 			x.responseTrailer = http.Header{"X-Check": {"9"}}
 		}
 	}
 	return x
 }
 
-// echoBackend is a backend that responds with the given exchange, and keeps what it received.
+// echoBackend responds with the response of exchange, and records the requests that it received.
 type echoBackend struct {
 	mu       sync.Mutex
 	exchange *proxiedExchange
@@ -167,7 +167,7 @@
 	return len(e.received)
 }
 
-// roundTrip sends an exchange's request to an address.
+// roundTrip sends an exchange's request to an address and returns the response.
 func roundTrip(x *proxiedExchange, rt http.RoundTripper, addr string) (observedMessage, error) {
 	var s observedMessage
 	ctx := httptrace.WithClientTrace(context.Background(),
@@ -177,7 +177,7 @@
 		}})
 	req := (&http.Request{Method: x.method, URL: &url.URL{Scheme: "http", Host: addr, Opaque: x.target},
 		Host: "shop.example", Header: x.header.Clone(), Trailer: x.trailer.Clone()}).WithContext(ctx)
-	if _, told := req.Header["User-Agent"]; !told {
+	if _, ok := req.Header["User-Agent"]; !ok {
 		req.Header["User-Agent"] = []string{"test"}
 	}
 	if len(x.body) > 0 || x.chunked {
@@ -198,20 +198,20 @@
 	return s, err
 }
 
-// Random requests and responses pass the proxy and httputil.ReverseProxy: they must arrive equal,
-// but for intended differences.
+// Random requests and responses are sent through the proxy and through httputil.ReverseProxy. What the
+// backend and the client receive must be equal, except for intended differences.
 func TestBehavesAsReverseProxy(t *testing.T) {
-	for _, speaks := range []string{"http/1.1", "h2"} {
-		t.Run(speaks, func(t *testing.T) { compareWithReverseProxy(t, speaks) })
+	for _, protocol := range []string{"http/1.1", "h2"} {
+		t.Run(protocol, func(t *testing.T) { compareWithReverseProxy(t, protocol) })
 	}
 }
 
-func compareWithReverseProxy(t *testing.T, speaks string) {
+func compareWithReverseProxy(t *testing.T, protocol string) {
 	e := &echoBackend{}
 	backend := startServer(t, e, nil)
-	// it is believed what came before it, as ReverseProxy is told to
+	// The client is a trusted peer because ReverseProxy below also keeps its X-Forwarded-For.
 	fx := startProxy(t, serviceSection("shop", backend)+fmt.Sprintf("aim = \"4ms\"\nspeaks = %q\n",
-		speaks)+"[http]\ntrusted = [\"127.0.0.1\"]\n")
+		protocol)+"[http]\ntrusted = [\"127.0.0.1\"]\n")
 	proxy := &httputil.ReverseProxy{ErrorLog: log.New(io.Discard, "", 0),
 		Transport: &http.Transport{DisableCompression: true},
 		Rewrite: func(p *httputil.ProxyRequest) {
@@ -230,7 +230,7 @@
 			e.exchange, e.received = x, nil
 			e.mu.Unlock()
 			back, err := roundTrip(x, client, addr)
-			// the one backend has refused just before, and is spared for a little
+			// The only backend may have rejected an earlier request and get no new ones for a short time.
 			for end := time.Now().Add(3 * time.Second); err == nil && e.receivedCount() == 0 &&
 				time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
@@ -239,7 +239,8 @@
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if err != nil || len(e.received) == 0 {
-				rt.Fatalf("%s: %v, %d arrived, answered %v", addr, err, len(e.received), back)
+				rt.Fatalf("%s: error %v, %d requests received by the backend, want no error and at least 1; response %v",
+					addr, err, len(e.received), back)
 			}
 			return e.received[len(e.received)-1], back
 		}
@@ -249,48 +250,48 @@
 			delete(wantAt.header, name)
 			delete(gotAt.header, name)
 		}
-		normal := func(h http.Header) http.Header {
+		normalize := func(h http.Header) http.Header {
 			h = h.Clone()
 			for name, vs := range h {
-				if name == "X-Forwarded-For" { // ReverseProxy keeps an empty beginning
+				if name == "X-Forwarded-For" { // ReverseProxy keeps empty elements at the beginning
 					h[name] = []string{strings.TrimLeft(strings.Join(vs, ", "), ", ")}
 				}
 				if name == "Trailer" {
 					slices.Sort(vs)
 				}
 			}
-			if speaks == "h2" { // cookies go in crumbs there (RFC 9113, 8.2.3), of which empty ones and spaces get lost
+			if protocol == "h2" { // HTTP/2 splits cookies (RFC 9113, 8.2.3), which loses empty ones and spaces
 				delete(h, "Cookie")
 			}
-			delete(h, "Forwarded") // ReverseProxy's Rewrite drops it, and we do; a style of ours writes it
+			delete(h, "Forwarded") // ReverseProxy drops it, and this proxy rewrites it with ForwardedStyle Forwarded
 			return h
 		}
 		wantAt.trailer = x.trailer // ReverseProxy loses the values
-		if x.chunked {             // a body that is held whole goes on with its length
+		if x.chunked {             // the proxy reads the whole body and forwards it with a Content-Length
 			delete(gotAt.header, "Content-Length")
 		}
-		wantAt.header, gotAt.header = normal(wantAt.header), normal(gotAt.header)
+		wantAt.header, gotAt.header = normalize(wantAt.header), normalize(gotAt.header)
 		if a, b := wantAt.String(), gotAt.String(); a != b {
-			rt.Errorf("arrived through ReverseProxy:\n%s\nthrough the front:\n%s", a, b)
+			rt.Errorf("the backend received through ReverseProxy:\n%s\nthrough the proxy:\n%s", a, b)
 		}
-		if x.responseChunked { // and so does an answer
+		if x.responseChunked { // a buffered response may have a Content-Length instead of chunks
 			want.line, got.line = want.line[:3], got.line[:3]
 			delete(got.header, "Content-Length")
 			delete(want.header, "Content-Length")
 		}
-		if len(want.informational) > 0 { // a request that is tried again has its 1xx answers again
+		if len(want.informational) > 0 { // each retry of a request gets its 1xx responses again
 			got.informational = got.informational[:min(1, len(got.informational))]
 		}
-		// what came in chunks may have had another length: its connection ends
+		// The proxy closes the connection after a chunked request, see the smuggling guard in Proxy.serve.
 		if len(got.header["Connection"]) > 0 || x.chunked {
 			delete(got.header, "Connection")
 		}
 		if x.status == 429 || x.status == 503 {
-			delete(got.header, "Retry-After") // given where the backend gave none
+			delete(got.header, "Retry-After") // the proxy sets one if the backend sends none
 			delete(want.header, "Retry-After")
 		}
 		if a, b := want.String(), got.String(); a != b {
-			rt.Errorf("came back through ReverseProxy:\n%s\nthrough the front:\n%s", a, b)
+			rt.Errorf("the client received through ReverseProxy:\n%s\nthrough the proxy:\n%s", a, b)
 		}
 	})
 }
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -24,7 +24,7 @@
 	"pumicecroft/internal/testcerts"
 )
 
-// startTLSListener serves a fixture's proxy as the daemon does, by the [tls] of its file.
+// startTLSListener serves a fixture's proxy as the daemon does, with the [tls] section of its file.
 func startTLSListener(t testing.TB, fx *fixture) (addr string, store *certs.Store) {
 	t.Helper()
 	config, store, err := httpproxyconfig.Listener(&fx.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
@@ -50,13 +50,14 @@
 	return ln.Addr().String(), store
 }
 
-func newTLSClient(a *testcerts.Authority, name string, h2 bool, own ...tls.Certificate) *http.Client {
+func newTLSClient(a *testcerts.Authority, name string, h2 bool, clientCerts ...tls.Certificate) *http.Client {
 	return &http.Client{Transport: &http.Transport{ForceAttemptHTTP2: h2, MaxIdleConnsPerHost: 2000,
-		TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: name, Certificates: own}}}
+		TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: name, Certificates: clientCerts}}}
 }
 
-// A certificate is replaced 100 times, sometimes by an invalid one, while 1,000 requests at a time
-// are open: none may fail, and new connections must see the new certificate.
+// The certificate files are replaced 200 times, alternately by a valid and by one of 100 invalid pairs,
+// while 1,000 requests are open and others are sent. No request may fail, and new connections must get
+// the new certificate if it is valid, and otherwise the old one.
 func TestCertificateReloadUnderLoad(t *testing.T) {
 	a := testcerts.New(t)
 	dir := t.TempDir()
@@ -104,11 +105,12 @@
 		case <-time.After(3 * testTimeout):
 			close(release)
 			wg.Wait()
-			t.Fatalf("not all requests: %d failed, first: %v", failed.Load(), first.Load())
+			t.Fatalf("not all 1000 requests arrived at the backend: %d failed, first error: %v", failed.Load(),
+				first.Load())
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	var asked atomic.Int64
+	var sent atomic.Int64
 	for i := range 4 {
 		wg.Go(func() {
 			for ctx.Err() == nil {
@@ -116,7 +118,7 @@
 				fail(get(c, "/"))
 				fail(get(c, "/"))
 				c.CloseIdleConnections()
-				asked.Add(2)
+				sent.Add(2)
 			}
 		})
 	}
@@ -128,40 +130,42 @@
 		defer func() { _ = c.Close() }()
 		return c.ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
-	bad := 0
+	invalid := 0
 	for i := range 200 {
 		before := serial()
 		cert, key := a.Issue(nil, "shop.example", "*.wild.example")
 		switch i % 6 {
-		case 1: // the key is not there yet
-			key, bad = []byte("SECRET half of a key"), bad+1
-		case 3:
+		case 1: // an incomplete key file
+			key, invalid = []byte("SECRET half of a key"), invalid+1
+		case 3: // an expired certificate
 			cert, key = a.Issue(func(c *x509.Certificate) { c.NotAfter = time.Now().Add(-time.Minute) }, "shop.example")
-			bad++
-		case 5:
+			invalid++
+		case 5: // the key of another certificate
 			_, key = a.Issue(nil, "other.example")
-			bad++
+			invalid++
 		}
 		testcerts.WriteFiles(t, dir, map[string][]byte{"c": cert, "k": key})
 		err := store.Reload()
-		if good := i%2 == 0; (err == nil) != good || (serial() != before) != good {
-			t.Fatalf("swap %d: %v, serial %s before and %s now", i, err, before, serial())
+		if valid := i%2 == 0; (err == nil) != valid || (serial() != before) != valid {
+			t.Fatalf("reload %d: error %v, serial %s before and %s after; want success and a new serial: %t", i, err,
+				before, serial(), valid)
 		}
 		if err != nil && strings.Contains(err.Error(), "SECRET") {
-			t.Fatalf("an error tells of a key: %v", err)
+			t.Fatalf("the error contains a part of the private key: %v", err)
 		}
 	}
 	stop()
 	close(release)
 	wg.Wait()
-	t.Logf("100 swaps and %d that were bad, over 1,000 held and %d other requests", bad, asked.Load())
-	if failed.Load() > 0 || asked.Load() == 0 {
-		t.Errorf("%d of %d failed, first: %v", failed.Load(), asked.Load(), first.Load())
+	t.Logf("100 valid and %d invalid reloads during 1,000 open requests and %d others", invalid, sent.Load())
+	if failed.Load() > 0 || sent.Load() == 0 {
+		t.Errorf("%d requests failed, want 0; %d others sent, want more than 0; first error: %v", failed.Load(),
+			sent.Load(), first.Load())
 	}
 }
 
-// Backends are verified by authority, name and pins, and verify the proxy's certificate: no request
-// is sent where one of them is wrong.
+// The proxy verifies backends by certificate authority, name and pins, and backends verify the
+// proxy's certificate. If one of these checks fails, no request may reach the backend.
 func TestTLSToBackends(t *testing.T) {
 	a, other := testcerts.New(t), testcerts.New(t)
 	cert, key := a.Issue(nil, "backend.example", "127.0.0.1")
@@ -169,8 +173,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, ownKey := a.Issue(nil, "door.example")
-	path := testcerts.WriteFiles(t, t.TempDir(), map[string][]byte{"ca": a.PEM, "other": other.PEM, "c": own, "k": ownKey})
+	clientCert, clientKey := a.Issue(nil, "proxy.example")
+	path := testcerts.WriteFiles(t, t.TempDir(),
+		map[string][]byte{"ca": a.PEM, "other": other.PEM, "c": clientCert, "k": clientKey})
 	var resumed, requests atomic.Int64
 	backend := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
@@ -183,23 +188,23 @@
 		ClientCAs: a.Pool()})
 	sum := sha256.Sum256(pair.Leaf.RawSubjectPublicKeyInfo)
 	pin := base64.StdEncoding.EncodeToString(sum[:])
-	mine := fmt.Sprintf("cert_file = %q\nkey_file = %q\n", path("c"), path("k"))
+	clientPair := fmt.Sprintf("cert_file = %q\nkey_file = %q\n", path("c"), path("k"))
 	for name, c := range map[string]struct {
-		text string
-		good bool
+		settings string // of the [service.tls] section
+		ok       bool   // requests must reach the backend
 	}{
-		"by the address":    {fmt.Sprintf("ca_file = %q\n", path("ca")) + mine, true},
-		"by a name":         {fmt.Sprintf("ca_file = %q\nname = \"backend.example\"\n", path("ca")) + mine, true},
-		"another name":      {fmt.Sprintf("ca_file = %q\nname = \"else.example\"\n", path("ca")) + mine, false},
-		"another authority": {fmt.Sprintf("ca_file = %q\n", path("other")) + mine, false},
-		"pinned":            {fmt.Sprintf("ca_file = %q\npins = [%q]\n", path("ca"), pin) + mine, true},
-		"pinned alone":      {fmt.Sprintf("verify = \"pins\"\npins = [%q]\n", pin) + mine, true},
-		"another pin": {"verify = \"pins\"\npins = [\"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\"]\n" +
-			mine, false},
-		"without a certificate": {fmt.Sprintf("ca_file = %q\n", path("ca")), false},
+		"name from the address": {fmt.Sprintf("ca_file = %q\n", path("ca")) + clientPair, true},
+		"configured name":       {fmt.Sprintf("ca_file = %q\nname = \"backend.example\"\n", path("ca")) + clientPair, true},
+		"wrong name":            {fmt.Sprintf("ca_file = %q\nname = \"else.example\"\n", path("ca")) + clientPair, false},
+		"wrong authority":       {fmt.Sprintf("ca_file = %q\n", path("other")) + clientPair, false},
+		"authority and pin":     {fmt.Sprintf("ca_file = %q\npins = [%q]\n", path("ca"), pin) + clientPair, true},
+		"pin only":              {fmt.Sprintf("verify = \"pins\"\npins = [%q]\n", pin) + clientPair, true},
+		"wrong pin": {"verify = \"pins\"\npins = [\"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\"]\n" +
+			clientPair, false},
+		"no client certificate": {fmt.Sprintf("ca_file = %q\n", path("ca")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fx := startProxy(t, serviceSection("shop", backend)+"[service.tls]\n"+c.text)
+			fx := startProxy(t, serviceSection("shop", backend)+"[service.tls]\n"+c.settings)
 			before := requests.Load()
 			for range 3 {
 				res, err := http.Get("http://" + fx.addr + "/")
@@ -208,21 +213,22 @@
 				}
 				body, _ := io.ReadAll(res.Body)
 				res.Body.Close()
-				if good := res.StatusCode == 200 && string(body) == "door.example"; good != c.good {
-					t.Errorf("%d %s", res.StatusCode, body)
+				if ok := res.StatusCode == 200 && string(body) == "proxy.example"; ok != c.ok {
+					t.Errorf("status %d, body %q, want 200 and \"proxy.example\": %t", res.StatusCode, body, c.ok)
 				}
 			}
-			if (requests.Load() > before) != c.good {
-				t.Errorf("%d requests", requests.Load()-before)
+			if (requests.Load() > before) != c.ok {
+				t.Errorf("%d requests reached the backend, want any: %t", requests.Load()-before, c.ok)
 			}
 		})
 	}
 	if resumed.Load() == 0 {
-		t.Error("no session was resumed")
+		t.Error("0 TLS sessions were resumed, want more")
 	}
 }
 
-// A client's certificate identifies the caller, if the authority has issued it.
+// A client certificate that the configured authority has issued must identify the caller; without
+// one, or without a plan for its name, requests must be rejected.
 func TestClientCertificates(t *testing.T) {
 	a, other := testcerts.New(t), testcerts.New(t)
 	cert, key := a.Issue(nil, "shop.example")
@@ -245,28 +251,28 @@
 		return c
 	}
 	for name, c := range map[string]struct {
-		own    []tls.Certificate
-		status int
+		certs  []tls.Certificate
+		status int // 0: no response, or not 200
 	}{
-		"known":               {[]tls.Certificate{load(a, "d", "spiffe://x/desk")}, 200},
-		"without such a name": {[]tls.Certificate{load(a, "d")}, 401},
-		"without a plan":      {[]tls.Certificate{load(a, "d", "spiffe://x/else")}, 401},
-		"none":                {nil, 401},
-		"another authority's": {[]tls.Certificate{load(other, "d", "spiffe://x/desk")}, 0},
+		"known URI":          {[]tls.Certificate{load(a, "d", "spiffe://x/desk")}, 200},
+		"no URI":             {[]tls.Certificate{load(a, "d")}, 401},
+		"URI without a plan": {[]tls.Certificate{load(a, "d", "spiffe://x/else")}, 401},
+		"no certificate":     {nil, 401},
+		"unknown authority":  {[]tls.Certificate{load(other, "d", "spiffe://x/desk")}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hc := newTLSClient(a, "shop.example", false, c.own...)
+			hc := newTLSClient(a, "shop.example", false, c.certs...)
 			defer hc.CloseIdleConnections()
 			res, err := hc.Get("https://" + addr + "/")
 			if err != nil || c.status == 0 {
 				if c.status != 0 || err == nil && res.StatusCode == 200 {
-					t.Errorf("%v %v", res, err)
+					t.Errorf("response %v, error %v; want status %d, or no 200 if that is 0", res, err, c.status)
 				}
 				return
 			}
 			res.Body.Close()
 			if res.StatusCode != c.status {
-				t.Errorf("%d", res.StatusCode)
+				t.Errorf("status %d, want %d", res.StatusCode, c.status)
 			}
 		})
 	}
--- a/internal/httpproxytransport/http2.go
+++ b/internal/httpproxytransport/http2.go
@@ -123,7 +123,8 @@
 
 // acquireHTTP2 returns a connection with a reserved stream and its address, or nil and the attempt's
 // result. It blocks while a connection is dialed, at most until ctx ends.
-func (t *Transport) acquireHTTP2(ctx context.Context, a *executor.Attempt) (*http2.ClientConn, string, decision.Result) {
+func (t *Transport) acquireHTTP2(ctx context.Context, a *executor.Attempt) (
+	*http2.ClientConn, string, decision.Result) {
 	for waited := false; ; waited = true {
 		pick := t.pickHTTP2(a.Backend)
 		switch {
--- a/internal/httpproxytransport/transport_test.go
+++ b/internal/httpproxytransport/transport_test.go
@@ -17,7 +17,7 @@
 	"pumicecroft/membership"
 )
 
-// dialCounter counts the connections that this side holds.
+// dialCounter counts the connections that the transport has dialed and not closed.
 type dialCounter struct {
 	mu         sync.Mutex
 	open, peak int
@@ -32,7 +32,7 @@
 	defer d.mu.Unlock()
 	d.open++
 	d.peak = max(d.peak, d.open)
-	return &countedConn{Conn: c, of: d}, nil
+	return &countedConn{Conn: c, counter: d}, nil
 }
 
 func (d *dialCounter) maxOpen() int {
@@ -43,25 +43,26 @@
 
 type countedConn struct {
 	net.Conn
-	of     *dialCounter
-	closed sync.Once
+	counter *dialCounter
+	closed  sync.Once
 }
 
 func (c *countedConn) Close() error {
 	c.closed.Do(func() {
-		c.of.mu.Lock()
-		defer c.of.mu.Unlock()
-		c.of.open--
+		c.counter.mu.Lock()
+		defer c.counter.mu.Unlock()
+		c.counter.open--
 	})
 	return c.Conn.Close()
 }
 
-// Connections are limited over all backends. Kept ones make room for others, idle ones are closed,
-// and a backend that was removed has none.
+// The number of connections to all backends together must stay within MaxConns, over HTTP/2 within
+// MaxHTTP2Conns for each backend. All must be closed when they have been idle for too long or, over
+// HTTP/2, when their backends are removed.
 func TestConnectionsAreBounded(t *testing.T) {
 	for name, h2 := range map[string]bool{"HTTP/1.1": false, "HTTP/2": true} {
 		t.Run(name, func(t *testing.T) {
-			var open atomic.Int64 // at the backends, who see a connection's end a little later than this side
+			var open atomic.Int64 // connections at the backends, which see them closed later than the transport
 			var dials dialCounter
 			var changes []membership.Change
 			for i := range 3 {
@@ -85,22 +86,22 @@
 				changes = append(changes, membership.Change{Endpoint: decision.Endpoint{ID: decision.BackendID(i)},
 					Addr: strings.TrimPrefix(s.URL, "http://")})
 			}
-			b := New(Config{Service: "shop", MaxConns: 4, HTTP2: h2, MaxHTTP2Conns: 1,
+			transport := New(Config{Service: "shop", MaxConns: 4, HTTP2: h2, MaxHTTP2Conns: 1,
 				IdleTimeout: 100 * time.Millisecond, Dial: dials.dial})
-			defer b.Close()
-			b.Apply(changes)
+			defer transport.Close()
+			transport.Apply(changes)
 			var wg sync.WaitGroup
-			var answered, notSent, other atomic.Int64
+			var succeeded, notSent, other atomic.Int64
 			for i := range 40 {
 				wg.Go(func() {
 					for range 20 {
 						req := &Request{Request: http1proxy.Request{Method: "GET", Target: "/", Host: "x"},
 							Service: "shop", Statuses: &http1proxy.Statuses{}, MaxResponseBytes: 100}
-						switch b.RoundTrip(executor.NewAttempt(decision.BackendID(i%3),
+						switch transport.RoundTrip(executor.NewAttempt(decision.BackendID(i%3),
 							time.Now().Add(20*time.Second), req)).Result {
 						case decision.Succeeded:
-							answered.Add(1)
-						case decision.NotSent: // there was no room: it has not run
+							succeeded.Add(1)
+						case decision.NotSent: // no connection was available
 							notSent.Add(1)
 						default:
 							other.Add(1)
@@ -109,21 +110,23 @@
 				})
 			}
 			wg.Wait()
-			if most := dials.maxOpen(); answered.Load() == 0 || other.Load() > 0 || b.Conns() > 4 || h2 &&
-				(notSent.Load() > 0 || most > 3) || !h2 && (notSent.Load() == 0 || most > 4) {
-				t.Errorf("%d answered, %d not sent, %d other; %d connections, %d at most", answered.Load(),
-					notSent.Load(), other.Load(), b.Conns(), most)
+			if peak := dials.maxOpen(); succeeded.Load() == 0 || other.Load() > 0 || transport.Conns() > 4 || h2 &&
+				(notSent.Load() > 0 || peak > 3) || !h2 && (notSent.Load() == 0 || peak > 4) {
+				t.Errorf("%d succeeded, want more than 0; %d not sent, want any: %t; %d other results, want 0; "+
+					"%d connections, want at most 4; %d at the peak, want at most 3 for HTTP/2 and 4 for HTTP/1.1",
+					succeeded.Load(), notSent.Load(), !h2, other.Load(), transport.Conns(), peak)
 			}
 			if h2 {
 				for i := range changes {
 					changes[i].State = decision.Removed
 				}
-				b.Apply(changes)
+				transport.Apply(changes)
 			}
-			for end := time.Now().Add(20 * time.Second); b.Conns() > 0 ||
+			for end := time.Now().Add(20 * time.Second); transport.Conns() > 0 ||
 				open.Load() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("%d connections are kept, %d open", b.Conns(), open.Load())
+					t.Fatalf("%d connections in the transport and %d at the backends are open after 20 s, want 0",
+						transport.Conns(), open.Load())
 				}
 			}
 		})
