--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,9 @@
-// Package daemon runs a gateway as a program: by the platform's configuration (Serve) or by an
-// operator's file (ServeFile). It connects the library to sockets, files and the log; command lines
-// are package main's.
+// Package daemon runs a gateway as a process, with the platform's configuration (Serve) or with an
+// operator's file (ServeFile). It connects the library to sockets, files and the log. The command
+// line is parsed by package main.
 //
-// The files: daemon.go serves the platform, servefile.go an operator's file, sources.go makes the
-// file's sources of backends, http.go its HTTP proxy, status.go tells of its backends.
+// daemon.go has Serve and what it shares with ServeFile, servefile.go has ServeFile, sources.go creates
+// the sources of backends, http.go the HTTP proxy, and status.go reports the status of backends.
 package daemon
 
 import (
@@ -25,12 +25,13 @@
 	"pumicecroft/membership"
 )
 
-// counterTimeoutFactor is how many of the platform's time limits for the shared counter a call may
-// take. On sockets a late reply is still useful, and no worse for the client than a rejection.
+// counterTimeoutFactor multiplies the platform's timeout for calls of the shared counter. Over real
+// sockets a late reply is still useful, and no worse for the client than a rejection.
 const counterTimeoutFactor = 4
 
-// Serve serves as one gateway of the platform, by the file at path, until ctx ends. A value from hup
-// makes it read the file again and follow the discovery and the counter that it names then.
+// Serve runs one gateway of the platform, with the configuration file at path, until ctx ends and all
+// accepted requests have their responses. At each value of hup it reads the file again and applies the
+// addresses of discovery and of the shared counter.
 func Serve(ctx context.Context, path string, hup <-chan struct{}) error {
 	config, err := platform.LoadConfig(path)
 	if err != nil {
@@ -58,23 +59,23 @@
 	if err != nil {
 		return err
 	}
-	following, stop := context.WithCancel(context.Background())
+	reloadCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go followConfig(following, path, hup, discoveryAddrs, setCounterAddr)
+	go followConfig(reloadCtx, path, hup, discoveryAddrs, setCounterAddr)
 	server := httplistener.NewServer(gateway, config.Limits.ClientConns(), config.Settings.LongestDeadline(),
 		slog.Default(),
 		httplistener.Options{})
 	return serveAll(ctx, gateway, config.Name, config.Listen, server.Run)
 }
 
-// setLimits holds the process to its cores and memory. A quarter of the memory is left for stacks,
-// sockets and the program.
+// setLimits limits the process to its cores and memory. The Go runtime gets three quarters of the memory;
+// the rest is for what its limit doesn't count: thread stacks, socket buffers and the binary.
 func setLimits(limits platform.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
 	debug.SetMemoryLimit(limits.MemoryMB << 20 / 4 * 3)
 }
 
-// newDiscovery returns the platform's source of backends. addrs tells it of new addresses.
+// newDiscovery returns the platform's source of backends. addrs delivers new addresses of discovery.
 func newDiscovery(config platform.Config, addrs <-chan string) *platform.Discovery {
 	return &platform.Discovery{
 		Addr:        config.Discovery,
@@ -87,46 +88,47 @@
 	}
 }
 
-// serveFunc serves clients until ctx ends, and then until all accepted requests have their response.
+// serveFunc serves clients until ctx ends and all accepted requests have their responses.
 type serveFunc func(ctx context.Context) error
 
-// serveAll serves a gateway on the address listen, beside servers that listen already, until ctx
-// ends or one of them fails, and all accepted requests have their response. It closes the gateway.
+// serveAll serves a gateway with serveOn at the address listen, and runs others, whose listeners are
+// open already. When ctx ends or one server fails, it stops all of them, waits until all accepted
+// requests have their responses, and closes the gateway.
 func serveAll(ctx context.Context, gateway *pumicecroft.Gateway, name, listen string,
 	serveOn func(context.Context, net.Listener) error,
-	beside ...serveFunc) error {
+	others ...serveFunc) error {
 	defer closeGateway(gateway)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		stop() // ends the others at once
+		stop() // the others shut down as soon as they start
 	} else {
 		slog.Info("serving", "name", name, "listen", listener.Addr().String())
-		beside = append(beside, func(ctx context.Context) error { return serveOn(ctx, listener) })
+		others = append(others, func(ctx context.Context) error { return serveOn(ctx, listener) })
 	}
-	errs := make(chan error, len(beside))
-	for _, serve := range beside {
+	errs := make(chan error, len(others))
+	for _, serve := range others {
 		go func() { errs <- serve(ctx) }()
 	}
-	for range beside {
+	for range others {
 		err = errors.Join(err, <-errs)
-		stop() // without one server the others are not what was configured
+		stop() // if one server ends, all do: the process must not run with part of its configuration
 	}
 	slog.Info("ended", "err", err)
 	return err
 }
 
-// closeGateway closes a gateway whose servers have waited for all accepted requests.
+// closeGateway closes a gateway without waiting: its servers have waited for all accepted requests.
 func closeGateway(gateway *pumicecroft.Gateway) {
-	now, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := gateway.Close(now); err != nil {
-		slog.Warn("ended with open requests", "err", err)
+	if err := gateway.Close(canceled); err != nil {
+		slog.Warn("gateway closed with open requests", "err", err)
 	}
 }
 
-// GatewayConfig returns the platform's configuration as the library takes it.
+// GatewayConfig converts the platform's configuration to that of the library.
 func GatewayConfig(c platform.Config) pumicecroft.Config {
 	return pumicecroft.Config{
 		Settings:         c.Settings,
@@ -139,9 +141,9 @@
 	}
 }
 
-// followConfig reads the platform's file again at each value of hup, and passes on where discovery
-// and the counter are now. An invalid file changes nothing; everything else in the file is for the
-// next start.
+// followConfig reads the platform's file again at each value of hup, and applies the addresses of
+// discovery and of the shared counter. Other changes in the file take effect at the next start. An
+// invalid file changes nothing.
 func followConfig(ctx context.Context, path string, hup <-chan struct{}, discoveryAddrs chan<- string,
 	setCounterAddr func(addr string)) {
 	for {
@@ -165,8 +167,8 @@
 	}
 }
 
-// NotifyHangup returns a channel that tells of SIGHUP until ctx ends. A value that waits stands for
-// all signals since, as the file is read after it is received.
+// NotifyHangup returns a channel that gets a value for SIGHUP until ctx ends. Signals that arrive while
+// a value is pending are merged with it: nothing is lost, as receivers read the file after receiving.
 func NotifyHangup(ctx context.Context) <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -18,23 +18,25 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// Limits of ordinary clients: a head may be as large as common servers take, and come over a slow
-// network.
+// Limits on request headers. They suit ordinary clients: headers may be as large as common servers
+// accept, and arrive over a slow network.
 const (
 	httpHeaderTimeout  = 10 * time.Second
 	httpMaxHeaderBytes = 128 << 10
 )
 
-// httpServer serves the HTTP routes of an operator's file.
+// httpServer serves the HTTP routes of an operator's file. It is created in two steps, as the gateway
+// needs options, and the proxy needs the gateway.
 type httpServer struct {
-	options      []pumicecroft.Option // of the gateway
+	options      []pumicecroft.Option // for the gateway
 	rules        httpproxy.Rules
 	tls          *tls.Config      // nil: plain text
 	certificates *certs.Store     // nil: plain text
-	proxy        *httpproxy.Proxy // nil until newServe
+	proxy        *httpproxy.Proxy // nil until newServeFunc
 }
 
-// newHTTPServer reads the files that an operator's file names.
+// newHTTPServer creates a server for an operator's file. It reads the files that the file names:
+// certificates, keys and secrets.
 func newHTTPServer(f operatorconfig.File) (*httpServer, error) {
 	s := &httpServer{}
 	for _, service := range f.HTTP.Services {
@@ -52,8 +54,8 @@
 	return s, err
 }
 
-// CheckHTTP reads the files that an operator's file names. It returns warnings about what is valid
-// and may not be meant.
+// CheckHTTP checks the files that an operator's file names. It returns warnings about configuration
+// that is valid but probably not intended.
 func CheckHTTP(f operatorconfig.File) (warnings []string, err error) {
 	s, err := newHTTPServer(f)
 	if err != nil {
@@ -62,8 +64,8 @@
 	return httpproxyconfig.Warnings(&f, s.certificates, time.Now()), nil
 }
 
-// NewOfflineProxy returns the proxy of an operator's file on a gateway that reaches no backends, to
-// ask what would become of a request. The second result closes it.
+// NewOfflineProxy returns the proxy of an operator's file, on a gateway without sources of backends. It
+// can tell how a request would be handled, but sends none. The second result closes both.
 func NewOfflineProxy(f operatorconfig.File) (*httpproxy.Proxy, func(), error) {
 	s, err := newHTTPServer(f)
 	if err != nil {
@@ -74,16 +76,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	closeGateway := func() { _ = gateway.Close(context.Background()) } // it has no open requests
-	if _, err = s.newServe(gateway, f); err != nil {
+	closeGateway := func() { _ = gateway.Close(context.Background()) } // can't fail without open requests
+	if _, err = s.newServeFunc(gateway, f); err != nil {
 		closeGateway()
 		return nil, nil, err
 	}
 	return s.proxy, closeGateway, nil
 }
 
-// newServe makes the proxy, and returns what serves it on a listener.
-func (s *httpServer) newServe(gateway *pumicecroft.Gateway,
+// newServeFunc creates the proxy, and returns the function that serves it on a listener.
+func (s *httpServer) newServeFunc(gateway *pumicecroft.Gateway,
 	f operatorconfig.File) (func(context.Context, net.Listener) error, error) {
 	c := f.HTTP.Proxy
 	c.Rules, c.Log = s.rules, slog.Default()
@@ -101,7 +103,7 @@
 	return server.Run, nil
 }
 
-// startWatching follows the file and its certificates until stop is called.
+// startWatching runs watch in the background until stop is called.
 func (s *httpServer) startWatching(f operatorconfig.File, reload func() (operatorconfig.File, error),
 	hup <-chan struct{}) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -113,7 +115,7 @@
 	}
 }
 
-// watch reads certificates again when they change, and the file at each value of hup.
+// watch reloads certificates when their files change, and the operator's file at each value of hup.
 func (s *httpServer) watch(ctx context.Context, f operatorconfig.File, reload func() (operatorconfig.File, error),
 	hup <-chan struct{}) {
 	if s.certificates != nil {
@@ -133,7 +135,8 @@
 	}
 }
 
-// reload puts the routes, identities and certificates in force that the file names now.
+// reload applies the routes, identities and certificates that the file names now. It logs a warning if
+// the file has other changes, which take effect at the next start.
 func (s *httpServer) reload(old operatorconfig.File, read func() (operatorconfig.File, error)) error {
 	f, err := read()
 	if err != nil {
@@ -156,7 +159,7 @@
 	}
 	if !reflect.DeepEqual(f.Gateway.Settings, old.Gateway.Settings) || !reflect.DeepEqual(f.Backends, old.Backends) ||
 		!reflect.DeepEqual(f.HTTP.Services, old.HTTP.Services) {
-		slog.Warn("changes beside routes, identities and certificates take effect at the next start")
+		slog.Warn("changes other than to routes, identities and certificates take effect at the next start")
 	}
 	return nil
 }
--- a/internal/daemon/servefile.go
+++ b/internal/daemon/servefile.go
@@ -15,9 +15,10 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// ServeFile serves by an operator's file until ctx ends. At each value of hup it reads the file
-// again by reload, and puts its routes, identities and certificates in force; everything else in the
-// file is for the next start. A nil hup means never.
+// ServeFile runs a gateway with an operator's file until ctx ends and all accepted requests have their
+// responses. If the file has HTTP services, each value of hup makes it read the file again with reload
+// and apply its routes, identities and certificates; other changes take effect at the next start. A nil
+// hup never reloads.
 func ServeFile(ctx context.Context, f operatorconfig.File, reload func() (operatorconfig.File, error),
 	hup <-chan struct{}) error {
 	slog.SetDefault(slog.With("door", f.Gateway.Settings.GatewayIndex))
@@ -32,28 +33,28 @@
 	serve := httplistener.NewServer(gateway, f.MaxClientConns, f.Gateway.Settings.LongestDeadline(), slog.Default(),
 		httplistener.Options{}).Run
 	if http != nil {
-		if serve, err = http.newServe(gateway, f); err != nil {
-			_ = gateway.Close(ctx) // err says why nothing is served
+		if serve, err = http.newServeFunc(gateway, f); err != nil {
+			_ = gateway.Close(ctx) // err is the cause
 			return err
 		}
 		defer http.startWatching(f, reload, hup)()
 	}
-	beside, stopStatus, err := listenBeside(gateway, &f)
+	others, stopStatus, err := startAuxiliaryListeners(gateway, &f)
 	defer stopStatus()
 	if err != nil {
-		_ = gateway.Close(ctx) // err says why nothing is served
+		_ = gateway.Close(ctx) // err is the cause
 		return err
 	}
 	if f.Consul != nil && f.Consul.Registration != nil {
 		var deregister func()
-		ctx, deregister = registered(ctx, sources.consul, f.Consul)
+		ctx, deregister = registerWhileServing(ctx, sources.consul, f.Consul)
 		defer deregister()
 	}
-	return serveAll(ctx, gateway, "", f.Listen, serve, beside...)
+	return serveAll(ctx, gateway, "", f.Listen, serve, others...)
 }
 
-// newFileGateway returns the gateway of an operator's file, and what serves its HTTP routes; nil
-// means that it has none. The backends that the file lists are known when it returns.
+// newFileGateway creates the gateway of an operator's file and the server of its HTTP routes, which is
+// nil if it has none. When it returns, the gateway knows the backends that the file lists.
 func newFileGateway(f *operatorconfig.File, sources *sources) (*pumicecroft.Gateway, *httpServer, error) {
 	options := slices.Concat(sources.options, []pumicecroft.Option{pumicecroft.WithLogger(slog.Default())})
 	if f.GRPC != nil {
@@ -78,9 +79,9 @@
 	return gateway, http, nil
 }
 
-// listenBeside opens the file's other listeners: that of backends' status, which stopStatus closes,
-// and that of gRPC, which servers serve. stopStatus is to be called after an error, too.
-func listenBeside(gateway *pumicecroft.Gateway,
+// startAuxiliaryListeners opens the listeners for the status of backends, which stopStatus closes, and
+// for gRPC, which servers serve. The caller must call stopStatus, also after an error.
+func startAuxiliaryListeners(gateway *pumicecroft.Gateway,
 	f *operatorconfig.File) (servers []serveFunc, stopStatus func(), err error) {
 	stopStatus = func() {}
 	if f.StatusAddr != "" {
@@ -100,7 +101,7 @@
 	return servers, stopStatus, nil
 }
 
-// listenGRPC returns the file's gRPC proxy, which listens and does not serve yet.
+// listenGRPC opens the listener of the file's gRPC proxy, and returns the function that serves it.
 func listenGRPC(gateway *pumicecroft.Gateway, f *operatorconfig.File) (serveFunc, error) {
 	c := f.GRPC.Proxy
 	c.Log = slog.Default()
@@ -116,12 +117,13 @@
 	return func(ctx context.Context) error { return proxy.Serve(ctx, ln) }, nil
 }
 
-// registered registers a gateway in Consul's catalog. The context that it returns ends DrainNotice
-// after ctx: a gateway in the catalog goes on serving until those who look there know that it drains.
-func registered(ctx context.Context, client *consul.Client,
+// registerWhileServing registers a gateway in Consul's catalog until deregister is called. The returned
+// context ends DrainNotice after ctx does, so that the gateway goes on serving until users of the
+// catalog can know that it drains.
+func registerWhileServing(ctx context.Context, client *consul.Client,
 	c *operatorconfig.Consul) (serving context.Context, deregister func()) {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
-	end := register(client, *c.Registration, ctx.Done())
+	stopRegistration := startRegistration(client, *c.Registration, ctx.Done())
 	go func() {
 		select {
 		case <-ctx.Done():
@@ -131,13 +133,14 @@
 		}
 	}()
 	return serving, func() {
-		end()
+		stopRegistration()
 		stop()
 	}
 }
 
-// register keeps a gateway in the catalog until end is called. It is critical there from draining on.
-func register(client *consul.Client, r consul.Registration, draining <-chan struct{}) (end func()) {
+// startRegistration keeps a gateway registered in the catalog until deregister is called, which waits
+// for the deregistration. Once draining is closed, the gateway's state in the catalog is critical.
+func startRegistration(client *consul.Client, r consul.Registration, draining <-chan struct{}) (deregister func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	r.OnResult = func(err error) {
 		if err != nil {
--- a/internal/daemon/sources.go
+++ b/internal/daemon/sources.go
@@ -12,11 +12,11 @@
 	"pumicecroft/membership"
 )
 
-// sources are the sources of backends that an operator's file names.
+// sources are the sources of backends that an operator's file configures.
 type sources struct {
-	options []pumicecroft.Option // by precedence
-	consul  *consul.Client       // nil: Consul is not among them
-	// fileReported is closed when the backends that the file itself lists have been reported.
+	options []pumicecroft.Option // one for each source, in order of precedence
+	consul  *consul.Client       // nil if Consul is no source
+	// fileReported is closed when the gateway has received the backends that the file itself lists.
 	fileReported chan struct{}
 }
 
@@ -52,7 +52,7 @@
 // staticSource is a source whose backends do not change.
 type staticSource struct {
 	endpoints membership.Update
-	reported  chan struct{} // closed when they have been reported
+	reported  chan struct{} // closed when the endpoints have been reported
 }
 
 func (s staticSource) Run(_ context.Context, update func(membership.Update)) {
@@ -60,10 +60,10 @@
 	close(s.reported)
 }
 
-// protocolSource is a source that does not know what its nodes speak: they all get protocol.
+// protocolSource sets the protocol of all nodes of a Source that doesn't report protocols.
 type protocolSource struct {
 	pumicecroft.Source
-	protocol string // empty: nodes are left as they are
+	protocol string // empty: nodes are not changed
 }
 
 func (s protocolSource) Run(ctx context.Context, update func(membership.Update)) {
@@ -78,7 +78,7 @@
 	})
 }
 
-// Sync is the Source's, if it has one.
+// Sync calls the Source's Sync, if it has one.
 func (s protocolSource) Sync(ctx context.Context, since time.Time) error {
 	if syncer, ok := s.Source.(pumicecroft.Syncer); ok {
 		return syncer.Sync(ctx, since)
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -12,7 +12,7 @@
 	"pumicecroft"
 )
 
-// statusPath is where a gateway tells of its backends.
+// statusPath is the HTTP path of the status of backends.
 const statusPath = "/members"
 
 // Limits of the status server and its client.
@@ -23,7 +23,7 @@
 	statusFetchTimeout   = 10 * time.Second
 )
 
-// serveBackendStatus serves what a gateway knows of its backends, as JSON, until stop is called.
+// serveBackendStatus serves the status of a gateway's backends as JSON until stop is called.
 func serveBackendStatus(gateway *pumicecroft.Gateway, addr string) (stop func(), err error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -32,7 +32,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+statusPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(gateway.Backends()) // the client has gone
+		_ = json.NewEncoder(w).Encode(gateway.Backends()) // fails only if the client is gone
 	})
 	server := &http.Server{
 		Handler:        mux,
@@ -40,13 +40,12 @@
 		WriteTimeout:   statusWriteTimeout,
 		MaxHeaderBytes: statusMaxHeaderBytes,
 	}
-	go func() { _ = server.Serve(ln) }() // it ends by stop
+	go func() { _ = server.Serve(ln) }() // returns once stop closes the server
 	slog.Info("members", "listen", ln.Addr().String())
 	return func() { server.Close() }, nil
 }
 
-// FetchBackendStatus asks a running gateway, at the address for its status, what it knows of its
-// backends.
+// FetchBackendStatus fetches the status of backends from the status address of a running gateway.
 func FetchBackendStatus(ctx context.Context, addr string) ([]pumicecroft.BackendStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusFetchTimeout)
 	defer cancel()
@@ -56,7 +55,7 @@
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("no gateway answers there: %w", err)
+		return nil, fmt.Errorf("status request to the gateway failed: %w", err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
@@ -64,7 +63,7 @@
 	}
 	var backends []pumicecroft.BackendStatus
 	if err := json.NewDecoder(res.Body).Decode(&backends); err != nil {
-		return nil, fmt.Errorf("%s answered with no list of members: %w", addr, err)
+		return nil, fmt.Errorf("%s answered with an invalid list of backends: %w", addr, err)
 	}
 	return backends, nil
 }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,12 +1,12 @@
-// Package operatorconfig reads the operator's own file, such as deploy/pumicecroft.toml, from which a
-// gateway that is not run by the platform has its classes, plans, routes and backends. All problems
-// of a file are found in one go, and name its keys and lines. The package reads text: files and
-// sockets are the caller's.
+// Package operatorconfig parses an operator's file, such as deploy/pumicecroft.toml: the configuration
+// of a gateway that is not run by the platform, with its classes, plans, routes and backends. Parse
+// reports all problems of a file at once, each with its line and key. The package opens no files and
+// no sockets; callers read the files that an operator's file names.
 //
-// The keys of the file are the operators' words; they are mapped to the field's terms here, and
-// nowhere behind it. The files: file.go has the gateway, classes and plans, sources.go the sources
-// of backends, http.go, services.go, routes.go and identities.go ordinary HTTP, grpc.go gRPC and
-// idempotency.go idempotency keys.
+// The file's keys have names of their own, which operators rely on ("door" is the gateway). Only this
+// package maps them to the terms of the code. file.go parses the gateway, classes and plans;
+// sources.go the sources of backends; http.go, services.go, routes.go and identities.go HTTP; grpc.go
+// gRPC; and idempotency.go idempotency keys.
 package operatorconfig
 
 import (
@@ -23,13 +23,13 @@
 	"pumicecroft/membership"
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem is one error in a file.
 type Problem = settings.Problem
 
-// Problems are all things that are wrong with a file.
+// Problems are all errors in a file.
 type Problems = settings.Problems
 
-// File is what an operator's file says.
+// File is the content of an operator's file.
 type File struct {
 	// Listen is the address for clients, host:port.
 	Listen string
@@ -37,35 +37,36 @@
 	MaxClientConns int
 	// Gateway is the configuration of the gateway.
 	Gateway pumicecroft.Config
-	// StatusAddr is the loopback address on which the gateway tells what it knows of its backends.
-	// Empty means that it does not.
+	// StatusAddr is the loopback address at which the gateway serves the status of its backends.
+	// Empty means that the status is not served.
 	StatusAddr string
-	// Sources are the sources of backends, by precedence: SourceConsul and so on.
+	// Sources are the names of the sources of backends, such as SourceConsul, highest precedence first.
 	Sources []string
-	// Backends are those of SourceFile.
+	// Backends are the backends that the file lists, for SourceFile.
 	Backends membership.Update
 	// DiscoveryAddr is the address of the platform's discovery, host:port, for SourceDiscovery.
 	DiscoveryAddr string
-	// DiscoveryProtocol is what the backends of SourceDiscovery speak. Empty means Gateway.Protocol.
+	// DiscoveryProtocol is the protocol of the backends of SourceDiscovery. Empty means
+	// Gateway.Protocol.
 	DiscoveryProtocol string
 	// Consul is nil without SourceConsul.
 	Consul *Consul
 	// GRPC is nil if gRPC is not served.
 	GRPC *GRPC
-	// HTTP is nil if clients on Listen speak the platform's dialect.
+	// HTTP is nil if the file has no services: requests on Listen then use the platform's headers.
 	HTTP *HTTP
 
-	classes []class // without their variants
+	classes []class // before each class by method is split into its variants
 }
 
-// Bounds of values.
+// Bounds of values in the file.
 const (
 	day       = 24 * time.Hour
 	maxCount  = 1 << 20
 	unbounded = math.MaxFloat64
 )
 
-// Parse reads a file's text. The error is a Problems.
+// Parse parses the text of a file. The error is a Problems.
 func Parse(text []byte) (File, error) {
 	d, err := settings.Parse(text)
 	if err != nil {
@@ -87,19 +88,19 @@
 		f.GRPC = readGRPC(s, &f)
 	}
 	if s := top.Table("keys"); s.Keys != nil {
-		f.Gateway.Idempotency = readIdempotency(s, &f)
+		f.Gateway.Idempotency = readIdempotencyKeys(s, &f)
 	}
 	top.RejectUnknownKeys()
 	if err := d.Err(); err != nil {
 		return File{}, err
 	}
-	if err := f.Gateway.Settings.Validate(); err != nil { // what no single key shows
+	if err := f.Gateway.Settings.Validate(); err != nil { // constraints between keys
 		return File{}, Problems{{Line: 1, Message: err.Error()}}
 	}
 	return f, nil
 }
 
-// checkAddress notes a problem unless addr is a host:port.
+// checkAddress reports a problem unless addr is a host:port.
 func checkAddress(s *settings.Section, key, addr string) {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -107,11 +108,11 @@
 		return
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
-		s.Problemf(key, "%q has no port from 0 to 65535", addr)
+		s.Problemf(key, "the port of %q is not a number from 0 to 65535", addr)
 	}
 }
 
-// checkUniqueName notes a problem if a section's name has been seen before.
+// checkUniqueName reports a problem if name is in seen, and adds it.
 func checkUniqueName(seen map[string]bool, s *settings.Section, name string) {
 	if name != "" && seen[name] {
 		s.Problemf("name", "%q is there twice", name)
@@ -119,7 +120,7 @@
 	seen[name] = true
 }
 
-// readProtocol reads what backends speak.
+// readProtocol reads the protocol of backends.
 func readProtocol(s *settings.Section, defaultProtocol string) string {
 	if _, ok := s.Get("protocol"); !ok {
 		return defaultProtocol
@@ -128,7 +129,8 @@
 	return protocols[s.OneOf("protocol", defaultProtocol, protocols...)]
 }
 
-// readServiceProtocol reads the service that backends belong to, and returns what they speak.
+// readServiceProtocol reads the service that backends belong to, and returns the protocol of that
+// service, or defaultProtocol if no service is given.
 func readServiceProtocol(s *settings.Section, f *File, defaultProtocol string) string {
 	const key = "service"
 	name := s.Text(key, false)
@@ -141,9 +143,9 @@
 	return httpproxy.Protocol(name)
 }
 
-// readIdempotencyOf reads the idempotency of a class or route.
-func readIdempotencyOf(s *settings.Section) decision.Idempotency {
-	return decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe")) // in the order of its values
+// readEffect reads the idempotency of a class or route, whose key is "effect".
+func readEffect(s *settings.Section) decision.Idempotency {
+	return decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe")) // ordered like the type's constants
 }
 
 // readGateway reads [door].
@@ -152,7 +154,7 @@
 	set.GatewayCount = s.Int("of", 1, 1, 10_000)
 	set.GatewayIndex = s.Int("number", 0, 0, 9_999)
 	if set.GatewayIndex >= set.GatewayCount {
-		s.Problemf("number", "%d is not below of = %d: doors count from 0", set.GatewayIndex, set.GatewayCount)
+		s.Problemf("number", "%d is not below of = %d: gateways are numbered from 0", set.GatewayIndex, set.GatewayCount)
 	}
 	set.Zone = s.Text("zone", false)
 	set.MaxAttempts = s.Int("max_attempts", 3, 1, 16)
@@ -177,10 +179,10 @@
 	s.RejectUnknownKeys()
 }
 
-// readClass reads what [[class]] and [[service]] say of a class alike.
+// readClass reads the settings of a class that [[class]] and [[service]] have in common.
 func readClass(s *settings.Section, name string) decision.Class {
 	c := decision.Class{Name: name}
-	c.DedupScope = decision.DedupScope(s.OneOf("group", "all", "all", "zone", "cell")) // in the order of its values
+	c.DedupScope = decision.DedupScope(s.OneOf("group", "all", "all", "zone", "cell")) // ordered like the type's constants
 	c.DedupWindow = s.Duration("key_window", 0, 0, day)
 	c.Deadline = s.Duration("deadline", 10*time.Second, time.Millisecond, time.Hour)
 	c.LatencyObjective = s.Duration("aim", c.Deadline/2, time.Millisecond, time.Hour)
@@ -192,7 +194,8 @@
 	return c
 }
 
-// readClasses reads [[class]], after services: a class replaces the service's of the same name.
+// readClasses reads [[class]], after services: a class replaces the class of a service with the same
+// name. Classes whose idempotency is by method are split into their variants.
 func readClasses(d *settings.Document, top *settings.Section, f *File) {
 	set := &f.Gateway.Settings
 	seen := map[string]bool{}
@@ -201,9 +204,9 @@
 		checkUniqueName(seen, s, c.Name)
 		_, hasIdempotency := s.Get("effect")
 		c.byMethod = f.HTTP != nil && !hasIdempotency
-		c.Idempotency = readIdempotencyOf(s)
+		c.Idempotency = readEffect(s)
 		if c.Idempotency == decision.IdempotentByKey && c.DedupWindow == 0 {
-			s.Problemf("key_window", "a keyed class needs it: how long backends of a group drop a repeat")
+			s.Problemf("key_window", "a keyed class needs it: the time for which backends of a group drop repeated requests")
 		}
 		s.RejectUnknownKeys()
 		if i := slices.IndexFunc(f.classes, func(o class) bool { return o.Name == c.Name }); i >= 0 {
@@ -225,7 +228,7 @@
 	}
 }
 
-// readPlans reads [[plan]]. Without any, ordinary HTTP has one plan without a quota.
+// readPlans reads [[plan]]. A file with services and without plans gets one plan that has no quota.
 func readPlans(d *settings.Document, top *settings.Section, f *File) {
 	set := &f.Gateway.Settings
 	seen := map[string]bool{}
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -13,7 +13,7 @@
 	"pumicecroft/decision"
 )
 
-const good = `listen = "127.0.0.1:8080"
+const validFile = `listen = "127.0.0.1:8080"
 
 [door]
 number = 1
@@ -44,7 +44,7 @@
 `
 
 func TestParse(t *testing.T) {
-	f, err := Parse([]byte(good))
+	f, err := Parse([]byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,18 +53,18 @@
 		set.MaxRetryAfter != 1500*time.Millisecond ||
 		f.Gateway.BodyReadTimeout != 500*time.Millisecond || f.MaxClientConns != 400 ||
 		set.LongestDeadline() != 10*time.Second {
-		t.Errorf("%+v", f)
+		t.Errorf("got %+v, want the values of validFile and the defaults", f)
 	}
 	if c := set.Classes[1]; c.Idempotency != decision.IdempotentByKey || c.DedupScope != decision.DedupScopeCell ||
 		c.DedupWindow != 5*time.Second ||
 		c.PriorityWeight != 5 || set.Classes[0].LatencyObjective != time.Second {
-		t.Errorf("%+v", set.Classes)
+		t.Errorf("classes: got %+v, want the values of validFile and the defaults", set.Classes)
 	}
 	if p := set.Plans[0]; p.Rate != 10 || p.Burst != 20.5 || p.Price != 1 {
-		t.Errorf("%+v", p)
+		t.Errorf("plan: got %+v, want rate 10, burst 20.5, price 1", p)
 	}
 	if n := f.Backends.Nodes; len(n) != 1 || n[0].Addr != "127.0.0.1:9000" || n[0].Cell != 3 || !f.Backends.Full {
-		t.Errorf("%+v", n)
+		t.Errorf("backends: got %+v with Full %v, want one at 127.0.0.1:9000 in cell 3 with Full", n, f.Backends.Full)
 	}
 }
 
@@ -76,19 +76,20 @@
 	if _, err := Parse(text); err != nil {
 		t.Error(err)
 	}
-	on := regexp.MustCompile(`(?m)^#([^ ])`).ReplaceAllString(string(text), "$1") // what is off in it is good too
-	f, err := Parse([]byte(on))
+	// The settings that are commented out must be valid, too.
+	uncommented := regexp.MustCompile(`(?m)^#([^ ])`).ReplaceAllString(string(text), "$1")
+	f, err := Parse([]byte(uncommented))
 	if err != nil || f.Consul == nil || f.Consul.Registration == nil || f.Gateway.Idempotency == nil ||
 		f.Gateway.Idempotency.TTL != 24*time.Hour || f.GRPC == nil ||
 		f.GRPC.Proxy.Methods["/shop.Desk/Activate"].Class != "activate" || f.DiscoveryAddr == "" ||
 		len(f.Sources) != 3 ||
 		f.HTTP == nil || len(f.HTTP.Services) != 1 || len(f.HTTP.Routes) != 2 || len(f.HTTP.Identities) != 5 ||
 		f.HTTP.TLS == nil || f.HTTP.Services[0].TLS == nil {
-		t.Errorf("%v %+v", err, f)
+		t.Errorf("with all settings uncommented: error %v, want all sections, got %+v", err, f)
 	}
 }
 
-// Each problem names its line and key.
+// Each problem is reported with its line and key.
 func TestInvalidFiles(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, new string
@@ -106,9 +107,9 @@
 		"bad port": {`"127.0.0.1:8080"`, `"127.0.0.1:80800"`, "line 1: listen: "},
 		"misspelt key": {`number = 1`, `numbre = 1`,
 			"line 4: door.numbre: no such key; there are answer_grace, "},
-		"a journal without keys in it": {`[door]`, "[keys]\njournal_down = \"refuse\"\n[door]",
+		"journal settings without a journal": {`[door]`, "[keys]\njournal_down = \"refuse\"\n[door]",
 			"line 4: keys.journal_down: it is of no use without journal, the directory"},
-		"a rule of no name": {`[door]`, "[keys]\njournal = \"k\"\njournal_down = \"wait\"\n[door]",
+		"unknown failure mode": {`[door]`, "[keys]\njournal = \"k\"\njournal_down = \"wait\"\n[door]",
 			`line 5: keys.journal_down: "wait" is none of serve, refuse`},
 		"misspelt table": {`[door]`, `[doors]`,
 			"line 3: doors: no such key; there are backend, class, consul, discovery, door, grpc, http, identity, keys, listen, members, membership, plan, route, service, sources, state_dir, tls"},
@@ -144,13 +145,13 @@
 		"yes or no": {`of = 2`, "of = 2\ncancel = \"yes\"",
 			"line 6: door.cancel: it is a text, not true or false"},
 	} {
-		text := strings.ReplaceAll(good, c.old, c.new)
-		if text == good {
-			t.Fatalf("%s: nothing was changed", name)
+		text := strings.ReplaceAll(validFile, c.old, c.new)
+		if text == validFile {
+			t.Fatalf("%s: the valid file does not contain %q", name, c.old)
 		}
 		f, err := Parse([]byte(text))
 		if err == nil {
-			t.Errorf("%s: no error, %+v", name, f)
+			t.Errorf("%s: got no error and %+v, want error %q", name, f, c.want)
 			continue
 		}
 		found := false
@@ -158,27 +159,27 @@
 			found = found || strings.HasPrefix(line, c.want)
 		}
 		if !found {
-			t.Errorf("%s: %q, want %q", name, err, c.want)
+			t.Errorf("%s: got error %q, want a line that begins with %q", name, err, c.want)
 		}
 	}
 }
 
-// All problems are reported at once, by line.
+// All problems are reported at once, ordered by line.
 func TestAllProblemsAreReported(t *testing.T) {
-	text := strings.NewReplacer("of = 2", "of = 0", `"keyed"`, `"x"`, `"127.0.0.1:9000"`, `"nowhere"`).Replace(good)
+	text := strings.NewReplacer("of = 2", "of = 0", `"keyed"`, `"x"`, `"127.0.0.1:9000"`, `"nowhere"`).Replace(validFile)
 	_, err := Parse([]byte(text))
 	var ps Problems
 	if !errors.As(err, &ps) || len(ps) < 3 {
-		t.Fatalf("%v", err)
+		t.Fatalf("got error %v, want at least 3 problems", err)
 	}
 	for i := range ps[1:] {
 		if ps[i].Line > ps[i+1].Line {
-			t.Errorf("line %d comes before line %d", ps[i].Line, ps[i+1].Line)
+			t.Errorf("problem of line %d is reported before that of line %d, want them ordered", ps[i].Line, ps[i+1].Line)
 		}
 	}
 }
 
-const goodConsul = `listen = "127.0.0.1:8080"
+const validConsulFile = `listen = "127.0.0.1:8080"
 state_dir = "/var/lib/doors"
 members = "127.0.0.1:8081"
 sources = ["file", "consul", "discovery"]
@@ -226,7 +227,7 @@
 `
 
 func TestSources(t *testing.T) {
-	f, err := Parse([]byte(goodConsul))
+	f, err := Parse([]byte(validConsulFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,20 +236,21 @@
 		f.StatusAddr != "127.0.0.1:8081" ||
 		f.Gateway.StateDir != "/var/lib/doors" || f.Gateway.Membership.ProbationMin != 2*time.Second ||
 		f.Gateway.Membership.MassRemovalRatio != 0.3 {
-		t.Errorf("%+v", f)
+		t.Errorf("got %+v, want the values of validConsulFile", f)
 	}
 	if len(c.Services) != 2 || c.Services[0].Mapping != (consul.Mapping{Cell: "rack", Zone: "node:floor",
 		ServeWarning: true}) || !c.Services[1].HealthOnly ||
 		c.Services[0].Tags[0] != "blue" || c.Config.Consistency != consul.Stale || c.Config.Wait != 10*time.Second {
-		t.Errorf("%+v", c)
+		t.Errorf("[consul]: got %+v, want the values of validConsulFile and the defaults", c)
 	}
 	if r := c.Registration; r.Name != "doors" || r.Address != "127.0.0.1:8080" || r.TTL != 6*time.Second ||
 		c.DrainNotice != time.Second {
-		t.Errorf("%+v", r)
+		t.Errorf("[consul.register]: got %+v with drain notice %v, want doors at 127.0.0.1:8080, TTL 6s, notice 1s",
+			r, c.DrainNotice)
 	}
-	f, err = Parse([]byte(strings.Replace(goodConsul, `sources = ["file", "consul", "discovery"]`, "", 1)))
+	f, err = Parse([]byte(strings.Replace(validConsulFile, `sources = ["file", "consul", "discovery"]`, "", 1)))
 	if err != nil || !slices.Equal(f.Sources, []string{"consul", "discovery", "file"}) {
-		t.Errorf("%q, %v", f.Sources, err)
+		t.Errorf("without sources: got %q and error %v, want consul, discovery and file", f.Sources, err)
 	}
 }
 
@@ -256,39 +258,39 @@
 	for name, c := range map[string]struct{ old, new, want string }{
 		"no such source": {`"discovery"]`, `"dns"]`,
 			`line 4: sources: "dns" is none of consul, discovery, file`},
-		"a source left out": {`, "discovery"]`, `]`, `line 4: sources: "discovery" is configured and not named`},
+		"a source left out": {`, "discovery"]`, `]`, `line 4: sources: "discovery" is configured and not listed`},
 		"a source twice":    {`["file", `, `["file", "file", `, `line 4: sources: "file" is there twice`},
-		"a source that is not": {"[discovery]\naddress = \"127.0.0.1:7000\"\n", "",
-			`line 4: sources: "discovery" is named, and the file does not say`},
+		"a source not configured": {"[discovery]\naddress = \"127.0.0.1:7000\"\n", "",
+			`line 4: sources: "discovery" is listed and not configured`},
 		"sources are no texts": {`["file", "consul", "discovery"]`, `["file", 3]`,
 			"line 4: sources: it is not a list of texts"},
-		"members for all": {`"127.0.0.1:8081"`, `"0.0.0.0:8081"`,
-			`line 3: members: "0.0.0.0:8081" is not on this machine alone`},
-		"members by name": {`"127.0.0.1:8081"`, `"door.example.org:8081"`,
-			`line 3: members: "door.example.org:8081" is not on`},
+		"members on all addresses": {`"127.0.0.1:8081"`, `"0.0.0.0:8081"`,
+			`line 3: members: "0.0.0.0:8081" is not a loopback address`},
+		"members on a host name": {`"127.0.0.1:8081"`, `"door.example.org:8081"`,
+			`line 3: members: "door.example.org:8081" is not a loopback address`},
 		"no address": {`address = "https://consul.example.org:8501"`, "",
 			"line 19: consul.address: it is missing"},
 		"unknown consistency": {`"stale"`, `"eventual"`, `line 21: consul.consistency: "eventual" is none of`},
 		"a service twice": {`name = "stock"`, `name = "identity"`,
 			`line 32: consul.service[1].name: "identity" is there twice`},
-		"a keyed class no cell": {"name = \"stock\"\ncell = \"rack\"", `name = "stock"`,
-			`line 31: consul.service[1].cell: it is missing, and class "pay"`},
+		"a keyed class without a cell": {"name = \"stock\"\ncell = \"rack\"", `name = "stock"`,
+			`line 31: consul.service[1].cell: it is missing, and requests of class "pay"`},
 		"no service": {"consul.service", "consul.servize", "line 19: consul.service: there is none"},
 		"misspelt":   {`tags = `, `tag = `, "line 26: consul.service[0].tag: no such key"},
 		"a key file alone": {`ca_file = "ca.pem"`, `key_file = "k.pem"`,
 			"line 22: consul.key_file: cert_file and key_file go together"},
 		"registered nowhere": {`"127.0.0.1:8080"`, `"0.0.0.0:8080"`,
-			`line 36: consul.register.address: "0.0.0.0:8080" is nothing that clients can connect to`},
+			`line 36: consul.register.address: clients can't connect to "0.0.0.0:8080"`},
 		"a TTL too short": {`ttl = "6s"`, `ttl = "6ms"`, "line 38: consul.register.ttl: 6ms is not from 1s"},
 		"a share over 1": {`loss_share = 0.3`, `loss_share = 3`,
 			"line 17: membership.loss_share: 3 is not from 0.01 to 1"},
 	} {
-		text := strings.ReplaceAll(goodConsul, c.old, c.new)
-		if text == goodConsul {
-			t.Fatalf("%s: nothing was changed", name)
+		text := strings.ReplaceAll(validConsulFile, c.old, c.new)
+		if text == validConsulFile {
+			t.Fatalf("%s: the valid file does not contain %q", name, c.old)
 		}
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains("\n"+err.Error(), "\n"+c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want a line that begins with %q", name, err, c.want)
 		}
 	}
 }
--- a/internal/operatorconfig/grpc.go
+++ b/internal/operatorconfig/grpc.go
@@ -9,7 +9,7 @@
 	"pumicecroft/internal/settings"
 )
 
-// GRPC is what a file says of gRPC.
+// GRPC is the [grpc] section of a file.
 type GRPC struct {
 	Listen   string // the address for clients, host:port
 	Proxy    grpcproxy.Config
@@ -39,7 +39,7 @@
 	return g
 }
 
-// readMetadataNames reads the names of metadata by which calls describe themselves.
+// readMetadataNames reads the names of the metadata that identify a call, its customer and its plan.
 func readMetadataNames(s *settings.Section) grpcproxy.MetadataNames {
 	seen := map[string]bool{}
 	readName := func(key, defaultName string) string {
@@ -50,7 +50,7 @@
 		if err := grpcproxy.ValidateMetadataName(name); err != nil {
 			s.Problemf(key, "%v", err)
 		} else if name != "" && seen[name] {
-			s.Problemf(key, "%q stands for something else already", name)
+			s.Problemf(key, "%q is already the name of other metadata", name)
 		}
 		seen[name] = true
 		return name
@@ -65,10 +65,10 @@
 		Terms:          readName("terms", platform.Terms),
 	}
 	if names.Customer == "" {
-		s.Problemf("customer", "it is empty: calls must say who asks")
+		s.Problemf("customer", "it is empty: calls must name their customer")
 	}
 	if names.Plan == "" {
-		s.Problemf("plan", "it is empty: calls must say by which plan")
+		s.Problemf("plan", "it is empty: calls must name their plan")
 	}
 	return names
 }
--- a/internal/operatorconfig/http.go
+++ b/internal/operatorconfig/http.go
@@ -13,19 +13,21 @@
 	"pumicecroft/routes"
 )
 
-// HTTP is what a file says of ordinary HTTP. The files that it names are not read here.
+// HTTP is the configuration of ordinary HTTP: services, routes, identities and TLS. The files that it
+// names are read by package httpproxyconfig.
 type HTTP struct {
-	Proxy         httpproxy.Config // without its Rules
+	Proxy         httpproxy.Config // without Rules, which need the files
 	Services      []Service
 	Routes        []routes.Rule[*httpproxy.Route]
 	Table         *routes.Table[*httpproxy.Route] // of Routes
 	Identities    []Identity
-	Trusted       []netip.Prefix // peers that may speak for their clients
-	RemoveHeaders []string       // fields that are not forwarded
+	Trusted       []netip.Prefix // peers whose headers about their clients are believed
+	RemoveHeaders []string       // header fields that are not forwarded
 	TLS           *TLS           // of the listener; nil: plain text
 }
 
-// Location is where a section of the file stands, for problems of files that it names.
+// Location is the position of a section in the operator's file. Problems with files that the section
+// names are reported there.
 type Location struct {
 	Line int
 	Path string
@@ -41,27 +43,27 @@
 // The values of TLS.ClientAuth, as the file names them.
 const (
 	ClientAuthNone    = "none"    // clients are not asked for a certificate
-	ClientAuthAsk     = "ask"     // a certificate is verified if a client has one
-	ClientAuthRequire = "require" // a client without a valid certificate is rejected
+	ClientAuthAsk     = "ask"     // clients may have a certificate, which is verified
+	ClientAuthRequire = "require" // clients without a valid certificate are rejected
 )
 
-// TLS is the listener's [tls].
+// TLS is the [tls] section, which configures the listener.
 type TLS struct {
 	Location       Location
 	Certificates   []Certificate
 	AllowTLS12     bool
 	ClientCAFile   string
 	ClientAuth     string
-	ReloadInterval time.Duration // how often the files of certificates are read again
+	ReloadInterval time.Duration // the interval at which the files of certificates are read again
 }
 
-// Certificate is the files of a certificate and its key.
+// Certificate names the files of a certificate and its private key.
 type Certificate struct {
 	Location          Location
 	CertFile, KeyFile string
 }
 
-// readHTTP reads what a file says of ordinary HTTP, after services, classes and plans.
+// readHTTP reads the configuration of ordinary HTTP, after services, classes and plans.
 func readHTTP(d *settings.Document, top *settings.Section, f *File) {
 	if f.HTTP == nil {
 		for _, key := range []string{"route", "identity", "http", "tls"} {
@@ -85,7 +87,7 @@
 	for i, id := range f.HTTP.Identities {
 		if id.Kind == KindCertificate && noClientCerts {
 			d.Problemf(fmt.Sprintf("identity[%d]", i), "kind",
-				"no client brings a certificate: [tls] with client_auth is missing")
+				"clients are not asked for a certificate: [tls] with client_auth is missing")
 		}
 	}
 }
@@ -110,7 +112,8 @@
 	s.RejectUnknownKeys()
 }
 
-// readTrusted reads the peers that may speak for their clients: prefixes and addresses.
+// readTrusted reads the IP addresses and prefixes of peers whose headers about their clients are
+// believed.
 func readTrusted(s *settings.Section) (trusted []netip.Prefix) {
 	for _, text := range s.Texts("trusted") {
 		prefix, err := netip.ParsePrefix(text)
@@ -126,7 +129,7 @@
 	return trusted
 }
 
-// readHeaderName reads the name of a field; an empty one switches it off.
+// readHeaderName reads the name of a header field. An empty name disables the field.
 func readHeaderName(s *settings.Section, key, defaultName string) string {
 	name := defaultName
 	if _, ok := s.Get(key); ok {
@@ -160,8 +163,8 @@
 	return t
 }
 
-// HostHeader returns the Host for a backend's address: with its port, unless that is the scheme's
-// default.
+// HostHeader returns the Host header for a backend's address. It has the port, unless that is the
+// default port of the scheme.
 func HostHeader(addr string, tls bool) string {
 	host, port, err := net.SplitHostPort(addr)
 	isDefaultPort := tls && port == "443" || !tls && port == "80"
--- a/internal/operatorconfig/http_test.go
+++ b/internal/operatorconfig/http_test.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Files of ordinary HTTP give their classes, routes and identities, or each problem with line and
-// key. Line 1 of the file is "listen".
+// Parse returns the classes, plans, nodes, routes and identities of a file with services, or each problem
+// with its line and key. Line 1 of the file is "listen".
 func TestHTTP(t *testing.T) {
 	datadriven.RunTest(t, "testdata/web", func(_ *testing.T, d *datadriven.TestData) string {
 		f, err := Parse([]byte("listen = \"127.0.0.1:0\"\n" + d.Input))
@@ -29,11 +29,11 @@
 			b.WriteString("node " + n.Name + " " + n.Addr + " " + n.Protocol + "\n")
 		}
 		for _, r := range f.HTTP.Routes {
-			to := r.Target
+			target := r.Target
 			b.WriteString("route " + r.Name + " " + r.Host + r.Path + " -> " +
-				strings.Join([]string{to.Service, to.Class.Idempotent, to.Class.IdempotentByKey,
-					to.Class.NonIdempotent}, "|"))
-			if to.Idempotency != nil && *to.Idempotency == decision.Idempotent {
+				strings.Join([]string{target.Service, target.Class.Idempotent, target.Class.IdempotentByKey,
+					target.Class.NonIdempotent}, "|"))
+			if target.Idempotency != nil && *target.Idempotency == decision.Idempotent {
 				b.WriteString(" safe")
 			}
 			b.WriteString("\n")
--- a/internal/operatorconfig/idempotency.go
+++ b/internal/operatorconfig/idempotency.go
@@ -9,9 +9,9 @@
 	"pumicecroft/internal/settings"
 )
 
-// readIdempotency reads [keys], after classes: how requests are recognised by their idempotency keys,
-// and where the responses are retained.
-func readIdempotency(s *settings.Section, f *File) *idempotency.Limits {
+// readIdempotencyKeys reads [keys], after classes: the limits on retained responses to requests with
+// idempotency keys, and the journal in which they are stored.
+func readIdempotencyKeys(s *settings.Section, f *File) *idempotency.Limits {
 	limits := &idempotency.Limits{
 		MaxBytes:         s.Int("bytes", 64<<20, 64<<10, 1<<40),
 		MaxResponseBytes: s.Int("most_answer", 64<<10, 1, 64<<10),
@@ -20,11 +20,11 @@
 	}
 	limits.UnknownTTL = s.Duration("keep_doubt", limits.TTL, time.Second, 30*day)
 	for _, c := range f.Gateway.Settings.Classes {
-		least := c.Deadline + c.DedupWindow
-		if c.Idempotency != decision.Idempotent && limits.UnknownTTL < least {
+		minTTL := c.Deadline + c.DedupWindow
+		if c.Idempotency != decision.Idempotent && limits.UnknownTTL < minTTL {
 			s.Problemf("keep_doubt",
-				"%v is below the deadline and key window of class %q, %v: a repeat of what may have run would go on",
-				limits.UnknownTTL, c.Name, least)
+				"%v is below the deadline and key window of class %q, %v: a repeat of a request that may have run could run again",
+				limits.UnknownTTL, c.Name, minTTL)
 		}
 	}
 	f.Gateway.IdempotencyJournal = readJournal(s)
@@ -32,7 +32,7 @@
 	return limits
 }
 
-// readJournal reads the journal of idempotency keys; nil means that there is none.
+// readJournal reads the configuration of the journal of idempotency keys. nil means no journal.
 func readJournal(s *settings.Section) *pumicecroft.IdempotencyJournal {
 	dir := s.Text("journal", false)
 	if dir == "" {
--- a/internal/operatorconfig/identities.go
+++ b/internal/operatorconfig/identities.go
@@ -14,7 +14,7 @@
 // The kinds of an Identity, as the file names them.
 const (
 	KindKey         = "key"         // an API key
-	KindHeader      = "header"      // fields that a trusted peer sets
+	KindHeader      = "header"      // header fields set by a trusted peer
 	KindCertificate = "certificate" // a client's certificate
 	KindToken       = "token"       // a JSON Web Token
 	KindAddress     = "address"     // the client's address
@@ -22,23 +22,23 @@
 
 var identityKinds = []string{KindKey, KindHeader, KindCertificate, KindToken, KindAddress}
 
-// Identity is one [[identity]]: a rule that says who sent a request. What its Kind does not use is
-// empty.
+// Identity is one [[identity]]: a rule that identifies the customer of a request. Fields that the Kind
+// doesn't use are empty.
 type Identity struct {
 	Location       Location
 	Kind           string
-	Name           string // for people
-	Header         string // the field that has the credential
-	Scheme         string // before the credential, such as "Bearer"
-	File           string // of keys or of a secret
-	Plan           string // of requests whose credential names none
-	PlanSource     string // the field or claim that names the plan
+	Name           string // shown in output and logs
+	Header         string // the header field with the credential
+	Scheme         string // the word before the credential, such as "Bearer"
+	File           string // the file of keys, or of the shared secret
+	Plan           string // the plan of requests whose credential names none
+	PlanSource     string // the header field or claim that names the plan
 	CostHeader     string
 	HexCustomers   bool
 	CertName       identity.CertNameSource
 	PlanByCustomer map[string]string
 	Algorithms     []string
-	SharedSecret   bool // File is a shared secret
+	SharedSecret   bool // File is a shared secret, not public keys
 	Issuer         string
 	Audience       string
 	CustomerClaim  string
@@ -46,11 +46,11 @@
 	IPv6PrefixBits int
 }
 
-// defaultIPv6PrefixBits is how much of an IPv6 address identifies a customer.
+// defaultIPv6PrefixBits is the default length of the IPv6 prefix that identifies a customer.
 const defaultIPv6PrefixBits = 64
 
-// readIdentities reads [[identity]], after plans. Without any, the address identifies a customer of
-// the first plan.
+// readIdentities reads [[identity]], after plans. Without identities, customers are identified by
+// their address and have the first plan.
 func readIdentities(top *settings.Section, h *HTTP, plans []string) {
 	list := top.List("identity")
 	for i, s := range list {
@@ -92,7 +92,7 @@
 		IPv6PrefixBits: defaultIPv6PrefixBits}
 }
 
-// identityReader reads one identity.
+// identityReader parses one [[identity]].
 type identityReader struct {
 	section  *settings.Section
 	http     *HTTP
@@ -100,7 +100,7 @@
 	identity Identity
 }
 
-// readPlan reads the plan of requests whose credential names none.
+// readPlan reads the default plan, for requests whose credential names none.
 func (r *identityReader) readPlan(required bool) {
 	r.identity.Plan = r.section.Text("plan", required)
 	if r.identity.Plan != "" && !slices.Contains(r.plans, r.identity.Plan) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// readHeaderName reads the name of a field.
+// readHeaderName reads the name of a header field.
 func (r *identityReader) readHeaderName(key, defaultName string, required bool) string {
 	name := r.section.Text(key, required && defaultName == "")
 	if name == "" {
@@ -117,9 +117,10 @@
 	return headerName(r.section, key, name)
 }
 
-// readRemove reads whether the field with the credential is removed from requests.
-func (r *identityReader) readRemove(remove bool) {
-	if r.section.Bool("remove", remove) {
+// readRemoveHeader reads whether the header field with the credential is removed from requests before
+// they are forwarded.
+func (r *identityReader) readRemoveHeader(defaultRemove bool) {
+	if r.section.Bool("remove", defaultRemove) {
 		r.http.RemoveHeaders = append(r.http.RemoveHeaders, r.identity.Header)
 	}
 }
@@ -128,7 +129,7 @@
 	r.identity.Header = r.readHeaderName("header", "X-Api-Key", true)
 	r.identity.Scheme = r.section.Text("scheme", false)
 	r.identity.File = r.section.Text("file", true)
-	r.readRemove(true)
+	r.readRemoveHeader(true)
 }
 
 func (r *identityReader) readHeader() {
@@ -149,7 +150,7 @@
 	for _, text := range r.section.Texts("plans") {
 		name, plan, ok := strings.Cut(text, "=")
 		if !ok || !slices.Contains(r.plans, plan) {
-			r.section.Problemf("plans", "%q is not NAME=PLAN with a plan that there is", text)
+			r.section.Problemf("plans", "%q is not NAME=PLAN with a configured plan", text)
 		}
 		r.identity.PlanByCustomer[name] = plan
 	}
@@ -167,7 +168,7 @@
 	}
 	r.identity.Algorithms = s.Texts("algorithms")
 	if len(r.identity.Algorithms) == 0 {
-		s.Problemf("algorithms", "it is missing: the ones that tokens are signed by, such as [\"ES256\"]")
+		s.Problemf("algorithms", "it is missing: the algorithms with which tokens are signed, such as [\"ES256\"]")
 	}
 	for _, algorithm := range r.identity.Algorithms {
 		if err := identity.CheckAlgorithm(algorithm); err != nil {
@@ -185,7 +186,7 @@
 	r.identity.PlanSource = s.Text("plan_claim", false)
 	r.identity.Leeway = s.Duration("leeway", 0, 0, time.Hour)
 	r.readPlan(r.identity.PlanSource == "")
-	r.readRemove(false)
+	r.readRemoveHeader(false)
 }
 
 func (r *identityReader) readAddress(last bool) {
@@ -196,8 +197,8 @@
 	}
 }
 
-// headerName returns the canonical form of a field's name, which stands at key. An empty name is
-// valid.
+// headerName returns the canonical form of the name of a header field, and reports a problem with key
+// if the name is invalid. An empty name is valid.
 func headerName(s *settings.Section, key, name string) string {
 	if name != "" && !http1proxy.IsHeaderName(name) {
 		s.Problemf(key, "%q can't be a field's name", name)
--- a/internal/operatorconfig/routes.go
+++ b/internal/operatorconfig/routes.go
@@ -16,7 +16,7 @@
 // anyPath matches every path.
 const anyPath = "/{rest...}"
 
-// readRoutes reads [[route]], after services and classes. Without any, all requests go to the one
+// readRoutes reads [[route]], after services and classes. Without routes, all requests go to the only
 // service.
 func readRoutes(d *settings.Document, top *settings.Section, f *File) {
 	classes := classNames(f.classes)
@@ -51,7 +51,8 @@
 	compileRoutes(d, f.HTTP, len(list) > 0)
 }
 
-// classNames returns the names of the variants of each class.
+// classNames returns the names of the variants of each class, by the name of the class. A class with
+// an idempotency of its own is its only variant.
 func classNames(classes []class) map[string]httpproxy.Classes {
 	names := map[string]httpproxy.Classes{}
 	for _, c := range classes {
@@ -78,8 +79,8 @@
 	return conditions
 }
 
-// readTarget reads where the requests of a route go. The service is the first one if there is just
-// one, and the class is the service's.
+// readTarget reads the service, class and limits of a route's requests. The default of the service is
+// the only service, and that of the class is the service's class.
 func readTarget(s *settings.Section, h *HTTP, classes map[string]httpproxy.Classes, target *httpproxy.Route) {
 	target.Service = s.Text("service", len(h.Services) > 1)
 	if target.Service == "" && len(h.Services) > 0 {
@@ -98,7 +99,7 @@
 		s.Problemf("class", "there is no class %q", class)
 	}
 	if _, ok := s.Get("effect"); ok {
-		idempotency := readIdempotencyOf(s)
+		idempotency := readEffect(s)
 		target.Idempotency = &idempotency
 	}
 	target.Cost = s.Float("units", 0, 0, unbounded)
@@ -111,7 +112,8 @@
 	}
 }
 
-// addDefaultRoute adds a route that takes all requests to the one service.
+// addDefaultRoute adds a route of all requests to the only service. With several services, it reports a
+// problem.
 func addDefaultRoute(d *settings.Document, h *HTTP, classes map[string]httpproxy.Classes) {
 	if len(h.Services) > 0 {
 		service := h.Services[0].Name
@@ -124,7 +126,8 @@
 	}
 }
 
-// compileRoutes makes the table of the routes. listed means that they stand in the file.
+// compileRoutes creates the table of the routes, and reports its problems. listed means that the
+// routes are from the file, and not the default.
 func compileRoutes(d *settings.Document, h *HTTP, listed bool) {
 	var err error
 	h.Table, err = routes.New(h.Routes)
--- a/internal/operatorconfig/services.go
+++ b/internal/operatorconfig/services.go
@@ -13,13 +13,14 @@
 // Service is one [[service]].
 type Service struct {
 	httpproxy.ServiceConfig
-	// UseBackendHost sets Host to the backend's address. The default is the client's Host.
+	// UseBackendHost sets the Host header of forwarded requests to the backend's address. By default
+	// it is the client's.
 	UseBackendHost bool
-	// TLS is how its backends are reached over TLS. nil means plain text.
+	// TLS configures connections to the service's backends. nil means plain text.
 	TLS *ServiceTLS
 }
 
-// ServiceTLS is a service's [service.tls].
+// ServiceTLS is the [service.tls] of a service.
 type ServiceTLS struct {
 	Location          Location
 	CAFile            string
@@ -27,42 +28,45 @@
 	Pins              []string // SHA-256 of public keys, in base64
 	CertFile, KeyFile string
 	AllowTLS12        bool
-	PinsOnly          bool // a pin proves the backend, and no authority needs to
+	PinsOnly          bool // a pinned key suffices: the certificate chain is not verified
 }
 
-// class is a class of the file.
+// class is a class as the file has it.
 type class struct {
 	decision.Class
-	// byMethod means that the class has no idempotency of its own: its requests' methods have.
+	// byMethod means that the class has no idempotency of its own: the method of each request
+	// determines it.
 	byMethod bool
 }
 
-// Suffixes of the names of a class's variants, for requests whose methods say whether a retry is
-// safe. They are in metrics and logs.
+// Suffixes of the names of the variants of a class whose idempotency is by method. They appear in
+// metrics and logs.
 const (
 	nonIdempotentSuffix   = " (once)"
 	idempotentByKeySuffix = " (keyed)"
 )
 
-// classVariants returns the variants of a class whose idempotency is by method, and their names.
+// classVariants returns the variants of a class whose idempotency is by method, one for each kind of
+// idempotency, and their names. Without a deduplication window there is none for idempotency keys.
 func classVariants(c decision.Class) ([]decision.Class, httpproxy.Classes) {
 	names := httpproxy.Classes{Idempotent: c.Name, NonIdempotent: c.Name + nonIdempotentSuffix}
 	idempotent := c
 	idempotent.Idempotency, idempotent.DedupWindow = decision.Idempotent, 0
-	once := c
-	once.Name, once.Idempotency, once.DedupWindow = names.NonIdempotent, decision.NonIdempotent, 0
-	variants := []decision.Class{idempotent, once}
+	nonIdempotent := c
+	nonIdempotent.Name, nonIdempotent.Idempotency, nonIdempotent.DedupWindow =
+		names.NonIdempotent, decision.NonIdempotent, 0
+	variants := []decision.Class{idempotent, nonIdempotent}
 	if c.DedupWindow > 0 {
-		keyed := c
+		byKey := c
 		names.IdempotentByKey = c.Name + idempotentByKeySuffix
-		keyed.Name, keyed.Idempotency = names.IdempotentByKey, decision.IdempotentByKey
-		variants = append(variants, keyed)
+		byKey.Name, byKey.Idempotency = names.IdempotentByKey, decision.IdempotentByKey
+		variants = append(variants, byKey)
 	}
 	return variants, names
 }
 
-// readServices reads [[service]], before classes: each service has a class of its own name, unless
-// the file has one.
+// readServices reads [[service]], before classes: each service defines a class of the same name, which
+// a [[class]] can replace.
 func readServices(top *settings.Section, f *File) {
 	list := top.List("service")
 	if list == nil {
@@ -79,7 +83,7 @@
 		service.ConnectTimeout = s.Duration("connect_timeout", 0, time.Millisecond, time.Minute)
 		service.IdleTimeout = s.Duration("idle_timeout", 15*time.Second, time.Millisecond, day)
 		if service.ResponseBufferBytes = s.Int("hold", 64<<10, 0, 1<<30); service.ResponseBufferBytes == 0 {
-			service.ResponseBufferBytes = -1 // none is buffered
+			service.ResponseBufferBytes = -1 // responses are not buffered; 0 would mean the default
 		}
 		service.HTTP2 = s.OneOf("speaks", "http/1.1", "http/1.1", "h2") == 1
 		service.MaxHTTP2Conns = s.Int("h2_connections", 2, 1, maxCount)
--- a/internal/operatorconfig/sources.go
+++ b/internal/operatorconfig/sources.go
@@ -13,13 +13,14 @@
 	"pumicecroft/membership"
 )
 
-// Consul is what a file says of Consul.
+// Consul is the [consul] section of a file.
 type Consul struct {
 	Config   consul.Config
 	Services []consul.Service
-	// Registration is how the gateway registers itself. nil means that it does not.
+	// Registration is the gateway's entry in the catalog. nil means that it doesn't register itself.
 	Registration *consul.Registration
-	// DrainNotice is how long a registered gateway goes on serving once it is critical.
+	// DrainNotice is the time for which a registered gateway goes on serving after it has become
+	// critical in the catalog.
 	DrainNotice time.Duration
 }
 
@@ -33,7 +34,7 @@
 // sourceNames are the names of sources in their default precedence.
 var sourceNames = []string{SourceConsul, SourceDiscovery, SourceFile}
 
-// readSources reads where backends come from, after services and classes.
+// readSources reads the sources of backends, after services and classes.
 func readSources(d *settings.Document, top *settings.Section, f *File) {
 	f.Gateway.StateDir = top.Text("state_dir", false)
 	f.StatusAddr = top.Text("members", false)
@@ -68,30 +69,30 @@
 	checkSources(d, f.Sources, configured)
 }
 
-// checkLoopback notes a problem unless addr is a host:port on this machine.
+// checkLoopback reports a problem unless addr is a host:port on the loopback interface.
 func checkLoopback(s *settings.Section, key, addr string) {
 	checkAddress(s, key, addr)
 	host, _, _ := net.SplitHostPort(addr)
 	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		s.Problemf(key, "%q is not on this machine alone: it must be a loopback address", addr)
+		s.Problemf(key, "%q is not a loopback address", addr)
 	}
 }
 
-// checkSources notes a problem unless the file names each source that it configures, and no other.
+// checkSources reports a problem unless sources lists each configured source once, and no other.
 func checkSources(d *settings.Document, sources []string, configured map[string]bool) {
 	for i, name := range sources {
 		switch {
 		case !slices.Contains(sourceNames, name):
 			d.Problemf("", "sources", "%q is none of %s", name, strings.Join(sourceNames, ", "))
 		case !configured[name]:
-			d.Problemf("", "sources", "%q is named, and the file does not say what it is", name)
+			d.Problemf("", "sources", "%q is listed and not configured", name)
 		case slices.Contains(sources[:i], name):
 			d.Problemf("", "sources", "%q is there twice", name)
 		}
 	}
 	for _, name := range sourceNames {
 		if configured[name] && !slices.Contains(sources, name) {
-			d.Problemf("", "sources", "%q is configured and not named", name)
+			d.Problemf("", "sources", "%q is configured and not listed", name)
 		}
 	}
 }
@@ -131,7 +132,7 @@
 	return c
 }
 
-// readConsulConfig reads how the agent is reached.
+// readConsulConfig reads how to connect to the agent and how to query it.
 func readConsulConfig(s *settings.Section) consul.Config {
 	c := consul.Config{
 		Address:    s.Text("address", true),
@@ -143,7 +144,7 @@
 		CertFile:   s.Text("cert_file", false),
 		KeyFile:    s.Text("key_file", false),
 		ServerName: s.Text("server_name", false),
-		// in the order of its values
+		// ordered like the type's constants
 		Consistency: consul.Consistency(s.OneOf("consistency", "default", "default", "stale", "consistent")),
 		Wait:        s.Duration("wait", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
 		MaxStale:    s.Duration("max_stale", 10*time.Second, 0, day),
@@ -155,7 +156,7 @@
 	return c
 }
 
-// readConsulService reads one [[consul.service]]. seen has the names of those before it.
+// readConsulService reads one [[consul.service]]. seen has the names of the services before it.
 func readConsulService(s *settings.Section, seen map[string]bool, f *File) consul.Service {
 	service := consul.Service{
 		Name:   s.Text("name", true),
@@ -175,22 +176,23 @@
 		Name:            s.Text("node_name", false),
 		ServeWarning:    s.OneOf("warning", "drain", "drain", "serve") == 1,
 	}
-	// A backend outside of the scope in which repeats are dropped would run a retry twice.
+	// A retry of a keyed request must go to a backend of the same zone or cell, as only these drop
+	// repeats: a backend elsewhere would run the request twice. So the zone or cell must be known.
 	for _, class := range f.Gateway.Settings.Classes {
 		if class.Idempotency != decision.IdempotentByKey {
 			continue
 		}
 		if class.DedupScope == decision.DedupScopeZone && service.Mapping.Zone == "" {
-			s.Problemf("zone", "it is missing, and class %q is repeated within a zone", class.Name)
+			s.Problemf("zone", "it is missing, and requests of class %q are retried only within their zone", class.Name)
 		}
 		if class.DedupScope == decision.DedupScopeCell && service.Mapping.Cell == "" {
-			s.Problemf("cell", "it is missing, and class %q is repeated within a cell", class.Name)
+			s.Problemf("cell", "it is missing, and requests of class %q are retried only within their cell", class.Name)
 		}
 	}
 	return service
 }
 
-// readRegistration reads [consul.register]. The address is the listener's, unless it says another.
+// readRegistration reads [consul.register]. The default of the address is that of the listener.
 func readRegistration(s *settings.Section, listen string) (r *consul.Registration, drainNotice time.Duration) {
 	r = &consul.Registration{
 		Name:            s.Text("name", true),
@@ -207,7 +209,7 @@
 	checkAddress(s, "address", r.Address)
 	host, port, _ := net.SplitHostPort(r.Address)
 	if ip := net.ParseIP(host); host == "" || port == "0" || ip != nil && ip.IsUnspecified() {
-		s.Problemf("address", "%q is nothing that clients can connect to", r.Address)
+		s.Problemf("address", "clients can't connect to %q", r.Address)
 	}
 	return r, drainNotice
 }
