--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,6 @@
-// Command adapter hosts decision engines on the simulator's wire: it reads events from standard
-// input and writes actions to standard output, a line each. It translates alone: the decisions are
-// the library's.
+// Command adapter runs decision engines for an external simulator: it reads events from standard
+// input and writes actions to standard output, one per line. It only translates; package decision
+// makes the decisions.
 package main
 
 import (
@@ -26,7 +26,8 @@
 	}
 }
 
-// run serves until the input ends. An input that ends inside a batch is an error.
+// run processes in until it ends, and writes the replies to out. An input that ends inside a batch is
+// an error.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferBytes)
 	a := adapter{out: out, instances: map[int]*instance{}}
@@ -53,29 +54,29 @@
 	}
 }
 
-// writeError is a failure of standard output, which no line of the input is to blame for.
+// writeError is a failure to write the output. It is reported without a line number of the input.
 type writeError struct{ error }
 
 func (e writeError) Unwrap() error { return e.error }
 
-// adapter serves the engines of one input.
+// adapter runs the engines of one input.
 type adapter struct {
 	out       io.Writer
-	instances map[int]*instance
-	inBatch   bool          // between a clock line and the end of its batch
-	now       time.Duration // of the last clock line
-	reply     bytes.Buffer  // of the batch
-	actions   []decision.Action
+	instances map[int]*instance // by the number in the input
+	inBatch   bool              // between a clock line and the end of its batch
+	now       time.Duration     // the time of the last clock line
+	reply     bytes.Buffer      // the actions of the current batch
+	actions   []decision.Action // of the current event; reused
 }
 
-// instance is an engine with its calls of the shared counter that have no reply, by key and in their
-// order.
+// instance is an engine and its calls of the shared counter that have no reply yet.
 type instance struct {
 	*decision.Engine
-	pendingCounts map[uint64][]uint64
+	pendingCounts map[uint64][]uint64 // by counter key, the Ref of each call, oldest first
 }
 
-// matchCounterReply returns a reply of the counter as the event for the oldest call that it answers.
+// matchCounterReply returns a reply of the counter as the event for the oldest pending call with the
+// reply's key. Replies carry a key and no Ref.
 func (i *instance) matchCounterReply(reply simwire.CounterReply) (decision.Event, error) {
 	refs := i.pendingCounts[reply.Key]
 	if len(refs) == 0 {
@@ -89,7 +90,7 @@
 	return reply.Result, nil
 }
 
-// handleLine takes in one line.
+// handleLine processes one line of the input.
 func (a *adapter) handleLine(line []byte) error {
 	m, err := simwire.Decode(line)
 	if err != nil {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// endBatch writes the actions of the batch.
+// endBatch writes the actions of the batch and the line that ends them.
 func (a *adapter) endBatch() error {
 	a.inBatch = false
 	simwire.AppendEnd(&a.reply)
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// handleEvent gives an event, or a counter's reply, to an instance's engine.
+// handleEvent passes an event or a reply of the shared counter to an engine, and appends its actions
+// to the reply of the batch.
 func (a *adapter) handleEvent(number int, event decision.Event, reply simwire.CounterReply) error {
 	i := a.instances[number]
 	if i == nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -24,24 +24,24 @@
 		t.Fatal(err)
 	}
 	if got := out.String(); strings.Count(got, `{"m":"eor"}`) != 2 || !strings.Contains(got, `"m":"assign"`) {
-		t.Errorf("replies:\n%s", got)
+		t.Errorf("got replies\n%s\nwant 2 ends of batches and an assign", got)
 	}
 }
 
 func TestMalformedInput(t *testing.T) {
 	for name, in := range map[string]string{
-		"not JSON":           "hello\n",
-		"event before clock": `{"m":"reminder","door":0,"ref":1}` + "\n",
-		"clock in a batch":   `{"m":"clock","at_time_us":1}` + "\n" + `{"m":"clock","at_time_us":2}` + "\n",
-		"cut off":            `{"m":"clock","at_time_us":1}` + "\n",
-		"nobody there":       `{"m":"clock","at_time_us":1}` + "\n" + `{"m":"reminder","door":7,"ref":1}` + "\n",
-		"empty settings":     `{"m":"clock","at_time_us":1}` + "\n" + `{"m":"boot","door":0,"params":{}}` + "\n",
+		"not JSON":              "hello\n",
+		"event before clock":    `{"m":"reminder","door":0,"ref":1}` + "\n",
+		"clock in a batch":      `{"m":"clock","at_time_us":1}` + "\n" + `{"m":"clock","at_time_us":2}` + "\n",
+		"input ends in a batch": `{"m":"clock","at_time_us":1}` + "\n",
+		"unknown instance":      `{"m":"clock","at_time_us":1}` + "\n" + `{"m":"reminder","door":7,"ref":1}` + "\n",
+		"empty settings":        `{"m":"clock","at_time_us":1}` + "\n" + `{"m":"boot","door":0,"params":{}}` + "\n",
 	} {
 		if err := run(strings.NewReader(in), &bytes.Buffer{}); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: got no error", name)
 		}
 	}
 	if err := run(strings.NewReader(""), &bytes.Buffer{}); err != nil {
-		t.Errorf("empty input: %v", err)
+		t.Errorf("empty input: got error %v, want none", err)
 	}
 }
--- a/cmd/pumicecroft/kills_test.go
+++ b/cmd/pumicecroft/kills_test.go
@@ -20,17 +20,17 @@
 )
 
 var (
-	killsFlag = flag.Int("kills", 12, "how often TestIdempotencyKeysSurviveKills kills the program")
+	killsFlag = flag.Int("kills", 12, "how many times TestIdempotencyKeysSurviveKills kills the daemon")
 	killsSync = flag.String("kills.sync", "0s", "journal_sync of TestIdempotencyKeysSurviveKills")
 )
 
-// The program is killed at random times, with its journal of idempotency keys. Clients retry until
-// they have a response: no key may have its effect twice, and a key that has a response must get
-// the same one from each later process.
+// The daemon, which has a journal of idempotency keys, is killed and restarted at random times. Clients
+// retry until they have a response. No key may have its effect twice, and a key that has a response must
+// get the same response from each later process.
 func TestIdempotencyKeysSurviveKills(t *testing.T) {
 	ledger := &fakes.Ledger{}
 	var nodes strings.Builder
-	for i := range 2 { // of one cell each that forgets at once, so that only the edge drops repeats
+	for i := range 2 { // each in a cell of its own that remembers no keys, so that only the gateway drops repeats
 		b, err := fakes.StartBackend(fakes.BackendConfig{Name: fmt.Sprint("b", i), Ledger: ledger, Cell: &fakes.Cell{},
 			WorkTime: func(string) time.Duration { return 2 * time.Millisecond }, IdempotentByKey: func(string) bool { return true }})
 		if err != nil {
@@ -45,75 +45,75 @@
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	var lastID, pressed, undecided atomic.Uint64
+	var lastID, sent, undecided atomic.Uint64
 	var mu sync.Mutex
-	answers := map[string]string{} // of keys
-	var keys []string              // that were answered, in their order
+	responses := map[string]string{} // by key
+	var keys []string                // with a response, in the order of their responses
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	defer client.CloseIdleConnections()
-	press := func(ctx context.Context, addr string, worker uint64, key string) (*http.Response, string, error) {
-		ask := fakes.Request{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second,
+	sendWithKey := func(ctx context.Context, addr string, worker uint64, key string) (status int, body string, err error) {
+		request := fakes.Request{ID: lastID.Add(1), Class: "once", Customer: worker, Plan: "shop", Timeout: 5 * time.Second,
 			Key: key, Body: "b " + key}
-		req, err := ask.HTTPRequest(ctx, addr)
+		req, err := request.HTTPRequest(ctx, addr)
 		if err != nil {
-			return nil, "", err
+			return 0, "", err
 		}
-		pressed.Add(1)
+		sent.Add(1)
 		res, err := client.Do(req)
 		if os.IsTimeout(err) {
-			t.Errorf("%s: nothing came: %v", key, err)
+			t.Errorf("key %s: no response: %v", key, err)
 		}
 		if err != nil {
-			return nil, "", err
+			return 0, "", err
 		}
 		defer res.Body.Close()
 		text, err := io.ReadAll(res.Body)
-		return res, string(text), err
+		return res.StatusCode, string(text), err
 	}
-	// end tells whether a key has an end, and holds it against what is known of it.
-	end := func(key string, res *http.Response, body string) bool {
+	// isFinal returns whether a response to a key is final, and checks that it equals an earlier one.
+	isFinal := func(key string, status int, body string) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		known, was := answers[key]
+		known, hasResponse := responses[key]
 		switch {
-		case res.StatusCode == 200 && !was:
-			answers[key] = body
+		case status == 200 && !hasResponse:
+			responses[key] = body
 			keys = append(keys, key)
-		case was && (res.StatusCode != 200 || body != known):
-			t.Errorf("%s was answered %q, and is answered %d %q now", key, known, res.StatusCode, body)
-		case res.StatusCode == 409:
+		case hasResponse && (status != 200 || body != known):
+			t.Errorf("key %s: got %d %q, want 200 with its first response %q", key, status, body, known)
+		case status == 409:
 			undecided.Add(1)
 		default:
-			return res.StatusCode == 200
+			return status == 200
 		}
 		return true
 	}
 	const workers = 8
-	inHand := make([]string, workers) // the key that each has pressed and has no end of
+	pending := make([]string, workers) // the key of each worker that has no final response yet
 	next := make([]int, workers)
 	for kill := range *killsFlag + 1 {
-		cmd, addr, _ := startServing(t, path)
+		cmd, addr, _ := startDaemon(t, path)
 		ctx, stop := context.WithCancel(t.Context())
-		var pressing sync.WaitGroup
+		var sending sync.WaitGroup
 		for w := range workers {
-			pressing.Go(func() {
+			sending.Go(func() {
 				for ctx.Err() == nil {
-					if inHand[w] == "" {
+					if pending[w] == "" {
 						next[w]++
-						inHand[w] = fmt.Sprintf("w%d-%d", w, next[w])
+						pending[w] = fmt.Sprintf("w%d-%d", w, next[w])
 					}
-					key := inHand[w]
-					res, body, err := press(ctx, addr, uint64(w), key)
+					key := pending[w]
+					status, body, err := sendWithKey(ctx, addr, uint64(w), key)
 					if err != nil {
-						return // the door is gone, and the key is pressed again at the next one
+						return // the daemon was killed; the key is sent again to the next one
 					}
-					if end(key, res, body) {
-						inHand[w] = ""
+					if isFinal(key, status, body) {
+						pending[w] = ""
 					}
 				}
 			})
 		}
-		pressing.Go(func() { // of what was answered before, some once more
+		sending.Go(func() { // sends keys that have a response again
 			rng := rand.New(rand.NewPCG(seed, uint64(kill)+2))
 			for ctx.Err() == nil {
 				mu.Lock()
@@ -126,16 +126,16 @@
 				mu.Unlock()
 				var w uint64
 				_, _ = fmt.Sscanf(key, "w%d-", &w)
-				res, body, err := press(ctx, addr, w, key)
+				status, body, err := sendWithKey(ctx, addr, w, key)
 				if err != nil {
 					return
 				}
-				end(key, res, body)
+				isFinal(key, status, body)
 			}
 		})
 		time.Sleep(time.Duration(rng.Int64N(int64(120 * time.Millisecond))))
-		if kill == *killsFlag { // the last one ends in peace, and all keys are pressed once more
-			for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if kill == *killsFlag { // the last daemon is not killed, gets all keys again and ends by a signal
+			for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 				mu.Lock()
 				n := len(keys)
 				mu.Unlock()
@@ -144,15 +144,15 @@
 				}
 			}
 			stop()
-			pressing.Wait()
+			sending.Wait()
 			for _, key := range keys {
 				var w uint64
 				_, _ = fmt.Sscanf(key, "w%d-", &w)
-				res, body, err := press(t.Context(), addr, w, key)
+				status, body, err := sendWithKey(t.Context(), addr, w, key)
 				if err != nil {
 					t.Fatal(err)
 				}
-				end(key, res, body)
+				isFinal(key, status, body)
 			}
 			if err := errors.Join(cmd.Process.Signal(os.Interrupt), cmd.Wait()); err != nil {
 				t.Error(err)
@@ -163,20 +163,20 @@
 			t.Fatal(err)
 		}
 		_ = cmd.Wait()
-		stop() // who has no key to press yet would wait for one
-		pressing.Wait()
+		stop() // the worker that repeats keys may still wait for the first key
+		sending.Wait()
 	}
-	if doubled := ledger.RepeatedEffects(); len(doubled) > 0 {
-		t.Errorf("%d keys had their effect more than once: %v", len(doubled), doubled)
+	if repeated := ledger.RepeatedEffects(); len(repeated) > 0 {
+		t.Errorf("%d keys had their effect more than once, want none: %v", len(repeated), repeated)
 	}
 	for _, key := range keys {
 		if n := ledger.Effects(key); n != 1 {
-			t.Errorf("%s was answered and had its effect %d times", key, n)
+			t.Errorf("key %s has a response and had its effect %d times, want 1", key, n)
 		}
 	}
 	if len(keys) < *killsFlag {
-		t.Errorf("only %d keys were answered", len(keys))
+		t.Errorf("%d keys got a response, want at least %d", len(keys), *killsFlag)
 	}
-	t.Logf("%d kills: %d keys answered, %d presses, %d told that nothing is known", *killsFlag, len(keys),
-		pressed.Load(), undecided.Load())
+	t.Logf("%d kills: %d keys with a response, %d requests, %d responses 409 (outcome unknown)", *killsFlag,
+		len(keys), sent.Load(), undecided.Load())
 }
--- a/cmd/pumicecroft/lab_paper.go
+++ b/cmd/pumicecroft/lab_paper.go
@@ -11,23 +11,23 @@
 )
 
 type labPaper struct {
-	Jobs int `name:"jobs" short:"j" default:"${jobs}" help:"Processors to use."`
-	Most int `name:"most" default:"32" enum:"16,32" help:"16 solves the loads of 16 slots alone."`
+	Jobs     int `name:"jobs" short:"j" default:"${jobs}" help:"Number of processors to use."`
+	MaxSlots int `name:"most" default:"32" enum:"16,32" help:"Solve only cases with at most this many slots: 16 or 32."`
 }
 
-// paperColumns are the columns of the table that Run prints.
+// paperColumns are the headings of the table that Run prints.
 var paperColumns = []string{"load", "N", "without: split, payoff", "paper", "with: split, payoff", "paper",
 	"the paper's split, solved", "gain mean, best %", "Method I: split, loss %", "Method II: split, loss %"}
 
-// loadsOfOneSize is how many of the paper's loads there are of each number of slots.
-const loadsOfOneSize = 9
+// casesPerSlotCount is the number of the paper's cases with 16 slots, and with 32 slots.
+const casesPerSlotCount = 9
 
-// Run solves the paper's loads and prints the solutions beside the paper's own figures, as Markdown.
+// Run solves the paper's cases and prints the solutions beside the paper's own, as Markdown.
 func (c *labPaper) Run(out io.Writer) error {
 	fmt.Fprintf(out, "| %s |\n|%s\n", strings.Join(paperColumns, " | "), strings.Repeat(" --- |", len(paperColumns)))
-	meanLoss := map[int][2]float64{} // of both methods, by the number of slots, in percent
+	meanLoss := map[int][2]float64{} // by number of slots; of both methods, in percent
 	for _, load := range reservemodel.Cases() {
-		if load.N > c.Most {
+		if load.N > c.MaxSlots {
 			continue
 		}
 		solved, err := reservemodel.Search(load, c.parallel)
@@ -38,7 +38,7 @@
 		for method := range loss {
 			loss[method] = 100 * (1 - solved.ChosenPayoff[method]/solved.SubRatedPayoff)
 			mean := meanLoss[load.N]
-			mean[method] += loss[method] / loadsOfOneSize
+			mean[method] += loss[method] / casesPerSlotCount
 			meanLoss[load.N] = mean
 		}
 		fmt.Fprintf(out, "| %s | %d | %s %.2f | %s %.2f | %s %.2f | %s %.2f | %.2f | %.1f, %.1f | %s %.2f | %s %.2f |\n",
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// parallel runs n jobs on the processors of the command.
+// parallel calls job for each i from 0 to n-1, on at most c.Jobs goroutines at a time.
 func (c *labPaper) parallel(n int, job func(int)) {
 	var running errgroup.Group
 	running.SetLimit(max(1, c.Jobs))
@@ -69,7 +69,7 @@
 			return nil
 		})
 	}
-	_ = running.Wait() // no job fails
+	_ = running.Wait() // jobs return no error
 }
 
 func formatSplit(s reservemodel.Split) string { return fmt.Sprintf("%d,%d,%d", s.High, s.Pool, s.Low) }
--- a/cmd/pumicecroft/lab_test.go
+++ b/cmd/pumicecroft/lab_test.go
@@ -29,14 +29,15 @@
 burst = 10
 `
 
-// An experiment is run by the program as it is, and by one with an edit of its files, and compared.
+// lab variants runs an experiment with the unchanged program and with a variant of its source, and
+// compares their results.
 func TestLabVariants(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it builds programs")
+		t.Skip("skipped with -short: the test builds programs")
 	}
 	dir := t.TempDir()
-	experiment, variants := filepath.Join(dir, "tiny.toml"), filepath.Join(dir, "variants.toml")
-	for path, text := range map[string]string{experiment: experimentFile, variants: `[[mutant]]
+	experiment, variantsFile := filepath.Join(dir, "tiny.toml"), filepath.Join(dir, "variants.toml")
+	for path, text := range map[string]string{experiment: experimentFile, variantsFile: `[[mutant]]
 name = "a margin of a half"
 [[mutant.edit]]
 file = "decision/quota.go"
@@ -48,25 +49,25 @@
 		}
 	}
 	var out bytes.Buffer
-	if err := run(t.Context(), []string{"lab", "variants", variants, experiment, "-d", dir, "--root", root},
+	if err := run(t.Context(), []string{"lab", "variants", variantsFile, experiment, "-d", dir, "--root", moduleRoot},
 		&out); err != nil {
-		t.Fatalf("%v\n%s", err, out.String())
+		t.Fatalf("lab variants: %v\n%s", err, out.String())
 	}
 	for _, line := range strings.Split(out.String(), "\n") {
 		if strings.Contains(line, "refused") && !strings.HasSuffix(line, "worse") {
-			t.Errorf("a margin four times as wide refuses no more: %s", line)
+			t.Errorf("with a quota margin four times as wide, got %q, want a verdict of worse for refused", line)
 		}
 	}
 	if !strings.Contains(out.String(), "a margin of a half") {
-		t.Error(out.String())
+		t.Errorf("lab variants printed\n%s\nwant it to contain the variant's name", out.String())
 	}
 }
 
-// The experiments in the repository are valid, and their reports are written.
+// The experiment files in the repository are valid, and an experiment can be checked, run and reported.
 func TestLabFiles(t *testing.T) {
 	files, err := filepath.Glob("../../lab/*.toml")
 	if err != nil || len(files) < 5 {
-		t.Fatal(files, err)
+		t.Fatalf("got %d experiment files %v and error %v, want at least 5", len(files), files, err)
 	}
 	for _, f := range files {
 		switch filepath.Base(f) {
@@ -77,7 +78,7 @@
 				t.Error(err)
 			}
 			for _, m := range list {
-				if _, err := m.apply(root); err != nil {
+				if _, err := m.apply(moduleRoot); err != nil {
 					t.Error(err)
 				}
 			}
@@ -101,11 +102,11 @@
 	}
 	for _, want := range []string{"1 cells of 5 runs each", "5 of 5 runs are in", "report.html", "report.md"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("lacks %q: %s", want, out.String())
+			t.Errorf("the commands printed\n%s\nwant it to contain %q", out.String(), want)
 		}
 	}
 	if text, err := os.ReadFile(filepath.Join(dir, "report.md")); err != nil ||
 		!strings.Contains(string(text), "| p50_ms |") {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("report.md: error %v, want a row for p50_ms, got\n%s", err, text)
 	}
 }
--- a/cmd/pumicecroft/lab_variants.go
+++ b/cmd/pumicecroft/lab_variants.go
@@ -16,17 +16,18 @@
 
 type labVariants struct {
 	comparisonOptions
-	File       string `arg:"" name:"file" help:"Variants: edits of the program's files, in the form of internal/sim/testdata/mutants.toml."`
-	Experiment string `arg:"" name:"experiment" help:"An experiment's file."`
-	Dir        string `name:"dir" short:"d" required:"" help:"Where results are kept, a directory for each variant."`
-	Root       string `name:"root" default:"." help:"The module's folder."`
-	Jobs       int    `name:"jobs" short:"j" default:"${jobs}" help:"Processors to use."`
+	File       string `arg:"" name:"file" help:"The file of variants: edits of source files, in the format of internal/sim/testdata/mutants.toml."`
+	Experiment string `arg:"" name:"experiment" help:"The experiment file."`
+	Dir        string `name:"dir" short:"d" required:"" help:"The directory of the results; each variant has a subdirectory."`
+	Root       string `name:"root" default:"." help:"The root directory of the module."`
+	Jobs       int    `name:"jobs" short:"j" default:"${jobs}" help:"Number of processors to use."`
 }
 
+// unsafePathChars are replaced in names of variants, from which names of directories are made.
 var unsafePathChars = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
 
-// Run builds the program as it is and with each variant, runs the experiment with all of them, and
-// compares. It does not change the tree.
+// Run builds the program unchanged and with each variant, runs the experiment with each build, and
+// compares the variants with the unchanged program. It doesn't change the source tree.
 func (c *labVariants) Run(ctx context.Context, out io.Writer) error {
 	list, err := readMutants(c.File)
 	if err != nil {
@@ -65,12 +66,12 @@
 	return printComparisons(comparisons, out)
 }
 
-// dir returns where the results of a variant are kept.
+// dir returns the directory of a variant's results.
 func (c *labVariants) dir(m mutant) string {
 	return filepath.Join(c.Dir, unsafePathChars.ReplaceAllString(m.Name, "-"))
 }
 
-// run builds one variant and runs the experiment with it.
+// run builds one variant and runs the experiment with it in a process of its own.
 func (c *labVariants) run(ctx context.Context, m mutant, root string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "variant")
 	if err != nil {
@@ -84,7 +85,7 @@
 	fmt.Fprintf(out, "%s:\n", m.Name)
 	jobs := strconv.Itoa(max(1, c.Jobs))
 	cmd := exec.CommandContext(ctx, program, "lab", "run", c.Experiment, "-d", c.dir(m), "-j", jobs)
-	cmd.Cancel = func() error { return cmd.Process.Signal(os.Interrupt) } // the runs so far are kept
+	cmd.Cancel = func() error { return cmd.Process.Signal(os.Interrupt) } // results of finished runs are kept
 	cmd.Stdout, cmd.Stderr = io.Discard, out
 	if err := cmd.Run(); err != nil {
 		return errors.Join(err, ctx.Err())
--- a/cmd/pumicecroft/load.go
+++ b/cmd/pumicecroft/load.go
@@ -10,20 +10,20 @@
 	"pumicecroft/internal/load"
 )
 
-// errInvalidRun ends a run whose figures say nothing about its target.
+// errInvalidRun is the error of a run whose results say nothing about its target.
 var errInvalidRun = errors.New("the run is not valid")
 
 type loadCommand struct {
-	File     string  `arg:"" name:"file" help:"What to ask, such as lab/load.toml."`
-	Target   string  `arg:"" name:"target" help:"Whom: host:port of a door or a backend."`
-	Out      string  `name:"out" short:"o" help:"A file for the result, as JSON with its histograms."`
-	Rate     float64 `name:"rate" help:"Requests a second, in place of the file's."`
-	Duration string  `name:"duration" help:"For how long, in place of the file's, such as 30s."`
-	Anywhere bool    `name:"anywhere" help:"Ask also what is not on this machine. Only what is yours to load."`
+	File        string  `arg:"" name:"file" help:"The file that describes the load, such as lab/load.toml."`
+	Target      string  `arg:"" name:"target" help:"The host:port of a gateway or a backend."`
+	Out         string  `name:"out" short:"o" help:"Write the result, with its histograms, to this file as JSON."`
+	Rate        float64 `name:"rate" help:"Requests per second; overrides the file."`
+	Duration    string  `name:"duration" help:"Duration of the run, such as 30s; overrides the file."`
+	AllowRemote bool    `name:"anywhere" help:"Allow a target that is not on this machine. Use it only on systems that you may load."`
 }
 
-// Run sends requests in open loop: latencies count from when a request should have been sent. Ended
-// early, it reports what it has.
+// Run sends requests in an open loop: latency counts from the scheduled time of a request, not from
+// when it was sent. If ctx ends early, Run reports the results so far.
 func (c *loadCommand) Run(ctx context.Context, out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -36,10 +36,10 @@
 	if err := p.Override(c.Rate, c.Duration); err != nil {
 		return usageError{err}
 	}
-	r, err := load.Run(ctx, p, load.Options{Target: c.Target, AllowRemote: c.Anywhere, Progress: out})
+	r, err := load.Run(ctx, p, load.Options{Target: c.Target, AllowRemote: c.AllowRemote, Progress: out})
 	if err != nil {
 		if errors.Is(err, load.ErrNotLoopback) {
-			err = usageError{fmt.Errorf("%w; --anywhere asks it all the same", err)}
+			err = usageError{fmt.Errorf("%w; use --anywhere to send load to it", err)}
 		}
 		return err
 	}
--- a/cmd/pumicecroft/load_test.go
+++ b/cmd/pumicecroft/load_test.go
@@ -20,8 +20,8 @@
 	"pumicecroft/membership"
 )
 
-// A load over gRPC goes through a gateway: what is within the quota is served, the rest is rejected
-// with a pushback, and clients that follow it come back.
+// The load command sends gRPC calls through a gateway: calls within the quota are served, and all others
+// end as Unavailable or ResourceExhausted.
 func TestLoadOverGRPC(t *testing.T) {
 	b, err := fakes.StartGRPC(fakes.GRPCConfig{Ledger: &fakes.Ledger{}})
 	if err != nil {
@@ -39,13 +39,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = gateway.Close(context.Background()) })
-	front, err := grpcproxy.New(gateway,
+	proxy, err := grpcproxy.New(gateway,
 		grpcproxy.Config{Methods: map[string]grpcproxy.Method{"/shop.Stock/Get": {Class: "look"}}, CustomerText: true,
 			Names: grpcproxy.MetadataNames{Customer: "x-tenant", Plan: "x-plan"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := grpc.NewServer(grpc.ForceServerCodecV2(grpcproxy.Codec()), grpc.UnknownServiceHandler(front.Handle))
+	server := grpc.NewServer(grpc.ForceServerCodecV2(grpcproxy.Codec()), grpc.UnknownServiceHandler(proxy.Handle))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	t.Cleanup(server.Stop)
 
 	dir := t.TempDir()
-	plan, result := filepath.Join(dir, "load.toml"), filepath.Join(dir, "result.json")
+	loadFile, resultFile := filepath.Join(dir, "load.toml"), filepath.Join(dir, "result.json")
 	text := `name = "desk"
 rate = 100
 arrivals = "even"
@@ -69,20 +69,21 @@
 path = "/shop.Stock/Get"
 headers = ["X-Tenant: {customer}", "X-Plan: {plan}"]
 `
-	if err := os.WriteFile(plan, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(loadFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	err = run(t.Context(), []string{"load", plan, ln.Addr().String(), "-o", result}, &out)
-	text2, err2 := os.ReadFile(result)
+	err = run(t.Context(), []string{"load", loadFile, ln.Addr().String(), "-o", resultFile}, &out)
+	resultText, resultErr := os.ReadFile(resultFile)
 	var r load.Result
-	if err2 == nil {
-		err2 = json.Unmarshal(text2, &r)
+	if resultErr == nil {
+		resultErr = json.Unmarshal(resultText, &r)
 	}
-	// Of 199 the store of 40 and its refill of 20 a second let some 75 through, less in the end the
-	// margin that the quota leaves.
-	if err != nil || err2 != nil || r.Good < 50 || r.Good > 85 ||
+	// Of 199 calls in 2 s, the burst of 40 and the rate of 20 per second admit about 75, less the margin
+	// of the quota.
+	if err != nil || resultErr != nil || r.Good < 50 || r.Good > 85 ||
 		r.Outcomes["Unavailable"]+r.Outcomes["ResourceExhausted"] != r.Sent-r.Good || r.Sent < 195 {
-		t.Errorf("%v, %v: %+v\n%s", err, err2, r.Outcomes, out.String())
+		t.Errorf("errors %v and %v; %d of %d calls served, want 50 to 85 of at least 195 and all others rejected; %+v\n%s",
+			err, resultErr, r.Good, r.Sent, r.Outcomes, out.String())
 	}
 }
--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -1,7 +1,7 @@
-// Command pumicecroft is the gateway as a daemon, and the commands that go with it, each in a file
-// of its own: "pumicecroft --help" lists them. Without an argument it serves by the file that
-// NODE_CONFIG names, until SIGTERM; SIGHUP makes it read that file again and follow the discovery
-// that it names then.
+// Command pumicecroft runs the gateway as a daemon and provides its command-line tools, each in a
+// file of its own; "pumicecroft --help" lists them. Without arguments it serves with the
+// configuration file that NODE_CONFIG names, until SIGTERM or SIGINT. SIGHUP makes it read that file
+// again and apply the addresses of discovery and of the shared counter.
 package main
 
 import (
@@ -38,7 +38,8 @@
 
 func (e usageError) Unwrap() error { return e.error }
 
-// exitCode returns 2 for an invalid command line, as shells' own commands do, and 1 for a failure.
+// exitCode returns 0 for success, 2 for an invalid command line, as shell builtins do, and 1 for any
+// other failure.
 func exitCode(err error) int {
 	var usage usageError
 	switch {
@@ -50,29 +51,30 @@
 	return 1
 }
 
-// commandLine is the command line.
+// commandLine holds the global flags and all commands. Names of commands and flags are set by
+// struct tags, so renaming a Go field doesn't change the command line.
 type commandLine struct {
-	LogFormat string `name:"log-format" enum:"text,json" default:"text" placeholder:"text|json" help:"The form of the program's own words on standard error."`
-	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" placeholder:"LEVEL" help:"The least of them that are said: debug, info, warn or error."`
-
-	Serve   serveCommand   `cmd:"" name:"serve" help:"Serve by an operator's file, until SIGTERM; SIGHUP has routes, identities and certificates read again."`
-	Check   checkCommand   `cmd:"" name:"check" help:"Check an operator's file, and name key and line of each error."`
-	Routes  routesCommand  `cmd:"" name:"routes" help:"Print what would become of a request, and why. Nothing is sent."`
-	Members membersCommand `cmd:"" name:"members" help:"Print what the door that serves by a file believes of each backend, and why."`
-	State   stateCommand   `cmd:"" name:"state" help:"Print what a door would begin with, how old it is, and what becomes of it."`
-	Demo    demoCommand    `cmd:"" name:"demo" help:"Run a whole deployment on loopback for a short while."`
-	Sim     simCommand     `cmd:"" name:"sim" help:"Run doors in worlds that seeds decide, held to the five rules."`
-	Load    loadCommand    `cmd:"" name:"load" help:"Ask a door or a backend in open loop, and measure."`
-	Lab     labCommand     `cmd:"" name:"lab" help:"Run experiments in an emulated region, compare and report."`
-	Version versionCommand `cmd:"" name:"version" help:"Print which build this is."`
-
-	Completion kongcompletion.Completion `cmd:"" name:"completion" help:"Print how a shell is made to complete this program's commands."`
+	LogFormat string `name:"log-format" enum:"text,json" default:"text" placeholder:"text|json" help:"Format of log lines on standard error."`
+	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" placeholder:"LEVEL" help:"Lowest level that is logged: debug, info, warn or error."`
+
+	Serve   serveCommand   `cmd:"" name:"serve" help:"Run the gateway with an operator's file until SIGTERM. SIGHUP reloads routes, identities and certificates."`
+	Check   checkCommand   `cmd:"" name:"check" help:"Check an operator's file and print each error with its key and line."`
+	Routes  routesCommand  `cmd:"" name:"routes" help:"Print how a request would be routed, identified and classified, or why it would be rejected. No request is sent."`
+	Members membersCommand `cmd:"" name:"members" help:"Print the state of each backend, and the reason for it, as seen by the running gateway of an operator's file."`
+	State   stateCommand   `cmd:"" name:"state" help:"Print the saved state that a gateway would restore at startup: its age, its contents and how it would be used."`
+	Demo    demoCommand    `cmd:"" name:"demo" help:"Run a complete deployment on the loopback interface for a short time."`
+	Sim     simCommand     `cmd:"" name:"sim" help:"Run gateways in a deterministic, seeded simulation that checks the five correctness rules."`
+	Load    loadCommand    `cmd:"" name:"load" help:"Send open-loop load to a gateway or a backend and measure the responses."`
+	Lab     labCommand     `cmd:"" name:"lab" help:"Run experiments in an emulated region, compare their results and write reports."`
+	Version versionCommand `cmd:"" name:"version" help:"Print the version and revision of this build."`
+
+	Completion kongcompletion.Completion `cmd:"" name:"completion" help:"Print the shell code that enables command completion."`
 }
 
 // jobs is the number of processors that a command uses.
 type jobs int
 
-// Validate is called by kong.
+// Validate is called by kong after parsing.
 func (j jobs) Validate() error {
 	if j < 1 {
 		return fmt.Errorf("%d is below 1", j)
@@ -80,19 +82,20 @@
 	return nil
 }
 
-// errHelpPrinted ends a parser that has printed its help.
+// errHelpPrinted is the panic value that stops parsing once kong has printed the help.
 var errHelpPrinted = errors.New("help printed")
 
-const description = "A front door that holds every customer of a shared set of backends to its plan. " +
-	"Without a command it serves as the file says that NODE_CONFIG names."
+const description = "A gateway that enforces each customer's plan on a shared set of backends. " +
+	"Without a command, it serves with the configuration file that NODE_CONFIG names."
 
-// newParser returns the parser of the command line. Commands get ctx and out.
+// newParser returns the parser of the command line. It passes ctx and out to the Run methods of
+// commands.
 func newParser(ctx context.Context, c *commandLine, out io.Writer) (*kong.Kong, error) {
 	return kong.New(c,
 		kong.Name("pumicecroft"),
 		kong.Description(description),
 		kong.Writers(out, out),
-		kong.Exit(func(int) { panic(errHelpPrinted) }), // kong would end the process
+		kong.Exit(func(int) { panic(errHelpPrinted) }), // in place of os.Exit; run recovers from it
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.BindTo(ctx, (*context.Context)(nil)),
 		kong.BindTo(out, (*io.Writer)(nil)),
@@ -102,7 +105,8 @@
 // run parses and runs a command line.
 func run(ctx context.Context, args []string, out io.Writer) (err error) {
 	if path := os.Getenv("NODE_CONFIG"); len(args) == 0 && path != "" {
-		// SIGHUP works until the end: open requests may still need another discovery.
+		// SIGHUP is handled until the process ends: open requests may need a new discovery address
+		// after ctx is canceled.
 		return daemon.Serve(ctx, path, daemon.NotifyHangup(context.WithoutCancel(ctx)))
 	}
 	var c commandLine
@@ -120,7 +124,7 @@
 	}()
 	kongcompletion.Register(parser)
 	if len(args) == 0 {
-		return usageError{errors.New("NODE_CONFIG names no file; see pumicecroft --help, and pumicecroft demo for the program at work")}
+		return usageError{errors.New("no command, and NODE_CONFIG is empty; see pumicecroft --help or try pumicecroft demo")}
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
@@ -148,7 +152,7 @@
 func (versionCommand) Run(out io.Writer) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("this build knows nothing of itself")
+		return errors.New("the binary contains no build information")
 	}
 	revision, changed, at := "unknown", "", ""
 	for _, s := range info.Settings {
--- a/cmd/pumicecroft/names_test.go
+++ b/cmd/pumicecroft/names_test.go
@@ -8,8 +8,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// Commands, arguments and flags have the names of the operators' page: renaming a field in Go must
-// not change them.
+// The names of commands, arguments and flags are documented in docs/operate: renaming a Go field must not
+// change them.
 func TestCommandLineKeepsItsNames(t *testing.T) {
 	const want = `--help -h, --log-format [text,json], --log-level [debug,info,warn,error]
 serve <file>
@@ -43,16 +43,17 @@
 	var got strings.Builder
 	got.WriteString(strings.Join(flagNames(parser.Model.Flags), ", ") + "\n")
 	for _, child := range parser.Model.Children {
-		describe(&got, "", child)
+		describeCommand(&got, "", child)
 	}
 	if got.String() != want {
 		t.Errorf("the command line is\n%s\nwant\n%s", got.String(), want)
 	}
 }
 
-// describe writes a line for a command and for each one below it.
-func describe(out *strings.Builder, above string, n *kong.Node) {
-	line := strings.TrimSpace(above + " " + n.Name)
+// describeCommand writes a line for a command and each of its subcommands. parent is the path of its
+// parent command.
+func describeCommand(out *strings.Builder, parent string, n *kong.Node) {
+	line := strings.TrimSpace(parent + " " + n.Name)
 	path := line
 	for _, p := range n.Positional {
 		line += " " + p.Summary()
@@ -62,7 +63,7 @@
 	}
 	out.WriteString(line + "\n")
 	for _, child := range n.Children {
-		describe(out, path, child)
+		describeCommand(out, path, child)
 	}
 }
 
--- a/cmd/pumicecroft/operatorfile.go
+++ b/cmd/pumicecroft/operatorfile.go
@@ -16,7 +16,7 @@
 
 // fileArg is the argument that names an operator's file.
 type fileArg struct {
-	File string `arg:"" name:"file" help:"An operator's file, such as deploy/pumicecroft.toml."`
+	File string `arg:"" name:"file" help:"The operator's file, such as deploy/pumicecroft.toml."`
 }
 
 func (a fileArg) read() (operatorconfig.File, error) {
@@ -33,7 +33,7 @@
 
 type checkCommand struct{ fileArg }
 
-// Run checks an operator's file.
+// Run checks an operator's file and the files that it names, and prints warnings and a summary.
 func (c *checkCommand) Run(out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
@@ -49,7 +49,7 @@
 		fmt.Fprintf(out, "%s: warning: %s\n", c.File, w)
 	}
 	set := &f.Gateway.Settings
-	fmt.Fprintf(out, "%s is good: door %d of %d, %d classes, %d plans, %d backends, sources %s, to listen on %s\n",
+	fmt.Fprintf(out, "%s is valid: gateway %d of %d, %d classes, %d plans, %d backends, sources %s, listen address %s\n",
 		c.File, set.GatewayIndex, set.GatewayCount, len(set.Classes), len(set.Plans),
 		len(f.Backends.Nodes), strings.Join(f.Sources, ", "), f.Listen)
 	return nil
@@ -57,14 +57,14 @@
 
 type membersCommand struct{ fileArg }
 
-// Run prints what a running gateway knows of its backends.
+// Run prints the status of each backend of a running gateway.
 func (c *membersCommand) Run(ctx context.Context, out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
 		return err
 	}
 	if f.StatusAddr == "" {
-		return fmt.Errorf(`%s: it names no address to ask at: members = "127.0.0.1:PORT"`, c.File)
+		return fmt.Errorf(`%s: the gateway's status address is missing: members = "127.0.0.1:PORT"`, c.File)
 	}
 	backends, err := daemon.FetchBackendStatus(ctx, f.StatusAddr)
 	if err != nil {
@@ -87,7 +87,8 @@
 	return w.Flush()
 }
 
-// printable replaces what a terminal could take for a command, as texts of sources are printed.
+// printable replaces non-printable characters by spaces, so that texts from sources and requests
+// can't control the terminal.
 func printable(s string) string {
 	return strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
@@ -99,7 +100,7 @@
 
 type serveCommand struct{ fileArg }
 
-// Run serves by the file until ctx ends. SIGHUP works until open requests have their responses.
+// Run serves with the file until ctx ends. SIGHUP is handled until open requests have their responses.
 func (c *serveCommand) Run(ctx context.Context) error {
 	f, err := c.read()
 	if err != nil {
--- a/cmd/pumicecroft/routes.go
+++ b/cmd/pumicecroft/routes.go
@@ -18,19 +18,19 @@
 type routesCommand struct {
 	fileArg
 	Method string   `arg:"" name:"method" help:"The request's method, such as GET."`
-	URL    string   `arg:"" name:"url" help:"Its URL, such as http://shop.example/items/7, or a path."`
-	Header []string `name:"header" short:"H" sep:"none" placeholder:"NAME: VALUE" help:"A field that it brings. May be repeated."`
-	From   string   `name:"from" default:"127.0.0.1" help:"The address that it comes from."`
+	URL    string   `arg:"" name:"url" help:"The request's URL, such as http://shop.example/items/7, or a path."`
+	Header []string `name:"header" short:"H" sep:"none" placeholder:"NAME: VALUE" help:"A header field of the request. May be repeated."`
+	From   string   `name:"from" default:"127.0.0.1" help:"The IP address of the client."`
 }
 
-// Run prints what would become of a request, and why.
+// Run prints how a request would be routed, identified and classified, or why it would be rejected.
 func (c *routesCommand) Run(out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
 		return err
 	}
 	if f.HTTP == nil {
-		return fmt.Errorf("%s: it has no [[service]], and so no routes", c.File)
+		return fmt.Errorf("%s: it has no [[service]], so it has no routes", c.File)
 	}
 	r, err := newRequest(c)
 	if err != nil {
@@ -59,7 +59,7 @@
 	_, rest, _ := strings.Cut(text, "://")
 	target := "/"
 	if i := strings.IndexByte(rest, '/'); i >= 0 {
-		target = rest[i:] // as it is written
+		target = rest[i:] // with its original escaping
 	}
 	path, query, _ := strings.Cut(target, "?")
 	r := &http.Request{
@@ -79,7 +79,7 @@
 	for _, h := range c.Header {
 		name, value, ok := strings.Cut(h, ":")
 		if !ok {
-			return nil, fmt.Errorf("%q is no field: NAME: VALUE", h)
+			return nil, fmt.Errorf("header field %q is not of the form NAME: VALUE", h)
 		}
 		r.Header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
@@ -93,7 +93,7 @@
 	decision.NonIdempotent:   "never repeated once it may have run",
 }
 
-// printResolved prints what would become of a request.
+// printResolved prints how the gateway would handle a request.
 func printResolved(out io.Writer, f *operatorconfig.File, r httpproxy.ResolvedRequest, proxy *httpproxy.Proxy) {
 	line := func(name, format string, args ...any) {
 		fmt.Fprintf(out, "%-9s %s\n", name, printable(fmt.Sprintf(format, args...)))
--- a/cmd/pumicecroft/sim.go
+++ b/cmd/pumicecroft/sim.go
@@ -8,16 +8,17 @@
 	"pumicecroft/internal/sim"
 )
 
-// errRuleBroken ends a command that found a rule broken, or missed a planted bug.
+// errRuleBroken is the error of a command that found a violation of a rule, or didn't catch a planted
+// bug.
 var errRuleBroken = errors.New("a rule was broken")
 
-// simCommand runs gateways in simulated worlds.
+// simCommand runs gateways in a deterministic simulation of their clients, backends and network.
 type simCommand struct {
-	Run     runCommand     `cmd:"" name:"run" help:"Run all seeds of a range: what broke, and how fast it went."`
-	Replay  replayCommand  `cmd:"" name:"replay" help:"Run one seed again, with its script and its trace."`
-	Shrink  shrinkCommand  `cmd:"" name:"shrink" help:"Find the smallest script by which a seed still breaks its rule."`
-	Corpus  corpusCommand  `cmd:"" name:"corpus" help:"Run the scripts that broke a rule once."`
-	Mutants mutantsCommand `cmd:"" name:"mutants" help:"Build the simulation with one planted bug at a time and run seeds until each is caught."`
+	Run     runCommand     `cmd:"" name:"run" help:"Run all seeds of a range and print violated rules and the speed of the runs."`
+	Replay  replayCommand  `cmd:"" name:"replay" help:"Run one seed and print its script and, with --trace, its trace."`
+	Shrink  shrinkCommand  `cmd:"" name:"shrink" help:"Find the smallest script with which a seed still violates its rule."`
+	Corpus  corpusCommand  `cmd:"" name:"corpus" help:"Run the corpus: scripts that once violated a rule."`
+	Mutants mutantsCommand `cmd:"" name:"mutants" help:"Build the simulation with one planted bug at a time and run seeds until the bug is caught."`
 }
 
 // printRun prints the result of one run. It returns errRuleBroken if a rule was broken.
--- a/cmd/pumicecroft/sim_corpus.go
+++ b/cmd/pumicecroft/sim_corpus.go
@@ -9,11 +9,11 @@
 	"pumicecroft/internal/sim"
 )
 
-// corpusFile is the default file of cases, relative to the module's root.
+// corpusFile is the default corpus file, relative to the module's root.
 const corpusFile = "internal/sim/testdata/corpus.toml"
 
 type corpusCommand struct {
-	File string `name:"file" default:"${corpus}" help:"The cases."`
+	File string `name:"file" default:"${corpus}" help:"The corpus file."`
 }
 
 // Run runs all cases of the corpus.
--- a/cmd/pumicecroft/sim_mutants.go
+++ b/cmd/pumicecroft/sim_mutants.go
@@ -16,14 +16,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// mutant is a planted bug, as a file of planted bugs has it.
+// mutant is a planted bug: a set of edits of the source that the simulation must catch.
 type mutant struct {
 	Name string `toml:"name"`
-	Rule string `toml:"rule"` // that must break
+	Rule string `toml:"rule"` // the rule that the bug must violate
 	Edit []edit `toml:"edit"`
 }
 
-// edit replaces a text that must be in a file just once.
+// edit replaces a text that must occur exactly once in its file.
 type edit struct {
 	File string `toml:"file"`
 	Old  string `toml:"old"`
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // closing a file opened for reading can't lose data
 	var list struct {
 		Mutant []mutant `toml:"mutant"`
 	}
@@ -50,11 +50,12 @@
 	return list.Mutant, nil
 }
 
-// apply returns the files that the bug changes, with it, by their paths in the module.
+// apply returns the edited contents of the files that the bug changes, by their paths in the module.
+// It writes no file.
 func (m mutant) apply(root string) (map[string]string, error) {
 	texts := map[string]string{}
 	for _, e := range m.Edit {
-		if _, has := texts[e.File]; !has {
+		if _, loaded := texts[e.File]; !loaded {
 			text, err := os.ReadFile(filepath.Join(root, e.File))
 			if err != nil {
 				return nil, err
@@ -62,39 +63,39 @@
 			texts[e.File] = string(text)
 		}
 		if n := strings.Count(texts[e.File], e.Old); n != 1 {
-			return nil, fmt.Errorf("%s: the text to replace stands %d times in %s: %q", m.Name, n, e.File, e.Old)
+			return nil, fmt.Errorf("%s: the text to replace occurs %d times, not once, in %s: %q", m.Name, n, e.File, e.Old)
 		}
 		texts[e.File] = strings.Replace(texts[e.File], e.Old, e.New, 1)
 	}
 	return texts, nil
 }
 
-// build builds this program with the bug.
+// build builds this program with the bug in dir, by an overlay: the tree in root doesn't change.
 func (m mutant) build(root, dir string) (program string, err error) {
 	texts, err := m.apply(root)
 	if err != nil {
 		return "", err
 	}
 	overlay := struct {
-		Replace map[string]string `json:"Replace"` // as go build reads it
+		Replace map[string]string `json:"Replace"` // the format of go build -overlay
 	}{map[string]string{}}
 	for file, text := range texts {
-		at := filepath.Join(dir, strings.ReplaceAll(file, "/", "_"))
-		if err := os.WriteFile(at, []byte(text), 0o600); err != nil {
+		path := filepath.Join(dir, strings.ReplaceAll(file, "/", "_"))
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return "", err
 		}
-		overlay.Replace[filepath.Join(root, file)] = at
+		overlay.Replace[filepath.Join(root, file)] = path
 	}
 	text, err := json.Marshal(overlay)
 	if err != nil {
 		return "", err
 	}
-	list := filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(list, text, 0o600); err != nil {
+	overlayFile := filepath.Join(dir, "overlay.json")
+	if err := os.WriteFile(overlayFile, text, 0o600); err != nil {
 		return "", err
 	}
 	program = filepath.Join(dir, "mutant")
-	build := exec.Command("go", "build", "-overlay", list, "-o", program, "./cmd/pumicecroft")
+	build := exec.Command("go", "build", "-overlay", overlayFile, "-o", program, "./cmd/pumicecroft")
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%s does not build: %w\n%s", m.Name, err, out)
@@ -102,65 +103,67 @@
 	return program, nil
 }
 
-// verdict is what the simulation said of a planted bug.
-type verdict struct {
+// mutantResult is the result of running the simulation with a planted bug.
+type mutantResult struct {
 	mutant
-	rule, seed string // the rule that broke, and at which seed; empty: none
-	took       time.Duration
+	rule, seed string // the violated rule and the seed, or "corpus"; empty: none
+	elapsed    time.Duration
 	err        error
 }
 
-// foundPrefix begins the names of bugs that the simulation found itself: the corpus has their scripts.
-const foundPrefix = "found: "
+// foundBugPrefix is the prefix of names of bugs that the simulation itself once found: the corpus has
+// the scripts that found them.
+const foundBugPrefix = "found: "
 
-// The lines by which sim corpus and sim run name a rule that broke.
+// The lines in which sim corpus and sim run report a violated rule.
 var (
-	corpusLine = regexp.MustCompile(`BROKEN (.+) at [0-9.]+:`)
-	runLine    = regexp.MustCompile(`BROKEN (.+): \d+ seeds, \[(\d+)`)
+	corpusViolationLine = regexp.MustCompile(`BROKEN (.+) at [0-9.]+:`)
+	runViolationLine    = regexp.MustCompile(`BROKEN (.+): \d+ seeds, \[(\d+)`)
 )
 
-// run builds the bug and runs seeds until a rule breaks.
-func (m mutant) run(root string, seeds string) verdict {
-	v := verdict{mutant: m}
+// run builds the program with the bug and runs seeds until one violates a rule. For a bug that the
+// simulation once found, it tries the corpus first.
+func (m mutant) run(root string, seeds string) mutantResult {
+	result := mutantResult{mutant: m}
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
-		v.err = err
-		return v
+		result.err = err
+		return result
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	program, err := m.build(root, dir)
 	if err != nil {
-		v.err = err
-		return v
+		result.err = err
+		return result
 	}
-	begun := time.Now()
-	if strings.HasPrefix(m.Name, foundPrefix) {
-		// A rule that breaks makes the command fail: its output says all there is.
+	started := time.Now()
+	if strings.HasPrefix(m.Name, foundBugPrefix) {
+		// A violated rule makes the command fail; its output names the rule.
 		out, _ := exec.Command(program, "sim", "corpus", "--file", filepath.Join(root, corpusFile)).CombinedOutput()
-		if broke := corpusLine.FindStringSubmatch(string(out)); broke != nil {
-			v.rule, v.seed, v.took = broke[1], "corpus", time.Since(begun)
-			return v
+		if broke := corpusViolationLine.FindStringSubmatch(string(out)); broke != nil {
+			result.rule, result.seed, result.elapsed = broke[1], "corpus", time.Since(started)
+			return result
 		}
 	}
 	out, err := exec.Command(program, "sim", "run", "--seeds", seeds, "--first", "--jobs", "1").CombinedOutput()
-	v.took = time.Since(begun)
-	if broke := runLine.FindStringSubmatch(string(out)); broke != nil {
-		v.rule, v.seed = broke[1], broke[2]
+	result.elapsed = time.Since(started)
+	if broke := runViolationLine.FindStringSubmatch(string(out)); broke != nil {
+		result.rule, result.seed = broke[1], broke[2]
 	} else if err != nil { // it crashed
-		v.err = fmt.Errorf("%w: %.300s", err, out)
+		result.err = fmt.Errorf("%w: %.300s", err, out)
 	}
-	return v
+	return result
 }
 
 type mutantsCommand struct {
-	File  string    `name:"file" default:"internal/sim/testdata/mutants.toml" help:"The planted bugs."`
-	Root  string    `name:"root" default:"." help:"The module's folder."`
-	Seeds seedRange `name:"seeds" default:"0..19999" help:"Seeds to run at the most, A..B."`
-	Jobs  jobs      `name:"jobs" default:"4" help:"Bugs at once."`
-	Only  string    `name:"only" help:"Those whose names hold this text."`
+	File       string    `name:"file" default:"internal/sim/testdata/mutants.toml" help:"The file of planted bugs."`
+	Root       string    `name:"root" default:"." help:"The root directory of the module."`
+	Seeds      seedRange `name:"seeds" default:"0..19999" help:"Seeds to run for each bug, A..B, until one catches it."`
+	Jobs       jobs      `name:"jobs" default:"4" help:"Number of bugs that are built and run in parallel."`
+	NameFilter string    `name:"only" help:"Run only bugs whose names contain this text."`
 }
 
-// Run tries all planted bugs and prints a table.
+// Run builds and runs all planted bugs, and prints a table of which rule caught each.
 func (c *mutantsCommand) Run(out io.Writer) error {
 	list, err := readMutants(c.File)
 	if err != nil {
@@ -170,11 +173,11 @@
 	if err != nil {
 		return err
 	}
-	results := make([]verdict, len(list))
+	results := make([]mutantResult, len(list))
 	var running errgroup.Group
 	running.SetLimit(int(c.Jobs))
 	for i, m := range list {
-		if !strings.Contains(m.Name, c.Only) {
+		if !strings.Contains(m.Name, c.NameFilter) {
 			continue
 		}
 		running.Go(func() error {
@@ -183,26 +186,26 @@
 		})
 	}
 	_ = running.Wait() // failures are in the results
-	return printVerdicts(out, results)
+	return printMutantResults(out, results)
 }
 
-// printVerdicts prints a table of verdicts. It returns errRuleBroken if a bug was not caught.
-func printVerdicts(out io.Writer, results []verdict) error {
+// printMutantResults prints a table of results. It returns errRuleBroken if a bug was not caught.
+func printMutantResults(out io.Writer, results []mutantResult) error {
 	tried, caught := 0, 0
 	fmt.Fprintln(out, "| planted bug | caught by | at seed | seconds |\n| --- | --- | --- | --- |")
-	for _, v := range results {
+	for _, r := range results {
 		switch {
-		case v.Name == "":
+		case r.Name == "":
 			continue
-		case v.err != nil:
-			fmt.Fprintf(out, "| %s | FAILED: %v | | |\n", v.Name, v.err)
-		case v.rule == "":
-			fmt.Fprintf(out, "| %s | NOT CAUGHT | | %.1f |\n", v.Name, v.took.Seconds())
-		case v.rule != v.Rule:
-			fmt.Fprintf(out, "| %s | %s (not %s) | %s | %.1f |\n", v.Name, v.rule, v.Rule, v.seed, v.took.Seconds())
+		case r.err != nil:
+			fmt.Fprintf(out, "| %s | FAILED: %v | | |\n", r.Name, r.err)
+		case r.rule == "":
+			fmt.Fprintf(out, "| %s | NOT CAUGHT | | %.1f |\n", r.Name, r.elapsed.Seconds())
+		case r.rule != r.Rule:
+			fmt.Fprintf(out, "| %s | %s (not %s) | %s | %.1f |\n", r.Name, r.rule, r.Rule, r.seed, r.elapsed.Seconds())
 			caught++
 		default:
-			fmt.Fprintf(out, "| %s | %s | %s | %.1f |\n", v.Name, v.rule, v.seed, v.took.Seconds())
+			fmt.Fprintf(out, "| %s | %s | %s | %.1f |\n", r.Name, r.rule, r.seed, r.elapsed.Seconds())
 			caught++
 		}
 		tried++
--- a/cmd/pumicecroft/sim_replay.go
+++ b/cmd/pumicecroft/sim_replay.go
@@ -8,11 +8,11 @@
 )
 
 type replayCommand struct {
-	Seed  uint64 `name:"seed" required:"" help:"The seed."`
+	Seed  uint64 `name:"seed" required:"" help:"The seed to run."`
 	Trace bool   `name:"trace" help:"Print each line of the trace."`
 }
 
-// Run runs one seed again.
+// Run runs one seed and prints its result.
 func (c *replayCommand) Run(out io.Writer) error {
 	var o sim.Options
 	if c.Trace {
@@ -22,10 +22,10 @@
 }
 
 type shrinkCommand struct {
-	Seed uint64 `name:"seed" required:"" help:"The seed."`
+	Seed uint64 `name:"seed" required:"" help:"The seed whose script is shrunk."`
 }
 
-// Run shrinks the script of a seed that breaks a rule, and prints it as an entry for the corpus.
+// Run shrinks the script of a seed that violates a rule, and prints it as an entry for the corpus.
 func (c *shrinkCommand) Run(out io.Writer) error {
 	res := sim.Shrink(sim.Run(c.Seed, sim.Options{}), sim.Options{})
 	err := printRun(res, out)
--- a/cmd/pumicecroft/sim_run.go
+++ b/cmd/pumicecroft/sim_run.go
@@ -15,55 +15,57 @@
 	"pumicecroft/internal/sim"
 )
 
-// seedRange is a range of seeds.
+// seedRange is a range of seeds, including both ends.
 type seedRange struct{ first, last uint64 }
 
-// UnmarshalText reads A..B.
+// UnmarshalText parses A..B.
 func (s *seedRange) UnmarshalText(text []byte) (err error) {
 	from, to, ok := strings.Cut(string(text), "..")
 	if s.first, err = strconv.ParseUint(from, 10, 64); err == nil {
 		s.last, err = strconv.ParseUint(to, 10, 64)
 	}
 	if !ok || err != nil || s.last < s.first {
-		return fmt.Errorf("%q is no A..B", text)
+		return fmt.Errorf("%q is not a range A..B of seeds", text)
 	}
 	return nil
 }
 
 type runCommand struct {
 	Seeds seedRange `name:"seeds" default:"0..999" help:"Seeds to run, A..B."`
-	Jobs  jobs      `name:"jobs" default:"${jobs}" help:"Runs at once."`
-	First bool      `name:"first" help:"End at the first seed that breaks a rule."`
+	Jobs  jobs      `name:"jobs" default:"${jobs}" help:"Number of parallel runs."`
+	First bool      `name:"first" help:"Stop at the first seed that violates a rule."`
 }
 
-// Run runs all seeds of the range, and prints which rules broke, each with its first seeds.
+// Run runs all seeds of the range, and prints the violated rules, each with its first seeds.
 func (c *runCommand) Run(out io.Writer) error {
-	defer debug.SetGCPercent(debug.SetGCPercent(400)) // runs are short, and free all that they allocate
-	begun := time.Now()
+	// Runs are short and all their memory is garbage afterwards, so fewer collections save time.
+	defer debug.SetGCPercent(debug.SetGCPercent(400))
+	started := time.Now()
 	totals := newRunTotals(c.Seeds)
 	var running sync.WaitGroup
 	for range c.Jobs {
 		running.Go(func() { totals.runSeeds(c.Seeds.last, c.First) })
 	}
 	running.Wait()
-	totals.print(out, time.Since(begun).Seconds(), int(c.Jobs))
+	totals.print(out, time.Since(started).Seconds(), int(c.Jobs))
 	if len(totals.broken) > 0 {
 		return errRuleBroken
 	}
 	return nil
 }
 
-// runTotals are the results of many runs. It is safe for concurrent use until print.
+// runTotals distributes seeds to workers and adds up the results of their runs. All methods but print
+// are safe for concurrent use; print must be called after all runs.
 type runTotals struct {
 	next        atomic.Uint64 // the seed to run next
-	firstBroken atomic.Uint64 // the lowest seed that broke a rule
+	firstBroken atomic.Uint64 // the lowest seed that violated a rule
 
 	mu        sync.Mutex
 	runs      int
 	steps     int
 	simulated time.Duration
-	hash      uint64              // of all traces
-	broken    map[string][]uint64 // the seeds that broke a rule, by rule
+	hash      uint64              // of the traces of all runs, whatever their order
+	broken    map[string][]uint64 // by rule, the seeds that violated it
 }
 
 func newRunTotals(seeds seedRange) *runTotals {
@@ -73,7 +75,7 @@
 	return t
 }
 
-// runSeeds runs seeds until all are taken; with stopAtFirst, up to the first that breaks a rule.
+// runSeeds runs seeds until none is left or, with stopAtFirst, up to the first that violates a rule.
 func (t *runTotals) runSeeds(last uint64, stopAtFirst bool) {
 	for {
 		seed := t.next.Add(1) - 1
@@ -97,7 +99,7 @@
 	}
 }
 
-// maxPrintedSeeds is how many seeds are printed of each rule that broke.
+// maxPrintedSeeds is the number of seeds printed for each violated rule.
 const maxPrintedSeeds = 5
 
 func (t *runTotals) print(out io.Writer, seconds float64, jobs int) {
--- a/cmd/pumicecroft/sockets_test.go
+++ b/cmd/pumicecroft/sockets_test.go
@@ -18,11 +18,11 @@
 )
 
 var socketsFlag = flag.Bool("sockets", false,
-	"hold the emulator against sockets, which wants some quiet processors for half a minute")
+	"compare the emulator with real sockets; needs several idle processors for half a minute")
 
-// The same scenario runs in the emulator, and on sockets with a gateway, backends and a load. It
-// prints how far they lie apart (docs/measurements/0007-laboratory.md), and fails only if they rank
-// differently.
+// The same scenarios run in the emulator, and on sockets with a gateway, backends and a load. The test
+// prints the results of both (docs/measurements/0007-laboratory.md), and fails only if the shares of
+// served requests differ by more than 0.08.
 //
 //	go test ./cmd/pumicecroft -run TestEmulatorAgainstSockets -sockets -v
 func TestEmulatorAgainstSockets(t *testing.T) {
@@ -32,9 +32,9 @@
 	const length = 8 * time.Second
 	for _, c := range []struct {
 		name string
-		rate float64 // backends do 800 a second
+		rate float64 // requests per second; the backends can serve 800
 		work time.Duration
-		slow float64 // one of four
+		slow float64 // factor on the service time of one of the four backends
 	}{{"calm", 400, 20 * time.Millisecond, 1}, {"full", 700, 20 * time.Millisecond, 1},
 		{"overload", 1300, 20 * time.Millisecond, 1}, {"one backend ten times slower", 300, 20 * time.Millisecond,
 			10}} {
@@ -64,20 +64,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		front := httptest.NewServer(gateway)
+		server := httptest.NewServer(gateway)
 		p, err := load.Parse(fmt.Appendf(nil,
 			"name = \"x\"\nrate = %v\nduration = \"%v\"\nconnections = 1000\n[[plan]]\nname = \"shop\"\n[[request]]\nname = \"look\"\npath = \"/\"\ndialect = \"platform\"\n", c.rate, length))
 		if err != nil {
 			t.Fatal(err)
 		}
-		measured, err := load.Run(t.Context(), p, load.Options{Target: strings.TrimPrefix(front.URL, "http://")})
+		measured, err := load.Run(t.Context(), p, load.Options{Target: strings.TrimPrefix(server.URL, "http://")})
 		if err != nil {
 			t.Fatal(err)
 		}
-		front.Close()
+		server.Close()
 		_ = gateway.Close(t.Context())
 
-		// Emulated: a zone of its own for the slow one.
+		// Emulated. Each backend is the only one of its zone, so that a slow zone is one slow backend.
 		cfg := emulator.Config{Gateways: 1, Policy: emulator.PolicyEngine, Settings: settings, Duration: length,
 			Network: emulator.Network{MinDelay: 100 * time.Microsecond, MeanExtraDelay: 50 * time.Microsecond},
 			Backends: emulator.Backends{Count: 4, Zones: 4, Cells: 1, Concurrency: 4, MaxQueue: 16,
@@ -99,16 +99,17 @@
 		}
 		emulated := r.Result()
 
-		ms := func(us int64) float64 { return float64(us) / 1e3 }
-		q := func(of float64) float64 { return ms(emulated.Latency.ValueAtQuantile(of)) }
-		d := func(v time.Duration) float64 { return ms(v.Microseconds()) }
+		toMs := func(us int64) float64 { return float64(us) / 1e3 }
+		emulatedMs := func(percentile float64) float64 { return toMs(emulated.Latency.ValueAtQuantile(percentile)) }
+		durationMs := func(d time.Duration) float64 { return toMs(d.Microseconds()) }
 		servedReal, servedEmulated := float64(measured.Good)/float64(measured.Sent),
 			float64(emulated.Served)/float64(emulated.Offered)
 		t.Logf("| %s | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f | %s |", c.name, servedReal,
-			servedEmulated, d(measured.Served.P50), q(50), d(measured.Served.P90), q(90), d(measured.Served.P99),
-			q(99), measured.Invalid)
+			servedEmulated, durationMs(measured.Served.P50), emulatedMs(50), durationMs(measured.Served.P90),
+			emulatedMs(90), durationMs(measured.Served.P99), emulatedMs(99), measured.Invalid)
 		if diff := servedReal - servedEmulated; diff < -0.08 || diff > 0.08 {
-			t.Errorf("%s: %.3f are served on sockets, %.3f emulated", c.name, servedReal, servedEmulated)
+			t.Errorf("%s: share of served requests is %.3f on sockets and %.3f emulated, want a difference of at most 0.08",
+				c.name, servedReal, servedEmulated)
 		}
 	}
 }
--- a/cmd/pumicecroft/state.go
+++ b/cmd/pumicecroft/state.go
@@ -19,14 +19,15 @@
 )
 
 type stateCommand struct {
-	Dir  string `arg:"" name:"dir" help:"A door's directory for state (state_dir)."`
-	File string `name:"file" placeholder:"FILE" help:"An operator's file: say what the door that serves by it would make of what is kept."`
+	Dir  string `arg:"" name:"dir" help:"The gateway's state directory (state_dir)."`
+	File string `name:"file" placeholder:"FILE" help:"An operator's file: print what its gateway would restore from the saved state."`
 }
 
-// membersSuffix ends the names of files with cached backends.
+// membersSuffix is the suffix of files that cache the backends of a source.
 const membersSuffix = ".members"
 
-// Run prints what a gateway would restore.
+// Run prints each snapshot and each cache of backends in the state directory, and what a gateway would
+// restore of them.
 func (c *stateCommand) Run(out io.Writer) error {
 	snapshots, err := snapshotfile.List(c.Dir)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return w.Flush()
 }
 
-// readGatewayInfo returns what identifies the gateway of an operator's file to its snapshots.
+// readGatewayInfo returns the properties of an operator's gateway that its snapshots must match.
 func readGatewayInfo(file string) (*recovery.GatewayInfo, error) {
 	f, err := fileArg{file}.read()
 	if err != nil {
@@ -77,7 +78,7 @@
 	}, nil
 }
 
-// printCache prints what a cache of a source's backends holds.
+// printCache prints the age and size of the cached backends of a source.
 func printCache(w io.Writer, dir, path string, now time.Time) {
 	source, err := url.PathUnescape(strings.TrimSuffix(filepath.Base(path), membersSuffix))
 	if err != nil {
@@ -92,8 +93,8 @@
 		source, now.Sub(at).Round(time.Second), len(nodes))
 }
 
-// printSnapshot prints what a snapshot holds, and what becomes of it: for the given gateway, or for
-// the one that wrote it if gateway is nil.
+// printSnapshot prints a snapshot and what the given gateway would restore of it. If gateway is nil,
+// it is the gateway that wrote the snapshot.
 func printSnapshot(w io.Writer, path string, index int, gateway *recovery.GatewayInfo, now time.Time) {
 	snapshot, err := readSnapshot(path)
 	if err != nil {
@@ -119,8 +120,8 @@
 	return recovery.Decode(data)
 }
 
-// printRestored prints a line on a snapshot and what is restored of it. snapshot is nil if it can't be
-// read.
+// printRestored prints one line about a snapshot and what is restored of it. snapshot is nil if it
+// can't be read.
 func printRestored(w io.Writer, index int, snapshot *recovery.Snapshot, restored recovery.Restored,
 	gateway *recovery.GatewayInfo, now time.Time) {
 	age, holds, becomes := "-", "-", restored.Explanation
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -20,7 +20,7 @@
 	"pumicecroft/internal/testcerts"
 )
 
-const tenLines = `listen = "127.0.0.1:0"
+const minimalServiceFile = `listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
 
 [[service]]
@@ -33,15 +33,15 @@
 burst = 100000
 `
 
-// curl, and Node's client and server, work through the daemon by a file of ten lines.
-func TestPeerClientsAndBackends(t *testing.T) {
+// A daemon with a minimal file connects curl and a Node client with a Node server.
+func TestCurlAndNodeThroughDaemon(t *testing.T) {
 	node, err := exec.LookPath("node")
 	if err != nil {
-		t.Skip("there is no node")
+		t.Skip("node is not installed")
 	}
 	curl, err := exec.LookPath("curl")
 	if err != nil {
-		t.Skip("there is no curl")
+		t.Skip("curl is not installed")
 	}
 	server := exec.Command(node, "-e", `
 const s = require('http').createServer((q, r) => {
@@ -67,8 +67,8 @@
 	if _, err := fmt.Fscan(out, &port); err != nil {
 		t.Fatal(err)
 	}
-	_, addr, _ := startServing(t, writeFile(t, fmt.Sprintf(tenLines, fmt.Sprintf("127.0.0.1:%d", port))))
-	run := func(name string, args ...string) string {
+	_, addr, _ := startDaemon(t, writeFile(t, fmt.Sprintf(minimalServiceFile, fmt.Sprintf("127.0.0.1:%d", port))))
+	runProgram := func(name string, args ...string) string {
 		var b bytes.Buffer
 		c := exec.CommandContext(t.Context(), name, args...)
 		c.Stdout, c.Stderr = &b, &b
@@ -98,14 +98,14 @@
 		{[]string{"-si", base + "/hints"}, []string{"HTTP/1.1 103 ", "201 "}},
 		{[]string{"-si", "--http2-prior-knowledge", base + "/x"}, []string{"HTTP/2 201"}},
 	} {
-		got := run(curl, c.args...)
+		got := runProgram(curl, c.args...)
 		for _, want := range c.want {
 			if !strings.Contains(strings.ToLower(got), strings.ToLower(want)) {
-				t.Errorf("curl %s: no %q in\n%.600s", c.args, want, got)
+				t.Errorf("curl %s: got\n%.600s\nwant it to contain %q", c.args, got, want)
 			}
 		}
 	}
-	got := run(node, "-e", `
+	got := runProgram(node, "-e", `
 const http = require('http'), agent = new http.Agent({keepAlive: true})
 let left = 50
 function next() {
@@ -118,25 +118,25 @@
 }
 next()`)
 	if !strings.Contains(got, "all") {
-		t.Error(got)
+		t.Errorf("the Node client printed %q, want \"all\" after its 50 requests", got)
 	}
 }
 
-// SIGHUP puts other routes in force, an invalid file none, and open requests go on by the routes
-// that they arrived by.
+// SIGHUP applies the routes of the changed file, unless the file is invalid. Open requests keep the routes
+// with which they arrived.
 func TestSIGHUPReloadsRoutes(t *testing.T) {
-	came, release := make(chan bool, 1), make(chan bool)
+	arrived, release := make(chan bool, 1), make(chan bool)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/held" {
-			came <- true
+			arrived <- true
 			<-release
 		}
 		io.WriteString(w, "ok")
 	}))
 	defer backend.Close()
-	text := fmt.Sprintf(tenLines, strings.TrimPrefix(backend.URL, "http://"))
+	text := fmt.Sprintf(minimalServiceFile, strings.TrimPrefix(backend.URL, "http://"))
 	path := writeFile(t, text)
-	cmd, addr, _ := startServing(t, path)
+	cmd, addr, _ := startDaemon(t, path)
 	status := func(path string) int {
 		res, err := http.Get("http://" + addr + path)
 		if err != nil {
@@ -149,65 +149,67 @@
 	}
 	held := make(chan int)
 	go func() { held <- status("/held") }()
-	<-came
-	change := func(more string, want int) {
+	<-arrived
+	reloadUntil := func(routes string, want int) {
 		t.Helper()
-		if err := os.WriteFile(path, []byte(text+more), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(text+routes), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cmd.Process.Signal(syscall.SIGHUP)
 		for end := time.Now().Add(20 * time.Second); status("/") != want; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("it never answered %d", want)
+				t.Fatalf("got no status %d within 20 s of SIGHUP", want)
 			}
 		}
 	}
-	change("[[route]]\nrefuse = 403\n", 403)
+	reloadUntil("[[route]]\nrefuse = 403\n", 403)
 	if err := os.WriteFile(path, []byte(text+"[[route]]\nservice = \"none\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	change("[[route]]\nrefuse = 410\n", 410) // the bad one in between has changed nothing, and ended nothing
+	reloadUntil("[[route]]\nrefuse = 410\n", 410) // the invalid file changed nothing and didn't end the daemon
 	release <- true
 	if got := <-held; got != 200 {
-		t.Errorf("what waited got %d", got)
+		t.Errorf("the request that was open during the reloads got %d, want 200", got)
 	}
 }
 
-// The check command reads the files that a file names, and says what is wrong with them and where.
+// The check command reads the files that an operator's file names, and reports each problem with the
+// line and key that name the file.
 func TestCheckReadsFiles(t *testing.T) {
-	a := testcerts.New(t)
+	ca := testcerts.New(t)
 	dir := t.TempDir()
-	cert, key := a.Issue(nil, "shop.example", "unused.example")
-	_, otherKey := a.Issue(nil, "else.example")
-	at := testcerts.WriteFiles(t, dir, map[string][]byte{"c": cert, "k": key, "other": otherKey, "keys": []byte("zz\n")})
-	base := fmt.Sprintf(tenLines,
+	cert, key := ca.Issue(nil, "shop.example", "unused.example")
+	_, otherKey := ca.Issue(nil, "else.example")
+	pathOf := testcerts.WriteFiles(t, dir,
+		map[string][]byte{"c": cert, "k": key, "other": otherKey, "keys": []byte("zz\n")})
+	base := fmt.Sprintf(minimalServiceFile,
 		"127.0.0.1:9") + "[[route]]\nhost = \"shop.example\"\n[[route]]\nhost = \"bare.example\"\n[tls]\n"
-	pair := func(c, k string) string {
-		return fmt.Sprintf("[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", at(c), at(k))
+	certificate := func(c, k string) string {
+		return fmt.Sprintf("[[tls.certificate]]\ncert_file = %q\nkey_file = %q\n", pathOf(c), pathOf(k))
 	}
-	for name, c := range map[string]struct{ more, want string }{
-		"good":   {pair("c", "k"), `no certificate is for host "bare.example"`},
-		"unused": {pair("c", "k"), `a certificate is for "unused.example", which no route uses`},
-		"another's key": {pair("c", "other"),
+	for name, c := range map[string]struct{ sections, want string }{
+		"valid":  {certificate("c", "k"), `no certificate is for host "bare.example"`},
+		"unused": {certificate("c", "k"), `a certificate is for "unused.example", which no route uses`},
+		"another's key": {certificate("c", "other"),
 			"line 17: tls.certificate[0].cert_file: the key is not the certificate's"},
-		"no file":        {pair("c", "none"), "line 17: tls.certificate[0].cert_file: open "},
-		"no certificate": {pair("k", "k"), "line 17: tls.certificate[0].cert_file: it can't be read"},
-		"a file of keys": {pair("c", "k") + fmt.Sprintf("[[identity]]\nkind = \"key\"\nfile = %q\n", at("keys")),
-			"line 20: identity[0].file: " + at("keys") + ": line 1: "},
-		"without a place": {"", "line 16: tls.certificate: there is none"},
+		"no file":        {certificate("c", "none"), "line 17: tls.certificate[0].cert_file: open "},
+		"no certificate": {certificate("k", "k"), "line 17: tls.certificate[0].cert_file: it can't be read"},
+		"a file of keys": {certificate("c", "k") + fmt.Sprintf("[[identity]]\nkind = \"key\"\nfile = %q\n", pathOf("keys")),
+			"line 20: identity[0].file: " + pathOf("keys") + ": line 1: "},
+		"no section of certificates": {"", "line 16: tls.certificate: there is none"},
 	} {
 		var out bytes.Buffer
-		err := run(t.Context(), []string{"check", writeFile(t, base+c.more)}, &out)
+		err := run(t.Context(), []string{"check", writeFile(t, base+c.sections)}, &out)
 		if got := out.String() + fmt.Sprint(err); !strings.Contains(got, c.want) {
-			t.Errorf("%s: %s", name, got)
+			t.Errorf("%s: got output and error %s, want them to contain %q", name, got, c.want)
 		}
 	}
 }
 
-// The routes command prints what would become of a request.
-func TestShowRoute(t *testing.T) {
-	path := writeFile(t, fmt.Sprintf(tenLines, "127.0.0.1:9")+`[http]
+// The routes command prints how a request would be handled.
+func TestRoutesCommand(t *testing.T) {
+	path := writeFile(t, fmt.Sprintf(minimalServiceFile, "127.0.0.1:9")+`[http]
 trusted = ["10.0.0.0/8"]
 [[identity]]
 kind = "header"
@@ -233,16 +235,16 @@
 		var out bytes.Buffer
 		if err := run(t.Context(), append([]string{"routes", path}, strings.Split(c.args, "|")...),
 			&out); err != nil || !strings.Contains(out.String(), c.want) {
-			t.Errorf("%s: %v\n%s", c.args, err, out.String())
+			t.Errorf("%s: error %v, got\n%s\nwant it to contain\n%s", c.args, err, out.String(), c.want)
 		}
 	}
 	if err := run(t.Context(), []string{"routes", path, "GET"}, io.Discard); err == nil {
-		t.Error("without a URL it is no error")
+		t.Error("routes without a URL: got no error")
 	}
 }
 
-// Backends of two services come from Consul: each has its own, a node's metadata on its protocol
-// takes precedence, and neither gets the other's requests.
+// The backends of two services come from Consul. Each service gets only its own requests, and none go to
+// instances whose metadata names another protocol.
 func TestServicesFromConsul(t *testing.T) {
 	agent, err := fakes.StartConsul(nil)
 	if err != nil {
@@ -255,14 +257,14 @@
 			io.WriteString(w, "by "+name)
 		}))
 		t.Cleanup(s.Close)
-		host, port, _ := net.SplitHostPort(strings.TrimPrefix(s.URL, "http://"))
-		number, _ := strconv.Atoi(port)
-		agent.Register(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: number,
+		host, portText, _ := net.SplitHostPort(strings.TrimPrefix(s.URL, "http://"))
+		port, _ := strconv.Atoi(portText)
+		agent.Register(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: port,
 			Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
 			fakes.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1,
 				Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.Check{{ID: "up", Status: "passing"}}})
 	}
-	_, addr, _ := startServing(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
+	_, addr, _ := startDaemon(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
 [[service]]
 name = "a"
@@ -297,8 +299,8 @@
 			if res.StatusCode == 200 && string(body) == "by "+name {
 				break
 			}
-			if res.StatusCode != 503 || n > 1 || time.Now().After(end) { // until the door has heard of it
-				t.Fatalf("%s, request %d: %d %s", name, n, res.StatusCode, body)
+			if res.StatusCode != 503 || n > 1 || time.Now().After(end) { // 503 until the gateway knows the backend
+				t.Fatalf("service %s, request %d: got %d %q, want 200 %q", name, n, res.StatusCode, body, "by "+name)
 			}
 		}
 	}
