--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -71,7 +71,7 @@
 	Completion kongcompletion.Completion `cmd:"" name:"completion" help:"Print the shell code that enables command completion."`
 }
 
-// jobs is the number of processors that a command uses.
+// jobs is how many jobs a command runs at a time, or the number of processors that it uses.
 type jobs int
 
 // Validate is called by kong after parsing.
