--- a/httpproxy/fixture_test.go
+++ b/httpproxy/fixture_test.go
@@ -21,7 +21,7 @@
 	"pumicecroft/internal/operatorconfig"
 )
 
-// fixture is a proxy by an operator's file, in a server, with backends.
+// fixture is a proxy in an HTTP server, configured by the text of a configuration file.
 type fixture struct {
 	t       testing.TB
 	file    operatorconfig.File
@@ -30,7 +30,7 @@
 	addr    string
 }
 
-// parseFile parses a file's text without its "listen".
+// parseFile parses the text of a configuration file, and adds the "listen" setting.
 func parseFile(t testing.TB, text string) operatorconfig.File {
 	t.Helper()
 	f, err := operatorconfig.Parse([]byte("listen = \"127.0.0.1:0\"\n" + text))
@@ -40,18 +40,18 @@
 	return f
 }
 
-// startProxy serves by a file's text.
+// startProxy starts a proxy with the text of a configuration file.
 func startProxy(t testing.TB, text string) *fixture {
 	t.Helper()
 	return startProxyWithDialer(t, text, nil)
 }
 
-// startProxyWithDialer is startProxy with a way to open connections to backends.
+// startProxyWithDialer is startProxy with a function that opens the connections to backends.
 func startProxyWithDialer(t testing.TB, text string, dial func(context.Context, string, string) (net.Conn, error),
 	options ...pumicecroft.Option) *fixture {
 	t.Helper()
-	r := &fixture{t: t, file: parseFile(t, text)}
-	for _, s := range r.file.HTTP.Services {
+	fx := &fixture{t: t, file: parseFile(t, text)}
+	for _, s := range fx.file.HTTP.Services {
 		c, err := httpproxyconfig.Service(s, os.ReadFile, slog.Default())
 		if err != nil {
 			t.Fatal(err)
@@ -60,36 +60,36 @@
 		options = append(options, httpproxy.WithService(c))
 	}
 	var err error
-	if r.gateway, err = pumicecroft.New(r.file.Gateway, options...); err != nil {
+	if fx.gateway, err = pumicecroft.New(fx.file.Gateway, options...); err != nil {
 		t.Fatal(err)
 	}
-	r.gateway.Update(r.file.Backends)
+	fx.gateway.Update(fx.file.Backends)
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
-		if err := r.gateway.Close(ctx); err != nil {
+		if err := fx.gateway.Close(ctx); err != nil {
 			t.Error(err)
 		}
 	})
-	c := r.file.HTTP.Proxy
-	c.Rules = r.rules(r.file)
-	if r.proxy, err = httpproxy.New(r.gateway, c); err != nil {
+	c := fx.file.HTTP.Proxy
+	c.Rules = fx.rules(fx.file)
+	if fx.proxy, err = httpproxy.New(fx.gateway, c); err != nil {
 		t.Fatal(err)
 	}
-	r.addr = startServer(t, r.proxy, nil)
-	return r
+	fx.addr = startServer(t, fx.proxy, nil)
+	return fx
 }
 
-func (r *fixture) rules(f operatorconfig.File) httpproxy.Rules {
-	r.t.Helper()
+func (fx *fixture) rules(f operatorconfig.File) httpproxy.Rules {
+	fx.t.Helper()
 	rules, err := httpproxyconfig.Rules(&f, os.ReadFile)
 	if err != nil {
-		r.t.Fatal(err)
+		fx.t.Fatal(err)
 	}
 	return rules
 }
 
-// startServer serves a handler on a free port. It returns the address.
+// startServer serves a handler on a free port, with TLS if config is not nil. It returns the address.
 func startServer(t testing.TB, h http.Handler, config *tls.Config) string {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
@@ -110,9 +110,9 @@
 	return strings.TrimPrefix(strings.TrimPrefix(s.URL, "http://"), "https://")
 }
 
-// sendRaw sends bytes and returns all that arrives until the connection ends or nothing arrives for
-// a while.
-func sendRaw(t testing.TB, addr, text string, patience time.Duration) string {
+// sendRaw sends text on a new connection and returns all that is received until the connection is
+// closed or timeout has passed.
+func sendRaw(t testing.TB, addr, text string, timeout time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -120,11 +120,12 @@
 	}
 	defer c.Close()
 	go io.WriteString(c, text)
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(timeout))
 	b, _ := io.ReadAll(c)
 	return string(b)
 }
 
+// serviceSection returns the [[service]] section of a configuration file.
 func serviceSection(name string, addrs ...string) string {
 	quoted := make([]string, len(addrs))
 	for i, a := range addrs {
