--- a/cmd/pumicecroft/commands_test.go
+++ b/cmd/pumicecroft/commands_test.go
@@ -190,10 +190,10 @@
 	t.Cleanup(backend.Kill)
 	host, portText, _ := net.SplitHostPort(backend.Addr())
 	port, _ := strconv.Atoi(portText)
-	agent.Register(fakes.Instance{Node: "n", NodeAddr: host, ID: "b", Service: "web", Port: port,
-		Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
-		fakes.Instance{Node: "n", NodeAddr: host, ID: "c", Service: "web", Port: 1,
-			Checks: []fakes.Check{{ID: "up", Status: "critical", Output: "no \x1b[31mroute"}}})
+	agent.Register(fakes.ConsulInstance{Node: "n", NodeAddr: host, ID: "b", Service: "web", Port: port,
+		Checks: []fakes.ConsulCheck{{ID: "up", Status: "passing"}}},
+		fakes.ConsulInstance{Node: "n", NodeAddr: host, ID: "c", Service: "web", Port: 1,
+			Checks: []fakes.ConsulCheck{{ID: "up", Status: "critical", Output: "no \x1b[31mroute"}}})
 	cmd, addr, statusAddr := startDaemon(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
 [[class]]
--- a/cmd/pumicecroft/lab.go
+++ b/cmd/pumicecroft/lab.go
@@ -55,8 +55,8 @@
 	started := time.Now()
 	printRow := func(done, all int, r *lab.Row) {
 		result := fmt.Sprintf("worth %.4f, %d events", r.Figures["worth"], r.Events)
-		if r.Failed != "" {
-			result = "FAILED: " + r.Failed
+		if r.FailureReason != "" {
+			result = "FAILED: " + r.FailureReason
 		}
 		fmt.Fprintf(out, "%d of %d: %s, seed %d: %s\n", done, all, strings.Join(r.Cell, " / "), r.Repetition, result)
 	}
@@ -154,7 +154,7 @@
 	for _, c := range comparisons {
 		d := c.Result
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4g\t%.4g\t%+.3g\t%+.3g to %+.3g\t%s\n",
-			c.Where, c.A, c.B, c.Figure.Name, d.Pairs, d.MeanA, d.MeanB, d.Mean, d.Low, d.High, c.Verdict())
+			c.OtherLevels, c.A, c.B, c.Figure.Name, d.Pairs, d.MeanA, d.MeanB, d.Mean, d.Low, d.High, c.Verdict())
 	}
 	return w.Flush()
 }
--- a/cmd/pumicecroft/lab_paper.go
+++ b/cmd/pumicecroft/lab_paper.go
@@ -43,8 +43,8 @@
 		}
 		fmt.Fprintf(out, "| %s | %d | %s %.2f | %s %.2f | %s %.2f | %s %.2f | %.2f | %.1f, %.1f | %s %.2f | %s %.2f |\n",
 			load.Name, load.N,
-			formatSplit(solved.Without), solved.WithoutPayoff,
-			formatSplit(load.PaperWithout), load.PaperWithoutPayoff,
+			formatSplit(solved.WithoutSubRating), solved.WithoutSubRatingPayoff,
+			formatSplit(load.PaperWithoutSubRating), load.PaperWithoutSubRatingPayoff,
 			formatSplit(solved.SubRated), solved.SubRatedPayoff,
 			formatSplit(load.PaperSubRated), load.PaperSubRatedPayoff,
 			solved.PaperSplitPayoff, 100*solved.GainMean, 100*solved.GainBest,
--- a/cmd/pumicecroft/load_test.go
+++ b/cmd/pumicecroft/load_test.go
@@ -82,8 +82,8 @@
 	// Of 199 calls in 2 s, the burst of 40 and the rate of 20 per second admit about 75, less the margin
 	// of the quota.
 	if err != nil || resultErr != nil || r.Good < 50 || r.Good > 85 ||
-		r.Outcomes["Unavailable"]+r.Outcomes["ResourceExhausted"] != r.Sent-r.Good || r.Sent < 195 {
+		r.Outcomes["Unavailable"]+r.Outcomes["ResourceExhausted"] != r.Scheduled-r.Good || r.Scheduled < 195 {
 		t.Errorf("errors %v and %v; %d of %d calls served, want 50 to 85 of at least 195 and all others rejected; %+v\n%s",
-			err, resultErr, r.Good, r.Sent, r.Outcomes, out.String())
+			err, resultErr, r.Good, r.Scheduled, r.Outcomes, out.String())
 	}
 }
--- a/cmd/pumicecroft/sockets_test.go
+++ b/cmd/pumicecroft/sockets_test.go
@@ -81,7 +81,7 @@
 		cfg := emulator.Config{Gateways: 1, Policy: emulator.PolicyEngine, Settings: settings, Duration: length,
 			Network: emulator.Network{MinDelay: 100 * time.Microsecond, MeanExtraDelay: 50 * time.Microsecond},
 			Backends: emulator.Backends{Count: 4, Zones: 4, Cells: 1, Concurrency: 4, MaxQueue: 16,
-				Service:        emulator.Distribution{Shape: emulator.Constant, Mean: c.work},
+				ServiceTime:    emulator.Distribution{Shape: emulator.Constant, Mean: c.work},
 				ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second},
 			Clients: emulator.Clients{Customers: 100, GatewaySpread: 1, Cost: 1, MaxTries: 1,
 				Classes: []emulator.Share{{Name: "look", Weight: 1}},
@@ -102,7 +102,7 @@
 		toMs := func(us int64) float64 { return float64(us) / 1e3 }
 		emulatedMs := func(percentile float64) float64 { return toMs(emulated.Latency.ValueAtQuantile(percentile)) }
 		durationMs := func(d time.Duration) float64 { return toMs(d.Microseconds()) }
-		servedReal, servedEmulated := float64(measured.Good)/float64(measured.Sent),
+		servedReal, servedEmulated := float64(measured.Good)/float64(measured.Scheduled),
 			float64(emulated.Served)/float64(emulated.Offered)
 		t.Logf("| %s | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f | %s |", c.name, servedReal,
 			servedEmulated, durationMs(measured.Served.P50), emulatedMs(50), durationMs(measured.Served.P90),
--- a/cmd/pumicecroft/state.go
+++ b/cmd/pumicecroft/state.go
@@ -58,7 +58,7 @@
 		printCache(w, c.Dir, path, now)
 	}
 	if len(snapshots)+len(caches) == 0 {
-		fmt.Fprintf(w, "-\t-\t-\tnothing\t%s\n", recovery.RestoreNothing(nil).Explanation)
+		fmt.Fprintf(w, "-\t-\t-\tnothing\t%s\n", recovery.RestoreWithoutSnapshot(nil).Explanation)
 	}
 	return w.Flush()
 }
@@ -98,7 +98,7 @@
 func printSnapshot(w io.Writer, path string, index int, gateway *recovery.GatewayInfo, now time.Time) {
 	snapshot, err := readSnapshot(path)
 	if err != nil {
-		printRestored(w, index, nil, recovery.RestoreNothing(err), gateway, now)
+		printRestored(w, index, nil, recovery.RestoreWithoutSnapshot(err), gateway, now)
 		return
 	}
 	info := recovery.GatewayInfo{Index: snapshot.GatewayIndex, Count: snapshot.GatewayCount,
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -259,10 +259,10 @@
 		t.Cleanup(s.Close)
 		host, portText, _ := net.SplitHostPort(strings.TrimPrefix(s.URL, "http://"))
 		port, _ := strconv.Atoi(portText)
-		agent.Register(fakes.Instance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: port,
-			Checks: []fakes.Check{{ID: "up", Status: "passing"}}},
-			fakes.Instance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1,
-				Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.Check{{ID: "up", Status: "passing"}}})
+		agent.Register(fakes.ConsulInstance{Node: "n", NodeAddr: host, ID: name, Service: "web-" + name, Port: port,
+			Checks: []fakes.ConsulCheck{{ID: "up", Status: "passing"}}},
+			fakes.ConsulInstance{Node: "n", NodeAddr: host, ID: name + "-grpc", Service: "web-" + name, Port: 1,
+				Meta: map[string]string{"speaks": "grpc"}, Checks: []fakes.ConsulCheck{{ID: "up", Status: "passing"}}})
 	}
 	_, addr, _ := startDaemon(t, writeFile(t, fmt.Sprintf(`listen = "127.0.0.1:0"
 members = "127.0.0.1:0"
--- a/conformance/consul_test.go
+++ b/conformance/consul_test.go
@@ -50,9 +50,10 @@
 					if e.StartedAtMS != 0 {
 						meta["started"] = strconv.FormatInt(e.StartedAtMS, 10)
 					}
-					agent.Register(fakes.Instance{Node: "rack", NodeAddr: host, ID: e.Name, Service: consulService, Port: n,
+					agent.Register(fakes.ConsulInstance{
+						Node: "rack", NodeAddr: host, ID: e.Name, Service: consulService, Port: n,
 						Meta:    meta,
-						Passing: int(e.Weight), Checks: []fakes.Check{{ID: "process", Status: status}}})
+						Passing: int(e.Weight), Checks: []fakes.ConsulCheck{{ID: "process", Status: status}}})
 				}
 				if !received {
 					received = true
--- a/conformance/gateways_test.go
+++ b/conformance/gateways_test.go
@@ -181,7 +181,7 @@
 			change(t, &gatewayConfig)
 		}
 		gateway, err := pumicecroft.New(gatewayConfig,
-			pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
+			pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.InitialEndpoints.Seq}))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/conformance/grpc_test.go
+++ b/conformance/grpc_test.go
@@ -29,7 +29,7 @@
 	gatewayConfig := daemon.GatewayConfig(c)
 	gatewayConfig.Protocol = membership.ProtocolGRPC
 	gateway, err := pumicecroft.New(gatewayConfig, grpcproxy.WithBackends(grpcproxy.BackendConfig{}),
-		pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}))
+		pumicecroft.WithSource(&platform.Discovery{Addr: c.Discovery, FromVersion: c.InitialEndpoints.Seq}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	}
 	p := startDaemon(t, "PUMICECROFT_BY_FILE="+path)
 	names := more
-	for _, n := range c.Known.Membership().Nodes {
+	for _, n := range c.InitialEndpoints.Membership().Nodes {
 		names = append(names, n.Name)
 	}
 	slices.Sort(names)
--- a/conformance/http_test.go
+++ b/conformance/http_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	gatewayConfig := f.Gateway
-	gatewayConfig.InitialEndpoints = c.Known.Membership()
+	gatewayConfig.InitialEndpoints = c.InitialEndpoints.Membership()
 	for i := range gatewayConfig.InitialEndpoints.Nodes {
 		gatewayConfig.InitialEndpoints.Nodes[i].Protocol = httpproxy.Protocol("desk")
 	}
@@ -99,7 +99,7 @@
 
 // followDiscovery passes each update of discovery on to a gateway, with protocol set on all backends.
 func followDiscovery(t testing.TB, gateway *pumicecroft.Gateway, c platform.Config, protocol string) {
-	discovery := &platform.Discovery{Addr: c.Discovery, FromVersion: c.Known.Seq}
+	discovery := &platform.Discovery{Addr: c.Discovery, FromVersion: c.InitialEndpoints.Seq}
 	go discovery.Run(t.Context(), func(update membership.Update) {
 		for i := range update.Nodes {
 			update.Nodes[i].Protocol = protocol
--- a/consul/client_test.go
+++ b/consul/client_test.go
@@ -123,9 +123,9 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	agent.Register(
-		fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "x", Service: "web", Port: 81,
+		fakes.ConsulInstance{Node: "n", NodeAddr: "10.0.0.1", ID: "x", Service: "web", Port: 81,
 			Tags: []string{"blue", "new"}, Meta: map[string]string{"v": "3"}},
-		fakes.Instance{Node: "m", NodeAddr: "10.0.0.2", ID: "x", Service: "web", Port: 81,
+		fakes.ConsulInstance{Node: "m", NodeAddr: "10.0.0.2", ID: "x", Service: "web", Port: 81,
 			Tags: []string{"blue"}, Meta: map[string]string{"v": "2"}},
 	)
 	for what, o := range map[string]*api.QueryOptions{"filter": {Filter: `Service.Meta.v == "3"`}, "near": {Near: "n"}} {
@@ -159,7 +159,7 @@
 	if err := os.WriteFile(token, []byte("one\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	agent.Register(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81,
+	agent.Register(fakes.ConsulInstance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81,
 		Tags: []string{"blue"}, Meta: map[string]string{"v": "2"}, Namespace: "team", Partition: "part"})
 	c, err := New(Config{
 		Address:     "http://" + agent.Addr(),
@@ -275,7 +275,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(agent.Close)
-	agent.Register(fakes.Instance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81})
+	agent.Register(fakes.ConsulInstance{Node: "n", NodeAddr: "10.0.0.1", ID: "a", Service: "web", Port: 81})
 	firstUpdate := func(c Config) membership.Update {
 		t.Helper()
 		c.Address = "https://" + agent.Addr()
--- a/consul/fixture_test.go
+++ b/consul/fixture_test.go
@@ -82,7 +82,7 @@
 }
 
 // instance returns a backend's registration.
-func (f *fixture) instance(id string) fakes.Instance {
+func (f *fixture) instance(id string) fakes.ConsulInstance {
 	host, port, err := net.SplitHostPort(f.backends[id].Addr())
 	if err != nil {
 		f.t.Fatal(err)
@@ -91,14 +91,14 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return fakes.Instance{
+	return fakes.ConsulInstance{
 		Node:     "n1",
 		NodeAddr: host,
 		ID:       id,
 		Service:  serviceName,
 		Port:     n,
 		Meta:     map[string]string{"cell": "0"},
-		Checks:   []fakes.Check{{ID: "web", Status: "passing"}},
+		Checks:   []fakes.ConsulCheck{{ID: "web", Status: "passing"}},
 	}
 }
 
--- a/consul/query.go
+++ b/consul/query.go
@@ -184,7 +184,7 @@
 // while this process was paused, the query gets responseGrace more, once.
 func (s *queryState) startTimeout(timeout time.Duration, onTimeout func()) *time.Timer {
 	extended := false
-	return unread.AfterSilence(timeout, func() time.Duration {
+	return unread.AfterInactivity(timeout, func() time.Duration {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if extended || !s.responseStarted() {
--- a/consul/trials_test.go
+++ b/consul/trials_test.go
@@ -27,7 +27,7 @@
 	for name, takeOut := range map[string]func(f *fixture, id string){
 		"deregistered": func(f *fixture, id string) { f.agent.Remove("n1", id) },
 		"critical": func(f *fixture, id string) {
-			f.agent.SetCheck("n1", id, fakes.Check{ID: "web", Status: "critical"})
+			f.agent.SetCheck("n1", id, fakes.ConsulCheck{ID: "web", Status: "critical"})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/consul/watch_test.go
+++ b/consul/watch_test.go
@@ -150,7 +150,7 @@
 			if n := len(f.agent.Queries()) - before; float64(n) > 2*(2*time.Since(start).Seconds()+2) {
 				t.Errorf("%d queries in %v, want at most 2 a second and 2 more for each of 2 queries", n, time.Since(start))
 			}
-			f.agent.SetCheck("n1", "b0", fakes.Check{ID: "web", Status: "critical"})
+			f.agent.SetCheck("n1", "b0", fakes.ConsulCheck{ID: "web", Status: "critical"})
 			f.waitForState(gateway, "b0", "draining")
 		})
 	}
@@ -172,12 +172,12 @@
 	var failing []span
 	timesReady := 0
 	for range 20 {
-		f.agent.SetCheck("n1", "b0", fakes.Check{ID: "web", Status: "critical", Output: "refused"})
+		f.agent.SetCheck("n1", "b0", fakes.ConsulCheck{ID: "web", Status: "critical", Output: "refused"})
 		f.waitForState(gateway, "b0", "draining")
 		from := time.Now()
 		time.Sleep(50 * time.Millisecond) // duration of the failure
 		failing = append(failing, span{from, time.Now()})
-		f.agent.SetCheck("n1", "b0", fakes.Check{ID: "web", Status: "passing"})
+		f.agent.SetCheck("n1", "b0", fakes.ConsulCheck{ID: "web", Status: "passing"})
 		f.waitFor(gateway, "b0 to be on probation", func(nodes statuses) bool { return nodes["b0"].State != "draining" })
 		time.Sleep(50 * time.Millisecond)
 		if statusesOf(gateway)["b0"].State == "ready" {
@@ -226,9 +226,9 @@
 	restarted.Meta = map[string]string{"boot": "2"}
 	f.agent.Register(restarted)
 	f.waitForState(gateway, "b2", "cold")
-	f.agent.SetCheck("n1", "b3", fakes.Check{ID: "web", Status: "critical"})
+	f.agent.SetCheck("n1", "b3", fakes.ConsulCheck{ID: "web", Status: "critical"})
 	f.waitForState(gateway, "b3", "draining")
-	f.agent.SetCheck("n1", "b3", fakes.Check{ID: "web", Status: "passing"})
+	f.agent.SetCheck("n1", "b3", fakes.ConsulCheck{ID: "web", Status: "passing"})
 	f.waitForState(gateway, "b3", "ready")
 }
 
@@ -283,7 +283,7 @@
 	gateway := f.startGateway(1, nil)
 	load := f.startLoad(10, "pay", time.Hour, gateway) // one request for each client
 	f.ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 10 })
-	f.agent.SetCheck("n1", slow, fakes.Check{ID: "web", Status: "critical", Output: "503"})
+	f.agent.SetCheck("n1", slow, fakes.ConsulCheck{ID: "web", Status: "critical", Output: "503"})
 	f.waitForState(gateway, slow, "draining")
 	const explanation = "consul:identity says that it takes nothing new; critical: web: 503"
 	if m := statusesOf(gateway)[slow]; m.Explanation != explanation || m.Source != "consul:identity" {
--- a/grpcproxy/proxy_test.go
+++ b/grpcproxy/proxy_test.go
@@ -417,7 +417,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := r.backends[0].Sent() + r.backends[1].Sent(); got > 1000*(5+fakes.GRPCEndlessBytes)+2<<20 {
+	if got := r.backends[0].SentBytes() + r.backends[1].SentBytes(); got > 1000*(5+fakes.GRPCEndlessBytes)+2<<20 {
 		t.Errorf("the backends sent %d bytes when the client had read 1000 messages, want at most %d", got,
 			1000*(5+fakes.GRPCEndlessBytes)+2<<20)
 	}
@@ -457,11 +457,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	await(t, "messages", func() bool { return r.backends[0].Sent() > 0 })
+	await(t, "messages", func() bool { return r.backends[0].SentBytes() > 0 })
 	last := int64(-1)
 	await(t, "flow control to stop the backend", func() bool {
 		time.Sleep(50 * time.Millisecond)
-		now := r.backends[0].Sent()
+		now := r.backends[0].SentBytes()
 		held := now == last
 		last = now
 		return held
@@ -474,8 +474,8 @@
 	t.Logf("%d bytes in transit", last)
 	r.backends[0].GoAway(0)
 	await(t, "the end of the call", func() bool { return r.gateway.OpenRequests() == 0 })
-	if r.backends[0].Sent() > last+64<<10 {
-		t.Errorf("the backend has sent %d bytes, want at most 64 KiB more than %d", r.backends[0].Sent(), last)
+	if r.backends[0].SentBytes() > last+64<<10 {
+		t.Errorf("the backend has sent %d bytes, want at most 64 KiB more than %d", r.backends[0].SentBytes(), last)
 	}
 }
 
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -27,7 +27,7 @@
 // startTLSListener serves a fixture's proxy as the daemon does, with the [tls] section of its file.
 func startTLSListener(t testing.TB, fx *fixture) (addr string, store *certs.Store) {
 	t.Helper()
-	config, store, err := httpproxyconfig.Listener(&fx.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
+	config, store, err := httpproxyconfig.ListenerTLS(&fx.file, os.ReadFile, time.Now, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/capacitytest/config_test.go
+++ b/internal/capacitytest/config_test.go
@@ -74,8 +74,8 @@
 		text = text[:len(text)-1] + `,"known":` + string(a.List()) + "}"
 		start, cpu := time.Now(), CPUTime()
 		c, err := platform.ParseConfig([]byte(text))
-		if err != nil || len(c.Known.Endpoints) != n {
-			t.Fatalf("got %d endpoints, want %d: %v", len(c.Known.Endpoints), n, err)
+		if err != nil || len(c.InitialEndpoints.Endpoints) != n {
+			t.Fatalf("got %d endpoints, want %d: %v", len(c.InitialEndpoints.Endpoints), n, err)
 		}
 		t.Logf("a file of %.2f MB with %d endpoints: parsed in %v, CPU time %v",
 			float64(len(text))/(1<<20), n, time.Since(start), CPUTime()-cpu)
--- a/internal/capacitytest/gateway.go
+++ b/internal/capacitytest/gateway.go
@@ -125,7 +125,7 @@
 		set.Membership.MaxNodes = p.Most
 	}
 	discovery := &platform.Discovery{
-		Addr: config.Discovery, FromVersion: config.Known.Seq, PollWithin: config.Conns.SubscribeWithin,
+		Addr: config.Discovery, FromVersion: config.InitialEndpoints.Seq, PollWithin: config.Conns.SubscribeWithin,
 		Seed: config.Seed, DrainGrace: config.Settings.DrainGrace, MaxEntries: config.Limits.MaxBackends(),
 	}
 	g.Gateway, err = pumicecroft.New(set, pumicecroft.WithLogger(log),
--- a/internal/capacitytest/gateways_test.go
+++ b/internal/capacitytest/gateways_test.go
@@ -77,7 +77,7 @@
 		UpdateInterval: 500 * time.Millisecond, Settings: set,
 		Network: emulator.Network{MinDelay: 250 * time.Microsecond, MeanExtraDelay: 250 * time.Microsecond},
 		Backends: emulator.Backends{Count: backends, Zones: min(9, backends), Cells: backends, Concurrency: 8, MaxQueue: 32,
-			Service:        emulator.Distribution{Shape: emulator.Exponential, Mean: 40 * time.Millisecond},
+			ServiceTime:    emulator.Distribution{Shape: emulator.Exponential, Mean: 40 * time.Millisecond},
 			ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second},
 		Clients: emulator.Clients{
 			Customers: gateways * 290, GatewaySpread: 3, Cost: 1, MaxTries: 2, FollowRetryAfter: 1,
@@ -102,10 +102,10 @@
 			last := time.Duration(0)
 			for i := range n {
 				p := pollbackoff.New(within, uint64(i)+1)
-				at := p.AfterLoss(true, 0)
+				at := p.AfterFailure(true, 0)
 				for at < away {
 					calls = append(calls, at)
-					at += p.AfterLoss(false, 0)
+					at += p.AfterFailure(false, 0)
 				}
 				calls = append(calls, at)
 				last = max(last, at-away)
--- a/internal/certs/set.go
+++ b/internal/certs/set.go
@@ -94,8 +94,8 @@
 	return out
 }
 
-// SoonestExpiry returns the certificate that expires first.
-func (s *Set) SoonestExpiry() *tls.Certificate {
+// FirstToExpire returns the certificate that expires first.
+func (s *Set) FirstToExpire() *tls.Certificate {
 	return slices.MinFunc(s.all, func(a, b *tls.Certificate) int {
 		return a.Leaf.NotAfter.Compare(b.Leaf.NotAfter)
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -79,7 +79,7 @@
 func newDiscovery(config platform.Config, addrs <-chan string) *platform.Discovery {
 	return &platform.Discovery{
 		Addr:        config.Discovery,
-		FromVersion: config.Known.Seq,
+		FromVersion: config.InitialEndpoints.Seq,
 		AddrChanges: addrs,
 		PollWithin:  config.Conns.SubscribeWithin,
 		Seed:        config.Seed,
@@ -133,7 +133,7 @@
 	return pumicecroft.Config{
 		Settings:         c.Settings,
 		Seed:             c.Seed,
-		InitialEndpoints: c.Known.Membership(),
+		InitialEndpoints: c.InitialEndpoints.Membership(),
 		Membership:       membership.Policy{MaxNodes: c.Limits.MaxBackends()},
 		MaxBackendConns:  c.Limits.BackendConns(),
 		ConnectTimeout:   c.Conns.ConnectTimeout,
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -50,7 +50,7 @@
 	if s.rules, err = httpproxyconfig.Rules(&f, os.ReadFile); err != nil {
 		return nil, err
 	}
-	s.tls, s.certificates, err = httpproxyconfig.Listener(&f, os.ReadFile, time.Now, slog.Default())
+	s.tls, s.certificates, err = httpproxyconfig.ListenerTLS(&f, os.ReadFile, time.Now, slog.Default())
 	return s, err
 }
 
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -33,7 +33,7 @@
 	return &backend{
 		region: r, number: int32(number), shard: r.shards[number%len(r.shards)],
 		zone: int32(number % c.Zones), cell: int32(number % c.Cells),
-		capacity: float64(c.Concurrency) / c.Service.Mean.Seconds(), up: true, warm: true,
+		capacity: float64(c.Concurrency) / c.ServiceTime.Mean.Seconds(), up: true, warm: true,
 	}
 }
 
@@ -136,7 +136,7 @@
 func (b *backend) execute(m *message, fraction float64) {
 	s, r := b.shard, b.region
 	draw := eventqueue.RandFloat64(r.seed, purposeService, m.call.number, m.requestID&maxTryNumber, uint64(m.attempt))
-	duration := time.Duration(float64(r.service.sample(draw)) * r.slowdown(b.zone, s.now) / fraction)
+	duration := time.Duration(float64(r.serviceTime.sample(draw)) * r.slowdown(b.zone, s.now) / fraction)
 	b.running = append(b.running, *m)
 	s.schedule(s.now+duration, message{
 		kind: msgDone, backend: b.number, epoch: b.epoch, requestID: m.requestID, attempt: m.attempt,
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -43,7 +43,7 @@
 	Cells          int // backends are assigned to cells round-robin
 	Concurrency    int // requests that a backend executes at once
 	MaxQueue       int // requests that wait at a backend; further ones are rejected
-	Service        Distribution
+	ServiceTime    Distribution
 	ConnectTimeout time.Duration // after which a gateway gives up connecting
 	RestartTime    time.Duration // for which a backend is down after an overload or in a deploy
 }
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -14,7 +14,7 @@
 	c.Gateways, c.Duration, c.Warmup, c.Shards = 300, 14*time.Second, time.Second, 4
 	c.Settings.Plans = []decision.Plan{{Name: "shop", Rate: 4, Burst: 13, Price: 1},
 		{Name: "flagship", Rate: 60, Burst: 120, Price: 2, HardLimitRate: 12, HardLimitBurst: 40, HardLimitOverdraft: 5}}
-	c.Backends = Backends{Count: 200, Zones: 3, Cells: 50, Concurrency: 1, MaxQueue: 16, Service: Distribution{Shape: Exponential, Mean: 150 * time.Millisecond},
+	c.Backends = Backends{Count: 200, Zones: 3, Cells: 50, Concurrency: 1, MaxQueue: 16, ServiceTime: Distribution{Shape: Exponential, Mean: 150 * time.Millisecond},
 		ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second}
 	c.Clients.Customers, c.Clients.GatewaySpread, c.Clients.ZipfExponent, c.Clients.UniformShare = 300, 200, 1.1, 0.3
 	c.Arrivals = Arrivals{Rate: 500}
--- a/internal/emulator/region.go
+++ b/internal/emulator/region.go
@@ -9,17 +9,17 @@
 
 // Region is one run of the emulation. The package comment says which calls may run concurrently.
 type Region struct {
-	config    Config
-	seed      uint64
-	shards    []*shard
-	gateways  []*gateway
-	backends  []*backend
-	discovery discovery
-	counter   counter
-	service   sampler
-	profile   rateProfile
-	planOf    []uint8       // by customer; nil means that all have the first of Clients.Plans
-	windowEnd time.Duration // of the current time window
+	config      Config
+	seed        uint64
+	shards      []*shard
+	gateways    []*gateway
+	backends    []*backend
+	discovery   discovery
+	counter     counter
+	serviceTime sampler
+	profile     rateProfile
+	planOf      []uint8       // by customer; nil means that all have the first of Clients.Plans
+	windowEnd   time.Duration // of the current time window
 
 	period            int64     // number of usage periods that have ended
 	usage             []float32 // reported usage of the last period, by customer
@@ -44,7 +44,7 @@
 	}
 	r := &Region{
 		config: config, seed: seed,
-		service: newSampler(config.Backends.Service), profile: newRateProfile(&config, seed),
+		serviceTime: newSampler(config.Backends.ServiceTime), profile: newRateProfile(&config, seed),
 		usage: make([]float32, config.Clients.Customers), quota: newQuotaBuckets(&config),
 		meanWeight: config.meanWeight(),
 	}
--- a/internal/emulator/region_test.go
+++ b/internal/emulator/region_test.go
@@ -22,7 +22,7 @@
 				{Name: "once", Idempotency: decision.NonIdempotent, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3}},
 			Plans: []decision.Plan{{Name: "shop", Rate: 20, Burst: 40, Price: 1}, {Name: "flagship", Rate: 40, Burst: 60, Price: 2, HardLimitRate: 50, HardLimitBurst: 60, HardLimitOverdraft: 5}}},
 		Network:  Network{MinDelay: 250 * time.Microsecond, MeanExtraDelay: 250 * time.Microsecond},
-		Backends: Backends{Count: 20, Zones: 2, Cells: 4, Concurrency: 4, MaxQueue: 16, Service: Distribution{Shape: Exponential, Mean: 40 * time.Millisecond}, ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second},
+		Backends: Backends{Count: 20, Zones: 2, Cells: 4, Concurrency: 4, MaxQueue: 16, ServiceTime: Distribution{Shape: Exponential, Mean: 40 * time.Millisecond}, ConnectTimeout: 250 * time.Millisecond, RestartTime: time.Second},
 		Clients: Clients{Customers: 200, GatewaySpread: 2, Cost: 1, MaxTries: 3, FollowRetryAfter: 1, Backoff: 100 * time.Millisecond,
 			Classes: []Share{{"look", 2}, {"pay", 1}, {"once", 1}}, Plans: []Share{{"shop", 4}, {"flagship", 1}}},
 		Arrivals: Arrivals{Rate: 800}}
@@ -59,7 +59,7 @@
 		c.Shards = rapid.IntRange(1, 7).Draw(t, "shards")
 		c.Gateways = rapid.IntRange(1, 6).Draw(t, "gateways")
 		c.Arrivals.Rate = rapid.SampledFrom([]float64{50, 300, 1000}).Draw(t, "rate")
-		c.Backends.Service = rapid.SampledFrom([]Distribution{{Constant, 30 * time.Millisecond, 0, 0}, {Exponential, 30 * time.Millisecond, 0, 0},
+		c.Backends.ServiceTime = rapid.SampledFrom([]Distribution{{Constant, 30 * time.Millisecond, 0, 0}, {Exponential, 30 * time.Millisecond, 0, 0},
 			{LogNormal, 30 * time.Millisecond, 1, 0}, {Pareto, 30 * time.Millisecond, 1.5, 50}}).Draw(t, "service")
 		for range rapid.IntRange(0, 3).Draw(t, "faults") {
 			c.Faults = append(c.Faults, Fault{Kind: FaultKind(rapid.IntRange(0, len(FaultKindNames)-1).Draw(t, "kind")), At: 500 * time.Millisecond, Duration: time.Duration(rapid.IntRange(1, 3).Draw(t, "for")) * 400 * time.Millisecond,
@@ -333,7 +333,7 @@
 		"NaN as rate":         func(c *Config) { c.Arrivals.Rate = math.NaN() },
 		"an unknown class":    func(c *Config) { c.Clients.Classes[0].Name = "x" },
 		"no plan has a share": func(c *Config) { c.Clients.Plans = []Share{{"shop", 0}} },
-		"Pareto exponent 1":   func(c *Config) { c.Backends.Service = Distribution{Pareto, time.Second, 1, 0} },
+		"Pareto exponent 1":   func(c *Config) { c.Backends.ServiceTime = Distribution{Pareto, time.Second, 1, 0} },
 		"an unordered trace":  func(c *Config) { c.Arrivals.Trace = []Arrival{{2, 1, "look", 1}, {1, 1, "look", 1}} },
 		"an unknown zone":     func(c *Config) { c.Faults = []Fault{{Kind: ZoneLoss, Duration: 1, Zone: 2}} },
 		"a deploy of 0":       func(c *Config) { c.Faults = []Fault{{Kind: Deploy, Duration: 1}} },
--- a/internal/emulator/validation.go
+++ b/internal/emulator/validation.go
@@ -24,7 +24,7 @@
 func (c *Config) Validate() error {
 	for _, validate := range []func() error{
 		c.validateRegion, c.Backends.validate, c.Clients.validate, c.validateShares, c.validateArrivals,
-		c.Settings.Validate, c.Backends.Service.validate, c.validateNames, c.validateTrace, c.validateFaults,
+		c.Settings.Validate, c.Backends.ServiceTime.validate, c.validateNames, c.validateTrace, c.validateFaults,
 	} {
 		if err := validate(); err != nil {
 			return err
--- a/internal/fakes/consul.go
+++ b/internal/fakes/consul.go
@@ -33,8 +33,8 @@
 	ConsulGarbled                        // all requests get 200 with a body that is not JSON
 )
 
-// Instance is an instance of a service with its checks, as registered with a Consul agent.
-type Instance struct {
+// ConsulInstance is an instance of a service with its checks, as registered with a Consul agent.
+type ConsulInstance struct {
 	Node, NodeAddr       string
 	NodeMeta             map[string]string
 	ID, Service          string
@@ -44,15 +44,15 @@
 	Meta                 map[string]string
 	Passing, Warning     int // weights
 	Namespace, Partition string
-	Checks               []Check
+	Checks               []ConsulCheck
 }
 
-// Check is one health check.
-type Check struct{ ID, Name, Status, Output string }
+// ConsulCheck is one health check of a ConsulInstance.
+type ConsulCheck struct{ ID, Name, Status, Output string }
 
-// instance is a registered Instance with its indexes and TTL checks.
+// instance is a registered ConsulInstance with its indexes and TTL checks.
 type instance struct {
-	Instance
+	ConsulInstance
 	createIndex, modifyIndex uint64
 	ttlChecks                map[string]*ttlCheck // by check ID
 }
--- a/internal/fakes/consulagent.go
+++ b/internal/fakes/consulagent.go
@@ -38,7 +38,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := Instance{
+	i := ConsulInstance{
 		Node: agentNode, NodeAddr: "127.0.0.1", ID: cmp.Or(service.ID, service.Name), Service: service.Name,
 		Addr: service.Address, Port: service.Port, Tags: service.Tags, Meta: service.Meta,
 	}
@@ -49,7 +49,7 @@
 	}
 	for _, d := range definitions {
 		name := cmp.Or(d.Name, "Service '"+service.Name+"' check")
-		i.Checks = append(i.Checks, Check{ID: d.CheckID, Name: name, Status: cmp.Or(d.Status, "critical")})
+		i.Checks = append(i.Checks, ConsulCheck{ID: d.CheckID, Name: name, Status: cmp.Or(d.Status, "critical")})
 	}
 	if old := c.instances[instanceKey(i.Node, i.ID)]; old != nil {
 		old.stopTimers()
@@ -98,7 +98,7 @@
 	if in == nil || in.ttlChecks[checkID] != check {
 		return
 	}
-	c.setCheck(agentNode, id, Check{ID: checkID, Status: "critical", Output: "TTL expired"})
+	c.setCheck(agentNode, id, ConsulCheck{ID: checkID, Status: "critical", Output: "TTL expired"})
 	if check.deregisterAfter > 0 {
 		check.deregistration = time.AfterFunc(check.deregisterAfter, func() { c.Remove(agentNode, id) })
 	}
@@ -143,7 +143,7 @@
 		if check.deregistration != nil {
 			check.deregistration.Stop()
 		}
-		c.setCheck(i.Node, i.ID, Check{ID: checkID, Status: update.Status, Output: update.Output})
+		c.setCheck(i.Node, i.ID, ConsulCheck{ID: checkID, Status: update.Status, Output: update.Output})
 		return
 	}
 	message := fmt.Sprintf("Unknown check ID %q. Ensure that the check ID is passed, not the check name.", checkID)
--- a/internal/fakes/consulinstances.go
+++ b/internal/fakes/consulinstances.go
@@ -24,7 +24,7 @@
 func instanceKey(node, id string) string { return node + "/" + id }
 
 // Register registers instances or changes them. A changed instance keeps its create index.
-func (c *Consul) Register(instances ...Instance) {
+func (c *Consul) Register(instances ...ConsulInstance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, i := range instances {
@@ -33,7 +33,7 @@
 }
 
 // registerInstance registers an instance or changes it. c.mu must be held.
-func (c *Consul) registerInstance(i Instance) *instance {
+func (c *Consul) registerInstance(i ConsulInstance) *instance {
 	i.Passing, i.Warning = cmp.Or(i.Passing, 1), cmp.Or(i.Warning, 1)
 	index := c.recordChange(i.Service)
 	in := c.instances[instanceKey(i.Node, i.ID)]
@@ -42,7 +42,7 @@
 		c.instances[instanceKey(i.Node, i.ID)] = in
 	}
 	i.Checks = slices.Clone(i.Checks)
-	in.Instance, in.modifyIndex = i, index
+	in.ConsulInstance, in.modifyIndex = i, index
 	return in
 }
 
@@ -77,19 +77,19 @@
 
 // SetCheck adds a check to an instance, or replaces the one with the same ID. Its status is passing, warning or
 // critical.
-func (c *Consul) SetCheck(node, id string, check Check) {
+func (c *Consul) SetCheck(node, id string, check ConsulCheck) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.setCheck(node, id, check)
 }
 
 // setCheck is SetCheck with c.mu held.
-func (c *Consul) setCheck(node, id string, check Check) {
+func (c *Consul) setCheck(node, id string, check ConsulCheck) {
 	in := c.instances[instanceKey(node, id)]
 	if in == nil {
 		return
 	}
-	n := slices.IndexFunc(in.Checks, func(other Check) bool { return other.ID == check.ID })
+	n := slices.IndexFunc(in.Checks, func(other ConsulCheck) bool { return other.ID == check.ID })
 	if n >= 0 {
 		check.Name = cmp.Or(check.Name, in.Checks[n].Name)
 	}
@@ -117,10 +117,10 @@
 		if id != "" {
 			checkID = "_service_maintenance:" + id
 		}
-		in.Checks = slices.DeleteFunc(in.Checks, func(check Check) bool { return check.ID == checkID })
+		in.Checks = slices.DeleteFunc(in.Checks, func(check ConsulCheck) bool { return check.ID == checkID })
 		if on {
 			in.Checks = append(in.Checks,
-				Check{ID: checkID, Name: "Maintenance Mode", Status: "critical", Output: reason})
+				ConsulCheck{ID: checkID, Name: "Maintenance Mode", Status: "critical", Output: reason})
 		}
 		c.recordChange(in.Service)
 	}
--- a/internal/fakes/grpc.go
+++ b/internal/fakes/grpc.go
@@ -112,8 +112,8 @@
 // Resets returns the number of streams that clients reset while they were open.
 func (b *GRPCBackend) Resets() int64 { return b.resets.Load() }
 
-// Sent returns the total length of the response bodies sent so far, in bytes.
-func (b *GRPCBackend) Sent() int64 { return b.sentBytes.Load() }
+// SentBytes returns the total length of the response bodies sent so far, in bytes.
+func (b *GRPCBackend) SentBytes() int64 { return b.sentBytes.Load() }
 
 // Kill closes the listener and all connections, and waits until the backend's goroutines have ended.
 func (b *GRPCBackend) Kill() {
--- a/internal/grpctransport/transport.go
+++ b/internal/grpctransport/transport.go
@@ -71,7 +71,7 @@
 // Transport sends attempts to the backends that Apply has added. It is safe for concurrent use.
 type Transport struct {
 	config          Config
-	loadParser      loadreport.Reader
+	loadParser      loadreport.Parser
 	failureLogLimit rate.Sometimes
 
 	mu        sync.Mutex
@@ -235,10 +235,10 @@
 		s.response.Code, s.response.Body = outcome.Code, s.messages.next()
 		out.Body = &s.response
 	}
-	if usage, ok := t.loadParser.Use(s.response.usage); ok {
+	if usage, ok := t.loadParser.ParseUsage(s.response.usage); ok {
 		out.Usage, out.HasUsage = usage, true
 	}
-	out.LoadReport = t.loadParser.Load(s.response.loadReport)
+	out.LoadReport = t.loadParser.ParseLoad(s.response.loadReport)
 	if outcome.Result != decision.Succeeded {
 		t.failureLogLimit.Do(func() {
 			t.config.Log.Debug("attempt failed", "method", request.Method, "reason", outcome.Reason, "proof", outcome.Proof)
--- a/internal/httpproxyconfig/httpproxyconfig.go
+++ b/internal/httpproxyconfig/httpproxyconfig.go
@@ -45,8 +45,8 @@
 		return httpproxy.Rules{}, problems
 	}
 	return httpproxy.Rules{
-		Routes:        f.HTTP.Table,
-		Resolver:      identity.New(f.HTTP.Trusted, rules...),
+		Routes:        f.HTTP.RouteTable,
+		Resolver:      identity.New(f.HTTP.TrustedPeers, rules...),
 		RemoveHeaders: f.HTTP.RemoveHeaders,
 	}, nil
 }
@@ -65,7 +65,7 @@
 			AllowedPlans:   plans,
 			CostHeader:     id.CostHeader,
 			HexCustomers:   id.HexCustomers,
-			TrustedPeers:   h.Trusted,
+			TrustedPeers:   h.TrustedPeers,
 		}, nil
 	case operatorconfig.KindCertificate:
 		return &identity.ClientCertRule{NameSource: id.CertName, DefaultPlan: id.Plan,
@@ -112,9 +112,9 @@
 	}, id.Algorithms, keys)
 }
 
-// Listener returns the TLS configuration of the listener and the store of its certificates, or nil and
+// ListenerTLS returns the TLS configuration of the listener and the store of its certificates, or nil and
 // nil if the listener has no TLS. The error is an operatorconfig.Problems.
-func Listener(f *operatorconfig.File, read certs.ReadFile, now func() time.Time,
+func ListenerTLS(f *operatorconfig.File, read certs.ReadFile, now func() time.Time,
 	log *slog.Logger) (*tls.Config, *certs.Store, error) {
 	t := f.HTTP.TLS
 	if t == nil {
@@ -138,7 +138,7 @@
 			return nil, nil, operatorconfig.Problems{t.Location.Problem("client_ca_file", err)}
 		}
 		config.ClientAuth = tls.RequireAndVerifyClientCert
-		if t.ClientAuth == operatorconfig.ClientAuthAsk {
+		if t.ClientAuth == operatorconfig.ClientAuthOptional {
 			config.ClientAuth = tls.VerifyClientCertIfGiven
 		}
 	}
@@ -273,7 +273,7 @@
 		return nil
 	}
 	set := store.Set()
-	if c := set.SoonestExpiry(); c.Leaf.NotAfter.Sub(now) < expiryWarningPeriod {
+	if c := set.FirstToExpire(); c.Leaf.NotAfter.Sub(now) < expiryWarningPeriod {
 		warnings = append(warnings, fmt.Sprintf("the certificate for %v expires on %s", certs.Names(c),
 			c.Leaf.NotAfter.Format(time.DateOnly)))
 	}
--- a/internal/httpproxytransport/exchange.go
+++ b/internal/httpproxytransport/exchange.go
@@ -289,7 +289,7 @@
 	result := x.request.Statuses.Result(res.StatusCode, len(h["Retry-After"]) > 0, notStarted)
 	out := responseWith(result)
 	if used := h["X-Ratelimit-Used"]; len(used) == 1 {
-		out.Usage, out.HasUsage = x.transport.loadReader.Use(used[0])
+		out.Usage, out.HasUsage = x.transport.loadParser.ParseUsage(used[0])
 	}
 	return out
 }
--- a/internal/httpproxytransport/transport.go
+++ b/internal/httpproxytransport/transport.go
@@ -92,7 +92,7 @@
 type Transport struct {
 	config          Config
 	failureLogLimit rate.Sometimes
-	loadReader      loadreport.Reader
+	loadParser      loadreport.Parser
 
 	mu          sync.Mutex
 	byID        map[decision.BackendID]*backend
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -11,12 +11,12 @@
 
 // Comparison compares one figure of B with that of A, in cells that are otherwise the same.
 type Comparison struct {
-	Where    string // levels of the other factors
-	A, B     string // names of levels, or of directories of results
-	Figure   *Figure
-	Result   paired.Comparison
-	Unpaired int   // number of incomplete pairs: a run is missing, failed or lacks the figure
-	Err      error // set if there is no result
+	OtherLevels string // levels of the other factors
+	A, B        string // names of levels, or of directories of results
+	Figure      *Figure
+	Result      paired.Comparison
+	Unpaired    int   // number of incomplete pairs: a run is missing, failed or lacks the figure
+	Err         error // set if there is no result
 }
 
 // Errors of comparisons.
@@ -108,7 +108,7 @@
 	for _, label := range labels {
 		for _, name := range figures {
 			f := FigureByName(name)
-			c := Comparison{Where: label, A: nameA, B: nameB, Figure: f}
+			c := Comparison{OtherLevels: label, A: nameA, B: nameB, Figure: f}
 			var x, y []float64
 			for repetition := range e.Repetitions {
 				rowA, rowB := a[pairKey{label, repetition}], b[pairKey{label, repetition}]
@@ -130,7 +130,7 @@
 
 // figure returns a figure of a run. It is missing in failed runs, and may be missing in runs of an older build.
 func (r *Row) figure(name string) (v float64, has bool) {
-	if r == nil || r.Failed != "" {
+	if r == nil || r.FailureReason != "" {
 		return 0, false
 	}
 	v, has = r.Figures[name]
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -70,12 +70,12 @@
 	if err != nil {
 		return nil, err
 	}
-	top := d.Top()
+	root := d.RootSection()
 	e := &Experiment{
-		Name: top.Text("name", true), Seed: uint64(top.Int("seed", 1, 0, math.MaxInt)),
-		Repetitions: top.Int("repetitions", 10, 1, 100_000), text: text,
+		Name: root.String("name", true), Seed: uint64(root.Int("seed", 1, 0, math.MaxInt)),
+		Repetitions: root.Int("repetitions", 10, 1, 100_000), text: text,
 	}
-	e.Figures = top.Texts("figures")
+	e.Figures = root.Strings("figures")
 	for _, name := range e.Figures {
 		if FigureByName(name) == nil {
 			d.Problemf("", "figures", "%q is none of %s", name, strings.Join(FigureNames(), ", "))
@@ -84,12 +84,12 @@
 	if len(e.Figures) == 0 {
 		e.Figures = defaultFigures
 	}
-	cells, ok := e.parseFactors(d, top)
+	cells, ok := e.parseFactors(d, root)
 	if !ok {
 		return nil, d.Err()
 	}
-	top.Table("region")
-	top.RejectUnknownKeys()
+	root.Table("region")
+	root.RejectUnknownKeys()
 	if err := d.Err(); err != nil {
 		return nil, err
 	}
@@ -107,10 +107,10 @@
 }
 
 // parseFactors reads the factors and returns the number of cells. ok is false if there are too many.
-func (e *Experiment) parseFactors(d *settings.Document, top *settings.Section) (cells int, ok bool) {
+func (e *Experiment) parseFactors(d *settings.Document, root *settings.Section) (cells int, ok bool) {
 	seen := map[string]bool{}
 	cells = 1
-	for _, section := range top.List("factor") {
+	for _, section := range root.List("factor") {
 		factor := parseFactor(d, section, seen)
 		e.Factors = append(e.Factors, factor)
 		if cells *= max(1, len(factor.Levels)); cells > maxCells {
@@ -123,14 +123,14 @@
 
 // parseFactor reads one factor. seen has the names of the factors before it.
 func parseFactor(d *settings.Document, section *settings.Section, seen map[string]bool) Factor {
-	factor := Factor{Name: section.Text("name", true)}
+	factor := Factor{Name: section.String("name", true)}
 	if seen[factor.Name] {
 		d.Problemf(section.Path, "name", "%q is there twice", factor.Name)
 	}
 	seen[factor.Name] = true
 	levels := map[string]bool{}
 	for _, l := range section.List("level") {
-		level := Level{Name: l.Text("name", true)}
+		level := Level{Name: l.String("name", true)}
 		if levels[level.Name] {
 			d.Problemf(l.Path, "name", "%q is there twice", level.Name)
 		}
@@ -220,7 +220,7 @@
 			d.SetLine("region."+key, line)
 		}
 	}
-	readRegion(d, d.Top().Table("region"), &cell.Config, trace)
+	readRegion(d, d.RootSection().Table("region"), &cell.Config, trace)
 	if err := d.Err(); err != nil {
 		return err
 	}
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -36,7 +36,7 @@
 	}
 	row := &Row{
 		Experiment: "0123456789abcdef", Build: "fedcba9876543210", Cell: []string{"module", "a zone is lost"},
-		Repetition: 7, Seed: 1<<63 + 11, Failed: "as a test has it",
+		Repetition: 7, Seed: 1<<63 + 11, FailureReason: "as a test has it",
 	}
 	if err := row.setResult(&res); err != nil {
 		t.Fatal(err)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -249,7 +249,7 @@
 	d := &Dir{path: out}
 	for _, row := range r.Rows {
 		if row.Cell[0] == "the same" {
-			row.Failed, row.Figures, row.Latency = "it panicked: <x> | y", nil, nil
+			row.FailureReason, row.Figures, row.Latency = "it panicked: <x> | y", nil, nil
 			if err := d.Save(row); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/region.go
+++ b/internal/lab/region.go
@@ -30,7 +30,7 @@
 	c.Clients = readClients(s.Table("clients"))
 	arrivals := s.Table("arrivals")
 	c.Arrivals = readArrivals(arrivals)
-	path := arrivals.Text("trace", false)
+	path := arrivals.String("trace", false)
 	arrivals.RejectUnknownKeys()
 	readSettings(s, c)
 	for _, f := range s.List("fault") {
@@ -78,7 +78,7 @@
 	}
 	b.Cells = s.Int("cells", max(1, b.Count/8), 1, 100_000)
 	shape := s.OneOf("service", "exponential", "constant", "exponential", "lognormal", "pareto")
-	b.Service = emulator.Distribution{
+	b.ServiceTime = emulator.Distribution{
 		Shape:  emulator.Shape(shape),
 		Mean:   s.Duration("mean", 40*time.Millisecond, time.Microsecond, time.Hour),
 		Spread: s.Float("spread", 0, 0, 100),
@@ -182,7 +182,7 @@
 func readClass(s *settings.Section) (decision.Class, emulator.Share) {
 	defer s.RejectUnknownKeys()
 	class := decision.Class{
-		Name:             s.Text("name", true),
+		Name:             s.String("name", true),
 		Idempotency:      decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe")),
 		DedupScope:       decision.DedupScope(s.OneOf("group", "all", "all", "zone", "cell")),
 		DedupWindow:      s.Duration("key_window", 0, 0, day),
@@ -198,7 +198,7 @@
 func readPlan(s *settings.Section) (decision.Plan, emulator.Share) {
 	defer s.RejectUnknownKeys()
 	plan := decision.Plan{
-		Name:                  s.Text("name", true),
+		Name:                  s.String("name", true),
 		Rate:                  s.Float("rate", 0, 0, unbounded),
 		Burst:                 s.Float("burst", 0, 0, unbounded),
 		Price:                 s.Float("price", 1, 0, unbounded),
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -83,7 +83,7 @@
 		}
 	}
 	for _, row := range r.Rows {
-		if row.Failed != "" {
+		if row.FailureReason != "" {
 			out.Failed++
 		}
 		if !slices.Contains(out.Builds, row.Build) {
@@ -122,7 +122,7 @@
 			s.Levels = append(s.Levels, summary)
 		}
 		for _, comparison := range comparisons {
-			if comparison.Where == label {
+			if comparison.OtherLevels == label {
 				s.Comparisons = append(s.Comparisons, comparison)
 			}
 		}
@@ -141,10 +141,10 @@
 		if !include(row.Cell) {
 			continue
 		}
-		if row.Failed != "" {
+		if row.FailureReason != "" {
 			l.Failed++
 			if l.FirstFailure == "" {
-				l.FirstFailure = row.Failed
+				l.FirstFailure = row.FailureReason
 			}
 			continue
 		}
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -20,18 +20,18 @@
 
 // Row is the result of one run. Its tags define the stored file.
 type Row struct {
-	Experiment string             `json:"experiment"` // digest of the experiment
-	Build      string             `json:"build"`      // checksum of the executable that made the run
-	Cell       []string           `json:"cell"`       // name of each factor's level
-	Repetition int                `json:"repetition"`
-	Seed       uint64             `json:"seed"`
-	Failed     string             `json:"failed,omitempty"` // reason if the run failed; then the fields below are empty
-	Figures    map[string]float64 `json:"figures,omitempty"`
-	Counts     emulator.Counts    `json:"counts"`
-	Latency    []byte             `json:"latency,omitempty"` // compressed HDR histogram, in microseconds
-	OutOfRange int                `json:"beyond"`            // latencies above the histogram's range
-	Seconds    []emulator.Second  `json:"seconds,omitempty"`
-	Events     uint64             `json:"events"`
+	Experiment    string             `json:"experiment"` // digest of the experiment
+	Build         string             `json:"build"`      // checksum of the executable that made the run
+	Cell          []string           `json:"cell"`       // name of each factor's level
+	Repetition    int                `json:"repetition"`
+	Seed          uint64             `json:"seed"`
+	FailureReason string             `json:"failed,omitempty"` // if the run failed; then the fields below are empty
+	Figures       map[string]float64 `json:"figures,omitempty"`
+	Counts        emulator.Counts    `json:"counts"`
+	Latency       []byte             `json:"latency,omitempty"` // compressed HDR histogram, in microseconds
+	OutOfRange    int                `json:"beyond"`            // latencies above the histogram's range
+	Seconds       []emulator.Second  `json:"seconds,omitempty"`
+	Events        uint64             `json:"events"`
 }
 
 // setResult sets the fields that come from the run's result.
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -68,7 +68,7 @@
 func existingRuns(results *Results, dir, build string) (map[string]bool, error) {
 	existing := map[string]bool{}
 	for _, r := range results.Rows {
-		if r.Failed != "" {
+		if r.FailureReason != "" {
 			continue
 		}
 		if r.Build != build {
@@ -152,7 +152,7 @@
 		return false
 	}
 	if err != nil {
-		row.Failed = err.Error()
+		row.FailureReason = err.Error()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,7 +160,7 @@
 		r.err = err
 	}
 	r.summary.Completed++
-	if row.Failed != "" {
+	if row.FailureReason != "" {
 		r.summary.Failed++
 	}
 	if r.options.OnRun != nil {
--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -16,7 +16,7 @@
 	}
 	kind := summary(10)
 	r := &Result{
-		Plan: "plan", Target: "target", Seed: 1, Duration: 2, Partial: true, Sent: 3, Dropped: 4, Retries: 5,
+		Plan: "plan", Target: "target", Seed: 1, Duration: 2, Partial: true, Scheduled: 3, Dropped: 4, Retries: 5,
 		Good: 6, Bytes: 7, Outcomes: map[string]int{"200": 8}, Kinds: map[string]*LatencySummary{"kind": &kind},
 		All: summary(20), Served: summary(30), LagP99: 9, Invalid: "why",
 	}
--- a/internal/load/json_test.go
+++ b/internal/load/json_test.go
@@ -12,7 +12,7 @@
 		Count: 1, Beyond: 2, Mean: 3, P50: 4, P90: 5, P99: 6, P999: 7, Max: 8, Histogram: []byte("h"),
 	}
 	r := &Result{
-		Plan: "desk", Target: "127.0.0.1:1", Seed: 9, Duration: time.Second, Partial: true, Sent: 10, Dropped: 11,
+		Plan: "desk", Target: "127.0.0.1:1", Seed: 9, Duration: time.Second, Partial: true, Scheduled: 10, Dropped: 11,
 		Retries: 12, Good: 13, Bytes: 14, Outcomes: map[string]int{"200": 15},
 		Kinds: map[string]*LatencySummary{"look": &summary}, All: LatencySummary{Count: 16},
 		Served: LatencySummary{Count: 17}, LagP99: 18, Invalid: "late",
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -74,9 +74,11 @@
 	})
 	p := mustParse(t, "rate = 500\narrivals = \"even\"\nduration = \"1500ms\"\nconnections = 400\n"+lookRequest)
 	r := runPlan(t, p, addr)
-	if r.Sent < 740 || r.Sent > 750 || r.Good != r.Sent || r.Outcomes["200"] != r.Sent || r.Partial {
-		t.Fatalf("sent %d, good %d, partial %t, outcomes %v; want 740 to 750 sent, all of them good with 200, not partial",
-			r.Sent, r.Good, r.Partial, r.Outcomes)
+	if r.Scheduled < 740 || r.Scheduled > 750 || r.Good != r.Scheduled || r.Outcomes["200"] != r.Scheduled ||
+		r.Partial {
+		t.Fatalf("scheduled %d, good %d, partial %t, outcomes %v; "+
+			"want 740 to 750 scheduled, all of them good with 200, not partial",
+			r.Scheduled, r.Good, r.Partial, r.Outcomes)
 	}
 	t.Logf("%v, lag %v", r, r.LagP99)
 	if r.Invalid == "" && !withinTolerance(r.All.P50, delay, r.LagP99) {
@@ -197,11 +199,11 @@
 	for _, count := range r.Outcomes {
 		total += count
 	}
-	if total != r.Sent || r.All.Count != int64(r.Sent) || r.Outcomes["timed out"] == 0 || r.Dropped == 0 ||
+	if total != r.Scheduled || r.All.Count != int64(r.Scheduled) || r.Outcomes["timed out"] == 0 || r.Dropped == 0 ||
 		r.Outcomes["no room"] != r.Dropped || r.All.P90 < 290*time.Millisecond || r.Good > 60 {
-		t.Errorf("%d sent, %d with outcomes %v, %d latencies, want all the same, with some timed out; "+
+		t.Errorf("%d scheduled, %d with outcomes %v, %d latencies, want all the same, with some timed out; "+
 			"%d dropped, want as many as no room and not 0; p90 %v, want at least 290ms; %d good, want at most 60",
-			r.Sent, total, r.Outcomes, r.All.Count, r.Dropped, r.All.P90, r.Good)
+			r.Scheduled, total, r.Outcomes, r.All.Count, r.Dropped, r.All.P90, r.Good)
 	}
 }
 
@@ -222,7 +224,7 @@
 	})
 	p = mustParse(t, "rate = 200\nduration = \"1h\"\nmost_lag = \"10s\"\n"+lookRequest)
 	r, err := Run(ctx, p, Options{Target: addr})
-	if err != nil || !r.Partial || r.Invalid != "" || r.Good < 20 || r.Good != r.Sent {
+	if err != nil || !r.Partial || r.Invalid != "" || r.Good < 20 || r.Good != r.Scheduled {
 		t.Errorf("a run that was ended early: %v, %v; want a valid partial result with 20 or more requests, all good", r, err)
 	}
 	text, err := r.JSON()
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -103,13 +103,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s := d.Top()
+	s := d.RootSection()
 	p := parsePlan(s)
 	if p.ZipfExponent > 0 && p.ZipfExponent <= 1 {
 		s.Problemf("zipf", "%v is not above 1, and not 0 for equally popular customers", p.ZipfExponent)
 	}
 	for _, e := range s.List("plan") {
-		p.Plans = append(p.Plans, Share{e.Text("name", true), e.Float("share", 1, 0, 1e6)})
+		p.Plans = append(p.Plans, Share{e.String("name", true), e.Float("share", 1, 0, 1e6)})
 		e.RejectUnknownKeys()
 	}
 	if len(p.Plans) == 0 {
@@ -134,7 +134,7 @@
 // parsePlan reads the keys at the top level of the file.
 func parsePlan(s *settings.Section) *Plan {
 	return &Plan{
-		Name:             s.Text("name", true),
+		Name:             s.String("name", true),
 		Seed:             uint64(s.Int("seed", 1, 0, math.MaxInt)),
 		Rate:             s.Float("rate", 100, 1e-3, 1e6),
 		EvenArrivals:     s.OneOf("arrivals", "poisson", "poisson", "even") == 1,
@@ -155,13 +155,13 @@
 // parseKind reads one [[request]] table.
 func parseKind(e *settings.Section) RequestKind {
 	k := RequestKind{
-		Name:           e.Text("name", true),
+		Name:           e.String("name", true),
 		Weight:         e.Float("share", 1, 0, 1e6),
 		GRPC:           e.OneOf("protocol", "http", "http", "grpc") == 1,
-		Path:           e.Text("path", true),
-		Body:           e.Text("body", false),
+		Path:           e.String("path", true),
+		Body:           e.String("body", false),
 		RepeatKeyShare: e.Float("repeat_key", 0, 0, 1),
-		Method:         e.Text("method", false),
+		Method:         e.String("method", false),
 	}
 	if k.Method == "" && k.Body != "" {
 		k.Method = http.MethodPost
@@ -180,7 +180,7 @@
 			k.Path = "/" + k.Name
 		}
 	}
-	for _, field := range e.Texts("headers") {
+	for _, field := range e.Strings("headers") {
 		name, value, ok := strings.Cut(field, ":")
 		if !ok || strings.TrimSpace(name) == "" {
 			e.Problemf("headers", "%q is not of the form NAME: VALUE", field)
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -15,28 +15,28 @@
 // Result is the result of a run. Latencies count from the time at which a request was due. The tags are the keys of the
 // result file.
 type Result struct {
-	Plan     string                     `json:"Plan"`
-	Target   string                     `json:"Target"`
-	Seed     uint64                     `json:"Seed"`
-	Duration time.Duration              `json:"Took"`
-	Partial  bool                       `json:"Partial"` // the run was ended before its plan was done
-	Sent     int                        `json:"Asked"`   // requests that were due, including the dropped ones
-	Dropped  int                        `json:"Lost"`    // not sent, as MaxOpen were in flight; in All with the timeout
-	Retries  int                        `json:"Retries"`
-	Good     int                        `json:"Good"`    // requests with a successful response
-	Bytes    int64                      `json:"Bytes"`   // length of the bodies of final responses
-	Outcomes map[string]int             `json:"By"`      // requests by final status or error
-	Kinds    map[string]*LatencySummary `json:"Kinds"`   // by RequestKind.Name
-	All      LatencySummary             `json:"All"`     // of all requests
-	Served   LatencySummary             `json:"Served"`  // of the requests that Good counts
-	LagP99   time.Duration              `json:"LagP99"`  // 99th percentile of how late requests were sent
-	Invalid  string                     `json:"Invalid"` // why the run says nothing about its target; empty if it is valid
+	Plan      string                     `json:"Plan"`
+	Target    string                     `json:"Target"`
+	Seed      uint64                     `json:"Seed"`
+	Duration  time.Duration              `json:"Took"`
+	Partial   bool                       `json:"Partial"` // the run was ended before its plan was done
+	Scheduled int                        `json:"Asked"`   // requests that were due, including the dropped ones
+	Dropped   int                        `json:"Lost"`    // not sent as MaxOpen were in flight; in All with the timeout
+	Retries   int                        `json:"Retries"`
+	Good      int                        `json:"Good"`    // requests with a successful response
+	Bytes     int64                      `json:"Bytes"`   // length of the bodies of final responses
+	Outcomes  map[string]int             `json:"By"`      // requests by final status or error
+	Kinds     map[string]*LatencySummary `json:"Kinds"`   // by RequestKind.Name
+	All       LatencySummary             `json:"All"`     // of all requests
+	Served    LatencySummary             `json:"Served"`  // of the requests that Good counts
+	LagP99    time.Duration              `json:"LagP99"`  // 99th percentile of how late requests were sent
+	Invalid   string                     `json:"Invalid"` // why the run says nothing about its target; empty if valid
 
 	mu          sync.Mutex
 	plan        *Plan
-	lag         *hdrhistogram.Histogram         // how late requests were sent, in microseconds
-	sinceReport struct{ sent, ended, good int } // requests since the last progress line
-	lastReport  time.Time                       // when that line was written
+	lag         *hdrhistogram.Histogram              // how late requests were sent, in microseconds
+	sinceReport struct{ scheduled, ended, good int } // requests since the last progress line
+	lastReport  time.Time                            // when that line was written
 }
 
 // LatencySummary summarizes latencies. The tags are keys of the result file.
@@ -90,18 +90,18 @@
 	return r
 }
 
-// recordSent counts a request that is due. lag is how late it is sent.
-func (r *Result) recordSent(lag time.Duration) {
+// recordScheduled counts a request that is due. lag is how late it is sent.
+func (r *Result) recordScheduled(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Sent++
-	r.sinceReport.sent++
+	r.Scheduled++
+	r.sinceReport.scheduled++
 	_ = r.lag.RecordValue(max(1, lag.Microseconds())) // fails above an hour, which exceeds any MaxLag
 }
 
 // recordDropped counts a request that was due and is not sent.
 func (r *Result) recordDropped(request *Request, lag time.Duration) {
-	r.recordSent(lag)
+	r.recordScheduled(lag)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Dropped++
@@ -138,13 +138,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.sinceReport
-	r.sinceReport.sent, r.sinceReport.ended, r.sinceReport.good = 0, 0, 0
+	r.sinceReport.scheduled, r.sinceReport.ended, r.sinceReport.good = 0, 0, 0
 	since := time.Since(r.lastReport).Seconds()
 	r.lastReport = time.Now()
 	ended := r.All.histogram.TotalCount() + r.All.Beyond - int64(r.Dropped)
-	open := int64(r.Sent-r.Dropped) - ended
+	open := int64(r.Scheduled-r.Dropped) - ended
 	return fmt.Sprintf("due %.0f/s  completed %.0f/s  good %.0f/s  in flight %d  dropped %d  p50 %v  p99 %v  lag p99 %v",
-		float64(s.sent)/since, float64(s.ended)/since, float64(s.good)/since, open, r.Dropped,
+		float64(s.scheduled)/since, float64(s.ended)/since, float64(s.good)/since, open, r.Dropped,
 		quantile(r.All.histogram, 50), quantile(r.All.histogram, 99), quantile(r.lag, 99))
 }
 
@@ -170,7 +170,7 @@
 		}
 	}
 	switch {
-	case r.Sent == 0:
+	case r.Scheduled == 0:
 		r.Invalid = "no request was due"
 	case r.LagP99 > r.plan.MaxLag:
 		r.Invalid = fmt.Sprintf("the load generator could not keep its schedule: the 99th percentile of the sending lag "+
@@ -188,7 +188,7 @@
 func (r *Result) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "plan %s, target %s: %d requests in %.1f s, %d good, %d retries, %d dropped\n",
-		r.Plan, r.Target, r.Sent, r.Duration.Seconds(), r.Good, r.Retries, r.Dropped)
+		r.Plan, r.Target, r.Scheduled, r.Duration.Seconds(), r.Good, r.Retries, r.Dropped)
 	for _, status := range slices.Sorted(maps.Keys(r.Outcomes)) {
 		fmt.Fprintf(&b, "  %-16s %d\n", status, r.Outcomes[status])
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -94,7 +94,7 @@
 			r.result.recordDropped(&request, lag)
 			continue
 		}
-		r.result.recordSent(lag)
+		r.result.recordScheduled(lag)
 		sending.Go(func() {
 			defer func() { <-r.slots }()
 			r.runRequest(&request)
--- a/internal/loadreport/readings.go
+++ b/internal/loadreport/readings.go
@@ -14,47 +14,47 @@
 	maxLoadValue    = 1e300  // above any plausible value; a report with a higher one is ignored
 )
 
-// Reader parses reports with a given set of load columns. It is safe for concurrent use.
-type Reader struct{ columns, aliases []string }
+// Parser parses reports with a given set of load columns. It is safe for concurrent use.
+type Parser struct{ columns, aliases []string }
 
 // columnAliases maps the column names of the settings to those of the example on the protocol page.
 // Backends may use either.
 var columnAliases = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util",
 	"mean_ms": "latency_ms", "tps": "qps", "err_ps": "eps"}
 
-// New returns a Reader for the load columns that the settings name. Without columns, there are no load
+// New returns a Parser for the load columns that the settings name. Without columns, there are no load
 // reports.
-func New(loadColumns []string) Reader {
-	var r Reader
+func New(loadColumns []string) Parser {
+	var p Parser
 	for _, name := range loadColumns {
-		r.columns, r.aliases = append(r.columns, name), append(r.aliases, columnAliases[name])
+		p.columns, p.aliases = append(p.columns, name), append(p.aliases, columnAliases[name])
 	}
-	return r
+	return p
 }
 
 // HasLoad reports whether the settings name load columns.
-func (r Reader) HasLoad() bool { return len(r.columns) > 0 }
+func (p Parser) HasLoad() bool { return len(p.columns) > 0 }
 
-// Use parses a customer's usage, in percent of its rate.
-func (r Reader) Use(text string) (percent float64, ok bool) {
+// ParseUsage parses a customer's usage, in percent of its rate.
+func (p Parser) ParseUsage(text string) (percent float64, ok bool) {
 	v, err := strconv.ParseFloat(text, 64)
 	return v, err == nil && v >= 0 && v <= maxUsagePercent
 }
 
-// Load parses a load report such as "queue=2,qps=31". It returns the values in the order of the
+// ParseLoad parses a load report such as "queue=2,qps=31". It returns the values in the order of the
 // columns, or nil if the report is invalid or lacks a column.
-func (r Reader) Load(text string) []float64 {
-	if text == "" || len(r.columns) == 0 {
+func (p Parser) ParseLoad(text string) []float64 {
+	if text == "" || len(p.columns) == 0 {
 		return nil
 	}
-	load := make([]float64, len(r.columns))
+	load := make([]float64, len(p.columns))
 	for i := range load {
 		load[i] = -1 // not read yet
 	}
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		for i, column := range r.columns {
-			if name == column || name == r.aliases[i] && name != "" {
+		for i, column := range p.columns {
+			if name == column || name == p.aliases[i] && name != "" {
 				v, err := strconv.ParseFloat(value, 64)
 				if err != nil || !(v >= 0) || v > maxLoadValue || load[i] >= 0 {
 					return nil
--- a/internal/loadreport/readings_test.go
+++ b/internal/loadreport/readings_test.go
@@ -6,7 +6,7 @@
 )
 
 // Backends may name the columns of a report as the settings do, or as the example on the protocol page does.
-func TestLoad_AcceptsAliases(t *testing.T) {
+func TestParseLoad_AcceptsAliases(t *testing.T) {
 	for _, c := range []struct {
 		columns []string
 		text    string
@@ -24,8 +24,8 @@
 		{[]string{"depth"}, "=2", nil},
 		{nil, "depth=2", nil},
 	} {
-		if got := New(c.columns).Load(c.text); !slices.Equal(got, c.want) {
-			t.Errorf("Load of %q with columns %v returned %v, want %v", c.text, c.columns, got, c.want)
+		if got := New(c.columns).ParseLoad(c.text); !slices.Equal(got, c.want) {
+			t.Errorf("ParseLoad of %q with columns %v returned %v, want %v", c.text, c.columns, got, c.want)
 		}
 	}
 }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -73,24 +73,24 @@
 		return File{}, err
 	}
 	var f File
-	top := d.Top()
-	f.Listen = top.Text("listen", true)
+	root := d.RootSection()
+	f.Listen = root.String("listen", true)
 	if f.Listen != "" {
-		checkAddress(top, "listen", f.Listen)
+		checkAddress(root, "listen", f.Listen)
 	}
-	readGateway(top.Table("door"), &f)
-	readServices(top, &f)
-	readClasses(d, top, &f)
-	readPlans(d, top, &f)
-	readSources(d, top, &f)
-	readHTTP(d, top, &f)
-	if s := top.Table("grpc"); s.Keys != nil {
+	readGateway(root.Table("door"), &f)
+	readServices(root, &f)
+	readClasses(d, root, &f)
+	readPlans(d, root, &f)
+	readSources(d, root, &f)
+	readHTTP(d, root, &f)
+	if s := root.Table("grpc"); s.Keys != nil {
 		f.GRPC = readGRPC(s, &f)
 	}
-	if s := top.Table("keys"); s.Keys != nil {
+	if s := root.Table("keys"); s.Keys != nil {
 		f.Gateway.Idempotency = readIdempotencyKeys(s, &f)
 	}
-	top.RejectUnknownKeys()
+	root.RejectUnknownKeys()
 	if err := d.Err(); err != nil {
 		return File{}, err
 	}
@@ -133,7 +133,7 @@
 // service, or defaultProtocol if no service is given.
 func readServiceProtocol(s *settings.Section, f *File, defaultProtocol string) string {
 	const key = "service"
-	name := s.Text(key, false)
+	name := s.String(key, false)
 	if name == "" {
 		return defaultProtocol
 	}
@@ -156,7 +156,7 @@
 	if set.GatewayIndex >= set.GatewayCount {
 		s.Problemf("number", "%d is not below of = %d: gateways are numbered from 0", set.GatewayIndex, set.GatewayCount)
 	}
-	set.Zone = s.Text("zone", false)
+	set.Zone = s.String("zone", false)
 	set.MaxAttempts = s.Int("max_attempts", 3, 1, 16)
 	set.CanCancel = s.Bool("cancel", true)
 	set.MaxRetryAfter = s.Duration("max_retry_after", time.Second, 0, time.Hour)
@@ -196,11 +196,11 @@
 
 // readClasses reads [[class]], after services: a class replaces the class of a service with the same
 // name. Classes whose idempotency is by method are split into their variants.
-func readClasses(d *settings.Document, top *settings.Section, f *File) {
+func readClasses(d *settings.Document, root *settings.Section, f *File) {
 	set := &f.Gateway.Settings
 	seen := map[string]bool{}
-	for _, s := range top.List("class") {
-		c := class{Class: readClass(s, s.Text("name", true))}
+	for _, s := range root.List("class") {
+		c := class{Class: readClass(s, s.String("name", true))}
 		checkUniqueName(seen, s, c.Name)
 		_, hasIdempotency := s.Get("effect")
 		c.byMethod = f.HTTP != nil && !hasIdempotency
@@ -229,11 +229,11 @@
 }
 
 // readPlans reads [[plan]]. A file with services and without plans gets one plan that has no quota.
-func readPlans(d *settings.Document, top *settings.Section, f *File) {
+func readPlans(d *settings.Document, root *settings.Section, f *File) {
 	set := &f.Gateway.Settings
 	seen := map[string]bool{}
-	for _, s := range top.List("plan") {
-		p := decision.Plan{Name: s.Text("name", true)}
+	for _, s := range root.List("plan") {
+		p := decision.Plan{Name: s.String("name", true)}
 		checkUniqueName(seen, s, p.Name)
 		p.Rate = s.Float("rate", 0, 0, unbounded)
 		p.Burst = s.Float("burst", 0, 0, unbounded)
--- a/internal/operatorconfig/grpc.go
+++ b/internal/operatorconfig/grpc.go
@@ -18,7 +18,7 @@
 
 // readGRPC reads [grpc], after classes.
 func readGRPC(s *settings.Section, f *File) *GRPC {
-	g := &GRPC{Listen: s.Text("listen", true)}
+	g := &GRPC{Listen: s.String("listen", true)}
 	if g.Listen != "" {
 		checkAddress(s, "listen", g.Listen)
 	}
@@ -45,7 +45,7 @@
 	readName := func(key, defaultName string) string {
 		name := defaultName
 		if _, ok := s.Get(key); ok {
-			name = s.Text(key, false)
+			name = s.String(key, false)
 		}
 		if err := grpcproxy.ValidateMetadataName(name); err != nil {
 			s.Problemf(key, "%v", err)
@@ -77,8 +77,8 @@
 func readMethods(s *settings.Section, f *File) map[string]grpcproxy.Method {
 	methods := map[string]grpcproxy.Method{}
 	for _, e := range s.List("method") {
-		name := e.Text("name", true)
-		method := grpcproxy.Method{Class: e.Text("class", true), Streaming: e.Bool("streaming", false)}
+		name := e.String("name", true)
+		method := grpcproxy.Method{Class: e.String("class", true), Streaming: e.Bool("streaming", false)}
 		if err := grpcproxy.ValidateMethod(name); name != "" && err != nil {
 			e.Problemf("name", "%v", err)
 		}
--- a/internal/operatorconfig/http.go
+++ b/internal/operatorconfig/http.go
@@ -19,9 +19,9 @@
 	Proxy         httpproxy.Config // without Rules, which need the files
 	Services      []Service
 	Routes        []routes.Rule[*httpproxy.Route]
-	Table         *routes.Table[*httpproxy.Route] // of Routes
+	RouteTable    *routes.Table[*httpproxy.Route] // of Routes
 	Identities    []Identity
-	Trusted       []netip.Prefix // peers whose headers about their clients are believed
+	TrustedPeers  []netip.Prefix // peers whose headers about their clients are believed
 	RemoveHeaders []string       // header fields that are not forwarded
 	TLS           *TLS           // of the listener; nil: plain text
 }
@@ -42,9 +42,9 @@
 
 // The values of TLS.ClientAuth, as the file names them.
 const (
-	ClientAuthNone    = "none"    // clients are not asked for a certificate
-	ClientAuthAsk     = "ask"     // clients may have a certificate, which is verified
-	ClientAuthRequire = "require" // clients without a valid certificate are rejected
+	ClientAuthNone     = "none"    // clients are not asked for a certificate
+	ClientAuthOptional = "ask"     // clients may have a certificate, which is verified
+	ClientAuthRequire  = "require" // clients without a valid certificate are rejected
 )
 
 // TLS is the [tls] section, which configures the listener.
@@ -64,23 +64,23 @@
 }
 
 // readHTTP reads the configuration of ordinary HTTP, after services, classes and plans.
-func readHTTP(d *settings.Document, top *settings.Section, f *File) {
+func readHTTP(d *settings.Document, root *settings.Section, f *File) {
 	if f.HTTP == nil {
 		for _, key := range []string{"route", "identity", "http", "tls"} {
-			if _, ok := top.Get(key); ok {
+			if _, ok := root.Get(key); ok {
 				d.Problemf("", key, "it is of no use without a [[service]]")
 			}
 		}
 		return
 	}
-	readProxy(top.Table("http"), f.HTTP)
+	readProxy(root.Table("http"), f.HTTP)
 	var plans []string
 	for _, plan := range f.Gateway.Settings.Plans {
 		plans = append(plans, plan.Name)
 	}
-	readRoutes(d, top, f)
-	readIdentities(top, f.HTTP, plans)
-	if s := top.Table("tls"); s.Keys != nil {
+	readRoutes(d, root, f)
+	readIdentities(root, f.HTTP, plans)
+	if s := root.Table("tls"); s.Keys != nil {
 		f.HTTP.TLS = readTLS(s)
 	}
 	noClientCerts := f.HTTP.TLS == nil || f.HTTP.TLS.ClientAuth == ClientAuthNone
@@ -95,10 +95,10 @@
 // readProxy reads [http].
 func readProxy(s *settings.Section, h *HTTP) {
 	c := &h.Proxy
-	h.Trusted = readTrusted(s)
+	h.TrustedPeers = readTrustedPeers(s)
 	styles := []httpproxy.ForwardedStyle{httpproxy.XForwarded, httpproxy.Forwarded, httpproxy.ForwardedNone}
 	c.ForwardedStyle = styles[s.OneOf("forwarded", "x-forwarded", "x-forwarded", "rfc7239", "none")]
-	if c.Via = s.Text("via", false); c.Via != "" && !http1proxy.IsHeaderName(c.Via) {
+	if c.Via = s.String("via", false); c.Via != "" && !http1proxy.IsHeaderName(c.Via) {
 		s.Problemf("via", "%q is no pseudonym that Via can hold", c.Via)
 	}
 	c.TimeoutHeader = readHeaderName(s, "timeout_header", "")
@@ -112,10 +112,10 @@
 	s.RejectUnknownKeys()
 }
 
-// readTrusted reads the IP addresses and prefixes of peers whose headers about their clients are
+// readTrustedPeers reads the IP addresses and prefixes of peers whose headers about their clients are
 // believed.
-func readTrusted(s *settings.Section) (trusted []netip.Prefix) {
-	for _, text := range s.Texts("trusted") {
+func readTrustedPeers(s *settings.Section) (trusted []netip.Prefix) {
+	for _, text := range s.Strings("trusted") {
 		prefix, err := netip.ParsePrefix(text)
 		if addr, addrErr := netip.ParseAddr(text); addrErr == nil {
 			prefix, err = netip.PrefixFrom(addr, addr.BitLen()), nil
@@ -133,17 +133,17 @@
 func readHeaderName(s *settings.Section, key, defaultName string) string {
 	name := defaultName
 	if _, ok := s.Get(key); ok {
-		name = s.Text(key, false)
+		name = s.String(key, false)
 	}
 	return headerName(s, key, name)
 }
 
 // readTLS reads [tls].
 func readTLS(s *settings.Section) *TLS {
-	clientAuths := []string{ClientAuthNone, ClientAuthAsk, ClientAuthRequire}
+	clientAuths := []string{ClientAuthNone, ClientAuthOptional, ClientAuthRequire}
 	t := &TLS{
 		Location:       locationOf(s),
-		ClientCAFile:   s.Text("client_ca_file", false),
+		ClientCAFile:   s.String("client_ca_file", false),
 		AllowTLS12:     s.OneOf("min", "1.3", "1.3", "1.2") == 1,
 		ClientAuth:     clientAuths[s.OneOf("client_auth", ClientAuthNone, clientAuths...)],
 		ReloadInterval: s.Duration("reload_every", 10*time.Second, 10*time.Millisecond, day),
@@ -152,8 +152,8 @@
 		s.Problemf("client_auth", "client_ca_file and a client_auth of ask or require go together")
 	}
 	for _, e := range s.List("certificate") {
-		t.Certificates = append(t.Certificates, Certificate{locationOf(e), e.Text("cert_file", true),
-			e.Text("key_file", true)})
+		t.Certificates = append(t.Certificates, Certificate{locationOf(e), e.String("cert_file", true),
+			e.String("key_file", true)})
 		e.RejectUnknownKeys()
 	}
 	if len(t.Certificates) == 0 {
--- a/internal/operatorconfig/idempotency.go
+++ b/internal/operatorconfig/idempotency.go
@@ -34,7 +34,7 @@
 
 // readJournal reads the configuration of the journal of idempotency keys. nil means no journal.
 func readJournal(s *settings.Section) *pumicecroft.IdempotencyJournal {
-	dir := s.Text("journal", false)
+	dir := s.String("journal", false)
 	if dir == "" {
 		for _, key := range []string{"journal_gather", "journal_sync", "journal_patience", "journal_down"} {
 			if _, ok := s.Get(key); ok {
--- a/internal/operatorconfig/identities.go
+++ b/internal/operatorconfig/identities.go
@@ -51,8 +51,8 @@
 
 // readIdentities reads [[identity]], after plans. Without identities, customers are identified by
 // their address and have the first plan.
-func readIdentities(top *settings.Section, h *HTTP, plans []string) {
-	list := top.List("identity")
+func readIdentities(root *settings.Section, h *HTTP, plans []string) {
+	list := root.List("identity")
 	for i, s := range list {
 		r := identityReader{section: s, http: h, plans: plans}
 		r.identity.Location = locationOf(s)
@@ -60,7 +60,7 @@
 		if _, ok := s.Get("kind"); !ok {
 			s.Problemf("kind", "it is missing: one of %s", strings.Join(identityKinds, ", "))
 		}
-		if r.identity.Name = s.Text("name", false); r.identity.Name == "" {
+		if r.identity.Name = s.String("name", false); r.identity.Name == "" {
 			r.identity.Name = fmt.Sprintf("%s %d", r.identity.Kind, i)
 		}
 		switch r.identity.Kind {
@@ -102,7 +102,7 @@
 
 // readPlan reads the default plan, for requests whose credential names none.
 func (r *identityReader) readPlan(required bool) {
-	r.identity.Plan = r.section.Text("plan", required)
+	r.identity.Plan = r.section.String("plan", required)
 	if r.identity.Plan != "" && !slices.Contains(r.plans, r.identity.Plan) {
 		r.section.Problemf("plan", "there is no plan %q", r.identity.Plan)
 	}
@@ -110,7 +110,7 @@
 
 // readHeaderName reads the name of a header field.
 func (r *identityReader) readHeaderName(key, defaultName string, required bool) string {
-	name := r.section.Text(key, required && defaultName == "")
+	name := r.section.String(key, required && defaultName == "")
 	if name == "" {
 		name = defaultName
 	}
@@ -127,8 +127,8 @@
 
 func (r *identityReader) readKey() {
 	r.identity.Header = r.readHeaderName("header", "X-Api-Key", true)
-	r.identity.Scheme = r.section.Text("scheme", false)
-	r.identity.File = r.section.Text("file", true)
+	r.identity.Scheme = r.section.String("scheme", false)
+	r.identity.File = r.section.String("file", true)
 	r.readRemoveHeader(true)
 }
 
@@ -138,7 +138,7 @@
 	r.identity.CostHeader = r.readHeaderName("units_header", "", false)
 	r.identity.HexCustomers = r.section.Bool("hex", false)
 	r.readPlan(r.identity.PlanSource == "")
-	if len(r.http.Trusted) == 0 {
+	if len(r.http.TrustedPeers) == 0 {
 		r.section.Problemf("kind", "nobody is trusted to set a header: [http] trusted is missing")
 	}
 }
@@ -147,7 +147,7 @@
 	r.identity.CertName = identity.CertNameSource(r.section.OneOf("customer", "cn", "cn", "dns", "uri", "key"))
 	r.identity.PlanByCustomer = map[string]string{}
 	r.readPlan(false)
-	for _, text := range r.section.Texts("plans") {
+	for _, text := range r.section.Strings("plans") {
 		name, plan, ok := strings.Cut(text, "=")
 		if !ok || !slices.Contains(r.plans, plan) {
 			r.section.Problemf("plans", "%q is not NAME=PLAN with a configured plan", text)
@@ -162,11 +162,11 @@
 func (r *identityReader) readToken() {
 	s := r.section
 	r.identity.Header = r.readHeaderName("header", "Authorization", true)
-	r.identity.Scheme = s.Text("scheme", false)
+	r.identity.Scheme = s.String("scheme", false)
 	if r.identity.Scheme == "" && r.identity.Header == "Authorization" {
 		r.identity.Scheme = "Bearer"
 	}
-	r.identity.Algorithms = s.Texts("algorithms")
+	r.identity.Algorithms = s.Strings("algorithms")
 	if len(r.identity.Algorithms) == 0 {
 		s.Problemf("algorithms", "it is missing: the algorithms with which tokens are signed, such as [\"ES256\"]")
 	}
@@ -175,15 +175,15 @@
 			s.Problemf("algorithms", "%v", err)
 		}
 	}
-	keysFile, secretFile := s.Text("keys_file", false), s.Text("secret_file", false)
+	keysFile, secretFile := s.String("keys_file", false), s.String("secret_file", false)
 	if (keysFile == "") == (secretFile == "") {
 		s.Problemf("keys_file", "either keys_file, with public keys in PEM, or secret_file")
 	}
 	r.identity.File, r.identity.SharedSecret = keysFile+secretFile, secretFile != ""
-	r.identity.Issuer = s.Text("issuer", false)
-	r.identity.Audience = s.Text("audience", true)
-	r.identity.CustomerClaim = s.Text("customer", false)
-	r.identity.PlanSource = s.Text("plan_claim", false)
+	r.identity.Issuer = s.String("issuer", false)
+	r.identity.Audience = s.String("audience", true)
+	r.identity.CustomerClaim = s.String("customer", false)
+	r.identity.PlanSource = s.String("plan_claim", false)
 	r.identity.Leeway = s.Duration("leeway", 0, 0, time.Hour)
 	r.readPlan(r.identity.PlanSource == "")
 	r.readRemoveHeader(false)
--- a/internal/operatorconfig/routes.go
+++ b/internal/operatorconfig/routes.go
@@ -18,16 +18,16 @@
 
 // readRoutes reads [[route]], after services and classes. Without routes, all requests go to the only
 // service.
-func readRoutes(d *settings.Document, top *settings.Section, f *File) {
+func readRoutes(d *settings.Document, root *settings.Section, f *File) {
 	classes := classNames(f.classes)
-	list := top.List("route")
+	list := root.List("route")
 	for i, s := range list {
 		rule := routes.Rule[*httpproxy.Route]{
-			Name:    s.Text("name", false),
+			Name:    s.String("name", false),
 			Line:    locationOf(s).Line,
-			Host:    s.Text("host", false),
-			Path:    s.Text("path", false),
-			Methods: s.Texts("methods"),
+			Host:    s.String("host", false),
+			Path:    s.String("path", false),
+			Methods: s.Strings("methods"),
 			Headers: readConditions(s, "headers"),
 			Query:   readConditions(s, "query"),
 			Target:  &httpproxy.Route{},
@@ -72,7 +72,7 @@
 
 // readConditions reads conditions such as "X-Beta=1", or "X-Beta" for any value.
 func readConditions(s *settings.Section, key string) (conditions []routes.Condition) {
-	for _, text := range s.Texts(key) {
+	for _, text := range s.Strings(key) {
 		name, value, _ := strings.Cut(text, "=")
 		conditions = append(conditions, routes.Condition{Name: name, Value: value})
 	}
@@ -82,7 +82,7 @@
 // readTarget reads the service, class and limits of a route's requests. The default of the service is
 // the only service, and that of the class is the service's class.
 func readTarget(s *settings.Section, h *HTTP, classes map[string]httpproxy.Classes, target *httpproxy.Route) {
-	target.Service = s.Text("service", len(h.Services) > 1)
+	target.Service = s.String("service", len(h.Services) > 1)
 	if target.Service == "" && len(h.Services) > 0 {
 		target.Service = h.Services[0].Name
 	}
@@ -90,7 +90,7 @@
 	if !known {
 		s.Problemf("service", "there is no service %q", target.Service)
 	}
-	class := s.Text("class", false)
+	class := s.String("class", false)
 	if class == "" {
 		class = target.Service
 	}
@@ -130,7 +130,7 @@
 // routes are from the file, and not the default.
 func compileRoutes(d *settings.Document, h *HTTP, listed bool) {
 	var err error
-	h.Table, err = routes.New(h.Routes)
+	h.RouteTable, err = routes.New(h.Routes)
 	var problems routes.Problems
 	if !errors.As(err, &problems) {
 		return
--- a/internal/operatorconfig/services.go
+++ b/internal/operatorconfig/services.go
@@ -67,8 +67,8 @@
 
 // readServices reads [[service]], before classes: each service defines a class of the same name, which
 // a [[class]] can replace.
-func readServices(top *settings.Section, f *File) {
-	list := top.List("service")
+func readServices(root *settings.Section, f *File) {
+	list := root.List("service")
 	if list == nil {
 		return
 	}
@@ -76,7 +76,7 @@
 	seen := map[string]bool{}
 	for _, s := range list {
 		service := Service{}
-		service.Name = s.Text("name", true)
+		service.Name = s.String("name", true)
 		checkUniqueName(seen, s, service.Name)
 		readServiceBackends(s, f, service.Name)
 		service.MaxConns = s.Int("backend_connections", 256, 1, maxCount)
@@ -100,7 +100,7 @@
 
 // readServiceBackends reads the backends that a service lists by address.
 func readServiceBackends(s *settings.Section, f *File, service string) {
-	for _, addr := range s.Texts("backends") {
+	for _, addr := range s.Strings("backends") {
 		name := service + "/" + addr
 		checkAddress(s, "backends", addr)
 		if slices.ContainsFunc(f.Backends.Nodes, func(n membership.Node) bool { return n.Name == name }) {
@@ -114,11 +114,11 @@
 func readServiceTLS(s *settings.Section) *ServiceTLS {
 	t := &ServiceTLS{
 		Location:   locationOf(s),
-		CAFile:     s.Text("ca_file", false),
-		ServerName: s.Text("name", false),
-		Pins:       s.Texts("pins"),
-		CertFile:   s.Text("cert_file", false),
-		KeyFile:    s.Text("key_file", false),
+		CAFile:     s.String("ca_file", false),
+		ServerName: s.String("name", false),
+		Pins:       s.Strings("pins"),
+		CertFile:   s.String("cert_file", false),
+		KeyFile:    s.String("key_file", false),
 		AllowTLS12: s.OneOf("min", "1.3", "1.3", "1.2") == 1,
 		PinsOnly:   s.OneOf("verify", "ca", "ca", "pins") == 1,
 	}
--- a/internal/operatorconfig/sources.go
+++ b/internal/operatorconfig/sources.go
@@ -35,33 +35,33 @@
 var sourceNames = []string{SourceConsul, SourceDiscovery, SourceFile}
 
 // readSources reads the sources of backends, after services and classes.
-func readSources(d *settings.Document, top *settings.Section, f *File) {
-	f.Gateway.StateDir = top.Text("state_dir", false)
-	f.StatusAddr = top.Text("members", false)
+func readSources(d *settings.Document, root *settings.Section, f *File) {
+	f.Gateway.StateDir = root.String("state_dir", false)
+	f.StatusAddr = root.String("members", false)
 	if f.StatusAddr != "" {
-		checkLoopback(top, "members", f.StatusAddr)
+		checkLoopback(root, "members", f.StatusAddr)
 	}
-	readMembership(top.Table("membership"), f)
+	readMembership(root.Table("membership"), f)
 	configured := map[string]bool{}
-	if s := top.Table("consul"); s.Keys != nil {
+	if s := root.Table("consul"); s.Keys != nil {
 		configured[SourceConsul] = true
 		f.Consul = readConsul(s, f)
 	}
-	if s := top.Table("discovery"); s.Keys != nil {
+	if s := root.Table("discovery"); s.Keys != nil {
 		configured[SourceDiscovery] = true
-		f.DiscoveryAddr = s.Text("address", true)
+		f.DiscoveryAddr = s.String("address", true)
 		if f.DiscoveryAddr != "" {
 			checkAddress(s, "address", f.DiscoveryAddr)
 		}
 		f.DiscoveryProtocol = readServiceProtocol(s, f, "")
 		s.RejectUnknownKeys()
 	}
-	readBackends(top, f)
+	readBackends(root, f)
 	configured[SourceFile] = len(f.Backends.Nodes) > 0
 	if len(configured) == 1 && !configured[SourceFile] {
 		d.Problemf("", "backend", "there is none: [[backend]] with a name and an address, [consul] or [discovery]")
 	}
-	f.Sources = top.Texts("sources")
+	f.Sources = root.Strings("sources")
 	if f.Sources == nil {
 		f.Sources = slices.DeleteFunc(slices.Clone(sourceNames), func(name string) bool { return !configured[name] })
 		return
@@ -135,15 +135,15 @@
 // readConsulConfig reads how to connect to the agent and how to query it.
 func readConsulConfig(s *settings.Section) consul.Config {
 	c := consul.Config{
-		Address:    s.Text("address", true),
-		TokenFile:  s.Text("token_file", false),
-		Datacenter: s.Text("datacenter", false),
-		Namespace:  s.Text("namespace", false),
-		Partition:  s.Text("partition", false),
-		CAFile:     s.Text("ca_file", false),
-		CertFile:   s.Text("cert_file", false),
-		KeyFile:    s.Text("key_file", false),
-		ServerName: s.Text("server_name", false),
+		Address:    s.String("address", true),
+		TokenFile:  s.String("token_file", false),
+		Datacenter: s.String("datacenter", false),
+		Namespace:  s.String("namespace", false),
+		Partition:  s.String("partition", false),
+		CAFile:     s.String("ca_file", false),
+		CertFile:   s.String("cert_file", false),
+		KeyFile:    s.String("key_file", false),
+		ServerName: s.String("server_name", false),
 		// ordered like the type's constants
 		Consistency: consul.Consistency(s.OneOf("consistency", "default", "default", "stale", "consistent")),
 		Wait:        s.Duration("wait", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
@@ -159,21 +159,21 @@
 // readConsulService reads one [[consul.service]]. seen has the names of the services before it.
 func readConsulService(s *settings.Section, seen map[string]bool, f *File) consul.Service {
 	service := consul.Service{
-		Name:   s.Text("name", true),
-		Tags:   s.Texts("tags"),
-		Near:   s.Text("near", false),
-		Filter: s.Text("filter", false),
+		Name:   s.String("name", true),
+		Tags:   s.Strings("tags"),
+		Near:   s.String("near", false),
+		Filter: s.String("filter", false),
 	}
 	checkUniqueName(seen, s, service.Name)
 	service.HealthOnly = s.Bool("health_only", false)
 	service.Mapping = consul.Mapping{
-		Zone:            s.Text("zone", false),
-		Cell:            s.Text("cell", false),
-		InstanceType:    s.Text("model", false),
-		Started:         s.Text("started", false),
-		Protocol:        s.Text("protocol", false),
+		Zone:            s.String("zone", false),
+		Cell:            s.String("cell", false),
+		InstanceType:    s.String("model", false),
+		Started:         s.String("started", false),
+		Protocol:        s.String("protocol", false),
 		DefaultProtocol: readServiceProtocol(s, f, ""),
-		Name:            s.Text("node_name", false),
+		Name:            s.String("node_name", false),
 		ServeWarning:    s.OneOf("warning", "drain", "drain", "serve") == 1,
 	}
 	// A retry of a keyed request must go to a backend of the same zone or cell, as only these drop
@@ -195,10 +195,10 @@
 // readRegistration reads [consul.register]. The default of the address is that of the listener.
 func readRegistration(s *settings.Section, listen string) (r *consul.Registration, drainNotice time.Duration) {
 	r = &consul.Registration{
-		Name:            s.Text("name", true),
-		ID:              s.Text("id", false),
-		Address:         s.Text("address", false),
-		Tags:            s.Texts("tags"),
+		Name:            s.String("name", true),
+		ID:              s.String("id", false),
+		Address:         s.String("address", false),
+		Tags:            s.Strings("tags"),
 		TTL:             s.Duration("ttl", 10*time.Second, time.Second, day),
 		DeregisterAfter: s.Duration("forget", 10*time.Minute, time.Minute, day),
 	}
@@ -215,15 +215,15 @@
 }
 
 // readBackends reads [[backend]].
-func readBackends(top *settings.Section, f *File) {
+func readBackends(root *settings.Section, f *File) {
 	seen := map[string]bool{}
 	f.Backends.Full = true
-	for _, s := range top.List("backend") {
+	for _, s := range root.List("backend") {
 		node := membership.Node{
-			Name:         s.Text("name", true),
-			Addr:         s.Text("address", true),
-			Zone:         s.Text("zone", false),
-			InstanceType: s.Text("model", false),
+			Name:         s.String("name", true),
+			Addr:         s.String("address", true),
+			Zone:         s.String("zone", false),
+			InstanceType: s.String("model", false),
 			Cell:         s.Int("cell", 0, 0, math.MaxInt32),
 			Weight:       s.Float("weight", 1, 0, unbounded),
 		}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -42,15 +42,15 @@
 
 // Config is the configuration with which a gateway starts.
 type Config struct {
-	Name      string
-	Listen    string // host:port
-	Discovery string // host:port
-	Counter   string // host:port; empty if there is no shared counter
-	Seed      uint64
-	Limits    Limits
-	Known     EndpointUpdate // the endpoints that this gateway knew last, used until discovery responds
-	Settings  decision.Settings
-	Conns     simwire.Connections
+	Name             string
+	Listen           string // host:port
+	Discovery        string // host:port
+	Counter          string // host:port; empty if there is no shared counter
+	Seed             uint64
+	Limits           Limits
+	InitialEndpoints EndpointUpdate // the endpoints that this gateway knew last, used until discovery responds
+	Settings         decision.Settings
+	Conns            simwire.Connections
 }
 
 // LoadConfig reads and validates the file at path, the value of NODE_CONFIG. Its errors name the file.
@@ -112,5 +112,5 @@
 		return Config{}, errors.New("settings: a shared counter needs its address and count_limit_us")
 	}
 	return Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Counter: file.Counter, Seed: seed,
-		Limits: file.Limits, Known: file.Known, Settings: settings, Conns: conns}, nil
+		Limits: file.Limits, InitialEndpoints: file.Known, Settings: settings, Conns: conns}, nil
 }
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -33,10 +33,10 @@
 
 func TestConfig(t *testing.T) {
 	c := parseTestConfig(t)
-	if c.Seed != 0x8c1f30d27a5be964 || c.Known.Seq != 41 || c.Conns.IdleTimeout != 15*time.Second ||
+	if c.Seed != 0x8c1f30d27a5be964 || c.InitialEndpoints.Seq != 41 || c.Conns.IdleTimeout != 15*time.Second ||
 		c.Conns.ConnectTimeout != 250*time.Millisecond || len(c.Settings.Classes) != 2 || c.Limits.Sockets != 1024 {
 		t.Errorf("got seed %#x, known version %d, idle timeout %v, connect timeout %v, %d classes, %d sockets, "+
-			"want 0x8c1f30d27a5be964, 41, 15s, 250ms, 2, 1024", c.Seed, c.Known.Seq, c.Conns.IdleTimeout,
+			"want 0x8c1f30d27a5be964, 41, 15s, 250ms, 2, 1024", c.Seed, c.InitialEndpoints.Seq, c.Conns.IdleTimeout,
 			c.Conns.ConnectTimeout, len(c.Settings.Classes), c.Limits.Sockets)
 	}
 }
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -85,7 +85,7 @@
 			gateways.Go(func() {
 				retry := pollbackoff.New(pollWithin, seed)
 				for range 6 {
-					retry.AfterLoss(false, 0)
+					retry.AfterFailure(false, 0)
 				}
 				delay, calls := measureDelay(t, pollWithin, retry, c.from, c.failure, change)
 				if delay > visibilityDeadline || calls != c.calls {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -158,7 +158,7 @@
 	staleFor time.Duration) time.Duration {
 	var invalid *invalidUpdateError
 	if errors.As(err, &invalid) {
-		return retry.AfterInvalid(synced && lasted > watchTimeout, staleFor)
+		return retry.AfterInvalidUpdate(synced && lasted > watchTimeout, staleFor)
 	}
-	return retry.AfterLoss(synced, staleFor)
+	return retry.AfterFailure(synced, staleFor)
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -51,7 +51,7 @@
 	timeouts watchTimeouts) (*updateStream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	requestedAt := time.Now()
-	idleTimer := unread.AfterSilence(cmp.Or(timeouts.firstUpdate, timeouts.idle), func() time.Duration {
+	idleTimer := unread.AfterInactivity(cmp.Or(timeouts.firstUpdate, timeouts.idle), func() time.Duration {
 		if d.state.idle() {
 			return 0
 		}
--- a/internal/platformhttp/backends.go
+++ b/internal/platformhttp/backends.go
@@ -37,7 +37,7 @@
 // must serialize all calls to it and to those methods of Exchange that are documented to use it.
 type BackendSet struct {
 	Pool       *connpool.Pool
-	loadReader loadreport.Reader
+	loadParser loadreport.Parser
 	byID       map[decision.BackendID]*backend
 }
 
@@ -49,7 +49,7 @@
 	reuseDelay := min(ReuseDelay, maxIdle/maxReuseDelayDivisor)
 	return &BackendSet{
 		byID:       map[decision.BackendID]*backend{},
-		loadReader: loadreport.New(loadFields),
+		loadParser: loadreport.New(loadFields),
 		Pool: connpool.New(connpool.Limits{
 			MaxConns:      maxConns,
 			IdleTimeout:   maxIdle,
@@ -99,8 +99,8 @@
 // Len returns the number of known backends.
 func (s *BackendSet) Len() int { return len(s.byID) }
 
-// LoadReader returns the reader of the backends' load reports.
-func (s *BackendSet) LoadReader() loadreport.Reader { return s.loadReader }
+// LoadParser returns the parser of the backends' load reports.
+func (s *BackendSet) LoadParser() loadreport.Parser { return s.loadParser }
 
 // Close removes all backends, so that no further attempt starts, and closes the idle connections. A
 // connection in use is closed when its attempt ends.
--- a/internal/platformhttp/exchange.go
+++ b/internal/platformhttp/exchange.go
@@ -219,10 +219,10 @@
 	default:
 		x.Result.Result = decision.ErrorResponse // the request may have been executed
 	}
-	if usage, ok := x.backends.loadReader.Use(h.usage); ok {
+	if usage, ok := x.backends.loadParser.ParseUsage(h.usage); ok {
 		x.Result.HasUsage, x.Result.Usage = true, usage
 	}
-	x.Result.LoadReport = x.backends.loadReader.Load(h.load)
+	x.Result.LoadReport = x.backends.loadParser.ParseLoad(h.load)
 }
 
 // Finish returns the connection to the pool, or discards it if it can't be reused, and sets the result of a
--- a/internal/platformtransport/transport.go
+++ b/internal/platformtransport/transport.go
@@ -189,8 +189,8 @@
 func (t *Transport) Probe(id decision.BackendID, timeout time.Duration) decision.ProbeResult {
 	result := decision.ProbeResult{Backend: id}
 	m := &Request{Method: "GET", Target: "/health"}
-	reader := t.backends.LoadReader()
-	if reader.HasLoad() {
+	parser := t.backends.LoadParser()
+	if parser.HasLoad() {
 		m.Target = "/status/load"
 	}
 	start := time.Now()
@@ -199,8 +199,8 @@
 	defer timer.Stop()
 	r := t.RoundTrip(a)
 	result.Result, result.Latency, result.LoadReport = r.Result, time.Since(start), r.LoadReport
-	if response, ok := r.Body.(*Response); ok && reader.HasLoad() {
-		result.LoadReport = reader.Load(strings.TrimSpace(string(response.Body)))
+	if response, ok := r.Body.(*Response); ok && parser.HasLoad() {
+		result.LoadReport = parser.ParseLoad(strings.TrimSpace(string(response.Body)))
 	}
 	return result
 }
--- a/internal/pollbackoff/backoff.go
+++ b/internal/pollbackoff/backoff.go
@@ -60,11 +60,11 @@
 	return b.randomBelow(max(latestCall(min(b.interval, within)), b.firstDelay()))
 }
 
-// AfterLoss returns the delay after a call that failed or whose watch ended. served means that discovery had
+// AfterFailure returns the delay after a call that failed or whose watch ended. served means that discovery had
 // served the call before its watch ended; other gateways have probably lost their watches at the same moment.
 // staleFor is how long changes may have been missed: since the last progress of a served watch, otherwise
 // since the call.
-func (b *Backoff) AfterLoss(served bool, staleFor time.Duration) time.Duration {
+func (b *Backoff) AfterFailure(served bool, staleFor time.Duration) time.Duration {
 	if b.interval == 0 {
 		return minDelay
 	}
@@ -75,10 +75,10 @@
 	return b.retryDelay(staleFor)
 }
 
-// AfterInvalid returns the delay after a response that was rejected as invalid. The next response is probably
+// AfterInvalidUpdate returns the delay after a response that was rejected as invalid. The next response is probably
 // invalid too, and costs work even if calls are otherwise free, so the delay doubles until a call is served.
-// The parameters are those of AfterLoss.
-func (b *Backoff) AfterInvalid(served bool, staleFor time.Duration) time.Duration {
+// The parameters are those of AfterFailure.
+func (b *Backoff) AfterInvalidUpdate(served bool, staleFor time.Duration) time.Duration {
 	if served {
 		b.failures = 0
 	}
--- a/internal/pollbackoff/backoff_test.go
+++ b/internal/pollbackoff/backoff_test.go
@@ -15,7 +15,7 @@
 func TestNoDelayWhereCallsCostNothing(t *testing.T) {
 	b := New(0, 1)
 	for range 5 {
-		if first, next := b.First(second), b.AfterLoss(false, 0); first != 0 || next != minDelay {
+		if first, next := b.First(second), b.AfterFailure(false, 0); first != 0 || next != minDelay {
 			t.Fatalf("first call after %v, next call after %v, want 0s and %v", first, next, minDelay)
 		}
 	}
@@ -39,9 +39,9 @@
 				within := drawDuration(2*interval, "within")
 				delay, limit = b.First(within), max(within*4/5, second)
 			case 1:
-				delay, limit = b.AfterLoss(served, staleFor), max(5*second-staleFor, minDelay)
+				delay, limit = b.AfterFailure(served, staleFor), max(5*second-staleFor, minDelay)
 			case 2:
-				delay, limit = b.AfterInvalid(served, staleFor), max(5*second-staleFor, minDelay)
+				delay, limit = b.AfterInvalidUpdate(served, staleFor), max(5*second-staleFor, minDelay)
 			}
 			if interval > 0 {
 				limit = min(limit, interval*4/5)
@@ -62,9 +62,9 @@
 		next     func(b *Backoff, served bool, staleFor time.Duration) time.Duration
 		first    time.Duration
 	}{
-		{"rejected", 10 * second, (*Backoff).AfterLoss, second},
-		{"invalid", 10 * second, (*Backoff).AfterInvalid, second},
-		{"invalid, at no cost", 0, (*Backoff).AfterInvalid, minDelay},
+		{"rejected", 10 * second, (*Backoff).AfterFailure, second},
+		{"invalid", 10 * second, (*Backoff).AfterInvalidUpdate, second},
+		{"invalid, at no cost", 0, (*Backoff).AfterInvalidUpdate, minDelay},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := New(c.interval, 1)
@@ -77,7 +77,7 @@
 					high = min(2*high, 5*second)
 					low = high - min(high/2, maxJitter)
 				}
-				b.AfterLoss(true, 0)
+				b.AfterFailure(true, 0)
 				if b.interval == 0 {
 					b.First(0)
 				}
@@ -143,7 +143,7 @@
 		if timedOut {
 			staleFor, at = 3*second, 3*second
 		}
-		for at += b.AfterLoss(true, staleFor); at < back; {
+		for at += b.AfterFailure(true, staleFor); at < back; {
 			perSecond[at/second]++
 			took := failures[rng.IntN(len(failures))]
 			if only < len(failures) {
@@ -151,9 +151,9 @@
 			}
 			var delay time.Duration
 			if rng.IntN(4) == 0 {
-				delay = b.AfterInvalid(false, took)
+				delay = b.AfterInvalidUpdate(false, took)
 			} else {
-				delay = b.AfterLoss(false, took)
+				delay = b.AfterFailure(false, took)
 			}
 			at += took + delay
 		}
@@ -251,10 +251,10 @@
 		case "started":
 			gateway.at = gateway.backoff.First(10 * second)
 		case "lost":
-			gateway.at = gateway.backoff.AfterLoss(true, 0)
+			gateway.at = gateway.backoff.AfterFailure(true, 0)
 		case "back":
 			for begun = 20 * second; gateway.at < begun; {
-				gateway.at += gateway.backoff.AfterLoss(false, 0)
+				gateway.at += gateway.backoff.AfterFailure(false, 0)
 			}
 		}
 	}
@@ -276,7 +276,7 @@
 		calls++
 		at, ok := server.call(gateway.at)
 		if !ok {
-			gateway.at = at + gateway.backoff.AfterLoss(false, at-gateway.at)
+			gateway.at = at + gateway.backoff.AfterFailure(false, at-gateway.at)
 			continue
 		}
 		gateway.at, last = time.Hour, max(last, at-begun)
--- a/internal/reservemodel/model_test.go
+++ b/internal/reservemodel/model_test.go
@@ -26,9 +26,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if f.Without != c.PaperWithout || !near(f.WithoutPayoff, c.PaperWithoutPayoff) {
+			if f.WithoutSubRating != c.PaperWithoutSubRating ||
+				!near(f.WithoutSubRatingPayoff, c.PaperWithoutSubRatingPayoff) {
 				t.Errorf("%s without sub-rating: %+v with payoff %.3f, want the paper's %+v with %.2f",
-					c.Name, f.Without, f.WithoutPayoff, c.PaperWithout, c.PaperWithoutPayoff)
+					c.Name, f.WithoutSubRating, f.WithoutSubRatingPayoff,
+					c.PaperWithoutSubRating, c.PaperWithoutSubRatingPayoff)
 			}
 			differs := c.Name >= "D" && c.Name <= "F"
 			if near(f.SubRatedPayoff, c.PaperSubRatedPayoff) == differs ||
--- a/internal/reservemodel/paper.go
+++ b/internal/reservemodel/paper.go
@@ -4,22 +4,22 @@
 
 // Case is one of the paper's loads, with the best splits and their payoffs according to its Figs. 5 and 6.
 type Case struct {
-	Name                string
-	N                   int
-	Load                Load
-	PaperWithout        Split // without sub-rating
-	PaperWithoutPayoff  float64
-	PaperSubRated       Split
-	PaperSubRatedPayoff float64
+	Name                        string
+	N                           int
+	Load                        Load
+	PaperWithoutSubRating       Split
+	PaperWithoutSubRatingPayoff float64
+	PaperSubRated               Split
+	PaperSubRatedPayoff         float64
 }
 
 // Cases returns the paper's cases: nine loads for 16 slots, and the same loads with twice the rates for 32 slots.
 func Cases() (cases []Case) {
 	figures := map[int][]struct {
-		without        Split
-		withoutPayoff  float64
-		subRated       Split
-		subRatedPayoff float64
+		withoutSubRating       Split
+		withoutSubRatingPayoff float64
+		subRated               Split
+		subRatedPayoff         float64
 	}{
 		16: {
 			{Split{2, 14, 0}, 14.25, Split{0, 16, 0}, 16.07},
@@ -53,8 +53,10 @@
 			}
 			cases = append(cases, Case{
 				Name: string(rune('A' + i)), N: n, Load: load,
-				PaperWithout: figure.without, PaperWithoutPayoff: figure.withoutPayoff,
-				PaperSubRated: figure.subRated, PaperSubRatedPayoff: figure.subRatedPayoff,
+				PaperWithoutSubRating:       figure.withoutSubRating,
+				PaperWithoutSubRatingPayoff: figure.withoutSubRatingPayoff,
+				PaperSubRated:               figure.subRated,
+				PaperSubRatedPayoff:         figure.subRatedPayoff,
 			})
 		}
 	}
@@ -63,12 +65,12 @@
 
 // SearchResult is the result of an exhaustive search over all splits of a case.
 type SearchResult struct {
-	Without, SubRated             Split // the best splits, without and with sub-rating
-	WithoutPayoff, SubRatedPayoff float64
-	GainMean, GainBest            float64    // relative gain of sub-rating at the same split, over all splits
-	Chosen                        [2]Split   // the best splits by Methods 1 and 2
-	ChosenPayoff                  [2]float64 // the exact payoffs of Chosen, with sub-rating
-	PaperSplitPayoff              float64    // the exact payoff of Case.PaperSubRated, with sub-rating
+	WithoutSubRating, SubRated             Split // the best splits, without and with sub-rating
+	WithoutSubRatingPayoff, SubRatedPayoff float64
+	GainMean, GainBest                     float64    // relative gain of sub-rating at the same split, over all splits
+	Chosen                                 [2]Split   // the best splits by Methods 1 and 2
+	ChosenPayoff                           [2]float64 // the exact payoffs of Chosen, with sub-rating
+	PaperSplitPayoff                       float64    // the exact payoff of Case.PaperSubRated, with sub-rating
 }
 
 // payoffTolerance is how much larger a payoff must be to count as better than another.
@@ -88,14 +90,14 @@
 			errs[i] = err2
 		}
 	})
-	result := SearchResult{WithoutPayoff: math.Inf(-1), SubRatedPayoff: math.Inf(-1), GainBest: math.Inf(-1)}
+	result := SearchResult{WithoutSubRatingPayoff: math.Inf(-1), SubRatedPayoff: math.Inf(-1), GainBest: math.Inf(-1)}
 	best := [2]float64{math.Inf(-1), math.Inf(-1)}
 	for i, s := range all {
 		if errs[i] != nil {
 			return result, errs[i]
 		}
-		if without[i] > result.WithoutPayoff+payoffTolerance {
-			result.Without, result.WithoutPayoff = s, without[i]
+		if without[i] > result.WithoutSubRatingPayoff+payoffTolerance {
+			result.WithoutSubRating, result.WithoutSubRatingPayoff = s, without[i]
 		}
 		if subRated[i] > result.SubRatedPayoff+payoffTolerance {
 			result.SubRated, result.SubRatedPayoff = s, subRated[i]
--- a/internal/settings/section.go
+++ b/internal/settings/section.go
@@ -24,8 +24,8 @@
 	return &Section{Path: path, Keys: keys, document: d, known: map[string]bool{}}
 }
 
-// Top returns the document's root table.
-func (d *Document) Top() *Section { return d.section("", d.Root) }
+// RootSection returns the document's root table.
+func (d *Document) RootSection() *Section { return d.section("", d.Root) }
 
 // Line returns the line of the table, from 1; 0 if it is missing.
 func (s *Section) Line() int { return s.document.lines[s.Path] }
@@ -81,9 +81,9 @@
 	return value, ok
 }
 
-// Text returns a string, which is empty if the key is missing. A required string must be present and
+// String returns a string, which is empty if the key is missing. A required string must be present and
 // not empty.
-func (s *Section) Text(key string, required bool) string {
+func (s *Section) String(key string, required bool) string {
 	value, ok := s.Get(key)
 	text, isText := value.(string)
 	switch {
@@ -97,8 +97,8 @@
 	return text
 }
 
-// Texts returns a list of strings, none of which may be empty; nil if it is missing or invalid.
-func (s *Section) Texts(key string) []string {
+// Strings returns a list of strings, none of which may be empty; nil if it is missing or invalid.
+func (s *Section) Strings(key string) []string {
 	value, ok := s.Get(key)
 	if !ok {
 		return nil
--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -101,11 +101,11 @@
 	return c.bytesRead
 }
 
-// AfterSilence returns a timer that calls onTimeout after the given timeout. When the timer expires, it
+// AfterInactivity returns a timer that calls onTimeout after the given timeout. When the timer expires, it
 // first calls extension; if that returns a positive duration, the timer is reset to it instead. This
 // avoids a false timeout after a pause of this process: extension can detect that the peer sent something
 // meanwhile that has arrived and is still unread. The caller may stop and reset the timer like any other.
-func AfterSilence(timeout time.Duration, extension func() time.Duration, onTimeout func()) *time.Timer {
+func AfterInactivity(timeout time.Duration, extension func() time.Duration, onTimeout func()) *time.Timer {
 	var t *time.Timer
 	timerSet := make(chan struct{}) // closed when t is assigned
 	t = time.AfterFunc(timeout, func() {
--- a/recovery/restarts_test.go
+++ b/recovery/restarts_test.go
@@ -36,7 +36,7 @@
 func (f *fleet) startGateway(gateway *gatewayProcess, index int) {
 	settings := f.settings
 	settings.GatewayIndex, settings.AssumeQuotaSpent = index, true
-	restored := RestoreNothing(nil)
+	restored := RestoreWithoutSnapshot(nil)
 	if gateway.snapshot != nil {
 		info := GatewayInfo{Index: index, Count: settings.GatewayCount, Plans: settings.Plans}
 		restored = Restore(gateway.snapshot, info, time.Unix(0, 0).Add(f.now))
--- a/recovery/restore.go
+++ b/recovery/restore.go
@@ -36,9 +36,9 @@
 	Err              error                    // why the whole snapshot was rejected, or nil
 }
 
-// RestoreNothing returns the state that a gateway starts with if it has no usable snapshot. err is why the snapshot was
-// rejected, or nil.
-func RestoreNothing(err error) Restored {
+// RestoreWithoutSnapshot returns the state that a gateway starts with if it has no usable snapshot. err is why the
+// snapshot was rejected, or nil.
+func RestoreWithoutSnapshot(err error) Restored {
 	return Restored{
 		AssumeQuotaSpent: true,
 		Err:              err,
@@ -60,10 +60,10 @@
 func Restore(s *Snapshot, gateway GatewayInfo, now time.Time) Restored {
 	switch {
 	case s.GatewayIndex != gateway.Index || s.GatewayCount != gateway.Count:
-		return RestoreNothing(fmt.Errorf("%w: gateway %d of %d, this is gateway %d of %d",
+		return RestoreWithoutSnapshot(fmt.Errorf("%w: gateway %d of %d, this is gateway %d of %d",
 			ErrOtherGateway, s.GatewayIndex, s.GatewayCount, gateway.Index, gateway.Count))
 	case s.SettingsDigest != gateway.SettingsDigest:
-		return RestoreNothing(ErrOtherSettings)
+		return RestoreWithoutSnapshot(ErrOtherSettings)
 	}
 	restored, paidSeconds := assessAge(s, now.Sub(s.TakenAt))
 	plans := plansByName(gateway.Plans)
--- a/snapshots.go
+++ b/snapshots.go
@@ -56,16 +56,16 @@
 	settings := &s.gateway.config.Settings
 	file, err := snapshotfile.Open(s.gateway.config.StateDir, settings.GatewayIndex)
 	if err != nil {
-		return recovery.RestoreNothing(err)
+		return recovery.RestoreWithoutSnapshot(err)
 	}
 	s.file = file
 	encoded, err := file.Read()
 	if err != nil {
-		return recovery.RestoreNothing(err)
+		return recovery.RestoreWithoutSnapshot(err)
 	}
 	snapshot, err := recovery.Decode(encoded)
 	if err != nil {
-		return recovery.RestoreNothing(err)
+		return recovery.RestoreWithoutSnapshot(err)
 	}
 	gateway := recovery.GatewayInfo{
 		Index:          settings.GatewayIndex,
