--- a/cmd/pumicecroft/lab_paper.go
+++ b/cmd/pumicecroft/lab_paper.go
@@ -41,7 +41,8 @@
 			mean[method] += loss[method] / casesPerSlotCount
 			meanLoss[load.N] = mean
 		}
-		fmt.Fprintf(out, "| %s | %d | %s %.2f | %s %.2f | %s %.2f | %s %.2f | %.2f | %.1f, %.1f | %s %.2f | %s %.2f |\n",
+		fmt.Fprintf(out,
+			"| %s | %d | %s %.2f | %s %.2f | %s %.2f | %s %.2f | %.2f | %.1f, %.1f | %s %.2f | %s %.2f |\n",
 			load.Name, load.N,
 			formatSplit(solved.WithoutSubRating), solved.WithoutSubRatingPayoff,
 			formatSplit(load.PaperWithoutSubRating), load.PaperWithoutSubRatingPayoff,
--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -124,7 +124,8 @@
 	}()
 	kongcompletion.Register(parser)
 	if len(args) == 0 {
-		return usageError{errors.New("no command, and NODE_CONFIG is empty; see pumicecroft --help or try pumicecroft demo")}
+		return usageError{errors.New(
+			"no command, and NODE_CONFIG is empty; see pumicecroft --help or try pumicecroft demo")}
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
--- a/cmd/pumicecroft/operatorfile.go
+++ b/cmd/pumicecroft/operatorfile.go
@@ -49,7 +49,8 @@
 		fmt.Fprintf(out, "%s: warning: %s\n", c.File, w)
 	}
 	set := &f.Gateway.Settings
-	fmt.Fprintf(out, "%s is valid: gateway %d of %d, %d classes, %d plans, %d backends, sources %s, listen address %s\n",
+	fmt.Fprintf(out,
+		"%s is valid: gateway %d of %d, %d classes, %d plans, %d backends, sources %s, listen address %s\n",
 		c.File, set.GatewayIndex, set.GatewayCount, len(set.Classes), len(set.Plans),
 		len(f.Backends.Nodes), strings.Join(f.Sources, ", "), f.Listen)
 	return nil
--- a/cmd/pumicecroft/sim.go
+++ b/cmd/pumicecroft/sim.go
@@ -23,7 +23,8 @@
 
 // printRun prints the result of one run. It returns errRuleBroken if a rule was broken.
 func printRun(r sim.Result, out io.Writer) error {
-	fmt.Fprintf(out, "seed %d: %d steps, %.1f s, trace %016x; served %d, refused %d, failed %d, lost with their doors %d\n%v",
+	fmt.Fprintf(out,
+		"seed %d: %d steps, %.1f s, trace %016x; served %d, refused %d, failed %d, lost with their doors %d\n%v",
 		r.Seed, r.Steps, r.Simulated.Seconds(), r.Hash, r.Served, r.Rejected, r.Failed, r.LostWithGateway, r.Script)
 	for _, v := range r.Violations {
 		fmt.Fprintln(out, "BROKEN", v)
--- a/cmd/pumicecroft/sim_mutants.go
+++ b/cmd/pumicecroft/sim_mutants.go
@@ -63,7 +63,8 @@
 			texts[e.File] = string(text)
 		}
 		if n := strings.Count(texts[e.File], e.Old); n != 1 {
-			return nil, fmt.Errorf("%s: the text to replace occurs %d times, not once, in %s: %q", m.Name, n, e.File, e.Old)
+			return nil, fmt.Errorf("%s: the text to replace occurs %d times, not once, in %s: %q",
+				m.Name, n, e.File, e.Old)
 		}
 		texts[e.File] = strings.Replace(texts[e.File], e.Old, e.New, 1)
 	}
--- a/cmd/pumicecroft/sim_replay.go
+++ b/cmd/pumicecroft/sim_replay.go
@@ -30,7 +30,8 @@
 	res := sim.Shrink(sim.Run(c.Seed, sim.Options{}), sim.Options{})
 	err := printRun(res, out)
 	if err != nil {
-		text, err := sim.Case{Seed: res.Seed, Cause: "?", Rule: res.Violations[0].Rule, Script: res.Script}.MarshalTOML()
+		text, err := sim.Case{Seed: res.Seed, Cause: "?", Rule: res.Violations[0].Rule,
+			Script: res.Script}.MarshalTOML()
 		if err != nil {
 			return err
 		}
--- a/cmd/pumicecroft/sim_run.go
+++ b/cmd/pumicecroft/sim_run.go
@@ -103,11 +103,14 @@
 const maxPrintedSeeds = 5
 
 func (t *runTotals) print(out io.Writer, seconds float64, jobs int) {
-	fmt.Fprintf(out, "%d seeds in %.1f s with %d jobs: %.0f a second for each; %d steps a seed, %.1f h simulated; all traces %016x\n",
-		t.runs, seconds, jobs, float64(t.runs)/seconds/float64(jobs), t.steps/max(1, t.runs), t.simulated.Hours(), t.hash)
+	fmt.Fprintf(out, "%d seeds in %.1f s with %d jobs: %.0f a second for each; "+
+		"%d steps a seed, %.1f h simulated; all traces %016x\n",
+		t.runs, seconds, jobs, float64(t.runs)/seconds/float64(jobs),
+		t.steps/max(1, t.runs), t.simulated.Hours(), t.hash)
 	for _, rule := range slices.Sorted(maps.Keys(t.broken)) {
 		seeds := t.broken[rule]
 		slices.Sort(seeds)
-		fmt.Fprintf(out, "BROKEN %s: %d seeds, %v the first\n", rule, len(seeds), seeds[:min(maxPrintedSeeds, len(seeds))])
+		fmt.Fprintf(out, "BROKEN %s: %d seeds, %v the first\n",
+			rule, len(seeds), seeds[:min(maxPrintedSeeds, len(seeds))])
 	}
 }
--- a/conformance/backends.go
+++ b/conformance/backends.go
@@ -82,7 +82,8 @@
 	request.Body = "hold"
 	go func() { held <- tc.send(request) }()
 	if !tc.ledger.Await(waitTimeout, func(attempts []fakes.Attempt) bool { return len(attempts) == 1 }) {
-		t.Fatalf("the request that the backend holds: %d attempts after %v, want 1", len(tc.ledger.Attempts()), waitTimeout)
+		t.Fatalf("the request that the backend holds: %d attempts after %v, want 1",
+			len(tc.ledger.Attempts()), waitTimeout)
 	}
 	tc.discovery.SetHealth("b0", "Terminating")
 	noticed := false
@@ -136,7 +137,8 @@
 		}
 	}
 	if cold.Overloaded() || got == 0 || got*4 > len(all) {
-		t.Errorf("the cold backend got %d of %d attempts, want at least 1 and at most a quarter; overloaded: %v, want false",
+		t.Errorf(
+			"the cold backend got %d of %d attempts, want at least 1 and at most a quarter; overloaded: %v, want false",
 			got, len(all), cold.Overloaded())
 	}
 	t.Logf("the cold backend got %d of %d attempts", got, len(all))
--- a/conformance/clients.go
+++ b/conformance/clients.go
@@ -14,7 +14,8 @@
 // plan allows one request in flight, and the next one is served.
 func testClientDisconnect(t *testing.T, starter Starter, transcript *Transcript) {
 	tc := newTestCase(t, starter)
-	tc.startBackend(newCell(0), func(c *fakes.BackendConfig) { c.Behavior = fakes.OnFirstAttempt(fakes.ExecuteThenHang) })
+	tc.startBackend(newCell(0),
+		func(c *fakes.BackendConfig) { c.Behavior = fakes.OnFirstAttempt(fakes.ExecuteThenHang) })
 	tc.startGateway(caseConfig{plans: `{"name":"shop","parallel":1,"value_factor":1}`})
 	ctx, disconnect := context.WithCancel(t.Context())
 	request := tc.newRequest("pay")
@@ -160,8 +161,8 @@
 		request.Body = body
 		reply := tc.send(request)
 		attempts := tc.ledger.ForRequest(request.RequestID())
-		if reply.String() != "served" || len(attempts) != 1 || attempts[0].Body != body || attempts[0].Key != request.Key ||
-			attempts[0].Timeout == "" {
+		if reply.String() != "served" || len(attempts) != 1 || attempts[0].Body != body ||
+			attempts[0].Key != request.Key || attempts[0].Timeout == "" {
 			t.Errorf("%s: got %v after %d attempts, want served after 1 with the same body, the key and a timeout",
 				name, reply, len(attempts))
 		}
--- a/conformance/outcomes.go
+++ b/conformance/outcomes.go
@@ -102,7 +102,8 @@
 	first := make(chan fakes.Reply, 1)
 	go func() { first <- tc.send(held) }()
 	if !tc.ledger.Await(waitTimeout, func(attempts []fakes.Attempt) bool { return len(attempts) == 1 }) {
-		t.Fatalf("the request that the backend holds: %d attempts after %v, want 1", len(tc.ledger.Attempts()), waitTimeout)
+		t.Fatalf("the request that the backend holds: %d attempts after %v, want 1",
+			len(tc.ledger.Attempts()), waitTimeout)
 	}
 	if starter.IdempotencyKeys {
 		second := make(chan fakes.Reply, 1)
--- a/conformance/quota.go
+++ b/conformance/quota.go
@@ -88,7 +88,8 @@
 	}
 	n := len(tc.ledger.Attempts())
 	if least < -slack || n == 0 {
-		t.Errorf("%d units were forwarded, the hard limit's bucket went down to %.1f, want at least %.1f", n, least, -slack)
+		t.Errorf("%d units were forwarded, the hard limit's bucket went down to %.1f, want at least %.1f",
+			n, least, -slack)
 	}
 	transcript.add("ceiling", "held: %v", least >= -slack)
 }
--- a/examples/nethttp/main.go
+++ b/examples/nethttp/main.go
@@ -27,7 +27,8 @@
 			Classes: []decision.Class{
 				{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
 				{Name: "activate", Idempotency: decision.IdempotentByKey, DedupScope: decision.DedupScopeCell,
-					DedupWindow: 5 * time.Second, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 5},
+					DedupWindow: 5 * time.Second, LatencyObjective: time.Second, Deadline: 4 * time.Second,
+					PriorityWeight: 5},
 			},
 			Plans: []decision.Plan{{Name: "shop", Rate: 10, Burst: 20, Price: 1}},
 		},
--- a/grpcproxy/proxy.go
+++ b/grpcproxy/proxy.go
@@ -238,7 +238,8 @@
 		return (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '-' && r != '_' && r != '.'
 	})
 	if invalid || strings.HasPrefix(name, "grpc-") || strings.HasSuffix(name, "-bin") || isHopByHop(name) {
-		return fmt.Errorf("%q can't name metadata here: use a-z, 0-9, -, _ and ., no reserved name and no suffix -bin", name)
+		return fmt.Errorf("%q can't name metadata here: use a-z, 0-9, -, _ and ., no reserved name and no suffix -bin",
+			name)
 	}
 	return nil
 }
--- a/grpcproxy/server.go
+++ b/grpcproxy/server.go
@@ -84,7 +84,8 @@
 		grpc.InitialConnWindowSize(connWindow),
 		grpc.ConnectionTimeout(handshakeTimeout),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
+			MinTime: minPingInterval, PermitWithoutStream: true}),
 	}
 }
 
--- a/httpproxy/problem.go
+++ b/httpproxy/problem.go
@@ -71,7 +71,8 @@
 	case errors.As(err, &method):
 		return problemWithDetail(http.StatusMethodNotAllowed, "method", "No route takes this method", err), true
 	case errors.Is(err, routes.ErrNoRoute):
-		return problemResponse{status: http.StatusNotFound, name: "no-route", title: "No route takes such a request"}, true
+		return problemResponse{status: http.StatusNotFound, name: "no-route",
+			title: "No route takes such a request"}, true
 	case errors.Is(err, routes.ErrInvalidPath), errors.Is(err, routes.ErrInvalidHost),
 		errors.Is(err, http1proxy.ErrInvalidTarget),
 		errors.Is(err, http1proxy.ErrInvalidField), errors.Is(err, errMalformedRequest):
@@ -125,7 +126,8 @@
 	case errors.Is(err, pumicecroft.ErrRejected):
 		return problemWithDetail(http.StatusServiceUnavailable, "busy", "The door takes nothing more now", err)
 	case errors.Is(err, pumicecroft.ErrKeyConflict):
-		return problemWithDetail(http.StatusUnprocessableEntity, "key-conflict", "The key belongs to another request", err)
+		return problemWithDetail(http.StatusUnprocessableEntity, "key-conflict", "The key belongs to another request",
+			err)
 	case errors.Is(err, pumicecroft.ErrDuplicateID), errors.Is(err, pumicecroft.ErrBadRequest):
 		return problemWithDetail(http.StatusBadRequest, "bad-request", "The request makes no sense", err)
 	case errors.Is(err, pumicecroft.ErrReplayed), errors.Is(err, pumicecroft.ErrResponseNotRetained):
--- a/httpproxy/proxy.go
+++ b/httpproxy/proxy.go
@@ -318,7 +318,8 @@
 	}
 	for _, class := range []string{target.Class.Idempotent, target.Class.IdempotentByKey, target.Class.NonIdempotent} {
 		if class != "" && p.classes[class] == nil {
-			problems = append(problems, fmt.Errorf("%w: route %q has unknown class %q", ErrInvalidRules, rule.Name, class))
+			problems = append(problems,
+				fmt.Errorf("%w: route %q has unknown class %q", ErrInvalidRules, rule.Name, class))
 		}
 	}
 	if target.Class.forIdempotency(decision.NonIdempotent) == "" {
--- a/httpproxy/serve.go
+++ b/httpproxy/serve.go
@@ -30,7 +30,8 @@
 	arrived := time.Now()
 	rules := p.rules.Load()
 	resolved, origin := p.resolve(rules, r, arrived)
-	if next != nil && (errors.Is(resolved.Err, routes.ErrNoRoute) || errors.Is(resolved.Err, routes.ErrMethodNotAllowed)) {
+	if next != nil &&
+		(errors.Is(resolved.Err, routes.ErrNoRoute) || errors.Is(resolved.Err, routes.ErrMethodNotAllowed)) {
 		next.ServeHTTP(w, r)
 		return
 	}
--- a/idempotency.go
+++ b/idempotency.go
@@ -78,7 +78,8 @@
 	// The request may continue after its caller has returned, and the caller may then change the body.
 	message.Body = slices.Clone(message.Body)
 	parts := [][]byte{
-		[]byte(request.Class), []byte(message.Method), []byte(message.Target), []byte(message.ContentType), message.Body,
+		[]byte(request.Class), []byte(message.Method), []byte(message.Target), []byte(message.ContentType),
+		message.Body,
 	}
 	send := func(ctx context.Context, request *Request) (idempotency.Response, error) {
 		response, err := g.sendHTTP(ctx, request, message)
--- a/identity/jwt.go
+++ b/identity/jwt.go
@@ -250,8 +250,8 @@
 // tokenErrors are the errors that are reported to clients, in order of precedence.
 var tokenErrors = []error{
 	jwt.ErrTokenExpired, jwt.ErrTokenNotValidYet, jwt.ErrTokenUsedBeforeIssued, jwt.ErrTokenInvalidIssuer,
-	jwt.ErrTokenInvalidAudience, jwt.ErrTokenRequiredClaimMissing, jwt.ErrTokenSignatureInvalid, jwt.ErrTokenUnverifiable,
-	jwt.ErrTokenMalformed,
+	jwt.ErrTokenInvalidAudience, jwt.ErrTokenRequiredClaimMissing, jwt.ErrTokenSignatureInvalid,
+	jwt.ErrTokenUnverifiable, jwt.ErrTokenMalformed,
 }
 
 // redactTokenError returns the reason why a token is invalid, without any of the token's contents.
--- a/internal/daemon/sources.go
+++ b/internal/daemon/sources.go
@@ -41,7 +41,8 @@
 				DrainGrace:  f.Gateway.Settings.DrainGrace,
 				MaxEntries:  f.Gateway.Membership.MaxNodes,
 			}
-			s.options = append(s.options, pumicecroft.WithNamedSource(info, protocolSource{discovery, f.DiscoveryProtocol}))
+			s.options = append(s.options,
+				pumicecroft.WithNamedSource(info, protocolSource{discovery, f.DiscoveryProtocol}))
 		case operatorconfig.SourceFile:
 			s.options = append(s.options, pumicecroft.WithNamedSource(info, staticSource{f.Backends, s.fileReported}))
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -60,7 +60,8 @@
 	return decision.Settings{
 		GatewayCount: 1, MaxAttempts: 4, CanCancel: true, UsagePeriod: 500 * time.Millisecond, MaxCost: 6,
 		MaxRetryAfter: time.Second, DrainGrace: 2 * time.Second,
-		SlowStartMinCapacity: 0.2, SlowStartWindow: slowStartWindow, OverloadFactor: 4, OverloadDuration: 2 * time.Second,
+		SlowStartMinCapacity: 0.2, SlowStartWindow: slowStartWindow,
+		OverloadFactor: 4, OverloadDuration: 2 * time.Second,
 		Classes: []decision.Class{
 			{Name: "id-check", LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3},
 			{Name: "stock-lookup", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1},
@@ -72,7 +73,8 @@
 		},
 		Plans: []decision.Plan{
 			{Name: "shop", Rate: 10, Burst: 20, Price: 1},
-			{Name: "flagship", Rate: 20, Burst: 20, Price: 1.6, HardLimitRate: 40, HardLimitBurst: 40, HardLimitOverdraft: 6},
+			{Name: "flagship", Rate: 20, Burst: 20, Price: 1.6,
+				HardLimitRate: 40, HardLimitBurst: 40, HardLimitOverdraft: 6},
 		},
 	}
 }
@@ -149,7 +151,8 @@
 		Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("floor-%d", i%2+2), InstanceType: "standard",
 		Cell: d.cells[i%2], Slots: 4, Queue: 40, WorkTime: func(class string) time.Duration { return workTimes[class] },
 		IdempotentByKey:      func(class string) bool { return class == "activate" },
-		SlowStartMinCapacity: 0.25, SlowStartWindow: slowStartWindow, OverloadFactor: 4, OverloadDuration: 2 * time.Second,
+		SlowStartMinCapacity: 0.25, SlowStartWindow: slowStartWindow,
+		OverloadFactor: 4, OverloadDuration: 2 * time.Second,
 		StartCold: cold, Ledger: d.ledger, Meter: d.meter,
 	})
 	if err == nil {
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -52,7 +52,8 @@
 		d.mu.Lock()
 		slices.Sort(d.latencies)
 		c := d.thisSecond
-		fmt.Fprintf(d.options.Out, "%3.0fs asked=%d served=%d refused=%d (with Retry-After %d) failed=%d p50=%v p99=%v\n",
+		fmt.Fprintf(d.options.Out,
+			"%3.0fs asked=%d served=%d refused=%d (with Retry-After %d) failed=%d p50=%v p99=%v\n",
 			time.Since(start).Seconds(), c.Sent, c.Served, c.Rejected, c.WithRetryAfter, c.Failed,
 			quantile(d.latencies, 0.5), quantile(d.latencies, 0.99))
 		d.thisSecond, d.latencies = Counts{}, d.latencies[:0]
@@ -73,7 +74,8 @@
 func (d *deployment) reportInvariants() {
 	late := 0
 	for _, a := range d.ledger.Attempts() {
-		if d.drainedBackend != "" && a.Backend == d.drainedBackend && a.At.After(d.drainedAt.Add(d.settings.DrainGrace)) {
+		if d.drainedBackend != "" && a.Backend == d.drainedBackend &&
+			a.At.After(d.drainedAt.Add(d.settings.DrainGrace)) {
 			late++
 		}
 	}
--- a/internal/emulator/validation.go
+++ b/internal/emulator/validation.go
@@ -78,7 +78,8 @@
 	case k.MaxTries < 1 || k.MaxTries > maxTries || k.Backoff < 0 || !(k.Cost > 0):
 		return fmt.Errorf("clients: invalid tries %d, backoff %v or units %v", k.MaxTries, k.Backoff, k.Cost)
 	case k.ZipfExponent != 0 && !(k.ZipfExponent > 1 && k.ZipfExponent < 10):
-		return fmt.Errorf("clients: zipf %v is not between 1 and 10, nor 0 for equally popular customers", k.ZipfExponent)
+		return fmt.Errorf("clients: zipf %v is not between 1 and 10, nor 0 for equally popular customers",
+			k.ZipfExponent)
 	}
 	return nil
 }
--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -33,7 +33,8 @@
 // outcomes are the values of Attempt.Outcome, by behavior; RejectNotStarted is handled separately.
 var outcomes = map[Behavior]string{
 	ServeNormally: "served", ExecuteThenError: "error", ExecuteThenHang: "hung", HangWithoutExecution: "hung",
-	ExecuteThenReset: "broken", ResetWithoutExecution: "broken", ExecuteThenGarble: "spoilt", ExecuteThenTruncate: "cut",
+	ExecuteThenReset: "broken", ResetWithoutExecution: "broken", ExecuteThenGarble: "spoilt",
+	ExecuteThenTruncate: "cut",
 }
 
 // executes reports whether a behavior other than RejectNotStarted executes the attempt.
@@ -56,8 +57,9 @@
 	Zone         string
 	InstanceType string
 	Cell         *Cell // nil means that repeated idempotency keys are not dropped
-	// Slots is the number of attempts that are executed concurrently, Queue the number of attempts that wait for a slot.
-	// Attempts beyond both are rejected. Slots 0 means no limit of concurrency, Queue 0 that no attempt is rejected.
+	// Slots is the number of attempts that are executed concurrently, Queue the number of attempts that wait for a
+	// slot. Attempts beyond both are rejected. Slots 0 means no limit of concurrency, Queue 0 that no attempt is
+	// rejected.
 	Slots, Queue int
 	// WorkTime returns the time that a warm backend takes to execute an attempt of a class; nil means none.
 	WorkTime func(class string) time.Duration
@@ -73,7 +75,8 @@
 	OverloadFactor       float64
 	OverloadDuration     time.Duration
 	// Capacity is that of the warm backend, in requests per second; 0 means Slots divided by the work time. If it is
-	// set, an attempt takes as long on a warming backend as on a warm one, so that only an overload shows the difference.
+	// set, an attempt takes as long on a warming backend as on a warm one, so that only an overload shows the
+	// difference.
 	Capacity float64
 	// StartCold makes the backend begin its slow start when it is started; otherwise it is warm.
 	StartCold bool
--- a/internal/fakes/consulquery.go
+++ b/internal/fakes/consulquery.go
@@ -71,7 +71,8 @@
 		return
 	}
 	fmt.Fprintf(buffer, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Consul-Index: 99\r\n"+
-		"X-Consul-KnownLeader: true\r\nX-Consul-LastContact: 0\r\nContent-Length: 4000\r\n\r\n[{\"Node\":{\"Node\":\"cut\"")
+		"X-Consul-KnownLeader: true\r\nX-Consul-LastContact: 0\r\nContent-Length: 4000\r\n\r\n"+
+		"[{\"Node\":{\"Node\":\"cut\"")
 	_ = buffer.Flush()
 	conn.Close()
 }
@@ -237,12 +238,13 @@
 		})
 	}
 	return object{
-		"Node": object{"ID": "", "Node": i.Node, "Address": i.NodeAddr, "Datacenter": "dc1", "TaggedAddresses": object{},
-			"Meta": i.NodeMeta, "CreateIndex": 1, "ModifyIndex": 1},
+		"Node": object{"ID": "", "Node": i.Node, "Address": i.NodeAddr, "Datacenter": "dc1",
+			"TaggedAddresses": object{}, "Meta": i.NodeMeta, "CreateIndex": 1, "ModifyIndex": 1},
 		"Service": object{"ID": i.ID, "Service": i.Service, "Tags": i.Tags, "Address": i.Addr, "Meta": i.Meta,
 			"Port":    i.Port,
 			"Weights": object{"Passing": i.Passing, "Warning": i.Warning}, "EnableTagOverride": false,
-			"CreateIndex": i.createIndex, "ModifyIndex": i.modifyIndex, "Namespace": i.Namespace, "Partition": i.Partition},
+			"CreateIndex": i.createIndex, "ModifyIndex": i.modifyIndex,
+			"Namespace": i.Namespace, "Partition": i.Partition},
 		"Checks": checks,
 	}
 }
@@ -252,8 +254,9 @@
 	return object{
 		"ID": "", "Node": i.Node, "Address": i.NodeAddr, "Datacenter": "dc1", "TaggedAddresses": object{},
 		"NodeMeta":  i.NodeMeta,
-		"ServiceID": i.ID, "ServiceName": i.Service, "ServiceAddress": i.Addr, "ServiceTags": i.Tags, "ServiceMeta": i.Meta,
-		"ServicePort": i.Port, "ServiceWeights": object{"Passing": i.Passing, "Warning": i.Warning},
-		"CreateIndex": i.createIndex, "ModifyIndex": i.modifyIndex, "Namespace": i.Namespace, "Partition": i.Partition,
+		"ServiceID": i.ID, "ServiceName": i.Service, "ServiceAddress": i.Addr, "ServiceTags": i.Tags,
+		"ServiceMeta": i.Meta, "ServicePort": i.Port,
+		"ServiceWeights": object{"Passing": i.Passing, "Warning": i.Warning}, "CreateIndex": i.createIndex,
+		"ModifyIndex": i.modifyIndex, "Namespace": i.Namespace, "Partition": i.Partition,
 	}
 }
--- a/internal/fakes/grpc.go
+++ b/internal/fakes/grpc.go
@@ -53,8 +53,8 @@
 type GRPCConfig struct {
 	Name string
 	Cell *Cell
-	// IdempotentByKey reports whether the effects of a method are recorded. Those of repeated keys, which Cell drops, are
-	// not. nil means that no effects are recorded.
+	// IdempotentByKey reports whether the effects of a method are recorded. Those of repeated keys, which Cell drops,
+	// are not. nil means that no effects are recorded.
 	IdempotentByKey func(method string) bool
 	Behavior        func(Attempt) GRPCBehavior // nil means GRPCServe
 	WorkTime        time.Duration              // before the response
--- a/internal/fakes/grpcconn.go
+++ b/internal/fakes/grpcconn.go
@@ -197,7 +197,8 @@
 	config := &c.backend.config
 	attempt := &Attempt{
 		Backend: config.Name, Class: s.fields[":path"], ID: s.fields["request-id"], Key: s.fields["idempotency-key"],
-		At: time.Now(), RemoteAddr: c.conn.RemoteAddr().String(), Timeout: s.fields["grpc-timeout"], Metadata: s.metadata,
+		At: time.Now(), RemoteAddr: c.conn.RemoteAddr().String(), Timeout: s.fields["grpc-timeout"],
+		Metadata: s.metadata,
 	}
 	if len(s.body) >= grpcPrefixBytes {
 		attempt.Body = string(s.body[grpcPrefixBytes:])
--- a/internal/fakes/grpcresponse.go
+++ b/internal/fakes/grpcresponse.go
@@ -185,7 +185,8 @@
 // writeTrailersOnly writes a trailers-only response. An empty pushback is not sent.
 func (c *grpcConn) writeTrailersOnly(s *grpcStream, status, pushback string) {
 	fields := [][2]string{
-		{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-status", status}, {"grpc-message", "as scripted"},
+		{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-status", status},
+		{"grpc-message", "as scripted"},
 	}
 	if pushback != "" {
 		fields = append(fields, [2]string{"grpc-retry-pushback-ms", pushback})
--- a/internal/grpctransport/transport.go
+++ b/internal/grpctransport/transport.go
@@ -241,7 +241,8 @@
 	out.LoadReport = t.loadParser.ParseLoad(s.response.loadReport)
 	if outcome.Result != decision.Succeeded {
 		t.failureLogLimit.Do(func() {
-			t.config.Log.Debug("attempt failed", "method", request.Method, "reason", outcome.Reason, "proof", outcome.Proof)
+			t.config.Log.Debug("attempt failed",
+				"method", request.Method, "reason", outcome.Reason, "proof", outcome.Proof)
 		})
 	}
 	return out
--- a/internal/http1proxy/header.go
+++ b/internal/http1proxy/header.go
@@ -212,7 +212,8 @@
 	}
 	switch f.ForwardedStyle {
 	case XForwarded:
-		fields = append(fields, headerField{"X-Forwarded-For", appendListElement(earlier("X-Forwarded-For"), origin.Addr)})
+		fields = append(fields,
+			headerField{"X-Forwarded-For", appendListElement(earlier("X-Forwarded-For"), origin.Addr)})
 		host, earlierProto := earlier("X-Forwarded-Host"), earlier("X-Forwarded-Proto")
 		if host == "" {
 			host = origin.Host
--- a/internal/httpproxytransport/http2.go
+++ b/internal/httpproxytransport/http2.go
@@ -273,7 +273,8 @@
 	}
 	stream, isStream := errors.AsType[http2.StreamError](err)
 	switch {
-	case isStream && stream.Code == http2.ErrCodeRefusedStream, strings.Contains(err.Error(), "graceful shutdown GOAWAY"):
+	case isStream && stream.Code == http2.ErrCodeRefusedStream,
+		strings.Contains(err.Error(), "graceful shutdown GOAWAY"):
 		return responseWith(decision.Rejected)
 	case isStream && stream.Code == http2.ErrCodeProtocol:
 		return responseWith(x.progress.Result(http1proxy.MalformedResponse))
--- a/internal/lab/figures.go
+++ b/internal/lab/figures.go
@@ -39,8 +39,8 @@
 var Figures = []Figure{
 	{
 		Name: "worth", HigherIsBetter: true,
-		Description: "served share of the offered worth (priority times price times cost); calls served later than their " +
-			"latency objective count less",
+		Description: "served share of the offered worth (priority times price times cost); calls served later than " +
+			"their latency objective count less",
 		value: func(r *emulator.Result) float64 {
 			return ratio(r.WeightServed, r.WeightOffered)
 		},
@@ -69,9 +69,10 @@
 		value:       perCall(func(c *emulator.Counts) int { return c.Rejected }),
 	},
 	{
-		Name:        "failed",
-		Description: "share of calls that clients gave up after a failure, without knowing whether the request was executed",
-		value:       perCall(func(c *emulator.Counts) int { return c.Failed }),
+		Name: "failed",
+		Description: "share of calls that clients gave up after a failure, " +
+			"without knowing whether the request was executed",
+		value: perCall(func(c *emulator.Counts) int { return c.Failed }),
 	},
 	{
 		Name:        "p50_ms",
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -32,8 +32,10 @@
 // NewGenerator returns a generator that starts with a plan's first request.
 func NewGenerator(p *Plan) *Generator {
 	g := &Generator{
-		plan: p, times: eventqueue.NewRand(p.Seed, streamArrivals), requests: eventqueue.NewRand(p.Seed, streamRequests),
-		recent: make([][]uint64, len(p.Kinds)),
+		plan:     p,
+		times:    eventqueue.NewRand(p.Seed, streamArrivals),
+		requests: eventqueue.NewRand(p.Seed, streamRequests),
+		recent:   make([][]uint64, len(p.Kinds)),
 	}
 	var plans, kinds []float64
 	for _, plan := range p.Plans {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -80,8 +80,12 @@
 	if !strings.Contains(text, "{") {
 		return text
 	}
-	return strings.NewReplacer("{id}", requestID(r, try), "{customer}", fmt.Sprintf("%016x", r.Customer), "{plan}", r.Plan,
-		"{key}", fmt.Sprintf("%016x", r.Key), "{timeout}", fmt.Sprintf("%.3f", timeout.Seconds())).Replace(text)
+	return strings.NewReplacer(
+		"{id}", requestID(r, try),
+		"{customer}", fmt.Sprintf("%016x", r.Customer),
+		"{plan}", r.Plan,
+		"{key}", fmt.Sprintf("%016x", r.Key),
+		"{timeout}", fmt.Sprintf("%.3f", timeout.Seconds())).Replace(text)
 }
 
 // requestID returns the ID of one try of a request. Each try has an ID of its own.
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -143,7 +143,8 @@
 	r.lastReport = time.Now()
 	ended := r.All.histogram.TotalCount() + r.All.Beyond - int64(r.Dropped)
 	open := int64(r.Scheduled-r.Dropped) - ended
-	return fmt.Sprintf("due %.0f/s  completed %.0f/s  good %.0f/s  in flight %d  dropped %d  p50 %v  p99 %v  lag p99 %v",
+	return fmt.Sprintf(
+		"due %.0f/s  completed %.0f/s  good %.0f/s  in flight %d  dropped %d  p50 %v  p99 %v  lag p99 %v",
 		float64(s.scheduled)/since, float64(s.ended)/since, float64(s.good)/since, open, r.Dropped,
 		quantile(r.All.histogram, 50), quantile(r.All.histogram, 99), quantile(r.lag, 99))
 }
@@ -173,8 +174,8 @@
 	case r.Scheduled == 0:
 		r.Invalid = "no request was due"
 	case r.LagP99 > r.plan.MaxLag:
-		r.Invalid = fmt.Sprintf("the load generator could not keep its schedule: the 99th percentile of the sending lag "+
-			"is %v, at most %v is allowed (most_lag)", r.LagP99, r.plan.MaxLag)
+		r.Invalid = fmt.Sprintf("the load generator could not keep its schedule: the 99th percentile of the sending "+
+			"lag is %v, at most %v is allowed (most_lag)", r.LagP99, r.plan.MaxLag)
 	}
 }
 
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -18,8 +18,8 @@
 	// Route returns the target of each try over HTTP. It must be on this machine, which is not checked. nil means
 	// Target.
 	Route func(r *Request, try int) (target string)
-	// BeforeTry is called before each try, with the ID of the try. OnOutcome is called after each try. Both may be called
-	// concurrently, and both may be nil.
+	// BeforeTry is called before each try, with the ID of the try. OnOutcome is called after each try. Both may be
+	// called concurrently, and both may be nil.
 	BeforeTry func(r *Request, try int, id string)
 	OnOutcome func(outcome Outcome)
 }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -137,7 +137,8 @@
 	if name == "" {
 		return defaultProtocol
 	}
-	if f.HTTP == nil || !slices.ContainsFunc(f.HTTP.Services, func(service Service) bool { return service.Name == name }) {
+	if f.HTTP == nil ||
+		!slices.ContainsFunc(f.HTTP.Services, func(service Service) bool { return service.Name == name }) {
 		s.Problemf(key, "there is no service %q", name)
 	}
 	return httpproxy.Protocol(name)
@@ -145,7 +146,8 @@
 
 // readEffect reads the idempotency of a class or route, whose key is "effect".
 func readEffect(s *settings.Section) decision.Idempotency {
-	return decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe")) // ordered like the type's constants
+	// The names are ordered like the type's constants.
+	return decision.Idempotency(s.OneOf("effect", "safe", "safe", "keyed", "unsafe"))
 }
 
 // readGateway reads [door].
@@ -154,7 +156,8 @@
 	set.GatewayCount = s.Int("of", 1, 1, 10_000)
 	set.GatewayIndex = s.Int("number", 0, 0, 9_999)
 	if set.GatewayIndex >= set.GatewayCount {
-		s.Problemf("number", "%d is not below of = %d: gateways are numbered from 0", set.GatewayIndex, set.GatewayCount)
+		s.Problemf("number", "%d is not below of = %d: gateways are numbered from 0",
+			set.GatewayIndex, set.GatewayCount)
 	}
 	set.Zone = s.String("zone", false)
 	set.MaxAttempts = s.Int("max_attempts", 3, 1, 16)
@@ -182,7 +185,8 @@
 // readClass reads the settings of a class that [[class]] and [[service]] have in common.
 func readClass(s *settings.Section, name string) decision.Class {
 	c := decision.Class{Name: name}
-	c.DedupScope = decision.DedupScope(s.OneOf("group", "all", "all", "zone", "cell")) // ordered like the type's constants
+	// The names of scopes are ordered like the type's constants.
+	c.DedupScope = decision.DedupScope(s.OneOf("group", "all", "all", "zone", "cell"))
 	c.DedupWindow = s.Duration("key_window", 0, 0, day)
 	c.Deadline = s.Duration("deadline", 10*time.Second, time.Millisecond, time.Hour)
 	c.LatencyObjective = s.Duration("aim", c.Deadline/2, time.Millisecond, time.Hour)
@@ -206,7 +210,8 @@
 		c.byMethod = f.HTTP != nil && !hasIdempotency
 		c.Idempotency = readEffect(s)
 		if c.Idempotency == decision.IdempotentByKey && c.DedupWindow == 0 {
-			s.Problemf("key_window", "a keyed class needs it: the time for which backends of a group drop repeated requests")
+			s.Problemf("key_window",
+				"a keyed class needs it: the time for which backends of a group drop repeated requests")
 		}
 		s.RejectUnknownKeys()
 		if i := slices.IndexFunc(f.classes, func(o class) bool { return o.Name == c.Name }); i >= 0 {
--- a/internal/operatorconfig/idempotency.go
+++ b/internal/operatorconfig/idempotency.go
@@ -23,7 +23,8 @@
 		minTTL := c.Deadline + c.DedupWindow
 		if c.Idempotency != decision.Idempotent && limits.UnknownTTL < minTTL {
 			s.Problemf("keep_doubt",
-				"%v is below the deadline and key window of class %q, %v: a repeat of a request that may have run could run again",
+				"%v is below the deadline and key window of class %q, %v: "+
+					"a repeat of a request that may have run could run again",
 				limits.UnknownTTL, c.Name, minTTL)
 		}
 	}
--- a/internal/processtest/clients.go
+++ b/internal/processtest/clients.go
@@ -74,9 +74,9 @@
 	}
 	return &load.Plan{
 		Name: group.Name, Seed: eventqueue.Mix(f.Config.Seed + uint64(number)), Rate: group.Rate,
-		Duration: maxDuration, MaxRequests: maxRequests, Connections: maxConnections, MaxOpen: maxOpen, Timeout: timeout,
-		FollowRetryAfter: group.FollowRetryAfter, RetryImmediately: group.RetryImmediately, MaxTries: max(1, group.MaxTries),
-		Customers: max(1, group.Customers), FirstCustomer: group.FirstCustomer,
+		Duration: maxDuration, MaxRequests: maxRequests, Connections: maxConnections, MaxOpen: maxOpen,
+		Timeout: timeout, FollowRetryAfter: group.FollowRetryAfter, RetryImmediately: group.RetryImmediately,
+		MaxTries: max(1, group.MaxTries), Customers: max(1, group.Customers), FirstCustomer: group.FirstCustomer,
 		Plans:       []load.Share{{Name: group.Plan, Weight: 1}},
 		FirstNumber: uint64(number) << 32, Kinds: []load.RequestKind{kind},
 	}
--- a/internal/reservemodel/model.go
+++ b/internal/reservemodel/model.go
@@ -140,7 +140,8 @@
 	case hasRoom:
 		addTransition(partHigh, partLow, poolState{state.high + 1, state.low, state.degraded}, c.load.LambdaH)
 	case c.subRating && state.low >= alpha:
-		addTransition(partHigh, partLow, poolState{state.high + 1, state.low - alpha, state.degraded + alpha}, c.load.LambdaH)
+		addTransition(partHigh, partLow, poolState{state.high + 1, state.low - alpha, state.degraded + alpha},
+			c.load.LambdaH)
 	}
 	switch {
 	case partLow < c.split.Low:
@@ -275,7 +276,8 @@
 		}
 		return mean
 	}
-	high, low := erlangDistribution(load.LambdaH/load.Mu, split.High), erlangDistribution(load.LambdaL/load.Mu, split.Low)
+	high, low := erlangDistribution(load.LambdaH/load.Mu, split.High),
+		erlangDistribution(load.LambdaL/load.Mu, split.Low)
 	total := mean(high)*load.Mu*load.VH + mean(low)*load.Mu*load.VL // (2), (3)
 	overflowHigh, overflowLow := load.LambdaH*high[split.High], load.LambdaL*low[split.Low]
 	inHigh := erlangDistribution(overflowHigh/load.Mu, split.Pool)
--- a/internal/sim/clients.go
+++ b/internal/sim/clients.go
@@ -44,7 +44,7 @@
 	verdict         string                 // of the last final answer
 	response        *platformhttp.Response // of the attempt that ended last before the final answer
 	responseAttempt int                    // number of the attempt with this response
-	streamedAttempt int                    // 1 + number of the attempt whose response is streamed to the client; 0: none
+	streamedAttempt int                    // 1 + number of the attempt that streams to the client; 0: none
 	responseBody    string                 // cached result of expectedBody
 
 	attemptCount int // attempts started
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -53,10 +53,10 @@
 
 // faultKindNames are the names of the kinds in the corpus and in traces.
 var faultKindNames = [faultKindCount]string{
-	"refuse-conn", "hang-conn", "break-unheard", "break-ran", "silence", "delay", "dribble", "spoil", "behind", "errors",
-	"turn-away", "slow", "partition", "descriptors", "drain", "restart", "move", "deregister", "pause", "kill",
-	"kill-counting", "kill-answering", "shutdown", "list-lag", "list-fail", "list-loss", "meter-loss", "flood", "leaving",
-	"counter-loss", "press", "replay", "disk", "late-conn",
+	"refuse-conn", "hang-conn", "break-unheard", "break-ran", "silence", "delay", "dribble", "spoil", "behind",
+	"errors", "turn-away", "slow", "partition", "descriptors", "drain", "restart", "move", "deregister", "pause",
+	"kill", "kill-counting", "kill-answering", "shutdown", "list-lag", "list-fail", "list-loss", "meter-loss",
+	"flood", "leaving", "counter-loss", "press", "replay", "disk", "late-conn",
 }
 
 // String returns the kind's name.
--- a/recovery/restore.go
+++ b/recovery/restore.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// MaxTrustedAge is the age up to which customers that are not in a complete snapshot are taken to owe nothing. Usage
-	// at other gateways within this time is missing, but usage reports always lag by some time. The limit is needed
-	// because a copy of an old snapshot that was put back can't be told from a fresh snapshot by anything but its age.
+	// MaxTrustedAge is the age up to which customers that are not in a complete snapshot are taken to owe nothing.
+	// Usage at other gateways within this time is missing, but usage reports always lag by some time. The limit is
+	// needed because a copy of an old snapshot that was put back can't be told from a fresh snapshot by anything but
+	// its age.
 	MaxTrustedAge = 10 * time.Second
 	// MaxClockSkew is how far in the future a snapshot's time may be, as clocks are adjusted in small steps.
 	MaxClockSkew = 2 * time.Second
@@ -26,8 +27,8 @@
 
 // Restored is the state that a gateway starts with.
 type Restored struct {
-	// AssumeQuotaSpent means that customers not among Customers are unknown and are assumed to have used up their bursts
-	// (decision.Settings.AssumeQuotaSpent). Otherwise they owe nothing.
+	// AssumeQuotaSpent means that customers not among Customers are unknown and are assumed to have used up their
+	// bursts (decision.Settings.AssumeQuotaSpent). Otherwise they owe nothing.
 	AssumeQuotaSpent bool
 	Customers        []decision.CustomerState // their state as of now
 	Age              time.Duration            // age of the snapshot; negative if its time is in the future
--- a/recovery/snapshot.go
+++ b/recovery/snapshot.go
@@ -35,10 +35,10 @@
 	GatewayCount   int                      `cbor:"Of"`
 	BootID         uint64                   `cbor:"Boot"` // boot ID of the process that took the snapshot
 	TakenAt        time.Time                `cbor:"At"`
-	SettingsDigest uint64                   `cbor:"Settings"` // digest of the settings that the snapshot was taken under
+	SettingsDigest uint64                   `cbor:"Settings"` // digest of the settings in force at TakenAt
 	Customers      []decision.CustomerState `cbor:"Customers"`
-	// Complete means that no customer with a debt is missing, neither because of MaxCustomers nor because the gateway did
-	// not know of its debt.
+	// Complete means that no customer with a debt is missing, neither because of MaxCustomers nor because the gateway
+	// did not know of its debt.
 	Complete bool `cbor:"Whole"`
 }
 
