--- a/internal/emulator/validation.go
+++ b/internal/emulator/validation.go
@@ -24,7 +24,7 @@
 func (c *Config) Validate() error {
 	for _, validate := range []func() error{
 		c.validateRegion, c.Backends.validate, c.Clients.validate, c.validateShares, c.validateArrivals,
-		c.Settings.Validate, c.Backends.Service.validate, c.validateNames, c.validateTrace, c.validateFaults,
+		c.Settings.Validate, c.Backends.ServiceTime.validate, c.validateNames, c.validateTrace, c.validateFaults,
 	} {
 		if err := validate(); err != nil {
 			return err
@@ -78,7 +78,8 @@
 	case k.MaxTries < 1 || k.MaxTries > maxTries || k.Backoff < 0 || !(k.Cost > 0):
 		return fmt.Errorf("clients: invalid tries %d, backoff %v or units %v", k.MaxTries, k.Backoff, k.Cost)
 	case k.ZipfExponent != 0 && !(k.ZipfExponent > 1 && k.ZipfExponent < 10):
-		return fmt.Errorf("clients: zipf %v is not between 1 and 10, nor 0 for equally popular customers", k.ZipfExponent)
+		return fmt.Errorf("clients: zipf %v is not between 1 and 10, nor 0 for equally popular customers",
+			k.ZipfExponent)
 	}
 	return nil
 }
--- a/internal/operatorconfig/idempotency.go
+++ b/internal/operatorconfig/idempotency.go
@@ -23,7 +23,8 @@
 		minTTL := c.Deadline + c.DedupWindow
 		if c.Idempotency != decision.Idempotent && limits.UnknownTTL < minTTL {
 			s.Problemf("keep_doubt",
-				"%v is below the deadline and key window of class %q, %v: a repeat of a request that may have run could run again",
+				"%v is below the deadline and key window of class %q, %v: "+
+					"a repeat of a request that may have run could run again",
 				limits.UnknownTTL, c.Name, minTTL)
 		}
 	}
@@ -34,7 +35,7 @@
 
 // readJournal reads the configuration of the journal of idempotency keys. nil means no journal.
 func readJournal(s *settings.Section) *pumicecroft.IdempotencyJournal {
-	dir := s.Text("journal", false)
+	dir := s.String("journal", false)
 	if dir == "" {
 		for _, key := range []string{"journal_gather", "journal_sync", "journal_patience", "journal_down"} {
 			if _, ok := s.Get(key); ok {
