--- a/decision/actions.go
+++ b/decision/actions.go
@@ -12,9 +12,9 @@
 	// Timeout is how long to wait for the response. Zero, which is the only value that the Engine
 	// uses: until the request's deadline.
 	Timeout time.Duration
-	// NotAfter is the time after which the attempt must not be sent any more; its result is then
-	// NotSent. Zero: no limit. It is set because backends drop repeats of an attempt that may have
-	// run only for the DedupWindow.
+	// NotAfter is the time, on the Engine's clock, after which the attempt must not be sent any
+	// more; its result is then NotSent. Zero: no limit. It is set because backends drop repeats of
+	// an attempt that may have been executed only for the DedupWindow.
 	NotAfter time.Duration
 }
 
@@ -32,14 +32,22 @@
 
 // The reasons.
 const (
-	Invalid     Reason = iota // unknown class or plan, invalid cost, or no time left
-	OverQuota                 // the plan's quota or hard limit is used up, by this gateway's estimate
-	NoBackend                 // no backend is eligible now
-	Overloaded                // the concurrency limit leaves no slot for its priority
-	Unprocessed               // its attempts failed; it never ran, or it may safely run again
+	Invalid Reason = iota // unknown class or plan, invalid cost, or no time left
+	// OverQuota: a limit of the plan does not allow it, by this gateway's estimate: the quota
+	// (including random rejection by admit probability or of newcomers), MaxInFlight, or the hard
+	// limit, of which a gateway that the customer does not use has no share. Tokens that the shared
+	// counter did not grant, or not in time, count as used up.
+	OverQuota
+	NoBackend  // no backend is eligible now
+	Overloaded // the concurrency limit leaves no slot for its priority
+	// Unprocessed: its attempts failed, or its deadline has passed, and the client may safely send
+	// it again: it was never executed, its class is idempotent, or backends drop the repeat.
+	Unprocessed
 )
 
-// String returns the text of the reason in traces and rejections.
+// String returns the text of the reason in traces and rejections. The texts are older than the
+// names of the constants and stay, as they are matched outside of this program. An unknown value
+// has the text of Unprocessed.
 func (r Reason) String() string {
 	return [...]string{"unfit", "over quota", "no backend", "no room", "not taken"}[min(r, Unprocessed)]
 }
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -17,23 +17,24 @@
 
 // request is a request that has no final answer yet, or has an attempt in flight.
 type request struct {
-	id       RequestID
-	seq      uint64 // sequence number and timer token; 0: not registered
-	class    *class
-	pool     *protocolPool // nil: no backend has ever had its protocol
-	customer *customer
-	deadline time.Duration // when its client stops waiting, on the Engine's clock
-	cost     float64       // units
-	borrowed bool          // its hard-limit tokens are withdrawn from the shared bucket
-	attempts []attempt
-	finished bool // it has its final answer, or its client has disconnected
+	id                  RequestID
+	seq                 uint64 // sequence number, the Token of its timer; 0: not registered
+	class               *class
+	pool                *protocolPool // nil: no backend has ever had its protocol
+	customer            *customer
+	deadline            time.Duration // when its client stops waiting, on the Engine's clock
+	cost                float64       // units
+	withdrawalRequested bool          // its tokens come from the shared bucket, not from this gateway's share
+	attempts            []attempt
+	finished            bool // it has its final answer, or its client has disconnected
 	// streaming says that its response has started: see ResponseStarted.
 	streaming bool
 }
 
-// onRequest checks a request against its customer's limits and passes it to admit. It is rejected
-// if it exceeds the quota. If it exceeds this gateway's share of the hard limit, it waits for
-// tokens from the shared bucket where these can be requested, and is rejected otherwise.
+// onRequest passes a request to admit if it is within its customer's limits. It is rejected as
+// Invalid if it cannot be handled, and as OverQuota if it exceeds the quota. If it exceeds this
+// gateway's share of the hard limit, it waits for tokens from the shared bucket where these can be
+// requested, and is rejected as OverQuota otherwise.
 func (e *Engine) onRequest(event Request) {
 	if e.requests[event.ID] != nil {
 		return
@@ -53,13 +54,13 @@
 		deadline: e.now + event.Timeout,
 		cost:     event.Cost,
 	}
-	customer.newcomers.RecordRequest(class.PriorityWeight, event.Cost)
-	withinQuota := e.withinQuota(customer, class.PriorityWeight, event.Cost)
+	customer.newcomerStats.RecordRequest(class.PriorityWeight, event.Cost)
+	admittedByQuota := e.admittedByQuota(customer, class.PriorityWeight, event.Cost)
 	withinHardLimit := e.withinHardLimit(customer, event.Cost)
 	switch {
-	case withinQuota && withinHardLimit:
+	case admittedByQuota && withinHardLimit:
 		e.admit(req)
-	case withinQuota && e.borrow(req): // it waits for the result of the counter
+	case admittedByQuota && e.requestWithdrawal(req): // it waits for the result of the counter
 	default:
 		e.rejectOverQuota(req)
 	}
@@ -72,20 +73,23 @@
 }
 
 // admit forwards a request that is within its customer's plan: to the selected backend, in a slot
-// for its priority tier. It reports whether it did; if not, the request has been rejected.
+// for its priority tier. It reports whether it did; if not, the request has been rejected. A request
+// that has waited for the shared bucket is registered already, and its tokens were taken from there;
+// any other takes them from this gateway's share (which means nothing for a plan without a hard
+// limit).
 func (e *Engine) admit(req *request) bool {
 	high := e.recordArrival(req)
 	backend := e.selectBackend(req)
 	if backend == nil {
-		e.rejectForLoad(req, NoBackend)
+		e.rejectUnavailable(req, NoBackend)
 		return false
 	}
 	slot := e.acquireSlot(high)
 	if slot == nil {
-		e.rejectForLoad(req, Overloaded)
+		e.rejectUnavailable(req, Overloaded)
 		return false
 	}
-	if !req.borrowed {
+	if !req.withdrawalRequested {
 		e.register(req)
 		req.customer.hardLimitTokens -= req.cost
 	}
@@ -95,8 +99,8 @@
 	return true
 }
 
-// rejectForLoad rejects a request for which there is no backend or no slot.
-func (e *Engine) rejectForLoad(req *request, reason Reason) {
+// rejectUnavailable rejects a request for which there is no backend or no slot.
+func (e *Engine) rejectUnavailable(req *request, reason Reason) {
 	e.emit(Reject{Request: req.id, RetryAfter: e.retryAfterMeanLatency(), Reason: reason})
 	e.finish(req)
 }
--- a/decision/attempts.go
+++ b/decision/attempts.go
@@ -4,7 +4,7 @@
 
 const (
 	// latencySampleWeight is the weight of one response in the moving averages of latency. The best
-	// latencies rise by a factor of bestLatencyGrowth with each response, slowly enough to still
+	// latencies rise by the fraction bestLatencyGrowth with each response, slowly enough to still
 	// hold the uncongested latency after a long overload.
 	latencySampleWeight = 1.0 / 16
 	bestLatencyGrowth   = latencySampleWeight * latencySampleWeight / 4
@@ -15,18 +15,18 @@
 
 // attempt is one attempt of a request.
 type attempt struct {
-	backend     *backend
-	slot        *slot
-	sentAt      time.Duration
-	pausedFor   time.Duration // time since sentAt in which this process was paused
-	outstanding bool          // its Outcome has not been received
-	countedLate bool          // the concurrency limit counted it as late while it was in flight
-	cancelled   bool          // by cancelSlowAttempts, to be retried at another backend
-	result      Result
+	backend         *backend
+	slot            *slot
+	sentAt          time.Duration
+	pausedFor       time.Duration // time since sentAt in which this process was paused
+	outstanding     bool          // its Outcome has not been received
+	countedLate     bool          // the concurrency limit counted it as late while it was in flight
+	cancelledAsSlow bool          // cancelled by cancelSlowAttempts, to be retried at another backend
+	result          Result
 }
 
-// waited returns how long the attempt has been waiting for its response, without pauses of
-// this process.
+// waited returns how long the attempt has been waiting for its response, in seconds, without pauses
+// of this process.
 func (a *attempt) waited(now time.Duration) float64 { return (now - a.sentAt - a.pausedFor).Seconds() }
 
 // hasOutstanding reports whether the request has an attempt in flight. It never has more than one.
@@ -35,11 +35,13 @@
 }
 
 // startAttempt sends a request to a backend, in a slot that it already holds. A retry of an attempt
-// that may have run must be sent while backends still drop repeats of it.
+// that may have been executed must be sent while backends still drop repeats of it. ResponseGrace is
+// subtracted as a margin for the time that the retry takes to reach the backend.
 func (e *Engine) startAttempt(req *request, backend *backend, slot *slot) {
 	notAfter := time.Duration(0)
-	if executed := req.possiblyExecutedAttempt(); executed != nil && req.class.Idempotency == IdempotentByKey {
-		notAfter = executed.sentAt + req.class.DedupWindow - e.settings.ResponseGrace
+	if possiblyExecuted := req.possiblyExecutedAttempt(); possiblyExecuted != nil &&
+		req.class.Idempotency == IdempotentByKey {
+		notAfter = possiblyExecuted.sentAt + req.class.DedupWindow - e.settings.ResponseGrace
 	}
 	started := attempt{backend: backend, slot: slot, sentAt: e.now, outstanding: true}
 	req.attempts = append(req.attempts, started)
@@ -54,7 +56,8 @@
 }
 
 // onOutcome handles the end of an attempt: the request is complete, is retried in the same slot, or
-// gets its final answer. Outcomes of attempts that are not in flight are ignored.
+// gets its final answer. A request whose response has started is neither retried nor answered.
+// Outcomes of attempts that are not in flight are ignored.
 func (e *Engine) onOutcome(event Outcome) {
 	req := e.requests[event.Request]
 	if req == nil || event.Attempt < 0 || event.Attempt >= len(req.attempts) ||
@@ -83,6 +86,7 @@
 }
 
 // recordOutcome updates the statistics of the backend, of the class and of the whole Engine.
+// ConnectionLost and NotSent say nothing about the backend's latency or silence.
 func (e *Engine) recordOutcome(req *request, ended *attempt, event Outcome) {
 	backend, latency := ended.backend, event.Latency.Seconds()
 	e.updateOverdueResponses(backend)
@@ -91,7 +95,7 @@
 	case Succeeded:
 		backend.overdueResponses, backend.connectFailures, backend.cancelledAttempts = 0, 0, 0
 		e.recordLatency(req.class, backend, latency)
-	case ErrorResponse, Unknown: // the backend responded, so it is not silent
+	case ErrorResponse, Unknown: // the backend responded, or may have: its silence is not counted
 		backend.overdueResponses = 0
 	case TimedOut, Cancelled:
 		e.recordNoResponse(req.class, ended, latency)
@@ -109,8 +113,8 @@
 	if event.Result == Cancelled || event.Result == NotSent || ended.countedLate {
 		return
 	}
-	slow := event.Latency.Seconds() > class.lateAfter()
-	late := event.Result == TimedOut || event.Result == Succeeded && slow
+	exceedsBound := event.Latency.Seconds() > class.lateAfter()
+	late := event.Result == TimedOut || event.Result == Succeeded && exceedsBound
 	e.endedAttempts++
 	if late || event.Result == Rejected {
 		e.badOutcomes++
@@ -129,11 +133,12 @@
 	backend.latencyRatio += 2 * latencySampleWeight * (latency/class.meanLatency - backend.latencyRatio)
 }
 
-// recordNoResponse records that an attempt ended without a response after a latency in seconds. The
-// response would have taken at least that long; the latency is capped at slowAttemptFactor times
-// the mean, as the connection may have been dead.
+// recordNoResponse records that an attempt ended without a response after waiting for latency
+// seconds. The response would have taken at least that long; the value is capped at
+// slowAttemptFactor times the mean, as the connection may have been dead. An attempt that was
+// cancelled as slow is passed to recordCancelled instead.
 func (e *Engine) recordNoResponse(class *class, ended *attempt, latency float64) {
-	if ended.cancelled {
+	if ended.cancelledAsSlow {
 		e.recordCancelled(ended.backend)
 		return
 	}
--- a/decision/concurrencylimit.go
+++ b/decision/concurrencylimit.go
@@ -18,8 +18,9 @@
 	lateLatencyFactor     = 6.0
 	lateObjectiveMinRatio = 1.0 / 64
 
-	// minOutcomeSamples is the least number of outcomes that badOutcomeRatio is applied to, and how
-	// many responses make the sustainable concurrency reliable. The weight of one second in the
+	// minOutcomeSamples is a number of outcomes that is enough for an estimate. It has three uses:
+	// badOutcomeRatio is applied to at least this many outcomes, even if there were fewer; this
+	// many responses make the sustainable concurrency reliable; and the weight of one second in the
 	// moving averages is the number of attempts a second divided by it, within minSampleWeight and
 	// maxSampleWeight.
 	minOutcomeSamples = 20
@@ -30,18 +31,21 @@
 	// The lower bound smooths the averages of a gateway with few outcomes a second.
 	minSampleWeight = 1.0 / 4
 	maxSampleWeight = 0.5
-	// minSustainableWeight is the sustainableWeight above which the sustainable concurrency bounds
-	// the limit of a gateway with few responses, whose first second has hardly one.
+	// minSustainableWeight is the sustainableWeight above which the sustainable concurrency is
+	// reliable at a gateway that has not had minOutcomeSamples responses yet. Before that, too few
+	// seconds have been averaged: its first second has hardly one response.
 	minSustainableWeight = 2.0 / 3
 )
 
 // limitState is the concurrency limit and the statistics that it is computed from.
 type limitState struct {
-	concurrencyLimit       float64 // how many attempts may be in flight; +Inf: not limited yet
-	endedAttempts          float64 // attempts that ended or became late, decaying
-	badOutcomes            float64 // those of them with a bad outcome, decaying
-	sustainableSum         float64 // sum of lateAfter over this second's responses, seconds
-	sustainableConcurrency float64 // moving average of sustainableSum a second, in attempts
+	concurrencyLimit float64 // how many attempts may be in flight; +Inf: not limited yet
+	endedAttempts    float64 // attempts that ended or became late, decaying
+	badOutcomes      float64 // those of them with a bad outcome, decaying
+	sustainableSum   float64 // sum of lateAfter over this second's successful responses, seconds
+	// sustainableConcurrency is the moving average of sustainableSum a second: how many attempts may
+	// be in flight so that, at the present rate of responses, none of them becomes late.
+	sustainableConcurrency float64
 	sustainableWeight      float64 // sum of the weights in that average, 0 to 1
 	responseCount          int     // successful responses so far
 }
@@ -58,11 +62,14 @@
 // be in flight. It runs once a second, elapsed seconds after the last time.
 //
 // There is no limit at first. A second with too many bad outcomes sets it to limitDecreaseFactor
-// times the attempts in flight, or times the previous limit if that is lower. Any other second in
-// which an attempt ended multiplies it by limitIncreaseFactor. It stays between half and all of the
-// sustainable concurrency, and is at least this gateway's share of one attempt per ready backend.
-// The lower bound is needed because decreases start late and continue after an overload has ended.
-// The upper bound is Little's law: attempts in flight beyond it must be late.
+// times the attempts in flight, or times the previous limit if that is lower. Any other second
+// multiplies it by limitIncreaseFactor, provided that an outcome is still counted: counts decay over
+// some seconds, and a decrease clears them. It is at least half the sustainable concurrency, and at
+// least this gateway's share of one attempt per ready backend. Once the sustainable concurrency is
+// reliable it is also the upper bound, divided by sustainableWeight, as the average starts at zero
+// and would otherwise be too low at first. The lower bound is needed because decreases start late
+// and continue after an overload has ended. The upper bound is Little's law: attempts in flight
+// beyond it must be late.
 //
 // Bad outcomes are attempts that a backend rejected and attempts that are late, whether ended or in
 // flight. Client timeouts would come too late as a signal: they occur only once the queues hold
@@ -71,8 +78,9 @@
 // decrease sets.
 //
 // With many gateways, a gateway has only an attempt or two a second. Therefore the averages span
-// several seconds, the limit may be a fraction of an attempt, and it grows only if an attempt has
-// ended since its last decrease.
+// several seconds, and the limit may be a fraction of an attempt. The averages span
+// maxSampleWeight/weight seconds: at a gateway with many attempts, counts of outcomes are cleared
+// each second.
 func (e *Engine) adjustConcurrencyLimit(elapsed float64) {
 	weight := max(minSampleWeight, min(maxSampleWeight, e.sendRate/minOutcomeSamples))
 	e.countLateAttempts()
@@ -94,8 +102,8 @@
 		e.concurrencyLimit *= limitIncreaseFactor
 	}
 	e.sustainableWeight += weight * (1 - e.sustainableWeight)
-	known := e.sustainableWeight > minSustainableWeight || e.responseCount >= minOutcomeSamples
-	if e.sustainableConcurrency > 0 && known {
+	sustainableReliable := e.sustainableWeight > minSustainableWeight || e.responseCount >= minOutcomeSamples
+	if e.sustainableConcurrency > 0 && sustainableReliable {
 		e.concurrencyLimit = min(e.concurrencyLimit, e.sustainableConcurrency/e.sustainableWeight)
 	}
 	e.concurrencyLimit = max(e.concurrencyLimit, least)
@@ -120,8 +128,9 @@
 // overloaded reports whether the bad outcomes show that the backends as a whole have too many
 // attempts in flight.
 //
-// More backends must be failing than half the number of bad outcomes, or than a third of the ready
-// backends: if only a few fail, the selection avoids them. The bad outcomes must also exceed
+// The backends with a bad outcome in the last maxSampleWeight/weight seconds must number more than
+// half the bad outcomes, or more than a third of the ready backends: if there are only a few, the
+// selection avoids them. The bad outcomes must also exceed
 // badOutcomeRatio by badOutcomeDeviations standard deviations, unless more than half of all
 // outcomes are bad: among a few dozen outcomes badOutcomeRatio is often exceeded by chance, and the
 // limit takes many seconds to recover from a decrease.
--- a/decision/concurrencylimit_test.go
+++ b/decision/concurrencylimit_test.go
@@ -56,10 +56,10 @@
 // Under overload, with subrating, more requests are in flight than the limit has slots. A decrease
 // computed from that number would raise the limit, so subrated requests must count only as the part
 // of a slot that they hold.
-func TestAdjustConcurrencyLimit_SubratedAttemptsDoNotRaiseIt(t *testing.T) {
+func TestAdjustConcurrencyLimit_SubratedAttemptsDoNotRaiseLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints(3)...)
 	engine := h.engine
-	engine.concurrencyLimit, engine.partitionSize, engine.subratedSlots, engine.endedAttempts, engine.badOutcomes,
+	engine.concurrencyLimit, engine.partitionSize, engine.subratedRequests, engine.endedAttempts, engine.badOutcomes,
 		engine.sustainableConcurrency = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
 	engine.partitionInUse[partitionShared] = 130
 	for _, backend := range knownBackends(engine) {
@@ -72,7 +72,7 @@
 
 // Thirty attempts are in flight for more than half their latency objective and none has ended. The
 // limit must be decreased without any outcome: client timeouts come only after a long overload.
-func TestAdjustConcurrencyLimit_LateAttemptsInFlightCutIt(t *testing.T) {
+func TestAdjustConcurrencyLimit_LateAttemptsInFlightDecreaseLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints(3)...)
 	for i := range 30 {
 		h.request("safe", "large", CustomerID(i))
@@ -87,7 +87,7 @@
 // After a second with thirty responses a burst of 200 requests arrives. The limit must not wait
 // until they are late: attempts in flight beyond the sustainable concurrency are certain to become
 // late.
-func TestAdjustConcurrencyLimit_BoundsBurstBeforeItIsLate(t *testing.T) {
+func TestAdjustConcurrencyLimit_BoundsBurstBeforeAttemptsAreLate(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints(3)...)
 	for i := range 30 {
 		id, actions := h.request("safe", "large", CustomerID(i))
@@ -181,6 +181,7 @@
 			perRequest = append(perRequest, actions)
 		}
 		h.now += second
+		// The three requests of seven seconds ago: the last three were sent one second ago.
 		for _, actions := range perRequest[max(0, len(perRequest)-21):max(0, len(perRequest)-18)] {
 			for _, a := range startedAttempts(actions) {
 				h.handle(Outcome{Request: a.Request, Backend: a.Backend, Result: TimedOut, Latency: 6 * second,
--- a/decision/counter.go
+++ b/decision/counter.go
@@ -8,8 +8,8 @@
 )
 
 // Exchange of hard-limit tokens between gateways, through a shared bucket on the counter; package
-// quota has the rules. Normally the counter is not involved: only a request that exceeds this
-// gateway's own share waits for it. If the counter does not respond in time, the request is
+// quota has the rules. Requests normally do not wait for the counter: only one that exceeds this
+// gateway's own share does. If the counter does not respond in time, the request is
 // rejected, as it would be without a counter.
 
 const (
@@ -22,7 +22,7 @@
 
 // counterState holds this gateway's calls of the shared counter, and how well the counter responds.
 type counterState struct {
-	counterLink    quota.CounterLink
+	counterLink    quota.CounterLink      // circuit breaker and load limiter of the calls
 	counterCalls   map[uint64]counterCall // calls without a result, by Ref
 	lastCounterRef uint64
 }
@@ -35,21 +35,21 @@
 	deposit  bool     // the call deposits surplus tokens into the shared bucket
 }
 
-// borrow requests the cost of a request from the shared bucket, and reports whether the request now
+// requestWithdrawal requests the cost of a request from the shared bucket, and reports whether the request now
 // waits for the result.
-func (e *Engine) borrow(req *request) bool {
+func (e *Engine) requestWithdrawal(req *request) bool {
 	bucket := &req.customer.sharedBucket
 	if !bucket.Exists() || !e.counterLink.Allow(e.now, bucket) {
 		return false
 	}
-	req.borrowed = true
+	req.withdrawalRequested = true
 	e.register(req)
 	e.callCounter(counterCall{customer: req.customer, request: req, cost: req.cost}, -req.cost)
 	return true
 }
 
-// depositSurplus moves tokens that would otherwise overflow into the shared buckets of some of the
-// customers whose share is full at this gateway. It runs with the tick, as a gateway that gets few
+// depositSurplus deposits surplus tokens into the shared buckets of some of the customers whose share
+// is full at this gateway, so that further tokens would be lost. It runs with the tick, as a gateway that gets few
 // requests of a customer, and so has a surplus, could not rely on requests to trigger it.
 func (e *Engine) depositSurplus() {
 	if !e.settings.HasSharedCounter {
@@ -72,7 +72,8 @@
 	}
 }
 
-// customersWithSurplus returns the customers whose surplus may be deposited now, ordered by ID.
+// customersWithSurplus returns the customers whose surplus may be deposited now, ordered by ID: those
+// whose share at this gateway is full. withinHardLimit refills the share first.
 func (e *Engine) customersWithSurplus() (full []*customer) {
 	for _, id := range slices.Sorted(maps.Keys(e.customers)) {
 		customer := e.customers[id]
@@ -101,8 +102,8 @@
 // rejected. A further call corrects the shared bucket if tokens were withdrawn in vain, or if it
 // now holds too many.
 func (e *Engine) onCounterResult(event CounterResult) {
-	call, known := e.counterCalls[event.Ref]
-	if !known {
+	call, pending := e.counterCalls[event.Ref]
+	if !pending {
 		return
 	}
 	delete(e.counterCalls, event.Ref)
--- a/decision/counter_test.go
+++ b/decision/counter_test.go
@@ -88,7 +88,8 @@
 	if served["healthy"] < served["none"]+0.2 || served["healthy"] < 0.8 {
 		t.Errorf("served shares %v: want healthy at least 0.8, and 0.2 above none", served)
 	}
-	if served["down"] < served["none"]-0.15 { // a gateway keeps only half a share, so it can serve smaller bursts
+	// Part of each share belongs to the shared bucket, so a gateway can serve only smaller bursts on its own.
+	if served["down"] < served["none"]-0.15 {
 		t.Errorf("served shares %v: want down at most 0.15 below none", served)
 	}
 }
@@ -119,6 +120,7 @@
 		for _, k := range calls {
 			most = max(most, k)
 		}
+		// Four times the mean number of calls in a window, at one a second from each gateway, and four.
 		if bound := 4 + gateways/5; n < gateways || most > bound {
 			t.Errorf("%d gateways: %d of %d calls within %v, want %d at most, and %d calls or more", gateways, most, n,
 				window, bound, gateways)
@@ -158,6 +160,8 @@
 		for _, n := range moments {
 			most = max(most, n)
 		}
+		// In each of the 4 s, depositsPerSecondAll calls, or one for each active gateway if that is more;
+		// and one tick of each at the border.
 		if active := min(gateways, 40); calls > 4*max(100, active)+active*depositsPerTickMax ||
 			most > 2*depositsPerTickMax || calls == 0 {
 			t.Errorf("%d gateways: %d deposits in 4 s, want 1 to %d; %d in one moment, want %d at most", gateways, calls,
@@ -168,7 +172,7 @@
 
 // The counter is down, and fifty customers have a surplus to deposit. The gateway must try the
 // counter with only one call at a time.
-func TestCounterLink_OneProbeWhileDown(t *testing.T) {
+func TestCounterLink_OneTrialCallWhileDown(t *testing.T) {
 	fleet := newGatewayFleet(t, sharedBucketSettings(400, 2000), 2, testEndpoints(20))
 	moments := map[time.Duration]int{}
 	fleet.counter = func(a CounterAdd) (CounterResult, time.Duration) {
--- a/decision/customers.go
+++ b/decision/customers.go
@@ -20,14 +20,14 @@
 // customer is this gateway's state of a customer.
 type customer struct {
 	plan            *Plan
-	newcomers       *quota.NewcomerStats // statistics of the newcomers of its plan
+	newcomerStats   *quota.NewcomerStats // statistics of the newcomers of its plan: see isNewcomer
 	gateways        float64              // how many gateways it uses
 	usesThisGateway bool                 // this gateway is one of them
 	lastSeenAt      time.Duration
 	inFlight        int     // attempts of this gateway
 	lastCost        float64 // cost of its last request, units
 
-	tokens           float64 // quota bucket, percent-seconds, as of tokensAt
+	tokens           float64 // quota tokens in the bucket, percent-seconds, as of tokensAt
 	tokensAt         time.Duration
 	debits           []debit // requests forwarded by this gateway since tokensAt, oldest first
 	admitProbability float64 // applies while the bucket is empty
@@ -35,12 +35,12 @@
 	usagePeriod float64       // seconds
 	usageAt     time.Duration // when the last new usage report arrived
 	lastUsage   float64       // its value, percent of the rate
-	// Sums over the usage reports, multiplied by retention at each new one: use over all gateways
+	// Sums over the usage reports, multiplied by retentionFactor at each new one: use over all gateways
 	// and use at this gateway (both in percent-seconds), and the seconds that the reports cover.
 	meteredUsage, ownUsage, meteredSeconds float64
-	retention                              float64
+	retentionFactor                        float64
 
-	hardLimitTokens   float64 // this gateway's share of the hard limit, units, as of hardLimitTokensAt
+	hardLimitTokens   float64 // left of this gateway's share of the hard limit, units, as of hardLimitTokensAt
 	hardLimitTokensAt time.Duration
 	sharedBucket      quota.SharedBucket // hard-limit tokens exchanged with other gateways
 }
@@ -57,31 +57,33 @@
 	return customer
 }
 
-// newCustomer creates a customer with a full quota bucket, or, with AssumeQuotaSpent, with what has
-// refilled since the Engine was created. A newcomer, which uses many gateways and has no usage
-// report yet, gets tokens for this one request only: otherwise each of its gateways would grant a
-// whole burst.
+// newCustomer creates a customer with a full quota bucket. If AssumeQuotaSpent is set, the bucket holds
+// only the quota margin and what has refilled since the Engine was created. A newcomer, which uses
+// many gateways and has no usage report yet, gets tokens for this one request only: otherwise each
+// of its gateways would grant a whole burst. The more gateways a customer uses, the nearer its
+// retentionFactor is to 1: see usageRetention.
 func (e *Engine) newCustomer(event Request, plan *Plan) *customer {
 	count := e.settings.GatewayCount
 	gateways := min(max(event.GatewaySpread, 1), count)
+	// The gateways form a ring; the customer uses those from FirstGateway on.
 	offset := ((e.settings.GatewayIndex-event.FirstGateway)%count + count) % count
 	c := &customer{
 		plan:              plan,
-		newcomers:         e.newcomersByPlan[plan.Name],
+		newcomerStats:     e.newcomersByPlan[plan.Name],
 		gateways:          float64(gateways),
 		usesThisGateway:   offset < gateways,
 		admitProbability:  1,
 		tokensAt:          e.now,
 		hardLimitTokensAt: e.createdAt,
 		usagePeriod:       e.settings.UsagePeriod.Seconds(),
-		retention:         1 - (1-usageRetention)*min(1, smallGatewaySpread/float64(gateways)),
+		retentionFactor:   1 - (1-usageRetention)*min(1, smallGatewaySpread/float64(gateways)),
 	}
 	c.tokens = c.burstTokens()
 	if e.settings.AssumeQuotaSpent {
 		c.tokens = min(c.tokens, quotaMarginRatio*c.tokens+fullRatePercent*(e.now-e.createdAt).Seconds())
 	}
 	if c.isNewcomer() {
-		c.tokens = min(c.tokens, newcomerSlack+c.percentSeconds(event.Cost)+quotaMarginRatio*c.tokens)
+		c.tokens = min(c.tokens, newcomerSlack+c.quotaTokens(event.Cost)+quotaMarginRatio*c.tokens)
 	}
 	if e.settings.HasSharedCounter && plan.HardLimitRate > 0 && c.usesThisGateway && gateways > 1 {
 		c.sharedBucket = quota.NewSharedBucket(uint64(event.Customer), plan.Name,
--- a/decision/encoding_test.go
+++ b/decision/encoding_test.go
@@ -14,8 +14,8 @@
 )
 
 // encodeAction encodes an action with all its fields, under names that do not depend on the Go
-// identifiers: renaming these must not change a fingerprint. TestEncodingKnowsEveryField checks
-// that no field is left out.
+// identifiers: renaming these must not change a fingerprint (see fingerprint_test.go).
+// TestEncodingKnowsEveryField checks that no field is left out.
 func encodeAction(action Action) string {
 	switch a := action.(type) {
 	case StartAttempt:
--- a/decision/endpointupdates.go
+++ b/decision/endpointupdates.go
@@ -16,7 +16,7 @@
 
 	// Measured from responses: see outliers.go.
 	latencyRatio      float64       // moving average of latency relative to the class's mean; 1 is normal
-	overdueResponses  float64       // in mean response times, as of overdueAt
+	overdueResponses  float64       // see updateOverdueResponses; as of overdueAt
 	overdueAt         time.Duration // when overdueResponses was last updated
 	holdUntil         time.Duration // no attempts before this time, as it was full or unreachable
 	connectFailures   int           // consecutive
@@ -25,12 +25,13 @@
 	// Slow start: see slowstart.go.
 	warmingSince   time.Duration // when it started, as far as known
 	warmingUp      bool
-	warmupTokens   float64 // attempts allowed while it warms up, as of warmupTokensAt
+	warmupTokens   float64 // attempts allowed in slow start, as of warmupTokensAt
 	warmupTokensAt time.Duration
 }
 
 // onEndpointUpdate applies a change of the set of backends. From then on no new attempts are sent
-// to backends that are draining or removed. A failed update changes nothing.
+// to backends that are draining or removed. A failed update changes no backend; the Engine subscribes
+// again if it has to.
 func (e *Engine) onEndpointUpdate(event EndpointUpdate) {
 	if event.Kind == UpdateFailed {
 		if e.settings.SubscribeToEndpoints {
@@ -51,9 +52,10 @@
 	e.index.Advance(e.now)
 }
 
-// updateEndpoint applies one entry of an update. If the backend's process has restarted since the
-// previous entry, the backend is put into slow start and the measurements of the previous process
-// are dropped.
+// updateEndpoint applies one entry of an update. If the backend's process has started later than
+// known so far, which a new backend's has if its start is given, the backend is put into slow start,
+// and its latency ratio, overdue responses and hold are reset. Its counts of consecutive failures and
+// cancelled attempts stay.
 func (e *Engine) updateEndpoint(endpoint Endpoint) {
 	known := e.backends[endpoint.ID]
 	if known == nil {
--- a/decision/endpointupdates_test.go
+++ b/decision/endpointupdates_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// After each update and each tick of the random scripts, the index returns the same backends as a
-// walk over all backends.
+// After each update and each tick of the random scripts (see fingerprint_test.go), the index returns
+// the same backends as a walk over all backends.
 func TestIndexMatchesWalkOverBackends(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		script := newRandomScript(t, seed, func(time.Duration, []Action) {})
@@ -38,7 +38,7 @@
 					t.Fatalf("seed %d at %v, protocol %q: the index returns %d of %d backends, or another order, want %d of %d",
 						seed, script.now, protocol, len(got), pool.Len(), len(want), known)
 				}
-				if got := script.engine.warmCapacity(pool); math.Abs(got-warm) > 1e-9*max(1, warm) {
+				if got := script.engine.readyCapacity(pool); math.Abs(got-warm) > 1e-9*max(1, warm) {
 					t.Fatalf("seed %d at %v, protocol %q: warm capacity %v, want %v", seed, script.now, protocol, got, warm)
 				}
 			}
--- a/decision/engine.go
+++ b/decision/engine.go
@@ -197,7 +197,7 @@
 	e.lastTickAt = e.now
 	e.sendRate += sendRateWeight * (e.sendsThisSecond/elapsed - e.sendRate)
 	e.sendsThisSecond = 0
-	e.index.Advance(e.now)
+	e.index.Advance(e.now) // sets the time for which Warming counts
 	for _, pool := range e.pools {
 		pool.onTick(elapsed)
 	}
@@ -214,7 +214,7 @@
 
 // onTick updates the pool's rates after elapsed seconds.
 func (p *protocolPool) onTick(elapsed float64) {
-	p.Warming() // removes the backends that are warm by now; doing so each tick keeps each call short
+	p.Warming() // its result is not used: it drops the backends that are warm by now, and each tick keeps calls short
 	p.sendRate += sendRateWeight * (p.sendsThisSecond/elapsed - p.sendRate)
 	p.meanSendRate += meanSendRateWeight * (p.sendsThisSecond/elapsed - p.meanSendRate)
 	p.peakSendRate = max(p.meanSendRate, peakSendRateRetention*p.peakSendRate)
--- a/decision/events.go
+++ b/decision/events.go
@@ -2,7 +2,9 @@
 
 import "time"
 
-// RequestID identifies one try of a client. An ID is never reused.
+// RequestID identifies a request. A client may send the same request several times; each of these
+// tries is a Request with an ID of its own. No other request ever gets the same ID. A Request event
+// with the ID of a request that is not complete is ignored.
 type RequestID uint64
 
 // BackendID identifies a backend. A backend keeps its ID when its process restarts.
@@ -104,7 +106,8 @@
 	Attempt int // index of the attempt within the request, from 0
 	Result  Result
 	Latency time.Duration
-	// Final says that the request ended with this outcome and needs no further answer.
+	// Final says that the request needs no further answer: this outcome gave it its final answer,
+	// or it already had one.
 	Final bool
 	// HasUsage says that Usage holds a usage report: the customer's use over all gateways in the
 	// last completed usage period, in percent of its plan's rate.
@@ -119,7 +122,8 @@
 }
 
 // ResponseStarted reports that the first part of a streamed response has been passed on to the
-// client. From then on the attempt is not retried, and is cancelled only if the client disconnects.
+// client. From then on the Engine does not retry the attempt, and cancels it only if the client
+// disconnects.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
--- a/decision/fingerprint_test.go
+++ b/decision/fingerprint_test.go
@@ -22,7 +22,7 @@
 	ids          []BackendID
 	inFlight     []Outcome // attempts in flight, without their results
 	attempts     map[RequestID]int
-	timers       []pendingEvent
+	timers       []pendingEvent // id holds the Token
 	attemptCount int
 	onActions    func(now time.Duration, actions []Action)
 	afterEvent   func(Event) // may be nil
@@ -185,7 +185,7 @@
 		if script.rng.IntN(2) == 0 {
 			script.handle(ProcessPaused{Duration: time.Duration(script.rng.Int64N(int64(3 * second)))})
 		}
-	default: // an idle period, in which
+	default: // an idle period without events
 		script.now += time.Duration(script.rng.Int64N(int64(20 * second)))
 	}
 }
@@ -206,7 +206,7 @@
 
 var extraSeeds = flag.Int("seeds", 0, "number of additional seeds whose combined fingerprint TestFingerprints prints")
 
-// combinedFingerprint returns a hash of the fingerprints of the seeds from from to to-1.
+// combinedFingerprint returns a hash of the fingerprints of the seeds in [from, to).
 func combinedFingerprint(t *testing.T, from, to uint64) (hash uint64, attempts int) {
 	for seed := from; seed < to; seed++ {
 		p, n := fingerprint(t, seed, 2500)
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// restartBackends updates all gateways that the first n backends have started at a time.
+// restartBackends informs all gateways that the first n backends have started at the given time.
 func (fleet *gatewayFleet) restartBackends(n int, at time.Duration) {
 	update := EndpointUpdate{Kind: UpdateDelta}
 	for _, b := range testEndpoints(n) {
--- a/decision/hardlimit.go
+++ b/decision/hardlimit.go
@@ -4,8 +4,8 @@
 // failure. Gateways do not see what the others forward, so each enforces a share of its own, and
 // the shares add up to the limit.
 
-// hardLimitShare returns the most tokens of the hard limit that this gateway may hold, in units: an
-// even share, or less if part of that share belongs to the shared bucket.
+// hardLimitShare returns the size of this gateway's share of the hard limit: the most tokens that it
+// may hold, in units. It is an even share, or less if part of that belongs to the shared bucket.
 func (c *customer) hardLimitShare() float64 {
 	if c.sharedBucket.Exists() {
 		return c.sharedBucket.LocalShare()
@@ -13,7 +13,7 @@
 	return c.plan.HardLimitBurst / c.gateways
 }
 
-// withinHardLimit refills this gateway's share, and reports whether it covers a cost. A customer's
+// withinHardLimit refills the tokens of this gateway's share, and reports whether they cover a cost. A customer's
 // share is assumed to have been empty when the Engine was created, as it may have been used up
 // before a restart. A gateway that the customer does not use has no share.
 func (e *Engine) withinHardLimit(customer *customer, cost float64) bool {
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -53,10 +53,10 @@
 
 // harness passes events to one engine.
 type harness struct {
-	t      *testing.T
-	engine *Engine
-	now    time.Duration
-	next   RequestID
+	t           *testing.T
+	engine      *Engine
+	now         time.Duration
+	lastRequest RequestID
 }
 
 func newHarness(t *testing.T, settings Settings, backends ...Endpoint) *harness {
@@ -87,8 +87,8 @@
 func (h *harness) handle(event Event) []Action { return h.engine.Handle(h.now, event, nil) }
 
 func (h *harness) request(class, plan string, customer CustomerID) (RequestID, []Action) {
-	h.next++
-	return h.next, h.handle(Request{ID: h.next, Customer: customer, Class: class, Plan: plan, Cost: 1,
+	h.lastRequest++
+	return h.lastRequest, h.handle(Request{ID: h.lastRequest, Customer: customer, Class: class, Plan: plan, Cost: 1,
 		Timeout: 6 * second, GatewaySpread: 2})
 }
 
--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -16,8 +16,8 @@
 	// process is down.
 	connectFailureThreshold = 3
 
-	// overdueTolerance is how many responses, measured in mean response times, may be overdue at a
-	// backend before its selection cost rises.
+	// overdueTolerance is the value of overdueResponses above which a backend's selection cost
+	// rises.
 	overdueTolerance = 2.0
 	// overdueDecaySeconds and latencyRatioDecaySeconds are the time constants, to 1/e, with which
 	// overdueResponses, and latencyRatio above 1, decay at a backend without attempts in flight.
@@ -31,8 +31,8 @@
 	// is how many may be cancelled at once.
 	cancelBudgetPerSend = 1.0 / 16
 	cancelBudgetMax     = 8.0
-	// cancelPenaltyMax bounds how far overdueResponses rises above overdueTolerance when an attempt
-	// is cancelled as slow.
+	// cancelPenaltyMax is the highest value, above overdueTolerance, at which recordCancelled caps
+	// overdueResponses.
 	cancelPenaltyMax = 8.0
 )
 
@@ -41,9 +41,10 @@
 var connectBackoff = backoff.Exponential{Initial: 125 * time.Millisecond, Max: time.Second}
 
 // onConnectFailed puts a backend that could not be reached on hold, for longer after each
-// consecutive failure. A single failed connection says nothing about the other ones: only after
-// connectFailureThreshold failures is the backend's process assumed to be down, and the backend put
-// into slow start.
+// consecutive failure. A single failed connection says nothing about other connections to the
+// backend: only after connectFailureThreshold failures is the backend's process assumed to be down,
+// and the backend put into slow start. The count is capped there: each further failure restarts
+// slow start, and the time on hold grows no more.
 func (e *Engine) onConnectFailed(backend *backend) {
 	backend.holdUntil = e.now + connectBackoff.Delay(backend.connectFailures)
 	backend.connectFailures++
@@ -54,14 +55,14 @@
 	}
 }
 
-// updateOverdueResponses updates and returns how many responses are overdue at a backend since its
-// last one, measured in mean response times. This detects a backend that hangs, is paused or is
-// unreachable before any attempt times out.
+// updateOverdueResponses updates and returns a backend's overdueResponses: each attempt in flight
+// adds the time that passes, in usual latencies of the backend, until a response sets the value to
+// zero. This detects a backend that hangs, is paused or is unreachable before any attempt times out.
 //
 // A few long requests, or one on a dead connection, can raise the value wrongly, so it only raises
 // the selection cost. It decays while no attempt is in flight, and so does latencyRatio. Without
-// that decay, each backend in turn would be avoided for a minute after one dead attempt, and the
-// remaining ones would be overloaded and respond late. Because of the decay, a backend that stays
+// that decay, each backend in turn would be avoided for a minute after one attempt on a dead
+// connection, and the remaining ones would be overloaded and respond late. Because of the decay, a backend that stays
 // silent still gets an attempt every few seconds, which cancelSlowAttempts then moves elsewhere.
 func (e *Engine) updateOverdueResponses(backend *backend) float64 {
 	elapsed := (e.now - backend.overdueAt).Seconds()
@@ -78,8 +79,11 @@
 // cancelSlowAttempts cancels first attempts that have waited slowAttemptFactor times the mean
 // latency of their class, so that they are retried at another backend in the same slot. Otherwise
 // an attempt on a dead connection, or at a backend that hangs, would hold its slot until the
-// client's deadline, a hundred times as long as a normal response takes; a few of them would use up
-// a small concurrency limit.
+// client's deadline, which may be a hundred times as long as a normal response takes; a few of them
+// would use up a small concurrency limit.
+//
+// An attempt is cancelled only if more than twice the mean latency is left until the deadline, so
+// that there is time for the retry.
 //
 // Under overload many attempts wait that long, and cancelling them means doing their work twice.
 // Therefore the budget limits cancelled attempts to a small share, and a retry is never cancelled
@@ -98,16 +102,17 @@
 			allowed := e.settings.CanCancel && e.cancelBudget >= 1
 			if waiting && inTime && allowed && e.selectBackend(req) != nil {
 				e.cancelBudget--
-				first.cancelled = true
+				first.cancelledAsSlow = true
 				e.emit(CancelAttempt{Request: req.id})
 			}
 		}
 	}
 }
 
-// recordCancelled raises the selection cost of a backend after an attempt there was cancelled as
-// slow. As the connection alone may have been at fault, the backend is soon tried again, but each
-// further cancelled attempt doubles the penalty until a response arrives.
+// recordCancelled caps overdueResponses of a backend after an attempt there was cancelled as slow:
+// the wait has raised it far above overdueTolerance. As the connection alone may have been at fault,
+// the backend is soon tried again, but each consecutive cancelled attempt doubles how far the cap is
+// above overdueTolerance, up to cancelPenaltyMax. A successful response clears both.
 func (e *Engine) recordCancelled(backend *backend) {
 	penalty := min(cancelPenaltyMax, math.Ldexp(1, backend.cancelledAttempts))
 	backend.overdueResponses = min(backend.overdueResponses, overdueTolerance+penalty)
--- a/decision/outliers_test.go
+++ b/decision/outliers_test.go
@@ -9,7 +9,7 @@
 func TestUpdateOverdueResponses_PenaltyDecaysWhileIdle(t *testing.T) {
 	for _, c := range []struct {
 		overdue, ratio float64
-		least, most    int // half seconds until the backend is tried again
+		least, most    int // requests, one every half second, until the backend is tried again
 	}{{8, 1, 2, 8}, {1, 8, 2, 30}, {75, 9, 4, 30}} {
 		h := newHarness(t, testSettings(), testEndpoints(2)...)
 		backend := h.engine.backends[1]
@@ -78,9 +78,12 @@
 // the actions of the next event.
 func (h *harness) waitUntilSlow() []Action {
 	h.now += durationOf(slowAttemptFactor*0.1) + ms
-	return h.handle(ProbeResult{})
+	return h.handleIgnored()
 }
 
+// handleIgnored passes an event that the engine ignores, so that it only cancels slow attempts.
+func (h *harness) handleIgnored() []Action { return h.handle(ProbeResult{}) }
+
 func cancelledAttempts(actions []Action) (out []CancelAttempt) {
 	for _, a := range actions {
 		if c, ok := a.(CancelAttempt); ok {
@@ -117,7 +120,7 @@
 	} {
 		h, id, b := newHarnessWithAttempt(t, 3, c.class)
 		c.change(h)
-		if actions := h.handle(ProbeResult{}); len(actions) != 0 {
+		if actions := h.handleIgnored(); len(actions) != 0 {
 			t.Errorf("%s: actions before the attempt is slow: %+v, want none", c.name, actions)
 		}
 		cancelled := cancelledAttempts(h.waitUntilSlow())
@@ -159,7 +162,7 @@
 }
 
 // A backend that leaves several attempts in a row without a response must get a higher penalty each
-// time, as one dead connection says little about it. A response clears the penalty.
+// time: a small one at first, as it may be just one dead connection. A response clears the penalty.
 func TestRecordCancelled_PenaltyGrows(t *testing.T) {
 	h, id, at := newHarnessWithAttempt(t, 2, "safe")
 	backend := h.engine.backends[at]
--- a/decision/partitions_test.go
+++ b/decision/partitions_test.go
@@ -41,17 +41,17 @@
 	acquire(false, -1)             // the shared partition is full
 	acquire(true, partitionShared) // two low-priority requests are subrated
 	acquire(true, -1)              // no request is left to subrate
-	if engine.subratedSlots != subratedPerSlot || engine.partitionInUse != [3]int{smallPartitionSlots,
+	if engine.subratedRequests != subratedPerSlot || engine.partitionInUse != [3]int{smallPartitionSlots,
 		smallPartitionSlots, 3*smallPartitionSlots + 1} {
-		t.Fatalf("subrated %d, want %d; in use %v, want one above the size of the shared partition", engine.subratedSlots,
+		t.Fatalf("subrated %d, want %d; in use %v, want one above the size of the shared partition", engine.subratedRequests,
 			subratedPerSlot, engine.partitionInUse)
 	}
 	for _, s := range held {
 		engine.releaseSlot(s)
 	}
-	if engine.subratedSlots != 0 || engine.partitionInUse != [3]int{smallPartitionSlots - 1, smallPartitionSlots - 1,
+	if engine.subratedRequests != 0 || engine.partitionInUse != [3]int{smallPartitionSlots - 1, smallPartitionSlots - 1,
 		3*smallPartitionSlots - 3} {
-		t.Fatalf("after the release: subrated %d, want 0; in use %v, want the initial slots", engine.subratedSlots,
+		t.Fatalf("after the release: subrated %d, want 0; in use %v, want the initial slots", engine.subratedRequests,
 			engine.partitionInUse)
 	}
 }
@@ -164,7 +164,7 @@
 
 // A partition of less than a slot must not reject everything: its limit applies to its average
 // load.
-func TestAcquireSlot_SmallPartitionIsHeldOnAverage(t *testing.T) {
+func TestAcquireSlot_SmallPartitionLimitHoldsOnAverage(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints(4)...)
 	engine := h.engine
 	engine.concurrencyLimit, engine.bestLatency = 0.4, 0.1
--- a/decision/partitionsearch.go
+++ b/decision/partitionsearch.go
@@ -14,16 +14,18 @@
 }
 
 const (
-	// partitionSteps is how many steps the search divides N into; a step is at least one slot.
+	// partitionSteps is how many steps the search divides N into; a step is at least one slot of
+	// the scaled N (see bestPartition).
 	partitionSteps = 20
-	// payoffTolerance is by how much, as a share of the best payoff, a partition must exceed it to
-	// replace it.
+	// payoffTolerance: a division replaces the best one so far only if its payoff is higher by more
+	// than this share of the best payoff.
 	payoffTolerance = 1e-9
 )
 
 // bestPartition returns the slots for high and low priority, out of n, for which payoff is highest.
-// The remaining slots are shared. If n is infinite, all of it is shared. Of partitions with equal
-// payoffs, the first one found is chosen, which reserves the fewest slots.
+// The remaining slots are shared. If n is infinite, all of it is shared. Of divisions with equal
+// payoffs, the first one found is chosen: the one with the fewest slots for high priority, and of
+// those the one with the fewest for low priority.
 //
 // A small n is scaled up for the search, and the result is scaled down again, so it may contain
 // fractions of slots: gateways with fractional partitions even each other out.
@@ -47,9 +49,13 @@
 	return highSlots, lowSlots
 }
 
-// payoff returns the payoff of a partition a second: (2)+(3)+(7)+(11)-(9) of the paper, where a
-// rejected request costs what it would have earned (q = v). Each truncated sum in the paper is an
-// Erlang loss formula B(a, n): the mean number of requests in service is a(1-B).
+// payoff returns the payoff a second of a division of the slots. It is the payoff of the requests in
+// the partitions for high and for low priority, plus that of the requests in the shared slots, plus
+// that of the high-priority requests admitted by subrating, less the loss from rejected requests:
+// (2)+(3)+(7)+(11)-(9) of the paper. The paper's cost q of a rejected request is taken to be its
+// payoff v. Each truncated sum in the paper is an Erlang loss formula B(a, n), the share of requests
+// that is lost at n slots, where a is the arrival rate over the service rate: the mean number of
+// requests in service is a(1-B).
 func payoff(highSlots, lowSlots, sharedSlots int, load tierLoad) float64 {
 	mu, valueHigh, valueLow := load.serviceRate, load.valueHigh, load.valueLow
 	lossHigh := erlangLoss(load.arrivalsHigh/mu, highSlots)[highSlots]
--- a/decision/pauses.go
+++ b/decision/pauses.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// onProcessPaused corrects timestamps after a pause of this process, as attempts in flight were not
-// late through any fault of their backends. Without that, the first events after a pause would show
-// every backend as silent, cancel attempts whose responses are already in the socket buffers, and
-// lower the concurrency limit.
+// onProcessPaused corrects timestamps after a pause of this process, as attempts in flight waited
+// through no fault of their backends. Without that, the first events after a pause would show every
+// backend as silent, cancel attempts whose responses are already in the socket buffers, and lower
+// the concurrency limit. Times that clients and backends keep, such as deadlines, go on during a
+// pause and are not corrected.
 func (e *Engine) onProcessPaused(pause time.Duration) {
 	for _, req := range e.requests { // independent of the map's order
 		for i := range req.attempts {
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -8,7 +8,8 @@
 
 // A plan's quota is one token bucket over all gateways: Plan.Rate refills it, up to Plan.Burst.
 // Tokens are measured in percent-seconds, the unit in which usage reports give a customer's use
-// (percent of the plan's rate): one second of use at exactly the rate takes 100 tokens.
+// (percent of the plan's rate): one second of use at exactly the rate takes 100 tokens, so the bucket
+// is refilled at 100 tokens a second.
 //
 // A gateway learns the use of a customer over all gateways from usage reports. They arrive with
 // responses and describe a period that ended some time ago. What this gateway itself has forwarded
@@ -18,11 +19,12 @@
 // probability, which is adjusted with each report.
 
 const (
-	// fullRatePercent is a use of exactly the plan's rate, in percent.
+	// fullRatePercent is a use of exactly the plan's rate, in percent. It is also the refill rate of
+	// the bucket, in tokens a second.
 	fullRatePercent = 100.0
 
-	// usageDelayPeriods is the assumed age of a usage report, in periods since the end of the one
-	// that it describes.
+	// usageDelayPeriods is the assumed time from the end of a period to the arrival of the usage
+	// report on it, in periods.
 	usageDelayPeriods = 2
 	// quotaMarginRatio is the share of the burst that must be left after a request, as the use at
 	// other gateways is unknown.
@@ -35,13 +37,13 @@
 	// requests to estimate its use from them.
 	smallGatewaySpread = 4
 	// priorUsagePercent is the use assumed of a customer before any report, in percent of its rate.
-	// It rises to priorUsagePercentMany for customers that use very many gateways: a customer seen
-	// at one of these is more likely to be one with many requests.
+	// It rises to priorUsagePercentMany for customers that use very many gateways: a customer with
+	// many requests is more likely to be seen at any one of these gateways.
 	priorUsagePercent     = 40
 	priorUsagePercentMany = 60
-	// priorTokens is the weight of the assumption, before any report, that requests are spread
-	// evenly over the customer's gateways: it counts as this much use at each of them, in
-	// percent-seconds.
+	// priorTokens is the use that globalUsageFactor assumes at each of a customer's gateways, in
+	// percent-seconds, in addition to that of the reports. Before any report it stands alone, which
+	// means that requests are spread evenly.
 	priorTokens = 100
 
 	// maxDebits bounds how many of a customer's requests are kept separately between two usage
@@ -51,11 +53,11 @@
 	// is exact then, and separate requests are not needed.
 	maxDebitsExact = 2
 
-	// maxNewcomerRejectRatio is the share of newcomers' requests that is rejected if forwarding
-	// them gains nothing. It is below 1 so that usage reports of the customers of every class keep
-	// arriving.
+	// maxNewcomerRejectRatio is the share of newcomers' requests that is rejected if their net gain
+	// (see NetGain of package quota), a share of a request's weight, is zero or less. It is below 1
+	// so that usage reports of the customers of every class keep arriving.
 	maxNewcomerRejectRatio = 0.8
-	// newcomerGainFactor is by how much that share falls for each unit of net gain.
+	// newcomerGainFactor is by how much that share falls as the net gain rises from 0 to 1.
 	newcomerGainFactor = 2
 	// maxReserveFactor bounds the tokens reserved for requests of higher weight, as a multiple of
 	// the quota margin.
@@ -71,16 +73,16 @@
 	amount float64 // percent-seconds
 }
 
-// percentSeconds converts a cost in units to tokens. It must not be called for a plan without a
-// rate.
-func (c *customer) percentSeconds(cost float64) float64 { return fullRatePercent * cost / c.plan.Rate }
+// quotaTokens converts a cost in units to tokens of the quota bucket. It must not be called for a
+// plan without a rate.
+func (c *customer) quotaTokens(cost float64) float64 { return fullRatePercent * cost / c.plan.Rate }
 
 // burstTokens returns the size of the quota bucket, 0 for a plan without a rate.
 func (c *customer) burstTokens() float64 {
 	if c.plan.Rate <= 0 {
 		return 0
 	}
-	return c.percentSeconds(c.plan.Burst)
+	return c.quotaTokens(c.plan.Burst)
 }
 
 // isNewcomer reports whether a customer uses many gateways and no usage report for it has arrived,
@@ -99,48 +101,52 @@
 // last reported period, refilled since, less what this gateway has forwarded and the estimated use
 // at the others.
 func (c *customer) availableTokens(t time.Duration) float64 {
-	steady, perOwn := c.otherGatewaysUsage(t)
+	steadyPercent, perUnitHere := c.otherGatewaysUsage(t)
 	tokens, at := c.tokens, c.tokensAt
 	for _, d := range c.debits {
 		if d.at > t {
 			break
 		}
-		filled := min(c.burstTokens(), tokens+(fullRatePercent-steady)*(d.at-at).Seconds())
-		tokens = max(0, filled-(1+perOwn)*d.amount)
+		filled := min(c.burstTokens(), tokens+(fullRatePercent-steadyPercent)*(d.at-at).Seconds())
+		tokens = max(0, filled-(1+perUnitHere)*d.amount)
 		at = d.at
 	}
-	return max(0, min(c.burstTokens(), tokens+(fullRatePercent-steady)*(t-at).Seconds()))
+	return max(0, min(c.burstTokens(), tokens+(fullRatePercent-steadyPercent)*(t-at).Seconds()))
 }
 
 // otherGatewaysUsage estimates the customer's use at other gateways from the last reported period
-// until t: steady, in percent of its rate, and perOwn, for each unit forwarded by this gateway.
+// until t: steadyPercent, in percent of its rate, and perUnitHere, for each unit forwarded by this
+// gateway.
 //
-// It combines two estimates. One is the decaying mean of the usage reports, with a prior of one
-// request of a customer that uses priorUsagePercent of its rate. The other is the use at this
-// gateway, scaled to all gateways; it is based only on the requests that come to this gateway.
+// It combines two estimates. One is the decaying mean of the usage reports; it starts as if one
+// request had been reported for a customer that uses priorUsagePercent of its rate. The other is the
+// use at this gateway, scaled to all gateways; it is based only on the requests that come to this
+// gateway.
 // ownWeight is the weight of the second estimate: near 1 if the customer uses two gateways, near 0
 // if it uses 300.
-func (c *customer) otherGatewaysUsage(t time.Duration) (steady, perOwn float64) {
-	factor, since := c.globalUsageFactor(), max(0, (t-c.tokensAt).Seconds())
-	fade := math.Pow(c.retention, since/max(c.usagePeriod, minUsagePeriod))
-	last := c.percentSeconds(c.lastCost)
+func (c *customer) otherGatewaysUsage(t time.Duration) (steadyPercent, perUnitHere float64) {
+	globalFactor, since := c.globalUsageFactor(), max(0, (t-c.tokensAt).Seconds())
+	reportFade := math.Pow(c.retentionFactor, since/max(c.usagePeriod, minUsagePeriod))
+	lastTokens := c.quotaTokens(c.lastCost)
 	const priorRange = priorUsagePercentMany - priorUsagePercent
-	prior := priorUsagePercent + priorRange*(c.retention-usageRetention)/(1-usageRetention)
-	mean := (last + fade*c.meteredUsage) / (last/prior + fade*c.meteredSeconds)
-	// Until a report can show it, a burst is averaged over the delay of a report.
+	prior := priorUsagePercent + priorRange*(c.retentionFactor-usageRetention)/(1-usageRetention)
+	meanPercent := (lastTokens + reportFade*c.meteredUsage) / (lastTokens/prior + reportFade*c.meteredSeconds)
+	// Counted as at least the delay of a report, so that a burst right after a report is not taken for
+	// a high rate.
 	since = max(since, usageDelayPeriods*c.usagePeriod)
-	ownWeight := since / factor / (last/mean + since/factor)
-	return mean * (1 - ownWeight) * (factor - 1) / factor, ownWeight * (factor - 1)
+	ownWeight := since / globalFactor / (lastTokens/meanPercent + since/globalFactor)
+	return meanPercent * (1 - ownWeight) * (globalFactor - 1) / globalFactor, ownWeight * (globalFactor - 1)
 }
 
-// withinQuota reports whether a customer's plan allows a request of a cost and a priority weight
-// per unit. It may draw random numbers, so it must be called only once for each decision.
+// admittedByQuota reports whether a customer's quota and MaxInFlight allow a request of a cost and a
+// priority weight per unit. Some requests are rejected at random, so it must be called only once for
+// each decision.
 //
 // While reports arrive and the bucket is empty, requests are admitted with the admit probability.
 // Independently of that, availableTokens must cover the cost and the reserve: reports arrive late,
-// so a short burst is over before a report shows it. For newcomers nothing but the request itself
-// is known; some of their requests are rejected at random, those with the smallest gain most often.
-func (e *Engine) withinQuota(customer *customer, priorityWeight, cost float64) bool {
+// so a short burst is over before a report shows it. Of a newcomer nothing but the request itself is
+// known; some of its requests are rejected at random, those with the smallest gain most often.
+func (e *Engine) admittedByQuota(customer *customer, priorityWeight, cost float64) bool {
 	plan := customer.plan
 	if customer.atMaxInFlight() {
 		return false
@@ -153,11 +159,12 @@
 	if reported && empty && e.rng.Float64() >= customer.admitProbability {
 		return false
 	}
+	// The random number is drawn for plans without a rate too, which do not use the result.
 	newcomerRejected := e.rejectsNewcomer(customer, priorityWeight, cost)
 	if plan.Rate <= 0 {
 		return true
 	}
-	needed := customer.percentSeconds(cost) + customer.reservedTokens(priorityWeight)
+	needed := customer.quotaTokens(cost) + customer.reservedTokens(priorityWeight)
 	return !newcomerRejected && customer.availableTokens(e.now) >= needed
 }
 
@@ -169,14 +176,16 @@
 }
 
 // rejectsNewcomer decides at random whether a newcomer's request is rejected because forwarding it
-// gains too little. The gain is NetGain: the share of its weight that forwarding the request earns,
-// less what the requests that it displaces lose.
+// gains too little. The gain is NetGain of package quota: 1, less the expected loss if the request
+// is over the quota, less that of later requests that are over the quota because this one is
+// forwarded. Both are relative to the request's weight.
 func (e *Engine) rejectsNewcomer(customer *customer, priorityWeight, cost float64) bool {
 	if !customer.isNewcomer() {
 		return false
 	}
+	// What a request over the quota loses, as a multiple of its weight.
 	overQuotaLoss := 1 - customer.plan.OverQuotaWeightFactor + customer.plan.OverQuotaCostFactor
-	gain := customer.newcomers.NetGain(priorityWeight, cost, overQuotaLoss)
+	gain := customer.newcomerStats.NetGain(priorityWeight, cost, overQuotaLoss)
 	return e.rng.Float64() < maxNewcomerRejectRatio-newcomerGainFactor*max(0, gain)
 }
 
@@ -186,7 +195,7 @@
 	if c.isNewcomer() || c.gateways <= smallGatewaySpread {
 		return quotaMarginRatio * c.burstTokens()
 	}
-	relative := max(1.0/maxReserveFactor, min(1, c.newcomers.RelativeWeight(priorityWeight)))
+	relative := max(1.0/maxReserveFactor, min(1, c.newcomerStats.RelativeWeight(priorityWeight)))
 	return quotaMarginRatio * c.burstTokens() / relative
 }
 
@@ -200,13 +209,13 @@
 		limit = maxDebitsExact
 	}
 	if len(customer.debits) >= limit { // no report has arrived: apply the older half to the bucket
-		customer.settleDebits(limit / 2)
+		customer.applyDebits(limit / 2)
 	}
-	customer.debits = append(customer.debits, debit{at: e.now, amount: customer.percentSeconds(cost)})
+	customer.debits = append(customer.debits, debit{at: e.now, amount: customer.quotaTokens(cost)})
 }
 
-// settleDebits advances the bucket to the time of the n-th debit, and removes the first n debits.
-func (c *customer) settleDebits(n int) {
+// applyDebits advances the bucket to the time of the n-th debit, and removes the first n debits.
+func (c *customer) applyDebits(n int) {
 	at := c.debits[n-1].at
 	c.tokens, c.tokensAt = c.availableTokens(at), at
 	c.debits = slices.Delete(c.debits, 0, n)
--- a/decision/quota_test.go
+++ b/decision/quota_test.go
@@ -9,7 +9,7 @@
 )
 
 // A plan's MaxInFlight is split evenly between the customer's gateways.
-func TestWithinQuota_MaxInFlightShare(t *testing.T) {
+func TestAdmittedByQuota_MaxInFlightShare(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints(2)...)
 	got := 0
 	for range 5 {
@@ -29,7 +29,7 @@
 	const rate, burst, period, seconds = 2.5, 13.0, 0.5, 60.0
 	for _, limit := range []struct {
 		gateways int
-		most     float64 // bound on the forwarded cost, times what the plan allows
+		most     float64 // bound on the forwarded cost, as a multiple of what the plan allows
 	}{{1, 1.1}, {3, 1.1}, {17, 1.4}, {60, 1.8}, {300, 2.3}} {
 		gateways := limit.gateways
 		for _, offered := range []float64{0.5, 4} { // times the rate
@@ -196,7 +196,7 @@
 
 // Usage reports arrive seconds late. Without an estimate of what both gateways have forwarded
 // since, each of them would admit a whole burst before a report shows it.
-func TestWithinQuota_BurstIsLimitedBeforeAnyReport(t *testing.T) {
+func TestAdmittedByQuota_BurstIsLimitedBeforeAnyReport(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints(2)...)
 	admitted := 0
 	for range 20 {
@@ -210,7 +210,7 @@
 
 // With an empty bucket and an admit probability of 1, the probability alone would admit everything
 // until the next report. The estimate of tokens must limit requests as well.
-func TestWithinQuota_EmptyBucketRejectsAtAnyAdmitProbability(t *testing.T) {
+func TestAdmittedByQuota_EmptyBucketRejectsAtAnyAdmitProbability(t *testing.T) {
 	h, c := newQuotaHarness(t)
 	h.now += second
 	c.tokens, c.tokensAt, c.admitProbability, c.debits = 0, h.now, 1, nil
@@ -222,7 +222,7 @@
 
 // Usage reports arrive with responses, so a customer that is mostly rejected gets none. Its quota
 // must refill by time alone.
-func TestWithinQuota_RecoversWithoutReports(t *testing.T) {
+func TestAdmittedByQuota_RecoversWithoutReports(t *testing.T) {
 	h, c := newQuotaHarness(t)
 	h.now += second
 	h.reportUsage(c, 900)
@@ -242,7 +242,7 @@
 
 // The quota margin is a share of the burst, so that a full bucket admits even the largest request
 // of a small plan.
-func TestWithinQuota_LargestRequestPassesFullBucket(t *testing.T) {
+func TestAdmittedByQuota_LargestRequestPassesFullBucket(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints(2)...)
 	actions := h.handle(Request{ID: 900, Customer: 8, Class: "safe", Plan: "small", Cost: 3.5, Timeout: second,
 		GatewaySpread: 2})
@@ -252,7 +252,7 @@
 }
 
 // A plan without a rate has no bucket, but its admit probability follows the reports too.
-func TestWithinQuota_PlanWithoutRate(t *testing.T) {
+func TestAdmittedByQuota_PlanWithoutRate(t *testing.T) {
 	h := newHarness(t, testSettings(), testEndpoints(2)...)
 	_, actions := h.request("safe", "inflight", 4)
 	c := h.engine.customers[4]
@@ -306,8 +306,9 @@
 	}
 }
 
-// newMeteredHarness returns a harness whose engine has seen first usage reports by which a quarter
-// of a plan's customers use four times their rate.
+// newMeteredHarness returns a harness whose engine has got the first usage reports of 200 customers
+// of a plan: a quarter of them use four times their rate, the others half of it. The class
+// "important" replaces the one of testSettings.
 func newMeteredHarness(t *testing.T, gateways int) *harness {
 	settings := testSettings()
 	settings.GatewayCount = gateways
@@ -336,7 +337,7 @@
 // A gateway has no usage report of a newcomer. If first reports show that many newcomers use up
 // their quotas elsewhere, and only then, requests of low weight must be rejected to leave tokens
 // for those of high weight.
-func TestWithinQuota_NewcomersWithLeastGainAreRejectedFirst(t *testing.T) {
+func TestAdmittedByQuota_NewcomersWithLeastGainAreRejectedFirst(t *testing.T) {
 	forwardedShare := func(h *harness, class string, cost float64) (share float64) {
 		const tries = 2000
 		stats := *h.engine.newcomersByPlan["shop"]
@@ -395,7 +396,7 @@
 
 // The last tokens are reserved for requests of high weight: if a customer uses many gateways, its
 // requests of low weight are rejected first.
-func TestWithinQuota_LastTokensAreReservedForHighWeight(t *testing.T) {
+func TestAdmittedByQuota_LastTokensAreReservedForHighWeight(t *testing.T) {
 	h := newMeteredHarness(t, 300)
 	c := h.engine.customers[1]
 	c.tokens, c.tokensAt, c.debits = quotaMarginRatio*c.burstTokens()+100*2/c.plan.Rate+5, h.now, nil
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// notExecuted are the results that prove that an attempt did not run.
-var notExecuted = []Result{Rejected, ConnectFailed, NotSent}
+// neverExecutedResults are the results that prove that an attempt was never executed.
+var neverExecutedResults = []Result{Rejected, ConnectFailed, NotSent}
 
-// possiblyExecutedAttempt returns the request's first attempt that may have run, or nil. An attempt
-// in flight may have run.
+// possiblyExecutedAttempt returns the request's first attempt that may have been executed, or
+// nil. An attempt in flight may have been executed.
 func (r *request) possiblyExecutedAttempt() *attempt {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.outstanding || !slices.Contains(notExecuted, a.result) {
+		if a := &r.attempts[i]; a.outstanding || !slices.Contains(neverExecutedResults, a.result) {
 			return a
 		}
 	}
@@ -44,16 +44,16 @@
 	e.finish(req)
 }
 
-// safeForClientToRetry reports whether the client may safely try again: nothing ran, the class is
-// idempotent, or every backend drops the repeat. In the last case the DedupWindow must still cover
-// a client that waits for the longest Retry-After and whose next try is forwarded only at its
-// deadline.
+// safeForClientToRetry reports whether the client may safely try again: nothing was executed, the
+// class is idempotent, or every backend drops the repeat. In the last case the DedupWindow must
+// still cover a client that waits for the longest Retry-After and whose next request is then
+// forwarded only at that request's deadline.
 func (e *Engine) safeForClientToRetry(req *request) bool {
-	executed, class := req.possiblyExecutedAttempt(), req.class
-	if executed == nil || class.Idempotency == Idempotent {
+	possiblyExecuted, class := req.possiblyExecutedAttempt(), req.class
+	if possiblyExecuted == nil || class.Idempotency == Idempotent {
 		return true
 	}
 	droppedByAll := class.Idempotency == IdempotentByKey && class.DedupScope == DedupScopeAll
 	untilRepeat := e.settings.MaxRetryAfter + class.Deadline + e.settings.ResponseGrace
-	return droppedByAll && e.now-executed.sentAt+untilRepeat < class.DedupWindow
+	return droppedByAll && e.now-possiblyExecuted.sentAt+untilRepeat < class.DedupWindow
 }
--- a/decision/retries_test.go
+++ b/decision/retries_test.go
@@ -6,7 +6,7 @@
 )
 
 // Whether a failed first attempt is retried, rejected or failed depends on the class's idempotency,
-// the result and the time since.
+// the result and the time since the attempt was sent.
 func TestRetry_ByIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		class            string
--- a/decision/retryafter.go
+++ b/decision/retryafter.go
@@ -12,20 +12,21 @@
 	wait := 0.0 // seconds
 	if customer.plan.Rate > 0 {
 		if customer.tokens <= 0 && customer.admitProbability < 1 {
-			return e.settings.MaxRetryAfter // the probability must rise first, which takes a usage report
+			return e.settings.MaxRetryAfter // until a usage report raises the probability, or it no longer applies
 		}
-		steady, _ := customer.otherGatewaysUsage(e.now)
-		missing := customer.percentSeconds(cost)
+		steadyPercent, _ := customer.otherGatewaysUsage(e.now)
+		missing := customer.quotaTokens(cost)
 		if !customer.isNewcomer() { // the level of a newcomer's bucket is unknown
 			missing += customer.reservedTokens(priorityWeight) - customer.availableTokens(e.now)
 		}
-		wait = missing / max(1, fullRatePercent-steady)
+		wait = missing / max(1, fullRatePercent-steadyPercent)
 	}
 	if !e.withinHardLimit(customer, cost) {
 		wait = max(wait, (cost-customer.hardLimitTokens)*customer.gateways/customer.plan.HardLimitRate)
 	}
-	// Waiting for a refill does not help: the request was rejected because of MaxInFlight, or
-	// because the customer does not use this gateway.
+	// Waiting for a refill does not help: the request was rejected for another reason, such as
+	// MaxInFlight, the admit probability of a plan without a rate, or a hard limit of which this
+	// gateway has no share because the customer does not use it.
 	if wait <= 0 {
 		return e.retryAfterMeanLatency()
 	}
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -47,7 +47,7 @@
 	timers            [][]pendingTimer
 	known             []map[BackendID]Endpoint
 	requests          map[RequestID]*observedRequest
-	order             []RequestID
+	openRequests      []RequestID
 	lastRequest       RequestID
 	hardLimitTokens   map[CustomerID]float64
 	hardLimitTokensAt map[CustomerID]time.Duration
@@ -158,7 +158,8 @@
 		for _, at := range checker.warmupAttempts[a.Backend] {
 			in += boolToInt(checker.now-at <= checker.settings.OverloadDuration)
 		}
-		// At most as many as a warm backend gets from all gateways, and one for each gateway.
+		// At most one for each gateway, and one and a half times as many as a warm backend would get
+		// from all gateways if three backends shared the load.
 		if most := len(checker.engines) + int(1.5*arrivalsPerSecond/3); in > most {
 			checker.failf("%d attempts in %v at backend %d, which is in slow start, want %d at most", in,
 				checker.settings.OverloadDuration, b.ID, most)
@@ -227,8 +228,8 @@
 
 // endAttempts ends random attempts, and all whose client has reached its deadline.
 func (checker *ruleChecker) endAttempts() {
-	keep := checker.order[:0]
-	for _, id := range checker.order {
+	keep := checker.openRequests[:0]
+	for _, id := range checker.openRequests {
 		r := checker.requests[id]
 		for _, t := range r.attempts {
 			if !t.inFlight || checker.rng.IntN(25) != 0 && checker.now < r.deadline+200*ms && !r.ended {
@@ -261,14 +262,14 @@
 			keep = append(keep, id)
 		}
 	}
-	checker.order = keep
+	checker.openRequests = keep
 }
 
 // randomEvent generates an event at a random gateway, mostly a request.
 func (checker *ruleChecker) randomEvent() {
 	switch gateway := checker.rng.IntN(len(checker.engines)); checker.rng.IntN(60) {
 	case 0: // the gateway is killed and restarts; its requests are lost
-		for _, id := range checker.order {
+		for _, id := range checker.openRequests {
 			if r := checker.requests[id]; r.gateway == gateway {
 				r.ended = true
 				r.attempts = nil
@@ -287,8 +288,8 @@
 			checker.handle(gateway, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{b}})
 		}
 	case 3:
-		if len(checker.order) > 0 {
-			id := checker.order[checker.rng.IntN(len(checker.order))]
+		if len(checker.openRequests) > 0 {
+			id := checker.openRequests[checker.rng.IntN(len(checker.openRequests))]
 			checker.requests[id].ended = true
 			checker.handle(checker.requests[id].gateway, ClientDisconnected{Request: id})
 		}
@@ -302,7 +303,7 @@
 		q.Timeout = second + time.Duration(checker.rng.IntN(int(5*second)))
 		checker.requests[q.ID] = &observedRequest{gateway: gateway, request: q, class: checker.class(q.Class),
 			deadline: checker.now + q.Timeout}
-		checker.order = append(checker.order, q.ID)
+		checker.openRequests = append(checker.openRequests, q.ID)
 		checker.handle(gateway, q)
 	}
 }
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// subsetWindow determines the size of a gateway's subset of backends: as many as it sends
-	// attempts in this time, and at least minSubsetSize. It can detect slow and silent backends
+	// subsetWindow determines the size of a gateway's subset of backends: one backend for each
+	// attempt that it sends in this time, and at least minSubsetSize. It can detect slow and silent backends
 	// only if each of them gets an attempt every few seconds.
 	subsetWindow  = 4 * time.Second
 	minSubsetSize = 4.0
@@ -60,7 +60,8 @@
 // selectionCost returns a cost, without a unit, that is lowest for the backend that should respond
 // first: its attempts in flight including this one, times its latency ratio, times a factor for
 // overdue responses. Further criteria for the best of the eligible backends belong here; rules that
-// forbid a backend for a request belong in eligible.
+// forbid a backend for a request belong in eligible, and those that forbid it for all requests in
+// selectBackend.
 func (e *Engine) selectionCost(backend *backend, overdue float64) float64 {
 	silence := 1 + max(0, overdue-overdueTolerance)
 	jitter := 1 + selectionJitter*e.rng.Float64()
@@ -72,24 +73,25 @@
 }
 
 // eligible reports whether a request may be sent to a backend. A backend that already had an
-// attempt of the request is not eligible, unless it is the only one of its protocol. Once an
-// attempt may have run, a backend is eligible only if the class is idempotent, or if the backend
-// drops the repeat: it is within the DedupScope of that attempt, and the DedupWindow has not ended.
+// attempt of the request is not eligible, unless it is the only one of its protocol; backends that
+// are draining count too. Once an attempt may have been executed, a backend is eligible only if the
+// class is idempotent, or if the backend drops the repeat: it is within the DedupScope of that
+// attempt, and the DedupWindow, less ResponseGrace as in startAttempt, has not ended.
 func (e *Engine) eligible(req *request, backend *backend) bool {
 	tried := func(a attempt) bool { return a.backend == backend }
 	if req.pool.Len() > 1 && slices.ContainsFunc(req.attempts, tried) {
 		return false
 	}
-	executed := req.possiblyExecutedAttempt()
-	if executed == nil || req.class.Idempotency == Idempotent {
+	possiblyExecuted := req.possiblyExecutedAttempt()
+	if possiblyExecuted == nil || req.class.Idempotency == Idempotent {
 		return true
 	}
 	return req.class.Idempotency == IdempotentByKey &&
-		e.now-executed.sentAt+e.settings.ResponseGrace < req.class.DedupWindow &&
-		req.class.DedupScope.includes(&executed.backend.Endpoint, &backend.Endpoint)
+		e.now-possiblyExecuted.sentAt+e.settings.ResponseGrace < req.class.DedupWindow &&
+		req.class.DedupScope.sharedBy(&possiblyExecuted.backend.Endpoint, &backend.Endpoint)
 }
 
-// includes reports whether two endpoints share their record of idempotency keys.
-func (s DedupScope) includes(a, b *Endpoint) bool {
+// sharedBy reports whether two endpoints share their record of idempotency keys.
+func (s DedupScope) sharedBy(a, b *Endpoint) bool {
 	return (s != DedupScopeZone || a.Zone == b.Zone) && (s != DedupScopeCell || a.Cell == b.Cell)
 }
--- a/decision/selection_test.go
+++ b/decision/selection_test.go
@@ -38,8 +38,8 @@
 	}
 	h := newHarness(t, testSettings(), mixed...)
 	ask := func(protocol string) (RequestID, []StartAttempt) {
-		h.next++
-		return h.next, startedAttempts(h.handle(Request{ID: h.next, Customer: 1, Class: "safe", Plan: "large",
+		h.lastRequest++
+		return h.lastRequest, startedAttempts(h.handle(Request{ID: h.lastRequest, Customer: 1, Class: "safe", Plan: "large",
 			Cost: 1, Timeout: 6 * second, GatewaySpread: 2, Protocol: protocol}))
 	}
 	other := func(b BackendID) bool { return b == 1 || b == 4 }
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -14,9 +14,11 @@
 
 // The values of Idempotency.
 const (
-	Idempotent      Idempotency = iota // it may run any number of times
-	IdempotentByKey                    // backends drop repeats with the same key within DedupScope and DedupWindow
-	NonIdempotent                      // it must not run more than once
+	Idempotent Idempotency = iota // it may run any number of times
+	// IdempotentByKey: backends drop repeats with the same idempotency key within DedupScope and
+	// DedupWindow. All attempts of a request carry its key, which the Engine does not see.
+	IdempotentByKey
+	NonIdempotent // it must not run more than once
 )
 
 // DedupScope says which backends share their record of idempotency keys, and so drop each other's
@@ -41,16 +43,16 @@
 	// from its first attempt that may have run. Zero: they drop none, so such a request is never
 	// repeated.
 	DedupWindow time.Duration `cbor:"KeyWindow"`
-	// LatencyObjective is the highest latency at which a response still earns the full weight. It
-	// must be positive.
+	// LatencyObjective is the highest latency at which a response still counts with the full weight
+	// of its request. It must be positive.
 	LatencyObjective time.Duration `cbor:"Aim"`
 	// Deadline is the longest that a client waits, over all its tries. It must be positive.
 	Deadline time.Duration `cbor:"Deadline"`
 	// PriorityWeight is the weight of one unit of cost, before it is multiplied by the plan's
-	// Price. It may be zero.
+	// Price. The weight of a request is its value compared with other requests. It may be zero.
 	PriorityWeight float64 `cbor:"Worth"`
-	// LateWeightFactor is the share of its weight, 0 to 1, that a response earns after
-	// LatencyObjective.
+	// LateWeightFactor is the share of its weight, 0 to 1, with which a request counts whose response
+	// comes after LatencyObjective. The Engine does not read it.
 	LateWeightFactor float64 `cbor:"LateWorth"`
 	// Streaming says that responses are streamed: ResponseStarted precedes the Outcome. The Engine
 	// does not read it.
@@ -69,11 +71,12 @@
 	MaxInFlight int `cbor:"Open"`
 	// Price multiplies the class's PriorityWeight.
 	Price float64 `cbor:"Price"`
-	// OverQuotaWeightFactor is the share of its weight that a request earns when it is forwarded
-	// beyond the quota.
+	// OverQuotaWeightFactor and OverQuotaCostFactor are used only to estimate what forwarding a
+	// newcomer's request gains, as it may turn out to be beyond the quota. OverQuotaWeightFactor is
+	// the share of its weight with which a request counts that is forwarded beyond the quota.
 	OverQuotaWeightFactor float64 `cbor:"OverWorth"`
-	// OverQuotaCostFactor is the share of its weight that is lost when a request is forwarded
-	// beyond the quota.
+	// OverQuotaCostFactor is the penalty for that, as a multiple of the request's weight. It is not
+	// in units of cost.
 	OverQuotaCostFactor float64 `cbor:"OverCost"`
 	// HardLimitRate is the refill rate of the hard limit's token bucket, in units a second. Zero:
 	// no hard limit.
@@ -81,7 +84,7 @@
 	// HardLimitBurst is the size of that bucket, in units.
 	HardLimitBurst float64 `cbor:"CeilingBurst"`
 	// HardLimitOverdraft is how far below zero that bucket may go, in units, before the limit
-	// counts as violated.
+	// counts as violated. The Engine does not read it.
 	HardLimitOverdraft float64 `cbor:"CeilingSlack"`
 }
 
@@ -120,7 +123,8 @@
 	LoadReportFields []string `cbor:"LoadColumns"`
 	// LoadReportsInResponses says that outcomes carry load reports as well as probe results.
 	LoadReportsInResponses bool `cbor:"LoadInAnswers"`
-	// ResponseGrace is how long after a client's deadline a final answer is still accepted.
+	// ResponseGrace is how long after a client's deadline a final answer is still accepted. The
+	// Engine uses it as a margin before the end of DedupWindow.
 	ResponseGrace time.Duration `cbor:"AnswerGrace"`
 	// DrainGrace is how long after a backend starts to drain a gateway that does not know it yet
 	// may still send to it. Package lifecycle uses it. The Engine does not: it never sends to a
@@ -132,11 +136,12 @@
 	// SlowStartWindow is the time from a backend's start until it has its full capacity.
 	SlowStartWindow time.Duration `cbor:"WarmWithin"`
 	// OverloadFactor and OverloadDuration say when a backend in slow start fails from overload:
-	// when it is sent more than OverloadFactor times its present capacity for OverloadDuration.
+	// when it is sent more than OverloadFactor times its present capacity for OverloadDuration. The
+	// Engine does not read OverloadDuration.
 	OverloadFactor   float64       `cbor:"FallMultiple"`
 	OverloadDuration time.Duration `cbor:"FallFor"`
 	// AssumeQuotaSpent has the Engine assume that every customer had used its burst, except for the
-	// quota margin, just before the Engine was created, as it may have done before a restart.
+	// quota margin (quotaMarginRatio of it), just before the Engine was created, as it may have done before a restart.
 	// Unset: a customer starts with its full burst, or with its restored tokens.
 	AssumeQuotaSpent bool `cbor:"StartSpent"`
 	// HasSharedCounter says that the gateway supports CounterAdd.
@@ -156,7 +161,8 @@
 // nil.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 || len(s.Plans) == 0 || s.GatewayCount < 1 || s.MaxAttempts < 1 {
-		return errors.New("decision: settings need at least one class, one plan, one gateway and one attempt")
+		return errors.New("decision: settings need at least one class and one plan, " +
+			"and a GatewayCount and MaxAttempts of at least 1")
 	}
 	if !finiteNonNegative(s.SlowStartMinCapacity, s.OverloadFactor, s.MaxCost, float64(s.UsagePeriod),
 		float64(s.SlowStartWindow)) {
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -16,11 +16,11 @@
 	warmupTokenLifetime = time.Second
 	warmupTokenSends    = 2
 
-	// minWarmCapacity replaces a warm capacity of zero, which would be divided by; in backends.
-	minWarmCapacity = 1e-6
+	// minReadyCapacity replaces a ready capacity of zero, which would be divided by; in backends.
+	minReadyCapacity = 1e-6
 )
 
-// startWarmup puts a backend into slow start as of since. Each gateway starts with a random
+// startWarmup puts a backend into slow start that began at the time since. Each gateway starts with a random
 // fraction of a token. If each of many gateways gets one token in half a minute, equal fractions
 // would leave the backend idle for that long, and then all gateways would send at once.
 func (e *Engine) startWarmup(backend *backend, since time.Duration) {
@@ -28,8 +28,8 @@
 	backend.warmupTokens, backend.warmupTokensAt = e.rng.Float64(), e.now
 }
 
-// warmupFraction returns the share of its full capacity, 0 to 1, that a backend has at least by
-// now. It also ends slow start once that is over.
+// warmupFraction returns a lower bound of the share, 0 to 1, of its full capacity that a backend has
+// now. It also clears warmingUp once slow start is over.
 func (e *Engine) warmupFraction(backend *backend) float64 {
 	age, window := float64(e.now-backend.warmingSince), float64(e.settings.SlowStartWindow)
 	backend.warmingUp = backend.warmingUp && age < window
@@ -40,9 +40,9 @@
 	return min(1, least+(1-least)*max(0, age)/window)
 }
 
-// warmCapacity returns the sum of the warm-up fractions of a pool's ready backends, as of the last
-// update or tick.
-func (e *Engine) warmCapacity(pool *protocolPool) float64 {
+// readyCapacity returns the sum of the warm-up fractions of all ready backends of a pool, in slow
+// start or not, as of the last update or tick.
+func (e *Engine) readyCapacity(pool *protocolPool) float64 {
 	count, ages := pool.Warming()
 	window := max(1, float64(e.settings.SlowStartWindow))
 	missing := max(0, 1-e.settings.SlowStartMinCapacity) * (float64(count) - float64(ages)/window)
@@ -56,24 +56,27 @@
 // warm backend. If all gateways together send less than one attempt a second to a warm backend, it
 // is calculated as if they sent one. Applied by every gateway, this keeps the total within the
 // backend's present capacity, and the overload factor remains as a margin. If many backends are in
-// slow start, the warm ones are sent more, and half of that margin is used. The recent peak rate is
-// used, not the current one: a rate lowered by an overload would keep backends in slow start idle
-// for as long as the warm ones are overloaded.
+// slow start, the warm ones are sent more. The divisor of the rate then does not fall below
+// 2/OverloadFactor of the ready backends, so that at most half of that margin is used. The recent
+// peak rate is used, not the current one: a rate lowered by an overload would keep backends in slow
+// start idle for as long as the warm ones are overloaded.
 //
 // At most one token is saved. At a gateway that gets a token only every few seconds, an unused one
-// expires: otherwise the tokens saved by many gateways could be used at the same time.
+// expires, once the bucket has grown by the tokens of one lifetime above it: otherwise the tokens
+// saved by many gateways could be used at the same time.
 func (e *Engine) hasWarmupToken(pool *protocolPool, backend *backend) bool {
 	fraction := e.warmupFraction(backend)
 	if !backend.warmingUp {
 		return true
 	}
-	ready, capacity := float64(pool.ReadyLen()), e.warmCapacity(pool)
-	// Attempts are distributed in proportion to the warm-up fractions.
-	warm := max(capacity, ready*min(1, 2/e.settings.OverloadFactor))
+	ready, capacity := float64(pool.ReadyLen()), e.readyCapacity(pool)
+	// Attempts are distributed in proportion to the warm-up fractions: a warm backend gets one part in
+	// shareDivisor of them.
+	shareDivisor := max(capacity, ready*min(1, 2/e.settings.OverloadFactor))
 	sends := max(pool.sendRate, ready/float64(e.settings.GatewayCount))
 	// The share of the gateways that have this backend in their subset.
-	inSubset := min(1, pool.subsetSize(len(e.requests))/max(capacity, minWarmCapacity))
-	rate := fraction * max(sends, pool.peakSendRate) / (warm * inSubset)
+	inSubset := min(1, pool.subsetSize(len(e.requests))/max(capacity, minReadyCapacity))
+	rate := fraction * max(sends, pool.peakSendRate) / (shareDivisor * inSubset)
 	backend.warmupTokens += rate * (e.now - backend.warmupTokensAt).Seconds()
 	backend.warmupTokensAt = e.now
 	// expiry is the lifetime of a token, as the number of tokens added in that time.
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -20,8 +20,8 @@
 	got := 0
 	for i := range 40 { // two seconds of 20 a second
 		h.now += 50 * ms
-		h.next++
-		for _, a := range startedAttempts(h.handle(Request{ID: h.next, Customer: CustomerID(i), Class: "safe",
+		h.lastRequest++
+		for _, a := range startedAttempts(h.handle(Request{ID: h.lastRequest, Customer: CustomerID(i), Class: "safe",
 			Plan: "large", Cost: 1, Timeout: 6 * second, GatewaySpread: 2,
 			Protocol: "other"})) {
 			got += boolToInt(a.Backend == starting.ID) // no attempt gets a response, so the warm backend's cost soon rises
@@ -136,7 +136,7 @@
 }
 
 // After a minute without requests, a gateway gets a burst. It must not have saved up tokens: each
-// backend in slow start may get one attempt of the burst, and the counter no more calls than a
+// backend in slow start may get one attempt of the burst. The counter may get no more calls than a
 // gateway may have in flight.
 func TestBurstAfterIdleMinute(t *testing.T) {
 	settings := sharedBucketSettings(40, 100)
--- a/decision/state.go
+++ b/decision/state.go
@@ -39,7 +39,7 @@
 }
 
 // Customers iterates over the current states of all customers, in no particular order. The second
-// value reports whether the customer's debt is worth saving. The Engine may be used between two
+// value reports whether the state is worth saving. The Engine may be used between two
 // steps: a customer that is added in between may or may not be visited.
 func (e *Engine) Customers() iter.Seq2[CustomerState, bool] {
 	return func(yield func(CustomerState, bool) bool) {
@@ -98,8 +98,9 @@
 	if !state.UsesThisGateway {
 		first = (e.settings.GatewayIndex + 1) % e.settings.GatewayCount
 	}
-	// With the cost of a whole burst, the bucket of a new customer starts full; otherwise it would
-	// start with room for one small request only.
+	// newCustomer gives a newcomer tokens for its first request only, and a restored customer counts
+	// as a newcomer until its sums are set below. A cost of a whole burst keeps that from limiting
+	// its tokens.
 	cost := max(1, plan.Burst)
 	customer := e.customerFor(Request{
 		Customer:      state.ID,
@@ -107,7 +108,7 @@
 		FirstGateway:  first,
 		GatewaySpread: state.Gateways,
 	}, plan)
-	customer.usesThisGateway, customer.lastCost = state.UsesThisGateway, 1
+	customer.usesThisGateway, customer.lastCost = state.UsesThisGateway, 1 // the last cost is not saved
 	customer.admitProbability = state.AdmitProbability
 	customer.meteredUsage, customer.ownUsage = state.MeteredUsage, state.OwnUsage
 	customer.meteredSeconds = state.MeteredSeconds
--- a/decision/state_test.go
+++ b/decision/state_test.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if over := engine.Restore(now, states); over > 0 {
-		t.Fatalf("Restore ignored %d states, want 0", over)
+	if ignored := engine.Restore(now, states); ignored > 0 {
+		t.Fatalf("Restore ignored %d states, want 0", ignored)
 	}
 	engine.Handle(now, EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{{ID: 1}}}, nil)
 	return engine
@@ -69,8 +69,8 @@
 
 // customersInDebt returns the customers that have a debt, the largest first.
 func customersInDebt(engine *Engine) (out []CustomerState) {
-	for s, owes := range engine.Customers() {
-		if owes {
+	for s, worthSaving := range engine.Customers() {
+		if worthSaving {
 			out = append(out, s)
 		}
 	}
@@ -152,16 +152,16 @@
 	plan := &engine.settings.Plans[0]
 	state := CustomerState{ID: 7, Plan: plan.Name, Gateways: 300, UsesThisGateway: true, MissingTokens: 10,
 		AdmitProbability: 1, MeteredUsage: 50, OwnUsage: 1, MeteredSeconds: 1}
-	if over := engine.Restore(time.Hour, []CustomerState{state}); over != 0 {
-		t.Fatalf("Restore ignored %d states, want 0", over)
+	if ignored := engine.Restore(time.Hour, []CustomerState{state}); ignored != 0 {
+		t.Fatalf("Restore ignored %d states, want 0", ignored)
 	}
 	if c := engine.customers[7]; math.Abs(c.tokens-(c.burstTokens()-10)) > 1e-9 || c.isNewcomer() {
 		t.Errorf("%v tokens, want %v; newcomer %t, want false", c.tokens, c.burstTokens()-10, c.isNewcomer())
 	}
 }
 
-// BenchmarkCustomers measures a snapshot's walk, which holds the gateway's lock, over customers of
-// which a tenth have a debt.
+// BenchmarkCustomers measures a walk over customers of which a tenth have a debt. A caller that writes
+// a snapshot holds a lock meanwhile.
 func BenchmarkCustomers(b *testing.B) {
 	for _, n := range []int{1_000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/decision/usagereports.go
+++ b/decision/usagereports.go
@@ -17,7 +17,7 @@
 	}
 	first := customer.isNewcomer()
 	customer.usageAt, customer.lastUsage = e.now, usage
-	customer.settlePeriod(e.now, period, usage)
+	customer.applyReport(e.now, period, usage)
 	if first {
 		customer.onFirstUsageReport(usage)
 	}
@@ -30,8 +30,8 @@
 
 // isNewReport reports whether a usage report covers a period that has not been counted yet.
 // Responses repeat reports, with jitter and out of order: a repeat is recognized by its value and
-// by the time since the last report. A report is not counted for a period that has not ended:
-// otherwise tokensAt would run ahead of the clock, and the bucket would not refill any more.
+// by the time since the last report. Except for the first one, a report is not counted for a period that
+// has not ended: otherwise tokensAt would run ahead of the clock, and the bucket would not refill any more.
 func (c *customer) isNewReport(now, period time.Duration, usage float64) bool {
 	if c.meteredSeconds <= 0 {
 		return true
@@ -41,10 +41,10 @@
 	return sinceLast >= period/2 && !repeated && c.tokensAt+period <= now
 }
 
-// settlePeriod advances the bucket to the end of the period that a report covers, which is assumed
+// applyReport advances the bucket to the end of the period that a report covers, which is assumed
 // to have ended usageDelayPeriods ago. In a gap between that period and the last one, only this
 // gateway's own requests are known; the use at the others is estimated.
-func (c *customer) settlePeriod(now, period time.Duration, usage float64) {
+func (c *customer) applyReport(now, period time.Duration, usage float64) {
 	from := max(c.tokensAt, now-(1+usageDelayPeriods)*period)
 	if c.plan.Rate > 0 {
 		c.tokens = c.availableTokens(from)
@@ -57,19 +57,19 @@
 		}
 		return d.at <= c.tokensAt
 	})
-	c.meteredUsage = c.retention*c.meteredUsage + usage*period.Seconds()
-	c.meteredSeconds = c.retention*c.meteredSeconds + period.Seconds()
-	c.ownUsage = c.retention*c.ownUsage + own
+	c.meteredUsage = c.retentionFactor*c.meteredUsage + usage*period.Seconds()
+	c.meteredSeconds = c.retentionFactor*c.meteredSeconds + period.Seconds()
+	c.ownUsage = c.retentionFactor*c.ownUsage + own
 	c.tokens = max(0, min(c.burstTokens(), c.tokens+(fullRatePercent-usage)*period.Seconds()))
 }
 
 // onFirstUsageReport sets a newcomer's tokens by its first usage report, which shows what the
 // customer has done at other gateways so far. One of many gateways sees most customers only once or
 // twice, and a customer above its rate has usually been so for a long time, so its bucket is
-// assumed to be empty; any other newcomer gets at least twice the quota margin. A use that one
-// request alone can explain does not count as above the rate.
+// assumed to be empty; any other newcomer gets at least twice the quota margin. A use that the last
+// request alone may have caused does not count as above the rate.
 func (c *customer) onFirstUsageReport(usage float64) {
-	c.newcomers.RecordFirstUsage(usage)
+	c.newcomerStats.RecordFirstUsage(usage)
 	c.tokens = max(c.tokens, 2*quotaMarginRatio*c.burstTokens())
 	if c.plan.Rate > 0 && usage > fullRatePercent+fullRatePercent*c.lastCost/(c.plan.Rate*c.usagePeriod) {
 		c.tokens = 0
--- a/decision/warmupscenarios_test.go
+++ b/decision/warmupscenarios_test.go
@@ -15,7 +15,7 @@
 // they are in slow start.
 type warmupScenario struct {
 	gateways, backends, restarting int
-	requestsPerBackend             float64       // requests a second to each backend
+	requestRatePerBackend          float64       // requests a second to each backend
 	utilization                    float64       // the share of a warm backend's capacity that these use
 	unevenLoad                     bool          // some gateways get several times the mean load, some hardly any
 	loadShifts                     bool          // the load of each gateway changes every two seconds
@@ -74,7 +74,8 @@
 
 // run runs the scenario. It returns the highest load of any backend, relative to the load at which
 // it fails: a backend in slow start bears N + 2 * sqrt(N) + 2 attempts in OverloadDuration from all
-// gateways together, where N is OverloadFactor times what its present capacity serves in that time.
+// gateways together, where N is OverloadFactor times what its present capacity serves in that time;
+// the rest is a margin for chance.
 // A window counts only if more than two thirds of its attempts came from gateways that had been
 // informed of the restart.
 func (r warmupScenario) run(t *testing.T, settings Settings, seed uint64) (worst float64, attempts int, report string) {
@@ -83,7 +84,7 @@
 		warmupScenario: r, t: t, settings: settings,
 		rng:            rand.New(rand.NewPCG(seed, 9)),
 		endpoints:      testEndpoints(r.backends),
-		capacity:       r.requestsPerBackend / r.utilization,
+		capacity:       r.requestRatePerBackend / r.utilization,
 		startedAt:      map[BackendID]time.Duration{},
 		reportedStarts: make([]map[BackendID]time.Duration, r.gateways),
 		recentAttempts: map[BackendID][]warmupAttempt{},
@@ -205,8 +206,8 @@
 	})
 }
 
-// sendRequests sends requests for a duration, at a multiple of the load, and calls each every 100
-// ms.
+// sendRequests sends requests for a duration, at a multiple of the load. Every 100 ms it calls the
+// function each, if it is not nil.
 func (w *warmupRun) sendRequests(d time.Duration, loadFactor float64, each func()) {
 	next := w.fleet.now
 	for end := w.fleet.now + d; w.fleet.now < end; {
@@ -214,7 +215,7 @@
 			next += 100 * ms
 			each()
 		}
-		w.fleet.advance(durationOf(w.rng.ExpFloat64() / (w.requestsPerBackend * float64(w.backends) * loadFactor)))
+		w.fleet.advance(durationOf(w.rng.ExpFloat64() / (w.requestRatePerBackend * float64(w.backends) * loadFactor)))
 		w.deliverDueUpdates()
 		w.fleet.lastRequest++
 		sum := w.cumulativeLoad[len(w.cumulativeLoad)-1]
@@ -266,7 +267,7 @@
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	enabled := func(certainSeed uint64) bool { return rng.Float64() < 0.35 || seed == certainSeed }
 	r := warmupScenario{gateways: gateways, backends: []int{6, 12, 30, 60, 100}[rng.IntN(5)],
-		requestsPerBackend: []float64{3, 8, 14}[rng.IntN(3)], utilization: 0.5 + 0.5*rng.Float64(),
+		requestRatePerBackend: []float64{3, 8, 14}[rng.IntN(3)], utilization: 0.5 + 0.5*rng.Float64(),
 		unevenLoad: enabled(0) || enabled(1), loadShifts: enabled(1),
 		rollingGatewayRestart: enabled(2), massGatewayRestart: enabled(3),
 		restartTwice: enabled(4), hangingBackends: enabled(5), slowWhileWarming: enabled(6)}
