--- a/decision/actions.go
+++ b/decision/actions.go
@@ -52,7 +52,8 @@
 	return [...]string{"unfit", "over quota", "no backend", "no room", "not taken"}[min(r, Unprocessed)]
 }
 
-// Fail is a final answer to a request that may have run: it is not known whether a retry is safe.
+// Fail is a final answer to a request that may have been executed: it is not known whether a retry is
+// safe.
 type Fail struct{ Request RequestID }
 
 // CancelAttempt cancels one attempt. Its Outcome still follows.
--- a/decision/benchmark_test.go
+++ b/decision/benchmark_test.go
@@ -32,8 +32,8 @@
 }
 
 // A gateway may have 20,000 backends. An update of one endpoint, or a tick, must not walk over all
-// of them, or it would cost 130 times as much as with 100 backends. It may only cost more by the
-// depth of the ordered index. The fastest of several rounds counts, so that other load on the
+// of them: such a walk has been measured to cost 130 times as much as with 100 backends. It may only
+// cost more by the depth of the ordered index. The fastest of several rounds counts, so that other load on the
 // machine does not affect the result.
 func TestEndpointUpdate_CostFollowsChange(t *testing.T) {
 	best := func(n int) (one, tick time.Duration) {
--- a/decision/concurrencylimit.go
+++ b/decision/concurrencylimit.go
@@ -89,7 +89,7 @@
 	e.sustainableSum = 0
 	least := max(float64(max(1, ready))/float64(e.settings.GatewayCount), e.sustainableConcurrency/2)
 	overloaded, anyEnded := e.overloaded(weight, ready), e.endedAttempts > 0
-	retained := 1 - weight/maxSampleWeight
+	retained := 1 - weight/maxSampleWeight // 0 at a gateway with many attempts: only one second counts
 	e.endedAttempts, e.badOutcomes = e.endedAttempts*retained, e.badOutcomes*retained
 	e.updatePartitionLoad()
 	previous := e.concurrencyLimit
--- a/decision/engine.go
+++ b/decision/engine.go
@@ -117,8 +117,8 @@
 	}
 	for _, c := range settings.Classes {
 		initial := c.LatencyObjective.Seconds() / initialLatencyDivisor
-		known := &class{Class: c, meanLatency: initial, bestLatency: initial}
-		e.classes[c.Name], e.orderedClasses = known, append(e.orderedClasses, known)
+		added := &class{Class: c, meanLatency: initial, bestLatency: initial}
+		e.classes[c.Name], e.orderedClasses = added, append(e.orderedClasses, added)
 		e.meanLatency += initial / float64(len(settings.Classes))
 	}
 	for i := range settings.Plans {
@@ -214,7 +214,7 @@
 
 // onTick updates the pool's rates after elapsed seconds.
 func (p *protocolPool) onTick(elapsed float64) {
-	p.Warming() // its result is not used: it drops the backends that are warm by now, and each tick keeps calls short
+	p.Warming() // drops the backends that are warm by now; doing so each tick keeps each call short
 	p.sendRate += sendRateWeight * (p.sendsThisSecond/elapsed - p.sendRate)
 	p.meanSendRate += meanSendRateWeight * (p.sendsThisSecond/elapsed - p.meanSendRate)
 	p.peakSendRate = max(p.meanSendRate, peakSendRateRetention*p.peakSendRate)
--- a/decision/events.go
+++ b/decision/events.go
@@ -85,12 +85,12 @@
 // Succeeded.
 type Result uint8
 
-// The results. Rejected, ConnectFailed and NotSent prove that the attempt never ran; after any
-// other it may have run.
+// The results. Rejected, ConnectFailed and NotSent prove that the attempt was never executed; after
+// any other it may have been executed.
 const (
 	Succeeded      Result = iota // the backend served it
 	ErrorResponse                // the backend responded with an error
-	Rejected                     // the backend refused it without running it, as it is full or draining
+	Rejected                     // the backend refused it without executing it, as it is full or draining
 	TimedOut                     // no response came in time
 	ConnectFailed                // no connection could be made
 	ConnectionLost               // the connection broke while the attempt was in flight
--- a/decision/partitionsearch.go
+++ b/decision/partitionsearch.go
@@ -74,7 +74,7 @@
 		total += full * (overflowHigh*(1-lossSubrated)*(valueHigh-valueLow) -
 			overflowHigh*valueHigh*lossSubrated - overflowLow*valueLow)
 		if probability *= float64(i) * mu / overflowHigh; overflowHigh == 0 {
-			probability = float64(boolToInt(i == 1)) // without high-priority overflow, i = 0 has probability 1
+			probability = float64(boolToInt(i == 1)) // replaces NaN: without high-priority overflow, i = 0 has probability 1
 		}
 	}
 	return total
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Idempotency says whether a request of a class may run more than once. The zero value is
+// Idempotency says whether a request of a class may be executed more than once. The zero value is
 // Idempotent.
 type Idempotency uint8
 
 // The values of Idempotency.
 const (
-	Idempotent Idempotency = iota // it may run any number of times
+	Idempotent Idempotency = iota // it may be executed any number of times
 	// IdempotentByKey: backends drop repeats with the same idempotency key within DedupScope and
 	// DedupWindow. All attempts of a request carry its key, which the Engine does not see.
 	IdempotentByKey
-	NonIdempotent // it must not run more than once
+	NonIdempotent // it must not be executed more than once
 )
 
 // DedupScope says which backends share their record of idempotency keys, and so drop each other's
@@ -40,8 +40,8 @@
 	// DedupScope applies only to classes that are IdempotentByKey.
 	DedupScope DedupScope `cbor:"Group"`
 	// DedupWindow is how long backends drop repeats of a request that is IdempotentByKey, counted
-	// from its first attempt that may have run. Zero: they drop none, so such a request is never
-	// repeated.
+	// from its first attempt that may have been executed. Zero: they drop none, so such a request is
+	// never repeated.
 	DedupWindow time.Duration `cbor:"KeyWindow"`
 	// LatencyObjective is the highest latency at which a response still counts with the full weight
 	// of its request. It must be positive.
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -43,9 +43,9 @@
 // readyCapacity returns the sum of the warm-up fractions of all ready backends of a pool, in slow
 // start or not, as of the last update or tick.
 func (e *Engine) readyCapacity(pool *protocolPool) float64 {
-	count, ages := pool.Warming()
+	count, totalAge := pool.Warming()
 	window := max(1, float64(e.settings.SlowStartWindow))
-	missing := max(0, 1-e.settings.SlowStartMinCapacity) * (float64(count) - float64(ages)/window)
+	missing := max(0, 1-e.settings.SlowStartMinCapacity) * (float64(count) - float64(totalAge)/window)
 	return float64(pool.ReadyLen()) - missing
 }
 
@@ -61,9 +61,9 @@
 // peak rate is used, not the current one: a rate lowered by an overload would keep backends in slow
 // start idle for as long as the warm ones are overloaded.
 //
-// At most one token is saved. At a gateway that gets a token only every few seconds, an unused one
-// expires, once the bucket has grown by the tokens of one lifetime above it: otherwise the tokens
-// saved by many gateways could be used at the same time.
+// At most one token is saved. At a gateway that gets a token only every few seconds, the bucket may
+// hold up to 1+expiry tokens; then the whole one expires. Otherwise the tokens saved by many gateways
+// could be used at the same time.
 func (e *Engine) hasWarmupToken(pool *protocolPool, backend *backend) bool {
 	fraction := e.warmupFraction(backend)
 	if !backend.warmingUp {
--- a/decision/state_test.go
+++ b/decision/state_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// BenchmarkCustomers measures a walk over customers of which a tenth have a debt. A caller that writes
-// a snapshot holds a lock meanwhile.
+// BenchmarkCustomers measures a walk over customers of which a tenth have a debt. A snapshot needs such
+// a walk; it is made in steps, and the gateway handles no event during a step.
 func BenchmarkCustomers(b *testing.B) {
 	for _, n := range []int{1_000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
