--- a/internal/endpointindex/group.go
+++ b/internal/endpointindex/group.go
@@ -20,8 +20,8 @@
 	epoch    uint64
 	epochAt  time.Duration
 	// The results of Warming for epoch.
-	warming    int
-	warmingAge time.Duration
+	warming       int
+	warmingAgeSum time.Duration
 }
 
 // orderedEntry stores the rank next to the pointer, so that a search has few cache misses.
@@ -50,9 +50,9 @@
 // Warming returns the number of members that were ready and warming at the last Advance, and the sum
 // of their ages then. A member whose start is in the future counts as warming, with an age of 0. The
 // cost depends only on how many members started or stopped warming since the epoch of the last call.
-func (g *Group[T]) Warming() (count int, ages time.Duration) {
+func (g *Group[T]) Warming() (count int, ageSum time.Duration) {
 	if g.epoch == g.index.epoch {
-		return g.warming, g.warmingAge
+		return g.warming, g.warmingAgeSum
 	}
 	g.epoch, g.epochAt = g.index.epoch, g.index.epochAt
 	for at, members, ok := g.upcoming.counts.Min(); ok && at <= g.epochAt; at, members, ok = g.upcoming.counts.Min() {
@@ -64,8 +64,8 @@
 		g.started.add(at, -members)
 	}
 	g.warming = g.upcoming.total + g.started.total
-	g.warmingAge = time.Duration(g.started.total)*g.epochAt - g.started.sum
-	return g.warming, g.warmingAge
+	g.warmingAgeSum = time.Duration(g.started.total)*g.epochAt - g.started.sum
+	return g.warming, g.warmingAgeSum
 }
 
 func (g *Group[T]) startTimesFor(startedAt time.Duration) *startTimes {
@@ -76,8 +76,8 @@
 }
 
 // startTimes counts members by start time, and keeps their total number and the sum of their start
-// times. The sum may overflow. The ages computed from it are right all the same: the product from
-// which it is subtracted wraps around by the same amount, and the difference is small.
+// times. The sum may overflow. The sum of ages in Warming, total * epochAt - sum, is right all the
+// same: the arithmetic is exact modulo 2^64, and the result is small.
 type startTimes struct {
 	counts btree.Map[time.Duration, int]
 	total  int
@@ -85,8 +85,8 @@
 }
 
 // add adds a number of members with the same start time, or removes them if the number is negative.
-// Removing more members than there are does nothing, as members that stopped warming have already
-// been removed.
+// Removing more members than there are does nothing: detach also removes members that have stopped
+// warming, which Warming has removed already.
 func (s *startTimes) add(at time.Duration, members int) {
 	previous, _ := s.counts.Get(at)
 	if previous+members < 0 {
--- a/internal/endpointindex/index.go
+++ b/internal/endpointindex/index.go
@@ -29,18 +29,19 @@
 	return &Index[T]{warmingPeriod: warmingPeriod, failureTTL: failureTTL, failures: list.New()}
 }
 
-// Entry is a member's entry in the Index. It is in at most one group, and initially in none. Value,
-// Rank and TieBreaker must be set before the first Put and not changed afterwards.
+// Entry is a member's entry in the Index; the functions that act on a member take its Entry. A member
+// is in at most one group, and initially in none. Value, Rank and TieBreaker must be set before the
+// first Put and not changed afterwards.
 type Entry[T any] struct {
-	Value      T      // the member
-	Rank       uint64 // the sort key within a group
-	TieBreaker uint32 // orders members of equal Rank, and must differ between them
-	ready      bool
-	warming    bool
-	dirty      bool
-	group      *Group[T]
-	startedAt  time.Duration // meaningful only if warming
-	failure    *list.Element // the element in Index.failures, or nil
+	Value        T      // the member
+	Rank         uint64 // the sort key within a group
+	TieBreaker   uint32 // orders members of equal Rank, and must differ between them
+	ready        bool
+	mayBeWarming bool // warming from startedAt until the warming period is over; the flag stays set after that
+	dirty        bool
+	group        *Group[T]
+	startedAt    time.Duration // as passed to Put, which compares it; otherwise used only if mayBeWarming
+	failure      *list.Element // the element in Index.failures, or nil
 }
 
 type failureRecord[T any] struct {
@@ -63,12 +64,12 @@
 // the group's order; one that is ready and warming is counted by Group.Warming, with the given start.
 // If nothing changes, Put returns at once.
 func (e *Entry[T]) Put(group *Group[T], ready, warming bool, startedAt time.Duration) {
-	if e.group == group && e.ready == ready && e.warming == warming && e.startedAt == startedAt {
+	if e.group == group && e.ready == ready && e.mayBeWarming == warming && e.startedAt == startedAt {
 		return
 	}
 	e.detach()
 	group.size++
-	e.group, e.ready, e.warming, e.startedAt = group, ready, warming, startedAt
+	e.group, e.ready, e.mayBeWarming, e.startedAt = group, ready, warming, startedAt
 	if !ready {
 		return
 	}
@@ -80,7 +81,8 @@
 	}
 }
 
-// detach removes a member from its group, if it is in one.
+// detach removes a member from its group, if it is in one. Like Put, it first caches the group's
+// Warming for this epoch.
 func (e *Entry[T]) detach() {
 	group := e.group
 	if group == nil {
@@ -91,7 +93,7 @@
 		group.Warming()
 		group.index.ready--
 		group.ready.Delete(orderedEntry[T]{e.Rank, e})
-		if e.warming {
+		if e.mayBeWarming {
 			group.startTimesFor(e.startedAt).add(e.startedAt, -1)
 		}
 	}
@@ -105,8 +107,8 @@
 	}
 }
 
-// Reconcile calls visit for each dirty member, in the order in which they were marked. Members for
-// which visit returns false stay dirty.
+// Reconcile calls visit, which reconciles the caller's state of a member, for each dirty member in the
+// order in which they were marked. Members for which visit returns false stay dirty.
 func (x *Index[T]) Reconcile(visit func(T) (done bool)) {
 	remaining := x.dirty[:0]
 	for _, entry := range x.dirty {
@@ -120,7 +122,8 @@
 	}
 }
 
-// Remove removes a member from its group and deletes its failure.
+// Remove removes a member from its group and deletes its failure. A dirty member stays dirty, so the
+// next Reconcile still visits it.
 func (x *Index[T]) Remove(entry *Entry[T]) {
 	entry.detach()
 	x.forgetFailure(entry)
--- a/internal/endpointindex/index_test.go
+++ b/internal/endpointindex/index_test.go
@@ -11,9 +11,9 @@
 
 const testWarmingPeriod, testFailureTTL = 10 * time.Second, 2 * time.Second
 
-// member is a member of a simple model, which answers queries by iterating over all members.
-type member struct {
-	entry     Entry[*member]
+// modelMember is a member as the model sees it. The model answers queries by iterating over all members.
+type modelMember struct {
+	entry     Entry[*modelMember]
 	id        int
 	group     int // -1 if in none
 	ready     bool
@@ -23,35 +23,35 @@
 	dirty     bool
 }
 
-// indexModel is an Index together with its model.
-type indexModel struct {
+// indexWithModel is an Index together with its model.
+type indexWithModel struct {
 	t        *testing.T
-	position string
+	location string
 	rng      *rand.Rand
 	now      time.Duration
-	index    *Index[*member]
-	groups   [3]Group[*member]
-	members  []*member
+	index    *Index[*modelMember]
+	groups   [3]Group[*modelMember]
+	members  []*modelMember
 	warming  [3]int // by the model, as of the last advance
 	ages     [3]time.Duration
 }
 
-func newIndexModel(t *testing.T, seed uint64) *indexModel {
-	im := &indexModel{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * time.Hour,
-		index: New[*member](testWarmingPeriod, testFailureTTL)}
+func newIndexWithModel(t *testing.T, seed uint64) *indexWithModel {
+	im := &indexWithModel{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * time.Hour,
+		index: New[*modelMember](testWarmingPeriod, testFailureTTL)}
 	for i := range im.groups {
 		im.groups[i] = im.index.NewGroup()
 	}
 	for id := range 1 + im.rng.IntN(200) {
-		m := &member{id: id, group: -1}
-		m.entry = Entry[*member]{Value: m, Rank: im.rng.Uint64N(100), TieBreaker: uint32(id)}
+		m := &modelMember{id: id, group: -1}
+		m.entry = Entry[*modelMember]{Value: m, Rank: im.rng.Uint64N(100), TieBreaker: uint32(id)}
 		im.members = append(im.members, m)
 	}
 	return im
 }
 
 // change makes a random change of a random member. Start times may be in the past or in the future, or equal.
-func (im *indexModel) change() {
+func (im *indexWithModel) change() {
 	m := im.members[im.rng.IntN(len(im.members))]
 	switch im.rng.IntN(10) {
 	case 0, 1:
@@ -81,22 +81,22 @@
 }
 
 // reconcile checks that each dirty member is visited once.
-func (im *indexModel) reconcile() {
-	im.index.Reconcile(func(m *member) bool {
+func (im *indexWithModel) reconcile() {
+	im.index.Reconcile(func(m *modelMember) bool {
 		if !m.dirty {
-			im.t.Errorf("%s: member %d is visited without being dirty, or twice", im.position, m.id)
+			im.t.Errorf("%s: member %d is visited without being dirty, or twice", im.location, m.id)
 		}
 		m.dirty = false
 		return true
 	})
 	for _, m := range im.members {
 		if m.dirty {
-			im.t.Errorf("%s: dirty member %d is not visited", im.position, m.id)
+			im.t.Errorf("%s: dirty member %d is not visited", im.location, m.id)
 		}
 	}
 }
 
-func (im *indexModel) advance() {
+func (im *indexWithModel) advance() {
 	im.index.Advance(im.now)
 	for i := range im.groups {
 		im.warming[i], im.ages[i] = 0, 0
@@ -109,9 +109,9 @@
 	}
 }
 
-func (im *indexModel) check(i int) {
+func (im *indexWithModel) check(i int) {
 	size, group := 0, &im.groups[i]
-	var want []*member
+	var want []*modelMember
 	for _, m := range im.members {
 		if m.group == i {
 			size++
@@ -120,16 +120,16 @@
 			}
 		}
 	}
-	slices.SortFunc(want, func(a, b *member) int {
+	slices.SortFunc(want, func(a, b *modelMember) int {
 		return cmp.Or(cmp.Compare(a.entry.Rank, b.entry.Rank), cmp.Compare(a.id, b.id))
 	})
 	got := slices.Collect(group.Ready())
 	if !slices.Equal(got, want) || group.ReadyLen() != len(want) || group.Len() != size {
 		im.t.Errorf("%s, group %d: Ready yields %d of %d members, ReadyLen is %d, want %d of %d in the model's order",
-			im.position, i, len(got), group.Len(), group.ReadyLen(), len(want), size)
+			im.location, i, len(got), group.Len(), group.ReadyLen(), len(want), size)
 	}
 	if n, ages := group.Warming(); n != im.warming[i] || ages != im.ages[i] {
-		im.t.Errorf("%s, group %d: Warming returns %d, %v, want %d, %v", im.position, i, n, ages,
+		im.t.Errorf("%s, group %d: Warming returns %d, %v, want %d, %v", im.location, i, n, ages,
 			im.warming[i], im.ages[i])
 	}
 }
@@ -138,9 +138,9 @@
 // give the model's answer as of the last Advance.
 func TestIndex_MatchesModel(t *testing.T) {
 	for seed := range uint64(60) {
-		im := newIndexModel(t, seed)
+		im := newIndexWithModel(t, seed)
 		for step := range 600 {
-			im.position = fmt.Sprintf("seed %d, step %d", seed, step)
+			im.location = fmt.Sprintf("seed %d, step %d", seed, step)
 			for range im.rng.IntN(8) {
 				im.change()
 			}
@@ -165,7 +165,7 @@
 			}
 			if im.index.ReadyLen() != ready || im.index.RecentFailures(im.now, window) != failed ||
 				im.index.failures.Len() != kept {
-				t.Errorf("%s: %d ready, %d recent of %d kept failures, want %d, %d of %d", im.position,
+				t.Errorf("%s: %d ready, %d recent of %d kept failures, want %d, %d of %d", im.location,
 					im.index.ReadyLen(), im.index.RecentFailures(im.now, window), im.index.failures.Len(),
 					ready, failed, kept)
 			}
@@ -196,8 +196,8 @@
 	}
 }
 
-// Two days after the clock's origin, the sum of 110,000 start times overflows a Duration. The sum of the ages must be
-// right all the same. After all members are removed, no start times may be kept.
+// At a time of 48 h, the sum of 110,000 start times overflows a Duration. The sum of the ages must be right all the
+// same. After all members are removed, no start times may be kept.
 func TestWarming_ManyMembersLongAfterOrigin(t *testing.T) {
 	const n = 110_000
 	now, index := 48*time.Hour, New[int](testWarmingPeriod, testFailureTTL)
--- a/internal/executor/attempt.go
+++ b/internal/executor/attempt.go
@@ -25,7 +25,7 @@
 
 	request     *openRequest // nil if the attempt belongs to no request
 	number      int
-	decidedAt   time.Time
+	decidedAt   time.Time // lifecycle.Effect.DecidedAt
 	mu          sync.Mutex
 	cancelCause error
 	onCancel    func() // interrupts the Transport's current wait
@@ -57,13 +57,13 @@
 }
 
 // OnCancel sets the function that interrupts the wait that the Transport is about to begin; nil removes it. If the
-// attempt is already cancelled, stop is not stored and the cause is returned. stop is called at most once, with the
-// attempt's lock held, so it must not block.
-func (a *Attempt) OnCancel(stop func()) error {
+// attempt is already cancelled, interrupt is not stored and the cause is returned. interrupt is called at most once,
+// with the attempt's lock held, so it must not block.
+func (a *Attempt) OnCancel(interrupt func()) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cancelCause == nil {
-		a.onCancel = stop
+		a.onCancel = interrupt
 	}
 	return a.cancelCause
 }
@@ -80,8 +80,9 @@
 }
 
 // SendForbidden returns whether the attempt must not be sent any more: it is cancelled, its client has disconnected,
-// NotAfter has passed, or it was decided longer ago than MaxDecisionAge and the Machine does not confirm it. A
-// Transport calls it right before it sends the first byte, without holding a lock that its OnCancel function takes.
+// NotAfter has passed, or the decision to start it is older than MaxDecisionAge and Machine.ConfirmSend does not allow
+// the send. A Transport calls it right before it sends the first byte, without holding a lock that the function passed
+// to OnCancel takes.
 func (a *Attempt) SendForbidden() bool { return a.SendForbiddenAt(time.Now()) }
 
 // SendForbiddenAt is like SendForbidden, for callers that have just read the clock.
@@ -94,7 +95,7 @@
 		return a.CancelCause() != nil
 	}
 	// The context is checked here as well, because it may not be watched yet (see contextWatchDelay), and it may have
-	// ended while the attempt was held back.
+	// ended since the attempt was started, for example while the process was paused.
 	if request.ctx.Err() != nil {
 		request.executor.clientDisconnected(request)
 		return true
@@ -103,7 +104,7 @@
 		return true
 	}
 	e := request.executor
-	if now.Sub(a.decidedAt) <= e.deadlines.MaxDecisionAge {
+	if now.Sub(a.decidedAt) <= e.pauseLimits.MaxDecisionAge {
 		return false
 	}
 	e.mu.Lock()
@@ -113,9 +114,10 @@
 	return !allowed
 }
 
-// StartResponse returns whether the attempt's response may be passed on before it is complete; see
-// lifecycle.Machine.ResponseStarted. A Transport calls it at most once, without holding a lock that its OnCancel
-// function takes. If it returns false, the Transport ends the attempt as Cancelled.
+// StartResponse reports to the Machine that the attempt's response has started, and returns whether the response may be
+// passed on before it is complete; see lifecycle.Machine.ResponseStarted. A Transport calls it at most once, without
+// holding a lock that the function passed to OnCancel takes. If it returns false, the Transport ends the attempt as
+// Cancelled.
 func (a *Attempt) StartResponse() bool {
 	request := a.request
 	if request == nil {
--- a/internal/executor/contextwatch.go
+++ b/internal/executor/contextwatch.go
@@ -13,28 +13,28 @@
 // trackContext schedules the watch of a request's context for when the request is contextWatchDelay old. The caller
 // holds the lock.
 func (e *Executor) trackContext(request *openRequest) {
-	request.arrivedAt, request.tracked = e.clock.Now(), true
+	request.arrivedAt, request.contextTracked = e.clock.Now(), true
 	if request.prev = e.unwatchedTail; request.prev != nil {
 		request.prev.next = request
 	} else {
 		e.unwatchedHead = request
 	}
 	e.unwatchedTail = request
-	if e.nextWatchAt == 0 {
-		e.nextWatchAt = request.arrivedAt + contextWatchDelay
+	if e.nextContextWatchAt == 0 {
+		e.nextContextWatchAt = request.arrivedAt + contextWatchDelay
 	}
 }
 
 // untrackContext ends the watch of a request's context, or cancels its scheduling. The caller holds the lock.
 func (e *Executor) untrackContext(request *openRequest) {
 	switch {
-	case !request.tracked:
-	case request.stopWatch != nil:
-		request.stopWatch()
+	case !request.contextTracked:
+	case request.stopContextWatch != nil:
+		request.stopContextWatch()
 	default:
 		e.unlinkUnwatched(request)
 	}
-	request.tracked = false
+	request.contextTracked = false
 }
 
 func (e *Executor) unlinkUnwatched(request *openRequest) {
@@ -53,15 +53,15 @@
 
 // watchContexts starts the watch of the context of each request that is old enough. The caller holds the lock.
 func (e *Executor) watchContexts(now time.Duration) {
-	if e.nextWatchAt == 0 || now < e.nextWatchAt {
+	if e.nextContextWatchAt == 0 || now < e.nextContextWatchAt {
 		return
 	}
 	for e.unwatchedHead != nil && e.unwatchedHead.arrivedAt+contextWatchDelay <= now {
 		request := e.unwatchedHead
 		e.unlinkUnwatched(request)
-		request.stopWatch = context.AfterFunc(request.ctx, func() { e.clientDisconnected(request) })
+		request.stopContextWatch = context.AfterFunc(request.ctx, func() { e.clientDisconnected(request) })
 	}
-	if e.nextWatchAt = 0; e.unwatchedHead != nil {
-		e.nextWatchAt = e.unwatchedHead.arrivedAt + contextWatchDelay
+	if e.nextContextWatchAt = 0; e.unwatchedHead != nil {
+		e.nextContextWatchAt = e.unwatchedHead.arrivedAt + contextWatchDelay
 	}
 }
--- a/internal/executor/effects.go
+++ b/internal/executor/effects.go
@@ -149,7 +149,7 @@
 // runSync makes the sources apply the updates that have arrived, and reports this to the machine.
 func (e *Executor) runSync(syncID uint64, pausedFor time.Duration) {
 	if e.syncSources != nil {
-		ctx, cancel := context.WithTimeout(e.ctx, e.deadlines.SyncTimeout)
+		ctx, cancel := context.WithTimeout(e.ctx, e.pauseLimits.SyncTimeout)
 		defer cancel()
 		e.syncSources(ctx, pausedFor)
 	}
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -1,9 +1,11 @@
-// Package executor runs a lifecycle.Machine on the system clock: it passes events to the Machine one at a time, under a
-// lock, and carries out the effects. Attempts are made by a Transport. No I/O is done while the lock is held.
+// Package executor runs a lifecycle.Machine, the state machine of all requests, on the system clock. It passes events
+// to the Machine one at a time, under a lock, and carries out the effects that the Machine returns. Attempts are made
+// by a Transport. No I/O is done while the lock is held.
 //
-// A request is served by the goroutine of its caller. If the decision engine can cancel attempts, that goroutine also
-// makes the attempts, one after another, and only concurrent attempts get a goroutine of their own; otherwise every
-// attempt does. Probes and syncs always have their own goroutine.
+// A request is served by the goroutine of its caller. If the decision engine cancels the attempts of a request that has
+// ended, that goroutine also makes the request's attempts one after another, and only an attempt that is concurrent
+// with another gets a goroutine of its own. Otherwise every attempt gets its own goroutine, so that an attempt that is
+// still running does not delay the answer. Probes and syncs always have their own goroutine.
 //
 // executor.go contains the Executor and the serving of requests, effects.go carries out effects, attempt.go is the
 // Transport's view of an attempt, contextwatch.go detects that clients disconnect, transport.go and transportmux.go
@@ -23,7 +25,7 @@
 // Result is the final answer to a request.
 type Result struct {
 	Verdict    lifecycle.Verdict
-	RetryAfter time.Duration   // of a rejection; 0: the client is told nothing
+	RetryAfter time.Duration   // of a rejection; 0: the client is not told when to retry
 	Reason     decision.Reason // of a rejection
 	// Response is set if the request was served, or failed and the last attempt got an error response.
 	Response Response
@@ -36,7 +38,7 @@
 	id             decision.RequestID
 	payload        any
 	inline         bool      // the serving goroutine makes the attempts
-	attemptRunning bool      // the serving goroutine is making an attempt
+	attemptRunning bool      // the serving goroutine is making an attempt; startAttempt starts others in goroutines
 	waiting        bool      // the serving goroutine waits on wake
 	wake           chan bool // buffered, for one value
 	done           bool      // result is final
@@ -47,11 +49,11 @@
 	attemptsBuf    [1]*Attempt
 	pendingBuf     [1]*Attempt
 
-	ctx        context.Context // the client's
-	arrivedAt  time.Duration
-	tracked    bool         // ctx is watched, or its watch is scheduled
-	stopWatch  func() bool  // ends the watch of ctx; nil if it has not begun
-	prev, next *openRequest // neighbours in the list of requests whose ctx is not watched yet
+	ctx              context.Context // the client's
+	arrivedAt        time.Duration
+	contextTracked   bool         // ctx is watched, or its watch is scheduled
+	stopContextWatch func() bool  // ends the watch of ctx; nil if it has not begun
+	prev, next       *openRequest // neighbours in the list of requests whose ctx is not watched yet
 }
 
 // Executor runs a Machine. It is safe for concurrent use.
@@ -61,7 +63,7 @@
 	counter     Counter // nil: each AddToCounter ends as NotSent
 	syncSources func(ctx context.Context, pausedFor time.Duration)
 	inline      bool
-	deadlines   recovery.Deadlines
+	pauseLimits recovery.Deadlines
 	ctx         context.Context // ends at Stop
 	cancel      context.CancelFunc
 
@@ -74,19 +76,18 @@
 	probesInFlight int
 
 	unwatchedHead, unwatchedTail *openRequest  // requests whose ctx is not watched yet, oldest first
-	nextWatchAt                  time.Duration // when the watch of the oldest of them begins; 0: none
+	nextContextWatchAt           time.Duration // when the watch of the oldest of them begins; 0: none
 }
 
 // New returns an Executor for a Machine that uses the same clock. canCancel is whether the decision engine cancels the
-// attempts of a request that has ended. If not, each attempt gets its own goroutine, so that an attempt that is still
-// running does not delay the answer to its request.
+// attempts of a request that has ended. If not, each attempt gets its own goroutine; see the package comment.
 func New(clock Clock, machine *lifecycle.Machine, transport Transport, canCancel bool) *Executor {
 	e := &Executor{
-		clock:     clock,
-		machine:   machine,
-		transport: transport,
-		inline:    canCancel,
-		deadlines: machine.Deadlines(),
+		clock:       clock,
+		machine:     machine,
+		transport:   transport,
+		inline:      canCancel,
+		pauseLimits: machine.Deadlines(),
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	return e
@@ -125,8 +126,9 @@
 	e.handleEvent(func(now time.Duration) []lifecycle.Effect { return e.machine.UpdateEndpoints(now, update) })
 }
 
-// Serve submits a request and waits for its final answer, for at most responseTimeout. If ctx ends first, the request
-// ends as ClientDisconnected and the decision engine may cancel its attempts. An error is one of Machine.Submit.
+// Serve submits a request and waits for its final answer. responseTimeout is passed to Machine.Submit, which limits the
+// wait to it. If ctx ends first, the request ends as ClientDisconnected and the decision engine may cancel its
+// attempts. An error is that of Machine.Submit.
 func (e *Executor) Serve(ctx context.Context, event decision.Request,
 	responseTimeout time.Duration, payload any) (Result, error) {
 	request := &openRequest{executor: e, id: event.ID, payload: payload, inline: e.inline, ctx: ctx}
@@ -200,8 +202,8 @@
 // holds the lock.
 func (e *Executor) armTimer() {
 	at, ok := e.machine.Next()
-	if e.nextWatchAt > 0 && (!ok || e.nextWatchAt < at) {
-		at, ok = e.nextWatchAt, true
+	if e.nextContextWatchAt > 0 && (!ok || e.nextContextWatchAt < at) {
+		at, ok = e.nextContextWatchAt, true
 	}
 	switch {
 	case !ok || e.stopped:
@@ -228,8 +230,8 @@
 	e.executeEffects(e.machine.Tick(now))
 }
 
-// Drain closes the Machine and waits until no request is open or ctx ends. It returns the number of requests that still
-// have no answer.
+// Drain makes the Machine reject new requests, and waits until no request is open or ctx ends. It returns the number of
+// requests that still have no answer.
 func (e *Executor) Drain(ctx context.Context) (unanswered int) {
 	e.mu.Lock()
 	e.machine.Close()
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -8,17 +8,17 @@
 
 // attemptState is one attempt of an open request.
 type attemptState struct {
-	backend      decision.BackendID
-	startedAt    time.Duration
-	deadline     time.Duration
-	open         bool // has not ended yet
-	cancelled    bool
-	awaitingSync bool          // the StartAttempt effect is held back until the sources have synced
-	drained      bool          // the backend started to drain or was removed after it was chosen
-	pausedFor    time.Duration // how long the process was paused while the attempt was in flight
-	result       decision.Result
-	prev         attemptRef // neighbours in the list of open attempts at the backend
-	next         attemptRef
+	backend         decision.BackendID
+	startedAt       time.Duration
+	deadline        time.Duration
+	open            bool // has not ended yet
+	cancelled       bool
+	awaitingSync    bool            // the StartAttempt effect is held back until the sources have synced
+	backendNotReady bool            // the backend started to drain or was removed after it was chosen
+	pausedFor       time.Duration   // how long the process was paused while the attempt was in flight
+	result          decision.Result // set when the attempt ends; until then the zero value, Succeeded
+	prev            attemptRef      // neighbours in the list of open attempts at the backend
+	next            attemptRef
 }
 
 // attemptRef refers to an attempt by request and number. A pointer would not do, because attempts move in memory when
@@ -60,7 +60,7 @@
 	}
 	attempt.awaitingSync = m.pendingSyncID > 0
 	request.attempts = append(request.attempts, attempt)
-	m.attemptOpened(request, number)
+	m.addOpenAttempt(request, number)
 	if attempt.awaitingSync {
 		m.heldStarts = append(m.heldStarts, heldStart{request, number, action.NotAfter})
 		return
@@ -83,7 +83,8 @@
 	})
 }
 
-// queueNotSent queues a NotSent outcome for the engine without handling the queue.
+// queueNotSent queues a NotSent outcome for the engine. It does not handle the queue: startAttempt is called by
+// handleQueuedEvents, which handles the outcome next, and endHeldAttempt calls handleQueuedEvents itself.
 func (m *Machine) queueNotSent(request *openRequest, number int) {
 	m.eventQueue = append(m.eventQueue, decision.Outcome{
 		Request: request.id,
@@ -125,8 +126,8 @@
 
 // ResponseStarted reports that an attempt has begun to receive its response, and returns whether the response may be
 // passed on to the client before it is complete. If so, the request is bound to that attempt: all others are cancelled,
-// no more are started, and the request ends when the attempt does. It is not allowed once the request is answered, the
-// attempt is cancelled, or another response has started.
+// no more are started, and the request ends when the attempt does. Passing it on is not allowed once the request is
+// answered, the attempt has ended or is cancelled, or a response has started before.
 func (m *Machine) ResponseStarted(now time.Duration, id decision.RequestID,
 	number int) (effects []Effect, allowed bool) {
 	m.advance(now)
@@ -156,7 +157,7 @@
 		return m.effects
 	}
 	attempt.result = outcome.Result
-	m.attemptClosed(request, number)
+	m.removeOpenAttempt(request, number)
 	m.answerFromAttempt(request, number)
 	event := decision.Outcome{
 		Request:     id,
@@ -194,9 +195,9 @@
 	}
 }
 
-// attemptOpened counts an attempt as in flight and adds it to the list of open attempts at its backend.
-func (m *Machine) attemptOpened(request *openRequest, number int) {
-	request.inFlight++
+// addOpenAttempt counts an attempt as open and adds it to the list of open attempts at its backend.
+func (m *Machine) addOpenAttempt(request *openRequest, number int) {
+	request.openAttemptCount++
 	attempt, ref := &request.attempts[number], attemptRef{request, number}
 	attempt.open, attempt.next = true, m.openAttempts[attempt.backend]
 	if attempt.next.request != nil {
@@ -205,9 +206,9 @@
 	m.openAttempts[attempt.backend] = ref
 }
 
-// attemptClosed undoes attemptOpened.
-func (m *Machine) attemptClosed(request *openRequest, number int) {
-	request.inFlight--
+// removeOpenAttempt undoes addOpenAttempt.
+func (m *Machine) removeOpenAttempt(request *openRequest, number int) {
+	request.openAttemptCount--
 	attempt := &request.attempts[number]
 	switch {
 	case attempt.prev.request != nil:
--- a/internal/lifecycle/effects.go
+++ b/internal/lifecycle/effects.go
@@ -14,7 +14,7 @@
 	// StartAttempt starts attempt number Attempt at Backend, to end by Deadline. The executor must call AttemptEnded
 	// once for it.
 	StartAttempt EffectKind = iota
-	// CancelAttempt ends that attempt now. AttemptEnded must still be called for it.
+	// CancelAttempt cancels attempt number Attempt at once. AttemptEnded must still be called for it.
 	CancelAttempt
 	// Respond gives the request its only final answer: Verdict, with RetryAfter or with the response of Attempt.
 	Respond
@@ -38,7 +38,7 @@
 	Served             Verdict = iota // with the response of Attempt
 	Rejected                          // the client may safely retry
 	Failed                            // the request may have executed
-	DeadlineExceeded                  // no other answer before the response deadline; the request may have executed
+	DeadlineExceeded                  // no answer in time, or a started response timed out; the request may have executed
 	ClientDisconnected                // the client is gone, so nobody receives the answer
 	Aborted                           // Machine.Abort came before any other answer; the request may have executed
 )
@@ -52,11 +52,11 @@
 	Attempt    int                 // StartAttempt, CancelAttempt, and Respond with Served; counted from 0
 	Backend    decision.BackendID  // StartAttempt, CancelAttempt and ProbeBackend
 	Deadline   time.Duration       // StartAttempt
-	DecidedAt  time.Duration       // StartAttempt: when the engine decided to start it
+	DecidedAt  time.Duration       // StartAttempt: when the engine decided it, or the end of the sync that held it back
 	NotAfter   time.Duration       // StartAttempt: the latest time at which it may be sent; 0: no limit
 	TimedOut   bool                // CancelAttempt: the attempt reached its deadline
 	Verdict    Verdict             // Respond
-	RetryAfter time.Duration       // Respond with Rejected; 0: the client is told nothing
+	RetryAfter time.Duration       // Respond with Rejected; 0: the client is not told when to retry
 	Reason     decision.Reason     // Respond with Rejected
 	CounterAdd decision.CounterAdd // AddToCounter
 	SyncID     uint64              // SyncSources
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -7,8 +7,8 @@
 // The design follows etcd's raft library.
 //
 // Three invariants hold for any order of calls, and the tests check them:
-//   - Each submitted request gets exactly one Respond effect.
-//   - Each StartAttempt action is followed by exactly one outcome event to the decision engine.
+//   - Each request that Submit accepted gets exactly one Respond effect.
+//   - Each StartAttempt action for an open request is followed by exactly one outcome event to the decision engine.
 //   - Once a request is answered and its attempts have ended, all its state is released, except for its id where the
 //     request must not execute again. The number of such ids is bounded.
 //
@@ -26,7 +26,8 @@
 )
 
 // DecisionEngine decides how requests are handled. *decision.Engine implements it; tests use scripted engines. Handle
-// appends the resulting actions to actions. It is never called concurrently and must not block.
+// appends the resulting actions to actions. It is never called concurrently and must not block. The engine must not
+// depend on timers of requests that are answered or unknown: the Machine does not fire them.
 type DecisionEngine interface {
 	Handle(now time.Duration, event decision.Event, actions []decision.Action) []decision.Action
 }
@@ -51,12 +52,12 @@
 	// IDRetention is how long such an id is remembered. Default: 10 s.
 	IDRetention time.Duration
 	// DetectPauses makes the Machine detect that its process was paused, and then hold back attempts until the
-	// sources have synced (SyncSources). With it, Next is never later than Deadlines().CheckInterval after the last
-	// event.
+	// endpoint sources have applied all updates that had arrived by then (see SyncSources). With it, Next is never
+	// later than Deadlines().CheckInterval after the last call that passed a time.
 	DetectPauses bool
 	// DrainGrace is how long a gateway may keep sending to a backend that was told to drain, because it has not
 	// received that update yet. The time in which a pause is detected is derived from it.
-	// Default: 2 s, which is also the maximum.
+	// Default: 2 s, which is also the maximum; see recovery.DeadlinesFor.
 	DrainGrace time.Duration
 }
 
@@ -148,7 +149,7 @@
 
 // UnmatchedActions returns the number of actions that were ignored because they start an attempt for an unknown
 // request, answer a request that is unknown or already answered, or are of an unknown type. Each is an error of the
-// engine.
+// engine. A CancelAttempt or SetTimer for an unknown request is ignored without being counted.
 func (m *Machine) UnmatchedActions() uint64 { return m.unmatchedActions }
 
 // Next returns the time by which Tick must be called if no other method is called before. If ok is false, there is no
@@ -168,10 +169,11 @@
 	return m.effects
 }
 
-// UpdateEndpoints passes an endpoint update on to the engine.
+// UpdateEndpoints marks the open attempts at backends that an endpoint update drains or removes, and passes the update
+// on to the engine.
 func (m *Machine) UpdateEndpoints(now time.Duration, update decision.EndpointUpdate) []Effect {
 	m.advance(now)
-	m.markDrained(&update)
+	m.markBackendsNotReady(&update)
 	m.dispatch(update)
 	return m.effects
 }
@@ -199,7 +201,7 @@
 	m.advance(now)
 	for _, id := range sortedIDs(m.requests) {
 		request := m.requests[id]
-		if request == nil {
+		if request == nil { // released by actions of the engine in an earlier iteration
 			continue
 		}
 		if !request.answered {
@@ -217,8 +219,8 @@
 func (m *Machine) advance(now time.Duration) {
 	m.now, m.effects = max(m.now, now), m.effects[:0]
 	if m.limits.DetectPauses {
-		due, waiting := m.nextTimer()
-		if paused := m.pauseDetector.Observe(m.now, due, waiting); paused > 0 {
+		timerAt, hasTimer := m.nextTimer()
+		if paused := m.pauseDetector.Observe(m.now, timerAt, hasTimer); paused > 0 {
 			m.onPause(paused)
 		}
 	}
@@ -271,9 +273,9 @@
 	case decision.StartAttempt:
 		m.startAttempt(action)
 	case decision.Reject:
-		m.applyResponse(action.Request, Effect{Verdict: Rejected, RetryAfter: action.RetryAfter, Reason: action.Reason})
+		m.applyFinalAnswer(action.Request, Effect{Verdict: Rejected, RetryAfter: action.RetryAfter, Reason: action.Reason})
 	case decision.Fail:
-		m.applyResponse(action.Request, Effect{Verdict: Failed})
+		m.applyFinalAnswer(action.Request, Effect{Verdict: Failed})
 	case decision.CancelAttempt:
 		m.applyCancel(action)
 	case decision.SetTimer:
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -19,8 +19,7 @@
 	{Name: "unsafe", Idempotency: decision.NonIdempotent},
 }
 
-// harness is a Machine with a scripted decision engine, which is the harness itself. It records the events that the
-// engine gets.
+// harness runs a Machine and is itself the Machine's scripted decision engine. It records the events that it gets.
 type harness struct {
 	t       *testing.T
 	machine *Machine
@@ -47,7 +46,7 @@
 }
 
 // describeEffects returns effects as text, such as "start 1/0 at 7 by 2s; respond 1 served by 0". Attempt 0 of request
-// 1 is written as 1/0, and deadlines are relative to the start of the test.
+// 1 is written as 1/0, and deadlines are relative to the start of the test. SyncSources and AddToCounter are left out.
 func describeEffects(effects []Effect) string {
 	var lines []string
 	for _, effect := range effects {
@@ -113,7 +112,8 @@
 	}
 }
 
-// startOnBackend7 is an engine that starts each request on backend 7. It passes all other events to more, if not nil.
+// startOnBackend7 returns a react function that starts an attempt of each request on backend 7. It passes all other
+// events to more, if not nil.
 func startOnBackend7(more func(decision.Event) []decision.Action) func(decision.Event) []decision.Action {
 	return func(event decision.Event) []decision.Action {
 		if request, ok := event.(decision.Request); ok {
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestDisconnectedClientStartsNothing(t *testing.T) {
+func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
 	h := newHarness(t, Limits{}, startOnBackend7(func(event decision.Event) []decision.Action {
 		if disconnected, ok := event.(decision.ClientDisconnected); ok {
 			return []decision.Action{
@@ -291,7 +291,7 @@
 	}
 	h.wantEffects("attempts beyond MaxAttempts",
 		h.machine.AttemptEnded(h.now, 1, 0, Outcome{Result: decision.Rejected}), "")
-	h.wantLastEvent("attempt=3 result=7")
+	h.wantLastEvent("attempt=3 result=7") // NotSent
 	h.machine.Close()
 	if err := submit(4, "safe"); !errors.Is(err, ErrClosed) {
 		t.Errorf("after Close: got error %v, want %v", err, ErrClosed)
@@ -301,7 +301,7 @@
 	h.wantNothingLeft()
 }
 
-// A host that runs its handlers again submits the same id again. A request that may have executed must not execute
+// An executor whose caller repeats a call submits the same id again. A request that may have executed must not execute
 // twice; one that certainly did not execute may be submitted again.
 func TestSubmit_ReplayedID(t *testing.T) {
 	h := newHarness(t, Limits{MaxRememberedIDs: 2, IDRetention: time.Second}, startOnBackend7(nil))
@@ -378,7 +378,8 @@
 	}
 }
 
-// hedgeAfter100ms is an engine that starts each request on backend 7, and 100 ms later also on backend 8.
+// hedgeAfter100ms is a react function that starts an attempt of each request on backend 7, and 100 ms later another one
+// on backend 8.
 func hedgeAfter100ms(event decision.Event) []decision.Action {
 	switch event := event.(type) {
 	case decision.Request:
@@ -393,7 +394,7 @@
 }
 
 // Once the client has part of a response, no other attempt may answer the request: the others are cancelled, their
-// responses may not start, and their success is ignored.
+// responses may not be passed on, and their success is ignored.
 func TestStartedResponseExcludesOtherAttempts(t *testing.T) {
 	h := newHarness(t, Limits{}, hedgeAfter100ms)
 	h.submit(1, "safe")
--- a/internal/lifecycle/pause.go
+++ b/internal/lifecycle/pause.go
@@ -12,7 +12,7 @@
 // the sources to sync, and StartAttempt effects are held back until they have synced or cannot be reached. Responses,
 // rejections, timers and cancellations are not held back.
 //
-// The latency of an attempt that was in flight during the pause includes the pause, and its usage reading may be as old
+// The latency of an attempt that was in flight during the pause includes the pause, and its usage report may be as old
 // as the pause; discountPause corrects both. An attempt that was decided before the pause and is not yet sent when the
 // process resumes must be confirmed (ConfirmSend).
 
@@ -62,7 +62,7 @@
 	if !attempt.open || !attempt.awaitingSync {
 		return
 	}
-	if attempt.drained || request.answered {
+	if attempt.backendNotReady || request.answered {
 		m.endHeldAttempt(request, start.attempt)
 		return
 	}
@@ -74,7 +74,7 @@
 func (m *Machine) endHeldAttempt(request *openRequest, number int) {
 	attempt := &request.attempts[number]
 	attempt.awaitingSync, attempt.result = false, decision.NotSent
-	m.attemptClosed(request, number)
+	m.removeOpenAttempt(request, number)
 	m.queueNotSent(request, number)
 	m.handleQueuedEvents()
 	m.releaseIfDone(request)
@@ -84,19 +84,19 @@
 func (m *Machine) Syncing() bool { return m.pendingSyncID > 0 }
 
 // ConfirmSend returns whether an attempt that was decided longer ago than Deadlines().MaxDecisionAge may still be sent.
-// It may not if it has ended or was cancelled, if the process was paused since and the sources have not synced, or if
-// its backend started to drain or was removed since it was chosen. The caller then ends it as NotSent.
+// It may not if it has ended or was cancelled, while a sync is pending, or if its backend started to drain or was
+// removed since it was chosen. The caller then ends it as NotSent.
 func (m *Machine) ConfirmSend(now time.Duration, id decision.RequestID, number int) (effects []Effect, allowed bool) {
 	m.advance(now)
 	attempt := m.requests[id].attempt(number)
 	if attempt == nil {
 		return m.effects, false
 	}
-	return m.effects, attempt.open && !attempt.cancelled && !attempt.drained && m.pendingSyncID == 0
+	return m.effects, attempt.open && !attempt.cancelled && !attempt.backendNotReady && m.pendingSyncID == 0
 }
 
-// markDrained marks the open attempts at backends that the update drains or removes.
-func (m *Machine) markDrained(update *decision.EndpointUpdate) {
+// markBackendsNotReady marks the open attempts at backends that the update drains or removes.
+func (m *Machine) markBackendsNotReady(update *decision.EndpointUpdate) {
 	if update.Kind == decision.UpdateFailed || len(m.requests) == 0 {
 		return
 	}
@@ -113,13 +113,13 @@
 	}
 	for id, isReady := range ready {
 		for ref := m.openAttempts[id]; !isReady && ref.request != nil; ref = ref.attempt().next {
-			ref.attempt().drained = true
+			ref.attempt().backendNotReady = true
 		}
 	}
 }
 
-// discountPause removes from an outcome what a pause during the attempt has falsified: it subtracts the pause from the
-// latency, drops the usage reading, and turns TimedOut into Unknown, because the pause may have caused the timeout.
+// discountPause removes from an outcome what a pause during the attempt has distorted: it subtracts the pause from the
+// latency, drops the usage report, and turns TimedOut into Unknown, because the pause may have caused the timeout.
 func discountPause(outcome decision.Outcome, paused time.Duration) decision.Outcome {
 	outcome.Latency, outcome.HasUsage = max(0, outcome.Latency-paused), false
 	if outcome.Result == decision.TimedOut {
--- a/internal/lifecycle/pause_test.go
+++ b/internal/lifecycle/pause_test.go
@@ -121,6 +121,7 @@
 	h := newPausableHarness(t, startOnBackend7(nil))
 	h.setTime(6 * time.Second)
 	first := h.syncRequested(h.submit(1, "safe"))
+	// 700 ms after the last call is no pause: it is less than recovery.DefaultCheckInterval.
 	effects := h.machine.SourcesSynced(h.setTime(6*time.Second+700*ms), first)
 	if h.syncRequested(effects) != 0 || describeEffects(effects) != "start 1/0 at 7 by 6.96s" {
 		t.Errorf("SourcesSynced after 700 ms: got effects %q, want the held start and no SyncSources",
--- a/internal/lifecycle/property_test.go
+++ b/internal/lifecycle/property_test.go
@@ -13,7 +13,8 @@
 	"pumicecroft/recovery"
 )
 
-// TestMain fixes the random seed of the property tests, unless -rapid.seed is given.
+// TestMain sets the random seed and the number of checks of the property tests, and turns off files for failed checks.
+// Flags on the command line take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20", "rapid.checks": "300", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -64,6 +65,8 @@
 		if record.outcomes[outcome.Attempt]++; record.outcomes[outcome.Attempt] > 1 {
 			r.t.Fatalf("got %d outcomes for one attempt, want 1: %+v", record.outcomes[outcome.Attempt], outcome)
 		}
+		// Final must say whether the request is answered. A Respond effect of the current call is not recorded yet, so
+		// if the record differs from Final, the Machine's own state of the request must agree with it.
 		if outcome.Final != (record.responses > 0) && r.machine.requests[outcome.Request] != nil &&
 			outcome.Final != r.machine.requests[outcome.Request].answered {
 			r.t.Fatalf("got Final %v for a request with %d final answers: %+v", outcome.Final, record.responses, outcome)
@@ -180,13 +183,13 @@
 		}()
 	}
 	switch rapid.IntRange(0, 9).Draw(r.t, "event") {
-	case 9:
+	case 9: // the sources have synced
 		syncID := r.pendingSyncID
 		if rapid.IntRange(0, 4).Draw(r.t, "older SyncID") == 0 {
 			syncID--
 		}
 		r.sourcesSynced(syncID)
-	case 0, 1, 2:
+	case 0, 1, 2: // a request is submitted
 		id := decision.RequestID(len(r.ids) + 1)
 		if len(r.ids) > 0 && rapid.IntRange(0, 9).Draw(r.t, "reuse id") == 0 {
 			id = r.drawID()
@@ -210,12 +213,12 @@
 		if (err != nil) != (old != nil) {
 			r.t.Fatalf("Submit of request %d: got error %v, want an error: %v", id, err, old != nil)
 		}
-	case 3, 4:
+	case 3, 4: // an attempt ends
 		id := r.drawID()
 		if record := r.records[id]; record != nil && len(record.inFlight) > 0 {
 			r.endAttempt(id, rapid.IntRange(0, len(record.inFlight)-1).Draw(r.t, "attempt"))
 		}
-	case 8:
+	case 8: // an attempt's response starts
 		id := r.drawID()
 		if record := r.records[id]; record != nil && len(record.inFlight) > 0 {
 			n := rapid.IntRange(0, len(record.inFlight)-1).Draw(r.t, "responding attempt")
@@ -229,14 +232,14 @@
 				record.respondingAttempt = r.machine.requests[id].respondingAttempt
 			}
 		}
-	case 5:
+	case 5: // a client disconnects
 		if id := r.drawID(); r.records[id] != nil {
 			r.checkEffects(r.machine.Disconnect(r.now, r.records[id], id))
 		}
-	case 6:
+	case 6: // Tick is called
 		r.checkEffects(r.machine.Tick(r.now))
-	case 7:
-		r.checkMarkDrained()
+	case 7: // the endpoints are updated
+		r.checkMarkBackendsNotReady()
 		r.checkEffects(r.machine.UpdateEndpoints(r.now, decision.EndpointUpdate{
 			Kind:      decision.UpdateFull,
 			Endpoints: []decision.Endpoint{{ID: 1}, {ID: 2, Cell: 1}},
@@ -244,9 +247,9 @@
 	}
 }
 
-// checkMarkDrained calls markDrained with a random update and compares the marked attempts with those found by a scan
-// of all attempts. It also checks the lists of open attempts by backend.
-func (r *propertyRun) checkMarkDrained() {
+// checkMarkBackendsNotReady calls markBackendsNotReady with a random update and compares the marked attempts with those
+// found by a scan of all attempts. It also checks the lists of open attempts by backend.
+func (r *propertyRun) checkMarkBackendsNotReady() {
 	update := decision.EndpointUpdate{
 		Kind: decision.UpdateKind(rapid.IntRange(0, int(decision.UpdateFailed)).Draw(r.t, "kind")),
 	}
@@ -267,14 +270,14 @@
 			}
 			drains := attempt.open && update.Kind != decision.UpdateFailed &&
 				(named && state != decision.Ready || !named && update.Kind != decision.UpdateDelta)
-			want[attemptRef{request, number}] = attempt.drained || drains
+			want[attemptRef{request, number}] = attempt.backendNotReady || drains
 		}
 	}
-	r.machine.markDrained(&update)
-	for ref, wantDrained := range want {
-		if ref.attempt().drained != wantDrained {
-			r.t.Fatalf("request %d, attempt %d at backend %d, after %+v: drained is %v, want %v",
-				ref.request.id, ref.number, ref.attempt().backend, update, !wantDrained, wantDrained)
+	r.machine.markBackendsNotReady(&update)
+	for ref, wantNotReady := range want {
+		if ref.attempt().backendNotReady != wantNotReady {
+			r.t.Fatalf("request %d, attempt %d at backend %d, after %+v: backendNotReady is %v, want %v",
+				ref.request.id, ref.number, ref.attempt().backend, update, !wantNotReady, wantNotReady)
 		}
 	}
 	for id, ref := range r.machine.openAttempts {
--- a/internal/lifecycle/replays.go
+++ b/internal/lifecycle/replays.go
@@ -6,8 +6,8 @@
 	"pumicecroft/decision"
 )
 
-// A host that runs its handlers again submits the same id again. The id of a request that may have executed and whose
-// class does not allow a second execution is therefore remembered after the request has ended, and Submit returns
+// An executor whose caller repeats a call submits the same id again. The id of a request that may have executed and
+// whose class does not allow a second execution is therefore remembered after the request has ended, and Submit returns
 // ErrReplayed for it.
 
 // rememberedID is the id of a request that may have executed, and when to forget it.
@@ -24,7 +24,8 @@
 	return m.rememberedIDs[id]
 }
 
-// remember keeps an id for Limits.IDRetention. If MaxRememberedIDs is reached, it replaces the oldest one.
+// remember keeps an id for Limits.IDRetention. If MaxRememberedIDs is reached, it replaces the oldest one. The
+// retention of an id that is already remembered is not prolonged.
 func (m *Machine) remember(id decision.RequestID) {
 	if m.isRemembered(id) {
 		return
--- a/internal/lifecycle/requests.go
+++ b/internal/lifecycle/requests.go
@@ -26,6 +26,7 @@
 // reach the client before the timeout ends. Callers of Submit shorten the client's timeout by these margins.
 const (
 	// TimeoutMargin is subtracted from the client's timeout to get the timeout of attempts, decision.Request.Timeout.
+	// It exceeds ResponseMargin, so that an attempt cancelled at its deadline can still end before the final answer.
 	TimeoutMargin = 40 * time.Millisecond
 	// ResponseMargin is subtracted from the client's timeout to get the responseTimeout of Submit.
 	ResponseMargin = 20 * time.Millisecond
@@ -41,17 +42,17 @@
 	responseDeadline  time.Duration // by which the request is answered
 	answered          bool
 	respondingAttempt int // the attempt whose response is being passed on, counted from 1; 0: none
-	inFlight          int // number of attempts that have not ended
+	openAttemptCount  int // number of attempts that have not ended
 	attempts          []attemptState
-	deadlineTimer     timer // fires at deadline, then at responseDeadline
-	engineTimer       timer // the first timer that the engine sets for this request
-	extraTimers       []*timer
+	deadlineTimer     timer           // fires at deadline, then at responseDeadline
+	engineTimer       timer           // a timer that the engine sets; stored inline, which saves an allocation
+	extraTimers       []*timer        // further timers of the engine, and the timeouts of attempts
 	attemptsBuf       [2]attemptState // initial storage of attempts, which saves most requests an allocation
 }
 
 // Submit opens a request, or returns one of the errors above. Attempts are cancelled event.Timeout from now. A request
 // that is still unanswered responseTimeout from now, or event.Timeout if that is longer, is answered as
-// DeadlineExceeded. The request's effects carry the tag.
+// DeadlineExceeded. The tag is the value by which the executor identifies the request; the request's effects carry it.
 func (m *Machine) Submit(now time.Duration, tag any, event decision.Request,
 	responseTimeout time.Duration) ([]Effect, error) {
 	m.advance(now)
@@ -63,6 +64,7 @@
 		return m.effects, ErrDuplicateID
 	case len(m.requests) >= m.limits.MaxOpenRequests:
 		return m.effects, ErrTooManyRequests
+	// The engine rejects requests of an unknown class, so they never execute.
 	case known && idempotency != decision.Idempotent && m.isRemembered(event.ID):
 		return m.effects, ErrReplayed
 	}
@@ -109,41 +111,42 @@
 }
 
 // abandon answers a request without a decision of the engine, and tells the engine that no answer is awaited any more.
+// The event for this is ClientDisconnected, also at the response deadline and on Abort.
 func (m *Machine) abandon(request *openRequest, verdict Verdict) {
 	m.answer(request, Effect{Verdict: verdict})
 	m.dispatch(decision.ClientDisconnected{Request: request.id})
 	m.releaseIfDone(request)
 }
 
-// applyResponse answers a request as the engine decided. An action for a request that is unknown or already answered is
-// counted as unmatched.
-func (m *Machine) applyResponse(id decision.RequestID, response Effect) {
+// applyFinalAnswer answers a request as the engine decided. An action for a request that is unknown or already answered
+// is counted as unmatched.
+func (m *Machine) applyFinalAnswer(id decision.RequestID, answer Effect) {
 	request := m.requests[id]
 	if request == nil || request.answered {
 		m.unmatchedActions++
 		return
 	}
 	if request.respondingAttempt > 0 { // the client already has part of a response, so this must not be a rejection
-		response = Effect{Verdict: Failed}
+		answer = Effect{Verdict: Failed}
 	}
-	m.answer(request, response)
+	m.answer(request, answer)
 	m.releaseIfDone(request)
 }
 
 // answer emits the Respond effect of a request. Repeated calls have no effect.
-func (m *Machine) answer(request *openRequest, response Effect) {
+func (m *Machine) answer(request *openRequest, answer Effect) {
 	if request.answered {
 		return
 	}
 	request.answered = true
-	response.Kind, response.Tag, response.Request = Respond, request.tag, request.id
-	m.emit(response)
+	answer.Kind, answer.Tag, answer.Request = Respond, request.tag, request.id
+	m.emit(answer)
 	m.clearEngineTimers(request) // the timers of attempts in flight are still needed
 }
 
 // releaseIfDone releases the state of a request that is answered and has no attempt in flight.
 func (m *Machine) releaseIfDone(request *openRequest) {
-	if !request.answered || request.inFlight > 0 || m.requests[request.id] != request {
+	if !request.answered || request.openAttemptCount > 0 || m.requests[request.id] != request {
 		return
 	}
 	delete(m.requests, request.id)
@@ -153,7 +156,8 @@
 	}
 }
 
-// mayHaveExecuted returns whether, judging by the results of its attempts, the request may have executed.
+// mayHaveExecuted returns whether, judging by the results of its attempts, the request may have executed. All attempts
+// must have ended.
 func (r *openRequest) mayHaveExecuted() bool {
 	for i := range r.attempts {
 		switch r.attempts[i].result {
--- a/internal/lifecycle/timers.go
+++ b/internal/lifecycle/timers.go
@@ -12,7 +12,7 @@
 	at      time.Duration
 	seq     uint64       // sequence number; orders timers of the same time by when they were set
 	index   int          // position in the heap, counted from 1; 0: not set
-	request *openRequest // nil for the engine's own timer
+	request *openRequest // nil for a timer that the engine sets for itself
 	token   uint64       // timerEngine: the token of the decision.Timer event
 	kind    timerKind
 	attempt int // timerAttempt: number of the attempt
@@ -28,7 +28,8 @@
 )
 
 // timerHeap orders timers by time and, for equal times, by when they were set. When a request is released, its timers
-// are removed immediately, so the heap holds a few timers for each open request and one of the engine's own.
+// are removed immediately, so the heap holds a few timers for each open request and those that the engine sets for
+// itself.
 type timerHeap []*timer
 
 // Len implements heap.Interface.
@@ -85,8 +86,8 @@
 	}
 }
 
-// setEngineTimer sets a timer for the engine. A timer for a request that is answered or unknown is not set, because the
-// engine would ignore it.
+// setEngineTimer sets a timer for the engine. A timer for a request that is answered or unknown is not set; see
+// DecisionEngine.
 func (m *Machine) setEngineTimer(action decision.SetTimer) {
 	t := timer{at: m.now + max(action.After, 0), token: action.Token, kind: timerEngine}
 	if action.Token == 0 {
--- a/membership/helpers_test.go
+++ b/membership/helpers_test.go
@@ -79,7 +79,7 @@
 }
 
 // delta reports an update of some nodes and checks the changes.
-func (tt *tableTest) delta(at time.Duration, source, text, want string) {
+func (tt *tableTest) partial(at time.Duration, source, text, want string) {
 	tt.t.Helper()
 	changes, invalid := tt.table.Report(at, source, Update{Nodes: parseNodes(text)}, startOffset)
 	tt.want(at, changes, want)
@@ -134,12 +134,12 @@
 
 // hasPendingRemoval reports whether a source has a mass removal that is not yet confirmed.
 func hasPendingRemoval(table *Table, source string) bool {
-	return len(table.sources[table.sourceIndex(source)].missing) > 0
+	return len(table.sources[table.sourceIndex(source)].removalByNode) > 0
 }
 
 // isMissing reports whether a node is kept although a full update lacks it.
 func isMissing(table *Table, name string) bool {
-	return slices.ContainsFunc(table.sources, func(src source) bool { return src.missing[name] != nil })
+	return slices.ContainsFunc(table.sources, func(src source) bool { return src.removalByNode[name] != nil })
 }
 
 func changesOf(changes []Change, _ []error) []Change { return changes }
--- a/membership/massremoval.go
+++ b/membership/massremoval.go
@@ -9,10 +9,10 @@
 // kept until the removal is confirmed. Each full update has its own pending removal with its own delay, so
 // nodes that go missing later, after a mass removal has begun, wait for their own full delay.
 type massRemoval struct {
-	remaining     int           // nodes of the set that are still missing
-	since         time.Duration // start of the delay; moved on when the source fails or the process was paused
+	remaining     int           // nodes of this removal that are still missing
+	since         time.Duration // start of the delay; the latest restart if the source failed or the process was paused
 	delay         time.Duration // how long the nodes must be missing
-	confirmations int           // full updates that lacked the nodes, counted from since
+	confirmations int           // full updates that lacked the nodes; a restart sets it to 0
 	confirmedAt   time.Duration // when confirmations reached confirmationsNeeded
 	elapsed       bool          // the delay has passed, and a call noticed it within maxTimerLateness
 }
@@ -20,9 +20,9 @@
 // confirmationsNeeded is how many full updates must lack a node before its removal can come due.
 const confirmationsNeeded = 2
 
-// maxTimerLateness is how late the table may notice that a removal is due. A longer gap means that the
-// process was paused: updates read after the pause may have been sent before it, so they do not confirm
-// the removal, and its delay starts over.
+// maxTimerLateness is how late the table may notice that a removal is due. A longer gap is taken to mean
+// that the process was paused, also if the caller was just late with Tick: updates read after a pause may
+// have been sent before it, so they do not confirm the removal, and its delay starts over.
 const maxTimerLateness = 150 * time.Millisecond
 
 // restart starts the removal's delay over and discards its confirmations.
@@ -32,14 +32,14 @@
 	r.elapsed = false
 }
 
-// due returns when the removal may be carried out. It returns false while the removal lacks confirmations
-// or its source is failed.
+// due returns when the removal is due; the source's next full update from about then on carries it out. due
+// returns false while the removal lacks confirmations or its source is failed.
 func (r *massRemoval) due(src *source) (time.Duration, bool) {
 	return max(r.since+r.delay, r.confirmedAt), r.confirmations >= confirmationsNeeded && !src.failed
 }
 
 // recordMissing handles the nodes that a source's full update lacks and that were not missing before, and
-// returns those to remove now. In a mass removal it returns none: settleRemovals removes them later. Nodes
+// returns those to remove now. In a mass removal it returns none: processRemovals removes them later. Nodes
 // of pending removals count as missing, so that a source which loses its nodes in several updates is still
 // recognized.
 func (t *Table) recordMissing(sourceIndex int, missing []string, update *Update) []string {
@@ -53,17 +53,17 @@
 	if len(missing) == 0 {
 		return nil
 	}
-	emptied := len(update.Nodes) == 0 || update.SourceReset
-	total := len(missing) + len(src.missing)
-	if src.Trusted || !emptied && !t.isMassRemoval(total, len(src.members)) {
+	useLongDelay := len(update.Nodes) == 0 || update.SourceReset
+	total := len(missing) + len(src.removalByNode)
+	if src.Trusted || !useLongDelay && !t.isMassRemoval(total, len(src.members)) {
 		return missing
 	}
 	removal := &massRemoval{remaining: len(missing), since: t.now, delay: t.policy.MassRemovalDelay, confirmations: 1}
 	for _, name := range missing {
-		src.missing[name] = removal
+		src.removalByNode[name] = removal
 	}
 	src.removals = append(src.removals, removal)
-	if emptied {
+	if useLongDelay {
 		for _, each := range src.removals {
 			each.delay = t.policy.FullRemovalDelay
 		}
@@ -79,33 +79,33 @@
 // clearMissing takes a node out of its pending removal: the source has named the node again or has
 // reported its removal.
 func (s *source) clearMissing(name string) {
-	removal := s.missing[name]
+	removal := s.removalByNode[name]
 	if removal == nil {
 		return
 	}
-	delete(s.missing, name)
+	delete(s.removalByNode, name)
 	removal.remaining--
 	if removal.remaining == 0 {
 		s.removals = slices.DeleteFunc(s.removals, func(other *massRemoval) bool { return other == removal })
 	}
 }
 
-// settleRemovals carries out a source's pending removals that are due. afterFullUpdate means that the
-// source has just sent a full update. Without one, a removal that is due is only marked as elapsed, and
-// the source's next full update decides.
-func (t *Table) settleRemovals(src *source, afterFullUpdate bool) {
-	var settled []*massRemoval
+// processRemovals processes a source's pending removals that are due. afterFullUpdate means that the source
+// has just sent a full update, which still lacks their nodes: the removals are carried out. Otherwise they
+// are only marked as elapsed, and the source's next full update decides.
+func (t *Table) processRemovals(src *source, afterFullUpdate bool) {
+	var confirmed []*massRemoval
 	for _, removal := range src.removals {
-		if t.isSettled(src, removal, afterFullUpdate) {
-			settled = append(settled, removal)
+		if t.evaluateRemoval(src, removal, afterFullUpdate) {
+			confirmed = append(confirmed, removal)
 		}
 	}
-	if len(settled) == 0 {
+	if len(confirmed) == 0 {
 		return
 	}
 	var names []string
-	for name, removal := range src.missing {
-		if slices.Contains(settled, removal) {
+	for name, removal := range src.removalByNode {
+		if slices.Contains(confirmed, removal) {
 			names = append(names, name)
 		}
 	}
@@ -116,9 +116,10 @@
 	}
 }
 
-// isSettled reports whether a pending removal is to be carried out now. A full update may settle it up to
+// evaluateRemoval reports whether a pending removal is to be carried out now. If not, it marks the removal
+// as elapsed where that applies, or restarts it after a pause. A full update may confirm a removal up to
 // maxTimerLateness before it is due, as the next update may come much later.
-func (t *Table) isSettled(src *source, removal *massRemoval, afterFullUpdate bool) bool {
+func (t *Table) evaluateRemoval(src *source, removal *massRemoval, afterFullUpdate bool) bool {
 	due, confirmed := removal.due(src)
 	earliest := due
 	if afterFullUpdate {
--- a/membership/massremoval_test.go
+++ b/membership/massremoval_test.go
@@ -82,7 +82,7 @@
 		reset := Update{Full: true, SourceReset: true, Nodes: parseNodes("a b")}
 		tt.want(1*sec, changesOf(tt.table.Report(1*sec, "s", reset, startOffset)), "")
 		tt.full(10*sec, "s", "a b c d e", "")       // f is still missing since the reset
-		tt.full(11*sec, "s", "a b c d", "e#5:gone") // e was back, so this is a removal of one node
+		tt.full(11*sec, "s", "a b c d", "e#5:gone") // only e and f are missing: no mass removal
 		tt.wantStatus("f", "ready since 0s by s")
 		tt.tick(301*sec, "")
 		tt.full(310*sec, "s", "a b c d", "f#6:gone")
@@ -103,13 +103,14 @@
 		tt.full(0, "s", all, ready)
 		tt.full(1*sec, "s", "", "a#1:gone; b#2:gone; c#3:gone; d#4:gone; e#5:gone; f#6:gone")
 		tt.full(2*sec, "s", "a", "a#7:ready")
-		tt.delta(3*sec, "s", "a:draining", "a#7:draining")
-		tt.delta(4*sec, "s", "a", "a#7:ready")
+		tt.partial(3*sec, "s", "a:draining", "a#7:draining")
+		tt.partial(4*sec, "s", "a", "a#7:ready")
 	})
 }
 
 // A mass removal comes due while the process is paused. The update that is read after the pause may have been sent
-// before it, so it does not confirm the removal, and the delay starts over.
+// before it, so it does not confirm the removal, and the delay starts over. After the pause, the table may notice the
+// time that has passed in a Tick or only in the next update.
 func TestMassRemovalAcrossPause(t *testing.T) {
 	for _, ticks := range []bool{false, true} {
 		tt := newTableTest(t, Policy{}, "s")
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -2,9 +2,9 @@
 // catalog, a file or a program's own list, and decides which backends exist and which of them may be sent
 // requests.
 //
-// A Table merges the sources' updates and owns all state derived from them. Sources get no feedback on
-// their reports. The package is pure: updates and times go in, changes come out. It does no I/O and reads
-// no clock.
+// A Table merges the sources' updates and owns all state derived from them. It never calls a source, so
+// sources get no feedback. The package is pure: updates and times go in, changes come out. It does no I/O
+// and reads no clock.
 package membership
 
 import (
@@ -16,8 +16,8 @@
 
 // Node is one backend as a source reports it.
 type Node struct {
-	Name         string // identity of the machine; it stays the same when the address changes
-	Addr         string // host:port to connect to; may be empty in a removed node
+	Name         string // identifies the node; stays the same when its address changes
+	Addr         string // host:port to connect to; may be empty if State is Removed
 	Zone         string
 	InstanceType string
 	// Protocol is the node's protocol: ProtocolHTTP, ProtocolGRPC or the name of another transport. Empty
@@ -26,7 +26,7 @@
 	Cell      int // backends of one cell deduplicate idempotency keys together
 	State     decision.BackendState
 	Weight    float64
-	StartedAt time.Time // when its process started or was registered; zero means long ago
+	StartedAt time.Time // when its process started or was registered; zero: unknown, taken as long ago
 	Note      string    // human-readable reason for the reported state
 }
 
@@ -36,14 +36,14 @@
 	ProtocolGRPC = "grpc"
 )
 
-// Update is one report of a source: all its nodes, or those that changed.
+// Update is what a source reports at one time: all its nodes, or those that changed.
 type Update struct {
 	// Full means that Nodes lists all nodes of the source, so a node that is missing is removed. Otherwise
 	// nodes that are not listed are unchanged.
 	Full bool
 	// Cached marks a Full update that was stored before a restart and may be out of date.
 	Cached bool
-	// SourceReset marks a Full update of a source that restarted with other data: a missing node may just
+	// SourceReset marks a Full update of a source that has lost its earlier data: a missing node may just
 	// not have registered again yet.
 	SourceReset bool
 	Nodes       []Node
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -19,54 +19,55 @@
 //
 // If an update names a node more than once, the last entry counts.
 type Merge struct {
-	table        *Table
-	sourceIndex  int
-	update       Update
-	startOffset  func(time.Time) time.Duration
-	updateNumber uint64
-	stage        stage
-	position     int            // index in the list that the current stage iterates over
-	removedIndex map[string]int // known nodes removed by this update so far, with the index of the removing entry
-	overflow     []int          // indexes of entries skipped because the table was full
-	missing      []string       // nodes that the update lacks and that are removed at once
-	invalid      []error        // errors of the current call of Next
+	table          *Table
+	sourceIndex    int
+	update         Update
+	startOffset    func(time.Time) time.Duration
+	updateNumber   uint64
+	stage          stage
+	position       int            // index in the list that the current stage iterates over
+	removedIndex   map[string]int // known nodes removed by this update so far, with the index of the removing entry
+	skippedEntries []int          // indexes of entries skipped because the table was full
+	toRemove       []string       // nodes that the update lacks and that are removed without confirmation
+	invalid        []error        // errors of the current call of Next
 }
 
 // stage is a part of a merge.
 type stage uint8
 
 const (
-	stageStart    stage = iota
-	stageDrains         // entries that report known nodes as draining or removed
-	stageEntries        // all entries
-	stageMissing        // nodes that a full update lacks
-	stageOverflow       // entries that were skipped because the table was full
+	stageStart   stage = iota
+	stageDrains        // entries that report known nodes as draining or removed
+	stageEntries       // all entries
+	stageMissing       // nodes that a full update lacks
+	stageSkipped       // entries that were skipped because the table was full
 	stageDone
 )
 
 // BeginMerge begins to merge an update. startOffset converts a node's start to the table's time. The
 // update's nodes must not change before the merge is done.
 func (t *Table) BeginMerge(source string, update Update, startOffset func(time.Time) time.Duration) *Merge {
-	t.updateCount++
+	t.mergeCount++
 	return &Merge{
 		table:        t,
 		sourceIndex:  t.sourceIndex(source),
 		update:       update,
 		startOffset:  startOffset,
-		updateNumber: t.updateCount,
+		updateNumber: t.mergeCount,
 	}
 }
 
 // Report merges a whole update. Invalid entries are ignored and returned as errors; valid ones are merged
-// all the same. The changes are valid until the table's next call.
+// all the same. An update of a source that the table does not have is ignored. The changes are valid until
+// the table's next call.
 func (t *Table) Report(now time.Duration, source string, update Update,
 	startOffset func(time.Time) time.Duration) (changes []Change, invalid []error) {
 	changes, invalid, _ = t.BeginMerge(source, update, startOffset).Next(now, math.MaxInt)
 	return changes, invalid
 }
 
-// Next merges up to the given number of entries and reports whether the merge has more to do. The changes
-// are valid until the table's next call.
+// Next merges up to the given number of entries and reports whether the merge has more to do. It merges
+// nothing if the table does not have the source. The changes are valid until the table's next call.
 func (m *Merge) Next(now time.Duration, entries int) (changes []Change, invalid []error, more bool) {
 	t := m.table
 	t.advance(now, m.sourceIndex)
@@ -98,8 +99,8 @@
 		return m.stepEntries()
 	case stageMissing:
 		return m.stepMissing()
-	case stageOverflow:
-		return m.stepOverflow()
+	case stageSkipped:
+		return m.stepSkipped()
 	}
 	return false
 }
@@ -121,6 +122,8 @@
 	m.nextStage()
 }
 
+// stepDrains merges an entry if it reports a known node as draining or removed. With DrainsOnly, an entry
+// whose State is Ready is left to stepEntries, which drains its node all the same.
 func (m *Merge) stepDrains() (merged bool) {
 	if m.position == len(m.update.Nodes) {
 		m.nextStage()
@@ -140,7 +143,7 @@
 	if m.position == len(m.update.Nodes) {
 		m.nextStage()
 		if m.update.Full {
-			m.missing = m.table.recordMissing(m.sourceIndex, m.findMissing(), &m.update)
+			m.toRemove = m.table.recordMissing(m.sourceIndex, m.findMissing(), &m.update)
 		}
 		return false
 	}
@@ -150,23 +153,23 @@
 }
 
 func (m *Merge) stepMissing() (merged bool) {
-	if m.position == len(m.missing) {
+	if m.position == len(m.toRemove) {
 		m.nextStage()
 		return false
 	}
-	m.table.removeReport(m.sourceIndex, m.missing[m.position])
+	m.table.removeReport(m.sourceIndex, m.toRemove[m.position])
 	m.position++
 	return true
 }
 
-func (m *Merge) stepOverflow() (merged bool) {
+func (m *Merge) stepSkipped() (merged bool) {
 	t := m.table
-	if m.position == len(m.overflow) {
+	if m.position == len(m.skippedEntries) {
 		m.nextStage()
-		t.settleRemovals(&t.sources[m.sourceIndex], m.update.Full)
+		t.processRemovals(&t.sources[m.sourceIndex], m.update.Full)
 		return false
 	}
-	index := m.overflow[m.position]
+	index := m.skippedEntries[m.position]
 	m.position++
 	if len(t.members) >= t.policy.MaxNodes {
 		return false
@@ -205,7 +208,7 @@
 	switch {
 	case !accepted:
 		if m.stage == stageEntries {
-			m.overflow = append(m.overflow, index)
+			m.skippedEntries = append(m.skippedEntries, index)
 		}
 	case node.State == decision.Removed && (reported || removed):
 		if m.removedIndex == nil {
@@ -258,14 +261,14 @@
 }
 
 // findMissing returns the nodes that the update does not name and that were not missing before. They are
-// sorted, so that the order of changes does not depend on the table's history. This is the only place that
-// iterates over all nodes of a source.
+// sorted, so that the order of changes does not depend on the order of source.members. This is the only
+// place that iterates over all nodes of a source.
 func (m *Merge) findMissing() []string {
 	src := &m.table.sources[m.sourceIndex]
 	var missing []string
 	for _, known := range src.members {
 		i, _ := known.findReport(m.sourceIndex)
-		if known.reports[i].updateNumber != m.updateNumber && src.missing[known.name] == nil {
+		if known.reports[i].updateNumber != m.updateNumber && src.removalByNode[known.name] == nil {
 			missing = append(missing, known.name)
 		}
 	}
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -59,7 +59,7 @@
 		rng := rand.New(rand.NewPCG(seed, 17))
 		policy := Policy{MaxNodes: []int{4, 100}[rng.IntN(2)]}
 		atOnce, inSteps := NewTable(policy, sourceInfos("a!", "b!")...), NewTable(policy, sourceInfos("a!", "b!")...)
-		want, got, inOrder := appliedChanges{}, appliedChanges{}, map[string]Node{}
+		want, got, modelNodes := appliedChanges{}, appliedChanges{}, map[string]Node{}
 		for round := range 12 {
 			at := time.Duration(round) * sec
 			update := randomUpdate(rng)
@@ -75,7 +75,7 @@
 				before[name] = true
 			}
 			want.apply(changes)
-			applyInOrder(inOrder, update)
+			applyInOrder(modelNodes, update)
 			invalidInSteps := 0
 			merge := inSteps.BeginMerge("a", update, startOffset)
 			for more, step := true, 0; more; step++ {
@@ -101,11 +101,11 @@
 				atOnce.SkippedEntries() != inSteps.SkippedEntries() {
 				t.Fatalf("seed %d, round %d: merged in steps %+v, at once %+v, update %+v", seed, round, got, want, update)
 			}
-			if policy.MaxNodes == 100 && !maps.EqualFunc(want, inOrder, func(c Change, n Node) bool {
+			if policy.MaxNodes == 100 && !maps.EqualFunc(want, modelNodes, func(c Change, n Node) bool {
 				return c.Addr == n.Addr && (c.State == decision.Ready) == (n.State == decision.Ready)
 			}) {
 				t.Fatalf("seed %d, round %d: merged %+v, entries applied in order %+v, update %+v",
-					seed, round, want, inOrder, update)
+					seed, round, want, modelNodes, update)
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	next(1, "b#2:draining", true)
 	next(1, "e#5:ready", true)
-	tt.delta(sec, "t", "d:draining", "d#4:draining")
+	tt.partial(sec, "t", "d:draining", "d#4:draining")
 	next(1, "", true)
 	next(3, "f#6:ready; g#7:ready", true)
 	next(1, "", true)
--- a/membership/names_test.go
+++ b/membership/names_test.go
@@ -4,7 +4,7 @@
 
 // The names of states appear in the output of "pumicecroft members", in JSON and in traces, so renaming a constant
 // must not change them.
-func TestStateNames(t *testing.T) {
+func TestStateAndProtocolNames(t *testing.T) {
 	for state, want := range map[State]string{
 		Unknown:   "unknown",
 		WarmingUp: "cold",
--- a/membership/policy.go
+++ b/membership/policy.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Policy holds the settings of a Table. A zero field takes its default.
+// Policy holds the settings of a Table. A field that is zero or negative takes its default.
 type Policy struct {
-	// ProbationMin, ProbationMax and ProbationReset control probation. A node that was out of service and
-	// reports ready again becomes Ready after it has stayed ready for ProbationMin, doubled for each further
-	// recent outage up to ProbationMax. One outage is forgotten for each ProbationReset of uninterrupted
-	// health.
+	// ProbationMin, ProbationMax and ProbationReset control probation. The state of a node that was out of
+	// service becomes Ready again after the node has been reported ready for ProbationMin, doubled for each
+	// further recent outage up to ProbationMax. One outage is forgotten for each ProbationReset of
+	// uninterrupted health.
 	ProbationMin   time.Duration // default 1 s
 	ProbationMax   time.Duration // default 1 min
 	ProbationReset time.Duration // default 1 min
@@ -31,8 +31,9 @@
 	MassRemovalMin   int           // default 3
 	MassRemovalDelay time.Duration // default 1.5 s
 
-	// FullRemovalDelay replaces MassRemovalDelay if the update is empty or its source was reset. Nodes
-	// register again with an emptied catalog within minutes. Until then, a node that is really gone costs
+	// FullRemovalDelay replaces MassRemovalDelay if the update is empty or its source was reset: then all
+	// nodes of the source may seem to be removed. (Any mass removal comes from an update with Full set.)
+	// Nodes register again with an emptied catalog within minutes. Until then, a node that is really gone costs
 	// one failed attempt that is safe to retry, as it was provably not executed, while an empty table would
 	// fail every request. Default 5 min.
 	FullRemovalDelay time.Duration
--- a/membership/probation.go
+++ b/membership/probation.go
@@ -24,7 +24,8 @@
 }
 
 // nextState returns a member's state by its reports and probation, and the index of the source that
-// decided. It counts an outage when one begins, and starts probation when one ends.
+// decided: of several sources that report it as not ready, the first. It counts an outage when one begins,
+// and starts probation when one ends, unless the source that decided last was trusted.
 func (t *Table) nextState(m *member) (state State, decidedBy int) {
 	if index := m.firstNotReady(); index != noSource {
 		if m.state != Draining && m.state != Unknown {
@@ -36,7 +37,7 @@
 	first := m.reports[0].sourceIndex
 	switch {
 	case m.state == Draining && !m.drainedByTrusted:
-		m.healthySince = t.now
+		m.outageForgetBase = t.now
 		m.probationUntil = t.now + t.probation(m)
 		return Probation, first
 	case m.state == Probation && t.now < m.probationUntil:
@@ -56,7 +57,7 @@
 	return noSource
 }
 
-// probation returns how long a member must stay ready before it becomes Ready again.
+// probation returns how long a member must be reported ready before its state becomes Ready again.
 func (t *Table) probation(m *member) time.Duration {
 	return backoff.Exponential{Initial: t.policy.ProbationMin, Max: t.policy.ProbationMax}.Delay(m.outages - 1)
 }
@@ -69,12 +70,12 @@
 	case m.state == Probation:
 		t.schedule(m, m.probationUntil)
 	case m.state == Ready && m.outages > 0:
-		for m.outages > 0 && t.now-m.healthySince >= t.policy.ProbationReset {
+		for m.outages > 0 && t.now-m.outageForgetBase >= t.policy.ProbationReset {
 			m.outages--
-			m.healthySince += t.policy.ProbationReset
+			m.outageForgetBase += t.policy.ProbationReset
 		}
 		if m.outages > 0 {
-			t.schedule(m, m.healthySince+t.policy.ProbationReset)
+			t.schedule(m, m.outageForgetBase+t.policy.ProbationReset)
 		}
 	}
 }
--- a/membership/probation_test.go
+++ b/membership/probation_test.go
@@ -12,13 +12,13 @@
 // A drain applies at once. A node that reports ready again serves probation first, for longer after each outage.
 func TestFlappingNodeServesLongerProbation(t *testing.T) {
 	tt := newTableTest(t, Policy{ProbationMin: sec, ProbationMax: 5 * sec, ProbationReset: 20 * sec}, "s")
-	tt.delta(0, "s", "a", "a#1:ready")
+	tt.partial(0, "s", "a", "a#1:ready")
 	at := time.Duration(0)
 	for i, probation := range []time.Duration{1 * sec, 2 * sec, 4 * sec, 5 * sec, 5 * sec} {
 		at += sec
-		tt.delta(at, "s", "a:draining", "a#1:draining")
+		tt.partial(at, "s", "a:draining", "a#1:draining")
 		at += sec / 2
-		tt.delta(at, "s", "a", "")
+		tt.partial(at, "s", "a", "")
 		tt.wantStatus("a", fmt.Sprintf("suspect since %v by s, until %v", at, at+probation))
 		tt.tick(at+probation-1, "")
 		at += probation
@@ -36,8 +36,8 @@
 	if _, ok := tt.table.Next(); ok || tt.table.Statuses()[0].RecentOutages != 0 {
 		t.Errorf("%d recent outages and something scheduled: %v, want 0 and false", tt.table.Statuses()[0].RecentOutages, ok)
 	}
-	tt.delta(at+201*sec, "s", "a:draining", "a#1:draining")
-	tt.delta(at+202*sec, "s", "a", "")
+	tt.partial(at+201*sec, "s", "a:draining", "a#1:draining")
+	tt.partial(at+202*sec, "s", "a", "")
 	tt.tick(at+203*sec, "a#1:ready")
 }
 
@@ -68,15 +68,15 @@
 		}
 	}
 	if readyCount > 1 || changeCount > 3 {
-		t.Errorf("ready %d times in %d changes, want at most 1 in 3", readyCount, changeCount)
+		t.Errorf("ready %d times, %d changes, want at most 1 and at most 3", readyCount, changeCount)
 	}
 }
 
-// A node is removed and registered again under the same name every second. It serves probation like a node whose
+// A node is removed and registered again under the same name every second. It is put in probation like a node whose
 // health check flaps, and the number of tombstones stays bounded.
-func TestReturningNodeServesProbation(t *testing.T) {
+func TestReturningNodeIsPutInProbation(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s")
-	tt.delta(0, "s", "a b", "a#1:ready; b#2:ready")
+	tt.partial(0, "s", "a b", "a#1:ready; b#2:ready")
 	readyCount, changeCount := 0, 0
 	for i := range 60 {
 		now := time.Duration(i+1) * sec
@@ -96,16 +96,16 @@
 		}
 	}
 	if readyCount > 1 || changeCount > 62 {
-		t.Errorf("ready %d times in %d changes, want at most 1 in 62", readyCount, changeCount)
+		t.Errorf("ready %d times, %d changes, want at most 1 and at most 62", readyCount, changeCount)
 	}
-	tt.delta(70*sec, "s", "a:gone", "a#32:gone")
-	tt.delta(20*60*sec, "s", "a", "a#33:ready") // its tombstone has expired
+	tt.partial(70*sec, "s", "a:gone", "a#32:gone")
+	tt.partial(20*60*sec, "s", "a", "a#33:ready") // its tombstone has expired
 	if len(tt.table.tombstones) > 0 || len(tt.table.tombstoneOrder) > 0 {
 		t.Errorf("%d tombstones, %d in order, want none", len(tt.table.tombstones), len(tt.table.tombstoneOrder))
 	}
 	for i := range 30_000 { // always new names, removed at once
-		tt.delta(21*60*sec, "s", fmt.Sprintf("n%d", i), fmt.Sprintf("n%d#%d:ready", i, 34+i))
-		tt.delta(21*60*sec, "s", fmt.Sprintf("n%d:gone", i), fmt.Sprintf("n%d#%d:gone", i, 34+i))
+		tt.partial(21*60*sec, "s", fmt.Sprintf("n%d", i), fmt.Sprintf("n%d#%d:ready", i, 34+i))
+		tt.partial(21*60*sec, "s", fmt.Sprintf("n%d:gone", i), fmt.Sprintf("n%d#%d:gone", i, 34+i))
 	}
 	if len(tt.table.tombstones) > 20_001 || len(tt.table.tombstoneOrder) > 20_001 {
 		t.Errorf("%d tombstones, %d in order, want at most 20001", len(tt.table.tombstones), len(tt.table.tombstoneOrder))
--- a/membership/sources.go
+++ b/membership/sources.go
@@ -9,20 +9,20 @@
 // SourceInfo describes a source to a Table.
 type SourceInfo struct {
 	Name string
-	// Trusted means that the source's reports apply at once: its nodes serve no probation, and a mass
-	// removal needs no confirmation. It suits a list that a person or the program itself maintains.
+	// Trusted means that the source's reports apply at once: its nodes are not put in probation, and a
+	// mass removal needs no confirmation. It suits a list that a person or the program itself maintains.
 	Trusted bool
 }
 
 // source is a source with its state.
 type source struct {
 	SourceInfo
-	failed   bool                    // its last update was an error
-	cached   bool                    // its last full update was a cached one
-	members  []*member               // members that it has a report on, in no particular order
-	version  uint64                  // counts changes of its reports
-	missing  map[string]*massRemoval // nodes kept although its last full update lacked them, by name
-	removals []*massRemoval          // the distinct values of missing, oldest first
+	failed        bool                    // its last update was an error
+	cached        bool                    // its last full update was a cached one
+	members       []*member               // members that the source reports, in no particular order
+	version       uint64                  // counts changes of its reports
+	removalByNode map[string]*massRemoval // nodes kept although its last full update lacked them, by name
+	removals      []*massRemoval          // the distinct values of removalByNode, oldest first
 }
 
 // report is the last report of one source on one node. Few nodes are known to more than one source, so a
@@ -33,7 +33,7 @@
 	node         *Node
 	started      time.Duration // node.StartedAt in the table's time
 	updateNumber uint64        // the last update that named the node
-	entryIndex   int           // index of the node's entry in that update; -1 if the entry was invalid
+	entryIndex   int           // index of the node's entry in that update; -1 if it has no valid entry there
 }
 
 // findReport returns the index of a source's report, and false with the index at which to insert it if
--- a/membership/starttimes.go
+++ b/membership/starttimes.go
@@ -6,8 +6,8 @@
 )
 
 // StartTimes fills in the start times that a source does not report, from an update of that source that was
-// cached before a restart. A source that has just started may not know when nodes older than itself started.
-// It is not safe for concurrent use.
+// cached before the gateway restarted. A source that has just started itself may not know when nodes older
+// than itself started. StartTimes is not safe for concurrent use.
 type StartTimes struct {
 	cached   map[string]Node // the cached update; nil after the first full update
 	cachedAt time.Time
@@ -25,8 +25,8 @@
 
 // FillIn fills in the starts that an update lacks. It must be called for each update, before the update is
 // merged. For the first full update, the starts come from the cached update; a node that is not in the
-// cached update, or has another address there, started later than the cache was written, and is given that
-// time. The update's nodes are copied, not changed in place.
+// cached update, or has another address there, started after the cache was written, and its start is taken
+// to be the time of the cache, the earliest possible. The update's nodes are copied, not changed in place.
 func (s *StartTimes) FillIn(update *Update) {
 	if update.Err != nil {
 		return
--- a/membership/status.go
+++ b/membership/status.go
@@ -13,7 +13,9 @@
 // State is the state of a node in a Table, by the reports of all sources.
 type State uint8
 
-// The states. Only WarmingUp and Ready nodes are sent new requests.
+// The states. Only WarmingUp and Ready nodes are sent new requests. WarmingUp is for display only: the Table
+// itself treats such a node as Ready. A node in the table is never Removed, and Unknown only until its first
+// report has been evaluated.
 const (
 	Unknown   State = iota // not reported by any source
 	WarmingUp              // ready, and started or registered within Policy.WarmupWindow
@@ -23,7 +25,8 @@
 	Removed
 )
 
-// stateNames are the names of the states in command output, JSON and traces.
+// stateNames are the names of the states in command output, JSON and traces. Tools read them, so they stay
+// as they are even where a constant has another name.
 var stateNames = [...]string{
 	Unknown:   "unknown",
 	WarmingUp: "cold",
@@ -72,7 +75,7 @@
 		Stale:          decider.failed || decider.cached,
 	}
 	for i := range t.sources {
-		if t.sources[i].missing[m.name] != nil {
+		if t.sources[i].removalByNode[m.name] != nil {
 			status.MissingFromUpdate = true
 		}
 	}
--- a/membership/table.go
+++ b/membership/table.go
@@ -18,7 +18,7 @@
 	Replaced bool
 }
 
-// member is one node with its state.
+// member is a node in the table, with its state.
 type member struct {
 	name             string
 	id               decision.BackendID
@@ -27,10 +27,10 @@
 	state            State
 	since            time.Duration // start of state
 	decidedBy        int           // index of the source whose report decided the state
-	drainedByTrusted bool          // a trusted source drained the node, so it serves no probation afterwards
+	drainedByTrusted bool          // decidedBy was a trusted source at the last drain, so no probation follows
 	probationUntil   time.Duration
 	outages          int           // recent outages, not counting forgotten ones
-	healthySince     time.Duration // advanced by Policy.ProbationReset for each outage that is forgotten
+	outageForgetBase time.Duration // the next outage is forgotten Policy.ProbationReset after this
 	queueIndex       int           // index in Table.queue plus 1; 0 if it is not in the queue
 	evaluateAt       time.Duration // when it is due in the queue
 }
@@ -41,7 +41,7 @@
 //   - A node's attributes (address, zone, cell, instance type, weight, protocol) come from the first source
 //     that knows it.
 //   - A node is ready only if all sources that know it report it as ready. Sources that do not know it are
-//     not considered.
+//     not considered. After an outage it must also have passed its probation: see Policy.ProbationMin.
 //   - Its start is the latest that any of them reports.
 //   - It is removed when no source knows it any more.
 //   - A failed source's last reports stay in force and are marked stale.
@@ -58,8 +58,8 @@
 	queue          evaluationQueue
 	tombstones     map[string]tombstone
 	tombstoneOrder []string // names in order of removal; may hold duplicates, and nodes that are back
-	updateCount    uint64   // merges that have begun
-	skipped        int
+	mergeCount     uint64   // merges begun so far; the latest is the number of the newest update
+	skipped        int      // entries skipped because the table was full, and not merged later
 	changes        []Change // changes of the current call
 }
 
@@ -67,7 +67,7 @@
 func NewTable(policy Policy, sources ...SourceInfo) *Table {
 	t := &Table{policy: policy.withDefaults(), members: map[string]*member{}, tombstones: map[string]tombstone{}}
 	for _, info := range sources {
-		t.sources = append(t.sources, source{SourceInfo: info, missing: map[string]*massRemoval{}})
+		t.sources = append(t.sources, source{SourceInfo: info, removalByNode: map[string]*massRemoval{}})
 	}
 	return t
 }
@@ -75,7 +75,8 @@
 // Len returns the number of nodes in the table.
 func (t *Table) Len() int { return len(t.members) }
 
-// SkippedEntries returns how many entries of updates were skipped because the table held Policy.MaxNodes nodes.
+// SkippedEntries returns how many entries of updates were skipped because the table held Policy.MaxNodes nodes. An
+// entry that is merged at the end of its update after all does not count.
 func (t *Table) SkippedEntries() int { return t.skipped }
 
 // Tick processes everything that is due by now. The changes are valid until the table's next call.
@@ -84,7 +85,8 @@
 	return t.changes
 }
 
-// Next returns when Tick must be called next, and false if nothing is scheduled.
+// Next returns when Tick must be called next, and false if nothing is scheduled. A removal that has elapsed
+// needs no Tick, as it waits for its source's next full update.
 func (t *Table) Next() (at time.Duration, ok bool) {
 	if len(t.queue) > 0 {
 		at, ok = t.queue[0].evaluateAt, true
@@ -105,13 +107,13 @@
 const noSource = -1
 
 // advance is the first step of each call: it sets the time and processes everything that is due. It skips
-// pending removals of the reporting source, which are settled after the source's update is merged.
+// pending removals of the reporting source, which are processed after the source's update is merged.
 func (t *Table) advance(now time.Duration, reporting int) {
 	t.now = max(t.now, now)
 	t.changes = t.changes[:0]
 	for i := range t.sources {
 		if i != reporting {
-			t.settleRemovals(&t.sources[i], false)
+			t.processRemovals(&t.sources[i], false)
 		}
 	}
 	t.expireTombstones()
@@ -154,10 +156,11 @@
 }
 
 // add adds a node under a new ID, with the outages from its tombstone if the node was removed recently. If
-// that leaves any outages and the source is not trusted, the node begins in probation.
+// that leaves any outages and the source is not trusted, the node starts as if it had been drained, so that
+// evaluate puts it in probation once it is reported ready.
 func (t *Table) add(name string, trusted bool) *member {
 	t.lastID++
-	m := &member{name: name, id: t.lastID, since: t.now, healthySince: t.now}
+	m := &member{name: name, id: t.lastID, since: t.now, outageForgetBase: t.now}
 	t.members[name] = m
 	if outages, ok := t.takeTombstone(name); ok {
 		if outages > 0 && !trusted {
@@ -168,7 +171,7 @@
 	return m
 }
 
-// remove removes a node that no source knows any more.
+// remove removes a node that no source knows any more. A removal without a drain before it counts as an outage.
 func (t *Table) remove(m *member) {
 	t.unschedule(m)
 	delete(t.members, m.name)
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -13,12 +13,12 @@
 	tt := newTableTest(t, Policy{}, "s!")
 	tt.full(1*sec, "s", "a b", "a#1:ready; b#2:ready")
 	tt.full(2*sec, "s", "a b", "") // nothing has changed
-	tt.delta(3*sec, "s", "c", "c#3:ready")
-	tt.delta(4*sec, "s", "b:gone", "b#2:gone")
-	tt.delta(5*sec, "s", "b", "b#4:ready") // a new node, with a new ID
+	tt.partial(3*sec, "s", "c", "c#3:ready")
+	tt.partial(4*sec, "s", "b:gone", "b#2:gone")
+	tt.partial(5*sec, "s", "b", "b#4:ready") // a new node, with a new ID
 	tt.full(6*sec, "s", "b", "a#1:gone; c#3:gone")
-	tt.delta(7*sec, "s", "z:gone", "") // unknown node
-	tt.delta(7*sec, "nobody", "z", "") // unknown source
+	tt.partial(7*sec, "s", "z:gone", "") // unknown node
+	tt.partial(7*sec, "nobody", "z", "") // unknown source
 	if tt.table.Len() != 1 {
 		t.Errorf("%d nodes, want 1", tt.table.Len())
 	}
@@ -32,18 +32,18 @@
 	tt := newTableTest(t, Policy{ProbationMin: sec}, "consul", "platform")
 	tt.full(0, "platform", "a b", "a#1:ready; b#2:ready")
 	tt.full(1*sec, "consul", "a@x c", "a#1:ready replaced at h:ax; c#3:ready") // the first source's address applies
-	tt.delta(2*sec, "consul", "a:draining@x", "a#1:draining")                  // the sources disagree
+	tt.partial(2*sec, "consul", "a:draining@x", "a#1:draining")                // the sources disagree
 	tt.wantStatus("a", "draining since 2s by consul")
-	tt.delta(3*sec, "platform", "a:draining", "")
-	tt.delta(4*sec, "consul", "a@x", "") // platform still reports it as draining
+	tt.partial(3*sec, "platform", "a:draining", "")
+	tt.partial(4*sec, "consul", "a@x", "") // platform still reports it as draining
 	tt.wantStatus("a", "draining since 2s by platform")
-	tt.delta(14*sec, "platform", "a", "") // 10 s later than consul
+	tt.partial(14*sec, "platform", "a", "") // 10 s later than consul
 	tt.tick(15*sec, "a#1:ready")
-	tt.delta(16*sec, "consul", "c:gone", "c#3:gone")                  // known to consul only
-	tt.delta(17*sec, "consul", "a:gone", "a#1:ready replaced at h:a") // platform still knows it, at another address
-	tt.delta(18*sec, "platform", "a:gone", "a#1:gone")
-	tt.delta(19*sec, "consul", "b:draining", "b#2:draining")
-	tt.delta(20*sec, "consul", "b:gone", "") // consul does not know it any more, so platform's report decides
+	tt.partial(16*sec, "consul", "c:gone", "c#3:gone")                  // known to consul only
+	tt.partial(17*sec, "consul", "a:gone", "a#1:ready replaced at h:a") // platform still knows it, at another address
+	tt.partial(18*sec, "platform", "a:gone", "a#1:gone")
+	tt.partial(19*sec, "consul", "b:draining", "b#2:draining")
+	tt.partial(20*sec, "consul", "b:gone", "") // consul does not know it any more, so platform's report decides
 	tt.tick(21*sec, "b#2:ready")
 }
 
@@ -64,15 +64,15 @@
 // connections to the node are closed.
 func TestRestartedNodeIsReplaced(t *testing.T) {
 	tt := newTableTest(t, Policy{}, "s", "o")
-	tt.delta(100*sec, "s", "a^90", "a#1:ready^90")
+	tt.partial(100*sec, "s", "a^90", "a#1:ready^90")
 	tt.wantStatus("a", "cold since 1m40s by s")
 	tt.tick(106*sec, "")
 	tt.wantStatus("a", "ready since 1m40s by s")
-	tt.delta(110*sec, "s", "a^109", "a#1:ready^109 replaced at h:a")
-	tt.delta(111*sec, "o", "a^105", "") // the latest start applies
-	tt.delta(112*sec, "o", "a^111", "a#1:ready^111 replaced at h:a")
-	tt.delta(113*sec, "s", "a:draining^109", "a#1:draining^111")
-	tt.delta(114*sec, "s", "a^109", "") // ready again without a restart
+	tt.partial(110*sec, "s", "a^109", "a#1:ready^109 replaced at h:a")
+	tt.partial(111*sec, "o", "a^105", "") // the latest start applies
+	tt.partial(112*sec, "o", "a^111", "a#1:ready^111 replaced at h:a")
+	tt.partial(113*sec, "s", "a:draining^109", "a#1:draining^111")
+	tt.partial(114*sec, "s", "a^109", "") // ready again without a restart
 	tt.tick(115*sec, "a#1:ready^111")
 }
 
@@ -216,7 +216,7 @@
 	cached := Update{Full: true, Cached: true, Nodes: parseNodes("a b")}
 	tt.want(0, changesOf(tt.table.Report(0, "s", cached, startOffset)), "a#1:ready; b#2:ready")
 	tt.wantStatus("a", "ready since 0s by s, stale")
-	tt.delta(1*sec, "s", "a", "") // b is still known from the cache only
+	tt.partial(1*sec, "s", "a", "") // b is still known from the cache only
 	tt.wantStatus("b", "ready since 0s by s, stale")
 	tt.full(2*sec, "s", "a b", "")
 	tt.wantStatus("a", "ready since 0s by s")
@@ -232,5 +232,5 @@
 	tt.full(2*sec, "s", "a b c d", "")
 	tt.full(3*sec, "s", "a b c", "")
 	tt.full(4*sec, "s", "a", "")
-	tt.delta(5*sec, "s", "a:gone", "")
+	tt.partial(5*sec, "s", "a:gone", "")
 }
--- a/membership/tombstones.go
+++ b/membership/tombstones.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// tombstone records a removed node's outages, so that a node that is removed and added repeatedly serves
+// tombstone records a removed node's outages, so that a node that is removed and added repeatedly is put in
 // probation like one whose health check flaps.
 type tombstone struct {
 	outages   int
 	removedAt time.Duration
 }
 
-// tombstoneResets is how long a tombstone is kept, in multiples of Policy.ProbationReset.
-const tombstoneResets = 5
+// tombstoneTTLInResets is how long a tombstone is kept, in multiples of Policy.ProbationReset.
+const tombstoneTTLInResets = 5
 
 // addTombstone records a tombstone for a removed member.
 func (t *Table) addTombstone(m *member) {
@@ -19,7 +19,8 @@
 }
 
 // takeTombstone removes the tombstone of a node that is back, and returns its outages minus one for each
-// Policy.ProbationReset since its removal, which may be negative. It returns false if there is no tombstone.
+// Policy.ProbationReset since its removal. The result may be negative. It returns false if there is no
+// tombstone.
 func (t *Table) takeTombstone(name string) (outages int, ok bool) {
 	removed, ok := t.tombstones[name]
 	if !ok {
@@ -31,7 +32,7 @@
 
 // expireTombstones deletes expired tombstones, and the oldest ones while there are more than Policy.MaxNodes.
 func (t *Table) expireTombstones() {
-	retention := tombstoneResets * t.policy.ProbationReset
+	retention := tombstoneTTLInResets * t.policy.ProbationReset
 	for len(t.tombstoneOrder) > 0 {
 		name := t.tombstoneOrder[0]
 		if removed, ok := t.tombstones[name]; ok {
--- a/recovery/restore.go
+++ b/recovery/restore.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// MaxTrustedAge is the age up to which customers that are not in a complete snapshot are taken to owe nothing. Usage
-	// at other gateways within this time is missing, but usage reports always lag by some time. The limit is needed
-	// because a copy of an old snapshot that was put back can't be told from a fresh snapshot by anything but its age.
+	// MaxTrustedAge is the age of a complete snapshot up to which customers that are not in it are taken to have no
+	// debt. Their usage at other gateways since the snapshot was taken is not known, but usage reports always lag by
+	// some time. The limit is needed because a copy of an old snapshot that was put back can't be told from a fresh
+	// snapshot by anything but its age.
 	MaxTrustedAge = 10 * time.Second
 	// MaxClockSkew is how far in the future a snapshot's time may be, as clocks are adjusted in small steps.
 	MaxClockSkew = 2 * time.Second
@@ -27,11 +28,11 @@
 // Restored is the state that a gateway starts with.
 type Restored struct {
 	// AssumeQuotaSpent means that customers not among Customers are unknown and are assumed to have used up their bursts
-	// (decision.Settings.AssumeQuotaSpent). Otherwise they owe nothing.
+	// (decision.Settings.AssumeQuotaSpent). Otherwise they are taken to have no debt.
 	AssumeQuotaSpent bool
 	Customers        []decision.CustomerState // their state as of now
 	Age              time.Duration            // age of the snapshot; negative if its time is in the future
-	Repaid           int                      // number of customers in the snapshot that have no debt left
+	Repaid           int                      // number of customers in the snapshot with no debt left, or an invalid one
 	Explanation      string                   // human-readable
 	Err              error                    // why the whole snapshot was rejected, or nil
 }
@@ -49,12 +50,12 @@
 // Restore returns the state that a gateway starts with, from a snapshot and the wall-clock time.
 //
 // Debts are paid off at the plan's rate over time. If all gateways were down together, each of them would credit a
-// customer with its whole rate for the same time, so each gateway credits only its share. Usage reports correct the
-// rest within seconds.
+// customer with the customer's whole rate for the same time, so each gateway credits only its share: 1/Gateways of the
+// rate, in which MissingTokens counts 100 (percent) per second. Usage reports correct the rest within seconds.
 //
 // The time that has passed is the snapshot's age. But the snapshot may be an old copy that was put back, or the clock
 // may have been set. So debts are reduced only if the age is at most MaxTrustedAge, and customers that are not in the
-// snapshot are taken to owe nothing only if it is also complete. Of an older snapshot, or one from the future by more
+// snapshot are taken to have no debt only if it is also complete. Of an older snapshot, or one from the future by more
 // than MaxClockSkew, only the debts are used, unreduced, so that no customer gets more from it than an unknown customer
 // would.
 func Restore(s *Snapshot, gateway GatewayInfo, now time.Time) Restored {
@@ -82,7 +83,8 @@
 	return restored
 }
 
-// assessAge returns how far a snapshot of the given age is trusted, and for how many seconds its debts were paid off.
+// assessAge begins the Restored of a snapshot: it sets all fields that follow from the snapshot's age and completeness.
+// paidSeconds is for how many seconds the debts in it were paid off.
 func assessAge(s *Snapshot, age time.Duration) (restored Restored, paidSeconds float64) {
 	restored = Restored{Age: age, AssumeQuotaSpent: !s.Complete}
 	switch {
