--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -27,7 +27,7 @@
 		return text + "]}"
 	case decision.Outcome:
 		return fmt.Sprintf("outcome{request=%d backend=%d attempt=%d result=%d latency=%v final=%v has_usage=%v usage=%v "+
-			"cost=%v load=%v}", event.Request, event.Backend, event.Attempt, event.Result, event.Latency, event.Final,
+			"settled_cost=%v load=%v}", event.Request, event.Backend, event.Attempt, event.Result, event.Latency, event.Final,
 			event.HasUsage, event.Usage, event.SettledCost, event.LoadReport)
 	case decision.ResponseStarted:
 		return fmt.Sprintf("response_started{request=%d attempt=%d}", event.Request, event.Attempt)
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -132,7 +132,7 @@
 	h.wantEffects("attempt 0 succeeds", h.machine.AttemptEnded(h.setTime(30*ms), 1, 0,
 		Outcome{Result: decision.Succeeded, HasUsage: true, Usage: 5, LoadReport: []float64{2}}), "respond 1 served by 0")
 	h.wantLastEvent(
-		"{request=1 backend=7 attempt=0 result=0 latency=30ms final=true has_usage=true usage=5 cost=0 load=[2]}")
+		"{request=1 backend=7 attempt=0 result=0 latency=30ms final=true has_usage=true usage=5 settled_cost=0 load=[2]}")
 	h.wantEffects("second AttemptEnded", h.machine.AttemptEnded(h.now, 1, 0, Outcome{}), "")
 	h.wantNothingLeft()
 }
--- a/membership/helpers_test.go
+++ b/membership/helpers_test.go
@@ -78,7 +78,7 @@
 	return strings.Join(lines, "; ")
 }
 
-// delta reports an update of some nodes and checks the changes.
+// partial reports an update of some nodes and checks the changes.
 func (tt *tableTest) partial(at time.Duration, source, text, want string) {
 	tt.t.Helper()
 	changes, invalid := tt.table.Report(at, source, Update{Nodes: parseNodes(text)}, startOffset)
--- a/membership/probation_test.go
+++ b/membership/probation_test.go
@@ -9,7 +9,7 @@
 	"pumicecroft/decision"
 )
 
-// A drain applies at once. A node that reports ready again serves probation first, for longer after each outage.
+// A drain applies at once. A node that reports ready again is put in probation first, for longer after each outage.
 func TestFlappingNodeServesLongerProbation(t *testing.T) {
 	tt := newTableTest(t, Policy{ProbationMin: sec, ProbationMax: 5 * sec, ProbationReset: 20 * sec}, "s")
 	tt.partial(0, "s", "a", "a#1:ready")
