--- a/endpoints.go
+++ b/endpoints.go
@@ -9,19 +9,20 @@
 	"pumicecroft/membership"
 )
 
-// An update is merged in steps of entriesPerStep entries and published in steps of changesPerStep changes, so that the
-// executor's lock is held for well under a millisecond at a time. Between two merge steps applyUpdate sleeps for
-// stepPause. Yielding would not be enough: with a single processor, sockets are polled only when all goroutines are
-// blocked, and requests would be read late. An update that takes one step does not sleep.
+// An update is merged in steps of entriesPerMergeStep entries. The changes of each merge step are published in batches
+// of changesPerBatch changes, so that the executor's lock is held for well under a millisecond at a time. Between two
+// merge steps applyUpdate sleeps for mergeStepPause. runtime.Gosched would not be enough: with GOMAXPROCS=1 the runtime
+// seldom polls sockets while a goroutine is runnable, and requests would be read late. An update that takes one merge
+// step does not sleep.
 const (
-	entriesPerStep = 256
-	changesPerStep = 128
-	stepPause      = 50 * time.Microsecond
+	entriesPerMergeStep = 256
+	changesPerBatch     = 128
+	mergeStepPause      = 50 * time.Microsecond
 )
 
-// Update applies an update of the backends, as a trusted source. It is in effect for every attempt that begins after
-// Update returns. Invalid entries are ignored.
-func (g *Gateway) Update(update membership.Update) { g.applyUpdate(ownSource, update) }
+// Update applies an update of the backends, as a trusted source. The update is in effect for every attempt that begins
+// after Update returns, except for changes that the membership table delays. Invalid entries are ignored.
+func (g *Gateway) Update(update membership.Update) { g.applyUpdate(hostSource, update) }
 
 // applyUpdate applies an update of a source in steps. Updates of other sources may be applied between two steps;
 // membership.Merge documents the state between steps. If the Gateway is closed meanwhile, the remaining steps are
@@ -36,10 +37,10 @@
 		if merge == nil {
 			merge = g.beginMerge(source, &update)
 		}
-		more = g.applyStep(merge, source)
+		more = g.applyMergeStep(merge, source)
 		g.updateMu.Unlock()
 		if more {
-			time.Sleep(stepPause)
+			time.Sleep(mergeStepPause)
 		}
 	}
 	if update.Err != nil {
@@ -49,7 +50,9 @@
 	}
 }
 
-// beginMerge starts the merge of an update, and drops the update's reference to its nodes. The caller holds updateMu.
+// beginMerge starts the merge of an update, and drops the update's reference to its nodes, which only the merge needs
+// from then on. Start times that the update lacks are filled in from the source's endpoint cache. The caller holds
+// updateMu.
 func (g *Gateway) beginMerge(source string, update *membership.Update) *membership.Merge {
 	if cache := g.endpointCaches[source]; cache != nil && cache.startTimes != nil {
 		cache.startTimes.FillIn(update)
@@ -59,13 +62,13 @@
 	return merge
 }
 
-// applyStep performs one step of a merge and reports whether more steps remain. The caller holds updateMu.
-func (g *Gateway) applyStep(merge *membership.Merge, source string) (more bool) {
+// applyMergeStep performs one step of a merge and reports whether more steps remain. The caller holds updateMu.
+func (g *Gateway) applyMergeStep(merge *membership.Merge, source string) (more bool) {
 	if g.closed {
 		return false
 	}
 	skipped := g.membershipTable.SkippedEntries()
-	changes, invalid, more := merge.Next(g.executor.Clock().Now(), entriesPerStep)
+	changes, invalid, more := merge.Next(g.executor.Clock().Now(), entriesPerMergeStep)
 	if skipped = g.membershipTable.SkippedEntries() - skipped; skipped > 0 {
 		g.endpointLog.Do(func() {
 			g.log.Warn("too many backends; new ones ignored",
@@ -83,7 +86,7 @@
 	var syncs sync.WaitGroup
 	since := time.Now().Add(-pausedFor)
 	for _, source := range g.sources {
-		syncer, ok := source.source.(Syncer)
+		syncer, ok := source.implementation.(Syncer)
 		if !ok {
 			continue
 		}
@@ -115,9 +118,9 @@
 		g.endpointLog.Do(func() { g.log.Warn("invalid endpoint ignored", "err", err) })
 	}
 	for kind == decision.UpdateCached || len(changes) > 0 {
-		step := changes[:min(len(changes), changesPerStep)]
-		changes = changes[len(step):]
-		g.publishStep(kind, step)
+		batch := changes[:min(len(changes), changesPerBatch)]
+		changes = changes[len(batch):]
+		g.publishBatch(kind, batch)
 		kind = decision.UpdateDelta // a second UpdateCached would replace the endpoints of the first
 	}
 	if g.membershipTimer != nil {
@@ -128,7 +131,7 @@
 	}
 }
 
-func (g *Gateway) publishStep(kind decision.UpdateKind, changes []membership.Change) {
+func (g *Gateway) publishBatch(kind decision.UpdateKind, changes []membership.Change) {
 	update := decision.EndpointUpdate{Kind: kind, Endpoints: make([]decision.Endpoint, len(changes))}
 	for i := range changes {
 		if changes[i].Protocol == "" {
@@ -140,7 +143,8 @@
 	g.executor.UpdateEndpoints(update)
 }
 
-// BackendStatus describes a backend as the Gateway sees it, with the source and the reason of its state.
+// BackendStatus describes a backend as the Gateway sees it, with the source and the reason of its state. The JSON names
+// are stable, so some of them differ from the fields' names.
 type BackendStatus struct {
 	Name         string    `json:"name"`
 	Addr         string    `json:"address"`
@@ -150,7 +154,7 @@
 	Weight       float64   `json:"weight"`
 	State        string    `json:"state"`          // cold, ready, suspect or draining
 	Since        time.Time `json:"since"`          // when the backend entered State
-	Until        time.Time `json:"until,omitzero"` // when a suspect backend becomes ready, if it stays healthy
+	Until        time.Time `json:"until,omitzero"` // when the probation of a suspect backend ends, if it stays healthy
 	Source       string    `json:"source"`         // the source whose report determines State
 	Stale        bool      `json:"old,omitempty"`  // Source has been unreachable since its report
 	Explanation  string    `json:"why"`            // human-readable reason for State
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -30,17 +30,19 @@
 	return &testkit.ScriptedEngine{Events: make(chan decision.Event, 1000), Respond: respond}
 }
 
-// The engine must get a long update in steps, also a cached one and removals that the table makes all at once.
-func TestLongUpdateIsPublishedInSteps(t *testing.T) {
-	const n = 10*entriesPerStep + 7
-	steps, longestStep, states := 0, 0, map[decision.BackendID]decision.BackendState{}
+// The engine must get a long update in batches: the endpoints of the config (whose first batch alone is an
+// UpdateCached), those of an update, and the removals of all backends by an empty full update.
+func TestLongUpdateIsPublishedInBatches(t *testing.T) {
+	const n = 10*entriesPerMergeStep + 7
+	batches, longestBatch, states := 0, 0, map[decision.BackendID]decision.BackendState{}
 	config := testConfig()
 	config.InitialEndpoints = manyNodes(n)
 	gateway, err := newGateway(config, recordUpdates(func(update decision.EndpointUpdate) {
-		if cached := update.Kind == decision.UpdateCached; cached != (steps == 0) {
-			t.Errorf("step %d has kind %v, want UpdateCached (%v) for step 0 alone", steps, update.Kind, decision.UpdateCached)
+		if cached := update.Kind == decision.UpdateCached; cached != (batches == 0) {
+			t.Errorf("batch %d has kind %v, want UpdateCached (%v) for batch 0 alone",
+				batches, update.Kind, decision.UpdateCached)
 		}
-		steps, longestStep = steps+1, max(longestStep, len(update.Endpoints))
+		batches, longestBatch = batches+1, max(longestBatch, len(update.Endpoints))
 		for _, b := range update.Endpoints {
 			states[b.ID] = b.State
 		}
@@ -53,7 +55,7 @@
 			t.Error(err)
 		}
 	}()
-	check := func(name string, minSteps, wantNodes int, state decision.BackendState) {
+	check := func(name string, minBatches, wantNodes int, state decision.BackendState) {
 		t.Helper()
 		nodes := 0
 		for _, s := range states {
@@ -61,11 +63,11 @@
 				nodes++
 			}
 		}
-		if longestStep > changesPerStep || steps < minSteps || nodes != wantNodes {
-			t.Errorf("%s: %d steps of up to %d changes, %d nodes in state %v; want at least %d steps of up to %d, and %d nodes",
-				name, steps, longestStep, nodes, state, minSteps, changesPerStep, wantNodes)
+		if longestBatch > changesPerBatch || batches < minBatches || nodes != wantNodes {
+			t.Errorf("%s: %d batches of up to %d changes, %d nodes in state %v; want at least %d of up to %d, and %d nodes",
+				name, batches, longestBatch, nodes, state, minBatches, changesPerBatch, wantNodes)
 		}
-		steps, longestStep = 1, 0
+		batches, longestBatch = 1, 0 // batch 0 is the first one of the initial endpoints, so the next is not batch 0
 	}
 	check("cached", 11, n, decision.Ready)
 	update := manyNodes(n)
@@ -80,7 +82,7 @@
 
 // A drain reported by another source must not wait for a long update: it is applied between two steps of that update.
 func TestDrainBetweenTwoSteps(t *testing.T) {
-	const n = 4 * entriesPerStep
+	const n = 4 * entriesPerMergeStep
 	var published []string
 	config := testConfig()
 	config.InitialEndpoints = membership.Update{Nodes: []membership.Node{{Name: "old", Addr: "h:1", Weight: 1}}}
@@ -99,24 +101,25 @@
 	}()
 	update := manyNodes(n)
 	update.Full = false
-	merge := gateway.membershipTable.BeginMerge(ownSource, update, gateway.executor.Clock().FromWallTime)
+	merge := gateway.membershipTable.BeginMerge(hostSource, update, gateway.executor.Clock().FromWallTime)
 	gateway.updateMu.Lock()
-	more := gateway.applyStep(merge, ownSource)
+	more := gateway.applyMergeStep(merge, hostSource)
 	gateway.updateMu.Unlock()
-	if !more || len(published) != 1+entriesPerStep {
+	if !more || len(published) != 1+entriesPerMergeStep {
 		t.Fatalf("after one step: %d changes published, want %d; more steps: %v, want true",
-			len(published), 1+entriesPerStep, more)
+			len(published), 1+entriesPerMergeStep, more)
 	}
 	gateway.applyUpdate("other", membership.Update{
 		Nodes: []membership.Node{{Name: "old", Addr: "h:1", State: decision.Draining}}})
 	last := published[len(published)-1]
-	if want := fmt.Sprint(1, decision.Draining); len(published) != 2+entriesPerStep || last != want {
+	// 1 is the ID of the first backend, "old".
+	if want := fmt.Sprint(1, decision.Draining); len(published) != 2+entriesPerMergeStep || last != want {
 		t.Errorf("after the drain: %d changes published, the last is %q; want %d, the last %q",
-			len(published), last, 2+entriesPerStep, want)
+			len(published), last, 2+entriesPerMergeStep, want)
 	}
 	for more {
 		gateway.updateMu.Lock()
-		more = gateway.applyStep(merge, ownSource)
+		more = gateway.applyMergeStep(merge, hostSource)
 		gateway.updateMu.Unlock()
 	}
 	if len(published) != 2+n {
@@ -129,9 +132,10 @@
 
 func (silentSource) Run(ctx context.Context, _ func(membership.Update)) { <-ctx.Done() }
 
-// A Gateway that is closed during an update must not apply the remaining steps, nor later updates.
+// A Gateway that is closed during an update must not apply the remaining steps, nor later updates. The test cancels the
+// Gateway's context during the update, as Close does when no request is open, and calls Close itself afterwards.
 func TestCloseDuringUpdate(t *testing.T) {
-	applied, gateway := 0, (*Gateway)(nil)
+	applied, gateway := 0, (*Gateway)(nil) // the engine's callback uses gateway
 	gateway, err := newGateway(testConfig(), recordUpdates(func(update decision.EndpointUpdate) {
 		if applied += len(update.Endpoints); applied > 0 {
 			gateway.cancel()
@@ -140,15 +144,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gateway.Update(manyNodes(4 * entriesPerStep))
-	if applied != entriesPerStep {
-		t.Errorf("%d nodes were applied, want %d", applied, entriesPerStep)
+	gateway.Update(manyNodes(4 * entriesPerMergeStep))
+	if applied != entriesPerMergeStep {
+		t.Errorf("%d nodes were applied, want %d", applied, entriesPerMergeStep)
 	}
 	if err := gateway.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
 	gateway.Update(manyNodes(1))
-	if applied != entriesPerStep {
-		t.Errorf("%d nodes were applied in all after Close, want still %d", applied, entriesPerStep)
+	if applied != entriesPerMergeStep {
+		t.Errorf("%d nodes were applied in all after Close, want still %d", applied, entriesPerMergeStep)
 	}
 }
--- a/gateway.go
+++ b/gateway.go
@@ -3,9 +3,19 @@
 // each request and decides which requests are retried or rejected. Each request gets one final answer before its
 // timeout.
 //
+// The Settings define the classes, which say how long requests may take and whether they may be executed twice, and
+// the plans, which say how many quota units a customer may use. A hard limit is a limit of a plan that holds for all
+// gateways together.
+//
 // Five rules always hold: each request gets one final answer in time; a request that may have executed is retried
-// only if its class permits that; a draining backend gets no new requests; a backend that has just started gets few;
-// hard limits hold across all gateways.
+// only if its class permits that; a draining backend gets no new requests; a backend that has just started gets few
+// requests; hard limits hold across all gateways.
+//
+// A source reports backends as nodes (membership.Node). The membership table merges the nodes of all sources; the
+// decision engine knows the result as endpoints (decision.Endpoint).
+//
+// "The platform" is an environment with its own HTTP headers, discovery service and shared counter. PlatformRequest
+// reads its headers; other environments set a Mapper and their own Sources.
 //
 // Packages middleware/nethttp and middleware/gin add a Gateway to the server of a host program. Package decision
 // contains the decision engine, and package membership the types that report backends.
@@ -48,16 +58,16 @@
 	sources      []namedSource
 	deployment   *Deployment                // nil: none
 	counter      executor.Counter           // nil: none
-	deduplicator *deduplicator.Deduplicator // nil: idempotency keys are not recognised
+	deduplicator *deduplicator.Deduplicator // nil: the Gateway does not deduplicate requests by key
 
-	// Each limits the rate of one kind of log message, so that a flood of one kind does not suppress the others.
-	// endpointLog is shared by all messages about endpoints and snapshots.
+	// Each limits the rate of one group of log messages, so that a flood in one group does not suppress the others.
+	// The group of endpointLog is all messages about endpoints and snapshots.
 	badRequestLog, deadlineLog, endpointLog, pauseLog rate.Sometimes
 
-	// sourceLocks, by source name, serialize the updates of each source. They are locked before updateMu.
+	// sourceLocks, by source name, serialize the updates of each source. Lock order: sourceLocks, then updateMu.
 	sourceLocks map[string]*sync.Mutex
 	// updateMu ensures that changes reach the executor in the order in which they reached the transports. It guards
-	// membershipTable, membershipTimer, the fields of endpointCaches, and closed.
+	// membershipTable, membershipTimer, the fields of each endpointCache, and closed.
 	updateMu        sync.Mutex
 	membershipTable *membership.Table
 	membershipTimer *time.Timer // calls onMembershipTimer
@@ -70,8 +80,8 @@
 	closing    atomic.Bool
 }
 
-// New returns a Gateway that accepts requests at once. It rejects them all until it knows of a backend. The error is
-// an ErrConfig, an ErrJournal or an ErrGatewayIndexTaken.
+// New returns a running Gateway. It rejects all requests until it knows of a backend. The error is an ErrConfig, an
+// ErrJournal or an ErrGatewayIndexTaken.
 func New(config Config, options ...Option) (*Gateway, error) { return newGateway(config, nil, options) }
 
 // newGateway is New with the given decision engine; nil selects package decision's.
@@ -92,34 +102,34 @@
 	settings.HasSharedCounter = settings.HasSharedCounter && g.counter != nil
 	var snapshots *snapshotter
 	if engine == nil {
-		if engine, snapshots, err = g.openEngine(settings, clock); err != nil {
+		if engine, snapshots, err = g.newEngine(settings, clock); err != nil {
 			return nil, err
 		}
 		defer func() {
 			if err != nil {
-				snapshots.close()
+				snapshots.close() // may be nil
 			}
 		}()
 	}
-	if err := g.openTransports(settings); err != nil {
+	if err := g.initTransports(settings); err != nil {
 		return nil, err
 	}
-	g.openExecutor(settings, engine, clock)
+	g.initExecutor(settings, engine, clock)
 	if err := g.claimIndex(); err != nil {
 		g.executor.Stop()
 		return nil, err
 	}
-	if err := g.openDeduplicator(); err != nil {
+	if err := g.initDeduplicator(); err != nil {
 		g.executor.Stop()
 		g.releaseIndex()
 		return nil, err
 	}
-	g.openMembership(sources, clock)
+	g.initMembership(sources, clock)
 	g.startBackground(sources, snapshots)
 	return g, nil
 }
 
-// allocateGateway returns a Gateway with its options applied, before any of its parts are opened or started.
+// allocateGateway returns a Gateway with its options applied, before any of its parts are created.
 func allocateGateway(config Config, options []Option) *Gateway {
 	g := &Gateway{
 		config:         config,
@@ -150,19 +160,19 @@
 // newLogLimit permits the first ten lines, then one a second.
 func newLogLimit() rate.Sometimes { return rate.Sometimes{First: 10, Interval: time.Second} }
 
-// openEngine returns the decision engine, restored from the snapshot of an earlier process, and the snapshotter that
+// newEngine returns the decision engine, restored from the snapshot of an earlier process, and the snapshotter that
 // writes snapshots for a later one. The snapshotter is nil if Config.StateDir is empty.
-func (g *Gateway) openEngine(settings decision.Settings, clock executor.Clock) (*decision.Engine, *snapshotter, error) {
+func (g *Gateway) newEngine(settings decision.Settings, clock executor.Clock) (*decision.Engine, *snapshotter, error) {
 	var snapshots *snapshotter
 	var customers []decision.CustomerState
 	if g.config.StateDir != "" {
-		opened, restored := g.restoreSnapshot(rand.Uint64())
+		opened, restored := g.restoreSnapshot(rand.Uint64()) // a boot ID for the snapshots of this process
 		snapshots, customers = opened, restored.Customers
 		settings.AssumeQuotaSpent = restored.AssumeQuotaSpent
 	}
 	engine, err := decision.New(settings, g.config.Seed, clock.Now())
 	if err != nil {
-		snapshots.close()
+		snapshots.close() // may be nil
 		return nil, nil, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
 	if snapshots != nil {
@@ -172,8 +182,9 @@
 	return engine, snapshots, nil
 }
 
-// openTransports creates the HTTP/1.1 transport, in addition to those that options have added.
-func (g *Gateway) openTransports(settings decision.Settings) error {
+// initTransports adds the HTTP/1.1 transport to those that options have added, in place of one with the same protocol
+// name, and creates the transport that dispatches to all of them.
+func (g *Gateway) initTransports(settings decision.Settings) error {
 	g.transports[membership.ProtocolHTTP] = platformtransport.New(platformtransport.Config{
 		MaxConns:         g.config.MaxBackendConns,
 		IdleTimeout:      g.config.IdleTimeout,
@@ -189,8 +200,8 @@
 	return nil
 }
 
-// openExecutor starts the executor with a new state machine for requests.
-func (g *Gateway) openExecutor(settings decision.Settings, engine lifecycle.DecisionEngine, clock executor.Clock) {
+// initExecutor creates the executor with a new state machine for requests.
+func (g *Gateway) initExecutor(settings decision.Settings, engine lifecycle.DecisionEngine, clock executor.Clock) {
 	machine := lifecycle.New(engine, settings.Classes, lifecycle.Limits{
 		MaxOpenRequests: g.config.MaxOpenRequests,
 		MaxAttempts:     settings.MaxAttempts,
@@ -205,8 +216,9 @@
 	}
 }
 
-// idRetention returns how long request IDs are remembered: the longest sum of deadline and dedup window of any class.
-// Until then a repeat may arrive, and backends would still drop it.
+// idRetention returns how long the state machine remembers the ID of a request that may have executed: the longest sum
+// of deadline and dedup window of any class. A host that runs its handlers again submits the same ID again, and the
+// request must not execute a second time. Backends drop only repeats with a key, within DedupScope and DedupWindow.
 func idRetention(classes []decision.Class) time.Duration {
 	longest := time.Duration(0)
 	for i := range classes {
@@ -229,8 +241,9 @@
 	}
 }
 
-// openMembership creates the membership table and publishes the endpoints of the configuration.
-func (g *Gateway) openMembership(sources []membership.SourceInfo, clock executor.Clock) {
+// initMembership creates the membership table and publishes the endpoints of the configuration. They are marked as
+// cached, as they are the last known ones and not a report of a source.
+func (g *Gateway) initMembership(sources []membership.SourceInfo, clock executor.Clock) {
 	for _, source := range sources {
 		g.sourceLocks[source.Name] = &sync.Mutex{}
 	}
@@ -239,16 +252,16 @@
 	initial.Full, initial.Cached = true, true
 	g.updateMu.Lock()
 	defer g.updateMu.Unlock()
-	changes, invalid := g.membershipTable.Report(clock.Now(), ownSource, initial, clock.FromWallTime)
+	changes, invalid := g.membershipTable.Report(clock.Now(), hostSource, initial, clock.FromWallTime)
 	g.publishChanges(decision.UpdateCached, changes, invalid)
 }
 
 // startBackground starts the goroutines that run until Close: snapshots, the endpoint caches of sources that are not
-// trusted, and the sources. Sources start after their caches have been read.
+// trusted, and the sources. Sources start last, as newEndpointCache reads and applies a source's cache file.
 func (g *Gateway) startBackground(sources []membership.SourceInfo, snapshots *snapshotter) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.ctx, g.cancel = ctx, cancel
-	if snapshots != nil && snapshots.file != nil {
+	if snapshots != nil && snapshots.file != nil { // there is no file if it cannot be opened
 		g.background.Go(func() { snapshots.run(ctx) })
 	}
 	if g.config.StateDir != "" {
@@ -260,7 +273,7 @@
 	}
 	for _, source := range g.sources {
 		g.background.Go(func() {
-			source.source.Run(ctx, func(update membership.Update) { g.applyUpdate(source.Name, update) })
+			source.implementation.Run(ctx, func(update membership.Update) { g.applyUpdate(source.Name, update) })
 		})
 	}
 }
@@ -274,17 +287,18 @@
 // namedSource is a Source with its name and trust in the membership table.
 type namedSource struct {
 	membership.SourceInfo
-	source Source
+	implementation Source
 }
 
-// ownSource is the source name of the endpoints of Config.InitialEndpoints, Update and WithSource.
-const ownSource = "own"
+// hostSource is the source name of the endpoints that the host program supplies by Config.InitialEndpoints, Update and
+// WithSource.
+const hostSource = "own"
 
-// sourceInfos returns the sources in order of precedence. Sources with the same name are returned once.
+// sourceInfos returns the sources in order of precedence, highest first. Sources with the same name are returned once.
 func (g *Gateway) sourceInfos() ([]membership.SourceInfo, error) {
 	var infos []membership.SourceInfo
-	own := namedSource{SourceInfo: membership.SourceInfo{Name: ownSource, Trusted: true}}
-	for _, source := range append(g.sources, own) {
+	host := namedSource{SourceInfo: membership.SourceInfo{Name: hostSource, Trusted: true}}
+	for _, source := range append(g.sources, host) {
 		i := slices.IndexFunc(infos, func(info membership.SourceInfo) bool { return info.Name == source.Name })
 		switch {
 		case source.Name == "" || i >= 0 && infos[i] != source.SourceInfo:
@@ -312,12 +326,13 @@
 // SupportsProtocol reports whether the Gateway has a transport for a protocol.
 func (g *Gateway) SupportsProtocol(protocol string) bool { return g.transports[protocol] != nil }
 
-// OpenRequests returns the number of requests that are unanswered or have an attempt that is being cancelled.
+// OpenRequests returns the number of open requests: those that have no answer yet, and answered ones that still have
+// an attempt in flight.
 func (g *Gateway) OpenRequests() int { return g.executor.OpenRequests() }
 
-// Close ends new requests with ErrClosed, waits until all open ones are answered, and releases the Gateway's
+// Close ends new requests with ErrClosed, waits until no request is open (see OpenRequests), and releases the Gateway's
 // resources. If ctx ends first, the unanswered requests end with ErrAborted at once, and Close returns an ErrAborted
-// that gives their number. Further calls do nothing.
+// that gives their number. A further call returns nil at once, even while the first one is still waiting.
 func (g *Gateway) Close(ctx context.Context) error {
 	if g.closing.Swap(true) {
 		return nil
@@ -331,15 +346,15 @@
 		}
 	}
 	g.background.Wait()
-	g.closeMembership()
+	g.releaseResources()
 	if unanswered > 0 {
 		return errors.Join(fmt.Errorf("%w: %d requests", ErrAborted, unanswered), context.Cause(ctx))
 	}
 	return nil
 }
 
-// closeMembership stops updates, closes the transports and releases the Gateway's index.
-func (g *Gateway) closeMembership() {
+// releaseResources stops updates, closes the transports and releases the Gateway's index.
+func (g *Gateway) releaseResources() {
 	g.updateMu.Lock()
 	defer g.updateMu.Unlock()
 	g.closed = true
--- a/idempotency.go
+++ b/idempotency.go
@@ -40,8 +40,8 @@
 	return g.deduplicator.Stats()
 }
 
-// openDeduplicator creates the deduplicator, with its journal, if they are configured. The error is an ErrJournal.
-func (g *Gateway) openDeduplicator() (err error) {
+// initDeduplicator creates the deduplicator, with its journal, if they are configured. The error is an ErrJournal.
+func (g *Gateway) initDeduplicator() (err error) {
 	limits, journal := g.config.Idempotency, g.config.IdempotencyJournal
 	switch {
 	case limits == nil:
@@ -73,15 +73,16 @@
 // doIdempotent is sendHTTP for a request with a key. A repeat of an earlier request waits for its result or receives
 // its stored response, and is neither counted nor sent.
 func (g *Gateway) doIdempotent(ctx context.Context, request *Request,
-	message *platformtransport.Request) (*Response, error) {
+	httpRequest *platformtransport.Request) (*Response, error) {
 	attempts := 0
 	// The request may continue after its caller has returned, and the caller may then change the body.
-	message.Body = slices.Clone(message.Body)
+	httpRequest.Body = slices.Clone(httpRequest.Body)
 	parts := [][]byte{
-		[]byte(request.Class), []byte(message.Method), []byte(message.Target), []byte(message.ContentType), message.Body,
+		[]byte(request.Class), []byte(httpRequest.Method), []byte(httpRequest.Target),
+		[]byte(httpRequest.ContentType), httpRequest.Body,
 	}
 	send := func(ctx context.Context, request *Request) (idempotency.Response, error) {
-		response, err := g.sendHTTP(ctx, request, message)
+		response, err := g.sendHTTP(ctx, request, httpRequest)
 		if err != nil {
 			return idempotency.Response{}, err
 		}
--- a/internal/counterclient/client.go
+++ b/internal/counterclient/client.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// maxResponseLag is the maximum age of the oldest call in flight: if a call times out and the oldest one
-	// is older, the connection is closed. It is also the timeout of a write.
-	maxResponseLag = time.Second
+	// stallTimeout is the age of the oldest call in flight, counted from Add, above which the connection is
+	// closed when any call times out. It is also the timeout of a write.
+	stallTimeout = time.Second
 	// maxIdle is the maximum time for which a connection may have been idle to be used again. The counter
 	// closes idle connections soon after it.
 	maxIdle = 4 * time.Second
-	// maxInFlight is the maximum number of calls on the connection: queued, in flight, and those that have
+	// maxPendingCalls is the maximum number of calls on the connection: queued, in flight, and those that have
 	// timed out and whose responses may still arrive.
-	maxInFlight = 256
+	maxPendingCalls = 256
 )
 
 // Config configures a Client.
@@ -49,11 +49,11 @@
 
 // call is a call that has not ended, or one that has timed out and whose response may still arrive.
 type call struct {
-	ref     uint64
-	request []byte
-	sentAt  time.Time // when Add was called
-	timer   *time.Timer
-	done    func(decision.CounterResult) // nil once the call has ended
+	ref      uint64 // the caller's reference, returned in the result
+	request  []byte
+	calledAt time.Time // when Add was called
+	timer    *time.Timer
+	done     func(decision.CounterResult) // nil once the call has ended
 }
 
 // New returns a Client. It connects when the first call is made.
@@ -91,7 +91,7 @@
 // goroutine, with the result: Succeeded and the total; Rejected, ConnectFailed or NotSent if the amount was
 // not added; TimedOut or ConnectionLost if it may have been added.
 func (c *Client) Add(n decision.CounterAdd, done func(decision.CounterResult)) {
-	pending := &call{ref: n.Ref, sentAt: time.Now(), done: done, request: encodeRequest(n)}
+	pending := &call{ref: n.Ref, calledAt: time.Now(), done: done, request: encodeRequest(n)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -99,7 +99,7 @@
 		return
 	}
 	cn := c.usableConn()
-	if len(cn.inFlight)+len(cn.queued) >= maxInFlight {
+	if len(cn.inFlight)+len(cn.queued) >= maxPendingCalls {
 		go done(decision.CounterResult{Ref: n.Ref, Result: decision.NotSent})
 		return
 	}
@@ -108,7 +108,7 @@
 	cn.wakeWriter()
 }
 
-// encodeRequest returns the encoded HTTP request of a call.
+// encodeRequest returns the encoded HTTP request of a call, as the counter's protocol defines it.
 func encodeRequest(n decision.CounterAdd) []byte {
 	return fmt.Appendf(nil, "POST /tally/%s?n=%s&keep_ms=%d HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n",
 		strconv.FormatUint(n.Key, 36), strconv.FormatFloat(n.Amount, 'f', -1, 64), n.TTL.Milliseconds())
@@ -153,11 +153,11 @@
 	for i, queued := range cn.queued {
 		if queued == pending {
 			cn.queued = append(cn.queued[:i:i], cn.queued[i+1:]...)
-			result = decision.ConnectFailed // it was not written
+			result = decision.ConnectFailed // it was not written, and this result proves that nothing was added
 			break
 		}
 	}
-	if len(cn.inFlight) > 0 && time.Since(cn.inFlight[0].sentAt) > maxResponseLag {
+	if len(cn.inFlight) > 0 && time.Since(cn.inFlight[0].calledAt) > stallTimeout {
 		cn.close()
 	}
 	c.finish(pending, result, 0)
--- a/internal/counterclient/conn.go
+++ b/internal/counterclient/conn.go
@@ -101,7 +101,7 @@
 		cn.queued = nil
 		c.mu.Unlock()
 		if len(buf) > 0 {
-			_ = n.SetWriteDeadline(time.Now().Add(maxResponseLag))
+			_ = n.SetWriteDeadline(time.Now().Add(stallTimeout))
 			if _, err := n.Write(buf); err != nil {
 				return
 			}
--- a/internal/deduplicator/deduplicator.go
+++ b/internal/deduplicator/deduplicator.go
@@ -1,7 +1,9 @@
 // Package deduplicator runs an idempotency.Store on the system clock. It owns the store's lock and
-// timer, and executes each request that proceeds in its own goroutine, so that the request continues
-// for other waiting clients when its own client has disconnected. With a journal, a request is
-// executed only once its record is on disk. No code blocks while it holds the lock.
+// timer, and executes each request whose verdict is Proceed (the first with its key) in its own
+// goroutine, so that the request continues for other waiting clients when its own client has
+// disconnected. With a journal, the execution waits until the request's record is durable; if that
+// fails, JournalConfig.RejectOnFailure decides whether the request is executed. No code blocks while
+// it holds the lock.
 package deduplicator
 
 import (
@@ -21,8 +23,8 @@
 // time, if JournalConfig.RejectOnFailure is set. The request was not executed.
 var ErrNotPersisted = errors.New("deduplicator: idempotency key could not be persisted")
 
-// ErrClosed is returned for a request that arrived after Close, or that Close ended while it waited
-// for the disk. The request was not executed.
+// ErrClosed is returned for a request that arrived after Close, or that was waiting for its journal
+// record when Close cancelled it. The request was not executed.
 var ErrClosed = errors.New("deduplicator: closed")
 
 // Result is the result of executing a request.
@@ -36,7 +38,7 @@
 type Deduplicator struct {
 	start          time.Time // origin of the store's times
 	fingerprintKey [fingerprintKeyLen]byte
-	journal        *JournalConfig // nil: keys are kept in memory only
+	journalConfig  *JournalConfig // nil: keys are kept in memory only
 
 	mu      sync.Mutex
 	store   *idempotency.Store
@@ -47,11 +49,11 @@
 	idle    chan struct{} // closed when closed is set and nothing is being executed
 
 	// With a journal:
-	log             *journal.Log[idempotency.Entry]
+	journal         *journal.Log[idempotency.Entry]
 	runner          *logfile.Runner[idempotency.Entry]
-	awaitingDurable []recordWaiter // by ascending record number
-	awaitingWritten []recordWaiter // by ascending record number
-	journalFailed   bool           // the state that was logged last
+	awaitingDurable []recordWaiter // by ascending record number; see journal.Log.Durable
+	awaitingWritten []recordWaiter // by ascending record number; see journal.Log.Written
+	journalFailed   bool           // whether the last message about the journal's state said that it failed
 }
 
 // New returns a Deduplicator without a journal.
@@ -77,36 +79,36 @@
 	err error
 }
 
-// Do deduplicates one request. If the request proceeds, run is called once, in a separate goroutine.
-// The context of run has the values of ctx and is cancelled when no client waits for the request any
-// more.
+// Do deduplicates one request. If the store's verdict is Proceed, run is called at most once, in a
+// separate goroutine. The context of run has the values of ctx and is cancelled when no client waits
+// for the request any more.
 //
-// Do returns the decision: Replay with the response if the request succeeded, otherwise another
-// verdict, with the error that run returned, for this request or the one it waited for. It blocks
-// until the request has ended, for at most timeout if it waits for another one. When ctx ends first,
-// Do returns its cause and no verdict.
-func (d *Deduplicator) Do(ctx context.Context, who decision.CustomerID, key string,
+// Do blocks until the request has ended, for at most timeout if it waits for another one with its key.
+// The verdict Replay, with the response, means that the request succeeded, now or earlier. Any other
+// verdict comes with Result.Err of the execution, be it of this request or of the one that it waited
+// for. When ctx ends first, Do returns its cause and no verdict.
+func (d *Deduplicator) Do(ctx context.Context, customer decision.CustomerID, key string,
 	fingerprint idempotency.Fingerprint, timeout time.Duration,
 	run func(context.Context) Result) (idempotency.Decision, error) {
 	if ctx.Err() != nil { // otherwise run would start before the cancellation is noticed
 		return idempotency.Decision{}, context.Cause(ctx)
 	}
 	w := &waiter{done: make(chan completion, 1)}
-	got, err := d.begin(ctx, who, key, fingerprint, timeout, w, run)
-	if err != nil || got.Ticket == nil {
-		return got, err
+	decided, err := d.begin(ctx, customer, key, fingerprint, timeout, w, run)
+	if err != nil || decided.Ticket == nil {
+		return decided, err
 	}
 	select {
 	case c := <-w.done:
 		return c.Decision, c.err
 	case <-ctx.Done():
-		d.abandon(got.Ticket)
+		d.abandon(decided.Ticket)
 		return idempotency.Decision{}, context.Cause(ctx)
 	}
 }
 
-// begin asks the store about a request, and starts the request's execution if it proceeds.
-func (d *Deduplicator) begin(ctx context.Context, who decision.CustomerID, key string,
+// begin asks the store about a request, and starts the request's execution if the verdict is Proceed.
+func (d *Deduplicator) begin(ctx context.Context, customer decision.CustomerID, key string,
 	fingerprint idempotency.Fingerprint, timeout time.Duration, w *waiter,
 	run func(context.Context) Result) (idempotency.Decision, error) {
 	d.mu.Lock()
@@ -116,18 +118,18 @@
 	}
 	now := d.now()
 	deadline := now + timeout
-	got, completions := d.store.Begin(now, who, key, fingerprint, w, deadline)
-	if got.Verdict == idempotency.Proceed {
+	decided, completions := d.store.Begin(now, customer, key, fingerprint, w, deadline)
+	if decided.Verdict == idempotency.Proceed {
 		runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-		d.cancels[got.Ticket.Entry()] = cancel
+		d.cancels[decided.Ticket.Entry()] = cancel
 		var durable chan bool // nil: there is no journal
-		if d.log != nil {
-			durable = d.watchRecord(&d.awaitingDurable, got.Ticket.Seq())
+		if d.journal != nil {
+			durable = d.watchRecord(&d.awaitingDurable, decided.Ticket.Seq())
 		}
-		go d.execute(runCtx, got.Ticket, deadline, durable, run)
+		go d.execute(runCtx, decided.Ticket, deadline, durable, run)
 	}
 	d.deliver(completions, nil)
-	return got, nil
+	return decided, nil
 }
 
 // abandon removes a request whose client has disconnected, and cancels the execution if no other
@@ -142,22 +144,22 @@
 	}
 }
 
-// execute runs a request that proceeded, once its record is durable, and delivers the outcome to all
-// callers that wait for it.
+// execute runs a request whose verdict was Proceed, once its record is durable, and delivers the
+// outcome to all callers that wait for it.
 func (d *Deduplicator) execute(ctx context.Context, t *idempotency.Ticket, deadline time.Duration,
 	durable chan bool, run func(context.Context) Result) {
 	var r Result
 	switch {
 	case durable == nil || d.awaitRecord(ctx, durable, deadline):
 		r = run(ctx)
-	case ctx.Err() != nil: // no client waits for it any more, or Close cancelled it
+	case ctx.Err() != nil: // Close cancelled it, or no client waits for it any more and none gets the error
 		r = Result{Outcome: idempotency.NotExecuted, Err: ErrClosed}
-	case d.journal.RejectOnFailure:
+	case d.journalConfig.RejectOnFailure:
 		r = Result{Outcome: idempotency.NotExecuted, Err: ErrNotPersisted}
 	default:
 		r = run(ctx)
 	}
-	if d.log != nil && r.Outcome == idempotency.Succeeded {
+	if d.journal != nil && r.Outcome == idempotency.Succeeded {
 		d.recordResponse(ctx, t, r.Response, deadline)
 	}
 	d.mu.Lock()
@@ -206,7 +208,7 @@
 func (d *Deduplicator) now() time.Duration { return time.Since(d.start) }
 
 // Stats returns the accounted memory of all keys in bytes, the number of keys, and the number of
-// requests that have not ended.
+// requests whose callers wait: for their own execution or for that of another request.
 func (d *Deduplicator) Stats() (bytes, keys, waiting int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -215,9 +217,9 @@
 
 // Close waits until all requests being executed have ended, and then writes and syncs the rest of the
 // journal for at most JournalConfig.WriteTimeout. The caller must make sure that the requests end.
-// When ctx ends first, Close cancels them; those that wait for the disk end with ErrClosed. An error
-// means that the journal may be incomplete. Close must be called once. Later requests are rejected
-// with ErrClosed.
+// When ctx ends first, Close cancels them; those that wait for their journal records end with
+// ErrClosed. An error means that the journal may be incomplete. Close must be called once. Later
+// requests are rejected with ErrClosed.
 func (d *Deduplicator) Close(ctx context.Context) error {
 	d.mu.Lock()
 	if d.closed = true; d.timer != nil {
@@ -236,7 +238,7 @@
 	if d.runner == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), d.journal.WriteTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), d.journalConfig.WriteTimeout)
 	defer cancel()
 	return d.runner.Close(ctx)
 }
--- a/internal/deduplicator/fingerprint.go
+++ b/internal/deduplicator/fingerprint.go
@@ -37,7 +37,7 @@
 // loadFingerprintKey reads the key from the journal's directory, or writes a random one if the journal
 // is new. With another key, a repeated request would not match its fingerprint in the journal.
 func (d *Deduplicator) loadFingerprintKey(newJournal bool) error {
-	path := filepath.Join(d.journal.Dir, fingerprintKeyFile)
+	path := filepath.Join(d.journalConfig.Dir, fingerprintKeyFile)
 	b, err := os.ReadFile(path)
 	switch {
 	case err == nil && len(b) == len(d.fingerprintKey):
--- a/internal/deduplicator/journal.go
+++ b/internal/deduplicator/journal.go
@@ -42,7 +42,7 @@
 // are unchanged.
 func Open(l idempotency.Limits, j JournalConfig) (*Deduplicator, error) {
 	d := New(l)
-	d.journal = &j
+	d.journalConfig = &j
 	files := j.files
 	if files == nil {
 		dir, err := logfile.OpenDir(j.Dir)
@@ -62,35 +62,35 @@
 	if err != nil {
 		return err
 	}
-	if d.journal.Dir != "" {
+	if d.journalConfig.Dir != "" {
 		if err := d.loadFingerprintKey(len(segments) == 0); err != nil {
 			return err
 		}
 	}
 	epoch := time.Duration(d.start.UnixNano())
 	options := journal.Options{
-		GroupCommitDelay: d.journal.GroupCommitDelay,
-		SyncInterval:     d.journal.SyncInterval,
+		GroupCommitDelay: d.journalConfig.GroupCommitDelay,
+		SyncInterval:     d.journalConfig.SyncInterval,
 	}
 	restore := func(record []byte) (*journal.Slot[idempotency.Entry], error) {
 		return d.store.Restore(d.now(), epoch, record)
 	}
-	d.log, err = journal.Recover(options, logfile.NewLogID(), segments, files.Load, restore)
+	d.journal, err = journal.Recover(options, logfile.NewLogID(), segments, files.Load, restore)
 	if err != nil {
 		return err
 	}
-	d.store.AttachLog(d.log, epoch)
-	d.runner = logfile.Run(&d.mu, d.log, files, d.now, d.onJournalProgress)
+	d.store.AttachLog(d.journal, epoch)
+	d.runner = logfile.Run(&d.mu, d.journal, files, d.now, d.onJournalProgress)
 	return nil
 }
 
 // onJournalProgress is called by the runner, with the lock held, whenever the state of the journal may
 // have changed.
 func (d *Deduplicator) onJournalProgress() {
-	d.awaitingDurable = notifyRecordWaiters(d.awaitingDurable, d.log.Durable(), d.log.Lost())
-	d.awaitingWritten = notifyRecordWaiters(d.awaitingWritten, d.log.Written(), d.log.Lost())
+	d.awaitingDurable = notifyRecordWaiters(d.awaitingDurable, d.journal.Durable(), d.journal.Lost())
+	d.awaitingWritten = notifyRecordWaiters(d.awaitingWritten, d.journal.Written(), d.journal.Lost())
 	d.store.RewriteStale(d.now())
-	if err := d.log.Err(); (err != nil) != d.journalFailed {
+	if err := d.journal.Err(); (err != nil) != d.journalFailed {
 		d.journalFailed = err != nil
 		go d.logJournalState(err) // a log handler may block, and the lock is held here
 	}
@@ -98,11 +98,11 @@
 
 // logJournalState logs that the journal has failed, or if err is nil, that it has recovered.
 func (d *Deduplicator) logJournalState(err error) {
-	switch log := d.journal.Log; {
+	switch log := d.journalConfig.Log; {
 	case log == nil:
 	case err == nil:
 		log.Info("idempotency journal recovered")
-	case d.journal.RejectOnFailure:
+	case d.journalConfig.RejectOnFailure:
 		log.Error("idempotency journal failed", "requests_with_keys", "rejected", "err", err)
 	default:
 		log.Error("idempotency journal failed", "requests_with_keys", "kept in memory only", "err", err)
@@ -147,7 +147,7 @@
 // awaitRecord waits for a channel of watchRecord and returns the value that it receives. It waits for
 // at most WriteTimeout, and not beyond the request's deadline or the end of ctx; then it returns false.
 func (d *Deduplicator) awaitRecord(ctx context.Context, done chan bool, deadline time.Duration) bool {
-	timeout := time.NewTimer(min(d.journal.WriteTimeout, deadline-d.now()))
+	timeout := time.NewTimer(min(d.journalConfig.WriteTimeout, deadline-d.now()))
 	defer timeout.Stop()
 	select {
 	case ok := <-done:
@@ -163,8 +163,8 @@
 func (d *Deduplicator) JournalUsage() (journal.Usage, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.log == nil {
+	if d.journal == nil {
 		return journal.Usage{}, nil
 	}
-	return d.log.Usage(), d.log.Err()
+	return d.journal.Usage(), d.journal.Err()
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -22,14 +22,15 @@
 	// AddrChanges receives the address of each discovery server that replaces the previous one. Nil means
 	// that the address never changes.
 	AddrChanges <-chan string
-	// PollWithin is the time within which discovery must be called, if each call costs it work. Zero means
-	// that calls cost it nothing.
+	// PollWithin is set if each call costs the discovery service work, so that calls must be spread and may be
+	// queued: it is the time within which the gateway must call the service. Zero means that calls are free, so
+	// the gateway may call at once.
 	PollWithin time.Duration
 	// Seed seeds the jitter of the delays before calls.
 	Seed uint64
-	// DrainGrace is how long after a backend was told to drain a gateway that has not received that change
-	// may still send requests to it. If PollWithin is 0, a watch must begin within half of DrainGrace,
-	// limited to between 250 ms and 1 s. Zero means 2 s.
+	// DrainGrace is how long a gateway that does not know yet that a backend drains may still send requests to
+	// that backend. If PollWithin is 0, the first update of a watch must begin to arrive within half of
+	// DrainGrace, limited to between 250 ms and 1 s. Zero means 2 s.
 	DrainGrace time.Duration
 	// MaxEntries is the maximum number of entries in an update; a larger update is rejected. Zero means
 	// membership.DefaultMaxNodes.
@@ -46,14 +47,15 @@
 	// watchTimeout is how long a watch may go without progress. Discovery sends an empty line as a keepalive
 	// every 2 s.
 	watchTimeout = 3 * time.Second
-	// addrChangeDeadline is the time within which the full list of a new address should be received.
-	addrChangeDeadline = 2 * time.Second
-	// fetchTimeout is the time within which the response with a full list, or a watch, must begin.
+	// addrChangeTimeout is the time within which the full list of a new address should be received. It limits the
+	// random delay before the first call.
+	addrChangeTimeout = 2 * time.Second
+	// fetchTimeout is the time within which a full list, or the first update of a watch, must begin to arrive.
 	fetchTimeout = time.Second
 	// minFirstTimeout is the minimum timeout for the first update of a watch, as this process may be slow
 	// to read it.
 	minFirstTimeout = 250 * time.Millisecond
-	// recheckDelay is after how long a watch that has timed out with unread bytes is checked again.
+	// recheckDelay is the delay before a watch that has timed out with unread bytes is checked again.
 	recheckDelay = 100 * time.Millisecond
 )
 
@@ -62,7 +64,7 @@
 	d.Follow(ctx, func(u EndpointUpdate) { update(u.Membership()) })
 }
 
-// Follow watches discovery until ctx ends and reports its updates in the protocol's form. After a change of
+// Follow watches discovery until ctx ends and reports its updates as EndpointUpdates. After a change of
 // address it requests the full list first, as each discovery server numbers its versions independently.
 func (d *Discovery) Follow(ctx context.Context, update func(EndpointUpdate)) {
 	d.summary.limiter = rate.Sometimes{First: 10, Interval: time.Second}
@@ -81,7 +83,7 @@
 		}(addr, from)
 		select {
 		case addr = <-d.AddrChanges:
-			from, within = FromFullUpdate, addrChangeDeadline
+			from, within = FromFullUpdate, addrChangeTimeout
 		case <-ctx.Done():
 		}
 		stop()
@@ -102,22 +104,22 @@
 		DisableCompression: true,
 		ReadBufferSize:     readBufferSize,
 	}
-	wakeups := d.state.wakeups()
+	retryRequests := d.state.retryRequests()
 	logLimit := rate.Sometimes{First: 3, Interval: 5 * time.Second}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
-		case <-wakeups:
+		case <-retryRequests:
 		}
 		startedAt := time.Now()
 		err := d.followOnce(ctx, transport, addr, &from, update)
-		synced, staleFor := d.state.watchEnded(startedAt)
+		caughtUp, staleFor := d.state.watchEnded(startedAt)
 		if ctx.Err() != nil {
 			return
 		}
-		wait = retryDelay(retry, err, time.Since(startedAt), synced, staleFor)
+		wait = retryDelay(retry, err, time.Since(startedAt), caughtUp, staleFor)
 		logLimit.Do(func() {
 			slog.Warn("discovery watch ended", "addr", addr, "from_version", from, "err", err, "retry_in", wait)
 		})
@@ -136,7 +138,7 @@
 	return d.watch(ctx, transport, addr, timeouts, from, update)
 }
 
-// firstUpdateTimeout returns the time within which the first update of a watch must begin. Zero means that
+// firstUpdateTimeout returns the time within which the first update of a watch must begin to arrive. Zero means that
 // it has no timeout of its own, as discovery may queue the call.
 func (d *Discovery) firstUpdateTimeout() time.Duration {
 	switch {
@@ -150,15 +152,16 @@
 
 // retryDelay returns how long to wait after a watch that ended with err and lasted for a time.
 //
-// A call counts as served only once its watch was synced: an agent may accept the call before discovery
-// does, and end the response if discovery has not accepted it in time. A watch that ended with an invalid
-// update must also have lasted for longer than watchTimeout: a discovery that sends a valid update before
-// each invalid one would otherwise reset the backoff, and each of these calls costs it as much work.
-func retryDelay(retry *pollbackoff.Backoff, err error, lasted time.Duration, synced bool,
+// A call counts as served only once its watch has caught up: a proxy in front of the discovery server may accept
+// the call before the server does, and end the response if the server has not accepted it in time. A watch that
+// ended with an invalid update must also have lasted for longer than watchTimeout: a server that sends a valid
+// update before each invalid one would otherwise reset the backoff, and each of these calls costs the server as
+// much work.
+func retryDelay(retry *pollbackoff.Backoff, err error, lasted time.Duration, caughtUp bool,
 	staleFor time.Duration) time.Duration {
 	var invalid *invalidUpdateError
 	if errors.As(err, &invalid) {
-		return retry.AfterInvalidUpdate(synced && lasted > watchTimeout, staleFor)
+		return retry.AfterInvalidUpdate(caughtUp && lasted > watchTimeout, staleFor)
 	}
-	return retry.AfterFailure(synced, staleFor)
+	return retry.AfterFailure(caughtUp, staleFor)
 }
--- a/internal/platform/sync_test.go
+++ b/internal/platform/sync_test.go
@@ -68,7 +68,7 @@
 	d.abortWatches()
 	for open := true; open; time.Sleep(time.Millisecond) { // until the source has noticed the end of the watch
 		source.state.mu.Lock()
-		open = source.state.synced
+		open = source.state.caughtUp
 		source.state.mu.Unlock()
 	}
 	short, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	requestedAt := time.Now()
 	idleTimer := unread.AfterInactivity(cmp.Or(timeouts.firstUpdate, timeouts.idle), func() time.Duration {
-		if d.state.idle() {
+		if d.state.fullyRead() {
 			return 0
 		}
 		return recheckDelay
@@ -205,5 +205,5 @@
 		d.summary.updates, d.summary.endpoints = 0, 0
 	})
 	update(merged)
-	d.state.update(func() { d.state.synced = true })
+	d.state.update(func() { d.state.caughtUp = true })
 }
--- a/internal/platform/watchstate.go
+++ b/internal/platform/watchstate.go
@@ -15,14 +15,14 @@
 type watchState struct {
 	mu         sync.Mutex
 	conn       *unread.Conn  // of the current watch, or of one that is being opened; nil if there is none
-	synced     bool          // the watch has reported the changes made before it was opened
-	endedAt    time.Time     // when the last synced watch ended; zero if there was none yet
+	caughtUp   bool          // the watch has reported the changes made before it was opened
+	endedAt    time.Time     // when the last watch that had caught up ended; zero if there was none yet
 	progressAt time.Time     // when the watch last made progress
 	changed    chan struct{} // closed at the next state change; nil if there are no waiters
-	wake       chan struct{} // see wakeups
+	retryNow   chan struct{} // see retryRequests
 }
 
-// update applies a change to the state and wakes its waiters.
+// update applies a change to the state and wakes all calls of Sync, which check the state again.
 func (s *watchState) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,57 +39,59 @@
 	if err != nil {
 		return nil, err
 	}
-	observed := unread.New(conn, func() { s.update(func() {}) })
+	observed := unread.New(conn, func() { s.update(func() {}) }) // only wakes, as FullyRead may have changed
 	s.update(func() { s.conn = observed })
 	return observed, nil
 }
 
-// watchEnded records the end of a watch whose call began at calledAt. It returns whether the watch was
-// synced, and for how long changes may have been missed: since the last progress of a synced watch, or
-// since the call otherwise, as progress of a queued call does not prove that the list is up to date.
-func (s *watchState) watchEnded(calledAt time.Time) (synced bool, staleFor time.Duration) {
+// watchEnded records the end of a watch whose call began at calledAt. It returns whether the watch had caught
+// up, and for how long changes may have been missed: since the last progress of a watch that had, or since the
+// call otherwise, as the progress of a call that discovery has queued does not prove that the list is up to date.
+func (s *watchState) watchEnded(calledAt time.Time) (caughtUp bool, staleFor time.Duration) {
 	staleSince := calledAt
 	s.update(func() {
-		synced = s.synced
-		if synced {
+		caughtUp = s.caughtUp
+		if caughtUp {
 			staleSince, s.endedAt = s.progressAt, time.Now()
 		}
-		s.conn, s.synced = nil, false
+		s.conn, s.caughtUp = nil, false
 	})
-	return synced, time.Since(staleSince)
+	return caughtUp, time.Since(staleSince)
 }
 
-// idle reports whether everything that has arrived on the connection was read and handled.
-func (s *watchState) idle() bool {
+// fullyRead reports whether everything that has arrived on the connection was read and handled, or there is no
+// connection.
+func (s *watchState) fullyRead() bool {
 	s.mu.Lock()
 	conn := s.conn
 	s.mu.Unlock()
 	return conn == nil || conn.FullyRead()
 }
 
-// wakeUp makes the next watch start at once instead of after its backoff delay.
-func (s *watchState) wakeUp() {
+// requestRetry makes the next watch start at once instead of after its backoff delay.
+func (s *watchState) requestRetry() {
 	select {
-	case s.wakeups() <- struct{}{}:
-	default: // a wakeup is already pending
+	case s.retryRequests() <- struct{}{}:
+	default: // a request is already pending
 	}
 }
 
-// wakeups returns the channel to which wakeUp sends. It buffers one value.
-func (s *watchState) wakeups() chan struct{} {
+// retryRequests returns the channel to which requestRetry sends. It buffers one value.
+func (s *watchState) retryRequests() chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wake == nil {
-		s.wake = make(chan struct{}, 1)
+	if s.retryNow == nil {
+		s.retryNow = make(chan struct{}, 1)
 	}
-	return s.wake
+	return s.retryNow
 }
 
-// Sync blocks until everything that discovery had sent before the call has been reported.
+// Sync blocks until everything that had arrived from discovery before the call has been reported.
 //
 // If the watch has timed out, or has ended after since, Sync waits for the next one, which is opened at
-// once if calls cost discovery nothing. If the watch had already ended before since, Sync returns an error
-// at once: discovery is unreachable, and the gateway was already running without it.
+// once if calls cost discovery nothing. If the current watch has not caught up and no earlier watch that had
+// caught up ended after since, Sync returns an error at once: discovery is unreachable, and the gateway was
+// already running without it.
 func (d *Discovery) Sync(ctx context.Context, since time.Time) error {
 	s := &d.state
 	for {
@@ -98,8 +100,8 @@
 			s.changed = make(chan struct{})
 		}
 		changed, conn := s.changed, s.conn
-		alive := s.synced && time.Since(s.progressAt) < watchTimeout
-		endedBefore := !s.synced && s.endedAt.Before(since)
+		alive := s.caughtUp && time.Since(s.progressAt) < watchTimeout
+		endedBefore := !s.caughtUp && s.endedAt.Before(since)
 		s.mu.Unlock()
 		switch {
 		case endedBefore:
@@ -107,7 +109,7 @@
 		case alive && conn.FullyRead():
 			return nil
 		case !alive && d.PollWithin == 0:
-			s.wakeUp()
+			s.requestRetry()
 		}
 		select {
 		case <-changed:
--- a/internal/platformhttp/exchange.go
+++ b/internal/platformhttp/exchange.go
@@ -30,17 +30,17 @@
 	Dial                // open a connection to Addr -> Dialed
 	Write               // write the bytes from AppendRequest to Conn -> Wrote
 	Read                // read from Conn into ReadBuffer, until ReadDeadline if that is set -> Received
-	Finish              // no I/O -> Finish, which returns End
+	Finish              // no I/O: call Finish, which uses the BackendSet and returns End -> Finish
 	End                 // the exchange has ended: Result, Response and Err are set
 )
 
-// CancelReason is the reason for which an attempt was cancelled.
+// CancelReason is why an attempt was cancelled.
 type CancelReason uint8
 
 // The reasons for a cancellation.
 const (
 	NotCancelled CancelReason = iota
-	Cancelled                 // the request no longer needs the attempt
+	Cancelled                 // the attempt's result is no longer needed
 	TimedOut                  // the attempt's deadline has passed
 )
 
@@ -56,8 +56,9 @@
 )
 
 // Exchange is the state machine of one attempt: it acquires a connection, sends the request once and reads
-// the response. It never sends a request again after its last byte may have been sent, and its result never
-// claims more than was observed. Its driver carries out one operation at a time and reports the result.
+// the response. It sends the request a second time only if the last byte was certainly not sent the first time.
+// Its result says that the request was not executed only if the last byte was not sent or the backend said so.
+// Its driver carries out one operation at a time and reports the result.
 // Calls of methods that are documented to use the BackendSet must be serialized with calls of the set's
 // methods. Times are on the set's clock.
 type Exchange struct {
@@ -91,8 +92,8 @@
 	return x.connect(now, false)
 }
 
-// Cancel records that the attempt's result is no longer needed. The driver must interrupt the operation in
-// progress and still report its result. Only the first reason is kept.
+// Cancel records why the attempt must end early. The driver must interrupt the operation in progress and still
+// report its result. Only the first reason is kept.
 func (x *Exchange) Cancel(reason CancelReason) {
 	if x.cancelReason == NotCancelled {
 		x.cancelReason = reason
@@ -128,13 +129,14 @@
 	return x.connect(now, false)
 }
 
-// Dialed takes the result of Dial: the error, or the driver's connection as owner. It uses the BackendSet.
-func (x *Exchange) Dialed(now time.Duration, owner any, err error) Op {
+// Dialed takes the result of Dial: the error, or the driver's connection, which becomes Conn.Owner. It uses the
+// BackendSet.
+func (x *Exchange) Dialed(now time.Duration, driverConn any, err error) Op {
 	if err != nil {
 		x.backends.Pool.OpenFailed()
 		return x.endUnsent(err)
 	}
-	x.Conn = x.backends.Pool.Opened(x.Destination, owner)
+	x.Conn = x.backends.Pool.Opened(x.Destination, driverConn)
 	return x.connected(now)
 }
 
@@ -162,9 +164,9 @@
 	return x.request.Append(b, x.deadline-now), nil
 }
 
-// Wrote takes the result of Write. If err is not nil, the last byte was not written, so the request can't
-// have been executed; if the connection was a reused one, a new one is dialed in its place. buffer is reused
-// for reading the response. It uses the BackendSet if err is not nil.
+// Wrote takes the result of Write. The driver may pass an error only if the last byte was not written, so that
+// the request can't have been executed. After an error on a reused connection, a new one is dialed in its
+// place. buffer is reused for reading the response. Wrote uses the BackendSet if err is not nil.
 func (x *Exchange) Wrote(now time.Duration, buffer []byte, err error) Op {
 	if err == nil {
 		x.reader.reset(x.request.Method, buffer)
@@ -228,7 +230,7 @@
 // Finish returns the connection to the pool, or discards it if it can't be reused, and sets the result of a
 // failed attempt. It uses the BackendSet.
 func (x *Exchange) Finish(now time.Duration) Op {
-	if !x.failed && x.cancelReason == NotCancelled && !x.reader.header.close && !x.reader.trailing {
+	if !x.failed && x.cancelReason == NotCancelled && !x.reader.header.closeConn && !x.reader.hasTrailingBytes {
 		x.backends.Pool.Put(now, x.Conn)
 		x.Conn = nil
 	} else {
@@ -242,14 +244,14 @@
 		x.Result.Result = decision.TimedOut
 	case errors.Is(x.Err, errConnClosed):
 		x.Result.Result = decision.ConnectionLost
-	default: // invalid response: the request may have been executed, and nothing counts against the backend
+	default: // invalid or incomplete response: the request may have been executed, and nothing counts against the backend
 		x.Result.Result = decision.Unknown
 	}
 	return End
 }
 
-// endUnsent ends an attempt whose request was not sent. The result is Cancelled if the request cancelled the
-// attempt, NotSent if its deadline passed or the gateway prevented sending, and otherwise ConnectFailed.
+// endUnsent ends an attempt whose request was not sent. The result is Cancelled if the attempt was no longer
+// needed, NotSent if its deadline passed or the gateway prevented sending, and otherwise ConnectFailed.
 func (x *Exchange) endUnsent(err error) Op {
 	x.Err = err
 	switch {
--- a/internal/platformhttp/response.go
+++ b/internal/platformhttp/response.go
@@ -30,26 +30,26 @@
 
 // responseHeader holds the parts of a response's header that are used.
 type responseHeader struct {
-	status            int
-	contentType       string
-	usage, load       string
-	notStarted, close bool
+	status                int
+	contentType           string
+	usage, load           string
+	notStarted, closeConn bool // the field Not-Started is 1; the backend will close the connection
 }
 
 // responseReader reads one response incrementally, in chunks of any size. The bytes of a plain response are
 // read once. net/http's parser needs the whole response, so it is called again after each empty line that
 // arrives, until it succeeds.
 type responseReader struct {
-	method      string
-	raw         []byte // bytes received, except for the body of a plain response
-	body        []byte // of a plain response: its first received bytes are valid; of any other: set once complete
-	received    int    // bytes received of the body of a plain response
-	plainHeader bool   // the response is a plain one, and its header is complete
-	minLen      int    // the response is incomplete while raw is shorter; 0 if unknown
-	maxLen      int    // maximum length of raw
-	parsedLen   int    // length of raw when net/http's parser was last called
-	header      responseHeader
-	trailing    bool // bytes have arrived after the response
+	method           string
+	raw              []byte // bytes received, except for the body of a plain response
+	body             []byte // of a plain response: its first received bytes are valid; of any other: set once complete
+	received         int    // bytes received of the body of a plain response
+	plainHeader      bool   // the response is a plain one, and its header is complete
+	minLen           int    // the response is incomplete while raw is shorter; 0 if unknown
+	maxLen           int    // maximum length of raw
+	parsedLen        int    // length of raw when net/http's parser was last called
+	header           responseHeader
+	hasTrailingBytes bool // bytes have arrived after the response
 }
 
 // reset prepares for the next response and reuses the buffer of an earlier one.
@@ -88,7 +88,7 @@
 	if rest, body, ok := parsePlainResponse(r.raw, &r.header); ok {
 		r.plainHeader, r.body = true, body
 		r.received = copy(body, rest)
-		r.trailing = len(rest) > r.received
+		r.hasTrailingBytes = len(rest) > r.received
 		return r.received == len(body), nil
 	}
 	if len(r.raw) >= r.minLen && (r.minLen > 0 || hasEmptyLine(r.raw[max(0, r.parsedLen-2):])) {
@@ -128,14 +128,14 @@
 	if !complete || err != nil {
 		return false, err
 	}
-	r.trailing = source.consumed() < len(r.raw)
+	r.hasTrailingBytes = source.consumed() < len(r.raw)
 	r.header = responseHeader{
 		status:      res.StatusCode,
 		contentType: res.Header.Get("Content-Type"),
 		usage:       res.Header.Get("X-RateLimit-Used"),
 		load:        res.Header.Get("Server-Load"),
 		notStarted:  res.Header.Get("Not-Started") == "1",
-		close:       res.Close,
+		closeConn:   res.Close,
 	}
 	return true, nil
 }
--- a/internal/platformhttp/response_test.go
+++ b/internal/platformhttp/response_test.go
@@ -37,7 +37,7 @@
 		if complete {
 			h := r.header
 			return fmt.Sprintf("%d %q %q %q %v %v, then %v", h.status, h.contentType, h.usage, r.body, h.notStarted,
-				h.close, len(text) > 0 || r.trailing)
+				h.closeConn, len(text) > 0 || r.hasTrailingBytes)
 		}
 	}
 	return incompleteResponse
--- a/internal/platformtransport/operations.go
+++ b/internal/platformtransport/operations.go
@@ -30,14 +30,14 @@
 	panic(fmt.Sprintf("platformtransport: unexpected operation %d", op))
 }
 
-// checkConns carries out CheckConn operations until another one follows, and closes the connections that the
-// pool has discarded. It does not block. The caller must hold the lock.
-func (t *Transport) checkConns(x *platformhttp.Exchange, op platformhttp.Op) platformhttp.Op {
+// checkIdleConns carries out CheckConn operations, on one idle connection after another, until a different operation
+// follows, and closes the connections that the pool has discarded. It does not block. The caller must hold the lock.
+func (t *Transport) checkIdleConns(x *platformhttp.Exchange, op platformhttp.Op) platformhttp.Op {
 	for op == platformhttp.CheckConn {
 		clean := x.Conn.Owner.(*conn).peeker.Peek() == socketpeek.Idle
 		op = x.ConnChecked(t.now(), clean)
 	}
-	t.closeDiscarded()
+	t.closeDiscardedAndSetTimer()
 	return op
 }
 
@@ -46,7 +46,7 @@
 	propagateCancel(a, x)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.checkConns(x, x.Dialed(t.now(), c, err))
+	return t.checkIdleConns(x, x.Dialed(t.now(), c, err))
 }
 
 // connect opens a connection. It returns early if the attempt is cancelled.
@@ -78,7 +78,7 @@
 	propagateCancel(a, x)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.checkConns(x, x.Wrote(t.now(), nil, err))
+	return t.checkIdleConns(x, x.Wrote(t.now(), nil, err))
 }
 
 // write writes the request, unless it is too late to send it.
@@ -122,7 +122,7 @@
 	propagateCancel(a, x)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.checkConns(x, x.Finish(t.now()))
+	return t.checkIdleConns(x, x.Finish(t.now()))
 }
 
 // propagateCancel cancels the exchange if its attempt was cancelled.
--- a/internal/platformtransport/transport.go
+++ b/internal/platformtransport/transport.go
@@ -29,9 +29,9 @@
 // keeps for its next request.
 const maxKeptBuffer = 2 << 10
 
-// applyBatchSize is the number of changes that are applied while the lock is held once. The connections of
-// removed backends are closed under the lock, with a system call each, so that they are closed before others
-// are opened in their place. No attempt can start or end in that time.
+// applyBatchSize is the number of changes that are applied while the lock is held once. Closing the connections
+// of removed backends under the lock ensures that their descriptors are free before the pool allows other
+// connections to be opened. Each takes a system call, and no attempt can start or end in that time.
 const applyBatchSize = 16
 
 // The first errorLogBurst failed attempts are logged, then at most one per errorLogInterval.
@@ -43,7 +43,7 @@
 // Config configures a Transport.
 type Config struct {
 	MaxConns         int           // maximum connections to all backends together, idle ones included
-	IdleTimeout      time.Duration // after which backends close an idle connection
+	IdleTimeout      time.Duration // backends close connections idle for this long; the Transport closes them by then
 	ConnectTimeout   time.Duration // used if Dial is nil
 	LoadReportFields []string      // names of the load figures in the settings; empty: load reports are ignored
 	Log              *slog.Logger  // nil: no logging
@@ -106,12 +106,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f()
-	t.closeDiscarded()
+	t.closeDiscardedAndSetTimer()
 }
 
-// closeDiscarded closes the connections that the pool has discarded, and starts the timer for the next idle
-// one that expires. The caller must hold the lock.
-func (t *Transport) closeDiscarded() {
+// closeDiscardedAndSetTimer closes the connections that the pool has discarded, and starts the timer for the
+// next idle one that expires. The caller must hold the lock.
+func (t *Transport) closeDiscardedAndSetTimer() {
 	for _, c := range t.backends.Pool.TakeDiscarded() {
 		_ = c.Owner.(*conn).Close()
 	}
@@ -127,7 +127,7 @@
 	})
 }
 
-// Apply applies changes of backends. They are in effect for every attempt that starts after it returns.
+// Apply applies changes of backends. They are in effect for every attempt that starts after Apply returns.
 func (t *Transport) Apply(changes []membership.Change) {
 	for batch := range slices.Chunk(changes, applyBatchSize) {
 		t.withLock(func() { t.backends.Apply(batch) })
@@ -166,7 +166,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	op := x.Start(t.backends, a.Backend, a.Payload.(*Request), a.Deadline.Sub(t.start), t.notAfter(a), t.now())
-	return t.checkConns(x, op)
+	return t.checkIdleConns(x, op)
 }
 
 func (t *Transport) logFailure(a *executor.Attempt, x *platformhttp.Exchange) {
@@ -189,7 +189,7 @@
 func (t *Transport) Probe(id decision.BackendID, timeout time.Duration) decision.ProbeResult {
 	result := decision.ProbeResult{Backend: id}
 	m := &Request{Method: "GET", Target: "/health"}
-	parser := t.backends.LoadParser()
+	parser := t.backends.LoadParser() // never changes, so the lock is not needed
 	if parser.HasLoad() {
 		m.Target = "/status/load"
 	}
--- a/request.go
+++ b/request.go
@@ -17,13 +17,13 @@
 // MaxBody is the largest body of a request or a response, in bytes.
 const MaxBody = platformtransport.MaxBody
 
-// MinTimeout is the shortest timeout that leaves time for an attempt. A request with less time left is rejected.
+// MinTimeout is the time that is reserved for the answer. A request whose timeout is not longer has no time for an
+// attempt, and is rejected.
 const MinTimeout = lifecycle.TimeoutMargin
 
 // Request is a caller's request to the backends.
 type Request struct {
-	// ID identifies the request. If the caller retries, the retry has a new ID. Zero: a random ID, unless WithID was
-	// used.
+	// ID identifies the request. A caller that retries must use a new ID. Zero: a random ID, unless WithID was used.
 	ID uint64
 	// Class and Plan are names from the Settings.
 	Class string
@@ -34,8 +34,8 @@
 	Cost float64
 	// Timeout is how long the caller waits for the answer. Zero, or more than the class's deadline: that deadline.
 	Timeout time.Duration
-	// FirstGateway and GatewaySpread specify the gateways that the customer uses: GatewaySpread consecutive ones,
-	// starting at index FirstGateway and wrapping around. GatewaySpread zero: all of them.
+	// FirstGateway and GatewaySpread specify the gateways that the customer uses, which share its quota: GatewaySpread
+	// consecutive ones, starting at index FirstGateway and wrapping around. GatewaySpread zero: all of them.
 	FirstGateway, GatewaySpread int
 	// IdempotencyKey identifies the operation across retries. It is required for classes that are idempotent by key.
 	IdempotencyKey string
@@ -56,36 +56,37 @@
 	return r
 }
 
-// Response is a backend's response to a request, unchanged.
+// Response holds the body and the content type of a backend's successful response, both unchanged.
 type Response struct {
 	Body        []byte
 	ContentType string
 	Attempts    int // made for the request; 0 if the response is that of an earlier request with the same key
 }
 
-// Do forwards a request to the backends and returns its final answer: a Response, or an error that is an ErrRejected,
-// an ErrFailed or an ErrBadRequest, or wraps ctx's cause if ctx ends first. When ctx ends, the attempts of the request
-// are cancelled at once.
+// Do forwards a request to the backends and returns its final answer: a Response, or an error. The error wraps
+// ErrRejected, ErrFailed or ErrBadRequest, as the more specific errors of this package do, or ctx's cause if ctx ends
+// first. When ctx ends, the attempts of the request are cancelled at once.
 func (g *Gateway) Do(ctx context.Context, request Request) (*Response, error) {
-	message, err := g.prepareHTTP(&request)
+	httpRequest, err := g.prepareHTTP(&request)
 	if err != nil {
 		return nil, err
 	}
 	if g.deduplicates(&request) {
-		return g.doIdempotent(ctx, &request, message)
+		return g.doIdempotent(ctx, &request, httpRequest)
 	}
-	return g.sendHTTP(ctx, &request, message)
+	return g.sendHTTP(ctx, &request, httpRequest)
 }
 
 // Forward is Do for a payload of another protocol than HTTP/1.1. Only packages of this module create such payloads.
 // The HTTP fields of the request are not used. Forward returns the response of the payload's transport; if the request
-// failed with an error response, it returns that response together with the error.
+// failed with an error response, it returns that response together with the error. (Do never does so, as the HTTP/1.1
+// transport returns only successful responses.)
 func (g *Gateway) Forward(ctx context.Context, request Request, payload executor.Payload) (response any, err error) {
 	if err := g.normalize(&request); err != nil {
 		return nil, err
 	}
 	replayable, ok := payload.(ReplayablePayload)
-	if ok && g.deduplicates(&request) && replayable.DigestParts() != nil {
+	if ok && g.deduplicates(&request) && replayable.DigestParts() != nil { // nil: the response cannot be stored
 		return g.forwardIdempotent(ctx, &request, replayable)
 	}
 	response, _, err = g.execute(ctx, &request, payload)
@@ -94,8 +95,8 @@
 
 // sendHTTP forwards a request that prepareHTTP has prepared.
 func (g *Gateway) sendHTTP(ctx context.Context, request *Request,
-	message *platformtransport.Request) (*Response, error) {
-	body, attempts, err := g.execute(ctx, request, message)
+	httpRequest *platformtransport.Request) (*Response, error) {
+	body, attempts, err := g.execute(ctx, request, httpRequest)
 	if err != nil {
 		return nil, err
 	}
@@ -103,13 +104,14 @@
 	return &Response{Body: response.Body, ContentType: response.ContentType, Attempts: attempts}, nil
 }
 
-// execute passes a normalized request to the executor, waits for its result and translates the verdict.
+// execute passes a normalized request to the executor, waits for its result and translates the verdict. Attempts end
+// TimeoutMargin before the request's timeout, and the caller has its answer ResponseMargin before it.
 func (g *Gateway) execute(ctx context.Context, request *Request,
 	payload executor.Payload) (response any, attempts int, err error) {
 	if ctx.Err() != nil {
 		return nil, 0, disconnectedError(ctx)
 	}
-	event := decision.Request{
+	engineRequest := decision.Request{
 		ID:            decision.RequestID(request.ID),
 		Customer:      decision.CustomerID(request.Customer),
 		Class:         request.Class,
@@ -120,7 +122,7 @@
 		GatewaySpread: request.GatewaySpread,
 		Protocol:      payload.Protocol(),
 	}
-	result, err := g.executor.Serve(ctx, event, request.Timeout-lifecycle.ResponseMargin, payload)
+	result, err := g.executor.Serve(ctx, engineRequest, request.Timeout-lifecycle.ResponseMargin, payload)
 	if err != nil {
 		return nil, 0, submitError(err)
 	}
@@ -226,7 +228,7 @@
 	if len(request.Body) > MaxBody {
 		return nil, ErrBodyTooLarge
 	}
-	message := &platformtransport.Request{
+	httpRequest := &platformtransport.Request{
 		Method:      request.Method,
 		Target:      request.Target,
 		Host:        request.Host,
@@ -236,13 +238,13 @@
 		ContentType: request.ContentType,
 		Body:        request.Body,
 	}
-	if err := message.Validate(); err != nil {
+	if err := httpRequest.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBadRequest, err)
 	}
-	return message, nil
+	return httpRequest, nil
 }
 
-// platformMethod returns the HTTP method that the platform uses for requests of a class.
+// platformMethod returns the HTTP method that the platform's protocol uses for requests of a class.
 func platformMethod(class decision.Class) string {
 	if class.Idempotency == decision.Idempotent {
 		return http.MethodGet
