--- a/internal/deduplicator/deduplicator.go
+++ b/internal/deduplicator/deduplicator.go
@@ -84,9 +84,9 @@
 // for the request any more.
 //
 // Do blocks until the request has ended, for at most timeout if it waits for another one with its key.
-// The verdict Replay, with the response, means that the request succeeded, now or earlier. Any other
-// verdict comes with Result.Err of the execution, be it of this request or of the one that it waited
-// for. When ctx ends first, Do returns its cause and no verdict.
+// The verdict Replay, with the response, means that the request succeeded, now or earlier. If the
+// execution of this request or of the one that it waited for failed, Do returns another verdict with
+// the execution's Result.Err. When ctx ends first, Do returns its cause and no verdict.
 func (d *Deduplicator) Do(ctx context.Context, customer decision.CustomerID, key string,
 	fingerprint idempotency.Fingerprint, timeout time.Duration,
 	run func(context.Context) Result) (idempotency.Decision, error) {
