--- a/consul/fixture_test.go
+++ b/consul/fixture_test.go
@@ -125,8 +125,8 @@
 	return id
 }
 
-// startGateway starts a gateway that follows the agent, and waits until it knows n nodes.
-func (f *fixture) startGateway(n int, change func(*pumicecroft.Config)) *pumicecroft.Gateway {
+// startGatewayWithNodes starts a gateway that follows the agent, and waits until it knows n nodes.
+func (f *fixture) startGatewayWithNodes(n int, change func(*pumicecroft.Config)) *pumicecroft.Gateway {
 	f.t.Helper()
 	c := hosttest.Config()
 	c.Settings.SlowStartMinCapacity = 0.2
@@ -188,16 +188,16 @@
 
 // loadGenerator sends requests to gateways from several concurrent clients until stop is called.
 type loadGenerator struct {
-	completed                      []atomic.Int64 // number of completed requests, by client
-	sent, served, rejected, failed atomic.Int64
-	firstErr                       atomic.Value
-	stop                           func()
+	completed                          []atomic.Int64 // number of completed requests, by client
+	answered, served, rejected, failed atomic.Int64
+	firstErr                           atomic.Value
+	stop                               func()
 }
 
 // String returns the counts.
 func (l *loadGenerator) String() string {
-	return fmt.Sprintf("sent=%d served=%d rejected=%d failed=%d (%v)",
-		l.sent.Load(), l.served.Load(), l.rejected.Load(), l.failed.Load(), l.firstErr.Load())
+	return fmt.Sprintf("answered=%d served=%d rejected=%d failed=%d (%v)",
+		l.answered.Load(), l.served.Load(), l.rejected.Load(), l.failed.Load(), l.firstErr.Load())
 }
 
 // waitForResponses waits until each client has received the response to the request it has in flight now.
@@ -225,7 +225,7 @@
 					req.IdempotencyKey = fmt.Sprintf("key-%d", n)
 				}
 				_, err := gateways[i%len(gateways)].Do(context.Background(), req)
-				l.sent.Add(1)
+				l.answered.Add(1)
 				l.completed[i].Add(1)
 				switch {
 				case err == nil:
@@ -265,9 +265,9 @@
 func (f *fixture) stopAndCheckNoLoss(l *loadGenerator) {
 	f.t.Helper()
 	l.stop()
-	sent, rejected := l.sent.Load(), l.rejected.Load()
-	if sent == 0 || l.failed.Load() > 0 || rejected*20 > sent || l.served.Load()+rejected != sent {
-		f.t.Errorf("%v, want sent above 0, no failed requests, at most 5%% rejected, all others served", l)
+	answered, rejected := l.answered.Load(), l.rejected.Load()
+	if answered == 0 || l.failed.Load() > 0 || rejected*20 > answered || l.served.Load()+rejected != answered {
+		f.t.Errorf("%v, want answered above 0, no failed requests, at most 5%% rejected, all others served", l)
 	}
 	if repeated := f.ledger.RepeatedEffects(); len(repeated) > 0 {
 		f.t.Errorf("requests executed twice: %q, want none", repeated)
--- a/consul/trials_test.go
+++ b/consul/trials_test.go
@@ -34,7 +34,9 @@
 			f := newFixture(t, nil)
 			f.agent.SetDelay(*agentDelay)
 			ids := []string{f.startBackend(nil), f.startBackend(nil), f.startBackend(nil)}
-			gateway := f.startGateway(3, func(c *pumicecroft.Config) { c.Settings.SlowStartWindow = 20 * time.Millisecond })
+			gateway := f.startGatewayWithNodes(3, func(c *pumicecroft.Config) {
+				c.Settings.SlowStartWindow = 20 * time.Millisecond
+			})
 			load := f.startLoad(8, "pay", 500*time.Microsecond, gateway)
 			var delays []time.Duration
 			for range *trialCount {
@@ -80,7 +82,7 @@
 	for range 4 {
 		f.startBackend(nil)
 	}
-	gateway := f.startGateway(4, nil)
+	gateway := f.startGatewayWithNodes(4, nil)
 	load := f.startLoad(8, "pay", 2*time.Millisecond, gateway)
 	fault := fakes.ConsulRefusesConnections
 	if *agentStaysUp {
--- a/consul/watch.go
+++ b/consul/watch.go
@@ -18,8 +18,8 @@
 	"pumicecroft/membership"
 )
 
-// Watch follows the instances of one service. It implements pumicecroft.Source and has Sync; the name of
-// the source is in SourceInfo.
+// Watch follows the instances of one service. It implements pumicecroft.Source and pumicecroft.Syncer; the
+// name of the source is in SourceInfo.
 type Watch struct {
 	client  *Client
 	service Service
@@ -36,11 +36,11 @@
 	return membership.SourceInfo{Name: "consul:" + w.service.Name}
 }
 
-// Numbers of the queries of a watch. They are added to Config.Seed, so that each query has its own sequence of
-// random retry delays.
+// Offsets that are added to Config.Seed, so that each query of a watch has its own sequence of random retry
+// delays.
 const (
-	healthQuery   = 1
-	servicesQuery = 2
+	healthSeedOffset  = 1
+	catalogSeedOffset = 2
 )
 
 // Run follows the service until ctx ends. It implements pumicecroft.Source.
@@ -54,9 +54,9 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	if !w.service.HealthOnly {
-		running.Go(func() { w.runQueryLoop(ctx, servicesQuery, r.queryServices, r.servicesFailed) })
+		running.Go(func() { w.runQueryLoop(ctx, catalogSeedOffset, r.queryCatalog, r.catalogFailed) })
 	}
-	w.runQueryLoop(ctx, healthQuery, r.queryHealth, r.healthFailed)
+	w.runQueryLoop(ctx, healthSeedOffset, r.queryHealth, r.healthFailed)
 }
 
 // reporter turns the responses to a watch's queries into membership updates.
@@ -65,8 +65,8 @@
 	client  *api.Client
 	update  func(membership.Update)
 
-	mu      sync.Mutex // guards catalog, and orders the calls of update
-	catalog *consulcatalog.Catalog
+	mu      sync.Mutex             // guards catalog, and orders the calls of update
+	catalog *consulcatalog.Catalog // of the responses of both APIs, the catalog API and the health API
 }
 
 // report changes the catalog and reports the resulting updates. An error of the change is reported last.
@@ -75,10 +75,10 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	err := change(now)
-	if drains := r.catalog.UnlistedDrains(); len(drains.Nodes) > 0 {
+	if drains := r.catalog.TakeUnlistedDrains(); len(drains.Nodes) > 0 {
 		r.update(drains)
 	}
-	if update, ok := r.catalog.Update(now); ok {
+	if update, ok := r.catalog.TakeUpdate(now); ok {
 		update.SourceReset = indexReset
 		r.update(update)
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// queryServices queries the catalog API for the instances that exist. It is a queryFunc.
-func (r *reporter) queryServices(options *api.QueryOptions) (head blockingquery.Response,
+// queryCatalog queries the catalog API for the instances of the service that exist. It is a queryFunc.
+func (r *reporter) queryCatalog(options *api.QueryOptions) (response blockingquery.Response,
 	apply func(blockingquery.Verdict), err error) {
 	instances, meta, err := r.client.Catalog().ServiceMultipleTags(r.service.Name, r.service.Tags, options)
 	if err != nil {
@@ -96,35 +96,36 @@
 	}
 	apply = func(verdict blockingquery.Verdict) {
 		if !verdict.Full {
-			return // the health query reports the error; an unchanged catalog needs no update
+			return // a partial response: the health query reports the problem, and the catalog keeps its content
 		}
 		r.report(verdict.IndexReset, func(time.Time) error {
 			names := make([]string, 0, len(instances))
 			for _, instance := range instances {
 				names = append(names, consulcatalog.Name(instance.Node, instance.ServiceID))
 			}
-			r.catalog.UpdateServices(names)
+			r.catalog.UpdateFromCatalogAPI(names)
 			return nil
 		})
 	}
-	return responseHead(meta, len(instances)), apply, nil
+	return toResponse(meta, len(instances)), apply, nil
 }
 
-// servicesFailed records that the catalog API can't be queried. The health query continues alone. The error
-// is not reported here: if Consul fails altogether, the health query reports it.
-func (r *reporter) servicesFailed(error) {
+// catalogFailed records that the catalog API can't be queried. The health query continues alone. The error is
+// not reported here: if Consul fails altogether, the health query reports it. If updates were waiting for the
+// catalog API, the next one is due now.
+func (r *reporter) catalogFailed(error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.catalog.ServicesFailed() {
+	if !r.catalog.RecordCatalogAPIFailure() {
 		return
 	}
-	if update, ok := r.catalog.Update(time.Now()); ok {
+	if update, ok := r.catalog.TakeUpdate(time.Now()); ok {
 		r.update(update)
 	}
 }
 
 // queryHealth queries the health API for the service's instances. It is a queryFunc.
-func (r *reporter) queryHealth(options *api.QueryOptions) (head blockingquery.Response,
+func (r *reporter) queryHealth(options *api.QueryOptions) (response blockingquery.Response,
 	apply func(blockingquery.Verdict), err error) {
 	options.Near, options.Filter = r.service.Near, r.service.Filter
 	found, meta, err := r.client.Health().ServiceMultipleTags(r.service.Name, r.service.Tags, false, options)
@@ -140,12 +141,13 @@
 			return errors.Join(invalid...)
 		})
 	}
-	return responseHead(meta, len(found)), apply, nil
+	return toResponse(meta, len(found)), apply, nil
 }
 
 func (r *reporter) healthFailed(err error) { r.update(membership.Update{Err: err}) }
 
-func responseHead(meta *api.QueryMeta, entries int) blockingquery.Response {
+// toResponse returns what package blockingquery needs to know of a response with a number of entries.
+func toResponse(meta *api.QueryMeta, entries int) blockingquery.Response {
 	return blockingquery.Response{
 		Index:       meta.LastIndex,
 		KnownLeader: meta.KnownLeader,
--- a/consul/watch_test.go
+++ b/consul/watch_test.go
@@ -18,7 +18,7 @@
 	"pumicecroft/membership"
 )
 
-// The agent fails under load in each of several ways. The gateway must keep the last list of nodes and lose no
+// The agent fails under load, in another way in each subtest. The gateway must keep the last list of nodes and lose no
 // request, and after the recovery of the agent it must apply only the changes.
 func TestFailingAgentLosesNoRequest(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -41,7 +41,7 @@
 			for range 4 {
 				f.startBackend(nil)
 			}
-			gateway := f.startGateway(4, nil)
+			gateway := f.startGatewayWithNodes(4, nil)
 			before := statusesOf(gateway)
 			load := f.startLoad(4, "pay", time.Millisecond, gateway)
 			if err := f.agent.SetFault(c.fault); err != nil {
@@ -74,15 +74,16 @@
 	}
 }
 
-// The Consul servers lose their data: the list becomes empty and its index goes back. That alone must not remove a
-// node. Nodes that register again keep their state; a node that does not is removed after FullRemovalDelay.
+// The Consul servers lose their data: the list becomes empty and its index (X-Consul-Index) goes back. That alone
+// must not remove a node. Nodes that register again keep their state; a node that does not is removed after
+// FullRemovalDelay.
 func TestAgentLosesItsData(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, nil)
 	for range 5 {
 		f.startBackend(nil)
 	}
-	gateway := f.startGateway(5, func(c *pumicecroft.Config) { c.Membership.FullRemovalDelay = 3 * time.Second })
+	gateway := f.startGatewayWithNodes(5, func(c *pumicecroft.Config) { c.Membership.FullRemovalDelay = 3 * time.Second })
 	before := statusesOf(gateway)
 	load := f.startLoad(4, "pay", time.Millisecond, gateway)
 	f.agent.Reset()
@@ -115,7 +116,9 @@
 	for range 6 {
 		f.startBackend(nil)
 	}
-	gateway := f.startGateway(6, func(c *pumicecroft.Config) { c.Membership.MassRemovalDelay = 0 }) // the default
+	gateway := f.startGatewayWithNodes(6, func(c *pumicecroft.Config) {
+		c.Membership.MassRemovalDelay = 0 // 0: the default delay
+	})
 	load := f.startLoad(4, "look", time.Millisecond, gateway)
 	queriesBefore := len(f.agent.Queries())
 	for _, id := range []string{"b0", "b1", "b2", "b3", "b4"} {
@@ -144,11 +147,11 @@
 			if err := f.agent.SetFault(fault); err != nil {
 				t.Fatal(err)
 			}
-			gateway := f.startGateway(2, nil)
+			gateway := f.startGatewayWithNodes(2, nil)
 			start, before := time.Now(), len(f.agent.Queries())
 			time.Sleep(2 * time.Second) // the period over which the query rate is measured
 			if n := len(f.agent.Queries()) - before; float64(n) > 2*(2*time.Since(start).Seconds()+2) {
-				t.Errorf("%d queries in %v, want at most 2 a second and 2 more for each of 2 queries", n, time.Since(start))
+				t.Errorf("%d queries in %v, want at most 2 a second plus 2 for each of the 2 APIs", n, time.Since(start))
 			}
 			f.agent.SetCheck("n1", "b0", fakes.ConsulCheck{ID: "web", Status: "critical"})
 			f.waitForState(gateway, "b0", "draining")
@@ -164,7 +167,7 @@
 	for range 3 {
 		f.startBackend(nil)
 	}
-	gateway := f.startGateway(3, func(c *pumicecroft.Config) {
+	gateway := f.startGatewayWithNodes(3, func(c *pumicecroft.Config) {
 		c.Membership.ProbationMin, c.Membership.ProbationMax = 300*time.Millisecond, 5*time.Second
 	})
 	load := f.startLoad(4, "pay", time.Millisecond, gateway)
@@ -197,15 +200,15 @@
 	}
 }
 
-// A node warms up if its registration is new, also under the same ID and address or under another ID at the same
-// address, or if its process is new. It does not warm up if its check fails and passes again.
+// A node warms up (state "cold") if its registration is new, also under the same ID and address or under another ID at
+// the same address, or if its process is new. It does not warm up if its check fails and passes again.
 func TestSlowStartOfNewNodes(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, nil)
 	for range 4 {
 		f.startBackend(nil)
 	}
-	gateway := f.startGateway(4, func(c *pumicecroft.Config) { c.Membership.WarmupWindow = time.Hour })
+	gateway := f.startGatewayWithNodes(4, func(c *pumicecroft.Config) { c.Membership.WarmupWindow = time.Hour })
 	for id, m := range statusesOf(gateway) {
 		if m.State != "ready" {
 			t.Errorf("%s was registered before the gateway started and is %s, want ready", id, m.State)
@@ -246,7 +249,7 @@
 		f.startBackend(limits)
 	}
 	gateway := func(index int) *pumicecroft.Gateway {
-		return f.startGateway(3, func(c *pumicecroft.Config) {
+		return f.startGatewayWithNodes(3, func(c *pumicecroft.Config) {
 			s := &c.Settings
 			s.GatewayCount, s.GatewayIndex = 2, index
 			s.SlowStartMinCapacity, s.SlowStartWindow = 0.2, 6*time.Second
@@ -280,7 +283,7 @@
 	slow := f.startBackend(func(c *fakes.BackendConfig) {
 		c.WorkTime = func(string) time.Duration { return 700 * time.Millisecond }
 	})
-	gateway := f.startGateway(1, nil)
+	gateway := f.startGatewayWithNodes(1, nil)
 	load := f.startLoad(10, "pay", time.Hour, gateway) // one request for each client
 	f.ledger.Await(hosttest.WaitTimeout, func(as []fakes.Attempt) bool { return len(as) == 10 })
 	f.agent.SetCheck("n1", slow, fakes.ConsulCheck{ID: "web", Status: "critical", Output: "503"})
@@ -293,7 +296,7 @@
 	if _, err := gateway.Do(t.Context(), request); !errors.Is(err, pumicecroft.ErrRejected) {
 		t.Errorf("new request: %v, want %v", err, pumicecroft.ErrRejected)
 	}
-	for load.sent.Load() < 10 {
+	for load.answered.Load() < 10 {
 		time.Sleep(time.Millisecond)
 	}
 	if load.served.Load() != 10 || len(f.attemptsAt(slow)) != 10 || len(f.ledger.RepeatedEffects()) > 0 {
@@ -302,8 +305,8 @@
 	}
 }
 
-// Consul and another source are merged as membership.Table does it: a node that only one of them lists is known,
-// and draining prevails where their states differ.
+// A gateway follows Consul and another source: a node that only one of them lists is known, and draining prevails
+// where their states differ.
 func TestTwoSources(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, nil)
@@ -313,19 +316,19 @@
 		{Name: "n1/b1", Addr: f.backends["b1"].Addr()},
 		{Name: "n1/own", Addr: "127.0.0.1:9"},
 	}}
-	gateway := f.startGateway(3, func(c *pumicecroft.Config) { c.InitialEndpoints = own })
+	gateway := f.startGatewayWithNodes(3, func(c *pumicecroft.Config) { c.InitialEndpoints = own })
 	m := statusesOf(gateway)
 	if m["own"].Source != "own" || m["b0"].Source != "consul:identity" || m["b1"].Source != "consul:identity" {
 		t.Errorf("statuses %+v, want source own for own and consul:identity for b0 and b1", m)
 	}
-	own.Nodes[0].State = 1 // the other source reports b1 as draining
+	own.Nodes[0].State = 1 // decision.Draining: the other source reports b1 as draining
 	gateway.Update(own)
 	f.waitForState(gateway, "b1", "draining")
 	if m := statusesOf(gateway)["b1"]; m.Source != "own" {
 		t.Errorf("b1 is %+v, want source own", m)
 	}
 	f.agent.Remove("n1", "b1")
-	own.Nodes[0].State = 0
+	own.Nodes[0].State = 0 // decision.Ready
 	gateway.Update(own)
 	f.waitFor(gateway, "b1 to be ready by the other source alone", func(nodes statuses) bool {
 		return nodes["b1"].State == "ready" && nodes["b1"].Source == "own"
@@ -342,7 +345,7 @@
 	}
 	dir := t.TempDir()
 	withStateDir := func(c *pumicecroft.Config) { c.StateDir, c.Membership.WarmupWindow = dir, time.Hour }
-	first := f.startGateway(3, withStateDir)
+	first := f.startGatewayWithNodes(3, withStateDir)
 	added := f.startBackend(nil) // must still be warming up for the next gateway
 	f.waitForState(first, added, "cold")
 	if err := first.Close(context.Background()); err != nil {
@@ -352,7 +355,7 @@
 	if err := f.agent.SetFault(fakes.ConsulRefusesConnections); err != nil {
 		t.Fatal(err)
 	}
-	second := f.startGateway(4, withStateDir)
+	second := f.startGatewayWithNodes(4, withStateDir)
 	if m := statusesOf(second); !m["b1"].Stale || m["b1"].State != "ready" || m[added].State != "cold" {
 		t.Errorf("while the agent is unreachable: %+v, want b1 stale and ready, %s cold", m, added)
 	}
@@ -385,7 +388,7 @@
 		if err := os.WriteFile(path, corrupt(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		second = f.startGateway(3, withStateDir)
+		second = f.startGatewayWithNodes(3, withStateDir)
 		if _, err := second.Do(t.Context(), pumicecroft.Request{Class: "look", Plan: "shop"}); err != nil {
 			t.Errorf("%s: request failed: %v", name, err)
 		}
--- a/idempotency/eviction.go
+++ b/idempotency/eviction.go
@@ -86,11 +86,11 @@
 // size returns the memory that a stored response accounts for, in bytes.
 func (r Response) size() int { return len(r.Body) + len(r.ContentType) }
 
-// withinShare reports whether a customer's requests in flight may use another bytes. The limit is the
+// withinMemoryShare reports whether a customer's requests in flight may use another bytes. The limit is the
 // part of the budget that no request in flight would then use: one flooding customer gets half of the
 // budget, two get a third each, and a new customer always finds room. This is the dynamic threshold
 // for shared buffers of Choudhury and Hahne (1998) with alpha = 1.
-func (s *Store) withinShare(c *customer, bytes int) bool {
+func (s *Store) withinMemoryShare(c *customer, bytes int) bool {
 	return c.inFlightBytes+bytes <= s.limits.MaxBytes-s.inFlightBytes-bytes
 }
 
@@ -121,9 +121,10 @@
 	return c
 }
 
-// addCost adds to the cost of an entry, and to the totals of its customer and of the store.
-func (s *Store) addCost(e *entry, bytes int) {
-	e.cost += bytes
+// addBytes adds to the accounted memory of an entry, and to the totals of its customer and of the store. By the
+// entry's state it counts as in flight or as stored.
+func (s *Store) addBytes(e *entry, bytes int) {
+	e.bytes += bytes
 	s.bytes += bytes
 	if e.state == stateInFlight {
 		e.customer.inFlightBytes += bytes
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -82,7 +82,7 @@
 		return Conflict
 	case k.state == stateInFlight:
 		return Join
-	case k.state == stateUnknown:
+	case k.state == stateOutcomeUnknown:
 		return OutcomeUnknown
 	case len(k.response.Body) > m.limits.MaxResponseBytes:
 		return ResponseNotStored
@@ -187,7 +187,7 @@
 	case NotExecuted:
 		delete(m.keys, id)
 	case Unknown:
-		k.state, k.expiresAt = stateUnknown, m.now+m.limits.UnknownTTL
+		k.state, k.expiresAt = stateOutcomeUnknown, m.now+m.limits.UnknownTTL
 	}
 }
 
@@ -203,9 +203,9 @@
 		if m.keys[id] == nil {
 			t.Fatalf("the store holds key %v, want it removed", id)
 		}
-		bytes += e.cost
+		bytes += e.bytes
 		if e.state == stateInFlight {
-			inFlightBytes += e.cost
+			inFlightBytes += e.bytes
 		}
 	}
 	s := m.store
--- a/idempotency/records.go
+++ b/idempotency/records.go
@@ -94,7 +94,7 @@
 // recordKind returns the kind of record that describes an entry's current state.
 func (e *entry) recordKind() uint8 {
 	switch {
-	case e.state == stateUnknown:
+	case e.state == stateOutcomeUnknown:
 		return recordUnknown
 	case e.state == stateInFlight && !e.responseRecorded:
 		return recordInFlight
--- a/idempotency/recovery.go
+++ b/idempotency/recovery.go
@@ -43,9 +43,9 @@
 	expiresAt := min(r.expires-epoch, s.now+s.limits.TTL)
 	switch r.kind {
 	case recordInFlight:
-		return stateUnknown, s.now + s.limits.UnknownTTL
+		return stateOutcomeUnknown, s.now + s.limits.UnknownTTL
 	case recordUnknown:
-		return stateUnknown, min(expiresAt, s.now+s.limits.UnknownTTL)
+		return stateOutcomeUnknown, min(expiresAt, s.now+s.limits.UnknownTTL)
 	}
 	return stateCompleted, expiresAt
 }
@@ -53,10 +53,10 @@
 // restoreEntry adds the entry of a record, with its response if that is within MaxResponseBytes and
 // there is room. It returns nil if there is no room for the entry.
 func (s *Store) restoreEntry(r record, state state, expiresAt time.Duration) *entry {
-	cost := entryOverhead + len(r.id.key)
+	bytes := entryOverhead + len(r.id.key)
 	c := s.customerFor(r.id.customer)
 	c.pinned = true
-	hasRoom := s.makeRoom(c, cost)
+	hasRoom := s.makeRoom(c, bytes)
 	c.pinned = false
 	if !hasRoom {
 		s.releaseCustomer(c)
@@ -64,12 +64,12 @@
 	}
 	e := s.addEntry(c, r.id.key, r.fingerprint)
 	e.state, e.expiresAt = state, expiresAt
-	s.addCost(e, cost)
+	s.addBytes(e, bytes)
 	if size := r.response.size(); r.kind == recordResponse && size <= s.limits.MaxResponseBytes &&
 		(size == 0 || s.makeRoom(c, size)) {
 		r.response.Body = slices.Clone(r.response.Body)
 		e.responseStored, e.response = true, r.response
-		s.addCost(e, size)
+		s.addBytes(e, size)
 	}
 	c.addEvictable(e)
 	s.timers.Add(&e.timer, e.expiresAt)
--- a/idempotency/recovery_test.go
+++ b/idempotency/recovery_test.go
@@ -139,9 +139,9 @@
 		t.Fatalf("seed %d: key %v, in state %d before the restart, was not restored", r.seed, id, before.state)
 	}
 	if before.state == stateInFlight {
-		if after.state != stateUnknown {
+		if after.state != stateOutcomeUnknown {
 			t.Fatalf("seed %d: key %v, in flight before the restart, has state %d, want %d", r.seed, id, after.state,
-				stateUnknown)
+				stateOutcomeUnknown)
 		}
 		return
 	}
--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -42,7 +42,7 @@
 const (
 	stateInFlight state = iota
 	stateCompleted
-	stateUnknown
+	stateOutcomeUnknown
 )
 
 // entryID is the map key of an entry.
@@ -57,10 +57,10 @@
 	customer    *customer
 	fingerprint Fingerprint
 	state       state
-	cost        int // memory accounted for it, in bytes
+	bytes       int // memory accounted for it, in bytes
 	expiresAt   time.Duration
 	timer       timerwheel.Timer[*timerTarget]
-	target      timerTarget
+	timerTarget timerTarget
 
 	responseStored   bool // in stateCompleted: response is set
 	responseRecorded bool // in stateInFlight: the response is in the log, but not sent to any client yet
@@ -95,7 +95,7 @@
 // whose clients are still connected, and requests that joined.
 func (s *Store) Waiting() int { return s.waiting }
 
-// Bytes returns the accounted cost of all entries.
+// Bytes returns the accounted memory of all entries, in bytes.
 func (s *Store) Bytes() int { return s.bytes }
 
 // Customers returns the number of customers that have entries.
@@ -131,11 +131,11 @@
 	s.completions = append(s.completions, Completion{t.tag, d})
 }
 
-// addEntry adds an entry in flight. The caller adds its cost.
+// addEntry adds an entry in flight. The caller accounts its memory with addBytes.
 func (s *Store) addEntry(c *customer, key string, fingerprint Fingerprint) *entry {
 	e := &entry{id: entryID{c.id, key}, customer: c, fingerprint: fingerprint}
-	e.target.entry = e
-	e.timer.Value = &e.target
+	e.timerTarget.entry = e
+	e.timer.Value = &e.timerTarget
 	e.slot.Value = Entry{e}
 	s.entries[e.id] = e
 	return e
@@ -149,6 +149,6 @@
 	s.timers.Remove(&e.timer)
 	e.slot.Drop()
 	delete(s.entries, e.id)
-	s.addCost(e, -e.cost)
+	s.addBytes(e, -e.bytes)
 	s.releaseCustomer(e.customer)
 }
--- a/idempotency/ticket.go
+++ b/idempotency/ticket.go
@@ -4,13 +4,13 @@
 
 // Ticket represents a request that proceeded, or that waits for one that did.
 type Ticket struct {
-	tag        any
-	entry      *entry
-	leader     bool // its request proceeded
-	timer      timerwheel.Timer[*timerTarget]
-	target     timerTarget
-	next, prev *Ticket // circular list of its entry's waiters; nil: it is not in the list any more
-	seq        uint64  // number of the log record that says that its request proceeded
+	tag         any
+	entry       *entry
+	leader      bool // its request proceeded: it is executed for all requests with its key
+	timer       timerwheel.Timer[*timerTarget]
+	timerTarget timerTarget
+	next, prev  *Ticket // circular list of its entry's waiters; nil: not in the list any more, its request has ended
+	seq         uint64  // number of the log record that says that its request proceeded
 }
 
 // Entry returns the entry that the ticket's request belongs to.
@@ -48,6 +48,6 @@
 	t.next, t.prev = nil, nil
 	s.timers.Remove(&t.timer)
 	if !t.leader {
-		s.addCost(e, -ticketOverhead)
+		s.addBytes(e, -ticketOverhead)
 	}
 }
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -19,17 +19,17 @@
 // Limits bounds a Pool. There are no defaults.
 type Limits struct {
 	MaxConns    int           // total for all destinations: idle, in use, or being opened
-	IdleTimeout time.Duration // a connection that has been idle for this long is closed
+	IdleTimeout time.Duration // a connection that has been idle for this long is discarded
 	// ReuseDelay is how long a connection stays idle after a response before it is reused. Surplus bytes after
 	// a response have usually arrived by then; they show that the connection must not be reused.
 	ReuseDelay time.Duration
-	// MinReuseDelay replaces ReuseDelay when MaxConns connections exist. The destination's connection that has
-	// been idle for longest is then reused.
+	// MinReuseDelay applies when MaxConns connections exist and none to the destination has been idle for
+	// ReuseDelay: its connection that has been idle for longest is then reused, if it was for MinReuseDelay.
 	MinReuseDelay time.Duration
 }
 
 // Destination is one process of a backend at one address, with the idle connections to it. Another
-// process or backend has a Destination of its own, even at the same address.
+// process or backend has a Destination of its own, even at the same address: the caller makes it.
 type Destination struct {
 	Addr   string
 	idle   []*Conn // longest idle first
@@ -50,11 +50,11 @@
 
 // Pool limits the total number of connections to all destinations and keeps idle connections for reuse.
 type Pool struct {
-	limits  Limits
-	count   int        // idle, in use or being opened
-	idle    *list.List // of *Conn, longest idle first
-	closed  bool
-	toClose []*Conn // discarded connections that the caller has not yet taken
+	limits    Limits
+	count     int        // idle, in use or being opened
+	idle      *list.List // of *Conn, longest idle first
+	closed    bool
+	discarded []*Conn // connections that the caller must close and has not yet taken
 }
 
 // New returns an empty Pool.
@@ -95,7 +95,7 @@
 }
 
 // acquireReusable takes the most recently used connection that has been idle for ReuseDelay, or returns nil if
-// there is none. It discards connections past IdleTimeout that it meets.
+// there is none. It discards those that it finds idle for IdleTimeout.
 func (p *Pool) acquireReusable(now time.Duration, to *Destination) *Conn {
 	for i := len(to.idle) - 1; i >= 0; i-- {
 		c := to.idle[i]
@@ -128,13 +128,13 @@
 	c.idleElem = p.idle.PushBack(c)
 }
 
-// Discard removes a connection in use from the pool. TakeDiscarded then returns it.
+// Discard removes a connection that is not in the idle lists from the pool. TakeDiscarded then returns it.
 func (p *Pool) Discard(c *Conn) {
-	p.toClose = append(p.toClose, c)
+	p.discarded = append(p.discarded, c)
 	p.count--
 }
 
-// CloseDestination closes the idle connections of a destination now, and those in use when they are put
+// CloseDestination discards the idle connections of a destination now, and those in use when they are put
 // back.
 func (p *Pool) CloseDestination(to *Destination) {
 	to.closed = true
@@ -146,7 +146,7 @@
 	to.idle = nil
 }
 
-// Close closes all idle connections now, and those in use when they are put back.
+// Close discards all idle connections now, and those in use when they are put back.
 func (p *Pool) Close() {
 	p.closed = true
 	for p.idle.Len() > 0 {
@@ -154,7 +154,7 @@
 	}
 }
 
-// CloseExpired closes the connections that have been idle for IdleTimeout.
+// CloseExpired discards the connections that have been idle for IdleTimeout.
 func (p *Pool) CloseExpired(now time.Duration) {
 	for at, ok := p.NextExpiry(); ok && at <= now; at, ok = p.NextExpiry() {
 		p.evict(p.longestIdle())
@@ -171,8 +171,8 @@
 
 // TakeDiscarded returns the connections that the caller must close, each once.
 func (p *Pool) TakeDiscarded() []*Conn {
-	discarded := p.toClose
-	p.toClose = nil
+	discarded := p.discarded
+	p.discarded = nil
 	return discarded
 }
 
--- a/internal/consulcatalog/catalog.go
+++ b/internal/consulcatalog/catalog.go
@@ -30,19 +30,20 @@
 	Maintenance   bool // the node or the service is in maintenance mode
 }
 
-// Catalog holds the known instances of one service. It is not safe for concurrent use.
+// Catalog holds the known instances of one service, as merged from the responses of two APIs of Consul: the
+// catalog API, which lists the registered instances, and the health API. It is not safe for concurrent use.
 type Catalog struct {
 	mapping Mapping
 	records map[string]*record // by instance name, as Name returns it
 
-	awaitingServices bool              // the catalog API is queried and has not responded yet
-	registered       map[string]bool   // instances in the catalog API; nil if it is not queried or has failed
-	inHealth         map[string]bool   // instances in the last full response of the health API
-	healthSeen       bool              // the health API has sent a full response
-	healthIsNewer    bool              // ... later than the last one of the catalog API
-	full             bool              // the last response of either API was full
-	epoch            int               // number of resets of Consul's catalog
-	earlyDrains      []membership.Node // draining nodes seen before the first full response
+	awaitingCatalogAPI bool              // the catalog API is queried and has not responded yet
+	inCatalog          map[string]bool   // instances in its last full response; nil if it is not queried or has failed
+	inHealth           map[string]bool   // instances in the last full response of the health API
+	healthSeen         bool              // the health API has sent a full response
+	healthIsNewer      bool              // ... later than the last one of the catalog API
+	full               bool              // the last response of either API was full
+	epoch              int               // number of resets of Consul's catalog
+	earlyDrains        []membership.Node // draining nodes seen before the first full response
 }
 
 // record is the state of an instance.
@@ -53,7 +54,7 @@
 	processID     string // the attribute that Mapping.Started selects
 	epoch         int
 	absentSince   time.Time // when updates began to leave the instance out; zero if present
-	drainReported bool      // UnlistedDrains has reported the current drain
+	drainReported bool      // TakeUnlistedDrains has reported the current drain
 }
 
 const (
@@ -64,14 +65,14 @@
 	maxAbsent = 20_000
 )
 
-// NewCatalog returns an empty catalog. withServices means that the catalog API is queried too, and that
-// UpdateServices decides which instances exist. Update then waits for responses of both APIs.
-func NewCatalog(mapping Mapping, withServices bool) *Catalog {
+// NewCatalog returns an empty catalog. withCatalogAPI means that the catalog API is queried too, and
+// decides which instances exist. TakeUpdate then waits for responses of both APIs.
+func NewCatalog(mapping Mapping, withCatalogAPI bool) *Catalog {
 	return &Catalog{
-		mapping:          mapping,
-		records:          map[string]*record{},
-		inHealth:         map[string]bool{},
-		awaitingServices: withServices,
+		mapping:            mapping,
+		records:            map[string]*record{},
+		inHealth:           map[string]bool{},
+		awaitingCatalogAPI: withCatalogAPI,
 	}
 }
 
@@ -108,27 +109,27 @@
 	return invalid
 }
 
-// UpdateServices applies a full response of the catalog API: the names of the instances that exist.
-func (c *Catalog) UpdateServices(names []string) {
-	c.awaitingServices = false
+// UpdateFromCatalogAPI applies a full response of the catalog API: the names of the instances that exist.
+func (c *Catalog) UpdateFromCatalogAPI(names []string) {
+	c.awaitingCatalogAPI = false
 	c.full, c.healthIsNewer = true, false
-	c.registered = map[string]bool{}
+	c.inCatalog = map[string]bool{}
 	for _, name := range names {
-		c.registered[name] = true
+		c.inCatalog[name] = true
 	}
 }
 
-// ServicesFailed records that the catalog API can't be queried. Until its next response, the health API alone
-// decides which instances exist. ServicesFailed reports whether Update was waiting for the catalog API.
-func (c *Catalog) ServicesFailed() (waited bool) {
-	waited = c.awaitingServices
-	c.awaitingServices, c.registered = false, nil
+// RecordCatalogAPIFailure records that the catalog API can't be queried. Until its next response, the health API
+// alone decides which instances exist. It reports whether TakeUpdate was waiting for the catalog API.
+func (c *Catalog) RecordCatalogAPIFailure() (waited bool) {
+	waited = c.awaitingCatalogAPI
+	c.awaitingCatalogAPI, c.inCatalog = false, nil
 	return waited
 }
 
 // applyDrain applies an entry of a response that is not full, if its instance must not receive requests.
-// Before the first full response such instances are kept in earlyDrains, as a cached update may list them as
-// ready.
+// Before the first full response such instances are kept in earlyDrains, as the endpoint cache may have
+// reported them as ready.
 func (c *Catalog) applyDrain(e Entry) {
 	state, weight, note := c.evaluateChecks(e)
 	if state != decision.Draining {
--- a/internal/consulcatalog/catalog_test.go
+++ b/internal/consulcatalog/catalog_test.go
@@ -40,7 +40,7 @@
 // describe returns the update of a catalog as text, such as "n/a:ready^3 n/b:draining": the name and state of each
 // node, and its start in seconds after t0 if it has one.
 func describe(catalog *Catalog, now time.Time) string {
-	update, ok := catalog.Update(now)
+	update, ok := catalog.TakeUpdate(now)
 	if !ok {
 		return "no update"
 	}
@@ -100,7 +100,7 @@
 	} {
 		catalog := NewCatalog(Mapping{ServeWarning: c.serveWarning}, false)
 		updateHealth(t, catalog, 0, c.entry)
-		update, _ := catalog.Update(t0)
+		update, _ := catalog.TakeUpdate(t0)
 		n := update.Nodes[0]
 		if n.State != c.state || n.Weight != c.weight || c.note != "" && n.Note != c.note || len(n.Note) > maxNoteBytes {
 			t.Errorf("%s: got %+v, want state %v, weight %v, note %q", c.name, n, c.state, c.weight, c.note)
@@ -155,31 +155,31 @@
 	catalog := NewCatalog(Mapping{}, true)
 	updateHealth(t, catalog, 0, entry("a"), entry("b"))
 	checkUpdate(t, catalog, 0, "no update")
-	catalog.UpdateServices([]string{"n/a", "n/b", "n/other"})
+	catalog.UpdateFromCatalogAPI([]string{"n/a", "n/b", "n/other"})
 	checkUpdate(t, catalog, 1, "n/a:ready n/b:ready")
-	catalog.UpdateServices([]string{"n/b"}) // a is deregistered; the health API still lists it
+	catalog.UpdateFromCatalogAPI([]string{"n/b"}) // a is deregistered; the health API still lists it
 	checkUpdate(t, catalog, 2, "n/b:ready")
 	updateHealth(t, catalog, 3, entry("b"), entry("c"))
 	checkUpdate(t, catalog, 3, "n/b:ready") // c is not in the catalog yet
-	catalog.UpdateServices([]string{"n/b", "n/c"})
+	catalog.UpdateFromCatalogAPI([]string{"n/b", "n/c"})
 	checkUpdate(t, catalog, 4, "n/b:ready n/c:ready^3")
 	updateHealth(t, catalog, 5, entry("c")) // b exists but is missing from the health API
 	checkUpdate(t, catalog, 5, "n/b:draining n/c:ready^3")
 	updateHealth(t, catalog, 5, entry("b"), entry("c"))
 	checkUpdate(t, catalog, 5, "n/b:ready n/c:ready^3")
-	catalog.UpdateServices([]string{"n/c"}) // b is deregistered
+	catalog.UpdateFromCatalogAPI([]string{"n/c"}) // b is deregistered
 	checkUpdate(t, catalog, 5, "n/c:ready^3")
 	updateHealth(t, catalog, 5, entry("c"))
-	catalog.UpdateServices([]string{"n/b", "n/c"}) // b is registered again; the health API does not list it yet
+	catalog.UpdateFromCatalogAPI([]string{"n/b", "n/c"}) // b is registered again; the health API does not list it yet
 	checkUpdate(t, catalog, 5, "n/c:ready^3")
-	if catalog.ServicesFailed() {
-		t.Error("ServicesFailed() = true after a response of the catalog API, want false")
+	if catalog.RecordCatalogAPIFailure() {
+		t.Error("RecordCatalogAPIFailure() = true after a response of the catalog API, want false")
 	}
 	checkUpdate(t, catalog, 6, "n/c:ready^3")
 	catalog = NewCatalog(Mapping{}, true)
 	updateHealth(t, catalog, 0, entry("a"))
-	if !catalog.ServicesFailed() {
-		t.Error("ServicesFailed() = false before a response of the catalog API, want true")
+	if !catalog.RecordCatalogAPIFailure() {
+		t.Error("RecordCatalogAPIFailure() = false before a response of the catalog API, want true")
 	}
 	checkUpdate(t, catalog, 0, "n/a:ready")
 }
@@ -197,7 +197,7 @@
 	} {
 		catalog := NewCatalog(Mapping{}, true)
 		updateHealth(t, catalog, 0, entry("a"), entry("b"), entry("c"), entry("d"))
-		catalog.UpdateServices([]string{"n/a", "n/b", "n/c", "n/d"})
+		catalog.UpdateFromCatalogAPI([]string{"n/a", "n/b", "n/c", "n/d"})
 		updateHealth(t, catalog, 1, c.listed...)
 		if got := describe(catalog, t0); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
@@ -212,7 +212,7 @@
 	catalog := NewCatalog(Mapping{}, false)
 	// Before the first full response only drains are reported: a gateway that has just started may have a cached list.
 	catalog.UpdateHealth(t0, []Entry{entry("a", withStatus("critical")), entry("b")}, false, false)
-	update, ok := catalog.Update(t0)
+	update, ok := catalog.TakeUpdate(t0)
 	if !ok || update.Full || len(update.Nodes) != 1 {
 		t.Fatalf("first response, not full: update %+v, ok %v; want one node and not full", update, ok)
 	}
@@ -232,18 +232,18 @@
 // be out of date: the update must not be full until the catalog API responds again.
 func TestOlderResponseRemovesNoNode(t *testing.T) {
 	catalog := NewCatalog(Mapping{}, true)
-	catalog.UpdateServices([]string{"n/a"})
+	catalog.UpdateFromCatalogAPI([]string{"n/a"})
 	updateHealth(t, catalog, 0, entry("a"), entry("b"))
-	if update, ok := catalog.Update(t0); !ok || update.Full || len(update.Nodes) != 1 {
+	if update, ok := catalog.TakeUpdate(t0); !ok || update.Full || len(update.Nodes) != 1 {
 		t.Errorf("catalog response is older: update %+v, ok %v; want one node and not full", update, ok)
 	}
-	catalog.UpdateServices([]string{"n/a"})
-	if update, ok := catalog.Update(t0); !ok || !update.Full || len(update.Nodes) != 1 {
+	catalog.UpdateFromCatalogAPI([]string{"n/a"})
+	if update, ok := catalog.TakeUpdate(t0); !ok || !update.Full || len(update.Nodes) != 1 {
 		t.Errorf("catalog response repeated: update %+v, ok %v; want one node and full", update, ok)
 	}
 	// Conversely, while the health API fails, responses of the catalog API do not confirm what the health API lacked.
-	catalog.UpdateServices([]string{"n/a", "n/b", "n/c"})
-	if update, ok := catalog.Update(t0); !ok || update.Full {
+	catalog.UpdateFromCatalogAPI([]string{"n/a", "n/b", "n/c"})
+	if update, ok := catalog.TakeUpdate(t0); !ok || update.Full {
 		t.Errorf("health response is older: update %+v, ok %v; want not full", update, ok)
 	}
 }
@@ -259,7 +259,7 @@
 	}
 	updateHealth(t, catalog, 0, e("a", "12"), e("b", "north"), e("c", "north"), e("d", ""), e("e", ""), e("f", "-3"),
 		e("g", "99999999999999999999"))
-	update, _ := catalog.Update(t0)
+	update, _ := catalog.TakeUpdate(t0)
 	cells := map[int]int{}
 	for _, n := range update.Nodes {
 		cells[n.Cell]++
@@ -305,7 +305,7 @@
 	for i := range 3000 {
 		now := t0.Add(time.Duration(i) * time.Second)
 		catalog.UpdateHealth(now, []Entry{entry(fmt.Sprint("id", i))}, true, false)
-		catalog.Update(now)
+		catalog.TakeUpdate(now)
 	}
 	if len(catalog.records) > 302 || len(catalog.inHealth) != 1 {
 		t.Errorf("%d records, %d in health; want at most 302 and 1", len(catalog.records), len(catalog.inHealth))
@@ -314,7 +314,7 @@
 
 // Consul's catalog loses its data while a node turns critical. The membership table does not act on the empty list,
 // so the drain must be reported separately, and once.
-func TestUnlistedDrains(t *testing.T) {
+func TestTakeUnlistedDrains(t *testing.T) {
 	catalog := NewCatalog(Mapping{}, true)
 	names := func(entries ...Entry) (names []string) {
 		for _, e := range entries {
@@ -325,7 +325,7 @@
 	checkDrains := func(at float64, listed, unlisted string) {
 		t.Helper()
 		var got []string
-		for _, n := range catalog.UnlistedDrains().Nodes {
+		for _, n := range catalog.TakeUnlistedDrains().Nodes {
 			got = append(got, n.Name+":"+[]string{"ready", "draining", "gone"}[n.State])
 		}
 		if s := strings.Join(got, " "); s != unlisted {
@@ -334,16 +334,16 @@
 		checkUpdate(t, catalog, at, listed)
 	}
 	updateHealth(t, catalog, 0, entry("a"), entry("b"))
-	catalog.UpdateServices(names(entry("a"), entry("b")))
+	catalog.UpdateFromCatalogAPI(names(entry("a"), entry("b")))
 	checkDrains(0, "n/a:ready n/b:ready", "")
-	catalog.UpdateServices(nil)
+	catalog.UpdateFromCatalogAPI(nil)
 	updateHealth(t, catalog, 1, entry("a", withStatus("critical")), entry("b"))
 	checkDrains(1, "", "n/a:draining")
 	checkDrains(2, "", "") // not reported again
 	updateHealth(t, catalog, 2, entry("a", withStatus("critical")), entry("b", withStatus("critical")))
 	checkDrains(2, "", "n/b:draining") // the list already lacked b
 	updateHealth(t, catalog, 3, entry("a"), entry("b"))
-	catalog.UpdateServices(names(entry("a"), entry("b")))
+	catalog.UpdateFromCatalogAPI(names(entry("a"), entry("b")))
 	checkDrains(3, "n/a:ready n/b:ready", "")
 	updateHealth(t, catalog, 4, entry("a", withStatus("critical")), entry("b"))
 	checkDrains(4, "n/a:draining n/b:ready", "")
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -8,7 +8,8 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// call is one call of a client, over all its tries.
+// call is one call of a client, over all its tries. Each try is a request at a gateway, which makes
+// attempts of it at backends.
 type call struct {
 	number    uint64
 	startedAt time.Duration
@@ -67,19 +68,19 @@
 func (g *gateway) finishTry(request *request, verdict lifecycle.Verdict, retryAfter time.Duration) {
 	s, r := g.shard, g.region
 	call := &request.call
-	seenAt := s.now + r.delay(call.number, uint64(request.try), delayFinal)
+	seenAt := s.now + r.delay(call.number, uint64(request.tryNumber), delayFinal)
 	if verdict == lifecycle.Served {
 		s.counts.recordServed(r, call, seenAt)
 		return
 	}
 	class := &r.config.Settings.Classes[call.class]
 	maxTries, wait := r.retryPolicy(request, class, verdict, retryAfter, seenAt)
-	tries := int(request.try) + 1
+	tries := int(request.tryNumber) + 1
 	if tries >= min(maxTries, maxTryNumber) || seenAt+wait >= call.startedAt+class.Deadline {
 		s.counts.recordUnserved(r, call, verdict)
 		return
 	}
-	s.sendTry(call, request.try+1, seenAt+wait)
+	s.sendTry(call, request.tryNumber+1, seenAt+wait)
 }
 
 // retryPolicy returns the largest number of tries for a call, and how long its client waits before
@@ -89,11 +90,11 @@
 ) (maxTries int, wait time.Duration) {
 	call, clients := &request.call, &r.config.Clients
 	maxTries = clients.MaxTries
-	draw := eventqueue.RandFloat64(r.seed, purposeClient, call.number, uint64(request.try), 1)
+	draw := eventqueue.RandFloat64(r.seed, purposeClient, call.number, uint64(request.tryNumber), 1)
 	if storm := r.retryStorm(seenAt); storm != nil {
 		return maxTries + int(storm.Magnitude), time.Duration(draw * float64(stormBackoff))
 	}
-	wait = time.Duration((0.5 + draw) * float64(clients.Backoff<<min(request.try, maxBackoffDoublings)))
+	wait = time.Duration((0.5 + draw) * float64(clients.Backoff<<min(request.tryNumber, maxBackoffDoublings)))
 	switch {
 	case verdict != lifecycle.Rejected && class.Idempotency == decision.NonIdempotent:
 		return 0, wait // the request may have been executed
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -95,8 +95,8 @@
 func (r *Region) scheduleGatewayRestarts(fault Fault) {
 	for i, g := range r.gateways {
 		at := fault.At + time.Duration(i/int(fault.Magnitude))*fault.Duration
-		g.shard.schedule(at, message{kind: msgFunc, run: g.stop})
-		g.shard.schedule(at+fault.Duration, message{kind: msgFunc, run: g.restart})
+		g.shard.schedule(at, message{kind: msgFunc, run: g.killProcess})
+		g.shard.schedule(at+fault.Duration, message{kind: msgFunc, run: g.startProcessIfDown})
 	}
 }
 
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -10,14 +10,15 @@
 	"pumicecroft/internal/lifecycle"
 )
 
-// clockStart is the time on gateways' clocks at the region's start: late enough that backends started
+// clockStart is the time on gateways' clocks at the start of the emulated Region: late enough that backends started
 // at time 0 have finished their warm-up.
 const clockStart = time.Hour
 
 // maxOpenRequests is the limit on a gateway's open requests. It is too high to be reached.
 const maxOpenRequests = 1 << 20
 
-// gateway is one gateway. It runs the shipped lifecycle machine with a policy.
+// gateway is one emulated gateway. It runs the lifecycle machine of real gateways, with the decision engine or
+// another policy (newPolicy).
 type gateway struct {
 	region *Region
 	number int32
@@ -31,20 +32,22 @@
 	requests      map[decision.RequestID]*request
 	cancellations []cancellation // to be handled by applyEffects
 
+	// State that outlives processes. Executions take place at backends; they are collected at the gateway of
+	// the request, as only its requests have these IDs.
 	endpoints      []decision.Endpoint    // all endpoints as last updated; nil if no fault restarts gateways
 	executions     map[uint64][]execution // of requests that are not idempotent, by request ID
 	executionOrder []uint64               // the IDs, in the order of their first executions
 }
 
-// request is a client's try at a gateway.
+// request is what a client sends to a gateway: one try of a call. The gateway makes attempts of it at backends.
 type request struct {
 	call         call
-	try          uint8
+	tryNumber    uint8
 	usageCounted bool    // whether its cost was added to its customer's usage
 	backends     []int32 // backends of the attempts, by attempt number; -1 means no such attempt
 }
 
-// execution is one execution of a request: its time, and the cell and zone of its backend.
+// execution is one execution of a request: its time, and the cell (deployment unit) and zone of its backend.
 type execution struct {
 	at         time.Duration
 	cell, zone int32
@@ -61,8 +64,8 @@
 // now returns the time on the gateway's clock.
 func (g *gateway) now() time.Duration { return clockStart + g.shard.now }
 
-// boot starts a process without state, except the endpoints.
-func (g *gateway) boot(endpoints []decision.Endpoint) error {
+// startProcess starts a process without state, except the endpoints.
+func (g *gateway) startProcess(endpoints []decision.Endpoint) error {
 	settings := g.region.config.Settings
 	settings.GatewayIndex = int(g.number)
 	seed := eventqueue.Mix(g.region.seed ^ uint64(g.number)<<20 ^ uint64(g.epoch))
@@ -70,6 +73,7 @@
 	if err != nil {
 		return err
 	}
+	// Each try has its own request ID, so no repeats arrive that would need a longer retention.
 	limits := lifecycle.Limits{MaxOpenRequests: maxOpenRequests, IDRetention: settings.LongestDeadline()}
 	g.machine = lifecycle.New(engine, settings.Classes, limits, g.now())
 	g.up, g.wakeAt = true, 0
@@ -85,8 +89,9 @@
 	return nil
 }
 
-// stop ends the process. Its clients lose their connections, and its attempts are cancelled.
-func (g *gateway) stop() {
+// killProcess ends the process. Its clients lose their connections, and backends see those of its attempts
+// close, which cancels the attempts.
+func (g *gateway) killProcess() {
 	if !g.up {
 		return
 	}
@@ -102,10 +107,10 @@
 	clear(g.requests)
 }
 
-// restart starts a process, unless one is running.
-func (g *gateway) restart() {
+// startProcessIfDown starts a process, unless one is running.
+func (g *gateway) startProcessIfDown() {
 	if !g.up {
-		_ = g.boot(g.endpoints) // the settings were valid at the first boot
+		_ = g.startProcess(g.endpoints) // the settings were valid at the first start
 	}
 }
 
@@ -129,7 +134,7 @@
 
 // onRequest handles a client's try.
 func (g *gateway) onRequest(m *message) {
-	request := &request{call: m.call, try: m.tryNumber}
+	request := &request{call: m.call, tryNumber: m.tryNumber}
 	if !g.up {
 		g.finishTry(request, lifecycle.Aborted, 0)
 		return
@@ -191,10 +196,11 @@
 	g.applyEffects(g.machine.AttemptEnded(g.now(), id, int(m.attempt), outcome))
 }
 
-// applyEffects applies effects of the lifecycle machine. A cancelled attempt is reported to the
-// machine as ended at once, which can cause further effects and cancellations.
+// applyEffects applies effects of the lifecycle machine, and the cancellations among them. A cancelled
+// attempt is reported to the machine as ended at once, which can cause further effects and
+// cancellations.
 func (g *gateway) applyEffects(effects []lifecycle.Effect) {
-	g.applyEach(effects)
+	g.applyWithoutCancellations(effects)
 	for len(g.cancellations) > 0 {
 		cancelled := g.cancellations[0]
 		g.cancellations = g.cancellations[1:]
@@ -203,12 +209,13 @@
 			outcome.Result = decision.TimedOut
 		}
 		g.cancelAttempt(cancelled.id, cancelled.attempt, cancelled.request.backends[cancelled.attempt])
-		g.applyEach(g.machine.AttemptEnded(g.now(), cancelled.id, cancelled.attempt, outcome))
+		g.applyWithoutCancellations(g.machine.AttemptEnded(g.now(), cancelled.id, cancelled.attempt, outcome))
 	}
 	g.scheduleTimer()
 }
 
-func (g *gateway) applyEach(effects []lifecycle.Effect) {
+// applyWithoutCancellations applies effects, but only adds the attempts to be cancelled to cancellations.
+func (g *gateway) applyWithoutCancellations(effects []lifecycle.Effect) {
 	for i := range effects {
 		effect := &effects[i]
 		request, _ := effect.Tag.(*request)
@@ -273,14 +280,14 @@
 	})
 }
 
-// onExecution records that a backend has started to execute a request that is not idempotent. A
-// further execution repeats the effect, unless it is deduplicated by an idempotency key.
+// onExecution records that a backend has started to execute a request that is not idempotent. A further
+// execution counts as a repeated effect, unless idempotency keys deduplicate it against each earlier one.
 func (g *gateway) onExecution(m *message) {
 	backend := g.region.backends[m.backend]
 	class := &g.region.config.Settings.Classes[m.call.class]
-	now := execution{m.at, backend.cell, backend.zone}
+	latest := execution{m.at, backend.cell, backend.zone}
 	repeated := slices.ContainsFunc(g.executions[m.requestID], func(earlier execution) bool {
-		return !deduplicated(class, earlier, now)
+		return !deduplicated(class, earlier, latest)
 	})
 	if repeated && g.region.isCounted(&m.call) {
 		g.shard.counts.RepeatedEffects++
@@ -288,21 +295,21 @@
 	if g.executions[m.requestID] == nil {
 		g.executionOrder = append(g.executionOrder, m.requestID)
 	}
-	g.executions[m.requestID] = append(g.executions[m.requestID], now)
+	g.executions[m.requestID] = append(g.executions[m.requestID], latest)
 	g.forgetExecutions()
 }
 
-// deduplicated reports whether an execution has no effect because its backend deduplicates by
-// idempotency key and shares the keys with the backend of an earlier execution.
-func deduplicated(class *decision.Class, earlier, now execution) bool {
-	if class.Idempotency != decision.IdempotentByKey || now.at-earlier.at >= class.DedupWindow {
+// deduplicated reports whether the latest execution has no effect because its backend deduplicates by
+// idempotency key and shares the keys with the backend of the given earlier execution.
+func deduplicated(class *decision.Class, earlier, latest execution) bool {
+	if class.Idempotency != decision.IdempotentByKey || latest.at-earlier.at >= class.DedupWindow {
 		return false
 	}
 	switch class.DedupScope {
 	case decision.DedupScopeZone:
-		return earlier.zone == now.zone
+		return earlier.zone == latest.zone
 	case decision.DedupScopeCell:
-		return earlier.cell == now.cell
+		return earlier.cell == latest.cell
 	default:
 		return true
 	}
--- a/internal/emulator/region.go
+++ b/internal/emulator/region.go
@@ -115,7 +115,7 @@
 	}
 	for number := range r.config.Gateways {
 		g := &gateway{region: r, number: int32(number), shard: r.shards[number%len(r.shards)]}
-		if err := g.boot(endpoints); err != nil {
+		if err := g.startProcess(endpoints); err != nil {
 			return err
 		}
 		r.gateways = append(r.gateways, g)
--- a/internal/journal/operations.go
+++ b/internal/journal/operations.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxSpareBytes     = 256 << 10 // a larger buffer is not kept for a later group
+	maxSpareBytes     = 256 << 10 // a larger buffer is not kept for a later frame
 	maxRetryDoublings = 10        // of Options.RetryDelay, within maxRetryDelay
 )
 
@@ -62,7 +62,7 @@
 		if l.active.size > headerLen && l.active.size+int64(len(l.pending)) > l.options.SegmentBytes {
 			return l.beginSegment()
 		}
-		l.pendingSlots.moveAll(&l.writingSlots)
+		l.pendingSlots.moveAllTo(&l.writingSlots)
 		l.writingSeq = l.lastSeq
 		return l.writePending()
 	case l.closing: // the final empty frame records that everything before it was synced
@@ -150,7 +150,7 @@
 		l.unsyncedSince = now
 	}
 	g.size += int64(len(op.Data))
-	l.writingSlots.moveAll(g)
+	l.writingSlots.moveAllTo(g)
 	l.writtenSeq = max(l.writtenSeq, l.writingSeq)
 	if l.options.SyncInterval > 0 {
 		l.durableSeq, l.consecutiveFailures = l.writtenSeq, 0
@@ -161,7 +161,7 @@
 }
 
 func (l *Log[T]) removeDone() {
-	l.dirUnsynced, l.barrierSet = true, false
+	l.dirUnsynced, l.removableAfterSet = true, false
 	if len(l.orphans) > 0 {
 		l.orphans = l.orphans[1:]
 	} else {
@@ -198,18 +198,18 @@
 	if n := len(l.segments); n > 0 && !l.segments[n-1].syncFailed {
 		g := l.segments[n-1]
 		g.syncFailed = true
-		g.moveFrom(&l.unwritten, l.syncedSeq+1)
+		g.moveTailTo(&l.toRewrite, l.syncedSeq+1)
 	}
 	if beginningSegment && l.segmentOps[0].Segment != l.lastSegment {
 		l.lastSegment-- // its file was not created
 	} else if beginningSegment {
 		l.orphans = append(l.orphans, l.lastSegment)
 	}
-	l.writingSlots.moveAll(&l.unwritten)
-	l.pendingSlots.moveAll(&l.unwritten)
+	l.writingSlots.moveAllTo(&l.toRewrite)
+	l.pendingSlots.moveAllTo(&l.toRewrite)
 	l.pending, l.segmentOps, l.active = nil, nil, nil
 	l.writtenSeq, l.lostSeq = l.syncedSeq, l.lastSeq
-	l.failed, l.barrierSet = true, false
+	l.failed, l.removableAfterSet = true, false
 	l.consecutiveFailures++
 	retry := backoff.Exponential{Initial: l.options.RetryDelay, Max: maxRetryDelay}
 	l.retryAt = now + retry.Delay(min(l.consecutiveFailures-1, maxRetryDoublings))
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -49,9 +49,10 @@
 	l.dropEmptySegments()
 	l.findOrphans(segments)
 	// Records beyond the part of a segment that is known to be synced may exist only in the page cache,
-	// and a sync that succeeds now proves nothing if an earlier one failed: they are appended again.
+	// and a sync that succeeds now proves nothing if an earlier one failed: they are appended again. Here
+	// positions of slots are offsets in the file.
 	for _, g := range l.segments {
-		g.moveFrom(&l.unwritten, uint64(g.synced))
+		g.moveTailTo(&l.toRewrite, uint64(g.synced))
 	}
 	return l, nil
 }
@@ -102,7 +103,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: segment %d: %w", h.number, err)
 	}
-	g := &segment[T]{number: h.number, syncFailed: true} // an earlier process may have had a failed sync
+	g := &segment[T]{number: h.number, syncFailed: true} // assumed: an earlier process may have had a failed sync
 	g.size, g.synced, err = scanFrames(b, h, minSynced, func(offset int64, payload []byte) error {
 		return forEachRecord(payload, func(record []byte) error {
 			s, err := restore(record)
@@ -119,9 +120,9 @@
 }
 
 // segmentChain returns the headers of the segments that are part of the log, the oldest first: the
-// newest segment with a header, and those that are reached through the previous fields. A segment that
-// was abandoned before a frame was written to it is not reached, as the next one refers to the segment
-// before it.
+// newest segment with a header, and those that are reached from it through the field previous of the
+// headers. A segment that was abandoned before a frame was written to it is not reached, as the next
+// one refers to the segment before it.
 func segmentChain(segments []uint64, headers map[uint64]segmentHeader) ([]segmentHeader, error) {
 	var chain []segmentHeader
 	for _, n := range slices.Backward(segments) {
@@ -151,14 +152,14 @@
 	return chain, checkLogID(chain)
 }
 
-// checkChainStart returns an error if the missing segment that the oldest one refers to was lost and
-// not removed by the log. The log removes segments in order, so no older one may exist.
+// checkChainStart returns an error if the log itself has not removed the missing segment that the oldest
+// one refers to. The log removes segments in order, so no older one may exist.
 func checkChainStart(missing uint64, segments []uint64, headers map[uint64]segmentHeader) error {
 	if slices.Contains(segments, missing) {
 		return &CorruptError{missing, 0, "invalid header, although the segment was in use"}
 	}
 	for _, n := range segments {
-		if n < missing && headers[n].number == n {
+		if n < missing && headers[n].number == n { // n has a valid header
 			return &CorruptError{missing, 0, fmt.Sprintf("segment is missing, although the older segment %d exists", n)}
 		}
 	}
--- a/internal/journal/slot.go
+++ b/internal/journal/slot.go
@@ -9,7 +9,7 @@
 	Value      T // for the caller's use
 	segment    *segment[T]
 	size       int64
-	seq        uint64 // number of its record; after Recover, offset of the record's frame
+	position   uint64 // of its record in the segment's list, see segment.add
 	prev, next *Slot[T]
 }
 
@@ -27,16 +27,18 @@
 // segment is one file, with a list of the slots whose live records are in it, in the order of the
 // records.
 type segment[T any] struct {
-	number      uint64 // 0: a list of slots whose records are in no file
+	number      uint64 // 0: only a list of slots whose records are in no file
 	size        int64
 	synced      int64
-	syncFailed  bool // a later sync that succeeds proves nothing
+	syncFailed  bool // a sync has failed, or may have in an earlier process: a later one that succeeds proves nothing
 	liveBytes   int64
 	first, last *Slot[T]
 }
 
-func (g *segment[T]) add(s *Slot[T], size int64, seq uint64) {
-	s.segment, s.size, s.seq, s.prev = g, size, seq, g.last
+// add appends a slot to the list. position is the record's number or, for a record that Recover has read,
+// the offset of its frame; 0 in Log.toRewrite, which moveTailTo is not called on.
+func (g *segment[T]) add(s *Slot[T], size int64, position uint64) {
+	s.segment, s.size, s.position, s.prev = g, size, position, g.last
 	if g.last != nil {
 		g.last.next = s
 	} else {
@@ -61,18 +63,19 @@
 	s.segment, s.prev, s.next = nil, nil, nil
 }
 
-// moveAll moves all slots to another segment, in their order.
-func (g *segment[T]) moveAll(to *segment[T]) {
+// moveAllTo moves all slots to another segment, in their order.
+func (g *segment[T]) moveAllTo(to *segment[T]) {
 	for s := g.first; s != nil; s = g.first {
-		size, seq := s.size, s.seq
+		size, position := s.size, s.position
 		g.remove(s)
-		to.add(s, size, seq)
+		to.add(s, size, position)
 	}
 }
 
-// moveFrom moves the slots with numbers from seq on to an unordered segment, and clears their numbers.
-func (g *segment[T]) moveFrom(to *segment[T], seq uint64) {
-	for s := g.last; s != nil && s.seq >= seq; s = g.last {
+// moveTailTo moves the slots from position on to another list, in no particular order, and clears their
+// positions.
+func (g *segment[T]) moveTailTo(to *segment[T], position uint64) {
+	for s := g.last; s != nil && s.position >= position; s = g.last {
 		size := s.size
 		g.remove(s)
 		to.add(s, size, 0)
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -25,33 +25,34 @@
 	ErrDifferentExperiments = errors.New("results of different experiments")
 )
 
-// CompareLevels compares levels of a factor of one experiment with the level baseline: the level other, or all other
-// levels if other is empty. An empty baseline means the factor's first level.
+// CompareLevels compares a level of a factor of one experiment with the level baseline. An empty level means each one
+// but the baseline, and an empty baseline the factor's first level.
 func CompareLevels(
-	r *Results, factor, baseline, other string, figures []string, options paired.Options,
+	r *Results, factor, baseline, level string, figures []string, options paired.Options,
 ) ([]Comparison, error) {
-	i := slices.IndexFunc(r.Factors, func(f Factor) bool { return f.Name == factor })
-	if i < 0 {
+	factorIndex := slices.IndexFunc(r.Factors, func(f Factor) bool { return f.Name == factor })
+	if factorIndex < 0 {
 		return nil, fmt.Errorf("%w: no factor %q", ErrUnknownLevel, factor)
 	}
-	levels := r.Factors[i].Levels
+	levels := r.Factors[factorIndex].Levels
 	has := func(name string) bool {
 		return slices.ContainsFunc(levels, func(l Level) bool { return l.Name == name })
 	}
 	if baseline == "" && len(levels) > 0 {
 		baseline = levels[0].Name
 	}
-	if !has(baseline) || other != "" && !has(other) {
-		return nil, fmt.Errorf("%w: factor %q has no level %q or no level %q", ErrUnknownLevel, factor, baseline, other)
+	if !has(baseline) || level != "" && !has(level) {
+		return nil, fmt.Errorf("%w: factor %q lacks the baseline %q or the level %q (empty: any)",
+			ErrUnknownLevel, factor, baseline, level)
 	}
 	var out []Comparison
 	for _, l := range levels {
-		if l.Name == baseline || other != "" && l.Name != other {
+		if l.Name == baseline || level != "" && l.Name != level {
 			continue
 		}
-		a := selectRows(r.Rows, func(c []string) bool { return c[i] == baseline }, i)
-		b := selectRows(r.Rows, func(c []string) bool { return c[i] == l.Name }, i)
-		out = append(out, compare(r.Experiment, i, a, b, baseline, l.Name, figures, options)...)
+		a := selectRows(r.Rows, func(c []string) bool { return c[factorIndex] == baseline }, factorIndex)
+		b := selectRows(r.Rows, func(c []string) bool { return c[factorIndex] == l.Name }, factorIndex)
+		out = append(out, compare(r.Experiment, factorIndex, a, b, baseline, l.Name, figures, options)...)
 	}
 	return out, nil
 }
@@ -75,33 +76,35 @@
 	repetition int
 }
 
-// cellLabel returns a cell's levels as a text, without the level of the factor with index omit; -1 omits none.
-func cellLabel(cell []string, omit int) string {
+// cellLabel returns a cell's levels as a text, without the level of the factor with index omitFactor; -1 omits none.
+func cellLabel(cell []string, omitFactor int) string {
 	rest := slices.Clone(cell)
-	if omit >= 0 {
-		rest = slices.Delete(rest, omit, omit+1)
+	if omitFactor >= 0 {
+		rest = slices.Delete(rest, omitFactor, omitFactor+1)
 	}
 	return strings.Join(rest, " / ")
 }
 
-// selectRows returns the rows of the cells that include accepts. Their keys omit the factor with index omit.
-func selectRows(rows []*Row, include func(cell []string) bool, omit int) map[pairKey]*Row {
+// selectRows returns the rows of the cells for which include returns true. Their keys omit the factor with index
+// omitFactor; -1 omits none.
+func selectRows(rows []*Row, include func(cell []string) bool, omitFactor int) map[pairKey]*Row {
 	out := map[pairKey]*Row{}
 	for _, r := range rows {
 		if include(r.Cell) {
-			out[pairKey{cellLabel(r.Cell, omit), r.Repetition}] = r
+			out[pairKey{cellLabel(r.Cell, omitFactor), r.Repetition}] = r
 		}
 	}
 	return out
 }
 
-// compare compares the rows of two sides for all figures, in each combination of levels of the factors except omit.
+// compare compares the rows of two sides for all figures, in each combination of levels of the factors except the one
+// with index omitFactor; -1 omits none.
 func compare(
-	e *Experiment, omit int, a, b map[pairKey]*Row, nameA, nameB string, figures []string, options paired.Options,
+	e *Experiment, omitFactor int, a, b map[pairKey]*Row, nameA, nameB string, figures []string, options paired.Options,
 ) (out []Comparison) {
 	var labels []string
 	for _, c := range e.Cells {
-		if label := cellLabel(c.Levels, omit); !slices.Contains(labels, label) {
+		if label := cellLabel(c.Levels, omitFactor); !slices.Contains(labels, label) {
 			labels = append(labels, label)
 		}
 	}
@@ -147,7 +150,7 @@
 	case c.Result.Verdict != paired.Inconclusive:
 	case c.Result.MorePairs > 0:
 		v += fmt.Sprintf("; about %d more pairs needed", c.Result.MorePairs)
-	case c.Result.MorePairs < 0:
+	case c.Result.MorePairs < 0: // more than package paired computes
 		v += "; more than 100,000 pairs needed"
 	}
 	return v
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -2,6 +2,10 @@
 // (internal/emulator), several at once, stores the result of each run, compares the levels of a factor by paired runs
 // (internal/paired), and writes reports with plots.
 //
+// A factor is a parameter that differs between runs, and a level is one of its values. A cell is a combination of one
+// level of each factor, not a cell of backends. Each cell has several runs, the repetitions, which differ in their
+// seed. A row is the stored result of one run, and a figure one of the numbers in it.
+//
 // Results are files in a directory that the caller chooses. Only one Run at a time may write there. The result of a run
 // depends only on its cell and seed.
 package lab
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -34,15 +34,16 @@
 	FirstFailure string // reason of the first run that failed
 	Means        []float64
 	StdDevs      []float64 // standard deviations; NaN for a single run
-	OutOfRange   int
+	OutOfRange   int       // latencies above the histogram's range, which are not in it
 	latency      *hdrhistogram.Histogram
 	seconds      []secondMeans
 }
 
-// secondMeans are means over the runs for one emulated second.
+// secondMeans are means over the successful runs for one emulated second. A run that has no such second or was offered
+// nothing in it counts as 0.
 type secondMeans struct {
 	offered                 bool    // whether calls were offered in any run
-	weightServed, notServed float64 // shares of what was offered
+	weightServed, notServed float64 // shares of the weight and of the number of the calls offered
 }
 
 // report is the content of a report. The template uses its exported fields.
@@ -50,7 +51,7 @@
 	*Experiment
 	Rows, Failed int
 	Builds       []string
-	Damaged      []error
+	Damaged      []error // one for each damaged result file, which is not included
 	Factor       string
 	Sections     []section
 	Figures      []*Figure
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// summarizeLevel summarizes the runs of the cells that include accepts.
+// summarizeLevel summarizes the runs of the cells for which include returns true.
 func summarizeLevel(
 	r *Results, figures []*Figure, name string, include func(cell []string) bool,
 ) (levelSummary, error) {
@@ -275,7 +276,8 @@
 // markdownCell escapes a text for a cell of a Markdown table.
 func markdownCell(text string) string { return strings.ReplaceAll(text, "|", "\\|") }
 
-// writeLevels writes the table of the levels' figures, and notes on failed runs and latencies that aren't in it.
+// writeLevels writes the table of the levels' figures, and notes on failed runs and on latencies that are not in the
+// quantiles.
 func (s *section) writeLevels(b *bytes.Buffer, by string, figures []*Figure) {
 	fmt.Fprintf(b, "\n| %s | runs |", markdownCell(by))
 	for _, f := range figures {
--- a/internal/sim/catalogwatch.go
+++ b/internal/sim/catalogwatch.go
@@ -151,7 +151,7 @@
 	case !verdict.Full:
 		return // the health query reports the partial response, and the catalog has not changed
 	default:
-		w.catalog.UpdateServices(nodeNames(entries))
+		w.catalog.UpdateFromCatalogAPI(nodeNames(entries))
 	}
 	w.report(verdict.IndexReset)
 	if kind == healthQuery && !verdict.Full {
@@ -167,7 +167,7 @@
 	switch {
 	case kind == healthQuery:
 		g.onUpdate(catalogSource, membership.Update{Err: err})
-	case w.catalog.ServicesFailed():
+	case w.catalog.RecordCatalogAPIFailure():
 		w.report(false)
 	}
 }
@@ -176,10 +176,10 @@
 // both queries have had a response.
 func (w *catalogWatch) report(reset bool) {
 	g := w.gateway
-	if update := w.catalog.UnlistedDrains(); len(update.Nodes) > 0 {
+	if update := w.catalog.TakeUnlistedDrains(); len(update.Nodes) > 0 {
 		g.onUpdate(catalogSource, update)
 	}
-	if update, ok := w.catalog.Update(wallTime(g.world.now)); ok {
+	if update, ok := w.catalog.TakeUpdate(wallTime(g.world.now)); ok {
 		update.SourceReset = reset
 		g.onUpdate(catalogSource, update)
 	}
--- a/internal/sim/consulagent.go
+++ b/internal/sim/consulagent.go
@@ -13,8 +13,8 @@
 type queryKind int
 
 const (
-	healthQuery   queryKind = iota // instances with their health checks
-	servicesQuery                  // registered instances, without health checks
+	healthQuery  queryKind = iota // instances with their health checks
+	catalogQuery                  // registered instances, without health checks
 	queryKindCount
 )
 
--- a/internal/sim/gateway.go
+++ b/internal/sim/gateway.go
@@ -45,7 +45,7 @@
 	openConns   int
 	dialCount   uint64
 	dedup       *idempotency.Store                   // nil: it does not deduplicate requests
-	leaderByKey map[idempotency.Entry]*clientRequest // the request that is executed for all requests with its key
+	leaderByKey map[idempotency.Entry]*clientRequest // the leader: the request that is executed for all with its key
 }
 
 // deferredEvent is an event that arrived at a paused process.
--- a/internal/sim/gatewayrequests.go
+++ b/internal/sim/gatewayrequests.go
@@ -163,9 +163,9 @@
 }
 
 // syncSources brings the endpoint sources up to date after a pause, and then reports SourcesSynced:
-// discovery is in sync once all updates that have arrived are handled, the catalog after a new query.
+// discovery is in sync once all updates that have arrived are handled, the Consul source after a new query.
 // After the lifecycle machine's SyncTimeout it reports SourcesSynced in any case, like the executor of
-// a real gateway.
+// a real gateway; the machine ignores a second report of the same SyncID.
 func (g *gateway) syncSources(effect lifecycle.Effect) {
 	g.world.tracef("door %d stood still for %v", g.number, effect.PausedFor)
 	epoch, pending := g.epoch, 1
@@ -227,8 +227,8 @@
 	return false
 }
 
-// checkReplay checks that a key is answered with the recorded response by every process, if that
-// response was written to the journal.
+// checkReplay checks that a key is answered with the recorded response by the gateway's process and all
+// later ones, if that response was written to the journal.
 func (g *gateway) checkReplay(request *clientRequest, result *idempotency.Decision) {
 	body, known := g.journal.mustReplay[request.dedupIdentity()]
 	if !known || !g.runner.config.deduplicatesAllKeys() || g.journal.log == nil {
@@ -240,14 +240,15 @@
 	}
 }
 
-// isKeyLeader reports whether a request is executed on behalf of all requests that wait for its key,
-// even if its own client has disconnected.
+// isKeyLeader reports whether a request is the leader of its key: it is executed on behalf of all requests
+// that wait for the key, even if its own client has disconnected.
 func (g *gateway) isKeyLeader(request *clientRequest) bool {
 	return request.ticket != nil && g.leaderByKey[request.ticket.Entry()] == request
 }
 
-// completeKey answers all requests that wait for the key of a request that has ended. It does nothing
-// and returns false if the request is not a key leader.
+// completeKey answers all requests that wait for the key of a request that has ended: a successful one
+// only once its response is written to the journal, if there is one. It does nothing and returns false if
+// the request is not a key leader.
 func (g *gateway) completeKey(request *clientRequest, outcome idempotency.Outcome, verdict string) bool {
 	if !g.isKeyLeader(request) {
 		return false
@@ -268,8 +269,8 @@
 	return true
 }
 
-// answerWaiters answers requests that waited for a key. verdict is that of the key leader; it applies
-// to completions without a response of their own.
+// answerWaiters answers requests that waited for a key. verdict applies to completions that have neither a
+// response nor a passed deadline: it is that of the key leader if that has ended, else verdictLate.
 func (g *gateway) answerWaiters(completions []idempotency.Completion, verdict string) {
 	for _, completion := range slices.Clone(completions) {
 		request := completion.Tag.(*clientRequest)
--- a/internal/sim/requestrules.go
+++ b/internal/sim/requestrules.go
@@ -197,8 +197,8 @@
 	if c.runner.config.journalsKeys && !c.volatileKeys[request.key] {
 		id.epoch = 0
 	}
-	c.effectsPerProcess[id]++
-	if n := c.effectsPerProcess[id]; n > 1 {
+	c.effectsPerDedupScope[id]++
+	if n := c.effectsPerDedupScope[id]; n > 1 {
 		c.world.violatef(ruleSingleEffect, "the key of request %d has had its effect %d times",
 			request.number, n)
 	}
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -7,19 +7,20 @@
 	"pumicecroft/membership"
 )
 
-// Parameters of the platform (BRIEF 8, PROTOCOL).
+// Parameters of the platform: its drain grace, the slow start of backends, and the hard limit of a plan.
 const (
 	defaultDrainGrace      = 2 * time.Second
 	slowStartMinCapacity   = 0.2 // share of a backend's full capacity at its start
 	slowStartWindow        = 14 * time.Second
-	platformOverloadFactor = 4.0 // multiple of its current capacity that overloads a backend during its warm-up
-	hardLimitRate          = 20.0
-	hardLimitBurst         = 30.0
-	hardLimitOverdraft     = 3.0
-	flagshipCustomer       = 0 // the customer whose plan has a hard limit
+	platformOverloadFactor = 4.0  // multiple of its current capacity that overloads a backend during its warm-up
+	hardLimitRate          = 20.0 // quota units a second
+	hardLimitBurst         = 30.0 // quota units
+	hardLimitOverdraft     = 3.0  // quota units by which the tokens may be negative
+	flagshipCustomer       = 0    // the customer whose plan has a hard limit
 )
 
-// Names of the rules. The corpus and the mutants refer to rules by these texts.
+// Names of the rules. The recorded runs in testdata/corpus.toml and the planted bugs in testdata/mutants.toml refer
+// to rules by these texts.
 const (
 	ruleOneFinalAnswer      = "one final answer"
 	ruleAnswerInTime        = "answers in time"
@@ -57,27 +58,28 @@
 const (
 	// disconnectTolerance is how long after its client's disconnect a request may still be sent.
 	disconnectTolerance = 300 * time.Millisecond
-	// sendTolerance is added to the drain grace when an attempt's first byte is sent, which is later
-	// than the decision to send it.
+	// sendTolerance is added to the drain grace in the check of an attempt's first byte, which is sent
+	// later than the decision to send it.
 	sendTolerance = 50 * time.Millisecond
 	// listedTolerance is how long after a backend was listed again a gateway may still remove it.
 	listedTolerance = 5 * time.Second
 )
 
-// checker checks the rules during a run: the platform's five, and that no request is lost and no
-// resource leaks.
+// checker checks the rules during a run, see their names above: the platform's, and that no request is lost
+// and no resource leaks.
 type checker struct {
 	world      *world
 	runner     *runner
 	unanswered []*clientRequest // received by a gateway, without a final answer
 	hardLimit  tokenBucket      // of the flagship customer, across all gateways
 
-	effectsByID       map[effectID]int
-	effectsByKey      map[uint64]int   // for keys whose client only retries after a rejection
-	effectsPerProcess map[effectID]int // of each key, per process or, with a journal, per gateway
-	volatileKeys      map[uint64]bool  // keys executed without a durable record, which is allowed
+	effectsByID          map[effectID]int
+	effectsByKey         map[uint64]int   // for keys whose client only retries after a rejection
+	effectsPerDedupScope map[effectID]int // of each key, per process that deduplicates it or, with a journal, per gateway
+	volatileKeys         map[uint64]bool  // keys executed without a durable record, which is allowed
 
-	served, rejected, failed, lostWithGateway int // numbers of requests by outcome
+	// Numbers of requests by outcome. Those lostWithGateway had no answer when their gateway was killed.
+	served, rejected, failed, lostWithGateway int
 	attemptsStarted, attemptsSent             int
 }
 
@@ -106,8 +108,9 @@
 }
 
 // rejectionImpliesNotExecuted reports whether a rejection of this request promises that it was not
-// executed and never will be: clients retry it, and the retry may reach a backend that does not know
-// its key.
+// executed and never will be. It does so for requests that are not idempotent and that not all
+// backends deduplicate by key: clients retry them after a rejection, and the retry may reach a backend
+// that does not know the key.
 func (c *checker) rejectionImpliesNotExecuted(request *clientRequest) bool {
 	return request.class == "once" || request.class == "pay" && c.runner.config.dedupScope != decision.DedupScopeAll
 }
@@ -133,7 +136,7 @@
 }
 
 // onBackendRemoved checks that a backend that a gateway's membership table removes is no longer listed
-// by the sources, or was listed again only recently.
+// by the sources, or was listed again only recently. One with listedAt 0 has been listed all along.
 func (c *checker) onBackendRemoved(g *gateway, name string) {
 	b := c.runner.backendsByName[name]
 	if !b.listed {
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -75,7 +75,7 @@
 	}
 	r.check = checker{
 		world: r.world, runner: r,
-		effectsByID: map[effectID]int{}, effectsByKey: map[uint64]int{}, effectsPerProcess: map[effectID]int{},
+		effectsByID: map[effectID]int{}, effectsByKey: map[uint64]int{}, effectsPerDedupScope: map[effectID]int{},
 		volatileKeys: map[uint64]bool{},
 	}
 	r.agent = newAgent(r)
