--- a/consul/fixture_test.go
+++ b/consul/fixture_test.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// startLoad starts clients that send requests of a class, each with a pause after a response. The clients are
-// spread over the gateways.
+// startLoad starts clients that send requests of a class of hosttest.Config, each with a pause after a response.
+// The clients are spread over the gateways. Requests of all classes but the idempotent "look" have a key.
 func (f *fixture) startLoad(clients int, class string, pause time.Duration,
 	gateways ...*pumicecroft.Gateway) *loadGenerator {
 	l := &loadGenerator{completed: make([]atomic.Int64, clients)}
--- a/consul/query.go
+++ b/consul/query.go
@@ -25,17 +25,17 @@
 // responseGrace is the extra time for a response that has begun to arrive when its query times out.
 const responseGrace = time.Second
 
-// queryFunc sends one query. It returns the head of the response, and a function that applies the entries
-// according to the verdict on that head.
+// queryFunc sends one query. It returns the metadata of the response, and a function that applies its entries
+// according to the verdict on the metadata.
 type queryFunc func(*api.QueryOptions) (blockingquery.Response, func(blockingquery.Verdict), error)
 
-// runQueryLoop repeats a blocking query until ctx ends. number identifies the query within its watch and
-// varies the seed of its retry delays. failed is called with each failure.
-func (w *Watch) runQueryLoop(ctx context.Context, number uint64, query queryFunc, failed func(error)) {
+// runQueryLoop repeats a blocking query until ctx ends. seedOffset is added to the seed of its retry delays.
+// failed is called with each failure.
+func (w *Watch) runQueryLoop(ctx context.Context, seedOffset uint64, query queryFunc, failed func(error)) {
 	start := time.Now()
 	config := w.client.config
 	policy := blockingquery.Policy{Wait: config.Wait, MaxStale: config.MaxStale, RetryMax: config.RetryMax}
-	loop := blockingquery.New(policy, config.Seed+number)
+	loop := blockingquery.New(policy, config.Seed+seedOffset)
 	state := &queryState{wake: make(chan struct{}, 1)}
 	w.addQuery(state)
 	defer w.removeQuery(state)
--- a/consul/watch.go
+++ b/consul/watch.go
@@ -31,7 +31,8 @@
 // Service returns a Watch of a service's instances.
 func (c *Client) Service(s Service) *Watch { return &Watch{client: c, service: s} }
 
-// SourceInfo returns the name of the source. All watches of one service have the same name.
+// SourceInfo returns the name of the source. All watches of one service have the same name and thus
+// count as one source of a gateway.
 func (w *Watch) SourceInfo() membership.SourceInfo {
 	return membership.SourceInfo{Name: "consul:" + w.service.Name}
 }
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -53,7 +53,7 @@
 	cell, zone int32
 }
 
-// cancellation is an attempt that the lifecycle machine has cancelled.
+// cancellation is an attempt that the lifecycle machine has cancelled and that is not reported as ended yet.
 type cancellation struct {
 	request  *request
 	id       decision.RequestID
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -21,7 +21,7 @@
 
 // Errors of comparisons.
 var (
-	ErrUnknownLevel         = errors.New("unknown factor or level")
+	ErrUnknownFactorOrLevel = errors.New("unknown factor or level")
 	ErrDifferentExperiments = errors.New("results of different experiments")
 )
 
@@ -32,7 +32,7 @@
 ) ([]Comparison, error) {
 	factorIndex := slices.IndexFunc(r.Factors, func(f Factor) bool { return f.Name == factor })
 	if factorIndex < 0 {
-		return nil, fmt.Errorf("%w: no factor %q", ErrUnknownLevel, factor)
+		return nil, fmt.Errorf("%w: no factor %q", ErrUnknownFactorOrLevel, factor)
 	}
 	levels := r.Factors[factorIndex].Levels
 	has := func(name string) bool {
@@ -43,7 +43,7 @@
 	}
 	if !has(baseline) || level != "" && !has(level) {
 		return nil, fmt.Errorf("%w: factor %q lacks the baseline %q or the level %q (empty: any)",
-			ErrUnknownLevel, factor, baseline, level)
+			ErrUnknownFactorOrLevel, factor, baseline, level)
 	}
 	var out []Comparison
 	for _, l := range levels {
@@ -150,7 +150,7 @@
 	case c.Result.Verdict != paired.Inconclusive:
 	case c.Result.MorePairs > 0:
 		v += fmt.Sprintf("; about %d more pairs needed", c.Result.MorePairs)
-	case c.Result.MorePairs < 0: // more than package paired computes
+	case c.Result.MorePairs < 0: // more than maxPairs of package paired
 		v += "; more than 100,000 pairs needed"
 	}
 	return v
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -124,8 +124,10 @@
 			t.Errorf("%s compared with %s in %s: got %q, %+v, want %q", c.B, c.A, c.Figure.Name, c.Verdict(), c.Result, want)
 		}
 	}
-	if _, err := CompareLevels(r, "service", "x", "", r.Figures, paired.Options{}); !errors.Is(err, ErrUnknownLevel) {
-		t.Errorf("unknown baseline: got error %v, want %v", err, ErrUnknownLevel)
+	if _, err := CompareLevels(
+		r, "service", "x", "", r.Figures, paired.Options{},
+	); !errors.Is(err, ErrUnknownFactorOrLevel) {
+		t.Errorf("unknown baseline: got error %v, want %v", err, ErrUnknownFactorOrLevel)
 	}
 	comparisons, err = CompareResults(r, r, "a", "b", r.Figures, paired.Options{})
 	if err != nil || len(comparisons) != 9 || comparisons[0].Result.Verdict != paired.Same {
--- a/internal/lab/plots.go
+++ b/internal/lab/plots.go
@@ -272,7 +272,7 @@
 		return nil, err
 	}
 	if len(plots) == 0 {
-		return nil, fmt.Errorf("%w: a plot requires a factor with at least two levels", ErrUnknownLevel)
+		return nil, fmt.Errorf("%w: a plot requires a factor with at least two levels", ErrUnknownFactorOrLevel)
 	}
 	return []byte(plots[0]), nil
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -71,7 +71,7 @@
 			by = r.Factors[0].Name
 		}
 		if factor = slices.IndexFunc(r.Factors, func(f Factor) bool { return f.Name == by }); factor < 0 {
-			return nil, fmt.Errorf("%w: no factor %q", ErrUnknownLevel, by)
+			return nil, fmt.Errorf("%w: no factor %q", ErrUnknownFactorOrLevel, by)
 		}
 	}
 	out.Factor = by
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -74,7 +74,7 @@
 	hardLimit  tokenBucket      // of the flagship customer, across all gateways
 
 	effectsByID          map[effectID]int
-	effectsByKey         map[uint64]int   // for keys whose client only retries after a rejection
+	effectsByKey         map[uint64]int   // by key, for keys that a client sends again only after a rejection
 	effectsPerDedupScope map[effectID]int // of each key, per process that deduplicates it or, with a journal, per gateway
 	volatileKeys         map[uint64]bool  // keys executed without a durable record, which is allowed
 
