--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -125,7 +125,7 @@
 	kongcompletion.Register(parser)
 	if len(args) == 0 {
 		return usageError{errors.New(
-			"no command, and NODE_CONFIG is empty; see pumicecroft --help or try pumicecroft demo")}
+			"NODE_CONFIG names no file; see pumicecroft --help, and pumicecroft demo for the program at work")}
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
