--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,8 @@
 // Command adapter runs decision engines for an external simulator: it reads events from standard
-// input and writes actions to standard output, one per line. It only translates; package decision
-// makes the decisions.
+// input and writes actions to standard output, one per line. The input consists of batches. A batch
+// starts with a clock line, which sets the time of its events, and ends with an end line; the actions
+// of a batch are written when it ends. The command only translates; package decision makes the
+// decisions.
 package main
 
 import (
@@ -72,19 +74,19 @@
 // instance is an engine and its calls of the shared counter that have no reply yet.
 type instance struct {
 	*decision.Engine
-	pendingCounts map[uint64][]uint64 // by counter key, the Ref of each call, oldest first
+	pendingCounterCalls map[uint64][]uint64 // by counter key, the CounterAdd.Ref of each call, oldest first
 }
 
-// matchCounterReply returns a reply of the counter as the event for the oldest pending call with the
-// reply's key. Replies carry a key and no Ref.
+// matchCounterReply returns the event for a reply of the counter. Replies carry a key and no Ref, so the
+// event gets the Ref of the oldest pending call with the reply's key.
 func (i *instance) matchCounterReply(reply simwire.CounterReply) (decision.Event, error) {
-	refs := i.pendingCounts[reply.Key]
+	refs := i.pendingCounterCalls[reply.Key]
 	if len(refs) == 0 {
 		return nil, fmt.Errorf("counter reply for key %d, which was not called", reply.Key)
 	}
-	i.pendingCounts[reply.Key] = refs[1:]
+	i.pendingCounterCalls[reply.Key] = refs[1:]
 	if len(refs) == 1 {
-		delete(i.pendingCounts, reply.Key)
+		delete(i.pendingCounterCalls, reply.Key)
 	}
 	reply.Result.Ref = refs[0]
 	return reply.Result, nil
@@ -97,7 +99,7 @@
 		return err
 	}
 	switch {
-	case m.Clock != !a.inBatch:
+	case m.Clock != !a.inBatch: // a clock line inside a batch, or another line outside one
 		return errors.New("out of order: a batch runs from a clock line to its end")
 	case m.Clock:
 		a.inBatch, a.now = true, m.At
@@ -130,10 +132,10 @@
 
 // handleEvent passes an event or a reply of the shared counter to an engine, and appends its actions
 // to the reply of the batch.
-func (a *adapter) handleEvent(number int, event decision.Event, reply simwire.CounterReply) error {
-	i := a.instances[number]
+func (a *adapter) handleEvent(instanceNumber int, event decision.Event, reply simwire.CounterReply) error {
+	i := a.instances[instanceNumber]
 	if i == nil {
-		return fmt.Errorf("event for instance %d, which is not running", number)
+		return fmt.Errorf("event for instance %d, which is not running", instanceNumber)
 	}
 	if reply.Present {
 		var err error
@@ -144,9 +146,9 @@
 	a.actions = i.Handle(a.now, event, a.actions[:0])
 	for _, action := range a.actions {
 		if add, ok := action.(decision.CounterAdd); ok {
-			i.pendingCounts[add.Key] = append(i.pendingCounts[add.Key], add.Ref)
+			i.pendingCounterCalls[add.Key] = append(i.pendingCounterCalls[add.Key], add.Ref)
 		}
-		simwire.AppendAction(&a.reply, number, action)
+		simwire.AppendAction(&a.reply, instanceNumber, action)
 	}
 	return nil
 }
--- a/cmd/pumicecroft/state.go
+++ b/cmd/pumicecroft/state.go
@@ -27,7 +27,7 @@
 const membersSuffix = ".members"
 
 // Run prints each snapshot and each cache of backends in the state directory, and what a gateway would
-// restore of them.
+// restore from them. With --file it prints only the snapshot of that file's gateway.
 func (c *stateCommand) Run(out io.Writer) error {
 	snapshots, err := snapshotfile.List(c.Dir)
 	if err != nil {
@@ -69,12 +69,12 @@
 	if err != nil {
 		return nil, err
 	}
-	set := f.Gateway.Settings
+	settings := f.Gateway.Settings
 	return &recovery.GatewayInfo{
-		Index:          set.GatewayIndex,
-		Count:          set.GatewayCount,
-		SettingsDigest: recovery.SettingsDigest(set),
-		Plans:          set.Plans,
+		Index:          settings.GatewayIndex,
+		Count:          settings.GatewayCount,
+		SettingsDigest: recovery.SettingsDigest(settings),
+		Plans:          settings.Plans,
 	}, nil
 }
 
@@ -93,8 +93,9 @@
 		source, now.Sub(at).Round(time.Second), len(nodes))
 }
 
-// printSnapshot prints a snapshot and what the given gateway would restore of it. If gateway is nil,
-// it is the gateway that wrote the snapshot.
+// printSnapshot prints a snapshot and what the given gateway would restore from it. If gateway is nil,
+// the properties of the gateway that wrote the snapshot are used, and the counts of restored customers
+// are not printed, as they depend on the plans, which the snapshot does not have.
 func printSnapshot(w io.Writer, path string, index int, gateway *recovery.GatewayInfo, now time.Time) {
 	snapshot, err := readSnapshot(path)
 	if err != nil {
@@ -120,7 +121,7 @@
 	return recovery.Decode(data)
 }
 
-// printRestored prints one line about a snapshot and what is restored of it. snapshot is nil if it
+// printRestored prints one line about a snapshot and what is restored from it. snapshot is nil if it
 // can't be read.
 func printRestored(w io.Writer, index int, snapshot *recovery.Snapshot, restored recovery.Restored,
 	gateway *recovery.GatewayInfo, now time.Time) {
--- a/cmd/pumicecroft/web_test.go
+++ b/cmd/pumicecroft/web_test.go
@@ -197,7 +197,7 @@
 		"no certificate": {certificate("k", "k"), "line 17: tls.certificate[0].cert_file: it can't be read"},
 		"a file of keys": {certificate("c", "k") + fmt.Sprintf("[[identity]]\nkind = \"key\"\nfile = %q\n", pathOf("keys")),
 			"line 20: identity[0].file: " + pathOf("keys") + ": line 1: "},
-		"no section of certificates": {"", "line 16: tls.certificate: there is none"},
+		"no section of certificates": {"", "line 16: tls.certificate: at least one [[tls.certificate]] with"},
 	} {
 		var out bytes.Buffer
 		err := run(t.Context(), []string{"check", writeFile(t, base+c.sections)}, &out)
--- a/grpcproxy/host_test.go
+++ b/grpcproxy/host_test.go
@@ -169,8 +169,10 @@
 	}{
 		"no methods":    {Config{}, "no methods"},
 		"unknown class": {Config{Methods: map[string]Method{"/a.B/C": {Class: "nap"}}}, `"nap"`},
-		"not a method":  {Config{Methods: map[string]Method{"a.B/C": {Class: "look"}}}, `"a.B/C" is no method`},
-		"wildcard":      {Config{Methods: map[string]Method{"/a.*/C": {Class: "look"}}}, `"/a.*/C" is no method`},
+		"not a method": {Config{Methods: map[string]Method{"a.B/C": {Class: "look"}}},
+			`"a.B/C" is not of the form /package.Service/Method`},
+		"wildcard": {Config{Methods: map[string]Method{"/a.*/C": {Class: "look"}}},
+			`"/a.*/C" is not of the form /package.Service/Method`},
 		"repeated name": {Config{Methods: deskMethods, Names: MetadataNames{Customer: "x", Plan: "x"}},
 			`"x" is used twice`},
 		"reserved name":  {Config{Methods: deskMethods, Names: MetadataNames{Customer: "grpc-status"}}, `"grpc-status"`},
--- a/grpcproxy/proxy.go
+++ b/grpcproxy/proxy.go
@@ -4,9 +4,9 @@
 // the calls of any service; it is configured with the names of the methods.
 //
 // WithBackends is the option that lets a Gateway send attempts to gRPC backends. A Proxy serves the
-// calls of clients: as the handler for unknown services or as an interceptor in the host program's own
-// grpc.Server, or by Serve in a server of its own. The proxy does not translate between HTTP and gRPC:
-// gRPC calls go to gRPC backends only.
+// calls of clients: as the handler for unknown services or as an interceptor in the embedding program's
+// own grpc.Server, or by Serve in a server of its own. The proxy does not translate between HTTP and
+// gRPC: gRPC calls go to gRPC backends only.
 //
 // The package makes no decisions about calls, and keeps no state between them. Its files:
 //
@@ -16,7 +16,7 @@
 //   - message.go: receiving and sending messages
 //   - status.go: the statuses that clients receive
 //   - metadata.go: the conversion of metadata
-//   - server.go: the codec, and a server with its limits
+//   - server.go: the codec, which passes messages through as bytes, and a server with its limits
 package grpcproxy
 
 import (
@@ -40,7 +40,7 @@
 // BackendConfig configures the connections to backends. A zero field takes its default.
 type BackendConfig struct {
 	// MaxConnsPerBackend limits the connections to one backend. Connections that are draining do not
-	// count, but with them there are at most twice as many. Default 2.
+	// count, but the total including them is at most twice this limit. Default 2.
 	MaxConnsPerBackend int
 	// MaxStreamsPerConn limits the concurrent calls on one connection, in addition to the backend's
 	// own limit. Default 100.
@@ -86,12 +86,12 @@
 // MetadataNames are the names of the metadata from which the proxy reads the properties of a call. The
 // comments give the format of the values. Metadata with an empty name is not read.
 type MetadataNames struct {
-	Customer       string // 16 hex digits, or any text if Config.CustomerText is set
+	Customer       string // the customer's ID: 16 hex digits, or any text if Config.CustomerText is set
 	Plan           string // name of a plan
 	Cost           string // a positive number
-	ID             string // 16 hex digits, new for each retry; generated and sent to the backend if missing
+	ID             string // 16 hex digits; the client sends a new one with each retry. Generated if missing
 	IdempotencyKey string // any text
-	Terms          string // cost and gateways in the platform's format: "units=2,spread=3,first=1"
+	Terms          string // cost, and the gateways that the customer uses, as in "units=2,spread=3,first=1"
 }
 
 // PlatformNames are the metadata names that the platform's clients use.
@@ -113,8 +113,8 @@
 	Names MetadataNames
 	// Strict requires calls to have what the platform's clients send: an ID, a deadline, the terms if
 	// Names.Terms is set, and no idempotency key if the class is idempotent. If Strict is not set, an
-	// ID is generated for a call without one, the class's deadline replaces a missing one, and a call
-	// without cost or terms costs 1 and may use all gateways.
+	// ID is generated for a call without one, the class's deadline replaces a missing one, and for a
+	// call without cost or terms the cost is 1 and the customer may use all gateways.
 	Strict bool
 	// CustomerText accepts any text as a customer. The customer's ID is then the first 8 bytes of the
 	// text's SHA-256.
@@ -227,7 +227,7 @@
 	service, method, ok := strings.Cut(strings.TrimPrefix(name, "/"), "/")
 	if !ok || !strings.HasPrefix(name, "/") || service == "" || method == "" ||
 		strings.ContainsAny(service+method, "/ \t\r\n") || method != "*" && strings.Contains(service+method, "*") {
-		return fmt.Errorf("%q is no method such as /package.Service/Method or /package.Service/*", name)
+		return fmt.Errorf("%q is not of the form /package.Service/Method or /package.Service/*", name)
 	}
 	return nil
 }
@@ -238,7 +238,7 @@
 		return (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '-' && r != '_' && r != '.'
 	})
 	if invalid || strings.HasPrefix(name, "grpc-") || strings.HasSuffix(name, "-bin") || isHopByHop(name) {
-		return fmt.Errorf("%q can't name metadata here: use a-z, 0-9, -, _ and ., no reserved name and no suffix -bin",
+		return fmt.Errorf("invalid metadata name %q: use a-z, 0-9, -, _ and ., no reserved name and no suffix -bin",
 			name)
 	}
 	return nil
--- a/grpcproxy/status.go
+++ b/grpcproxy/status.go
@@ -27,16 +27,17 @@
 const noRetry = "-1"
 
 // statusFor returns the status and trailers of a call for which the Gateway returned err. reply is the
-// backend's error response in the attempt with which the call failed, or nil.
+// backend's error response to the last attempt, or nil. The value of PushbackTrailer, called pushback
+// here, tells the client whether it may retry:
 //
-//   - RESOURCE_EXHAUSTED without a negative pushback: the decision engine rejected the call. Retrying it
-//     is safe, after the pushback if there is one.
-//   - UNAVAILABLE without a pushback: this gateway accepts no calls now, but another may. Retrying at
-//     once is safe.
-//   - All others have a pushback of -1: the call may have been executed, or cannot succeed.
+//   - RESOURCE_EXHAUSTED with no pushback or one of at least 0: the decision engine rejected the call.
+//     Retrying it is safe, after the pushback if there is one.
+//   - UNAVAILABLE with no pushback: this gateway accepts no calls now, but another may. Retrying at once
+//     is safe.
+//   - Any status with a pushback of -1: the call may have been executed, or cannot succeed.
 //
-// A call that failed with a backend's error gets the status of that error. The status becomes UNKNOWN if
-// the class is not decision.Idempotent and clients' usual retry policies would retry the original status.
+// A call that failed with a backend's error gets the status of that error, but UNKNOWN if the class is
+// not decision.Idempotent and clients' usual retry policies retry calls that end with that status.
 func statusFor(err error, reply *grpctransport.Response, idempotency decision.Idempotency) (*status.Status,
 	metadata.MD) {
 	var rejected *pumicecroft.RejectedError
--- a/httpproxy/proxy.go
+++ b/httpproxy/proxy.go
@@ -3,9 +3,10 @@
 // which selects the backend, retries failed attempts and rejects requests over a limit.
 //
 // A route determines the service and the cost of a request, an identity.Resolver determines its
-// customer, and its method determines whether a retry is safe. Header fields that clients are not
-// allowed to set are removed. The path, all other header fields, the body, the trailers and the
-// response are forwarded unchanged.
+// customer, and its method determines whether a retry is safe. Hop-by-hop header fields and those that
+// clients are not allowed to set are removed; Via and the Forwarded or X-Forwarded-* fields are added.
+// The path, all other header fields, the body and the response are forwarded unchanged, and so are the
+// trailer fields that may be forwarded.
 //
 // The files: proxy.go has the configuration, resolve.go finds the route, customer and class of a
 // request, request.go creates the request to the backend, body.go reads the client's body, serve.go
@@ -104,10 +105,9 @@
 }
 
 // Classes are the names of the request classes of a route, by idempotency. If the class for a request
-// is empty, the request takes the class of the next stricter idempotency that has one, in the order
-// Idempotent, IdempotentByKey, NonIdempotent. A request with no stricter class takes IdempotentByKey
-// or, if that is empty too, Idempotent. Stricter classes come first so that a request is not retried
-// more freely than its idempotency allows.
+// is empty, the request takes the next class that is not empty in the order Idempotent,
+// IdempotentByKey, NonIdempotent: a later one permits fewer retries, so that a request is not retried
+// more freely than its idempotency allows. If no later class is set, it takes the nearest earlier one.
 type Classes struct{ Idempotent, IdempotentByKey, NonIdempotent string }
 
 // forIdempotency returns the class for requests of the given idempotency. It is empty only if all
@@ -181,15 +181,15 @@
 	// none. Default "X-Request-Id".
 	RequestIDHeader string
 	// Strict enforces the conventions of the platform's clients: each request has a timeout and an ID
-	// of 16 hex digits, a trusted peer also declares the cost, and a retry has a new ID, so that a
-	// repeated ID identifies a replay. Retry-After has decimals in this mode.
+	// of 16 hex digits, and a trusted peer also declares the cost. Clients retry with a new ID, so a
+	// request with a repeated ID is a replay. Retry-After has decimals in this mode.
 	Strict bool
 	// IdempotencyKeyHeader is the name of the idempotency key's field. Default "Idempotency-Key".
 	IdempotencyKeyHeader string
 	// MaxIdempotentResponseBytes limits the response to a request with an idempotency key, which is
 	// read completely before it is forwarded. Default 1 MiB.
 	MaxIdempotentResponseBytes int
-	// Log receives malformed and unauthenticated requests. nil discards them.
+	// Log receives a message for each malformed or unauthenticated request. nil discards them.
 	Log *slog.Logger
 }
 
@@ -219,7 +219,7 @@
 	// bodyMemoryUsed is the memory for the bodies of open requests, in bytes.
 	bodyMemoryUsed atomic.Int64
 	logger         *slog.Logger
-	rejectLogLimit rate.Sometimes
+	rejectLogLimit rate.Sometimes // limits the log messages about rejected requests
 }
 
 var _ http.Handler = (*Proxy)(nil)
@@ -235,7 +235,7 @@
 var ErrInvalidRules = errors.New("httpproxy: invalid rules")
 
 // New returns a Proxy for a Gateway that was created with WithService for each service in c.Rules.
-// The error is an ErrInvalidRules.
+// The error wraps ErrInvalidRules.
 func New(gateway *pumicecroft.Gateway, c Config) (*Proxy, error) {
 	setDefaults(&c)
 	p := &Proxy{
@@ -280,7 +280,8 @@
 }
 
 // SetRules replaces the rules for requests that arrive from now on. If the rules are invalid, the
-// earlier ones stay in effect, and the error joins an ErrInvalidRules for each problem.
+// earlier ones stay in effect, and the error joins one error for each problem; each wraps
+// ErrInvalidRules.
 func (p *Proxy) SetRules(r Rules) error {
 	if r.Routes == nil || r.Resolver == nil {
 		return fmt.Errorf("%w: Routes and Resolver are required", ErrInvalidRules)
@@ -310,7 +311,7 @@
 	return nil
 }
 
-// checkRoute returns an ErrInvalidRules for each invalid part of a route.
+// checkRoute returns an error that wraps ErrInvalidRules for each invalid part of a route.
 func (p *Proxy) checkRoute(rule *routes.Rule[*Route]) (problems []error) {
 	target := rule.Target
 	if target.RejectStatus != 0 {
--- a/httpproxy/resolve.go
+++ b/httpproxy/resolve.go
@@ -66,7 +66,8 @@
 	return resolved, originOf(r, credentials.PeerAddr, rules.Resolver.IsTrusted(credentials.PeerAddr))
 }
 
-// matchRoute finds the route of a request.
+// matchRoute sets the route of a request and its path parameters. The error says why the request is
+// rejected, such as an invalid target or a route that rejects its requests.
 func (res *ResolvedRequest) matchRoute(rules *compiledRules, r *http.Request) error {
 	if r.URL.Host != "" || r.Method == http.MethodConnect { // absolute-form or authority-form
 		return fmt.Errorf("%w: %.60q", http1proxy.ErrInvalidTarget, r.RequestURI)
@@ -101,7 +102,8 @@
 	return nil
 }
 
-// isUpgrade reports whether a request opens a WebSocket, over HTTP/1.1 or HTTP/2 (RFC 8441).
+// isUpgrade reports whether a request asks for a WebSocket over HTTP/1.1, or is an extended CONNECT of
+// any protocol over HTTP/2 (RFC 8441).
 func isUpgrade(r *http.Request) bool {
 	if r.ProtoMajor == 2 && len(r.Header[":protocol"]) > 0 {
 		return true
--- a/httpproxy/serve.go
+++ b/httpproxy/serve.go
@@ -15,8 +15,8 @@
 )
 
 // WithFallback returns a handler for programs that also have handlers of their own. It passes a
-// request that no route of the Proxy matches to next, unchanged. The Proxy handles, or rejects, all
-// others.
+// request to next, unchanged, if no route of the Proxy matches it or if the matching routes do not
+// allow its method. The Proxy handles, or rejects, all others.
 func (p *Proxy) WithFallback(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { p.serve(w, r, next) })
 }
@@ -38,7 +38,8 @@
 	// Guards against request smuggling: net/http silently drops the Content-Length of a request that
 	// also has a Transfer-Encoding, and the Transfer-Encoding of an HTTP/1.0 request. Another proxy on
 	// the path may use the dropped field and see this body end, and the next request begin, elsewhere.
-	// Therefore no further request is read from the connection.
+	// The dropped field can't be seen here, so the connection is closed after every request that may
+	// have had one.
 	if r.ProtoMajor == 1 && (len(r.TransferEncoding) > 0 || r.ProtoMinor == 0) {
 		w.Header()["Connection"] = []string{"close"}
 	}
@@ -77,7 +78,8 @@
 }
 
 // forward sends a request through the Gateway and writes the response. A response that is retained
-// for repeats of an idempotency key is read completely before it is written; others are streamed.
+// for later requests with the same idempotency key is read completely before it is written; others are
+// streamed.
 func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, resolved *ResolvedRequest,
 	payload *httpproxytransport.Request,
 	request pumicecroft.Request) {
@@ -103,24 +105,26 @@
 	}
 	response, _ := reply.(*httpproxytransport.Response)
 	switch {
-	case response != nil && (err == nil || errors.Is(err, pumicecroft.ErrFailed)): // or a backend's error response
+	case response != nil && (err == nil || errors.Is(err, pumicecroft.ErrFailed)): // on ErrFailed, an error response
 		writeResponse(w, response)
 	case err != nil && payload.LastErrorResponse() != nil && errors.Is(err, pumicecroft.ErrRejected):
 		// A backend's error response is more informative than the proxy's own, but its Retry-After is
 		// replaced by the proxy's.
-		lastError := payload.LastErrorResponse()
-		if rejected, ok := errors.AsType[*pumicecroft.RejectedError](err); ok && advisesRetry(lastError.Status) {
+		lastErrorResponse := payload.LastErrorResponse()
+		if rejected, ok := errors.AsType[*pumicecroft.RejectedError](err); ok &&
+			mayHaveRetryAfter(lastErrorResponse.Status) {
 			p.setRetryAfter(w.Header(), rejected.RetryAfter)
 		}
-		writeResponse(w, lastError)
-	case errors.Is(err, context.DeadlineExceeded) && r.Context().Err() != nil: // a timeout of the embedding program
+		writeResponse(w, lastErrorResponse)
+	case errors.Is(err, context.DeadlineExceeded) && r.Context().Err() != nil:
+		// The embedding program had set a deadline on the request's context.
 		pumicecroft.WriteGatewayTimeout(w)
 	default:
 		p.writeProblem(w, r, resolved, err)
 	}
 }
 
-// advisesRetry reports whether a response with this status may have a Retry-After.
-func advisesRetry(status int) bool {
+// mayHaveRetryAfter reports whether the proxy adds its Retry-After to a response with this status.
+func mayHaveRetryAfter(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
--- a/httpproxy/tls_test.go
+++ b/httpproxy/tls_test.go
@@ -85,8 +85,8 @@
 		}
 		return nil
 	}
-	waiting := newTLSClient(a, "shop.example", true)
-	defer waiting.CloseIdleConnections()
+	heldClient := newTLSClient(a, "shop.example", true)
+	defer heldClient.CloseIdleConnections()
 	var wg sync.WaitGroup
 	var failed atomic.Int64
 	var first atomic.Value
@@ -97,7 +97,7 @@
 		}
 	}
 	for range 1000 {
-		wg.Go(func() { fail(get(waiting, "/held")) })
+		wg.Go(func() { fail(get(heldClient, "/held")) })
 	}
 	for range 1000 {
 		select {
--- a/identity/identity.go
+++ b/identity/identity.go
@@ -2,10 +2,12 @@
 // rules define which credentials are accepted: API keys, JSON Web Tokens, client certificates, headers
 // set by a trusted peer, and client addresses. A Resolver applies the rules in order, and the first rule
 // whose credential is present decides. An invalid credential is rejected and never falls through to a
-// later rule; otherwise a client with a revoked key would get the anonymous plan.
+// later rule; otherwise a client with a revoked key would get the plan of a later rule, such as that for
+// client addresses.
 //
 // The package is pure: it does no I/O, reads no clock, takes no lock and starts no goroutine. A
-// Resolver is immutable and safe for concurrent use; a new one is created when its files change.
+// Resolver is immutable and safe for concurrent use; the caller creates a new one when the files that the
+// rules were read from change.
 package identity
 
 import (
@@ -86,8 +88,8 @@
 }
 
 // ClientAddr returns the address of the client that sent a request. That is the peer's address or, if the
-// peer is trusted, the last address in X-Forwarded-For that is not trusted. If all addresses are trusted up
-// to the start of the list or an invalid element, the address just before that is returned.
+// peer is trusted, the last address in X-Forwarded-For that is not trusted. The list is read from its end;
+// if its start or an invalid element is reached first, the address that was read last is returned.
 func (r *Resolver) ClientAddr(peer netip.Addr, h map[string][]string) netip.Addr {
 	chain := h["X-Forwarded-For"]
 	for addr := peer; ; {
@@ -104,8 +106,8 @@
 	}
 }
 
-// cutLast returns the last element that is not empty of a comma-separated list field, and the field's
-// values without it and what follows it.
+// cutLast returns the last non-empty element of a comma-separated list field, and the field's values up
+// to that element.
 func cutLast(values []string) (last string, rest []string) {
 	for len(values) > 0 {
 		end := len(values) - 1
@@ -160,7 +162,8 @@
 }
 
 // customerID returns the ID of a customer: a hash, so that it is the same on all gateways. kind is the kind
-// of credential; it separates equal names of different kinds, such as an address and the owner of a key.
+// of credential; it is hashed too, so that equal names of different kinds, such as an address and the owner
+// of a key, have different IDs.
 func customerID(kind, name string) uint64 {
 	var buf [128]byte // avoids a heap allocation for short names
 	sum := sha256.Sum256(append(append(append(buf[:0], kind...), 0), name...))
--- a/identity/jwt.go
+++ b/identity/jwt.go
@@ -17,8 +17,8 @@
 )
 
 // JWTRule identifies customers by JSON Web Tokens (RFC 7519). It follows RFC 8725: only the configured
-// algorithms are accepted, and each key is used only with algorithms of its type. A token that is valid
-// when its request arrives is valid for the whole request.
+// algorithms are accepted, and each key is used only with algorithms of its type. A token is checked when
+// its request arrives and not again, even if it expires during the request.
 type JWTRule struct {
 	// Header is the canonical name of the header that has the token, such as Authorization. Scheme is
 	// the authentication scheme before the token, such as Bearer.
@@ -117,6 +117,7 @@
 		r.CustomerClaim = "sub"
 	}
 	r.algorithms, r.keys = algorithms, keys
+	// The parser doesn't validate claims: validate does, at the time of the request.
 	r.parser = jwt.NewParser(jwt.WithValidMethods(algorithms), jwt.WithoutClaimsValidation(), jwt.WithStrictDecoding())
 	return &r, nil
 }
@@ -130,7 +131,7 @@
 			break
 		}
 		key, err := parsePublicKey(block)
-		if errors.Is(err, errNoPublicKey) {
+		if errors.Is(err, errUnsupportedBlock) {
 			return nil, fmt.Errorf("block %d is neither a public key nor a certificate", number)
 		}
 		if err != nil {
@@ -144,8 +145,9 @@
 	return keys, nil
 }
 
-// errNoPublicKey means that a PEM block has another type, such as a private key.
-var errNoPublicKey = errors.New("no public key")
+// errUnsupportedBlock means that a PEM block is neither a public key nor a certificate, but for example a
+// private key.
+var errUnsupportedBlock = errors.New("no public key")
 
 // parsePublicKey returns the public key in a PEM block.
 func parsePublicKey(block *pem.Block) (any, error) {
@@ -161,7 +163,7 @@
 		}
 		return cert.PublicKey, nil
 	}
-	return nil, errNoPublicKey
+	return nil, errUnsupportedBlock
 }
 
 // Identify returns the customer that a token names.
@@ -229,7 +231,7 @@
 // verificationKeys returns the keys that may have signed a token. A key must have the type that the
 // token's algorithm needs and, if both have a key ID, the token's kid.
 func (j *JWTRule) verificationKeys(t *jwt.Token) (any, error) {
-	hasKeyType, kid := keyTypeChecks[t.Method.Alg()], ""
+	isRightType, kid := keyTypeChecks[t.Method.Alg()], ""
 	if value, ok := t.Header["kid"]; ok {
 		if kid, _ = value.(string); kid == "" {
 			return nil, errors.New("invalid kid")
@@ -237,7 +239,7 @@
 	}
 	var set jwt.VerificationKeySet
 	for _, key := range j.keys {
-		if hasKeyType != nil && hasKeyType(key.Key) && (key.ID == "" || kid == "" || key.ID == kid) {
+		if isRightType != nil && isRightType(key.Key) && (key.ID == "" || kid == "" || key.ID == kid) {
 			set.Keys = append(set.Keys, key.Key)
 		}
 	}
--- a/internal/certs/set.go
+++ b/internal/certs/set.go
@@ -41,8 +41,8 @@
 // ErrNoCertificate means that the client supports none of the certificates.
 var ErrNoCertificate = errors.New("certs: no certificate that the client supports")
 
-// Select returns the first certificate that the client supports, in this order: those for its server name,
-// those for the wildcard of its domain, all others.
+// Select returns the first certificate that the client supports, in this order: those for the server name
+// that the client sent, those for "*." and the domain of that name, all others.
 func (s *Set) Select(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	name := strings.ToLower(strings.TrimSuffix(hello.ServerName, "."))
 	_, domain, _ := strings.Cut(name, ".")
@@ -56,17 +56,16 @@
 	return nil, ErrNoCertificate
 }
 
-// supportsIgnoringName reports whether a client supports a certificate, whatever its server name is. A
-// client that asks for a name that no certificate covers gets the first one that it supports, and decides
-// itself whether to accept it.
+// supportsIgnoringName reports whether a client supports a certificate, regardless of the server name that
+// the client sent. A client that asks for a name that no certificate covers gets the first certificate of
+// the set that it supports, and decides itself whether to accept it.
 func supportsIgnoringName(hello *tls.ClientHelloInfo, c *tls.Certificate) bool {
 	h := *hello
 	h.ServerName = ""
 	return h.SupportsCertificate(c) == nil
 }
 
-// Covers reports whether there is a certificate for a host, which may be a wildcard such as
-// "*.example.org".
+// Covers reports whether there is a certificate for a host or for a wildcard such as "*.example.org".
 func (s *Set) Covers(host string) bool {
 	host = strings.ToLower(host)
 	_, domain, _ := strings.Cut(host, ".")
@@ -101,8 +100,8 @@
 	})
 }
 
-// Parse returns the certificate of a PEM certificate and private key if it is valid at now. Errors contain
-// no key material.
+// Parse parses a PEM certificate and its private key. It returns an error if the certificate is not valid
+// at now. Errors contain no key material.
 func Parse(certText, keyText []byte, now time.Time) (*tls.Certificate, error) {
 	c, err := tls.X509KeyPair(certText, keyText)
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -91,27 +91,27 @@
 // serveFunc serves clients until ctx ends and all accepted requests have their responses.
 type serveFunc func(ctx context.Context) error
 
-// serveAll serves a gateway with serveOn at the address listen, and runs others, whose listeners are
-// open already. When ctx ends or one server fails, it stops all of them, waits until all accepted
-// requests have their responses, and closes the gateway.
+// serveAll serves a gateway with serveOn at the address listen, and also runs servers, whose
+// listeners are open already. When ctx ends or one server fails, it stops all of them, waits until all
+// accepted requests have their responses, and closes the gateway.
 func serveAll(ctx context.Context, gateway *pumicecroft.Gateway, name, listen string,
 	serveOn func(context.Context, net.Listener) error,
-	others ...serveFunc) error {
+	servers ...serveFunc) error {
 	defer closeGateway(gateway)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		stop() // the others shut down as soon as they start
+		stop() // the servers shut down as soon as they start
 	} else {
 		slog.Info("serving", "name", name, "listen", listener.Addr().String())
-		others = append(others, func(ctx context.Context) error { return serveOn(ctx, listener) })
+		servers = append(servers, func(ctx context.Context) error { return serveOn(ctx, listener) })
 	}
-	errs := make(chan error, len(others))
-	for _, serve := range others {
+	errs := make(chan error, len(servers))
+	for _, serve := range servers {
 		go func() { errs <- serve(ctx) }()
 	}
-	for range others {
+	for range servers {
 		err = errors.Join(err, <-errs)
 		stop() // if one server ends, all do: the process must not run with part of its configuration
 	}
@@ -119,7 +119,8 @@
 	return err
 }
 
-// closeGateway closes a gateway without waiting: its servers have waited for all accepted requests.
+// closeGateway closes a gateway. Close gets a canceled context because there is nothing to wait for: the
+// servers return only when all accepted requests have their responses.
 func closeGateway(gateway *pumicecroft.Gateway) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -167,8 +168,9 @@
 	}
 }
 
-// NotifyHangup returns a channel that gets a value for SIGHUP until ctx ends. Signals that arrive while
-// a value is pending are merged with it: nothing is lost, as receivers read the file after receiving.
+// NotifyHangup returns a channel that gets a value for one or more SIGHUPs until ctx ends. Signals that
+// arrive while a value is pending are merged with it: nothing is lost, as receivers read the file after
+// receiving.
 func NotifyHangup(ctx context.Context) <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/internal/daemon/servefile.go
+++ b/internal/daemon/servefile.go
@@ -26,23 +26,23 @@
 	if err != nil {
 		return err
 	}
-	gateway, http, err := newFileGateway(&f, sources)
+	gateway, proxyServer, err := newFileGateway(&f, sources)
 	if err != nil {
 		return err
 	}
 	serve := httplistener.NewServer(gateway, f.MaxClientConns, f.Gateway.Settings.LongestDeadline(), slog.Default(),
 		httplistener.Options{}).Run
-	if http != nil {
-		if serve, err = http.newServeFunc(gateway, f); err != nil {
-			_ = gateway.Close(ctx) // err is the cause
+	if proxyServer != nil {
+		if serve, err = proxyServer.newServeFunc(gateway, f); err != nil {
+			_ = gateway.Close(ctx) // err is returned; it matters more than the error of Close
 			return err
 		}
-		defer http.startWatching(f, reload, hup)()
+		defer proxyServer.startWatching(f, reload, hup)() // starts now, stops at the return
 	}
-	others, stopStatus, err := startAuxiliaryListeners(gateway, &f)
+	auxiliary, stopStatus, err := startAuxiliaryListeners(gateway, &f)
 	defer stopStatus()
 	if err != nil {
-		_ = gateway.Close(ctx) // err is the cause
+		_ = gateway.Close(ctx) // err is returned; it matters more than the error of Close
 		return err
 	}
 	if f.Consul != nil && f.Consul.Registration != nil {
@@ -50,7 +50,7 @@
 		ctx, deregister = registerWhileServing(ctx, sources.consul, f.Consul)
 		defer deregister()
 	}
-	return serveAll(ctx, gateway, "", f.Listen, serve, others...)
+	return serveAll(ctx, gateway, "", f.Listen, serve, auxiliary...)
 }
 
 // newFileGateway creates the gateway of an operator's file and the server of its HTTP routes, which is
@@ -61,26 +61,27 @@
 		f.GRPC.Backends.Log = slog.Default()
 		options = append(options, grpcproxy.WithBackends(f.GRPC.Backends))
 	}
-	var http *httpServer
+	var proxyServer *httpServer
 	if f.HTTP != nil {
 		var err error
-		if http, err = newHTTPServer(*f); err != nil {
+		if proxyServer, err = newHTTPServer(*f); err != nil {
 			return nil, nil, err
 		}
-		options = append(options, http.options...)
+		options = append(options, proxyServer.options...)
 	}
 	gateway, err := pumicecroft.New(f.Gateway, options...)
 	if err != nil {
 		return nil, nil, err
 	}
 	if slices.Contains(f.Sources, operatorconfig.SourceFile) {
-		<-sources.fileReported
+		<-sources.fileReported // the gateway has the backends that the file lists
 	}
-	return gateway, http, nil
+	return gateway, proxyServer, nil
 }
 
-// startAuxiliaryListeners opens the listeners for the status of backends, which stopStatus closes, and
-// for gRPC, which servers serve. The caller must call stopStatus, also after an error.
+// startAuxiliaryListeners opens the listeners for the status of backends and for gRPC, as far as they are
+// configured. The status is served from now on, until the caller calls stopStatus, which it must do also
+// after an error. servers serve gRPC once the caller runs them.
 func startAuxiliaryListeners(gateway *pumicecroft.Gateway,
 	f *operatorconfig.File) (servers []serveFunc, stopStatus func(), err error) {
 	stopStatus = func() {}
@@ -118,8 +119,8 @@
 }
 
 // registerWhileServing registers a gateway in Consul's catalog until deregister is called. The returned
-// context ends DrainNotice after ctx does, so that the gateway goes on serving until users of the
-// catalog can know that it drains.
+// context ends c.DrainNotice after ctx does: meanwhile the gateway still serves, and clients that read
+// the catalog see that it is draining.
 func registerWhileServing(ctx context.Context, client *consul.Client,
 	c *operatorconfig.Consul) (serving context.Context, deregister func()) {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -139,7 +140,7 @@
 }
 
 // startRegistration keeps a gateway registered in the catalog until deregister is called, which waits
-// for the deregistration. Once draining is closed, the gateway's state in the catalog is critical.
+// for the deregistration. Once draining is closed, the gateway's health check is reported as critical.
 func startRegistration(client *consul.Client, r consul.Registration, draining <-chan struct{}) (deregister func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	r.OnResult = func(err error) {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -30,7 +30,8 @@
 	Seed     uint64    // seed of the clients' random numbers
 }
 
-// Counts holds the results of the requests that clients sent, their retries included.
+// Counts holds the results of the requests that clients sent, their retries included. Duplicates is the number of
+// repeated executions.
 type Counts struct {
 	Sent, Served, Rejected, WithRetryAfter, Failed, Lost int
 	Duplicates                                           int
@@ -47,10 +48,10 @@
 
 const (
 	customerCount       = 24
-	customerRate        = 4.0  // requests per second of a customer within its quota
-	overQuotaFactor     = 60.0 // multiple of customerRate that the customer over its quota sends
-	discoveryDelay      = 200 * time.Millisecond
-	crashDetectionDelay = time.Second // from a crash until discovery reports it
+	customerRate        = 4.0                    // requests per second of a customer within its quota
+	overQuotaFactor     = 60.0                   // the customer over its quota sends this many times customerRate
+	discoveryDelay      = 200 * time.Millisecond // from a change of a backend until discovery reports it
+	crashDetectionDelay = time.Second            // from a crash until discovery reports it
 	slowStartWindow     = 4 * time.Second
 )
 
@@ -123,18 +124,18 @@
 	}
 	fmt.Fprintf(o.Out, "gateway on %s, %d backends, discovery on %s, counter on %s; running for %v\n", d.addr,
 		len(d.backends), d.discovery.Addr(), d.counter.Addr(), o.Duration)
-	sending, stop := context.WithTimeout(ctx, o.Duration)
+	sendCtx, stop := context.WithTimeout(ctx, o.Duration)
 	defer stop()
 	var clients sync.WaitGroup
 	for i := range customerCount {
-		clients.Go(func() { d.runCustomer(sending, ctx, i) })
+		clients.Go(func() { d.runCustomer(sendCtx, ctx, i) })
 	}
 	eventsDone := make(chan struct{})
 	go func() {
 		defer close(eventsDone)
-		d.runEvents(sending)
+		d.runEvents(sendCtx)
 	}()
-	d.report(sending)
+	d.report(sendCtx)
 	clients.Wait()
 	<-eventsDone
 	d.mu.Lock()
@@ -219,7 +220,8 @@
 	return nil
 }
 
-// runEvents drains one backend, crashes one and starts one cold, at fixed shares of the duration.
+// runEvents drains one backend, crashes one and starts one cold. Each event follows the previous one after a fixed
+// share of the duration.
 func (d *deployment) runEvents(ctx context.Context) {
 	after := func(share float64, event string, do func()) bool {
 		select {
@@ -259,8 +261,8 @@
 	}
 }
 
-// runCustomer sends the requests of customer i until sending ends, and waits for their responses.
-func (d *deployment) runCustomer(sending, ctx context.Context, i int) {
+// runCustomer sends the requests of customer i until sendCtx ends, and waits for their responses.
+func (d *deployment) runCustomer(sendCtx, ctx context.Context, i int) {
 	rng := rand.New(rand.NewPCG(d.options.Seed, uint64(i)))
 	plan, rate, from, to := "shop", customerRate, 0.0, 1.0
 	if i == 0 {
@@ -276,7 +278,7 @@
 		}
 		select {
 		case <-time.After(time.Duration(rng.ExpFloat64() / currentRate * float64(time.Second))):
-		case <-sending.Done():
+		case <-sendCtx.Done():
 			return
 		}
 		request := fakes.Request{Customer: uint64(i + 1), Plan: plan, Cost: 1, Timeout: 2 * time.Second}
--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -30,7 +30,7 @@
 	ResetWithoutExecution                 // reset the connection; the gateway can't know that it was not executed
 )
 
-// outcomes are the values of Attempt.Outcome, by behavior; RejectNotStarted is handled separately.
+// outcomes are the values of Attempt.Outcome, by behavior. For RejectNotStarted, execute sets "rejected".
 var outcomes = map[Behavior]string{
 	ServeNormally: "served", ExecuteThenError: "error", ExecuteThenHang: "hung", HangWithoutExecution: "hung",
 	ExecuteThenReset: "broken", ResetWithoutExecution: "broken", ExecuteThenGarble: "spoilt",
@@ -56,7 +56,7 @@
 	Name         string
 	Zone         string
 	InstanceType string
-	Cell         *Cell // nil means that repeated idempotency keys are not dropped
+	Cell         *Cell // records idempotency keys; nil means that attempts with a repeated key have their effect again
 	// Slots is the number of attempts that are executed concurrently, Queue the number of attempts that wait for a
 	// slot. Attempts beyond both are rejected. Slots 0 means no limit of concurrency, Queue 0 that no attempt is
 	// rejected.
@@ -65,7 +65,8 @@
 	WorkTime func(class string) time.Duration
 	// Behavior selects the behavior for an attempt; nil means ServeNormally.
 	Behavior func(attempt Attempt) Behavior
-	// IdempotentByKey reports whether Cell drops repeated keys of a class; nil means those of all classes.
+	// IdempotentByKey reports whether an execution of a class has an effect, which the ledger records and which
+	// happens only once for each key in Cell; nil means that all classes have effects.
 	IdempotentByKey func(class string) bool
 	// A backend in slow start begins with the share SlowStartMinCapacity of its capacity, which grows to 1 within
 	// SlowStartWindow. If it gets more than OverloadFactor times its current capacity during OverloadDuration, it is
@@ -150,7 +151,8 @@
 	return e
 }
 
-// Drain makes the backend reject new attempts and complete those that it has admitted.
+// Drain makes the backend reject new attempts and complete those that it has admitted. Attempts whose Behavior is not
+// ServeNormally are not affected.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -264,8 +266,8 @@
 }
 
 // execute handles an attempt that was received completely, up to its response. It returns the behavior by which the
-// caller must respond, and the usage to report, empty for none. ok is false if the client has disconnected, which
-// ends ctx.
+// caller must respond, and the usage to report, empty for none. ok is false if ctx ended during the execution, that
+// is, if the client has disconnected.
 func (b *Backend) execute(ctx context.Context, attempt *Attempt) (behavior Behavior, usage string, ok bool) {
 	config := &b.config
 	now := time.Now()
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -20,8 +20,8 @@
 	mu        sync.Mutex
 	seq       int64            // version of the endpoint list
 	endpoints map[string]entry // by name
-	changed   chan struct{}    // closed and replaced at each change, also of down
-	down      bool
+	changed   chan struct{}    // closed and replaced when the endpoint list or down changes
+	down      bool             // watches send nothing
 }
 
 // entry is an endpoint with the version of the endpoint list at its last change.
@@ -67,7 +67,7 @@
 	d.Set(e)
 }
 
-// SetDown makes watches, open and new ones, send nothing until discovery is up again. Other calls are answered.
+// SetDown sets whether watches, open and new ones, send nothing. Other calls are answered all the time.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,7 +83,8 @@
 	return d.changesSince(-1)
 }
 
-// changesSince returns the changes after a version. For -1 it returns a full update of all endpoints that aren't Gone.
+// changesSince returns the changes after a version. If from is negative, it returns a full update of all endpoints
+// that aren't Gone.
 // d.mu must be held.
 func (d *Discovery) changesSince(from int64) platform.EndpointUpdate {
 	update := platform.EndpointUpdate{Seq: d.seq, Full: from < 0, Endpoints: []platform.Endpoint{}}
--- a/internal/grpcproto/call.go
+++ b/internal/grpcproto/call.go
@@ -38,14 +38,14 @@
 	codeCount // the number of codes
 )
 
-// Proof says whether the backend has executed an attempt, as far as the way in which it ended proves it.
+// Proof says what the way in which an attempt ended proves about whether the backend has executed it.
 type Proof uint8
 
 // The values of Proof.
 const (
-	MayHaveRun Proof = iota // nothing is proved
-	NeverRan                // the call was not executed, and retrying it is safe
-	Ran                     // the call was executed
+	MayHaveRun Proof = iota // no proof: the attempt may have been executed
+	NeverRan                // the attempt was not executed, and a retry is safe
+	Ran                     // the attempt was executed
 )
 
 // String returns the text that is logged for the proof.
@@ -92,7 +92,8 @@
 // RequestSent reports whether the last frame of the request may have been written.
 func (c *Call) RequestSent() bool { return c.requestSent }
 
-// OnMalformedResponse ends the call because the backend has sent something invalid, which what names.
+// OnMalformedResponse ends the call because the backend has sent an invalid response. what describes the
+// fault.
 func (c *Call) OnMalformedResponse(what string) { c.end(decision.Unknown, MayHaveRun, "%s", what) }
 
 // ResponseStarted reports whether the response headers have arrived.
@@ -109,11 +110,11 @@
 	}
 }
 
-// endIfUnsent ends the call as not sent if the request was not sent completely, and reports whether
-// that was so.
-func (c *Call) endIfUnsent(what string) bool {
+// endIfIncomplete ends the call as not sent if the request was not sent completely, and reports whether
+// that was so. event says what ended the call.
+func (c *Call) endIfIncomplete(event string) bool {
 	if !c.requestSent {
-		c.end(decision.NotSent, NeverRan, "%s before the request was whole", what)
+		c.end(decision.NotSent, NeverRan, "%s before the request was whole", event)
 	}
 	return !c.requestSent
 }
@@ -123,7 +124,7 @@
 
 // OnConnectionLost ends the call because the connection broke.
 func (c *Call) OnConnectionLost() {
-	if !c.endIfUnsent("the connection broke") {
+	if !c.endIfIncomplete("the connection broke") {
 		c.end(decision.ConnectionLost, MayHaveRun, "the connection broke")
 	}
 }
@@ -131,7 +132,7 @@
 // OnTimeout ends the call because the attempt's deadline has passed. The transport resets the stream.
 func (c *Call) OnTimeout() {
 	switch {
-	case c.endIfUnsent("the time was up"):
+	case c.endIfIncomplete("the time was up"):
 	case c.headersReceived:
 		c.end(decision.TimedOut, MayHaveRun, "a head, and then nothing in time")
 	default:
@@ -141,17 +142,17 @@
 
 // OnCancel ends the call because the proxy has cancelled the attempt.
 func (c *Call) OnCancel() {
-	if !c.endIfUnsent("called off") {
+	if !c.endIfIncomplete("called off") {
 		c.end(decision.Cancelled, MayHaveRun, "called off")
 	}
 }
 
-// OnGoAway handles a GOAWAY frame with last stream ID last, on the connection on which own is the ID of
-// this call's stream. If own is above last, the backend has not processed the stream and never will
-// (RFC 9113, 6.8). Otherwise the response may still arrive.
-func (c *Call) OnGoAway(last, own uint32) {
-	if own > last && !c.headersReceived {
-		c.end(decision.Rejected, NeverRan, "GOAWAY with last stream %d, this is %d", last, own)
+// OnGoAway handles a GOAWAY frame. lastStreamID is the last stream ID in the frame, streamID is the ID of
+// this call's stream on the same connection. If streamID is above lastStreamID, the backend has not
+// processed the stream and never will (RFC 9113, 6.8). Otherwise the response may still arrive.
+func (c *Call) OnGoAway(lastStreamID, streamID uint32) {
+	if streamID > lastStreamID && !c.headersReceived {
+		c.end(decision.Rejected, NeverRan, "GOAWAY with last stream %d, this is %d", lastStreamID, streamID)
 	}
 }
 
@@ -160,7 +161,7 @@
 	switch {
 	case code == refusedStream && !c.headersReceived: // RFC 9113, 8.7
 		c.end(decision.Rejected, NeverRan, "REFUSED_STREAM")
-	case c.endIfUnsent("RST_STREAM"):
+	case c.endIfIncomplete("RST_STREAM"):
 	case c.parser.CompleteCount > 0:
 		c.end(decision.ConnectionLost, Ran, "RST_STREAM (%d) after a message and before the status", code)
 	default:
@@ -183,8 +184,8 @@
 	}
 }
 
-// OnData handles bytes of the response body. last means that the stream ends with them, and so without
-// a status.
+// OnData handles bytes of the response body. last means that the stream ends with them. It then has no
+// status, as the status is in the trailers, which would have come after them.
 func (c *Call) OnData(p []byte, last bool) {
 	if c.ended {
 		return
@@ -224,7 +225,7 @@
 		c.end(decision.Unknown, Ran, "the last message was cut off")
 	case code == OK && !c.Streaming && c.parser.CompleteCount == 0:
 		c.end(decision.Unknown, Ran, "a good status without a message")
-	case code == OK, isFinalStatus(code):
+	case code == OK, isApplicationError(code): // Succeeded means that the service has responded
 		c.outcome.Code = code
 		c.end(decision.Succeeded, Ran, "status %d", code)
 	case (code == Unavailable || code == ResourceExhausted) && withoutMessage && allowsRetry(t.Pushback):
@@ -236,10 +237,10 @@
 	}
 }
 
-// isFinalStatus reports whether a status is an error that the service itself returned for the request.
-// Such a status is forwarded to the client, while the others may stand for a failure of the transport
-// or the backend.
-func isFinalStatus(c Code) bool {
+// isApplicationError reports whether a status is an error that the service itself returned for the
+// request. Such a status is forwarded to the client as the response, while the others may stand for a
+// failure of the transport or the backend.
+func isApplicationError(c Code) bool {
 	switch c {
 	case InvalidArgument, NotFound, AlreadyExists, PermissionDenied, FailedPrecondition, Aborted, OutOfRange,
 		Unimplemented, Unauthenticated:
--- a/internal/grpctransport/transport.go
+++ b/internal/grpctransport/transport.go
@@ -1,6 +1,6 @@
 // Package grpctransport sends attempts to backends over gRPC, on a limited number of HTTP/2 connections
-// and streams. It sends each attempt once and never retries. The result that it reports claims no more
-// than the observed end of the stream proves, by the rules of internal/grpcproto.
+// and streams. It sends each attempt once and never retries. It reports an attempt as executed or as not
+// executed only if the way in which the stream ended proves that; internal/grpcproto has the rules.
 //
 // The package reads and writes HTTP/2 frames itself because it must distinguish the ways in which a
 // stream can end: the clients of grpc-go and net/http silently retry a refused stream.
@@ -38,7 +38,7 @@
 // Config configures a Transport. A zero field takes its default.
 type Config struct {
 	// MaxConnsPerBackend limits the connections to one backend. Connections that are draining do not
-	// count, but with them there are at most twice as many. Default 2.
+	// count, but the total including them is at most twice this limit. Default 2.
 	MaxConnsPerBackend int
 	// MaxStreamsPerConn limits the streams on one connection, in addition to the backend's own limit.
 	// Default 100.
@@ -74,9 +74,9 @@
 	loadParser      loadreport.Parser
 	failureLogLimit rate.Sometimes
 
-	mu        sync.Mutex
-	byID      map[decision.BackendID]*backend
-	readLoops sync.WaitGroup // running dials, and read loops of connections
+	mu         sync.Mutex
+	byID       map[decision.BackendID]*backend
+	background sync.WaitGroup // running dials, each of which becomes the read loop of its connection
 }
 
 var _ executor.BackendTransport = (*Transport)(nil)
@@ -87,12 +87,12 @@
 	state        decision.BackendState
 	conns        []*conn
 	pendingDials []*pendingDial
-	removed      bool // connections whose dial completes later are closed
+	removed      bool // connections whose dial completes later are drained
 }
 
 // pendingDial is a connection that is being dialed.
 type pendingDial struct {
-	waiters int           // attempts that wait for the connection; guarded by Transport.mu
+	waiters int           // attempts that have joined the dial, also those that ended since; guarded by Transport.mu
 	done    chan struct{} // closed when the dial has ended
 	failed  bool          // may be read after done is closed
 }
@@ -137,7 +137,7 @@
 	for _, change := range changes {
 		be := t.byID[change.ID]
 		if be != nil && (change.State == decision.Removed || change.Replaced) {
-			discarded = append(discarded, be.remove()...)
+			discarded = append(discarded, be.detachConns()...)
 			delete(t.byID, change.ID)
 			be = nil
 		}
@@ -156,8 +156,9 @@
 	}
 }
 
-// remove marks a backend as removed and returns its connections. The caller holds Transport.mu.
-func (be *backend) remove() []*conn {
+// detachConns marks a backend as removed and returns its connections, which the caller must end. The
+// caller holds Transport.mu, and deletes the backend from Transport.byID.
+func (be *backend) detachConns() []*conn {
 	conns := be.conns
 	be.removed, be.conns = true, nil
 	return conns
@@ -168,17 +169,18 @@
 	t.mu.Lock()
 	var conns []*conn
 	for _, be := range t.byID {
-		conns = append(conns, be.remove()...)
+		conns = append(conns, be.detachConns()...)
 	}
 	clear(t.byID)
 	t.mu.Unlock()
 	for _, c := range conns {
 		c.fail(net.ErrClosed)
 	}
-	t.readLoops.Wait()
+	t.background.Wait()
 }
 
-// Probe returns decision.NotSent, as load reports cannot be requested over gRPC.
+// Probe returns decision.NotSent: a probe asks a backend for its load report, and over gRPC backends send
+// these only with the responses to calls.
 func (t *Transport) Probe(id decision.BackendID, _ time.Duration) decision.ProbeResult {
 	return decision.ProbeResult{Backend: id, Result: decision.NotSent}
 }
@@ -213,22 +215,22 @@
 	})
 	defer stop()
 	c.sendBody(s, request.Body)
-	forwarded := decision.Succeeded
+	forwardResult := decision.Succeeded
 	if request.Sink != nil {
-		forwarded = s.forwardTo(ctx, a, request.Sink)
+		forwardResult = s.forwardTo(ctx, a, request.Sink)
 	}
 	<-s.done
-	return t.result(s, request, forwarded)
+	return t.result(s, request, forwardResult)
 }
 
-// result returns the result of an attempt whose stream has ended. forwarded is what forwardTo returned
-// for a streamed response, and otherwise decision.Succeeded.
-func (t *Transport) result(s *stream, request *Request, forwarded decision.Result) executor.Response {
+// result returns the result of an attempt whose stream has ended. forwardResult is what forwardTo
+// returned for a streamed response, and otherwise decision.Succeeded.
+func (t *Transport) result(s *stream, request *Request, forwardResult decision.Result) executor.Response {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
 	outcome, _ := s.call.Ended()
 	if outcome.Result == decision.Succeeded {
-		outcome.Result = forwarded
+		outcome.Result = forwardResult
 	}
 	out := responseWith(outcome.Result)
 	if outcome.Result == decision.Succeeded || outcome.Result == decision.ErrorResponse {
@@ -261,7 +263,7 @@
 		switch {
 		case p.conn != nil:
 			return p.conn, 0
-		case p.pendingDial == nil: // no free stream, or the backend accepts no attempts: another backend may
+		case p.pendingDial == nil: // no free stream, or the backend accepts no attempts; another may be tried
 			return nil, decision.NotSent
 		case p.startDial:
 			go t.dial(p.backend, p.pendingDial)
@@ -324,7 +326,7 @@
 	}
 	d := &pendingDial{waiters: 1, done: make(chan struct{})}
 	be.pendingDials = append(be.pendingDials, d)
-	t.readLoops.Add(1)
+	t.background.Add(1) // Done is called by dial if it fails, otherwise when the connection has closed
 	return pickResult{backend: be, pendingDial: d, startDial: true}
 }
 
@@ -352,16 +354,16 @@
 	if err == nil {
 		c, err = newConn(netConn, t.config.MaxStreamsPerConn, func(c *conn) {
 			t.removeConn(be, c)
-			t.readLoops.Done()
+			t.background.Done()
 		})
 	}
 	if err != nil {
-		t.readLoops.Done()
+		t.background.Done()
 	}
 	t.mu.Lock()
 	be.pendingDials = slices.DeleteFunc(be.pendingDials, func(o *pendingDial) bool { return o == d })
 	removed := be.removed
-	if err == nil && !removed && c.state() != stateClosed {
+	if err == nil && !removed && c.state() != stateClosed { // it may have closed already, and removeConn found nothing
 		be.conns = append(be.conns, c)
 	}
 	t.mu.Unlock()
--- a/internal/http1proxy/header.go
+++ b/internal/http1proxy/header.go
@@ -9,7 +9,7 @@
 )
 
 // hopByHop reports whether a field applies to a single connection and must not be forwarded (RFC
-// 9110, 7.6.1, and older usage). They include Te and Trailer: the proxy writes its own.
+// 9110, 7.6.1, and older usage). Te and Trailer are included, as the proxy writes its own.
 func hopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
@@ -19,8 +19,8 @@
 	return false
 }
 
-// ConnectionOptions returns the canonical names of the fields that are listed in Connection, which
-// makes them hop-by-hop, too.
+// ConnectionOptions returns the canonical names of the fields that are listed in Connection. A listed
+// field is hop-by-hop, whatever its name.
 func ConnectionOptions(h Header) (names []string) {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -106,7 +106,7 @@
 	Addr        string // the peer's address, without a port
 	Host        string // the request's Host
 	TLS         bool   // the request arrived over TLS
-	TrustedPeer bool   // the peer's X-Forwarded-*, Forwarded and TrustedOnly fields are kept
+	TrustedPeer bool   // the X-Forwarded-*, Forwarded and TrustedOnly fields of the peer are kept
 	Proto       string // the HTTP version, such as "1.1" or "2.0"
 }
 
@@ -115,8 +115,8 @@
 	ForwardedStyle ForwardedStyle
 	// ViaName is the proxy's name in Via. Empty means that Via is forwarded unchanged.
 	ViaName string
-	// MaxViaEntries is the number of occurrences of ViaName in Via at which a request is rejected as
-	// a loop. 0 means no limit.
+	// MaxViaEntries is the number of occurrences of the text ViaName in Via, also as a part of other
+	// names, at which a request is rejected as a loop. 0 means no limit.
 	MaxViaEntries int
 	// Remove has the canonical names of fields that are never forwarded.
 	Remove []string
@@ -124,12 +124,12 @@
 	TrustedOnly []string
 }
 
-// headerField is a field that the proxy adds.
+// headerField is a field that the proxy itself sets, such as Via.
 type headerField struct{ name, value string }
 
-// Append appends the header fields of a request in wire format, without Host and the framing fields.
-// added are additional fields, as alternating names and values, which replace the client's fields of
-// the same names. The error is an ErrInvalidField or ErrLoop.
+// Append appends the header fields of a request in wire format, without Host, Content-Length and
+// Transfer-Encoding. added are further fields that the caller adds, as alternating names and values;
+// they replace the client's fields of the same names. The error is an ErrInvalidField or ErrLoop.
 func (f *HeaderForwarder) Append(b []byte, h Header, origin Origin, added ...string) ([]byte, error) {
 	var buffer [4]headerField // keeps the proxy's fields off the heap
 	proxyFields := buffer[:0]
@@ -163,7 +163,7 @@
 	for name, values := range h {
 		switch {
 		case hopByHop(name), slices.Contains(options, name), slices.Contains(f.Remove, name),
-			!trustedPeer && slices.Contains(f.TrustedOnly, name), f.isSetByProxy(name), isReplaced(name, added):
+			!trustedPeer && slices.Contains(f.TrustedOnly, name), f.isOwnedByProxy(name), isReplaced(name, added):
 			continue
 		}
 		for _, value := range values {
@@ -176,9 +176,9 @@
 	return b, nil
 }
 
-// isSetByProxy reports whether the proxy sets or removes a field itself instead of forwarding the
+// isOwnedByProxy reports whether the proxy sets or removes a field itself instead of forwarding the
 // client's.
-func (f *HeaderForwarder) isSetByProxy(name string) bool {
+func (f *HeaderForwarder) isOwnedByProxy(name string) bool {
 	switch name {
 	case "Host", "Content-Length", "Expect", "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "Forwarded":
 		return true
--- a/internal/httplistener/conntable.go
+++ b/internal/httplistener/conntable.go
@@ -10,10 +10,10 @@
 	"sync"
 )
 
-// connTable limits the number of client connections. When a new connection exceeds the limit, the one
-// that has been idle for longest is closed, whether it is waiting for its first or a later request; see
-// evictionCandidate. A connection with an open request is never closed. A connTable is safe for
-// concurrent use.
+// connTable limits the number of client connections. When a new connection exceeds the limit, one
+// without an open request is closed, whether it is waiting for its first or a later request:
+// evictionCandidate selects it. A request is open from when its header has been read until its response
+// has ended; a connection with an open request is never closed. A connTable is safe for concurrent use.
 type connTable struct {
 	maxConns int
 
@@ -48,7 +48,7 @@
 		t.open[c] = t.order.PushBack(&trackedConn{conn: c})
 		if len(t.open) > t.maxConns {
 			t.mu.Unlock()
-			runtime.Gosched() // let goroutines of other new connections read requests that have arrived
+			runtime.Gosched() // gives goroutines of other new connections a chance to read requests that have arrived
 			t.mu.Lock()
 			t.evictIdle(c)
 		}
@@ -56,7 +56,7 @@
 		t.setIdle(c)
 	case http.StateActive:
 		t.setBusy(c)
-	default:
+	default: // http.StateClosed or http.StateHijacked
 		if e := t.open[c]; e != nil {
 			t.order.Remove(e)
 			delete(t.open, c)
@@ -107,8 +107,8 @@
 // preference:
 //
 //  1. The connection other than newest that has been idle for longest and on which nothing has arrived
-//     since its last response. Bytes that have arrived, read or not, are the start of a request, which
-//     closing the connection would lose.
+//     since then. Bytes that have arrived, read or not, are the start of a request, which closing the
+//     connection would lose.
 //  2. The connection whose request header has been incomplete for longest. Otherwise clients that start
 //     requests and never complete them could lock out new clients, whose first bytes arrive just after
 //     they have connected.
@@ -137,12 +137,13 @@
 }
 
 // closeIdle closes idle connections until all remaining ones have an open request, or ctx is done. It
-// does not close a connection on which bytes have arrived since its last response, as that would lose a
-// request that the client has sent, nor a new connection before it has had a request or timed out.
+// does not close a connection on which bytes have arrived since its last response: that would lose a
+// request that the client has sent. It does not close a connection before its first request either; if
+// none arrives, the server's header timeout closes that connection.
 func (t *connTable) closeIdle(ctx context.Context) {
 	for {
-		waiting, changed := t.closeIdleNow()
-		if waiting == 0 {
+		remaining, changed := t.closeIdleNow()
+		if remaining == 0 {
 			return
 		}
 		select {
@@ -153,9 +154,9 @@
 	}
 }
 
-// closeIdleNow closes the connections that closeIdle may close now. It returns how many of the others
-// have no open request, and a channel that is closed at the next state change.
-func (t *connTable) closeIdleNow() (waiting int, changed <-chan struct{}) {
+// closeIdleNow closes the connections that closeIdle may close now. remaining is the number of those
+// that have no open request but may not be closed yet; changed is closed at the next state change.
+func (t *connTable) closeIdleNow() (remaining int, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var next *list.Element
@@ -169,11 +170,11 @@
 			delete(t.open, tracked.conn)
 			_ = tracked.conn.Close()
 		default:
-			waiting++
+			remaining++
 		}
 	}
 	if t.changed == nil {
 		t.changed = make(chan struct{})
 	}
-	return waiting, t.changed
+	return remaining, t.changed
 }
--- a/internal/httplistener/server.go
+++ b/internal/httplistener/server.go
@@ -23,7 +23,7 @@
 	defaultMaxHeaderBytes = 16 << 10
 	// idleTimeout is how long a connection may stay open without a request.
 	idleTimeout = 15 * time.Second
-	// writeGrace is the time left to write the response of a request that took maxRequestTimeout.
+	// writeGrace is added to maxRequestTimeout for writing the response.
 	writeGrace = 10 * time.Second
 )
 
@@ -45,7 +45,7 @@
 	log               *slog.Logger
 	conns             *connTable
 	draining          atomic.Bool  // shutdown has begun
-	stopped           atomic.Bool  // new requests are rejected
+	rejecting         atomic.Bool  // new requests are rejected; requests in progress complete
 	lastAccept        atomic.Int64 // Unix time in nanoseconds
 }
 
@@ -80,8 +80,8 @@
 	s.log.Info("told to end")
 	s.drain()
 	// A request accepted from here on might not complete before the platform kills the process.
-	s.stopped.Store(true)
-	stop, cancel := context.WithTimeout(context.Background(), s.maxRequestTimeout)
+	s.rejecting.Store(true)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), s.maxRequestTimeout)
 	defer cancel()
 	_ = listener.Close()
 	// Wait until Serve has released the listener. Otherwise Shutdown closes the listener a second time
@@ -89,8 +89,8 @@
 	if err := <-served; !errors.Is(err, net.ErrClosed) {
 		s.log.Warn("listener failed", "err", err)
 	}
-	s.conns.closeIdle(stop)
-	return server.Shutdown(stop)
+	s.conns.closeIdle(shutdownCtx)
+	return server.Shutdown(shutdownCtx)
 }
 
 // httpServer returns an http.Server with the configured limits and hooks.
@@ -141,13 +141,14 @@
 }
 
 // ServeHTTP answers /ready itself, unless Options.GeneralPurpose is set, and passes all other requests to
-// the handler. Responses that start while the server is draining close their connection. Once the
-// server has stopped, requests get status 503.
+// the handler. Responses that start while the server is draining close their connection. After the
+// drain, new requests get status 503.
 func (s *Server) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w := &responseWriter{ResponseWriter: rw, server: s}
 	if c, ok := r.Context().Value(connContextKey{}).(net.Conn); ok && clientDisconnected(c) {
 		// The client disconnected before its request was read. net/http would detect this only while
-		// the handler is running, and by then the handler could have forwarded the request.
+		// the handler is running, and by then the handler could have forwarded the request. With a
+		// cancelled context the handler treats the request as cancelled.
 		ctx, cancel := context.WithCancel(r.Context())
 		cancel()
 		r = r.WithContext(ctx)
@@ -159,7 +160,7 @@
 		} else {
 			w.WriteHeader(http.StatusOK)
 		}
-	case s.stopped.Load():
+	case s.rejecting.Load():
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		s.handler.ServeHTTP(w, r)
--- a/internal/httpproxyconfig/httpproxyconfig.go
+++ b/internal/httpproxyconfig/httpproxyconfig.go
@@ -112,7 +112,7 @@
 	}, id.Algorithms, keys)
 }
 
-// ListenerTLS returns the TLS configuration of the listener and the store of its certificates, or nil and
+// ListenerTLS returns the TLS configuration of the listener and the store of its certificates. Both are
 // nil if the listener has no TLS. The error is an operatorconfig.Problems.
 func ListenerTLS(f *operatorconfig.File, read certs.ReadFile, now func() time.Time,
 	log *slog.Logger) (*tls.Config, *certs.Store, error) {
@@ -198,8 +198,8 @@
 	return c, nil
 }
 
-// backendTLS returns the TLS configuration of connections to backends. With an error, key is the
-// setting in the section that caused it.
+// backendTLS returns the TLS configuration of connections to backends. If err is not nil, key is the
+// setting at fault.
 func backendTLS(t *operatorconfig.ServiceTLS, read certs.ReadFile) (config *tls.Config, key string, err error) {
 	config = &tls.Config{ServerName: t.ServerName, MinVersion: minVersion(t.AllowTLS12)}
 	if t.CAFile != "" {
@@ -218,15 +218,14 @@
 	if err != nil {
 		return nil, "pins", err
 	}
-	config.InsecureSkipVerify = t.PinsOnly // VerifyConnection checks the pins instead
+	config.InsecureSkipVerify = t.PinsOnly // VerifyConnection checks the pins; operatorconfig requires some
 	if len(pins) > 0 {
 		config.VerifyConnection = verifyPins(pins)
 	}
 	return config, "", nil
 }
 
-// loadCertificate reads a certificate and its private key. With an error, key is the setting in the
-// section that caused it.
+// loadCertificate reads a certificate and its private key. If err is not nil, key is the setting at fault.
 func loadCertificate(certFile, keyFile string, read certs.ReadFile) (cert *tls.Certificate, key string, err error) {
 	certText, err := read(certFile)
 	if err != nil {
@@ -266,8 +265,8 @@
 	}
 }
 
-// Warnings returns warnings about a valid file: certificates that expire soon, names in certificates
-// that no route uses, and hosts of routes without a certificate.
+// Warnings returns warnings about a valid file: the certificate that expires first, if it expires soon,
+// names in certificates that no route uses, and hosts of routes that no certificate covers.
 func Warnings(f *operatorconfig.File, store *certs.Store, now time.Time) (warnings []string) {
 	if store == nil {
 		return nil
--- a/internal/httpproxytransport/body.go
+++ b/internal/httpproxytransport/body.go
@@ -100,7 +100,7 @@
 			return out, !res.Close
 		}
 		if err != nil {
-			return x.failure(err), false
+			return x.logFailure(err), false
 		}
 	}
 }
--- a/internal/httpproxytransport/exchange.go
+++ b/internal/httpproxytransport/exchange.go
@@ -58,7 +58,7 @@
 		if !retry {
 			return response
 		}
-		// The reused connection failed before the request's head was written: nothing has run.
+		// The reused connection failed before the backend could have received the whole head: nothing has run.
 		c, result = t.acquire(a, true)
 	}
 }
@@ -71,12 +71,12 @@
 	conn        *conn // nil over HTTP/2
 	addr        string
 	progress    http1proxy.Progress
-	bodyWritten chan error  // receives the result of writing the body concurrently; nil: written inline
+	bodyWritten chan error  // receives the result of writing the body concurrently; nil: there is no such write
 	hasBuffered func() bool // reports whether more of the response is already buffered
 }
 
-// run makes the exchange. retry means that the request has not run because the reused connection was
-// closed, and that it should be sent on a new connection.
+// run makes the exchange. retry means that a reused connection failed before the backend could have
+// received the whole head, so that the request has not run and should be sent on a new connection.
 func (x *exchange) run() (response executor.Response, retry bool) {
 	c := x.conn
 	if x.attempt.OnCancel(c.abort) != nil || x.attempt.SendForbidden() {
@@ -94,22 +94,22 @@
 		return responseWith(x.progress.Result(x.endReason(err))), false
 	}
 	response, reusable := x.readResponse()
-	if x.bodyWritten != nil && !x.awaitBody() {
+	if x.bodyWritten != nil && !x.stopBodyWrite() {
 		reusable = false
 	}
 	x.endExchange(reusable && c.reader.Buffered() == 0)
 	return response, false
 }
 
-// awaitBody ends the concurrent write of the request's body, and reports whether all of it was
-// written. If the response was complete first, the rest is not written.
-func (x *exchange) awaitBody() bool {
+// stopBodyWrite ends the concurrent write of the request's body, and reports whether all of it was
+// written. A write that is still running is aborted together with the connection.
+func (x *exchange) stopBodyWrite() bool {
 	select {
 	case err := <-x.bodyWritten:
 		return err == nil
 	default:
 		x.conn.abort()
-		<-x.bodyWritten //nolint:errcheck // the write was aborted, which the result reports already
+		<-x.bodyWritten //nolint:errcheck // the write was aborted, as the return value says
 		return false
 	}
 }
@@ -141,6 +141,7 @@
 }
 
 // isNetError reports whether an error comes from the connection, and not from parsing the response.
+// Errors of connections have the method Timeout of net.Error.
 func isNetError(err error) bool {
 	_, ok := errors.AsType[interface {
 		error
@@ -189,9 +190,9 @@
 func (x *exchange) readResponse() (out executor.Response, reusable bool) {
 	res, err := x.readHead()
 	if err != nil {
-		return x.failure(err), false
+		return x.logFailure(err), false
 	}
-	x.conn.readLimit = -1
+	x.conn.readLimit = -1 // no limit: MaxHeadBytes is for the head alone
 	return x.handleResponse(res)
 }
 
@@ -274,7 +275,7 @@
 		return x.streamBody(res, response, out)
 	}
 	if err != nil {
-		return x.failure(err), false
+		return x.logFailure(err), false
 	}
 	if out.Result != decision.Succeeded {
 		x.request.setLastErrorResponse(response)
@@ -282,7 +283,7 @@
 	return out, !res.Close
 }
 
-// outcome returns the result and the usage that the head of a response reports.
+// outcome returns the result of the attempt and the quota usage, as the head of a response reports them.
 func (x *exchange) outcome(res *http.Response) executor.Response {
 	h := res.Header
 	notStarted := len(h["Not-Started"]) == 1 && h["Not-Started"][0] == "1"
@@ -294,8 +295,8 @@
 	return out
 }
 
-// failure logs an error that ended an attempt, and returns the attempt's result.
-func (x *exchange) failure(err error) executor.Response {
+// logFailure logs an error that ended an attempt, and returns the attempt's result.
+func (x *exchange) logFailure(err error) executor.Response {
 	result := x.progress.Result(x.endReason(err))
 	config := &x.transport.config
 	x.transport.failureLogLimit.Do(func() {
--- a/internal/httpproxytransport/http2.go
+++ b/internal/httpproxytransport/http2.go
@@ -269,7 +269,7 @@
 // for them.
 func (x *exchange) failureHTTP2(err error) executor.Response {
 	if x.attempt.CancelCause() != nil {
-		return x.failure(err)
+		return x.logFailure(err)
 	}
 	stream, isStream := errors.AsType[http2.StreamError](err)
 	switch {
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -21,7 +21,7 @@
 	Duration  time.Duration              `json:"Took"`
 	Partial   bool                       `json:"Partial"` // the run was ended before its plan was done
 	Scheduled int                        `json:"Asked"`   // requests that were due, including the dropped ones
-	Dropped   int                        `json:"Lost"`    // not sent as MaxOpen were in flight; in All with the timeout
+	Dropped   int                        `json:"Lost"`    // not sent as MaxOpen were in flight; in All as Plan.Timeout
 	Retries   int                        `json:"Retries"`
 	Good      int                        `json:"Good"`    // requests with a successful response
 	Bytes     int64                      `json:"Bytes"`   // length of the bodies of final responses
@@ -30,7 +30,7 @@
 	All       LatencySummary             `json:"All"`     // of all requests
 	Served    LatencySummary             `json:"Served"`  // of the requests that Good counts
 	LagP99    time.Duration              `json:"LagP99"`  // 99th percentile of how late requests were sent
-	Invalid   string                     `json:"Invalid"` // why the run says nothing about its target; empty if valid
+	Invalid   string                     `json:"Invalid"` // why the run is invalid; empty if it is valid
 
 	mu          sync.Mutex
 	plan        *Plan
@@ -54,7 +54,7 @@
 	histogram *hdrhistogram.Histogram
 }
 
-// newLatencySummary returns an empty summary. The range of its histogram is twice the requests' timeout.
+// newLatencySummary returns an empty summary. Its histogram ranges up to twice the requests' timeout.
 func newLatencySummary(timeout time.Duration) LatencySummary {
 	return LatencySummary{histogram: hdrhistogram.New(1, max(2, 2*timeout.Microseconds()), 3)}
 }
@@ -141,7 +141,7 @@
 	r.sinceReport.scheduled, r.sinceReport.ended, r.sinceReport.good = 0, 0, 0
 	since := time.Since(r.lastReport).Seconds()
 	r.lastReport = time.Now()
-	ended := r.All.histogram.TotalCount() + r.All.Beyond - int64(r.Dropped)
+	ended := r.All.histogram.TotalCount() + r.All.Beyond - int64(r.Dropped) // All includes the dropped requests
 	open := int64(r.Scheduled-r.Dropped) - ended
 	return fmt.Sprintf(
 		"due %.0f/s  completed %.0f/s  good %.0f/s  in flight %d  dropped %d  p50 %v  p99 %v  lag p99 %v",
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -15,11 +15,11 @@
 	Target      string    // host:port
 	AllowRemote bool      // Target may be on another machine
 	Progress    io.Writer // gets a progress line every second; nil means none
-	// Route returns the target of each try over HTTP. It must be on this machine, which is not checked. nil means
-	// Target.
+	// Route returns the target of each try over HTTP. The caller must return only targets on this machine: they are
+	// not checked. nil means Target.
 	Route func(r *Request, try int) (target string)
-	// BeforeTry is called before each try, with the ID of the try. OnOutcome is called after each try. Both may be
-	// called concurrently, and both may be nil.
+	// BeforeTry is called before each try, with the request ID that the try is sent with. OnOutcome is called after
+	// each try. Both may be called concurrently, and both may be nil.
 	BeforeTry func(r *Request, try int, id string)
 	OnOutcome func(outcome Outcome)
 }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -56,7 +56,9 @@
 	// HTTP is nil if the file has no services: requests on Listen then use the platform's headers.
 	HTTP *HTTP
 
-	classes []class // before each class by method is split into its variants
+	// classes are the classes before those without an idempotency of their own, which take that of the
+	// request's method, are split into variants, one for each idempotency.
+	classes []class
 }
 
 // Bounds of values in the file.
@@ -94,7 +96,8 @@
 	if err := d.Err(); err != nil {
 		return File{}, err
 	}
-	if err := f.Gateway.Settings.Validate(); err != nil { // constraints between keys
+	if err := f.Gateway.Settings.Validate(); err != nil {
+		// A constraint between several keys, which belongs to no single line: line 1 stands for the file.
 		return File{}, Problems{{Line: 1, Message: err.Error()}}
 	}
 	return f, nil
@@ -112,10 +115,10 @@
 	}
 }
 
-// checkUniqueName reports a problem if name is in seen, and adds it.
+// checkUniqueName reports a problem if name is in seen, and then adds name to seen.
 func checkUniqueName(seen map[string]bool, s *settings.Section, name string) {
 	if name != "" && seen[name] {
-		s.Problemf("name", "%q is there twice", name)
+		s.Problemf("name", "%q is used more than once", name)
 	}
 	seen[name] = true
 }
@@ -198,8 +201,9 @@
 	return c
 }
 
-// readClasses reads [[class]], after services: a class replaces the class of a service with the same
-// name. Classes whose idempotency is by method are split into their variants.
+// readClasses reads [[class]]. It must be called after the services were read: a [[class]] replaces the
+// class that a [[service]] of the same name has created. A class whose idempotency is that of the
+// request's method is split into variants, one for each idempotency.
 func readClasses(d *settings.Document, root *settings.Section, f *File) {
 	set := &f.Gateway.Settings
 	seen := map[string]bool{}
@@ -229,7 +233,7 @@
 		set.Classes = append(set.Classes, variants...)
 	}
 	if len(set.Classes) == 0 {
-		d.Problemf("", "class", "there is none: [[class]] with at least a name")
+		d.Problemf("", "class", "at least one [[class]] with a name is required")
 	}
 }
 
@@ -260,6 +264,6 @@
 		set.Plans = []decision.Plan{{Name: "everyone", Price: 1}}
 	}
 	if len(set.Plans) == 0 {
-		d.Problemf("", "plan", "there is none: [[plan]] with at least a name")
+		d.Problemf("", "plan", "at least one [[plan]] with a name is required")
 	}
 }
--- a/internal/operatorconfig/grpc.go
+++ b/internal/operatorconfig/grpc.go
@@ -83,7 +83,7 @@
 			e.Problemf("name", "%v", err)
 		}
 		if _, ok := methods[name]; ok {
-			e.Problemf("name", "%q is there twice", name)
+			e.Problemf("name", "%q is used more than once", name)
 		}
 		known := slices.ContainsFunc(f.Gateway.Settings.Classes,
 			func(c decision.Class) bool { return c.Name == method.Class })
@@ -97,7 +97,7 @@
 		methods[name] = method
 	}
 	if len(methods) == 0 {
-		s.Problemf("method", "there is none: [[grpc.method]] with a name and a class")
+		s.Problemf("method", "at least one [[grpc.method]] with a name and a class is required")
 	}
 	return methods
 }
--- a/internal/operatorconfig/http.go
+++ b/internal/operatorconfig/http.go
@@ -157,7 +157,7 @@
 		e.RejectUnknownKeys()
 	}
 	if len(t.Certificates) == 0 {
-		s.Problemf("certificate", "there is none: [[tls.certificate]] with cert_file and key_file")
+		s.Problemf("certificate", "at least one [[tls.certificate]] with cert_file and key_file is required")
 	}
 	s.RejectUnknownKeys()
 	return t
--- a/internal/operatorconfig/services.go
+++ b/internal/operatorconfig/services.go
@@ -104,7 +104,7 @@
 		name := service + "/" + addr
 		checkAddress(s, "backends", addr)
 		if slices.ContainsFunc(f.Backends.Nodes, func(n membership.Node) bool { return n.Name == name }) {
-			s.Problemf("backends", "%q is there twice", addr)
+			s.Problemf("backends", "%q is used more than once", addr)
 		}
 		node := membership.Node{Name: name, Addr: addr, Weight: 1, Protocol: httpproxy.Protocol(service)}
 		f.Backends.Nodes = append(f.Backends.Nodes, node)
--- a/internal/operatorconfig/sources.go
+++ b/internal/operatorconfig/sources.go
@@ -34,7 +34,8 @@
 // sourceNames are the names of sources in their default precedence.
 var sourceNames = []string{SourceConsul, SourceDiscovery, SourceFile}
 
-// readSources reads the sources of backends, after services and classes.
+// readSources reads the sources of backends. It must be called after the services and classes were read,
+// which backends refer to.
 func readSources(d *settings.Document, root *settings.Section, f *File) {
 	f.Gateway.StateDir = root.String("state_dir", false)
 	f.StatusAddr = root.String("members", false)
@@ -59,7 +60,8 @@
 	readBackends(root, f)
 	configured[SourceFile] = len(f.Backends.Nodes) > 0
 	if len(configured) == 1 && !configured[SourceFile] {
-		d.Problemf("", "backend", "there is none: [[backend]] with a name and an address, [consul] or [discovery]")
+		d.Problemf("", "backend",
+			"at least one source is required: [[backend]] with a name and an address, [consul] or [discovery]")
 	}
 	f.Sources = root.Strings("sources")
 	if f.Sources == nil {
@@ -87,7 +89,7 @@
 		case !configured[name]:
 			d.Problemf("", "sources", "%q is listed and not configured", name)
 		case slices.Contains(sources[:i], name):
-			d.Problemf("", "sources", "%q is there twice", name)
+			d.Problemf("", "sources", "%q is used more than once", name)
 		}
 	}
 	for _, name := range sourceNames {
@@ -122,7 +124,7 @@
 		c.Services = append(c.Services, service)
 	}
 	if len(c.Services) == 0 {
-		s.Problemf("service", "there is none: [[consul.service]] with a name")
+		s.Problemf("service", "at least one [[consul.service]] with a name is required")
 	}
 	if r := s.Table("register"); r.Keys != nil {
 		c.Registration, c.DrainNotice = readRegistration(r, f.Listen)
@@ -177,7 +179,8 @@
 		ServeWarning:    s.OneOf("warning", "drain", "drain", "serve") == 1,
 	}
 	// A retry of a keyed request must go to a backend of the same zone or cell, as only these drop
-	// repeats: a backend elsewhere would run the request twice. So the zone or cell must be known.
+	// repeats: a backend elsewhere would run the request twice. So the zone or cell must be known. In
+	// Consul they come from a mapping, without which all backends would lack them.
 	for _, class := range f.Gateway.Settings.Classes {
 		if class.Idempotency != decision.IdempotentByKey {
 			continue
@@ -192,7 +195,7 @@
 	return service
 }
 
-// readRegistration reads [consul.register]. The default of the address is that of the listener.
+// readRegistration reads [consul.register]. The address defaults to the listener's.
 func readRegistration(s *settings.Section, listen string) (r *consul.Registration, drainNotice time.Duration) {
 	r = &consul.Registration{
 		Name:            s.String("name", true),
--- a/internal/requestmeta/requestmeta.go
+++ b/internal/requestmeta/requestmeta.go
@@ -1,6 +1,6 @@
 // Package requestmeta parses the metadata that the platform's clients send with a request, in the
-// formats that HTTP and gRPC share: IDs of 16 hex digits, and terms such as "units=2,spread=3,first=1".
-// The package is pure: it does no I/O.
+// formats that HTTP and gRPC share: IDs of 16 hex digits, and the terms of a request, a list of named
+// values such as "units=2,spread=3,first=1". The package is pure: it does no I/O.
 package requestmeta
 
 import (
@@ -11,18 +11,18 @@
 	"pumicecroft/decision"
 )
 
-// maxCustomerID is greater than every customer ID on the platform.
-const maxCustomerID = 1 << 33
+// customerIDLimit is the bound that all customer IDs of the platform are below.
+const customerIDLimit = 1 << 33
 
 // Terms are the cost of a request and the gateways that its customer uses: GatewaySpread gateways with
-// consecutive indices, starting at FirstGateway.
+// consecutive indices, starting at FirstGateway and continuing at 0 after the last gateway.
 type Terms struct {
 	Cost                        float64
 	GatewaySpread, FirstGateway int
 }
 
-// ParseTerms parses terms. ok is false unless each term is present exactly once and in the range that the
-// settings allow. Unknown terms are ignored.
+// ParseTerms parses terms. ok is false unless units, spread and first are each present exactly once and in
+// the range that the settings allow. Values with other names are ignored.
 func ParseTerms(text string, settings *decision.Settings) (t Terms, ok bool) {
 	var hasUnits, hasSpread, hasFirst bool
 	for field := range strings.SplitSeq(text, ",") {
@@ -54,7 +54,7 @@
 		t.FirstGateway >= 0 && t.FirstGateway < settings.GatewayCount
 }
 
-// ParseHexID parses an ID of 16 hex digits. The error is of package strconv.
+// ParseHexID parses an ID of 16 hex digits. The error is or wraps strconv.ErrSyntax.
 func ParseHexID(s string) (uint64, error) {
 	if len(s) != 16 {
 		return 0, strconv.ErrSyntax
@@ -62,10 +62,11 @@
 	return strconv.ParseUint(s, 16, 64)
 }
 
-// ParseCustomer parses a customer ID of 16 hex digits. The error is of package strconv.
+// ParseCustomer parses a customer ID of 16 hex digits. The error is or wraps strconv.ErrSyntax or
+// strconv.ErrRange.
 func ParseCustomer(s string) (uint64, error) {
 	n, err := ParseHexID(s)
-	if err == nil && n >= maxCustomerID {
+	if err == nil && n >= customerIDLimit {
 		err = strconv.ErrRange
 	}
 	return n, err
--- a/internal/settings/section.go
+++ b/internal/settings/section.go
@@ -11,10 +11,11 @@
 )
 
 // Section is one table of a Document. Its methods that read a key add a problem to the document if
-// the value is invalid; those with a defaultValue then return it.
+// the value is invalid. Methods with a parameter defaultValue return it if the key is missing or its
+// value is invalid.
 type Section struct {
 	Path string
-	Keys map[string]any // nil: the table is missing
+	Keys map[string]any // nil: the table is missing, or the key has a value of another type
 
 	document *Document
 	known    map[string]bool // keys that were read
@@ -35,7 +36,7 @@
 	s.document.Problemf(s.Path, key, format, args...)
 }
 
-// Table returns a subtable of this table. Its Keys are nil if it is missing.
+// Table returns a subtable of this table. Its Keys are nil if the subtable is missing or not a table.
 func (s *Section) Table(name string) *Section {
 	value, ok := s.Get(name)
 	keys, isTable := value.(map[string]any)
@@ -45,7 +46,7 @@
 	return s.document.section(Join(s.Path, name), keys)
 }
 
-// List returns the tables of a list of tables; nil if it is missing or invalid.
+// List returns the tables of a list of tables; nil if the key is missing or its value is invalid.
 func (s *Section) List(name string) []*Section {
 	value, ok := s.Get(name)
 	if !ok {
@@ -97,7 +98,8 @@
 	return text
 }
 
-// Strings returns a list of strings, none of which may be empty; nil if it is missing or invalid.
+// Strings returns a list of strings, none of which may be empty; nil if the key is missing or its value is
+// invalid. The result for a present, empty list is not nil.
 func (s *Section) Strings(key string) []string {
 	value, ok := s.Get(key)
 	if !ok {
@@ -117,7 +119,7 @@
 	return texts
 }
 
-// OneOf returns the index in names of a string that must be one of them. It returns the index of
+// OneOf reads a string that must be one of names, and returns its index in names. It returns the index of
 // defaultName if the key is missing, and 0 if the value is invalid.
 func (s *Section) OneOf(key, defaultName string, names ...string) int {
 	value, ok := s.Get(key)
@@ -171,7 +173,7 @@
 	return defaultValue
 }
 
-// Ints returns a list of integers; nil if it is missing or invalid.
+// Ints returns a list of integers; nil if the key is missing or its value is invalid.
 func (s *Section) Ints(key string) (numbers []int) {
 	value, ok := s.Get(key)
 	if !ok {
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,7 +1,7 @@
 // Package timerwheel implements a hierarchical timing wheel, after Varghese and Lauck, "Hashed and
 // Hierarchical Timing Wheels" (1987). It suits many timers that are mostly cancelled before they fire
-// or that have similar durations. Adding and removing a timer is O(1). Advancing time costs one step
-// for each timer that fires and for each level that a timer moves down; waiting timers cost nothing.
+// or that have similar durations. Adding and removing a timer is O(1). Advancing time costs one step for
+// each timer that fires and each time that a timer moves to a lower level; waiting timers cost nothing.
 // BenchmarkWheel compares it with a heap.
 //
 // The package is pure and not safe for concurrent use. Adding a timer allocates nothing, as the owner
@@ -65,8 +65,9 @@
 	}
 }
 
-// insert puts a timer into its slot. The level is the highest group of bitsPerLevel bits in which the
-// timer's tick differs from the current tick; the slot is the value of these bits in the timer's tick.
+// insert puts a timer into its slot. The bits of a tick are in groups of bitsPerLevel, numbered from the
+// lowest. The level is the number of the highest group in which the timer's tick differs from the current
+// tick; the slot is the value of this group in the timer's tick.
 func (w *Wheel[T]) insert(t *Timer[T]) {
 	level := (bits.Len64(t.dueTick^w.nowTick) - 1) / bitsPerLevel
 	slot := t.dueTick >> (level * bitsPerLevel) & (slotsPerLevel - 1)
@@ -96,8 +97,8 @@
 }
 
 // earliestSlot returns the first occupied slot of the lowest occupied level, and the tick at which the
-// slot begins. Timers of a lower level fire before those of a higher one, as their ticks differ from the
-// current tick in lower bits only.
+// slot begins. Timers of a lower level fire before those of a higher one, as the ticks of the former differ
+// from the current tick in lower bits only.
 func (w *Wheel[T]) earliestSlot() (level, slot int, beginTick uint64, ok bool) {
 	for level := range levels {
 		if w.occupied[level] == 0 {
@@ -105,8 +106,8 @@
 		}
 		slot := bits.TrailingZeros64(w.occupied[level]) // slots before the current tick are always empty
 		shift := level * bitsPerLevel
-		above := w.nowTick >> shift &^ (slotsPerLevel - 1)
-		return level, slot, (above | uint64(slot)) << shift, true
+		higherBits := w.nowTick >> shift &^ (slotsPerLevel - 1)
+		return level, slot, (higherBits | uint64(slot)) << shift, true
 	}
 	return 0, 0, 0, false
 }
--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -1,6 +1,6 @@
-// Package unread wraps connections to report whether all bytes that have arrived on them were read.
-// After a pause of this process, that shows whether bytes that the peer sent meanwhile are still to be
-// handled.
+// Package unread wraps connections to report whether all bytes that have arrived on them were read. After
+// this process was paused, for example by SIGSTOP, the caller can thus tell a peer that has sent nothing
+// from one whose bytes have arrived during the pause and are not handled yet.
 package unread
 
 import (
@@ -19,9 +19,9 @@
 	net.Conn
 	raw    syscall.RawConn // nil: unread bytes can't be detected
 	peeker *socketpeek.Peeker
-	onWait func() // called each time that Read finds nothing to read, and by Close; may be nil
+	onWait func() // called each time that Read finds nothing to read, and once more by Close; may be nil
 
-	mu        sync.Mutex // held during the read system call, so that FullyRead sees no uncounted bytes
+	mu        sync.Mutex // held from the read system call to the update of waiting: FullyRead can't run between them
 	waiting   bool       // Read has found nothing to read and is waiting
 	closed    bool
 	bytesRead uint64
@@ -61,7 +61,7 @@
 		return !empty
 	})
 	switch {
-	case err != nil: // the connection was closed here, or a deadline expired
+	case err != nil: // the connection was closed on this side, or a deadline expired
 		return 0, err
 	case readErr != nil:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: readErr}
@@ -84,7 +84,8 @@
 }
 
 // FullyRead reports whether all bytes that have arrived were read and handled: Read is waiting for more,
-// and the socket has none. It returns false if unread bytes can't be detected.
+// and the socket has none. It assumes that the reading goroutine handles what it has read before it calls
+// Read again. It returns false if unread bytes can't be detected.
 func (c *Conn) FullyRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,15 +103,16 @@
 }
 
 // AfterInactivity returns a timer that calls onTimeout after the given timeout. When the timer expires, it
-// first calls extension; if that returns a positive duration, the timer is reset to it instead. This
-// avoids a false timeout after a pause of this process: extension can detect that the peer sent something
-// meanwhile that has arrived and is still unread. The caller may stop and reset the timer like any other.
-func AfterInactivity(timeout time.Duration, extension func() time.Duration, onTimeout func()) *time.Timer {
+// first calls extendBy; if extendBy returns a positive duration, the timer is reset to that duration and
+// onTimeout is not called. This avoids a false timeout after a pause of this process: extendBy can detect
+// that bytes of the peer have arrived during the pause and are still unread. The caller may stop and reset
+// the timer like any other.
+func AfterInactivity(timeout time.Duration, extendBy func() time.Duration, onTimeout func()) *time.Timer {
 	var t *time.Timer
-	timerSet := make(chan struct{}) // closed when t is assigned
+	timerSet := make(chan struct{}) // closed when t is assigned: the timer may expire before that
 	t = time.AfterFunc(timeout, func() {
 		<-timerSet
-		if more := extension(); more > 0 {
+		if more := extendBy(); more > 0 {
 			t.Reset(more)
 		} else {
 			onTimeout()
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,5 +1,5 @@
 // Package middleware holds the options that the middlewares for different frameworks share: which requests go
-// through the Gateway, and how they are read.
+// through the Gateway, and how HTTP requests are converted to the Gateway's requests.
 package middleware
 
 import (
@@ -18,15 +18,15 @@
 type Option func(*Config)
 
 // Routes adds paths that go through the Gateway, each with all paths below it: "/pay" matches /pay and /pay/1 but
-// not /payment. All other requests go to the host's next handler. The default is one path for each of the Gateway's
-// classes, by its name.
+// not /payment. All other requests go to the embedding program's next handler. The default is one path for each of
+// the Gateway's classes, by its name.
 func Routes(prefixes ...string) Option {
 	return func(c *Config) { c.Prefixes = append(c.Prefixes, prefixes...) }
 }
 
-// Mapper sets how a host's request becomes a Request. The default under net/http is the Gateway's own Mapper, which
-// reads the platform's headers unless pumicecroft.WithMapper has replaced it; under gin it is PlatformRequest. The
-// Gateway reads the body, unless the Mapper sets one.
+// Mapper sets how an HTTP request is converted to a pumicecroft.Request. The default under net/http is the Gateway's
+// own Mapper, which reads the platform's headers unless pumicecroft.WithMapper has replaced it; under gin it is
+// pumicecroft.PlatformRequest. The Gateway reads the body, unless the Mapper sets a body.
 func Mapper(m pumicecroft.Mapper) Option { return func(c *Config) { c.Mapper = m } }
 
 // New returns the configuration that options set, with the defaults for a Gateway.
--- a/routes/match.go
+++ b/routes/match.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Match finds the route of a request. The error is an ErrNoRoute, ErrMethodNotAllowed, ErrInvalidPath
-// or ErrInvalidHost.
+// Match finds the route of a request. The error is ErrNoRoute or a *MethodError, which is an
+// ErrMethodNotAllowed, or wraps ErrInvalidPath or ErrInvalidHost.
 func (t *Table[T]) Match(r *Request) (Match[T], error) {
 	host, err := normalizeHost(r.Host)
 	if err != nil {
@@ -46,14 +46,13 @@
 	return append(trees, t.anyHost)
 }
 
-// search is the state of one Match. Each node of a tree is visited at most once, as only one path leads
-// to it.
+// search is the state of one Match. Each node of a tree is visited at most once.
 type search[T any] struct {
 	request     *Request
 	rawSegments []string // as received
 	segments    []string // percent-decoded
 	found       *compiledRule[T]
-	allowed     []string // methods of rules that match except for the request's method
+	allowed     []string // methods of the rules that match the request in all but its method
 }
 
 // walk searches the subtree of n, which is depth segments below the root, and reports whether it found a
@@ -88,8 +87,8 @@
 	return false
 }
 
-// conditionsHold reports whether all conditions hold. values returns the values of a field; nil means
-// that there are no fields.
+// conditionsHold reports whether all conditions hold. values returns the values of a field; if values is
+// nil, the request has no fields.
 func conditionsHold(conditions []Condition, values func(name string) []string) bool {
 	for _, c := range conditions {
 		var present []string
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -220,9 +220,11 @@
 		want  string
 		rules []Rule[int]
 	}{
-		{`line 2: route "b" is ambiguous with "a": a request can be both's, and neither is more specific (line 1)`,
+		{`line 2: route "b" is ambiguous with "a": ` +
+			`both can match the same request, and neither is more specific (line 1)`,
 			[]Rule[int]{{Name: "a", Line: 1, Path: "/x/{id}"}, {Name: "b", Line: 2, Path: "/x/{name}"}}},
-		{`line 2: route "b" is ambiguous with "a": a request can be both's, and neither is more specific (line 1)`,
+		{`line 2: route "b" is ambiguous with "a": ` +
+			`both can match the same request, and neither is more specific (line 1)`,
 			[]Rule[int]{
 				{Name: "a", Line: 1, Path: "/x", Headers: []Condition{{"H", "1"}}},
 				{Name: "b", Line: 2, Path: "/x", Query: []Condition{{"q", ""}}}}},
--- a/routes/table.go
+++ b/routes/table.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Table is an immutable set of routes. The cost of a match depends on the segments of the request's path
-// and the routes that share them, not on the total number of routes.
+// Table is an immutable set of routes. The time of a match depends on the segments of the request's path
+// and the number of routes whose paths begin with the same segments, not on the total number of routes.
 type Table[T any] struct {
 	byHost          map[string]*node[T] // rules for an exact host name
 	byDomain        map[string]*node[T] // rules for "*.example.org", under "example.org"
@@ -119,7 +119,8 @@
 	return n.literal[s.text]
 }
 
-// compare orders rules with the same host and path by precedence.
+// compare orders rules with the same host and path by precedence: fewer methods first, then more
+// conditions first.
 func (c *compiledRule[T]) compare(o *compiledRule[T]) int {
 	return cmp.Or(cmp.Compare(c.methodCount(), o.methodCount()), cmp.Compare(o.conditionCount(), c.conditionCount()))
 }
@@ -139,8 +140,8 @@
 		for _, earlier := range list[:i] {
 			if earlier.compare(rule) == 0 && earlier.sharesMethod(rule) {
 				problems = append(problems, Problem{rule.Line, earlier.Line, fmt.Sprintf(
-					"route %q is ambiguous with %q: a request can be both's, and neither is more specific", rule.Name,
-					earlier.Name)})
+					"route %q is ambiguous with %q: both can match the same request, and neither is more specific",
+					rule.Name, earlier.Name)})
 			}
 		}
 		if line := rule.coveredBy(list[:i]); line > 0 {
@@ -151,8 +152,9 @@
 	return problems
 }
 
-// coveredBy returns the line of one of the earlier rules if these match every request that c matches, and
-// 0 otherwise. earlier must precede c.
+// coveredBy returns the line of an earlier rule if, for each method of c, a single earlier rule matches
+// all requests that c matches with this method. Otherwise it returns 0. earlier must precede c in order
+// of precedence; rules of equal precedence don't count, as conflicts reports them as ambiguous.
 func (c *compiledRule[T]) coveredBy(earlier []*compiledRule[T]) (line int) {
 	methods := c.Methods
 	if len(methods) == 0 {
@@ -180,7 +182,7 @@
 	return allImplied(c.Headers, o.Headers) && allImplied(c.Query, o.Query)
 }
 
-// allImplied reports whether all conditions hold for every request for which the given ones hold.
+// allImplied reports whether all of conditions hold for every request for which all of given hold.
 func allImplied(conditions, given []Condition) bool {
 	for _, c := range conditions {
 		implied := slices.ContainsFunc(given, func(g Condition) bool {
