--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -71,7 +71,8 @@
 	Completion kongcompletion.Completion `cmd:"" name:"completion" help:"Print the shell code that enables command completion."`
 }
 
-// jobs is how many jobs a command runs at a time, or the number of processors that it uses.
+// jobs is a command's degree of parallelism: the number of jobs that it runs at a time, or the number of
+// processors that it uses.
 type jobs int
 
 // Validate is called by kong after parsing.
--- a/conformance/backends.go
+++ b/conformance/backends.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// testDrain makes one of two backends drain under load.
+// testDrain makes discovery report the given health for one of two backends under load.
 func testDrain(t *testing.T, starter Starter, transcript *Transcript, health string) {
 	tc := newTestCase(t, starter)
 	tc.startBackend(newCell(0), nil)
--- a/conformance/outcomes.go
+++ b/conformance/outcomes.go
@@ -11,10 +11,11 @@
 
 // testOutcomes checks rules 1 and 2: each request gets one final response, and no effect happens
 // twice. It tries each way in which a first attempt can end, with each class, on one backend, on two
-// backends of one cell and on two of different cells, since only backends of one cell drop repeats.
+// backends of one cell and on two of different cells. Backends of one cell share the record of
+// idempotency keys: an effect does not happen again at another backend of the same cell.
 //
-// The names of behaviors, of fleets and in the transcript are those that sim.RunSingleRequest takes
-// and that compareWithSimulation compares.
+// The names of behaviors and fleets, and those in the transcript, must stay the same as in
+// sim.RunSingleRequest, as compareWithSimulation compares them.
 func testOutcomes(t *testing.T, starter Starter, transcript *Transcript) {
 	behaviors := map[string]fakes.Behavior{"served": fakes.ServeNormally, "error": fakes.ExecuteThenError,
 		"turned away": fakes.RejectNotStarted, "ran and broke": fakes.ExecuteThenReset,
@@ -157,8 +158,8 @@
 	}
 }
 
-// testManyRequests sends many concurrent requests to backends that fail in every way. Each request must
-// get a response, and no effect may happen twice.
+// testManyRequests sends many concurrent requests to backends that fail in all ways but
+// HangWithoutExecution. Each request must get a response, and no effect may happen twice.
 func testManyRequests(t *testing.T, starter Starter, transcript *Transcript) {
 	tc := newTestCase(t, starter)
 	behaviors := []fakes.Behavior{fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally, fakes.ServeNormally,
--- a/httpproxy/proxy.go
+++ b/httpproxy/proxy.go
@@ -82,7 +82,8 @@
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Protocol returns the value of membership.Node.Protocol for the backends of a service.
+// Protocol returns the value of membership.Node.Protocol for the backends of a service. Each service has a
+// protocol of its own, so that the Gateway sends its requests to its own backends only.
 func Protocol(service string) string { return httpproxytransport.Protocol(service) }
 
 // WithService enables a Gateway to forward to the backends of a service, which are the nodes whose
--- a/httpproxy/serve.go
+++ b/httpproxy/serve.go
@@ -47,6 +47,7 @@
 		p.writeProblem(w, r, &resolved, resolved.Err)
 		return
 	}
+	// payload is the request that is sent to the backend, request the one that the Gateway decides about.
 	payload, request, err := p.newBackendRequest(rules, &resolved, r, origin)
 	if err != nil {
 		p.writeProblem(w, r, &resolved, err)
--- a/identity/jwt.go
+++ b/identity/jwt.go
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// NewJWTRule returns a rule with the configuration of r that accepts tokens signed with one of the
+// NewJWTRule returns a copy of r that is ready for use and accepts tokens signed with one of the
 // algorithms and one of the keys. Each key must have the type that one of the algorithms needs.
 func NewJWTRule(r JWTRule, algorithms []string, keys []TokenKey) (*JWTRule, error) {
 	if len(algorithms) == 0 || len(keys) == 0 {
--- a/internal/httplistener/server.go
+++ b/internal/httplistener/server.go
@@ -58,7 +58,7 @@
 }
 
 // NewServer returns a Server that passes requests to handler. maxConns limits the client connections,
-// maxRequestTimeout is the longest deadline that a request can have.
+// maxRequestTimeout is the longest timeout that a request can have.
 func NewServer(handler http.Handler, maxConns int, maxRequestTimeout time.Duration, log *slog.Logger,
 	o Options) *Server {
 	return &Server{handler: handler, maxRequestTimeout: maxRequestTimeout, log: log,
--- a/internal/httpproxytransport/exchange.go
+++ b/internal/httpproxytransport/exchange.go
@@ -79,6 +79,8 @@
 // received the whole head, so that the request has not run and should be sent on a new connection.
 func (x *exchange) run() (response executor.Response, retry bool) {
 	c := x.conn
+	// OnCancel sets the function that ends the attempt early, nil removes it. It returns an error if the
+	// attempt has been cancelled already.
 	if x.attempt.OnCancel(c.abort) != nil || x.attempt.SendForbidden() {
 		_ = x.attempt.OnCancel(nil)
 		x.endExchange(false)
