--- a/cmd/pumicecroft/main.go
+++ b/cmd/pumicecroft/main.go
@@ -71,7 +71,8 @@
 	Completion kongcompletion.Completion `cmd:"" name:"completion" help:"Print the shell code that enables command completion."`
 }
 
-// jobs is how many jobs a command runs at a time, or the number of processors that it uses.
+// jobs is a command's degree of parallelism: the number of jobs that it runs at a time, or the number of
+// processors that it uses.
 type jobs int
 
 // Validate is called by kong after parsing.
@@ -125,7 +126,7 @@
 	kongcompletion.Register(parser)
 	if len(args) == 0 {
 		return usageError{errors.New(
-			"no command, and NODE_CONFIG is empty; see pumicecroft --help or try pumicecroft demo")}
+			"NODE_CONFIG names no file; see pumicecroft --help, and pumicecroft demo for the program at work")}
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
